--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -7,8 +7,8 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+use shaletrail_balancer_settings::Names;
 use shaletrail_policy::{Action, Balancer, Event};
-use shaletrail_policy_settings::Names;
 use wire::Line;
 
 struct Instance {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write;
 use std::io::BufRead;
 
+use shaletrail_balancer_settings::Names;
 use shaletrail_policy::*;
-use shaletrail_policy_settings::Names;
 
 /// Input lines and the number of the last one read.
 pub struct Lines<R> {
@@ -118,7 +118,7 @@
             return Ok(Line::Attach {
                 node,
                 seed,
-                settings: shaletrail_policy_settings::parse(&setup).map_err(|e| e.to_string())?,
+                settings: shaletrail_balancer_settings::parse(&setup).map_err(|e| e.to_string())?,
             });
         }
         "down" => return Ok(Line::Down { node }),
--- a/hollow/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -7,11 +7,11 @@
 use rand::Rng;
 use shaletrail_configuration::View;
 use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::inside::{
-    ConfigNews, Demand, DirectoryCursor, EdgeLoads, EdgeRequest, LoadScope, LoadShare, Observation,
-    PollReply, PollRequest,
+    ConfigNews, Demand, DirectoryCursor, EdgeLoads, EdgeRequest, Observation, PollReply, PollRequest,
 };
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 use shaletrail_routing::interface::{Action, Event};
@@ -34,8 +34,6 @@
 const ROUND_PAUSE: std::ops::RangeInclusive<u64> = 100..=300;
 /// Between two looks at what the other edges should hear, as in the data plane.
 const TELL_LOADS: Millis = 100;
-/// Shares in one datagram, as in the data plane.
-const MOST_SHARES: usize = 64;
 /// Within which a configuration must be in force everywhere.
 const CONVERGENCE: Duration = Duration::from_secs(19);
 /// Within which nothing more may be sent to a server that leaves.
@@ -72,7 +70,7 @@
     cursor: DirectoryCursor,
     edges: u32,
     edge_list: u64,
-    datagrams: u64,
+    datagrams: LoadDatagrams,
     demand: Vec<Demand>,
     observed: Vec<Observation>,
     reported_at: Option<Millis>,
@@ -100,7 +98,7 @@
             cursor: DirectoryCursor::default(),
             edges: 0,
             edge_list: 0,
-            datagrams: 0,
+            datagrams: LoadDatagrams::new(site::edge_node(place), Incarnation(0)),
             demand: Vec::new(),
             observed: Vec::new(),
             reported_at: None,
@@ -117,6 +115,7 @@
         *self = EdgeNode::new(self.place);
         self.ledger = ledger;
         self.start = world.start_edge(self.place);
+        self.datagrams = LoadDatagrams::new(site::edge_node(self.place), Incarnation(self.start));
         self.coordinators = Coordinators::new(site::edge_node(self.place), world.seeds());
         if self.place < world.options.full_edges {
             let router = Router::new(shaletrail_routing::Options::default(), world.schedule.name());
@@ -235,24 +234,16 @@
         let Some(decisions) = &mut self.decisions else { return };
         let begun = Stopwatch::start();
         let news = decisions.router.take_load_news(world.schedule.now);
+        let datagrams: Vec<Vec<Vec<u8>>> = news.iter().map(|news| self.datagrams.encode(news)).collect();
         self.ledger.worked(Kind::Loads, begun.elapsed());
-        for news in &news {
-            for shares in news.shares.chunks(MOST_SHARES) {
-                self.send_loads(world, &news.to, news.scope, shares);
+        for (news, datagrams) in news.iter().zip(datagrams) {
+            for datagram in datagrams {
+                self.send_loads(world, &news.to, datagram.into());
             }
         }
     }
 
-    fn send_loads(&mut self, world: &mut World, to: &[NodeId], scope: LoadScope, shares: &[LoadShare]) {
-        self.datagrams += 1;
-        let loads = EdgeLoads {
-            edge: site::edge_node(self.place),
-            incarnation: Incarnation(self.start),
-            number: self.datagrams,
-            scope,
-            shares: shares.to_vec(),
-        };
-        let datagram = Rc::<[u8]>::from(bitcode::encode(&loads));
+    fn send_loads(&mut self, world: &mut World, to: &[NodeId], datagram: Rc<[u8]>) {
         let here = zone_of(self.place);
         for node in to {
             let to = site::place(*node);
--- a/hollow/src/main.rs
+++ b/capacity-emulator/src/main.rs
@@ -1,12 +1,12 @@
-//! `shaletrail-hollow`: measures what coordinators and edges cost at sizes that no test site has.
+//! `shaletrail-capacity-emulator`: measures what coordinators and edges cost at sizes that no test site has.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use argh::FromArgs;
-use shaletrail_hollow::measure::{self, Measurement};
-use shaletrail_hollow::{print, Options};
+use shaletrail_capacity_emulator::measure::{self, Measurement};
+use shaletrail_capacity_emulator::{print, Options};
 
 /// Counts what is allocated.
 struct Counting;
@@ -95,7 +95,9 @@
     let Command::Measure(wanted) = arguments.command;
     let possible = [wanted.edges, wanted.servers, wanted.cores, wanted.services].iter().all(|size| *size > 0);
     if !possible || wanted.servers < wanted.services {
-        eprintln!("shaletrail-hollow: sizes must be over 0, and there must be a server for each service");
+        eprintln!(
+            "shaletrail-capacity-emulator: sizes must be over 0, and there must be a server for each service"
+        );
         return ExitCode::from(2);
     }
     if wanted.all {
--- a/hollow/tests/common/mod.rs
+++ b/capacity-emulator/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Small fleets for tests.
 
-use shaletrail_hollow::Options;
+use shaletrail_capacity_emulator::Options;
 
 /// Requests a second for something idle, for each server: far more than to come, so that luck counts for little.
 const COLD_A_SERVER: f64 = 0.05;
--- a/hollow/tests/fleet.rs
+++ b/capacity-emulator/tests/fleet.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::small;
-use shaletrail_hollow::ledger::Kind;
-use shaletrail_hollow::site::{first_contents, Popularity, MODELS_A_SERVER};
-use shaletrail_hollow::{measure, Fleet, Options};
+use shaletrail_capacity_emulator::ledger::Kind;
+use shaletrail_capacity_emulator::site::{first_contents, Popularity, MODELS_A_SERVER};
+use shaletrail_capacity_emulator::{measure, Fleet, Options};
 
 #[test]
 fn given_a_first_start_when_seconds_have_passed_then_edges_serve_and_coordinators_know_all_servers() {
--- a/hollow/tests/shape.rs
+++ b/capacity-emulator/tests/shape.rs
@@ -6,8 +6,8 @@
 use std::sync::OnceLock;
 
 use common::small;
-use shaletrail_hollow::growth::{power, stated, Figure, Grows};
-use shaletrail_hollow::measure::{self, Measurement};
+use shaletrail_capacity_emulator::growth::{power, stated, Figure, Grows};
+use shaletrail_capacity_emulator::measure::{self, Measurement};
 use strum::IntoEnumIterator;
 
 /// Figures at small sizes have parts that don't grow, and luck: a power may be over what is stated by so much.
--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_client::agent::{self, Duty};
-use shaletrail_client::changes::Changes;
-use shaletrail_wire::{check_id, Entry, State, LEASE_S};
+use shaletrail_registry_client::agent::{self, Duty};
+use shaletrail_registry_client::changes::Changes;
+use shaletrail_registry_protocol::{check_id, Entry, State, LEASE_S};
 
 use crate::{stopped, Failure};
 
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -4,9 +4,9 @@
 
 use clap::Subcommand;
 use indicatif::ProgressBar;
-use shaletrail_lab::bench::{registry, Size, Spread};
-use shaletrail_lab::bench_duty;
-use shaletrail_wire::duty::check_lease;
+use shaletrail_fault_lab::bench::{registry, Size, Spread};
+use shaletrail_fault_lab::bench_duty;
+use shaletrail_registry_protocol::duty::check_lease;
 
 use crate::Failure;
 
--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -12,14 +12,14 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_client::changes::{duty_path, ChangeError, Changes};
-use shaletrail_client::clock::unix;
-use shaletrail_client::duty::{DutyError, Seat};
-use shaletrail_client::supervisor::{self, Finished, RunError, Work};
-use shaletrail_wire::duty::{
+use shaletrail_registry_client::changes::{duty_path, ChangeError, Changes};
+use shaletrail_registry_client::clock::unix;
+use shaletrail_registry_client::duty::{DutyError, Seat};
+use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
+use shaletrail_registry_protocol::duty::{
     Checkpoint, Duties, Duty, Kept, Transfer, Why, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
 };
-use shaletrail_wire::{check_id, LONGEST_LIST};
+use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
 
 use crate::{stopped, Failure};
 
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -6,12 +6,12 @@
 use clap::Subcommand;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
-use shaletrail_lab::experiment::{cliff, compare, step, with, Estimate, Step};
-use shaletrail_lab::judge::{judge, Report, Verdict};
-use shaletrail_lab::orchestrator::{play, Programs};
-use shaletrail_lab::process::start_guard;
-use shaletrail_lab::report::{plot, row, write, Curve, ROW_HEAD};
-use shaletrail_lab::scenario::{Scenario, CATALOGUE};
+use shaletrail_fault_lab::experiment::{cliff, compare, step, with, Estimate, Step};
+use shaletrail_fault_lab::judge::{judge, Report, Verdict};
+use shaletrail_fault_lab::orchestrator::{play, Programs};
+use shaletrail_fault_lab::process::start_guard;
+use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
+use shaletrail_fault_lab::scenario::{Scenario, CATALOGUE};
 
 use crate::{stopped, Failure};
 
@@ -151,7 +151,7 @@
         Verb::Sweep(args) => sweep(args).await,
         Verb::Count { at, between_ms, pause_ms } => {
             let (between, pause) = (Duration::from_millis(between_ms), Duration::from_millis(pause_ms));
-            shaletrail_lab::guarded::count(at, between, pause).await.map_err(Failure::Failed)
+            shaletrail_fault_lab::guarded::count(at, between, pause).await.map_err(Failure::Failed)
         }
     }
 }
@@ -324,7 +324,8 @@
     let value = |n: usize| args.from + (args.to - args.from) * n as f64 / (args.steps - 1) as f64;
     let scenarios: Result<Vec<_>, _> =
         (0..args.steps).map(|n| Ok((value(n), with(&base, &args.vary, value(n))?))).collect();
-    let scenarios = scenarios.map_err(|e: shaletrail_lab::scenario::ScenarioError| Failure::wrong(e))?;
+    let scenarios =
+        scenarios.map_err(|e: shaletrail_fault_lab::scenario::ScenarioError| Failure::wrong(e))?;
     guard(&programs)?;
     let first = args.seed.unwrap_or(base.seed);
     let mut steps = Vec::new();
--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -3,9 +3,9 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-use shaletrail_client::driver::{ask, Following, News};
-use shaletrail_client::follow::{Ask, Retry};
-use shaletrail_wire::List;
+use shaletrail_registry_client::driver::{ask, Following, News};
+use shaletrail_registry_client::follow::{Ask, Retry};
+use shaletrail_registry_protocol::List;
 
 use crate::Failure;
 
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -8,11 +8,11 @@
 
 use clap::Subcommand;
 use serde_json::{json, Value};
-use shaletrail_client::changes::{ChangeError, Changes};
-use shaletrail_client::duty::{serve, Seat};
-use shaletrail_client::keeper::{self, Backups};
 use shaletrail_registry::{restore, Folder, Options, ServiceError};
-use shaletrail_wire::{Confirm, Confirmed, Status, LONGEST_LIST};
+use shaletrail_registry_client::changes::{ChangeError, Changes};
+use shaletrail_registry_client::duty::{serve, Seat};
+use shaletrail_registry_client::keeper::{self, Backups};
+use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
 
 use crate::{config, duty, stopped, Failure};
 
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_client::call::{Call, Line};
-use shaletrail_lab::orchestrator::{Live, Standing};
-use shaletrail_lab::scenario::Scenario;
+use shaletrail_fault_lab::orchestrator::{Live, Standing};
+use shaletrail_fault_lab::scenario::Scenario;
+use shaletrail_registry_client::call::{Call, Line};
 
 use crate::lab::{guard, programs};
 use crate::{stopped, Failure};
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -7,13 +7,13 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_client::changes::{duty_path, ChangeError};
-use shaletrail_lab::chance::Chance;
-use shaletrail_lab::guarded::{check, Guarded, Runner};
-use shaletrail_lab::link::Way;
-use shaletrail_lab::observer::{get, numbered, send};
-use shaletrail_lab::process::{group, wait_for, Process};
-use shaletrail_lab::service::{pause, Service};
+use shaletrail_fault_lab::chance::Chance;
+use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
+use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::observer::{get, numbered, send};
+use shaletrail_fault_lab::process::{group, wait_for, Process};
+use shaletrail_fault_lab::service::{pause, Service};
+use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -156,7 +156,7 @@
         play.goes_on("the holder counts");
         play.runners[n].links.iter().for_each(|link| link.set(there, back));
         next(&play, "cut off", &mut seen);
-        play.runners[n].links.iter().for_each(shaletrail_lab::link::Link::heal);
+        play.runners[n].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
         wait_for("it is in line again", || play.line().contains(&format!("c{n}")).then_some(()));
     }
     // Cut off from the leader alone, it is heard through another replica.
@@ -182,7 +182,7 @@
         }
     }
     next(&play, "on the minority's side", &mut seen);
-    play.runners.iter().flat_map(|runner| &runner.links).for_each(shaletrail_lab::link::Link::heal);
+    play.runners.iter().flat_map(|runner| &runner.links).for_each(shaletrail_fault_lab::link::Link::heal);
     play.service.heal();
     wait_for("all are in line again", || (play.line().len() == 3).then_some(()));
     let leader = play.service.wait_for_leader();
@@ -217,7 +217,7 @@
     // Made sure of: the same read and change without a supervisor beside it.
     for guard in [true, false] {
         let guarded = Guarded::start(guard);
-        let folder = shaletrail_lab::process::Folder::new("late");
+        let folder = shaletrail_fault_lab::process::Folder::new("late");
         let at = guarded.addr.to_string();
         let start = |fence: &str, between: &str| {
             let mut command = Command::new(program());
@@ -266,7 +266,7 @@
     lost.links.iter().for_each(|link| link.set(Way::Open, Way::Cut));
     play.runners = vec![lost];
     wait_for("granted without its knowing", || (play.fence() > fence).then_some(()));
-    play.runners[0].links.iter().for_each(shaletrail_lab::link::Link::heal);
+    play.runners[0].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
     play.counted_after(fence);
     // The whole registry dies and comes back: the holder goes on, or begins anew; never two.
     let before = play.fence();
@@ -334,8 +334,8 @@
     refused(set(third, 1, &"x".repeat(20_000)), "at most 16384 bytes");
     // Changes of the list under a fence: the holder's hold, an old one's don't.
     let change = |fence: u64| {
-        let mut changes = shaletrail_client::changes::Changes::new(play.service.ops());
-        changes.under(Some(&shaletrail_wire::duty::Fence { duty: "counter".into(), fence }));
+        let mut changes = shaletrail_registry_client::changes::Changes::new(play.service.ops());
+        changes.under(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let body = json!(numbered("s1", 1));
         runtime.block_on(changes.put::<Value>(
@@ -384,7 +384,7 @@
     stubborn.args(["duty", "run", "job", "--registry", &ops, "--lease-s", "1", "--", "bash", "-c", script]);
     let mut stubborn = Process::start(&mut stubborn, &log);
     stubborn.says("begun");
-    let supervisor = shaletrail_lab::process::children(stubborn.id())[0];
+    let supervisor = shaletrail_fault_lab::process::children(stubborn.id())[0];
     stubborn.signal("TERM");
     assert_eq!(stubborn.exit().code(), Some(0));
     assert!(group(supervisor).is_empty(), "all of its group has ended");
@@ -492,13 +492,13 @@
     assert!(out.status.success(), "{}", said(&out));
     // Servers that answer while their agents are silent stay; those that are gone go, with a keeper's word.
     let there = Guarded::start(true);
-    let gone = shaletrail_lab::service::free();
+    let gone = shaletrail_fault_lab::service::free();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
         if let Some(lease) = lease {
             body["lease_s"] = json!(lease);
         }
-        let path = shaletrail_client::changes::entry_path(id, "");
+        let path = shaletrail_registry_client::changes::entry_path(id, "");
         send::<Value>(&ops, Method::PUT, &path, &body).expect("registered");
     };
     for n in 0..5 {
@@ -637,7 +637,7 @@
         pause(200 + chance.below(2500) as u64);
         play.service.heal();
         for n in 0..play.runners.len() {
-            play.runners[n].links.iter().for_each(shaletrail_lab::link::Link::heal);
+            play.runners[n].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
             if play.runners[n].process.has_ended() {
                 play.restart(n);
             }
@@ -675,7 +675,7 @@
         let told = told.clone();
         runtime.spawn(async move {
             let mut seat =
-                shaletrail_client::duty::Seat::new(vec![ops], "herd", &format!("w{n}"), n, lease_s)
+                shaletrail_registry_client::duty::Seat::new(vec![ops], "herd", &format!("w{n}"), n, lease_s)
                     .expect("a seat");
             loop {
                 let Ok(fence) = seat.win(|_| {}).await else { return };
@@ -683,7 +683,7 @@
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
-                seat.release(shaletrail_wire::duty::Why::Released).await;
+                seat.release(shaletrail_registry_protocol::duty::Why::Released).await;
             }
         });
     }
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use shaletrail_lab::chance::Chance;
-use shaletrail_lab::checker::check;
-use shaletrail_lab::link::Way;
-use shaletrail_lab::observer::{get, Observer, Writer};
-use shaletrail_lab::process::wait_for;
-use shaletrail_lab::service::{pause, Service};
+use shaletrail_fault_lab::chance::Chance;
+use shaletrail_fault_lab::checker::check;
+use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::observer::{get, Observer, Writer};
+use shaletrail_fault_lab::process::wait_for;
+use shaletrail_fault_lab::service::{pause, Service};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use serde_json::Value;
-use shaletrail_lab::process::{children, wait_for, Folder, Process};
+use shaletrail_fault_lab::process::{children, wait_for, Folder, Process};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -7,11 +7,11 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_client::changes::{entry_path, ChangeError};
-use shaletrail_lab::link::Way;
-use shaletrail_lab::observer::{get, numbered, put, Observer};
-use shaletrail_lab::process::{wait_for, Folder, Process};
-use shaletrail_lab::service::{free, pause, Service};
+use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
+use shaletrail_fault_lab::process::{wait_for, Folder, Process};
+use shaletrail_fault_lab::service::{free, pause, Service};
+use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -36,6 +36,7 @@
 mod exchange;
 mod ingress;
 mod listener;
+pub mod load_datagrams;
 mod peers;
 pub mod poller;
 mod readiness;
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -8,17 +8,16 @@
 use std::time::Duration;
 
 use ahash::AHashMap;
-use shaletrail_protocol::inside::{EdgeLoads, LoadScope, LoadShare};
+use shaletrail_protocol::inside::EdgeLoads;
 use shaletrail_protocol::{Incarnation, NodeId};
 use shaletrail_routing::interface::{Event, LoadNews};
 use tokio::net::UdpSocket;
 
+use crate::load_datagrams::LoadDatagrams;
 use crate::state::State;
 
 /// Between two looks at what has changed a little.
 const INTERVAL: Duration = Duration::from_millis(100);
-/// Shares in one datagram, so that it fits into one packet.
-const MOST_SHARES: usize = 64;
 /// The longest datagram taken, in bytes.
 const LONGEST: usize = 2048;
 /// Pause after a failed read.
@@ -30,10 +29,8 @@
 pub struct Peers {
     state: Rc<State>,
     socket: UdpSocket,
-    node: NodeId,
-    incarnation: Incarnation,
     port: u16,
-    sent: RefCell<u64>,
+    datagrams: RefCell<LoadDatagrams>,
     seen: RefCell<AHashMap<NodeId, (Incarnation, u64)>>,
 }
 
@@ -48,10 +45,8 @@
         Ok(Peers {
             state,
             socket,
-            node: NodeId::from(*address.ip()),
-            incarnation,
             port: address.port(),
-            sent: RefCell::new(0),
+            datagrams: RefCell::new(LoadDatagrams::new(NodeId::from(*address.ip()), incarnation)),
             seen: RefCell::default(),
         })
     }
@@ -72,27 +67,15 @@
     }
 
     async fn send(&self, news: &LoadNews) {
-        for shares in news.shares.chunks(MOST_SHARES) {
-            let datagram = self.datagram(news.scope, shares);
-            for edge in &news.to {
+        let datagrams = self.datagrams.borrow_mut().encode(news);
+        for datagram in datagrams {
+            for edge in news.to.iter() {
                 // A datagram that is lost is made good by the next.
                 let _ = self.socket.send_to(&datagram, SocketAddrV4::new(edge.address(), self.port)).await;
             }
         }
     }
 
-    fn datagram(&self, scope: LoadScope, shares: &[LoadShare]) -> Vec<u8> {
-        let number = self.sent.replace_with(|sent| *sent + 1) + 1;
-        let loads = EdgeLoads {
-            edge: self.node,
-            incarnation: self.incarnation,
-            number,
-            scope,
-            shares: shares.to_vec(),
-        };
-        bitcode::encode(&loads)
-    }
-
     async fn hear(&self) {
         let mut buffer = [0; LONGEST];
         loop {
--- a/lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -8,11 +8,11 @@
 
 use hyper::Method;
 use serde::Serialize;
-use shaletrail_client::call::{Call, Line};
-use shaletrail_client::changes::{entry_path, Changes};
-use shaletrail_client::driver::ask;
-use shaletrail_client::follow::Ask;
-use shaletrail_wire::{Changed, Register, INSTANCES, LONGEST_LIST};
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::changes::{entry_path, Changes};
+use shaletrail_registry_client::driver::ask;
+use shaletrail_registry_client::follow::Ask;
+use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -223,7 +223,7 @@
                 let call = Call { last: false, ..Call::get(&path, LONGEST_LIST) };
                 let answer = line.within(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
-                let list = serde_json::from_slice::<shaletrail_wire::List>(&answer.body);
+                let list = serde_json::from_slice::<shaletrail_registry_protocol::List>(&answer.body);
                 let Ok(list) = list else { continue };
                 if list.version > version {
                     version = list.version;
--- a/lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
-use shaletrail_client::duty::Seat;
-use shaletrail_client::tenure::MARGIN;
-use shaletrail_wire::duty::Transfer;
+use shaletrail_registry_client::duty::Seat;
+use shaletrail_registry_client::tenure::MARGIN;
+use shaletrail_registry_protocol::duty::Transfer;
 
 use crate::bench::{machine, Spread};
 use crate::chance::Chance;
--- a/lab/src/checker.rs
+++ b/fault-lab/src/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use shaletrail_wire::{List, State};
+use shaletrail_registry_protocol::{List, State};
 
 /// A change that was acknowledged: from this version on the id shows at least this number (its weight).
 #[derive(Clone, Debug, PartialEq)]
@@ -80,7 +80,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use shaletrail_wire::Entry;
+    use shaletrail_registry_protocol::Entry;
 
     fn list(version: u64, full: bool, entries: &[(&str, u64)]) -> List {
         let entry = |(id, number): &(&str, u64)| Entry {
--- a/lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -15,8 +15,8 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use serde_json::{json, Value};
-use shaletrail_client::call::{Call, Line};
-use shaletrail_wire::{List, State};
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_protocol::{List, State};
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
--- a/lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -10,10 +10,10 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use shaletrail_client::call::{Call, Line};
-use shaletrail_client::fences::Book;
-use shaletrail_client::supervisor::{DUTY, FENCE};
-use shaletrail_wire::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::fences::Book;
+use shaletrail_registry_client::supervisor::{DUTY, FENCE};
+use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
 use crate::link::Link;
 use crate::party::{lock, reply, serve, Reply, LONGEST_BODY};
--- a/lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use hyper::Method;
-use shaletrail_client::changes::{entry_path, ChangeError, Changes};
-use shaletrail_client::driver::{Following, News};
-use shaletrail_client::follow::Retry;
-use shaletrail_wire::{Changed, Entry, Register, State};
+use shaletrail_registry_client::changes::{entry_path, ChangeError, Changes};
+use shaletrail_registry_client::driver::{Following, News};
+use shaletrail_registry_client::follow::Retry;
+use shaletrail_registry_protocol::{Changed, Entry, Register, State};
 
 use crate::checker::{Acknowledged, Seen};
 use crate::process::wait_for;
--- a/lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_wire::{Changed, Entry, List, Register, Stamp, INSTANCES, LONGEST_HOLD};
+use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES, LONGEST_HOLD};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
--- a/lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use shaletrail_client::clock::WALL_STEP;
+use shaletrail_registry_client::clock::WALL_STEP;
 
 use crate::link::{Link, Way};
 use crate::observer::get;
--- a/model/src/main.rs
+++ b/model-checker/src/main.rs
@@ -1,5 +1,5 @@
 //! Explores scenes from the command line:
-//! `shaletrail-model [--few-faults] [--depth N] [--states N] [--threads N] [SCENE ...]`.
+//! `shaletrail-model-checker [--few-faults] [--depth N] [--states N] [--threads N] [SCENE ...]`.
 //!
 //! Without `--few-faults` one more fault of each kind is allowed than in the tests. Each scene goes on to the depth whose
 //! states would be more than `--states` in all; two million take about a minute and 1 GB.
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-use shaletrail_model::{explore, scenes, Limits, Scene};
+use shaletrail_model_checker::{explore, scenes, Limits, Scene};
 
 /// What is asked for.
 struct Request {
@@ -39,7 +39,7 @@
 fn main() -> ExitCode {
     let Some(request) = Request::read(std::env::args().skip(1)) else {
         eprintln!(
-            "usage: shaletrail-model [--depth N] [--states N] [--threads N] [--few-faults] [SCENE ...]"
+            "usage: shaletrail-model-checker [--depth N] [--states N] [--threads N] [--few-faults] [SCENE ...]"
         );
         return ExitCode::FAILURE;
     };
--- a/model/tests/scenes.rs
+++ b/model-checker/tests/scenes.rs
@@ -1,6 +1,6 @@
 //! Every scene, to the depth that takes a moment; and deeper where asked for.
 
-use shaletrail_model::{explore, scenes, Limits, Scene};
+use shaletrail_model_checker::{explore, scenes, Limits, Scene};
 
 /// More states than any scene has within its short depth.
 const STATES: usize = 400_000;
@@ -60,7 +60,7 @@
 );
 
 #[test]
-#[ignore = "takes minutes: as `cargo run --release -p shaletrail-model` does"]
+#[ignore = "takes minutes: as `cargo run --release -p shaletrail-model-checker` does"]
 fn all_scenes_hold_in_depth() {
     for scene in scenes() {
         let report =
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 use shaletrail_policy::{RosterEntry, Seconds, ServerId, ServerState, Settings};
-use shaletrail_wire::State;
+use shaletrail_registry_protocol::State;
 
 /// Descriptors kept for all but clients and upstreams: standard streams, the reactor, signals, the listener,
 /// peers, discovery.
@@ -87,7 +87,7 @@
             may_tell(name, variable).ok_or_else(|| wrong(format!("{name} is missing")))
         };
         let ops = may_tell("ops", "LB_OPS").map(|text| address("ops", &text)).transpose()?;
-        let settings = shaletrail_policy_settings::parse(&json["settings"]).map_err(wrong)?;
+        let settings = shaletrail_balancer_settings::parse(&json["settings"]).map_err(wrong)?;
         let listed = |name: &str| match &json[name] {
             Value::Null => Ok(None),
             value => address(name, value.as_str().unwrap_or_default()).map(Some),
@@ -106,7 +106,8 @@
         let known = match &json["known"] {
             Value::Null => None,
             value => {
-                let list: Result<shaletrail_wire::List, _> = serde_json::from_value(value.clone());
+                let list: Result<shaletrail_registry_protocol::List, _> =
+                    serde_json::from_value(value.clone());
                 Some(list.map_err(|e| wrong(format!("known: a list of servers expected: {e}")))?.into())
             }
         };
@@ -202,8 +203,8 @@
     pub servers: Vec<(RosterEntry, SocketAddr)>,
 }
 
-impl From<shaletrail_wire::List> for List {
-    fn from(list: shaletrail_wire::List) -> Self {
+impl From<shaletrail_registry_protocol::List> for List {
+    fn from(list: shaletrail_registry_protocol::List) -> Self {
         List {
             version: list.version,
             full: list.full,
@@ -212,7 +213,7 @@
     }
 }
 
-fn entry(entry: shaletrail_wire::Entry) -> (RosterEntry, SocketAddr) {
+fn entry(entry: shaletrail_registry_protocol::Entry) -> (RosterEntry, SocketAddr) {
     let addr = entry.addr;
     let roster = RosterEntry {
         server: ServerId(entry.id.into()),
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shaletrail_client::driver::{Following, News};
-use shaletrail_client::follow::Retry;
 use shaletrail_policy::{Membership, Seconds, Settings};
+use shaletrail_registry_client::driver::{Following, News};
+use shaletrail_registry_client::follow::Retry;
 use tokio::sync::Notify;
 
 use crate::config::List;
--- a/node/src/fences.rs
+++ b/node/src/fences.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 
 use serde_json::{json, Value};
-use shaletrail_client::fences::{Barred, Book};
-use shaletrail_wire::duty::Fence;
+use shaletrail_registry_client::fences::{Barred, Book};
+use shaletrail_registry_protocol::duty::Fence;
 
 const FILE: &str = "duty-fences.json";
 const LOCK: &str = "duty-fences.lock";
--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -53,12 +53,12 @@
 
 fn missing(scene: &Scene) -> Vec<Missing> {
     let asked = |model: &Model| model.demand.adapters.values().any(|adapter| is_asked(adapter, scene.now));
-    if !scene.models.iter().any(|(_, model)| model.current && asked(model)) {
+    if !scene.models.configured().any(|(_, model)| asked(model)) {
         return Vec::new();
     }
     let (holders, copies) = count(scene);
     let mut all = Vec::new();
-    for (id, model) in scene.models.iter().filter(|(_, model)| model.current) {
+    for (id, model) in scene.models.configured() {
         let of_model = holders.get(&id).copied().unwrap_or_default();
         for (number, demand) in model.demand.adapters.iter().filter(|(_, demand)| is_asked(demand, scene.now))
         {
--- a/placement/src/choice.rs
+++ b/placement/src/choice.rs
@@ -50,6 +50,16 @@
     NeededReplica,
 }
 
+/// The dearest loss that a missing replica is worth. `work` is that of each replica there, in replicas at ease.
+pub fn dearest_loss(urgency: Urgency, work: f64) -> Loss {
+    match urgency {
+        Urgency::Waiting => Loss::NeededReplica,
+        Urgency::Overloaded if work >= HARD_PRESSED => Loss::BarelySettled,
+        Urgency::Overloaded => Loss::Settled,
+        Urgency::Absent => Loss::ExtraReplica,
+    }
+}
+
 /// How dear a place is: what is lost, how long it was idle (longest first).
 pub type Price = (Loss, u64);
 
@@ -75,17 +85,6 @@
     pub work: BTreeMap<ServerKey, f64>,
 }
 
-/// What a model brings forward for room on a server.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
-    /// The model.
-    pub model: ModelId,
-    /// Why it needs a replica.
-    pub urgency: Urgency,
-    /// The work of each of its replicas, in replicas at ease.
-    pub work: f64,
-}
-
 /// The place for a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
@@ -101,7 +100,7 @@
     /// The best place for a missing replica, among servers that take an order now. Counts servers looked at.
     pub fn place(&self, need: &Need, tally: &Tally, examined: &mut u64) -> Option<Place> {
         let model = self.models.get(need.model)?;
-        let claim = need.claim();
+        let dearest = need.dearest_loss();
         let mut best: Option<((bool, Price, usize), ServerKey)> = None;
         for (position, key) in self.ring.sequence(Key::of(&model.spec.name)).enumerate() {
             let Some(server) = self.servers.get(key).filter(|server| self.is_free(*key, server, need.model))
@@ -109,7 +108,7 @@
                 continue;
             };
             *examined += 1;
-            let Some(price) = self.price(*key, server, &claim, tally) else { continue };
+            let Some(price) = self.price(*key, server, need.model, dearest, tally) else { continue };
             let full =
                 need.urgency == Urgency::Overloaded && self.work.get(key).is_some_and(|work| *work >= FULL);
             let rank = (full, price, position);
@@ -123,7 +122,7 @@
         let (_, key) = best?;
         let server = self.servers.get(&key)?;
         let victim = match self.missing_mb(server, need.model) > 0.0 {
-            true => self.victim(key, server, &claim, tally),
+            true => self.victim(key, server, need.model, dearest, tally),
             false => None,
         };
         Some(Place { server: key, from_origin: !server.held_before(need.model), victim })
@@ -136,13 +135,20 @@
     }
 
     /// What has to be dropped to make room; `None` if that is not allowed.
-    fn price(&self, key: ServerKey, server: &Server, claim: &Claim, tally: &Tally) -> Option<Price> {
-        let mut missing = self.missing_mb(server, claim.model);
+    fn price(
+        &self,
+        key: ServerKey,
+        server: &Server,
+        model: ModelId,
+        dearest: Loss,
+        tally: &Tally,
+    ) -> Option<Price> {
+        let mut missing = self.missing_mb(server, model);
         if missing <= 0.0 {
             return Some((Loss::Nothing, 0));
         }
-        for (price, model) in self.victims(key, server, claim, tally) {
-            missing -= server.holding.copy_mb(model, self.models);
+        for (price, victim) in self.victims(key, server, dearest, tally) {
+            missing -= server.holding.copy_mb(victim, self.models);
             if missing <= 0.0 {
                 return Some(price);
             }
@@ -157,37 +163,27 @@
     }
 
     /// What to drop first on a server for a model; `None` if that would not make room.
-    pub fn victim(&self, key: ServerKey, server: &Server, claim: &Claim, tally: &Tally) -> Option<ModelId> {
-        let victims = self.victims(key, server, claim, tally);
+    pub fn victim(
+        &self,
+        key: ServerKey,
+        server: &Server,
+        model: ModelId,
+        dearest: Loss,
+        tally: &Tally,
+    ) -> Option<ModelId> {
+        let victims = self.victims(key, server, dearest, tally);
         let room: f64 = victims.iter().map(|(_, victim)| server.holding.copy_mb(*victim, self.models)).sum();
-        let enough = room >= self.missing_mb(server, claim.model);
+        let enough = room >= self.missing_mb(server, model);
         victims.first().filter(|_| enough).map(|(_, victim)| *victim)
     }
 
     /// The model that is missed least on a server, if it may go with no other to take its place.
     pub fn cheapest(&self, key: ServerKey, server: &Server, tally: &Tally) -> Option<(Price, ModelId)> {
-        self.droppable(key, server, Loss::Settled, tally).into_iter().next()
-    }
-
-    /// Models that may be dropped on a server for another one, the cheapest first.
-    fn victims(
-        &self,
-        key: ServerKey,
-        server: &Server,
-        claim: &Claim,
-        tally: &Tally,
-    ) -> Vec<(Price, ModelId)> {
-        let dearest = match claim.urgency {
-            Urgency::Waiting => Loss::NeededReplica,
-            Urgency::Overloaded if claim.work >= HARD_PRESSED => Loss::BarelySettled,
-            Urgency::Overloaded => Loss::Settled,
-            Urgency::Absent => Loss::ExtraReplica,
-        };
-        self.droppable(key, server, dearest, tally)
+        self.victims(key, server, Loss::Settled, tally).into_iter().next()
     }
 
     /// Models on a server whose loss is none dearer than `dearest`, the cheapest first.
-    fn droppable(
+    fn victims(
         &self,
         key: ServerKey,
         server: &Server,
@@ -196,9 +192,9 @@
     ) -> Vec<(Price, ModelId)> {
         let held = server.holding.models();
         let priced = held.filter_map(|id| Some((self.loss(key, id, self.models.get(id)?, tally)?, id)));
-        let mut droppable: Vec<_> = priced.filter(|((loss, _), _)| *loss <= dearest).collect();
-        droppable.sort();
-        droppable
+        let mut victims: Vec<_> = priced.filter(|((loss, _), _)| *loss <= dearest).collect();
+        victims.sort();
+        victims
     }
 
     fn loss(&self, key: ServerKey, id: ModelId, model: &Model, tally: &Tally) -> Option<Price> {
@@ -237,7 +233,7 @@
     tally: &Tally,
 ) -> BTreeSet<(ServerKey, ModelId)> {
     let mut surplus = BTreeSet::new();
-    for (id, model) in models.iter().filter(|(_, model)| model.current && model.target.replicas > 0) {
+    for (id, model) in models.configured().filter(|(_, model)| model.target.replicas > 0) {
         let copies = tally.of(id).serving;
         if copies <= model.target.replicas {
             continue;
--- a/placement/src/model.rs
+++ b/placement/src/model.rs
@@ -100,6 +100,11 @@
         self.models.iter().enumerate().map(|(index, model)| (ModelId(index), model))
     }
 
+    /// The models that the configuration in force names.
+    pub fn configured(&self) -> impl Iterator<Item = (ModelId, &Model)> {
+        self.iter().filter(|(_, model)| model.current)
+    }
+
     /// The models that the configuration in force names, to change them.
     pub fn configured_mut(&mut self) -> impl Iterator<Item = (ModelId, &mut Model)> {
         self.iter_mut().filter(|(_, model)| model.current)
--- a/placement/src/needs.rs
+++ b/placement/src/needs.rs
@@ -5,7 +5,7 @@
 use shaletrail_protocol::outside::Operation;
 use shaletrail_protocol::Millis;
 
-use crate::choice::Claim;
+use crate::choice::{dearest_loss, Loss};
 use crate::model::{Model, ModelId, ModelTable};
 use crate::server::Server;
 
@@ -39,13 +39,9 @@
 }
 
 impl Need {
-    /// What it brings forward for room.
-    pub fn claim(&self) -> Claim {
-        let work = match self.urgency {
-            Urgency::Overloaded => self.weight as f64 / PERCENT,
-            Urgency::Waiting | Urgency::Absent => 0.0,
-        };
-        Claim { model: self.model, urgency: self.urgency, work }
+    /// The dearest loss that it is worth.
+    pub fn dearest_loss(&self) -> Loss {
+        dearest_loss(self.urgency, self.weight as f64 / PERCENT)
     }
 }
 
@@ -113,7 +109,7 @@
 pub fn needs(now: Millis, models: &ModelTable, tally: &Tally, ready: usize, extra: usize) -> Vec<Need> {
     let mut needs = Vec::new();
     let mut filled = 0;
-    for (id, model) in models.iter().filter(|(_, model)| model.current && model.target.replicas > 0) {
+    for (id, model) in models.configured().filter(|(_, model)| model.target.replicas > 0) {
         let copies = tally.of(id).total();
         filled += copies.min(model.target.replicas).saturating_sub(1);
         needs.extend(first(now, id, model, copies));
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -283,8 +283,7 @@
 
     /// What each ready server should hold.
     pub fn wanted(&self) -> Vec<WantedServer> {
-        let ready = self.servers.values().filter(|server| server.is_ready());
-        let wanted = ready.map(|server| {
+        let wanted = self.ready_servers().map(|server| {
             let stays = |id: &ModelId| server.serves(Item { model: *id, adapter: None });
             let order = server.in_flight.as_ref().filter(|order| order.is_model(Operation::Load));
             let coming = server.reserved.map(|place| place.model).or(order.map(|order| order.item.model));
@@ -334,6 +333,10 @@
         self.figures
     }
 
+    pub(crate) fn ready_servers(&self) -> impl Iterator<Item = &Server> {
+        self.servers.values().filter(|server| server.is_ready())
+    }
+
     fn server_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
         self.keys.get(id).and_then(|key| self.servers.get_mut(key))
     }
--- a/placement/src/rounds.rs
+++ b/placement/src/rounds.rs
@@ -5,13 +5,14 @@
 
 use crate::adapters;
 use crate::catalogue::adapter_name;
-use crate::choice::{surplus, work, Claim, Scene, ServerKey};
+use crate::choice::{dearest_loss, surplus, work, Scene, ServerKey};
 use crate::fair_share::work_per_replica;
 use crate::in_flight::{InFlight, OrderNumber};
-use crate::model::{Item, ModelId};
+use crate::model::{Item, Model, ModelId};
 use crate::needs::{needs, Need, Tally, Urgency};
 use crate::planner::{PlannedOrder, Planner};
 use crate::server::{Reservation, Server};
+use crate::target::load;
 
 /// Milliseconds after which a round is due even if nothing has changed.
 const QUIET_ROUND: Millis = 1_000;
@@ -146,21 +147,19 @@
 
     fn update_targets(&mut self, now: Millis) {
         let tally = self.tally();
-        let slots = self.servers.values().filter(|server| server.is_ready()).map(|server| server.slots).max();
-        let room = self.room_for_extra_replicas();
-        for (_, model) in self.models.configured_mut() {
-            model.target.measure(now, &model.demand, slots.unwrap_or(1), &self.options);
-        }
-        let loads: Vec<f64> = self.models.configured_mut().map(|(_, model)| model.target.load).collect();
-        let work = work_per_replica(&loads, room);
-        for (id, model) in self.models.configured_mut() {
-            model.target.update(now, &model.demand, tally.of(id).serving, work);
+        let slots = self.ready_servers().map(|server| server.slots).max().unwrap_or(1);
+        let room = self.room_for_extra_replicas(self.ready_servers().count());
+        let load_of = |model: &Model| load(now, &model.demand, slots, &self.options);
+        let loads: Vec<Option<f64>> = self.models.configured().map(|(_, model)| load_of(model)).collect();
+        let asked: Vec<f64> = loads.iter().copied().flatten().collect();
+        let work = work_per_replica(&asked, room);
+        for ((id, model), load) in self.models.configured_mut().zip(loads) {
+            model.target.update(now, load, &model.demand, tally.of(id).serving, work);
         }
     }
 
-    /// Replicas beyond each model's first that there may be.
-    fn room_for_extra_replicas(&self) -> usize {
-        let ready = self.servers.values().filter(|server| server.is_ready()).count();
+    /// Replicas beyond each model's first that there may be on so many ready servers.
+    fn room_for_extra_replicas(&self, ready: usize) -> usize {
         let places = ready as f64 * self.places_per_server;
         (places * self.options.extra_share.clamp(0.0, 1.0)) as usize
     }
@@ -181,14 +180,14 @@
     /// Finds places for missing replicas, as far as the store's rate allows.
     fn reserve(&mut self, now: Millis) {
         let mut tally = self.tally();
-        let ready = self.servers.values().filter(|server| server.is_ready()).count();
-        let extra = self.room_for_extra_replicas();
+        let ready = self.ready_servers().count();
+        let extra = self.room_for_extra_replicas(ready);
         let needs = needs(now, &self.models, &tally, ready, extra);
         self.short = !needs.is_empty();
         if needs.is_empty() {
             return;
         }
-        let mut budget = self.load_budget(now);
+        let mut budget = self.load_budget(now, ready);
         let mut examined = 0;
         let mut places = Vec::new();
         let mut scene = self.scene(now, &tally);
@@ -229,12 +228,11 @@
         load / (tally.of(need.model).total() + 1) as f64
     }
 
-    fn load_budget(&mut self, now: Millis) -> LoadBudget {
+    fn load_budget(&mut self, now: Millis, ready: usize) -> LoadBudget {
         let reserved =
             self.servers.values().filter(|s| s.reserved.is_some_and(|place| place.from_origin)).count();
         let at_once = self.catalogue.loads_at_once();
         let under_way = (reserved + self.loads_under_way(now)) as isize;
-        let ready = self.servers.values().filter(|server| server.is_ready()).count();
         let most_unawaited = MOST_UNAWAITED.max(ready / SERVERS_PER_UNAWAITED);
         let spare = self.origin.limit() as f64 * self.options.urgent_share.clamp(0.0, 1.0);
         LoadBudget {
@@ -356,11 +354,11 @@
     }
 }
 
-/// What a model brings forward for a place that is reserved for it.
-fn claim_of(scene: &Scene, place: &Reservation, tally: &Tally) -> Claim {
+/// The work of each replica of a model beside the one that is reserved, in replicas at ease.
+fn work_of_others(scene: &Scene, place: &Reservation, tally: &Tally) -> f64 {
     let load = scene.models.get(place.model).map_or(0.0, |model| model.target.load);
     let others = tally.of(place.model).total().saturating_sub(1).max(1);
-    Claim { model: place.model, urgency: place.urgency, work: load / others as f64 }
+    load / others as f64
 }
 
 fn next_step(scene: &Scene, key: ServerKey, server: &Server, place: &Reservation, tally: &Tally) -> Step {
@@ -371,7 +369,8 @@
     if scene.missing_mb(server, place.model) <= 0.0 {
         return Step::Load { item, from_origin: !server.held_before(place.model) };
     }
-    match scene.victim(key, server, &claim_of(scene, place, tally), tally) {
+    let dearest = dearest_loss(place.urgency, work_of_others(scene, place, tally));
+    match scene.victim(key, server, place.model, dearest, tally) {
         Some(model) => Step::Evict(Item { model, adapter: None }),
         None => Step::GiveUp,
     }
--- a/placement/src/target.rs
+++ b/placement/src/target.rs
@@ -28,40 +28,36 @@
     pub replicas: usize,
     /// The work that is asked for, in replicas at ease.
     pub load: f64,
-    /// Whether it was asked for lately.
-    is_asked: bool,
     raised: usize,
     raised_at: Millis,
     lowered_at: Millis,
 }
 
 impl Target {
-    /// Takes over what is asked for. `slots` is that of one server.
-    pub fn measure(&mut self, now: Millis, demand: &ModelDemand, slots: u32, options: &Options) {
-        let is_asked = demand.within(now, options.recent) || demand.waiting > 0 || demand.open > 0;
-        if is_asked {
-            self.load = load(now, demand, slots, options);
-        } else {
+    /// Brings the target up to date. `load` is the work that is asked for, if any; `copies` how many replicas are
+    /// ready; each may bear `work_per_replica`, which is more than 1 where there is no room for all models' replicas.
+    pub fn update(
+        &mut self,
+        now: Millis,
+        load: Option<f64>,
+        demand: &ModelDemand,
+        copies: usize,
+        work_per_replica: f64,
+    ) {
+        let Some(load) = load else {
             *self = Target { lowered_at: now, ..Target::default() };
-        }
-        self.is_asked = is_asked;
-    }
-
-    /// Brings the number of replicas up to date. `copies` is how many are ready; each may bear `work_per_replica`,
-    /// which is more than 1 where there is no room for all models' replicas.
-    pub fn update(&mut self, now: Millis, demand: &ModelDemand, copies: usize, work_per_replica: f64) {
-        if !self.is_asked {
             return;
-        }
+        };
+        self.load = load;
         let is_short_of_room = work_per_replica > 1.0;
         if is_short_of_room {
             self.raised = 0;
         } else {
             self.raise_for_crowding(now, demand, copies);
         }
-        let load = self.load / work_per_replica;
-        let least = replicas(load - RISE_MARGIN) + self.raised;
-        let most = replicas(load + FALL_MARGIN) + self.raised;
+        let wanted = load / work_per_replica;
+        let least = replicas(wanted - RISE_MARGIN) + self.raised;
+        let most = replicas(wanted + FALL_MARGIN) + self.raised;
         if least >= self.replicas {
             (self.replicas, self.lowered_at) = (least, now);
         } else if most < self.replicas && is_short_of_room {
@@ -82,11 +78,15 @@
     }
 }
 
-/// The work that is asked for, in replicas at ease: by tokens, or by open requests if that is more.
-fn load(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> f64 {
+/// The work that is asked for, in replicas at ease: by tokens, or by open requests if that is more. `None` where
+/// nothing was asked for lately. `slots` is that of one server.
+pub fn load(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> Option<f64> {
+    if !demand.within(now, options.recent) && demand.waiting == 0 && demand.open == 0 {
+        return None;
+    }
     let by_tokens = demand.tokens.per_second(now) / options.tokens_per_replica.max(1.0);
     let by_slots = f64::from(demand.open) / (f64::from(slots.max(1)) * options.slots_at_ease.max(0.01));
-    by_tokens.max(by_slots)
+    Some(by_tokens.max(by_slots))
 }
 
 fn replicas(load: f64) -> usize {
--- a/client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use shaletrail_wire::{Changed, Entry, Register, Stamp, State};
+use shaletrail_registry_protocol::{Changed, Entry, Register, Stamp, State};
 use tokio::time::sleep;
 
 use crate::call::{Call, Line};
--- a/client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -8,8 +8,8 @@
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_wire::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_wire::{Refusal, INSTANCES, LONGEST_CALL};
+use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_protocol::{Refusal, INSTANCES, LONGEST_CALL};
 
 use crate::call::{Call, Line};
 
@@ -92,7 +92,7 @@
                     return Err(ChangeError::Refused { status: answer.status, why });
                 }
                 let trouble = format!("{addr}: {} {why}", answer.status);
-                match answer.headers.contains_key(shaletrail_wire::NOT_RUN) {
+                match answer.headers.contains_key(shaletrail_registry_protocol::NOT_RUN) {
                     true => Err(ChangeError::NotDone(trouble)),
                     false => Err(ChangeError::Unknown(trouble)),
                 }
--- a/client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::StatusCode;
-use shaletrail_wire::{List, INSTANCES, LONGEST_LIST};
+use shaletrail_registry_protocol::{List, INSTANCES, LONGEST_LIST};
 use tokio::time::sleep_until;
 
 use crate::call::{Call, CallError, Line};
--- a/client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use shaletrail_wire::duty::{
+use shaletrail_registry_protocol::duty::{
     check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, Kept, Release, Renew, Standing, Why,
     LONGEST_HOLD, MOST_EXACT,
 };
-use shaletrail_wire::{check_id, Invalid, LONGEST_CALL};
+use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
 use tokio::time::sleep;
 
 use crate::changes::{duty_path, ChangeError, Changes};
--- a/client/src/fences.rs
+++ b/registry-client/src/fences.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_wire::duty::Fence;
+use shaletrail_registry_protocol::duty::Fence;
 
 /// Duties that one guard tells apart.
 pub const MOST_GUARDED: usize = 64;
--- a/client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde::{Deserialize, Serialize};
-use shaletrail_wire::{Confirm, Confirmed, Expiry, Listed, LONGEST_LIST};
+use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, LONGEST_LIST};
 use tokio::time::sleep;
 
 use crate::agent::answers;
--- a/client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use rustix::process::{getpgrp, getpid, kill_process_group, Pid, Signal};
-use shaletrail_wire::duty::Why;
+use shaletrail_registry_protocol::duty::Why;
 use tokio::process::{Child, ChildStdin};
 use tokio::time::{sleep, timeout};
 
--- a/client/src/tenure.rs
+++ b/registry-client/src/tenure.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use shaletrail_wire::duty::Standing;
+use shaletrail_registry_protocol::duty::Standing;
 
 /// A time on the holder's clock.
 pub type Time = Duration;
--- a/client/tests/follow.rs
+++ b/registry-client/tests/follow.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shaletrail_client::follow::{Action, Ask, CallId, Follower, Retry, Told};
+use shaletrail_registry_client::follow::{Action, Ask, CallId, Follower, Retry, Told};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/registry/src/catalogue.rs
+++ b/registry/src/catalogue.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use shaletrail_wire::duty::Fence;
-use shaletrail_wire::{Entry, List, Stamp, State};
+use shaletrail_registry_protocol::duty::Fence;
+use shaletrail_registry_protocol::{Entry, List, Stamp, State};
 
 use crate::duties::{DutyCommand, DutyOutcome, DutyRefused};
 
--- a/registry/src/changing.rs
+++ b/registry/src/changing.rs
@@ -11,9 +11,9 @@
 use hyper::{Method, Request, StatusCode};
 use percent_encoding::percent_decode_str;
 use serde_json::json;
-use shaletrail_client::call::{Call, Line};
-use shaletrail_wire::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_wire::{
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_protocol::{
     check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
     INSTANCES, LONGEST_CALL, MOST_RENEWED, NOT_RUN,
 };
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use shaletrail_wire::duty::{
+use shaletrail_registry_protocol::duty::{
     Candidate, Duty as Told, HandOver, Kept, Standing, Why, LEASE_S, LONGEST_CHECKPOINT, MOST_DUTIES,
     MOST_WAITERS,
 };
--- a/registry/src/duty_calls.rs
+++ b/registry/src/duty_calls.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use shaletrail_client::clock::unix;
-use shaletrail_wire::duty::{
+use shaletrail_registry_client::clock::unix;
+use shaletrail_registry_protocol::duty::{
     Acquire, Candidate, Checkpoint, Duties as All, Release, Renew, Standing, Transfer, LONGEST_HOLD,
 };
 use tokio::time::{timeout_at, Instant};
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_wire::{Refusal, NOT_RUN};
+use shaletrail_registry_protocol::{Refusal, NOT_RUN};
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use shaletrail_wire::Stamp;
+use shaletrail_registry_protocol::Stamp;
 
 use crate::catalogue::{Catalogue, Held};
 
--- a/registry/src/links.rs
+++ b/registry/src/links.rs
@@ -15,7 +15,7 @@
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_client::call::{Call, CallError, Line};
+use shaletrail_registry_client::call::{Call, CallError, Line};
 
 use crate::types::{Member, Types};
 
--- a/registry/src/machine.rs
+++ b/registry/src/machine.rs
@@ -10,7 +10,7 @@
 use openraft::storage::{RaftSnapshotBuilder, RaftStateMachine};
 use openraft::{AnyError, EntryPayload, OptionalSend, Snapshot, StorageIOError};
 use serde::{Deserialize, Serialize};
-use shaletrail_wire::List;
+use shaletrail_registry_protocol::List;
 use tokio::sync::watch;
 
 use crate::catalogue::{Catalogue, Command, Kept, Outcome, Refused};
--- a/registry/src/reading.rs
+++ b/registry/src/reading.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
-use shaletrail_wire::{INSTANCES, LONGEST_HOLD};
+use shaletrail_registry_protocol::{INSTANCES, LONGEST_HOLD};
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::http::{raw, refusal, Reply};
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -12,8 +12,8 @@
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::{ChangeMembers, ServerState, SnapshotPolicy};
 use serde::{Deserialize, Serialize};
-use shaletrail_client::clock::unix;
-use shaletrail_wire::{Replica as Told, Status};
+use shaletrail_registry_client::clock::unix;
+use shaletrail_registry_protocol::{Replica as Told, Status};
 use tokio::sync::watch;
 
 use crate::catalogue::{Catalogue, Command, Kept, Outcome};
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -11,8 +11,8 @@
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{AppendEntriesRequest, AppendEntriesResponse};
 use serde::{Deserialize, Serialize};
-use shaletrail_client::call::{Call, Line};
-use shaletrail_wire::Join;
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_protocol::Join;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{watch, OnceCell};
 use tokio::time::sleep;
@@ -159,7 +159,7 @@
 
 fn check(options: &Options) -> Result<(), ServiceError> {
     let wrong = |what: String| Err(ServiceError::Wrong(what));
-    if let Err(e) = shaletrail_wire::check_id(&options.name) {
+    if let Err(e) = shaletrail_registry_protocol::check_id(&options.name) {
         return wrong(format!("name: {e}"));
     }
     if options.peers.is_empty() && options.join.is_empty() {
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use shaletrail_client::fences::Book;
-use shaletrail_client::tenure::Tenure;
 use shaletrail_registry::duties::{Duties, DutyCommand, Sign, Signs};
-use shaletrail_wire::duty::{Candidate, Fence, Standing, Why};
+use shaletrail_registry_client::fences::Book;
+use shaletrail_registry_client::tenure::Tenure;
+use shaletrail_registry_protocol::duty::{Candidate, Fence, Standing, Why};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A lease in ticks. The holder's clock loses up to one tick in a lease; the margin is one tick.
--- a/registry/tests/histories.rs
+++ b/registry/tests/histories.rs
@@ -8,8 +8,8 @@
 use shaletrail_registry::catalogue::{Catalogue, Command, Outcome, Refused, MOST_LEFT};
 use shaletrail_registry::duties::{Duties, DutyCommand, DutyOutcome, Gone};
 use shaletrail_registry::leases::Leases;
-use shaletrail_wire::duty::{Candidate, Why};
-use shaletrail_wire::{Entry, List, Stamp, State};
+use shaletrail_registry_protocol::duty::{Candidate, Why};
+use shaletrail_registry_protocol::{Entry, List, Stamp, State};
 
 fn entry(id: &str, weight: u64, state: State, started_ms: u64) -> Entry {
     let addr = "127.0.0.1:1".parse().expect("an address");
--- a/routing/src/announced.rs
+++ b/routing/src/announced.rs
@@ -1,4 +1,4 @@
-//! What a relay has told of sums of loads, so that it tells only what has changed.
+//! What was told of requests at servers, so that only what has changed is told.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -11,10 +11,31 @@
 /// Shares told at once, at most: what a relay sends must stay a small part of its link. The most urgent go first.
 const MOST_SHARES: usize = 256;
 
-/// The sums that were told last.
+/// What was told last of one server.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Announcement {
+    /// The share.
+    pub share: LoadShare,
+    /// When it was told.
+    pub at: Millis,
+}
+
+impl Announcement {
+    /// Nothing is under way at a server: what others take for granted.
+    pub fn of_nothing(server: u64) -> Self {
+        Announcement { share: LoadShare { server, ..LoadShare::default() }, at: 0 }
+    }
+
+    /// Whether a share must be told as others will soon forget what they were told.
+    pub fn lapses(&self, now: Millis, share: &LoadShare) -> bool {
+        !is_nothing(share) && self.at + TELL_AGAIN <= now
+    }
+}
+
+/// The sums that a relay has told last.
 #[derive(Debug, Default)]
 pub(crate) struct Announced {
-    told: HashMap<u64, (LoadShare, Millis)>,
+    told: HashMap<u64, Announcement>,
 }
 
 impl Announced {
@@ -43,26 +64,26 @@
         news.into_iter().map(|(_, share)| share).collect()
     }
 
-    /// How urgent it is to tell a sum: by how many prompt tokens it has changed, and above all where it was told so long
-    /// ago that others will soon forget it. `None` where it need not be told.
+    /// How urgent it is to tell a sum: by how many prompt tokens it has changed, and above all where it was never told
+    /// or others will soon forget it. `None` where it need not be told.
     fn urgency(&self, now: Millis, share: &LoadShare) -> Option<u32> {
-        let (told, told_at) = self.told.get(&share.server).copied().unwrap_or((nothing_at(share.server), 0));
-        let again = *share != nothing_at(share.server) && told_at + TELL_AGAIN <= now;
-        if again {
+        let told = self.told.get(&share.server).copied();
+        let told = told.unwrap_or(Announcement::of_nothing(share.server));
+        if told.lapses(now, share) {
             return Some(u32::MAX);
         }
-        (told != *share).then(|| told.prefill.abs_diff(share.prefill))
+        (told.share != *share).then(|| told.share.prefill.abs_diff(share.prefill))
     }
 
     fn note(&mut self, now: Millis, share: &LoadShare) {
-        if *share == nothing_at(share.server) {
+        if is_nothing(share) {
             self.told.remove(&share.server);
         } else {
-            self.told.insert(share.server, (*share, now));
+            self.told.insert(share.server, Announcement { share: *share, at: now });
         }
     }
 }
 
-fn nothing_at(server: u64) -> LoadShare {
-    LoadShare { server, ..LoadShare::default() }
+fn is_nothing(share: &LoadShare) -> bool {
+    *share == Announcement::of_nothing(share.server).share
 }
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -240,7 +240,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadNews {
     /// Whom to tell.
-    pub to: Vec<NodeId>,
+    pub to: Arc<[NodeId]>,
     /// Whose requests are counted.
     pub scope: LoadScope,
     /// What to tell.
--- a/routing/src/peers.rs
+++ b/routing/src/peers.rs
@@ -4,6 +4,8 @@
 //! Each edge therefore tells others what it has sent and not seen answered: all of them, or, where they are many, the
 //! relay of its group ([`Topology`]).
 
+use std::sync::Arc;
+
 use shaletrail_protocol::inside::{LoadScope, LoadShare};
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -17,15 +19,36 @@
 /// Between two sums that a relay tells its group, in milliseconds.
 const FLEET_INTERVAL: Millis = 200;
 
-/// What the other edges have under way, and what a relay tells on.
+/// What was heard of requests at servers.
 #[derive(Debug, Default)]
-pub(crate) struct Peers {
-    own: NodeId,
-    topology: Topology,
+struct Heard {
     /// What edges told of their own requests. At a relay, those of this edge are among them.
     single: LoadTable,
     /// Sums that relays told.
     summed: LoadTable,
+}
+
+impl Heard {
+    fn at(&self, server: u64) -> Elsewhere {
+        self.single.at(server).plus(self.summed.at(server))
+    }
+
+    fn servers(&self) -> impl Iterator<Item = u64> + '_ {
+        self.single.servers().chain(self.summed.servers())
+    }
+
+    fn expire(&mut self, now: Millis) {
+        self.single.expire(now);
+        self.summed.expire(now);
+    }
+}
+
+/// What the other edges have under way, and what a relay tells on.
+#[derive(Debug, Default)]
+pub(crate) struct Peers {
+    own: NodeId,
+    topology: Topology,
+    heard: Heard,
     group: Announced,
     fleet: Announced,
     group_at: Millis,
@@ -36,37 +59,29 @@
     /// Takes over which edges are at work.
     pub fn set_edges(&mut self, own: NodeId, edges: &[NodeId]) {
         let topology = Topology::of(own, edges);
-        let hears_from = |topology: &Topology| match topology {
-            Topology::Mesh { .. } => (0, None),
-            Topology::Member { relay } => (1, Some(*relay)),
-            Topology::Relay { .. } => (2, None),
-        };
-        if hears_from(&topology) != hears_from(&self.topology) {
+        if !topology.hears_as(&self.topology) {
             *self = Peers::default();
         }
         (self.own, self.topology) = (own, topology);
     }
 
-    /// Takes what an edge tells, if it is for this one.
+    /// Takes what another edge tells, if it is for this one.
     pub fn tell(&mut self, now: Millis, edge: NodeId, scope: LoadScope, shares: Vec<LoadShare>) {
-        match (&self.topology, scope) {
-            (Topology::Mesh { .. } | Topology::Relay { .. }, LoadScope::Own)
-            | (Topology::Relay { .. }, LoadScope::Group)
-                if edge == self.own => {}
-            (Topology::Mesh { .. } | Topology::Relay { .. }, LoadScope::Own) => {
-                self.single.tell(now, edge, shares);
-            }
-            (Topology::Relay { .. }, LoadScope::Group) => self.summed.tell(now, edge, shares),
-            (Topology::Member { relay }, LoadScope::Fleet) if *relay == edge => {
-                self.summed.tell(now, edge, shares);
-            }
-            _ => {}
+        if edge == self.own {
+            return;
         }
+        let table = match (&self.topology, scope) {
+            (Topology::Mesh { .. } | Topology::Relay { .. }, LoadScope::Own) => &mut self.heard.single,
+            (Topology::Relay { .. }, LoadScope::Group) => &mut self.heard.summed,
+            (Topology::Member { relay }, LoadScope::Fleet) if *relay == edge => &mut self.heard.summed,
+            _ => return,
+        };
+        table.tell(now, edge, shares);
     }
 
     /// What the other edges have at a server. `told` is what this edge has told of it.
     pub fn at(&self, told: &LoadShare) -> Elsewhere {
-        let all = self.all_at(told.server);
+        let all = self.heard.at(told.server);
         match self.topology {
             Topology::Mesh { .. } => all,
             Topology::Member { .. } | Topology::Relay { .. } => all.without(told),
@@ -75,8 +90,7 @@
 
     /// Forgets what was told long ago.
     pub fn expire(&mut self, now: Millis) {
-        self.single.expire(now);
-        self.summed.expire(now);
+        self.heard.expire(now);
     }
 
     /// What is to be told now, where this edge has `own_news` of its own.
@@ -86,11 +100,11 @@
                 vec![LoadNews { to: others.clone(), scope: LoadScope::Own, shares: own_news }]
             }
             Topology::Member { relay } => {
-                vec![LoadNews { to: vec![*relay], scope: LoadScope::Own, shares: own_news }]
+                vec![LoadNews { to: Arc::new([*relay]), scope: LoadScope::Own, shares: own_news }]
             }
             Topology::Relay { members, relays } => {
                 let (members, relays) = (members.clone(), relays.clone());
-                self.single.tell(now, self.own, own_news);
+                self.heard.single.tell(now, self.own, own_news);
                 let group = LoadNews { to: relays, scope: LoadScope::Group, shares: self.group_news(now) };
                 let fleet = LoadNews { to: members, scope: LoadScope::Fleet, shares: self.fleet_news(now) };
                 vec![group, fleet]
@@ -103,8 +117,8 @@
             return Vec::new();
         }
         self.group_at = now;
-        self.expire(now);
-        let single = &self.single;
+        self.heard.expire(now);
+        let single = &self.heard.single;
         self.group.take_news(now, single.servers(), |server| single.at(server))
     }
 
@@ -113,12 +127,7 @@
             return Vec::new();
         }
         self.fleet_at = now;
-        let (single, summed) = (&self.single, &self.summed);
-        let servers = single.servers().chain(summed.servers());
-        self.fleet.take_news(now, servers, |server| single.at(server).plus(summed.at(server)))
-    }
-
-    fn all_at(&self, server: u64) -> Elsewhere {
-        self.single.at(server).plus(self.summed.at(server))
+        let heard = &self.heard;
+        self.fleet.take_news(now, heard.servers(), |server| heard.at(server))
     }
 }
--- a/routing/src/share.rs
+++ b/routing/src/share.rs
@@ -4,7 +4,8 @@
 use shaletrail_protocol::Millis;
 use shaletrail_ring::hash_of_name;
 
-use crate::load_table::TELL_AGAIN;
+use crate::announced::Announcement;
+use crate::load_table::Elsewhere;
 
 /// Prompt tokens from which a change is told at once.
 const LARGE: u64 = 1_000;
@@ -18,16 +19,14 @@
     pub prefill: u64,
     /// When each request was sent whose answer has not begun.
     unanswered: Vec<Millis>,
-    told: LoadShare,
-    told_at: Millis,
+    told: Announcement,
 }
 
 impl OwnShare {
     /// Nothing is under way.
     pub fn new(id: &str) -> Self {
         let key = hash_of_name(id);
-        let told = LoadShare { server: key, ..LoadShare::default() };
-        OwnShare { key, prefill: 0, unanswered: Vec::new(), told, told_at: 0 }
+        OwnShare { key, prefill: 0, unanswered: Vec::new(), told: Announcement::of_nothing(key) }
     }
 
     /// A request was sent; whether the others should hear of it at once.
@@ -48,7 +47,7 @@
 
     /// What the other edges were told last.
     pub fn told(&self) -> &LoadShare {
-        &self.told
+        &self.told.share
     }
 
     /// Whether a request has been waiting for `patience` milliseconds with no sign of life of the server since.
@@ -58,18 +57,11 @@
 
     /// What the other edges should be told, if that differs from what they were or was told long ago.
     pub fn take_news(&mut self, now: Millis, open: u32, silent: bool) -> Option<LoadShare> {
-        let share = LoadShare {
-            server: self.key,
-            open: u16::try_from(open).unwrap_or(u16::MAX),
-            prefill: u32::try_from(self.prefill).unwrap_or(u32::MAX),
-            silent,
-        };
-        let nothing = LoadShare { server: self.key, ..LoadShare::default() };
-        let again = share != nothing && self.told_at + TELL_AGAIN <= now;
-        if share == self.told && !again {
+        let share = Elsewhere { open, prefill: self.prefill, silent: u32::from(silent) }.as_share(self.key);
+        if share == self.told.share && !self.told.lapses(now, &share) {
             return None;
         }
-        (self.told, self.told_at) = (share, now);
+        self.told = Announcement { share, at: now };
         Some(share)
     }
 }
--- a/routing/src/topology.rs
+++ b/routing/src/topology.rs
@@ -6,6 +6,8 @@
 //! keeps edges of one zone together where zones are address ranges. All nodes compute the same groups from one list;
 //! while lists differ, some loads are missing or counted twice for as long as what was told counts.
 
+use std::sync::Arc;
+
 use shaletrail_protocol::NodeId;
 use shaletrail_ring::mix;
 
@@ -18,7 +20,7 @@
     /// Each edge tells all others.
     Mesh {
         /// The other edges.
-        others: Vec<NodeId>,
+        others: Arc<[NodeId]>,
     },
     /// This edge tells its relay, and hears the sum of all from it.
     Member {
@@ -28,15 +30,15 @@
     /// This edge is the relay of its group.
     Relay {
         /// The other edges of its group.
-        members: Vec<NodeId>,
+        members: Arc<[NodeId]>,
         /// The other groups' relays.
-        relays: Vec<NodeId>,
+        relays: Arc<[NodeId]>,
     },
 }
 
 impl Default for Topology {
     fn default() -> Self {
-        Topology::Mesh { others: Vec::new() }
+        Topology::Mesh { others: Arc::default() }
     }
 }
 
@@ -47,8 +49,7 @@
         edges.sort_unstable();
         edges.dedup();
         if edges.len() <= MESH_EDGES {
-            edges.retain(|edge| *edge != own);
-            return Topology::Mesh { others: edges };
+            return Topology::Mesh { others: without(&edges, own) };
         }
         let group_size = edges.len().isqrt();
         let groups: Vec<&[NodeId]> = edges.chunks(group_size).collect();
@@ -63,6 +64,15 @@
             },
         }
     }
+
+    /// Whether what was heard in one place still counts in the other: it comes from the same kind of edges, and for a
+    /// member from the same relay.
+    pub fn hears_as(&self, other: &Topology) -> bool {
+        match (self, other) {
+            (Topology::Member { relay }, Topology::Member { relay: other }) => relay == other,
+            _ => std::mem::discriminant(self) == std::mem::discriminant(other),
+        }
+    }
 }
 
 /// The relay of a group: the edge with the greatest hash, so that it stays the same while others come and go.
@@ -70,6 +80,6 @@
     group.iter().copied().max_by_key(|edge| mix(u64::from(edge.0))).unwrap_or(fallback)
 }
 
-fn without(edges: &[NodeId], own: NodeId) -> Vec<NodeId> {
+fn without(edges: &[NodeId], own: NodeId) -> Arc<[NodeId]> {
     edges.iter().copied().filter(|edge| *edge != own).collect()
 }
--- a/routing/tests/loads.rs
+++ b/routing/tests/loads.rs
@@ -68,10 +68,10 @@
     }
 
     fn deliver(&mut self, from: NodeId, news: LoadNews) {
-        for to in news.to {
-            assert_ne!(to, from);
+        for to in news.to.iter() {
+            assert_ne!(*to, from);
             self.told += 1;
-            if let Some(edge) = self.edges.get_mut(&to) {
+            if let Some(edge) = self.edges.get_mut(to) {
                 edge.handle(Event::Peer { edge: from, scope: news.scope, shares: news.shares.clone() });
             }
         }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -5,6 +5,7 @@
 use rand::Rng;
 use shaletrail_configuration::View;
 use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::inside::{
@@ -60,7 +61,7 @@
     wants_whole: bool,
     edges: u32,
     edge_list: u64,
-    datagrams: u64,
+    datagrams: LoadDatagrams,
     demand: Vec<Demand>,
     observed: Vec<Observation>,
     reported_at: Option<Millis>,
@@ -90,7 +91,7 @@
             wants_whole: false,
             edges: 0,
             edge_list: 0,
-            datagrams: 0,
+            datagrams: LoadDatagrams::new(node, incarnation),
             demand: Vec::new(),
             observed: Vec::new(),
             reported_at: None,
@@ -219,13 +220,11 @@
 
     /// Tells the other edges what has changed, in a datagram to each.
     fn tell_peers(&mut self, world: &mut World) {
-        let EdgeIdentity { node, incarnation, .. } = self.identity;
         for news in self.router.take_load_news(self.clock(world)) {
-            self.datagrams += 1;
-            let (number, scope, shares) = (self.datagrams, news.scope, news.shares);
-            let datagram = bitcode::encode(&EdgeLoads { edge: node, incarnation, number, scope, shares });
-            for edge in news.to {
-                world.send(node, edge, Message::Loads(datagram.clone()));
+            for datagram in self.datagrams.encode(&news) {
+                for edge in news.to.iter() {
+                    world.send(self.node(), *edge, Message::Loads(datagram.clone()));
+                }
             }
         }
     }
