--- a/capacity-emulator/src/core_node.rs
+++ b/capacity-emulator/src/core_node.rs
@@ -3,13 +3,13 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-use shaletrail_coordinator::core::{memory, Core};
-use shaletrail_coordinator::interface::{Action, CallId, CoreOptions, Event};
-use shaletrail_protocol::frame::{self, PREFIX};
-use shaletrail_protocol::inside::{CoreMessage, EdgeIdentity, EdgeRequest, OperatorCall};
-use shaletrail_protocol::outside::Heartbeat;
+use shaletrail_coordinator::core::{memory, Coordinator};
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event};
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::frame::{self, PREFIX_BYTES};
+use shaletrail_protocol::internal::{CoordinatorMessage, EdgeIdentity, EdgeRequest, OperatorCall};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 use crate::fleet::{World, OPERATOR_AGAIN};
 use crate::ledger::{Kind, Ledger, Stopwatch};
@@ -36,18 +36,18 @@
 /// A coordinator's journal: what is safe, and what is on its way.
 #[derive(Debug, Default)]
 struct Journal {
-    safe: Vec<Stored>,
+    safe: Vec<StoredRecord>,
     safe_bytes: usize,
     /// Appends that the write under way does not cover.
-    waiting: VecDeque<(u64, Vec<Stored>)>,
+    waiting: VecDeque<(u64, Vec<StoredRecord>)>,
     /// The write under way.
-    writing: Option<(u64, Vec<Stored>)>,
+    writing: Option<(u64, Vec<StoredRecord>)>,
 }
 
 /// A coordinator.
 pub struct CoreNode {
     place: usize,
-    core: Option<Core>,
+    core: Option<Coordinator>,
     start: u64,
     started: Millis,
     journal: Journal,
@@ -79,12 +79,12 @@
     }
 
     /// The decisions, while the process runs.
-    pub fn core(&self) -> Option<&Core> {
+    pub fn core(&self) -> Option<&Coordinator> {
         self.core.as_ref()
     }
 
     /// Takes the decisions out: their memory goes with them.
-    pub fn take_core(&mut self) -> Option<Core> {
+    pub fn take_core(&mut self) -> Option<Coordinator> {
         self.core.take()
     }
 
@@ -100,16 +100,16 @@
         let options = self.options(world, bootstrap);
         let stored = self.journal.safe.clone();
         let begun = Stopwatch::start();
-        self.core = Some(Core::new(options, stored, CLOCK_START));
+        self.core = Some(Coordinator::new(options, stored, CLOCK_START));
         let took = begun.elapsed();
-        self.tell(world, Kind::Stored, Event::Stored { ticket: 0, wants_checkpoint: false });
+        self.tell(world, Kind::Stored, Event::Persisted { ticket: 0, wants_checkpoint: false });
         self.wake(world, 0, AtCore::Tick);
         took
     }
 
-    fn options(&self, world: &mut World, bootstrap: bool) -> CoreOptions {
+    fn options(&self, world: &mut World, bootstrap: bool) -> CoordinatorOptions {
         let incarnation = Incarnation(world.schedule.name().wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-        CoreOptions {
+        CoordinatorOptions {
             retry_window: std::time::Duration::from_secs(10),
             node: site::core_node(self.place),
             name: format!("core-{}", self.place),
@@ -155,7 +155,7 @@
             AtCore::Synced(ticket) => self.synced(world, ticket),
             AtCore::Frame { from, frame } => self.take_frame(world, from, &frame),
             AtCore::EdgeFrame { edge, poll, frame } => self.take_edge_frame(world, edge, poll, &frame),
-            AtCore::PollLeft(poll) => self.poll_left(world, poll),
+            AtCore::PollCancelled(poll) => self.poll_left(world, poll),
             AtCore::Heartbeat { server, id, body } => {
                 let crosses = zone_of(server) != zone_of(self.place);
                 self.ledger.received(Kind::Heartbeat, body.len(), crosses);
@@ -197,7 +197,7 @@
 
     fn take_frame(&mut self, world: &mut World, from: usize, frame: &[u8]) {
         let begun = Stopwatch::start();
-        let message = decode::<CoreMessage>(frame);
+        let message = decode::<CoordinatorMessage>(frame);
         let took = begun.elapsed();
         let Some(message) = message else { return };
         let kind = Kind::of_core(&message);
@@ -229,7 +229,7 @@
             EdgeRequest::Report { demand } => {
                 self.tell(world, kind, Event::EdgeReport { edge: node, demand });
             }
-            EdgeRequest::Leave => self.tell(world, kind, Event::EdgeLeft(node)),
+            EdgeRequest::Leave => self.tell(world, kind, Event::EdgeDisconnected(node)),
         }
     }
 
@@ -243,7 +243,7 @@
         let call = self.callers.iter().find(|(_, caller)| of_poll(caller)).map(|(call, _)| *call);
         if let Some(call) = call {
             self.callers.remove(&call);
-            self.tell(world, Kind::Poll, Event::PollLeft(call));
+            self.tell(world, Kind::Poll, Event::PollCancelled(call));
         }
     }
 
@@ -263,22 +263,22 @@
         match action {
             Action::Send { to, message } => self.send(world, to, &message),
             Action::Store { ticket, records } => {
-                let records = records.into_iter().map(|(stream, bytes)| Stored { stream, bytes });
+                let records = records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes });
                 self.journal.waiting.push_back((ticket, records.collect()));
                 self.write(world);
             }
             Action::Checkpoint { live } => self.checkpoint(live),
-            Action::AnswerServer { call, taken } => {
+            Action::RespondToServer { call, taken } => {
                 self.callers.remove(&call);
                 world.heartbeats_refused += u64::from(!taken);
             }
-            Action::AnswerOperator { call, answer } => {
+            Action::RespondToOperator { call, answer } => {
                 self.callers.remove(&call);
                 let taken = world.operator_answered(&answer);
                 self.operator_answers.0 += u64::from(taken);
                 self.operator_answers.1 += u64::from(!taken);
             }
-            Action::AnswerPoll { call, reply } => {
+            Action::RespondToPoll { call, reply } => {
                 let Some(Caller::Edge { edge, start, poll }) = self.callers.remove(&call) else { return };
                 let kind = Kind::of_reply(&reply);
                 let begun = Stopwatch::start();
@@ -300,7 +300,7 @@
                 // The connection first, then the order.
                 world.schedule.after(3 * latency(here, there), Happening::Server(place, what));
             }
-            Action::AskReport { server, address } => {
+            Action::FetchReport { server, address } => {
                 let Some(place) = site::server_at(&address) else { return };
                 let (here, there) = (zone_of(self.place), zone_of(place));
                 self.ledger.sent(Kind::ServerReport, 0, here != there);
@@ -311,7 +311,7 @@
         }
     }
 
-    fn send(&mut self, world: &mut World, to: NodeId, message: &CoreMessage) {
+    fn send(&mut self, world: &mut World, to: NodeId, message: &CoordinatorMessage) {
         let place = site::place(to);
         let kind = Kind::of_core(message);
         let begun = Stopwatch::start();
@@ -333,7 +333,7 @@
         }
         let waiting = std::mem::take(&mut self.journal.waiting);
         let Some(ticket) = waiting.back().map(|(ticket, _)| *ticket) else { return };
-        let records: Vec<Stored> = waiting.into_iter().flat_map(|(_, records)| records).collect();
+        let records: Vec<StoredRecord> = waiting.into_iter().flat_map(|(_, records)| records).collect();
         self.journal.writing = Some((ticket, records));
         self.wake(world, SYNC_TAKES, AtCore::Synced(ticket));
     }
@@ -352,11 +352,11 @@
         self.journal.safe.extend(records);
         self.write(world);
         let wants_checkpoint = self.journal.safe_bytes > CROWDED;
-        self.tell(world, Kind::Stored, Event::Stored { ticket, wants_checkpoint });
+        self.tell(world, Kind::Stored, Event::Persisted { ticket, wants_checkpoint });
     }
 
     fn checkpoint(&mut self, live: Vec<(u32, Vec<u8>)>) {
-        self.journal.safe = live.into_iter().map(|(stream, bytes)| Stored { stream, bytes }).collect();
+        self.journal.safe = live.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes }).collect();
         self.journal.safe_bytes = self.journal.safe.iter().map(|record| record.bytes.len()).sum();
         self.ledger.disk.checkpoints += 1;
         self.ledger.disk.bytes += self.journal.safe_bytes as u64;
@@ -365,5 +365,5 @@
 
 /// Reads a frame; `None` if it is no message.
 pub fn decode<M: bitcode::DecodeOwned>(bytes: &[u8]) -> Option<M> {
-    frame::decode(bytes.get(PREFIX..)?).ok()
+    frame::decode(bytes.get(PREFIX_BYTES..)?).ok()
 }
--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -10,8 +10,9 @@
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{
-    ConfigNews, Demand, DirectoryCursor, EdgeLoads, EdgeRequest, Observation, PollReply, PollRequest,
+use shaletrail_protocol::internal::{
+    ConfigUpdate, Demand, DirectoryCursor, EdgeLoadReport, EdgeRequest, Observation, PollRequest,
+    PollResponse,
 };
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 use shaletrail_routing::interface::{Action, Event};
@@ -208,7 +209,7 @@
             self.urgent = true;
             self.arm_urgent(world);
         }
-        let tell = self.decisions.as_ref().is_some_and(|decisions| decisions.router.has_urgent_shares());
+        let tell = self.decisions.as_ref().is_some_and(|decisions| decisions.router.has_urgent_load_update());
         if tell {
             self.tell_loads(world);
         }
@@ -233,7 +234,7 @@
     fn tell_loads(&mut self, world: &mut World) {
         let Some(decisions) = &mut self.decisions else { return };
         let begun = Stopwatch::start();
-        let news = decisions.router.take_load_news(world.schedule.now);
+        let news = decisions.router.take_load_update(world.schedule.now);
         let datagrams: Vec<Vec<Vec<u8>>> = news.iter().map(|news| self.datagrams.encode(news)).collect();
         self.ledger.worked(Kind::Loads, begun.elapsed());
         for (news, datagrams) in news.iter().zip(datagrams) {
@@ -256,7 +257,7 @@
 
     fn take_loads(&mut self, world: &mut World, datagram: &[u8]) {
         let begun = Stopwatch::start();
-        let loads = bitcode::decode::<EdgeLoads>(datagram);
+        let loads = bitcode::decode::<EdgeLoadReport>(datagram);
         self.ledger.worked(Kind::Loads, begun.elapsed());
         let Ok(loads) = loads else { return };
         let crosses = zone_of(site::place(loads.edge)) != zone_of(self.place);
@@ -298,7 +299,7 @@
         PollRequest {
             config_version: if self.wants_whole { 0 } else { self.version },
             cursor: self.cursor,
-            hold_ms: self.pace.hold.as_millis() as u32,
+            max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
             observed: self.observed.clone(),
             edge_list: self.edge_list,
@@ -325,7 +326,7 @@
     fn answered(&mut self, world: &mut World, poll: u64, frame: &[u8]) {
         let Some(polling) = self.polling.take_if(|polling| polling.number == poll) else { return };
         let begun = Stopwatch::start();
-        let reply = decode::<PollReply>(frame);
+        let reply = decode::<PollResponse>(frame);
         let took = begun.elapsed();
         let Some(reply) = reply else { return };
         let kind = Kind::of_reply(&reply);
@@ -352,7 +353,7 @@
         let Some(polling) = self.polling.take_if(|polling| polling.number == poll) else { return };
         if let Some(start) = world.running_core(polling.core) {
             let delay = latency(zone_of(self.place), zone_of(polling.core));
-            let what = AtCore::PollLeft(poll);
+            let what = AtCore::PollCancelled(poll);
             world.schedule.after(delay, Happening::Core(polling.core, start, what));
         }
         self.coordinators.failed();
@@ -381,7 +382,7 @@
         world.schedule.after(latency(here, there), Happening::Core(core, start, what));
     }
 
-    fn take_over(&mut self, world: &mut World, kind: Kind, reply: PollReply) {
+    fn take_over(&mut self, world: &mut World, kind: Kind, reply: PollResponse) {
         self.coordinators.learn(reply.coordinators);
         if let Some(news) = reply.config {
             self.take_configuration(world, kind, &news);
@@ -401,7 +402,7 @@
         }
     }
 
-    fn take_configuration(&mut self, world: &mut World, kind: Kind, news: &ConfigNews) {
+    fn take_configuration(&mut self, world: &mut World, kind: Kind, news: &ConfigUpdate) {
         self.wants_whole = false;
         if news.version <= self.version {
             return;
--- a/capacity-emulator/src/fleet.rs
+++ b/capacity-emulator/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rand::Rng;
-use shaletrail_protocol::inside::{Demand, Observation, OperatorAnswer};
+use shaletrail_protocol::internal::{Demand, Observation, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::core_node::CoreNode;
@@ -94,8 +94,8 @@
     }
 
     /// A change has been answered; whether it is in force.
-    pub fn operator_answered(&mut self, answer: &OperatorAnswer) -> bool {
-        let taken = matches!(answer, OperatorAnswer::Done { .. });
+    pub fn operator_answered(&mut self, answer: &OperatorResponse) -> bool {
+        let taken = matches!(answer, OperatorResponse::Done { .. });
         if taken {
             self.operator_version += 1;
             if let Some(pause) = self.schedule.pause(self.options.change_rate) {
@@ -356,7 +356,7 @@
 
     /// Servers that a coordinator takes to be there.
     pub fn servers_known(&self, core: usize) -> usize {
-        use shaletrail_protocol::inside::Presence;
+        use shaletrail_protocol::internal::Presence;
         let Some(core) = self.cores[core].core() else { return 0 };
         core.directory().records().filter(|record| record.presence == Presence::Ready).count()
     }
--- a/capacity-emulator/src/ledger.rs
+++ b/capacity-emulator/src/ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shaletrail_cluster::directory::DirectoryMessage;
-use shaletrail_protocol::inside::{CoreMessage, EdgeRequest, PollReply};
+use shaletrail_protocol::internal::{CoordinatorMessage, EdgeRequest, PollResponse};
 
 /// What a message is for, or what processor time went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, strum::Display, strum::EnumIter)]
@@ -58,20 +58,20 @@
 
 impl Kind {
     /// Of a message among coordinators.
-    pub fn of_core(message: &CoreMessage) -> Kind {
+    pub fn of_core(message: &CoordinatorMessage) -> Kind {
         match message {
-            CoreMessage::Membership(_) => Kind::Membership,
-            CoreMessage::Shard { shard: 0, .. } => Kind::ConfigurationShard,
-            CoreMessage::Shard { .. } => Kind::ServiceShard,
-            CoreMessage::Directory { body } => match bitcode::decode(body) {
+            CoordinatorMessage::Membership(_) => Kind::Membership,
+            CoordinatorMessage::Shard { shard: 0, .. } => Kind::ConfigurationShard,
+            CoordinatorMessage::Shard { .. } => Kind::ServiceShard,
+            CoordinatorMessage::Directory { body } => match bitcode::decode(body) {
                 Ok(DirectoryMessage::Batch { .. }) => Kind::DirectoryBatch,
                 Ok(DirectoryMessage::Digest { .. }) => Kind::DirectoryDigest,
                 Ok(DirectoryMessage::Ask { .. }) | Err(_) => Kind::DirectoryAnswer,
             },
-            CoreMessage::DirectoryAck { .. } => Kind::DirectoryAnswer,
-            CoreMessage::Forward { .. } | CoreMessage::Forwarded { .. } => Kind::Forward,
-            CoreMessage::Demand { .. } => Kind::Demand,
-            CoreMessage::InForce { .. } => Kind::Membership,
+            CoordinatorMessage::DirectoryAck { .. } => Kind::DirectoryAnswer,
+            CoordinatorMessage::Forward { .. } | CoordinatorMessage::Forwarded { .. } => Kind::Forward,
+            CoordinatorMessage::Demand { .. } => Kind::Demand,
+            CoordinatorMessage::InForce { .. } => Kind::Membership,
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Of an answer to a poll. The dearest part counts.
-    pub fn of_reply(reply: &PollReply) -> Kind {
+    pub fn of_reply(reply: &PollResponse) -> Kind {
         match &reply.config {
             _ if reply.whole => Kind::ReplyWhole,
             Some(news) if news.base.is_none() => Kind::ReplyWhole,
--- a/capacity-emulator/src/lib.rs
+++ b/capacity-emulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! encoded frames and virtual time, to find out what each role costs at sizes that no test site has.
 //!
 //! Hollow means that what surrounds the decisions is left out: sockets, HTTP, files, real model servers and clients'
-//! connections. What is there is production code: `coordinator::core::Core`, `routing::Router`, the edge's choice of
+//! connections. What is there is production code: `coordinator::core::Coordinator`, `routing::Router`, the edge's choice of
 //! coordinators and its pace of polls, the typed configuration, and the encoding of every frame between nodes. Each
 //! frame is encoded by its sender and decoded by its receiver, and counted at both.
 //!
--- a/capacity-emulator/src/requests.rs
+++ b/capacity-emulator/src/requests.rs
@@ -74,7 +74,9 @@
             Action::Send { request, attempt, server, address, .. } => {
                 self.send(world, request, attempt, &server, &address);
             }
-            Action::PassOn(request) | Action::BreakOff(request) => self.finish(world, request, false),
+            Action::ForwardFailure(request) | Action::AbortResponse(request) => {
+                self.finish(world, request, false)
+            }
             Action::Refuse { request, .. } => self.finish(world, request, false),
             Action::Cancel(request, attempt) => {
                 self.end(world, request, attempt, Verdict::MayHaveRun, Ending::Cancelled, None);
@@ -123,7 +125,7 @@
             self.end(world, request, attempt, Verdict::HasRun, Ending::Served, Some(load));
             self.finish(world, request, true);
         } else {
-            let ending = Ending::TurnedAway { status, instance: Some(server.id.clone()) };
+            let ending = Ending::Rejected { status, instance: Some(server.id.clone()) };
             self.end(world, request, attempt, Verdict::SurelyNotRun, ending, None);
         }
     }
--- a/capacity-emulator/src/schedule.rs
+++ b/capacity-emulator/src/schedule.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use shaletrail_coordinator::interface::{OrderId, OrderOutcome};
-use shaletrail_protocol::outside::{Order, Report};
+use shaletrail_protocol::external::{Order, Report};
 use shaletrail_protocol::{Millis, ServerId};
 use shaletrail_routing::interface::{Attempt, RequestId};
 
@@ -44,7 +44,7 @@
         frame: Vec<u8>,
     },
     /// An edge has given a poll up.
-    PollLeft(u64),
+    PollCancelled(u64),
     /// A heartbeat.
     Heartbeat {
         /// The server.
--- a/capacity-emulator/src/server.rs
+++ b/capacity-emulator/src/server.rs
@@ -2,7 +2,7 @@
 //! request.
 
 use shaletrail_coordinator::interface::OrderOutcome;
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, Operation, Order, Report, ServerState};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, Operation, Order, Report, ServerState};
 use shaletrail_protocol::{Millis, ServerId};
 
 use crate::options::Options;
@@ -23,7 +23,7 @@
     /// This start of it.
     pub id: ServerId,
     /// What it holds.
-    pub held: Vec<HeldModel>,
+    pub held: Vec<LoadedModel>,
     running: Option<Order>,
     revision: u64,
     sequence: u64,
@@ -35,7 +35,7 @@
 
 impl ServerNode {
     /// A server that holds something from its start.
-    pub fn new(options: &Options, place: usize, held: Vec<HeldModel>) -> Self {
+    pub fn new(options: &Options, place: usize, held: Vec<LoadedModel>) -> Self {
         let service = site::service_name(site::service_of_server(options, place));
         let core = place % options.cores;
         let id = name(place, 0);
@@ -137,7 +137,7 @@
         let loads = order.operation == Operation::Load;
         match order.adapter {
             None if loads => {
-                self.held.push(HeldModel { name: order.model, version: 1, adapters: Vec::new() });
+                self.held.push(LoadedModel { name: order.model, version: 1, adapters: Vec::new() });
             }
             None => self.held.retain(|held| held.name != order.model),
             Some(adapter) => {
--- a/capacity-emulator/src/site.rs
+++ b/capacity-emulator/src/site.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde_json::{json, Value};
-use shaletrail_protocol::outside::HeldModel;
+use shaletrail_protocol::external::LoadedModel;
 use shaletrail_protocol::NodeId;
 
 use crate::options::{Options, ADAPTERS_A_MODEL, BUSY_ADAPTERS};
@@ -191,7 +191,7 @@
 
 /// What each server holds at first: places go to models by their popularity, each model has one at least where there
 /// are enough, and the busy adapters of what a server holds are there.
-pub fn first_contents(options: &Options) -> Vec<Vec<HeldModel>> {
+pub fn first_contents(options: &Options) -> Vec<Vec<LoadedModel>> {
     let mut contents: Vec<Vec<usize>> = vec![Vec::new(); options.servers];
     let popularity = Popularity::of(options.busy_models());
     let of_service = |service: usize| {
@@ -235,8 +235,8 @@
     }
 }
 
-fn with_adapters(models: &[usize]) -> Vec<HeldModel> {
-    let held = |model: &usize| HeldModel {
+fn with_adapters(models: &[usize]) -> Vec<LoadedModel> {
+    let held = |model: &usize| LoadedModel {
         name: model_name(*model),
         version: 1,
         adapters: (1..=BUSY_ADAPTERS).map(adapter_name).collect(),
--- a/capacity-emulator/src/state.rs
+++ b/capacity-emulator/src/state.rs
@@ -2,7 +2,7 @@
 
 use shaletrail_configuration::ConfigState;
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{PollReply, ServerRecord};
+use shaletrail_protocol::internal::{PollResponse, ServerRecord};
 use shaletrail_routing::interface::Event;
 use shaletrail_routing::{Options, Router};
 
@@ -52,14 +52,14 @@
     let records: Vec<ServerRecord> = core.directory().records().cloned().collect();
     let servers = records.len();
     let configuration = core.shards().configuration();
-    let reply = PollReply {
-        config: configuration.news_since(0),
+    let reply = PollResponse {
+        config: configuration.updates_since(0),
         servers: records,
         whole: true,
         ..Default::default()
     };
     let whole_reply = frame::encode(&reply).len();
-    let without = frame::encode(&PollReply { servers: Vec::new(), ..reply }).len();
+    let without = frame::encode(&PollResponse { servers: Vec::new(), ..reply }).len();
     EncodedState {
         servers,
         record: (whole_reply - without) as f64 / servers.max(1) as f64,
--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -19,15 +19,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shaletrail_protocol::inside::{DirectoryCursor, PlacementNote, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, ServerState};
+use shaletrail_protocol::external::{Heartbeat, ServerState};
+use shaletrail_protocol::internal::{DirectoryCursor, PlacementOverlay, Presence, ServerRecord};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
-pub use calls::{CallToken, Settlement};
+pub use calls::{CallOutcome, CallToken};
 pub use digest::{DirectoryMessage, ServerDigest};
 pub use entry::ServerKey;
 pub use options::{
-    Options, BATCHES_IN_FLIGHT, CALLS_WAITING, RECORDS_IN_BATCH, RECORDS_IN_RETRY, SERVERS_IN_DIGEST,
+    Options, MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS, MAX_DIGEST_SERVERS, MAX_PENDING_CALLS,
+    MAX_RETRY_RECORDS,
 };
 
 use calls::Calls;
@@ -47,13 +48,13 @@
 pub struct Accepted {
     /// Whether it told something that edges care about.
     pub changed: bool,
-    /// Set for a server that leaves: answer once [`Directory::take_settled`] returns this.
+    /// Set for a server that leaves: answer once [`Directory::take_completed_calls`] returns this.
     pub call: Option<CallToken>,
 }
 
 /// What an edge has missed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// Servers that changed, or all of them.
     pub records: Vec<ServerRecord>,
     /// Whether `records` is the whole directory.
@@ -99,8 +100,8 @@
             last_version: 0,
             last_batch: mix(incarnation.0) << 32,
             heard: BTreeSet::new(),
-            next_digest: now + options.digest_ms,
-            next_summary: now + options.summary_ms,
+            next_digest: now + options.digest_interval_ms,
+            next_summary: now + options.full_digest_interval_ms,
             next_scan: now + SCAN_MS,
             sends: Vec::new(),
             options,
@@ -133,7 +134,7 @@
     }
 
     /// Tells whether this coordinator reaches the majority. While it doesn't, it takes no server to be silent.
-    pub fn set_in_touch(&mut self, now: Millis, in_touch: bool) {
+    pub fn set_quorum_contact(&mut self, now: Millis, in_touch: bool) {
         self.touch.set(now, in_touch);
     }
 
@@ -163,19 +164,19 @@
         Accepted { changed: matches!(merged, Merged::Changed | Merged::Finished), call }
     }
 
-    /// Takes the farewell of a server; answer once [`Directory::take_settled`] returns the token.
+    /// Takes the farewell of a server; answer once [`Directory::take_completed_calls`] returns the token.
     pub fn deregister(&mut self, now: Millis, id: &str) -> CallToken {
         self.touch.observe(now, self.options.stall_ms);
         let key = ServerKey::of(id);
         let heartbeat = self.table.get(key).map(|entry| entry.record.heartbeat.clone()).unwrap_or_default();
-        let presence = Presence::Gone;
+        let presence = Presence::Removed;
         let record = ServerRecord { id: id.to_owned(), heartbeat, presence, ..ServerRecord::default() };
         self.take_from_server(now, record);
         self.register(now, key, Stage::Gone)
     }
 
     /// Takes what the holder of a server's orders, at this node, knows of its contents beyond its heartbeats.
-    pub fn set_note(&mut self, now: Millis, id: &str, note: PlacementNote) {
+    pub fn set_placement_overlay(&mut self, now: Millis, id: &str, note: PlacementOverlay) {
         let key = ServerKey::of(id);
         if self.table.get_mut(key).is_some_and(|entry| entry.take_note(note)) {
             self.note_change(key);
@@ -229,7 +230,7 @@
     pub fn receive_digest(&mut self, now: Millis, from: NodeId, servers: Vec<ServerDigest>) {
         self.touch.observe(now, self.options.stall_ms);
         self.note_answer(from);
-        let said = servers.iter().take(SERVERS_IN_DIGEST);
+        let said = servers.iter().take(MAX_DIGEST_SERVERS);
         let wanted: Vec<ServerKey> =
             said.filter(|said| self.take_digest(now, from, said)).map(|said| said.key).collect();
         if !wanted.is_empty() {
@@ -242,7 +243,7 @@
     pub fn receive_ask(&mut self, now: Millis, from: NodeId, servers: Vec<ServerKey>) {
         self.touch.observe(now, self.options.stall_ms);
         self.note_answer(from);
-        for key in servers.into_iter().take(SERVERS_IN_DIGEST) {
+        for key in servers.into_iter().take(MAX_DIGEST_SERVERS) {
             self.queue(from, key);
         }
         self.flush(now);
@@ -275,12 +276,12 @@
     }
 
     /// Calls that have ended since the last time.
-    pub fn take_settled(&mut self) -> Vec<Settlement> {
+    pub fn take_completed_calls(&mut self) -> Vec<CallOutcome> {
         self.calls.take_ended()
     }
 
     /// Whether a majority of the voters knows that the server is draining or gone.
-    pub fn held_by_majority(&self, id: &str) -> bool {
+    pub fn is_known_to_majority(&self, id: &str) -> bool {
         self.has_majority(ServerKey::of(id))
     }
 
@@ -290,10 +291,10 @@
     }
 
     /// What changed after the cursor, or everything if that cannot be told.
-    pub fn since(&self, cursor: DirectoryCursor) -> DirectoryNews {
+    pub fn since(&self, cursor: DirectoryCursor) -> DirectoryUpdate {
         let cursor_now = self.log.cursor();
         let Some(changes) = self.log.since(cursor) else {
-            return DirectoryNews {
+            return DirectoryUpdate {
                 records: self.records().cloned().collect(),
                 whole: true,
                 cursor: cursor_now,
@@ -301,7 +302,7 @@
         };
         let newest = changes
             .filter_map(|change| self.table.get(change.server).filter(|entry| entry.change == change.number));
-        DirectoryNews {
+        DirectoryUpdate {
             records: newest.map(|entry| entry.record.clone()).collect(),
             whole: false,
             cursor: cursor_now,
@@ -362,7 +363,7 @@
 
     /// Takes one server of a digest; true if its record should be asked for.
     fn take_digest(&mut self, now: Millis, from: NodeId, said: &ServerDigest) -> bool {
-        let Some(entry) = self.table.get(said.key) else { return said.presence != Presence::Silent };
+        let Some(entry) = self.table.get(said.key) else { return said.presence != Presence::TimedOut };
         let later_stage = Stage::from(said.presence) > entry.stage();
         let other_content = said.sequence > entry.sequence() && said.fingerprint != entry.fingerprint;
         match self.table.refresh(now, said, &self.options) {
@@ -400,11 +401,11 @@
     /// A server has spoken: who was at its address before is gone. What other coordinators tell is no reason for
     /// that, as it may be old, nor is a silence during which this one could not hear.
     fn displace_forerunner(&mut self, now: Millis, key: ServerKey) {
-        let displace_ms = self.options.displace_ms;
-        if !self.touch.lasts(now, displace_ms) {
+        let address_takeover_ms = self.options.address_takeover_ms;
+        if !self.touch.lasts(now, address_takeover_ms) {
             return;
         }
-        if let Some(displaced) = self.table.displace(now, key, displace_ms) {
+        if let Some(displaced) = self.table.displace(now, key, address_takeover_ms) {
             self.note_change(displaced);
             self.note_version(displaced, Merged::Finished);
             self.queue_for_all(displaced, &[]);
@@ -439,7 +440,7 @@
 
     /// Lets a call wait for the majority, and tells those that are not known to have heard of it.
     fn register(&mut self, now: Millis, key: ServerKey, stage: Stage) -> CallToken {
-        let token = self.calls.register(key, stage, now + self.options.settle_ms);
+        let token = self.calls.register(key, stage, now + self.options.majority_timeout_ms);
         self.settle(key);
         if self.calls.waits_for(key) {
             let holders = self.table.get(key).map(|entry| entry.holders.clone()).unwrap_or_default();
@@ -474,16 +475,17 @@
         for (key, entry) in self.table.iter_mut() {
             let unheard = now.saturating_sub(entry.heard);
             if entry.stage() != Stage::Gone && entry.ends.is_some_and(|ends| ends <= now) {
-                entry.enter(now, Presence::Gone);
+                entry.enter(now, Presence::Removed);
                 changed.push((key, Merged::Finished));
             } else if entry.stage() != Stage::Present {
                 let since = entry.since.max(entry.heard);
-                forgotten.extend((now.saturating_sub(since) >= options.keep_final_ms).then_some(key));
+                forgotten
+                    .extend((now.saturating_sub(since) >= options.tombstone_retention_ms).then_some(key));
             } else if may_expire && entry.is_silent() {
                 let silent = now.saturating_sub(entry.since);
-                forgotten.extend((silent >= options.forget_silent_ms).then_some(key));
+                forgotten.extend((silent >= options.remove_timed_out_ms).then_some(key));
             } else if may_expire && unheard >= options.silence_ms {
-                entry.enter(now, Presence::Silent);
+                entry.enter(now, Presence::TimedOut);
                 changed.push((key, Merged::Changed));
             }
         }
--- a/cluster/src/directory/calls.rs
+++ b/cluster/src/directory/calls.rs
@@ -5,7 +5,7 @@
 use shaletrail_protocol::Millis;
 
 use super::entry::{ServerKey, Stage};
-use super::options::CALLS_WAITING;
+use super::options::MAX_PENDING_CALLS;
 
 /// Names a call that waits; never used twice by one directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,7 +13,7 @@
 
 /// How a call has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settlement {
+pub enum CallOutcome {
     /// A majority knows: the call may be acknowledged.
     Settled(CallToken),
     /// No majority has confirmed in time: the server should ask another coordinator.
@@ -33,7 +33,7 @@
 pub(super) struct Calls {
     last: u64,
     waiting: VecDeque<Call>,
-    ended: Vec<Settlement>,
+    ended: Vec<CallOutcome>,
 }
 
 impl Calls {
@@ -41,8 +41,8 @@
     pub(super) fn register(&mut self, server: ServerKey, stage: Stage, deadline: Millis) -> CallToken {
         self.last += 1;
         let token = CallToken(self.last);
-        if self.waiting.len() >= CALLS_WAITING {
-            self.ended.push(Settlement::Failed(token));
+        if self.waiting.len() >= MAX_PENDING_CALLS {
+            self.ended.push(CallOutcome::Failed(token));
         } else {
             self.waiting.push_back(Call { token, server, stage, deadline });
         }
@@ -55,7 +55,7 @@
         self.waiting.retain(|call| {
             let settled = call.server == server && call.stage <= stage;
             if settled {
-                ended.push(Settlement::Settled(call.token));
+                ended.push(CallOutcome::Settled(call.token));
             }
             !settled
         });
@@ -67,7 +67,7 @@
         self.waiting.retain(|call| {
             let over = call.deadline <= now;
             if over {
-                ended.push(Settlement::Failed(call.token));
+                ended.push(CallOutcome::Failed(call.token));
             }
             !over
         });
@@ -85,7 +85,7 @@
         self.waiting.front().map(|call| call.deadline)
     }
 
-    pub(super) fn take_ended(&mut self) -> Vec<Settlement> {
+    pub(super) fn take_ended(&mut self) -> Vec<CallOutcome> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/cluster/src/directory/changes.rs
+++ b/cluster/src/directory/changes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use shaletrail_protocol::inside::DirectoryCursor;
+use shaletrail_protocol::internal::DirectoryCursor;
 use shaletrail_protocol::Incarnation;
 
 use super::entry::ServerKey;
--- a/cluster/src/directory/digest.rs
+++ b/cluster/src/directory/digest.rs
@@ -1,7 +1,7 @@
 //! Short messages on servers whose records have not changed.
 
 use bitcode::{Decode, Encode};
-use shaletrail_protocol::inside::{Presence, ServerRecord};
+use shaletrail_protocol::internal::{Presence, ServerRecord};
 use shaletrail_protocol::Millis;
 
 use super::entry::{Entry, ServerKey};
@@ -36,7 +36,7 @@
 /// What the directory of one coordinator sends another, apart from acknowledgements.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DirectoryMessage {
-    /// Records that changed; to be acknowledged (`CoreMessage::Directory`).
+    /// Records that changed; to be acknowledged (`CoordinatorMessage::Directory`).
     Batch {
         /// Names the batch; never used twice by one incarnation, nor by the one before.
         batch: u64,
--- a/cluster/src/directory/entry.rs
+++ b/cluster/src/directory/entry.rs
@@ -3,8 +3,8 @@
 use std::hash::{Hash, Hasher};
 
 use bitcode::{Decode, Encode};
-use shaletrail_protocol::inside::{PlacementNote, Presence, ServerRecord};
-use shaletrail_protocol::outside::Heartbeat;
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::internal::{PlacementOverlay, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::stable_hash::StableHasher;
@@ -33,9 +33,9 @@
 impl From<Presence> for Stage {
     fn from(presence: Presence) -> Self {
         match presence {
-            Presence::Ready | Presence::Silent => Stage::Present,
+            Presence::Ready | Presence::TimedOut => Stage::Present,
             Presence::Draining => Stage::Draining,
-            Presence::Gone => Stage::Gone,
+            Presence::Removed => Stage::Gone,
         }
     }
 }
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn is_silent(&self) -> bool {
-        self.record.presence == Presence::Silent
+        self.record.presence == Presence::TimedOut
     }
 
     /// Enters a presence; true if it is another one.
@@ -114,7 +114,7 @@
     }
 
     /// Takes a note on what the server holds if it is later than the one that is known; true if it was.
-    pub(super) fn take_note(&mut self, note: PlacementNote) -> bool {
+    pub(super) fn take_note(&mut self, note: PlacementOverlay) -> bool {
         let later = note.is_later_than(&self.record.note);
         if later {
             self.record.note = note;
@@ -141,14 +141,14 @@
     pub(super) fn for_peer(&self, now: Millis, silence_ms: Millis) -> ServerRecord {
         let mut record = self.record.clone();
         if record.presence == Presence::Ready && now.saturating_sub(self.heard) >= silence_ms {
-            record.presence = Presence::Silent;
+            record.presence = Presence::TimedOut;
         }
         record
     }
 }
 
 /// A hash of all that edges care about: not how often a heartbeat was sent, nor how much time is left.
-fn fingerprint(heartbeat: &Heartbeat, note: &PlacementNote) -> u32 {
+fn fingerprint(heartbeat: &Heartbeat, note: &PlacementOverlay) -> u32 {
     let mut hasher = StableHasher::default();
     heartbeat.service.hash(&mut hasher);
     heartbeat.address.hash(&mut hasher);
--- a/cluster/src/directory/exchange.rs
+++ b/cluster/src/directory/exchange.rs
@@ -1,10 +1,10 @@
 //! What a directory sends the other coordinators, and when.
 
-use shaletrail_protocol::inside::Presence;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::entry::ServerKey;
-use super::options::SERVERS_IN_DIGEST;
+use super::options::MAX_DIGEST_SERVERS;
 use super::outbox::Hint;
 use super::{Directory, DirectoryMessage, ServerDigest};
 
@@ -52,14 +52,14 @@
         if !summary && now < self.next_digest {
             return;
         }
-        self.next_digest = now + self.options.digest_ms;
+        self.next_digest = now + self.options.digest_interval_ms;
         let heard = std::mem::take(&mut self.heard);
         let servers = if summary {
-            self.next_summary = now + self.options.summary_ms;
+            self.next_summary = now + self.options.full_digest_interval_ms;
             self.summary(now)
         } else {
             let entries = heard.into_iter().filter_map(|key| Some((key, self.table.get(key)?)));
-            entries.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(SERVERS_IN_DIGEST).collect()
+            entries.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(MAX_DIGEST_SERVERS).collect()
         };
         if servers.is_empty() {
             return;
@@ -74,13 +74,13 @@
     /// All servers with a sign of life, and those that have lately left.
     fn summary(&self, now: Millis) -> Vec<ServerDigest> {
         let told = self.table.iter().filter(|(_, entry)| match entry.record.presence {
-            Presence::Silent => false,
+            Presence::TimedOut => false,
             Presence::Ready => now.saturating_sub(entry.heard) < self.options.silence_ms,
-            Presence::Draining | Presence::Gone => {
-                now.saturating_sub(entry.since.max(entry.heard)) < self.options.offer_final_ms
+            Presence::Draining | Presence::Removed => {
+                now.saturating_sub(entry.since.max(entry.heard)) < self.options.tombstone_gossip_ms
             }
         });
-        told.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(SERVERS_IN_DIGEST).collect()
+        told.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(MAX_DIGEST_SERVERS).collect()
     }
 
     pub(super) fn send(&mut self, to: NodeId, message: DirectoryMessage) {
--- a/cluster/src/directory/outbox.rs
+++ b/cluster/src/directory/outbox.rs
@@ -8,11 +8,11 @@
 use shaletrail_protocol::{Incarnation, Millis};
 
 use super::entry::ServerKey;
-use super::options::{BATCHES_IN_FLIGHT, RECORDS_IN_BATCH, RECORDS_IN_RETRY};
+use super::options::{MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS, MAX_RETRY_RECORDS};
 use super::Options;
 
 /// Batches that may still be acknowledged late, at most.
-const BATCHES_REMEMBERED: usize = 2 * BATCHES_IN_FLIGHT;
+const BATCHES_REMEMBERED: usize = 2 * MAX_BATCHES_IN_FLIGHT;
 
 /// A server and the version of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,8 +50,11 @@
 
     /// The hints of the next batch, the newest first, if one may be sent now.
     pub(super) fn next_batch(&mut self, now: Millis, number: u64) -> Option<Vec<Hint>> {
-        let (batches, records) =
-            if self.misses == 0 { (BATCHES_IN_FLIGHT, RECORDS_IN_BATCH) } else { (1, RECORDS_IN_RETRY) };
+        let (batches, records) = if self.misses == 0 {
+            (MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS)
+        } else {
+            (1, MAX_RETRY_RECORDS)
+        };
         if self.waiting.is_empty() || now < self.not_before || self.in_flight().count() >= batches {
             return None;
         }
@@ -96,7 +99,7 @@
     pub(super) fn expire(&mut self, now: Millis, options: &Options) {
         let mut missed = Vec::new();
         for batch in self.batches.iter_mut().filter(|batch| !batch.overdue) {
-            if batch.sent + options.retry_ms <= now {
+            if batch.sent + options.retry_interval_ms <= now {
                 batch.overdue = true;
                 missed.extend(batch.hints.iter().copied());
             }
@@ -104,15 +107,15 @@
         if missed.is_empty() {
             return;
         }
-        let pause = options.retry_ms << self.misses.min(4);
-        self.not_before = if self.misses == 0 { now } else { now + pause.min(options.backoff_limit_ms) };
+        let pause = options.retry_interval_ms << self.misses.min(4);
+        self.not_before = if self.misses == 0 { now } else { now + pause.min(options.max_backoff_ms) };
         self.misses = self.misses.saturating_add(1);
         missed.into_iter().for_each(|hint| self.keep(hint));
     }
 
     /// When the next batch is due or overdue.
     pub(super) fn next_wake(&self, options: &Options) -> Option<Millis> {
-        let overdue = self.in_flight().map(|batch| batch.sent + options.retry_ms).min();
+        let overdue = self.in_flight().map(|batch| batch.sent + options.retry_interval_ms).min();
         let idle = self.in_flight().next().is_none() && !self.waiting.is_empty();
         overdue.into_iter().chain(idle.then_some(self.not_before)).min()
     }
--- a/cluster/src/directory/table.rs
+++ b/cluster/src/directory/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::{Presence, ServerRecord};
+use shaletrail_protocol::internal::{Presence, ServerRecord};
 use shaletrail_protocol::Millis;
 
 use super::digest::ServerDigest;
@@ -81,7 +81,7 @@
         };
         let sequence = record.heartbeat.sequence;
         let newer = sequence > entry.sequence() || (source == Source::Server && sequence == entry.sequence());
-        let alive = newer && record.presence != Presence::Silent;
+        let alive = newer && record.presence != Presence::TimedOut;
         let later_stage = Stage::from(record.presence) > entry.stage();
         let mut changed = false;
         let former_address = entry.record.heartbeat.address.clone();
@@ -138,16 +138,21 @@
     }
 
     /// Makes the server gone that was at the address of another one which has just spoken itself: it must have been
-    /// silent since before that one was first heard, and for at least `displace_ms`. Its key is returned.
-    pub(super) fn displace(&mut self, now: Millis, by: ServerKey, displace_ms: Millis) -> Option<ServerKey> {
+    /// silent since before that one was first heard, and for at least `address_takeover_ms`. Its key is returned.
+    pub(super) fn displace(
+        &mut self,
+        now: Millis,
+        by: ServerKey,
+        address_takeover_ms: Millis,
+    ) -> Option<ServerKey> {
         let claimant = self.get(by).filter(|entry| entry.stage() != Stage::Gone)?;
         let (address, first_heard) = (claimant.record.heartbeat.address.clone(), claimant.first_heard);
         let holder = self.addresses.get(&address).copied().filter(|holder| *holder != by)?;
         let rival = self.get_mut(holder)?;
-        if rival.heard >= first_heard || now.saturating_sub(rival.heard) < displace_ms {
+        if rival.heard >= first_heard || now.saturating_sub(rival.heard) < address_takeover_ms {
             return None;
         }
-        rival.enter(now, Presence::Gone);
+        rival.enter(now, Presence::Removed);
         self.addresses.insert(address, by);
         Some(holder)
     }
@@ -156,8 +161,8 @@
     /// that was heard of longest ago.
     pub(super) fn spare(&self, kept: ServerKey) -> Option<ServerKey> {
         let worth = |entry: &Entry| match entry.record.presence {
-            Presence::Gone => 0,
-            Presence::Silent => 1,
+            Presence::Removed => 0,
+            Presence::TimedOut => 1,
             Presence::Ready | Presence::Draining => 2,
         };
         let others = self.iter().filter(|(key, _)| *key != kept);
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -18,10 +18,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shaletrail_protocol::inside::{MemberRecord, MemberState, MembershipMessage};
+use shaletrail_protocol::internal::{MemberRecord, MemberState, MembershipMessage};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
-pub use options::{Options, MEMBERS_KEPT, RECORDS_IN_MESSAGE, SEEDS_KEPT};
+pub use options::{Options, MAX_MEMBERS, MAX_MESSAGE_RECORDS, MAX_SEEDS};
 use probe::Probe;
 use table::Table;
 
@@ -77,18 +77,18 @@
         membership
     }
 
-    /// Further seeds; beyond [`SEEDS_KEPT`] the oldest are dropped.
+    /// Further seeds; beyond [`MAX_SEEDS`] the oldest are dropped.
     pub fn add_seeds(&mut self, seeds: &[NodeId]) {
         self.seeds.retain(|seed| !seeds.contains(seed));
         self.seeds.extend(seeds.iter().filter(|seed| **seed != self.own.node));
-        self.seeds.drain(..self.seeds.len().saturating_sub(SEEDS_KEPT));
+        self.seeds.drain(..self.seeds.len().saturating_sub(MAX_SEEDS));
         self.targets_stale = true;
     }
 
     /// Names the nodes that this one pings whoever monitors them: the current voters.
     pub fn watch(&mut self, nodes: &[NodeId]) {
         let named: BTreeSet<NodeId> =
-            nodes.iter().copied().filter(|node| *node != self.own.node).take(MEMBERS_KEPT).collect();
+            nodes.iter().copied().filter(|node| *node != self.own.node).take(MAX_MEMBERS).collect();
         if named.iter().eq(self.watched.keys()) {
             return;
         }
@@ -99,7 +99,7 @@
 
     /// Tells the members that this process is about to end: it is absent for them from now on.
     pub fn leave(&mut self, now: Millis) {
-        self.own.state = MemberState::Absent;
+        self.own.state = MemberState::Dead;
         let mut others = self.alive();
         others.retain(|node| *node != self.own.node);
         others.into_iter().for_each(|node| self.ping(now, node));
@@ -161,7 +161,7 @@
 
     /// This node and all members that are not absent, in order of their addresses.
     pub fn alive(&self) -> Vec<NodeId> {
-        let others = self.table.records().filter(|record| record.state != MemberState::Absent);
+        let others = self.table.records().filter(|record| record.state != MemberState::Dead);
         let mut alive: Vec<NodeId> = others.map(|record| record.node).chain([self.own.node]).collect();
         alive.sort_unstable();
         alive
@@ -174,10 +174,10 @@
 
     /// Whether a node is taken to be away: it is absent, or it has been watched for as long as that takes and neither it
     /// nor anybody else has told of it.
-    pub fn is_away(&self, node: NodeId) -> bool {
+    pub fn is_unreachable(&self, node: NodeId) -> bool {
         let patience = self.options.suspect_ms + self.options.absent_ms;
         match self.state(node) {
-            Some(state) => state == MemberState::Absent,
+            Some(state) => state == MemberState::Dead,
             None => self.watched.get(&node).is_some_and(|since| since + patience <= self.last_tick),
         }
     }
@@ -197,17 +197,18 @@
 
     /// Whether the node has answered a ping that this one sent within the last `within_ms`: both ways were open.
     /// Only nodes that this one pings are known so: those it watches, monitors, or has as seeds.
-    pub fn heard_within(&self, node: NodeId, now: Millis, within_ms: Millis) -> bool {
+    pub fn has_contact_within(&self, node: NodeId, now: Millis, within_ms: Millis) -> bool {
         let answered = self.probes.get(&node).and_then(Probe::answered);
         answered.is_some_and(|sent| now.saturating_sub(sent) <= within_ms)
     }
 
     /// Whether more than half of the nodes, this one counted where it is among them, have answered pings sent
     /// within the last `within_ms`.
-    pub fn answers_majority(&self, now: Millis, of: &[NodeId], within_ms: Millis) -> bool {
+    pub fn has_quorum_contact(&self, now: Millis, of: &[NodeId], within_ms: Millis) -> bool {
         let nodes: BTreeSet<NodeId> = of.iter().copied().collect();
-        let answering =
-            nodes.iter().filter(|node| **node == self.own.node || self.heard_within(**node, now, within_ms));
+        let answering = nodes
+            .iter()
+            .filter(|node| **node == self.own.node || self.has_contact_within(**node, now, within_ms));
         answering.count() * 2 > nodes.len()
     }
 
@@ -228,7 +229,7 @@
                     self.table.degrade(now, node, MemberState::Suspect);
                 }
                 MemberState::Suspect if self.is_overdue(now, node) => {
-                    self.table.degrade(now, node, MemberState::Absent);
+                    self.table.degrade(now, node, MemberState::Dead);
                     self.targets_stale = true;
                 }
                 _ => {}
@@ -244,11 +245,11 @@
     /// Whether a suspicion has stood for long enough, and this node does not itself hear the member.
     fn is_overdue(&self, now: Millis, node: NodeId) -> bool {
         let stood = self.table.since(node).is_some_and(|since| since + self.options.absent_ms <= now);
-        stood && !self.heard_within(node, now, self.options.suspect_ms)
+        stood && !self.has_contact_within(node, now, self.options.suspect_ms)
     }
 
     fn forget(&mut self, now: Millis) {
-        let absent = self.table.records().filter(|record| record.state == MemberState::Absent);
+        let absent = self.table.records().filter(|record| record.state == MemberState::Dead);
         let long_absent: Vec<NodeId> = absent
             .map(|record| record.node)
             .filter(|node| self.table.since(*node).is_some_and(|since| since + self.options.forget_ms <= now))
@@ -282,7 +283,7 @@
 
     fn strange_seeds(&self) -> impl Iterator<Item = NodeId> + '_ {
         let strange =
-            |seed: &NodeId| !matches!(self.table.state(*seed), Some(state) if state != MemberState::Absent);
+            |seed: &NodeId| !matches!(self.table.state(*seed), Some(state) if state != MemberState::Dead);
         self.seeds.iter().copied().filter(strange)
     }
 
@@ -314,7 +315,7 @@
     }
 
     fn learn(&mut self, now: Millis, from: NodeId, members: &[MemberRecord]) {
-        for record in members.iter().take(RECORDS_IN_MESSAGE) {
+        for record in members.iter().take(MAX_MESSAGE_RECORDS) {
             if record.node == self.own.node {
                 self.refute(record);
             } else if record.node == from {
@@ -328,7 +329,7 @@
     /// Takes what somebody tells of another. One that has been cut off takes all others to be absent: a member that this
     /// node hears itself is suspected at most, until it refutes that.
     fn learn_told(&mut self, now: Millis, record: &MemberRecord) {
-        let is_heard = self.heard_within(record.node, now, self.options.suspect_ms);
+        let is_heard = self.has_contact_within(record.node, now, self.options.suspect_ms);
         let state = if is_heard { record.state.min(MemberState::Suspect) } else { record.state };
         let record = &MemberRecord { state, ..record.clone() };
         let suspected = self.table.state(record.node) == Some(MemberState::Suspect);
@@ -346,7 +347,7 @@
     /// Denies a suspicion against this node, unless it is about to end; what is said of its former incarnations is left
     /// alone.
     fn refute(&mut self, record: &MemberRecord) {
-        if self.own.state == MemberState::Absent {
+        if self.own.state == MemberState::Dead {
             return;
         }
         let suspected = record.state != MemberState::Alive && record.refutation >= self.own.refutation;
@@ -364,7 +365,7 @@
             self.last_exchange.insert(receiver, now);
         }
         let mut records = vec![self.own.clone()];
-        records.extend(self.table.tell(receiver, all, RECORDS_IN_MESSAGE - 1));
+        records.extend(self.table.tell(receiver, all, MAX_MESSAGE_RECORDS - 1));
         records
     }
 
--- a/cluster/src/membership/options.rs
+++ b/cluster/src/membership/options.rs
@@ -12,7 +12,7 @@
     /// A suspicion that is not refuted within this makes the member absent.
     pub absent_ms: Millis,
     /// The longest pause between two pings to a node that does not answer.
-    pub backoff_limit_ms: Millis,
+    pub max_backoff_ms: Millis,
     /// A member that has been absent for so long is forgotten.
     pub forget_ms: Millis,
     /// Peers that monitor a member.
@@ -31,7 +31,7 @@
             ping_ms: 200,
             suspect_ms: 500,
             absent_ms: 1000,
-            backoff_limit_ms: 1000,
+            max_backoff_ms: 1000,
             forget_ms: 60_000,
             monitors: 3,
             exchange_ms: 1000,
@@ -42,8 +42,8 @@
 }
 
 /// Records in one message, at most.
-pub const RECORDS_IN_MESSAGE: usize = 32;
+pub const MAX_MESSAGE_RECORDS: usize = 32;
 /// Members kept, at most.
-pub const MEMBERS_KEPT: usize = 256;
+pub const MAX_MEMBERS: usize = 256;
 /// Seeds kept, at most; the newest stay.
-pub const SEEDS_KEPT: usize = 32;
+pub const MAX_SEEDS: usize = 32;
--- a/cluster/src/membership/probe.rs
+++ b/cluster/src/membership/probe.rs
@@ -66,7 +66,7 @@
         self.missing_since.get_or_insert(now);
         self.misses = self.misses.saturating_add(1);
         self.interval =
-            if patient { (self.interval * 2).min(options.backoff_limit_ms) } else { options.ping_ms };
+            if patient { (self.interval * 2).min(options.max_backoff_ms) } else { options.ping_ms };
         self.next = now + self.interval;
     }
 
--- a/cluster/src/membership/table.rs
+++ b/cluster/src/membership/table.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shaletrail_protocol::inside::{MemberRecord, MemberState};
+use shaletrail_protocol::internal::{MemberRecord, MemberState};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
-use super::options::{MEMBERS_KEPT, RECORDS_IN_MESSAGE};
+use super::options::{MAX_MEMBERS, MAX_MESSAGE_RECORDS};
 
 /// Ended incarnations of one node that are remembered, at most.
 const FORMER_KEPT: usize = 4;
@@ -89,7 +89,7 @@
             None => record.state == MemberState::Alive && self.insert(now, record.clone()),
             Some(known) if known.incarnation == record.incarnation => self.merge(now, record),
             Some(known) => {
-                let replaces = known.state == MemberState::Absent && record.state == MemberState::Alive;
+                let replaces = known.state == MemberState::Dead && record.state == MemberState::Alive;
                 if replaces {
                     self.put(now, record.clone());
                 }
@@ -123,7 +123,7 @@
     }
 
     fn insert(&mut self, now: Millis, record: MemberRecord) -> bool {
-        if self.members.len() >= MEMBERS_KEPT && !self.make_room() {
+        if self.members.len() >= MAX_MEMBERS && !self.make_room() {
             return false;
         }
         self.put(now, record);
@@ -132,7 +132,7 @@
 
     /// Drops the member that has been absent for longest.
     fn make_room(&mut self) -> bool {
-        let absent = self.members.iter().filter(|(_, member)| member.record.state == MemberState::Absent);
+        let absent = self.members.iter().filter(|(_, member)| member.record.state == MemberState::Dead);
         let oldest = absent.min_by_key(|(_, member)| member.since).map(|(node, _)| *node);
         oldest.is_some_and(|node| self.members.remove(&node).is_some())
     }
@@ -170,7 +170,7 @@
     /// At most `count` records for a message to `receiver`: what it should refute first, then the newest; with
     /// `all`, also what is not new, in turn.
     pub(super) fn tell(&mut self, receiver: NodeId, all: bool, count: usize) -> Vec<MemberRecord> {
-        let count = count.min(RECORDS_IN_MESSAGE);
+        let count = count.min(MAX_MESSAGE_RECORDS);
         let mut told = Vec::new();
         let refutable = self.record(receiver).filter(|record| record.state != MemberState::Alive);
         told.extend(refutable.cloned());
--- a/cluster/tests/directories/mod.rs
+++ b/cluster/tests/directories/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use shaletrail_cluster::directory::{Directory, DirectoryMessage, Options};
-use shaletrail_protocol::inside::{Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, ServerState};
+use shaletrail_protocol::external::{Heartbeat, ServerState};
+use shaletrail_protocol::internal::{Presence, ServerRecord};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 pub const OWN: NodeId = NodeId(1);
@@ -80,12 +80,18 @@
     right_node: NodeId,
 ) {
     for _ in 0..20 {
-        hand_over(now, left, left_node, right, right_node);
-        hand_over(now, right, right_node, left, left_node);
+        transfer_leadership(now, left, left_node, right, right_node);
+        transfer_leadership(now, right, right_node, left, left_node);
     }
 }
 
-pub fn hand_over(now: Millis, from: &mut Directory, from_node: NodeId, to: &mut Directory, to_node: NodeId) {
+pub fn transfer_leadership(
+    now: Millis,
+    from: &mut Directory,
+    from_node: NodeId,
+    to: &mut Directory,
+    to_node: NodeId,
+) {
     for (receiver, message) in from.take_sends() {
         if receiver != to_node {
             continue;
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -3,9 +3,9 @@
 mod directories;
 
 use directories::*;
-use shaletrail_cluster::directory::{Accepted, Directory, Options, Settlement};
-use shaletrail_protocol::inside::{DirectoryCursor, Presence};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel};
+use shaletrail_cluster::directory::{Accepted, CallOutcome, Directory, Options};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel};
+use shaletrail_protocol::internal::{DirectoryCursor, Presence};
 use shaletrail_protocol::Incarnation;
 
 #[test]
@@ -23,7 +23,7 @@
     let mut directory = settled_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     take_batches(&mut directory);
-    let models = Some(vec![HeldModel { name: "m".into(), version: 1, adapters: vec![] }]);
+    let models = Some(vec![LoadedModel { name: "m".into(), version: 1, adapters: vec![] }]);
     assert!(directory.heartbeat(10_500, "a", Heartbeat { models, ..heartbeat(1, 2) }).changed);
     let batches = take_batches(&mut directory);
     assert_eq!(batches.iter().map(|batch| batch.to).collect::<Vec<_>>(), [PEER, OTHER]);
@@ -48,7 +48,7 @@
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
     directory.deregister(10_400, "a");
     directory.heartbeat(10_500, "a", draining(1, 10));
-    assert_eq!(presence(&directory, "a"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
 }
 
 #[test]
@@ -69,12 +69,12 @@
     for batch in &earlier {
         directory.acknowledge(10_110, batch.to, batch.number);
     }
-    assert_eq!(directory.take_settled(), [], "the earlier batches did not tell of it");
-    assert!(!directory.held_by_majority("a"));
+    assert_eq!(directory.take_completed_calls(), [], "the earlier batches did not tell of it");
+    assert!(!directory.is_known_to_majority("a"));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_120, batches[1].to, batches[1].number);
-    assert_eq!(directory.take_settled(), [Settlement::Settled(call)]);
-    assert!(directory.held_by_majority("a"));
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
+    assert!(directory.is_known_to_majority("a"));
 }
 
 #[test]
@@ -83,9 +83,9 @@
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_010, batches[0].to, batches[0].number);
-    directory.take_settled();
+    directory.take_completed_calls();
     let call = directory.heartbeat(11_000, "a", draining(1, 2)).call.expect("a draining waits");
-    assert_eq!(directory.take_settled(), [Settlement::Settled(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
 }
 
 #[test]
@@ -93,17 +93,17 @@
     let mut directory = settled_directory();
     let call = directory.heartbeat(10_000, "a", draining(1, 1)).call.expect("a draining waits");
     run_idle(&mut directory, 10_000, 10_899);
-    assert_eq!(directory.take_settled(), []);
+    assert_eq!(directory.take_completed_calls(), []);
     run_idle(&mut directory, 10_899, 10_900);
-    assert_eq!(directory.take_settled(), [Settlement::Failed(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Failed(call)]);
 }
 
 #[test]
 fn given_no_voters_yet_when_a_server_drains_then_the_call_is_not_settled() {
     let mut directory = directory(OWN, 11, 0);
     directory.heartbeat(10, "a", draining(1, 1));
-    assert_eq!(directory.take_settled(), []);
-    assert!(!directory.held_by_majority("a"));
+    assert_eq!(directory.take_completed_calls(), []);
+    assert!(!directory.is_known_to_majority("a"));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut directory = directory(OWN, 11, 0);
     directory.set_voters(&[OWN]);
     let call = directory.heartbeat(10, "a", draining(1, 1)).call.expect("a draining waits");
-    assert_eq!(directory.take_settled(), [Settlement::Settled(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
 }
 
 #[test]
@@ -119,10 +119,10 @@
     let mut directory = settled_directory();
     directory.deregister(10_000, "a");
     directory.heartbeat(10_100, "a", heartbeat(1, 7));
-    assert_eq!(presence(&directory, "a"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     run_idle(&mut directory, 10_100, 45_000);
     directory.merge(45_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 8))]);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     run_idle(&mut directory, 45_000, 120_000);
     assert_eq!(presence(&directory, "a"), None, "it is forgotten in the end");
 }
@@ -134,11 +134,11 @@
     run_idle(&mut directory, 10_000, 10_000 + SILENCE_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
     run_idle(&mut directory, 10_000 + SILENCE_MS - 1, 13_500);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Silent));
+    assert_eq!(presence(&directory, "a"), Some(Presence::TimedOut));
     assert!(directory.heartbeat(13_600, "a", heartbeat(1, 2)).changed);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
     run_idle(&mut directory, 13_600, 36_000);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Silent));
+    assert_eq!(presence(&directory, "a"), Some(Presence::TimedOut));
     run_idle(&mut directory, 36_000, 38_000);
     assert_eq!(presence(&directory, "a"), None);
 }
@@ -156,14 +156,14 @@
 fn given_an_isolated_coordinator_when_time_passes_then_nobody_is_silent_until_it_is_back_for_a_while() {
     let mut directory = settled_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
-    directory.set_in_touch(11_000, false);
+    directory.set_quorum_contact(11_000, false);
     run_idle(&mut directory, 11_000, 60_000);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
-    directory.set_in_touch(60_000, true);
+    directory.set_quorum_contact(60_000, true);
     run_idle(&mut directory, 60_000, 60_000 + SILENCE_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
     run_idle(&mut directory, 60_000 + SILENCE_MS - 1, 64_000);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Silent));
+    assert_eq!(presence(&directory, "a"), Some(Presence::TimedOut));
 }
 
 #[test]
@@ -182,7 +182,7 @@
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     run_idle(&mut directory, 10_000, 12_000);
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
-    assert_eq!(presence(&directory, "old"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "old"), Some(Presence::Removed));
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
 }
 
@@ -196,7 +196,7 @@
         directory.tick(second * 1000);
     }
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
-    assert_eq!(presence(&directory, "old"), Some(Presence::Silent));
+    assert_eq!(presence(&directory, "old"), Some(Presence::TimedOut));
 }
 
 #[test]
@@ -215,7 +215,7 @@
     run_idle(&mut directory, 10_000, 11_400);
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
     run_idle(&mut directory, 11_400, 11_800);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
 }
 
 #[test]
@@ -289,11 +289,11 @@
     let mut directory = settled_directory();
     directory.heartbeat(10_000, "a", Heartbeat { remaining_ms: Some(100.0), ..draining(1, 2) });
     run_idle(&mut directory, 10_000, 10_500);
-    assert_eq!(presence(&directory, "a"), Some(Presence::Gone));
+    assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     let batches = take_batches(&mut directory);
     batches.iter().for_each(|batch| directory.acknowledge(10_500, batch.to, batch.number));
     let call = directory.deregister(10_600, "a");
     let batches = take_batches(&mut directory);
     batches.iter().for_each(|batch| directory.acknowledge(10_610, batch.to, batch.number));
-    assert!(directory.take_settled().contains(&Settlement::Settled(call)));
+    assert!(directory.take_completed_calls().contains(&CallOutcome::Settled(call)));
 }
--- a/cluster/tests/exchange.rs
+++ b/cluster/tests/exchange.rs
@@ -3,9 +3,9 @@
 mod directories;
 
 use directories::*;
-use shaletrail_cluster::directory::{Directory, DirectoryMessage, BATCHES_IN_FLIGHT, RECORDS_IN_BATCH};
-use shaletrail_protocol::inside::Presence;
-use shaletrail_protocol::outside::Heartbeat;
+use shaletrail_cluster::directory::{Directory, DirectoryMessage, MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS};
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 #[test]
@@ -15,13 +15,13 @@
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_010, PEER, batches[0].number);
-    directory.take_settled();
+    directory.take_completed_calls();
     directory.peer_started(10_500, PEER, Incarnation(22));
-    assert!(!directory.held_by_majority("a"));
+    assert!(!directory.is_known_to_majority("a"));
     let again = take_batches(&mut directory);
     assert!(again.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
     directory.acknowledge(10_510, PEER, batches[0].number);
-    assert!(!directory.held_by_majority("a"), "an acknowledgement of the former start means nothing");
+    assert!(!directory.is_known_to_majority("a"), "an acknowledgement of the former start means nothing");
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let told = take_batches(&mut directory);
     for peer in [PEER, OTHER] {
         let records = told.iter().filter(|batch| batch.to == peer).flat_map(|batch| &batch.records);
-        let gone = records.filter(|record| record.id == "old" && record.presence == Presence::Gone);
+        let gone = records.filter(|record| record.id == "old" && record.presence == Presence::Removed);
         assert_eq!(gone.count(), 1);
     }
 }
@@ -63,7 +63,7 @@
     run_idle(&mut directory, 30_000, 31_500);
     converse(31_500, &mut directory, OWN, &mut back, PEER);
     assert_eq!(presence(&back, "a"), Some(Presence::Draining));
-    assert!(directory.held_by_majority("a"));
+    assert!(directory.is_known_to_majority("a"));
     run_idle(&mut directory, 31_500, 32_500);
     assert!(take_batches(&mut directory).iter().all(|batch| batch.to == OTHER), "nothing is left to tell");
 }
@@ -81,8 +81,8 @@
         directory.tick(u64::from(round) * 100);
         sent.extend(take_batches(&mut directory));
     }
-    assert!(sent.iter().all(|batch| batch.records.len() <= RECORDS_IN_BATCH));
-    assert!(sent.len() <= BATCHES_IN_FLIGHT + 15, "{} batches in ten seconds", sent.len());
+    assert!(sent.iter().all(|batch| batch.records.len() <= MAX_BATCH_RECORDS));
+    assert!(sent.len() <= MAX_BATCHES_IN_FLIGHT + 15, "{} batches in ten seconds", sent.len());
 }
 
 #[test]
@@ -166,7 +166,7 @@
 fn given_a_record_that_is_old_when_it_is_handed_over_then_it_is_no_sign_of_life() {
     let mut own = settled_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 1));
-    own.set_in_touch(10_000, false);
+    own.set_quorum_contact(10_000, false);
     run_idle(&mut own, 10_000, 20_000);
     assert_eq!(presence(&own, "a"), Some(Presence::Ready), "an isolated coordinator calls nobody silent");
     own.take_sends();
@@ -175,7 +175,7 @@
     run_idle(&mut own, 20_000, 21_500);
     let handed = take_batches(&mut own);
     assert!(!handed.is_empty());
-    assert!(handed.iter().all(|batch| batch.records[0].presence == Presence::Silent));
+    assert!(handed.iter().all(|batch| batch.records[0].presence == Presence::TimedOut));
 }
 
 #[test]
@@ -197,11 +197,11 @@
     own.peer_started(10_010, PEER, Incarnation(22));
     let late = batches.iter().find(|batch| batch.to == PEER).expect("it was told");
     own.acknowledge(10_020, PEER, late.number);
-    assert!(!own.held_by_majority("a"));
+    assert!(!own.is_known_to_majority("a"));
     let again = take_batches(&mut own);
     let again = again.iter().find(|batch| batch.to == PEER).expect("it is told again");
     own.acknowledge(10_030, PEER, again.number);
-    assert!(own.held_by_majority("a"));
+    assert!(own.is_known_to_majority("a"));
 }
 
 #[test]
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -7,9 +7,9 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use shaletrail_cluster::directory::{self, Directory, DirectoryMessage, Settlement};
+use shaletrail_cluster::directory::{self, CallOutcome, Directory, DirectoryMessage};
 use shaletrail_cluster::membership::{self, Membership};
-use shaletrail_protocol::inside::{CoreMessage, MembershipMessage, Presence};
+use shaletrail_protocol::internal::{CoordinatorMessage, MembershipMessage, Presence};
 use shaletrail_protocol::{frame, Incarnation, Millis, NodeId};
 
 /// Virtual time between two steps, in milliseconds.
@@ -72,7 +72,7 @@
     pub random: Pcg64,
     pub machines: Vec<Machine>,
     pub loss: f64,
-    pub ended_calls: Vec<(NodeId, Incarnation, Settlement)>,
+    pub ended_calls: Vec<(NodeId, Incarnation, CallOutcome)>,
     pub longest_frame: usize,
     pub most_records: usize,
     pub messages: u64,
@@ -240,8 +240,9 @@
         process.drive(now, &voters);
         let node = machine.node;
         let incarnation = process.incarnation;
-        self.ended_calls
-            .extend(process.directory.take_settled().into_iter().map(|ended| (node, incarnation, ended)));
+        self.ended_calls.extend(
+            process.directory.take_completed_calls().into_iter().map(|ended| (node, incarnation, ended)),
+        );
         let membership = process.membership.take_sends();
         let directory = process.directory.take_sends();
         for (to, message) in membership {
@@ -272,11 +273,11 @@
             Letter::Membership(message) => {
                 let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) =
                     message;
-                (frame::encode(&CoreMessage::Membership(message.clone())).len(), members.len())
+                (frame::encode(&CoordinatorMessage::Membership(message.clone())).len(), members.len())
             }
             Letter::Directory(message) => (frame::encode(message).len(), 0),
             Letter::Acknowledgement(batch) => {
-                (frame::encode(&CoreMessage::DirectoryAck { batch: *batch }).len(), 0)
+                (frame::encode(&CoordinatorMessage::DirectoryAck { batch: *batch }).len(), 0)
             }
         };
         self.longest_frame = self.longest_frame.max(length);
@@ -329,11 +330,11 @@
                 self.directory.peer_started(now, node, record.incarnation);
             }
         }
-        self.in_touch = self.membership.answers_majority(now, voters, ISOLATION_MS);
+        self.in_touch = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
         if !self.in_touch {
             self.unsure_at = now;
         }
-        self.directory.set_in_touch(now, self.in_touch);
+        self.directory.set_quorum_contact(now, self.in_touch);
         if self.directory.next_wake() <= now {
             self.directory.tick(now);
         }
--- a/cluster/tests/fleet/servers.rs
+++ b/cluster/tests/fleet/servers.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use rand::Rng;
-use shaletrail_cluster::directory::{CallToken, Directory, Settlement};
-use shaletrail_protocol::inside::{DirectoryCursor, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, ServerState};
+use shaletrail_cluster::directory::{CallOutcome, CallToken, Directory};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
+use shaletrail_protocol::internal::{DirectoryCursor, ServerRecord};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 use super::{Fleet, HEARTBEAT_MS};
@@ -118,7 +118,7 @@
     }
 
     pub fn heartbeat(&self) -> Heartbeat {
-        let model = |number| HeldModel { name: format!("m{number}"), version: 1, adapters: vec![] };
+        let model = |number| LoadedModel { name: format!("m{number}"), version: 1, adapters: vec![] };
         Heartbeat {
             service: "pages".into(),
             address: format!("10.9.9.9:{}", self.port),
@@ -155,15 +155,15 @@
     fn take_answer(
         &mut self,
         now: Millis,
-        ended: &[(NodeId, Incarnation, Settlement)],
+        ended: &[(NodeId, Incarnation, CallOutcome)],
     ) -> Option<SettledDrain> {
         let call = self.call?;
-        let answer = |settlement: Settlement| ended.contains(&(call.node, call.incarnation, settlement));
-        if answer(Settlement::Failed(call.token)) {
+        let answer = |settlement: CallOutcome| ended.contains(&(call.node, call.incarnation, settlement));
+        if answer(CallOutcome::Failed(call.token)) {
             self.call = None;
             self.at += 1;
             self.next = now;
-        } else if answer(Settlement::Settled(call.token)) {
+        } else if answer(CallOutcome::Settled(call.token)) {
             self.call = None;
             self.settled = self.settled.or(Some(now));
             return Some(SettledDrain { id: self.id.clone() });
--- a/cluster/tests/histories.rs
+++ b/cluster/tests/histories.rs
@@ -7,7 +7,7 @@
 use fleet::servers::{Life, Servers, SettledDrain};
 use fleet::{Fleet, Process, SILENCE_MS};
 use rand::Rng;
-use shaletrail_protocol::inside::Presence;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Millis, NodeId};
 
 /// Between two events of a history.
@@ -39,7 +39,7 @@
 }
 
 fn leaves(presence: Presence) -> bool {
-    matches!(presence, Presence::Draining | Presence::Gone)
+    matches!(presence, Presence::Draining | Presence::Removed)
 }
 
 impl History {
@@ -85,7 +85,7 @@
                 }
                 let stays = !before.is_some_and(leaves) || leaves(record.presence);
                 assert!(stays, "{} went from {before:?} to {} at {node}", record.id, record.presence);
-                if before == Some(Presence::Ready) && record.presence == Presence::Silent {
+                if before == Some(Presence::Ready) && record.presence == Presence::TimedOut {
                     assert!(now - process.unsure_at >= SILENCE_MS, "{node} expires {} unsure", record.id);
                 }
             }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -3,8 +3,8 @@
 mod fleet;
 
 use fleet::Fleet;
-use shaletrail_cluster::membership::{Membership, Options, MEMBERS_KEPT, RECORDS_IN_MESSAGE, SEEDS_KEPT};
-use shaletrail_protocol::inside::{MemberRecord, MemberState, MembershipMessage};
+use shaletrail_cluster::membership::{Membership, Options, MAX_MEMBERS, MAX_MESSAGE_RECORDS, MAX_SEEDS};
+use shaletrail_protocol::internal::{MemberRecord, MemberState, MembershipMessage};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 const OWN: NodeId = NodeId(1);
@@ -102,9 +102,7 @@
         .any(|(_, process)| process.membership.state(ended) == Some(MemberState::Suspect)));
     assert!(fleet.processes().all(|(_, process)| process.membership.alive().contains(&ended)));
     fleet.run(1500);
-    assert!(fleet
-        .processes()
-        .all(|(_, process)| process.membership.state(ended) == Some(MemberState::Absent)));
+    assert!(fleet.processes().all(|(_, process)| process.membership.state(ended) == Some(MemberState::Dead)));
     assert!(fleet.processes().all(|(_, process)| !process.membership.alive().contains(&ended)));
     fleet.run(65_000);
     assert!(fleet.processes().all(|(_, process)| process.membership.state(ended).is_none()));
@@ -150,9 +148,9 @@
     fleet.cut(0, 1);
     fleet.run(2000);
     let now = fleet.now;
-    assert!(!fleet.process(0).membership.heard_within(nodes[1], now, 1500));
-    assert!(!fleet.process(1).membership.heard_within(nodes[0], now, 1500));
-    assert!(fleet.process(2).membership.heard_within(nodes[0], now, 1500));
+    assert!(!fleet.process(0).membership.has_contact_within(nodes[1], now, 1500));
+    assert!(!fleet.process(1).membership.has_contact_within(nodes[0], now, 1500));
+    assert!(fleet.process(2).membership.has_contact_within(nodes[0], now, 1500));
 }
 
 #[test]
@@ -166,16 +164,16 @@
     let now = fleet.now;
     let reaching: Vec<bool> = fleet
         .processes()
-        .map(|(_, process)| process.membership.answers_majority(now, &voters, 1500))
+        .map(|(_, process)| process.membership.has_quorum_contact(now, &voters, 1500))
         .collect();
     assert_eq!(reaching, [true, true, true, false, false]);
 }
 
 #[test]
 fn given_no_voters_when_asked_for_the_majority_then_it_is_not_reached() {
-    assert!(!alone(&[]).answers_majority(0, &[], 1500));
-    assert!(alone(&[]).answers_majority(0, &[OWN, OWN], 1500));
-    assert!(!alone(&[]).answers_majority(0, &[OWN, PEER], 1500));
+    assert!(!alone(&[]).has_quorum_contact(0, &[], 1500));
+    assert!(alone(&[]).has_quorum_contact(0, &[OWN, OWN], 1500));
+    assert!(!alone(&[]).has_quorum_contact(0, &[OWN, PEER], 1500));
 }
 
 #[test]
@@ -197,7 +195,7 @@
     (0..40).for_each(|index| fleet.start(index));
     fleet.run(8000);
     assert_all_alive(&fleet);
-    assert!(fleet.most_records <= RECORDS_IN_MESSAGE);
+    assert!(fleet.most_records <= MAX_MESSAGE_RECORDS);
 }
 
 #[test]
@@ -223,7 +221,7 @@
 #[test]
 fn given_a_suspicion_against_a_former_start_when_this_node_hears_of_it_then_it_does_not_refute() {
     let mut membership = alone(&[]);
-    let told = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Absent)];
+    let told = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Dead)];
     membership.receive(100, PEER, ping(told));
     assert_eq!(membership.members()[0].refutation, 0);
 }
@@ -249,13 +247,13 @@
         let told = (first..first + 30).map(|node| member(NodeId(node), 1, 0, MemberState::Alive));
         membership.receive(0, NodeId(first), ping(told.collect()));
     }
-    assert!(membership.members().len() <= MEMBERS_KEPT + 1);
+    assert!(membership.members().len() <= MAX_MEMBERS + 1);
     membership.tick(0);
     let sends = membership.take_sends();
-    assert!(sends.len() <= MEMBERS_KEPT + SEEDS_KEPT + 50);
+    assert!(sends.len() <= MAX_MEMBERS + MAX_SEEDS + 50);
     for (_, message) in sends {
         let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) = message;
-        assert!(members.len() <= RECORDS_IN_MESSAGE);
+        assert!(members.len() <= MAX_MESSAGE_RECORDS);
     }
 }
 
@@ -265,7 +263,7 @@
     membership.tick(0);
     let members = vec![member(PEER, 21, 0, MemberState::Alive)];
     membership.receive(10, PEER, MembershipMessage::Pong { number: 123, members });
-    assert!(!membership.heard_within(PEER, 10, 1000));
+    assert!(!membership.has_contact_within(PEER, 10, 1000));
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
 }
 
@@ -305,7 +303,7 @@
     membership.tick(20_000);
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
     run_idle(&mut membership, 20_000, 21_300);
-    assert_eq!(membership.state(PEER), Some(MemberState::Absent));
+    assert_eq!(membership.state(PEER), Some(MemberState::Dead));
 }
 
 #[test]
@@ -344,10 +342,10 @@
 #[test]
 fn given_a_member_that_this_node_hears_when_one_that_was_cut_off_tells_of_its_absence_then_it_is_suspected() {
     let mut membership = with_one_that_is_heard();
-    let told = vec![member(NodeId(3), 33, 0, MemberState::Alive), member(PEER, 22, 0, MemberState::Absent)];
+    let told = vec![member(NodeId(3), 33, 0, MemberState::Alive), member(PEER, 22, 0, MemberState::Dead)];
     membership.receive(10, NodeId(3), ping(told));
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
-    assert!(!membership.is_away(PEER));
+    assert!(!membership.is_unreachable(PEER));
     let refuted = vec![member(PEER, 22, 1, MemberState::Alive)];
     membership.receive(20, PEER, ping(refuted));
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
@@ -358,12 +356,12 @@
     let mut membership = alone(&[]);
     membership.watch(&[PEER]);
     run_idle(&mut membership, 0, 1_400);
-    assert!(!membership.is_away(PEER));
+    assert!(!membership.is_unreachable(PEER));
     run_idle(&mut membership, 1_400, 1_800);
-    assert!(membership.is_away(PEER));
-    assert!(!membership.is_away(NodeId(3)), "nobody knows whether it was ever there");
+    assert!(membership.is_unreachable(PEER));
+    assert!(!membership.is_unreachable(NodeId(3)), "nobody knows whether it was ever there");
     membership.receive(1_900, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
-    assert!(!membership.is_away(PEER));
+    assert!(!membership.is_unreachable(PEER));
 }
 
 #[test]
@@ -372,7 +370,7 @@
     membership.watch(&[PEER]);
     run_idle(&mut membership, 0, 400);
     membership.tick(5_000);
-    assert!(!membership.is_away(PEER));
+    assert!(!membership.is_unreachable(PEER));
 }
 
 #[test]
@@ -380,7 +378,7 @@
     let mut membership = with_one_that_is_heard();
     run_idle(&mut membership, 10, 70_000);
     assert_eq!(membership.state(PEER), None);
-    assert!(membership.is_away(PEER));
+    assert!(membership.is_unreachable(PEER));
 }
 
 #[test]
@@ -391,11 +389,13 @@
     fleet.process(1).membership.leave(now);
     fleet.run(100);
     for (node, process) in fleet.processes().filter(|(node, _)| *node != leaving) {
-        assert!(process.membership.is_away(leaving), "as {node} sees it");
+        assert!(process.membership.is_unreachable(leaving), "as {node} sees it");
     }
     // It does not take it back, though others tell it.
     fleet.run(3_000);
-    assert!(fleet.processes().all(|(node, process)| node == leaving || process.membership.is_away(leaving)));
+    assert!(fleet
+        .processes()
+        .all(|(node, process)| node == leaving || process.membership.is_unreachable(leaving)));
     fleet.stop(1);
     fleet.start(1);
     fleet.run(1_500);
--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use shaletrail_protocol::inside::{ConfigItem, ItemKey};
+use shaletrail_protocol::internal::{ConfigItem, ItemKey};
 
 use crate::change::{Content, Removal, Section, VERSION};
 
--- a/configuration/src/error.rs
+++ b/configuration/src/error.rs
@@ -135,7 +135,7 @@
     },
     /// The news builds on another version: ask again for a whole configuration.
     #[snafu(display("news since version {base} cannot be applied to version {own}"))]
-    OtherBase {
+    BaseMismatch {
         /// The view's version.
         own: u64,
         /// The version that the news builds on.
@@ -143,7 +143,7 @@
     },
     /// An item of the news is invalid: ask again for a whole configuration.
     #[snafu(display("invalid news: {source}"))]
-    InvalidNews {
+    InvalidUpdate {
         /// What is wrong.
         source: Invalid,
     },
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`ConfigState`] is what the coordinators replicate: it judges changes against the current version, applies
 //! them, gives the whole configuration back as it was written, and tells what changed since a version.
 //! [`View`] is the typed form that requests are decided by; edges feed theirs with
-//! [`ConfigNews`](shaletrail_protocol::inside::ConfigNews).
+//! [`ConfigUpdate`](shaletrail_protocol::internal::ConfigUpdate).
 //!
 //! Items are kept as the operator wrote them: numbers to the letter, unknown fields too.
 
@@ -25,6 +25,6 @@
 
 pub use change::Change;
 pub use error::{Invalid, Malformed, ViewError};
-pub use state::{ConfigState, Judgement, LONGEST_CONFIGURATION};
+pub use state::{ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
 pub use typed::{ClientLimits, Model, Route, RouteKind, Runtime, Service};
 pub use view::View;
--- a/configuration/src/log.rs
+++ b/configuration/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 use bitcode::{Decode, Encode};
-use shaletrail_protocol::inside::ItemKey;
+use shaletrail_protocol::internal::ItemKey;
 
 use crate::content::ContentHash;
 
--- a/configuration/src/plan.rs
+++ b/configuration/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashSet};
 
-use shaletrail_protocol::inside::ItemKey;
+use shaletrail_protocol::internal::ItemKey;
 
 use crate::change::{Change, Content, Section};
 use crate::document::{Document, Stored};
--- a/configuration/src/reading.rs
+++ b/configuration/src/reading.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-use shaletrail_protocol::inside::ItemKey;
+use shaletrail_protocol::internal::ItemKey;
 use sonic_rs::{JsonValueTrait, LazyValue};
 
 use crate::error::{Invalid, NoWeightSnafu};
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use shaletrail_protocol::inside::{ConfigNews, ItemKey};
+use shaletrail_protocol::internal::{ConfigUpdate, ItemKey};
 
 use crate::change::Change;
 use crate::document::{Document, Stored};
@@ -17,18 +17,18 @@
 ///
 /// Its snapshot, with the memory of taken changes (100 KB), stays below the journal's longest record of 16 MB: a
 /// state that no disk takes could not be made safe.
-pub const LONGEST_CONFIGURATION: usize = 12 << 20;
+pub const MAX_CONFIGURATION_BYTES: usize = 12 << 20;
 
 /// What becomes of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum ChangeOutcome {
     /// It is valid on the current version.
-    Apply,
+    Accepted,
     /// It was taken before and is acknowledged again.
-    Repeated,
+    Duplicate,
     /// It builds on a version so old that a change on it may have been taken and is not remembered: it is not applied,
     /// and must be neither acknowledged nor refused.
-    Forgotten,
+    Expired,
     /// It builds on another version than the current one, and was not taken.
     Conflict {
         /// The current version.
@@ -53,27 +53,27 @@
 
 impl ConfigState {
     /// Says what would become of a change now.
-    pub fn judge(&self, change: &Change) -> Judgement {
+    pub fn judge(&self, change: &Change) -> ChangeOutcome {
         if self.taken.contains(change.content) {
-            return Judgement::Repeated;
+            return ChangeOutcome::Duplicate;
         }
         if self.taken.may_have_forgotten(change.base) {
-            return Judgement::Forgotten;
+            return ChangeOutcome::Expired;
         }
         if change.base != self.version {
-            return Judgement::Conflict { current: self.version };
+            return ChangeOutcome::Conflict { current: self.version };
         }
         match self.check(change) {
-            Ok(_) => Judgement::Apply,
-            Err(invalid) => Judgement::Invalid(invalid),
+            Ok(_) => ChangeOutcome::Accepted,
+            Err(invalid) => ChangeOutcome::Invalid(invalid),
         }
     }
 
     /// Judges a change ([`Change::encode`]) and applies it if it's to be applied.
-    pub fn apply(&mut self, encoded: &[u8]) -> Judgement {
-        let Ok(change) = Change::decode(encoded) else { return Judgement::Invalid(Invalid::NotAChange) };
+    pub fn apply(&mut self, encoded: &[u8]) -> ChangeOutcome {
+        let Ok(change) = Change::decode(encoded) else { return ChangeOutcome::Invalid(Invalid::NotAChange) };
         let judgement = self.judge(&change);
-        if judgement == Judgement::Apply {
+        if judgement == ChangeOutcome::Accepted {
             self.commit(change);
         }
         judgement
@@ -108,7 +108,7 @@
 
     /// What someone needs who has `version`: what has changed since, or all of it where that version is not
     /// remembered; `None` if there is nothing newer. Only items that a [`View`] takes are sent.
-    pub fn news_since(&self, version: u64) -> Option<ConfigNews> {
+    pub fn updates_since(&self, version: u64) -> Option<ConfigUpdate> {
         if version >= self.version {
             return None;
         }
@@ -118,8 +118,8 @@
         })
     }
 
-    fn delta<'a>(&self, base: u64, keys: impl Iterator<Item = &'a ItemKey>) -> ConfigNews {
-        let mut news = ConfigNews { base: Some(base), version: self.version, ..ConfigNews::default() };
+    fn delta<'a>(&self, base: u64, keys: impl Iterator<Item = &'a ItemKey>) -> ConfigUpdate {
+        let mut news = ConfigUpdate { base: Some(base), version: self.version, ..ConfigUpdate::default() };
         for key in keys {
             match self.document.item(key) {
                 Some(item) => news.upsert.push(item),
@@ -129,10 +129,10 @@
         news
     }
 
-    fn whole(&self) -> ConfigNews {
+    fn whole(&self) -> ConfigUpdate {
         let keys = self.document.sections().flat_map(|(list, stored)| stored.keys(list));
         let items = keys.filter(View::takes).filter_map(|key| self.document.item(&key));
-        ConfigNews { version: self.version, upsert: items.collect(), ..ConfigNews::default() }
+        ConfigUpdate { version: self.version, upsert: items.collect(), ..ConfigUpdate::default() }
     }
 
     /// Checks what the configuration would be with a change that builds on it.
@@ -142,8 +142,8 @@
         }
         let kept = if change.whole { 0 } else { self.document.bytes() };
         let bytes = kept + change.body_bytes();
-        if bytes > LONGEST_CONFIGURATION {
-            return TooLargeSnafu { bytes, most: LONGEST_CONFIGURATION }.fail();
+        if bytes > MAX_CONFIGURATION_BYTES {
+            return TooLargeSnafu { bytes, most: MAX_CONFIGURATION_BYTES }.fail();
         }
         let plan = Plan::of(&self.document, change);
         self.view.check_places(&plan.upsert, &plan.remove)?;
--- a/configuration/src/view.rs
+++ b/configuration/src/view.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-use shaletrail_protocol::inside::{ConfigNews, ItemKey};
+use shaletrail_protocol::internal::{ConfigUpdate, ItemKey};
 use snafu::ResultExt;
 
-use crate::error::{Invalid, InvalidNewsSnafu, NotNewerSnafu, OtherBaseSnafu, ViewError};
+use crate::error::{BaseMismatchSnafu, Invalid, InvalidUpdateSnafu, NotNewerSnafu, ViewError};
 use crate::reading::{Item, Typed, LIMITS, ROUTES, SERVICES};
 use crate::route_table::RouteTable;
 use crate::typed::{ClientLimits, Route, Service};
@@ -26,16 +26,16 @@
 impl View {
     /// Applies news, whole or not at all. The version never goes back, and news of what changed is taken only by
     /// exactly the version that it builds on.
-    pub fn apply(&mut self, news: &ConfigNews) -> Result<(), ViewError> {
+    pub fn apply(&mut self, news: &ConfigUpdate) -> Result<(), ViewError> {
         if news.version <= self.version {
             return NotNewerSnafu { own: self.version, offered: news.version }.fail();
         }
         let items = news.upsert.iter().filter(|item| View::takes(&item.key));
         let items = items.map(|item| Item::taken(&item.key.list, &item.key.name, &item.json));
-        let items = items.collect::<Result<Vec<_>, _>>().context(InvalidNewsSnafu)?;
+        let items = items.collect::<Result<Vec<_>, _>>().context(InvalidUpdateSnafu)?;
         let items: Vec<&Item> = items.iter().collect();
         match news.base {
-            Some(base) if base != self.version => OtherBaseSnafu { own: self.version, base }.fail(),
+            Some(base) if base != self.version => BaseMismatchSnafu { own: self.version, base }.fail(),
             Some(_) => self.check_and_replace(&items, news),
             None => {
                 let mut next = View::default();
@@ -46,8 +46,8 @@
         }
     }
 
-    fn check_and_replace(&mut self, items: &[&Item], news: &ConfigNews) -> Result<(), ViewError> {
-        self.check_places(items, &news.remove).context(InvalidNewsSnafu)?;
+    fn check_and_replace(&mut self, items: &[&Item], news: &ConfigUpdate) -> Result<(), ViewError> {
+        self.check_places(items, &news.remove).context(InvalidUpdateSnafu)?;
         self.replace(items, &news.remove, news.version);
         Ok(())
     }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ConfigState, Invalid, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, Invalid};
 
 /// A route with one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
@@ -33,20 +33,20 @@
 }
 
 /// Sends `Config.Replace` as the coordinators do: parsed, judged, agreed on, applied.
-pub fn replace(state: &mut ConfigState, base: u64, body: &Value) -> Judgement {
+pub fn replace(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
     send(state, true, base, body.to_string().as_bytes())
 }
 
 /// Sends `Config.Update`.
-pub fn update(state: &mut ConfigState, base: u64, body: &Value) -> Judgement {
+pub fn update(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
     send(state, false, base, body.to_string().as_bytes())
 }
 
 /// Sends any body.
-pub fn send(state: &mut ConfigState, whole: bool, base: u64, body: &[u8]) -> Judgement {
+pub fn send(state: &mut ConfigState, whole: bool, base: u64, body: &[u8]) -> ChangeOutcome {
     let change = match Change::parse(whole, base, body) {
         Ok(change) => change,
-        Err(invalid) => return Judgement::Invalid(invalid),
+        Err(invalid) => return ChangeOutcome::Invalid(invalid),
     };
     let judged = state.judge(&change);
     let applied = state.apply(&change.encode());
@@ -57,7 +57,7 @@
 /// A state that has taken [`two_routes`] as version 1.
 pub fn started() -> ConfigState {
     let mut state = ConfigState::default();
-    assert_eq!(replace(&mut state, 0, &two_routes(1)), Judgement::Apply);
+    assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Accepted);
     state
 }
 
@@ -67,9 +67,9 @@
 }
 
 /// The message of an invalid change.
-pub fn reason(judgement: Judgement) -> String {
+pub fn reason(judgement: ChangeOutcome) -> String {
     match judgement {
-        Judgement::Invalid(invalid) => one_line(&invalid),
+        ChangeOutcome::Invalid(invalid) => one_line(&invalid),
         other => panic!("not invalid: {other:?}"),
     }
 }
--- a/configuration/tests/histories.rs
+++ b/configuration/tests/histories.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{json, Map, Value};
-use shaletrail_configuration::{ConfigState, Judgement, View};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, View};
 
 const HISTORIES: u64 = 60;
 const CHANGES: usize = 60;
@@ -24,14 +24,14 @@
     Invalid,
 }
 
-impl From<Judgement> for Verdict {
-    fn from(judgement: Judgement) -> Self {
+impl From<ChangeOutcome> for Verdict {
+    fn from(judgement: ChangeOutcome) -> Self {
         match judgement {
-            Judgement::Apply => Verdict::Apply,
-            Judgement::Repeated => Verdict::Repeated,
-            Judgement::Conflict { .. } => Verdict::Conflict,
-            Judgement::Forgotten => unreachable!("these histories are short enough to be remembered"),
-            Judgement::Invalid(_) => Verdict::Invalid,
+            ChangeOutcome::Accepted => Verdict::Apply,
+            ChangeOutcome::Duplicate => Verdict::Repeated,
+            ChangeOutcome::Conflict { .. } => Verdict::Conflict,
+            ChangeOutcome::Expired => unreachable!("these histories are short enough to be remembered"),
+            ChangeOutcome::Invalid(_) => Verdict::Invalid,
         }
     }
 }
@@ -262,7 +262,7 @@
 }
 
 fn catch_up(view: &mut View, state: &ConfigState) {
-    if let Some(news) = state.news_since(view.version) {
+    if let Some(news) = state.updates_since(view.version) {
         assert_eq!(
             news.base.is_some(),
             view.version > 0,
@@ -271,7 +271,7 @@
         view.apply(&news).expect("valid news");
     }
     let mut fresh = View::default();
-    if let Some(news) = state.news_since(0) {
+    if let Some(news) = state.updates_since(0) {
         fresh.apply(&news).expect("valid news");
     }
     assert_eq!(*view, fresh);
--- a/configuration/tests/invalid.rs
+++ b/configuration/tests/invalid.rs
@@ -4,7 +4,7 @@
 
 use common::{first, one_line, reason, replace, route, send, service, started, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ConfigState, Judgement, LONGEST_CONFIGURATION};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
 
 /// Replaces the configuration of [`started`] by one that has been spoilt.
 fn replaced_by(spoil: impl FnOnce(&mut Value)) -> String {
@@ -71,7 +71,7 @@
     let deep = |depth: usize| format!("{{\"version\":2,\"a\":{}{}}}", "[".repeat(depth), "]".repeat(depth));
     insta::assert_snapshot!(sent(deep(1_000_000).as_bytes()), @"body: nested deeper than 64");
     insta::assert_snapshot!(sent(deep(64).as_bytes()), @"body: nested deeper than 64");
-    assert_eq!(send(&mut started(), true, 1, deep(63).as_bytes()), Judgement::Apply);
+    assert_eq!(send(&mut started(), true, 1, deep(63).as_bytes()), ChangeOutcome::Accepted);
 }
 
 #[test]
@@ -110,9 +110,9 @@
     insta::assert_snapshot!(updated_by(json!({"version": 2, "remove": removal})), @"routes/r-one: service: llm is not among the services");
     let moved = route("r-one", "a.example", "/one/", "web");
     let both = json!({"version": 2, "upsert": {"routes": [moved]}, "remove": removal});
-    assert_eq!(update(&mut started(), 1, &both), Judgement::Apply, "no route is left at the service");
+    assert_eq!(update(&mut started(), 1, &both), ChangeOutcome::Accepted, "no route is left at the service");
     let with_route = json!({"version": 2, "remove": {"services": ["llm"], "routes": ["r-one"]}});
-    assert_eq!(update(&mut started(), 1, &with_route), Judgement::Apply);
+    assert_eq!(update(&mut started(), 1, &with_route), ChangeOutcome::Accepted);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     split["trafficSplit"] = json!([{"service": "web", "weight": 100}, {"service": "llm", "weight": 0}]);
     assert_eq!(
         update(&mut state, 1, &json!({"version": 2, "upsert": {"routes": [split]}})),
-        Judgement::Apply
+        ChangeOutcome::Accepted
     );
     let removal = json!({"version": 3, "remove": {"services": ["llm"]}});
     insta::assert_snapshot!(reason(update(&mut state, 2, &removal)), @"routes/r-one: service: llm is not among the services");
@@ -147,7 +147,7 @@
     let mut state = started();
     let swapped = [route("r-one", "a.example", "/two/", "llm"), route("r-two", "a.example", "/one/", "web")];
     let body = json!({"version": 2, "upsert": {"routes": swapped}});
-    assert_eq!(update(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(state.view().route("a.example", "/two/x").map(|route| route.name.as_str()), Some("r-one"));
 }
 
@@ -156,7 +156,7 @@
     let mut state = started();
     let heir = route("r-three", "a.example", "/one/", "web");
     let body = json!({"version": 2, "upsert": {"routes": [heir]}, "remove": {"routes": ["r-one"]}});
-    assert_eq!(update(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(state.view().route("a.example", "/one/").map(|route| route.name.as_str()), Some("r-three"));
 }
 
@@ -251,15 +251,18 @@
 fn given_a_large_configuration_when_an_update_would_make_it_too_large_then_it_is_refused() {
     // Given: most of the room is taken.
     let mut state = ConfigState::default();
-    let filler = "x".repeat(LONGEST_CONFIGURATION - 100);
-    assert_eq!(replace(&mut state, 0, &json!({"version": 1, "filler": filler})), Judgement::Apply);
+    let filler = "x".repeat(MAX_CONFIGURATION_BYTES - 100);
+    assert_eq!(replace(&mut state, 0, &json!({"version": 1, "filler": filler})), ChangeOutcome::Accepted);
     // When, then: more is refused, and fits once room has been made.
     let more = json!({"version": 2, "upsert": {"more": "y".repeat(200)}});
     let text = reason(update(&mut state, 1, &more));
     assert!(text.starts_with("body: the configuration would have"), "{text}");
-    assert_eq!(update(&mut state, 1, &json!({"version": 2, "upsert": {"filler": ""}})), Judgement::Apply);
+    assert_eq!(
+        update(&mut state, 1, &json!({"version": 2, "upsert": {"filler": ""}})),
+        ChangeOutcome::Accepted
+    );
     let more = json!({"version": 3, "upsert": {"more": "y".repeat(200)}});
-    assert_eq!(update(&mut state, 2, &more), Judgement::Apply);
+    assert_eq!(update(&mut state, 2, &more), ChangeOutcome::Accepted);
 }
 
 #[test]
@@ -268,7 +271,7 @@
     let before = state.snapshot();
     let error = Change::decode(b"nonsense").expect_err("no change");
     insta::assert_snapshot!(error, @"8 bytes are not a change");
-    let Judgement::Invalid(invalid) = state.apply(b"nonsense") else { panic!("it was judged valid") };
+    let ChangeOutcome::Invalid(invalid) = state.apply(b"nonsense") else { panic!("it was judged valid") };
     insta::assert_snapshot!(one_line(&invalid), @"body: not an encoded change");
     assert_eq!(state.snapshot(), before);
 }
@@ -286,7 +289,7 @@
     body["tenants"] = json!([{"name": "t", "share": 0.5}]);
     body["regions"] = json!(["x", "y"]);
     body["remark"] = Value::Null;
-    assert_eq!(replace(&mut started(), 1, &body), Judgement::Apply);
+    assert_eq!(replace(&mut started(), 1, &body), ChangeOutcome::Accepted);
     let huge = json!({"version": u64::MAX});
-    assert_eq!(replace(&mut started(), 1, &huge), Judgement::Apply, "the greatest version there is");
+    assert_eq!(replace(&mut started(), 1, &huge), ChangeOutcome::Accepted, "the greatest version there is");
 }
--- a/configuration/tests/races.rs
+++ b/configuration/tests/races.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::json;
-use shaletrail_configuration::{Change, ConfigState, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
 
 /// Histories that are played.
 const HISTORIES: u64 = 200;
@@ -45,7 +45,7 @@
     /// The log that is agreed on.
     log: Vec<Vec<u8>>,
     /// What became of each entry, where a replica has applied it.
-    judgements: Vec<Judgement>,
+    judgements: Vec<ChangeOutcome>,
     /// Proposals on their way, which reach the log in any order, or never.
     on_the_way: Vec<Vec<u8>>,
     replicas: Vec<Replica>,
@@ -129,13 +129,13 @@
     }
 
     /// The first replica that applies an entry answers, where the answer is not lost.
-    fn judge(&mut self, entry: Vec<u8>, judgement: Judgement) {
+    fn judge(&mut self, entry: Vec<u8>, judgement: ChangeOutcome) {
         let end = match &judgement {
-            Judgement::Apply | Judgement::Repeated => End::Acknowledged,
-            Judgement::Conflict { .. } => End::Refused,
+            ChangeOutcome::Accepted | ChangeOutcome::Duplicate => End::Acknowledged,
+            ChangeOutcome::Conflict { .. } => End::Refused,
             other => panic!("a valid change on a version that was read is {other:?}"),
         };
-        if judgement == Judgement::Apply {
+        if judgement == ChangeOutcome::Accepted {
             self.taken.insert(entry.clone());
         }
         assert!(end == End::Acknowledged || !self.taken.contains(&entry), "a taken change is refused");
--- a/configuration/tests/taking.rs
+++ b/configuration/tests/taking.rs
@@ -4,7 +4,7 @@
 
 use common::{first, read, replace, route, send, service, started, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ConfigState, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
 
 fn removal(version: u64, name: &str) -> Value {
     json!({"version": version, "remove": {"routes": [name]}})
@@ -19,7 +19,7 @@
 fn given_nothing_when_it_is_read_then_it_has_version_0_and_there_are_no_news() {
     let state = ConfigState::default();
     assert_eq!(read(&state), json!({"version": 0}));
-    assert_eq!(state.news_since(0), None);
+    assert_eq!(state.updates_since(0), None);
     assert_eq!(state.version(), 0);
 }
 
@@ -31,7 +31,7 @@
         "weightsMb":65099.99999999999}]}}],"tenants":[],"ratio":100000000000000000000.5,"empty":{}}"#;
     let mut state = ConfigState::default();
     // When
-    assert_eq!(send(&mut state, true, 0, body.as_bytes()), Judgement::Apply);
+    assert_eq!(send(&mut state, true, 0, body.as_bytes()), ChangeOutcome::Accepted);
     // Then
     let sent: Value = serde_json::from_str(body).expect("JSON");
     assert_eq!(read(&state), sent);
@@ -45,7 +45,7 @@
 fn given_odd_keys_when_they_are_taken_then_they_are_read_back() {
     let body = json!({"version": 3, "a \"quoted\"\\key\n\u{1}é": [{"name": "x\"y\\z\n"}], "": {"name": ""}});
     let mut state = ConfigState::default();
-    assert_eq!(replace(&mut state, 0, &body), Judgement::Apply);
+    assert_eq!(replace(&mut state, 0, &body), ChangeOutcome::Accepted);
     assert_eq!(read(&state), body);
 }
 
@@ -57,7 +57,7 @@
     let changed = route("r-one", "a.example", "/uno/", "web");
     let body = json!({"version": 4, "upsert": {"routes": [route("r-new", "b.example", "/", "new"), changed],
         "services": [service("new")], "limits": {"maxBodyBytes": 5}, "tenants": [{"name": "t"}]}});
-    assert_eq!(update(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     // Then
     let now = read(&state);
     assert_eq!(names(&now, "routes"), ["r-one", "r-two", "r-new"]);
@@ -72,7 +72,7 @@
     let mut state = started();
     let body = json!({"version": 2, "remove": {"routes": ["r-two", "r-one", "r-never", "r-two"], "nothing": ["x"],
         "limits": ["maxBodyBytes"], "services": null}});
-    assert_eq!(update(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     let mut expected = two_routes(2);
     expected["routes"] = json!([]);
     assert_eq!(read(&state), expected);
@@ -83,7 +83,7 @@
     let mut state = started();
     let again = route("r-one", "a.example", "/one/", "web");
     let body = json!({"version": 2, "upsert": {"routes": [again]}, "remove": {"routes": ["r-one"]}});
-    assert_eq!(update(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(names(&read(&state), "routes"), ["r-two", "r-one"]);
     assert_eq!(
         state.view().route("a.example", "/one/").map(|route| route.targets.clone()),
@@ -99,7 +99,7 @@
         [(2, json!(5)), (3, list.clone()), (4, json!(["plain"])), (5, json!([])), (6, list)]
     {
         let body = json!({"version": version, "upsert": {"later": value}});
-        assert_eq!(update(&mut state, version - 1, &body), Judgement::Apply);
+        assert_eq!(update(&mut state, version - 1, &body), ChangeOutcome::Accepted);
         assert_eq!(read(&state)["later"], value);
     }
 }
@@ -107,10 +107,10 @@
 #[test]
 fn given_an_update_of_nothing_when_it_is_taken_then_only_the_version_rises() {
     let mut state = started();
-    assert_eq!(update(&mut state, 1, &json!({"version": 9})), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &json!({"version": 9})), ChangeOutcome::Accepted);
     assert_eq!(read(&state), two_routes(9));
     let nothing = json!({"version": 10, "upsert": null, "remove": null, "unknown": 5});
-    assert_eq!(update(&mut state, 9, &nothing), Judgement::Apply);
+    assert_eq!(update(&mut state, 9, &nothing), ChangeOutcome::Accepted);
     assert_eq!(read(&state), two_routes(10));
 }
 
@@ -119,35 +119,35 @@
     // Given
     let mut state = started();
     let change = removal(3, "r-one");
-    assert_eq!(update(&mut state, 1, &change), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
     let after = state.snapshot();
     // When, then: at once
-    assert_eq!(update(&mut state, 1, &change), Judgement::Repeated);
-    assert_eq!(replace(&mut state, 0, &two_routes(1)), Judgement::Repeated);
+    assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
+    assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Duplicate);
     assert_eq!(state.snapshot(), after, "a repeat changes nothing");
     // When, then: after others
-    assert_eq!(update(&mut state, 3, &removal(8, "r-two")), Judgement::Apply);
-    assert_eq!(update(&mut state, 1, &change), Judgement::Repeated);
+    assert_eq!(update(&mut state, 3, &removal(8, "r-two")), ChangeOutcome::Accepted);
+    assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
     assert_eq!(state.version(), 8);
 }
 
 #[test]
 fn given_a_change_was_taken_when_another_of_the_same_number_comes_then_it_is_a_conflict() {
     let mut state = started();
-    assert_eq!(update(&mut state, 1, &removal(3, "r-one")), Judgement::Apply);
-    assert_eq!(update(&mut state, 1, &removal(3, "r-two")), Judgement::Conflict { current: 3 });
+    assert_eq!(update(&mut state, 1, &removal(3, "r-one")), ChangeOutcome::Accepted);
+    assert_eq!(update(&mut state, 1, &removal(3, "r-two")), ChangeOutcome::Conflict { current: 3 });
     let body = removal(3, "r-one").to_string();
-    assert_eq!(send(&mut state, true, 1, body.as_bytes()), Judgement::Conflict { current: 3 });
-    assert_eq!(update(&mut state, 0, &removal(3, "r-one")), Judgement::Conflict { current: 3 });
+    assert_eq!(send(&mut state, true, 1, body.as_bytes()), ChangeOutcome::Conflict { current: 3 });
+    assert_eq!(update(&mut state, 0, &removal(3, "r-one")), ChangeOutcome::Conflict { current: 3 });
 }
 
 #[test]
 fn given_a_version_when_a_change_builds_on_an_older_or_later_one_then_it_is_a_conflict() {
     let mut state = started();
-    assert_eq!(update(&mut state, 1, &removal(5, "r-one")), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &removal(5, "r-one")), ChangeOutcome::Accepted);
     for base in [0, 1, 4, 6, u64::MAX] {
-        assert_eq!(update(&mut state, base, &removal(9, "r-two")), Judgement::Conflict { current: 5 });
-        assert_eq!(replace(&mut state, base, &two_routes(9)), Judgement::Conflict { current: 5 });
+        assert_eq!(update(&mut state, base, &removal(9, "r-two")), ChangeOutcome::Conflict { current: 5 });
+        assert_eq!(replace(&mut state, base, &two_routes(9)), ChangeOutcome::Conflict { current: 5 });
     }
 }
 
@@ -156,9 +156,9 @@
     let mut state = started();
     let mut body = two_routes(4);
     first(&mut body, "routes")["service"] = json!("nobody");
-    assert!(matches!(replace(&mut state, 1, &body), Judgement::Invalid(_)));
+    assert!(matches!(replace(&mut state, 1, &body), ChangeOutcome::Invalid(_)));
     first(&mut body, "routes")["service"] = json!("llm");
-    assert_eq!(replace(&mut state, 1, &body), Judgement::Apply);
+    assert_eq!(replace(&mut state, 1, &body), ChangeOutcome::Accepted);
 }
 
 #[test]
@@ -167,12 +167,15 @@
     let (mut one, mut other) = (started(), started());
     let first = Change::parse(false, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
     let second = Change::parse(false, 1, removal(2, "r-two").to_string().as_bytes()).expect("valid");
-    assert_eq!((one.judge(&first), one.judge(&second)), (Judgement::Apply, Judgement::Apply));
+    assert_eq!((one.judge(&first), one.judge(&second)), (ChangeOutcome::Accepted, ChangeOutcome::Accepted));
     // When
     let agreed = [first.encode(), second.encode(), first.encode()];
     let answers = agreed.each_ref().map(|change| one.apply(change));
     // Then
-    assert_eq!(answers, [Judgement::Apply, Judgement::Conflict { current: 2 }, Judgement::Repeated]);
+    assert_eq!(
+        answers,
+        [ChangeOutcome::Accepted, ChangeOutcome::Conflict { current: 2 }, ChangeOutcome::Duplicate]
+    );
     assert_eq!(agreed.each_ref().map(|change| other.apply(change)), answers);
     assert_eq!(one.snapshot(), other.snapshot());
     assert_eq!(names(&read(&one), "routes"), ["r-two"]);
@@ -192,7 +195,7 @@
 /// Takes updates of nothing until a version is reached, each on the one before.
 fn advance(state: &mut ConfigState, version: u64) {
     for next in state.version() + 1..=version {
-        assert_eq!(update(state, next - 1, &json!({"version": next})), Judgement::Apply);
+        assert_eq!(update(state, next - 1, &json!({"version": next})), ChangeOutcome::Accepted);
     }
 }
 
@@ -202,11 +205,11 @@
     for others in [5, 500, REMEMBERED - 2] {
         let mut state = started();
         let change = removal(2, "r-one");
-        assert_eq!(update(&mut state, 1, &change), Judgement::Apply);
+        assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
         advance(&mut state, 2 + others);
         let mut restored = ConfigState::restore(&state.snapshot()).expect("a snapshot");
-        assert_eq!(update(&mut state, 1, &change), Judgement::Repeated, "after {others}");
-        assert_eq!(update(&mut restored, 1, &change), Judgement::Repeated, "after {others}");
+        assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate, "after {others}");
+        assert_eq!(update(&mut restored, 1, &change), ChangeOutcome::Duplicate, "after {others}");
     }
 }
 
@@ -215,21 +218,21 @@
     // Given
     let mut state = started();
     let change = removal(2, "r-one");
-    assert_eq!(update(&mut state, 1, &change), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
     advance(&mut state, 5002);
     let restored = ConfigState::restore(&state.snapshot()).expect("a snapshot");
     for mut state in [state, restored] {
         let before = state.snapshot();
         // When, then: it is as little known as another on that version, so neither is refused or acknowledged
-        assert_eq!(update(&mut state, 1, &change), Judgement::Forgotten);
-        assert_eq!(update(&mut state, 1, &removal(2, "r-two")), Judgement::Forgotten);
-        assert_eq!(replace(&mut state, 0, &two_routes(1)), Judgement::Forgotten);
+        assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Expired);
+        assert_eq!(update(&mut state, 1, &removal(2, "r-two")), ChangeOutcome::Expired);
+        assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Expired);
         // Then: changes on versions that are remembered are told apart
         let oldest = 5002 - REMEMBERED;
         let other = removal(oldest + 1, "r-two");
-        assert_eq!(update(&mut state, oldest - 1, &other), Judgement::Forgotten);
-        assert_eq!(update(&mut state, oldest, &other), Judgement::Conflict { current: 5002 });
-        assert_eq!(update(&mut state, oldest, &json!({"version": oldest + 1})), Judgement::Repeated);
+        assert_eq!(update(&mut state, oldest - 1, &other), ChangeOutcome::Expired);
+        assert_eq!(update(&mut state, oldest, &other), ChangeOutcome::Conflict { current: 5002 });
+        assert_eq!(update(&mut state, oldest, &json!({"version": oldest + 1})), ChangeOutcome::Duplicate);
         assert_eq!(state.snapshot(), before, "nothing of this changes the state");
     }
 }
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -4,14 +4,14 @@
 
 use common::{replace, route, service, started, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{ConfigState, Judgement, RouteKind, View, ViewError};
-use shaletrail_protocol::inside::{ConfigItem, ConfigNews, ItemKey};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, RouteKind, View, ViewError};
+use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey};
 
 fn viewed(configuration: &Value) -> View {
     let mut state = ConfigState::default();
-    assert_eq!(replace(&mut state, 0, configuration), Judgement::Apply);
+    assert_eq!(replace(&mut state, 0, configuration), ChangeOutcome::Accepted);
     let mut view = View::default();
-    view.apply(&state.news_since(0).expect("news")).expect("valid news");
+    view.apply(&state.updates_since(0).expect("news")).expect("valid news");
     assert_eq!(&view, state.view());
     view
 }
@@ -250,8 +250,8 @@
 #[test]
 fn given_a_version_when_a_view_has_it_or_a_later_one_then_there_are_no_news() {
     let state = started();
-    assert_eq!(state.news_since(1), None);
-    assert_eq!(state.news_since(2), None);
+    assert_eq!(state.updates_since(1), None);
+    assert_eq!(state.updates_since(2), None);
 }
 
 #[test]
@@ -261,19 +261,19 @@
     let routes: Vec<Value> =
         (0..5000).map(|n| route(&format!("r-{n}"), "h.example", &format!("/{n}/"), "s")).collect();
     let body = json!({"version": 1, "services": [service("s")], "routes": routes});
-    assert_eq!(replace(&mut state, 0, &body), Judgement::Apply);
+    assert_eq!(replace(&mut state, 0, &body), ChangeOutcome::Accepted);
     let mut view = state.view().clone();
     // When: by an update, and by a replacement that differs in one route.
     let moved = route("r-77", "h.example", "/new/", "s");
     assert_eq!(
         update(&mut state, 1, &json!({"version": 2, "upsert": {"routes": [moved]}})),
-        Judgement::Apply
+        ChangeOutcome::Accepted
     );
-    let by_update = state.news_since(1).expect("news");
+    let by_update = state.updates_since(1).expect("news");
     let mut body = body;
     body["version"] = json!(5);
-    assert_eq!(replace(&mut state, 2, &body), Judgement::Apply);
-    let by_replacement = state.news_since(2).expect("news");
+    assert_eq!(replace(&mut state, 2, &body), ChangeOutcome::Accepted);
+    let by_replacement = state.updates_since(2).expect("news");
     // Then
     for (base, news) in [(1, by_update), (2, by_replacement)] {
         let keys: Vec<&str> = news.upsert.iter().map(|item| item.key.name.as_str()).collect();
@@ -290,11 +290,11 @@
     let mut state = started();
     assert_eq!(
         update(&mut state, 1, &json!({"version": 6, "upsert": {"tenants": [{"name": "t"}]}})),
-        Judgement::Apply
+        ChangeOutcome::Accepted
     );
-    let expected = ConfigNews { base: Some(1), version: 6, ..ConfigNews::default() };
-    assert_eq!(state.news_since(1), Some(expected));
-    let whole = state.news_since(0).expect("news");
+    let expected = ConfigUpdate { base: Some(1), version: 6, ..ConfigUpdate::default() };
+    assert_eq!(state.updates_since(1), Some(expected));
+    let whole = state.updates_since(0).expect("news");
     assert!(whole.upsert.iter().all(|item| item.key.list != "tenants"));
 }
 
@@ -302,33 +302,33 @@
 fn given_a_version_that_was_never_in_force_or_is_forgotten_when_news_are_asked_for_then_all_is_sent() {
     let mut state = started();
     for (base, version) in [(1, 4), (4, 8)] {
-        assert_eq!(update(&mut state, base, &json!({"version": version})), Judgement::Apply);
+        assert_eq!(update(&mut state, base, &json!({"version": version})), ChangeOutcome::Accepted);
     }
-    let bases = [0, 1, 2, 4, 5].map(|version| state.news_since(version).expect("news").base);
+    let bases = [0, 1, 2, 4, 5].map(|version| state.updates_since(version).expect("news").base);
     assert_eq!(bases, [None, Some(1), None, Some(4), None]);
     // When: more items change than are remembered.
     let routes: Vec<Value> =
         (0..5000).map(|n| route(&format!("r-{n}"), "h.example", &format!("/{n}/"), "llm")).collect();
     let body = json!({"version": 9, "upsert": {"routes": routes}});
-    assert_eq!(update(&mut state, 8, &body), Judgement::Apply);
+    assert_eq!(update(&mut state, 8, &body), ChangeOutcome::Accepted);
     // Then
-    assert_eq!([4, 8].map(|version| state.news_since(version).expect("news").base), [None, None]);
-    assert_eq!(update(&mut state, 9, &json!({"version": 10})), Judgement::Apply);
-    assert_eq!([8, 9].map(|version| state.news_since(version).expect("news").base), [None, Some(9)]);
+    assert_eq!([4, 8].map(|version| state.updates_since(version).expect("news").base), [None, None]);
+    assert_eq!(update(&mut state, 9, &json!({"version": 10})), ChangeOutcome::Accepted);
+    assert_eq!([8, 9].map(|version| state.updates_since(version).expect("news").base), [None, Some(9)]);
 }
 
 #[test]
 fn given_a_view_when_old_news_come_then_it_does_not_go_back() {
     let mut state = started();
-    let first = state.news_since(0).expect("news");
+    let first = state.updates_since(0).expect("news");
     assert_eq!(
         update(&mut state, 1, &json!({"version": 5, "remove": {"routes": ["r-one"]}})),
-        Judgement::Apply
+        ChangeOutcome::Accepted
     );
     let mut view = View::default();
-    view.apply(&state.news_since(0).expect("news")).expect("valid news");
+    view.apply(&state.updates_since(0).expect("news")).expect("valid news");
     let before = view.clone();
-    for old in [first, state.news_since(1).expect("news"), state.news_since(0).expect("news")] {
+    for old in [first, state.updates_since(1).expect("news"), state.updates_since(0).expect("news")] {
         assert!(matches!(view.apply(&old), Err(ViewError::NotNewer { own: 5, .. })));
         assert_eq!(view, before);
     }
@@ -339,13 +339,13 @@
     let mut state = started();
     let mut view = state.view().clone();
     for version in [2, 3] {
-        assert_eq!(update(&mut state, version - 1, &json!({"version": version})), Judgement::Apply);
+        assert_eq!(update(&mut state, version - 1, &json!({"version": version})), ChangeOutcome::Accepted);
     }
     let before = view.clone();
-    let news = state.news_since(2).expect("news");
-    assert_eq!(view.apply(&news), Err(ViewError::OtherBase { own: 1, base: 2 }));
+    let news = state.updates_since(2).expect("news");
+    assert_eq!(view.apply(&news), Err(ViewError::BaseMismatch { own: 1, base: 2 }));
     assert_eq!(view, before);
-    view.apply(&state.news_since(1).expect("news")).expect("valid news");
+    view.apply(&state.updates_since(1).expect("news")).expect("valid news");
     assert_eq!(&view, state.view());
 }
 
@@ -357,7 +357,8 @@
         json: "{\"maxBodyBytes\":1}".to_owned(),
     };
     let upsert = vec![limits, ConfigItem { key, json: json.to_owned() }];
-    let error = view.apply(&ConfigNews { base, version: 9, upsert, remove: Vec::new() }).expect_err("spoilt");
+    let error =
+        view.apply(&ConfigUpdate { base, version: 9, upsert, remove: Vec::new() }).expect_err("spoilt");
     assert_eq!(*view, before, "all or nothing");
     error.to_string()
 }
@@ -382,8 +383,8 @@
     let kept = view.clone();
     let mut next = two_routes(2);
     next["routes"] = json!([route("r-two", "a.example", "/two/", "llm")]);
-    assert_eq!(replace(&mut state, 1, &next), Judgement::Apply);
-    view.apply(&state.news_since(1).expect("news")).expect("valid news");
+    assert_eq!(replace(&mut state, 1, &next), ChangeOutcome::Accepted);
+    view.apply(&state.updates_since(1).expect("news")).expect("valid news");
     assert_eq!(found(&kept, "a.example", "/one/"), Some("r-one"));
     assert_eq!(found(&view, "a.example", "/one/"), None);
     assert_eq!((kept.version, view.version), (1, 2));
@@ -393,11 +394,11 @@
 fn given_limits_when_a_replacement_leaves_them_out_then_the_defaults_are_in_force() {
     let mut state = started();
     let small = json!({"version": 2, "upsert": {"limits": {"maxBodyBytes": 10}}});
-    assert_eq!(update(&mut state, 1, &small), Judgement::Apply);
+    assert_eq!(update(&mut state, 1, &small), ChangeOutcome::Accepted);
     let mut view = state.view().clone();
     assert_eq!(view.limits.max_body_bytes, 10);
-    assert_eq!(replace(&mut state, 2, &json!({"version": 3})), Judgement::Apply);
-    view.apply(&state.news_since(2).expect("news")).expect("valid news");
+    assert_eq!(replace(&mut state, 2, &json!({"version": 3})), ChangeOutcome::Accepted);
+    view.apply(&state.updates_since(2).expect("news")).expect("valid news");
     assert_eq!(view.limits, View::default().limits);
     assert_eq!((view.routes().count(), view.services().count()), (0, 0));
 }
--- a/consensus/src/effect.rs
+++ b/consensus/src/effect.rs
@@ -22,7 +22,7 @@
     /// A committed entry, to be applied to the state machine.
     Apply(Entry),
     /// Replace the state machine by this state.
-    Install(Snapshot),
+    InstallSnapshot(Snapshot),
     /// A read may be answered from the state machine as it is after the effects before this one.
     ReadReady {
         /// As given to `read`.
@@ -49,7 +49,7 @@
 
 /// Why a call was refused. Nothing has been done then.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
-pub enum Refused {
+pub enum ReplicaError {
     /// Another replica leads, or none.
     #[snafu(display("this replica does not lead"))]
     NotLeader {
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -22,7 +22,7 @@
             return;
         }
         self.state = State::PreCandidate { granted: BTreeSet::from([self.options.node]) };
-        let pre_vote = Message::PreVote { term: self.hard.term + 1, last: self.log.last() };
+        let pre_vote = Message::PreVoteRequest { term: self.hard.term + 1, last: self.log.last() };
         for node in self.others() {
             self.send(node, pre_vote.clone());
         }
@@ -51,9 +51,9 @@
 
     pub(crate) fn on_pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
         if term <= self.hard.term {
-            self.send_in_term(from, Message::PreVoteAnswer { term: self.hard.term, granted: false });
-        } else if !self.hard.forgetful && !self.is_loyal() && last >= self.log.last() {
-            self.send(from, Message::PreVoteAnswer { term, granted: true });
+            self.send_in_term(from, Message::PreVoteResponse { term: self.hard.term, granted: false });
+        } else if !self.hard.recovering && !self.is_loyal() && last >= self.log.last() {
+            self.send(from, Message::PreVoteResponse { term, granted: true });
         }
     }
 
@@ -78,26 +78,26 @@
     }
 
     /// Asks for votes in a new term. The own vote counts when it is synced, and the requests leave then.
-    fn stand(&mut self, handed_over: bool) {
+    fn stand(&mut self, leadership_transfer: bool) {
         self.become_follower(self.hard.term + 1, None);
         self.hard.voted_for = Some(self.options.node);
         self.record_hard();
         self.state = State::Candidate { granted: BTreeSet::new() };
         let term = self.hard.term;
-        let request = Message::Vote { term, last: self.log.last(), handed_over };
+        let request = Message::VoteRequest { term, last: self.log.last(), leadership_transfer };
         for node in self.others() {
             self.send_promise(node, request.clone());
         }
-        self.send_promise(self.options.node, Message::VoteAnswer { term, granted: true });
+        self.send_promise(self.options.node, Message::VoteResponse { term, granted: true });
     }
 
-    pub(crate) fn on_vote(&mut self, from: NodeId, term: Term, last: Position, handed_over: bool) {
-        if term >= self.hard.term && self.is_loyal() && !handed_over {
+    pub(crate) fn on_vote(&mut self, from: NodeId, term: Term, last: Position, leadership_transfer: bool) {
+        if term >= self.hard.term && self.is_loyal() && !leadership_transfer {
             return;
         }
         self.adopt_newer(term);
         let is_free = self.hard.voted_for.is_none_or(|node| node == from);
-        let granted = term == self.hard.term && is_free && !self.hard.forgetful && last >= self.log.last();
+        let granted = term == self.hard.term && is_free && !self.hard.recovering && last >= self.log.last();
         if granted {
             self.reset_election();
             if self.hard.voted_for.is_none() {
@@ -105,7 +105,7 @@
                 self.record_hard();
             }
         }
-        let answer = Message::VoteAnswer { term: self.hard.term, granted };
+        let answer = Message::VoteResponse { term: self.hard.term, granted };
         self.send_promise(from, answer);
     }
 
@@ -148,7 +148,7 @@
 
     /// Stops leading and prompts the most advanced other voter to stand at once, for a driver whose disk is sick.
     /// Without effect where there is no other voter.
-    pub fn hand_over(&mut self, now: Millis) {
+    pub fn transfer_leadership(&mut self, now: Millis) {
         self.set_now(now);
         self.replicate();
         if self.others().iter().any(|node| self.log.voters().incoming().contains(node)) {
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -3,7 +3,7 @@
 use shaletrail_protocol::NodeId;
 
 use crate::entry::{Entry, Index, Position, Term};
-use crate::message::{AppendOutcome, Message, Stamp};
+use crate::message::{AppendOutcome, Message, RoundStamp};
 use crate::record::{Record, Snapshot};
 use crate::replica::{Replica, State};
 
@@ -27,13 +27,13 @@
     pub(crate) fn follow_or_reject(&mut self, from: NodeId, term: Term) -> bool {
         let follows = self.follow(from, term);
         if !follows && term < self.hard.term {
-            let answer = self.heartbeat_answer(Stamp::default());
+            let answer = self.heartbeat_answer(RoundStamp::default());
             self.send_in_term(from, answer);
         }
         follows
     }
 
-    pub(crate) fn on_heartbeat(&mut self, from: NodeId, term: Term, commit: Index, stamp: Stamp) {
+    pub(crate) fn on_heartbeat(&mut self, from: NodeId, term: Term, commit: Index, stamp: RoundStamp) {
         if !self.follow_or_reject(from, term) {
             return;
         }
@@ -42,8 +42,8 @@
         self.send_in_term(from, answer);
     }
 
-    fn heartbeat_answer(&self, stamp: Stamp) -> Message {
-        Message::HeartbeatAnswer {
+    fn heartbeat_answer(&self, stamp: RoundStamp) -> Message {
+        Message::HeartbeatResponse {
             term: self.hard.term,
             stamp,
             received: self.verified,
@@ -52,9 +52,9 @@
         }
     }
 
-    fn answer_append(&mut self, to: NodeId, outcome: AppendOutcome, stamp: Stamp) {
+    fn answer_append(&mut self, to: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
         let answer =
-            Message::AppendAnswer { term: self.hard.term, stamp, outcome, standing: self.standing() };
+            Message::AppendResponse { term: self.hard.term, stamp, outcome, standing: self.standing() };
         match outcome {
             AppendOutcome::Matched(_) => self.send_promise(to, answer),
             AppendOutcome::Conflict(_) => self.send_in_term(to, answer),
@@ -67,7 +67,7 @@
         previous: Position,
         entries: Vec<Entry>,
         commit: Index,
-        stamp: Stamp,
+        stamp: RoundStamp,
     ) {
         let in_order = (previous.index + 1..).zip(&entries).all(|(index, entry)| entry.index == index);
         if !in_order {
@@ -112,7 +112,7 @@
         true
     }
 
-    pub(crate) fn on_install(&mut self, from: NodeId, snapshot: Snapshot, stamp: Stamp) {
+    pub(crate) fn on_install(&mut self, from: NodeId, snapshot: Snapshot, stamp: RoundStamp) {
         let index = snapshot.index();
         if self.log.contains(snapshot.position) {
             self.commit_to(index);
@@ -124,10 +124,10 @@
     }
 
     pub(crate) fn on_readmit(&mut self, from: NodeId, term: Term, boot: u64) {
-        if !self.follow(from, term) || !self.hard.forgetful || boot != self.hard.boot {
+        if !self.follow(from, term) || !self.hard.recovering || boot != self.hard.boot {
             return;
         }
-        self.hard.forgetful = false;
+        self.hard.recovering = false;
         self.hard.voted_for = Some(from);
         self.record_hard();
     }
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -2,11 +2,11 @@
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::effect::{Effect, Refused};
+use crate::effect::{Effect, ReplicaError};
 use crate::entry::{Index, Payload, Position, Term};
 use crate::leadership::{Leadership, PendingRead};
 use crate::log::Log;
-use crate::message::{AppendOutcome, Message, Stamp, Standing};
+use crate::message::{AppendOutcome, Message, RoundStamp, VoterStatus};
 use crate::options::Options;
 use crate::progress::{Heard, Progress};
 use crate::replica::{Replica, State};
@@ -15,7 +15,7 @@
 struct Round<'a> {
     term: Term,
     commit: Index,
-    stamp: Stamp,
+    stamp: RoundStamp,
     log: &'a Log,
     options: &'a Options,
 }
@@ -59,32 +59,32 @@
 
     /// Adds a command to the log. It has taken effect once it comes back as [`Effect::Apply`] with this index and
     /// the present term; it may be lost if the leadership is.
-    pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Result<Index, Refused> {
+    pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Result<Index, ReplicaError> {
         self.set_now(now);
         if !self.is_leader() {
             return self.not_leader();
         }
         let size = command.len();
         if size > self.options.max_command_bytes {
-            return Err(Refused::TooLarge { size });
+            return Err(ReplicaError::TooLarge { size });
         }
         let uncommitted = self.log.last().index - self.commit;
         let bytes = self.log.size_after(self.commit);
         let is_full = uncommitted >= self.options.max_uncommitted_entries
             || (uncommitted > 0 && bytes + size > self.options.max_uncommitted_bytes);
         if is_full {
-            return Err(Refused::Busy);
+            return Err(ReplicaError::Busy);
         }
         Ok(self.append_own(Payload::Command(command.into())))
     }
 
     /// Asks for a read that sees all that was acknowledged before. Answered by [`Effect::ReadReady`] or
     /// [`Effect::ReadFailed`].
-    pub fn read(&mut self, now: Millis, token: u64) -> Result<(), Refused> {
+    pub fn read(&mut self, now: Millis, token: u64) -> Result<(), ReplicaError> {
         self.set_now(now);
         let State::Leader(leadership) = &mut self.state else { return self.not_leader() };
         if leadership.reads.len() >= self.options.max_reads {
-            return Err(Refused::Busy);
+            return Err(ReplicaError::Busy);
         }
         leadership.reads.push_back(PendingRead { token, round: leadership.round + 1 });
         leadership.wants_round = true;
@@ -95,7 +95,7 @@
     pub(crate) fn replicate(&mut self) {
         let State::Leader(leadership) = &mut self.state else { return };
         leadership.round += 1;
-        let stamp = Stamp { round: leadership.round, sent_at: self.now };
+        let stamp = RoundStamp { round: leadership.round, sent_at: self.now };
         let (term, commit) = (self.hard.term, self.commit);
         let round = Round { term, commit, stamp, log: &self.log, options: &self.options };
         for (node, peer) in &mut leadership.peers {
@@ -118,8 +118,8 @@
         &mut self,
         from: NodeId,
         term: Term,
-        stamp: Stamp,
-        standing: Standing,
+        stamp: RoundStamp,
+        standing: VoterStatus,
     ) -> bool {
         if term != self.hard.term {
             self.adopt_newer(term);
@@ -135,7 +135,7 @@
         match peer.hear(standing, stamp, next) {
             Heard::Stale => return false,
             Heard::Known => peer.answered(stamp, self.now),
-            Heard::NewlyForgetful => {
+            Heard::NewlyRecovering => {
                 peer.answered(stamp, self.now);
                 peer.readmit_at(next);
                 self.append_own(Payload::Empty);
@@ -148,7 +148,7 @@
     pub(crate) fn on_heartbeat_answer(
         &mut self,
         from: NodeId,
-        stamp: Stamp,
+        stamp: RoundStamp,
         received: Index,
         matched: Index,
     ) {
@@ -163,7 +163,7 @@
         self.readmit(from);
     }
 
-    pub(crate) fn on_append_answer(&mut self, from: NodeId, outcome: AppendOutcome, stamp: Stamp) {
+    pub(crate) fn on_append_answer(&mut self, from: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
         let last = self.log.last().index;
         let State::Leader(leadership) = &mut self.state else { return };
         let Some(peer) = leadership.peers.get_mut(&from) else { return };
@@ -176,12 +176,12 @@
         self.readmit(from);
     }
 
-    /// Lets a forgetful voter count again, where its readmission point is reached.
+    /// Lets a recovering voter count again, where its readmission point is reached.
     fn readmit(&mut self, node: NodeId) {
         let State::Leader(leadership) = &self.state else { return };
         let boot = leadership.peers.get(&node).and_then(|peer| peer.readmittable(self.commit));
         if let Some(boot) = boot {
-            self.send(node, Message::Readmit { term: self.hard.term, boot });
+            self.send(node, Message::Rejoin { term: self.hard.term, boot });
         }
     }
 
@@ -245,6 +245,6 @@
     fn install(&self, peer: &mut Progress) -> Option<Message> {
         let snapshot = self.log.snapshot()?.clone();
         peer.sent(snapshot.index(), snapshot.state.len(), self.stamp);
-        Some(Message::Install { term: self.term, snapshot, stamp: self.stamp })
+        Some(Message::InstallSnapshot { term: self.term, snapshot, stamp: self.stamp })
     }
 }
--- a/consensus/src/leadership.rs
+++ b/consensus/src/leadership.rs
@@ -5,7 +5,7 @@
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::entry::Index;
-use crate::message::Stamp;
+use crate::message::RoundStamp;
 use crate::progress::Progress;
 use crate::voters::VoterSet;
 
@@ -58,7 +58,7 @@
     }
 
     /// What a peer has answered, where it counts.
-    fn answer_of(&self, node: NodeId) -> Stamp {
+    fn answer_of(&self, node: NodeId) -> RoundStamp {
         self.peers.get(&node).map(Progress::counted_answer).unwrap_or_default()
     }
 
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -15,7 +15,7 @@
 //! wait. Waiting only delays answers, so a replica is equivalent to one that syncs at once and whose answers are
 //! slow, and a crash loses only what nobody has been told. The leader counts its own log as far as it is synced.
 //!
-//! **Lease.** Each message of a leader carries a [`Stamp`] that answers return. The lease lasts
+//! **Lease.** Each message of a leader carries a [`RoundStamp`] that answers return. The lease lasts
 //! [`Options::lease_ms`] from the moment at which the newest message was *sent* that a majority has answered. A
 //! voter that answers gives no vote to anybody for the shortest election timeout, which is longer; after a start
 //! it gives none for as long, because it may have answered just before it stopped. The one exception is a vote
@@ -24,17 +24,17 @@
 //! # Forgetful voters
 //!
 //! A voter whose disk was lost has forgotten votes it gave and entries it acknowledged. It first stores a hard state
-//! with `forgetful` set and a newly drawn `boot`, which names the disk. As long as it is forgetful it gives neither
+//! with `recovering` set and a newly drawn `boot`, which names the disk. As long as it is recovering it gives neither
 //! votes nor pre-votes, counts for no majority (commit, lease, read), and says so in each answer. Readmission:
 //!
 //! 1. A leader of term T hears the voter's boot and appends an empty entry, the *readmission point* r.
-//! 2. r is committed by a majority M of the whole voter set (of both, where it is joint) in which no forgetful
+//! 2. r is committed by a majority M of the whole voter set (of both, where it is joint) in which no recovering
 //!    voter is counted.
-//! 3. The forgetful voter W has acknowledged (synced) everything up to r.
-//! 4. The leader sends [`Message::Readmit`] with the boot; W, in term T, stores `forgetful: false` and a vote for
+//! 3. The recovering voter W has acknowledged (synced) everything up to r.
+//! 4. The leader sends [`Message::Rejoin`] with the boot; W, in term T, stores `recovering: false` and a vote for
 //!    that leader in T, and counts from then on.
 //!
-//! An answer from another boot than the one heard is left out unless it is forgetful itself (a newer loss).
+//! An answer from another boot than the one heard is left out unless it is recovering itself (a newer loss).
 //!
 //! Why this is safe. Let V be any majority that contains a vote which W gave before the loss, for a term T'. M
 //! does not contain W, but M and V are majorities of one set (or of neighbouring sets, which the joint rule makes
@@ -53,7 +53,7 @@
 //! - *Losses one after the other.* x may itself have lost its disk before. Then it was readmitted earlier, and the
 //!   claims hold for it by induction over the order of readmissions.
 //!
-//! The price: while W is forgetful the group needs a majority of the whole set without it.
+//! The price: while W is recovering the group needs a majority of the whole set without it.
 
 mod effect;
 mod election;
@@ -71,11 +71,11 @@
 mod replica;
 mod voters;
 
-pub use effect::{Effect, Refused};
+pub use effect::{Effect, ReplicaError};
 pub use entry::{Entry, Index, Payload, Position, Term};
-pub use message::{AppendOutcome, Message, Stamp, Standing};
+pub use message::{AppendOutcome, Message, RoundStamp, VoterStatus};
 pub use options::Options;
 pub use progress::PeerStatus;
 pub use record::{HardState, MalformedRecord, Record, Snapshot};
-pub use replica::{Replica, Role, FOUNDING_INDEX};
+pub use replica::{Replica, Role, BOOTSTRAP_INDEX};
 pub use voters::VoterSet;
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -2,7 +2,7 @@
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::effect::Refused;
+use crate::effect::ReplicaError;
 use crate::entry::Payload;
 use crate::leadership::Leadership;
 use crate::progress::{PeerStatus, Progress};
@@ -12,16 +12,16 @@
 impl Replica {
     /// Starts to replace the voters, by a joint phase that ends by itself. New voters should have been learners
     /// that are caught up, else they hold up commits. Nothing happens where the voters are these already.
-    pub fn change_voters(&mut self, now: Millis, voters: Vec<NodeId>) -> Result<(), Refused> {
+    pub fn change_voters(&mut self, now: Millis, voters: Vec<NodeId>) -> Result<(), ReplicaError> {
         self.set_now(now);
         let State::Leader(leadership) = &self.state else { return self.not_leader() };
         if voters.is_empty() || voters.len() > self.options.max_peers {
-            return Err(Refused::InvalidVoters);
+            return Err(ReplicaError::InvalidVoters);
         }
         let present = self.log.voters();
         let is_settled = !present.is_joint() && self.log.voters_index() <= self.commit;
         if !is_settled || self.commit < leadership.first_index {
-            return Err(Refused::ChangePending);
+            return Err(ReplicaError::ChangePending);
         }
         let joint = present.joint_with(&voters);
         if joint.incoming() != present.incoming() {
@@ -36,7 +36,7 @@
     }
 
     /// Starts to send entries to a replica that does not vote. Forgotten when the leadership ends.
-    pub fn add_learner(&mut self, node: NodeId) -> Result<(), Refused> {
+    pub fn add_learner(&mut self, node: NodeId) -> Result<(), ReplicaError> {
         let next = self.log.last().index + 1;
         let own = self.options.node;
         let State::Leader(leadership) = &mut self.state else { return self.not_leader() };
@@ -44,7 +44,7 @@
             return Ok(());
         }
         if leadership.learners.len() >= self.options.max_peers {
-            return Err(Refused::Busy);
+            return Err(ReplicaError::Busy);
         }
         leadership.learners.insert(node);
         leadership.add_peer(node, next);
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -8,7 +8,7 @@
 
 /// Put on each message of a leader and returned by the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Stamp {
+pub struct RoundStamp {
     /// Rises with each round of messages that the leader sends in its term.
     pub round: u64,
     /// When it was sent, by the leader's clock.
@@ -17,14 +17,14 @@
 
 /// Which disk an answer speaks for, and whether it counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Standing {
+pub struct VoterStatus {
     /// The disk's name, see [`HardState::boot`](crate::HardState::boot).
     pub boot: u64,
     /// Whether a former disk was lost and no leader has readmitted this one.
-    pub forgetful: bool,
+    pub recovering: bool,
 }
 
-/// What became of an [`Message::Append`] or [`Message::Install`].
+/// What became of an [`Message::Append`] or [`Message::InstallSnapshot`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AppendOutcome {
     /// The log is the leader's up to this index, and synced.
@@ -37,30 +37,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, strum::IntoStaticStr)]
 pub enum Message {
     /// Asks whether a vote would be given.
-    PreVote {
+    PreVoteRequest {
         /// The term after the sender's.
         term: Term,
         /// End of the sender's log.
         last: Position,
     },
     /// Answers a pre-vote.
-    PreVoteAnswer {
+    PreVoteResponse {
         /// The term asked about where granted, else the answerer's.
         term: Term,
         /// Whether the vote would be given.
         granted: bool,
     },
     /// Asks for a vote.
-    Vote {
+    VoteRequest {
         /// The candidate's term.
         term: Term,
         /// End of the candidate's log.
         last: Position,
         /// Whether the former leader, which leads no more, has prompted this.
-        handed_over: bool,
+        leadership_transfer: bool,
     },
     /// Answers a request for a vote.
-    VoteAnswer {
+    VoteResponse {
         /// The answerer's term.
         term: Term,
         /// Whether the vote is given.
@@ -73,20 +73,20 @@
         /// The leader's commit index.
         commit: Index,
         /// To be returned.
-        stamp: Stamp,
+        stamp: RoundStamp,
     },
     /// Answers a heartbeat.
-    HeartbeatAnswer {
+    HeartbeatResponse {
         /// The follower's term.
         term: Term,
         /// As in the heartbeat.
-        stamp: Stamp,
+        stamp: RoundStamp,
         /// How far the log is known to be the leader's, synced or not.
         received: Index,
         /// How far it is known to be the leader's and synced.
         matched: Index,
         /// Whether the answer counts.
-        standing: Standing,
+        standing: VoterStatus,
     },
     /// Entries to append.
     Append {
@@ -99,35 +99,35 @@
         /// The leader's commit index.
         commit: Index,
         /// To be returned.
-        stamp: Stamp,
+        stamp: RoundStamp,
     },
-    /// Answers [`Message::Append`] and [`Message::Install`].
-    AppendAnswer {
+    /// Answers [`Message::Append`] and [`Message::InstallSnapshot`].
+    AppendResponse {
         /// The follower's term.
         term: Term,
         /// As in the message.
-        stamp: Stamp,
+        stamp: RoundStamp,
         /// What became of it.
         outcome: AppendOutcome,
         /// Whether the answer counts.
-        standing: Standing,
+        standing: VoterStatus,
     },
     /// The whole state, where the leader's log no longer reaches back far enough.
-    Install {
+    InstallSnapshot {
         /// The leader's term.
         term: Term,
         /// The state.
         snapshot: Snapshot,
         /// To be returned.
-        stamp: Stamp,
+        stamp: RoundStamp,
     },
     /// The leader has stopped leading and asks the receiver to stand at once.
     TimeoutNow {
         /// The former leader's term.
         term: Term,
     },
-    /// A forgetful voter counts again.
-    Readmit {
+    /// A recovering voter counts again.
+    Rejoin {
         /// The leader's term.
         term: Term,
         /// The disk that is meant.
@@ -142,18 +142,20 @@
     /// Whether no term or index in it is absurdly great.
     pub(crate) fn is_plausible(&self) -> bool {
         let (term, index) = match self {
-            Message::PreVote { term, last } | Message::Vote { term, last, .. } => {
+            Message::PreVoteRequest { term, last } | Message::VoteRequest { term, last, .. } => {
                 (*term, last.index.max(last.term))
             }
             Message::Append { term, previous, .. } => (*term, previous.index.max(previous.term)),
-            Message::Install { term, snapshot, .. } => (*term, snapshot.index().max(snapshot.position.term)),
+            Message::InstallSnapshot { term, snapshot, .. } => {
+                (*term, snapshot.index().max(snapshot.position.term))
+            }
             Message::Heartbeat { term, .. }
-            | Message::HeartbeatAnswer { term, .. }
-            | Message::AppendAnswer { term, .. }
-            | Message::PreVoteAnswer { term, .. }
-            | Message::VoteAnswer { term, .. }
+            | Message::HeartbeatResponse { term, .. }
+            | Message::AppendResponse { term, .. }
+            | Message::PreVoteResponse { term, .. }
+            | Message::VoteResponse { term, .. }
             | Message::TimeoutNow { term }
-            | Message::Readmit { term, .. } => (*term, 0),
+            | Message::Rejoin { term, .. } => (*term, 0),
         };
         term.max(index) < PLAUSIBLE
     }
--- a/consensus/src/options.rs
+++ b/consensus/src/options.rs
@@ -11,7 +11,7 @@
     pub seed: u64,
     /// Whether an earlier disk of this node may have been lost: true wherever the process is not told that the
     /// whole system starts for the first time. Without effect where a hard state is restored.
-    pub forgetful: bool,
+    pub recovering: bool,
     /// Between two heartbeats of a leader.
     pub heartbeat_ms: Millis,
     /// The shortest election timeout; for as long no voter helps to replace a leader that it has heard.
@@ -19,9 +19,9 @@
     /// The longest election timeout; a leader that no majority answers for as long steps down.
     pub election_max_ms: Millis,
     /// The shortest election timeout of a group that was just founded and never had a leader.
-    pub founding_election_min_ms: Millis,
+    pub bootstrap_election_min_ms: Millis,
     /// The longest such timeout.
-    pub founding_election_max_ms: Millis,
+    pub bootstrap_election_max_ms: Millis,
     /// How long a lease lasts from the sending of the message that was answered. Cut to nine tenths of
     /// `election_min_ms`.
     pub lease_ms: Millis,
@@ -59,12 +59,12 @@
         Options {
             node,
             seed,
-            forgetful: false,
+            recovering: false,
             heartbeat_ms: 150,
             election_min_ms: 600,
             election_max_ms: 1000,
-            founding_election_min_ms: 50,
-            founding_election_max_ms: 250,
+            bootstrap_election_min_ms: 50,
+            bootstrap_election_max_ms: 250,
             lease_ms: 500,
             disk_stall_ms: 400,
             max_append_bytes: 1 << 20,
--- a/consensus/src/progress.rs
+++ b/consensus/src/progress.rs
@@ -5,7 +5,7 @@
 use shaletrail_protocol::Millis;
 
 use crate::entry::Index;
-use crate::message::{Stamp, Standing};
+use crate::message::{RoundStamp, VoterStatus};
 use crate::options::Options;
 
 /// What a leader says of another replica.
@@ -13,7 +13,7 @@
 pub struct PeerStatus {
     /// How far its log is known to be the leader's and synced.
     pub matched: Index,
-    /// Whether it counts for majorities: false until it was heard and, if forgetful, readmitted.
+    /// Whether it counts for majorities: false until it was heard and, if recovering, readmitted.
     pub counts: bool,
     /// When the newest message was sent that it has answered, by the leader's clock.
     pub answered: Option<Millis>,
@@ -43,7 +43,7 @@
     /// It is from before a loss, or from before a readmission.
     Stale,
     /// It tells of a loss that was not known: a readmission point is needed.
-    NewlyForgetful,
+    NewlyRecovering,
 }
 
 /// A leader's book on another replica.
@@ -54,13 +54,13 @@
     mode: Mode,
     in_flight: VecDeque<InFlight>,
     in_flight_bytes: usize,
-    sent: Stamp,
+    sent: RoundStamp,
     sent_bytes: usize,
-    answered: Option<Stamp>,
+    answered: Option<RoundStamp>,
     /// The newest round answered, whether it counts or not.
     heard_round: u64,
     boot: Option<u64>,
-    /// The readmission point, while the replica is forgetful.
+    /// The readmission point, while the replica is recovering.
     readmission: Option<Index>,
 }
 
@@ -73,7 +73,7 @@
             mode: Mode::Probe,
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
-            sent: Stamp::default(),
+            sent: RoundStamp::default(),
             sent_bytes: 0,
             answered: None,
             heard_round: 0,
@@ -106,7 +106,7 @@
     }
 
     /// The newest stamp that counts for reads, leases and contact.
-    pub fn counted_answer(&self) -> Stamp {
+    pub fn counted_answer(&self) -> RoundStamp {
         self.answered.filter(|_| self.counts()).unwrap_or_default()
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// A message that ends with `last` was sent.
-    pub fn sent(&mut self, last: Index, bytes: usize, stamp: Stamp) {
+    pub fn sent(&mut self, last: Index, bytes: usize, stamp: RoundStamp) {
         self.in_flight.push_back(InFlight { last, bytes });
         self.in_flight_bytes += bytes;
         self.next = last + 1;
@@ -152,10 +152,10 @@
     }
 
     /// Judges an answer's standing, and starts anew with a new disk. `next` is the entry after the leader's last.
-    pub fn hear(&mut self, standing: Standing, stamp: Stamp, next: Index) -> Heard {
+    pub fn hear(&mut self, standing: VoterStatus, stamp: RoundStamp, next: Index) -> Heard {
         let heard = match self.boot {
-            Some(boot) if boot == standing.boot => self.hear_same_disk(standing.forgetful),
-            Some(_) if !standing.forgetful || stamp.round <= self.heard_round => Heard::Stale,
+            Some(boot) if boot == standing.boot => self.hear_same_disk(standing.recovering),
+            Some(_) if !standing.recovering || stamp.round <= self.heard_round => Heard::Stale,
             _ => self.hear_new_disk(standing, next),
         };
         if heard != Heard::Stale {
@@ -164,35 +164,35 @@
         heard
     }
 
-    fn hear_same_disk(&mut self, forgetful: bool) -> Heard {
-        if forgetful && self.readmission.is_none() {
+    fn hear_same_disk(&mut self, recovering: bool) -> Heard {
+        if recovering && self.readmission.is_none() {
             return Heard::Stale;
         }
-        if !forgetful && self.readmission.take().is_some() {
+        if !recovering && self.readmission.take().is_some() {
             self.answered = None;
         }
         Heard::Known
     }
 
-    fn hear_new_disk(&mut self, standing: Standing, next: Index) -> Heard {
+    fn hear_new_disk(&mut self, standing: VoterStatus, next: Index) -> Heard {
         if self.boot.is_some() {
             *self = Progress::new(next);
         }
         self.boot = Some(standing.boot);
-        if !standing.forgetful {
+        if !standing.recovering {
             return Heard::Known;
         }
         self.readmission = Some(Index::MAX);
-        Heard::NewlyForgetful
+        Heard::NewlyRecovering
     }
 
-    /// Sets the readmission point of a replica that is forgetful.
+    /// Sets the readmission point of a replica that is recovering.
     pub fn readmit_at(&mut self, point: Index) {
         self.readmission = Some(point);
     }
 
     /// Notes the stamp of an answer; one from the future is none.
-    pub fn answered(&mut self, stamp: Stamp, now: Millis) {
+    pub fn answered(&mut self, stamp: RoundStamp, now: Millis) {
         let newest = self.answered.unwrap_or_default();
         if stamp.round >= newest.round && stamp.sent_at <= now {
             self.answered = Some(stamp);
@@ -211,14 +211,14 @@
     }
 
     /// Its log is the leader's up to `hint` at most. An answer to an older probe than the last says nothing new.
-    pub fn on_conflict(&mut self, hint: Index, stamp: Stamp) {
+    pub fn on_conflict(&mut self, hint: Index, stamp: RoundStamp) {
         if self.mode == Mode::Stream || stamp.round >= self.sent.round {
             self.restart_at(hint);
         }
     }
 
     /// An answer to a later message says how far it has received entries: sends again what got lost.
-    pub fn on_received(&mut self, received: Index, stamp: Stamp, now: Millis, options: &Options) {
+    pub fn on_received(&mut self, received: Index, stamp: RoundStamp, now: Millis, options: &Options) {
         let Some(last) = self.in_flight.back() else { return };
         let wait = options.resend_after_ms + (self.sent_bytes / options.resend_bytes_per_ms.max(1)) as Millis;
         if last.last > received && stamp.round > self.sent.round && now >= self.sent.sent_at + wait {
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -17,7 +17,7 @@
     /// Who got its vote in that term.
     pub voted_for: Option<NodeId>,
     /// Whether votes and acknowledgements may have been forgotten with a former disk.
-    pub forgetful: bool,
+    pub recovering: bool,
     /// Names the disk: drawn when the first record is written.
     pub boot: u64,
 }
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -6,19 +6,19 @@
 use rand_pcg::Pcg32;
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::effect::{Effect, Refused};
+use crate::effect::{Effect, ReplicaError};
 use crate::entry::{Index, Payload, Position, Term};
 use crate::leadership::Leadership;
 use crate::log::Log;
-use crate::message::{Message, Standing};
+use crate::message::{Message, VoterStatus};
 use crate::options::Options;
 use crate::persistence::Persistence;
 use crate::record::{HardState, Record, Snapshot};
 use crate::voters::VoterSet;
 
 /// Index and term of the empty snapshot with which a group is founded; it is never handed out to be installed.
-pub const FOUNDING_INDEX: Index = 1;
-const FOUNDING: Position = Position { term: 1, index: FOUNDING_INDEX };
+pub const BOOTSTRAP_INDEX: Index = 1;
+const FOUNDING: Position = Position { term: 1, index: BOOTSTRAP_INDEX };
 /// The lease in tenths of the shortest election timeout, at most.
 const LEASE_TENTHS: Millis = 9;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Takes entries and neither votes nor stands: not among the voters, or forgetful.
+    /// Takes entries and neither votes nor stands: not among the voters, or recovering.
     Learner,
     /// Follows a leader or waits for one.
     Follower,
@@ -75,18 +75,18 @@
 
 impl Replica {
     /// A replica from the records that it asked to persist before, in their order; without any it is new. What the
-    /// restored records hold of the state machine comes as [`Effect::Install`].
+    /// restored records hold of the state machine comes as [`Effect::InstallSnapshot`].
     pub fn new(options: Options, restored: Vec<Record>, now: Millis) -> Replica {
         let mut options = options;
         options.lease_ms = options.lease_ms.min(options.election_min_ms * LEASE_TENTHS / 10);
         options.election_max_ms = options.election_max_ms.max(options.election_min_ms);
-        options.founding_election_max_ms =
-            options.founding_election_max_ms.max(options.founding_election_min_ms);
+        options.bootstrap_election_max_ms =
+            options.bootstrap_election_max_ms.max(options.bootstrap_election_min_ms);
         let mut random = Pcg32::seed_from_u64(options.seed);
         let (hard, log) = replay(restored);
         let is_new = hard.is_none();
-        let forgetful = options.forgetful;
-        let new_disk = || HardState { term: 0, voted_for: None, forgetful, boot: random.random() };
+        let recovering = options.recovering;
+        let new_disk = || HardState { term: 0, voted_for: None, recovering, boot: random.random() };
         let hard = hard.unwrap_or_else(new_disk);
         let mut replica = Replica {
             now,
@@ -117,10 +117,10 @@
     }
 
     /// Founds the group, on each of its first voters alike, when the whole system starts for the first time. Without
-    /// effect on a replica that already has entries or is forgetful.
+    /// effect on a replica that already has entries or is recovering.
     pub fn found(&mut self, now: Millis, voters: &[NodeId]) {
         self.set_now(now);
-        if self.hard.forgetful || self.log.last().index > 0 || voters.is_empty() {
+        if self.hard.recovering || self.log.last().index > 0 || voters.is_empty() {
             return;
         }
         if self.hard.term < FOUNDING.term {
@@ -141,12 +141,14 @@
             return;
         }
         match message {
-            Message::PreVote { term, last } => self.on_pre_vote(from, term, last),
-            Message::PreVoteAnswer { term, granted } => self.on_pre_vote_answer(from, term, granted),
-            Message::Vote { term, last, handed_over } => self.on_vote(from, term, last, handed_over),
-            Message::VoteAnswer { term, granted } => self.on_vote_answer(from, term, granted),
+            Message::PreVoteRequest { term, last } => self.on_pre_vote(from, term, last),
+            Message::PreVoteResponse { term, granted } => self.on_pre_vote_answer(from, term, granted),
+            Message::VoteRequest { term, last, leadership_transfer } => {
+                self.on_vote(from, term, last, leadership_transfer)
+            }
+            Message::VoteResponse { term, granted } => self.on_vote_answer(from, term, granted),
             Message::Heartbeat { term, commit, stamp } => self.on_heartbeat(from, term, commit, stamp),
-            Message::HeartbeatAnswer { term, stamp, received, matched, standing } => {
+            Message::HeartbeatResponse { term, stamp, received, matched, standing } => {
                 if self.hear_follower(from, term, stamp, standing) {
                     self.on_heartbeat_answer(from, stamp, received, matched);
                 }
@@ -156,18 +158,18 @@
                     self.on_append(from, previous, entries, commit, stamp);
                 }
             }
-            Message::AppendAnswer { term, stamp, outcome, standing } => {
+            Message::AppendResponse { term, stamp, outcome, standing } => {
                 if self.hear_follower(from, term, stamp, standing) {
                     self.on_append_answer(from, outcome, stamp);
                 }
             }
-            Message::Install { term, snapshot, stamp } => {
+            Message::InstallSnapshot { term, snapshot, stamp } => {
                 if self.follow_or_reject(from, term) {
                     self.on_install(from, snapshot, stamp);
                 }
             }
             Message::TimeoutNow { term } => self.on_timeout_now(term),
-            Message::Readmit { term, boot } => self.on_readmit(from, term, boot),
+            Message::Rejoin { term, boot } => self.on_readmit(from, term, boot),
         }
     }
 
@@ -196,7 +198,7 @@
         self.persistence.persisted(ticket);
         while let Some(waiting) = self.persistence.next_released() {
             match waiting.message {
-                Message::VoteAnswer { term, granted } if waiting.to == self.options.node => {
+                Message::VoteResponse { term, granted } if waiting.to == self.options.node => {
                     self.on_vote_answer(waiting.to, term, granted);
                 }
                 message => self.effects.push(Effect::Send(waiting.to, message)),
@@ -245,7 +247,7 @@
             State::Leader(_) => Role::Leader,
             State::Candidate { .. } => Role::Candidate,
             State::PreCandidate { .. } => Role::PreCandidate,
-            State::Follower if self.hard.forgetful || !self.log.voters().contains(self.options.node) => {
+            State::Follower if self.hard.recovering || !self.log.voters().contains(self.options.node) => {
                 Role::Learner
             }
             State::Follower => Role::Follower,
@@ -293,25 +295,25 @@
     }
 
     /// Whether this replica's former disk was lost and no leader has readmitted it.
-    pub fn is_forgetful(&self) -> bool {
-        self.hard.forgetful
+    pub fn is_recovering(&self) -> bool {
+        self.hard.recovering
     }
 
     pub(crate) fn set_now(&mut self, now: Millis) {
         self.now = self.now.max(now);
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        Standing { boot: self.hard.boot, forgetful: self.hard.forgetful }
+    pub(crate) fn standing(&self) -> VoterStatus {
+        VoterStatus { boot: self.hard.boot, recovering: self.hard.recovering }
     }
 
-    pub(crate) fn not_leader<T>(&self) -> Result<T, Refused> {
-        Err(Refused::NotLeader { leader: self.leader })
+    pub(crate) fn not_leader<T>(&self) -> Result<T, ReplicaError> {
+        Err(ReplicaError::NotLeader { leader: self.leader })
     }
 
     /// Whether this replica may stand for election.
     pub(crate) fn is_eligible(&self) -> bool {
-        !self.hard.forgetful && self.log.voters().contains(self.options.node)
+        !self.hard.recovering && self.log.voters().contains(self.options.node)
     }
 
     pub(crate) fn send(&mut self, to: NodeId, message: Message) {
@@ -362,7 +364,7 @@
     /// Draws the time of the next election.
     pub(crate) fn reset_election(&mut self) {
         let (least, most) = if self.founding {
-            (self.options.founding_election_min_ms, self.options.founding_election_max_ms)
+            (self.options.bootstrap_election_min_ms, self.options.bootstrap_election_max_ms)
         } else {
             (self.options.election_min_ms, self.options.election_max_ms)
         };
@@ -380,8 +382,8 @@
     }
 
     fn hand_out_snapshot(&mut self, snapshot: Snapshot) {
-        if snapshot.index() > FOUNDING_INDEX {
-            self.effects.push(Effect::Install(snapshot));
+        if snapshot.index() > BOOTSTRAP_INDEX {
+            self.effects.push(Effect::InstallSnapshot(snapshot));
         }
     }
 
--- a/consensus/tests/aimed.rs
+++ b/consensus/tests/aimed.rs
@@ -75,12 +75,16 @@
 fn given_hand_overs_that_come_late_and_twice_when_a_leader_is_cut_off_then_its_lease_is_respected() {
     play_all(10_000, |seed| {
         let mut group = Group::founded(if seed % 3 == 0 { 5 } else { 3 }, seed);
-        group.keeps =
-            |message| matches!(message, Message::TimeoutNow { .. } | Message::Vote { handed_over: true, .. });
+        group.keeps = |message| {
+            matches!(
+                message,
+                Message::TimeoutNow { .. } | Message::VoteRequest { leadership_transfer: true, .. }
+            )
+        };
         for _ in 0..6 {
             // A hand-over, which may be interrupted.
             let leader = mend(&mut group);
-            group.act(leader, |replica, now| replica.hand_over(now));
+            group.act(leader, |replica, now| replica.transfer_leadership(now));
             run_up_to(&mut group, 10);
             match draw(&mut group, 3) {
                 0 => group.crash(leader),
@@ -191,7 +195,7 @@
 fn given_two_candidates_of_one_term_when_the_voter_between_loses_power_then_one_of_them_leads_at_most() {
     play_all(40_000, |seed| {
         let mut group = Group::founded_with(3, seed, |options| options.election_max_ms = 2000);
-        group.keeps = |message| matches!(message, Message::Vote { .. });
+        group.keeps = |message| matches!(message, Message::VoteRequest { .. });
         for _ in 0..5 {
             split_vote(&mut group);
         }
@@ -242,7 +246,7 @@
 fn given_elections_that_are_split_again_and_again_when_votes_come_late_then_a_term_has_one_leader_at_most() {
     play_all(45_000, |seed| {
         let mut group = Group::founded(3, seed);
-        group.keeps = |message| matches!(message, Message::Vote { .. } | Message::VoteAnswer { .. });
+        group.keeps = |message| matches!(message, Message::VoteRequest { .. } | Message::VoteResponse { .. });
         let between = mend(&mut group);
         let candidates = others(&group, between);
         for _ in 0..6 {
@@ -303,7 +307,7 @@
             match draw(&mut group, 3) {
                 0 => group.crash(leader),
                 1 => group.isolate(leader),
-                2 => _ = group.act(leader, |replica, now| replica.hand_over(now)),
+                2 => _ = group.act(leader, |replica, now| replica.transfer_leadership(now)),
                 _ => {}
             }
             for _ in 0..12 {
@@ -326,7 +330,7 @@
     play_all(70_000, |seed| {
         let mut group = Group::founded(3, seed);
         group.keeps =
-            |message| matches!(message, Message::HeartbeatAnswer { .. } | Message::AppendAnswer { .. });
+            |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
         for _ in 0..5 {
             let former = mend(&mut group);
             group.isolate(former);
@@ -371,7 +375,8 @@
 fn lead_again(group: &mut Group) {
     let leader = mend(group);
     group.forget_kept();
-    group.keeps = |message| matches!(message, Message::HeartbeatAnswer { .. } | Message::AppendAnswer { .. });
+    group.keeps =
+        |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
     for _ in 0..10 {
         ask_all(group);
         run_up_to(group, 30);
@@ -379,7 +384,7 @@
     group.keeps = |_| false;
     for _ in 0..20 {
         if let Some(present) = group.leader() {
-            group.act(present, |replica, now| replica.hand_over(now));
+            group.act(present, |replica, now| replica.transfer_leadership(now));
         }
         if group.run_until(60, |group| group.leader() == Some(leader)) {
             break;
@@ -428,7 +433,7 @@
 /// Waits until all disks count again.
 fn readmit_all(group: &mut Group) -> NodeId {
     group.heal();
-    let counts = |group: &Group| group.machines.values().all(|machine| !machine.disk.is_forgetful());
+    let counts = |group: &Group| group.machines.values().all(|machine| !machine.disk.is_recovering());
     assert!(group.run_until(8000, counts), "{}", group.describe());
     mend(group)
 }
--- a/consensus/tests/elections.rs
+++ b/consensus/tests/elections.rs
@@ -112,7 +112,7 @@
         let mut group = Group::founded(3, seed);
         let leader = group.elect();
         group.run(500);
-        group.act(leader, |replica, now| replica.hand_over(now));
+        group.act(leader, |replica, now| replica.transfer_leadership(now));
         assert!(!group.has_lease(leader));
         let has_changed = group.run_until(100, |group| group.leader().is_some_and(|other| other != leader));
         assert!(has_changed, "seed {seed}: {}", group.describe());
@@ -151,11 +151,11 @@
     let voter = follower_of(&group);
     let last = group.replica(leader).last();
     let term = group.term(leader) + 1;
-    let before = group.sent.get("PreVoteAnswer").copied();
-    group.forge(node(77), voter, Message::PreVote { term, last });
-    group.forge(node(77), voter, Message::Vote { term, last, handed_over: false });
+    let before = group.sent.get("PreVoteResponse").copied();
+    group.forge(node(77), voter, Message::PreVoteRequest { term, last });
+    group.forge(node(77), voter, Message::VoteRequest { term, last, leadership_transfer: false });
     group.run(20);
-    assert_eq!(group.sent.get("PreVoteAnswer").copied(), before);
+    assert_eq!(group.sent.get("PreVoteResponse").copied(), before);
     assert_eq!(group.term(voter), group.term(leader));
 }
 
--- a/consensus/tests/forgetful.rs
+++ b/consensus/tests/forgetful.rs
@@ -4,12 +4,12 @@
 
 use group::{node, Group};
 use shaletrail_consensus::{
-    Effect, HardState, Index, Message, Options, Position, Record, Replica, Role, Stamp, Standing,
+    Effect, HardState, Index, Message, Options, Position, Record, Replica, Role, RoundStamp, VoterStatus,
 };
 use shaletrail_protocol::NodeId;
 
 fn is_readmission(message: &Message) -> bool {
-    matches!(message, Message::Readmit { .. })
+    matches!(message, Message::Rejoin { .. })
 }
 
 /// A group with a leader and a follower that is about to lose its disk.
@@ -37,9 +37,9 @@
         let Scene { mut group, leader, other, wiped } = scene(seed);
         group.wipe(wiped);
         group.restart(wiped);
-        assert!(group.replica(wiped).is_forgetful());
+        assert!(group.replica(wiped).is_recovering());
         group.run(1500);
-        assert!(!group.replica(wiped).is_forgetful(), "{}", group.describe());
+        assert!(!group.replica(wiped).is_recovering(), "{}", group.describe());
         assert_eq!(group.role(wiped), Role::Follower);
         group.crash(other);
         let index = group.commit_one();
@@ -59,12 +59,12 @@
     let (_, index) = group.propose(leader).expect("it leads still");
     group.run(10_000);
     assert!(!group.judge.is_acknowledged(index));
-    assert!(group.replica(wiped).is_forgetful());
+    assert!(group.replica(wiped).is_recovering());
     assert!(!group.has_lease(leader));
     group.restart(other);
     group.commit_one();
     group.settle();
-    assert!(!group.replica(wiped).is_forgetful());
+    assert!(!group.replica(wiped).is_recovering());
 }
 
 #[test]
@@ -103,8 +103,8 @@
     group.wipe(wiped);
     group.restart(wiped);
     group.run(900);
-    assert_eq!(group.sent.get("Readmit"), None);
-    assert!(group.replica(wiped).is_forgetful());
+    assert_eq!(group.sent.get("Rejoin"), None);
+    assert!(group.replica(wiped).is_recovering());
     assert!(group.replica(leader).peer(wiped).is_some_and(|peer| !peer.counts));
 }
 
@@ -113,12 +113,12 @@
     let Scene { mut group, wiped, .. } = scene(5);
     group.wipe(wiped);
     group.restart(wiped);
-    let is_readmitted = group.run_until(3000, |group| group.sent.contains_key("Readmit"));
+    let is_readmitted = group.run_until(3000, |group| group.sent.contains_key("Rejoin"));
     assert!(is_readmitted);
     group.machine(wiped).is_disk_stalled = true;
     group.run(20);
-    assert!(!group.replica(wiped).is_forgetful(), "in memory");
-    let was_forgetful = group.machines[&wiped].disk.is_forgetful();
+    assert!(!group.replica(wiped).is_recovering(), "in memory");
+    let was_forgetful = group.machines[&wiped].disk.is_recovering();
     assert!(was_forgetful);
     let counted =
         |group: &Group| group.replica(group.elect_now()).peer(wiped).is_some_and(|peer| peer.counts);
@@ -147,10 +147,10 @@
 /// count.
 fn assert_answer_of_the_lost_disk_does_not_count(scene: Scene, index: Index, round: u64) {
     let Scene { mut group, leader, wiped, .. } = scene;
-    let standing = Standing { boot: 12345, forgetful: false };
-    let stamp = Stamp { round, sent_at: group.machines[&leader].clock(group.now) };
+    let standing = VoterStatus { boot: 12345, recovering: false };
+    let stamp = RoundStamp { round, sent_at: group.machines[&leader].clock(group.now) };
     let term = group.term(leader);
-    let answer = Message::HeartbeatAnswer { term, stamp, received: index, matched: index, standing };
+    let answer = Message::HeartbeatResponse { term, stamp, received: index, matched: index, standing };
     group.forge(wiped, leader, answer);
     group.run(50);
     assert!(!group.judge.is_acknowledged(index));
@@ -176,29 +176,29 @@
 fn given_a_forgetful_voter_that_gets_no_entries_when_the_others_commit_then_it_is_not_readmitted() {
     let Scene { mut group, wiped, .. } = scene(8);
     group.filter = Some(Box::new(move |_, to, message| {
-        to != wiped || !matches!(message, Message::Append { .. } | Message::Install { .. })
+        to != wiped || !matches!(message, Message::Append { .. } | Message::InstallSnapshot { .. })
     }));
     group.wipe(wiped);
     group.restart(wiped);
     group.run(500);
     group.commit_one();
     group.run(1000);
-    assert_eq!(group.sent.get("Readmit"), None);
-    assert!(group.replica(wiped).is_forgetful());
+    assert_eq!(group.sent.get("Rejoin"), None);
+    assert!(group.replica(wiped).is_recovering());
 }
 
 #[test]
 fn given_a_readmission_when_it_is_taken_then_the_vote_of_that_term_is_the_leaders() {
     let mut options = Options::new(node(2), 1);
-    options.forgetful = true;
+    options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
     let boot = voter.records().into_iter().find_map(|record| match record {
         Record::Hard(hard) => Some(hard.boot),
         _ => None,
     });
     let boot = boot.expect("a hard state");
-    voter.receive(10, node(1), Message::Readmit { term: 3, boot });
-    let expected = HardState { term: 3, voted_for: Some(node(1)), forgetful: false, boot };
+    voter.receive(10, node(1), Message::Rejoin { term: 3, boot });
+    let expected = HardState { term: 3, voted_for: Some(node(1)), recovering: false, boot };
     assert_eq!(voter.records(), [Record::Hard(expected)]);
 }
 
@@ -231,7 +231,7 @@
         let token = group.read(former).expect("it does not know");
         group.run(500);
         // then: nothing of the former leader is confirmed by it
-        assert!(group.replica(voter).is_forgetful(), "seed {seed}");
+        assert!(group.replica(voter).is_recovering(), "seed {seed}");
         assert!(!group.has_lease(former), "seed {seed}");
         assert!(group.judge.is_read_open(token) || group.judge.reads_failed > 0, "seed {seed}");
         assert!(group.machines[&former].applied < lost, "seed {seed}");
@@ -247,20 +247,20 @@
 #[test]
 fn given_a_readmission_of_another_disk_when_it_arrives_then_the_voter_stays_forgetful() {
     let mut options = Options::new(node(2), 1);
-    options.forgetful = true;
+    options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
-    voter.receive(10, node(1), Message::Readmit { term: 3, boot: 99 });
-    assert!(voter.is_forgetful());
+    voter.receive(10, node(1), Message::Rejoin { term: 3, boot: 99 });
+    assert!(voter.is_recovering());
 }
 
 #[test]
 fn given_a_forgetful_voter_when_it_is_asked_for_a_vote_then_it_gives_none() {
     let mut options = Options::new(node(2), 1);
-    options.forgetful = true;
+    options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
     let last = Position { term: 9, index: 9 };
-    voter.receive(5000, node(1), Message::PreVote { term: 3, last });
-    voter.receive(5000, node(1), Message::Vote { term: 3, last, handed_over: false });
+    voter.receive(5000, node(1), Message::PreVoteRequest { term: 3, last });
+    voter.receive(5000, node(1), Message::VoteRequest { term: 3, last, leadership_transfer: false });
     let mut effects = voter.take_effects();
     for effect in &effects {
         if let Effect::Persist { ticket, .. } = effect {
@@ -273,7 +273,7 @@
             effect,
             Effect::Send(
                 _,
-                Message::VoteAnswer { granted: true, .. } | Message::PreVoteAnswer { granted: true, .. }
+                Message::VoteResponse { granted: true, .. } | Message::PreVoteResponse { granted: true, .. }
             )
         )
     };
@@ -296,13 +296,13 @@
     group.wipe(wiped);
     group.restart(wiped);
     group.run(1500);
-    assert!(!group.replica(wiped).is_forgetful());
+    assert!(!group.replica(wiped).is_recovering());
     // when: the candidate's request reaches another voter late, and no loyalty stops it
     group.cuts.clear();
-    group.forge(candidate, voter, Message::Vote { term, last, handed_over: true });
+    group.forge(candidate, voter, Message::VoteRequest { term, last, leadership_transfer: true });
     // then: it is refused, since the voter holds the readmission point
     group.filter =
-        Some(Box::new(|_, _, message| !matches!(message, Message::VoteAnswer { granted: true, .. })));
+        Some(Box::new(|_, _, message| !matches!(message, Message::VoteResponse { granted: true, .. })));
     let mut granted = false;
     for _ in 0..10 {
         group.run(5);
@@ -322,7 +322,7 @@
             let lost = node(round % 3 + 1);
             group.wipe(lost);
             group.restart(lost);
-            let readmitted = group.run_until(8000, |group| !group.machines[&lost].disk.is_forgetful());
+            let readmitted = group.run_until(8000, |group| !group.machines[&lost].disk.is_recovering());
             assert!(readmitted, "seed {seed}, round {round}: {}", group.describe());
         }
         group.commit_one();
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -83,7 +83,7 @@
         let voters: Vec<NodeId> = self.group.replica(leader).voters().members().collect();
         for voter in voters.iter().filter(|voter| !gone(voter)) {
             self.group.judge.has_all_acknowledged(&self.group.machines[voter]);
-            assert!(!self.group.replica(*voter).is_forgetful(), "{voter} was not readmitted");
+            assert!(!self.group.replica(*voter).is_recovering(), "{voter} was not readmitted");
         }
         let token = self.group.read(leader).expect("a leader takes reads");
         self.group.run(500);
@@ -98,7 +98,7 @@
             450..600 => self.read(),
             600..660 => self.compact(),
             660..690 => self.checkpoint(),
-            690..700 => self.hand_over(),
+            690..700 => self.transfer_leadership(),
             700..760 => self.links(),
             760..790 => self.cut(),
             790..830 => self.group.cuts.clear(),
@@ -147,9 +147,9 @@
         self.group.machine(node).checkpoint();
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         for leader in self.leaders() {
-            self.group.act(leader, |replica, now| replica.hand_over(now));
+            self.group.act(leader, |replica, now| replica.transfer_leadership(now));
         }
     }
 
@@ -233,7 +233,7 @@
 
     fn has_lost_its_disk(&self, node: NodeId) -> bool {
         let machine = &self.group.machines[&node];
-        machine.is_gone || machine.disk.is_forgetful()
+        machine.is_gone || machine.disk.is_recovering()
     }
 
     fn wipe(&mut self) {
--- a/consensus/tests/group/machine.rs
+++ b/consensus/tests/group/machine.rs
@@ -53,9 +53,9 @@
     }
 
     /// Whether the disk is a new one that no leader has readmitted, as far as it is synced.
-    pub fn is_forgetful(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         let hard = self.synced.iter().rev().find_map(|record| match record {
-            Record::Hard(hard) => Some(hard.forgetful),
+            Record::Hard(hard) => Some(hard.recovering),
             _ => None,
         });
         hard.unwrap_or(true)
@@ -127,7 +127,7 @@
     /// Starts with what the disk holds.
     pub fn start(&mut self, options: Options, now: Millis) {
         let now = self.clock(now);
-        self.applied = shaletrail_consensus::FOUNDING_INDEX;
+        self.applied = shaletrail_consensus::BOOTSTRAP_INDEX;
         self.commands.clear();
         self.replica = Some(Replica::new(options, self.disk.records().to_vec(), now));
     }
@@ -185,7 +185,7 @@
         let Some(replica) = &self.replica else { return format!("{node}: down, gone {}", self.is_gone) };
         format!(
             "{node}: {} in term {}, leader {:?}, last {:?}, commit {}, snapshot {}, applied {}, voters {:?}, \
-             forgetful {}, frozen {}, disk stalled {}",
+             recovering {}, frozen {}, disk stalled {}",
             replica.role(),
             replica.term(),
             replica.leader(),
@@ -194,7 +194,7 @@
             replica.snapshot_index(),
             self.applied,
             replica.voters(),
-            replica.is_forgetful(),
+            replica.is_recovering(),
             self.is_frozen,
             self.is_disk_stalled,
         )
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -124,15 +124,15 @@
     }
 
     /// Starts a machine with an empty disk.
-    pub fn add_machine(&mut self, node: NodeId, forgetful: bool) {
+    pub fn add_machine(&mut self, node: NodeId, recovering: bool) {
         let clock_offset = self.random.random_range(0..1_000_000);
         self.machines.insert(node, Machine::new(clock_offset));
-        self.start(node, forgetful);
+        self.start(node, recovering);
     }
 
-    fn start(&mut self, node: NodeId, forgetful: bool) {
+    fn start(&mut self, node: NodeId, recovering: bool) {
         let mut options = Options::new(node, self.random.random());
-        options.forgetful = forgetful;
+        options.recovering = recovering;
         (self.adjust)(&mut options);
         let now = self.now;
         self.machine(node).start(options, now);
@@ -252,7 +252,7 @@
                     self.judge.acknowledges(index, &entry, &self.machines, node);
                 }
             }
-            Effect::Install(snapshot) => {
+            Effect::InstallSnapshot(snapshot) => {
                 self.judge.installs(&snapshot);
                 self.machine(node).install(&snapshot);
             }
--- a/consensus/tests/leases.rs
+++ b/consensus/tests/leases.rs
@@ -3,7 +3,7 @@
 mod group;
 
 use group::{node, Group};
-use shaletrail_consensus::{Effect, Message, Record, Refused, Role, Stamp, Standing};
+use shaletrail_consensus::{Effect, Message, Record, ReplicaError, Role, RoundStamp, VoterStatus};
 use shaletrail_protocol::NodeId;
 
 fn followers(group: &Group) -> Vec<NodeId> {
@@ -76,10 +76,10 @@
     }
     let until = group.replica(leader).lease_until();
     for (follower, boot) in followers(&group).into_iter().zip([1, 2]) {
-        let standing = Standing { boot, forgetful: false };
-        let stamp = Stamp { round: u64::MAX, sent_at: u64::MAX };
+        let standing = VoterStatus { boot, recovering: false };
+        let stamp = RoundStamp { round: u64::MAX, sent_at: u64::MAX };
         let term = group.term(leader);
-        let answer = Message::HeartbeatAnswer { term, stamp, received: 99, matched: 99, standing };
+        let answer = Message::HeartbeatResponse { term, stamp, received: 99, matched: 99, standing };
         group.forge(follower, leader, answer);
     }
     group.run(20);
@@ -133,15 +133,15 @@
     let leader = group.elect();
     group.commit_one();
     group.run(1000);
-    let mut stamp = Stamp::default();
+    let mut stamp = RoundStamp::default();
     group.act(leader, |replica, now| replica.tick(now + 200));
     for follower in followers(&group) {
         let term = group.term(leader);
-        let standing = Standing { boot: boot_of(&group, follower), forgetful: false };
+        let standing = VoterStatus { boot: boot_of(&group, follower), recovering: false };
         stamp.round = group.rounds_sent[&leader];
         stamp.sent_at = group.machines[&leader].clock(group.now);
         group.cuts.insert((follower, leader));
-        let answer = Message::HeartbeatAnswer { term, stamp, received: 1, matched: 1, standing };
+        let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, standing };
         group.forge(follower, leader, answer);
     }
     let token = group.read(leader).expect("a leader takes reads");
@@ -160,7 +160,7 @@
     let until = group.replica(leader).lease_until();
     let now = group.machines[&leader].clock(group.now);
     for follower in followers(&group) {
-        let stamp = Stamp { round: group.rounds_sent[&leader], sent_at: now + 5000 };
+        let stamp = RoundStamp { round: group.rounds_sent[&leader], sent_at: now + 5000 };
         forge_answer(&mut group, follower, leader, stamp);
     }
     group.run(20);
@@ -175,7 +175,7 @@
     group.commit_one();
     group.run(1000);
     for follower in followers(&group) {
-        let stamp = Stamp { round: u64::MAX, sent_at: group.machines[&leader].clock(group.now) };
+        let stamp = RoundStamp { round: u64::MAX, sent_at: group.machines[&leader].clock(group.now) };
         forge_answer(&mut group, follower, leader, stamp);
     }
     group.run(20);
@@ -190,11 +190,11 @@
 }
 
 /// Cuts a follower's way to the leader, and has an answer with a made-up stamp come in its name.
-fn forge_answer(group: &mut Group, follower: NodeId, leader: NodeId, stamp: Stamp) {
+fn forge_answer(group: &mut Group, follower: NodeId, leader: NodeId, stamp: RoundStamp) {
     group.cuts.insert((follower, leader));
-    let standing = Standing { boot: boot_of(group, follower), forgetful: false };
+    let standing = VoterStatus { boot: boot_of(group, follower), recovering: false };
     let term = group.term(leader);
-    let answer = Message::HeartbeatAnswer { term, stamp, received: 1, matched: 1, standing };
+    let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, standing };
     group.forge(follower, leader, answer);
 }
 
@@ -262,7 +262,7 @@
     assert_eq!(taken, 4);
     let follower = followers(&group)[0];
     let refused = group.act(follower, |replica, now| replica.read(now, 7));
-    assert_eq!(refused, Some(Err(Refused::NotLeader { leader: Some(leader) })));
+    assert_eq!(refused, Some(Err(ReplicaError::NotLeader { leader: Some(leader) })));
 }
 
 #[test]
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -3,7 +3,7 @@
 mod group;
 
 use group::{node, Group};
-use shaletrail_consensus::{Message, Payload, Refused, Role};
+use shaletrail_consensus::{Message, Payload, ReplicaError, Role};
 use shaletrail_protocol::{Millis, NodeId};
 
 const LIMIT: Millis = 5000;
@@ -23,7 +23,7 @@
     (group, leader)
 }
 
-fn change(group: &mut Group, leader: NodeId, voters: &[u32]) -> Result<(), Refused> {
+fn change(group: &mut Group, leader: NodeId, voters: &[u32]) -> Result<(), ReplicaError> {
     let voters = voters.iter().map(|number| node(*number)).collect();
     group.act(leader, |replica, now| replica.change_voters(now, voters)).expect("the leader runs")
 }
@@ -103,14 +103,17 @@
 fn given_a_change_under_way_when_another_is_asked_for_then_it_is_refused() {
     let (mut group, leader) = with_learner(3);
     assert_eq!(change(&mut group, leader, &[1, 2, 3, 4]), Ok(()));
-    assert_eq!(change(&mut group, leader, &[1, 2, 3]), Err(Refused::ChangePending));
+    assert_eq!(change(&mut group, leader, &[1, 2, 3]), Err(ReplicaError::ChangePending));
     assert!(group.run_until(LIMIT, |group| !group.replica(leader).is_changing_voters()));
     assert!(has_voters(&group, &[1, 2, 3, 4]));
-    assert_eq!(change(&mut group, leader, &[]), Err(Refused::InvalidVoters));
+    assert_eq!(change(&mut group, leader, &[]), Err(ReplicaError::InvalidVoters));
     assert_eq!(change(&mut group, leader, &[4, 3, 2, 1, 1]), Ok(()), "these are the voters already");
     assert!(!group.replica(leader).is_changing_voters());
     let follower = (1..=4).map(node).find(|node| *node != leader).expect("a follower");
-    assert_eq!(change(&mut group, follower, &[1, 2, 3]), Err(Refused::NotLeader { leader: Some(leader) }));
+    assert_eq!(
+        change(&mut group, follower, &[1, 2, 3]),
+        Err(ReplicaError::NotLeader { leader: Some(leader) })
+    );
 }
 
 #[test]
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -43,7 +43,7 @@
 fn given_a_vote_when_it_is_not_synced_then_it_is_not_sent() {
     let mut voter = synced_voter();
     let last = voter.last();
-    voter.receive(10, node(1), Message::Vote { term: 2, last, handed_over: false });
+    voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     let effects = voter.take_effects();
     assert_eq!(sent(&effects), Vec::<&str>::new());
     voter.persisted(20, last_ticket(&effects));
@@ -53,7 +53,7 @@
             NodeId(
                 167772161,
             ),
-            VoteAnswer {
+            VoteResponse {
                 term: 2,
                 granted: true,
             },
@@ -66,12 +66,12 @@
 fn given_a_vote_when_another_asks_in_the_same_term_then_it_is_refused() {
     let mut voter = synced_voter();
     let last = voter.last();
-    voter.receive(10, node(1), Message::Vote { term: 2, last, handed_over: false });
-    voter.receive(11, node(3), Message::Vote { term: 2, last, handed_over: false });
+    voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
+    voter.receive(11, node(3), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     let ticket = last_ticket(&voter.take_effects());
     voter.persisted(20, ticket);
     let answers = voter.take_effects();
-    assert!(answers.contains(&Effect::Send(node(3), Message::VoteAnswer { term: 2, granted: false })));
+    assert!(answers.contains(&Effect::Send(node(3), Message::VoteResponse { term: 2, granted: false })));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let mut candidate = synced_voter();
     candidate.tick(5000);
     candidate.take_effects();
-    candidate.receive(5001, node(1), Message::PreVoteAnswer { term: 2, granted: true });
+    candidate.receive(5001, node(1), Message::PreVoteResponse { term: 2, granted: true });
     let effects = candidate.take_effects();
     assert_eq!((candidate.role(), sent(&effects)), (Role::Candidate, vec![]));
     candidate.persisted(5002, last_ticket(&effects));
@@ -95,13 +95,13 @@
     group.machine(slow).is_disk_stalled = true;
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.filter = Some(Box::new(move |from, _, message| {
-        assert!(from != slow || !matches!(message, Message::AppendAnswer { .. }), "{message:?}");
+        assert!(from != slow || !matches!(message, Message::AppendResponse { .. }), "{message:?}");
         true
     }));
-    let before = group.sent["HeartbeatAnswer"];
+    let before = group.sent["HeartbeatResponse"];
     group.run(1600);
     assert!(group.judge.is_acknowledged(index));
-    assert!(group.sent["HeartbeatAnswer"] >= before + 20);
+    assert!(group.sent["HeartbeatResponse"] >= before + 20);
     assert!(group.machines[&slow].applied >= index, "a commit does not wait for the own disk");
     assert!(group.replica(leader).peer(slow).is_some_and(|peer| peer.matched < index));
 }
@@ -156,7 +156,7 @@
 }
 
 fn hard(term: u64) -> Record {
-    Record::Hard(HardState { term, voted_for: None, forgetful: false, boot: 5 })
+    Record::Hard(HardState { term, voted_for: None, recovering: false, boot: 5 })
 }
 
 fn snapshot(index: u64, term: u64) -> Record {
@@ -196,7 +196,8 @@
     let mut replica =
         restored(vec![hard(1), snapshot(1, 1), entries, snapshot(5, 1), hard(2), snapshot(7, 1)]);
     assert_eq!((replica.snapshot_index(), replica.commit_index(), replica.last().index), (7, 7, 9));
-    let installs = |effect: &Effect| matches!(effect, Effect::Install(snapshot) if snapshot.index() == 7);
+    let installs =
+        |effect: &Effect| matches!(effect, Effect::InstallSnapshot(snapshot) if snapshot.index() == 7);
     assert_eq!(replica.take_effects().iter().filter(|effect| installs(effect)).count(), 1);
     assert_eq!(restored(replica.records()).records(), replica.records());
 }
