--- a/consensus/tests/replacements.rs
+++ b/consensus/tests/replacements.rs
@@ -3,7 +3,7 @@
 mod group;
 
 use group::{node, Group};
-use shaletrail_consensus::{Message, Payload, Refused, Stamp, Standing};
+use shaletrail_consensus::{Message, Payload, ReplicaError, RoundStamp, VoterStatus};
 use shaletrail_protocol::{Millis, NodeId};
 
 const LIMIT: Millis = 5000;
@@ -41,7 +41,7 @@
         voters
     }
 
-    fn change(&mut self) -> Result<(), Refused> {
+    fn change(&mut self) -> Result<(), ReplicaError> {
         let voters = self.voters();
         self.group
             .act(self.leader, |replica, now| replica.change_voters(now, voters))
@@ -62,7 +62,7 @@
 
     /// Waits until a machine's disk says that it was readmitted.
     fn await_readmission(&mut self, node: NodeId) {
-        let readmitted = self.group.run_until(8000, |group| !group.machines[&node].disk.is_forgetful());
+        let readmitted = self.group.run_until(8000, |group| !group.machines[&node].disk.is_recovering());
         assert!(readmitted, "{}", self.group.describe());
     }
 
@@ -136,12 +136,12 @@
         // given
         let mut scene = Scene::new(seed);
         let staying = scene.staying;
-        scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Readmit { .. })));
+        scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Rejoin { .. })));
         scene.group.wipe(staying);
         scene.group.restart(staying);
         scene.group.run(500);
 
-        // when: of the voters that stay, only the forgetful one is heard
+        // when: of the voters that stay, only the recovering one is heard
         scene.group.isolate(scene.leaving);
         assert_eq!(scene.change(), Ok(()));
         let (_, index) = scene.group.propose(scene.leader).expect("it leads still");
@@ -169,7 +169,7 @@
 
         // when
         assert_eq!(scene.change(), Ok(()));
-        scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Readmit { .. })));
+        scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Rejoin { .. })));
         scene.group.restart(learner);
         let (_, index) = scene.group.propose(scene.leader).expect("it leads still");
         scene.group.run(400);
@@ -192,14 +192,14 @@
     group.isolate(node(1));
     group.elect();
     let leader = group.elect_now();
-    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::AppendAnswer { .. })));
+    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::AppendResponse { .. })));
     group.crash(leader);
     group.cuts.clear();
     group.run_until(LIMIT, |group| group.leader().is_some());
     let leader = group.elect_now();
     let voters = vec![node(1), node(2)];
     let refused = group.act(leader, |replica, now| replica.change_voters(now, voters));
-    assert_eq!(refused, Some(Err(Refused::ChangePending)));
+    assert_eq!(refused, Some(Err(ReplicaError::ChangePending)));
 }
 
 #[test]
@@ -246,11 +246,11 @@
 }
 
 /// An answer of another disk than the one that runs, which promises all that the leader has.
-fn forge_answer(scene: &mut Scene, standing: Standing, round: u64) {
+fn forge_answer(scene: &mut Scene, standing: VoterStatus, round: u64) {
     let replica = scene.group.replica(scene.leader);
     let (term, last) = (replica.term(), replica.last().index);
-    let stamp = Stamp { round, sent_at: scene.group.machines[&scene.leader].clock(scene.group.now) };
-    let answer = Message::HeartbeatAnswer { term, stamp, received: last, matched: last, standing };
+    let stamp = RoundStamp { round, sent_at: scene.group.machines[&scene.leader].clock(scene.group.now) };
+    let answer = Message::HeartbeatResponse { term, stamp, received: last, matched: last, standing };
     scene.group.forge(scene.staying, scene.leader, answer);
     scene.group.run(10);
 }
@@ -258,7 +258,7 @@
 #[test]
 fn given_a_new_disk_when_a_new_answer_of_the_lost_one_arrives_then_it_does_not_count() {
     let mut scene = Scene::new(2);
-    scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Readmit { .. })));
+    scene.group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Rejoin { .. })));
     scene.group.wipe(scene.staying);
     scene.group.restart(scene.staying);
     scene.group.run(500);
@@ -266,7 +266,7 @@
     scene.group.isolate(scene.staying);
     scene.group.run(200);
     let newest = scene.group.rounds_sent[&scene.leader];
-    forge_answer(&mut scene, Standing { boot: 12345, forgetful: false }, newest);
+    forge_answer(&mut scene, VoterStatus { boot: 12345, recovering: false }, newest);
     let peer = scene.group.replica(scene.leader).peer(scene.staying);
     assert!(peer.is_some_and(|peer| !peer.counts), "{peer:?}");
 }
@@ -278,7 +278,7 @@
     scene.group.restart(scene.staying);
     scene.await_readmission(scene.staying);
     scene.group.run(500);
-    forge_answer(&mut scene, Standing { boot: 12345, forgetful: true }, 1);
+    forge_answer(&mut scene, VoterStatus { boot: 12345, recovering: true }, 1);
     scene.group.run(500);
     let peer = scene.group.replica(scene.leader).peer(scene.staying);
     assert!(peer.is_some_and(|peer| peer.counts), "{peer:?}");
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -7,8 +7,8 @@
 
 use group::{node, Group};
 use shaletrail_consensus::{
-    AppendOutcome, Effect, Entry, HardState, Index, Message, Options, Payload, Position, Record, Refused,
-    Replica, Role, Snapshot, Stamp, Standing, VoterSet,
+    AppendOutcome, Effect, Entry, HardState, Index, Message, Options, Payload, Position, Record, Replica,
+    ReplicaError, Role, RoundStamp, Snapshot, VoterSet, VoterStatus,
 };
 use shaletrail_protocol::NodeId;
 
@@ -56,7 +56,7 @@
             20,
         ),
         (
-            "HeartbeatAnswer",
+            "HeartbeatResponse",
             20,
         ),
     ]
@@ -102,7 +102,7 @@
     let taken = (0..20).filter(|_| group.propose(leader).is_some()).count();
     assert_eq!(taken, 8);
     let refused = group.act(leader, |replica, now| replica.propose(now, vec![0; 8]));
-    assert_eq!(refused, Some(Err(Refused::Busy)));
+    assert_eq!(refused, Some(Err(ReplicaError::Busy)));
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut group = Group::founded_with(1, 6, |options| options.max_command_bytes = 100);
     let leader = group.elect();
     let refused = group.act(leader, |replica, now| replica.propose(now, vec![0; 101]));
-    assert_eq!(refused, Some(Err(Refused::TooLarge { size: 101 })));
+    assert_eq!(refused, Some(Err(ReplicaError::TooLarge { size: 101 })));
 }
 
 #[test]
@@ -120,7 +120,7 @@
     group.run(200);
     let follower = followers(&group)[0];
     let refused = group.act(follower, |replica, now| replica.propose(now, vec![0; 8]));
-    assert_eq!(refused, Some(Err(Refused::NotLeader { leader: Some(leader) })));
+    assert_eq!(refused, Some(Err(ReplicaError::NotLeader { leader: Some(leader) })));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let mut group = Group::founded(3, 9);
     let leader = group.elect();
     group.run(500);
-    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::AppendAnswer { .. })));
+    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::AppendResponse { .. })));
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(700);
     assert!(group.judge.is_acknowledged(index), "{}", group.describe());
@@ -229,15 +229,19 @@
         term,
         payload: shaletrail_consensus::Payload::Empty,
     };
-    let stamp = shaletrail_consensus::Stamp { round: u64::MAX, sent_at: u64::MAX };
+    let stamp = shaletrail_consensus::RoundStamp { round: u64::MAX, sent_at: u64::MAX };
     let (previous, entries) = (last, vec![gap.clone(), gap]);
     group.forge(leader, follower, Message::Append { term, previous, entries, commit: u64::MAX, stamp });
     group.forge(leader, follower, Message::Heartbeat { term, commit: u64::MAX, stamp });
     let absurd = Position { term: u64::MAX, index: u64::MAX };
     let (previous, entries) = (absurd, Vec::new());
     group.forge(leader, follower, Message::Append { term, previous, entries, commit: 0, stamp });
-    group.forge(leader, follower, Message::VoteAnswer { term: u64::MAX, granted: false });
-    group.forge(leader, follower, Message::Vote { term: u64::MAX, last: absurd, handed_over: true });
+    group.forge(leader, follower, Message::VoteResponse { term: u64::MAX, granted: false });
+    group.forge(
+        leader,
+        follower,
+        Message::VoteRequest { term: u64::MAX, last: absurd, leadership_transfer: true },
+    );
     group.run(300);
     let index = group.commit_one();
     group.settle();
@@ -250,7 +254,7 @@
     let voters = VoterSet::new(&[node(1), node(2), node(3)]);
     let position = Position { term: 1, index: 1 };
     let records = vec![
-        Record::Hard(HardState { term: 2, voted_for: Some(node(2)), forgetful: false, boot: 5 }),
+        Record::Hard(HardState { term: 2, voted_for: Some(node(2)), recovering: false, boot: 5 }),
         Record::Snapshot(Snapshot { position, voters, state: [].into() }),
         Record::Entries(vec![entry(2), entry(3)]),
     ];
@@ -278,16 +282,16 @@
 fn given_entries_of_an_older_term_when_a_majority_holds_them_then_they_wait_for_one_of_the_own_term() {
     let mut replica = voter_with_old_entries();
     replica.tick(5000);
-    replica.receive(5000, node(2), Message::PreVoteAnswer { term: 3, granted: true });
+    replica.receive(5000, node(2), Message::PreVoteResponse { term: 3, granted: true });
     applied(&mut replica, 5000);
-    replica.receive(5001, node(2), Message::VoteAnswer { term: 3, granted: true });
+    replica.receive(5001, node(2), Message::VoteResponse { term: 3, granted: true });
     assert_eq!(applied(&mut replica, 5001), []);
     assert_eq!(replica.role(), Role::Leader);
-    let answer = |index| Message::AppendAnswer {
+    let answer = |index| Message::AppendResponse {
         term: 3,
-        stamp: Stamp { round: 1, sent_at: 5001 },
+        stamp: RoundStamp { round: 1, sent_at: 5001 },
         outcome: AppendOutcome::Matched(index),
-        standing: Standing { boot: 8, forgetful: false },
+        standing: VoterStatus { boot: 8, recovering: false },
     };
     replica.receive(5002, node(2), answer(3));
     assert_eq!(applied(&mut replica, 5002), []);
@@ -298,7 +302,7 @@
 #[test]
 fn given_entries_of_a_former_leader_when_a_new_one_only_sends_heartbeats_then_they_are_not_applied() {
     let mut replica = voter_with_old_entries();
-    let stamp = Stamp { round: 1, sent_at: 1 };
+    let stamp = RoundStamp { round: 1, sent_at: 1 };
     let previous = Position { term: 2, index: 3 };
     replica.receive(
         10,
@@ -319,7 +323,7 @@
 fn given_synced_entries_that_were_replaced_when_the_new_ones_are_not_synced_then_they_are_not_acknowledged() {
     // given: synced entries of an older term, and a synced newer term
     let mut replica = voter_with_old_entries();
-    let stamp = Stamp { round: 1, sent_at: 1 };
+    let stamp = RoundStamp { round: 1, sent_at: 1 };
     replica.receive(10, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
     applied(&mut replica, 10);
     // when: its leader replaces them, and the disk is slow
@@ -329,7 +333,7 @@
     replica.receive(30, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
     // then: the answer names them as received, not as synced
     let answers = replica.take_effects().into_iter().filter_map(|effect| match effect {
-        Effect::Send(_, Message::HeartbeatAnswer { received, matched, .. }) => Some((received, matched)),
+        Effect::Send(_, Message::HeartbeatResponse { received, matched, .. }) => Some((received, matched)),
         _ => None,
     });
     assert_eq!(answers.collect::<Vec<_>>(), [(3, 1)]);
--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -3,14 +3,14 @@
 mod edges;
 mod gathered;
 
-use shaletrail_protocol::inside::{CoreMessage, Demand, Observation};
+use shaletrail_protocol::internal::{CoordinatorMessage, Demand, Observation};
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::Core;
+use super::Coordinator;
 use crate::interface::Action;
 
 pub use edges::{list_name, Edges};
-pub use gathered::Gathered;
+pub use gathered::AggregatedDemand;
 
 /// Between two messages that carry demand to the holders of orders.
 const DEMAND_EVERY: Millis = 250;
@@ -19,15 +19,15 @@
 
 /// When demand is shared.
 #[derive(Clone, Copy, Debug)]
-pub struct SharingTimes {
+pub struct DemandBroadcastSchedule {
     next: Millis,
     last: Millis,
 }
 
-impl SharingTimes {
+impl DemandBroadcastSchedule {
     /// It is due at once.
     pub fn new(now: Millis) -> Self {
-        SharingTimes { next: now, last: now }
+        DemandBroadcastSchedule { next: now, last: now }
     }
 
     /// Requests wait for what is reported: it is due soon.
@@ -47,7 +47,7 @@
     }
 }
 
-impl Core {
+impl Coordinator {
     /// Takes over what an edge reports. Requests that wait for a model are told to the holders of orders soon.
     pub(super) fn gather(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
         if demand.iter().any(|demand| demand.waiting > 0) {
@@ -65,6 +65,6 @@
         if edges.is_empty() && reports.is_empty() {
             return;
         }
-        self.send_to_others(&CoreMessage::Demand { span_ms: span as u32, edges, reports }, actions);
+        self.send_to_others(&CoordinatorMessage::Demand { span_ms: span as u32, edges, reports }, actions);
     }
 }
--- a/coordinator/src/core/demand/gathered.rs
+++ b/coordinator/src/core/demand/gathered.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::{Demand, EdgeReport, Observation};
+use shaletrail_protocol::internal::{Demand, EdgeReport, Observation};
 use shaletrail_protocol::{NodeId, ServerId};
 
 use super::edges::MOST_EDGES;
@@ -16,7 +16,7 @@
 
 /// What edges reported since it was last taken.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct AggregatedDemand {
     edges: BTreeMap<NodeId, Report>,
 }
 
@@ -26,7 +26,7 @@
     observed: BTreeMap<ServerId, Observation>,
 }
 
-impl Gathered {
+impl AggregatedDemand {
     /// Adds one edge's report.
     pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
         if self.edges.len() < MOST_EDGES || self.edges.contains_key(&edge) {
--- a/coordinator/src/core/disk.rs
+++ b/coordinator/src/core/disk.rs
@@ -2,13 +2,13 @@
 
 use shaletrail_protocol::Millis;
 
-use super::Core;
+use super::Coordinator;
 use crate::interface::Action;
 
 /// A disk that was found sick counts as such for so long after it last showed it.
 const SICK_FOR: Millis = 1_500;
 
-impl Core {
+impl Coordinator {
     /// The disk does not make records safe: whoever can, should lead.
     pub(super) fn on_disk_sick(&mut self, now: Millis) {
         self.sick_until = now + SICK_FOR;
@@ -20,15 +20,15 @@
     pub(super) fn hand_over_if_disk_sick(&mut self, now: Millis) {
         let replica = self.shards.configuration_replica();
         if now < self.sick_until && replica.is_leader() {
-            replica.hand_over(now);
+            replica.transfer_leadership(now);
         }
     }
 
     /// Lets other voters lead.
-    pub(super) fn hand_over(&mut self, now: Millis) {
+    pub(super) fn transfer_leadership(&mut self, now: Millis) {
         for shard in self.shards.numbers() {
             if let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) {
-                replica.hand_over(now);
+                replica.transfer_leadership(now);
             }
         }
     }
--- a/coordinator/src/core/memory.rs
+++ b/coordinator/src/core/memory.rs
@@ -5,9 +5,9 @@
 //! the first request, which goes to another one.
 
 use shaletrail_cluster::Directory;
-use shaletrail_protocol::inside::{DirectoryCursor, ServerRecord};
+use shaletrail_protocol::internal::{DirectoryCursor, ServerRecord};
 use shaletrail_protocol::Millis;
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 /// The stream of the journal that holds the directory; shards have the lower ones.
 pub const STREAM: u32 = 1_000;
@@ -26,7 +26,7 @@
 
 impl DirectoryMemory {
     /// What the journal held, if anything; the records of the shards stay in `stored`.
-    pub fn take_from(stored: &mut Vec<Stored>) -> Vec<ServerRecord> {
+    pub fn take_from(stored: &mut Vec<StoredRecord>) -> Vec<ServerRecord> {
         let mut newest = None;
         stored.retain(|record| {
             if record.stream == STREAM {
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! Every decision of a coordinator, as a sans-IO state machine.
 //!
 //! Wanted state and reconcile loops: what heartbeats, operators and edges want is kept by the parts (shards,
-//! directory, planners), and each event ends with [`Core::settle`], which works out what is still to be done and
+//! directory, planners), and each event ends with [`Coordinator::settle`], which works out what is still to be done and
 //! answers whoever waits for what has come about.
 
 pub mod demand;
@@ -21,22 +21,22 @@
 
 use shaletrail_cluster::directory::{self, CallToken, Directory};
 use shaletrail_cluster::{membership, Membership};
-use shaletrail_protocol::inside::CoreMessage;
+use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
-use crate::interface::{Action, CallId, CoreOptions, Event, OrderId};
-use demand::{Edges, Gathered, SharingTimes};
+use crate::interface::{Action, CallId, CoordinatorOptions, Event, OrderId};
+use demand::{AggregatedDemand, DemandBroadcastSchedule, Edges};
 use memory::DirectoryMemory;
 use operator::{Caller, OperatorCalls, Ticket};
-use orders::Holders;
-use polls::HeldPolls;
+use orders::OrderLeases;
+use polls::PendingPolls;
 use shards::Shards;
-use touch::VersionsElsewhere;
+use touch::PeerVersions;
 
 /// A coordinator's decisions.
-pub struct Core {
-    options: CoreOptions,
+pub struct Coordinator {
+    options: CoordinatorOptions,
     membership: Membership,
     directory: Directory,
     directory_memory: DirectoryMemory,
@@ -44,16 +44,16 @@
     operator_calls: OperatorCalls,
     /// Calls of servers that wait until a majority knows what they say.
     server_calls: HashMap<CallToken, CallId>,
-    polls: HeldPolls,
+    polls: PendingPolls,
     edges: Edges,
-    gathered: Gathered,
-    sharing_times: SharingTimes,
-    holders: Holders,
+    gathered: AggregatedDemand,
+    sharing_times: DemandBroadcastSchedule,
+    holders: OrderLeases,
     /// Whether a majority of the configuration's voters has answered this node of late.
     in_touch: bool,
     /// Whether that has ever been so since the start.
     was_in_touch: bool,
-    versions_elsewhere: VersionsElsewhere,
+    versions_elsewhere: PeerVersions,
     /// The disk counts as sick until then.
     sick_until: Millis,
     /// When the voters are looked at next.
@@ -64,9 +64,9 @@
     startup_actions: Vec<Action>,
 }
 
-impl Core {
+impl Coordinator {
     /// A coordinator with what its disk held.
-    pub fn new(options: CoreOptions, mut stored: Vec<Stored>, now: Millis) -> Self {
+    pub fn new(options: CoordinatorOptions, mut stored: Vec<StoredRecord>, now: Millis) -> Self {
         let mut startup_actions = Vec::new();
         let remembered = DirectoryMemory::take_from(&mut stored);
         let shards = Shards::new(&options, stored, now, &mut startup_actions);
@@ -77,22 +77,22 @@
         let directory_options = directory::Options::for_heartbeat(heartbeat);
         let mut directory = Directory::new(directory_options, options.node, options.incarnation, now);
         directory.restore(now, remembered);
-        let holders = Holders::new(&options);
-        Core {
+        let holders = OrderLeases::new(&options);
+        Coordinator {
             membership,
             directory,
             directory_memory: DirectoryMemory::default(),
             shards,
             operator_calls: OperatorCalls::of_start(options.incarnation),
             server_calls: HashMap::new(),
-            polls: HeldPolls::default(),
+            polls: PendingPolls::default(),
             edges: Edges::new(options.retry_window.as_millis() as Millis, now),
-            gathered: Gathered::default(),
-            sharing_times: SharingTimes::new(now),
+            gathered: AggregatedDemand::default(),
+            sharing_times: DemandBroadcastSchedule::new(now),
             holders,
             in_touch: false,
             was_in_touch: false,
-            versions_elsewhere: VersionsElsewhere::default(),
+            versions_elsewhere: PeerVersions::default(),
             sick_until: 0,
             next_voter_review: now,
             announced_version: 0,
@@ -107,11 +107,11 @@
         match event {
             Event::Tick => self.tick(now),
             Event::Message { from, message } => self.receive(now, from, message, actions),
-            Event::Stored { ticket, wants_checkpoint } => {
+            Event::Persisted { ticket, wants_checkpoint } => {
                 self.shards.stored(now, ticket);
                 self.checkpoint_if(wants_checkpoint, actions);
             }
-            Event::DiskSick { wants_checkpoint } => {
+            Event::DiskDegraded { wants_checkpoint } => {
                 self.on_disk_sick(now);
                 self.checkpoint_if(wants_checkpoint, actions);
             }
@@ -119,13 +119,13 @@
             Event::Deregister { call, id } => self.deregister(now, call, id),
             Event::Operator { call, operator } => self.operate(now, Caller::Here(call), operator, actions),
             Event::Poll { call, edge, request } => self.poll(now, call, edge, request),
-            Event::PollLeft(call) => drop(self.polls.remove(call)),
+            Event::PollCancelled(call) => drop(self.polls.remove(call)),
             Event::EdgeReport { edge, demand } => self.gather(edge, demand, Vec::new()),
-            Event::EdgeLeft(node) => self.edges.left(node),
+            Event::EdgeDisconnected(node) => self.edges.left(node),
             Event::Ordered { order, outcome } => self.holders.ordered(now, order, outcome),
             Event::Reported { server, report } => self.holders.reported(now, &server, report),
             Event::Stopping => {
-                self.hand_over(now);
+                self.transfer_leadership(now);
                 self.membership.leave(now);
             }
             Event::Seeds(seeds) => self.membership.add_seeds(&seeds),
@@ -163,7 +163,7 @@
     }
 
     /// Whether this node reaches a majority of the voters.
-    pub fn is_in_touch(&self) -> bool {
+    pub fn has_quorum_contact(&self) -> bool {
         self.in_touch
     }
 
@@ -174,21 +174,23 @@
         self.edges.tick(now);
     }
 
-    fn receive(&mut self, now: Millis, from: NodeId, message: CoreMessage, actions: &mut Vec<Action>) {
+    fn receive(&mut self, now: Millis, from: NodeId, message: CoordinatorMessage, actions: &mut Vec<Action>) {
         match message {
-            CoreMessage::Membership(message) => self.membership.receive(now, from, message),
-            CoreMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
-            CoreMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
-            CoreMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
-            CoreMessage::Forward { call, change } => {
+            CoordinatorMessage::Membership(message) => self.membership.receive(now, from, message),
+            CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
+            CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
+            CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
+            CoordinatorMessage::Forward { call, change } => {
                 self.operate(now, Caller::Node { node: from, call }, change, actions)
             }
-            CoreMessage::Forwarded { call, answer } => self.forwarded(from, Ticket(call), answer, actions),
-            CoreMessage::Demand { edges, reports, .. } => {
+            CoordinatorMessage::Forwarded { call, answer } => {
+                self.forwarded(from, Ticket(call), answer, actions)
+            }
+            CoordinatorMessage::Demand { edges, reports, .. } => {
                 self.edges.told(edges, now);
                 self.holders.demand(now, &reports);
             }
-            CoreMessage::InForce { version } => self.versions_elsewhere.told(now, from, version),
+            CoordinatorMessage::InForce { version } => self.versions_elsewhere.told(now, from, version),
         }
     }
 
@@ -212,18 +214,18 @@
     }
 
     /// Sends a message to all other coordinators that take part as far as this one knows.
-    fn send_to_others(&self, message: &CoreMessage, actions: &mut Vec<Action>) {
+    fn send_to_others(&self, message: &CoordinatorMessage, actions: &mut Vec<Action>) {
         let others = self.coordinators().into_iter().filter(|node| *node != self.options.node);
         actions.extend(others.map(|to| Action::Send { to, message: message.clone() }));
     }
 
     fn send_from_parts(&mut self, actions: &mut Vec<Action>) {
         for (to, message) in self.membership.take_sends() {
-            actions.push(Action::Send { to, message: CoreMessage::Membership(message) });
+            actions.push(Action::Send { to, message: CoordinatorMessage::Membership(message) });
         }
         for (to, message) in self.directory.take_sends() {
             let body = bitcode::encode(&message);
-            actions.push(Action::Send { to, message: CoreMessage::Directory { body } });
+            actions.push(Action::Send { to, message: CoordinatorMessage::Directory { body } });
         }
     }
 
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -2,17 +2,17 @@
 
 mod table;
 
-use shaletrail_configuration::{Change, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome};
 use shaletrail_consensus::Replica;
-use shaletrail_protocol::inside::{CoreMessage, OperatorAnswer, OperatorCall};
+use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::Core;
+use super::Coordinator;
 use crate::interface::Action;
 
 pub use table::{Caller, OperatorCalls, Pending, Stage, Ticket};
 
-impl Core {
+impl Coordinator {
     pub(super) fn operate(
         &mut self,
         now: Millis,
@@ -22,12 +22,12 @@
     ) {
         if let OperatorCall::Change { whole, base, body } = &call {
             if let Err(invalid) = Change::parse(*whole, *base, body) {
-                let answer = OperatorAnswer::Invalid { reason: invalid.to_string() };
+                let answer = OperatorResponse::Invalid { reason: invalid.to_string() };
                 return answer_caller(caller, answer, actions);
             }
         }
         if self.operator_calls.add(now, caller, call).is_none() {
-            answer_caller(caller, OperatorAnswer::Unavailable, actions);
+            answer_caller(caller, OperatorResponse::Unavailable, actions);
         }
     }
 
@@ -46,13 +46,13 @@
                     pending.stage = stage;
                 }
             } else if let (Some(leader), Caller::Here(_)) = (leader, pending.caller) {
-                let forward = CoreMessage::Forward { call: ticket.0, change: pending.call.clone() };
+                let forward = CoordinatorMessage::Forward { call: ticket.0, change: pending.call.clone() };
                 actions.push(Action::Send { to: leader, message: forward });
                 pending.stage = Stage::Forwarded(leader);
             }
         }
         for ticket in self.operator_calls.find(|pending| pending.until <= now) {
-            self.end_call(ticket, OperatorAnswer::Unavailable, actions);
+            self.end_call(ticket, OperatorResponse::Unavailable, actions);
         }
     }
 
@@ -60,7 +60,7 @@
         &mut self,
         from: NodeId,
         ticket: Ticket,
-        answer: OperatorAnswer,
+        answer: OperatorResponse,
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.operator_calls.get_mut(ticket) else { return };
@@ -70,7 +70,13 @@
         self.end_call(ticket, answer, actions);
     }
 
-    pub(super) fn judged(&mut self, index: u64, term: u64, judgement: Judgement, actions: &mut Vec<Action>) {
+    pub(super) fn judged(
+        &mut self,
+        index: u64,
+        term: u64,
+        judgement: ChangeOutcome,
+        actions: &mut Vec<Action>,
+    ) {
         for ticket in self.operator_calls.decided(index, term) {
             let Some(pending) = self.operator_calls.get_mut(ticket) else { continue };
             let answer = answer_of(&judgement, &pending.call);
@@ -82,13 +88,13 @@
         let ticket = Ticket(token);
         if confirmed {
             let body = self.shards.configuration().read();
-            self.end_call(ticket, OperatorAnswer::Done { body }, actions);
+            self.end_call(ticket, OperatorResponse::Done { body }, actions);
         } else if let Some(pending) = self.operator_calls.get_mut(ticket) {
             pending.stage = Stage::Waiting;
         }
     }
 
-    fn end_call(&mut self, ticket: Ticket, answer: OperatorAnswer, actions: &mut Vec<Action>) {
+    fn end_call(&mut self, ticket: Ticket, answer: OperatorResponse, actions: &mut Vec<Action>) {
         if let Some(pending) = self.operator_calls.remove(ticket) {
             answer_caller(pending.caller, answer, actions);
         }
@@ -111,22 +117,22 @@
 /// What a judgement tells the operator. A refusal must be final, as the same call may still be on its way to another
 /// node: one that builds on an older version can never be taken, but one that builds on a version that is yet to
 /// come can, so it gets no clear answer.
-fn answer_of(judgement: &Judgement, call: &OperatorCall) -> OperatorAnswer {
+fn answer_of(judgement: &ChangeOutcome, call: &OperatorCall) -> OperatorResponse {
     let builds_after = |version: u64| matches!(call, OperatorCall::Change { base, .. } if *base > version);
     match judgement {
-        Judgement::Apply | Judgement::Repeated => OperatorAnswer::Done { body: b"{}".to_vec() },
-        Judgement::Forgotten => OperatorAnswer::Unavailable,
-        Judgement::Conflict { current } if builds_after(*current) => OperatorAnswer::Unavailable,
-        Judgement::Conflict { current } => OperatorAnswer::Conflict { current: *current },
-        Judgement::Invalid(invalid) => OperatorAnswer::Invalid { reason: invalid.to_string() },
+        ChangeOutcome::Accepted | ChangeOutcome::Duplicate => OperatorResponse::Done { body: b"{}".to_vec() },
+        ChangeOutcome::Expired => OperatorResponse::Unavailable,
+        ChangeOutcome::Conflict { current } if builds_after(*current) => OperatorResponse::Unavailable,
+        ChangeOutcome::Conflict { current } => OperatorResponse::Conflict { current: *current },
+        ChangeOutcome::Invalid(invalid) => OperatorResponse::Invalid { reason: invalid.to_string() },
     }
 }
 
-fn answer_caller(caller: Caller, answer: OperatorAnswer, actions: &mut Vec<Action>) {
+fn answer_caller(caller: Caller, answer: OperatorResponse, actions: &mut Vec<Action>) {
     match caller {
-        Caller::Here(call) => actions.push(Action::AnswerOperator { call, answer }),
+        Caller::Here(call) => actions.push(Action::RespondToOperator { call, answer }),
         Caller::Node { node, call } => {
-            actions.push(Action::Send { to: node, message: CoreMessage::Forwarded { call, answer } })
+            actions.push(Action::Send { to: node, message: CoordinatorMessage::Forwarded { call, answer } })
         }
     }
 }
--- a/coordinator/src/core/operator/table.rs
+++ b/coordinator/src/core/operator/table.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::OperatorCall;
+use shaletrail_protocol::internal::OperatorCall;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 use shaletrail_ring::mix;
 
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -6,20 +6,20 @@
 //! was elected. Once it has waited, the holder says so by a second entry; only then may it, elected again, go on at
 //! once.
 //!
-//! The driver asks [`Holders::may_write`] as the last thing before an order's bytes go to the socket.
+//! The driver asks [`OrderLeases::may_write`] as the last thing before an order's bytes go to the socket.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use shaletrail_cluster::Directory;
 use shaletrail_configuration::{Runtime, View};
 use shaletrail_placement::{Catalogue, ModelSpec, OrderNumber, PlannedOrder, Planner};
-use shaletrail_protocol::inside::{EdgeReport, PlacementNote, ServerRecord};
-use shaletrail_protocol::outside::{HeldModel, Operation, Order, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, Order, Report};
+use shaletrail_protocol::internal::{EdgeReport, PlacementOverlay, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
-use super::service_state::{Holder, ServiceState, Turn};
+use super::service_state::{LeaseHolder, ServiceState, Turn};
 use super::shards::{shard_of, Shards};
-use crate::interface::{Action, CoreOptions, OrderId, OrderOutcome};
+use crate::interface::{Action, CoordinatorOptions, OrderId, OrderOutcome};
 
 /// Between two looks at what is to be ordered.
 const PLAN_EVERY: Millis = 100;
@@ -47,7 +47,7 @@
     /// The turn, once it has begun.
     turn: Option<OwnTurn>,
     /// Whether the end of the wait is in the log, or need not be.
-    told_waited: bool,
+    wait_committed: bool,
 }
 
 /// A turn of this node.
@@ -71,7 +71,7 @@
 }
 
 /// What this node orders.
-pub struct Holders {
+pub struct OrderLeases {
     node: NodeId,
     name: String,
     order_lease: Millis,
@@ -88,10 +88,10 @@
     next_heartbeats: Millis,
 }
 
-impl Holders {
+impl OrderLeases {
     /// A node that holds nothing yet.
-    pub fn new(options: &CoreOptions) -> Self {
-        Holders {
+    pub fn new(options: &CoordinatorOptions) -> Self {
+        OrderLeases {
             node: options.node,
             name: options.name.clone(),
             order_lease: options.order_lease.as_millis() as Millis,
@@ -111,7 +111,7 @@
     /// This node leads a shard.
     pub fn elected(&mut self, now: Millis, shard: u32, term: u64) {
         let leadership =
-            Leadership { term, elected_at: now, proposed: false, turn: None, told_waited: false };
+            Leadership { term, elected_at: now, proposed: false, turn: None, wait_committed: false };
         self.leaderships.insert(shard, leadership);
     }
 
@@ -133,7 +133,7 @@
             // The former's lease was over when this node was elected.
             Some(_) => (leadership.elected_at + self.order_lease + TURN_MARGIN, Some(leadership.elected_at)),
         };
-        leadership.told_waited = !turn.must_wait;
+        leadership.wait_committed = !turn.must_wait;
         leadership.turn = Some(OwnTurn { allowed_from, former_until });
         for (_, planner) in self.planners.iter_mut().filter(|(service, _)| shard_of(service) == shard) {
             planner.take_over(now, former_until);
@@ -254,7 +254,7 @@
     fn propose_turns(&mut self, now: Millis, shards: &mut Shards) {
         for (shard, leadership) in self.leaderships.iter_mut().filter(|(_, leadership)| !leadership.proposed)
         {
-            let holder = Holder { node: self.node, fence: leadership.term };
+            let holder = LeaseHolder { node: self.node, fence: leadership.term };
             if *shard == super::shards::CONFIGURATION {
                 leadership.proposed = true;
             } else if let Some(replica) = shards.replica_mut(*shard) {
@@ -267,12 +267,13 @@
     fn tell_waited(&mut self, now: Millis, shards: &mut Shards) {
         for (shard, leadership) in &mut self.leaderships {
             let over = leadership.turn.is_some_and(|turn| turn.allowed_from <= now);
-            if !over || leadership.told_waited {
+            if !over || leadership.wait_committed {
                 continue;
             }
-            let holder = Holder { node: self.node, fence: leadership.term };
+            let holder = LeaseHolder { node: self.node, fence: leadership.term };
             if let Some(replica) = shards.replica_mut(*shard) {
-                leadership.told_waited = replica.propose(now, ServiceState::waited_command(holder)).is_ok();
+                leadership.wait_committed =
+                    replica.propose(now, ServiceState::waited_command(holder)).is_ok();
             }
         }
     }
@@ -315,9 +316,9 @@
         let of_service = directory.records().filter(|record| record.heartbeat.service == service);
         let changed = of_service
             .filter_map(|record| Some((record.id.clone(), contents_note(now, planner, record, fence)?)));
-        let notes: Vec<(ServerId, PlacementNote)> = changed.collect();
+        let notes: Vec<(ServerId, PlacementOverlay)> = changed.collect();
         for (server, note) in notes {
-            directory.set_note(now, &server, note);
+            directory.set_placement_overlay(now, &server, note);
         }
     }
 
@@ -325,7 +326,7 @@
         let Some(planner) = self.planners.get_mut(service) else { return };
         for server in planner.next_reports(now) {
             if let Some(record) = directory.record(&server) {
-                actions.push(Action::AskReport { server, address: record.heartbeat.address.clone() });
+                actions.push(Action::FetchReport { server, address: record.heartbeat.address.clone() });
             }
         }
     }
@@ -373,7 +374,12 @@
 }
 
 /// The note that a server's record needs, if it is not the one that it has.
-fn contents_note(now: Millis, planner: &Planner, record: &ServerRecord, fence: u64) -> Option<PlacementNote> {
+fn contents_note(
+    now: Millis,
+    planner: &Planner,
+    record: &ServerRecord,
+    fence: u64,
+) -> Option<PlacementOverlay> {
     let served = planner.served(now, &record.id)?;
     let said = record.heartbeat.models.as_deref()?;
     let adding = beyond(&served, said);
@@ -389,11 +395,11 @@
         return None;
     }
     let number = if known.fence == fence { known.number + 1 } else { 1 };
-    Some(PlacementNote { fence, number, adding, dropping })
+    Some(PlacementOverlay { fence, number, adding, dropping })
 }
 
 /// Models and adapters of one list that another lacks. A model that the other has stands there for its adapters only.
-fn beyond(these: &[HeldModel], those: &[HeldModel]) -> Vec<HeldModel> {
+fn beyond(these: &[LoadedModel], those: &[LoadedModel]) -> Vec<LoadedModel> {
     let mut more = Vec::new();
     for held in these {
         match those.iter().find(|other| other.name == held.name) {
@@ -406,7 +412,7 @@
                     .cloned()
                     .collect();
                 if !adapters.is_empty() {
-                    more.push(HeldModel { adapters, ..held.clone() });
+                    more.push(LoadedModel { adapters, ..held.clone() });
                 }
             }
         }
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -2,21 +2,21 @@
 
 mod table;
 
-use shaletrail_protocol::inside::{EdgeIdentity, PollReply, PollRequest};
+use shaletrail_protocol::internal::{EdgeIdentity, PollRequest, PollResponse};
 use shaletrail_protocol::Millis;
 
 use super::demand;
-use super::Core;
+use super::Coordinator;
 use crate::interface::{Action, CallId};
 
-pub use table::{HeldPoll, HeldPolls};
+pub use table::{PendingPoll, PendingPolls};
 
-impl Core {
+impl Coordinator {
     pub(super) fn poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
         self.edges.polled(edge.node, now);
         self.gather(edge.node, request.demand, request.observed);
-        let due = now + Millis::from(request.hold_ms);
-        let poll = HeldPoll {
+        let due = now + Millis::from(request.max_wait_ms);
+        let poll = PendingPoll {
             edge: edge.node,
             config_version: request.config_version,
             cursor: request.cursor,
@@ -29,7 +29,7 @@
     pub(super) fn answer_polls(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let version = self.configuration_version();
         let cursor = self.directory.cursor();
-        let due = |poll: &HeldPoll| {
+        let due = |poll: &PendingPoll| {
             poll.due <= now
                 || poll.config_version < version
                 || poll.cursor != cursor
@@ -38,19 +38,19 @@
         for call in self.polls.find(due) {
             let Some(poll) = self.polls.remove(call) else { continue };
             let reply = Box::new(self.reply_to(now, &poll));
-            actions.push(Action::AnswerPoll { call, reply });
+            actions.push(Action::RespondToPoll { call, reply });
         }
     }
 
-    fn reply_to(&self, now: Millis, poll: &HeldPoll) -> PollReply {
+    fn reply_to(&self, now: Millis, poll: &PendingPoll) -> PollResponse {
         if !self.may_inform(now, poll.config_version) {
             return self.turn_away(poll);
         }
         let news = self.directory.since(poll.cursor);
         let edges = self.edges.list();
         let edge_list = demand::list_name(&edges);
-        PollReply {
-            config: self.shards.configuration().news_since(poll.config_version),
+        PollResponse {
+            config: self.shards.configuration().updates_since(poll.config_version),
             servers: news.records,
             // A young node has not heard of all servers: what it doesn't know may be there all the same.
             whole: news.whole && !self.directory.is_young(now),
@@ -66,12 +66,12 @@
     /// What this node knows may be out of date: the edge asks another, and keeps what it has. That holds for one
     /// that has just started and has nothing as well: without a configuration it refuses all requests for a
     /// moment, while with an old one it would go by routes that are no longer in force.
-    fn turn_away(&self, poll: &HeldPoll) -> PollReply {
-        PollReply {
+    fn turn_away(&self, poll: &PendingPoll) -> PollResponse {
+        PollResponse {
             cursor: poll.cursor,
             coordinators: self.coordinators(),
             isolated: true,
-            ..PollReply::default()
+            ..PollResponse::default()
         }
     }
 }
--- a/coordinator/src/core/polls/table.rs
+++ b/coordinator/src/core/polls/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::DirectoryCursor;
+use shaletrail_protocol::internal::DirectoryCursor;
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::interface::CallId;
@@ -14,7 +14,7 @@
 
 /// A poll that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldPoll {
+pub struct PendingPoll {
     /// Whose.
     pub edge: NodeId,
     /// The configuration in force there.
@@ -29,13 +29,13 @@
 
 /// All polls that wait.
 #[derive(Debug, Default)]
-pub struct HeldPolls {
-    waiting: BTreeMap<CallId, HeldPoll>,
+pub struct PendingPolls {
+    waiting: BTreeMap<CallId, PendingPoll>,
 }
 
-impl HeldPolls {
+impl PendingPolls {
     /// Takes a poll in; false if too many wait.
-    pub fn add(&mut self, now: Millis, call: CallId, mut poll: HeldPoll) -> bool {
+    pub fn add(&mut self, now: Millis, call: CallId, mut poll: PendingPoll) -> bool {
         if self.waiting.len() >= MOST_POLLS {
             return false;
         }
@@ -45,12 +45,12 @@
     }
 
     /// Takes a poll out, to be answered or as its caller has left.
-    pub fn remove(&mut self, call: CallId) -> Option<HeldPoll> {
+    pub fn remove(&mut self, call: CallId) -> Option<PendingPoll> {
         self.waiting.remove(&call)
     }
 
     /// The polls for which something holds.
-    pub fn find(&self, holds: impl Fn(&HeldPoll) -> bool) -> Vec<CallId> {
+    pub fn find(&self, holds: impl Fn(&PendingPoll) -> bool) -> Vec<CallId> {
         self.waiting.iter().filter(|(_, poll)| holds(poll)).map(|(call, _)| *call).collect()
     }
 }
--- a/coordinator/src/core/progress.rs
+++ b/coordinator/src/core/progress.rs
@@ -4,10 +4,10 @@
 
 use super::operator::Stage;
 use super::shards::{Done, CONFIGURATION};
-use super::Core;
+use super::Coordinator;
 use crate::interface::{Action, Note};
 
-impl Core {
+impl Coordinator {
     pub(super) fn run_shards(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for done in self.shards.pump(actions) {
             match done {
--- a/coordinator/src/core/servers.rs
+++ b/coordinator/src/core/servers.rs
@@ -1,14 +1,14 @@
 //! Calls of servers, and what coordinators tell each other of them.
 
-use shaletrail_cluster::directory::{CallToken, DirectoryMessage, Settlement};
-use shaletrail_protocol::inside::CoreMessage;
-use shaletrail_protocol::outside::Heartbeat;
+use shaletrail_cluster::directory::{CallOutcome, CallToken, DirectoryMessage};
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
-use super::Core;
+use super::Coordinator;
 use crate::interface::{Action, CallId};
 
-impl Core {
+impl Coordinator {
     pub(super) fn heartbeat(
         &mut self,
         now: Millis,
@@ -21,7 +21,7 @@
             Some(token) => self.wait_for_majority(call, token),
             None => {
                 let taken = !self.has_lost_touch(now);
-                actions.push(Action::AnswerServer { call, taken });
+                actions.push(Action::RespondToServer { call, taken });
             }
         }
     }
@@ -36,7 +36,7 @@
         match bitcode::decode(body) {
             Ok(DirectoryMessage::Batch { batch, records }) => {
                 let batch = self.directory.merge(now, from, batch, records);
-                actions.push(Action::Send { to: from, message: CoreMessage::DirectoryAck { batch } });
+                actions.push(Action::Send { to: from, message: CoordinatorMessage::DirectoryAck { batch } });
             }
             Ok(DirectoryMessage::Digest { servers }) => self.directory.receive_digest(now, from, servers),
             Ok(DirectoryMessage::Ask { servers }) => self.directory.receive_ask(now, from, servers),
@@ -45,13 +45,13 @@
     }
 
     pub(super) fn answer_servers(&mut self, actions: &mut Vec<Action>) {
-        for settlement in self.directory.take_settled() {
+        for settlement in self.directory.take_completed_calls() {
             let (token, taken) = match settlement {
-                Settlement::Settled(token) => (token, true),
-                Settlement::Failed(token) => (token, false),
+                CallOutcome::Settled(token) => (token, true),
+                CallOutcome::Failed(token) => (token, false),
             };
             if let Some(call) = self.server_calls.remove(&token) {
-                actions.push(Action::AnswerServer { call, taken });
+                actions.push(Action::RespondToServer { call, taken });
             }
         }
     }
--- a/coordinator/src/core/service_state.rs
+++ b/coordinator/src/core/service_state.rs
@@ -5,7 +5,7 @@
 
 /// A holder of the right to order, with its fence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
-pub struct Holder {
+pub struct LeaseHolder {
     /// The node.
     pub node: NodeId,
     /// Its fence: the term in which it leads the shard, so that it rises with each holder.
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 enum Command {
     /// A holder's turn begins.
-    Begin(Holder),
+    Begin(LeaseHolder),
     /// The holder has waited until the orders of the one before it are over: it orders from now on.
-    Waited(Holder),
+    Waited(LeaseHolder),
 }
 
 /// The state machine of a service shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct ServiceState {
-    holder: Option<Holder>,
+    holder: Option<LeaseHolder>,
     /// Whether no other node's orders may be less than a lease old. A holder that was replaced by itself before it had
     /// waited has to wait like one that follows another node.
     waited: bool,
@@ -34,21 +34,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
     /// Who holds the right now.
-    pub holder: Holder,
+    pub holder: LeaseHolder,
     /// Who held it before.
-    pub previous: Option<Holder>,
+    pub previous: Option<LeaseHolder>,
     /// Whether another node's orders may be less than a lease old.
     pub must_wait: bool,
 }
 
 impl ServiceState {
     /// The command that begins a holder's turn.
-    pub fn command(holder: Holder) -> Vec<u8> {
+    pub fn command(holder: LeaseHolder) -> Vec<u8> {
         bitcode::encode(&Command::Begin(holder))
     }
 
     /// The command by which a holder tells that it has waited.
-    pub fn waited_command(holder: Holder) -> Vec<u8> {
+    pub fn waited_command(holder: LeaseHolder) -> Vec<u8> {
         bitcode::encode(&Command::Waited(holder))
     }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    fn begin(&mut self, holder: Holder) -> Option<Turn> {
+    fn begin(&mut self, holder: LeaseHolder) -> Option<Turn> {
         let previous = self.holder;
         if previous.is_some_and(|previous| previous.fence >= holder.fence) {
             return None;
@@ -77,7 +77,7 @@
     }
 
     /// Who began the last turn.
-    pub fn holder(&self) -> Option<Holder> {
+    pub fn holder(&self) -> Option<LeaseHolder> {
         self.holder
     }
 
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -2,14 +2,14 @@
 
 use std::collections::VecDeque;
 
-use shaletrail_configuration::{ConfigState, Judgement};
+use shaletrail_configuration::{ChangeOutcome, ConfigState};
 use shaletrail_consensus::{Effect, Entry, Message, Options, Payload, Record, Replica};
-use shaletrail_protocol::inside::CoreMessage;
+use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 use super::service_state::{ServiceState, Turn};
-use crate::interface::{Action, CoreOptions, Note};
+use crate::interface::{Action, CoordinatorOptions, Note};
 
 /// The shard of the configuration.
 pub const CONFIGURATION: u32 = 0;
@@ -85,7 +85,7 @@
         /// Its term.
         term: u64,
         /// The judgement.
-        judgement: Judgement,
+        judgement: ChangeOutcome,
     },
     /// The configuration may have changed without an entry being applied here.
     Installed,
@@ -146,10 +146,15 @@
 
 impl Shards {
     /// The shards as the disk held them.
-    pub fn new(options: &CoreOptions, stored: Vec<Stored>, now: Millis, actions: &mut Vec<Action>) -> Self {
+    pub fn new(
+        options: &CoordinatorOptions,
+        stored: Vec<StoredRecord>,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) -> Self {
         let mut records: Vec<Vec<Record>> = (0..=SERVICE_SHARDS).map(|_| Vec::new()).collect();
         let mut unreadable = vec![false; records.len()];
-        for Stored { stream, bytes, .. } in stored {
+        for StoredRecord { stream, bytes, .. } in stored {
             let Some(of_shard) = records.get_mut(stream as usize) else { continue };
             match Record::decode(&bytes) {
                 Ok(record) => of_shard.push(record),
@@ -163,9 +168,9 @@
                 of_shard.clear();
                 actions.push(Action::Note(Note::Unreadable { shard: shard as u32 }));
             }
-            let forgetful = !options.bootstrap || is_unreadable;
+            let recovering = !options.bootstrap || is_unreadable;
             let seed = options.seed.wrapping_add(shard as u64);
-            let replica_options = Options { forgetful, ..Options::new(options.node, seed) };
+            let replica_options = Options { recovering, ..Options::new(options.node, seed) };
             let mut replica = Replica::new(replica_options, of_shard, now);
             if options.bootstrap && options.seeds.contains(&options.node) {
                 replica.found(now, &options.seeds);
@@ -308,14 +313,14 @@
         match effect {
             Effect::Send(to, message) => {
                 let body = bitcode::encode(&message);
-                actions.push(Action::Send { to, message: CoreMessage::Shard { shard, body } });
+                actions.push(Action::Send { to, message: CoordinatorMessage::Shard { shard, body } });
             }
             Effect::Persist { ticket, records } => {
                 self.gathered.extend(records.iter().map(|record| (shard, record.encode())));
                 tickets.push((number, ticket));
             }
             Effect::Apply(entry) => done.extend(self.shards[number].apply(shard, entry)),
-            Effect::Install(snapshot) => {
+            Effect::InstallSnapshot(snapshot) => {
                 if self.shards[number].machine.restore(&snapshot.state) || snapshot.state.is_empty() {
                     self.hasten_if_holder(number);
                     done.push(Done::Installed);
--- a/coordinator/src/core/touch.rs
+++ b/coordinator/src/core/touch.rs
@@ -7,11 +7,11 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::CoreMessage;
+use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::shards::CONFIGURATION;
-use super::Core;
+use super::Coordinator;
 use crate::interface::{Action, Note};
 
 /// A node whose newest ping that a majority of the voters has answered is older than this is out of touch.
@@ -27,7 +27,7 @@
 
 /// The versions that are in force at other coordinators, as they told.
 #[derive(Debug, Default)]
-pub struct VersionsElsewhere {
+pub struct PeerVersions {
     told: BTreeMap<NodeId, (u64, Millis)>,
     /// Since when a later version than the own one has been known to be in force elsewhere.
     behind_since: Option<Millis>,
@@ -36,7 +36,7 @@
     next_telling: Millis,
 }
 
-impl VersionsElsewhere {
+impl PeerVersions {
     /// Another coordinator tells its version.
     pub fn told(&mut self, now: Millis, by: NodeId, version: u64) {
         if self.told.len() < MOST_TELLING || self.told.contains_key(&by) {
@@ -75,7 +75,7 @@
     }
 }
 
-impl Core {
+impl Coordinator {
     /// Whether an edge may go by what this node knows. Where it may not, it is sent to another one. An edge that
     /// has no configuration yet, version 0, is not given one that is known to be old.
     pub(super) fn may_inform(&self, now: Millis, config_version: u64) -> bool {
@@ -88,7 +88,7 @@
     /// then sent to another node, as the others do not hear of them from here. One that has just started takes what
     /// it hears.
     pub(super) fn has_lost_touch(&self, now: Millis) -> bool {
-        self.was_in_touch && !self.answers_majority(now, &self.configuration_voters())
+        self.was_in_touch && !self.reaches_quorum_of(now, &self.configuration_voters())
     }
 
     fn configuration_voters(&self) -> Vec<NodeId> {
@@ -96,20 +96,20 @@
         shard.map(|shard| shard.replica.voters().members().collect()).unwrap_or_default()
     }
 
-    fn answers_majority(&self, now: Millis, voters: &[NodeId]) -> bool {
-        !voters.is_empty() && self.membership.answers_majority(now, voters, OUT_OF_TOUCH)
+    fn reaches_quorum_of(&self, now: Millis, voters: &[NodeId]) -> bool {
+        !voters.is_empty() && self.membership.has_quorum_contact(now, voters, OUT_OF_TOUCH)
     }
 
     pub(super) fn update_touch(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let voters = self.configuration_voters();
-        let in_touch = self.answers_majority(now, &voters);
+        let in_touch = self.reaches_quorum_of(now, &voters);
         if in_touch != self.in_touch {
             self.in_touch = in_touch;
             self.was_in_touch |= in_touch;
             self.edges.touch_changed(now);
             actions.push(Action::Note(Note::InTouch(in_touch)));
         }
-        self.directory.set_in_touch(now, in_touch);
+        self.directory.set_quorum_contact(now, in_touch);
         self.membership.watch(&self.shards.voters());
         self.directory.set_voters(&voters);
     }
@@ -128,7 +128,8 @@
             // It may have started with old state. It is told before its ping is answered, so that it knows of the
             // versions of all those whose answers put it in touch.
             if member.node != self.options.node {
-                actions.push(Action::Send { to: member.node, message: CoreMessage::InForce { version } });
+                actions
+                    .push(Action::Send { to: member.node, message: CoordinatorMessage::InForce { version } });
             }
         }
     }
@@ -138,7 +139,7 @@
         let version = self.configuration_version();
         self.versions_elsewhere.compare(now, version);
         if self.versions_elsewhere.take_telling(now, version) {
-            self.send_to_others(&CoreMessage::InForce { version }, actions);
+            self.send_to_others(&CoordinatorMessage::InForce { version }, actions);
         }
     }
 }
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -2,10 +2,10 @@
 
 use shaletrail_cluster::Membership;
 use shaletrail_consensus::{Index, Replica};
-use shaletrail_protocol::inside::MemberState;
+use shaletrail_protocol::internal::MemberState;
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::Core;
+use super::Coordinator;
 use crate::interface::{Action, Note};
 
 /// Between two looks at who should vote.
@@ -61,7 +61,7 @@
         let _ = replica.add_learner(node);
     }
     for learner in replica.learners() {
-        if matches!(membership.state(learner), None | Some(MemberState::Absent)) {
+        if matches!(membership.state(learner), None | Some(MemberState::Dead)) {
             replica.remove_learner(learner);
         }
     }
@@ -70,7 +70,7 @@
     }
     let candidate = |node: NodeId| Candidate {
         node,
-        absent: membership.is_away(node),
+        absent: membership.is_unreachable(node),
         caught_up: is_alive(node) && is_caught_up(replica, node),
     };
     let candidates: Vec<Candidate> = known.into_iter().map(candidate).collect();
@@ -87,7 +87,7 @@
     2 * hosts_lost as usize + 1
 }
 
-impl Core {
+impl Coordinator {
     /// Compares who votes with who should, shard by shard, where this node leads.
     pub(super) fn update_voters(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if now < self.next_voter_review {
--- a/coordinator/src/driver/control.rs
+++ b/coordinator/src/driver/control.rs
@@ -11,8 +11,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use shaletrail_protocol::inside::{OperatorAnswer, OperatorCall};
-use shaletrail_protocol::outside::{Heartbeat, HeartbeatAnswer, LONGEST_HEARTBEAT};
+use shaletrail_protocol::external::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES};
+use shaletrail_protocol::internal::{OperatorCall, OperatorResponse};
 use slog::{debug, Logger};
 use tokio::net::TcpListener;
 
@@ -26,7 +26,7 @@
 /// Within which the head of a request must have come.
 const HEADER_TIME: Duration = Duration::from_secs(20);
 /// The longest configuration taken, in bytes.
-const LONGEST_CONFIGURATION: usize = 7 << 20;
+const MAX_CONFIGURATION_BYTES: usize = 7 << 20;
 /// When an operator whose call got no clear answer may ask again, in seconds.
 const COME_BACK: &str = "0.2";
 
@@ -83,7 +83,7 @@
 }
 
 async fn heartbeat(host: &Host, id: String, request: Request<Incoming>) -> Answer {
-    let body = match Limited::new(request.into_body(), LONGEST_HEARTBEAT).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "a heartbeat holds at most 4096 bytes"),
     };
@@ -105,7 +105,7 @@
         None => 0,
         Some(Err(_)) => return plain(StatusCode::BAD_REQUEST, "Base-Version: expected a whole number"),
     };
-    let body = match Limited::new(request.into_body(), LONGEST_CONFIGURATION).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_CONFIGURATION_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the configuration is too long")
@@ -115,14 +115,14 @@
     told(host.operator(OperatorCall::Change { whole, base, body: body.to_vec() }).await)
 }
 
-fn told(answer: OperatorAnswer) -> Answer {
+fn told(answer: OperatorResponse) -> Answer {
     match answer {
-        OperatorAnswer::Done { body } => json(body),
-        OperatorAnswer::Conflict { current } => {
+        OperatorResponse::Done { body } => json(body),
+        OperatorResponse::Conflict { current } => {
             plain(StatusCode::PRECONDITION_FAILED, &format!("version {current} is current"))
         }
-        OperatorAnswer::Invalid { reason } => plain(StatusCode::BAD_REQUEST, &reason),
-        OperatorAnswer::Unavailable => unavailable(),
+        OperatorResponse::Invalid { reason } => plain(StatusCode::BAD_REQUEST, &reason),
+        OperatorResponse::Unavailable => unavailable(),
     }
 }
 
@@ -130,7 +130,7 @@
     if !taken {
         return unavailable();
     }
-    let answer = HeartbeatAnswer::default();
+    let answer = HeartbeatResponse::default();
     json(sonic_rs::to_vec(&answer).unwrap_or_else(|_| b"{}".to_vec()))
 }
 
--- a/coordinator/src/driver/disk.rs
+++ b/coordinator/src/driver/disk.rs
@@ -6,8 +6,8 @@
 
 use shaletrail_protocol::settings::Settings;
 use shaletrail_storage::{
-    erase, Command, FolderDisk, Journal, Options, Refused, Report, StorageError, Stored, Writer,
-    WriterOptions,
+    erase, Command, FolderDisk, Journal, Options, RejectedCommand, Report, StorageError, StoredRecord,
+    Writer, WriterOptions,
 };
 use slog::{error, warn, Logger};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
@@ -26,7 +26,7 @@
     /// The journal, ready to be written.
     pub journal: Journal<FolderDisk>,
     /// Its records.
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredRecord>,
 }
 
 /// Opens the journal. One that is damaged counts as lost: what it held is erased.
@@ -65,19 +65,19 @@
 /// Takes what is to be made safe: the journal's thread, or what stands for it in a test.
 pub trait Appender {
     /// Takes records, which are safe once a report names their ticket or a later one.
-    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), Refused>;
+    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand>;
     /// Takes a checkpoint.
-    fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), Refused>;
+    fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand>;
     /// How long the oldest append that is not safe has been waiting.
     fn oldest_unfinished(&self) -> Option<Duration>;
 }
 
 impl Appender for Writer {
-    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         Writer::append(self, ticket, records)
     }
 
-    fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         Writer::checkpoint(self, live)
     }
 
@@ -127,7 +127,7 @@
     /// Hands records over; what is not taken now waits. Consensus bounds what is under way.
     pub fn append(&mut self, ticket: u64, records: Vec<(u32, Vec<u8>)>) {
         self.waiting.push_back(Append { ticket, records });
-        self.hand_over();
+        self.transfer_leadership();
     }
 
     /// Hands a checkpoint over; one that is not taken is asked for again by the next report.
@@ -146,10 +146,10 @@
 
     /// Hands over what waits, in order. A report of a ticket speaks for all before it, so that nothing passes what was
     /// refused: a record over the journal's limit holds up all that follows, and the disk counts as sick.
-    pub fn hand_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let Some(appender) = &self.appender else { return };
         while let Some(Append { ticket, records }) = self.waiting.pop_front() {
-            let Err(Refused { command, .. }) = appender.append(ticket, records) else { continue };
+            let Err(RejectedCommand { command, .. }) = appender.append(ticket, records) else { continue };
             if let Command::Append { ticket, records } = command {
                 self.waiting.push_front(Append { ticket, records });
             }
@@ -162,12 +162,12 @@
 pub fn event_of(report: &Report) -> Option<Event> {
     match report {
         Report::Done { ticket, wants_checkpoint, .. } => {
-            Some(Event::Stored { ticket: *ticket, wants_checkpoint: *wants_checkpoint })
+            Some(Event::Persisted { ticket: *ticket, wants_checkpoint: *wants_checkpoint })
         }
         Report::Failed { wants_checkpoint, .. } => {
-            Some(Event::DiskSick { wants_checkpoint: *wants_checkpoint })
+            Some(Event::DiskDegraded { wants_checkpoint: *wants_checkpoint })
         }
-        Report::CheckpointFailed { .. } => Some(Event::DiskSick { wants_checkpoint: false }),
+        Report::CheckpointFailed { .. } => Some(Event::DiskDegraded { wants_checkpoint: false }),
         Report::Checkpointed { .. } | Report::Stopped => None,
     }
 }
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -5,8 +5,10 @@
 use std::rc::{Rc, Weak};
 use std::time::Instant;
 
-use shaletrail_protocol::inside::{EdgeIdentity, OperatorAnswer, OperatorCall, PollReply, PollRequest};
-use shaletrail_protocol::outside::{Heartbeat, Order};
+use shaletrail_protocol::external::{Heartbeat, Order};
+use shaletrail_protocol::internal::{
+    EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
+};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Millis, ServerId};
 use shaletrail_storage::Report;
@@ -17,8 +19,8 @@
 use super::disk::{self, Disk, Opened};
 use super::links::Links;
 use super::orders::{deliver, fetch_report, Outgoing};
-use crate::core::Core;
-use crate::interface::{Action, CallId, CoreOptions, Event, Note, OrderId, OrderOutcome};
+use crate::core::Coordinator;
+use crate::interface::{Action, CallId, CoordinatorOptions, Event, Note, OrderId, OrderOutcome};
 
 /// Where the clock that events carry begins, in milliseconds: nothing of it is ever below.
 const CLOCK_START: Millis = 1_000_000;
@@ -33,7 +35,7 @@
 }
 
 struct State {
-    core: Core,
+    core: Coordinator,
     links: Links,
     disk: Disk,
     replies: HashMap<CallId, Reply>,
@@ -42,15 +44,15 @@
 /// Who waits for an answer.
 enum Reply {
     Server(oneshot::Sender<bool>),
-    Operator(oneshot::Sender<OperatorAnswer>),
-    Poll(oneshot::Sender<Box<PollReply>>),
+    Operator(oneshot::Sender<OperatorResponse>),
+    Poll(oneshot::Sender<Box<PollResponse>>),
 }
 
 impl Host {
     /// Starts the core with what the disk held.
-    pub fn start(options: CoreOptions, settings: &Settings, opened: Opened, log: Logger) -> Rc<Host> {
+    pub fn start(options: CoordinatorOptions, settings: &Settings, opened: Opened, log: Logger) -> Rc<Host> {
         let links = Links::new(options.node, options.incarnation, settings.internal_port());
-        let core = Core::new(options, opened.stored, CLOCK_START);
+        let core = Coordinator::new(options, opened.stored, CLOCK_START);
         let wants_checkpoint = opened.journal.wants_checkpoint();
         let (disk, reports) = Disk::start(opened.journal);
         let state = State { core, links, disk, replies: HashMap::new() };
@@ -62,7 +64,7 @@
             log,
         });
         tokio::task::spawn_local(Rc::clone(&host).hear_disk(reports));
-        host.handle(Event::Stored { ticket: 0, wants_checkpoint });
+        host.handle(Event::Persisted { ticket: 0, wants_checkpoint });
         host
     }
 
@@ -77,10 +79,10 @@
         let mut actions = Vec::new();
         let mut state = self.state.borrow_mut();
         let sick = matches!(event, Event::Tick) && state.disk.is_late();
-        state.disk.hand_over();
+        state.disk.transfer_leadership();
         state.core.handle(now, event, &mut actions);
         if sick {
-            state.core.handle(now, Event::DiskSick { wants_checkpoint: false }, &mut actions);
+            state.core.handle(now, Event::DiskDegraded { wants_checkpoint: false }, &mut actions);
         }
         for action in actions {
             self.carry_out(&mut state, action);
@@ -92,17 +94,17 @@
             Action::Send { to, message } => state.links.send(to, &message),
             Action::Store { ticket, records } => state.disk.append(ticket, records),
             Action::Checkpoint { live } => state.disk.checkpoint(live),
-            Action::AnswerServer { call, taken } => {
+            Action::RespondToServer { call, taken } => {
                 if let Some(Reply::Server(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(taken);
                 }
             }
-            Action::AnswerOperator { call, answer } => {
+            Action::RespondToOperator { call, answer } => {
                 if let Some(Reply::Operator(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
-            Action::AnswerPoll { call, reply: news } => {
+            Action::RespondToPoll { call, reply: news } => {
                 if let Some(Reply::Poll(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(news);
                 }
@@ -110,7 +112,7 @@
             Action::Order { order, server, address, body } => {
                 self.send_order(order, Outgoing { server, address, body });
             }
-            Action::AskReport { server, address } => self.ask_report(server, address),
+            Action::FetchReport { server, address } => self.ask_report(server, address),
             Action::Note(note) => self.note(note),
         }
     }
@@ -215,16 +217,16 @@
     }
 
     /// A call of the operator.
-    pub async fn operator(&self, operator: OperatorCall) -> OperatorAnswer {
+    pub async fn operator(&self, operator: OperatorCall) -> OperatorResponse {
         let (sender, answer) = oneshot::channel();
         let call = self.call();
         self.state.borrow_mut().replies.insert(call, Reply::Operator(sender));
         self.handle(Event::Operator { call, operator });
-        answer.await.unwrap_or(OperatorAnswer::Unavailable)
+        answer.await.unwrap_or(OperatorResponse::Unavailable)
     }
 
     /// A poll; a caller that drops the future has left.
-    pub async fn poll(&self, edge: EdgeIdentity, request: PollRequest) -> Option<Box<PollReply>> {
+    pub async fn poll(&self, edge: EdgeIdentity, request: PollRequest) -> Option<Box<PollResponse>> {
         let (sender, answer) = oneshot::channel();
         let call = self.call();
         self.state.borrow_mut().replies.insert(call, Reply::Poll(sender));
@@ -237,7 +239,7 @@
     fn checkpoint_ended(&self) {
         let mut state = self.state.borrow_mut();
         state.disk.checkpoint_ended();
-        state.disk.hand_over();
+        state.disk.transfer_leadership();
     }
 
     /// The process is about to end: everybody who waits is told to ask elsewhere.
@@ -257,7 +259,7 @@
     fn drop(&mut self) {
         let waited = self.host.state.borrow_mut().replies.remove(&self.call).is_some();
         if waited {
-            self.host.handle(Event::PollLeft(self.call));
+            self.host.handle(Event::PollCancelled(self.call));
         }
     }
 }
--- a/coordinator/src/driver/links.rs
+++ b/coordinator/src/driver/links.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{CoreMessage, Hello};
+use shaletrail_protocol::internal::{CoordinatorMessage, Handshake};
 use shaletrail_protocol::{Incarnation, NodeId};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -85,12 +85,12 @@
 impl Links {
     /// Links of a node to the internal port of others.
     pub fn new(node: NodeId, incarnation: Incarnation, port: u16) -> Self {
-        let hello = frame::encode(&Hello::Core { node, incarnation });
+        let hello = frame::encode(&Handshake::Coordinator { node, incarnation });
         Links { port, hello, queues: HashMap::new() }
     }
 
     /// Puts a message on its way.
-    pub fn send(&mut self, to: NodeId, message: &CoreMessage) {
+    pub fn send(&mut self, to: NodeId, message: &CoordinatorMessage) {
         if self.queues.len() >= MOST_LINKS && !self.queues.contains_key(&to) {
             return;
         }
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, disk and clock of a coordinator, around the decisions of [`crate::core::Core`].
+//! Sockets, disk and clock of a coordinator, around the decisions of [`crate::core::Coordinator`].
 //!
 //! [`host`] owns the core and carries out its actions; [`links`], [`orders`] and [`disk`] do one kind of work each and
 //! know nothing of it; [`control`] and [`polls`] bring it what callers ask.
@@ -22,7 +22,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::interface::{CoreOptions, Event};
+use crate::interface::{CoordinatorOptions, Event};
 use host::Host;
 
 /// How often the core is told that time has passed.
@@ -74,7 +74,7 @@
 
     let incarnation = Incarnation(fresh_number());
     let opened = disk::open(&folder, &settings, &log)?;
-    let options = CoreOptions::from_settings(&settings, incarnation);
+    let options = CoordinatorOptions::from_settings(&settings, incarnation);
     let host = Host::start(options, &settings, opened, log.clone());
 
     let calls = sockets::listen(control.into()).context(ListenSnafu { address: control.to_string() })?;
--- a/coordinator/src/driver/orders.rs
+++ b/coordinator/src/driver/orders.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_protocol::outside::{Order, Report};
+use shaletrail_protocol::external::{Order, Report};
 use shaletrail_protocol::ServerId;
 use tokio::net::TcpStream;
 
--- a/coordinator/src/driver/polls.rs
+++ b/coordinator/src/driver/polls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{CoreMessage, EdgeIdentity, EdgeRequest, Hello};
+use shaletrail_protocol::internal::{CoordinatorMessage, EdgeIdentity, EdgeRequest, Handshake};
 use shaletrail_protocol::NodeId;
 use slog::{debug, Logger};
 use tokio::io::AsyncWriteExt;
@@ -52,18 +52,18 @@
 
 async fn converse(host: &Rc<Host>, mut stream: TcpStream) -> Result<(), ReadError> {
     let late = |_| ReadError::from(std::io::Error::from(std::io::ErrorKind::TimedOut));
-    let hello: Hello =
+    let hello: Handshake =
         tokio::time::timeout(HELLO_TIME, sockets::read_frame(&mut stream)).await.map_err(late)??;
     match hello {
-        Hello::Core { node, .. } => listen_to(host, node, stream).await,
-        Hello::Edge(edge) => answer_polls(host, edge, stream).await,
+        Handshake::Coordinator { node, .. } => listen_to(host, node, stream).await,
+        Handshake::Edge(edge) => answer_polls(host, edge, stream).await,
     }
 }
 
 async fn listen_to(host: &Rc<Host>, from: NodeId, stream: TcpStream) -> Result<(), ReadError> {
     let mut stream = tokio::io::BufReader::new(stream);
     loop {
-        let message: CoreMessage = sockets::read_frame(&mut stream).await?;
+        let message: CoordinatorMessage = sockets::read_frame(&mut stream).await?;
         host.handle(Event::Message { from, message });
     }
 }
@@ -123,7 +123,7 @@
             true
         }
         EdgeRequest::Leave => {
-            host.handle(Event::EdgeLeft(edge.node));
+            host.handle(Event::EdgeDisconnected(edge.node));
             false
         }
         EdgeRequest::Poll(_) => true,
--- a/coordinator/src/driver/sockets.rs
+++ b/coordinator/src/driver/sockets.rs
@@ -70,7 +70,7 @@
 pub async fn read_frame<M: bitcode::DecodeOwned>(
     from: &mut (impl AsyncRead + Unpin),
 ) -> Result<M, ReadError> {
-    let mut prefix = [0; frame::PREFIX];
+    let mut prefix = [0; frame::PREFIX_BYTES];
     from.read_exact(&mut prefix).await?;
     let mut body = vec![0; frame::body_length(prefix)?];
     from.read_exact(&mut body).await?;
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -1,13 +1,13 @@
-//! Events and actions between a coordinator's decisions ([`crate::core::Core`]) and the driver that owns its
+//! Events and actions between a coordinator's decisions ([`crate::core::Coordinator`]) and the driver that owns its
 //! sockets, disk and clock.
 
 use std::time::Duration;
 
 pub use shaletrail_placement::Outcome as OrderOutcome;
-use shaletrail_protocol::inside::{
-    CoreMessage, Demand, EdgeIdentity, OperatorAnswer, OperatorCall, PollReply, PollRequest,
+use shaletrail_protocol::external::{Heartbeat, Order, Report};
+use shaletrail_protocol::internal::{
+    CoordinatorMessage, Demand, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
 };
-use shaletrail_protocol::outside::{Heartbeat, Order, Report};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, NodeId, ServerId};
 
@@ -21,7 +21,7 @@
 
 /// What a coordinator goes by, from its settings file.
 #[derive(Clone, Debug)]
-pub struct CoreOptions {
+pub struct CoordinatorOptions {
     /// This machine.
     pub node: NodeId,
     /// Its name, for orders.
@@ -46,10 +46,10 @@
     pub seed: u64,
 }
 
-impl CoreOptions {
+impl CoordinatorOptions {
     /// From the settings of the process.
     pub fn from_settings(settings: &Settings, incarnation: Incarnation) -> Self {
-        CoreOptions {
+        CoordinatorOptions {
             node: settings.node(),
             name: settings.node_name.clone(),
             incarnation,
@@ -75,17 +75,17 @@
         /// Who.
         from: NodeId,
         /// What.
-        message: CoreMessage,
+        message: CoordinatorMessage,
     },
     /// All records up to a ticket are safe on disk.
-    Stored {
+    Persisted {
         /// The ticket.
         ticket: u64,
         /// The journal's ring is filling up: a checkpoint is wanted.
         wants_checkpoint: bool,
     },
     /// The disk has refused or has not answered for long: nothing new is safe until it recovers.
-    DiskSick {
+    DiskDegraded {
         /// The journal's ring is full: only a checkpoint helps.
         wants_checkpoint: bool,
     },
@@ -122,7 +122,7 @@
         request: PollRequest,
     },
     /// The connection of a poll has ended.
-    PollLeft(CallId),
+    PollCancelled(CallId),
     /// Demand of a data-plane node that cannot wait for its next poll.
     EdgeReport {
         /// The node.
@@ -131,7 +131,7 @@
         demand: Vec<Demand>,
     },
     /// A data-plane node's process is ending.
-    EdgeLeft(NodeId),
+    EdgeDisconnected(NodeId),
     /// How an order ended.
     Ordered {
         /// The order.
@@ -160,9 +160,9 @@
         /// To whom.
         to: NodeId,
         /// What.
-        message: CoreMessage,
+        message: CoordinatorMessage,
     },
-    /// Append records to the journal and sync; an [`Event::Stored`] with the ticket follows.
+    /// Append records to the journal and sync; an [`Event::Persisted`] with the ticket follows.
     Store {
         /// Rises with each.
         ticket: u64,
@@ -175,27 +175,27 @@
         live: Vec<(u32, Vec<u8>)>,
     },
     /// Answer a heartbeat or a deregistration: taken, or ask another node.
-    AnswerServer {
+    RespondToServer {
         /// The call.
         call: CallId,
         /// Whether it is acknowledged.
         taken: bool,
     },
     /// Answer the operator.
-    AnswerOperator {
+    RespondToOperator {
         /// The call.
         call: CallId,
         /// The answer.
-        answer: OperatorAnswer,
+        answer: OperatorResponse,
     },
     /// Answer a poll.
-    AnswerPoll {
+    RespondToPoll {
         /// The call.
         call: CallId,
         /// The news.
-        reply: Box<PollReply>,
+        reply: Box<PollResponse>,
     },
-    /// Send an order to a server if [`Core::may_write`](crate::core::Core::may_write) allows it once the connection is
+    /// Send an order to a server if [`Coordinator::may_write`](crate::core::Coordinator::may_write) allows it once the connection is
     /// up; an [`Event::Ordered`] follows.
     Order {
         /// Its name.
@@ -208,7 +208,7 @@
         body: Order,
     },
     /// Ask a server for its report; an [`Event::Reported`] follows.
-    AskReport {
+    FetchReport {
         /// The server's id, for `Expected-Instance`.
         server: ServerId,
         /// Where it is, `IP:PORT`.
--- a/coordinator/tests/alone.rs
+++ b/coordinator/tests/alone.rs
@@ -5,9 +5,9 @@
 use common::{configuration, Alone};
 use shaletrail_consensus::{Record, Snapshot};
 use shaletrail_coordinator::interface::{Action, Event, Note};
-use shaletrail_protocol::inside::{DirectoryCursor, OperatorAnswer, OperatorCall, PollRequest, Presence};
-use shaletrail_protocol::outside::ServerState;
-use shaletrail_storage::Stored;
+use shaletrail_protocol::external::ServerState;
+use shaletrail_protocol::internal::{DirectoryCursor, OperatorCall, OperatorResponse, PollRequest, Presence};
+use shaletrail_storage::StoredRecord;
 
 /// Long enough for an election among those that are there.
 const ELECTION: u64 = 2_000;
@@ -18,8 +18,8 @@
     alone
 }
 
-fn is_done(answer: Option<&OperatorAnswer>) -> bool {
-    matches!(answer, Some(OperatorAnswer::Done { .. }))
+fn is_done(answer: Option<&OperatorResponse>) -> bool {
+    matches!(answer, Some(OperatorResponse::Done { .. }))
 }
 
 #[test]
@@ -53,7 +53,7 @@
 
     // then
     assert!(is_done(alone.answer(again)));
-    assert_eq!(alone.answer(other), Some(&OperatorAnswer::Conflict { current: 3 }));
+    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current: 3 }));
 }
 
 #[test]
@@ -74,8 +74,8 @@
     let other = alone.replace(4000, &configuration(5001, "b.example"));
 
     // then
-    assert_eq!(alone.answer(again), Some(&OperatorAnswer::Unavailable));
-    assert_eq!(alone.answer(other), Some(&OperatorAnswer::Conflict { current: 5000 }));
+    assert_eq!(alone.answer(again), Some(&OperatorResponse::Unavailable));
+    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current: 5000 }));
 }
 
 #[test]
@@ -92,15 +92,15 @@
     alone.run(400);
 
     // then
-    assert_eq!(alone.answer(change), Some(&OperatorAnswer::Unavailable));
-    assert_eq!(alone.answer(read), Some(&OperatorAnswer::Unavailable));
+    assert_eq!(alone.answer(change), Some(&OperatorResponse::Unavailable));
+    assert_eq!(alone.answer(read), Some(&OperatorResponse::Unavailable));
 }
 
 #[test]
 fn given_no_leader_when_a_change_is_no_configuration_then_it_is_refused_at_once() {
     let mut alone = Alone::new(3);
     let call = alone.replace(0, r#"{"version":1,"routes":7}"#);
-    assert!(matches!(alone.answer(call), Some(OperatorAnswer::Invalid { .. })), "{:?}", alone.answer(call));
+    assert!(matches!(alone.answer(call), Some(OperatorResponse::Invalid { .. })), "{:?}", alone.answer(call));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let call = alone.operate(OperatorCall::Read);
 
     // then
-    assert_eq!(alone.answer(call), Some(&OperatorAnswer::Unavailable));
+    assert_eq!(alone.answer(call), Some(&OperatorResponse::Unavailable));
 }
 
 #[test]
@@ -122,13 +122,13 @@
     // given
     let mut alone = leading();
     alone.replace(0, &configuration(1, "a.example"));
-    let first = alone.poll(PollRequest { hold_ms: 500, ..PollRequest::default() });
+    let first = alone.poll(PollRequest { max_wait_ms: 500, ..PollRequest::default() });
     let reply = alone.reply(first).expect("there is news").clone();
     assert_eq!(reply.config.as_ref().map(|news| (news.base, news.version)), Some((None, 1)));
 
     // when
     let known =
-        PollRequest { config_version: 1, cursor: reply.cursor, hold_ms: 500, ..PollRequest::default() };
+        PollRequest { config_version: 1, cursor: reply.cursor, max_wait_ms: 500, ..PollRequest::default() };
     let held = alone.poll(known.clone());
     alone.run(400);
 
@@ -154,10 +154,10 @@
     let first = alone.poll(PollRequest::default());
     let cursor = alone.reply(first).expect("there is news").cursor;
     let held =
-        alone.poll(PollRequest { config_version: 1, cursor, hold_ms: 5_000, ..PollRequest::default() });
+        alone.poll(PollRequest { config_version: 1, cursor, max_wait_ms: 5_000, ..PollRequest::default() });
 
     // when
-    alone.tell(Event::PollLeft(held));
+    alone.tell(Event::PollCancelled(held));
     alone.replace(1, &configuration(2, "b.example"));
 
     // then
@@ -171,7 +171,7 @@
     alone.run(ELECTION);
     let cursor = DirectoryCursor { change: 9, ..DirectoryCursor::default() };
     let call =
-        alone.poll(PollRequest { config_version: 4, cursor, hold_ms: 5_000, ..PollRequest::default() });
+        alone.poll(PollRequest { config_version: 4, cursor, max_wait_ms: 5_000, ..PollRequest::default() });
     let reply = alone.reply(call).expect("it is answered at once");
     assert!(reply.isolated);
     assert_eq!((reply.config.clone(), reply.servers.len(), reply.whole), (None, 0, false));
@@ -202,7 +202,7 @@
     alone.heartbeat("i-1", ServerState::Ready, 1);
     let first = alone.poll(PollRequest::default());
     let cursor = alone.reply(first).expect("there is news").cursor;
-    let held = alone.poll(PollRequest { cursor, hold_ms: 5_000, ..PollRequest::default() });
+    let held = alone.poll(PollRequest { cursor, max_wait_ms: 5_000, ..PollRequest::default() });
 
     // when
     let draining = alone.heartbeat("i-1", ServerState::Draining, 2);
@@ -221,7 +221,7 @@
     alone.replace(0, &configuration(5, "a.example"));
 
     // when
-    alone.tell(Event::Stored { ticket: 0, wants_checkpoint: true });
+    alone.tell(Event::Persisted { ticket: 0, wants_checkpoint: true });
 
     // then
     let live = alone.actions.iter().find_map(|action| match action {
@@ -229,7 +229,7 @@
         _ => None,
     });
     let stored = live.expect("a checkpoint").into_iter();
-    let stored = stored.map(|(stream, bytes)| Stored { stream, bytes }).collect();
+    let stored = stored.map(|(stream, bytes)| StoredRecord { stream, bytes }).collect();
     let mut again = Alone::restarted(stored);
     again.run(ELECTION);
     assert_eq!(again.core.configuration_version(), 5);
@@ -238,7 +238,7 @@
 #[test]
 fn given_records_that_cannot_be_read_when_a_coordinator_starts_then_it_says_so_and_counts_as_forgetful() {
     // given
-    let stored = vec![Stored { stream: 0, bytes: vec![255; 9] }];
+    let stored = vec![StoredRecord { stream: 0, bytes: vec![255; 9] }];
 
     // when
     let mut alone = Alone::restarted(stored);
@@ -259,7 +259,7 @@
     // given: a coordinator's checkpoint, in which the configuration's state is of another form
     let mut alone = leading();
     alone.replace(0, &configuration(5, "a.example"));
-    alone.tell(Event::Stored { ticket: 0, wants_checkpoint: true });
+    alone.tell(Event::Persisted { ticket: 0, wants_checkpoint: true });
     let live = alone.actions.iter().find_map(|action| match action {
         Action::Checkpoint { live } => Some(live.clone()),
         _ => None,
@@ -267,9 +267,9 @@
     let other_form = |(stream, bytes): (u32, Vec<u8>)| match (stream, Record::decode(&bytes)) {
         (0, Ok(Record::Snapshot(snapshot))) => {
             let state = [255; 9].as_slice().into();
-            Stored { stream, bytes: Record::Snapshot(Snapshot { state, ..snapshot }).encode() }
+            StoredRecord { stream, bytes: Record::Snapshot(Snapshot { state, ..snapshot }).encode() }
         }
-        _ => Stored { stream, bytes },
+        _ => StoredRecord { stream, bytes },
     };
     let stored = live.expect("a checkpoint").into_iter().map(other_form).collect();
 
--- a/coordinator/tests/bounds.rs
+++ b/coordinator/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! Bounds of different crates that must fit together.
 
-use shaletrail_configuration::LONGEST_CONFIGURATION;
+use shaletrail_configuration::MAX_CONFIGURATION_BYTES;
 use shaletrail_storage::Options;
 
 /// What a snapshot of the configuration holds beside its text, in bytes: changes taken, items changed of late, voters.
@@ -12,7 +12,7 @@
     let journal = Options::default();
 
     // when
-    let snapshot = LONGEST_CONFIGURATION + BESIDE_THE_TEXT;
+    let snapshot = MAX_CONFIGURATION_BYTES + BESIDE_THE_TEXT;
 
     // then
     assert!(snapshot <= journal.longest_record);
--- a/coordinator/tests/calls.rs
+++ b/coordinator/tests/calls.rs
@@ -4,10 +4,10 @@
 
 use common::group::Group;
 use common::{configuration, TICK};
-use shaletrail_protocol::inside::{CoreMessage, OperatorAnswer, OperatorCall};
+use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
 
-fn is_done(answer: Option<&OperatorAnswer>) -> bool {
-    matches!(answer, Some(OperatorAnswer::Done { .. }))
+fn is_done(answer: Option<&OperatorResponse>) -> bool {
+    matches!(answer, Some(OperatorResponse::Done { .. }))
 }
 
 /// Three coordinators with version 1; the leader, and one that is not.
@@ -33,7 +33,7 @@
     group.kill(sender);
     group.start(sender);
     group.run(1_000);
-    group.hold(move |_, to, message| to == sender && matches!(message, CoreMessage::Forwarded { .. }));
+    group.hold(move |_, to, message| to == sender && matches!(message, CoordinatorMessage::Forwarded { .. }));
     group.replace(sender, 1, &configuration(2, "b.example"));
     group.run(200);
     assert_eq!(group.held().count(), 1);
@@ -42,17 +42,19 @@
     group.run(1_000);
 
     // when: the new start hands on a call of its own, the first as well, which goes astray
-    group.hold(move |from, _, message| from == sender && matches!(message, CoreMessage::Forward { .. }));
+    group.hold(move |from, _, message| {
+        from == sender && matches!(message, CoordinatorMessage::Forward { .. })
+    });
     let call = group.replace(sender, 1, &configuration(2, "c.example"));
     group.hold_nothing();
-    let late = |message: &CoreMessage| matches!(message, CoreMessage::Forwarded { .. });
+    let late = |message: &CoordinatorMessage| matches!(message, CoordinatorMessage::Forwarded { .. });
     group.release_if(late);
 
     // then
     assert_eq!(group.leader(), leader);
     assert_eq!(group.answer(sender, call), None);
     group.run(1_500);
-    assert_eq!(group.answer(sender, call), Some(&OperatorAnswer::Unavailable));
+    assert_eq!(group.answer(sender, call), Some(&OperatorResponse::Unavailable));
 }
 
 #[test]
@@ -61,18 +63,20 @@
     let (mut group, leader, sender) = configured();
     let third = group.numbers().into_iter().find(|number| ![leader, sender].contains(number));
     let third = third.expect("a third");
-    group.hold(move |from, _, message| from == sender && matches!(message, CoreMessage::Forward { .. }));
+    group.hold(move |from, _, message| {
+        from == sender && matches!(message, CoordinatorMessage::Forward { .. })
+    });
     let call = group.replace(sender, 1, &configuration(2, "b.example"));
     let name = group.held().find_map(|message| match message {
-        CoreMessage::Forward { call, .. } => Some(*call),
+        CoordinatorMessage::Forward { call, .. } => Some(*call),
         _ => None,
     });
     let name = name.expect("it is handed on");
 
     // when: the answer of another node, and one to another call
-    let answer = OperatorAnswer::Done { body: Vec::new() };
-    group.send(third, sender, CoreMessage::Forwarded { call: name, answer: answer.clone() });
-    group.send(leader, sender, CoreMessage::Forwarded { call: name + 1, answer });
+    let answer = OperatorResponse::Done { body: Vec::new() };
+    group.send(third, sender, CoordinatorMessage::Forwarded { call: name, answer: answer.clone() });
+    group.send(leader, sender, CoordinatorMessage::Forwarded { call: name + 1, answer });
 
     // then
     assert_eq!(group.answer(sender, call), None);
@@ -99,12 +103,12 @@
     assert!(is_done(group.answer(next, won)));
 
     // then: it was brought to the next leader, and lost the race there
-    assert_eq!(group.answer(leader, lost), Some(&OperatorAnswer::Conflict { current: 2 }));
+    assert_eq!(group.answer(leader, lost), Some(&OperatorResponse::Conflict { current: 2 }));
     group.run(3_000);
     for number in group.numbers() {
         let read = group.operate(number, OperatorCall::Read);
         group.run(500);
-        let Some(OperatorAnswer::Done { body }) = group.answer(number, read) else { panic!("no answer") };
+        let Some(OperatorResponse::Done { body }) = group.answer(number, read) else { panic!("no answer") };
         assert!(!String::from_utf8_lossy(body).contains("b.example"));
     }
 }
@@ -114,7 +118,7 @@
 {
     // given: it was taken, and the answer to the node that handed it on was lost
     let (mut group, leader, sender) = configured();
-    group.hold(|_, _, message| matches!(message, CoreMessage::Forwarded { .. }));
+    group.hold(|_, _, message| matches!(message, CoordinatorMessage::Forwarded { .. }));
     let lost = group.replace(sender, 1, &configuration(2, "b.example"));
     group.run(300);
     assert_eq!((group.answer(sender, lost), group.core(leader).configuration_version()), (None, 2));
@@ -179,14 +183,14 @@
         group.run(300);
 
         // then
-        assert_eq!(group.answer(at, early), Some(&OperatorAnswer::Unavailable));
+        assert_eq!(group.answer(at, early), Some(&OperatorResponse::Unavailable));
         assert!(is_done(group.answer(at, first)));
         assert!(is_done(group.answer(at, again)));
 
         // and one that builds on an older version is refused for good
         let old = group.replace(at, 1, &configuration(9, "x.example"));
         group.run(300);
-        assert_eq!(group.answer(at, old), Some(&OperatorAnswer::Conflict { current: 3 }));
+        assert_eq!(group.answer(at, old), Some(&OperatorResponse::Conflict { current: 3 }));
     }
 }
 
@@ -211,7 +215,7 @@
 
     // then
     match group.answer(leader, read).expect("it is answered") {
-        OperatorAnswer::Done { body } => assert!(String::from_utf8_lossy(body).contains("d.example")),
-        other => assert_eq!(other, &OperatorAnswer::Unavailable),
+        OperatorResponse::Done { body } => assert!(String::from_utf8_lossy(body).contains("d.example")),
+        other => assert_eq!(other, &OperatorResponse::Unavailable),
     }
 }
--- a/coordinator/tests/common/group.rs
+++ b/coordinator/tests/common/group.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use shaletrail_coordinator::core::Core;
-use shaletrail_coordinator::interface::{Action, CallId, CoreOptions, Event, Note};
-use shaletrail_protocol::inside::{
-    CoreMessage, EdgeIdentity, OperatorAnswer, OperatorCall, PollReply, PollRequest,
+use shaletrail_coordinator::core::Coordinator;
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event, Note};
+use shaletrail_protocol::external::{Heartbeat, ServerState};
+use shaletrail_protocol::internal::{
+    CoordinatorMessage, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
 };
-use shaletrail_protocol::outside::{Heartbeat, ServerState};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 use super::{node, TICK};
 
@@ -20,12 +20,12 @@
 const MOST_MESSAGES: usize = 100_000;
 
 /// Which messages are held up: sender, receiver, message.
-type Holds = Box<dyn Fn(u8, u8, &CoreMessage) -> bool>;
+type Holds = Box<dyn Fn(u8, u8, &CoordinatorMessage) -> bool>;
 
 /// One machine: its process, if it runs, and its journal.
 struct Machine {
-    core: Option<Core>,
-    stored: Vec<Stored>,
+    core: Option<Coordinator>,
+    stored: Vec<StoredRecord>,
     actions: Vec<Action>,
     frozen: bool,
     /// Its disk refuses every write.
@@ -41,8 +41,8 @@
     machines: BTreeMap<u8, Machine>,
     cut: BTreeSet<(u8, u8)>,
     holds: Option<Holds>,
-    held: Vec<(u8, u8, CoreMessage)>,
-    under_way: VecDeque<(u8, u8, CoreMessage)>,
+    held: Vec<(u8, u8, CoordinatorMessage)>,
+    under_way: VecDeque<(u8, u8, CoordinatorMessage)>,
     starts: u64,
     next_call: u64,
 }
@@ -88,10 +88,10 @@
             coordinators / 2,
         );
         let settings: Settings = text.parse().expect("the settings are read");
-        let options = CoreOptions::from_settings(&settings, Incarnation(70 + self.starts));
+        let options = CoordinatorOptions::from_settings(&settings, Incarnation(70 + self.starts));
         let now = self.now;
         let machine = self.machine(number);
-        machine.core = Some(Core::new(options, machine.stored.clone(), now));
+        machine.core = Some(Coordinator::new(options, machine.stored.clone(), now));
     }
 
     /// The process of a machine ends; its journal stays.
@@ -140,7 +140,7 @@
     }
 
     /// Holds up the messages for which something holds.
-    pub fn hold(&mut self, holds: impl Fn(u8, u8, &CoreMessage) -> bool + 'static) {
+    pub fn hold(&mut self, holds: impl Fn(u8, u8, &CoordinatorMessage) -> bool + 'static) {
         self.holds = Some(Box::new(holds));
     }
 
@@ -157,18 +157,18 @@
     }
 
     /// Delivers those of them for which something holds; the others are lost.
-    pub fn release_if(&mut self, wanted: impl Fn(&CoreMessage) -> bool) {
+    pub fn release_if(&mut self, wanted: impl Fn(&CoordinatorMessage) -> bool) {
         self.held.retain(|(_, _, message)| wanted(message));
         self.release();
     }
 
     /// What is held up.
-    pub fn held(&self) -> impl Iterator<Item = &CoreMessage> {
+    pub fn held(&self) -> impl Iterator<Item = &CoordinatorMessage> {
         self.held.iter().map(|(_, _, message)| message)
     }
 
     /// A message from one machine reaches another one.
-    pub fn send(&mut self, from: u8, to: u8, message: CoreMessage) {
+    pub fn send(&mut self, from: u8, to: u8, message: CoordinatorMessage) {
         self.under_way.push_back((from, to, message));
         self.deliver();
     }
@@ -183,7 +183,7 @@
                     continue;
                 }
                 if self.machines[&number].refuses {
-                    self.tell(number, Event::DiskSick { wants_checkpoint: false });
+                    self.tell(number, Event::DiskDegraded { wants_checkpoint: false });
                 }
                 self.tell(number, Event::Tick);
             }
@@ -208,9 +208,10 @@
                     }
                     Action::Store { .. } if self.machines[&number].refuses => {}
                     Action::Store { ticket, records } => {
-                        let stored = records.into_iter().map(|(stream, bytes)| Stored { stream, bytes });
+                        let stored =
+                            records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes });
                         self.machine(number).stored.extend(stored);
-                        events.push_back(Event::Stored { ticket, wants_checkpoint: false });
+                        events.push_back(Event::Persisted { ticket, wants_checkpoint: false });
                     }
                     other => self.machine(number).actions.push(other),
                 }
@@ -257,7 +258,7 @@
     }
 
     /// The decisions of a machine that runs.
-    pub fn core(&self, number: u8) -> &Core {
+    pub fn core(&self, number: u8) -> &Coordinator {
         self.machines[&number].core.as_ref().expect("it runs")
     }
 
@@ -308,9 +309,9 @@
     }
 
     /// A machine's answer to the operator, if there is one.
-    pub fn answer(&self, number: u8, call: CallId) -> Option<&OperatorAnswer> {
+    pub fn answer(&self, number: u8, call: CallId) -> Option<&OperatorResponse> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::AnswerOperator { call: answered, answer } if *answered == call => Some(answer),
+            Action::RespondToOperator { call: answered, answer } if *answered == call => Some(answer),
             _ => None,
         })
     }
@@ -325,9 +326,9 @@
     }
 
     /// A machine's answer to a poll, if there is one.
-    pub fn reply(&self, number: u8, call: CallId) -> Option<&PollReply> {
+    pub fn reply(&self, number: u8, call: CallId) -> Option<&PollResponse> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::AnswerPoll { call: answered, reply } if *answered == call => Some(&**reply),
+            Action::RespondToPoll { call: answered, reply } if *answered == call => Some(&**reply),
             _ => None,
         })
     }
@@ -354,7 +355,7 @@
     /// Whether a server's call was acknowledged, if it is answered.
     pub fn taken(&self, number: u8, call: CallId) -> Option<bool> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::AnswerServer { call: answered, taken } if *answered == call => Some(*taken),
+            Action::RespondToServer { call: answered, taken } if *answered == call => Some(*taken),
             _ => None,
         })
     }
--- a/coordinator/tests/common/mod.rs
+++ b/coordinator/tests/common/mod.rs
@@ -5,13 +5,15 @@
 
 use std::net::Ipv4Addr;
 
-use shaletrail_coordinator::core::Core;
-use shaletrail_coordinator::interface::{Action, CallId, CoreOptions, Event};
-use shaletrail_protocol::inside::{EdgeIdentity, OperatorAnswer, OperatorCall, PollReply, PollRequest};
-use shaletrail_protocol::outside::{Heartbeat, ServerState};
+use shaletrail_coordinator::core::Coordinator;
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event};
+use shaletrail_protocol::external::{Heartbeat, ServerState};
+use shaletrail_protocol::internal::{
+    EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
+};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 /// Between two ticks.
 pub const TICK: Millis = 50;
@@ -23,7 +25,7 @@
 
 /// A coordinator with its clock.
 pub struct Alone {
-    pub core: Core,
+    pub core: Coordinator,
     pub now: Millis,
     /// Whether records are safe as soon as they are handed over.
     pub syncs: bool,
@@ -45,11 +47,11 @@
     }
 
     /// The only coordinator of its system, started again with what its disk holds.
-    pub fn restarted(stored: Vec<Stored>) -> Self {
+    pub fn restarted(stored: Vec<StoredRecord>) -> Self {
         Alone::start(1, false, stored, Incarnation(77))
     }
 
-    fn start(coordinators: u8, bootstrap: bool, stored: Vec<Stored>, incarnation: Incarnation) -> Self {
+    fn start(coordinators: u8, bootstrap: bool, stored: Vec<StoredRecord>, incarnation: Incarnation) -> Self {
         let seeds: Vec<String> = (1..=coordinators).map(|number| format!("{}:8146", node(number))).collect();
         let text = format!(
             "nodeName=core-1\nip={}\nzone=a\nephemeralPorts=7660,7675\nseedNodes={}\nbootstrap={bootstrap}\n\
@@ -59,9 +61,9 @@
             coordinators / 2,
         );
         let settings: Settings = text.parse().expect("the settings are read");
-        let options = CoreOptions::from_settings(&settings, incarnation);
+        let options = CoordinatorOptions::from_settings(&settings, incarnation);
         let now = 1_000_000;
-        let core = Core::new(options, stored, now);
+        let core = Coordinator::new(options, stored, now);
         Alone { core, now, syncs: true, actions: Vec::new(), unsynced: None, next_call: 0 }
     }
 
@@ -74,7 +76,7 @@
             for action in actions {
                 match action {
                     Action::Store { ticket, .. } if self.syncs => {
-                        events.push(Event::Stored { ticket, wants_checkpoint: false });
+                        events.push(Event::Persisted { ticket, wants_checkpoint: false });
                     }
                     Action::Store { ticket, .. } => self.unsynced = Some(ticket),
                     other => self.actions.push(other),
@@ -87,7 +89,7 @@
     pub fn sync(&mut self) {
         self.syncs = true;
         if let Some(ticket) = self.unsynced.take() {
-            self.tell(Event::Stored { ticket, wants_checkpoint: false });
+            self.tell(Event::Persisted { ticket, wants_checkpoint: false });
         }
     }
 
@@ -118,9 +120,9 @@
     }
 
     /// The answer to the operator, if there is one.
-    pub fn answer(&self, call: CallId) -> Option<&OperatorAnswer> {
+    pub fn answer(&self, call: CallId) -> Option<&OperatorResponse> {
         self.actions.iter().find_map(|action| match action {
-            Action::AnswerOperator { call: answered, answer } if *answered == call => Some(answer),
+            Action::RespondToOperator { call: answered, answer } if *answered == call => Some(answer),
             _ => None,
         })
     }
@@ -138,7 +140,7 @@
     /// Whether a server's call was acknowledged, if it is answered.
     pub fn taken(&self, call: CallId) -> Option<bool> {
         self.actions.iter().find_map(|action| match action {
-            Action::AnswerServer { call: answered, taken } if *answered == call => Some(*taken),
+            Action::RespondToServer { call: answered, taken } if *answered == call => Some(*taken),
             _ => None,
         })
     }
@@ -152,9 +154,9 @@
     }
 
     /// The answer to a poll, if there is one.
-    pub fn reply(&self, call: CallId) -> Option<&PollReply> {
+    pub fn reply(&self, call: CallId) -> Option<&PollResponse> {
         self.actions.iter().find_map(|action| match action {
-            Action::AnswerPoll { call: answered, reply } if *answered == call => Some(&**reply),
+            Action::RespondToPoll { call: answered, reply } if *answered == call => Some(&**reply),
             _ => None,
         })
     }
--- a/coordinator/tests/contact.rs
+++ b/coordinator/tests/contact.rs
@@ -5,10 +5,11 @@
 use common::configuration;
 use common::group::Group;
 use shaletrail_coordinator::interface::CallId;
-use shaletrail_protocol::inside::{
-    CoreMessage, MembershipMessage, OperatorAnswer, OperatorCall, PollReply, PollRequest, Presence,
+use shaletrail_protocol::external::ServerState;
+use shaletrail_protocol::internal::{
+    CoordinatorMessage, MembershipMessage, OperatorCall, OperatorResponse, PollRequest, PollResponse,
+    Presence,
 };
-use shaletrail_protocol::outside::ServerState;
 use shaletrail_protocol::Millis;
 
 /// An edge takes another coordinator at the latest so long after the one it polls has lost contact.
@@ -16,8 +17,8 @@
 /// The longest time that a poll is held in these stories.
 const HOLD: u32 = 500;
 
-fn is_done(answer: Option<&OperatorAnswer>) -> bool {
-    matches!(answer, Some(OperatorAnswer::Done { .. }))
+fn is_done(answer: Option<&OperatorResponse>) -> bool {
+    matches!(answer, Some(OperatorResponse::Done { .. }))
 }
 
 /// Three or five coordinators that have agreed on version 1.
@@ -34,14 +35,18 @@
 /// A poll of an edge with this version that knows all servers.
 fn poll(group: &mut Group, number: u8, config_version: u64) -> CallId {
     let cursor = group.core(number).directory().cursor();
-    group.poll(number, 100, PollRequest { config_version, cursor, hold_ms: HOLD, ..PollRequest::default() })
+    group.poll(
+        number,
+        100,
+        PollRequest { config_version, cursor, max_wait_ms: HOLD, ..PollRequest::default() },
+    )
 }
 
-fn reply(group: &Group, number: u8, call: CallId) -> PollReply {
+fn reply(group: &Group, number: u8, call: CallId) -> PollResponse {
     group.reply(number, call).expect("it is answered").clone()
 }
 
-fn brings_nothing(reply: &PollReply) -> bool {
+fn brings_nothing(reply: &PollResponse) -> bool {
     reply.isolated
         && reply.config.is_none()
         && reply.servers.is_empty()
@@ -86,7 +91,7 @@
     assert!(brings_nothing(&reply(&group, 1, alone)));
     group.start(2);
     let met = group.now;
-    let again = group.run_until(2_000, |group| group.core(1).is_in_touch());
+    let again = group.run_until(2_000, |group| group.core(1).has_quorum_contact());
 
     // then: there need be no leader yet
     assert!(again);
@@ -133,8 +138,9 @@
     let mut group = configured(3);
     let leader = group.leader();
     let frozen = group.others(leader)[0];
-    let pongs =
-        |message: &CoreMessage| matches!(message, CoreMessage::Membership(MembershipMessage::Pong { .. }));
+    let pongs = |message: &CoordinatorMessage| {
+        matches!(message, CoordinatorMessage::Membership(MembershipMessage::Pong { .. }))
+    };
     group.hold(move |_, to, message| to == frozen && pongs(message));
     group.run(250);
     assert!(group.held().count() >= 2);
@@ -151,7 +157,7 @@
     group.freeze(frozen, false);
 
     // then
-    assert!(!group.core(frozen).is_in_touch());
+    assert!(!group.core(frozen).has_quorum_contact());
     assert!(brings_nothing(&reply(&group, frozen, call)), "{:?}", reply(&group, frozen, call));
 }
 
@@ -166,7 +172,7 @@
         group.cut(leader, behind, true);
         group.run(2_000);
         assert_eq!(group.leader(), leader, "a majority keeps its leader");
-        assert!(group.core(behind).is_in_touch());
+        assert!(group.core(behind).has_quorum_contact());
 
         // when
         let change = group.replace(leader, 1, &configuration(2, "b.example"));
@@ -209,7 +215,7 @@
 
     // then
     for call in [change, stale, read] {
-        assert_eq!(group.answer(leader, call), Some(&OperatorAnswer::Unavailable));
+        assert_eq!(group.answer(leader, call), Some(&OperatorResponse::Unavailable));
     }
 
     // and when the others have agreed on something else, what it was asked for never comes
@@ -222,7 +228,7 @@
     group.run(3_000);
     let read = group.operate(leader, OperatorCall::Read);
     group.run(500);
-    let Some(OperatorAnswer::Done { body }) = group.answer(leader, read) else { panic!("no answer") };
+    let Some(OperatorResponse::Done { body }) = group.answer(leader, read) else { panic!("no answer") };
     assert!(String::from_utf8_lossy(body).contains("d.example"));
 }
 
@@ -251,7 +257,7 @@
         assert_eq!((group.taken(cut, here), group.taken(other, there)), (Some(false), Some(true)));
         let knowing = group.others(cut).into_iter().filter(|number| {
             let record = group.core(*number).directory().record("i-1");
-            record.is_some_and(|record| matches!(record.presence, Presence::Draining | Presence::Gone))
+            record.is_some_and(|record| matches!(record.presence, Presence::Draining | Presence::Removed))
         });
         assert_eq!(knowing.count(), 2);
     }
@@ -276,7 +282,7 @@
     assert_eq!((group.taken(3, late), group.taken(1, later)), (Some(true), Some(true)));
     for number in group.numbers() {
         let record = group.core(number).directory().record("i-1").expect("it is remembered");
-        assert_eq!(record.presence, Presence::Gone, "at {number}");
+        assert_eq!(record.presence, Presence::Removed, "at {number}");
     }
 }
 
@@ -290,7 +296,7 @@
     group.run(5_000);
     let presence =
         |group: &Group, number| group.core(number).directory().record("i-1").map(|record| record.presence);
-    assert_eq!(presence(&group, cut), Some(Presence::Silent), "in touch, it is taken to be silent");
+    assert_eq!(presence(&group, cut), Some(Presence::TimedOut), "in touch, it is taken to be silent");
     for sequence in 2..6 {
         group.heartbeat(other, "i-1", ServerState::Ready, sequence);
         group.run(1_000);
@@ -324,8 +330,8 @@
         let mut last = (CallId(0), CallId(0));
         while group.now < end {
             last = (
-                group.poll(here, 100, PollRequest { hold_ms: 100, ..PollRequest::default() }),
-                group.poll(there, 101, PollRequest { hold_ms: 100, ..PollRequest::default() }),
+                group.poll(here, 100, PollRequest { max_wait_ms: 100, ..PollRequest::default() }),
+                group.poll(there, 101, PollRequest { max_wait_ms: 100, ..PollRequest::default() }),
             );
             group.run(500);
         }
@@ -338,7 +344,7 @@
     group.cut_off(here, true);
     let (call, _) = polls(&mut group, 15_000);
     assert_eq!(reply(&group, here, call).edges, 0);
-    group.hold(|_, _, message| matches!(message, CoreMessage::Demand { .. }));
+    group.hold(|_, _, message| matches!(message, CoordinatorMessage::Demand { .. }));
     group.cut_off(here, false);
     group.run(1_000);
     let call = poll(&mut group, here, 0);
@@ -374,7 +380,7 @@
             assert!(reply.config.is_none(), "{reply:?}");
         }
     }
-    assert!(group.core(old).is_in_touch());
+    assert!(group.core(old).has_quorum_contact());
     assert_eq!(group.core(old).configuration_version(), 1);
 }
 
@@ -386,7 +392,7 @@
     let leader = group.leader();
     let late = group.others(leader)[0];
     group.run(500);
-    group.hold(move |_, to, message| to == late && matches!(message, CoreMessage::Shard { .. }));
+    group.hold(move |_, to, message| to == late && matches!(message, CoordinatorMessage::Shard { .. }));
     group.replace(leader, 1, &configuration(2, "b.example"));
     group.run(100);
     assert_eq!(group.core(late).configuration_version(), 1);
@@ -409,7 +415,7 @@
     group.heartbeat(1, "i-1", ServerState::Ready, 1);
     group.run(500);
     let whole = |group: &mut Group| {
-        let call = group.poll(1, 100, PollRequest { hold_ms: HOLD, ..PollRequest::default() });
+        let call = group.poll(1, 100, PollRequest { max_wait_ms: HOLD, ..PollRequest::default() });
         group.run(HOLD.into());
         let reply = reply(group, 1, call);
         assert!(!reply.isolated);
@@ -456,7 +462,7 @@
     group.run(500);
     let change = group.replace(sick, 2, &configuration(3, "c.example"));
     group.run(2_000);
-    assert_eq!(group.answer(sick, change), Some(&OperatorAnswer::Unavailable));
+    assert_eq!(group.answer(sick, change), Some(&OperatorResponse::Unavailable));
 }
 
 #[test]
--- a/coordinator/tests/driver_control.rs
+++ b/coordinator/tests/driver_control.rs
@@ -8,9 +8,11 @@
 
 use shaletrail_coordinator::driver::host::Host;
 use shaletrail_coordinator::driver::{control, disk, polls, sockets};
-use shaletrail_coordinator::interface::{CoreOptions, Event};
+use shaletrail_coordinator::interface::{CoordinatorOptions, Event};
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{CoreMessage, EdgeIdentity, EdgeRequest, Hello, PollReply, PollRequest};
+use shaletrail_protocol::internal::{
+    CoordinatorMessage, EdgeIdentity, EdgeRequest, Handshake, PollRequest, PollResponse,
+};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, NodeId};
 use slog::{o, Discard, Logger};
@@ -50,7 +52,7 @@
         let settings: Settings = text.parse().expect("the settings are read");
         let log = Logger::root(Discard, o!());
         let opened = disk::open(&folder, &settings, &log).expect("the journal is opened");
-        let options = CoreOptions::from_settings(&settings, Incarnation(7));
+        let options = CoordinatorOptions::from_settings(&settings, Incarnation(7));
         let host = Host::start(options, &settings, opened, log.clone());
         let listen = || {
             let listener = sockets::listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port");
@@ -182,9 +184,11 @@
             process.call("POST", "/Config.Replace", 0, &common::configuration(5, "a.example")).await.0,
             200
         );
-        let hello =
-            Hello::Core { node: NodeId::from(Ipv4Addr::new(127, 0, 0, 8)), incarnation: Incarnation(3) };
-        let message = frame::encode(&CoreMessage::DirectoryAck { batch: 1 });
+        let hello = Handshake::Coordinator {
+            node: NodeId::from(Ipv4Addr::new(127, 0, 0, 8)),
+            incarnation: Incarnation(3),
+        };
+        let message = frame::encode(&CoordinatorMessage::DirectoryAck { batch: 1 });
         for rest in [&message[..message.len() - 1], b"\xff\xff\xff\xffgarbage", b"\x00\x00\x00\x02\xff\xff"] {
             let mut stream = TcpStream::connect(process.internal).await.expect("a connection");
             stream.write_all(&frame::encode(&hello)).await.expect("the greeting is written");
@@ -198,12 +202,12 @@
         // when
         let edge = EdgeIdentity { node: NodeId(100), incarnation: Incarnation(1), zone: "a".to_owned() };
         let mut stream = TcpStream::connect(process.internal).await.expect("a connection");
-        let poll = EdgeRequest::Poll(PollRequest { hold_ms: 200, ..PollRequest::default() });
-        let call = [frame::encode(&Hello::Edge(edge)), frame::encode(&poll)].concat();
+        let poll = EdgeRequest::Poll(PollRequest { max_wait_ms: 200, ..PollRequest::default() });
+        let call = [frame::encode(&Handshake::Edge(edge)), frame::encode(&poll)].concat();
         stream.write_all(&call).await.expect("the poll is written");
 
         // then
-        let reply: PollReply = sockets::read_frame(&mut stream).await.expect("an answer");
+        let reply: PollResponse = sockets::read_frame(&mut stream).await.expect("an answer");
         assert!(!reply.isolated);
         assert!(reply.config.is_some());
     });
--- a/coordinator/tests/driver_disk.rs
+++ b/coordinator/tests/driver_disk.rs
@@ -6,29 +6,29 @@
 
 use shaletrail_coordinator::driver::disk::{event_of, Appender, Disk};
 use shaletrail_coordinator::interface::Event;
-use shaletrail_storage::{Command, Refused, RefusedReason, Report, StorageError};
+use shaletrail_storage::{Command, RejectReason, RejectedCommand, Report, StorageError};
 
 /// A journal's thread, as far as a test decides for it.
 #[derive(Default)]
 struct Journal {
     taken: RefCell<Vec<u64>>,
     /// Why appends are refused, if they are.
-    refuses: RefCell<Option<RefusedReason>>,
+    refuses: RefCell<Option<RejectReason>>,
 }
 
 #[derive(Clone, Default)]
 struct Near(Rc<Journal>);
 
 impl Appender for Near {
-    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         if let Some(reason) = *self.0.refuses.borrow() {
-            return Err(Refused { reason, command: Command::Append { ticket, records } });
+            return Err(RejectedCommand { reason, command: Command::Append { ticket, records } });
         }
         self.0.taken.borrow_mut().push(ticket);
         Ok(())
     }
 
-    fn checkpoint(&self, _live: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    fn checkpoint(&self, _live: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         Ok(())
     }
 
@@ -43,7 +43,7 @@
 
 #[test]
 fn given_an_append_that_was_refused_when_others_follow_then_none_passes_it_whatever_the_reason() {
-    for reason in [RefusedReason::Busy, RefusedReason::TooLong, RefusedReason::Stopped] {
+    for reason in [RejectReason::Busy, RejectReason::TooLong, RejectReason::Stopped] {
         // given
         let journal = Near::default();
         let mut disk = Disk::new(Some(journal.clone()));
@@ -53,7 +53,7 @@
 
         // when
         disk.append(3, records());
-        disk.hand_over();
+        disk.transfer_leadership();
 
         // then
         assert_eq!(*journal.0.taken.borrow(), [1], "{reason:?}");
@@ -77,12 +77,12 @@
 fn given_reports_of_the_journal_when_they_are_told_then_only_a_sync_that_is_done_makes_records_safe() {
     let failure = || StorageError::RingFull { needed: 1, limit: 0 };
     let done = Report::Done { ticket: 7, wants_checkpoint: true, took_ms: 3 };
-    assert!(matches!(event_of(&done), Some(Event::Stored { ticket: 7, wants_checkpoint: true })));
+    assert!(matches!(event_of(&done), Some(Event::Persisted { ticket: 7, wants_checkpoint: true })));
 
     let failed = Report::Failed { error: failure(), ticket: 7, wants_checkpoint: true };
-    assert!(matches!(event_of(&failed), Some(Event::DiskSick { wants_checkpoint: true })));
+    assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
     let failed = Report::CheckpointFailed { error: failure() };
-    assert!(matches!(event_of(&failed), Some(Event::DiskSick { wants_checkpoint: false })));
+    assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
     // What it covers is told by a report of its own.
     let checkpointed = Report::Checkpointed { wants_checkpoint: false, took_ms: 3 };
     assert!(event_of(&checkpointed).is_none());
--- a/coordinator/tests/driver_links.rs
+++ b/coordinator/tests/driver_links.rs
@@ -6,8 +6,8 @@
 
 use shaletrail_coordinator::driver::links::Links;
 use shaletrail_coordinator::driver::sockets::{read_frame, ReadError};
-use shaletrail_protocol::frame::{self, FrameError, LONGEST};
-use shaletrail_protocol::inside::{CoreMessage, Hello};
+use shaletrail_protocol::frame::{self, FrameError, MAX_FRAME_BYTES};
+use shaletrail_protocol::internal::{CoordinatorMessage, Handshake};
 use shaletrail_protocol::{Incarnation, NodeId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -22,15 +22,15 @@
 }
 
 /// What a reader makes of bytes after which the connection ends.
-async fn read(bytes: &[u8]) -> Result<CoreMessage, ReadError> {
+async fn read(bytes: &[u8]) -> Result<CoordinatorMessage, ReadError> {
     let (mut near, mut far) = tokio::io::duplex(bytes.len().max(1));
     far.write_all(bytes).await.expect("there is room");
     drop(far);
     read_frame(&mut near).await
 }
 
-fn acknowledgement(batch: u64) -> CoreMessage {
-    CoreMessage::DirectoryAck { batch }
+fn acknowledgement(batch: u64) -> CoordinatorMessage {
+    CoordinatorMessage::DirectoryAck { batch }
 }
 
 #[test]
@@ -49,13 +49,14 @@
 fn given_a_prefix_over_the_limit_when_it_is_read_then_the_rest_is_not_waited_for() {
     on_one_thread(async {
         let (mut near, mut far) = tokio::io::duplex(64);
-        far.write_all(&(LONGEST as u32 + 1).to_be_bytes()).await.expect("there is room");
+        far.write_all(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()).await.expect("there is room");
 
         // The connection stays open: only the prefix can tell.
-        let read = tokio::time::timeout(Duration::from_secs(2), read_frame::<CoreMessage>(&mut near)).await;
+        let read =
+            tokio::time::timeout(Duration::from_secs(2), read_frame::<CoordinatorMessage>(&mut near)).await;
 
         let refused = read.expect("it does not wait");
-        let too_long = FrameError::TooLong { length: LONGEST + 1 };
+        let too_long = FrameError::TooLong { length: MAX_FRAME_BYTES + 1 };
         assert!(matches!(refused, Err(ReadError::Frame { source }) if source == too_long));
     });
 }
@@ -79,9 +80,9 @@
         let mut links = Links::new(node, INCARNATION, port);
         links.send(NodeId::from(OTHER), &acknowledgement(1));
         let (mut first, _) = listener.accept().await.expect("a connection");
-        let hello: Hello = read_frame(&mut first).await.expect("a greeting");
-        assert_eq!(hello, Hello::Core { node, incarnation: INCARNATION });
-        let message: CoreMessage = read_frame(&mut first).await.expect("a message");
+        let hello: Handshake = read_frame(&mut first).await.expect("a greeting");
+        assert_eq!(hello, Handshake::Coordinator { node, incarnation: INCARNATION });
+        let message: CoordinatorMessage = read_frame(&mut first).await.expect("a message");
         assert_eq!(message, acknowledgement(1));
 
         // when: the connection ends in the middle of what it carries
@@ -100,9 +101,9 @@
         };
 
         // then: nothing comes twice
-        let hello: Hello = read_frame(&mut second).await.expect("a greeting");
-        assert_eq!(hello, Hello::Core { node, incarnation: INCARNATION });
-        let message: CoreMessage = read_frame(&mut second).await.expect("a message");
-        assert!(matches!(message, CoreMessage::DirectoryAck { batch: 3.. }), "{message:?}");
+        let hello: Handshake = read_frame(&mut second).await.expect("a greeting");
+        assert_eq!(hello, Handshake::Coordinator { node, incarnation: INCARNATION });
+        let message: CoordinatorMessage = read_frame(&mut second).await.expect("a message");
+        assert!(matches!(message, CoordinatorMessage::DirectoryAck { batch: 3.. }), "{message:?}");
     });
 }
--- a/coordinator/tests/driver_orders.rs
+++ b/coordinator/tests/driver_orders.rs
@@ -7,7 +7,7 @@
 
 use shaletrail_coordinator::driver::orders::{connect_for_order, deliver, Outgoing};
 use shaletrail_coordinator::interface::OrderOutcome;
-use shaletrail_protocol::outside::{Operation, Order};
+use shaletrail_protocol::external::{Operation, Order};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/coordinator/tests/fleet/mod.rs
+++ b/coordinator/tests/fleet/mod.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use shaletrail_consensus::{Index, Record, Replica};
-use shaletrail_coordinator::core::Core;
-use shaletrail_coordinator::interface::{Action, CallId, CoreOptions, Event};
-use shaletrail_protocol::inside::{CoreMessage, OperatorAnswer, OperatorCall};
+use shaletrail_coordinator::core::Coordinator;
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event};
+use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 
 use crate::common::{configuration, node, TICK};
 
@@ -37,9 +37,9 @@
 
 /// A machine: its process, if it runs, and its disk.
 pub struct Machine {
-    core: Option<Core>,
+    core: Option<Coordinator>,
     seeds: Vec<NodeId>,
-    synced: Vec<Stored>,
+    synced: Vec<StoredRecord>,
     pending: VecDeque<Pending>,
     clock_offset: Millis,
     /// [`Millis::MAX`] once the process was told to end.
@@ -52,11 +52,11 @@
 struct Flight {
     from: NodeId,
     to: NodeId,
-    message: CoreMessage,
+    message: CoordinatorMessage,
 }
 
 /// Which messages pass.
-pub type Filter = Box<dyn FnMut(NodeId, NodeId, &CoreMessage) -> bool>;
+pub type Filter = Box<dyn FnMut(NodeId, NodeId, &CoordinatorMessage) -> bool>;
 
 /// Coordinators and what is between them.
 pub struct Fleet {
@@ -70,7 +70,7 @@
     pub acknowledged: u64,
     hosts_lost: usize,
     flights: BTreeMap<(Millis, u64), Flight>,
-    answers: BTreeMap<CallId, OperatorAnswer>,
+    answers: BTreeMap<CallId, OperatorResponse>,
     random: u64,
     sequence: u64,
     next_call: u64,
@@ -160,12 +160,12 @@
             self.hosts_lost,
         );
         let settings: Settings = text.parse().expect("the settings are read");
-        let options = CoreOptions::from_settings(&settings, Incarnation(self.below(u64::MAX)));
+        let options = CoordinatorOptions::from_settings(&settings, Incarnation(self.below(u64::MAX)));
         let now = self.now;
         let first_tick = now + self.below(TICK);
         let machine = self.machine(node);
         machine.next_tick = first_tick;
-        machine.core = Some(Core::new(options, machine.synced.clone(), now + machine.clock_offset));
+        machine.core = Some(Coordinator::new(options, machine.synced.clone(), now + machine.clock_offset));
         self.tell(node, Event::Tick);
     }
 
@@ -179,7 +179,7 @@
         running.map(|(node, _)| *node).collect()
     }
 
-    pub fn core(&self, node: NodeId) -> &Core {
+    pub fn core(&self, node: NodeId) -> &Coordinator {
         self.machines[&node].core.as_ref().expect("a process that runs")
     }
 
@@ -199,7 +199,7 @@
         let machine = self.machine(node);
         machine.core = None;
         let unsynced = machine.pending.drain(..).take(kept);
-        let kept: Vec<Stored> = unsynced.flat_map(|pending| stored(pending.records)).collect();
+        let kept: Vec<StoredRecord> = unsynced.flat_map(|pending| stored(pending.records)).collect();
         machine.synced.extend(kept);
     }
 
@@ -211,7 +211,7 @@
 
     /// What the disk holds of a shard's log cannot be read. The hard state can.
     pub fn garble(&mut self, node: NodeId, shard: u32) {
-        let is_hard = |record: &Stored| matches!(Record::decode(&record.bytes), Ok(Record::Hard(_)));
+        let is_hard = |record: &StoredRecord| matches!(Record::decode(&record.bytes), Ok(Record::Hard(_)));
         let records = self.machine(node).synced.iter_mut().filter(|record| record.stream == shard);
         records.filter(|record| !is_hard(record)).for_each(|record| record.bytes = vec![255; 3]);
     }
@@ -252,12 +252,12 @@
                 self.machine(node).pending.push_back(Pending { ticket, records, due });
             }
             Action::Checkpoint { live } => self.machine(node).synced = stored(live),
-            Action::AnswerOperator { call, answer } => _ = self.answers.insert(call, answer),
+            Action::RespondToOperator { call, answer } => _ = self.answers.insert(call, answer),
             _ => {}
         }
     }
 
-    fn send(&mut self, from: NodeId, to: NodeId, message: CoreMessage) {
+    fn send(&mut self, from: NodeId, to: NodeId, message: CoordinatorMessage) {
         let passes = self.filter.as_mut().is_none_or(|filter| filter(from, to, &message));
         if passes && !self.cuts.contains(&(from, to)) && self.machines.contains_key(&to) {
             let at = self.now + 1 + self.below(3);
@@ -294,7 +294,7 @@
         }
         for node in self.running() {
             while let Some(ticket) = self.sync_one(node) {
-                self.tell(node, Event::Stored { ticket, wants_checkpoint: false });
+                self.tell(node, Event::Persisted { ticket, wants_checkpoint: false });
             }
             if self.machines[&node].next_tick <= self.now {
                 self.machine(node).next_tick += TICK;
@@ -337,17 +337,17 @@
         assert!(has_voters, "{voters:?} are not the voters: {}", self.describe());
     }
 
-    /// Whether a machine's process would find a shard forgetful if it started anew now.
+    /// Whether a machine's process would find a shard recovering if it started anew now.
     pub fn is_forgetful_on_disk(&self, node: NodeId) -> bool {
-        let is_forgetful = |shard: u32| {
+        let is_recovering = |shard: u32| {
             let records = self.machines[&node].synced.iter().filter(|record| record.stream == shard).rev();
             let hard = records.filter_map(|record| match Record::decode(&record.bytes) {
-                Ok(Record::Hard(hard)) => Some(hard.forgetful),
+                Ok(Record::Hard(hard)) => Some(hard.recovering),
                 _ => None,
             });
-            hard.take(1).all(|forgetful| forgetful)
+            hard.take(1).all(|recovering| recovering)
         };
-        self.shards().any(is_forgetful)
+        self.shards().any(is_recovering)
     }
 
     /// How far a shard is known to be committed anywhere.
@@ -357,7 +357,7 @@
     }
 
     /// The operator calls a node, and waits for as long as it waits at one.
-    fn operate(&mut self, at: NodeId, operator: &OperatorCall) -> Option<OperatorAnswer> {
+    fn operate(&mut self, at: NodeId, operator: &OperatorCall) -> Option<OperatorResponse> {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.tell(at, Event::Operator { call, operator: operator.clone() });
@@ -370,7 +370,7 @@
         let end = self.now + limit;
         while self.now < end {
             for at in self.running() {
-                if let Some(OperatorAnswer::Done { body }) = self.operate(at, operator) {
+                if let Some(OperatorResponse::Done { body }) = self.operate(at, operator) {
                     return Some(body);
                 }
             }
@@ -419,13 +419,13 @@
             for shard in core.shards().numbers() {
                 let replica = self.replica(*node, shard);
                 lines.push(format!(
-                    "{node}, shard {shard}: {} in term {}, last {:?}, commit {}, voters {:?}, forgetful {}",
+                    "{node}, shard {shard}: {} in term {}, last {:?}, commit {}, voters {:?}, recovering {}",
                     replica.role(),
                     replica.term(),
                     replica.last(),
                     replica.commit_index(),
                     replica.voters(),
-                    replica.is_forgetful(),
+                    replica.is_recovering(),
                 ));
             }
         }
@@ -433,6 +433,6 @@
     }
 }
 
-fn stored(records: Vec<(u32, Vec<u8>)>) -> Vec<Stored> {
-    records.into_iter().map(|(stream, bytes)| Stored { stream, bytes }).collect()
+fn stored(records: Vec<(u32, Vec<u8>)>) -> Vec<StoredRecord> {
+    records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes }).collect()
 }
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{configuration, node, Alone};
-use shaletrail_consensus::{Message, Stamp};
+use shaletrail_consensus::{Message, RoundStamp};
 use shaletrail_coordinator::core::operator::{Caller, OperatorCalls};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION};
 use shaletrail_coordinator::interface::{Action, CallId, Event, OrderId};
-use shaletrail_protocol::inside::{CoreMessage, Demand, OperatorAnswer, OperatorCall};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, Report};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
+use shaletrail_protocol::internal::{CoordinatorMessage, Demand, OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Incarnation, NodeId};
 
 const LEADER_TERM: u64 = 9;
@@ -29,7 +29,7 @@
 
 /// The server tells by a heartbeat and a report that it holds the model and no adapter.
 fn tell_held(alone: &mut Alone) {
-    let held = vec![HeldModel { name: "m0".to_owned(), version: 1, adapters: Vec::new() }];
+    let held = vec![LoadedModel { name: "m0".to_owned(), version: 1, adapters: Vec::new() }];
     let heartbeat = Heartbeat {
         service: SERVICE.to_owned(),
         address: "10.0.2.1:8080".to_owned(),
@@ -48,7 +48,7 @@
     let mut alone = Alone::new(1);
     alone.run(2_000);
     let call = alone.replace(0, &with_models());
-    assert!(matches!(alone.answer(call), Some(OperatorAnswer::Done { .. })), "{:?}", alone.answer(call));
+    assert!(matches!(alone.answer(call), Some(OperatorResponse::Done { .. })), "{:?}", alone.answer(call));
     tell_held(&mut alone);
     alone.run(1_000);
     alone
@@ -88,9 +88,9 @@
 
 /// Another node leads the shard in a later term.
 fn depose(alone: &mut Alone) {
-    let stamp = Stamp { round: 1, sent_at: 1 };
+    let stamp = RoundStamp { round: 1, sent_at: 1 };
     let message = Message::Heartbeat { term: term(alone) + 1, commit: 0, stamp };
-    let message = CoreMessage::Shard { shard: shard_of(SERVICE), body: bitcode::encode(&message) };
+    let message = CoordinatorMessage::Shard { shard: shard_of(SERVICE), body: bitcode::encode(&message) };
     alone.tell(Event::Message { from: node(2), message });
 }
 
@@ -118,9 +118,9 @@
 /// The first of three coordinators, of which the second one leads.
 fn led_by(leader: NodeId, incarnation: u64) -> Alone {
     let mut alone = Alone::incarnation(3, incarnation);
-    let stamp = Stamp { round: 1, sent_at: 1 };
+    let stamp = RoundStamp { round: 1, sent_at: 1 };
     let message = Message::Heartbeat { term: LEADER_TERM, commit: 0, stamp };
-    let message = CoreMessage::Shard { shard: CONFIGURATION, body: bitcode::encode(&message) };
+    let message = CoordinatorMessage::Shard { shard: CONFIGURATION, body: bitcode::encode(&message) };
     alone.tell(Event::Message { from: leader, message });
     alone
 }
@@ -128,15 +128,17 @@
 /// By which number the last change was handed to the leader.
 fn forwarded(alone: &Alone, leader: NodeId) -> u64 {
     let number = alone.actions.iter().rev().find_map(|action| match action {
-        Action::Send { to, message: CoreMessage::Forward { call, .. } } if *to == leader => Some(*call),
+        Action::Send { to, message: CoordinatorMessage::Forward { call, .. } } if *to == leader => {
+            Some(*call)
+        }
         _ => None,
     });
     number.expect("the call is handed to the leader")
 }
 
 fn answer_from(leader: NodeId, call: u64) -> Event {
-    let answer = OperatorAnswer::Done { body: b"{}".to_vec() };
-    Event::Message { from: leader, message: CoreMessage::Forwarded { call, answer } }
+    let answer = OperatorResponse::Done { body: b"{}".to_vec() };
+    Event::Message { from: leader, message: CoordinatorMessage::Forwarded { call, answer } }
 }
 
 #[test]
@@ -159,7 +161,7 @@
     alone.tell(answer_from(node(3), call_now));
     assert_eq!(alone.answer(call), None, "it was not handed to the third node");
     alone.tell(answer_from(leader, call_now));
-    assert!(matches!(alone.answer(call), Some(OperatorAnswer::Done { .. })));
+    assert!(matches!(alone.answer(call), Some(OperatorResponse::Done { .. })));
 }
 
 #[test]
--- a/coordinator/tests/parts.rs
+++ b/coordinator/tests/parts.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::node;
-use shaletrail_coordinator::core::demand::{list_name, Edges, Gathered};
+use shaletrail_coordinator::core::demand::{list_name, AggregatedDemand, Edges};
 use shaletrail_coordinator::core::operator::{Caller, OperatorCalls, Stage};
-use shaletrail_coordinator::core::polls::{HeldPoll, HeldPolls};
-use shaletrail_coordinator::core::service_state::{Holder, ServiceState};
+use shaletrail_coordinator::core::polls::{PendingPoll, PendingPolls};
+use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 use shaletrail_coordinator::core::voters::{group_size, wanted, Candidate};
 use shaletrail_coordinator::interface::CallId;
-use shaletrail_protocol::inside::{Demand, DirectoryCursor, Observation, OperatorCall};
+use shaletrail_protocol::internal::{Demand, DirectoryCursor, Observation, OperatorCall};
 use shaletrail_protocol::{Incarnation, NodeId};
 
 fn candidate(number: u8, absent: bool, caught_up: bool) -> Candidate {
@@ -52,15 +52,15 @@
 fn given_a_holder_when_an_older_or_the_same_fence_comes_then_no_turn_begins() {
     // given
     let mut state = ServiceState::default();
-    let first = Holder { node: node(1), fence: 4 };
+    let first = LeaseHolder { node: node(1), fence: 4 };
     let turn = state.apply(&ServiceState::command(first)).expect("a turn");
     assert_eq!((turn.holder, turn.previous), (first, None));
 
     // when, then
     for fence in [3, 4] {
-        assert_eq!(state.apply(&ServiceState::command(Holder { node: node(2), fence })), None);
+        assert_eq!(state.apply(&ServiceState::command(LeaseHolder { node: node(2), fence })), None);
     }
-    let second = Holder { node: node(2), fence: 5 };
+    let second = LeaseHolder { node: node(2), fence: 5 };
     let turn = state.apply(&ServiceState::command(second)).expect("a turn");
     assert_eq!((turn.holder, turn.previous), (second, Some(first)));
     assert_eq!(ServiceState::restore(&state.snapshot()), Some(state));
@@ -145,8 +145,8 @@
 
 #[test]
 fn given_more_polls_than_may_wait_when_another_comes_then_it_is_not_taken_in() {
-    let mut polls = HeldPolls::default();
-    let poll = HeldPoll {
+    let mut polls = PendingPolls::default();
+    let poll = PendingPoll {
         edge: node(100),
         config_version: 0,
         cursor: DirectoryCursor::default(),
@@ -159,8 +159,8 @@
 
 #[test]
 fn given_a_poll_when_it_asks_to_be_held_for_an_hour_then_it_is_held_for_ten_seconds() {
-    let mut polls = HeldPolls::default();
-    let waiting = HeldPoll {
+    let mut polls = PendingPolls::default();
+    let waiting = PendingPoll {
         edge: node(100),
         config_version: 0,
         cursor: DirectoryCursor::default(),
@@ -186,7 +186,7 @@
         ..Demand::default()
     };
     let observed = |failed| Observation { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
-    let mut gathered = Gathered::default();
+    let mut gathered = AggregatedDemand::default();
 
     // when
     gathered.add(node(100), vec![demand(2, 5, 3)], vec![observed(1)]);
--- a/coordinator/tests/turns.rs
+++ b/coordinator/tests/turns.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::node;
-use shaletrail_coordinator::core::service_state::{Holder, ServiceState, Turn};
+use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
 
-fn holder(number: u8, fence: u64) -> Holder {
-    Holder { node: node(number), fence }
+fn holder(number: u8, fence: u64) -> LeaseHolder {
+    LeaseHolder { node: node(number), fence }
 }
 
-fn begin(state: &mut ServiceState, holder: Holder) -> Turn {
+fn begin(state: &mut ServiceState, holder: LeaseHolder) -> Turn {
     state.apply(&ServiceState::command(holder)).expect("a turn begins")
 }
 
--- a/coordinator/tests/voters.rs
+++ b/coordinator/tests/voters.rs
@@ -8,7 +8,7 @@
 use shaletrail_consensus::Message;
 use shaletrail_coordinator::core::shards::CONFIGURATION;
 use shaletrail_coordinator::interface::Event;
-use shaletrail_protocol::inside::CoreMessage;
+use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId};
 
 /// How long a machine that is back, or new, counts as lost (`syncS`), in the deployments with one and with two losses.
@@ -288,9 +288,9 @@
 }
 
 /// Whether a message brings entries or the state of the configuration's shard.
-fn brings_configuration(message: &CoreMessage) -> bool {
-    let CoreMessage::Shard { shard: CONFIGURATION, body } = message else { return false };
-    matches!(bitcode::decode(body), Ok(Message::Append { .. } | Message::Install { .. }))
+fn brings_configuration(message: &CoordinatorMessage) -> bool {
+    let CoordinatorMessage::Shard { shard: CONFIGURATION, body } = message else { return false };
+    matches!(bitcode::decode(body), Ok(Message::Append { .. } | Message::InstallSnapshot { .. }))
 }
 
 #[test]
@@ -532,7 +532,7 @@
             let mut fleet = Fleet::founded(1, seed);
             let leader = fleet.leader_of(CONFIGURATION).expect("a leader");
             if sick {
-                fleet.tell(leader, Event::DiskSick { wants_checkpoint: false });
+                fleet.tell(leader, Event::DiskDegraded { wants_checkpoint: false });
             } else {
                 fleet.tell_to_end(leader);
             }
--- a/dataplane/src/answer.rs
+++ b/dataplane/src/answer.rs
@@ -44,9 +44,9 @@
     /// A failure of the server's own, which is to be passed on as it is or not at all.
     Failure,
     /// The server says that it has not run the request.
-    TurnedAway,
+    Rejected,
     /// No answer to this request.
-    Garbled(Garble),
+    MalformedResponse(Garble),
 }
 
 /// Why an answer is none.
@@ -68,25 +68,25 @@
 /// Judges the head of an answer to a request with this method and `Attempt-Id`.
 pub fn judge(head: &Parts, method: &Method, attempt_id: Option<&HeaderValue>) -> Kind {
     if head.headers.get(ATTEMPT_ID) != attempt_id {
-        return Kind::Garbled(Garble::OtherRequest);
+        return Kind::MalformedResponse(Garble::OtherRequest);
     }
     if head.status.is_informational() {
-        return Kind::Garbled(Garble::NotFinal);
+        return Kind::MalformedResponse(Garble::NotFinal);
     }
     if is_turned_away(head) {
-        return Kind::TurnedAway;
+        return Kind::Rejected;
     }
     if PROMISES.contains(&head.status) {
-        return Kind::Garbled(Garble::EmptyPromise);
+        return Kind::MalformedResponse(Garble::EmptyPromise);
     }
-    let Some(shape) = body_shape(head, method) else { return Kind::Garbled(Garble::NoEnd) };
+    let Some(shape) = body_shape(head, method) else { return Kind::MalformedResponse(Garble::NoEnd) };
     if !head.status.is_success() {
         return Kind::Failure;
     }
     if head.headers.contains_key(SERVER_STAMP) {
         Kind::Success(shape)
     } else {
-        Kind::Garbled(Garble::NoStamp)
+        Kind::MalformedResponse(Garble::NoStamp)
     }
 }
 
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -128,18 +128,18 @@
     answer: &mut ClientAnswer,
 ) -> AttemptEnd {
     match judge(received.head(), request.method(), request.attempt_id()) {
-        Kind::Garbled(reason) => {
+        Kind::MalformedResponse(reason) => {
             slog::debug!(progress.state.log, "garbled"; "server" => &order.server, "reason" => ?reason);
-            AttemptEnd::without_answer(Verdict::MayHaveRun, Ending::Garbled)
+            AttemptEnd::without_answer(Verdict::MayHaveRun, Ending::MalformedResponse)
         }
-        Kind::TurnedAway => received.turned_away(),
+        Kind::Rejected => received.turned_away(),
         Kind::Failure => received.failure().await,
         Kind::Success(BodyShape::Events) => {
             received.events(order.resume_after, request.stall_after(), progress, answer).await
         }
         // What goes on a stream must be one.
         Kind::Success(_) if answer.has_begun() => {
-            AttemptEnd::without_answer(Verdict::MayHaveRun, Ending::Garbled)
+            AttemptEnd::without_answer(Verdict::MayHaveRun, Ending::MalformedResponse)
         }
         Kind::Success(shape) => received.success(shape, progress, answer).await,
     }
@@ -149,7 +149,7 @@
 /// surely not run.
 fn no_answer(error: &ExchangeError) -> AttemptEnd {
     let ending = match error {
-        ExchangeError { is_parse: true, .. } => Ending::Garbled,
+        ExchangeError { is_parse: true, .. } => Ending::MalformedResponse,
         ExchangeError { was_reused: true, .. } => Ending::Stale,
         ExchangeError { was_written: false, .. } => Ending::Unreachable,
         _ => Ending::Lost,
--- a/dataplane/src/client_answer.rs
+++ b/dataplane/src/client_answer.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
-use shaletrail_routing::interface::{Ending, Refusal};
+use shaletrail_routing::interface::{Ending, Rejection};
 
 use crate::body::{AnswerWriter, BrokenOff};
 use crate::request::strip_hop_by_hop;
@@ -71,7 +71,7 @@
 }
 
 /// The head of an answer of our own.
-pub fn refusal_head(refusal: Refusal) -> Option<Parts> {
+pub fn refusal_head(refusal: Rejection) -> Option<Parts> {
     let (mut head, ()) = Response::new(()).into_parts();
     head.status = StatusCode::from_u16(refusal.status).ok()?;
     if let Some(milliseconds) = refusal.retry_after_ms {
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use shaletrail_routing::interface::{Attempt, Ending, Event, Outcome, Refusal, Verdict};
+use shaletrail_routing::interface::{Attempt, Ending, Event, Outcome, Rejection, Verdict};
 
 use crate::attempt::{self, AttemptEnd, HeldFailure, Progress};
 use crate::body::{AnswerWriter, BrokenOff};
@@ -56,9 +56,9 @@
     async fn obey(&mut self, command: Command) -> Result<Step, BrokenOff> {
         match command {
             Command::Send(order) => Ok(self.send(&order).await),
-            Command::PassOn => self.pass_on(),
+            Command::ForwardFailure => self.pass_on(),
             Command::Refuse(refusal) => self.refuse(refusal),
-            Command::BreakOff => Err(BrokenOff),
+            Command::AbortResponse => Err(BrokenOff),
             // The attempt has ended before the command was read.
             Command::Cancel(_) => Ok(Step::Wait),
         }
@@ -105,7 +105,7 @@
         Ok(Step::Over)
     }
 
-    fn refuse(&mut self, refusal: Refusal) -> Result<Step, BrokenOff> {
+    fn refuse(&mut self, refusal: Rejection) -> Result<Step, BrokenOff> {
         slog::debug!(self.ticket.state().log, "refused"; "status" => refusal.status, "reason" => %refusal.reason);
         let head = refusal_head(refusal).ok_or(BrokenOff)?;
         self.answer.whole(head, Bytes::new())?;
--- a/dataplane/src/ingress.rs
+++ b/dataplane/src/ingress.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use shaletrail_configuration::{Route, RouteKind};
 use shaletrail_protocol::Millis;
-use shaletrail_routing::interface::{NewRequest, Refusal, RefusalReason, RequestId};
+use shaletrail_routing::interface::{NewRequest, RejectReason, Rejection, RequestId};
 
 use crate::body::{answer, AnswerBody, AnswerWriter, BrokenOff};
 use crate::client_answer::refusal_head;
@@ -171,7 +171,7 @@
 
 /// An answer of our own, about which the router is not asked.
 fn own_answer(status: StatusCode, retry_after_ms: Option<u64>) -> Result<Response<AnswerBody>, BrokenOff> {
-    let refusal = Refusal { status: status.as_u16(), retry_after_ms, reason: RefusalReason::Overloaded };
+    let refusal = Rejection { status: status.as_u16(), retry_after_ms, reason: RejectReason::Overloaded };
     let head = refusal_head(refusal).ok_or(BrokenOff)?;
     Ok(Response::from_parts(head, AnswerBody::Whole(None)))
 }
--- a/dataplane/src/load_datagrams.rs
+++ b/dataplane/src/load_datagrams.rs
@@ -1,8 +1,8 @@
 //! Datagrams in which an edge tells others of requests at servers.
 
-use shaletrail_protocol::inside::{EdgeLoads, LoadShare};
+use shaletrail_protocol::internal::{EdgeLoadReport, EdgeServerLoad};
 use shaletrail_protocol::{Incarnation, NodeId};
-use shaletrail_routing::interface::LoadNews;
+use shaletrail_routing::interface::LoadUpdate;
 
 /// Shares in one datagram, so that it fits into one packet.
 const MOST_SHARES: usize = 64;
@@ -22,13 +22,13 @@
     }
 
     /// The datagrams that carry the news, each to be sent to all that are to be told.
-    pub fn encode(&mut self, news: &LoadNews) -> Vec<Vec<u8>> {
+    pub fn encode(&mut self, news: &LoadUpdate) -> Vec<Vec<u8>> {
         news.shares.chunks(MOST_SHARES).map(|shares| self.encode_part(news, shares)).collect()
     }
 
-    fn encode_part(&mut self, news: &LoadNews, shares: &[LoadShare]) -> Vec<u8> {
+    fn encode_part(&mut self, news: &LoadUpdate, shares: &[EdgeServerLoad]) -> Vec<u8> {
         self.number += 1;
-        bitcode::encode(&EdgeLoads {
+        bitcode::encode(&EdgeLoadReport {
             edge: self.edge,
             incarnation: self.incarnation,
             number: self.number,
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use ahash::AHashMap;
-use shaletrail_protocol::inside::EdgeLoads;
+use shaletrail_protocol::internal::EdgeLoadReport;
 use shaletrail_protocol::{Incarnation, NodeId};
-use shaletrail_routing::interface::{Event, LoadNews};
+use shaletrail_routing::interface::{Event, LoadUpdate};
 use tokio::net::UdpSocket;
 
 use crate::load_datagrams::LoadDatagrams;
@@ -60,13 +60,13 @@
         loop {
             let _ = tokio::time::timeout(INTERVAL, self.state.shares_changed.notified()).await;
             let now = self.state.clock.now();
-            for news in self.state.with_router(|router| router.take_load_news(now)) {
+            for news in self.state.with_router(|router| router.take_load_update(now)) {
                 self.send(&news).await;
             }
         }
     }
 
-    async fn send(&self, news: &LoadNews) {
+    async fn send(&self, news: &LoadUpdate) {
         let datagrams = self.datagrams.borrow_mut().encode(news);
         for datagram in datagrams {
             for edge in news.to.iter() {
@@ -83,7 +83,9 @@
                 tokio::time::sleep(PAUSE).await;
                 continue;
             };
-            let Some(Ok(loads)) = buffer.get(..length).map(bitcode::decode::<EdgeLoads>) else { continue };
+            let Some(Ok(loads)) = buffer.get(..length).map(bitcode::decode::<EdgeLoadReport>) else {
+                continue;
+            };
             if self.is_new(&loads) {
                 self.state.handle(Event::Peer { edge: loads.edge, scope: loads.scope, shares: loads.shares });
             }
@@ -91,7 +93,7 @@
     }
 
     /// Whether it is no earlier one than the edge's newest that was seen.
-    fn is_new(&self, loads: &EdgeLoads) -> bool {
+    fn is_new(&self, loads: &EdgeLoadReport) -> bool {
         let mut seen = self.seen.borrow_mut();
         if seen.len() >= MOST_EDGES && !seen.contains_key(&loads.edge) {
             seen.clear();
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -10,9 +10,9 @@
 use rand_pcg::Pcg64;
 use shaletrail_configuration::View;
 use shaletrail_protocol::frame::{self, FrameError};
-use shaletrail_protocol::inside::{
-    ConfigNews, Demand, DirectoryCursor, EdgeIdentity, EdgeRequest, Hello, Observation, PollReply,
-    PollRequest,
+use shaletrail_protocol::internal::{
+    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeRequest, Handshake, Observation, PollRequest,
+    PollResponse,
 };
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Millis, NodeId};
@@ -173,12 +173,12 @@
         }
     }
 
-    async fn poll(&mut self, coordinator: NodeId) -> Result<PollReply, PollError> {
+    async fn poll(&mut self, coordinator: NodeId) -> Result<PollResponse, PollError> {
         self.gather_report();
         let request = EdgeRequest::Poll(PollRequest {
             config_version: if self.wants_whole { 0 } else { self.state.view().version },
             cursor: self.cursor,
-            hold_ms: u32::try_from(self.pace.hold.as_millis()).unwrap_or(u32::MAX),
+            max_wait_ms: u32::try_from(self.pace.hold.as_millis()).unwrap_or(u32::MAX),
             demand: self.demand.clone(),
             observed: self.observed.clone(),
             edge_list: self.edge_list,
@@ -216,7 +216,7 @@
         let stream = connected.context(IoSnafu)?;
         stream.set_nodelay(true).context(IoSnafu)?;
         slog::debug!(self.state.log, "connected to a coordinator"; "coordinator" => %coordinator);
-        Ok((stream, frame::encode(&Hello::Edge(self.identity.clone()))))
+        Ok((stream, frame::encode(&Handshake::Edge(self.identity.clone()))))
     }
 
     /// Reports that have not reached a coordinator are sent again, before new ones are made.
@@ -229,7 +229,7 @@
         }
     }
 
-    fn take_over(&mut self, reply: PollReply) {
+    fn take_over(&mut self, reply: PollResponse) {
         self.coordinators.learn(reply.coordinators);
         if let Some(news) = reply.config {
             self.take_configuration(&news);
@@ -253,7 +253,7 @@
         }
     }
 
-    fn take_configuration(&mut self, news: &ConfigNews) {
+    fn take_configuration(&mut self, news: &ConfigUpdate) {
         let current = self.state.view();
         if news.version <= current.version {
             // An older coordinator, or the whole configuration that we have.
@@ -283,10 +283,10 @@
     stream: &mut TcpStream,
     message: &[u8],
     pace: Pace,
-) -> Result<(PollReply, Vec<Observation>), PollError> {
+) -> Result<(PollResponse, Vec<Observation>), PollError> {
     let (mut from, mut to) = stream.split();
     let mut observed = Vec::new();
-    let mut prefix = [0; frame::PREFIX];
+    let mut prefix = [0; frame::PREFIX_BYTES];
     let begin = async {
         to.write_all(message).await?;
         let mut reading = std::pin::pin!(from.read_exact(&mut prefix));
--- a/dataplane/src/received.rs
+++ b/dataplane/src/received.rs
@@ -60,7 +60,7 @@
         let instance = text(&self.head.headers, &INSTANCE_ID).map(str::to_owned);
         let outcome = Outcome {
             verdict: Verdict::SurelyNotRun,
-            ending: Ending::TurnedAway { status, instance },
+            ending: Ending::Rejected { status, instance },
             load: self.load,
             retry_after_ms: answer::retry_after(&self.head.headers),
         };
@@ -83,7 +83,7 @@
                 AttemptEnd::Held(outcome(Ending::Failed { status }), HeldFailure { head: self.head, body })
             }
             Err(BodyFailure::Broken) => AttemptEnd::Over(outcome(Ending::Lost)),
-            Err(BodyFailure::TooLong) => AttemptEnd::Over(outcome(Ending::Garbled)),
+            Err(BodyFailure::TooLong) => AttemptEnd::Over(outcome(Ending::MalformedResponse)),
         }
     }
 
@@ -162,7 +162,7 @@
                 Some(Err(BrokenBody)) => return self.stream_broken(answer, Ending::Lost),
                 None => break,
             };
-            let Ok(events) = events else { return self.stream_broken(answer, Ending::Garbled) };
+            let Ok(events) = events else { return self.stream_broken(answer, Ending::MalformedResponse) };
             answer.note_events(cutter.last_id(), cutter.holds_part());
             if events.is_empty() {
                 continue;
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -13,7 +13,7 @@
 use shaletrail_configuration::View;
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Millis, ServerId};
-use shaletrail_routing::interface::{Action, Attempt, Event, NewRequest, Refusal, RequestId};
+use shaletrail_routing::interface::{Action, Attempt, Event, NewRequest, Rejection, RequestId};
 use shaletrail_routing::Router;
 use tokio::sync::Notify;
 
@@ -71,11 +71,11 @@
     /// Send the request.
     Send(SendOrder),
     /// Pass the held failure on.
-    PassOn,
+    ForwardFailure,
     /// Answer with a failure of our own.
-    Refuse(Refusal),
+    Refuse(Rejection),
     /// Break the answer off.
-    BreakOff,
+    AbortResponse,
     /// Call an attempt off.
     Cancel(Attempt),
 }
@@ -179,7 +179,7 @@
             if router.has_urgent_report() {
                 self.urgent.notify_one();
             }
-            if router.has_urgent_shares() {
+            if router.has_urgent_load_update() {
                 self.shares_changed.notify_one();
             }
             router.next_wake()
@@ -269,9 +269,9 @@
                 let order = SendOrder { attempt, server, address, deadline_ms, priority, resume_after };
                 self.tell(request, Command::Send(order));
             }
-            Action::PassOn(request) => self.tell(request, Command::PassOn),
+            Action::ForwardFailure(request) => self.tell(request, Command::ForwardFailure),
             Action::Refuse { request, refusal } => self.tell(request, Command::Refuse(refusal)),
-            Action::BreakOff(request) => self.tell(request, Command::BreakOff),
+            Action::AbortResponse(request) => self.tell(request, Command::AbortResponse),
             Action::Cancel(request, attempt) => self.tell(request, Command::Cancel(attempt)),
             Action::Forget(server) => self.pool.forget(&server),
         }
--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{
-    ConfigNews, DirectoryCursor, EdgeRequest, Hello, PollReply, PollRequest, ServerRecord,
+use shaletrail_protocol::internal::{
+    ConfigUpdate, DirectoryCursor, EdgeRequest, Handshake, PollRequest, PollResponse, ServerRecord,
 };
 use shaletrail_protocol::Incarnation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,14 +16,14 @@
 
 #[derive(Default)]
 struct Shared {
-    replies: RefCell<VecDeque<PollReply>>,
+    replies: RefCell<VecDeque<PollResponse>>,
     published: Notify,
     polls: RefCell<Vec<PollRequest>>,
     hellos: Cell<usize>,
     has_left: Cell<bool>,
     asked: Notify,
     /// The next poll is answered late, with this.
-    late_reply: RefCell<Option<PollReply>>,
+    late_reply: RefCell<Option<PollResponse>>,
     is_late: Cell<bool>,
     released: Notify,
 }
@@ -57,20 +57,20 @@
     }
 
     /// Answers the next poll with this.
-    pub fn publish(&self, reply: PollReply) {
+    pub fn publish(&self, reply: PollResponse) {
         self.shared.replies.borrow_mut().push_back(reply);
         self.shared.published.notify_waiters();
     }
 
     /// Tells news of the configuration.
-    pub fn publish_configuration(&self, news: ConfigNews) {
-        self.publish(PollReply { config: Some(news), ..PollReply::default() });
+    pub fn publish_configuration(&self, news: ConfigUpdate) {
+        self.publish(PollResponse { config: Some(news), ..PollResponse::default() });
     }
 
     /// Tells the whole directory.
     pub fn publish_servers(&self, servers: Vec<ServerRecord>) {
         let cursor = DirectoryCursor { epoch: Incarnation(1), change: 1 };
-        self.publish(PollReply { servers, whole: true, cursor, edges: 1, ..PollReply::default() });
+        self.publish(PollResponse { servers, whole: true, cursor, edges: 1, ..PollResponse::default() });
     }
 
     /// Waits until all that was published has been taken over: the edge has asked again after it.
@@ -81,7 +81,7 @@
     }
 
     /// Answers the next poll with this, but only once it is released.
-    pub fn publish_late(&self, reply: PollReply) {
+    pub fn publish_late(&self, reply: PollResponse) {
         self.shared.late_reply.replace(Some(reply));
     }
 
@@ -132,7 +132,7 @@
 }
 
 async fn serve(shared: Rc<Shared>, mut stream: TcpStream) {
-    let Some(Hello::Edge(_)) = read::<Hello>(&mut stream).await else { return };
+    let Some(Handshake::Edge(_)) = read::<Handshake>(&mut stream).await else { return };
     shared.hellos.set(shared.hellos.get() + 1);
     shared.asked.notify_waiters();
     while let Some(request) = read::<EdgeRequest>(&mut stream).await {
@@ -141,7 +141,7 @@
             shared.asked.notify_waiters();
             return;
         };
-        let (cursor, hold) = (poll.cursor, Duration::from_millis(u64::from(poll.hold_ms)));
+        let (cursor, hold) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
         shared.polls.borrow_mut().push(poll);
         shared.asked.notify_waiters();
         let late = shared.late_reply.take();
@@ -153,7 +153,7 @@
             drop(stream.write_all(&frame::encode(&reply)).await);
             continue;
         }
-        let quiet = PollReply { cursor, ..PollReply::default() };
+        let quiet = PollResponse { cursor, ..PollResponse::default() };
         let reply = tokio::time::timeout(hold, next_reply(&shared)).await.unwrap_or(quiet);
         if stream.write_all(&frame::encode(&reply)).await.is_err() {
             return;
@@ -161,7 +161,7 @@
     }
 }
 
-async fn next_reply(shared: &Shared) -> PollReply {
+async fn next_reply(shared: &Shared) -> PollResponse {
     loop {
         let published = shared.published.notified();
         if let Some(reply) = shared.replies.borrow_mut().pop_front() {
@@ -172,7 +172,7 @@
 }
 
 async fn read<M: bitcode_message::Message>(stream: &mut TcpStream) -> Option<M> {
-    let mut prefix = [0; frame::PREFIX];
+    let mut prefix = [0; frame::PREFIX_BYTES];
     stream.read_exact(&mut prefix).await.ok()?;
     let mut body = vec![0; frame::body_length(prefix).ok()?];
     stream.read_exact(&mut body).await.ok()?;
@@ -181,14 +181,14 @@
 
 mod bitcode_message {
     use shaletrail_protocol::frame;
-    use shaletrail_protocol::inside::{EdgeRequest, Hello};
+    use shaletrail_protocol::internal::{EdgeRequest, Handshake};
 
     /// What an edge sends.
     pub trait Message: Sized {
         fn decode(body: &[u8]) -> Option<Self>;
     }
 
-    impl Message for Hello {
+    impl Message for Handshake {
         fn decode(body: &[u8]) -> Option<Self> {
             frame::decode(body).ok()
         }
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -9,10 +9,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_configuration::{Change, ConfigState, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
 use shaletrail_dataplane::{Control, Dataplane};
-use shaletrail_protocol::inside::{ConfigNews, Presence, ServerRecord};
-use shaletrail_protocol::outside::Heartbeat;
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::internal::{ConfigUpdate, Presence, ServerRecord};
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
 
@@ -98,18 +98,18 @@
 }
 
 /// A whole configuration, as coordinators tell it to an edge that knows none.
-pub fn news(configuration: &str) -> ConfigNews {
-    news_since(0, &[(true, 0, configuration)])
+pub fn news(configuration: &str) -> ConfigUpdate {
+    updates_since(0, &[(true, 0, configuration)])
 }
 
 /// What the last of some changes brings to an edge that is at `version`. Each is `(whole, base, body)`.
-pub fn news_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigNews {
+pub fn updates_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigUpdate {
     let mut state = ConfigState::default();
     for (whole, base, body) in changes {
         let change = Change::parse(*whole, *base, body.as_bytes()).expect("a change");
-        assert_eq!(state.apply(&change.encode()), Judgement::Apply);
+        assert_eq!(state.apply(&change.encode()), ChangeOutcome::Accepted);
     }
-    state.news_since(version).expect("news")
+    state.updates_since(version).expect("news")
 }
 
 /// A route of the service `s1`.
--- a/dataplane/tests/polls.rs
+++ b/dataplane/tests/polls.rs
@@ -4,7 +4,7 @@
 
 use common::coordinator::Coordinator;
 use common::{configuration, news, route, run, Edge, Server};
-use shaletrail_protocol::inside::{DirectoryCursor, PollReply};
+use shaletrail_protocol::internal::{DirectoryCursor, PollResponse};
 use shaletrail_protocol::Incarnation;
 
 #[test]
@@ -16,7 +16,7 @@
         coordinator.publish_configuration(news(&configuration(&[route("r", "/x/", "idempotent")])));
         coordinator.all_taken().await;
         let cursor = DirectoryCursor { epoch: Incarnation(9), change: 9 };
-        coordinator.publish_late(PollReply { cursor, ..PollReply::default() });
+        coordinator.publish_late(PollResponse { cursor, ..PollResponse::default() });
         coordinator.is_late().await;
 
         // when
@@ -63,10 +63,10 @@
 
         // when
         let polled = edge.coordinator.polls().len();
-        edge.coordinator.publish(PollReply {
+        edge.coordinator.publish(PollResponse {
             config: Some(news(&newer)),
             isolated: true,
-            ..PollReply::default()
+            ..PollResponse::default()
         });
         edge.coordinator.greeted_times(2).await;
         edge.coordinator.polled_times(polled + 2).await;
@@ -84,10 +84,10 @@
         let edge = Edge::start().await;
 
         // when
-        edge.coordinator.publish(PollReply {
+        edge.coordinator.publish(PollResponse {
             config: Some(remembered),
             isolated: true,
-            ..PollReply::default()
+            ..PollResponse::default()
         });
         edge.coordinator.greeted_times(2).await;
         edge.coordinator.all_taken().await;
@@ -135,7 +135,7 @@
         let anew = DirectoryCursor { epoch: Incarnation(2), change: 0 };
 
         // when
-        edge.coordinator.publish(PollReply { cursor: anew, ..PollReply::default() });
+        edge.coordinator.publish(PollResponse { cursor: anew, ..PollResponse::default() });
         edge.coordinator.all_taken().await;
 
         // then
--- a/dataplane/tests/pure.rs
+++ b/dataplane/tests/pure.rs
@@ -193,26 +193,29 @@
     assert_eq!(judged(200, &[ID, STAMP, CHUNKED]), Kind::Success(BodyShape::Chunked));
     assert_eq!(judged(200, &[ID, STAMP, CHUNKED, EVENTS]), Kind::Success(BodyShape::Events));
     assert_eq!(judged(204, &[ID, STAMP]), Kind::Success(BodyShape::Length(0)));
-    assert_eq!(judged(200, &[ID, STAMP]), Kind::Garbled(Garble::NoEnd));
-    assert_eq!(judged(200, &[ID, STAMP, IDENTITY, LENGTH]), Kind::Garbled(Garble::NoEnd));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, IDENTITY]), Kind::Garbled(Garble::NoEnd));
+    assert_eq!(judged(200, &[ID, STAMP]), Kind::MalformedResponse(Garble::NoEnd));
+    assert_eq!(judged(200, &[ID, STAMP, IDENTITY, LENGTH]), Kind::MalformedResponse(Garble::NoEnd));
+    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, IDENTITY]), Kind::MalformedResponse(Garble::NoEnd));
     assert_eq!(judged(200, &[ID, STAMP, CHUNKED, LENGTH]), Kind::Success(BodyShape::Chunked));
-    assert_eq!(judged(200, &[ID, LENGTH]), Kind::Garbled(Garble::NoStamp));
-    assert_eq!(judged(200, &[("attempt-id", "t0"), STAMP, LENGTH]), Kind::Garbled(Garble::OtherRequest));
-    assert_eq!(judged(200, &[STAMP, LENGTH]), Kind::Garbled(Garble::OtherRequest));
-    assert_eq!(judged(503, &[ID, MARK, LENGTH]), Kind::TurnedAway);
-    assert_eq!(judged(429, &[ID, MARK]), Kind::TurnedAway);
-    assert_eq!(judged(400, &[ID, MARK]), Kind::TurnedAway);
-    assert_eq!(judged(421, &[ID]), Kind::TurnedAway);
-    assert_eq!(judged(503, &[ID, STAMP, LENGTH]), Kind::Garbled(Garble::EmptyPromise));
+    assert_eq!(judged(200, &[ID, LENGTH]), Kind::MalformedResponse(Garble::NoStamp));
+    assert_eq!(
+        judged(200, &[("attempt-id", "t0"), STAMP, LENGTH]),
+        Kind::MalformedResponse(Garble::OtherRequest)
+    );
+    assert_eq!(judged(200, &[STAMP, LENGTH]), Kind::MalformedResponse(Garble::OtherRequest));
+    assert_eq!(judged(503, &[ID, MARK, LENGTH]), Kind::Rejected);
+    assert_eq!(judged(429, &[ID, MARK]), Kind::Rejected);
+    assert_eq!(judged(400, &[ID, MARK]), Kind::Rejected);
+    assert_eq!(judged(421, &[ID]), Kind::Rejected);
+    assert_eq!(judged(503, &[ID, STAMP, LENGTH]), Kind::MalformedResponse(Garble::EmptyPromise));
     for status in [408, 429, 503] {
-        assert_eq!(judged(status, &[ID, STAMP, LENGTH]), Kind::Garbled(Garble::EmptyPromise));
+        assert_eq!(judged(status, &[ID, STAMP, LENGTH]), Kind::MalformedResponse(Garble::EmptyPromise));
     }
     for status in [200, 500, 504] {
-        assert_ne!(judged(status, &[ID, STAMP, LENGTH, MARK]), Kind::TurnedAway);
+        assert_ne!(judged(status, &[ID, STAMP, LENGTH, MARK]), Kind::Rejected);
     }
-    assert_eq!(judged(503, &[("attempt-id", "t0"), MARK]), Kind::Garbled(Garble::OtherRequest));
-    assert_eq!(judged(421, &[("attempt-id", "t0")]), Kind::Garbled(Garble::OtherRequest));
+    assert_eq!(judged(503, &[("attempt-id", "t0"), MARK]), Kind::MalformedResponse(Garble::OtherRequest));
+    assert_eq!(judged(421, &[("attempt-id", "t0")]), Kind::MalformedResponse(Garble::OtherRequest));
     assert_eq!(judged(400, &[ID, LENGTH]), Kind::Failure);
     assert_eq!(judged(500, &[ID, STAMP, LENGTH]), Kind::Failure);
 }
--- a/dataplane/tests/requests.rs
+++ b/dataplane/tests/requests.rs
@@ -353,7 +353,7 @@
             r#"{{"version":5,"upsert":{{"routes":[{}]}},"remove":{{"routes":["old"]}}}}"#,
             route("new", "/y/", "idempotent")
         );
-        let delta = common::news_since(1, &[(true, 0, &first), (false, 1, &update)]);
+        let delta = common::updates_since(1, &[(true, 0, &first), (false, 1, &update)]);
         assert_eq!(delta.base, Some(1));
 
         // when
--- a/dataplane/tests/signals.rs
+++ b/dataplane/tests/signals.rs
@@ -23,7 +23,7 @@
 
         // when
         send("-HUP");
-        first.publish(shaletrail_protocol::inside::PollReply { isolated: true, ..Default::default() });
+        first.publish(shaletrail_protocol::internal::PollResponse { isolated: true, ..Default::default() });
         second.greeted().await;
         send("-TERM");
         let ended = running.await.expect("no panic");
--- a/dataplane/tests/stopping.rs
+++ b/dataplane/tests/stopping.rs
@@ -4,7 +4,7 @@
 
 use common::coordinator::Coordinator;
 use common::{configuration, route, run, settings, Edge, Server};
-use shaletrail_protocol::inside::PollReply;
+use shaletrail_protocol::internal::PollResponse;
 
 #[test]
 fn given_an_open_request_when_the_process_is_stopped_then_it_is_unready_and_answers_before_it_ends() {
@@ -63,8 +63,8 @@
         // given
         let one = Coordinator::start().await;
         let other = Coordinator::at("127.0.0.3", one.port).await;
-        one.publish(PollReply { isolated: true, ..PollReply::default() });
-        other.publish(PollReply { isolated: true, ..PollReply::default() });
+        one.publish(PollResponse { isolated: true, ..PollResponse::default() });
+        other.publish(PollResponse { isolated: true, ..PollResponse::default() });
 
         // when
         let _edge = Edge::with_seeds(one.clone(), &["127.0.0.2", "127.0.0.3"], "no-such-file");
@@ -82,8 +82,8 @@
         let one = Coordinator::start().await;
         let other = Coordinator::at("127.0.0.3", one.port).await;
         let coordinators = vec![std::net::Ipv4Addr::new(127, 0, 0, 3).into()];
-        one.publish(PollReply { coordinators, ..PollReply::default() });
-        one.publish(PollReply { isolated: true, ..PollReply::default() });
+        one.publish(PollResponse { coordinators, ..PollResponse::default() });
+        one.publish(PollResponse { isolated: true, ..PollResponse::default() });
 
         // when
         let _edge = Edge::with_seeds(one, &["127.0.0.2"], "no-such-file");
--- a/model-checker/src/machine.rs
+++ b/model-checker/src/machine.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shaletrail_configuration::{Change, ConfigState, Judgement};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
 use shaletrail_consensus::{
     Effect, Entry, Index, Message, Options, Payload, Position, Record, Replica, Term,
 };
-use shaletrail_coordinator::core::orders::Holders;
-use shaletrail_coordinator::core::service_state::{Holder, ServiceState, Turn};
-use shaletrail_coordinator::interface::CoreOptions;
+use shaletrail_coordinator::core::orders::OrderLeases;
+use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
+use shaletrail_coordinator::interface::CoordinatorOptions;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 use crate::fingerprint;
@@ -202,15 +202,15 @@
     has_lost_disk: bool,
 }
 
-fn options(node: NodeId, lives: u64, settings: &Settings, forgetful: bool) -> Options {
+fn options(node: NodeId, lives: u64, settings: &Settings, recovering: bool) -> Options {
     let usual = Options::new(node, u64::from(node.0) + 100 * lives);
     let message_bytes = if settings.small_messages { 1 } else { usual.max_append_bytes };
     Options {
-        forgetful,
+        recovering,
         election_min_ms: ELECTION,
         election_max_ms: ELECTION,
-        founding_election_min_ms: FOUNDING,
-        founding_election_max_ms: FOUNDING,
+        bootstrap_election_min_ms: FOUNDING,
+        bootstrap_election_max_ms: FOUNDING,
         max_append_bytes: message_bytes,
         max_probe_bytes: message_bytes.min(usual.max_probe_bytes),
         ..usual
@@ -262,7 +262,7 @@
     /// Whether its disk was lost and its replacement is not readmitted as far as that is synced.
     pub fn is_lost(&self) -> bool {
         let hard = self.disk.synced.iter().rev().find_map(|record| match record {
-            Record::Hard(hard) => Some(hard.forgetful),
+            Record::Hard(hard) => Some(hard.recovering),
             _ => None,
         });
         self.has_lost_disk && hard.unwrap_or(true)
@@ -303,7 +303,7 @@
             Input::Tick => self.replica.tick(now),
             Input::Crash { torn } => self.crash(now, *torn),
             Input::Wipe => self.wipe(now),
-            Input::HandOver => self.replica.hand_over(now),
+            Input::HandOver => self.replica.transfer_leadership(now),
             Input::AddLearner(node) => drop(self.replica.add_learner(*node)),
             Input::ChangeVoters(voters) => drop(self.replica.change_voters(now, voters.clone())),
             Input::Propose(change) => self.propose(now, *change),
@@ -332,12 +332,12 @@
         self.restart(now, true);
     }
 
-    fn restart(&mut self, now: Millis, forgetful: bool) {
+    fn restart(&mut self, now: Millis, recovering: bool) {
         self.lives += 1;
         self.state = State::new(self.settings.kind);
         self.leadership = None;
         self.proposals.clear();
-        let options = options(self.node, self.lives, &self.settings, forgetful);
+        let options = options(self.node, self.lives, &self.settings, recovering);
         self.replica = Replica::new(options, self.disk.synced.clone(), now);
     }
 
@@ -373,7 +373,7 @@
             }
             Effect::Persist { ticket, records } => self.disk.pending.push_back((ticket, records)),
             Effect::Apply(entry) => self.apply(now, entry, facts),
-            Effect::Install(snapshot) => {
+            Effect::InstallSnapshot(snapshot) => {
                 self.state.restore(&snapshot.state);
                 let state = fingerprint::of(&self.state.bytes());
                 facts.push(Fact::Installed { index: snapshot.index(), state });
@@ -385,7 +385,7 @@
                     Some(Leadership { term, since: now, allowed_from: None, must_tell_waited: false });
                 facts.push(self.elected(term));
                 if self.settings.kind == Kind::Service {
-                    let holder = Holder { node: self.node, fence: term };
+                    let holder = LeaseHolder { node: self.node, fence: term };
                     let _ = self.replica.propose(now, ServiceState::command(holder));
                 }
             }
@@ -429,12 +429,18 @@
         }
     }
 
-    fn judged(&mut self, position: Position, command: &[u8], judgement: &Judgement, facts: &mut Vec<Fact>) {
-        let acknowledged = matches!(judgement, Judgement::Apply | Judgement::Repeated);
+    fn judged(
+        &mut self,
+        position: Position,
+        command: &[u8],
+        judgement: &ChangeOutcome,
+        facts: &mut Vec<Fact>,
+    ) {
+        let acknowledged = matches!(judgement, ChangeOutcome::Accepted | ChangeOutcome::Duplicate);
         let change = Change::decode(command).ok().and_then(|change| crate::scenes::number_of(&change));
         let Some(change) = change else { return };
         let index = position.index;
-        let taken = *judgement == Judgement::Apply;
+        let taken = *judgement == ChangeOutcome::Accepted;
         facts.push(Fact::Judged { index, change, taken, refused: !acknowledged });
         if self.proposals.remove(&index) == Some((position.term, change)) {
             facts.push(Fact::Answered { index, change, acknowledged });
@@ -444,7 +450,7 @@
     /// Asks the holders of the coordinator from when on orders may be sent.
     fn begin_turn(&mut self, now: Millis, turn: Turn, facts: &mut Vec<Fact>) {
         let Some(leadership) = &mut self.leadership else { return };
-        let mut holders = Holders::new(&core_options(self.node));
+        let mut holders = OrderLeases::new(&core_options(self.node));
         holders.elected(leadership.since, SERVICE_SHARD, leadership.term);
         let leads = self.replica.is_leader() && self.replica.term() == turn.holder.fence;
         holders.turn(now, SERVICE_SHARD, turn, leads);
@@ -461,7 +467,7 @@
         if !over || !leadership.must_tell_waited {
             return false;
         }
-        let holder = Holder { node: self.node, fence: leadership.term };
+        let holder = LeaseHolder { node: self.node, fence: leadership.term };
         let told = self.replica.propose(now, ServiceState::waited_command(holder)).is_ok();
         leadership.must_tell_waited = !told;
         told
@@ -483,8 +489,8 @@
     }
 }
 
-fn core_options(node: NodeId) -> CoreOptions {
-    CoreOptions {
+fn core_options(node: NodeId) -> CoordinatorOptions {
+    CoordinatorOptions {
         node,
         name: format!("node-{}", node.0),
         incarnation: Incarnation(1),
--- a/model-checker/src/scenes.rs
+++ b/model-checker/src/scenes.rs
@@ -121,10 +121,10 @@
             build: promise_before_restart,
         },
         Scene {
-            name: "hand_over",
+            name: "transfer_leadership",
             about: "a holder of orders hands over, crashes or is overtaken by an election",
             short: 8,
-            build: hand_over,
+            build: transfer_leadership,
         },
         Scene {
             name: "turn_again",
@@ -227,7 +227,7 @@
     script.feed(1, Input::Crash { torn: false }).pass(ELECTION);
     script.feed(1, Input::Tick).feed(2, Input::Tick);
     script.deliver(1, 3, "PreVote").deliver(2, 3, "PreVote");
-    script.deliver(3, 1, "PreVoteAnswer").deliver(3, 2, "PreVoteAnswer");
+    script.deliver(3, 1, "PreVoteResponse").deliver(3, 2, "PreVoteResponse");
     script.with(Budget { crashes: 1, ..in_time(1) })
 }
 
@@ -240,12 +240,12 @@
 fn promise_before_restart() -> World {
     let mut script = Script::led_by_1(Kind::Service, settings(0));
     script.pass(450).feed(1, Input::Tick).pass(150).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteAnswer");
-    script.deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatAnswer");
+    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
+    script.deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatResponse");
     script.with(Budget { crashes: 1, ..Budget::default() })
 }
 
-fn hand_over() -> World {
+fn transfer_leadership() -> World {
     let script = Script::led_by_1(Kind::Service, settings(0));
     script.with(Budget { crashes: 1, stands: 1, hand_overs: 2, ..in_time(2) })
 }
@@ -261,7 +261,7 @@
 fn wiped_voter() -> World {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
     script.feed(1, Input::Propose(0)).pass(ELECTION).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteAnswer");
+    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
     script.with(Budget { wipes: 1, ..Budget::default() })
 }
 
@@ -269,8 +269,8 @@
 fn lost_after_its_vote() -> Script {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
     script.pass(450).feed(1, Input::Tick).pass(150).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteAnswer").deliver(2, 3, "Vote");
-    script.feed(3, Input::Wipe).deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatAnswer");
+    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse").deliver(2, 3, "Vote");
+    script.feed(3, Input::Wipe).deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatResponse");
     script.lose("PreVote").lose("Vote");
     script
 }
@@ -287,9 +287,9 @@
 
 fn readmission() -> World {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
-    script.feed(1, Input::Propose(0)).deliver(1, 3, "Append").deliver(3, 1, "AppendAnswer");
+    script.feed(1, Input::Propose(0)).deliver(1, 3, "Append").deliver(3, 1, "AppendResponse");
     script.lose_all().feed(3, Input::Wipe).pass(150).feed(1, Input::Tick);
-    script.deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatAnswer");
+    script.deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatResponse");
     script.with(Budget { wipes: 1, stands: 1, ..in_time(1) })
 }
 
@@ -309,15 +309,15 @@
 
 fn leaving_holder() -> World {
     let mut script = with_learner();
-    script.feed(1, Input::Propose(0)).deliver(1, 3, "Append").deliver(3, 1, "AppendAnswer").lose_all();
+    script.feed(1, Input::Propose(0)).deliver(1, 3, "Append").deliver(3, 1, "AppendResponse").lose_all();
     script.with(Budget { wipes: 1, stands: 1, voter_changes: 1, ..in_time(1) })
 }
 
 /// Node 2 is elected with the help of node 3; node 1 knows nothing of it.
 fn elect_2_behind_1(script: &mut Script) {
     script.pass(ELECTION).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteAnswer");
-    script.deliver(2, 3, "Vote").deliver(3, 2, "VoteAnswer");
+    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
+    script.deliver(2, 3, "Vote").deliver(3, 2, "VoteResponse");
 }
 
 fn two_operators() -> World {
@@ -338,7 +338,7 @@
 /// Node 3 lacks a change that was acknowledged, and node 2 doesn't know that it was.
 fn acknowledged_by_1_and_2() -> Script {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
-    script.feed(1, Input::Propose(0)).deliver(1, 2, "Append").deliver(2, 1, "AppendAnswer").lose_all();
+    script.feed(1, Input::Propose(0)).deliver(1, 2, "Append").deliver(2, 1, "AppendResponse").lose_all();
     script
 }
 
@@ -355,16 +355,16 @@
     let mut script = Script::led_by_1(Kind::Configuration, small);
     script.feed(1, Input::Propose(0)).lose_all();
     script.pass(ELECTION).feed(3, Input::Tick);
-    script.deliver(3, 2, "PreVote").deliver(2, 3, "PreVoteAnswer");
-    script.deliver(3, 2, "Vote").deliver(2, 3, "VoteAnswer").lose_all();
+    script.deliver(3, 2, "PreVote").deliver(2, 3, "PreVoteResponse");
+    script.deliver(3, 2, "Vote").deliver(2, 3, "VoteResponse").lose_all();
     script.feed(3, Input::Crash { torn: false });
     // Node 1 finds that it leads no more, and hears of the newer term.
     script.feed(1, Input::Tick).pass(ELECTION).feed(1, Input::Tick);
-    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteAnswer").lose_all();
+    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteResponse").lose_all();
     script.pass(ELECTION).feed(1, Input::Tick);
-    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteAnswer");
-    script.deliver(1, 3, "Vote").deliver(1, 2, "Vote").deliver(2, 1, "VoteAnswer").lose_all_to(3);
-    script.deliver(1, 2, "Append").deliver(2, 1, "AppendAnswer");
-    script.deliver(1, 2, "Append").deliver(2, 1, "AppendAnswer");
+    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteResponse");
+    script.deliver(1, 3, "Vote").deliver(1, 2, "Vote").deliver(2, 1, "VoteResponse").lose_all_to(3);
+    script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
+    script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
     script.with(Budget { stands: 1, ..in_time(1) })
 }
--- a/model-checker/src/world.rs
+++ b/model-checker/src/world.rs
@@ -303,14 +303,14 @@
             let replica = &machine.replica;
             writeln!(
                 formatter,
-                "  {}: {} in term {}, last {:?}, commit {}, voters {:?}, forgetful {}",
+                "  {}: {} in term {}, last {:?}, commit {}, voters {:?}, recovering {}",
                 machine.node.0,
                 replica.role(),
                 replica.term(),
                 replica.last(),
                 replica.commit_index(),
                 replica.voters(),
-                replica.is_forgetful(),
+                replica.is_recovering(),
             )?;
         }
         Ok(())
@@ -372,7 +372,7 @@
         let is_of_these = |flight: &Arc<Flight>| {
             let (from, to, name) = (flight.from.0, flight.to.0, flight.message.name());
             (from, to) == (leader, follower) && matches!(name, "Append" | "Install")
-                || (from, to) == (follower, leader) && name == "AppendAnswer"
+                || (from, to) == (follower, leader) && name == "AppendResponse"
         };
         while let Some(place) = self.world.flights.iter().position(is_of_these) {
             let flight = self.world.flights.remove(place);
--- a/model-checker/tests/scenes.rs
+++ b/model-checker/tests/scenes.rs
@@ -45,7 +45,7 @@
     two_candidates,
     late_vote,
     promise_before_restart,
-    hand_over,
+    transfer_leadership,
     turn_again,
     wiped_voter,
     vote_before_loss,
--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::outside::Operation;
+use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 use shaletrail_ring::Key;
 
--- a/placement/src/demand.rs
+++ b/placement/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::Demand;
+use shaletrail_protocol::internal::Demand;
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::model::{Item, ModelTable};
--- a/placement/src/in_flight.rs
+++ b/placement/src/in_flight.rs
@@ -1,6 +1,6 @@
 //! An order that is under way: when it was sent and taken, and how long it should take.
 
-use shaletrail_protocol::outside::Operation;
+use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 
 use crate::model::Item;
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -42,4 +42,4 @@
 
 pub use catalogue::{Catalogue, ModelSpec};
 pub use options::Options;
-pub use planner::{Figures, OrderNumber, Outcome, PlannedOrder, Planner, WantedServer};
+pub use planner::{DesiredServer, Figures, OrderNumber, Outcome, PlannedOrder, Planner};
--- a/placement/src/needs.rs
+++ b/placement/src/needs.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use shaletrail_protocol::outside::Operation;
+use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 
 use crate::choice::{dearest_loss, Loss};
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::inside::{Demand, Presence, ServerRecord};
-use shaletrail_protocol::outside::{HeldModel, Operation, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, Report};
+use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 use shaletrail_ring::{hash_of_name, SlotArray};
 
@@ -67,7 +67,7 @@
 
 /// What a server should hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WantedServer {
+pub struct DesiredServer {
     /// The server.
     pub server: ServerId,
     /// Names of the models, in order.
@@ -176,7 +176,7 @@
         if record.heartbeat.service != self.service {
             return;
         }
-        if record.presence == Presence::Gone {
+        if record.presence == Presence::Removed {
             return self.forget(&record.id);
         }
         let Some(key) = self.key_of(&record.id) else { return };
@@ -199,7 +199,7 @@
         if let Some(server) = self.servers.get_mut(&key) {
             server.not_taken(now, PAUSE_UNREACHABLE);
         }
-        self.set_presence(key, Presence::Silent, false);
+        self.set_presence(key, Presence::TimedOut, false);
     }
 
     fn set_presence(&mut self, key: ServerKey, presence: Presence, moved: bool) {
@@ -282,12 +282,12 @@
     }
 
     /// What each ready server should hold.
-    pub fn wanted(&self) -> Vec<WantedServer> {
+    pub fn wanted(&self) -> Vec<DesiredServer> {
         let wanted = self.ready_servers().map(|server| {
             let stays = |id: &ModelId| server.serves(Item { model: *id, adapter: None });
             let order = server.in_flight.as_ref().filter(|order| order.is_model(Operation::Load));
             let coming = server.reserved.map(|place| place.model).or(order.map(|order| order.item.model));
-            WantedServer {
+            DesiredServer {
                 server: server.id.clone(),
                 models: server.holding.models().filter(stays).filter_map(|id| self.name(id)).collect(),
                 coming: coming.and_then(|id| self.name(id)),
@@ -299,7 +299,7 @@
     /// What a server serves now and is not about to drop, in order of names; `None` where that is in doubt. Knows of
     /// orders before the server's next heartbeat does, and counts a load as done by the time that it should take: a
     /// server that takes longer turns requests away, which have not run then.
-    pub fn served(&self, now: Millis, id: &ServerId) -> Option<Vec<HeldModel>> {
+    pub fn served(&self, now: Millis, id: &ServerId) -> Option<Vec<LoadedModel>> {
         let server = self.keys.get(id).and_then(|key| self.servers.get(key))?;
         if server.doubt.is_some() {
             return None;
@@ -309,17 +309,17 @@
         let loaded = server.in_flight.as_ref().filter(|order| order.is_likely_loaded(now));
         let loaded = loaded.filter(|order| !server.holding.has(order.item) && order.item.adapter.is_none());
         let models = held.chain(loaded.map(|order| order.item.model));
-        let mut served: Vec<HeldModel> =
+        let mut served: Vec<LoadedModel> =
             models.filter_map(|model| self.served_model(server, model)).collect();
         served.sort_by(|one, other| one.name.cmp(&other.name));
         Some(served)
     }
 
-    fn served_model(&self, server: &Server, model: ModelId) -> Option<HeldModel> {
+    fn served_model(&self, server: &Server, model: ModelId) -> Option<LoadedModel> {
         let of_model = server.holding.adapters().filter(|(of, _)| *of == model);
         let served = of_model.filter(|(_, adapter)| server.serves(Item { model, adapter: Some(*adapter) }));
         let adapters = served.map(|(_, adapter)| adapter_name(adapter)).collect();
-        Some(HeldModel { name: self.name(model)?, version: 0, adapters })
+        Some(LoadedModel { name: self.name(model)?, version: 0, adapters })
     }
 
     /// How many replicas of a model are wanted; 0 without demand.
@@ -359,7 +359,7 @@
         Some(key)
     }
 
-    fn list(&mut self, held: &[HeldModel]) -> Vec<Listed> {
+    fn list(&mut self, held: &[LoadedModel]) -> Vec<Listed> {
         let assumed = self.catalogue.largest_mb();
         let list = held.iter().map(|entry| {
             let adapters: Vec<u32> = entry.adapters.iter().filter_map(|name| adapter_number(name)).collect();
--- a/placement/src/rounds.rs
+++ b/placement/src/rounds.rs
@@ -1,6 +1,6 @@
 //! A round of the planner: what is missing, where it goes, which orders are next.
 
-use shaletrail_protocol::outside::Operation;
+use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 
 use crate::adapters;
--- a/placement/src/server.rs
+++ b/placement/src/server.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use shaletrail_protocol::inside::Presence;
-use shaletrail_protocol::outside::Operation;
+use shaletrail_protocol::external::Operation;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Millis, ServerId};
 
 use crate::doubt::{Doubt, REPORT_LAG};
@@ -72,7 +72,7 @@
             id,
             address: String::new(),
             slots: 0,
-            presence: Presence::Silent,
+            presence: Presence::TimedOut,
             holding: Holding::default(),
             in_flight: None,
             reserved: None,
--- a/placement/tests/common/servers.rs
+++ b/placement/tests/common/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use shaletrail_placement::{Catalogue, ModelSpec};
-use shaletrail_protocol::outside::{HeldModel, Operation, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, Report};
 use shaletrail_protocol::Millis;
 
 /// `count` models `m0`, `m1`, ... of 70 GB, three of which fit a server; 42 adapters each.
@@ -25,8 +25,8 @@
 
 pub type Held = BTreeMap<String, BTreeSet<String>>;
 
-pub fn list(held: &Held) -> Vec<HeldModel> {
-    let entry = |(name, adapters): (&String, &BTreeSet<String>)| HeldModel {
+pub fn list(held: &Held) -> Vec<LoadedModel> {
+    let entry = |(name, adapters): (&String, &BTreeSet<String>)| LoadedModel {
         name: name.clone(),
         version: 1,
         adapters: adapters.iter().cloned().collect(),
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/story.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use shaletrail_placement::{Catalogue, ModelSpec, Options, OrderNumber, Outcome, PlannedOrder, Planner};
-use shaletrail_protocol::inside::{Demand, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, Report};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
+use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
 
@@ -37,10 +37,10 @@
 }
 
 /// What a server lists: `m1` or, with adapters, `m1/a1/a2`.
-pub fn held(models: &[&str]) -> Vec<HeldModel> {
+pub fn held(models: &[&str]) -> Vec<LoadedModel> {
     let entry = |text: &&str| {
         let mut parts = text.split('/').map(str::to_owned);
-        HeldModel { name: parts.next().unwrap_or_default(), version: 1, adapters: parts.collect() }
+        LoadedModel { name: parts.next().unwrap_or_default(), version: 1, adapters: parts.collect() }
     };
     models.iter().map(entry).collect()
 }
