--- a/placement/tests/common/world.rs
+++ b/placement/tests/common/world.rs
@@ -6,8 +6,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use shaletrail_placement::{Catalogue, Options, OrderNumber, Outcome, PlannedOrder, Planner};
-use shaletrail_protocol::inside::{Demand, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, Operation, Report, ServerState};
+use shaletrail_protocol::external::{Heartbeat, Operation, Report, ServerState};
+use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
 
 pub const SERVICE: &str = "models";
@@ -173,7 +173,7 @@
     }
 
     /// The holder is lost, and the node that watched is elected. Orders of the former that are on their way arrive.
-    pub fn hand_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let fresh = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
         self.planner = std::mem::replace(&mut self.standby, fresh);
         self.planner.take_over(self.now, Some(self.now));
@@ -253,7 +253,7 @@
 
     /// The directory's part: gone is final, also for heartbeats that come late.
     fn tell(&mut self, record: &ServerRecord) {
-        if record.presence == Presence::Gone {
+        if record.presence == Presence::Removed {
             self.gone.insert(record.id.clone());
         } else if self.gone.contains(&record.id) {
             return;
@@ -460,7 +460,7 @@
                 ..Heartbeat::default()
             };
             let presence = match (server.up(), server.draining) {
-                (false, _) => Presence::Silent,
+                (false, _) => Presence::TimedOut,
                 (true, true) => Presence::Draining,
                 (true, false) => Presence::Ready,
             };
@@ -485,8 +485,12 @@
         let now = self.now;
         let server = &mut self.servers[index];
         let heartbeat = Heartbeat { service: SERVICE.into(), ..Heartbeat::default() };
-        let former =
-            ServerRecord { id: server.id(), heartbeat, presence: Presence::Gone, ..ServerRecord::default() };
+        let former = ServerRecord {
+            id: server.id(),
+            heartbeat,
+            presence: Presence::Removed,
+            ..ServerRecord::default()
+        };
         server.back_at = None;
         server.start += 1;
         server.beats = 0;
--- a/placement/tests/histories.rs
+++ b/placement/tests/histories.rs
@@ -225,7 +225,7 @@
         for _ in 0..20 {
             world.demand = random_demand(&mut random, servers * 4);
             if random.random_bool(0.2) {
-                world.hand_over();
+                world.transfer_leadership();
             }
             world.run(random.random_range(500..6_000));
         }
--- a/placement/tests/scarce_room.rs
+++ b/placement/tests/scarce_room.rs
@@ -4,7 +4,7 @@
 
 use common::story::{catalogue, demand, waiting, Story};
 use shaletrail_placement::{Catalogue, ModelSpec};
-use shaletrail_protocol::inside::Demand;
+use shaletrail_protocol::internal::Demand;
 
 /// Tokens by which one report makes a model want eight replicas at ease.
 const TOKENS_OF_EIGHT: u64 = 235_000;
--- a/placement/tests/stories.rs
+++ b/placement/tests/stories.rs
@@ -4,7 +4,7 @@
 
 use common::story::{catalogue, demand, for_adapter, id, sequence, waiting, Story, LATE};
 use shaletrail_placement::{Options, Outcome, Planner};
-use shaletrail_protocol::inside::{Demand, Presence};
+use shaletrail_protocol::internal::{Demand, Presence};
 
 #[test]
 fn given_room_everywhere_when_a_request_waits_for_a_model_then_the_first_of_its_sequence_loads_it() {
@@ -196,7 +196,7 @@
 
 #[test]
 fn given_a_holder_that_drains_or_falls_silent_when_its_model_was_asked_for_then_another_server_loads_it() {
-    for presence in [Presence::Draining, Presence::Silent, Presence::Gone] {
+    for presence in [Presence::Draining, Presence::TimedOut, Presence::Removed] {
         let mut story = Story::new(3, &[&["m0"], &[]]);
         story.ask(&[demand("m0")]);
         assert_eq!(story.orders(), [""; 0]);
@@ -208,7 +208,7 @@
 #[test]
 fn given_a_holder_that_is_lost_when_nobody_asks_for_its_model_then_nothing_is_loaded() {
     let mut story = Story::new(3, &[&["m0"], &[]]);
-    story.presence(0, &["m0"], Presence::Silent);
+    story.presence(0, &["m0"], Presence::TimedOut);
     assert_eq!(story.after(100), [""; 0]);
 }
 
--- a/protocol/src/outside.rs
+++ b/protocol/src/external.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest heartbeat taken, in bytes.
-pub const LONGEST_HEARTBEAT: usize = 4096;
+pub const MAX_HEARTBEAT_BYTES: usize = 4096;
 
 /// A model that a server holds, with its adapters.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
 )]
 #[serde(default)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// The model's name.
     pub name: String,
     /// The version of its weights.
@@ -66,7 +66,7 @@
     /// What it does (`combined`).
     pub phase: String,
     /// What it holds; absent for services without models.
-    pub models: Option<Vec<HeldModel>>,
+    pub models: Option<Vec<LoadedModel>>,
     /// Rises with each call, so that a late one is recognised.
     pub sequence: u64,
 }
@@ -74,7 +74,7 @@
 /// Answer to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct HeartbeatAnswer {
+pub struct HeartbeatResponse {
     /// Where later heartbeats should go, `IP:PORT`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub heartbeat_endpoint: Option<String>,
@@ -116,7 +116,7 @@
 #[serde(default, rename_all = "camelCase")]
 pub struct Report {
     /// What it holds.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Whether an order is under way.
     pub utilization: bool,
     /// Orders taken.
--- a/protocol/src/inside.rs
+++ b/protocol/src/internal.rs
@@ -2,20 +2,20 @@
 //! ephemeral ports of each coordinator.
 //!
 //! Edges poll one coordinator ([`EdgeRequest::Poll`]); coordinators keep one connection to each other, over
-//! which each sends [`CoreMessage`]s one way.
+//! which each sends [`CoordinatorMessage`]s one way.
 
 use bitcode::{Decode, Encode};
 
-use crate::outside::{Heartbeat, HeldModel};
+use crate::external::{Heartbeat, LoadedModel};
 use crate::{Incarnation, NodeId, ServerId};
 
 /// The first frame on a connection: who calls.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Hello {
+pub enum Handshake {
     /// A data-plane node, about to poll.
     Edge(EdgeIdentity),
-    /// A coordinator, about to send [`CoreMessage`]s.
-    Core {
+    /// A coordinator, about to send [`CoordinatorMessage`]s.
+    Coordinator {
         /// The machine.
         node: NodeId,
         /// This start of its process.
@@ -43,7 +43,7 @@
     pub change: u64,
 }
 
-/// A long poll: answered at once where there is news, otherwise after `hold_ms`.
+/// A long poll: answered at once where there is news, otherwise after `max_wait_ms`.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct PollRequest {
     /// The configuration in force at the edge; 0 if none.
@@ -51,12 +51,12 @@
     /// What the edge knows of the directory.
     pub cursor: DirectoryCursor,
     /// How long the answer may be held, in milliseconds.
-    pub hold_ms: u32,
+    pub max_wait_ms: u32,
     /// Demand seen since the last poll.
     pub demand: Vec<Demand>,
     /// What the edge found out about servers since the last poll.
     pub observed: Vec<Observation>,
-    /// The list of edges that it knows, as `PollReply::edge_list`.
+    /// The list of edges that it knows, as `PollResponse::edge_list`.
     pub edge_list: u64,
 }
 
@@ -98,7 +98,7 @@
 
 /// What one edge has under way at one server, as it tells the other edges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct LoadShare {
+pub struct EdgeServerLoad {
     /// Hash of the server's id (`shaletrail_ring::hash_of_name`).
     pub server: u64,
     /// Requests that are open there.
@@ -123,7 +123,7 @@
 
 /// A datagram from one edge to others: shares that have changed, or that are told anew.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct EdgeLoads {
+pub struct EdgeLoadReport {
     /// The sender.
     pub edge: NodeId,
     /// This start of its process.
@@ -133,10 +133,10 @@
     /// Whose requests the shares count.
     pub scope: LoadScope,
     /// Its shares, each replacing what it told of that server before in that scope.
-    pub shares: Vec<LoadShare>,
+    pub shares: Vec<EdgeServerLoad>,
 }
 
-/// What an edge may send after its [`Hello`].
+/// What an edge may send after its [`Handshake`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum EdgeRequest {
     /// Ask for news.
@@ -152,9 +152,9 @@
 
 /// Answer to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct PollReply {
+pub struct PollResponse {
     /// News of the configuration, if there is any.
-    pub config: Option<ConfigNews>,
+    pub config: Option<ConfigUpdate>,
     /// Servers that changed after the request's cursor, or all of them where `whole` is set.
     pub servers: Vec<ServerRecord>,
     /// Whether `servers` is the whole directory.
@@ -175,7 +175,7 @@
 
 /// A configuration on its way to an edge: whole, or what changed since `base`.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// The version that this builds on; `None` for a whole configuration.
     pub base: Option<u64>,
     /// The version that it makes.
@@ -213,9 +213,9 @@
     /// It has said that it leaves. Final for this start of the server.
     Draining,
     /// Its heartbeats have stopped; they may come back.
-    Silent,
+    TimedOut,
     /// It has deregistered, or its address has another server. Final.
-    Gone,
+    Removed,
 }
 
 /// A server as the coordinators know it.
@@ -228,7 +228,7 @@
     /// How it is seen.
     pub presence: Presence,
     /// What its orders change about what it last said that it holds.
-    pub note: PlacementNote,
+    pub note: PlacementOverlay,
 }
 
 impl ServerRecord {
@@ -249,7 +249,7 @@
 
 /// Whether an entry of a note stands for a model, or for one of its adapters. An entry without adapters stands for
 /// the whole model.
-fn holds(entry: &HeldModel, model: &str, adapter: Option<&str>) -> bool {
+fn holds(entry: &LoadedModel, model: &str, adapter: Option<&str>) -> bool {
     entry.name == model
         && (entry.adapters.is_empty()
             || adapter.is_some_and(|adapter| entry.adapters.iter().any(|held| held == adapter)))
@@ -257,27 +257,27 @@
 
 /// What the holder of a server's orders knows of its contents beyond its last heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
-pub struct PlacementNote {
+pub struct PlacementOverlay {
     /// The holder's fence; notes of a higher one replace those of a lower one.
     pub fence: u64,
     /// Rises with each note of a holder on this server.
     pub number: u64,
     /// Models, with adapters, that are there though no heartbeat has said so.
-    pub adding: Vec<HeldModel>,
+    pub adding: Vec<LoadedModel>,
     /// What is about to be dropped: whole models where no adapters are named, else those adapters.
-    pub dropping: Vec<HeldModel>,
+    pub dropping: Vec<LoadedModel>,
 }
 
-impl PlacementNote {
+impl PlacementOverlay {
     /// Whether it is later than another one on the same server.
-    pub fn is_later_than(&self, other: &PlacementNote) -> bool {
+    pub fn is_later_than(&self, other: &PlacementOverlay) -> bool {
         (self.fence, self.number) > (other.fence, other.number)
     }
 }
 
 /// What one coordinator sends another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum CoreMessage {
+pub enum CoordinatorMessage {
     /// Who is there.
     Membership(MembershipMessage),
     /// Agreement of one shard; the body is a `shaletrail_consensus::Message` in bitcode.
@@ -309,7 +309,7 @@
         /// The call.
         call: u64,
         /// How it ended.
-        answer: OperatorAnswer,
+        answer: OperatorResponse,
     },
     /// Demand that edges have reported to the sender, for the owners of orders.
     Demand {
@@ -379,7 +379,7 @@
     /// Has missed answers; may refute.
     Suspect,
     /// Taken to be away.
-    Absent,
+    Dead,
 }
 
 /// A call of the operator, handed on inside.
@@ -400,7 +400,7 @@
 
 /// How a call of the operator ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum OperatorAnswer {
+pub enum OperatorResponse {
     /// Acknowledged; the body for a read.
     Done {
         /// JSON.
--- a/routing/src/announced.rs
+++ b/routing/src/announced.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-use shaletrail_protocol::inside::LoadShare;
+use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::Millis;
 
 use crate::load_table::{Elsewhere, TELL_AGAIN};
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Announcement {
     /// The share.
-    pub share: LoadShare,
+    pub share: EdgeServerLoad,
     /// When it was told.
     pub at: Millis,
 }
@@ -23,11 +23,11 @@
 impl Announcement {
     /// Nothing is under way at a server: what others take for granted.
     pub fn of_nothing(server: u64) -> Self {
-        Announcement { share: LoadShare { server, ..LoadShare::default() }, at: 0 }
+        Announcement { share: EdgeServerLoad { server, ..EdgeServerLoad::default() }, at: 0 }
     }
 
     /// Whether a share must be told as others will soon forget what they were told.
-    pub fn lapses(&self, now: Millis, share: &LoadShare) -> bool {
+    pub fn lapses(&self, now: Millis, share: &EdgeServerLoad) -> bool {
         !is_nothing(share) && self.at + TELL_AGAIN <= now
     }
 }
@@ -45,11 +45,11 @@
         now: Millis,
         servers: impl Iterator<Item = u64>,
         sum_at: impl Fn(u64) -> Elsewhere,
-    ) -> Vec<LoadShare> {
+    ) -> Vec<EdgeServerLoad> {
         let mut servers: Vec<u64> = servers.chain(self.told.keys().copied()).collect();
         servers.sort_unstable();
         servers.dedup();
-        let mut news: Vec<(Reverse<u32>, LoadShare)> = servers
+        let mut news: Vec<(Reverse<u32>, EdgeServerLoad)> = servers
             .into_iter()
             .filter_map(|server| {
                 let share = sum_at(server).as_share(server);
@@ -66,7 +66,7 @@
 
     /// How urgent it is to tell a sum: by how many prompt tokens it has changed, and above all where it was never told
     /// or others will soon forget it. `None` where it need not be told.
-    fn urgency(&self, now: Millis, share: &LoadShare) -> Option<u32> {
+    fn urgency(&self, now: Millis, share: &EdgeServerLoad) -> Option<u32> {
         let told = self.told.get(&share.server).copied();
         let told = told.unwrap_or(Announcement::of_nothing(share.server));
         if told.lapses(now, share) {
@@ -75,7 +75,7 @@
         (told.share != *share).then(|| told.share.prefill.abs_diff(share.prefill))
     }
 
-    fn note(&mut self, now: Millis, share: &LoadShare) {
+    fn note(&mut self, now: Millis, share: &EdgeServerLoad) {
         if is_nothing(share) {
             self.told.remove(&share.server);
         } else {
@@ -84,6 +84,6 @@
     }
 }
 
-fn is_nothing(share: &LoadShare) -> bool {
+fn is_nothing(share: &EdgeServerLoad) -> bool {
     *share == Announcement::of_nothing(share.server).share
 }
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -4,7 +4,7 @@
 use shaletrail_protocol::Millis;
 
 use crate::health::Evidence;
-use crate::interface::{Action, Ending, Outcome, RefusalReason, RequestId, Verdict};
+use crate::interface::{Action, Ending, Outcome, RejectReason, RequestId, Verdict};
 use crate::requests::{Out, Phase, Request};
 use crate::router::Router;
 
@@ -14,7 +14,7 @@
 const STALE_SENDINGS: u32 = 3;
 
 /// How a server turned a request away.
-struct TurnedAway<'a> {
+struct Rejected<'a> {
     status: u16,
     /// Who said so.
     instance: Option<&'a str>,
@@ -63,8 +63,8 @@
         self.settle_request(now, request, out, outcome);
         self.settle_load(now, out, outcome);
         match &outcome.ending {
-            Ending::TurnedAway { status, instance } => {
-                let how = TurnedAway { status: *status, instance: instance.as_deref() };
+            Ending::Rejected { status, instance } => {
+                let how = Rejected { status: *status, instance: instance.as_deref() };
                 self.settle_turned_away(now, request, out, outcome, how, actions);
             }
             _ if out.called_off => {}
@@ -100,7 +100,7 @@
 
     fn settle_load(&mut self, now: Millis, out: &Out, outcome: &Outcome) {
         let answered =
-            matches!(outcome.ending, Ending::Served | Ending::Failed { .. } | Ending::TurnedAway { .. });
+            matches!(outcome.ending, Ending::Served | Ending::Failed { .. } | Ending::Rejected { .. });
         let Some(server) = self.servers.get_mut(out.server).filter(|_| answered) else { return };
         server.heard_at = now;
         if let Some(load) = outcome.load {
@@ -114,7 +114,7 @@
         request: &Request,
         out: &Out,
         outcome: &Outcome,
-        how: TurnedAway<'_>,
+        how: Rejected<'_>,
         actions: &mut Vec<Action>,
     ) {
         let full_ms = self.full_for(&request.wanted.service, outcome.retry_after_ms);
@@ -152,14 +152,12 @@
                 return server.health.succeeded();
             }
             Ending::Failed { status } if *status < 500 => return server.health.succeeded(),
-            Ending::Stale | Ending::Cancelled | Ending::TurnedAway { .. } => {
-                return server.health.trial_over()
-            }
+            Ending::Stale | Ending::Cancelled | Ending::Rejected { .. } => return server.health.trial_over(),
             Ending::Unreachable => {
                 server.observed.unreachable += 1;
                 Evidence::Unreachable
             }
-            Ending::Failed { .. } | Ending::Lost | Ending::Garbled | Ending::Broken { .. } => {
+            Ending::Failed { .. } | Ending::Lost | Ending::MalformedResponse | Ending::Broken { .. } => {
                 server.observed.failed += 1;
                 Evidence::Failure
             }
@@ -177,7 +175,7 @@
         if request.head_passed {
             self.break_off(request, actions);
         } else {
-            self.refuse(now, request, RefusalReason::TooLate, actions);
+            self.refuse(now, request, RejectReason::TooLate, actions);
         }
     }
 
--- a/routing/src/counters.rs
+++ b/routing/src/counters.rs
@@ -2,7 +2,7 @@
 
 use strum::EnumCount;
 
-use crate::interface::RefusalReason;
+use crate::interface::RejectReason;
 
 /// Counts since the start. `received == answered + refused() + broken_off + client_left + open` at all times.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     pub repeats: u64,
     /// Streams taken up at another server.
     pub resumed: u64,
-    refused: [u64; RefusalReason::COUNT],
+    refused: [u64; RejectReason::COUNT],
 }
 
 impl Counters {
@@ -37,11 +37,11 @@
     }
 
     /// Requests that were refused for one reason.
-    pub fn refused_for(&self, reason: RefusalReason) -> u64 {
+    pub fn refused_for(&self, reason: RejectReason) -> u64 {
         self.refused.get(reason as usize).copied().unwrap_or(0)
     }
 
-    pub(crate) fn count_refusal(&mut self, reason: RefusalReason) {
+    pub(crate) fn count_refusal(&mut self, reason: RejectReason) {
         if let Some(count) = self.refused.get_mut(reason as usize) {
             *count += 1;
         }
--- a/routing/src/endings.rs
+++ b/routing/src/endings.rs
@@ -4,7 +4,7 @@
 use shaletrail_protocol::Millis;
 
 use crate::holding::Rank;
-use crate::interface::{Action, Refusal, RefusalReason, RequestId};
+use crate::interface::{Action, RejectReason, Rejection, RequestId};
 use crate::requests::{Phase, Request};
 use crate::router::Router;
 
@@ -40,14 +40,14 @@
         self.counters.open -= 1;
         self.counters.answered += 1;
         self.counters.passed_on += 1;
-        actions.push(Action::PassOn(request.id()));
+        actions.push(Action::ForwardFailure(request.id()));
     }
 
     /// The answer cannot be completed.
     pub(crate) fn break_off(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
         self.counters.broken_off += 1;
-        actions.push(Action::BreakOff(request.id()));
+        actions.push(Action::AbortResponse(request.id()));
     }
 
     /// Answers with a failure of our own: a promise that it has not run only where that is sure.
@@ -55,7 +55,7 @@
         &mut self,
         now: Millis,
         request: Request,
-        reason: RefusalReason,
+        reason: RejectReason,
         actions: &mut Vec<Action>,
     ) {
         if let Some(demand) = self.demand.known(&request.wanted) {
@@ -64,7 +64,7 @@
         let sure = request.surely_not_run();
         let status = match reason {
             _ if sure => 503,
-            RefusalReason::TooLate => 504,
+            RejectReason::TooLate => 504,
             _ => 502,
         };
         let retry_after_ms = sure.then(|| self.retry_after(now, &request, reason));
@@ -72,16 +72,16 @@
         self.counters.count_refusal(reason);
         actions.push(Action::Refuse {
             request: request.id(),
-            refusal: Refusal { status, retry_after_ms, reason },
+            refusal: Rejection { status, retry_after_ms, reason },
         });
     }
 
     /// When a refused request may find a server, with jitter, so that not all come back at once.
-    fn retry_after(&mut self, now: Millis, request: &Request, reason: RefusalReason) -> Millis {
+    fn retry_after(&mut self, now: Millis, request: &Request, reason: RejectReason) -> Millis {
         let (shortest, longest) = (self.options.retry_after_min_ms, self.options.retry_after_max_ms);
         let estimate = match reason {
-            RefusalReason::Stopping => shortest,
-            RefusalReason::NoModel | RefusalReason::NoServer => self.load_time(request),
+            RejectReason::Stopping => shortest,
+            RejectReason::NoModel | RejectReason::NoServer => self.load_time(request),
             _ => request.retry_after_ms.unwrap_or_else(|| self.drain_time(now, request)),
         };
         let estimate = estimate.clamp(shortest, longest.max(shortest));
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use shaletrail_configuration::{Route, View};
-use shaletrail_protocol::inside::{LoadScope, LoadShare, ServerRecord};
+use shaletrail_protocol::internal::{EdgeServerLoad, LoadScope, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
 /// Names a request at this edge; given by the driver, never used twice.
@@ -42,7 +42,7 @@
         /// Whose requests it counted.
         scope: LoadScope,
         /// What it told.
-        shares: Vec<LoadShare>,
+        shares: Vec<EdgeServerLoad>,
     },
     /// A client's request, its head read whole. Its route was looked up in the configuration then in force.
     Request(NewRequest),
@@ -139,7 +139,7 @@
         status: u16,
     },
     /// The server turned the request away (503, 429, 421, 400 with `Not-Executed` or 421).
-    TurnedAway {
+    Rejected {
         /// Its status.
         status: u16,
         /// `Instance-Id` of the answer: who is at that address.
@@ -152,7 +152,7 @@
     /// The connection ended or was reset before a whole head.
     Lost,
     /// What came is no answer, or another request's.
-    Garbled,
+    MalformedResponse,
     /// The answer broke off after its head had been passed on.
     Broken {
         /// The last event that was passed on whole, for streams.
@@ -188,16 +188,16 @@
         resume_after: Option<u64>,
     },
     /// Pass the held failed answer on to the client, unchanged.
-    PassOn(RequestId),
+    ForwardFailure(RequestId),
     /// Answer with a failure of our own, at once. Only where no answer's head has been passed on.
     Refuse {
         /// The request.
         request: RequestId,
         /// The answer.
-        refusal: Refusal,
+        refusal: Rejection,
     },
     /// Break the answer off, as it cannot be completed: the client must see that it is not whole.
-    BreakOff(RequestId),
+    AbortResponse(RequestId),
     /// Stop waiting for an attempt and close its connection; an `Event::Ended` follows.
     Cancel(RequestId, Attempt),
     /// Close the idle connections to a server, and others as they become idle.
@@ -206,18 +206,18 @@
 
 /// An answer of our own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// 404, 429, 502, 503 or 504. 429 and 503 promise that the request has not run and never will.
     pub status: u16,
     /// When to come back, in milliseconds; only with 429 and 503.
     pub retry_after_ms: Option<u64>,
     /// Why, for counters and logs.
-    pub reason: RefusalReason,
+    pub reason: RejectReason,
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter, strum::EnumCount)]
-pub enum RefusalReason {
+pub enum RejectReason {
     /// No server of the service is known or usable.
     NoServer,
     /// No server holds the model, and none will in time.
@@ -225,7 +225,7 @@
     /// Every usable server is full.
     Full,
     /// Servers turned it away as often as it may be sent.
-    TurnedAway,
+    Rejected,
     /// It may have run, and may not be repeated.
     MayHaveRun,
     /// The deadline or the route's timeout has come.
@@ -238,13 +238,13 @@
 
 /// What other edges are to be told of requests under way at servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Whom to tell.
     pub to: Arc<[NodeId]>,
     /// Whose requests are counted.
     pub scope: LoadScope,
     /// What to tell.
-    pub shares: Vec<LoadShare>,
+    pub shares: Vec<EdgeServerLoad>,
 }
 
 /// When the router next wants `Event::Tick`, and what it reports; see `Router`.
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use shaletrail_protocol::inside::LoadShare;
+use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::{Millis, NodeId};
 
 /// What was told counts for so long, in milliseconds.
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    share: LoadShare,
+    share: EdgeServerLoad,
     until: Millis,
 }
 
@@ -44,7 +44,7 @@
 
 impl LoadTable {
     /// Takes what an edge tells.
-    pub fn tell(&mut self, now: Millis, edge: NodeId, shares: Vec<LoadShare>) {
+    pub fn tell(&mut self, now: Millis, edge: NodeId, shares: Vec<EdgeServerLoad>) {
         self.expire(now);
         if self.edges.len() >= MOST_EDGES && !self.edges.contains_key(&edge) {
             return;
@@ -107,14 +107,14 @@
     }
 
     /// Without what one edge has told.
-    pub fn without(mut self, share: &LoadShare) -> Elsewhere {
+    pub fn without(mut self, share: &EdgeServerLoad) -> Elsewhere {
         subtract(&mut self, share);
         self
     }
 
     /// As a share, to be told on.
-    pub fn as_share(self, server: u64) -> LoadShare {
-        LoadShare {
+    pub fn as_share(self, server: u64) -> EdgeServerLoad {
+        EdgeServerLoad {
             server,
             open: u16::try_from(self.open).unwrap_or(u16::MAX),
             prefill: u32::try_from(self.prefill).unwrap_or(u32::MAX),
@@ -123,13 +123,13 @@
     }
 }
 
-fn add(sum: &mut Elsewhere, share: &LoadShare) {
+fn add(sum: &mut Elsewhere, share: &EdgeServerLoad) {
     sum.open += u32::from(share.open);
     sum.prefill += u64::from(share.prefill);
     sum.silent += u32::from(share.silent);
 }
 
-fn subtract(sum: &mut Elsewhere, share: &LoadShare) {
+fn subtract(sum: &mut Elsewhere, share: &EdgeServerLoad) {
     sum.open = sum.open.saturating_sub(u32::from(share.open));
     sum.prefill = sum.prefill.saturating_sub(u64::from(share.prefill));
     sum.silent = sum.silent.saturating_sub(u32::from(share.silent));
--- a/routing/src/peers.rs
+++ b/routing/src/peers.rs
@@ -6,11 +6,11 @@
 
 use std::sync::Arc;
 
-use shaletrail_protocol::inside::{LoadScope, LoadShare};
+use shaletrail_protocol::internal::{EdgeServerLoad, LoadScope};
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::announced::Announced;
-use crate::interface::LoadNews;
+use crate::interface::LoadUpdate;
 use crate::load_table::{Elsewhere, LoadTable};
 use crate::topology::Topology;
 
@@ -66,7 +66,7 @@
     }
 
     /// Takes what another edge tells, if it is for this one.
-    pub fn tell(&mut self, now: Millis, edge: NodeId, scope: LoadScope, shares: Vec<LoadShare>) {
+    pub fn tell(&mut self, now: Millis, edge: NodeId, scope: LoadScope, shares: Vec<EdgeServerLoad>) {
         if edge == self.own {
             return;
         }
@@ -80,7 +80,7 @@
     }
 
     /// What the other edges have at a server. `told` is what this edge has told of it.
-    pub fn at(&self, told: &LoadShare) -> Elsewhere {
+    pub fn at(&self, told: &EdgeServerLoad) -> Elsewhere {
         let all = self.heard.at(told.server);
         match self.topology {
             Topology::Mesh { .. } => all,
@@ -94,25 +94,25 @@
     }
 
     /// What is to be told now, where this edge has `own_news` of its own.
-    pub fn take_news(&mut self, now: Millis, own_news: Vec<LoadShare>) -> Vec<LoadNews> {
+    pub fn take_news(&mut self, now: Millis, own_news: Vec<EdgeServerLoad>) -> Vec<LoadUpdate> {
         match &self.topology {
             Topology::Mesh { others } => {
-                vec![LoadNews { to: others.clone(), scope: LoadScope::Own, shares: own_news }]
+                vec![LoadUpdate { to: others.clone(), scope: LoadScope::Own, shares: own_news }]
             }
             Topology::Member { relay } => {
-                vec![LoadNews { to: Arc::new([*relay]), scope: LoadScope::Own, shares: own_news }]
+                vec![LoadUpdate { to: Arc::new([*relay]), scope: LoadScope::Own, shares: own_news }]
             }
             Topology::Relay { members, relays } => {
                 let (members, relays) = (members.clone(), relays.clone());
                 self.heard.single.tell(now, self.own, own_news);
-                let group = LoadNews { to: relays, scope: LoadScope::Group, shares: self.group_news(now) };
-                let fleet = LoadNews { to: members, scope: LoadScope::Fleet, shares: self.fleet_news(now) };
+                let group = LoadUpdate { to: relays, scope: LoadScope::Group, shares: self.group_news(now) };
+                let fleet = LoadUpdate { to: members, scope: LoadScope::Fleet, shares: self.fleet_news(now) };
                 vec![group, fleet]
             }
         }
     }
 
-    fn group_news(&mut self, now: Millis) -> Vec<LoadShare> {
+    fn group_news(&mut self, now: Millis) -> Vec<EdgeServerLoad> {
         if now < self.group_at + GROUP_INTERVAL {
             return Vec::new();
         }
@@ -122,7 +122,7 @@
         self.group.take_news(now, single.servers(), |server| single.at(server))
     }
 
-    fn fleet_news(&mut self, now: Millis) -> Vec<LoadShare> {
+    fn fleet_news(&mut self, now: Millis) -> Vec<EdgeServerLoad> {
         if now < self.fleet_at + FLEET_INTERVAL {
             return Vec::new();
         }
--- a/routing/src/placing.rs
+++ b/routing/src/placing.rs
@@ -7,7 +7,7 @@
 
 use crate::choice::{choose, Ask, Chosen, Unavailable};
 use crate::holding::Rank;
-use crate::interface::{Action, Attempt, RefusalReason};
+use crate::interface::{Action, Attempt, RejectReason};
 use crate::report::Wanted;
 use crate::requests::{Held, Out, Phase, Request};
 use crate::router::{Otherwise, Router};
@@ -29,7 +29,7 @@
         actions: &mut Vec<Action>,
     ) {
         if now >= request.deadline_at {
-            return self.end(now, request, otherwise, RefusalReason::TooLate, actions);
+            return self.end(now, request, otherwise, RejectReason::TooLate, actions);
         }
         if let Some(reason) = self.barred(now, &request) {
             return self.end(now, request, otherwise, reason, actions);
@@ -49,23 +49,23 @@
         now: Millis,
         request: Request,
         otherwise: Otherwise,
-        reason: RefusalReason,
+        reason: RejectReason,
         actions: &mut Vec<Action>,
     ) {
         match otherwise {
             Otherwise::Wait => self.refuse(now, request, reason, actions),
-            Otherwise::PassOn => self.pass_on(request, actions),
-            Otherwise::BreakOff => self.break_off(request, actions),
+            Otherwise::ForwardFailure => self.pass_on(request, actions),
+            Otherwise::AbortResponse => self.break_off(request, actions),
         }
     }
 
     /// Why no further attempt may be made, if none may.
-    pub(crate) fn barred(&mut self, now: Millis, request: &Request) -> Option<RefusalReason> {
+    pub(crate) fn barred(&mut self, now: Millis, request: &Request) -> Option<RejectReason> {
         if !request.may_run_again() {
-            return Some(RefusalReason::MayHaveRun);
+            return Some(RejectReason::MayHaveRun);
         }
         if request.sendings >= self.options.max_sendings {
-            return Some(RefusalReason::NoServer);
+            return Some(RejectReason::NoServer);
         }
         if request.arrivals == 0 {
             return None;
@@ -115,7 +115,7 @@
     fn send(&mut self, now: Millis, mut request: Request, chosen: Chosen, actions: &mut Vec<Action>) {
         let repeat = request.arrivals > 0;
         let Some(server) = self.servers.get_mut(chosen.server) else {
-            return self.refuse(now, request, RefusalReason::NoServer, actions);
+            return self.refuse(now, request, RejectReason::NoServer, actions);
         };
         let prefill = request.prefill(chosen.at_home);
         self.shares_changed |= server.share.sent(now, prefill);
@@ -176,8 +176,8 @@
             0 => reason_of(why, &request.wanted),
             _ => request.reason_to_end(),
         };
-        if self.stopping && reason != RefusalReason::Full {
-            return self.refuse(now, request, RefusalReason::Stopping, actions);
+        if self.stopping && reason != RejectReason::Full {
+            return self.refuse(now, request, RejectReason::Stopping, actions);
         }
         let until = self.hold_until(&request, why);
         if now.max(request.not_before) >= until {
@@ -187,17 +187,17 @@
         if self.holding.len() >= self.options.max_held {
             match self.holding.last().filter(|last| rank < *last) {
                 Some(last) => self.give_place(now, last, actions),
-                None => return self.refuse(now, request, RefusalReason::Overloaded, actions),
+                None => return self.refuse(now, request, RejectReason::Overloaded, actions),
             }
         }
         self.reconsider(&request.wanted, why);
         if request.not_before > now {
             self.reconsider_by(&request.wanted.service, request.not_before);
         }
-        self.urgent |= reason == RefusalReason::NoModel;
+        self.urgent |= reason == RejectReason::NoModel;
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
             demand.waiting += 1;
-            demand.crowded += u32::from(reason == RefusalReason::Full);
+            demand.crowded += u32::from(reason == RejectReason::Full);
         }
         self.holding.insert(&request.wanted.service, rank);
         self.counters.held += 1;
@@ -219,7 +219,7 @@
 
     fn give_place(&mut self, now: Millis, rank: Rank, actions: &mut Vec<Action>) {
         if let Some((request, _)) = self.take(rank.id) {
-            self.refuse(now, request, RefusalReason::Overloaded, actions);
+            self.refuse(now, request, RejectReason::Overloaded, actions);
         }
     }
 
@@ -305,11 +305,11 @@
     }
 }
 
-fn reason_of(why: Unavailable, wanted: &Wanted) -> RefusalReason {
+fn reason_of(why: Unavailable, wanted: &Wanted) -> RejectReason {
     match why {
-        Unavailable::NoHolder { .. } if wanted.model.is_empty() => RefusalReason::NoServer,
-        Unavailable::NoServer => RefusalReason::NoServer,
-        Unavailable::NoHolder { .. } => RefusalReason::NoModel,
-        Unavailable::Full { .. } => RefusalReason::Full,
+        Unavailable::NoHolder { .. } if wanted.model.is_empty() => RejectReason::NoServer,
+        Unavailable::NoServer => RejectReason::NoServer,
+        Unavailable::NoHolder { .. } => RejectReason::NoModel,
+        Unavailable::Full { .. } => RejectReason::Full,
     }
 }
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use shaletrail_protocol::inside::{Demand, Observation};
+use shaletrail_protocol::internal::{Demand, Observation};
 
 use crate::servers::Servers;
 use crate::Options;
--- a/routing/src/requests.rs
+++ b/routing/src/requests.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::Millis;
 use shaletrail_ring::Key;
 
-use crate::interface::{Attempt, NewRequest, RefusalReason, RequestId, Verdict};
+use crate::interface::{Attempt, NewRequest, RejectReason, RequestId, Verdict};
 use crate::report::Wanted;
 use crate::servers::ServerHandle;
 use crate::Options;
@@ -104,11 +104,11 @@
     }
 
     /// What it is to be told if it gets no other attempt.
-    pub fn reason_to_end(&self) -> RefusalReason {
+    pub fn reason_to_end(&self) -> RejectReason {
         if self.surely_not_run() {
-            RefusalReason::TurnedAway
+            RejectReason::Rejected
         } else {
-            RefusalReason::MayHaveRun
+            RejectReason::MayHaveRun
         }
     }
 
@@ -162,7 +162,7 @@
     /// When it is given up.
     pub until: Millis,
     /// Why there was no server when it was last looked for.
-    pub reason: RefusalReason,
+    pub reason: RejectReason,
 }
 
 /// An attempt under way.
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shaletrail_configuration::{Route, View};
-use shaletrail_protocol::inside::{Demand, Observation, ServerRecord};
+use shaletrail_protocol::internal::{Demand, Observation, ServerRecord};
 use shaletrail_protocol::Millis;
 
 use crate::choice::request_key;
@@ -14,7 +14,7 @@
 use crate::fleet::{Fleet, Rearranged};
 use crate::holding::Holding;
 use crate::interface::{
-    Action, Attempt, Ending, Event, LoadNews, NewRequest, NextWake, Outcome, RefusalReason, RequestId,
+    Action, Attempt, Ending, Event, LoadUpdate, NewRequest, NextWake, Outcome, RejectReason, RequestId,
     ServerLoad, Verdict,
 };
 use crate::peers::Peers;
@@ -101,7 +101,7 @@
     }
 
     /// What other edges should hear of requests under way at servers.
-    pub fn take_load_news(&mut self, now: Millis) -> Vec<LoadNews> {
+    pub fn take_load_update(&mut self, now: Millis) -> Vec<LoadUpdate> {
         self.shares_changed = false;
         let options = &self.options;
         let own = self.servers.iter_mut().filter_map(|server| {
@@ -115,7 +115,7 @@
     }
 
     /// Whether the other edges should hear at once.
-    pub fn has_urgent_shares(&self) -> bool {
+    pub fn has_urgent_load_update(&self) -> bool {
         self.shares_changed
     }
 
@@ -231,14 +231,14 @@
         let key = request_key(&new, &wanted);
         let request = Request::new(new, wanted, key, now);
         if self.requests.len() >= self.options.max_open {
-            return self.refuse(now, request, RefusalReason::Overloaded, actions);
+            return self.refuse(now, request, RejectReason::Overloaded, actions);
         }
         let Some(fleet) = self.fleets.get_mut(&request.wanted.service) else {
-            return self.refuse(now, request, RefusalReason::NoServer, actions);
+            return self.refuse(now, request, RejectReason::NoServer, actions);
         };
         fleet.budget.count_request(now);
         if self.is_unheard_of(&request.wanted) {
-            return self.refuse(now, request, RefusalReason::NoModel, actions);
+            return self.refuse(now, request, RejectReason::NoModel, actions);
         }
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
             count_arrival(demand, request.new.tokens, request.new.route.priority);
@@ -373,13 +373,13 @@
             Ending::Served => self.answered(request),
             _ if request.head_passed => {
                 if request.may_be_taken_up() {
-                    self.place(now, request, Otherwise::BreakOff, actions);
+                    self.place(now, request, Otherwise::AbortResponse, actions);
                 } else {
                     self.break_off(request, actions);
                 }
             }
             Ending::Failed { status } if status >= 500 && request.new.route.kind.may_repeat() => {
-                self.place(now, request, Otherwise::PassOn, actions);
+                self.place(now, request, Otherwise::ForwardFailure, actions);
             }
             Ending::Failed { .. } => self.pass_on(request, actions),
             _ => self.place(now, request, Otherwise::Wait, actions),
@@ -404,10 +404,10 @@
         self.stopping = true;
         for rank in self.holding.all() {
             let waits_long =
-                |phase: &Phase| matches!(phase, Phase::Held(held) if held.reason != RefusalReason::Full);
+                |phase: &Phase| matches!(phase, Phase::Held(held) if held.reason != RejectReason::Full);
             if self.requests.get(&rank.id).is_some_and(|(_, phase)| waits_long(phase)) {
                 if let Some((request, _)) = self.take(rank.id) {
-                    self.refuse(now, request, RefusalReason::Stopping, actions);
+                    self.refuse(now, request, RejectReason::Stopping, actions);
                 }
             }
         }
@@ -433,7 +433,7 @@
                 let reason = held.reason;
                 if let Some((request, _)) = self.take(id) {
                     let late = now >= request.deadline_at;
-                    self.refuse(now, request, if late { RefusalReason::TooLate } else { reason }, actions);
+                    self.refuse(now, request, if late { RejectReason::TooLate } else { reason }, actions);
                 }
             }
             Some((_, Phase::Out(out))) if now >= out.until => self.expire(now, id, actions),
@@ -449,7 +449,7 @@
     /// It waits, or is refused.
     Wait,
     /// It gets the failed answer that the driver holds.
-    PassOn,
+    ForwardFailure,
     /// Its answer is broken off.
-    BreakOff,
+    AbortResponse,
 }
--- a/routing/src/servers.rs
+++ b/routing/src/servers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use shaletrail_protocol::inside::{Observation, Presence, ServerRecord};
-use shaletrail_protocol::outside::ServerState;
+use shaletrail_protocol::external::ServerState;
+use shaletrail_protocol::internal::{Observation, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, ServerId};
 
 use crate::health::Health;
@@ -99,7 +99,7 @@
     pub fn standing(&self) -> Standing {
         if leaves(&self.record) || self.displaced {
             Standing::Leaving
-        } else if self.record.presence == Presence::Silent || self.unlisted_since.is_some() {
+        } else if self.record.presence == Presence::TimedOut || self.unlisted_since.is_some() {
             Standing::Silent
         } else {
             Standing::Ready
@@ -225,7 +225,7 @@
 }
 
 fn leaves(record: &ServerRecord) -> bool {
-    matches!(record.presence, Presence::Draining | Presence::Gone)
+    matches!(record.presence, Presence::Draining | Presence::Removed)
         || record.heartbeat.state == ServerState::Draining
 }
 
@@ -302,8 +302,8 @@
         let Some(server) = self.by_handle.get_mut(&handle) else { return Merge::Ignored };
         let known = &server.record;
         if leaves(known) {
-            if record.presence == Presence::Gone {
-                server.record.presence = Presence::Gone;
+            if record.presence == Presence::Removed {
+                server.record.presence = Presence::Removed;
             }
             return Merge::Ignored;
         }
--- a/routing/src/share.rs
+++ b/routing/src/share.rs
@@ -1,6 +1,6 @@
 //! What this edge has under way at one server, for its own choices and for the other edges.
 
-use shaletrail_protocol::inside::LoadShare;
+use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::Millis;
 use shaletrail_ring::hash_of_name;
 
@@ -46,7 +46,7 @@
     }
 
     /// What the other edges were told last.
-    pub fn told(&self) -> &LoadShare {
+    pub fn told(&self) -> &EdgeServerLoad {
         &self.told.share
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// What the other edges should be told, if that differs from what they were or was told long ago.
-    pub fn take_news(&mut self, now: Millis, open: u32, silent: bool) -> Option<LoadShare> {
+    pub fn take_news(&mut self, now: Millis, open: u32, silent: bool) -> Option<EdgeServerLoad> {
         let share = Elsewhere { open, prefill: self.prefill, silent: u32::from(silent) }.as_share(self.key);
         if share == self.told.share && !self.told.lapses(now, &share) {
             return None;
--- a/routing/tests/budget.rs
+++ b/routing/tests/budget.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletrail_routing::interface::{Event, RefusalReason};
+use shaletrail_routing::interface::{Event, RejectReason};
 use shaletrail_routing::Options;
 
 #[test]
@@ -14,7 +14,7 @@
     edge.handle(Event::Edges(1));
     edge.servers((0..6).map(|number| server(LLM, number, &["m1"])).collect());
     let early = edge.ask_sent(&route(LLM), "m1");
-    assert_refused(&edge.end(&early, turned_away(503)), 503, RefusalReason::TurnedAway);
+    assert_refused(&edge.end(&early, turned_away(503)), 503, RejectReason::Rejected);
     edge.pass(11_000);
     let late = edge.ask_sent(&route(LLM), "m1");
     assert!(sent(&edge.end(&late, turned_away(503))).is_some(), "the slack is there again");
--- a/routing/tests/choice.rs
+++ b/routing/tests/choice.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_protocol::inside::Presence;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_ring::Key;
-use shaletrail_routing::interface::{Ending, Event, RefusalReason, Verdict};
+use shaletrail_routing::interface::{Ending, Event, RejectReason, Verdict};
 use shaletrail_routing::Options;
 
 #[test]
@@ -148,7 +148,7 @@
     let (_, actions) = edge.ask(&route(LLM), "m1");
     assert_eq!(actions, vec![]);
     let (_, actions) = edge.ask(&route("nowhere"), "m1");
-    assert_refused(&actions, 503, RefusalReason::NoServer);
+    assert_refused(&actions, 503, RejectReason::NoServer);
 }
 
 #[test]
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use shaletrail_configuration::{Route, RouteKind, View};
-use shaletrail_protocol::inside::{ConfigItem, ConfigNews, ItemKey, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, ServerState};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
+use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey, Presence, ServerRecord};
 use shaletrail_protocol::Millis;
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
 use shaletrail_routing::interface::{
-    Action, Attempt, Ending, Event, NewRequest, Outcome, Refusal, RefusalReason, RequestId, ServerLoad,
+    Action, Attempt, Ending, Event, NewRequest, Outcome, RejectReason, Rejection, RequestId, ServerLoad,
     Verdict,
 };
 use shaletrail_routing::{Options, Router};
@@ -136,7 +136,7 @@
     actions.iter().filter_map(sent).collect()
 }
 
-pub fn refusal(actions: &[Action]) -> Option<Refusal> {
+pub fn refusal(actions: &[Action]) -> Option<Rejection> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { refusal, .. } => Some(*refusal),
         _ => None,
@@ -144,7 +144,7 @@
 }
 
 /// Asserts that a request was refused with a status and for a reason.
-pub fn assert_refused(actions: &[Action], status: u16, reason: RefusalReason) {
+pub fn assert_refused(actions: &[Action], status: u16, reason: RejectReason) {
     let refusal = refusal(actions).unwrap_or_else(|| panic!("not refused: {actions:?}"));
     assert_eq!((refusal.status, refusal.reason), (status, reason));
     assert_eq!(refusal.retry_after_ms.is_some(), status == 503, "{refusal:?}");
@@ -155,7 +155,7 @@
 }
 
 pub fn turned_away(status: u16) -> Outcome {
-    outcome(Verdict::SurelyNotRun, Ending::TurnedAway { status, instance: None })
+    outcome(Verdict::SurelyNotRun, Ending::Rejected { status, instance: None })
 }
 
 pub fn unreachable() -> Outcome {
@@ -183,7 +183,7 @@
     let held = |name: &&str| {
         let mut parts = name.split('/').map(str::to_owned);
         let name = parts.next().unwrap_or_default();
-        HeldModel { name, version: 1, adapters: parts.collect() }
+        LoadedModel { name, version: 1, adapters: parts.collect() }
     };
     let heartbeat = Heartbeat {
         service: service.to_owned(),
@@ -262,7 +262,7 @@
         json: json.to_owned(),
     };
     let news =
-        ConfigNews { base: None, version, upsert: vec![item(LLM, &llm), item(WEB, web)], remove: vec![] };
+        ConfigUpdate { base: None, version, upsert: vec![item(LLM, &llm), item(WEB, web)], remove: vec![] };
     let mut view = View::default();
     view.apply(&news).expect("the view is taken");
     Arc::new(view)
--- a/routing/tests/health.rs
+++ b/routing/tests/health.rs
@@ -9,7 +9,7 @@
 #[test]
 fn given_failures_in_a_row_when_the_next_request_comes_then_the_server_is_skipped_for_a_while() {
     let order = sequence(Key::of("m1"), 4);
-    for outcome in [lost(), failed(500), outcome(Verdict::MayHaveRun, Ending::Garbled)] {
+    for outcome in [lost(), failed(500), outcome(Verdict::MayHaveRun, Ending::MalformedResponse)] {
         let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
         for _ in 0..2 {
             let sent = edge.ask_sent(&route(LLM), "m1");
@@ -127,7 +127,7 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let order = sequence(Key::of("m1"), 3);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let other = Ending::TurnedAway { status: 421, instance: Some("i-other".into()) };
+    let other = Ending::Rejected { status: 421, instance: Some("i-other".into()) };
     let actions = edge.end(&first, outcome(Verdict::SurelyNotRun, other));
     assert_eq!(actions[0], Action::Forget(order[0].clone()));
     assert_eq!(sent(&actions).map(|sent| sent.server), Some(order[1].clone()));
@@ -145,7 +145,7 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1", "m2"]);
     let order = sequence(Key::of("m1"), 3);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let same = Ending::TurnedAway { status: 421, instance: Some(order[0].clone()) };
+    let same = Ending::Rejected { status: 421, instance: Some(order[0].clone()) };
     let second = sent(&edge.end(&first, outcome(Verdict::SurelyNotRun, same))).expect("elsewhere");
     assert_eq!(second.server, order[1]);
     edge.serve(&second);
--- a/routing/tests/lives.rs
+++ b/routing/tests/lives.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shaletrail_configuration::{Route, RouteKind};
-use shaletrail_protocol::inside::{Presence, ServerRecord};
+use shaletrail_protocol::internal::{Presence, ServerRecord};
 use shaletrail_protocol::Millis;
-use shaletrail_routing::interface::{Action, Attempt, Ending, Event, Outcome, Refusal, RequestId, Verdict};
+use shaletrail_routing::interface::{Action, Attempt, Ending, Event, Outcome, Rejection, RequestId, Verdict};
 use shaletrail_routing::Options;
 
 const LIVES: u64 = 150;
@@ -238,16 +238,15 @@
             _ if out.cancelled => (Verdict::MayHaveRun, Ending::Cancelled),
             0..5 if out.has_first => (Verdict::HasRun, Ending::Served),
             _ if out.has_first => (Verdict::HasRun, Ending::Broken { last_event, at_fault: picked < 7 }),
-            0 => (Verdict::SurelyNotRun, Ending::TurnedAway { status: 421, instance: other }),
-            1 => (
-                Verdict::SurelyNotRun,
-                Ending::TurnedAway { status: 421, instance: Some(out.server.clone()) },
-            ),
-            2 | 3 => (Verdict::SurelyNotRun, Ending::TurnedAway { status: 503, instance: None }),
+            0 => (Verdict::SurelyNotRun, Ending::Rejected { status: 421, instance: other }),
+            1 => {
+                (Verdict::SurelyNotRun, Ending::Rejected { status: 421, instance: Some(out.server.clone()) })
+            }
+            2 | 3 => (Verdict::SurelyNotRun, Ending::Rejected { status: 503, instance: None }),
             4 => (Verdict::NeverSent, Ending::Unreachable),
             5 => (Verdict::NeverSent, Ending::Stale),
             6 => (Verdict::MayHaveRun, Ending::Stale),
-            7 => (Verdict::MayHaveRun, Ending::Garbled),
+            7 => (Verdict::MayHaveRun, Ending::MalformedResponse),
             8 => (Verdict::MayHaveRun, Ending::Lost),
             _ if has_head => (Verdict::MayHaveRun, Ending::Lost),
             _ => (Verdict::HasRun, Ending::Failed { status: 500 }),
@@ -311,8 +310,8 @@
         record.heartbeat.sequence += 1;
         record.presence = match self.random.random_range(0..10) {
             0 => Presence::Draining,
-            1 => Presence::Gone,
-            2 => Presence::Silent,
+            1 => Presence::Removed,
+            2 => Presence::TimedOut,
             _ => Presence::Ready,
         };
         if let Some(models) = &mut record.heartbeat.models {
@@ -327,7 +326,7 @@
             }
         }
         let record = record.clone();
-        if matches!(record.presence, Presence::Draining | Presence::Gone) {
+        if matches!(record.presence, Presence::Draining | Presence::Removed) {
             self.records.remove(&record.id);
             self.left.insert(record.id.clone());
         }
@@ -372,8 +371,8 @@
                 Action::Send { .. } => self.check_sent(&sent(&[action]).expect("a sending")),
                 Action::Cancel(id, attempt) => self.check_cancel(*id, *attempt),
                 Action::Refuse { request, refusal } => self.check_refused(*request, *refusal),
-                Action::PassOn(id) => self.check_passed_on(*id),
-                Action::BreakOff(id) => self.check_broken_off(*id),
+                Action::ForwardFailure(id) => self.check_passed_on(*id),
+                Action::AbortResponse(id) => self.check_broken_off(*id),
                 Action::Forget(_) => {}
             }
         }
@@ -420,7 +419,7 @@
         self.fates.called_off += u64::from(self.edge.now < life.deadline_at);
     }
 
-    fn check_refused(&mut self, id: RequestId, refusal: Refusal) {
+    fn check_refused(&mut self, id: RequestId, refusal: Rejection) {
         let life = self.end_of(id);
         assert!(!life.head_passed, "an answer after an answer");
         let sure = life.verdict <= Verdict::SurelyNotRun && life.out.is_none();
--- a/routing/tests/loads.rs
+++ b/routing/tests/loads.rs
@@ -8,7 +8,7 @@
 use shaletrail_configuration::Route;
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_ring::Key;
-use shaletrail_routing::interface::{Event, LoadNews};
+use shaletrail_routing::interface::{Event, LoadUpdate};
 
 const MODEL: &str = "m1";
 const SERVERS: u32 = 4;
@@ -61,13 +61,13 @@
         let nodes: Vec<NodeId> = self.edges.keys().copied().collect();
         for node in nodes {
             let Some(edge) = self.edges.get_mut(&node) else { continue };
-            for news in edge.router.take_load_news(edge.now) {
+            for news in edge.router.take_load_update(edge.now) {
                 self.deliver(node, news);
             }
         }
     }
 
-    fn deliver(&mut self, from: NodeId, news: LoadNews) {
+    fn deliver(&mut self, from: NodeId, news: LoadUpdate) {
         for to in news.to.iter() {
             assert_ne!(*to, from);
             self.told += 1;
--- a/routing/tests/repeats.rs
+++ b/routing/tests/repeats.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_routing::interface::{Action, Ending, Event, Outcome, RefusalReason, Verdict};
+use shaletrail_routing::interface::{Action, Ending, Event, Outcome, RejectReason, Verdict};
 use shaletrail_routing::Options;
 
 #[test]
@@ -33,7 +33,7 @@
     let sent = edge.ask_sent(&Route { max_attempts: 1, ..route(LLM) }, "m1");
     let outcome = Outcome { retry_after_ms: Some(400), ..turned_away(503) };
     let actions = edge.end(&sent, outcome);
-    assert_refused(&actions, 503, RefusalReason::TurnedAway);
+    assert_refused(&actions, 503, RejectReason::Rejected);
     let retry_after = refusal(&actions).and_then(|refusal| refusal.retry_after_ms).expect("told when");
     assert!((400..=500).contains(&retry_after), "{retry_after}");
 }
@@ -58,19 +58,19 @@
             None => ended = edge.pass(edge.now + 10).into_iter().map(|(_, action)| action).collect(),
         }
     }
-    assert_refused(&ended, 503, RefusalReason::TurnedAway);
+    assert_refused(&ended, 503, RejectReason::Rejected);
     assert!((3..=5).contains(&sendings), "{sendings}");
 }
 
 #[test]
 fn given_a_request_that_may_run_once_when_it_may_have_run_then_it_is_never_sent_again() {
-    let endings = [Ending::Lost, Ending::Garbled, Ending::Stale];
+    let endings = [Ending::Lost, Ending::MalformedResponse, Ending::Stale];
     for ending in endings {
         for kind in [route(LLM), stream(LLM, false)] {
             let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
             let sent = edge.ask_sent(&kind, "m1");
             let actions = edge.end(&sent, outcome(Verdict::MayHaveRun, ending.clone()));
-            assert_refused(&actions, 502, RefusalReason::MayHaveRun);
+            assert_refused(&actions, 502, RejectReason::MayHaveRun);
         }
     }
 }
@@ -80,7 +80,7 @@
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let first = edge.ask_sent(&route(LLM), "m1");
     let second = sent(&edge.end(&first, turned_away(503))).expect("second");
-    assert_refused(&edge.end(&second, lost()), 502, RefusalReason::MayHaveRun);
+    assert_refused(&edge.end(&second, lost()), 502, RejectReason::MayHaveRun);
 }
 
 #[test]
@@ -92,7 +92,7 @@
         assert_ne!(first.server, second.server);
         let third = sent(&edge.end(&second, turned_away(503))).expect("sent elsewhere");
         // It may have run at the first: no promise at the end.
-        assert_refused(&edge.end(&third, turned_away(503)), 502, RefusalReason::MayHaveRun);
+        assert_refused(&edge.end(&third, turned_away(503)), 502, RejectReason::MayHaveRun);
     }
 }
 
@@ -102,19 +102,19 @@
     let first = edge.ask_sent(&idempotent(LLM), "m1");
     let second = sent(&edge.end(&first, failed(500))).expect("sent elsewhere");
     let third = sent(&edge.end(&second, failed(500))).expect("sent elsewhere");
-    assert_eq!(edge.end(&third, failed(500)), vec![Action::PassOn(third.request)]);
+    assert_eq!(edge.end(&third, failed(500)), vec![Action::ForwardFailure(third.request)]);
 
     let once = edge.ask_sent(&route(LLM), "m1");
-    assert_eq!(edge.end(&once, failed(500)), vec![Action::PassOn(once.request)]);
+    assert_eq!(edge.end(&once, failed(500)), vec![Action::ForwardFailure(once.request)]);
     let wrong = edge.ask_sent(&idempotent(LLM), "m1");
-    assert_eq!(edge.end(&wrong, failed(404)), vec![Action::PassOn(wrong.request)]);
+    assert_eq!(edge.end(&wrong, failed(404)), vec![Action::ForwardFailure(wrong.request)]);
 }
 
 #[test]
 fn given_a_failed_answer_when_no_other_server_holds_the_model_then_it_is_passed_on_at_once() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let sent = edge.ask_sent(&idempotent(LLM), "m1");
-    assert_eq!(edge.end(&sent, failed(500)), vec![Action::PassOn(sent.request)]);
+    assert_eq!(edge.end(&sent, failed(500)), vec![Action::ForwardFailure(sent.request)]);
 }
 
 #[test]
@@ -149,7 +149,7 @@
                 repeats += 1;
                 edge.serve(&second);
             }
-            None => assert_eq!(edge.router.counters().refused_for(RefusalReason::MayHaveRun), 1),
+            None => assert_eq!(edge.router.counters().refused_for(RejectReason::MayHaveRun), 1),
         }
         if edge.router.counters().refused() > 0 {
             break;
@@ -174,7 +174,7 @@
     let first = edge.ask_sent(&route(LLM), "m1");
     assert!(sent(&edge.end(&first, turned_away(503))).is_some());
     let first = edge.ask_sent(&route(LLM), "m1");
-    assert_refused(&edge.end(&first, turned_away(503)), 503, RefusalReason::TurnedAway);
+    assert_refused(&edge.end(&first, turned_away(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -186,7 +186,7 @@
     let first = edge.ask_sent(&route(LLM), "m1");
     let repeat = sent(&edge.end(&first, turned_away(503))).expect("the one repeat");
     let again = sent(&edge.end(&repeat, unreachable())).expect("the same repeat");
-    assert_refused(&edge.end(&again, turned_away(503)), 503, RefusalReason::TurnedAway);
+    assert_refused(&edge.end(&again, turned_away(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let (times, actions): (Vec<_>, Vec<_>) = ended.into_iter().unzip();
     assert_eq!(times, vec![1950, 1950]);
     assert_eq!(actions[0], Action::Cancel(sent.request, sent.attempt));
-    assert_refused(&actions, 504, RefusalReason::TooLate);
+    assert_refused(&actions, 504, RejectReason::TooLate);
     // What the driver reports of the cancelled attempt changes nothing.
     assert_eq!(edge.end(&sent, outcome(Verdict::MayHaveRun, Ending::Cancelled)), vec![]);
 }
@@ -209,7 +209,7 @@
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let mut request = edge.new_request(&route(LLM), "m1");
     request.deadline_ms = 0;
-    assert_refused(&edge.handle(Event::Request(request)), 503, RefusalReason::TooLate);
+    assert_refused(&edge.handle(Event::Request(request)), 503, RejectReason::TooLate);
 }
 
 #[test]
@@ -217,7 +217,7 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let sent = edge.ask_sent(&route(LLM), "m1");
     edge.now += 4000;
-    assert_refused(&edge.end(&sent, turned_away(503)), 503, RefusalReason::TooLate);
+    assert_refused(&edge.end(&sent, turned_away(503)), 503, RejectReason::TooLate);
 }
 
 #[test]
@@ -264,7 +264,7 @@
     let later = edge.pass(edge.now + 250);
     let second = sent(&[later[0].1.clone()]).expect("sent again");
     assert_eq!((later[0].0, &second.server), (1200, &first.server));
-    assert_refused(&edge.end(&second, turned_away(503)), 503, RefusalReason::TurnedAway);
+    assert_refused(&edge.end(&second, turned_away(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -282,5 +282,5 @@
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let first = edge.ask_sent(&Route { target_latency_ms: 100, ..route(LLM) }, "m1");
     // It could be asked again only after the time for which it may be held: it is refused at once.
-    assert_refused(&edge.end(&first, unreachable()), 503, RefusalReason::Full);
+    assert_refused(&edge.end(&first, unreachable()), 503, RejectReason::Full);
 }
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_protocol::inside::Observation;
-use shaletrail_routing::interface::{Event, RefusalReason};
+use shaletrail_protocol::internal::Observation;
+use shaletrail_routing::interface::{Event, RejectReason};
 use shaletrail_routing::Options;
 
 #[test]
@@ -93,6 +93,6 @@
     edge.ask_sent(&route(LLM), "m1");
     let counters = edge.router.counters();
     assert_eq!((counters.received, counters.answered, counters.passed_on), (6, 2, 1));
-    assert_eq!((counters.refused(), counters.refused_for(RefusalReason::MayHaveRun)), (1, 1));
+    assert_eq!((counters.refused(), counters.refused_for(RejectReason::MayHaveRun)), (1, 1));
     assert_eq!((counters.client_left, counters.open, counters.held), (1, 2, 1));
 }
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -3,20 +3,20 @@
 mod common;
 
 use common::*;
-use shaletrail_protocol::inside::Presence;
-use shaletrail_protocol::outside::ServerState;
+use shaletrail_protocol::external::ServerState;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_ring::Key;
 use shaletrail_routing::interface::{Action, Event};
 use shaletrail_routing::Options;
 
 #[test]
 fn given_a_server_that_leaves_when_its_record_comes_then_its_connections_are_forgotten_once() {
-    for presence in [Presence::Draining, Presence::Gone] {
+    for presence in [Presence::Draining, Presence::Removed] {
         let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
         let leaving = with_presence(server(LLM, 0, &["m1"]), presence);
         assert_eq!(edge.servers(vec![leaving.clone()]), vec![Action::Forget(name(0))]);
         assert_eq!(edge.servers(vec![leaving.clone()]), vec![]);
-        assert_eq!(edge.servers(vec![with_presence(leaving, Presence::Gone)]), vec![]);
+        assert_eq!(edge.servers(vec![with_presence(leaving, Presence::Removed)]), vec![]);
     }
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn given_a_server_known_only_as_gone_when_a_late_record_says_ready_then_it_stays_away() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    edge.servers(vec![with_presence(server(LLM, 5, &["m1"]), Presence::Gone)]);
+    edge.servers(vec![with_presence(server(LLM, 5, &["m1"]), Presence::Removed)]);
     edge.servers(vec![server(LLM, 5, &["m1"])]);
     for _ in 0..20 {
         assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(0));
@@ -67,11 +67,11 @@
 #[test]
 fn given_a_silent_server_when_another_holds_the_model_then_that_is_asked_else_the_silent_one() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
-    edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Silent)]);
+    edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::TimedOut)]);
     for _ in 0..20 {
         assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(1));
     }
-    edge.servers(vec![with_presence(server(LLM, 1, &["m1"]), Presence::Gone)]);
+    edge.servers(vec![with_presence(server(LLM, 1, &["m1"]), Presence::Removed)]);
     assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(0));
     // It is heard again.
     let mut back = server(LLM, 0, &["m1"]);
--- a/routing/tests/streams.rs
+++ b/routing/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_protocol::inside::Presence;
+use shaletrail_protocol::internal::Presence;
 use shaletrail_routing::interface::{Action, Event};
 
 #[test]
@@ -35,7 +35,7 @@
 fn given_a_resumable_stream_when_attempts_are_used_up_then_it_is_broken_off() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let first = begin(&mut edge, &Route { max_attempts: 1, ..stream(LLM, true) });
-    assert_eq!(edge.end(&first, broken(Some(3))), vec![Action::BreakOff(first.request)]);
+    assert_eq!(edge.end(&first, broken(Some(3))), vec![Action::AbortResponse(first.request)]);
     assert_eq!(edge.router.counters().broken_off, 1);
 }
 
@@ -46,7 +46,7 @@
         for kind in [stream(LLM, false), route(LLM), idempotent(LLM)] {
             let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
             let first = begin(&mut edge, &kind);
-            assert_eq!(edge.end(&first, broken(last_event)), vec![Action::BreakOff(first.request)]);
+            assert_eq!(edge.end(&first, broken(last_event)), vec![Action::AbortResponse(first.request)]);
         }
     }
 }
@@ -55,7 +55,7 @@
 fn given_a_resumable_stream_when_no_other_server_holds_the_model_then_it_is_broken_off() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    assert_eq!(edge.end(&first, broken(Some(2))), vec![Action::BreakOff(first.request)]);
+    assert_eq!(edge.end(&first, broken(Some(2))), vec![Action::AbortResponse(first.request)]);
 }
 
 #[test]
@@ -63,7 +63,10 @@
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
     let ended: Vec<Action> = edge.pass(edge.now + 6000).into_iter().map(|(_, action)| action).collect();
-    assert_eq!(ended, vec![Action::Cancel(first.request, first.attempt), Action::BreakOff(first.request)]);
+    assert_eq!(
+        ended,
+        vec![Action::Cancel(first.request, first.attempt), Action::AbortResponse(first.request)]
+    );
 }
 
 #[test]
@@ -113,7 +116,7 @@
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
     let number = first.server[2..].parse().expect("a number");
-    edge.servers(vec![with_presence(server(LLM, number, &["m1"]), Presence::Gone)]);
+    edge.servers(vec![with_presence(server(LLM, number, &["m1"]), Presence::Removed)]);
     let second = sent(&edge.end(&first, broken(Some(9)))).expect("taken up");
     assert_ne!(first.server, second.server);
 }
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_coordinator::core::Core;
-use shaletrail_coordinator::interface::{Action, CallId, CoreOptions, Event, OrderId, OrderOutcome};
+use shaletrail_coordinator::core::Coordinator as CoordinatorCore;
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event, OrderId, OrderOutcome};
+use shaletrail_protocol::external::{Heartbeat, Order, Report, MAX_HEARTBEAT_BYTES};
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{EdgeRequest, PollRequest};
-use shaletrail_protocol::outside::{Heartbeat, Order, Report, LONGEST_HEARTBEAT};
+use shaletrail_protocol::internal::{EdgeRequest, PollRequest};
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis, NodeId, ServerId};
 use shaletrail_storage::StorageError;
@@ -56,7 +56,7 @@
 /// A coordinator's process.
 pub struct Coordinator {
     node: NodeId,
-    core: Core,
+    core: CoordinatorCore,
     started: Millis,
     writer: Writer,
     replies: BTreeMap<CallId, Caller>,
@@ -75,11 +75,11 @@
     pub fn start(settings: &Settings, world: &mut World, disk: &MachineDisk) -> Result<Self, StorageError> {
         let (writer, stored) = disk.open()?;
         let incarnation = Incarnation(world.between(1..=u64::MAX));
-        let options = CoreOptions::from_settings(settings, incarnation);
+        let options = CoordinatorOptions::from_settings(settings, incarnation);
         let wants_checkpoint = writer.wants_checkpoint();
         let mut coordinator = Coordinator {
             node: settings.node(),
-            core: Core::new(options, stored, CLOCK_START),
+            core: CoordinatorCore::new(options, stored, CLOCK_START),
             started: world.now,
             writer,
             replies: BTreeMap::new(),
@@ -89,13 +89,13 @@
             crash_point: None,
             crashed: false,
         };
-        coordinator.tell(world, disk, Event::Stored { ticket: 0, wants_checkpoint });
+        coordinator.tell(world, disk, Event::Persisted { ticket: 0, wants_checkpoint });
         world.wake(coordinator.node, world.now, Timer::Tick);
         Ok(coordinator)
     }
 
     /// The decisions, for tests that look for the cause of what was seen.
-    pub fn core(&self) -> &Core {
+    pub fn core(&self) -> &CoordinatorCore {
         &self.core
     }
 
@@ -149,7 +149,7 @@
                 EdgeRequest::Report { demand } => {
                     self.tell(world, disk, Event::EdgeReport { edge: edge.node, demand })
                 }
-                EdgeRequest::Leave => self.tell(world, disk, Event::EdgeLeft(edge.node)),
+                EdgeRequest::Leave => self.tell(world, disk, Event::EdgeDisconnected(edge.node)),
                 EdgeRequest::Poll(_) => {}
             },
             Message::Call { number, call } => {
@@ -170,7 +170,7 @@
                 world.wake(self.node, world.now + TICK, Timer::Tick);
                 self.tell(world, disk, Event::Tick);
                 if self.writer.is_late(world.now) {
-                    self.tell(world, disk, Event::DiskSick { wants_checkpoint: false });
+                    self.tell(world, disk, Event::DiskDegraded { wants_checkpoint: false });
                 }
             }
             Timer::Disk => self.disk_worked(world, disk),
@@ -236,15 +236,15 @@
                 let done = self.writer.checkpoint(world.now, disk, live, &mut world.random);
                 self.wake_for_disk(world, done);
             }
-            Action::AnswerServer { call, taken } => self.answer(world, call, Answer::Server(taken)),
-            Action::AnswerOperator { call, answer } => self.answer(world, call, Answer::Operator(answer)),
-            Action::AnswerPoll { call, reply } => {
+            Action::RespondToServer { call, taken } => self.answer(world, call, Answer::Server(taken)),
+            Action::RespondToOperator { call, answer } => self.answer(world, call, Answer::Operator(answer)),
+            Action::RespondToPoll { call, reply } => {
                 self.answer(world, call, Answer::Poll(frame::encode(&*reply)));
             }
             Action::Order { order, server, address, body } => {
                 self.begin_order(world, order, server, &address, body);
             }
-            Action::AskReport { server, address } => self.ask_report(world, server, &address),
+            Action::FetchReport { server, address } => self.ask_report(world, server, &address),
             Action::Note(note) => world.witness.note(world.now, self.node, note),
         }
     }
@@ -261,8 +261,10 @@
         for report in reports {
             let event = match report {
                 DiskReport::Done { .. } if self.comes_to_stored() => return,
-                DiskReport::Done { ticket, wants_checkpoint } => Event::Stored { ticket, wants_checkpoint },
-                DiskReport::Failed { wants_checkpoint } => Event::DiskSick { wants_checkpoint },
+                DiskReport::Done { ticket, wants_checkpoint } => {
+                    Event::Persisted { ticket, wants_checkpoint }
+                }
+                DiskReport::Failed { wants_checkpoint } => Event::DiskDegraded { wants_checkpoint },
             };
             self.tell(world, disk, event);
         }
@@ -280,7 +282,7 @@
                 Event::Poll { call: id, edge, request }
             }
             Call::Heartbeat { id: server, body } => {
-                assert!(body.len() <= LONGEST_HEARTBEAT, "the model server says too much");
+                assert!(body.len() <= MAX_HEARTBEAT_BYTES, "the model server says too much");
                 let heartbeat: Heartbeat = sonic_rs::from_slice(&body).expect("a heartbeat is read");
                 Event::Heartbeat { call: id, id: server, heartbeat }
             }
@@ -302,7 +304,7 @@
         let call = self.replies.iter().find(|(_, caller)| caller.number == number).map(|(call, _)| *call);
         if let Some(call) = call {
             self.replies.remove(&call);
-            self.tell(world, disk, Event::PollLeft(call));
+            self.tell(world, disk, Event::PollCancelled(call));
         }
     }
 
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64;
 use shaletrail_protocol::Millis;
 use shaletrail_storage::memory::{Faults, MemoryDisk};
-use shaletrail_storage::{erase, Journal, Opened, Options, StorageError, Stored};
+use shaletrail_storage::{erase, Journal, Opened, Options, StorageError, StoredRecord};
 
 /// How long something may be unsafe before the disk counts as sick; as in the driver.
 const SICK_AFTER: Millis = 400;
@@ -49,7 +49,7 @@
     }
 
     /// Opens the journal; one that is damaged is erased, as the driver does.
-    pub fn open(&self) -> Result<(Writer, Vec<Stored>), StorageError> {
+    pub fn open(&self) -> Result<(Writer, Vec<StoredRecord>), StorageError> {
         let options = options();
         let opened = match Journal::open(self.memory.clone(), &options) {
             Err(StorageError::Corrupt { .. }) => {
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -8,9 +8,9 @@
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
-use shaletrail_protocol::inside::{
-    ConfigNews, Demand, DirectoryCursor, EdgeIdentity, EdgeLoads, EdgeRequest, Observation, PollReply,
-    PollRequest,
+use shaletrail_protocol::internal::{
+    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport, EdgeRequest, Observation,
+    PollRequest, PollResponse,
 };
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
@@ -156,7 +156,8 @@
                 self.request_answered(world, number, status, instance);
             }
             Message::Loads(datagram) => {
-                let loads: EdgeLoads = bitcode::decode(&datagram).expect("a datagram of an edge is read");
+                let loads: EdgeLoadReport =
+                    bitcode::decode(&datagram).expect("a datagram of an edge is read");
                 self.tell(world, Event::Peer { edge: loads.edge, scope: loads.scope, shares: loads.shares });
             }
             Message::Refused { number, accepted } => {
@@ -209,7 +210,7 @@
             self.urgent = true;
             self.arm_urgent(world);
         }
-        if self.router.has_urgent_shares() {
+        if self.router.has_urgent_load_update() {
             self.tell_peers(world);
         }
         for action in actions {
@@ -220,7 +221,7 @@
 
     /// Tells the other edges what has changed, in a datagram to each.
     fn tell_peers(&mut self, world: &mut World) {
-        for news in self.router.take_load_news(self.clock(world)) {
+        for news in self.router.take_load_update(self.clock(world)) {
             for datagram in self.datagrams.encode(&news) {
                 for edge in news.to.iter() {
                     world.send(self.node(), *edge, Message::Loads(datagram.clone()));
@@ -264,7 +265,7 @@
         PollRequest {
             config_version: if self.wants_whole { 0 } else { self.view.version },
             cursor: self.cursor,
-            hold_ms: self.pace.hold.as_millis() as u32,
+            max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
             observed: self.observed.clone(),
             edge_list: self.edge_list,
@@ -273,7 +274,7 @@
 
     fn poll_answered(&mut self, world: &mut World, number: CallNumber, frame: &[u8]) {
         let Some(polling) = self.polling.take_if(|polling| polling.number == number) else { return };
-        let reply: PollReply = decode(frame);
+        let reply: PollResponse = decode(frame);
         self.demand.clear();
         self.observed.clear();
         if reply.isolated {
@@ -328,7 +329,7 @@
         );
     }
 
-    fn take_over(&mut self, world: &mut World, reply: PollReply) {
+    fn take_over(&mut self, world: &mut World, reply: PollResponse) {
         self.coordinators.learn(reply.coordinators);
         if let Some(news) = reply.config {
             self.take_configuration(world, &news);
@@ -347,7 +348,7 @@
         }
     }
 
-    fn take_configuration(&mut self, world: &mut World, news: &ConfigNews) {
+    fn take_configuration(&mut self, world: &mut World, news: &ConfigUpdate) {
         if news.version <= self.view.version {
             // An older coordinator, or the whole configuration that we have.
             self.wants_whole = false;
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -287,7 +287,7 @@
         *node == leader || peer.is_some_and(|peer| peer.counts && peer.matched >= leading.commit_index())
     };
     let follows = |node: &NodeId| {
-        replica_of(*node).is_some_and(|other| other.term() == leading.term() && !other.is_forgetful())
+        replica_of(*node).is_some_and(|other| other.term() == leading.term() && !other.is_recovering())
     };
     voters.iter().all(|node| follows(node) && holds_all(node))
 }
--- a/simulation/src/message.rs
+++ b/simulation/src/message.rs
@@ -1,8 +1,8 @@
 //! What travels on the links. All that crosses a machine's border is encoded as in production and decoded by the
 //! receiver, so that nothing passes that could not be sent.
 
-use shaletrail_protocol::frame::{self, PREFIX};
-use shaletrail_protocol::inside::{EdgeIdentity, OperatorAnswer, OperatorCall};
+use shaletrail_protocol::frame::{self, PREFIX_BYTES};
+use shaletrail_protocol::internal::{EdgeIdentity, OperatorCall, OperatorResponse};
 use shaletrail_protocol::ServerId;
 
 /// Names a call and its answer; given by the world, never used twice.
@@ -111,7 +111,7 @@
     /// To a heartbeat or a farewell: whether it is acknowledged.
     Server(bool),
     /// To the operator.
-    Operator(OperatorAnswer),
+    Operator(OperatorResponse),
     /// To an order: its status.
     Order(u16),
     /// To `GET /report`, as JSON.
@@ -130,7 +130,7 @@
 /// # Panics
 /// What was sent is not what a receiver takes.
 pub fn decode<M: bitcode::DecodeOwned>(bytes: &[u8]) -> M {
-    let (prefix, body) = bytes.split_first_chunk::<PREFIX>().expect("a frame has a prefix");
+    let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
     let length = frame::body_length(*prefix).expect("a frame is not too long");
     assert_eq!(length, body.len(), "a frame is as long as its prefix says");
     frame::decode(body).expect("a frame is a message")
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use serde_json::Value;
-use shaletrail_protocol::inside::{OperatorAnswer, OperatorCall};
+use shaletrail_protocol::internal::{OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::message::{Answer, Call, CallNumber, Message};
 use crate::site::{self, Models};
-use crate::witness::{ChangeSent, Outcome, ReadBack, Refusal};
+use crate::witness::{ChangeSent, Outcome, ReadBack, Rejection};
 use crate::world::{Timer, World};
 
 /// Within which an answer must come before another coordinator is called.
@@ -229,15 +229,15 @@
         }
     }
 
-    fn answered(&mut self, world: &mut World, number: CallNumber, answer: OperatorAnswer) {
+    fn answered(&mut self, world: &mut World, number: CallNumber, answer: OperatorResponse) {
         let Some(id) = self.find(number).filter(|_| !world.chance(self.lost_answers)) else { return };
-        if answer == OperatorAnswer::Unavailable {
+        if answer == OperatorResponse::Unavailable {
             return self.try_failed(world, number);
         }
         let Some(pending) = self.pending.remove(&id) else { return };
         match (pending.change, answer) {
             (Some(change), answer) => self.change_answered(world, change, pending.begun, answer),
-            (None, OperatorAnswer::Done { body }) => {
+            (None, OperatorResponse::Done { body }) => {
                 let document: Value = serde_json::from_slice(&body).expect("what is read back is JSON");
                 if version_of(&document) > self.known_version() {
                     self.known = document.clone();
@@ -249,11 +249,11 @@
         }
     }
 
-    fn change_answered(&mut self, world: &mut World, change: u64, begun: Millis, answer: OperatorAnswer) {
+    fn change_answered(&mut self, world: &mut World, change: u64, begun: Millis, answer: OperatorResponse) {
         let outcome = match answer {
-            OperatorAnswer::Done { .. } => Outcome::Acknowledged,
-            OperatorAnswer::Conflict { current } => Outcome::Conflict { current },
-            OperatorAnswer::Invalid { .. } | OperatorAnswer::Unavailable => Outcome::Invalid,
+            OperatorResponse::Done { .. } => Outcome::Acknowledged,
+            OperatorResponse::Conflict { current } => Outcome::Conflict { current },
+            OperatorResponse::Invalid { .. } | OperatorResponse::Unavailable => Outcome::Invalid,
         };
         if outcome == Outcome::Acknowledged {
             let document = &self.changes[&change].document;
@@ -262,7 +262,7 @@
             }
         }
         if let Outcome::Conflict { current } = outcome {
-            world.witness.refused(Refusal { change, begun, at: world.now, current });
+            world.witness.refused(Rejection { change, begun, at: world.now, current });
         }
         world.witness.judged(world.now, change, outcome);
     }
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -75,7 +75,7 @@
         format!(
             "version {} in touch {} frozen {}, {}",
             core.configuration_version(),
-            core.is_in_touch(),
+            core.has_quorum_contact(),
             self.is_frozen(node),
             shards.collect::<Vec<_>>().join("; ")
         )
--- a/simulation/src/requests.rs
+++ b/simulation/src/requests.rs
@@ -71,7 +71,7 @@
     pub fn ask(&mut self, world: &mut World, number: u64, ask: Ask) {
         let route = self.view().route(&ask.host, &ask.path).cloned();
         let once = route.as_ref().is_some_and(|route| route.kind == RouteKind::NonIdempotent);
-        let in_touch = world.touch.is_in_touch(world.now, self.node(), &world.network);
+        let in_touch = world.touch.has_quorum_contact(world.now, self.node(), &world.network);
         let place = Place { edge: self.node(), version: self.view().version, in_touch };
         world.witness.asked(world.now, number, &ask, once, place);
         let Some(route) = route else {
@@ -104,18 +104,18 @@
                     request: request.0,
                     server: server.clone(),
                     service: service.clone(),
-                    in_touch: world.touch.is_in_touch(world.now, self.node(), &world.network),
+                    in_touch: world.touch.has_quorum_contact(world.now, self.node(), &world.network),
                 };
                 world.witness.sent(sending);
                 let out = Out { request, attempt, server, service, written_to: None };
                 self.send(world, out, server_node(&address));
             }
-            Action::PassOn(request) => {
+            Action::ForwardFailure(request) => {
                 let held = self.requests.open.get(&request).and_then(|open| open.held);
                 self.finish(world, request, held.expect("a failure that is passed on is held"));
             }
             Action::Refuse { request, refusal } => self.finish(world, request, refusal.status),
-            Action::BreakOff(request) => self.finish(world, request, BROKEN_OFF),
+            Action::AbortResponse(request) => self.finish(world, request, BROKEN_OFF),
             Action::Cancel(request, attempt) => self.cancel(world, request, attempt),
             Action::Forget(server) => {
                 self.requests.pooled.remove(&server);
@@ -195,7 +195,7 @@
                 self.finish(world, out.request, status);
             }
             421 | 429 | 503 => {
-                let ending = Ending::TurnedAway { status, instance: Some(instance) };
+                let ending = Ending::Rejected { status, instance: Some(instance) };
                 self.end(world, &out, Verdict::SurelyNotRun, ending);
             }
             _ => {
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, Order, ServerState, LONGEST_HEARTBEAT};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, Order, ServerState, MAX_HEARTBEAT_BYTES};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
 use crate::message::{Answer, Call, CallNumber, Message, Request};
@@ -244,7 +244,7 @@
             ..Heartbeat::default()
         };
         let body = sonic_rs::to_vec(&heartbeat).expect("a heartbeat is written");
-        assert!(body.len() <= LONGEST_HEARTBEAT);
+        assert!(body.len() <= MAX_HEARTBEAT_BYTES);
         Call::Heartbeat { id: self.id.clone(), body }
     }
 
@@ -260,7 +260,7 @@
         self.failures = 0;
         match self.life {
             Life::Leaving { gone_at, .. } => {
-                let in_touch = world.touch.is_in_touch(world.now, coordinator, &world.network);
+                let in_touch = world.touch.has_quorum_contact(world.now, coordinator, &world.network);
                 world.witness.drained(world.now, &self.id, coordinator, in_touch);
                 self.life = Life::Drained { gone_at };
                 if gone_at.is_none() {
@@ -367,8 +367,8 @@
     order.model == request.model && (order.adapter.is_none() || order.adapter == request.adapter)
 }
 
-fn listed(held: &Held) -> Vec<HeldModel> {
-    let entry = |(name, adapters): (&String, &BTreeSet<String>)| HeldModel {
+fn listed(held: &Held) -> Vec<LoadedModel> {
+    let entry = |(name, adapters): (&String, &BTreeSet<String>)| LoadedModel {
         name: name.clone(),
         version: 1,
         adapters: adapters.iter().cloned().collect(),
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use shaletrail_protocol::outside::{Operation, Order, Report};
+use shaletrail_protocol::external::{Operation, Order, Report};
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::{concerns, listed, ModelServer, Running};
--- a/simulation/src/touch.rs
+++ b/simulation/src/touch.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether a machine is in touch.
-    pub fn is_in_touch(&self, now: Millis, node: NodeId, network: &Network) -> bool {
+    pub fn has_quorum_contact(&self, now: Millis, node: NodeId, network: &Network) -> bool {
         let calm = self.trouble.get(&node).is_none_or(|at| at + CONTACT <= now);
         let majority = self.majority(network);
         calm && self.is_stable(now, network)
--- a/simulation/src/witness.rs
+++ b/simulation/src/witness.rs
@@ -161,7 +161,7 @@
 
 /// A change that was refused because another version is current.
 #[derive(Clone, Debug)]
-pub struct Refusal {
+pub struct Rejection {
     /// The change.
     pub change: u64,
     /// When it was first sent in this call.
@@ -209,7 +209,7 @@
     /// Reads of the operator, in order.
     pub reads: Vec<ReadBack>,
     /// Changes that were refused as built on another version, in order.
-    pub refusals: Vec<Refusal>,
+    pub refusals: Vec<Rejection>,
     /// When each machine was last thawed, or a link of it joined.
     pub healed: BTreeMap<NodeId, Vec<Millis>>,
     /// What was done to the fleet, for messages of failed tests.
@@ -331,7 +331,7 @@
     }
 
     /// A change is refused as built on another version.
-    pub fn refused(&mut self, refusal: Refusal) {
+    pub fn refused(&mut self, refusal: Rejection) {
         self.refusals.push(refusal);
     }
 
--- a/simulation/tests/checks.rs
+++ b/simulation/tests/checks.rs
@@ -5,7 +5,7 @@
 use shaletrail_simulation::checks::{violations, Bounds, Violation};
 use shaletrail_simulation::site::{self, Models};
 use shaletrail_simulation::witness::{
-    Ask, ChangeSent, OrderSeen, Outcome, Place, ReadBack, Refusal, Sending, Witness,
+    Ask, ChangeSent, OrderSeen, Outcome, Place, ReadBack, Rejection, Sending, Witness,
 };
 
 const EDGE: NodeId = NodeId(1);
@@ -126,7 +126,7 @@
     let refused = |current: u64| {
         let mut witness = with_change(1, 0, 7, Outcome::Acknowledged);
         write(&mut witness, 2, 5, 8, Outcome::Conflict { current });
-        witness.refused(Refusal { change: 2, begun: 1_001, at: 1_010, current });
+        witness.refused(Rejection { change: 2, begun: 1_001, at: 1_010, current });
         found(&witness)
     };
     let of = |current| vec![Violation::FalseConflict { change: 2, base: 5, current, known: 7 }];
@@ -139,7 +139,7 @@
     read_before.changes.get_mut(&1).expect("it was written").outcomes.clear();
     write(&mut read_before, 2, 1, 8, Outcome::Conflict { current: 3 });
     read(&mut read_before, 500, document(1, 7));
-    read_before.refused(Refusal { change: 2, begun: 900, at: 1_000, current: 3 });
+    read_before.refused(Rejection { change: 2, begun: 900, at: 1_000, current: 3 });
     let known = vec![Violation::FalseConflict { change: 2, base: 1, current: 3, known: 7 }];
     assert_eq!(found(&read_before), known);
 }
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -8,7 +8,7 @@
 use crate::error::{IoSnafu, StorageError, TooLongSnafu};
 use crate::header::PAGE;
 use crate::record::{self, Kind, LONGEST_PART};
-use crate::replay::{replay, Replay, Stored};
+use crate::replay::{replay, Replay, StoredRecord};
 use crate::ring::Purpose;
 use crate::{erase, Disk, Options};
 
@@ -17,7 +17,7 @@
     /// The journal, ready for appends. Ask it at once whether it [wants a checkpoint](Journal::wants_checkpoint).
     pub journal: Journal<D>,
     /// All records from the newest checkpoint on, in order. All of them are synced.
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredRecord>,
     /// No record has ever been safe in this folder, or the folder has been wiped or erased: whoever kept promises in
     /// it has forgotten them. Stays so over restarts until the first record is synced, and never comes back unless
     /// the folder is wiped or erased.
@@ -32,7 +32,7 @@
     appender: Appender<D>,
     longest_record: usize,
     /// Appended and not yet synced.
-    pending: VecDeque<Stored>,
+    pending: VecDeque<StoredRecord>,
     /// The newest sequence number that counts.
     committed: u64,
 }
@@ -73,7 +73,7 @@
     pub fn append(&mut self, stream: u32, bytes: Vec<u8>) -> Result<(), StorageError> {
         let (length, longest) = (bytes.len(), self.longest_record);
         ensure!(length <= longest, TooLongSnafu { length, longest });
-        self.pending.push_back(Stored { stream, bytes });
+        self.pending.push_back(StoredRecord { stream, bytes });
         Ok(())
     }
 
@@ -137,7 +137,7 @@
     }
 
     fn write_pending(&mut self, ends: &mut Vec<u64>) -> Result<(), StorageError> {
-        for Stored { stream, bytes } in &self.pending {
+        for StoredRecord { stream, bytes } in &self.pending {
             let item = Item { kind: Kind::Append, stream: *stream, bytes };
             ends.push(self.appender.write(item, Purpose::Append)?);
         }
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -54,5 +54,5 @@
 pub use journal::{Journal, Opened};
 pub use options::Options;
 pub use progress::Clock;
-pub use replay::Stored;
-pub use writer::{Command, Refused, RefusedReason, Report, Writer, WriterOptions};
+pub use replay::StoredRecord;
+pub use writer::{Command, RejectReason, RejectedCommand, Report, Writer, WriterOptions};
--- a/storage/src/replay.rs
+++ b/storage/src/replay.rs
@@ -15,7 +15,7 @@
 
 /// A record as it was appended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredRecord {
     /// The stream it was appended to.
     pub stream: u32,
     /// Its bytes.
@@ -24,7 +24,7 @@
 
 /// What the files of a journal hold.
 pub(crate) struct Replay {
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredRecord>,
     /// The newest sequence number that counts; 0 if there never was a record.
     pub committed: u64,
     pub ring: Ring,
@@ -122,18 +122,18 @@
 /// A record of which parts are still to come.
 struct Partial {
     kind: Kind,
-    stored: Stored,
+    stored: StoredRecord,
 }
 
 /// Puts together the records of a chain.
 struct Walk {
     /// Whether everything from the chain's start on is known: it is the journal's start, or its checkpoint ended.
     complete: bool,
-    stored: Vec<Stored>,
+    stored: Vec<StoredRecord>,
     committed: u64,
     /// Sequence number of the newest checkpoint's end mark; 0 if there is none.
     checkpoint_end: u64,
-    staged: Option<Vec<Stored>>,
+    staged: Option<Vec<StoredRecord>>,
     partial: Option<Partial>,
 }
 
@@ -187,9 +187,10 @@
 
     fn take(&mut self, header: &RecordHeader, bytes: &[u8]) -> Result<(), &'static str> {
         let mut partial = match (self.partial.take(), header.first) {
-            (None, true) => {
-                Partial { kind: header.kind, stored: Stored { stream: header.stream, bytes: Vec::new() } }
-            }
+            (None, true) => Partial {
+                kind: header.kind,
+                stored: StoredRecord { stream: header.stream, bytes: Vec::new() },
+            },
             (Some(partial), false)
                 if partial.kind == header.kind && partial.stored.stream == header.stream =>
             {
--- a/storage/src/writer.rs
+++ b/storage/src/writer.rs
@@ -95,7 +95,7 @@
 
 /// Why a command was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusedReason {
+pub enum RejectReason {
     /// Too much is unfinished, or a checkpoint is under way: later, perhaps.
     Busy,
     /// A record is over the journal's limit: never.
@@ -106,9 +106,9 @@
 
 /// A command that was not taken, given back.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedCommand {
     /// Why.
-    pub reason: RefusedReason,
+    pub reason: RejectReason,
     /// The command.
     pub command: Command,
 }
@@ -154,24 +154,24 @@
     }
 
     /// Hands records over. Tickets must rise.
-    pub fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    pub fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         let bytes = records.iter().map(|(_, bytes)| bytes.len()).sum();
         let too_long = records.iter().any(|(_, bytes)| bytes.len() > self.longest_record);
         let command = Command::Append { ticket, records };
         if too_long {
-            return Err(Refused { reason: RefusedReason::TooLong, command });
+            return Err(RejectedCommand { reason: RejectReason::TooLong, command });
         }
         if !self.progress.begin(ticket, bytes) {
-            return Err(Refused { reason: RefusedReason::Busy, command });
+            return Err(RejectedCommand { reason: RejectReason::Busy, command });
         }
         self.send(command).inspect_err(|_| self.progress.take_back())
     }
 
     /// Hands a checkpoint over, which covers all appends handed over before. One at a time.
-    pub fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), Refused> {
+    pub fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
         let command = Command::Checkpoint { live };
         if !self.progress.begin_checkpoint() {
-            return Err(Refused { reason: RefusedReason::Busy, command });
+            return Err(RejectedCommand { reason: RejectReason::Busy, command });
         }
         self.send(command).inspect_err(|_| self.progress.finish_checkpoint())
     }
@@ -190,10 +190,10 @@
         ended.recv_timeout(patience) == Err(RecvTimeoutError::Disconnected)
     }
 
-    fn send(&self, command: Command) -> Result<(), Refused> {
+    fn send(&self, command: Command) -> Result<(), RejectedCommand> {
         self.commands.try_send(command).map_err(|error| match error {
-            TrySendError::Full(command) => Refused { reason: RefusedReason::Busy, command },
-            TrySendError::Disconnected(command) => Refused { reason: RefusedReason::Stopped, command },
+            TrySendError::Full(command) => RejectedCommand { reason: RejectReason::Busy, command },
+            TrySendError::Disconnected(command) => RejectedCommand { reason: RejectReason::Stopped, command },
         })
     }
 }
--- a/storage/tests/checkpoint.rs
+++ b/storage/tests/checkpoint.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use shaletrail_storage::memory::{Faults, MemoryDisk};
-use shaletrail_storage::{Journal, Options, StorageError, Stored};
+use shaletrail_storage::{Journal, Options, StorageError, StoredRecord};
 use support::{append_synced, names, open, small_options};
 
 /// Live records that take three files.
@@ -157,7 +157,7 @@
 }
 
 /// What the journal held before and after a checkpoint that a story interrupts.
-fn is_before_or_after(stored: &[Stored]) -> bool {
+fn is_before_or_after(stored: &[StoredRecord]) -> bool {
     names(stored) == ["a", "b"] || stored.len() == 30
 }
 
--- a/storage/tests/folder.rs
+++ b/storage/tests/folder.rs
@@ -5,7 +5,7 @@
 use insta::assert_snapshot;
 use shaletrail_storage::header::SegmentHeader;
 use shaletrail_storage::record::{self, Kind, RecordHeader};
-use shaletrail_storage::{Disk, FolderDisk, Journal, Options, Stored};
+use shaletrail_storage::{Disk, FolderDisk, Journal, Options, StoredRecord};
 
 /// A folder of the test's own, removed at the end.
 struct Folder(std::path::PathBuf);
@@ -47,8 +47,10 @@
     drop(journal);
     let opened = Journal::open(folder.disk(), &options).expect("the journal opens");
     // Then
-    let expected =
-        [Stored { stream: 1, bytes: b"all".to_vec() }, Stored { stream: 2, bytes: vec![7; 40_000] }];
+    let expected = [
+        StoredRecord { stream: 1, bytes: b"all".to_vec() },
+        StoredRecord { stream: 2, bytes: vec![7; 40_000] },
+    ];
     assert_eq!(opened.stored, expected);
     assert!(!opened.fresh);
 }
--- a/storage/tests/support/mod.rs
+++ b/storage/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shaletrail_storage::memory::MemoryDisk;
-use shaletrail_storage::{Journal, Opened, Options, StorageError, Stored};
+use shaletrail_storage::{Journal, Opened, Options, StorageError, StoredRecord};
 
 /// Small files, so that short histories fill them.
 pub fn small_options() -> Options {
@@ -20,8 +20,8 @@
     Journal::open(disk.clone(), &small_options()).expect("the journal opens")
 }
 
-pub fn stored(stream: u32, bytes: &[u8]) -> Stored {
-    Stored { stream, bytes: bytes.to_vec() }
+pub fn stored(stream: u32, bytes: &[u8]) -> StoredRecord {
+    StoredRecord { stream, bytes: bytes.to_vec() }
 }
 
 /// Appends and syncs records that name themselves.
@@ -32,7 +32,7 @@
     journal.sync().expect("the disk is well");
 }
 
-pub fn names(stored: &[Stored]) -> Vec<String> {
+pub fn names(stored: &[StoredRecord]) -> Vec<String> {
     stored.iter().map(|record| String::from_utf8_lossy(&record.bytes).into_owned()).collect()
 }
 
@@ -44,11 +44,11 @@
     luck: Pcg64Mcg,
     number: u64,
     /// Synced.
-    safe: Vec<Stored>,
+    safe: Vec<StoredRecord>,
     /// Appended, not synced.
-    pending: Vec<Stored>,
+    pending: Vec<StoredRecord>,
     /// Checkpoints that were tried and did not succeed, since the last call that did.
-    tried: Vec<Vec<Stored>>,
+    tried: Vec<Vec<StoredRecord>>,
     ever_safe: bool,
 }
 
@@ -78,7 +78,7 @@
         let length = self.luck.random_range(0..longest);
         let mut bytes = format!("record {} ", self.number).into_bytes();
         bytes.extend((0..length).map(|_| self.luck.random::<u8>()));
-        let record = Stored { stream: self.luck.random_range(0..4), bytes };
+        let record = StoredRecord { stream: self.luck.random_range(0..4), bytes };
         journal.append(record.stream, record.bytes.clone()).expect("the record is short enough");
         self.pending.push(record);
     }
@@ -101,7 +101,7 @@
 
     /// Keeps the newest few records, as a snapshot would, as far as a checkpoint must take them.
     pub fn checkpoint(&mut self, journal: &mut Journal<MemoryDisk>) {
-        let all: Vec<Stored> = self.safe.iter().chain(&self.pending).cloned().collect();
+        let all: Vec<StoredRecord> = self.safe.iter().chain(&self.pending).cloned().collect();
         let kept = self.luck.random_range(0..=all.len().min(8));
         let mut live = all[all.len() - kept..].to_vec();
         while live.iter().map(|record| record.bytes.len()).sum::<usize>() > FITS {
@@ -124,8 +124,8 @@
     }
 
     /// Checks what a new life found, and goes on from there.
-    pub fn reopened(&mut self, found: &[Stored], fresh: bool) {
-        let history: Vec<&Stored> = self.safe.iter().chain(&self.pending).collect();
+    pub fn reopened(&mut self, found: &[StoredRecord], fresh: bool) {
+        let history: Vec<&StoredRecord> = self.safe.iter().chain(&self.pending).collect();
         let is_prefix =
             found.len() <= history.len() && found.iter().eq(history[..found.len()].iter().copied());
         let goes_on = is_prefix && found.len() >= self.safe.len();
--- a/storage/tests/writer.rs
+++ b/storage/tests/writer.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use shaletrail_storage::memory::{Faults, MemoryDisk};
-use shaletrail_storage::{Command, Refused, RefusedReason, Report, StorageError, Writer, WriterOptions};
+use shaletrail_storage::{
+    Command, RejectReason, RejectedCommand, Report, StorageError, Writer, WriterOptions,
+};
 use support::{names, open};
 
 /// Far beyond what any test needs; reaching it is a failure.
@@ -170,7 +172,7 @@
     stage.disk.open_gate();
     // Then
     let command = Command::Checkpoint { live: vec![] };
-    assert_eq!(refused, Err(Refused { reason: RefusedReason::Busy, command }));
+    assert_eq!(refused, Err(RejectedCommand { reason: RejectReason::Busy, command }));
     assert!(matches!(stage.next(), Report::Checkpointed { .. }));
     stage.writer.checkpoint(vec![]).expect("the writer takes it");
 }
@@ -224,7 +226,7 @@
     stage.until_done(1);
     // Then
     let command = Command::Append { ticket: 2, records: record("three") };
-    assert_eq!(refused, Err(Refused { reason: RefusedReason::Busy, command }));
+    assert_eq!(refused, Err(RejectedCommand { reason: RejectReason::Busy, command }));
     stage.append(2, "three");
     stage.until_done(2);
 }
@@ -242,7 +244,7 @@
     stage.disk.open_gate();
     stage.until_done(2);
     // Then
-    assert_eq!(refused.map_err(|refused| refused.reason), Err(RefusedReason::Busy));
+    assert_eq!(refused.map_err(|refused| refused.reason), Err(RejectReason::Busy));
     assert_eq!(stage.writer.oldest_unfinished(), None);
 }
 
@@ -250,7 +252,7 @@
 fn given_a_record_over_the_limit_when_appended_then_it_is_given_back() {
     let stage = stage(|_| {});
     let refused = stage.writer.append(1, vec![(1, vec![0; 70_000])]);
-    assert_eq!(refused.map_err(|refused| refused.reason), Err(RefusedReason::TooLong));
+    assert_eq!(refused.map_err(|refused| refused.reason), Err(RejectReason::TooLong));
     assert_eq!(stage.writer.oldest_unfinished(), None);
 }
 
