--- a/capacity-emulator/src/core_node.rs
+++ b/capacity-emulator/src/core_node.rs
@@ -171,15 +171,15 @@
                 let whole = world.operator_version() == 0;
                 let base = world.operator_version();
                 let call = self.call(Caller::Operator);
-                let operator = OperatorCall::Change { whole, base, body };
+                let operator = OperatorCall::Change { replace: whole, base_version: base, body };
                 self.tell(world, Kind::Operator, Event::Operator { call, operator });
             }
             AtCore::Ordered(order, outcome) => {
-                self.tell(world, Kind::Order, Event::Ordered { order, outcome });
+                self.tell(world, Kind::Order, Event::OrderCompleted { order, outcome });
             }
             AtCore::Reported(server, report) => {
                 let report = report.map(|report| *report);
-                self.tell(world, Kind::ServerReport, Event::Reported { server, report });
+                self.tell(world, Kind::ServerReport, Event::ReportReceived { server, report });
             }
         }
     }
@@ -268,17 +268,17 @@
                 self.write(world);
             }
             Action::Checkpoint { live } => self.checkpoint(live),
-            Action::RespondToServer { call, taken } => {
+            Action::RespondToServer { call, accepted: taken } => {
                 self.callers.remove(&call);
                 world.heartbeats_refused += u64::from(!taken);
             }
-            Action::RespondToOperator { call, answer } => {
+            Action::RespondToOperator { call, response: answer } => {
                 self.callers.remove(&call);
                 let taken = world.operator_answered(&answer);
                 self.operator_answers.0 += u64::from(taken);
                 self.operator_answers.1 += u64::from(!taken);
             }
-            Action::RespondToPoll { call, reply } => {
+            Action::RespondToPoll { call, response: reply } => {
                 let Some(Caller::Edge { edge, start, poll }) = self.callers.remove(&call) else { return };
                 let kind = Kind::of_reply(&reply);
                 let begun = Stopwatch::start();
@@ -307,7 +307,7 @@
                 let what = AtServer::Ask { core: self.place, start: self.start, expected: server };
                 world.schedule.after(3 * latency(here, there), Happening::Server(place, what));
             }
-            Action::Note(_) => {}
+            Action::LogStateChange(_) => {}
         }
     }
 
--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -265,7 +265,7 @@
         self.tell(
             world,
             Kind::Loads,
-            Event::Peer { edge: loads.edge, scope: loads.scope, shares: loads.shares },
+            Event::PeerLoads { edge: loads.edge, scope: loads.scope, loads: loads.loads },
         );
     }
 
@@ -302,7 +302,7 @@
             max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
             observed: self.observed.clone(),
-            edge_list: self.edge_list,
+            edge_list_hash: self.edge_list,
         }
     }
 
@@ -388,11 +388,11 @@
             self.take_configuration(world, kind, &news);
         }
         self.cursor = reply.cursor;
-        if reply.whole || !reply.servers.is_empty() {
-            self.tell(world, kind, Event::Servers { records: reply.servers, whole: reply.whole });
+        if reply.complete || !reply.servers.is_empty() {
+            self.tell(world, kind, Event::Servers { records: reply.servers, complete: reply.complete });
         }
         if let Some(nodes) = reply.edge_nodes {
-            self.edge_list = reply.edge_list;
+            self.edge_list = reply.edge_list_hash;
             let own = site::edge_node(self.place);
             self.tell(world, kind, Event::EdgeList { own, edges: nodes });
         }
--- a/capacity-emulator/src/ledger.rs
+++ b/capacity-emulator/src/ledger.rs
@@ -69,9 +69,11 @@
                 Ok(DirectoryMessage::Ask { .. }) | Err(_) => Kind::DirectoryAnswer,
             },
             CoordinatorMessage::DirectoryAck { .. } => Kind::DirectoryAnswer,
-            CoordinatorMessage::Forward { .. } | CoordinatorMessage::Forwarded { .. } => Kind::Forward,
+            CoordinatorMessage::ForwardRequest { .. } | CoordinatorMessage::ForwardResponse { .. } => {
+                Kind::Forward
+            }
             CoordinatorMessage::Demand { .. } => Kind::Demand,
-            CoordinatorMessage::InForce { .. } => Kind::Membership,
+            CoordinatorMessage::AppliedConfigVersion { .. } => Kind::Membership,
         }
     }
 
@@ -86,7 +88,7 @@
     /// Of an answer to a poll. The dearest part counts.
     pub fn of_reply(reply: &PollResponse) -> Kind {
         match &reply.config {
-            _ if reply.whole => Kind::ReplyWhole,
+            _ if reply.complete => Kind::ReplyWhole,
             Some(news) if news.base.is_none() => Kind::ReplyWhole,
             Some(_) => Kind::ReplyChange,
             None if !reply.servers.is_empty() => Kind::ReplyServers,
--- a/capacity-emulator/src/requests.rs
+++ b/capacity-emulator/src/requests.rs
@@ -77,11 +77,11 @@
             Action::ForwardFailure(request) | Action::AbortResponse(request) => {
                 self.finish(world, request, false)
             }
-            Action::Refuse { request, .. } => self.finish(world, request, false),
+            Action::Reject { request, .. } => self.finish(world, request, false),
             Action::Cancel(request, attempt) => {
                 self.end(world, request, attempt, Verdict::MayHaveRun, Ending::Cancelled, None);
             }
-            Action::Forget(_) => {}
+            Action::CloseConnections(_) => {}
         }
     }
 
--- a/capacity-emulator/src/state.rs
+++ b/capacity-emulator/src/state.rs
@@ -55,7 +55,7 @@
     let reply = PollResponse {
         config: configuration.updates_since(0),
         servers: records,
-        whole: true,
+        complete: true,
         ..Default::default()
     };
     let whole_reply = frame::encode(&reply).len();
@@ -80,7 +80,7 @@
         let records = records();
         state.router_of_servers = allocated(live, || {
             let mut router = Router::new(Options::default(), 1);
-            router.handle(0, Event::Servers { records, whole: true }, &mut Vec::new());
+            router.handle(0, Event::Servers { records, complete: true }, &mut Vec::new());
             router
         });
     }
--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -58,7 +58,7 @@
     /// Servers that changed, or all of them.
     pub records: Vec<ServerRecord>,
     /// Whether `records` is the whole directory.
-    pub whole: bool,
+    pub complete: bool,
     /// Where the edge stands after these.
     pub cursor: DirectoryCursor,
 }
@@ -139,7 +139,7 @@
     }
 
     /// Tells the incarnation of another coordinator; a new one has forgotten all and is sent everything.
-    pub fn peer_started(&mut self, now: Millis, peer: NodeId, incarnation: Incarnation) {
+    pub fn on_peer_started(&mut self, now: Millis, peer: NodeId, incarnation: Incarnation) {
         let Some(outbox) = self.peers.get_mut(&peer) else { return };
         if !outbox.is_new_start(incarnation) {
             return;
@@ -291,12 +291,12 @@
     }
 
     /// What changed after the cursor, or everything if that cannot be told.
-    pub fn since(&self, cursor: DirectoryCursor) -> DirectoryUpdate {
+    pub fn updates_since(&self, cursor: DirectoryCursor) -> DirectoryUpdate {
         let cursor_now = self.log.cursor();
         let Some(changes) = self.log.since(cursor) else {
             return DirectoryUpdate {
                 records: self.records().cloned().collect(),
-                whole: true,
+                complete: true,
                 cursor: cursor_now,
             };
         };
@@ -304,7 +304,7 @@
             .filter_map(|change| self.table.get(change.server).filter(|entry| entry.change == change.number));
         DirectoryUpdate {
             records: newest.map(|entry| entry.record.clone()).collect(),
-            whole: false,
+            complete: false,
             cursor: cursor_now,
         }
     }
@@ -320,8 +320,8 @@
     }
 
     /// Whether this coordinator has just started, so that servers may be there that it has not heard of.
-    pub fn is_young(&self, now: Millis) -> bool {
-        now.saturating_sub(self.started) < self.options.silence_ms
+    pub fn is_recently_started(&self, now: Millis) -> bool {
+        now.saturating_sub(self.started) < self.options.heartbeat_timeout_ms
     }
 
     fn take_from_server(&mut self, now: Millis, record: ServerRecord) -> Merged {
@@ -469,7 +469,7 @@
     /// Looks for servers that are over by their own word, have fallen silent, or need not be remembered.
     fn scan(&mut self, now: Millis) {
         let options = &self.options;
-        let may_expire = self.touch.lasts(now, options.silence_ms);
+        let may_expire = self.touch.lasts(now, options.heartbeat_timeout_ms);
         let mut changed = Vec::new();
         let mut forgotten = Vec::new();
         for (key, entry) in self.table.iter_mut() {
@@ -484,7 +484,7 @@
             } else if may_expire && entry.is_silent() {
                 let silent = now.saturating_sub(entry.since);
                 forgotten.extend((silent >= options.remove_timed_out_ms).then_some(key));
-            } else if may_expire && unheard >= options.silence_ms {
+            } else if may_expire && unheard >= options.heartbeat_timeout_ms {
                 entry.enter(now, Presence::TimedOut);
                 changed.push((key, Merged::Changed));
             }
--- a/cluster/src/directory/entry.rs
+++ b/cluster/src/directory/entry.rs
@@ -67,7 +67,7 @@
 impl Entry {
     pub(super) fn new(now: Millis, record: ServerRecord) -> Self {
         Entry {
-            fingerprint: fingerprint(&record.heartbeat, &record.note),
+            fingerprint: fingerprint(&record.heartbeat, &record.overlay),
             ends: end_of(now, &record.heartbeat),
             record,
             first_heard: now,
@@ -115,16 +115,16 @@
 
     /// Takes a note on what the server holds if it is later than the one that is known; true if it was.
     pub(super) fn take_note(&mut self, note: PlacementOverlay) -> bool {
-        let later = note.is_later_than(&self.record.note);
+        let later = note.is_later_than(&self.record.overlay);
         if later {
-            self.record.note = note;
+            self.record.overlay = note;
             self.update_fingerprint();
         }
         later
     }
 
     fn update_fingerprint(&mut self) -> bool {
-        let fingerprint = fingerprint(&self.record.heartbeat, &self.record.note);
+        let fingerprint = fingerprint(&self.record.heartbeat, &self.record.overlay);
         let changed = fingerprint != self.fingerprint;
         self.fingerprint = fingerprint;
         changed
@@ -159,7 +159,7 @@
     heartbeat.remaining_ms.is_some().hash(&mut hasher);
     heartbeat.phase.hash(&mut hasher);
     heartbeat.models.hash(&mut hasher);
-    (note.fence, note.number).hash(&mut hasher);
+    (note.fencing_token, note.revision).hash(&mut hasher);
     let hash = hasher.finish();
     (hash >> 32) as u32
 }
--- a/cluster/src/directory/exchange.rs
+++ b/cluster/src/directory/exchange.rs
@@ -35,7 +35,8 @@
         for peer in peers {
             while let Some(hints) = self.next_batch(now, peer) {
                 let entries = hints.iter().filter_map(|hint| self.table.get(hint.key));
-                let records = entries.map(|entry| entry.for_peer(now, self.options.silence_ms)).collect();
+                let records =
+                    entries.map(|entry| entry.for_peer(now, self.options.heartbeat_timeout_ms)).collect();
                 self.send(peer, DirectoryMessage::Batch { batch: self.last_batch, records });
             }
         }
@@ -75,7 +76,7 @@
     fn summary(&self, now: Millis) -> Vec<ServerDigest> {
         let told = self.table.iter().filter(|(_, entry)| match entry.record.presence {
             Presence::TimedOut => false,
-            Presence::Ready => now.saturating_sub(entry.heard) < self.options.silence_ms,
+            Presence::Ready => now.saturating_sub(entry.heard) < self.options.heartbeat_timeout_ms,
             Presence::Draining | Presence::Removed => {
                 now.saturating_sub(entry.since.max(entry.heard)) < self.options.tombstone_gossip_ms
             }
--- a/cluster/src/directory/options.rs
+++ b/cluster/src/directory/options.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// A server without a sign of life for so long is silent.
-    pub silence_ms: Millis,
+    pub heartbeat_timeout_ms: Millis,
     /// A server that has been silent for so long is removed.
     pub remove_timed_out_ms: Millis,
     /// Draining and gone servers are remembered for so long after the last that was heard of them.
@@ -37,7 +37,7 @@
     /// The usual options for servers that send a heartbeat each `heartbeat_ms`.
     pub fn for_heartbeat(heartbeat_ms: Millis) -> Self {
         Options {
-            silence_ms: heartbeat_ms * 16 / 5,
+            heartbeat_timeout_ms: heartbeat_ms * 16 / 5,
             remove_timed_out_ms: 20_000,
             tombstone_retention_ms: 60_000,
             tombstone_gossip_ms: 10_000,
--- a/cluster/src/directory/table.rs
+++ b/cluster/src/directory/table.rs
@@ -85,7 +85,7 @@
         let later_stage = Stage::from(record.presence) > entry.stage();
         let mut changed = false;
         let former_address = entry.record.heartbeat.address.clone();
-        changed |= entry.take_note(record.note);
+        changed |= entry.take_note(record.overlay);
         if newer || (entry.record.heartbeat.address.is_empty() && !record.heartbeat.address.is_empty()) {
             changed |= entry.update(now, record.heartbeat);
         }
@@ -119,7 +119,7 @@
         if said.fingerprint == entry.fingerprint {
             entry.record.heartbeat.sequence = said.sequence;
         }
-        let recent = now.saturating_sub(entry.heard) < options.silence_ms;
+        let recent = now.saturating_sub(entry.heard) < options.heartbeat_timeout_ms;
         if recent && entry.is_silent() && entry.enter(now, Presence::Ready) {
             return Merged::Changed;
         }
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -147,7 +147,7 @@
 fn given_a_young_coordinator_when_a_server_is_quiet_then_it_is_not_called_silent_before_the_span_is_over() {
     let mut directory = directory(OWN, 11, 50_000);
     directory.merge(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
-    assert!(directory.is_young(50_000 + SILENCE_MS - 1));
+    assert!(directory.is_recently_started(50_000 + SILENCE_MS - 1));
     run_idle(&mut directory, 50_000, 50_000 + SILENCE_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
 }
@@ -232,19 +232,19 @@
 #[test]
 fn given_an_edge_that_follows_when_servers_change_then_it_is_told_each_once() {
     let mut directory = settled_directory();
-    let start = directory.since(DirectoryCursor::default());
-    assert!(start.whole && start.records.is_empty());
+    let start = directory.updates_since(DirectoryCursor::default());
+    assert!(start.complete && start.records.is_empty());
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(10_000, "b", heartbeat(2, 1));
     directory.heartbeat(10_100, "a", draining(1, 2));
-    let news = directory.since(start.cursor);
-    assert!(!news.whole);
+    let news = directory.updates_since(start.cursor);
+    assert!(!news.complete);
     let told: Vec<(&str, Presence)> =
         news.records.iter().map(|record| (record.id.as_str(), record.presence)).collect();
     assert_eq!(told, [("b", Presence::Ready), ("a", Presence::Draining)]);
     directory.heartbeat(11_000, "b", heartbeat(2, 2));
-    let nothing = directory.since(news.cursor);
-    assert_eq!((nothing.records.len(), nothing.whole, nothing.cursor), (0, false, news.cursor));
+    let nothing = directory.updates_since(news.cursor);
+    assert_eq!((nothing.records.len(), nothing.complete, nothing.cursor), (0, false, news.cursor));
 }
 
 #[test]
@@ -256,14 +256,14 @@
     for slots in 1..=4 {
         directory.heartbeat(10, "b", Heartbeat { slots, ..heartbeat(2, u64::from(slots)) });
     }
-    assert!(!directory.since(early).whole);
+    assert!(!directory.updates_since(early).complete);
     directory.heartbeat(20, "c", heartbeat(3, 1));
-    assert!(directory.since(early).whole);
-    assert_eq!(directory.since(early).records.len(), 3);
+    assert!(directory.updates_since(early).complete);
+    assert_eq!(directory.updates_since(early).records.len(), 3);
     let other = DirectoryCursor { epoch: Incarnation(10), ..directory.cursor() };
-    assert!(directory.since(other).whole);
+    assert!(directory.updates_since(other).complete);
     let ahead = DirectoryCursor { change: 1000, ..directory.cursor() };
-    assert!(directory.since(ahead).whole);
+    assert!(directory.updates_since(ahead).complete);
 }
 
 #[test]
--- a/cluster/tests/exchange.rs
+++ b/cluster/tests/exchange.rs
@@ -11,12 +11,12 @@
 #[test]
 fn given_a_holder_that_has_started_anew_when_the_server_drains_again_then_it_does_not_count() {
     let mut directory = settled_directory();
-    directory.peer_started(10_000, PEER, Incarnation(21));
+    directory.on_peer_started(10_000, PEER, Incarnation(21));
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_010, PEER, batches[0].number);
     directory.take_completed_calls();
-    directory.peer_started(10_500, PEER, Incarnation(22));
+    directory.on_peer_started(10_500, PEER, Incarnation(22));
     assert!(!directory.is_known_to_majority("a"));
     let again = take_batches(&mut directory);
     assert!(again.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
@@ -170,8 +170,8 @@
     run_idle(&mut own, 10_000, 20_000);
     assert_eq!(presence(&own, "a"), Some(Presence::Ready), "an isolated coordinator calls nobody silent");
     own.take_sends();
-    own.peer_started(20_000, PEER, Incarnation(5));
-    own.peer_started(20_000, PEER, Incarnation(6));
+    own.on_peer_started(20_000, PEER, Incarnation(5));
+    own.on_peer_started(20_000, PEER, Incarnation(6));
     run_idle(&mut own, 20_000, 21_500);
     let handed = take_batches(&mut own);
     assert!(!handed.is_empty());
@@ -191,10 +191,10 @@
 #[test]
 fn given_a_batch_on_its_way_when_its_receiver_starts_anew_then_a_late_acknowledgement_means_nothing() {
     let mut own = settled_directory();
-    own.peer_started(10_000, PEER, Incarnation(21));
+    own.on_peer_started(10_000, PEER, Incarnation(21));
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
-    own.peer_started(10_010, PEER, Incarnation(22));
+    own.on_peer_started(10_010, PEER, Incarnation(22));
     let late = batches.iter().find(|batch| batch.to == PEER).expect("it was told");
     own.acknowledge(10_020, PEER, late.number);
     assert!(!own.is_known_to_majority("a"));
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -327,7 +327,7 @@
         self.directory.set_peers(now, &peers);
         for node in self.membership.take_changed() {
             if let Some(record) = self.membership.record(node) {
-                self.directory.peer_started(now, node, record.incarnation);
+                self.directory.on_peer_started(now, node, record.incarnation);
             }
         }
         self.in_touch = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
--- a/cluster/tests/fleet/servers.rs
+++ b/cluster/tests/fleet/servers.rs
@@ -22,8 +22,8 @@
 
 impl Mirror {
     pub fn poll(&mut self, directory: &Directory) {
-        let news = directory.since(self.cursor);
-        if news.whole {
+        let news = directory.updates_since(self.cursor);
+        if news.complete {
             self.records.clear();
         }
         self.records.extend(news.records.into_iter().map(|record| (record.id.clone(), record)));
--- a/configuration/src/change.rs
+++ b/configuration/src/change.rs
@@ -8,7 +8,7 @@
 
 use crate::content::ContentHash;
 use crate::error::{
-    Invalid, InvalidContentSnafu, Malformed, NotJsonSnafu, SharedNameSnafu, UndecodableSnafu,
+    DecodeError, InvalidConfig, InvalidContentSnafu, NotJsonSnafu, SharedNameSnafu, UndecodableSnafu,
 };
 use crate::fields::{self, Fields, Place};
 use crate::reading::{Item, ROUTES, SERVICES};
@@ -64,12 +64,12 @@
 
 impl Change {
     /// Reads a call's body. `whole` tells `Config.Replace` from `Config.Update`; `base` is `Base-Version`.
-    pub fn parse(whole: bool, base: u64, body: &[u8]) -> Result<Change, Invalid> {
+    pub fn parse(whole: bool, base: u64, body: &[u8]) -> Result<Change, InvalidConfig> {
         let utf8 = std::str::from_utf8(body);
         Change::read(whole, base, utf8.map_err(|error| NotJsonSnafu { offset: error.valid_up_to() }.build())?)
     }
 
-    fn read(whole: bool, base: u64, body: &str) -> Result<Change, Invalid> {
+    fn read(whole: bool, base: u64, body: &str) -> Result<Change, InvalidConfig> {
         let place = Place::value(BODY);
         let fields = Fields::required(fields::parse(body.as_bytes())?, "value", place)?;
         let version = version(&fields)?;
@@ -103,7 +103,7 @@
     }
 
     /// Reads what [`encode`](Change::encode) wrote.
-    pub fn decode(bytes: &[u8]) -> Result<Change, Malformed> {
+    pub fn decode(bytes: &[u8]) -> Result<Change, DecodeError> {
         let sent: Result<Sent<'_>, _> = bitcode::decode(bytes);
         let Ok(sent) = sent else {
             return UndecodableSnafu { length: bytes.len(), expected: "a change" }.fail();
@@ -112,7 +112,7 @@
     }
 }
 
-fn version(fields: &Fields<'_>) -> Result<u64, Invalid> {
+fn version(fields: &Fields<'_>) -> Result<u64, InvalidConfig> {
     const EXPECTED: &str = "a whole number";
     let value = fields.value(VERSION).ok_or_else(|| fields.place().missing(VERSION, EXPECTED))?;
     value.as_u64().ok_or_else(|| fields.wrong(VERSION, value, EXPECTED))
@@ -120,11 +120,11 @@
 
 fn sections<'a, K: AsRef<str>>(
     values: impl Iterator<Item = (K, LazyValue<'a>)>,
-) -> Result<Vec<Section>, Invalid> {
+) -> Result<Vec<Section>, InvalidConfig> {
     values.map(|(key, value)| section(key.as_ref(), value)).collect()
 }
 
-fn section(key: &str, value: LazyValue<'_>) -> Result<Section, Invalid> {
+fn section(key: &str, value: LazyValue<'_>) -> Result<Section, InvalidConfig> {
     let content = match items(key, &value)? {
         Some(items) => Content::List(items),
         None if key == ROUTES || key == SERVICES => {
@@ -136,7 +136,7 @@
 }
 
 /// The items of a list, if the value is a list of items that have names.
-fn items(list: &str, value: &LazyValue<'_>) -> Result<Option<Vec<Item>>, Invalid> {
+fn items(list: &str, value: &LazyValue<'_>) -> Result<Option<Vec<Item>>, InvalidConfig> {
     let Some(elements) = value.clone().into_array_iter() else { return Ok(None) };
     let mut items: Vec<Item> = Vec::new();
     for element in elements {
@@ -150,7 +150,7 @@
     Ok(Some(items))
 }
 
-fn check_names(list: &str, items: &[Item]) -> Result<(), Invalid> {
+fn check_names(list: &str, items: &[Item]) -> Result<(), InvalidConfig> {
     let mut names = HashSet::with_capacity(items.len());
     match items.iter().find(|item| !names.insert(item.key.name.as_str())) {
         Some(item) => SharedNameSnafu { place: Place::item(list, &item.key.name).to_string() }.fail(),
@@ -158,7 +158,7 @@
     }
 }
 
-fn upserts(fields: &Fields<'_>) -> Result<Vec<Section>, Invalid> {
+fn upserts(fields: &Fields<'_>) -> Result<Vec<Section>, InvalidConfig> {
     let Some(value) = fields.value(UPSERT) else { return Ok(Vec::new()) };
     let upsert = Fields::required(value.clone(), UPSERT, fields.place())?;
     if let Some(value) = upsert.value(VERSION) {
@@ -167,14 +167,14 @@
     sections(upsert.into_values())
 }
 
-fn removals(fields: &Fields<'_>) -> Result<Vec<Removal>, Invalid> {
+fn removals(fields: &Fields<'_>) -> Result<Vec<Removal>, InvalidConfig> {
     let Some(value) = fields.value(REMOVE) else { return Ok(Vec::new()) };
     let remove = Fields::required(value.clone(), REMOVE, fields.place())?;
     let lists = remove.into_values().filter(|(_, names)| !names.is_null());
     lists.map(|(list, names)| removal(&list, &names)).collect()
 }
 
-fn removal(list: &str, names: &LazyValue<'_>) -> Result<Removal, Invalid> {
+fn removal(list: &str, names: &LazyValue<'_>) -> Result<Removal, InvalidConfig> {
     let place = Place::value(BODY).part(REMOVE, None);
     let wrong = || place.wrong(list, names.as_raw_str(), "a list of names");
     let elements = names.clone().into_array_iter().ok_or_else(wrong)?;
--- a/configuration/src/error.rs
+++ b/configuration/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a configuration is invalid. Each displays as one line that names the item and the field.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Invalid {
+pub enum InvalidConfig {
     /// The body is cut short or otherwise no JSON.
     #[snafu(display("body: not JSON from byte {offset} on"))]
     NotJson {
@@ -104,7 +104,7 @@
 /// Bytes that are not what they should be.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Malformed {
+pub enum DecodeError {
     /// They do not decode.
     #[snafu(display("{length} bytes are not {expected}"))]
     Undecodable {
@@ -117,7 +117,7 @@
     #[snafu(display("invalid content: {source}"))]
     InvalidContent {
         /// What is wrong.
-        source: Invalid,
+        source: InvalidConfig,
     },
 }
 
@@ -145,6 +145,6 @@
     #[snafu(display("invalid news: {source}"))]
     InvalidUpdate {
         /// What is wrong.
-        source: Invalid,
+        source: InvalidConfig,
     },
 }
--- a/configuration/src/fields.rs
+++ b/configuration/src/fields.rs
@@ -9,7 +9,7 @@
 
 use sonic_rs::{JsonValueTrait, LazyValue};
 
-use crate::error::{Invalid, MissingSnafu, NotJsonSnafu, SharedKeySnafu, WrongSnafu};
+use crate::error::{InvalidConfig, MissingSnafu, NotJsonSnafu, SharedKeySnafu, WrongSnafu};
 use crate::scan;
 
 /// Characters of a value or name that messages repeat.
@@ -20,14 +20,14 @@
 const LARGEST_EXACT: f64 = 9_007_199_254_740_992.0;
 
 /// Validates a text as one JSON value with nothing behind it.
-pub(crate) fn parse(text: &[u8]) -> Result<LazyValue<'_>, Invalid> {
+pub(crate) fn parse(text: &[u8]) -> Result<LazyValue<'_>, InvalidConfig> {
     scan::check(text)?;
     let parsed = sonic_rs::from_slice(text);
     parsed.map_err(|error| not_json(&error))
 }
 
 /// Says that a text is no JSON. The reader's own message has several lines.
-pub(crate) fn not_json(error: &sonic_rs::Error) -> Invalid {
+pub(crate) fn not_json(error: &sonic_rs::Error) -> InvalidConfig {
     NotJsonSnafu { offset: error.offset() }.build()
 }
 
@@ -76,12 +76,12 @@
     }
 
     /// Says that a field is not there.
-    pub(crate) fn missing(&self, key: &str, expected: &'static str) -> Invalid {
+    pub(crate) fn missing(&self, key: &str, expected: &'static str) -> InvalidConfig {
         MissingSnafu { place: self.whole_item(), field: self.field(key), expected }.build()
     }
 
     /// Says that a field's value cannot be used.
-    pub(crate) fn wrong(&self, key: &str, found: &str, expected: &'static str) -> Invalid {
+    pub(crate) fn wrong(&self, key: &str, found: &str, expected: &'static str) -> InvalidConfig {
         WrongSnafu { place: self.whole_item(), field: self.field(key), found: shorten(found), expected }
             .build()
     }
@@ -129,7 +129,7 @@
 
 impl<'a> Fields<'a> {
     /// Reads the keys of an object that is part of a validated text. Any other value has none.
-    pub(crate) fn of(value: LazyValue<'a>, place: Place<'a>) -> Result<Self, Invalid> {
+    pub(crate) fn of(value: LazyValue<'a>, place: Place<'a>) -> Result<Self, InvalidConfig> {
         let entries = value.into_object_iter().into_iter().flatten();
         let mut values = BTreeMap::new();
         for entry in entries {
@@ -145,7 +145,11 @@
     }
 
     /// The same, where `field` of the object around it must be an object.
-    pub(crate) fn required(value: LazyValue<'a>, field: &str, place: Place<'a>) -> Result<Self, Invalid> {
+    pub(crate) fn required(
+        value: LazyValue<'a>,
+        field: &str,
+        place: Place<'a>,
+    ) -> Result<Self, InvalidConfig> {
         const EXPECTED: &str = "an object";
         if !value.is_object() {
             return Err(place.part("", None).wrong(field, value.as_raw_str(), EXPECTED));
@@ -164,7 +168,7 @@
     }
 
     /// A text.
-    pub(crate) fn text(&self, key: &str) -> Result<Option<String>, Invalid> {
+    pub(crate) fn text(&self, key: &str) -> Result<Option<String>, InvalidConfig> {
         const EXPECTED: &str = "a text";
         let Some(value) = self.value(key) else { return Ok(None) };
         let text = value.as_str().map(str::to_owned);
@@ -172,12 +176,12 @@
     }
 
     /// A text that must be there.
-    pub(crate) fn required_text(&self, key: &str) -> Result<String, Invalid> {
+    pub(crate) fn required_text(&self, key: &str) -> Result<String, InvalidConfig> {
         self.text(key)?.ok_or_else(|| self.place.missing(key, "a text"))
     }
 
     /// A number that must not be below 0.
-    pub(crate) fn amount(&self, key: &str) -> Result<Option<f64>, Invalid> {
+    pub(crate) fn amount(&self, key: &str) -> Result<Option<f64>, InvalidConfig> {
         const EXPECTED: &str = "a number of 0 or more";
         let Some(value) = self.value(key) else { return Ok(None) };
         let number = value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
@@ -185,7 +189,7 @@
     }
 
     /// A whole number of 0 or more; fractions are rounded up.
-    pub(crate) fn whole(&self, key: &str) -> Result<Option<u64>, Invalid> {
+    pub(crate) fn whole(&self, key: &str) -> Result<Option<u64>, InvalidConfig> {
         if let Some(number) = self.value(key).and_then(LazyValue::as_u64) {
             return Ok(Some(number));
         }
@@ -193,24 +197,24 @@
     }
 
     /// A duration in milliseconds; longer ones than [`LONGEST_MS`] count as that.
-    pub(crate) fn milliseconds(&self, key: &str) -> Result<Option<u64>, Invalid> {
+    pub(crate) fn milliseconds(&self, key: &str) -> Result<Option<u64>, InvalidConfig> {
         Ok(self.whole(key)?.map(|number| number.min(LONGEST_MS)))
     }
 
     /// A whole number of 0 or more; larger ones than fit count as the largest.
-    pub(crate) fn small(&self, key: &str) -> Result<Option<u32>, Invalid> {
+    pub(crate) fn small(&self, key: &str) -> Result<Option<u32>, InvalidConfig> {
         Ok(self.whole(key)?.map(|number| u32::try_from(number).unwrap_or(u32::MAX)))
     }
 
     /// Yes or no.
-    pub(crate) fn flag(&self, key: &str) -> Result<Option<bool>, Invalid> {
+    pub(crate) fn flag(&self, key: &str) -> Result<Option<bool>, InvalidConfig> {
         const EXPECTED: &str = "true or false";
         let Some(value) = self.value(key) else { return Ok(None) };
         value.as_bool().map(Some).ok_or_else(|| self.wrong(key, value, EXPECTED))
     }
 
     /// The elements of a list; none if it is not there.
-    pub(crate) fn elements(&self, key: &str) -> Result<Vec<LazyValue<'a>>, Invalid> {
+    pub(crate) fn elements(&self, key: &str) -> Result<Vec<LazyValue<'a>>, InvalidConfig> {
         const EXPECTED: &str = "a list";
         let Some(value) = self.value(key) else { return Ok(Vec::new()) };
         let elements = value.clone().into_array_iter().ok_or_else(|| self.wrong(key, value, EXPECTED))?;
@@ -218,7 +222,7 @@
     }
 
     /// Says that a field's value cannot be used.
-    pub(crate) fn wrong(&self, key: &str, value: &LazyValue<'_>, expected: &'static str) -> Invalid {
+    pub(crate) fn wrong(&self, key: &str, value: &LazyValue<'_>, expected: &'static str) -> InvalidConfig {
         self.place.wrong(key, value.as_raw_str(), expected)
     }
 
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -24,7 +24,7 @@
 mod view;
 
 pub use change::Change;
-pub use error::{Invalid, Malformed, ViewError};
+pub use error::{DecodeError, InvalidConfig, ViewError};
 pub use state::{ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
 pub use typed::{ClientLimits, Model, Route, RouteKind, Runtime, Service};
 pub use view::View;
--- a/configuration/src/reading.rs
+++ b/configuration/src/reading.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::internal::ItemKey;
 use sonic_rs::{JsonValueTrait, LazyValue};
 
-use crate::error::{Invalid, NoWeightSnafu};
+use crate::error::{InvalidConfig, NoWeightSnafu};
 use crate::fields::{self, Fields, Place};
 use crate::typed::{ClientLimits, Model, Route, RouteKind, Runtime, Service};
 
@@ -53,7 +53,7 @@
 
 impl Item {
     /// An element of a list; `Ok(None)` if it is no object with a name. Elements of routes and services must be.
-    pub(crate) fn element(list: &str, value: LazyValue<'_>) -> Result<Option<Item>, Invalid> {
+    pub(crate) fn element(list: &str, value: LazyValue<'_>) -> Result<Option<Item>, InvalidConfig> {
         let json = value.as_raw_str().to_owned();
         let known = list == ROUTES || list == SERVICES;
         let place = Place::value(list);
@@ -78,7 +78,7 @@
     }
 
     /// A value that stands by itself.
-    pub(crate) fn value(key: &str, value: LazyValue<'_>) -> Result<Item, Invalid> {
+    pub(crate) fn value(key: &str, value: LazyValue<'_>) -> Result<Item, InvalidConfig> {
         let json = value.as_raw_str().to_owned();
         let typed = match key {
             LIMITS if json == "null" => Typed::Limits(ClientLimits::default()),
@@ -90,7 +90,7 @@
     }
 
     /// An item that was taken before, under `name` in its list; the name is empty for a value that stands by itself.
-    pub(crate) fn taken(list: &str, name: &str, json: &str) -> Result<Item, Invalid> {
+    pub(crate) fn taken(list: &str, name: &str, json: &str) -> Result<Item, InvalidConfig> {
         let value = fields::parse(json.as_bytes())?;
         if name.is_empty() {
             return Item::value(list, value);
@@ -101,7 +101,7 @@
 }
 
 /// A route, and the services that it names, also those without weight.
-fn route(fields: &Fields<'_>) -> Result<(Route, Vec<String>), Invalid> {
+fn route(fields: &Fields<'_>) -> Result<(Route, Vec<String>), InvalidConfig> {
     let place = fields.place();
     let timeout_ms = fields.milliseconds("timeoutMs")?.unwrap_or(DEFAULT_TIMEOUT_MS);
     if timeout_ms == 0 {
@@ -123,12 +123,12 @@
     Ok((route, mentions))
 }
 
-fn rank(fields: &Fields<'_>) -> Result<u8, Invalid> {
+fn rank(fields: &Fields<'_>) -> Result<u8, InvalidConfig> {
     let rank = fields.small("priority")?;
     Ok(rank.map_or(DEFAULT_PRIORITY, |rank| u8::try_from(rank).unwrap_or(u8::MAX)))
 }
 
-fn kind(fields: &Fields<'_>) -> Result<RouteKind, Invalid> {
+fn kind(fields: &Fields<'_>) -> Result<RouteKind, InvalidConfig> {
     Ok(match fields.text("type")?.as_deref() {
         Some("idempotent") => RouteKind::Idempotent,
         Some("streaming") => RouteKind::Streaming {
@@ -148,7 +148,7 @@
 }
 
 /// The targets of a route: those of its split, or else its one service.
-fn targets(fields: &Fields<'_>) -> Result<Targets, Invalid> {
+fn targets(fields: &Fields<'_>) -> Result<Targets, InvalidConfig> {
     let place = fields.place();
     let single = fields.text("service")?;
     let mut weighted = split(fields)?;
@@ -170,7 +170,7 @@
     Ok(Targets { weighted, mentions })
 }
 
-fn split(fields: &Fields<'_>) -> Result<Vec<(String, f64)>, Invalid> {
+fn split(fields: &Fields<'_>) -> Result<Vec<(String, f64)>, InvalidConfig> {
     const SPLIT: &str = "trafficSplit";
     let place = fields.place();
     let mut weighted = Vec::new();
@@ -181,7 +181,7 @@
     Ok(weighted)
 }
 
-fn service(fields: &Fields<'_>) -> Result<Service, Invalid> {
+fn service(fields: &Fields<'_>) -> Result<Service, InvalidConfig> {
     let place = fields.place();
     let runtime = match fields.value("runtime") {
         Some(value) => {
@@ -198,7 +198,7 @@
     })
 }
 
-fn runtime(fields: &Fields<'_>) -> Result<Runtime, Invalid> {
+fn runtime(fields: &Fields<'_>) -> Result<Runtime, InvalidConfig> {
     let place = fields.place();
     const MODELS: &str = "runtime/models";
     let mut models = Vec::new();
@@ -217,7 +217,7 @@
     })
 }
 
-fn model(fields: &Fields<'_>) -> Result<Model, Invalid> {
+fn model(fields: &Fields<'_>) -> Result<Model, InvalidConfig> {
     Ok(Model {
         name: fields.required_text(NAME)?,
         weights_mb: fields.amount("weightsMb")?.unwrap_or(0.0),
@@ -227,7 +227,7 @@
     })
 }
 
-fn limits(fields: &Fields<'_>) -> Result<ClientLimits, Invalid> {
+fn limits(fields: &Fields<'_>) -> Result<ClientLimits, InvalidConfig> {
     let usual = ClientLimits::default();
     Ok(ClientLimits {
         max_header_bytes: fields.whole("maxHeaderBytes")?.unwrap_or(usual.max_header_bytes),
--- a/configuration/src/route_table.rs
+++ b/configuration/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::error::{Invalid, SamePlaceSnafu};
+use crate::error::{InvalidConfig, SamePlaceSnafu};
 use crate::fields::{shorten, Place};
 use crate::reading::{normal_host, ROUTES};
 use crate::typed::Route;
@@ -66,7 +66,7 @@
         &self,
         routes: impl Iterator<Item = &'r Route>,
         replaced: &HashSet<&str>,
-    ) -> Result<(), Invalid> {
+    ) -> Result<(), InvalidConfig> {
         let mut taken: HashMap<(&str, &str), &str> = HashMap::new();
         for route in routes {
             let place = (route.host.as_str(), route.path_prefix.as_str());
@@ -105,7 +105,7 @@
     }
 }
 
-fn same_place(route: &Route, other: &str) -> Invalid {
+fn same_place(route: &Route, other: &str) -> InvalidConfig {
     SamePlaceSnafu {
         place: Place::item(ROUTES, &route.name).to_string(),
         other: shorten(other),
--- a/configuration/src/scan.rs
+++ b/configuration/src/scan.rs
@@ -1,6 +1,6 @@
 //! What the JSON reader leaves unchecked: the depth of nesting, and the digits of escapes.
 
-use crate::error::{Invalid, NotJsonSnafu, TooDeepSnafu};
+use crate::error::{InvalidConfig, NotJsonSnafu, TooDeepSnafu};
 
 /// The deepest nesting taken. The reader of JSON descends by recursion, so that there must be a bound.
 const DEEPEST: usize = 64;
@@ -8,7 +8,7 @@
 const ESCAPE_DIGITS: usize = 4;
 
 /// Checks nesting and escapes of a text that need not be JSON at all.
-pub(crate) fn check(text: &[u8]) -> Result<(), Invalid> {
+pub(crate) fn check(text: &[u8]) -> Result<(), InvalidConfig> {
     let mut depth = 0_usize;
     let mut bytes = text.iter().enumerate();
     while let Some((_, byte)) = bytes.next() {
@@ -24,7 +24,7 @@
 }
 
 /// Goes on behind the closing quote of a string, or to the end if there is none.
-fn skip_string<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), Invalid> {
+fn skip_string<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), InvalidConfig> {
     while let Some((_, byte)) = bytes.next() {
         match byte {
             b'"' => return Ok(()),
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-fn skip_escape<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), Invalid> {
+fn skip_escape<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), InvalidConfig> {
     let Some((offset, b'u')) = bytes.next() else { return Ok(()) };
     let digits = bytes.take(ESCAPE_DIGITS).filter(|(_, byte)| byte.is_ascii_hexdigit()).count();
     if digits < ESCAPE_DIGITS {
--- a/configuration/src/snapshot.rs
+++ b/configuration/src/snapshot.rs
@@ -4,7 +4,7 @@
 use snafu::ResultExt;
 
 use crate::document::{Document, ItemList, Stored};
-use crate::error::{InvalidContentSnafu, Malformed, UndecodableSnafu};
+use crate::error::{DecodeError, InvalidContentSnafu, UndecodableSnafu};
 use crate::log::{LogEntry, Taken, TakenChange};
 use crate::state::ConfigState;
 
@@ -75,7 +75,7 @@
     }
 
     /// Reads what [`snapshot`](ConfigState::snapshot) wrote.
-    pub fn restore(bytes: &[u8]) -> Result<Self, Malformed> {
+    pub fn restore(bytes: &[u8]) -> Result<Self, DecodeError> {
         let saved: Result<Saved<'_>, _> = bitcode::decode(bytes);
         let Ok(saved) = saved else {
             return UndecodableSnafu { length: bytes.len(), expected: "a snapshot" }.fail();
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -6,7 +6,7 @@
 
 use crate::change::Change;
 use crate::document::{Document, Stored};
-use crate::error::{Invalid, OldVersionSnafu, TooLargeSnafu, UnknownServiceSnafu};
+use crate::error::{InvalidConfig, OldVersionSnafu, TooLargeSnafu, UnknownServiceSnafu};
 use crate::fields::{shorten, Place};
 use crate::log::{ChangeLog, LogEntry, Taken, TakenChange};
 use crate::plan::Plan;
@@ -35,7 +35,7 @@
         current: u64,
     },
     /// It would make an invalid configuration.
-    Invalid(Invalid),
+    Invalid(InvalidConfig),
 }
 
 /// The configuration, what was changed in it of late, and which changes were taken. Equal on all replicas that
@@ -53,7 +53,7 @@
 
 impl ConfigState {
     /// Says what would become of a change now.
-    pub fn judge(&self, change: &Change) -> ChangeOutcome {
+    pub fn validate(&self, change: &Change) -> ChangeOutcome {
         if self.taken.contains(change.content) {
             return ChangeOutcome::Duplicate;
         }
@@ -71,8 +71,10 @@
 
     /// Judges a change ([`Change::encode`]) and applies it if it's to be applied.
     pub fn apply(&mut self, encoded: &[u8]) -> ChangeOutcome {
-        let Ok(change) = Change::decode(encoded) else { return ChangeOutcome::Invalid(Invalid::NotAChange) };
-        let judgement = self.judge(&change);
+        let Ok(change) = Change::decode(encoded) else {
+            return ChangeOutcome::Invalid(InvalidConfig::NotAChange);
+        };
+        let judgement = self.validate(&change);
         if judgement == ChangeOutcome::Accepted {
             self.commit(change);
         }
@@ -136,7 +138,7 @@
     }
 
     /// Checks what the configuration would be with a change that builds on it.
-    fn check<'c>(&self, change: &'c Change) -> Result<Plan<'c>, Invalid> {
+    fn check<'c>(&self, change: &'c Change) -> Result<Plan<'c>, InvalidConfig> {
         if change.version <= self.version {
             return OldVersionSnafu { version: change.version, current: self.version }.fail();
         }
@@ -152,7 +154,7 @@
     }
 
     /// Checks that all services that routes name are there.
-    fn check_services(&self, plan: &Plan<'_>) -> Result<(), Invalid> {
+    fn check_services(&self, plan: &Plan<'_>) -> Result<(), InvalidConfig> {
         let added = plan.upsert.iter().filter(|item| item.key.list == SERVICES);
         let added: HashSet<&str> = added.map(|item| item.key.name.as_str()).collect();
         let removed = plan.remove.iter().filter(|key| key.list == SERVICES);
@@ -207,7 +209,7 @@
         document: Document,
         log: ChangeLog,
         taken: Taken,
-    ) -> Result<Self, Invalid> {
+    ) -> Result<Self, InvalidConfig> {
         let mut state = ConfigState { version, document, log, taken, ..ConfigState::default() };
         let items = state.document.sections().flat_map(|(list, stored)| taken_items(list, stored));
         let items = items.collect::<Result<Vec<_>, _>>()?;
@@ -220,11 +222,18 @@
     }
 }
 
-fn taken_items<'a>(list: &'a str, stored: &'a Stored) -> impl Iterator<Item = Result<Item, Invalid>> + 'a {
+fn taken_items<'a>(
+    list: &'a str,
+    stored: &'a Stored,
+) -> impl Iterator<Item = Result<Item, InvalidConfig>> + 'a {
     stored.items().map(move |(name, json)| Item::taken(list, name, json))
 }
 
-fn check_mentions(route: &str, services: &[String], known: impl Fn(&str) -> bool) -> Result<(), Invalid> {
+fn check_mentions(
+    route: &str,
+    services: &[String],
+    known: impl Fn(&str) -> bool,
+) -> Result<(), InvalidConfig> {
     match services.iter().find(|service| !known(service)) {
         Some(service) => {
             let place = Place::item(ROUTES, route).to_string();
--- a/configuration/src/view.rs
+++ b/configuration/src/view.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::internal::{ConfigUpdate, ItemKey};
 use snafu::ResultExt;
 
-use crate::error::{BaseMismatchSnafu, Invalid, InvalidUpdateSnafu, NotNewerSnafu, ViewError};
+use crate::error::{BaseMismatchSnafu, InvalidConfig, InvalidUpdateSnafu, NotNewerSnafu, ViewError};
 use crate::reading::{Item, Typed, LIMITS, ROUTES, SERVICES};
 use crate::route_table::RouteTable;
 use crate::typed::{ClientLimits, Route, Service};
@@ -83,7 +83,7 @@
     }
 
     /// Checks that no two routes would have one place once the changes are made.
-    pub(crate) fn check_places(&self, upsert: &[&Item], remove: &[ItemKey]) -> Result<(), Invalid> {
+    pub(crate) fn check_places(&self, upsert: &[&Item], remove: &[ItemKey]) -> Result<(), InvalidConfig> {
         let replaced: HashSet<&str> = replaced_routes(upsert, remove).collect();
         self.routes.check(upsert.iter().filter_map(|item| as_route(item)).map(AsRef::as_ref), &replaced)
     }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, Invalid};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, InvalidConfig};
 
 /// A route with one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
@@ -48,7 +48,7 @@
         Ok(change) => change,
         Err(invalid) => return ChangeOutcome::Invalid(invalid),
     };
-    let judged = state.judge(&change);
+    let judged = state.validate(&change);
     let applied = state.apply(&change.encode());
     assert_eq!(judged, applied, "nothing came in between");
     applied
@@ -75,7 +75,7 @@
 }
 
 /// A message, checked to be one line.
-pub fn one_line(invalid: &Invalid) -> String {
+pub fn one_line(invalid: &InvalidConfig) -> String {
     let text = invalid.to_string();
     assert!(!text.contains('\n') && text.len() < 500, "{text:?}");
     text
--- a/configuration/tests/taking.rs
+++ b/configuration/tests/taking.rs
@@ -167,7 +167,10 @@
     let (mut one, mut other) = (started(), started());
     let first = Change::parse(false, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
     let second = Change::parse(false, 1, removal(2, "r-two").to_string().as_bytes()).expect("valid");
-    assert_eq!((one.judge(&first), one.judge(&second)), (ChangeOutcome::Accepted, ChangeOutcome::Accepted));
+    assert_eq!(
+        (one.validate(&first), one.validate(&second)),
+        (ChangeOutcome::Accepted, ChangeOutcome::Accepted)
+    );
     // When
     let agreed = [first.encode(), second.encode(), first.encode()];
     let answers = agreed.each_ref().map(|change| one.apply(change));
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -138,7 +138,7 @@
 
     /// Stands for election as soon as voters may help, for a node that should rather lead than others: its owner has to
     /// wait for something where another one leads.
-    pub fn hasten(&mut self, now: Millis) {
+    pub fn campaign_soon(&mut self, now: Millis) {
         self.set_now(now);
         if !self.is_leader() {
             let soonest = self.now + self.options.election_min_ms + HASTE_MARGIN;
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -48,13 +48,13 @@
             stamp,
             received: self.verified,
             matched: self.verified.min(self.persistence.synced_index()),
-            standing: self.standing(),
+            status: self.standing(),
         }
     }
 
     fn answer_append(&mut self, to: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
         let answer =
-            Message::AppendResponse { term: self.hard.term, stamp, outcome, standing: self.standing() };
+            Message::AppendResponse { term: self.hard.term, stamp, outcome, status: self.standing() };
         match outcome {
             AppendOutcome::Matched(_) => self.send_promise(to, answer),
             AppendOutcome::Conflict(_) => self.send_in_term(to, answer),
@@ -124,7 +124,7 @@
     }
 
     pub(crate) fn on_readmit(&mut self, from: NodeId, term: Term, boot: u64) {
-        if !self.follow(from, term) || !self.hard.recovering || boot != self.hard.boot {
+        if !self.follow(from, term) || !self.hard.recovering || boot != self.hard.disk_id {
             return;
         }
         self.hard.recovering = false;
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -181,7 +181,7 @@
         let State::Leader(leadership) = &self.state else { return };
         let boot = leadership.peers.get(&node).and_then(|peer| peer.readmittable(self.commit));
         if let Some(boot) = boot {
-            self.send(node, Message::Rejoin { term: self.hard.term, boot });
+            self.send(node, Message::Rejoin { term: self.hard.term, disk_id: boot });
         }
     }
 
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -80,7 +80,7 @@
     pub(crate) fn settle_voters(&mut self) {
         let voters = self.log.voters();
         if voters.is_joint() && self.log.voters_index() <= self.commit {
-            let settled = voters.settled();
+            let settled = voters.leave_joint();
             self.append_voters(settled);
         }
     }
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VoterStatus {
     /// The disk's name, see [`HardState::boot`](crate::HardState::boot).
-    pub boot: u64,
+    pub disk_id: u64,
     /// Whether a former disk was lost and no leader has readmitted this one.
     pub recovering: bool,
 }
@@ -86,7 +86,7 @@
         /// How far it is known to be the leader's and synced.
         matched: Index,
         /// Whether the answer counts.
-        standing: VoterStatus,
+        status: VoterStatus,
     },
     /// Entries to append.
     Append {
@@ -110,7 +110,7 @@
         /// What became of it.
         outcome: AppendOutcome,
         /// Whether the answer counts.
-        standing: VoterStatus,
+        status: VoterStatus,
     },
     /// The whole state, where the leader's log no longer reaches back far enough.
     InstallSnapshot {
@@ -131,7 +131,7 @@
         /// The leader's term.
         term: Term,
         /// The disk that is meant.
-        boot: u64,
+        disk_id: u64,
     },
 }
 
--- a/consensus/src/progress.rs
+++ b/consensus/src/progress.rs
@@ -14,9 +14,9 @@
     /// How far its log is known to be the leader's and synced.
     pub matched: Index,
     /// Whether it counts for majorities: false until it was heard and, if recovering, readmitted.
-    pub counts: bool,
+    pub counts_towards_quorum: bool,
     /// When the newest message was sent that it has answered, by the leader's clock.
-    pub answered: Option<Millis>,
+    pub last_contact: Option<Millis>,
 }
 
 /// A message with entries that was not acknowledged yet.
@@ -86,8 +86,8 @@
     pub fn status(&self) -> PeerStatus {
         PeerStatus {
             matched: self.matched,
-            counts: self.counts(),
-            answered: self.answered.map(|stamp| stamp.sent_at),
+            counts_towards_quorum: self.counts(),
+            last_contact: self.answered.map(|stamp| stamp.sent_at),
         }
     }
 
@@ -154,7 +154,7 @@
     /// Judges an answer's standing, and starts anew with a new disk. `next` is the entry after the leader's last.
     pub fn hear(&mut self, standing: VoterStatus, stamp: RoundStamp, next: Index) -> Heard {
         let heard = match self.boot {
-            Some(boot) if boot == standing.boot => self.hear_same_disk(standing.recovering),
+            Some(boot) if boot == standing.disk_id => self.hear_same_disk(standing.recovering),
             Some(_) if !standing.recovering || stamp.round <= self.heard_round => Heard::Stale,
             _ => self.hear_new_disk(standing, next),
         };
@@ -178,7 +178,7 @@
         if self.boot.is_some() {
             *self = Progress::new(next);
         }
-        self.boot = Some(standing.boot);
+        self.boot = Some(standing.disk_id);
         if !standing.recovering {
             return Heard::Known;
         }
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -19,7 +19,7 @@
     /// Whether votes and acknowledgements may have been forgotten with a former disk.
     pub recovering: bool,
     /// Names the disk: drawn when the first record is written.
-    pub boot: u64,
+    pub disk_id: u64,
 }
 
 /// The applied state at an index, in place of the log up to there.
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -86,7 +86,7 @@
         let (hard, log) = replay(restored);
         let is_new = hard.is_none();
         let recovering = options.recovering;
-        let new_disk = || HardState { term: 0, voted_for: None, recovering, boot: random.random() };
+        let new_disk = || HardState { term: 0, voted_for: None, recovering, disk_id: random.random() };
         let hard = hard.unwrap_or_else(new_disk);
         let mut replica = Replica {
             now,
@@ -118,7 +118,7 @@
 
     /// Founds the group, on each of its first voters alike, when the whole system starts for the first time. Without
     /// effect on a replica that already has entries or is recovering.
-    pub fn found(&mut self, now: Millis, voters: &[NodeId]) {
+    pub fn bootstrap(&mut self, now: Millis, voters: &[NodeId]) {
         self.set_now(now);
         if self.hard.recovering || self.log.last().index > 0 || voters.is_empty() {
             return;
@@ -148,7 +148,7 @@
             }
             Message::VoteResponse { term, granted } => self.on_vote_answer(from, term, granted),
             Message::Heartbeat { term, commit, stamp } => self.on_heartbeat(from, term, commit, stamp),
-            Message::HeartbeatResponse { term, stamp, received, matched, standing } => {
+            Message::HeartbeatResponse { term, stamp, received, matched, status: standing } => {
                 if self.hear_follower(from, term, stamp, standing) {
                     self.on_heartbeat_answer(from, stamp, received, matched);
                 }
@@ -158,7 +158,7 @@
                     self.on_append(from, previous, entries, commit, stamp);
                 }
             }
-            Message::AppendResponse { term, stamp, outcome, standing } => {
+            Message::AppendResponse { term, stamp, outcome, status: standing } => {
                 if self.hear_follower(from, term, stamp, standing) {
                     self.on_append_answer(from, outcome, stamp);
                 }
@@ -169,7 +169,7 @@
                 }
             }
             Message::TimeoutNow { term } => self.on_timeout_now(term),
-            Message::Rejoin { term, boot } => self.on_readmit(from, term, boot),
+            Message::Rejoin { term, disk_id: boot } => self.on_readmit(from, term, boot),
         }
     }
 
@@ -304,7 +304,7 @@
     }
 
     pub(crate) fn standing(&self) -> VoterStatus {
-        VoterStatus { boot: self.hard.boot, recovering: self.hard.recovering }
+        VoterStatus { disk_id: self.hard.disk_id, recovering: self.hard.recovering }
     }
 
     pub(crate) fn not_leader<T>(&self) -> Result<T, ReplicaError> {
--- a/consensus/src/voters.rs
+++ b/consensus/src/voters.rs
@@ -26,7 +26,7 @@
     }
 
     /// The set after the joint phase.
-    pub fn settled(&self) -> Self {
+    pub fn leave_joint(&self) -> Self {
         VoterSet { incoming: self.incoming.clone(), outgoing: Vec::new() }
     }
 
--- a/consensus/tests/aimed.rs
+++ b/consensus/tests/aimed.rs
@@ -540,7 +540,7 @@
                 }
             }
         }
-        assert!(group.sent.contains_key("Install"));
+        assert!(group.sent.contains_key("InstallSnapshot"));
         group
     });
 }
@@ -567,7 +567,7 @@
             let third = others(&group, former).into_iter().find(|node| *node != leader).expect("a third");
             group.cuts.clear();
             group.isolate(third);
-            let installs = |group: &Group| group.sent.get("Install").copied().unwrap_or_default();
+            let installs = |group: &Group| group.sent.get("InstallSnapshot").copied().unwrap_or_default();
             let before = installs(&group);
             group.run_until(2000, |group| installs(group) > before);
             group.machine(former).is_disk_stalled = true;
@@ -603,7 +603,7 @@
         group.run(50);
     }
     let distance = group.machines[&leader].applied - group.machines[&behind].applied;
-    assert!(group.sent.contains_key("Install"));
+    assert!(group.sent.contains_key("InstallSnapshot"));
     assert!(distance < 20, "{distance} entries behind: {}", group.describe());
     group.settle();
     assert_eq!(group.machines[&behind].commands, group.machines[&leader].commands);
--- a/consensus/tests/elections.rs
+++ b/consensus/tests/elections.rs
@@ -22,7 +22,7 @@
         let mut group = Group::empty(seed, |_| {});
         for founder in [node(3), node(1), node(2)] {
             group.add_machine(founder, false);
-            group.act(founder, |replica, now| replica.found(now, &founders));
+            group.act(founder, |replica, now| replica.bootstrap(now, &founders));
             group.run(130);
         }
         let index = group.commit_one();
--- a/consensus/tests/forgetful.rs
+++ b/consensus/tests/forgetful.rs
@@ -105,7 +105,7 @@
     group.run(900);
     assert_eq!(group.sent.get("Rejoin"), None);
     assert!(group.replica(wiped).is_recovering());
-    assert!(group.replica(leader).peer(wiped).is_some_and(|peer| !peer.counts));
+    assert!(group.replica(leader).peer(wiped).is_some_and(|peer| !peer.counts_towards_quorum));
 }
 
 #[test]
@@ -120,8 +120,9 @@
     assert!(!group.replica(wiped).is_recovering(), "in memory");
     let was_forgetful = group.machines[&wiped].disk.is_recovering();
     assert!(was_forgetful);
-    let counted =
-        |group: &Group| group.replica(group.elect_now()).peer(wiped).is_some_and(|peer| peer.counts);
+    let counted = |group: &Group| {
+        group.replica(group.elect_now()).peer(wiped).is_some_and(|peer| peer.counts_towards_quorum)
+    };
     group.run(500);
     assert!(!counted(&group), "a readmission counts once it is synced");
     group.machine(wiped).is_disk_stalled = false;
@@ -147,15 +148,16 @@
 /// count.
 fn assert_answer_of_the_lost_disk_does_not_count(scene: Scene, index: Index, round: u64) {
     let Scene { mut group, leader, wiped, .. } = scene;
-    let standing = VoterStatus { boot: 12345, recovering: false };
+    let standing = VoterStatus { disk_id: 12345, recovering: false };
     let stamp = RoundStamp { round, sent_at: group.machines[&leader].clock(group.now) };
     let term = group.term(leader);
-    let answer = Message::HeartbeatResponse { term, stamp, received: index, matched: index, standing };
+    let answer =
+        Message::HeartbeatResponse { term, stamp, received: index, matched: index, status: standing };
     group.forge(wiped, leader, answer);
     group.run(50);
     assert!(!group.judge.is_acknowledged(index));
     let peer = group.replica(leader).peer(wiped).expect("a voter");
-    assert!(!peer.counts && peer.matched < index, "{peer:?}");
+    assert!(!peer.counts_towards_quorum && peer.matched < index, "{peer:?}");
 }
 
 #[test]
@@ -193,12 +195,12 @@
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
     let boot = voter.records().into_iter().find_map(|record| match record {
-        Record::Hard(hard) => Some(hard.boot),
+        Record::Hard(hard) => Some(hard.disk_id),
         _ => None,
     });
     let boot = boot.expect("a hard state");
-    voter.receive(10, node(1), Message::Rejoin { term: 3, boot });
-    let expected = HardState { term: 3, voted_for: Some(node(1)), recovering: false, boot };
+    voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id: boot });
+    let expected = HardState { term: 3, voted_for: Some(node(1)), recovering: false, disk_id: boot };
     assert_eq!(voter.records(), [Record::Hard(expected)]);
 }
 
@@ -249,7 +251,7 @@
     let mut options = Options::new(node(2), 1);
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
-    voter.receive(10, node(1), Message::Rejoin { term: 3, boot: 99 });
+    voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id: 99 });
     assert!(voter.is_recovering());
 }
 
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -309,7 +309,8 @@
         let is_spare = |node: &NodeId| !self.group.machines[node].is_gone && !voters.contains(node);
         let Some(spare) = self.group.machines.keys().copied().find(is_spare) else { return };
         let commit = replica.commit_index();
-        let is_ready = replica.peer(spare).is_some_and(|peer| peer.counts && peer.matched + 10 > commit);
+        let is_ready =
+            replica.peer(spare).is_some_and(|peer| peer.counts_towards_quorum && peer.matched + 10 > commit);
         let next = voters.iter().map(|voter| if voter == leaving { spare } else { *voter }).collect();
         if is_ready {
             self.group.act(leader, |replica, now| replica.change_voters(now, next));
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -96,7 +96,7 @@
             group.add_machine(*voter, false);
         }
         for voter in &voters {
-            group.act(*voter, |replica, now| replica.found(now, &voters));
+            group.act(*voter, |replica, now| replica.bootstrap(now, &voters));
         }
         group
     }
--- a/consensus/tests/leases.rs
+++ b/consensus/tests/leases.rs
@@ -76,10 +76,10 @@
     }
     let until = group.replica(leader).lease_until();
     for (follower, boot) in followers(&group).into_iter().zip([1, 2]) {
-        let standing = VoterStatus { boot, recovering: false };
+        let standing = VoterStatus { disk_id: boot, recovering: false };
         let stamp = RoundStamp { round: u64::MAX, sent_at: u64::MAX };
         let term = group.term(leader);
-        let answer = Message::HeartbeatResponse { term, stamp, received: 99, matched: 99, standing };
+        let answer = Message::HeartbeatResponse { term, stamp, received: 99, matched: 99, status: standing };
         group.forge(follower, leader, answer);
     }
     group.run(20);
@@ -137,11 +137,11 @@
     group.act(leader, |replica, now| replica.tick(now + 200));
     for follower in followers(&group) {
         let term = group.term(leader);
-        let standing = VoterStatus { boot: boot_of(&group, follower), recovering: false };
+        let standing = VoterStatus { disk_id: boot_of(&group, follower), recovering: false };
         stamp.round = group.rounds_sent[&leader];
         stamp.sent_at = group.machines[&leader].clock(group.now);
         group.cuts.insert((follower, leader));
-        let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, standing };
+        let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, status: standing };
         group.forge(follower, leader, answer);
     }
     let token = group.read(leader).expect("a leader takes reads");
@@ -192,16 +192,16 @@
 /// Cuts a follower's way to the leader, and has an answer with a made-up stamp come in its name.
 fn forge_answer(group: &mut Group, follower: NodeId, leader: NodeId, stamp: RoundStamp) {
     group.cuts.insert((follower, leader));
-    let standing = VoterStatus { boot: boot_of(group, follower), recovering: false };
+    let standing = VoterStatus { disk_id: boot_of(group, follower), recovering: false };
     let term = group.term(leader);
-    let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, standing };
+    let answer = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, status: standing };
     group.forge(follower, leader, answer);
 }
 
 fn boot_of(group: &Group, node: NodeId) -> u64 {
     let records = group.machines[&node].disk.records();
     let hard = records.iter().rev().find_map(|record| match record {
-        Record::Hard(hard) => Some(hard.boot),
+        Record::Hard(hard) => Some(hard.disk_id),
         _ => None,
     });
     hard.expect("a hard state")
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -17,7 +17,7 @@
     group.act(leader, |replica, _| replica.add_learner(node(4)));
     let caught_up = group.run_until(LIMIT, |group| {
         let peer = group.leader().and_then(|leader| group.replica(leader).peer(node(4)));
-        peer.is_some_and(|peer| peer.counts && peer.matched > 1)
+        peer.is_some_and(|peer| peer.counts_towards_quorum && peer.matched > 1)
     });
     assert!(caught_up, "{}", group.describe());
     (group, leader)
@@ -207,7 +207,7 @@
             let Some(leader) = group.leader() else { continue };
             group.act(leader, |replica, _| replica.add_learner(node(newcomer)));
             let peer = group.replica(leader).peer(node(newcomer));
-            if peer.is_some_and(|peer| peer.counts) {
+            if peer.is_some_and(|peer| peer.counts_towards_quorum) {
                 let _ = change(&mut group, leader, &next);
             }
             has_changed = has_voters(&group, &next);
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -10,7 +10,7 @@
 
 fn founded(number: u32) -> Replica {
     let mut replica = Replica::new(Options::new(node(number), 1), Vec::new(), 0);
-    replica.found(0, &[node(1), node(2), node(3)]);
+    replica.bootstrap(0, &[node(1), node(2), node(3)]);
     replica
 }
 
@@ -83,7 +83,7 @@
     let effects = candidate.take_effects();
     assert_eq!((candidate.role(), sent(&effects)), (Role::Candidate, vec![]));
     candidate.persisted(5002, last_ticket(&effects));
-    assert_eq!(sent(&candidate.take_effects()), ["Vote", "Vote"]);
+    assert_eq!(sent(&candidate.take_effects()), ["VoteRequest", "VoteRequest"]);
 }
 
 #[test]
@@ -156,7 +156,7 @@
 }
 
 fn hard(term: u64) -> Record {
-    Record::Hard(HardState { term, voted_for: None, recovering: false, boot: 5 })
+    Record::Hard(HardState { term, voted_for: None, recovering: false, disk_id: 5 })
 }
 
 fn snapshot(index: u64, term: u64) -> Record {
@@ -228,7 +228,7 @@
 fn given_a_restarted_replica_when_it_founds_again_then_nothing_changes() {
     let mut replica = restored(vec![hard(3), snapshot(5, 3)]);
     let before = replica.records();
-    replica.found(10, &[node(7)]);
+    replica.bootstrap(10, &[node(7)]);
     assert_eq!(replica.records(), before);
 }
 
--- a/consensus/tests/replacements.rs
+++ b/consensus/tests/replacements.rs
@@ -26,7 +26,9 @@
         let learner = node(4);
         group.add_machine(learner, true);
         group.act(leader, |replica, _| replica.add_learner(learner));
-        let counts = |group: &Group| group.replica(leader).peer(learner).is_some_and(|peer| peer.counts);
+        let counts = |group: &Group| {
+            group.replica(leader).peer(learner).is_some_and(|peer| peer.counts_towards_quorum)
+        };
         assert!(group.run_until(LIMIT, counts), "{}", group.describe());
         group.run(300);
         let mut followers = (1..=3).map(node).filter(|node| *node != leader);
@@ -242,7 +244,7 @@
     let mut scene = Scene::new(1);
     scene.group.act(scene.leader, |replica, _| replica.add_learner(node(9)));
     let peer = scene.group.replica(scene.leader).peer(node(9));
-    assert!(peer.is_some_and(|peer| !peer.counts), "{peer:?}");
+    assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
 /// An answer of another disk than the one that runs, which promises all that the leader has.
@@ -250,7 +252,7 @@
     let replica = scene.group.replica(scene.leader);
     let (term, last) = (replica.term(), replica.last().index);
     let stamp = RoundStamp { round, sent_at: scene.group.machines[&scene.leader].clock(scene.group.now) };
-    let answer = Message::HeartbeatResponse { term, stamp, received: last, matched: last, standing };
+    let answer = Message::HeartbeatResponse { term, stamp, received: last, matched: last, status: standing };
     scene.group.forge(scene.staying, scene.leader, answer);
     scene.group.run(10);
 }
@@ -266,9 +268,9 @@
     scene.group.isolate(scene.staying);
     scene.group.run(200);
     let newest = scene.group.rounds_sent[&scene.leader];
-    forge_answer(&mut scene, VoterStatus { boot: 12345, recovering: false }, newest);
+    forge_answer(&mut scene, VoterStatus { disk_id: 12345, recovering: false }, newest);
     let peer = scene.group.replica(scene.leader).peer(scene.staying);
-    assert!(peer.is_some_and(|peer| !peer.counts), "{peer:?}");
+    assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
 #[test]
@@ -278,8 +280,8 @@
     scene.group.restart(scene.staying);
     scene.await_readmission(scene.staying);
     scene.group.run(500);
-    forge_answer(&mut scene, VoterStatus { boot: 12345, recovering: true }, 1);
+    forge_answer(&mut scene, VoterStatus { disk_id: 12345, recovering: true }, 1);
     scene.group.run(500);
     let peer = scene.group.replica(scene.leader).peer(scene.staying);
-    assert!(peer.is_some_and(|peer| peer.counts), "{peer:?}");
+    assert!(peer.is_some_and(|peer| peer.counts_towards_quorum), "{peer:?}");
 }
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -163,7 +163,7 @@
     group.cuts.clear();
     group.settle();
     assert!(group.all_applied(index));
-    assert!(group.sent["Install"] >= 1);
+    assert!(group.sent["InstallSnapshot"] >= 1);
     assert_eq!(group.machines[&behind].commands, group.machines[&leader].commands);
 }
 
@@ -179,7 +179,7 @@
     group.sent.clear();
     group.cuts.clear();
     group.settle();
-    assert_eq!(group.sent.get("Install"), None);
+    assert_eq!(group.sent.get("InstallSnapshot"), None);
 }
 
 #[test]
@@ -254,7 +254,7 @@
     let voters = VoterSet::new(&[node(1), node(2), node(3)]);
     let position = Position { term: 1, index: 1 };
     let records = vec![
-        Record::Hard(HardState { term: 2, voted_for: Some(node(2)), recovering: false, boot: 5 }),
+        Record::Hard(HardState { term: 2, voted_for: Some(node(2)), recovering: false, disk_id: 5 }),
         Record::Snapshot(Snapshot { position, voters, state: [].into() }),
         Record::Entries(vec![entry(2), entry(3)]),
     ];
@@ -291,7 +291,7 @@
         term: 3,
         stamp: RoundStamp { round: 1, sent_at: 5001 },
         outcome: AppendOutcome::Matched(index),
-        standing: VoterStatus { boot: 8, recovering: false },
+        status: VoterStatus { disk_id: 8, recovering: false },
     };
     replica.receive(5002, node(2), answer(3));
     assert_eq!(applied(&mut replica, 5002), []);
--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -65,6 +65,6 @@
         if edges.is_empty() && reports.is_empty() {
             return;
         }
-        self.send_to_others(&CoordinatorMessage::Demand { span_ms: span as u32, edges, reports }, actions);
+        self.send_to_others(&CoordinatorMessage::Demand { window_ms: span as u32, edges, reports }, actions);
     }
 }
--- a/coordinator/src/core/demand/gathered.rs
+++ b/coordinator/src/core/demand/gathered.rs
@@ -73,7 +73,7 @@
     sum.arrived = sum.arrived.saturating_add(later.arrived);
     sum.tokens = sum.tokens.saturating_add(later.tokens);
     sum.priority = sum.priority.min(later.priority);
-    sum.crowded = sum.crowded.saturating_add(later.crowded);
+    sum.over_capacity = sum.over_capacity.saturating_add(later.over_capacity);
     sum.waiting = later.waiting;
     sum.open = later.open;
 }
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -122,9 +122,9 @@
             Event::PollCancelled(call) => drop(self.polls.remove(call)),
             Event::EdgeReport { edge, demand } => self.gather(edge, demand, Vec::new()),
             Event::EdgeDisconnected(node) => self.edges.left(node),
-            Event::Ordered { order, outcome } => self.holders.ordered(now, order, outcome),
-            Event::Reported { server, report } => self.holders.reported(now, &server, report),
-            Event::Stopping => {
+            Event::OrderCompleted { order, outcome } => self.holders.ordered(now, order, outcome),
+            Event::ReportReceived { server, report } => self.holders.reported(now, &server, report),
+            Event::ShutdownRequested => {
                 self.transfer_leadership(now);
                 self.membership.leave(now);
             }
@@ -180,17 +180,19 @@
             CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
             CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
-            CoordinatorMessage::Forward { call, change } => {
+            CoordinatorMessage::ForwardRequest { call, change } => {
                 self.operate(now, Caller::Node { node: from, call }, change, actions)
             }
-            CoordinatorMessage::Forwarded { call, answer } => {
+            CoordinatorMessage::ForwardResponse { call, response: answer } => {
                 self.forwarded(from, Ticket(call), answer, actions)
             }
             CoordinatorMessage::Demand { edges, reports, .. } => {
                 self.edges.told(edges, now);
                 self.holders.demand(now, &reports);
             }
-            CoordinatorMessage::InForce { version } => self.versions_elsewhere.told(now, from, version),
+            CoordinatorMessage::AppliedConfigVersion { version } => {
+                self.versions_elsewhere.told(now, from, version)
+            }
         }
     }
 
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -20,7 +20,7 @@
         call: OperatorCall,
         actions: &mut Vec<Action>,
     ) {
-        if let OperatorCall::Change { whole, base, body } = &call {
+        if let OperatorCall::Change { replace: whole, base_version: base, body } = &call {
             if let Err(invalid) = Change::parse(*whole, *base, body) {
                 let answer = OperatorResponse::Invalid { reason: invalid.to_string() };
                 return answer_caller(caller, answer, actions);
@@ -46,7 +46,8 @@
                     pending.stage = stage;
                 }
             } else if let (Some(leader), Caller::Here(_)) = (leader, pending.caller) {
-                let forward = CoordinatorMessage::Forward { call: ticket.0, change: pending.call.clone() };
+                let forward =
+                    CoordinatorMessage::ForwardRequest { call: ticket.0, change: pending.call.clone() };
                 actions.push(Action::Send { to: leader, message: forward });
                 pending.stage = Stage::Forwarded(leader);
             }
@@ -105,7 +106,7 @@
 fn begin(replica: &mut Replica, now: Millis, ticket: Ticket, call: &OperatorCall) -> Option<Stage> {
     match call {
         OperatorCall::Read => replica.read(now, ticket.0).ok().map(|()| Stage::Reading),
-        OperatorCall::Change { whole, base, body } => {
+        OperatorCall::Change { replace: whole, base_version: base, body } => {
             let change = Change::parse(*whole, *base, body).ok()?;
             let term = replica.term();
             let index = replica.propose(now, change.encode()).ok()?;
@@ -118,7 +119,8 @@
 /// node: one that builds on an older version can never be taken, but one that builds on a version that is yet to
 /// come can, so it gets no clear answer.
 fn answer_of(judgement: &ChangeOutcome, call: &OperatorCall) -> OperatorResponse {
-    let builds_after = |version: u64| matches!(call, OperatorCall::Change { base, .. } if *base > version);
+    let builds_after =
+        |version: u64| matches!(call, OperatorCall::Change { base_version: base, .. } if *base > version);
     match judgement {
         ChangeOutcome::Accepted | ChangeOutcome::Duplicate => OperatorResponse::Done { body: b"{}".to_vec() },
         ChangeOutcome::Expired => OperatorResponse::Unavailable,
@@ -130,9 +132,10 @@
 
 fn answer_caller(caller: Caller, answer: OperatorResponse, actions: &mut Vec<Action>) {
     match caller {
-        Caller::Here(call) => actions.push(Action::RespondToOperator { call, answer }),
-        Caller::Node { node, call } => {
-            actions.push(Action::Send { to: node, message: CoordinatorMessage::Forwarded { call, answer } })
-        }
+        Caller::Here(call) => actions.push(Action::RespondToOperator { call, response: answer }),
+        Caller::Node { node, call } => actions.push(Action::Send {
+            to: node,
+            message: CoordinatorMessage::ForwardResponse { call, response: answer },
+        }),
     }
 }
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -136,7 +136,7 @@
         leadership.wait_committed = !turn.must_wait;
         leadership.turn = Some(OwnTurn { allowed_from, former_until });
         for (_, planner) in self.planners.iter_mut().filter(|(service, _)| shard_of(service) == shard) {
-            planner.take_over(now, former_until);
+            planner.start_ordering(now, former_until);
         }
         true
     }
@@ -175,7 +175,7 @@
         }
         for report in reports {
             for planner in self.planners.values_mut() {
-                planner.demand(now, report.edge, &report.demand);
+                planner.record_demand(now, report.edge, &report.demand);
             }
         }
     }
@@ -189,7 +189,7 @@
             return;
         }
         if let Some(planner) = self.planners.get_mut(&service) {
-            planner.outcome(now, &server, number, outcome);
+            planner.complete_order(now, &server, number, outcome);
         }
     }
 
@@ -210,8 +210,8 @@
         self.next_plan = now;
         for planner in self.planners.values_mut() {
             match &report {
-                Some(report) => planner.report(now, server, report),
-                None => planner.unreported(now, server),
+                Some(report) => planner.record_report(now, server, report),
+                None => planner.report_failed(now, server),
             }
         }
     }
@@ -295,18 +295,18 @@
             if let Some(turn) =
                 self.leaderships.get(&shard_of(service)).and_then(|leadership| leadership.turn)
             {
-                planner.take_over(now, turn.former_until);
+                planner.start_ordering(now, turn.former_until);
             }
             self.planners.insert(service.to_owned(), planner);
         }
         let Some(planner) = self.planners.get_mut(service).filter(|_| feed || is_new) else { return };
         let mut known = BTreeSet::new();
         for record in directory.records().filter(|record| record.heartbeat.service == service) {
-            planner.server(now, record);
+            planner.update_server(now, record);
             known.insert(record.id.clone());
         }
         let before = self.servers.insert(service.to_owned(), known.clone()).unwrap_or_default();
-        before.difference(&known).for_each(|id| planner.forget(id));
+        before.difference(&known).for_each(|id| planner.remove_server(id));
     }
 
     /// Tells everybody what orders have changed about the servers' contents, ahead of their heartbeats.
@@ -390,12 +390,12 @@
             model.adapters.clear();
         }
     }
-    let known = &record.note;
-    if known.adding == adding && known.dropping == dropping {
+    let known = &record.overlay;
+    if known.added == adding && known.evicting == dropping {
         return None;
     }
-    let number = if known.fence == fence { known.number + 1 } else { 1 };
-    Some(PlacementOverlay { fence, number, adding, dropping })
+    let number = if known.fencing_token == fence { known.revision + 1 } else { 1 };
+    Some(PlacementOverlay { fencing_token: fence, revision: number, added: adding, evicting: dropping })
 }
 
 /// Models and adapters of one list that another lacks. A model that the other has stands there for its adapters only.
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -20,7 +20,7 @@
             edge: edge.node,
             config_version: request.config_version,
             cursor: request.cursor,
-            edge_list: request.edge_list,
+            edge_list: request.edge_list_hash,
             due,
         };
         self.polls.add(now, call, poll);
@@ -38,7 +38,7 @@
         for call in self.polls.find(due) {
             let Some(poll) = self.polls.remove(call) else { continue };
             let reply = Box::new(self.reply_to(now, &poll));
-            actions.push(Action::RespondToPoll { call, reply });
+            actions.push(Action::RespondToPoll { call, response: reply });
         }
     }
 
@@ -46,19 +46,19 @@
         if !self.may_inform(now, poll.config_version) {
             return self.turn_away(poll);
         }
-        let news = self.directory.since(poll.cursor);
+        let news = self.directory.updates_since(poll.cursor);
         let edges = self.edges.list();
         let edge_list = demand::list_name(&edges);
         PollResponse {
             config: self.shards.configuration().updates_since(poll.config_version),
             servers: news.records,
             // A young node has not heard of all servers: what it doesn't know may be there all the same.
-            whole: news.whole && !self.directory.is_young(now),
+            complete: news.complete && !self.directory.is_recently_started(now),
             cursor: news.cursor,
             coordinators: self.coordinators(),
             edges: self.edges.sharing(now),
             edge_nodes: (edge_list != poll.edge_list).then_some(edges),
-            edge_list,
+            edge_list_hash: edge_list,
             isolated: false,
         }
     }
--- a/coordinator/src/core/progress.rs
+++ b/coordinator/src/core/progress.rs
@@ -5,7 +5,7 @@
 use super::operator::Stage;
 use super::shards::{Done, CONFIGURATION};
 use super::Coordinator;
-use crate::interface::{Action, Note};
+use crate::interface::{Action, StateChange};
 
 impl Coordinator {
     pub(super) fn run_shards(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -18,20 +18,23 @@
                     let leads = leads
                         .is_some_and(|replica| replica.is_leader() && replica.term() == turn.holder.fence);
                     if self.holders.turn(now, shard, turn, leads) {
-                        actions.push(Action::Note(Note::Holding { shard, fence: turn.holder.fence }));
+                        actions.push(Action::LogStateChange(StateChange::OrderLeaseAcquired {
+                            shard,
+                            fencing_token: turn.holder.fence,
+                        }));
                     }
                 }
                 Done::ReadReady { token } => self.read_done(token, true, actions),
                 Done::ReadFailed { token } => self.read_done(token, false, actions),
                 Done::Elected { shard, term } => {
-                    actions.push(Action::Note(Note::Leading { shard, term }));
+                    actions.push(Action::LogStateChange(StateChange::BecameLeader { shard, term }));
                     if shard == CONFIGURATION {
                         self.hand_over_if_disk_sick(now);
                     }
                     self.holders.elected(now, shard, term);
                 }
                 Done::Deposed { shard, term } => {
-                    actions.push(Action::Note(Note::Deposed { shard, term }));
+                    actions.push(Action::LogStateChange(StateChange::LostLeadership { shard, term }));
                     self.holders.deposed(shard);
                     if shard == CONFIGURATION {
                         self.operator_calls.start_over(rests_on_leadership);
@@ -43,7 +46,7 @@
         if version != self.announced_version {
             self.announced_version = version;
             self.holders.configured(self.shards.configuration().view());
-            actions.push(Action::Note(Note::Configuration { version }));
+            actions.push(Action::LogStateChange(StateChange::ConfigurationApplied { version }));
         }
     }
 }
--- a/coordinator/src/core/servers.rs
+++ b/coordinator/src/core/servers.rs
@@ -21,7 +21,7 @@
             Some(token) => self.wait_for_majority(call, token),
             None => {
                 let taken = !self.has_lost_touch(now);
-                actions.push(Action::RespondToServer { call, taken });
+                actions.push(Action::RespondToServer { call, accepted: taken });
             }
         }
     }
@@ -51,7 +51,7 @@
                 CallOutcome::Failed(token) => (token, false),
             };
             if let Some(call) = self.server_calls.remove(&token) {
-                actions.push(Action::RespondToServer { call, taken });
+                actions.push(Action::RespondToServer { call, accepted: taken });
             }
         }
     }
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -9,7 +9,7 @@
 use shaletrail_storage::StoredRecord;
 
 use super::service_state::{ServiceState, Turn};
-use crate::interface::{Action, CoordinatorOptions, Note};
+use crate::interface::{Action, CoordinatorOptions, StateChange};
 
 /// The shard of the configuration.
 pub const CONFIGURATION: u32 = 0;
@@ -166,14 +166,14 @@
             let is_unreadable = unreadable[shard] || !is_state_readable(shard as u32, &of_shard);
             if is_unreadable {
                 of_shard.clear();
-                actions.push(Action::Note(Note::Unreadable { shard: shard as u32 }));
+                actions.push(Action::LogStateChange(StateChange::UnreadableRecords { shard: shard as u32 }));
             }
             let recovering = !options.bootstrap || is_unreadable;
             let seed = options.seed.wrapping_add(shard as u64);
             let replica_options = Options { recovering, ..Options::new(options.node, seed) };
             let mut replica = Replica::new(replica_options, of_shard, now);
             if options.bootstrap && options.seeds.contains(&options.node) {
-                replica.found(now, &options.seeds);
+                replica.bootstrap(now, &options.seeds);
             }
             let machine = Machine::new(shard as u32);
             shards.push(Shard {
@@ -297,7 +297,7 @@
         let Some(shard) = self.shards.get_mut(number) else { return };
         let Machine::Service(state) = &shard.machine else { return };
         if state.holder().is_some_and(|holder| holder.node == node) {
-            shard.replica.hasten(shard.started);
+            shard.replica.campaign_soon(shard.started);
         }
     }
 
@@ -325,7 +325,7 @@
                     self.hasten_if_holder(number);
                     done.push(Done::Installed);
                 } else {
-                    actions.push(Action::Note(Note::Unreadable { shard }));
+                    actions.push(Action::LogStateChange(StateChange::UnreadableRecords { shard }));
                 }
             }
             Effect::ReadReady { token, .. } => done.push(Done::ReadReady { token }),
--- a/coordinator/src/core/touch.rs
+++ b/coordinator/src/core/touch.rs
@@ -12,7 +12,7 @@
 
 use super::shards::CONFIGURATION;
 use super::Coordinator;
-use crate::interface::{Action, Note};
+use crate::interface::{Action, StateChange};
 
 /// A node whose newest ping that a majority of the voters has answered is older than this is out of touch.
 const OUT_OF_TOUCH: Millis = 600;
@@ -107,7 +107,7 @@
             self.in_touch = in_touch;
             self.was_in_touch |= in_touch;
             self.edges.touch_changed(now);
-            actions.push(Action::Note(Note::InTouch(in_touch)));
+            actions.push(Action::LogStateChange(StateChange::QuorumContactChanged(in_touch)));
         }
         self.directory.set_quorum_contact(now, in_touch);
         self.membership.watch(&self.shards.voters());
@@ -124,12 +124,14 @@
         self.directory.set_peers(now, &peers);
         let version = self.configuration_version();
         for member in members.iter().filter(|member| changed.contains(&member.node)) {
-            self.directory.peer_started(now, member.node, member.incarnation);
+            self.directory.on_peer_started(now, member.node, member.incarnation);
             // It may have started with old state. It is told before its ping is answered, so that it knows of the
             // versions of all those whose answers put it in touch.
             if member.node != self.options.node {
-                actions
-                    .push(Action::Send { to: member.node, message: CoordinatorMessage::InForce { version } });
+                actions.push(Action::Send {
+                    to: member.node,
+                    message: CoordinatorMessage::AppliedConfigVersion { version },
+                });
             }
         }
     }
@@ -139,7 +141,7 @@
         let version = self.configuration_version();
         self.versions_elsewhere.compare(now, version);
         if self.versions_elsewhere.take_telling(now, version) {
-            self.send_to_others(&CoordinatorMessage::InForce { version }, actions);
+            self.send_to_others(&CoordinatorMessage::AppliedConfigVersion { version }, actions);
         }
     }
 }
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::Coordinator;
-use crate::interface::{Action, Note};
+use crate::interface::{Action, StateChange};
 
 /// Between two looks at who should vote.
 const VOTERS_EVERY: Millis = 50;
@@ -79,7 +79,9 @@
 }
 
 fn is_caught_up(replica: &Replica, node: NodeId) -> bool {
-    replica.peer(node).is_some_and(|peer| peer.counts && peer.matched + NEARLY >= replica.commit_index())
+    replica
+        .peer(node)
+        .is_some_and(|peer| peer.counts_towards_quorum && peer.matched + NEARLY >= replica.commit_index())
 }
 
 /// The number of voters that a shard needs so that `hosts_lost` of them may be lost.
@@ -100,7 +102,7 @@
                 continue;
             };
             if let Some(wanted) = review(replica, &self.membership, size, now) {
-                actions.push(Action::Note(Note::Voters { shard, wanted }));
+                actions.push(Action::LogStateChange(StateChange::VotersChanging { shard, wanted }));
             }
         }
     }
--- a/coordinator/src/driver/control.rs
+++ b/coordinator/src/driver/control.rs
@@ -112,7 +112,9 @@
         }
         Err(_) => return plain(StatusCode::BAD_REQUEST, "the body did not come whole"),
     };
-    told(host.operator(OperatorCall::Change { whole, base, body: body.to_vec() }).await)
+    told(
+        host.operator(OperatorCall::Change { replace: whole, base_version: base, body: body.to_vec() }).await,
+    )
 }
 
 fn told(answer: OperatorResponse) -> Answer {
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -20,7 +20,7 @@
 use super::links::Links;
 use super::orders::{deliver, fetch_report, Outgoing};
 use crate::core::Coordinator;
-use crate::interface::{Action, CallId, CoordinatorOptions, Event, Note, OrderId, OrderOutcome};
+use crate::interface::{Action, CallId, CoordinatorOptions, Event, OrderId, OrderOutcome, StateChange};
 
 /// Where the clock that events carry begins, in milliseconds: nothing of it is ever below.
 const CLOCK_START: Millis = 1_000_000;
@@ -94,17 +94,17 @@
             Action::Send { to, message } => state.links.send(to, &message),
             Action::Store { ticket, records } => state.disk.append(ticket, records),
             Action::Checkpoint { live } => state.disk.checkpoint(live),
-            Action::RespondToServer { call, taken } => {
+            Action::RespondToServer { call, accepted: taken } => {
                 if let Some(Reply::Server(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(taken);
                 }
             }
-            Action::RespondToOperator { call, answer } => {
+            Action::RespondToOperator { call, response: answer } => {
                 if let Some(Reply::Operator(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(answer);
                 }
             }
-            Action::RespondToPoll { call, reply: news } => {
+            Action::RespondToPoll { call, response: news } => {
                 if let Some(Reply::Poll(reply)) = state.replies.remove(&call) {
                     let _ = reply.send(news);
                 }
@@ -113,7 +113,7 @@
                 self.send_order(order, Outgoing { server, address, body });
             }
             Action::FetchReport { server, address } => self.ask_report(server, address),
-            Action::Note(note) => self.note(note),
+            Action::LogStateChange(note) => self.note(note),
         }
     }
 
@@ -124,7 +124,7 @@
             let outcome = deliver(&outgoing, move || asked.may_write(order)).await;
             let Outgoing { server, body, .. } = outgoing;
             host.log_order(&server, &body, outcome);
-            host.handle(Event::Ordered { order, outcome });
+            host.handle(Event::OrderCompleted { order, outcome });
         });
     }
 
@@ -152,7 +152,7 @@
                 debug!(host.log, "report"; "server" => &server, "count" => report.sequence,
                     "busy" => report.utilization, "models" => report.models.len());
             }
-            host.handle(Event::Reported { server, report });
+            host.handle(Event::ReportReceived { server, report });
         });
     }
 
@@ -175,20 +175,26 @@
         }
     }
 
-    fn note(&self, note: Note) {
+    fn note(&self, note: StateChange) {
         let name = note.to_string();
         match note {
-            Note::Leading { shard, term } | Note::Deposed { shard, term } => {
+            StateChange::BecameLeader { shard, term } | StateChange::LostLeadership { shard, term } => {
                 info!(self.log, "{}", name; "shard" => shard, "term" => term)
             }
-            Note::Configuration { version } => info!(self.log, "{}", name; "version" => version),
-            Note::Voters { shard, wanted } => {
+            StateChange::ConfigurationApplied { version } => {
+                info!(self.log, "{}", name; "version" => version)
+            }
+            StateChange::VotersChanging { shard, wanted } => {
                 let wanted: Vec<String> = wanted.iter().map(|node| node.to_string()).collect();
                 info!(self.log, "{}", name; "shard" => shard, "wanted" => wanted.join(","))
             }
-            Note::Holding { shard, fence } => info!(self.log, "{}", name; "shard" => shard, "fence" => fence),
-            Note::InTouch(in_touch) => warn!(self.log, "{}", name; "in_touch" => in_touch),
-            Note::Unreadable { shard } => warn!(self.log, "{}", name; "shard" => shard),
+            StateChange::OrderLeaseAcquired { shard, fencing_token: fence } => {
+                info!(self.log, "{}", name; "shard" => shard, "fence" => fence)
+            }
+            StateChange::QuorumContactChanged(in_touch) => {
+                warn!(self.log, "{}", name; "in_touch" => in_touch)
+            }
+            StateChange::UnreadableRecords { shard } => warn!(self.log, "{}", name; "shard" => shard),
         }
     }
 
@@ -244,7 +250,7 @@
 
     /// The process is about to end: everybody who waits is told to ask elsewhere.
     pub fn leave(&self) {
-        self.handle(Event::Stopping);
+        self.handle(Event::ShutdownRequested);
         self.state.borrow_mut().replies.clear();
     }
 }
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -133,21 +133,21 @@
     /// A data-plane node's process is ending.
     EdgeDisconnected(NodeId),
     /// How an order ended.
-    Ordered {
+    OrderCompleted {
         /// The order.
         order: OrderId,
         /// How.
         outcome: OrderOutcome,
     },
     /// A server's answer to `GET /report`, if one came.
-    Reported {
+    ReportReceived {
         /// The server.
         server: ServerId,
         /// Its answer.
         report: Option<Report>,
     },
     /// The process is about to end.
-    Stopping,
+    ShutdownRequested,
     /// The settings file names other seeds.
     Seeds(Vec<NodeId>),
 }
@@ -179,21 +179,21 @@
         /// The call.
         call: CallId,
         /// Whether it is acknowledged.
-        taken: bool,
+        accepted: bool,
     },
     /// Answer the operator.
     RespondToOperator {
         /// The call.
         call: CallId,
         /// The answer.
-        answer: OperatorResponse,
+        response: OperatorResponse,
     },
     /// Answer a poll.
     RespondToPoll {
         /// The call.
         call: CallId,
         /// The news.
-        reply: Box<PollResponse>,
+        response: Box<PollResponse>,
     },
     /// Send an order to a server if [`Coordinator::may_write`](crate::core::Coordinator::may_write) allows it once the connection is
     /// up; an [`Event::Ordered`] follows.
@@ -215,49 +215,49 @@
         address: String,
     },
     /// Something that an operator of the system should see in the log.
-    Note(Note),
+    LogStateChange(StateChange),
 }
 
 /// What is worth a line in the log.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
-pub enum Note {
+pub enum StateChange {
     /// This node leads a shard.
-    Leading {
+    BecameLeader {
         /// The shard.
         shard: u32,
         /// Its term.
         term: u64,
     },
     /// This node no longer leads a shard.
-    Deposed {
+    LostLeadership {
         /// The shard.
         shard: u32,
         /// Its term.
         term: u64,
     },
     /// A version is in force here.
-    Configuration {
+    ConfigurationApplied {
         /// The version.
         version: u64,
     },
     /// The voters of a shard are being changed.
-    Voters {
+    VotersChanging {
         /// The shard.
         shard: u32,
         /// The wanted voters.
         wanted: Vec<NodeId>,
     },
     /// This node holds the orders of a service's shard.
-    Holding {
+    OrderLeaseAcquired {
         /// The shard.
         shard: u32,
         /// The fence.
-        fence: u64,
+        fencing_token: u64,
     },
     /// The node has lost or regained touch with the majority.
-    InTouch(bool),
+    QuorumContactChanged(bool),
     /// Records on disk that cannot be read: taken as forgotten.
-    Unreadable {
+    UnreadableRecords {
         /// The shard.
         shard: u32,
     },
--- a/coordinator/tests/alone.rs
+++ b/coordinator/tests/alone.rs
@@ -4,7 +4,7 @@
 
 use common::{configuration, Alone};
 use shaletrail_consensus::{Record, Snapshot};
-use shaletrail_coordinator::interface::{Action, Event, Note};
+use shaletrail_coordinator::interface::{Action, Event, StateChange};
 use shaletrail_protocol::external::ServerState;
 use shaletrail_protocol::internal::{DirectoryCursor, OperatorCall, OperatorResponse, PollRequest, Presence};
 use shaletrail_storage::StoredRecord;
@@ -65,7 +65,7 @@
     for version in 2..=5000 {
         alone.actions.clear();
         let body = format!(r#"{{"version":{version}}}"#).into_bytes();
-        let call = alone.operate(OperatorCall::Change { whole: false, base: version - 1, body });
+        let call = alone.operate(OperatorCall::Change { replace: false, base_version: version - 1, body });
         assert!(is_done(alone.answer(call)), "version {version}");
     }
 
@@ -174,7 +174,7 @@
         alone.poll(PollRequest { config_version: 4, cursor, max_wait_ms: 5_000, ..PollRequest::default() });
     let reply = alone.reply(call).expect("it is answered at once");
     assert!(reply.isolated);
-    assert_eq!((reply.config.clone(), reply.servers.len(), reply.whole), (None, 0, false));
+    assert_eq!((reply.config.clone(), reply.servers.len(), reply.complete), (None, 0, false));
     assert_eq!(reply.cursor, cursor);
 }
 
@@ -245,11 +245,15 @@
     alone.run(ELECTION);
 
     // then: it leads no shard 0 by itself, though it is its only voter
-    let unreadable =
-        alone.actions.iter().any(|action| matches!(action, Action::Note(Note::Unreadable { shard: 0 })));
+    let unreadable = alone
+        .actions
+        .iter()
+        .any(|action| matches!(action, Action::LogStateChange(StateChange::UnreadableRecords { shard: 0 })));
     assert!(unreadable, "{:?}", alone.actions);
-    let leads =
-        alone.actions.iter().any(|action| matches!(action, Action::Note(Note::Leading { shard: 0, .. })));
+    let leads = alone
+        .actions
+        .iter()
+        .any(|action| matches!(action, Action::LogStateChange(StateChange::BecameLeader { shard: 0, .. })));
     assert!(!leads, "{:?}", alone.actions);
 }
 
@@ -278,10 +282,10 @@
     again.run(ELECTION);
 
     // then
-    let notes = |wanted: fn(&Note) -> bool| {
-        again.actions.iter().any(|action| matches!(action, Action::Note(note) if wanted(note)))
+    let notes = |wanted: fn(&StateChange) -> bool| {
+        again.actions.iter().any(|action| matches!(action, Action::LogStateChange(note) if wanted(note)))
     };
-    assert!(notes(|note| matches!(note, Note::Unreadable { shard: 0 })));
-    assert!(!notes(|note| matches!(note, Note::Leading { shard: 0, .. })));
-    assert!(notes(|note| matches!(note, Note::Leading { shard: 1, .. })));
+    assert!(notes(|note| matches!(note, StateChange::UnreadableRecords { shard: 0 })));
+    assert!(!notes(|note| matches!(note, StateChange::BecameLeader { shard: 0, .. })));
+    assert!(notes(|note| matches!(note, StateChange::BecameLeader { shard: 1, .. })));
 }
--- a/coordinator/tests/calls.rs
+++ b/coordinator/tests/calls.rs
@@ -33,7 +33,9 @@
     group.kill(sender);
     group.start(sender);
     group.run(1_000);
-    group.hold(move |_, to, message| to == sender && matches!(message, CoordinatorMessage::Forwarded { .. }));
+    group.hold(move |_, to, message| {
+        to == sender && matches!(message, CoordinatorMessage::ForwardResponse { .. })
+    });
     group.replace(sender, 1, &configuration(2, "b.example"));
     group.run(200);
     assert_eq!(group.held().count(), 1);
@@ -43,11 +45,11 @@
 
     // when: the new start hands on a call of its own, the first as well, which goes astray
     group.hold(move |from, _, message| {
-        from == sender && matches!(message, CoordinatorMessage::Forward { .. })
+        from == sender && matches!(message, CoordinatorMessage::ForwardRequest { .. })
     });
     let call = group.replace(sender, 1, &configuration(2, "c.example"));
     group.hold_nothing();
-    let late = |message: &CoordinatorMessage| matches!(message, CoordinatorMessage::Forwarded { .. });
+    let late = |message: &CoordinatorMessage| matches!(message, CoordinatorMessage::ForwardResponse { .. });
     group.release_if(late);
 
     // then
@@ -64,19 +66,19 @@
     let third = group.numbers().into_iter().find(|number| ![leader, sender].contains(number));
     let third = third.expect("a third");
     group.hold(move |from, _, message| {
-        from == sender && matches!(message, CoordinatorMessage::Forward { .. })
+        from == sender && matches!(message, CoordinatorMessage::ForwardRequest { .. })
     });
     let call = group.replace(sender, 1, &configuration(2, "b.example"));
     let name = group.held().find_map(|message| match message {
-        CoordinatorMessage::Forward { call, .. } => Some(*call),
+        CoordinatorMessage::ForwardRequest { call, .. } => Some(*call),
         _ => None,
     });
     let name = name.expect("it is handed on");
 
     // when: the answer of another node, and one to another call
     let answer = OperatorResponse::Done { body: Vec::new() };
-    group.send(third, sender, CoordinatorMessage::Forwarded { call: name, answer: answer.clone() });
-    group.send(leader, sender, CoordinatorMessage::Forwarded { call: name + 1, answer });
+    group.send(third, sender, CoordinatorMessage::ForwardResponse { call: name, response: answer.clone() });
+    group.send(leader, sender, CoordinatorMessage::ForwardResponse { call: name + 1, response: answer });
 
     // then
     assert_eq!(group.answer(sender, call), None);
@@ -118,7 +120,7 @@
 {
     // given: it was taken, and the answer to the node that handed it on was lost
     let (mut group, leader, sender) = configured();
-    group.hold(|_, _, message| matches!(message, CoordinatorMessage::Forwarded { .. }));
+    group.hold(|_, _, message| matches!(message, CoordinatorMessage::ForwardResponse { .. }));
     let lost = group.replace(sender, 1, &configuration(2, "b.example"));
     group.run(300);
     assert_eq!((group.answer(sender, lost), group.core(leader).configuration_version()), (None, 2));
--- a/coordinator/tests/common/group.rs
+++ b/coordinator/tests/common/group.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use shaletrail_coordinator::core::Coordinator;
-use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event, Note};
+use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event, StateChange};
 use shaletrail_protocol::external::{Heartbeat, ServerState};
 use shaletrail_protocol::internal::{
     CoordinatorMessage, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
@@ -305,13 +305,15 @@
     /// The operator brings a whole configuration.
     pub fn replace(&mut self, number: u8, base: u64, body: &str) -> CallId {
         let body = body.as_bytes().to_vec();
-        self.operate(number, OperatorCall::Change { whole: true, base, body })
+        self.operate(number, OperatorCall::Change { replace: true, base_version: base, body })
     }
 
     /// A machine's answer to the operator, if there is one.
     pub fn answer(&self, number: u8, call: CallId) -> Option<&OperatorResponse> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::RespondToOperator { call: answered, answer } if *answered == call => Some(answer),
+            Action::RespondToOperator { call: answered, response: answer } if *answered == call => {
+                Some(answer)
+            }
             _ => None,
         })
     }
@@ -328,7 +330,7 @@
     /// A machine's answer to a poll, if there is one.
     pub fn reply(&self, number: u8, call: CallId) -> Option<&PollResponse> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::RespondToPoll { call: answered, reply } if *answered == call => Some(&**reply),
+            Action::RespondToPoll { call: answered, response: reply } if *answered == call => Some(&**reply),
             _ => None,
         })
     }
@@ -355,14 +357,14 @@
     /// Whether a server's call was acknowledged, if it is answered.
     pub fn taken(&self, number: u8, call: CallId) -> Option<bool> {
         self.machines[&number].actions.iter().find_map(|action| match action {
-            Action::RespondToServer { call: answered, taken } if *answered == call => Some(*taken),
+            Action::RespondToServer { call: answered, accepted: taken } if *answered == call => Some(*taken),
             _ => None,
         })
     }
 
     /// How often a machine has noted something.
-    pub fn notes(&self, number: u8, wanted: impl Fn(&Note) -> bool) -> usize {
-        let noted = |action: &&Action| matches!(action, Action::Note(note) if wanted(note));
+    pub fn notes(&self, number: u8, wanted: impl Fn(&StateChange) -> bool) -> usize {
+        let noted = |action: &&Action| matches!(action, Action::LogStateChange(note) if wanted(note));
         self.machines[&number].actions.iter().filter(noted).count()
     }
 }
--- a/coordinator/tests/common/mod.rs
+++ b/coordinator/tests/common/mod.rs
@@ -116,13 +116,19 @@
 
     /// The operator brings a whole configuration.
     pub fn replace(&mut self, base: u64, body: &str) -> CallId {
-        self.operate(OperatorCall::Change { whole: true, base, body: body.as_bytes().to_vec() })
+        self.operate(OperatorCall::Change {
+            replace: true,
+            base_version: base,
+            body: body.as_bytes().to_vec(),
+        })
     }
 
     /// The answer to the operator, if there is one.
     pub fn answer(&self, call: CallId) -> Option<&OperatorResponse> {
         self.actions.iter().find_map(|action| match action {
-            Action::RespondToOperator { call: answered, answer } if *answered == call => Some(answer),
+            Action::RespondToOperator { call: answered, response: answer } if *answered == call => {
+                Some(answer)
+            }
             _ => None,
         })
     }
@@ -140,7 +146,7 @@
     /// Whether a server's call was acknowledged, if it is answered.
     pub fn taken(&self, call: CallId) -> Option<bool> {
         self.actions.iter().find_map(|action| match action {
-            Action::RespondToServer { call: answered, taken } if *answered == call => Some(*taken),
+            Action::RespondToServer { call: answered, accepted: taken } if *answered == call => Some(*taken),
             _ => None,
         })
     }
@@ -156,7 +162,7 @@
     /// The answer to a poll, if there is one.
     pub fn reply(&self, call: CallId) -> Option<&PollResponse> {
         self.actions.iter().find_map(|action| match action {
-            Action::RespondToPoll { call: answered, reply } if *answered == call => Some(&**reply),
+            Action::RespondToPoll { call: answered, response: reply } if *answered == call => Some(&**reply),
             _ => None,
         })
     }
--- a/coordinator/tests/contact.rs
+++ b/coordinator/tests/contact.rs
@@ -50,7 +50,7 @@
     reply.isolated
         && reply.config.is_none()
         && reply.servers.is_empty()
-        && !reply.whole
+        && !reply.complete
         && reply.edges == 0
         && reply.edge_nodes.is_none()
 }
@@ -419,7 +419,7 @@
         group.run(HOLD.into());
         let reply = reply(group, 1, call);
         assert!(!reply.isolated);
-        reply.whole
+        reply.complete
     };
     assert!(whole(&mut group));
 
--- a/coordinator/tests/fleet/mod.rs
+++ b/coordinator/tests/fleet/mod.rs
@@ -218,7 +218,7 @@
 
     /// The process is told to end. It answers until [`FAREWELL`] is over, and its time does not go on.
     pub fn tell_to_end(&mut self, node: NodeId) {
-        self.tell(node, Event::Stopping);
+        self.tell(node, Event::ShutdownRequested);
         self.machine(node).next_tick = Millis::MAX;
     }
 
@@ -252,7 +252,7 @@
                 self.machine(node).pending.push_back(Pending { ticket, records, due });
             }
             Action::Checkpoint { live } => self.machine(node).synced = stored(live),
-            Action::RespondToOperator { call, answer } => _ = self.answers.insert(call, answer),
+            Action::RespondToOperator { call, response: answer } => _ = self.answers.insert(call, answer),
             _ => {}
         }
     }
@@ -381,7 +381,7 @@
     /// The operator brings the next configuration; it is acknowledged within some seconds.
     pub fn change(&mut self) {
         let body = configuration(self.acknowledged + 1, "example").into_bytes();
-        let change = OperatorCall::Change { whole: true, base: self.acknowledged, body };
+        let change = OperatorCall::Change { replace: true, base_version: self.acknowledged, body };
         assert!(self.operate_anywhere(8_000, &change).is_some(), "no change is taken: {}", self.describe());
         self.acknowledged += 1;
     }
@@ -389,7 +389,7 @@
     /// Whether anybody acknowledges a change within `limit`.
     pub fn takes_a_change(&mut self, limit: Millis) -> bool {
         let body = configuration(self.acknowledged + 1, "example").into_bytes();
-        let change = OperatorCall::Change { whole: true, base: self.acknowledged, body };
+        let change = OperatorCall::Change { replace: true, base_version: self.acknowledged, body };
         let is_taken = self.operate_anywhere(limit, &change).is_some();
         self.acknowledged += u64::from(is_taken);
         is_taken
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -40,7 +40,7 @@
     };
     alone.tell(Event::Heartbeat { call: CallId(alone.now), id: "i-1".to_owned(), heartbeat });
     let report = Report { models: held, sequence: 1, ..Report::default() };
-    alone.tell(Event::Reported { server: "i-1".to_owned(), report: Some(report) });
+    alone.tell(Event::ReportReceived { server: "i-1".to_owned(), report: Some(report) });
 }
 
 /// A coordinator alone in its system, which has a server of models.
@@ -66,7 +66,7 @@
             tokens: 1_000,
             priority: 1,
             waiting: 1,
-            crowded: 0,
+            over_capacity: 0,
             open: 0,
         };
         alone.tell(Event::EdgeReport { edge: node(100), demand: vec![demand] });
@@ -128,7 +128,7 @@
 /// By which number the last change was handed to the leader.
 fn forwarded(alone: &Alone, leader: NodeId) -> u64 {
     let number = alone.actions.iter().rev().find_map(|action| match action {
-        Action::Send { to, message: CoordinatorMessage::Forward { call, .. } } if *to == leader => {
+        Action::Send { to, message: CoordinatorMessage::ForwardRequest { call, .. } } if *to == leader => {
             Some(*call)
         }
         _ => None,
@@ -138,7 +138,7 @@
 
 fn answer_from(leader: NodeId, call: u64) -> Event {
     let answer = OperatorResponse::Done { body: b"{}".to_vec() };
-    Event::Message { from: leader, message: CoordinatorMessage::Forwarded { call, answer } }
+    Event::Message { from: leader, message: CoordinatorMessage::ForwardResponse { call, response: answer } }
 }
 
 #[test]
--- a/coordinator/tests/parts.rs
+++ b/coordinator/tests/parts.rs
@@ -80,7 +80,8 @@
 fn given_a_call_with_a_large_body_when_it_waits_then_it_has_more_time() {
     // given
     let mut calls = OperatorCalls::of_start(Incarnation(1));
-    let change = |bytes: usize| OperatorCall::Change { whole: true, base: 0, body: vec![b' '; bytes] };
+    let change =
+        |bytes: usize| OperatorCall::Change { replace: true, base_version: 0, body: vec![b' '; bytes] };
 
     // when
     let small = calls.add(1_000, Caller::Here(CallId(1)), change(10)).expect("there is room");
--- a/daemon/tests/roles.rs
+++ b/daemon/tests/roles.rs
@@ -137,7 +137,7 @@
     let (process, lines) = start("coordinator", &file);
 
     wait_for_line(&lines, &["coordinator started", &format!("{ip}:{CONTROL_PORT}")]);
-    wait_for_line(&lines, &["Leading", "shard: 0"]);
+    wait_for_line(&lines, &["BecameLeader", "shard: 0"]);
     process.signal("TERM");
     wait_for_line(&lines, &["told to end"]);
     let status = process.wait();
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -150,9 +150,9 @@
 fn no_answer(error: &ExchangeError) -> AttemptEnd {
     let ending = match error {
         ExchangeError { is_parse: true, .. } => Ending::MalformedResponse,
-        ExchangeError { was_reused: true, .. } => Ending::Stale,
+        ExchangeError { was_reused: true, .. } => Ending::StaleConnection,
         ExchangeError { was_written: false, .. } => Ending::Unreachable,
-        _ => Ending::Lost,
+        _ => Ending::ConnectionLost,
     };
     let verdict = if error.was_written { Verdict::MayHaveRun } else { Verdict::NeverSent };
     AttemptEnd::without_answer(verdict, ending)
--- a/dataplane/src/client_answer.rs
+++ b/dataplane/src/client_answer.rs
@@ -31,7 +31,7 @@
 
     /// How an attempt ends that breaks off after the head has been passed on.
     pub fn broken(&self) -> Ending {
-        Ending::Broken { last_event: self.last_event, at_fault: self.in_event }
+        Ending::Truncated { last_event: self.last_event, at_fault: self.in_event }
     }
 
     /// Whether the client has the head of an answer.
--- a/dataplane/src/load_datagrams.rs
+++ b/dataplane/src/load_datagrams.rs
@@ -23,7 +23,7 @@
 
     /// The datagrams that carry the news, each to be sent to all that are to be told.
     pub fn encode(&mut self, news: &LoadUpdate) -> Vec<Vec<u8>> {
-        news.shares.chunks(MOST_SHARES).map(|shares| self.encode_part(news, shares)).collect()
+        news.loads.chunks(MOST_SHARES).map(|shares| self.encode_part(news, shares)).collect()
     }
 
     fn encode_part(&mut self, news: &LoadUpdate, shares: &[EdgeServerLoad]) -> Vec<u8> {
@@ -31,9 +31,9 @@
         bitcode::encode(&EdgeLoadReport {
             edge: self.edge,
             incarnation: self.incarnation,
-            number: self.number,
+            sequence: self.number,
             scope: news.scope,
-            shares: shares.to_vec(),
+            loads: shares.to_vec(),
         })
     }
 }
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -87,7 +87,11 @@
                 continue;
             };
             if self.is_new(&loads) {
-                self.state.handle(Event::Peer { edge: loads.edge, scope: loads.scope, shares: loads.shares });
+                self.state.handle(Event::PeerLoads {
+                    edge: loads.edge,
+                    scope: loads.scope,
+                    loads: loads.loads,
+                });
             }
         }
     }
@@ -99,9 +103,9 @@
             seen.clear();
         }
         let newest = seen.entry(loads.edge).or_insert((loads.incarnation, 0));
-        let is_new = newest.0 != loads.incarnation || loads.number > newest.1;
+        let is_new = newest.0 != loads.incarnation || loads.sequence > newest.1;
         if is_new {
-            *newest = (loads.incarnation, loads.number);
+            *newest = (loads.incarnation, loads.sequence);
         }
         is_new
     }
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -181,7 +181,7 @@
             max_wait_ms: u32::try_from(self.pace.hold.as_millis()).unwrap_or(u32::MAX),
             demand: self.demand.clone(),
             observed: self.observed.clone(),
-            edge_list: self.edge_list,
+            edge_list_hash: self.edge_list,
         });
         // The connection is put back only after a whole reply, so that none is used in the middle of one.
         let (mut stream, mut message) = self.connect(coordinator).await?;
@@ -235,10 +235,10 @@
             self.take_configuration(&news);
         }
         self.cursor = reply.cursor;
-        if reply.whole || !reply.servers.is_empty() {
-            self.state.handle(Event::Servers { records: reply.servers, whole: reply.whole });
+        if reply.complete || !reply.servers.is_empty() {
+            self.state.handle(Event::Servers { records: reply.servers, complete: reply.complete });
         }
-        self.take_edges(reply.edge_nodes, reply.edge_list);
+        self.take_edges(reply.edge_nodes, reply.edge_list_hash);
         if reply.edges > 0 && reply.edges != self.edges {
             self.edges = reply.edges;
             self.state.handle(Event::Edges(reply.edges));
--- a/dataplane/src/received.rs
+++ b/dataplane/src/received.rs
@@ -82,7 +82,7 @@
                 give_back(self.lease, &self.head);
                 AttemptEnd::Held(outcome(Ending::Failed { status }), HeldFailure { head: self.head, body })
             }
-            Err(BodyFailure::Broken) => AttemptEnd::Over(outcome(Ending::Lost)),
+            Err(BodyFailure::Broken) => AttemptEnd::Over(outcome(Ending::ConnectionLost)),
             Err(BodyFailure::TooLong) => AttemptEnd::Over(outcome(Ending::MalformedResponse)),
         }
     }
@@ -102,7 +102,7 @@
                     return self.served_whole(piece, progress, answer);
                 }
                 Some(Ok(piece)) => held.extend_from_slice(&piece),
-                Some(Err(BrokenBody)) => return self.over(Verdict::MayHaveRun, Ending::Lost),
+                Some(Err(BrokenBody)) => return self.over(Verdict::MayHaveRun, Ending::ConnectionLost),
                 None => return self.served_whole(held.freeze(), progress, answer),
             }
         }
@@ -159,7 +159,7 @@
             stall.moved();
             let events = match piece {
                 Some(Ok(piece)) => cutter.push(piece),
-                Some(Err(BrokenBody)) => return self.stream_broken(answer, Ending::Lost),
+                Some(Err(BrokenBody)) => return self.stream_broken(answer, Ending::ConnectionLost),
                 None => break,
             };
             let Ok(events) = events else { return self.stream_broken(answer, Ending::MalformedResponse) };
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -167,7 +167,7 @@
         let begun_at = self.clock.now();
         let ends_at = begun_at.saturating_add(within.as_millis() as Millis);
         self.stopping.set(Some(Stopping { begun_at, ends_at }));
-        self.handle(Event::Stopping);
+        self.handle(Event::ShutdownRequested);
     }
 
     /// Tells the router what has happened, and hands its actions on.
@@ -270,10 +270,10 @@
                 self.tell(request, Command::Send(order));
             }
             Action::ForwardFailure(request) => self.tell(request, Command::ForwardFailure),
-            Action::Refuse { request, refusal } => self.tell(request, Command::Refuse(refusal)),
+            Action::Reject { request, rejection: refusal } => self.tell(request, Command::Refuse(refusal)),
             Action::AbortResponse(request) => self.tell(request, Command::AbortResponse),
             Action::Cancel(request, attempt) => self.tell(request, Command::Cancel(attempt)),
-            Action::Forget(server) => self.pool.forget(&server),
+            Action::CloseConnections(server) => self.pool.forget(&server),
         }
     }
 
--- a/model-checker/src/machine.rs
+++ b/model-checker/src/machine.rs
@@ -223,7 +223,7 @@
         let founds = founders.contains(&node);
         let mut replica = Replica::new(options(node, 0, &settings, !founds), Vec::new(), now);
         if founds {
-            replica.found(now, founders);
+            replica.bootstrap(now, founders);
         }
         let mut machine = Machine {
             node,
--- a/model-checker/src/scenes.rs
+++ b/model-checker/src/scenes.rs
@@ -226,7 +226,7 @@
     let mut script = Script::led_by_1(Kind::Configuration, settings(SLOW_3));
     script.feed(1, Input::Crash { torn: false }).pass(ELECTION);
     script.feed(1, Input::Tick).feed(2, Input::Tick);
-    script.deliver(1, 3, "PreVote").deliver(2, 3, "PreVote");
+    script.deliver(1, 3, "PreVoteRequest").deliver(2, 3, "PreVoteRequest");
     script.deliver(3, 1, "PreVoteResponse").deliver(3, 2, "PreVoteResponse");
     script.with(Budget { crashes: 1, ..in_time(1) })
 }
@@ -240,7 +240,7 @@
 fn promise_before_restart() -> World {
     let mut script = Script::led_by_1(Kind::Service, settings(0));
     script.pass(450).feed(1, Input::Tick).pass(150).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
+    script.deliver(2, 3, "PreVoteRequest").deliver(3, 2, "PreVoteResponse");
     script.deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatResponse");
     script.with(Budget { crashes: 1, ..Budget::default() })
 }
@@ -261,7 +261,7 @@
 fn wiped_voter() -> World {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
     script.feed(1, Input::Propose(0)).pass(ELECTION).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
+    script.deliver(2, 3, "PreVoteRequest").deliver(3, 2, "PreVoteResponse");
     script.with(Budget { wipes: 1, ..Budget::default() })
 }
 
@@ -269,9 +269,9 @@
 fn lost_after_its_vote() -> Script {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
     script.pass(450).feed(1, Input::Tick).pass(150).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse").deliver(2, 3, "Vote");
+    script.deliver(2, 3, "PreVoteRequest").deliver(3, 2, "PreVoteResponse").deliver(2, 3, "VoteRequest");
     script.feed(3, Input::Wipe).deliver(1, 3, "Heartbeat").deliver(3, 1, "HeartbeatResponse");
-    script.lose("PreVote").lose("Vote");
+    script.lose("PreVoteRequest").lose("VoteRequest");
     script
 }
 
@@ -316,15 +316,15 @@
 /// Node 2 is elected with the help of node 3; node 1 knows nothing of it.
 fn elect_2_behind_1(script: &mut Script) {
     script.pass(ELECTION).feed(2, Input::Tick);
-    script.deliver(2, 3, "PreVote").deliver(3, 2, "PreVoteResponse");
-    script.deliver(2, 3, "Vote").deliver(3, 2, "VoteResponse");
+    script.deliver(2, 3, "PreVoteRequest").deliver(3, 2, "PreVoteResponse");
+    script.deliver(2, 3, "VoteRequest").deliver(3, 2, "VoteResponse");
 }
 
 fn two_operators() -> World {
     let mut script = Script::led_by_1(Kind::Configuration, settings(0));
     script.feed(1, Input::Propose(0));
     elect_2_behind_1(&mut script);
-    script.lose("PreVote").lose("Vote");
+    script.lose("PreVoteRequest").lose("VoteRequest");
     script.with(Budget { calls: FIRST_CALL | RIVAL_CALL | JUMPING_CALL, ..Budget::default() })
 }
 
@@ -345,7 +345,7 @@
 fn new_leader_reads() -> World {
     let mut script = acknowledged_by_1_and_2();
     elect_2_behind_1(&mut script);
-    script.lose("PreVote").lose("Vote");
+    script.lose("PreVoteRequest").lose("VoteRequest");
     script.with(Budget { reads: 1, calls: NEXT_CALL, ..Budget::default() })
 }
 
@@ -355,15 +355,15 @@
     let mut script = Script::led_by_1(Kind::Configuration, small);
     script.feed(1, Input::Propose(0)).lose_all();
     script.pass(ELECTION).feed(3, Input::Tick);
-    script.deliver(3, 2, "PreVote").deliver(2, 3, "PreVoteResponse");
-    script.deliver(3, 2, "Vote").deliver(2, 3, "VoteResponse").lose_all();
+    script.deliver(3, 2, "PreVoteRequest").deliver(2, 3, "PreVoteResponse");
+    script.deliver(3, 2, "VoteRequest").deliver(2, 3, "VoteResponse").lose_all();
     script.feed(3, Input::Crash { torn: false });
     // Node 1 finds that it leads no more, and hears of the newer term.
     script.feed(1, Input::Tick).pass(ELECTION).feed(1, Input::Tick);
-    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteResponse").lose_all();
+    script.deliver(1, 2, "PreVoteRequest").deliver(2, 1, "PreVoteResponse").lose_all();
     script.pass(ELECTION).feed(1, Input::Tick);
-    script.deliver(1, 2, "PreVote").deliver(2, 1, "PreVoteResponse");
-    script.deliver(1, 3, "Vote").deliver(1, 2, "Vote").deliver(2, 1, "VoteResponse").lose_all_to(3);
+    script.deliver(1, 2, "PreVoteRequest").deliver(2, 1, "PreVoteResponse");
+    script.deliver(1, 3, "VoteRequest").deliver(1, 2, "VoteRequest").deliver(2, 1, "VoteResponse").lose_all_to(3);
     script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
     script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
     script.with(Budget { stands: 1, ..in_time(1) })
--- a/model-checker/src/world.rs
+++ b/model-checker/src/world.rs
@@ -371,7 +371,7 @@
     pub fn exchange_entries(&mut self, leader: u32, follower: u32) -> &mut Self {
         let is_of_these = |flight: &Arc<Flight>| {
             let (from, to, name) = (flight.from.0, flight.to.0, flight.message.name());
-            (from, to) == (leader, follower) && matches!(name, "Append" | "Install")
+            (from, to) == (leader, follower) && matches!(name, "Append" | "InstallSnapshot")
                 || (from, to) == (follower, leader) && name == "AppendResponse"
         };
         while let Some(place) = self.world.flights.iter().position(is_of_these) {
--- a/placement/src/demand.rs
+++ b/placement/src/demand.rs
@@ -141,7 +141,7 @@
         demand.last = Some(now);
         demand.priority = entry.priority;
     }
-    if entry.crowded > 0 {
+    if entry.over_capacity > 0 {
         demand.crowded = Some(now);
     }
     if let Some(adapter) = item.adapter {
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -42,4 +42,4 @@
 
 pub use catalogue::{Catalogue, ModelSpec};
 pub use options::Options;
-pub use planner::{DesiredServer, Figures, OrderNumber, Outcome, PlannedOrder, Planner};
+pub use planner::{DesiredServer, OrderNumber, Outcome, PlannedOrder, Planner, PlannerCounters};
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -73,12 +73,12 @@
     /// Names of the models, in order.
     pub models: Vec<String>,
     /// The model that is on its way there.
-    pub coming: Option<String>,
+    pub loading: Option<String>,
 }
 
 /// Counts of what the planner did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct PlannerCounters {
     /// Rounds that looked for missing replicas; the others found that nothing had changed.
     pub rounds: u64,
     /// Servers that were looked at as places.
@@ -115,7 +115,7 @@
     /// Whether replicas were missing in the last round.
     pub(crate) short: bool,
     pub(crate) last_round: Millis,
-    pub(crate) figures: Figures,
+    pub(crate) figures: PlannerCounters,
 }
 
 impl Planner {
@@ -143,13 +143,13 @@
             changed: true,
             short: false,
             last_round: now,
-            figures: Figures::default(),
+            figures: PlannerCounters::default(),
         }
     }
 
     /// Begins to order, after having watched. A former holder's orders may have been taken until `former_until`, and
     /// may have used up the store's rate by then; `None` if nobody has ordered before.
-    pub fn take_over(&mut self, now: Millis, former_until: Option<Millis>) {
+    pub fn start_ordering(&mut self, now: Millis, former_until: Option<Millis>) {
         let (window, rate) = (self.options.origin_window, self.catalogue.load_per_s);
         (self.origin, self.former) = match former_until {
             Some(until) => {
@@ -172,12 +172,12 @@
     }
 
     /// Takes over what the directory knows of a server. Records of other services are passed over.
-    pub fn server(&mut self, now: Millis, record: &ServerRecord) {
+    pub fn update_server(&mut self, now: Millis, record: &ServerRecord) {
         if record.heartbeat.service != self.service {
             return;
         }
         if record.presence == Presence::Removed {
-            return self.forget(&record.id);
+            return self.remove_server(&record.id);
         }
         let Some(key) = self.key_of(&record.id) else { return };
         let models = record.heartbeat.models.as_deref().map(|held| self.list(held));
@@ -217,7 +217,7 @@
     }
 
     /// A server that the directory no longer has.
-    pub fn forget(&mut self, id: &ServerId) {
+    pub fn remove_server(&mut self, id: &ServerId) {
         let Some(key) = self.keys.remove(id) else { return };
         self.ring.update(&[(key, 0, 0.0)]);
         self.servers.remove(&key);
@@ -226,13 +226,13 @@
 
     /// Takes over what a source of demand (an edge, or a coordinator for its edges) says. Waiting and open
     /// requests replace those of its last report.
-    pub fn demand(&mut self, now: Millis, source: NodeId, demand: &[Demand]) {
+    pub fn record_demand(&mut self, now: Millis, source: NodeId, demand: &[Demand]) {
         self.sources.report(now, source, demand, &self.service, &mut self.models);
         self.changed |= demand.iter().any(|entry| entry.service == self.service);
     }
 
     /// Takes over a server's answer to `GET /report`.
-    pub fn report(&mut self, now: Millis, id: &ServerId, report: &Report) {
+    pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &Report) {
         let listed = self.list(&report.models);
         let Some(server) = self.server_mut(id) else { return };
         server.report(now, report.sequence, report.utilization, &listed);
@@ -240,7 +240,7 @@
     }
 
     /// A server was asked for its report, and none came.
-    pub fn unreported(&mut self, now: Millis, id: &ServerId) {
+    pub fn report_failed(&mut self, now: Millis, id: &ServerId) {
         if let Some(server) = self.server_mut(id) {
             server.unreported(now, PAUSE_UNREACHABLE);
             self.changed = true;
@@ -248,7 +248,7 @@
     }
 
     /// Takes over how an order to a server ended, if it is still outstanding.
-    pub fn outcome(&mut self, now: Millis, id: &ServerId, number: OrderNumber, outcome: Outcome) {
+    pub fn complete_order(&mut self, now: Millis, id: &ServerId, number: OrderNumber, outcome: Outcome) {
         let Some(server) = self.keys.get(id).and_then(|key| self.servers.get_mut(key)) else { return };
         let outstanding = |order: &&InFlight| order.number == number && order.accepted.is_none();
         let Some(order) = server.in_flight.as_ref().filter(outstanding) else { return };
@@ -282,7 +282,7 @@
     }
 
     /// What each ready server should hold.
-    pub fn wanted(&self) -> Vec<DesiredServer> {
+    pub fn desired_servers(&self) -> Vec<DesiredServer> {
         let wanted = self.ready_servers().map(|server| {
             let stays = |id: &ModelId| server.serves(Item { model: *id, adapter: None });
             let order = server.in_flight.as_ref().filter(|order| order.is_model(Operation::Load));
@@ -290,7 +290,7 @@
             DesiredServer {
                 server: server.id.clone(),
                 models: server.holding.models().filter(stays).filter_map(|id| self.name(id)).collect(),
-                coming: coming.and_then(|id| self.name(id)),
+                loading: coming.and_then(|id| self.name(id)),
             }
         });
         wanted.collect()
@@ -329,7 +329,7 @@
     }
 
     /// Counts of what was done.
-    pub fn figures(&self) -> Figures {
+    pub fn counters(&self) -> PlannerCounters {
         self.figures
     }
 
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/story.rs
@@ -84,26 +84,26 @@
 
     pub fn heartbeat(&mut self, server: usize, models: &[&str]) {
         let record = self.record(server, models, Presence::Ready);
-        self.planner.server(self.now, &record);
+        self.planner.update_server(self.now, &record);
     }
 
     pub fn presence(&mut self, server: usize, models: &[&str], presence: Presence) {
         let record = self.record(server, models, presence);
-        self.planner.server(self.now, &record);
+        self.planner.update_server(self.now, &record);
     }
 
     pub fn report(&mut self, server: usize, sequence: u64, busy: bool, models: &[&str]) {
         let report = Report { models: held(models), utilization: busy, sequence, ..Report::default() };
-        self.planner.report(self.now, &id(server), &report);
+        self.planner.record_report(self.now, &id(server), &report);
     }
 
     pub fn ask(&mut self, asked: &[Demand]) {
-        self.planner.demand(self.now, EDGE, asked);
+        self.planner.record_demand(self.now, EDGE, asked);
     }
 
     pub fn outcome(&mut self, server: usize, outcome: Outcome) {
         let number = self.newest[&id(server)];
-        self.planner.outcome(self.now, &id(server), number, outcome);
+        self.planner.complete_order(self.now, &id(server), number, outcome);
     }
 
     pub fn after(&mut self, span: Millis) -> Vec<String> {
--- a/placement/tests/common/world.rs
+++ b/placement/tests/common/world.rs
@@ -176,7 +176,7 @@
     pub fn transfer_leadership(&mut self) {
         let fresh = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
         self.planner = std::mem::replace(&mut self.standby, fresh);
-        self.planner.take_over(self.now, Some(self.now));
+        self.planner.start_ordering(self.now, Some(self.now));
         self.orders_from = self.now + TURN_WAIT;
         self.note("", "another holder".to_owned());
         self.events.retain(|_, event| !matches!(event, Event::Outcome(..) | Event::Report(..)));
@@ -240,12 +240,12 @@
                 Event::Order(order, answered) => self.take(order, answered),
                 Event::Outcome(id, number, outcome) => {
                     self.note(&id, format!("answered {outcome}"));
-                    self.planner.outcome(self.now, &id, number, outcome);
+                    self.planner.complete_order(self.now, &id, number, outcome);
                 }
                 Event::Heartbeat(record) => self.tell(&record),
                 Event::Report(id, report) => {
                     self.note(&id, format!("report {report:?}"));
-                    self.planner.report(self.now, &id, &report);
+                    self.planner.record_report(self.now, &id, &report);
                 }
             }
         }
@@ -260,8 +260,8 @@
         }
         let listed = format!("heartbeat {} {:?}", record.heartbeat.sequence, record.heartbeat.models);
         self.note(&record.id, listed);
-        self.planner.server(self.now, record);
-        self.standby.server(self.now, record);
+        self.planner.update_server(self.now, record);
+        self.standby.update_server(self.now, record);
     }
 
     fn plan(&mut self) {
@@ -532,7 +532,7 @@
             .into_iter()
             .map(|((model, adapter), demand)| Demand { service: SERVICE.into(), model, adapter, ..demand })
             .collect();
-        self.planner.demand(now, EDGE, &demand);
-        self.standby.demand(now, EDGE, &demand);
+        self.planner.record_demand(now, EDGE, &demand);
+        self.standby.record_demand(now, EDGE, &demand);
     }
 }
--- a/placement/tests/histories.rs
+++ b/placement/tests/histories.rs
@@ -34,7 +34,7 @@
     let mut world = full_world(39, 2);
     world.run(60_000);
     assert_eq!((world.orders.len(), world.reports), (0, 0));
-    assert_eq!(world.planner.figures().examined, 0);
+    assert_eq!(world.planner.counters().examined, 0);
 }
 
 #[test]
@@ -167,9 +167,9 @@
     }
     world.demand = (0..200).map(|index| asked(&format!("m{index}"), 0.5, 1_000)).collect();
     world.run(20_000);
-    let before = world.planner.figures();
+    let before = world.planner.counters();
     world.run(20_000);
-    let after = world.planner.figures();
+    let after = world.planner.counters();
     assert_eq!(after.examined, before.examined);
     assert!(after.rounds - before.rounds <= 200, "{}", after.rounds - before.rounds);
 }
@@ -182,7 +182,7 @@
     }
     world.demand = (0..332).map(|index| asked(&format!("m{index}"), 0.5, 1_000)).collect();
     world.run(30_000);
-    let figures = world.planner.figures();
+    let figures = world.planner.counters();
     assert!(figures.rounds > 0 && figures.examined / figures.rounds <= 16 * 90, "{figures:?}");
 }
 
--- a/placement/tests/reports.rs
+++ b/placement/tests/reports.rs
@@ -23,7 +23,7 @@
 fn given_a_new_holder_when_the_server_of_its_choice_does_not_report_then_another_one_takes_the_load() {
     // given
     let mut story = Story::new(2, &[&[], &[]]);
-    story.planner.take_over(story.now, Some(story.now));
+    story.planner.start_ordering(story.now, Some(story.now));
     story.now += LATE;
     (0..2).for_each(|server| story.heartbeat(server, &[]));
     story.ask(&[waiting("m0")]);
@@ -32,7 +32,7 @@
     assert_eq!(story.planner.next_reports(story.now), [order[0].clone()], "one is chosen, and one is asked");
 
     // when
-    story.planner.unreported(story.now, &order[0]);
+    story.planner.report_failed(story.now, &order[0]);
 
     // then
     assert_eq!(story.after(100), [""; 0]);
--- a/placement/tests/room.rs
+++ b/placement/tests/room.rs
@@ -14,7 +14,7 @@
 {
     // given: the former holder's load of another model has not ended, and no heartbeat tells of it
     let mut story = Story::new(4, &[&["m0"]]);
-    story.planner.take_over(story.now, Some(story.now));
+    story.planner.start_ordering(story.now, Some(story.now));
     for _ in 0..2 {
         story.now += LONG_AFTER / 2;
         story.heartbeat(0, &["m0"]);
--- a/placement/tests/stories.rs
+++ b/placement/tests/stories.rs
@@ -156,7 +156,7 @@
     assert_eq!(story.after(100), [""; 0]);
     story.report(0, 1, false, &["m1"]);
     assert_eq!(story.after(100), [""; 0]);
-    assert_eq!(story.planner.wanted()[0].models, ["m1"]);
+    assert_eq!(story.planner.desired_servers()[0].models, ["m1"]);
 }
 
 #[test]
@@ -191,7 +191,7 @@
     story.ask(&[waiting("m0"), demand("m1"), waiting("m2")]);
     let other = 1 - gone;
     assert_eq!(story.after(100), [format!("s{other} load {} at 0", if gone == 0 { "m0" } else { "m2" })]);
-    assert!(story.planner.wanted().iter().all(|wanted| wanted.server != id(gone)));
+    assert!(story.planner.desired_servers().iter().all(|wanted| wanted.server != id(gone)));
 }
 
 #[test]
@@ -228,7 +228,7 @@
 #[test]
 fn given_a_crowded_model_when_planned_then_one_more_replica_is_loaded_and_the_next_only_when_that_is_there() {
     let mut story = Story::new(2, &[&["m0"], &[], &[]]);
-    let crowded = || [Demand { crowded: 3, ..demand("m0") }];
+    let crowded = || [Demand { over_capacity: 3, ..demand("m0") }];
     story.ask(&crowded());
     assert_eq!(story.orders().len(), 1);
     story.ask(&crowded());
@@ -249,7 +249,7 @@
     story.report(0, 1, false, &[]);
     story.ask(&[waiting("m0")]);
     assert_eq!(story.orders(), ["s0 load m0 at 1"]);
-    assert_eq!((story.planner.figures().loads, story.planner.figures().disk_loads), (0, 1));
+    assert_eq!((story.planner.counters().loads, story.planner.counters().disk_loads), (0, 1));
 }
 
 #[test]
@@ -287,8 +287,8 @@
     let mut story = Story::new(3, &[&[]]);
     let late = story.record(0, &["m0", "m1"], Presence::Ready);
     story.heartbeat(0, &[]);
-    story.planner.server(story.now, &late);
-    assert!(story.planner.wanted()[0].models.is_empty());
+    story.planner.update_server(story.now, &late);
+    assert!(story.planner.desired_servers()[0].models.is_empty());
 }
 
 #[test]
--- a/protocol/src/internal.rs
+++ b/protocol/src/internal.rs
@@ -57,7 +57,7 @@
     /// What the edge found out about servers since the last poll.
     pub observed: Vec<Observation>,
     /// The list of edges that it knows, as `PollResponse::edge_list`.
-    pub edge_list: u64,
+    pub edge_list_hash: u64,
 }
 
 /// Requests for one model (and adapter) that an edge took since its last report.
@@ -78,7 +78,7 @@
     /// Requests that wait at this moment because no server holds what they ask for.
     pub waiting: u32,
     /// Requests that were refused or found every holder at its cap.
-    pub crowded: u32,
+    pub over_capacity: u32,
     /// Requests open at servers at this moment.
     pub open: u32,
 }
@@ -129,11 +129,11 @@
     /// This start of its process.
     pub incarnation: Incarnation,
     /// Rises with each datagram of one incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// Whose requests the shares count.
     pub scope: LoadScope,
     /// Its shares, each replacing what it told of that server before in that scope.
-    pub shares: Vec<EdgeServerLoad>,
+    pub loads: Vec<EdgeServerLoad>,
 }
 
 /// What an edge may send after its [`Handshake`].
@@ -158,7 +158,7 @@
     /// Servers that changed after the request's cursor, or all of them where `whole` is set.
     pub servers: Vec<ServerRecord>,
     /// Whether `servers` is the whole directory.
-    pub whole: bool,
+    pub complete: bool,
     /// Where the edge now stands.
     pub cursor: DirectoryCursor,
     /// The coordinators as this one knows them, itself among them.
@@ -168,7 +168,7 @@
     /// Those nodes, where they differ from the list that the request names and are few enough to be told.
     pub edge_nodes: Option<Vec<NodeId>>,
     /// Names the list of these nodes: a hash of it.
-    pub edge_list: u64,
+    pub edge_list_hash: u64,
     /// This coordinator has lost touch with the majority, or is behind: ask another.
     pub isolated: bool,
 }
@@ -228,19 +228,19 @@
     /// How it is seen.
     pub presence: Presence,
     /// What its orders change about what it last said that it holds.
-    pub note: PlacementOverlay,
+    pub overlay: PlacementOverlay,
 }
 
 impl ServerRecord {
     /// Whether requests for a model, and one of its adapters, may be sent there by what is known of its contents.
     pub fn serves(&self, model: &str, adapter: Option<&str>) -> bool {
         let said = || self.heartbeat.models.iter().flatten();
-        if self.note.dropping.iter().any(|gone| holds(gone, model, adapter)) {
+        if self.overlay.evicting.iter().any(|gone| holds(gone, model, adapter)) {
             return false;
         }
-        let there = said().chain(&self.note.adding).any(|held| held.name == model);
+        let there = said().chain(&self.overlay.added).any(|held| held.name == model);
         let named = |adapter: &str| {
-            let on_model = said().chain(&self.note.adding).filter(|held| held.name == model);
+            let on_model = said().chain(&self.overlay.added).filter(|held| held.name == model);
             on_model.flat_map(|held| &held.adapters).any(|held| held == adapter)
         };
         there && adapter.is_none_or(named)
@@ -259,19 +259,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct PlacementOverlay {
     /// The holder's fence; notes of a higher one replace those of a lower one.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Rises with each note of a holder on this server.
-    pub number: u64,
+    pub revision: u64,
     /// Models, with adapters, that are there though no heartbeat has said so.
-    pub adding: Vec<LoadedModel>,
+    pub added: Vec<LoadedModel>,
     /// What is about to be dropped: whole models where no adapters are named, else those adapters.
-    pub dropping: Vec<LoadedModel>,
+    pub evicting: Vec<LoadedModel>,
 }
 
 impl PlacementOverlay {
     /// Whether it is later than another one on the same server.
     pub fn is_later_than(&self, other: &PlacementOverlay) -> bool {
-        (self.fence, self.number) > (other.fence, other.number)
+        (self.fencing_token, self.revision) > (other.fencing_token, other.revision)
     }
 }
 
@@ -298,30 +298,30 @@
         batch: u64,
     },
     /// A change of the configuration that belongs to the leader of the configuration's shard.
-    Forward {
+    ForwardRequest {
         /// Names the call at the sender.
         call: u64,
         /// The change.
         change: OperatorCall,
     },
     /// Answer to `Forward`.
-    Forwarded {
+    ForwardResponse {
         /// The call.
         call: u64,
         /// How it ended.
-        answer: OperatorResponse,
+        response: OperatorResponse,
     },
     /// Demand that edges have reported to the sender, for the owners of orders.
     Demand {
         /// Milliseconds over which it was gathered.
-        span_ms: u32,
+        window_ms: u32,
         /// Edges that are at work at the sender.
         edges: Vec<NodeId>,
         /// What they reported.
         reports: Vec<EdgeReport>,
     },
     /// The configuration that is in force at the sender, so that the receiver can tell whether it is behind.
-    InForce {
+    AppliedConfigVersion {
         /// Its version.
         version: u64,
     },
@@ -388,9 +388,9 @@
     /// `POST /Config.Replace` or `/Config.Update`.
     Change {
         /// Whether the body replaces the whole configuration.
-        whole: bool,
+        replace: bool,
         /// `Base-Version`.
-        base: u64,
+        base_version: u64,
         /// The body as it came.
         body: Vec<u8>,
     },
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -82,7 +82,7 @@
             if out.repeat {
                 fleet.into_iter().for_each(|fleet| fleet.budget.give_back(now));
             }
-            if outcome.ending == Ending::Stale && request.sendings < STALE_SENDINGS {
+            if outcome.ending == Ending::StaleConnection && request.sendings < STALE_SENDINGS {
                 request.tried.retain(|tried| *tried != out.server);
             }
             return;
@@ -90,7 +90,7 @@
         self.counters.repeats += u64::from(out.repeat);
         request.verdict = request.verdict.max(outcome.verdict);
         request.retry_after_ms = outcome.retry_after_ms.or(request.retry_after_ms);
-        if let Ending::Broken { last_event, .. } = outcome.ending {
+        if let Ending::Truncated { last_event, .. } = outcome.ending {
             request.last_event = last_event.or(request.last_event);
         }
         if matches!(outcome.ending, Ending::Served | Ending::Failed { .. }) {
@@ -152,12 +152,17 @@
                 return server.health.succeeded();
             }
             Ending::Failed { status } if *status < 500 => return server.health.succeeded(),
-            Ending::Stale | Ending::Cancelled | Ending::Rejected { .. } => return server.health.trial_over(),
+            Ending::StaleConnection | Ending::Cancelled | Ending::Rejected { .. } => {
+                return server.health.trial_over()
+            }
             Ending::Unreachable => {
                 server.observed.unreachable += 1;
                 Evidence::Unreachable
             }
-            Ending::Failed { .. } | Ending::Lost | Ending::MalformedResponse | Ending::Broken { .. } => {
+            Ending::Failed { .. }
+            | Ending::ConnectionLost
+            | Ending::MalformedResponse
+            | Ending::Truncated { .. } => {
                 server.observed.failed += 1;
                 Evidence::Failure
             }
--- a/routing/src/endings.rs
+++ b/routing/src/endings.rs
@@ -59,7 +59,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(demand) = self.demand.known(&request.wanted) {
-            demand.crowded += 1;
+            demand.over_capacity += 1;
         }
         let sure = request.surely_not_run();
         let status = match reason {
@@ -70,9 +70,9 @@
         let retry_after_ms = sure.then(|| self.retry_after(now, &request, reason));
         self.counters.open -= 1;
         self.counters.count_refusal(reason);
-        actions.push(Action::Refuse {
+        actions.push(Action::Reject {
             request: request.id(),
-            refusal: Rejection { status, retry_after_ms, reason },
+            rejection: Rejection { status, retry_after_ms, reason },
         });
     }
 
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -24,7 +24,7 @@
         /// The records.
         records: Vec<ServerRecord>,
         /// Whether they are the whole directory.
-        whole: bool,
+        complete: bool,
     },
     /// Edges at work in the whole system, this one included; shares budgets and limits.
     Edges(u32),
@@ -36,13 +36,13 @@
         edges: Vec<NodeId>,
     },
     /// Another edge has told what is under way at servers.
-    Peer {
+    PeerLoads {
         /// The edge.
         edge: NodeId,
         /// Whose requests it counted.
         scope: LoadScope,
         /// What it told.
-        shares: Vec<EdgeServerLoad>,
+        loads: Vec<EdgeServerLoad>,
     },
     /// A client's request, its head read whole. Its route was looked up in the configuration then in force.
     Request(NewRequest),
@@ -61,7 +61,7 @@
     /// after the `Ended` of an attempt that served it; before that, it means that the client has gone.
     Finished(RequestId),
     /// The process has been told to end: nothing may wait longer than it must.
-    Stopping,
+    ShutdownRequested,
     /// Time has passed; sent at `Router::next_wake` or earlier.
     Tick,
 }
@@ -148,13 +148,13 @@
     /// No connection came up.
     Unreachable,
     /// A connection that had been used before was found closed or reset before any answer.
-    Stale,
+    StaleConnection,
     /// The connection ended or was reset before a whole head.
-    Lost,
+    ConnectionLost,
     /// What came is no answer, or another request's.
     MalformedResponse,
     /// The answer broke off after its head had been passed on.
-    Broken {
+    Truncated {
         /// The last event that was passed on whole, for streams.
         last_event: Option<u64>,
         /// Whether the server is known to have said more than was passed on whole.
@@ -190,18 +190,18 @@
     /// Pass the held failed answer on to the client, unchanged.
     ForwardFailure(RequestId),
     /// Answer with a failure of our own, at once. Only where no answer's head has been passed on.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// The answer.
-        refusal: Rejection,
+        rejection: Rejection,
     },
     /// Break the answer off, as it cannot be completed: the client must see that it is not whole.
     AbortResponse(RequestId),
     /// Stop waiting for an attempt and close its connection; an `Event::Ended` follows.
     Cancel(RequestId, Attempt),
     /// Close the idle connections to a server, and others as they become idle.
-    Forget(ServerId),
+    CloseConnections(ServerId),
 }
 
 /// An answer of our own.
@@ -244,7 +244,7 @@
     /// Whose requests are counted.
     pub scope: LoadScope,
     /// What to tell.
-    pub shares: Vec<EdgeServerLoad>,
+    pub loads: Vec<EdgeServerLoad>,
 }
 
 /// When the router next wants `Event::Tick`, and what it reports; see `Router`.
--- a/routing/src/peers.rs
+++ b/routing/src/peers.rs
@@ -97,16 +97,16 @@
     pub fn take_news(&mut self, now: Millis, own_news: Vec<EdgeServerLoad>) -> Vec<LoadUpdate> {
         match &self.topology {
             Topology::Mesh { others } => {
-                vec![LoadUpdate { to: others.clone(), scope: LoadScope::Own, shares: own_news }]
+                vec![LoadUpdate { to: others.clone(), scope: LoadScope::Own, loads: own_news }]
             }
             Topology::Member { relay } => {
-                vec![LoadUpdate { to: Arc::new([*relay]), scope: LoadScope::Own, shares: own_news }]
+                vec![LoadUpdate { to: Arc::new([*relay]), scope: LoadScope::Own, loads: own_news }]
             }
             Topology::Relay { members, relays } => {
                 let (members, relays) = (members.clone(), relays.clone());
                 self.heard.single.tell(now, self.own, own_news);
-                let group = LoadUpdate { to: relays, scope: LoadScope::Group, shares: self.group_news(now) };
-                let fleet = LoadUpdate { to: members, scope: LoadScope::Fleet, shares: self.fleet_news(now) };
+                let group = LoadUpdate { to: relays, scope: LoadScope::Group, loads: self.group_news(now) };
+                let fleet = LoadUpdate { to: members, scope: LoadScope::Fleet, loads: self.fleet_news(now) };
                 vec![group, fleet]
             }
         }
--- a/routing/src/placing.rs
+++ b/routing/src/placing.rs
@@ -130,7 +130,7 @@
         }
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
             demand.open += 1;
-            demand.crowded += u32::from(chosen.crowded);
+            demand.over_capacity += u32::from(chosen.crowded);
         }
         self.counters.sendings += 1;
         self.counters.resumed += u64::from(request.head_passed);
@@ -197,7 +197,7 @@
         self.urgent |= reason == RejectReason::NoModel;
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
             demand.waiting += 1;
-            demand.crowded += u32::from(reason == RejectReason::Full);
+            demand.over_capacity += u32::from(reason == RejectReason::Full);
         }
         self.holding.insert(&request.wanted.service, rank);
         self.counters.held += 1;
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -51,7 +51,7 @@
     pub fn take(&mut self) -> Vec<Demand> {
         let reported = self.0.values().cloned().collect();
         self.0.retain(|_, demand| {
-            (demand.arrived, demand.tokens, demand.crowded) = (0, 0, 0);
+            (demand.arrived, demand.tokens, demand.over_capacity) = (0, 0, 0);
             if demand.waiting == 0 {
                 demand.priority = u8::MAX;
             }
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -71,10 +71,10 @@
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::View(view) => self.on_view(now, view, actions),
-            Event::Servers { records, whole } => self.on_servers(now, records, whole, actions),
+            Event::Servers { records, complete: whole } => self.on_servers(now, records, whole, actions),
             Event::Edges(edges) => self.edges = edges,
             Event::EdgeList { own, edges } => self.peers.set_edges(own, &edges),
-            Event::Peer { edge, scope, shares } => self.peers.tell(now, edge, scope, shares),
+            Event::PeerLoads { edge, scope, loads: shares } => self.peers.tell(now, edge, scope, shares),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::Written(..) => {}
             Event::Head(id, attempt, load) => self.on_head(now, id, attempt, load),
@@ -82,7 +82,7 @@
             Event::Stalled(id, attempt) => self.on_stalled(now, id, attempt, actions),
             Event::Ended(id, attempt, outcome) => self.on_ended(now, id, attempt, outcome, actions),
             Event::Finished(id) => self.on_finished(now, id, actions),
-            Event::Stopping => self.on_stopping(now, actions),
+            Event::ShutdownRequested => self.on_stopping(now, actions),
             Event::Tick => self.on_tick(now, actions),
         }
     }
@@ -110,7 +110,7 @@
         });
         let own = own.collect();
         let mut news = self.peers.take_news(now, own);
-        news.retain(|news| !news.to.is_empty() && !news.shares.is_empty());
+        news.retain(|news| !news.to.is_empty() && !news.loads.is_empty());
         news
     }
 
@@ -207,7 +207,7 @@
     /// Has the driver close its connections to a server, once.
     pub(crate) fn forget(&mut self, handle: ServerHandle, actions: &mut Vec<Action>) {
         if let Some(id) = self.servers.get_mut(handle).and_then(|server| server.forget()) {
-            actions.push(Action::Forget(id));
+            actions.push(Action::CloseConnections(id));
         }
     }
 
--- a/routing/src/servers.rs
+++ b/routing/src/servers.rs
@@ -235,8 +235,8 @@
         record.heartbeat = known.heartbeat.clone();
         record.presence = known.presence;
     }
-    if known.note.is_later_than(&record.note) {
-        record.note = known.note.clone();
+    if known.overlay.is_later_than(&record.overlay) {
+        record.overlay = known.overlay.clone();
     }
     record
 }
@@ -313,7 +313,7 @@
             return Merge::Left(handle);
         }
         let moved = known.heartbeat.service != record.heartbeat.service;
-        let later_note = record.note.is_later_than(&known.note);
+        let later_note = record.overlay.is_later_than(&known.overlay);
         if moved || (record.heartbeat.sequence < known.heartbeat.sequence && !later_note) {
             return Merge::Ignored;
         }
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -59,7 +59,7 @@
     }
 
     pub fn servers(&mut self, records: Vec<ServerRecord>) -> Vec<Action> {
-        self.handle(Event::Servers { records, whole: false })
+        self.handle(Event::Servers { records, complete: false })
     }
 
     /// A request by a route for a model.
@@ -138,7 +138,7 @@
 
 pub fn refusal(actions: &[Action]) -> Option<Rejection> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { refusal, .. } => Some(*refusal),
+        Action::Reject { rejection: refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
@@ -163,7 +163,7 @@
 }
 
 pub fn lost() -> Outcome {
-    outcome(Verdict::MayHaveRun, Ending::Lost)
+    outcome(Verdict::MayHaveRun, Ending::ConnectionLost)
 }
 
 pub fn failed(status: u16) -> Outcome {
@@ -171,7 +171,7 @@
 }
 
 pub fn broken(last_event: Option<u64>) -> Outcome {
-    outcome(Verdict::HasRun, Ending::Broken { last_event, at_fault: false })
+    outcome(Verdict::HasRun, Ending::Truncated { last_event, at_fault: false })
 }
 
 pub fn load(running: u32, waiting: u32, slots: u32) -> ServerLoad {
--- a/routing/tests/health.rs
+++ b/routing/tests/health.rs
@@ -129,7 +129,7 @@
     let first = edge.ask_sent(&route(LLM), "m1");
     let other = Ending::Rejected { status: 421, instance: Some("i-other".into()) };
     let actions = edge.end(&first, outcome(Verdict::SurelyNotRun, other));
-    assert_eq!(actions[0], Action::Forget(order[0].clone()));
+    assert_eq!(actions[0], Action::CloseConnections(order[0].clone()));
     assert_eq!(sent(&actions).map(|sent| sent.server), Some(order[1].clone()));
     edge.pass(edge.now + 20_000);
     assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
--- a/routing/tests/holding.rs
+++ b/routing/tests/holding.rs
@@ -93,9 +93,9 @@
     let (last, _) = edge.ask(&Route { priority: 2, ..route(LLM) }, "m2");
     let (_, actions) = edge.ask(&route(LLM), "m3");
     assert_refused(&actions, 503, RejectReason::Overloaded);
-    assert!(matches!(actions[0], Action::Refuse { request, .. } if request == last));
+    assert!(matches!(actions[0], Action::Reject { request, .. } if request == last));
     let (less, actions) = edge.ask(&Route { priority: 5, ..route(LLM) }, "m3");
-    assert!(matches!(actions[0], Action::Refuse { request, .. } if request == less));
+    assert!(matches!(actions[0], Action::Reject { request, .. } if request == less));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     fill(&mut edge);
     edge.ask(&route(LLM), "m2");
     edge.ask(&route(LLM), "m1");
-    let actions = edge.handle(Event::Stopping);
+    let actions = edge.handle(Event::ShutdownRequested);
     assert_eq!(actions.len(), 1);
     assert_refused(&actions, 503, RejectReason::Stopping);
     assert!(!edge.router.is_usable(edge.now));
--- a/routing/tests/lives.rs
+++ b/routing/tests/lives.rs
@@ -233,22 +233,22 @@
         let picked = self.random.random_range(0..10);
         let (verdict, ending) = match picked {
             _ if out.cancelled && has_head => {
-                (Verdict::MayHaveRun, Ending::Broken { last_event, at_fault: false })
+                (Verdict::MayHaveRun, Ending::Truncated { last_event, at_fault: false })
             }
             _ if out.cancelled => (Verdict::MayHaveRun, Ending::Cancelled),
             0..5 if out.has_first => (Verdict::HasRun, Ending::Served),
-            _ if out.has_first => (Verdict::HasRun, Ending::Broken { last_event, at_fault: picked < 7 }),
+            _ if out.has_first => (Verdict::HasRun, Ending::Truncated { last_event, at_fault: picked < 7 }),
             0 => (Verdict::SurelyNotRun, Ending::Rejected { status: 421, instance: other }),
             1 => {
                 (Verdict::SurelyNotRun, Ending::Rejected { status: 421, instance: Some(out.server.clone()) })
             }
             2 | 3 => (Verdict::SurelyNotRun, Ending::Rejected { status: 503, instance: None }),
             4 => (Verdict::NeverSent, Ending::Unreachable),
-            5 => (Verdict::NeverSent, Ending::Stale),
-            6 => (Verdict::MayHaveRun, Ending::Stale),
+            5 => (Verdict::NeverSent, Ending::StaleConnection),
+            6 => (Verdict::MayHaveRun, Ending::StaleConnection),
             7 => (Verdict::MayHaveRun, Ending::MalformedResponse),
-            8 => (Verdict::MayHaveRun, Ending::Lost),
-            _ if has_head => (Verdict::MayHaveRun, Ending::Lost),
+            8 => (Verdict::MayHaveRun, Ending::ConnectionLost),
+            _ if has_head => (Verdict::MayHaveRun, Ending::ConnectionLost),
             _ => (Verdict::HasRun, Ending::Failed { status: 500 }),
         };
         Outcome { verdict, ending, load: None, retry_after_ms: None }
@@ -300,7 +300,7 @@
         let record = server(LLM, self.next_server, &held);
         self.next_server += 1;
         self.records.insert(record.id.clone(), record.clone());
-        self.tell(Event::Servers { records: vec![record], whole: false });
+        self.tell(Event::Servers { records: vec![record], complete: false });
     }
 
     fn change_server(&mut self) {
@@ -330,11 +330,11 @@
             self.records.remove(&record.id);
             self.left.insert(record.id.clone());
         }
-        self.tell(Event::Servers { records: vec![record.clone()], whole: false });
+        self.tell(Event::Servers { records: vec![record.clone()], complete: false });
         if self.left.contains(&record.id) && self.random.random_bool(0.5) {
             // A late record of a server that has left changes nothing.
             let late = ServerRecord { presence: Presence::Ready, ..record };
-            self.tell(Event::Servers { records: vec![late], whole: false });
+            self.tell(Event::Servers { records: vec![late], complete: false });
         }
     }
 
@@ -370,10 +370,10 @@
             match &action {
                 Action::Send { .. } => self.check_sent(&sent(&[action]).expect("a sending")),
                 Action::Cancel(id, attempt) => self.check_cancel(*id, *attempt),
-                Action::Refuse { request, refusal } => self.check_refused(*request, *refusal),
+                Action::Reject { request, rejection: refusal } => self.check_refused(*request, *refusal),
                 Action::ForwardFailure(id) => self.check_passed_on(*id),
                 Action::AbortResponse(id) => self.check_broken_off(*id),
-                Action::Forget(_) => {}
+                Action::CloseConnections(_) => {}
             }
         }
     }
--- a/routing/tests/loads.rs
+++ b/routing/tests/loads.rs
@@ -72,7 +72,7 @@
             assert_ne!(*to, from);
             self.told += 1;
             if let Some(edge) = self.edges.get_mut(to) {
-                edge.handle(Event::Peer { edge: from, scope: news.scope, shares: news.shares.clone() });
+                edge.handle(Event::PeerLoads { edge: from, scope: news.scope, loads: news.loads.clone() });
             }
         }
     }
--- a/routing/tests/repeats.rs
+++ b/routing/tests/repeats.rs
@@ -64,7 +64,7 @@
 
 #[test]
 fn given_a_request_that_may_run_once_when_it_may_have_run_then_it_is_never_sent_again() {
-    let endings = [Ending::Lost, Ending::MalformedResponse, Ending::Stale];
+    let endings = [Ending::ConnectionLost, Ending::MalformedResponse, Ending::StaleConnection];
     for ending in endings {
         for kind in [route(LLM), stream(LLM, false)] {
             let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
@@ -120,7 +120,7 @@
 #[test]
 fn given_stale_connections_when_nothing_was_written_then_the_same_server_is_asked_anew_a_few_times() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
-    let stale = || outcome(Verdict::NeverSent, Ending::Stale);
+    let stale = || outcome(Verdict::NeverSent, Ending::StaleConnection);
     let first = edge.ask_sent(&route(LLM), "m1");
     let second = sent(&edge.end(&first, stale())).expect("sent again");
     let third = sent(&edge.end(&second, stale())).expect("sent again");
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -27,7 +27,7 @@
             tokens: 400,
             priority: 0,
             waiting: 0,
-            crowded: 0,
+            over_capacity: 0,
             open: 1,
         },
         Demand {
@@ -40,7 +40,7 @@
             tokens: 200,
             priority: 1,
             waiting: 1,
-            crowded: 0,
+            over_capacity: 0,
             open: 0,
         },
     ]
@@ -51,7 +51,8 @@
     assert_eq!(told, vec![("m1", 0, 0, 1), ("m2", 0, 1, 0)]);
     edge.pass(edge.now + 10_000);
     let (demand, _) = edge.router.take_report(edge.now);
-    let told: Vec<_> = demand.iter().map(|d| (d.model.as_str(), d.crowded, d.waiting, d.open)).collect();
+    let told: Vec<_> =
+        demand.iter().map(|d| (d.model.as_str(), d.over_capacity, d.waiting, d.open)).collect();
     assert_eq!(told, vec![("m1", 1, 0, 0), ("m2", 1, 0, 0)]);
     assert_eq!(edge.router.take_report(edge.now).0, vec![]);
 }
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -14,7 +14,7 @@
     for presence in [Presence::Draining, Presence::Removed] {
         let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
         let leaving = with_presence(server(LLM, 0, &["m1"]), presence);
-        assert_eq!(edge.servers(vec![leaving.clone()]), vec![Action::Forget(name(0))]);
+        assert_eq!(edge.servers(vec![leaving.clone()]), vec![Action::CloseConnections(name(0))]);
         assert_eq!(edge.servers(vec![leaving.clone()]), vec![]);
         assert_eq!(edge.servers(vec![with_presence(leaving, Presence::Removed)]), vec![]);
     }
@@ -85,7 +85,7 @@
 {
     let mut edge = Edge::new(Options { unlisted_ms: 10_000, ..options() });
     edge.servers((0..2).map(|n| server(LLM, n, &["m1"])).collect());
-    edge.handle(Event::Servers { records: vec![server(LLM, 1, &["m9"])], whole: true });
+    edge.handle(Event::Servers { records: vec![server(LLM, 1, &["m9"])], complete: true });
     assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(0));
     let late = edge.ask_sent(&route(LLM), "m1");
     edge.serve(&late);
@@ -119,6 +119,6 @@
     router.handle(0, Event::View(view(3)), &mut Vec::new());
     assert!(!router.is_usable(0));
     let records = vec![server(LLM, 0, &["m1"])];
-    router.handle(0, Event::Servers { records, whole: true }, &mut Vec::new());
+    router.handle(0, Event::Servers { records, complete: true }, &mut Vec::new());
     assert!(router.is_usable(0));
 }
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -116,7 +116,7 @@
 
     /// The process is told to end: everybody who waits is told to ask elsewhere.
     pub fn stop(&mut self, world: &mut World, disk: &MachineDisk) {
-        self.tell(world, disk, Event::Stopping);
+        self.tell(world, disk, Event::ShutdownRequested);
         self.refuse_all(world);
     }
 
@@ -178,7 +178,7 @@
             Timer::OrderLate(order) => self.end_order(world, disk, order, OrderOutcome::Unknown),
             Timer::ReportLate(number) => {
                 if let Some(server) = self.reports.remove(&number) {
-                    self.tell(world, disk, Event::Reported { server, report: None });
+                    self.tell(world, disk, Event::ReportReceived { server, report: None });
                 }
             }
             _ => {}
@@ -236,16 +236,20 @@
                 let done = self.writer.checkpoint(world.now, disk, live, &mut world.random);
                 self.wake_for_disk(world, done);
             }
-            Action::RespondToServer { call, taken } => self.answer(world, call, Answer::Server(taken)),
-            Action::RespondToOperator { call, answer } => self.answer(world, call, Answer::Operator(answer)),
-            Action::RespondToPoll { call, reply } => {
+            Action::RespondToServer { call, accepted: taken } => {
+                self.answer(world, call, Answer::Server(taken))
+            }
+            Action::RespondToOperator { call, response: answer } => {
+                self.answer(world, call, Answer::Operator(answer))
+            }
+            Action::RespondToPoll { call, response: reply } => {
                 self.answer(world, call, Answer::Poll(frame::encode(&*reply)));
             }
             Action::Order { order, server, address, body } => {
                 self.begin_order(world, order, server, &address, body);
             }
             Action::FetchReport { server, address } => self.ask_report(world, server, &address),
-            Action::Note(note) => world.witness.note(world.now, self.node, note),
+            Action::LogStateChange(note) => world.witness.note(world.now, self.node, note),
         }
     }
 
@@ -342,7 +346,7 @@
 
     fn end_order(&mut self, world: &mut World, disk: &MachineDisk, order: OrderId, outcome: OrderOutcome) {
         if self.orders.remove(&order).is_some() {
-            self.tell(world, disk, Event::Ordered { order, outcome });
+            self.tell(world, disk, Event::OrderCompleted { order, outcome });
         }
     }
 
@@ -365,7 +369,7 @@
             Answer::Report(body) => {
                 if let Some(server) = self.reports.remove(&number) {
                     let report: Option<Report> = sonic_rs::from_slice(body).ok();
-                    self.tell(world, disk, Event::Reported { server, report });
+                    self.tell(world, disk, Event::ReportReceived { server, report });
                 }
             }
             _ => {}
@@ -377,7 +381,7 @@
             let outcome = if accepted { OrderOutcome::Unknown } else { OrderOutcome::NotSent };
             self.end_order(world, disk, order, outcome);
         } else if let Some(server) = self.reports.remove(&number) {
-            self.tell(world, disk, Event::Reported { server, report: None });
+            self.tell(world, disk, Event::ReportReceived { server, report: None });
         }
     }
 
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -131,7 +131,7 @@
 
     /// The process is told to end, and tells the coordinator that it polls.
     pub fn stop(&mut self, world: &mut World) {
-        self.tell(world, Event::Stopping);
+        self.tell(world, Event::ShutdownRequested);
         if let Some(coordinator) = self.polls() {
             let frame = frame::encode(&EdgeRequest::Leave);
             world.send(self.node(), coordinator, Message::EdgeReport { edge: self.identity.clone(), frame });
@@ -158,7 +158,10 @@
             Message::Loads(datagram) => {
                 let loads: EdgeLoadReport =
                     bitcode::decode(&datagram).expect("a datagram of an edge is read");
-                self.tell(world, Event::Peer { edge: loads.edge, scope: loads.scope, shares: loads.shares });
+                self.tell(
+                    world,
+                    Event::PeerLoads { edge: loads.edge, scope: loads.scope, loads: loads.loads },
+                );
             }
             Message::Refused { number, accepted } => {
                 if self.polling.is_some_and(|polling| polling.number == number) {
@@ -268,7 +271,7 @@
             max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
             observed: self.observed.clone(),
-            edge_list: self.edge_list,
+            edge_list_hash: self.edge_list,
         }
     }
 
@@ -335,11 +338,11 @@
             self.take_configuration(world, &news);
         }
         self.cursor = reply.cursor;
-        if reply.whole || !reply.servers.is_empty() {
-            self.tell(world, Event::Servers { records: reply.servers, whole: reply.whole });
+        if reply.complete || !reply.servers.is_empty() {
+            self.tell(world, Event::Servers { records: reply.servers, complete: reply.complete });
         }
         if let Some(nodes) = reply.edge_nodes {
-            self.edge_list = reply.edge_list;
+            self.edge_list = reply.edge_list_hash;
             self.tell(world, Event::EdgeList { own: self.node(), edges: nodes });
         }
         if reply.edges > 0 && reply.edges != self.edges {
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -284,7 +284,8 @@
     let Some(leading) = replica_of(leader) else { return false };
     let holds_all = |node: &NodeId| {
         let peer = leading.peer(*node);
-        *node == leader || peer.is_some_and(|peer| peer.counts && peer.matched >= leading.commit_index())
+        *node == leader
+            || peer.is_some_and(|peer| peer.counts_towards_quorum && peer.matched >= leading.commit_index())
     };
     let follows = |node: &NodeId| {
         replica_of(*node).is_some_and(|other| other.term() == leading.term() && !other.is_recovering())
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -78,7 +78,13 @@
         let change = world.number();
         let document = site::configuration(&self.models, change, version);
         let body = document.to_string().into_bytes();
-        self.keep(world, change, base, OperatorCall::Change { whole: true, base, body }, document)
+        self.keep(
+            world,
+            change,
+            base,
+            OperatorCall::Change { replace: true, base_version: base, body },
+            document,
+        )
     }
 
     /// Makes a change of one item of the configuration that is known.
@@ -92,7 +98,13 @@
             *mark = site::mark(change);
         }
         let body = site::marking_update(change, version).to_string().into_bytes();
-        self.keep(world, change, base, OperatorCall::Change { whole: false, base, body }, document)
+        self.keep(
+            world,
+            change,
+            base,
+            OperatorCall::Change { replace: false, base_version: base, body },
+            document,
+        )
     }
 
     fn keep(
--- a/simulation/src/requests.rs
+++ b/simulation/src/requests.rs
@@ -114,10 +114,10 @@
                 let held = self.requests.open.get(&request).and_then(|open| open.held);
                 self.finish(world, request, held.expect("a failure that is passed on is held"));
             }
-            Action::Refuse { request, refusal } => self.finish(world, request, refusal.status),
+            Action::Reject { request, rejection: refusal } => self.finish(world, request, refusal.status),
             Action::AbortResponse(request) => self.finish(world, request, BROKEN_OFF),
             Action::Cancel(request, attempt) => self.cancel(world, request, attempt),
-            Action::Forget(server) => {
+            Action::CloseConnections(server) => {
                 self.requests.pooled.remove(&server);
             }
         }
@@ -171,7 +171,7 @@
         let Some(out) = self.requests.out.remove(&number) else { return };
         let pooled = self.requests.pooled.remove(&out.server);
         if accepted || pooled {
-            self.end(world, &out, Verdict::MayHaveRun, Ending::Lost);
+            self.end(world, &out, Verdict::MayHaveRun, Ending::ConnectionLost);
         } else {
             world.witness.unwritten(out.request.0);
             self.end(world, &out, Verdict::NeverSent, Ending::Unreachable);
--- a/simulation/src/witness.rs
+++ b/simulation/src/witness.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::Value;
-use shaletrail_coordinator::interface::Note;
+use shaletrail_coordinator::interface::StateChange;
 use shaletrail_protocol::{Incarnation, Millis, NodeId, ServerId};
 
 /// Log lines of coordinators that are kept for messages of failed tests.
@@ -215,7 +215,7 @@
     /// What was done to the fleet, for messages of failed tests.
     pub story: Vec<(Millis, String)>,
     /// Log lines of coordinators. No check goes by them.
-    pub notes: Vec<(Millis, NodeId, Note)>,
+    pub notes: Vec<(Millis, NodeId, StateChange)>,
 }
 
 impl Witness {
@@ -351,7 +351,7 @@
     }
 
     /// A coordinator writes a line to its log.
-    pub fn note(&mut self, at: Millis, node: NodeId, note: Note) {
+    pub fn note(&mut self, at: Millis, node: NodeId, note: StateChange) {
         if self.notes.len() < MOST_NOTES {
             self.notes.push((at, node, note));
         }
--- a/simulation/tests/turns.rs
+++ b/simulation/tests/turns.rs
@@ -4,7 +4,7 @@
 
 use common::holder;
 use shaletrail_coordinator::core::shards::shard_of;
-use shaletrail_coordinator::interface::Note;
+use shaletrail_coordinator::interface::StateChange;
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_simulation::network::Conditions;
 use shaletrail_simulation::site::{self, AGAIN};
@@ -147,7 +147,7 @@
     let leader = fleet.leader_of(shard)?;
     let notes = fleet.world.witness.notes.iter().rev();
     let holding = notes.into_iter().find_map(|(_, node, note)| match note {
-        Note::Holding { shard: held, .. } if *held == shard => Some(*node),
+        StateChange::OrderLeaseAcquired { shard: held, .. } if *held == shard => Some(*node),
         _ => None,
     });
     holding.filter(|node| *node == leader)
