--- /dev/null
+++ b/protocol/tests/wire_format.rs
@@ -0,0 +1,356 @@
+//! The bytes and texts that nodes and servers of different builds exchange.
+//!
+//! Nodes of two versions speak to each other while a release is rolled out, and bitcode encodes by position: a field
+//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an
+//! error. These tests compare the present types with frames that an earlier build wrote.
+//!
+//! If one turns red, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
+//! version of its own that old nodes are never sent.
+
+#[path = "support/stored.rs"]
+mod stored;
+
+use std::fmt::Debug;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use shaletrail_protocol::frame::{self, PREFIX};
+use shaletrail_protocol::inside::{
+    ConfigItem, ConfigNews, CoreMessage, Demand, DirectoryCursor, EdgeIdentity, EdgeLoads, EdgeReport,
+    EdgeRequest, Hello, ItemKey, LoadScope, LoadShare, MemberRecord, MemberState, MembershipMessage,
+    Observation, OperatorAnswer, OperatorCall, PlacementNote, PollReply, PollRequest, Presence, ServerRecord,
+};
+use shaletrail_protocol::outside::{
+    Heartbeat, HeartbeatAnswer, HeldModel, Operation, Order, Report, ServerState,
+};
+use shaletrail_protocol::{Incarnation, NodeId};
+use stored::StoredBytes;
+
+struct Frames(StoredBytes);
+
+impl Frames {
+    /// The stored frames whose names begin with `prefix`.
+    fn starting_with(prefix: &str) -> Self {
+        Frames(StoredBytes::read(include_str!("fixtures/wire_format.txt"), prefix))
+    }
+
+    fn compare<M>(&mut self, name: &str, message: &M)
+    where
+        M: Debug + PartialEq + bitcode::Encode + bitcode::DecodeOwned,
+    {
+        self.0.compare(name, message, frame::encode, |bytes| {
+            let (prefix, body) = bytes.split_first_chunk::<PREFIX>().expect("a frame has a prefix");
+            assert_eq!(frame::body_length(*prefix), Ok(body.len()), "{name}: the prefix holds the length");
+            frame::decode(body).expect("stored frames decode")
+        });
+    }
+
+    fn finish(self) {
+        self.0.finish();
+    }
+}
+
+fn demand() -> Demand {
+    Demand {
+        service: "chat".to_owned(),
+        model: "large".to_owned(),
+        adapter: Some("legal".to_owned()),
+        arrived: 11,
+        tokens: 70_012,
+        priority: 3,
+        waiting: 14,
+        crowded: 15,
+        open: 16,
+    }
+}
+
+fn demand_without_adapter() -> Demand {
+    Demand { service: "search".to_owned(), arrived: 17, open: 18, ..Demand::default() }
+}
+
+fn observation() -> Observation {
+    Observation { server: "server-9".to_owned(), succeeded: 21, failed: 22, unreachable: 23 }
+}
+
+fn cursor(epoch: u64, change: u64) -> DirectoryCursor {
+    DirectoryCursor { epoch: Incarnation(epoch), change }
+}
+
+fn held(name: &str, version: u64, adapters: &[&str]) -> HeldModel {
+    let adapters = adapters.iter().map(|adapter| (*adapter).to_owned()).collect();
+    HeldModel { name: name.to_owned(), version, adapters }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        service: "chat".to_owned(),
+        address: "10.3.0.7:9000".to_owned(),
+        zone: "hall-b".to_owned(),
+        version: "2.5.1".to_owned(),
+        slots: 31,
+        state: ServerState::Draining,
+        cold_remaining_ms: 1250.5,
+        remaining_ms: Some(30_000.25),
+        phase: "combined".to_owned(),
+        models: Some(vec![held("large", 32, &["legal", "medical"]), held("small", 33, &[])]),
+        sequence: 34,
+    }
+}
+
+fn record() -> ServerRecord {
+    ServerRecord {
+        id: "server-9".to_owned(),
+        heartbeat: heartbeat(),
+        presence: Presence::Silent,
+        note: PlacementNote {
+            fence: 41,
+            number: 42,
+            adding: vec![held("tiny", 43, &["poems"])],
+            dropping: vec![held("huge", 44, &["prose", "verse"])],
+        },
+    }
+}
+
+fn news() -> ConfigNews {
+    ConfigNews {
+        base: Some(51),
+        version: 52,
+        upsert: vec![ConfigItem { key: key("routes", "r-one"), json: "{\"name\":\"r-one\"}".to_owned() }],
+        remove: vec![key("services", "old"), key("later", "")],
+    }
+}
+
+fn key(list: &str, name: &str) -> ItemKey {
+    ItemKey { list: list.to_owned(), name: name.to_owned() }
+}
+
+fn member(node: u32, incarnation: u64, refutation: u64, state: MemberState) -> MemberRecord {
+    MemberRecord { node: NodeId(node), incarnation: Incarnation(incarnation), refutation, state }
+}
+
+fn members() -> Vec<MemberRecord> {
+    vec![
+        member(0x0a01_0002, 0x1122_3344_5566_7788, 62, MemberState::Alive),
+        member(0x0a01_0003, 0x1122_3344_5566_7799, 63, MemberState::Suspect),
+        member(0x0a01_0004, 64, 65, MemberState::Absent),
+    ]
+}
+
+fn change() -> OperatorCall {
+    OperatorCall::Change { whole: true, base: 71, body: b"{\"version\":72}".to_vec() }
+}
+
+#[test]
+fn hello_keeps_its_bytes() {
+    let mut frames = Frames::starting_with("hello");
+    let edge = EdgeIdentity {
+        node: NodeId(0x0a01_0005),
+        incarnation: Incarnation(0x0102_0304_0506_0708),
+        zone: "hall-a".to_owned(),
+    };
+    frames.compare("hello edge", &Hello::Edge(edge));
+    let core = Hello::Core { node: NodeId(0x0a02_0006), incarnation: Incarnation(0x1112_1314_1516_1718) };
+    frames.compare("hello core", &core);
+    frames.finish();
+}
+
+#[test]
+fn edge_requests_keep_their_bytes() {
+    let mut frames = Frames::starting_with("edge request");
+    let poll = PollRequest {
+        config_version: 81,
+        cursor: cursor(0x2122_2324_2526_2728, 82),
+        hold_ms: 2_500,
+        demand: vec![demand(), demand_without_adapter()],
+        observed: vec![observation()],
+        edge_list: 0x3132_3334_3536_3738,
+    };
+    frames.compare("edge request poll", &EdgeRequest::Poll(poll));
+    frames.compare("edge request empty poll", &EdgeRequest::Poll(PollRequest::default()));
+    frames.compare("edge request report", &EdgeRequest::Report { demand: vec![demand()] });
+    frames.compare("edge request leave", &EdgeRequest::Leave);
+    frames.finish();
+}
+
+#[test]
+fn poll_replies_keep_their_bytes() {
+    let mut frames = Frames::starting_with("poll reply");
+    let full = PollReply {
+        config: Some(news()),
+        servers: vec![record()],
+        whole: true,
+        cursor: cursor(0x4142_4344_4546_4748, 92),
+        coordinators: vec![NodeId(0x0a01_0007), NodeId(0x0a01_0008)],
+        edges: 93,
+        edge_nodes: Some(vec![NodeId(0x0a01_0009)]),
+        edge_list: 94,
+        isolated: false,
+    };
+    let isolated = PollReply { isolated: true, ..PollReply::default() };
+    frames.compare("poll reply full", &full);
+    frames.compare("poll reply isolated", &isolated);
+    let whole_configuration = ConfigNews { base: None, ..news() };
+    let whole = PollReply { config: Some(whole_configuration), ..PollReply::default() };
+    frames.compare("poll reply whole configuration", &whole);
+    frames.finish();
+}
+
+#[test]
+fn server_records_keep_their_bytes() {
+    let mut frames = Frames::starting_with("server record");
+    for presence in [Presence::Ready, Presence::Draining, Presence::Silent, Presence::Gone] {
+        frames.compare(&format!("server record {presence}"), &ServerRecord { presence, ..record() });
+    }
+    for state in [ServerState::Ready, ServerState::Draining] {
+        let heartbeat = Heartbeat { state, remaining_ms: None, models: None, ..heartbeat() };
+        let record = ServerRecord { heartbeat, ..record() };
+        frames.compare(&format!("server record without options, {state}"), &record);
+    }
+    frames.finish();
+}
+
+#[test]
+fn edge_loads_keep_their_bytes() {
+    let mut frames = Frames::starting_with("edge loads");
+    for scope in [LoadScope::Own, LoadScope::Group, LoadScope::Fleet] {
+        let loads = EdgeLoads {
+            edge: NodeId(0x0a01_000a),
+            incarnation: Incarnation(0x5152_5354_5556_5758),
+            number: 101,
+            scope,
+            shares: vec![
+                LoadShare { server: 0x6162_6364_6566_6768, open: 102, prefill: 70_103, silent: true },
+                LoadShare { server: 104, open: 105, prefill: 106, silent: false },
+            ],
+        };
+        frames.compare(&format!("edge loads {scope:?}"), &loads);
+    }
+    frames.finish();
+}
+
+#[test]
+fn messages_of_coordinators_keep_their_bytes() {
+    let mut frames = Frames::starting_with("core message");
+    let ping = MembershipMessage::Ping { number: 111, members: members() };
+    frames.compare("core message ping", &CoreMessage::Membership(ping));
+    let pong = MembershipMessage::Pong { number: 112, members: members() };
+    frames.compare("core message pong", &CoreMessage::Membership(pong));
+    frames.compare("core message shard", &CoreMessage::Shard { shard: 113, body: b"shard body".to_vec() });
+    frames.compare("core message directory", &CoreMessage::Directory { body: b"directory body".to_vec() });
+    frames.compare("core message directory ack", &CoreMessage::DirectoryAck { batch: 0x7172_7374_7576_7778 });
+    frames.compare("core message forward", &CoreMessage::Forward { call: 115, change: change() });
+    let read = CoreMessage::Forward { call: 116, change: OperatorCall::Read };
+    frames.compare("core message forward read", &read);
+    let demand = CoreMessage::Demand {
+        span_ms: 117,
+        edges: vec![NodeId(0x0a01_000b), NodeId(0x0a01_000c)],
+        reports: vec![EdgeReport {
+            edge: NodeId(0x0a01_000d),
+            demand: vec![demand()],
+            observed: vec![observation()],
+        }],
+    };
+    frames.compare("core message demand", &demand);
+    frames.compare("core message in force", &CoreMessage::InForce { version: 118 });
+    frames.finish();
+}
+
+#[test]
+fn answers_of_the_operators_calls_keep_their_bytes() {
+    let mut frames = Frames::starting_with("forwarded");
+    let answers = [
+        ("done", OperatorAnswer::Done { body: b"{\"version\":121}".to_vec() }),
+        ("conflict", OperatorAnswer::Conflict { current: 122 }),
+        ("invalid", OperatorAnswer::Invalid { reason: "body: version: missing".to_owned() }),
+        ("unavailable", OperatorAnswer::Unavailable),
+    ];
+    for (name, answer) in answers {
+        frames.compare(&format!("forwarded {name}"), &CoreMessage::Forwarded { call: 123, answer });
+    }
+    frames.finish();
+}
+
+/// Compares a value's JSON with a text, and what is read from the text with the value.
+fn compare_json<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
+    assert_eq!(sonic_rs::to_string(value).expect("the value is written"), text);
+    assert_eq!(sonic_rs::from_str::<T>(text).expect("the text is read"), *value);
+}
+
+#[test]
+fn a_heartbeat_keeps_its_json() {
+    compare_json(
+        &heartbeat(),
+        "{\"service\":\"chat\",\"address\":\"10.3.0.7:9000\",\"zone\":\"hall-b\",\"version\":\"2.5.1\",\"slots\":31,\
+         \"state\":\"draining\",\"coldRemainingMs\":1250.5,\"remainingMs\":30000.25,\"phase\":\"combined\",\
+         \"models\":[{\"name\":\"large\",\"version\":32,\"adapters\":[\"legal\",\"medical\"]},\
+         {\"name\":\"small\",\"version\":33,\"adapters\":[]}],\"sequence\":34}",
+    );
+}
+
+#[test]
+fn a_heartbeat_with_absent_and_unknown_fields_is_read() {
+    let text = "{\"state\":\"ready\",\"sequence\":5,\"comingSoon\":{\"a\":[1]},\"models\":[{\"name\":\"m\",\"x\":1}]}";
+    let expected = Heartbeat { sequence: 5, models: Some(vec![held("m", 0, &[])]), ..Heartbeat::default() };
+    assert_eq!(sonic_rs::from_str::<Heartbeat>(text).expect("the text is read"), expected);
+    assert_eq!(sonic_rs::from_str::<Heartbeat>("{}").expect("the text is read"), Heartbeat::default());
+}
+
+#[test]
+fn an_answer_to_a_heartbeat_keeps_its_json() {
+    compare_json(&HeartbeatAnswer { heartbeat_endpoint: None }, "{}");
+    let elsewhere = HeartbeatAnswer { heartbeat_endpoint: Some("10.1.0.2:8146".to_owned()) };
+    compare_json(&elsewhere, "{\"heartbeatEndpoint\":\"10.1.0.2:8146\"}");
+}
+
+#[test]
+fn an_order_keeps_its_json() {
+    let order = Order {
+        operation: Operation::Load,
+        model: "large".to_owned(),
+        adapter: Some("legal".to_owned()),
+        if_revision: Some(131),
+        lease_holder: "core-a-1".to_owned(),
+        fencing_token: 132,
+    };
+    compare_json(
+        &order,
+        "{\"operation\":\"load\",\"model\":\"large\",\"adapter\":\"legal\",\"ifRevision\":131,\
+         \"leaseHolder\":\"core-a-1\",\"fencingToken\":132}",
+    );
+    let without_options = Order { operation: Operation::Evict, adapter: None, if_revision: None, ..order };
+    compare_json(
+        &without_options,
+        "{\"operation\":\"evict\",\"model\":\"large\",\"leaseHolder\":\"core-a-1\",\"fencingToken\":132}",
+    );
+}
+
+#[test]
+fn a_report_keeps_its_json() {
+    let report = Report {
+        models: vec![held("large", 141, &["legal"])],
+        utilization: true,
+        sequence: 142,
+        queued: 143,
+        active: 144,
+        kv_in_use: 145,
+        kv_limit: 146,
+    };
+    compare_json(
+        &report,
+        "{\"models\":[{\"name\":\"large\",\"version\":141,\"adapters\":[\"legal\"]}],\"utilization\":true,\
+         \"sequence\":142,\"queued\":143,\"active\":144,\"kvInUse\":145,\"kvLimit\":146}",
+    );
+    assert_eq!(sonic_rs::from_str::<Report>("{\"new\":1}").expect("the text is read"), Report::default());
+}
+
+#[test]
+fn names_in_logs_stay() {
+    let presences = [Presence::Ready, Presence::Draining, Presence::Silent, Presence::Gone];
+    assert_eq!(presences.map(|presence| presence.to_string()), ["Ready", "Draining", "Silent", "Gone"]);
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Absent];
+    assert_eq!(states.map(|state| state.to_string()), ["Alive", "Suspect", "Absent"]);
+    let states = [ServerState::Ready, ServerState::Draining];
+    assert_eq!(states.map(|state| state.to_string()), ["Ready", "Draining"]);
+    assert_eq!([Operation::Load, Operation::Evict].map(|operation| operation.to_string()), ["load", "evict"]);
+    assert_eq!(NodeId(0x0a01_0026).to_string(), "10.1.0.38");
+}
