--- /dev/null
+++ b/consensus/tests/stored_format.rs
@@ -0,0 +1,143 @@
+//! The bytes of messages between replicas, and of the records that a replica keeps on disk.
+//!
+//! Replicas of two versions speak to each other while a release is rolled out, and a replica reads the records of the
+//! version before it. bitcode encodes by position: a field or variant that is moved, added, removed or swapped is
+//! read as another value, without an error. These tests compare the present types with bytes of an earlier build.
+//!
+//! If one turns red, the format has changed. Don't store new bytes: put the types back, or give the new format a
+//! version of its own and go on reading the old one.
+
+#[path = "../../protocol/tests/support/stored.rs"]
+mod stored;
+
+use std::sync::Arc;
+
+use shaletrail_consensus::{
+    AppendOutcome, Entry, HardState, Message, Payload, Position, Record, Role, Snapshot, Stamp, Standing,
+    VoterSet,
+};
+use shaletrail_protocol::NodeId;
+use stored::StoredBytes;
+
+fn starting_with(prefix: &str) -> StoredBytes {
+    StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
+}
+
+fn nodes(numbers: &[u32]) -> Vec<NodeId> {
+    numbers.iter().map(|number| NodeId(0x0a01_0000 + number)).collect()
+}
+
+/// Voters 2, 3 and 4 are coming, 1, 2 and 3 are leaving.
+fn joint_voters() -> VoterSet {
+    VoterSet::new(&nodes(&[1, 2, 3])).joint_with(&nodes(&[2, 3, 4]))
+}
+
+fn stamp() -> Stamp {
+    Stamp { round: 5, sent_at: 600_006 }
+}
+
+fn standing() -> Standing {
+    Standing { boot: 0x0102_0304_0506_0708, forgetful: true }
+}
+
+fn last() -> Position {
+    Position { term: 7, index: 8 }
+}
+
+fn entries() -> Vec<Entry> {
+    let command: Arc<[u8]> = Arc::from(&b"a command"[..]);
+    vec![
+        Entry { index: 9, term: 2, payload: Payload::Empty },
+        Entry { index: 10, term: 3, payload: Payload::Command(command) },
+        Entry { index: 11, term: 4, payload: Payload::Voters(joint_voters()) },
+    ]
+}
+
+fn snapshot() -> Snapshot {
+    let state: Arc<[u8]> = Arc::from(&b"the state"[..]);
+    Snapshot { position: Position { term: 12, index: 13 }, voters: joint_voters(), state }
+}
+
+fn messages() -> Vec<Message> {
+    vec![
+        Message::PreVote { term: 21, last: last() },
+        Message::PreVoteAnswer { term: 22, granted: true },
+        Message::Vote { term: 23, last: last(), handed_over: true },
+        Message::VoteAnswer { term: 24, granted: true },
+        Message::Heartbeat { term: 25, commit: 26, stamp: stamp() },
+        Message::HeartbeatAnswer {
+            term: 27,
+            stamp: stamp(),
+            received: 28,
+            matched: 29,
+            standing: standing(),
+        },
+        Message::Append { term: 30, previous: last(), entries: entries(), commit: 31, stamp: stamp() },
+        Message::AppendAnswer {
+            term: 32,
+            stamp: stamp(),
+            outcome: AppendOutcome::Matched(33),
+            standing: standing(),
+        },
+        Message::Install { term: 34, snapshot: snapshot(), stamp: stamp() },
+        Message::TimeoutNow { term: 35 },
+        Message::Readmit { term: 36, boot: 37 },
+    ]
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let mut stored = starting_with("message ");
+    let decode = |bytes: &[u8]| bitcode::decode::<Message>(bytes).expect("stored messages decode");
+    for message in messages() {
+        stored.compare(&format!("message {}", message.name()), &message, bitcode::encode, decode);
+    }
+    let conflict = Message::AppendAnswer {
+        term: 38,
+        stamp: stamp(),
+        outcome: AppendOutcome::Conflict(39),
+        standing: Standing { boot: 40, forgetful: false },
+    };
+    stored.compare("message AppendAnswer, conflict", &conflict, bitcode::encode, decode);
+    stored.finish();
+}
+
+#[test]
+fn records_keep_their_bytes() {
+    let mut stored = starting_with("record ");
+    let decode = |bytes: &[u8]| Record::decode(bytes).expect("stored records decode");
+    let voted = HardState {
+        term: 41,
+        voted_for: Some(NodeId(0x0a01_002a)),
+        forgetful: false,
+        boot: 0x1112_1314_1516_1718,
+    };
+    let forgetful = HardState { voted_for: None, forgetful: true, ..voted.clone() };
+    stored.compare("record hard state, voted", &Record::Hard(voted), Record::encode, decode);
+    stored.compare("record hard state, forgetful", &Record::Hard(forgetful), Record::encode, decode);
+    stored.compare("record entries", &Record::Entries(entries()), Record::encode, decode);
+    stored.compare("record snapshot", &Record::Snapshot(snapshot()), Record::encode, decode);
+    stored.finish();
+}
+
+#[test]
+fn names_in_logs_stay() {
+    let names: Vec<&str> = messages().iter().map(Message::name).collect();
+    let expected = [
+        "PreVote",
+        "PreVoteAnswer",
+        "Vote",
+        "VoteAnswer",
+        "Heartbeat",
+        "HeartbeatAnswer",
+        "Append",
+        "AppendAnswer",
+        "Install",
+        "TimeoutNow",
+        "Readmit",
+    ];
+    assert_eq!(names, expected);
+    let roles = [Role::Learner, Role::Follower, Role::PreCandidate, Role::Candidate, Role::Leader];
+    let expected = ["learner", "follower", "pre_candidate", "candidate", "leader"];
+    assert_eq!(roles.map(|role| role.to_string()), expected);
+}
