--- a/coordinator/tests/driver_control.rs
+++ b/coordinator/tests/driver_control.rs
@@ -43,10 +43,16 @@
 
 impl Process {
     fn start(name: &str) -> Process {
+        Process::with_seeds(name, "127.0.0.1:8146")
+    }
+
+    fn with_seeds(name: &str, seeds: &str) -> Process {
         let folder = std::env::temp_dir().join(format!("shaletrail-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let text = "nodeName=core-1\nip=127.0.0.1\nzone=a\nephemeralPorts=7660,7675\n\
-                    seedNodes=127.0.0.1:8146\nbootstrap=true\nfaultTolerance.hostsLost=0\nheartbeatMs=1200\n";
+        let text = format!(
+            "nodeName=core-1\nip=127.0.0.1\nzone=a\nephemeralPorts=7660,7675\nseedNodes={seeds}\n\
+             bootstrap=true\nfaultTolerance.hostsLost=0\nheartbeatMs=1200\n"
+        );
         let settings: Settings = text.parse().expect("the settings are read");
         let log = Logger::root(Discard, o!());
         let opened = disk::open(&folder, &settings, &log).expect("the journal is opened");
@@ -143,6 +149,96 @@
     });
 }
 
+/// One call's status, `content-type` and `retry-after` where they are there, and body.
+async fn whole_answer(
+    process: &Process,
+    (method, path, base, body): (&str, &str, &str, &str),
+) -> (String, Vec<String>, String) {
+    let mut stream = process.connect().await;
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: control\r\nConnection: close\r\nBase-Version: {base}\r\n\
+         Content-Length: {}\r\n\r\n",
+        body.len()
+    );
+    stream.write_all(format!("{head}{body}").as_bytes()).await.expect("the call is written");
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await.expect("the whole answer");
+    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let mut lines = head.lines();
+    let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 ")).expect("a status line");
+    let told = lines.filter(|line| line.starts_with("content-type") || line.starts_with("retry-after"));
+    (status.to_owned(), told.map(str::to_owned).collect(), body.to_owned())
+}
+
+/// What servers and operators are told stands in their programs: if this turns red, put the answer back.
+#[test]
+fn answers_keep_their_status_headers_and_text() {
+    on_one_thread(async {
+        // given
+        let process = Process::start("answers");
+        let configuration = common::configuration(3, "a.example");
+        assert_eq!(process.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
+        let replace = "/Config.Replace";
+        let long = format!("{}{}", heartbeat(1), " ".repeat(4096));
+        let json: &[&str] = &["content-type: application/json"];
+
+        // when, then
+        let heartbeat = heartbeat(1);
+        let calls = [
+            (("POST", "/Instances.Heartbeat/i-1", "", &*heartbeat), "200 OK", json, "{}"),
+            (("POST", "/Instances.Deregister/i-1", "", ""), "200 OK", json, "{}"),
+            (("POST", replace, "0", &configuration), "200 OK", json, "{}"),
+            (
+                ("POST", replace, "1", "{\"version\":4}"),
+                "412 Precondition Failed",
+                &[],
+                "version 3 is current\n",
+            ),
+            (("POST", replace, "3", "{"), "400 Bad Request", &[], "body: not JSON from byte 0 on\n"),
+            (
+                ("POST", replace, "3", "{}"),
+                "400 Bad Request",
+                &[],
+                "body: version: missing, expected a whole number\n",
+            ),
+            (("POST", replace, "x", ""), "400 Bad Request", &[], "Base-Version: expected a whole number\n"),
+            (("GET", replace, "0", ""), "405 Method Not Allowed", &[], "another method is expected here\n"),
+            (
+                ("POST", "/Config.Read", "0", ""),
+                "405 Method Not Allowed",
+                &[],
+                "another method is expected here\n",
+            ),
+            (("GET", "/Nothing", "0", ""), "404 Not Found", &[], "there is no such call\n"),
+            (
+                ("POST", "/Instances.Heartbeat/i-1", "", &long),
+                "413 Payload Too Large",
+                &[],
+                "a heartbeat holds at most 4096 bytes\n",
+            ),
+        ];
+        for (call, status, headers, body) in calls {
+            let expected =
+                (status.to_owned(), headers.iter().map(|line| (*line).to_owned()).collect(), body.to_owned());
+            assert_eq!(whole_answer(&process, call).await, expected, "{} {}", call.0, call.1);
+        }
+    });
+}
+
+#[test]
+fn an_operator_without_a_clear_answer_is_told_when_to_come_back() {
+    on_one_thread(async {
+        let process = Process::with_seeds("unclear", "127.0.0.1:8146,127.0.0.2:8146,127.0.0.3:8146");
+        let call = ("POST", "/Instances.Deregister/i-1", "", "");
+        let expected = (
+            "503 Service Unavailable".to_owned(),
+            vec!["retry-after: 0.2".to_owned()],
+            "no clear answer: ask another node\n".to_owned(),
+        );
+        assert_eq!(whole_answer(&process, call).await, expected);
+    });
+}
+
 #[test]
 fn given_callers_that_leave_before_their_answer_when_others_call_then_they_get_their_own() {
     on_one_thread(async {
--- /dev/null
+++ b/coordinator/tests/stored_format.rs
@@ -0,0 +1,208 @@
+//! The bytes that a coordinator keeps: commands and snapshots of the service shards, what it remembers of the
+//! servers, which stream holds what, and the hashes that all coordinators must agree on.
+//!
+//! The next version reads them from disk, and coordinators of two versions exchange them while a release is rolled out.
+//! bitcode encodes by position: a field or variant that is moved, added, removed or swapped is read as another value,
+//! without an error.
+//!
+//! If one turns red, the format has changed. Don't store new bytes: put the types back, or give the new format a
+//! version of its own and go on reading the old one.
+
+mod common;
+#[path = "../../protocol/tests/support/stored.rs"]
+mod stored;
+
+use common::{configuration, node, Alone};
+use shaletrail_cluster::directory::Options;
+use shaletrail_cluster::Directory;
+use shaletrail_consensus::Record;
+use shaletrail_coordinator::core::demand::list_name;
+use shaletrail_coordinator::core::memory::{DirectoryMemory, STREAM};
+use shaletrail_coordinator::core::service_state::{Holder, ServiceState, Turn};
+use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
+use shaletrail_coordinator::interface::{Action, Event, Note, OrderOutcome};
+use shaletrail_protocol::inside::{OperatorAnswer, OperatorCall, PlacementNote, Presence, ServerRecord};
+use shaletrail_protocol::outside::{Heartbeat, HeldModel, ServerState};
+use shaletrail_protocol::Incarnation;
+use shaletrail_storage::Stored;
+use stored::StoredBytes;
+
+const FIRST: Holder = Holder { node: shaletrail_protocol::NodeId(0x0a01_0002), fence: 0x0102_0304_0506_0708 };
+const SECOND: Holder =
+    Holder { node: shaletrail_protocol::NodeId(0x0a01_0003), fence: 0x1112_1314_1516_1718 };
+
+fn starting_with(prefix: &str) -> StoredBytes {
+    StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
+}
+
+#[test]
+fn a_service_state_and_its_commands_keep_their_bytes() {
+    let mut stored = starting_with("service ");
+    let decode = |bytes: &[u8]| ServiceState::restore(bytes).expect("stored states are restored");
+    let mut state = ServiceState::default();
+    stored.compare("service state, none", &state, ServiceState::snapshot, decode);
+
+    let begin = stored.bytes("service command, begin", &ServiceState::command(FIRST));
+    let turn = Turn { holder: FIRST, previous: None, must_wait: false };
+    assert_eq!(state.apply(&begin), Some(turn));
+    stored.compare("service state, first", &state, ServiceState::snapshot, decode);
+
+    let turn = Turn { holder: SECOND, previous: Some(FIRST), must_wait: true };
+    assert_eq!(state.apply(&ServiceState::command(SECOND)), Some(turn));
+    stored.compare("service state, second waits", &state, ServiceState::snapshot, decode);
+
+    let waited = stored.bytes("service command, waited", &ServiceState::waited_command(SECOND));
+    assert_eq!(state.apply(&waited), None);
+    assert!(state.has_waited());
+    stored.compare("service state, second", &state, ServiceState::snapshot, decode);
+    stored.finish();
+}
+
+fn held(name: &str, version: u64, adapter: &str) -> HeldModel {
+    HeldModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
+}
+
+#[test]
+fn the_directory_on_disk_keeps_its_bytes() {
+    // given
+    let mut stored = starting_with("directory ");
+    let mut directory = Directory::new(Options::for_heartbeat(1200), node(1), Incarnation(5), 1_000);
+    let heartbeat = Heartbeat {
+        service: "chat".to_owned(),
+        address: "10.3.0.7:9000".to_owned(),
+        zone: "hall-b".to_owned(),
+        version: "2.5.1".to_owned(),
+        slots: 31,
+        state: ServerState::Draining,
+        cold_remaining_ms: 1250.5,
+        remaining_ms: Some(30_000.25),
+        phase: "combined".to_owned(),
+        models: Some(vec![held("large", 32, "legal")]),
+        sequence: 34,
+    };
+    let note = PlacementNote {
+        fence: 41,
+        number: 42,
+        adding: vec![held("tiny", 43, "poems")],
+        dropping: vec![held("huge", 44, "prose")],
+    };
+    directory.heartbeat(1_100, "server-9", heartbeat.clone());
+    directory.set_note(1_200, "server-9", note.clone());
+
+    // when
+    let mut memory = DirectoryMemory::default();
+    let written = memory.due(1_300, &directory).expect("the directory has changed");
+
+    // then
+    let bytes = stored.bytes("directory on disk", &written);
+    stored.finish();
+    assert_eq!(memory.live_record(), Some((STREAM, bytes.clone())));
+    let mut journal = vec![Stored { stream: 0, bytes: vec![1] }, Stored { stream: STREAM, bytes }];
+    let record = ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, note };
+    assert_eq!(DirectoryMemory::take_from(&mut journal), [record]);
+    assert_eq!(journal, [Stored { stream: 0, bytes: vec![1] }]);
+}
+
+#[test]
+fn streams_and_shards_keep_their_numbers() {
+    assert_eq!((CONFIGURATION, SERVICE_SHARDS, STREAM), (0, 2, 1_000));
+    let shards = ["chat", "web", "search", "service-0", "service-1", "service-2", "service-3"].map(shard_of);
+    assert_eq!(shards, [1, 1, 1, 1, 2, 1, 1]);
+}
+
+#[test]
+fn lists_of_edges_keep_their_names() {
+    assert_eq!([list_name(&[]), list_name(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
+}
+
+/// The records that a coordinator alone in its system has on its disk once it has taken a configuration and a server's
+/// heartbeat.
+fn disk_of_a_coordinator() -> Vec<(u32, Vec<u8>)> {
+    let mut alone = Alone::new(1);
+    alone.run(3_000);
+    let call = alone.replace(0, &configuration(7, "stored.example"));
+    alone.run(1_000);
+    assert!(matches!(alone.answer(call), Some(OperatorAnswer::Done { .. })));
+    alone.heartbeat("server-9", ServerState::Ready, 34);
+    alone.run(2_000);
+    alone.tell(Event::Stored { ticket: 0, wants_checkpoint: true });
+    let live = alone.actions.iter().find_map(|action| match action {
+        Action::Checkpoint { live } => Some(live.clone()),
+        _ => None,
+    });
+    live.expect("a checkpoint is written")
+}
+
+/// The records that [`disk_of_a_coordinator`] gave in an earlier build.
+fn disk_of_an_earlier_build() -> Vec<Stored> {
+    let record = |(name, bytes): (String, Vec<u8>)| {
+        let (_, stream) = name.split_once("stream ").expect("the stream stands in the name");
+        Stored { stream: stream.parse().expect("a stream is a number"), bytes }
+    };
+    starting_with("disk ").into_all().into_iter().map(record).collect()
+}
+
+#[test]
+fn records_stand_in_the_streams_where_they_stood() {
+    let kind = |stream: u32, bytes: &[u8]| {
+        let record = if stream == STREAM { None } else { Record::decode(bytes).ok() };
+        (stream, record.as_ref().map(std::mem::discriminant))
+    };
+    let earlier = disk_of_an_earlier_build();
+    let earlier: Vec<_> = earlier.iter().map(|stored| kind(stored.stream, &stored.bytes)).collect();
+    let present = disk_of_a_coordinator();
+    let present: Vec<_> = present.iter().map(|(stream, bytes)| kind(*stream, bytes)).collect();
+    assert_eq!(present, earlier);
+}
+
+#[test]
+fn a_coordinator_goes_on_with_the_disk_of_an_earlier_build() {
+    // given
+    let disk = disk_of_an_earlier_build();
+    for Stored { stream, bytes } in disk.iter().filter(|stored| stored.stream != STREAM) {
+        let record = Record::decode(bytes).expect("stored records decode");
+        assert_eq!(record.encode(), *bytes, "stream {stream}");
+    }
+
+    // when
+    let mut alone = Alone::restarted(disk);
+    alone.run(5_000);
+    let read = alone.operate(OperatorCall::Read);
+    alone.run(1_000);
+
+    // then
+    let Some(OperatorAnswer::Done { body }) = alone.answer(read) else { panic!("no configuration is read") };
+    let body = std::str::from_utf8(body).expect("JSON is text");
+    assert!(body.contains("stored.example") && body.contains("\"version\":7"), "{body}");
+    let poll = alone.poll(shaletrail_protocol::inside::PollRequest::default());
+    let reply = alone.reply(poll).expect("there is news");
+    let servers: Vec<&str> = reply.servers.iter().map(|server| server.id.as_str()).collect();
+    assert_eq!(servers, ["server-9"]);
+}
+
+#[test]
+fn names_in_logs_stay() {
+    let notes = [
+        Note::Leading { shard: 1, term: 2 },
+        Note::Deposed { shard: 1, term: 2 },
+        Note::Configuration { version: 3 },
+        Note::Voters { shard: 1, wanted: Vec::new() },
+        Note::Holding { shard: 1, fence: 4 },
+        Note::InTouch(true),
+        Note::Unreadable { shard: 1 },
+    ];
+    let expected = ["Leading", "Deposed", "Configuration", "Voters", "Holding", "InTouch", "Unreadable"];
+    assert_eq!(notes.map(|note| note.to_string()), expected);
+    let outcomes = [
+        OrderOutcome::Accepted,
+        OrderOutcome::AlreadyHeld,
+        OrderOutcome::Busy,
+        OrderOutcome::Fenced,
+        OrderOutcome::Rejected,
+        OrderOutcome::Gone,
+        OrderOutcome::NotSent,
+        OrderOutcome::Unknown,
+    ];
+    let expected = ["Accepted", "AlreadyHeld", "Busy", "Fenced", "Rejected", "Gone", "NotSent", "Unknown"];
+    assert_eq!(outcomes.map(|outcome| outcome.to_string()), expected);
+}
