--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -12,8 +12,8 @@
 
 use shaletrail_cluster::directory::{DirectoryMessage, Options, ServerDigest, ServerKey};
 use shaletrail_cluster::{rendezvous, Directory};
-use shaletrail_protocol::inside::{PlacementNote, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, ServerState};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
+use shaletrail_protocol::internal::{PlacementOverlay, Presence, ServerRecord};
 use shaletrail_protocol::{Incarnation, NodeId};
 use stored::StoredBytes;
 
@@ -30,8 +30,8 @@
     });
 }
 
-fn held(name: &str, version: u64, adapter: &str) -> HeldModel {
-    HeldModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
+fn held(name: &str, version: u64, adapter: &str) -> LoadedModel {
+    LoadedModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
 }
 
 fn heartbeat() -> Heartbeat {
@@ -50,12 +50,12 @@
     }
 }
 
-fn note() -> PlacementNote {
-    PlacementNote {
-        fence: 41,
-        number: 42,
-        adding: vec![held("tiny", 43, "poems")],
-        dropping: vec![held("huge", 44, "prose")],
+fn note() -> PlacementOverlay {
+    PlacementOverlay {
+        fencing_token: 41,
+        revision: 42,
+        added: vec![held("tiny", 43, "poems")],
+        evicting: vec![held("huge", 44, "prose")],
     }
 }
 
@@ -71,11 +71,11 @@
         id: "server-9".to_owned(),
         heartbeat: heartbeat(),
         presence: Presence::Draining,
-        note: note(),
+        overlay: note(),
     };
     let batch = DirectoryMessage::Batch { batch: 0x0102_0304_0506_0708, records: vec![record] };
     compare(&mut stored, "batch", &batch);
-    for presence in [Presence::Ready, Presence::Draining, Presence::Silent, Presence::Gone] {
+    for presence in [Presence::Ready, Presence::Draining, Presence::TimedOut, Presence::Removed] {
         let servers = vec![digest(0x1112_1314_1516_1718, presence), digest(53, Presence::Ready)];
         compare(&mut stored, &format!("digest {presence}"), &DirectoryMessage::Digest { servers });
     }
@@ -90,7 +90,7 @@
     let mut directory = Directory::new(Options::for_heartbeat(1200), SELF, Incarnation(55), 1_000);
     directory.set_peers(1_000, &[SELF, PEER]);
     directory.heartbeat(1_100, "server-9", heartbeat());
-    directory.set_note(1_200, "server-9", note());
+    directory.set_placement_overlay(1_200, "server-9", note());
 
     // when
     for (peer, message) in directory.take_sends() {
--- a/configuration/tests/stored_format.rs
+++ b/configuration/tests/stored_format.rs
@@ -12,7 +12,7 @@
 
 use common::{route, service, two_routes};
 use serde_json::json;
-use shaletrail_configuration::{Change, ConfigState, Judgement, View};
+use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, View};
 use stored::StoredBytes;
 
 fn starting_with(prefix: &str) -> StoredBytes {
@@ -55,7 +55,7 @@
     let changes = changes(&mut stored);
     let mut state = ConfigState::default();
     for change in &changes {
-        assert_eq!(state.apply(change), Judgement::Apply);
+        assert_eq!(state.apply(change), ChangeOutcome::Accepted);
     }
 
     // when
@@ -66,11 +66,11 @@
     assert_eq!((restored.version(), restored.read()), (8, state.read()));
     assert_eq!(restored.view(), state.view());
     for version in 0..=8 {
-        assert_eq!(restored.news_since(version), state.news_since(version), "since {version}");
+        assert_eq!(restored.updates_since(version), state.updates_since(version), "since {version}");
     }
     for change in &changes {
         let change = Change::decode(change).expect("stored changes decode");
-        assert_eq!(restored.judge(&change), Judgement::Repeated);
+        assert_eq!(restored.validate(&change), ChangeOutcome::Duplicate);
     }
     stored.bytes("configuration read back", &restored.read());
     stored.finish();
@@ -80,9 +80,9 @@
 fn news_that_are_not_newer_are_refused_in_the_same_words() {
     let mut state = ConfigState::default();
     for change in changes(&mut starting_with("change ")) {
-        assert_eq!(state.apply(&change), Judgement::Apply);
+        assert_eq!(state.apply(&change), ChangeOutcome::Accepted);
     }
-    let whole = state.news_since(0).expect("there is a configuration");
+    let whole = state.updates_since(0).expect("there is a configuration");
     let mut view = View::default();
     view.apply(&whole).expect("proper news");
     insta::assert_snapshot!(view.apply(&whole).expect_err("not newer"), @"version 8 is not newer than 8");
--- a/consensus/tests/stored_format.rs
+++ b/consensus/tests/stored_format.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 use shaletrail_consensus::{
-    AppendOutcome, Entry, HardState, Message, Payload, Position, Record, Role, Snapshot, Stamp, Standing,
-    VoterSet,
+    AppendOutcome, Entry, HardState, Message, Payload, Position, Record, Role, RoundStamp, Snapshot,
+    VoterSet, VoterStatus,
 };
 use shaletrail_protocol::NodeId;
 use stored::StoredBytes;
@@ -32,12 +32,12 @@
     VoterSet::new(&nodes(&[1, 2, 3])).joint_with(&nodes(&[2, 3, 4]))
 }
 
-fn stamp() -> Stamp {
-    Stamp { round: 5, sent_at: 600_006 }
+fn stamp() -> RoundStamp {
+    RoundStamp { round: 5, sent_at: 600_006 }
 }
 
-fn standing() -> Standing {
-    Standing { boot: 0x0102_0304_0506_0708, forgetful: true }
+fn standing() -> VoterStatus {
+    VoterStatus { disk_id: 0x0102_0304_0506_0708, recovering: true }
 }
 
 fn last() -> Position {
@@ -60,28 +60,28 @@
 
 fn messages() -> Vec<Message> {
     vec![
-        Message::PreVote { term: 21, last: last() },
-        Message::PreVoteAnswer { term: 22, granted: true },
-        Message::Vote { term: 23, last: last(), handed_over: true },
-        Message::VoteAnswer { term: 24, granted: true },
+        Message::PreVoteRequest { term: 21, last: last() },
+        Message::PreVoteResponse { term: 22, granted: true },
+        Message::VoteRequest { term: 23, last: last(), leadership_transfer: true },
+        Message::VoteResponse { term: 24, granted: true },
         Message::Heartbeat { term: 25, commit: 26, stamp: stamp() },
-        Message::HeartbeatAnswer {
+        Message::HeartbeatResponse {
             term: 27,
             stamp: stamp(),
             received: 28,
             matched: 29,
-            standing: standing(),
+            status: standing(),
         },
         Message::Append { term: 30, previous: last(), entries: entries(), commit: 31, stamp: stamp() },
-        Message::AppendAnswer {
+        Message::AppendResponse {
             term: 32,
             stamp: stamp(),
             outcome: AppendOutcome::Matched(33),
-            standing: standing(),
+            status: standing(),
         },
-        Message::Install { term: 34, snapshot: snapshot(), stamp: stamp() },
+        Message::InstallSnapshot { term: 34, snapshot: snapshot(), stamp: stamp() },
         Message::TimeoutNow { term: 35 },
-        Message::Readmit { term: 36, boot: 37 },
+        Message::Rejoin { term: 36, disk_id: 37 },
     ]
 }
 
@@ -92,13 +92,13 @@
     for message in messages() {
         stored.compare(&format!("message {}", message.name()), &message, bitcode::encode, decode);
     }
-    let conflict = Message::AppendAnswer {
+    let conflict = Message::AppendResponse {
         term: 38,
         stamp: stamp(),
         outcome: AppendOutcome::Conflict(39),
-        standing: Standing { boot: 40, forgetful: false },
+        status: VoterStatus { disk_id: 40, recovering: false },
     };
-    stored.compare("message AppendAnswer, conflict", &conflict, bitcode::encode, decode);
+    stored.compare("message AppendResponse, conflict", &conflict, bitcode::encode, decode);
     stored.finish();
 }
 
@@ -109,12 +109,12 @@
     let voted = HardState {
         term: 41,
         voted_for: Some(NodeId(0x0a01_002a)),
-        forgetful: false,
-        boot: 0x1112_1314_1516_1718,
+        recovering: false,
+        disk_id: 0x1112_1314_1516_1718,
     };
-    let forgetful = HardState { voted_for: None, forgetful: true, ..voted.clone() };
+    let recovering = HardState { voted_for: None, recovering: true, ..voted.clone() };
     stored.compare("record hard state, voted", &Record::Hard(voted), Record::encode, decode);
-    stored.compare("record hard state, forgetful", &Record::Hard(forgetful), Record::encode, decode);
+    stored.compare("record hard state, recovering", &Record::Hard(recovering), Record::encode, decode);
     stored.compare("record entries", &Record::Entries(entries()), Record::encode, decode);
     stored.compare("record snapshot", &Record::Snapshot(snapshot()), Record::encode, decode);
     stored.finish();
@@ -124,17 +124,17 @@
 fn names_in_logs_stay() {
     let names: Vec<&str> = messages().iter().map(Message::name).collect();
     let expected = [
-        "PreVote",
-        "PreVoteAnswer",
-        "Vote",
-        "VoteAnswer",
+        "PreVoteRequest",
+        "PreVoteResponse",
+        "VoteRequest",
+        "VoteResponse",
         "Heartbeat",
-        "HeartbeatAnswer",
+        "HeartbeatResponse",
         "Append",
-        "AppendAnswer",
-        "Install",
+        "AppendResponse",
+        "InstallSnapshot",
         "TimeoutNow",
-        "Readmit",
+        "Rejoin",
     ];
     assert_eq!(names, expected);
     let roles = [Role::Learner, Role::Follower, Role::PreCandidate, Role::Candidate, Role::Leader];
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -18,18 +18,21 @@
 use shaletrail_consensus::Record;
 use shaletrail_coordinator::core::demand::list_name;
 use shaletrail_coordinator::core::memory::{DirectoryMemory, STREAM};
-use shaletrail_coordinator::core::service_state::{Holder, ServiceState, Turn};
+use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
-use shaletrail_coordinator::interface::{Action, Event, Note, OrderOutcome};
-use shaletrail_protocol::inside::{OperatorAnswer, OperatorCall, PlacementNote, Presence, ServerRecord};
-use shaletrail_protocol::outside::{Heartbeat, HeldModel, ServerState};
+use shaletrail_coordinator::interface::{Action, Event, OrderOutcome, StateChange};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
+use shaletrail_protocol::internal::{
+    OperatorCall, OperatorResponse, PlacementOverlay, Presence, ServerRecord,
+};
 use shaletrail_protocol::Incarnation;
-use shaletrail_storage::Stored;
+use shaletrail_storage::StoredRecord;
 use stored::StoredBytes;
 
-const FIRST: Holder = Holder { node: shaletrail_protocol::NodeId(0x0a01_0002), fence: 0x0102_0304_0506_0708 };
-const SECOND: Holder =
-    Holder { node: shaletrail_protocol::NodeId(0x0a01_0003), fence: 0x1112_1314_1516_1718 };
+const FIRST: LeaseHolder =
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0002), fence: 0x0102_0304_0506_0708 };
+const SECOND: LeaseHolder =
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0003), fence: 0x1112_1314_1516_1718 };
 
 fn starting_with(prefix: &str) -> StoredBytes {
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
@@ -58,8 +61,8 @@
     stored.finish();
 }
 
-fn held(name: &str, version: u64, adapter: &str) -> HeldModel {
-    HeldModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
+fn held(name: &str, version: u64, adapter: &str) -> LoadedModel {
+    LoadedModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
 }
 
 #[test]
@@ -80,14 +83,14 @@
         models: Some(vec![held("large", 32, "legal")]),
         sequence: 34,
     };
-    let note = PlacementNote {
-        fence: 41,
-        number: 42,
-        adding: vec![held("tiny", 43, "poems")],
-        dropping: vec![held("huge", 44, "prose")],
+    let note = PlacementOverlay {
+        fencing_token: 41,
+        revision: 42,
+        added: vec![held("tiny", 43, "poems")],
+        evicting: vec![held("huge", 44, "prose")],
     };
     directory.heartbeat(1_100, "server-9", heartbeat.clone());
-    directory.set_note(1_200, "server-9", note.clone());
+    directory.set_placement_overlay(1_200, "server-9", note.clone());
 
     // when
     let mut memory = DirectoryMemory::default();
@@ -97,10 +100,12 @@
     let bytes = stored.bytes("directory on disk", &written);
     stored.finish();
     assert_eq!(memory.live_record(), Some((STREAM, bytes.clone())));
-    let mut journal = vec![Stored { stream: 0, bytes: vec![1] }, Stored { stream: STREAM, bytes }];
-    let record = ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, note };
+    let mut journal =
+        vec![StoredRecord { stream: 0, bytes: vec![1] }, StoredRecord { stream: STREAM, bytes }];
+    let record =
+        ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, overlay: note };
     assert_eq!(DirectoryMemory::take_from(&mut journal), [record]);
-    assert_eq!(journal, [Stored { stream: 0, bytes: vec![1] }]);
+    assert_eq!(journal, [StoredRecord { stream: 0, bytes: vec![1] }]);
 }
 
 #[test]
@@ -122,10 +127,10 @@
     alone.run(3_000);
     let call = alone.replace(0, &configuration(7, "stored.example"));
     alone.run(1_000);
-    assert!(matches!(alone.answer(call), Some(OperatorAnswer::Done { .. })));
+    assert!(matches!(alone.answer(call), Some(OperatorResponse::Done { .. })));
     alone.heartbeat("server-9", ServerState::Ready, 34);
     alone.run(2_000);
-    alone.tell(Event::Stored { ticket: 0, wants_checkpoint: true });
+    alone.tell(Event::Persisted { ticket: 0, wants_checkpoint: true });
     let live = alone.actions.iter().find_map(|action| match action {
         Action::Checkpoint { live } => Some(live.clone()),
         _ => None,
@@ -134,10 +139,10 @@
 }
 
 /// The records that [`disk_of_a_coordinator`] gave in an earlier build.
-fn disk_of_an_earlier_build() -> Vec<Stored> {
+fn disk_of_an_earlier_build() -> Vec<StoredRecord> {
     let record = |(name, bytes): (String, Vec<u8>)| {
         let (_, stream) = name.split_once("stream ").expect("the stream stands in the name");
-        Stored { stream: stream.parse().expect("a stream is a number"), bytes }
+        StoredRecord { stream: stream.parse().expect("a stream is a number"), bytes }
     };
     starting_with("disk ").into_all().into_iter().map(record).collect()
 }
@@ -159,7 +164,7 @@
 fn a_coordinator_goes_on_with_the_disk_of_an_earlier_build() {
     // given
     let disk = disk_of_an_earlier_build();
-    for Stored { stream, bytes } in disk.iter().filter(|stored| stored.stream != STREAM) {
+    for StoredRecord { stream, bytes } in disk.iter().filter(|stored| stored.stream != STREAM) {
         let record = Record::decode(bytes).expect("stored records decode");
         assert_eq!(record.encode(), *bytes, "stream {stream}");
     }
@@ -171,10 +176,12 @@
     alone.run(1_000);
 
     // then
-    let Some(OperatorAnswer::Done { body }) = alone.answer(read) else { panic!("no configuration is read") };
+    let Some(OperatorResponse::Done { body }) = alone.answer(read) else {
+        panic!("no configuration is read")
+    };
     let body = std::str::from_utf8(body).expect("JSON is text");
     assert!(body.contains("stored.example") && body.contains("\"version\":7"), "{body}");
-    let poll = alone.poll(shaletrail_protocol::inside::PollRequest::default());
+    let poll = alone.poll(shaletrail_protocol::internal::PollRequest::default());
     let reply = alone.reply(poll).expect("there is news");
     let servers: Vec<&str> = reply.servers.iter().map(|server| server.id.as_str()).collect();
     assert_eq!(servers, ["server-9"]);
@@ -183,15 +190,23 @@
 #[test]
 fn names_in_logs_stay() {
     let notes = [
-        Note::Leading { shard: 1, term: 2 },
-        Note::Deposed { shard: 1, term: 2 },
-        Note::Configuration { version: 3 },
-        Note::Voters { shard: 1, wanted: Vec::new() },
-        Note::Holding { shard: 1, fence: 4 },
-        Note::InTouch(true),
-        Note::Unreadable { shard: 1 },
+        StateChange::BecameLeader { shard: 1, term: 2 },
+        StateChange::LostLeadership { shard: 1, term: 2 },
+        StateChange::ConfigurationApplied { version: 3 },
+        StateChange::VotersChanging { shard: 1, wanted: Vec::new() },
+        StateChange::OrderLeaseAcquired { shard: 1, fencing_token: 4 },
+        StateChange::QuorumContactChanged(true),
+        StateChange::UnreadableRecords { shard: 1 },
+    ];
+    let expected = [
+        "BecameLeader",
+        "LostLeadership",
+        "ConfigurationApplied",
+        "VotersChanging",
+        "OrderLeaseAcquired",
+        "QuorumContactChanged",
+        "UnreadableRecords",
     ];
-    let expected = ["Leading", "Deposed", "Configuration", "Voters", "Holding", "InTouch", "Unreadable"];
     assert_eq!(notes.map(|note| note.to_string()), expected);
     let outcomes = [
         OrderOutcome::Accepted,
--- a/model-checker/src/scenes.rs
+++ b/model-checker/src/scenes.rs
@@ -363,7 +363,11 @@
     script.deliver(1, 2, "PreVoteRequest").deliver(2, 1, "PreVoteResponse").lose_all();
     script.pass(ELECTION).feed(1, Input::Tick);
     script.deliver(1, 2, "PreVoteRequest").deliver(2, 1, "PreVoteResponse");
-    script.deliver(1, 3, "VoteRequest").deliver(1, 2, "VoteRequest").deliver(2, 1, "VoteResponse").lose_all_to(3);
+    script
+        .deliver(1, 3, "VoteRequest")
+        .deliver(1, 2, "VoteRequest")
+        .deliver(2, 1, "VoteResponse")
+        .lose_all_to(3);
     script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
     script.deliver(1, 2, "Append").deliver(2, 1, "AppendResponse");
     script.with(Budget { stands: 1, ..in_time(1) })
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -14,14 +14,15 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_protocol::frame::{self, PREFIX};
-use shaletrail_protocol::inside::{
-    ConfigItem, ConfigNews, CoreMessage, Demand, DirectoryCursor, EdgeIdentity, EdgeLoads, EdgeReport,
-    EdgeRequest, Hello, ItemKey, LoadScope, LoadShare, MemberRecord, MemberState, MembershipMessage,
-    Observation, OperatorAnswer, OperatorCall, PlacementNote, PollReply, PollRequest, Presence, ServerRecord,
+use shaletrail_protocol::external::{
+    Heartbeat, HeartbeatResponse, LoadedModel, Operation, Order, Report, ServerState,
 };
-use shaletrail_protocol::outside::{
-    Heartbeat, HeartbeatAnswer, HeldModel, Operation, Order, Report, ServerState,
+use shaletrail_protocol::frame::{self, PREFIX_BYTES};
+use shaletrail_protocol::internal::{
+    ConfigItem, ConfigUpdate, CoordinatorMessage, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport,
+    EdgeReport, EdgeRequest, EdgeServerLoad, Handshake, ItemKey, LoadScope, MemberRecord, MemberState,
+    MembershipMessage, Observation, OperatorCall, OperatorResponse, PlacementOverlay, PollRequest,
+    PollResponse, Presence, ServerRecord,
 };
 use shaletrail_protocol::{Incarnation, NodeId};
 use stored::StoredBytes;
@@ -39,7 +40,7 @@
         M: Debug + PartialEq + bitcode::Encode + bitcode::DecodeOwned,
     {
         self.0.compare(name, message, frame::encode, |bytes| {
-            let (prefix, body) = bytes.split_first_chunk::<PREFIX>().expect("a frame has a prefix");
+            let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
             assert_eq!(frame::body_length(*prefix), Ok(body.len()), "{name}: the prefix holds the length");
             frame::decode(body).expect("stored frames decode")
         });
@@ -59,7 +60,7 @@
         tokens: 70_012,
         priority: 3,
         waiting: 14,
-        crowded: 15,
+        over_capacity: 15,
         open: 16,
     }
 }
@@ -76,9 +77,9 @@
     DirectoryCursor { epoch: Incarnation(epoch), change }
 }
 
-fn held(name: &str, version: u64, adapters: &[&str]) -> HeldModel {
+fn held(name: &str, version: u64, adapters: &[&str]) -> LoadedModel {
     let adapters = adapters.iter().map(|adapter| (*adapter).to_owned()).collect();
-    HeldModel { name: name.to_owned(), version, adapters }
+    LoadedModel { name: name.to_owned(), version, adapters }
 }
 
 fn heartbeat() -> Heartbeat {
@@ -101,18 +102,18 @@
     ServerRecord {
         id: "server-9".to_owned(),
         heartbeat: heartbeat(),
-        presence: Presence::Silent,
-        note: PlacementNote {
-            fence: 41,
-            number: 42,
-            adding: vec![held("tiny", 43, &["poems"])],
-            dropping: vec![held("huge", 44, &["prose", "verse"])],
+        presence: Presence::TimedOut,
+        overlay: PlacementOverlay {
+            fencing_token: 41,
+            revision: 42,
+            added: vec![held("tiny", 43, &["poems"])],
+            evicting: vec![held("huge", 44, &["prose", "verse"])],
         },
     }
 }
 
-fn news() -> ConfigNews {
-    ConfigNews {
+fn news() -> ConfigUpdate {
+    ConfigUpdate {
         base: Some(51),
         version: 52,
         upsert: vec![ConfigItem { key: key("routes", "r-one"), json: "{\"name\":\"r-one\"}".to_owned() }],
@@ -132,12 +133,12 @@
     vec![
         member(0x0a01_0002, 0x1122_3344_5566_7788, 62, MemberState::Alive),
         member(0x0a01_0003, 0x1122_3344_5566_7799, 63, MemberState::Suspect),
-        member(0x0a01_0004, 64, 65, MemberState::Absent),
+        member(0x0a01_0004, 64, 65, MemberState::Dead),
     ]
 }
 
 fn change() -> OperatorCall {
-    OperatorCall::Change { whole: true, base: 71, body: b"{\"version\":72}".to_vec() }
+    OperatorCall::Change { replace: true, base_version: 71, body: b"{\"version\":72}".to_vec() }
 }
 
 #[test]
@@ -148,8 +149,9 @@
         incarnation: Incarnation(0x0102_0304_0506_0708),
         zone: "hall-a".to_owned(),
     };
-    frames.compare("hello edge", &Hello::Edge(edge));
-    let core = Hello::Core { node: NodeId(0x0a02_0006), incarnation: Incarnation(0x1112_1314_1516_1718) };
+    frames.compare("hello edge", &Handshake::Edge(edge));
+    let core =
+        Handshake::Coordinator { node: NodeId(0x0a02_0006), incarnation: Incarnation(0x1112_1314_1516_1718) };
     frames.compare("hello core", &core);
     frames.finish();
 }
@@ -160,10 +162,10 @@
     let poll = PollRequest {
         config_version: 81,
         cursor: cursor(0x2122_2324_2526_2728, 82),
-        hold_ms: 2_500,
+        max_wait_ms: 2_500,
         demand: vec![demand(), demand_without_adapter()],
         observed: vec![observation()],
-        edge_list: 0x3132_3334_3536_3738,
+        edge_list_hash: 0x3132_3334_3536_3738,
     };
     frames.compare("edge request poll", &EdgeRequest::Poll(poll));
     frames.compare("edge request empty poll", &EdgeRequest::Poll(PollRequest::default()));
@@ -175,22 +177,22 @@
 #[test]
 fn poll_replies_keep_their_bytes() {
     let mut frames = Frames::starting_with("poll reply");
-    let full = PollReply {
+    let full = PollResponse {
         config: Some(news()),
         servers: vec![record()],
-        whole: true,
+        complete: true,
         cursor: cursor(0x4142_4344_4546_4748, 92),
         coordinators: vec![NodeId(0x0a01_0007), NodeId(0x0a01_0008)],
         edges: 93,
         edge_nodes: Some(vec![NodeId(0x0a01_0009)]),
-        edge_list: 94,
+        edge_list_hash: 94,
         isolated: false,
     };
-    let isolated = PollReply { isolated: true, ..PollReply::default() };
+    let isolated = PollResponse { isolated: true, ..PollResponse::default() };
     frames.compare("poll reply full", &full);
     frames.compare("poll reply isolated", &isolated);
-    let whole_configuration = ConfigNews { base: None, ..news() };
-    let whole = PollReply { config: Some(whole_configuration), ..PollReply::default() };
+    let whole_configuration = ConfigUpdate { base: None, ..news() };
+    let whole = PollResponse { config: Some(whole_configuration), ..PollResponse::default() };
     frames.compare("poll reply whole configuration", &whole);
     frames.finish();
 }
@@ -198,7 +200,7 @@
 #[test]
 fn server_records_keep_their_bytes() {
     let mut frames = Frames::starting_with("server record");
-    for presence in [Presence::Ready, Presence::Draining, Presence::Silent, Presence::Gone] {
+    for presence in [Presence::Ready, Presence::Draining, Presence::TimedOut, Presence::Removed] {
         frames.compare(&format!("server record {presence}"), &ServerRecord { presence, ..record() });
     }
     for state in [ServerState::Ready, ServerState::Draining] {
@@ -213,14 +215,14 @@
 fn edge_loads_keep_their_bytes() {
     let mut frames = Frames::starting_with("edge loads");
     for scope in [LoadScope::Own, LoadScope::Group, LoadScope::Fleet] {
-        let loads = EdgeLoads {
+        let loads = EdgeLoadReport {
             edge: NodeId(0x0a01_000a),
             incarnation: Incarnation(0x5152_5354_5556_5758),
-            number: 101,
+            sequence: 101,
             scope,
-            shares: vec![
-                LoadShare { server: 0x6162_6364_6566_6768, open: 102, prefill: 70_103, silent: true },
-                LoadShare { server: 104, open: 105, prefill: 106, silent: false },
+            loads: vec![
+                EdgeServerLoad { server: 0x6162_6364_6566_6768, open: 102, prefill: 70_103, silent: true },
+                EdgeServerLoad { server: 104, open: 105, prefill: 106, silent: false },
             ],
         };
         frames.compare(&format!("edge loads {scope:?}"), &loads);
@@ -232,17 +234,27 @@
 fn messages_of_coordinators_keep_their_bytes() {
     let mut frames = Frames::starting_with("core message");
     let ping = MembershipMessage::Ping { number: 111, members: members() };
-    frames.compare("core message ping", &CoreMessage::Membership(ping));
+    frames.compare("core message ping", &CoordinatorMessage::Membership(ping));
     let pong = MembershipMessage::Pong { number: 112, members: members() };
-    frames.compare("core message pong", &CoreMessage::Membership(pong));
-    frames.compare("core message shard", &CoreMessage::Shard { shard: 113, body: b"shard body".to_vec() });
-    frames.compare("core message directory", &CoreMessage::Directory { body: b"directory body".to_vec() });
-    frames.compare("core message directory ack", &CoreMessage::DirectoryAck { batch: 0x7172_7374_7576_7778 });
-    frames.compare("core message forward", &CoreMessage::Forward { call: 115, change: change() });
-    let read = CoreMessage::Forward { call: 116, change: OperatorCall::Read };
+    frames.compare("core message pong", &CoordinatorMessage::Membership(pong));
+    frames.compare(
+        "core message shard",
+        &CoordinatorMessage::Shard { shard: 113, body: b"shard body".to_vec() },
+    );
+    frames.compare(
+        "core message directory",
+        &CoordinatorMessage::Directory { body: b"directory body".to_vec() },
+    );
+    frames.compare(
+        "core message directory ack",
+        &CoordinatorMessage::DirectoryAck { batch: 0x7172_7374_7576_7778 },
+    );
+    frames
+        .compare("core message forward", &CoordinatorMessage::ForwardRequest { call: 115, change: change() });
+    let read = CoordinatorMessage::ForwardRequest { call: 116, change: OperatorCall::Read };
     frames.compare("core message forward read", &read);
-    let demand = CoreMessage::Demand {
-        span_ms: 117,
+    let demand = CoordinatorMessage::Demand {
+        window_ms: 117,
         edges: vec![NodeId(0x0a01_000b), NodeId(0x0a01_000c)],
         reports: vec![EdgeReport {
             edge: NodeId(0x0a01_000d),
@@ -251,7 +263,7 @@
         }],
     };
     frames.compare("core message demand", &demand);
-    frames.compare("core message in force", &CoreMessage::InForce { version: 118 });
+    frames.compare("core message in force", &CoordinatorMessage::AppliedConfigVersion { version: 118 });
     frames.finish();
 }
 
@@ -259,13 +271,16 @@
 fn answers_of_the_operators_calls_keep_their_bytes() {
     let mut frames = Frames::starting_with("forwarded");
     let answers = [
-        ("done", OperatorAnswer::Done { body: b"{\"version\":121}".to_vec() }),
-        ("conflict", OperatorAnswer::Conflict { current: 122 }),
-        ("invalid", OperatorAnswer::Invalid { reason: "body: version: missing".to_owned() }),
-        ("unavailable", OperatorAnswer::Unavailable),
+        ("done", OperatorResponse::Done { body: b"{\"version\":121}".to_vec() }),
+        ("conflict", OperatorResponse::Conflict { current: 122 }),
+        ("invalid", OperatorResponse::Invalid { reason: "body: version: missing".to_owned() }),
+        ("unavailable", OperatorResponse::Unavailable),
     ];
     for (name, answer) in answers {
-        frames.compare(&format!("forwarded {name}"), &CoreMessage::Forwarded { call: 123, answer });
+        frames.compare(
+            &format!("forwarded {name}"),
+            &CoordinatorMessage::ForwardResponse { call: 123, response: answer },
+        );
     }
     frames.finish();
 }
@@ -297,8 +312,8 @@
 
 #[test]
 fn an_answer_to_a_heartbeat_keeps_its_json() {
-    compare_json(&HeartbeatAnswer { heartbeat_endpoint: None }, "{}");
-    let elsewhere = HeartbeatAnswer { heartbeat_endpoint: Some("10.1.0.2:8146".to_owned()) };
+    compare_json(&HeartbeatResponse { heartbeat_endpoint: None }, "{}");
+    let elsewhere = HeartbeatResponse { heartbeat_endpoint: Some("10.1.0.2:8146".to_owned()) };
     compare_json(&elsewhere, "{\"heartbeatEndpoint\":\"10.1.0.2:8146\"}");
 }
 
@@ -345,10 +360,10 @@
 
 #[test]
 fn names_in_logs_stay() {
-    let presences = [Presence::Ready, Presence::Draining, Presence::Silent, Presence::Gone];
-    assert_eq!(presences.map(|presence| presence.to_string()), ["Ready", "Draining", "Silent", "Gone"]);
-    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Absent];
-    assert_eq!(states.map(|state| state.to_string()), ["Alive", "Suspect", "Absent"]);
+    let presences = [Presence::Ready, Presence::Draining, Presence::TimedOut, Presence::Removed];
+    assert_eq!(presences.map(|presence| presence.to_string()), ["Ready", "Draining", "TimedOut", "Removed"]);
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead];
+    assert_eq!(states.map(|state| state.to_string()), ["Alive", "Suspect", "Dead"]);
     let states = [ServerState::Ready, ServerState::Draining];
     assert_eq!(states.map(|state| state.to_string()), ["Ready", "Draining"]);
     assert_eq!([Operation::Load, Operation::Evict].map(|operation| operation.to_string()), ["load", "evict"]);
--- a/storage/tests/stored_format.rs
+++ b/storage/tests/stored_format.rs
@@ -15,7 +15,7 @@
 use bytes::StoredBytes;
 use shaletrail_storage::header::{self, SegmentHeader, PAGE};
 use shaletrail_storage::record::{self, Kind};
-use shaletrail_storage::{FolderDisk, Journal, Opened, Options, Stored};
+use shaletrail_storage::{FolderDisk, Journal, Opened, Options, StoredRecord};
 
 const FILE_BYTES: u64 = 16 << 10;
 /// The files of the stored journal that hold a segment, first to last.
@@ -66,8 +66,8 @@
     }
 }
 
-fn stored(stream: u32, bytes: &[u8]) -> Stored {
-    Stored { stream, bytes: bytes.to_vec() }
+fn stored(stream: u32, bytes: &[u8]) -> StoredRecord {
+    StoredRecord { stream, bytes: bytes.to_vec() }
 }
 
 /// Writes the journal whose bytes are stored: two syncs, a checkpoint, one more append.
@@ -89,7 +89,7 @@
 }
 
 /// The records of the stored journal that count: those from the checkpoint on.
-fn expected() -> [Stored; 3] {
+fn expected() -> [StoredRecord; 3] {
     [stored(3, b"live one"), stored(4, b"live two"), stored(1_000, b"after the checkpoint")]
 }
 
@@ -117,7 +117,7 @@
     journal.append(5, b"later".to_vec()).expect("the record is short");
     journal.sync().expect("the disk is well");
     drop(journal);
-    let all: Vec<Stored> = expected().into_iter().chain([stored(5, b"later")]).collect();
+    let all: Vec<StoredRecord> = expected().into_iter().chain([stored(5, b"later")]).collect();
     assert_eq!(read.open().stored, all);
 }
 
