--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, hand-over.
+//! Elections: pre-votes and votes (Ongaro's thesis, sections 3.4, 3.6 and 9.6).
 
 use std::collections::BTreeSet;
 
@@ -6,166 +6,136 @@
 
 use crate::entry::{Position, Term};
 use crate::message::Message;
-use crate::replica::{Replica, State};
+use crate::replica::{Replica, RoleState};
 
-/// Voters that start at the same time help a little later than their shortest timeout.
-const HASTE_MARGIN: Millis = 30;
-/// Longest election timeouts that a leader waits before it stands again after it handed over.
-const STAND_BACK: Millis = 2;
+/// Beyond the shortest election timeout, since voters that received the same message of a leader a little later still
+/// reject a candidate.
+const CAMPAIGN_SOON_MARGIN_MS: Millis = 30;
 
 impl Replica {
+    /// Starts an election with a pre-vote, which raises no term: a replica that was partitioned off does not depose
+    /// the leader when it is back.
     pub(crate) fn on_election_timeout(&mut self) {
-        self.reset_election();
+        self.reset_election_timeout();
         self.leader = None;
-        if !self.is_eligible() || self.disk_stalls() {
-            self.state = State::Follower;
+        if !self.is_promotable() || self.is_disk_stalled() {
+            self.role_state = RoleState::Follower;
             return;
         }
-        self.state = State::PreCandidate { granted: BTreeSet::from([self.options.node]) };
-        let pre_vote = Message::PreVoteRequest { term: self.hard.term + 1, last: self.log.last() };
-        for node in self.others() {
+        self.role_state = RoleState::PreCandidate { granted: BTreeSet::from([self.options.node]) };
+        let pre_vote = Message::PreVoteRequest { term: self.hard_state.term + 1, last: self.log.last() };
+        for node in self.other_voters() {
             self.send(node, pre_vote.clone());
         }
-        self.stand_if_backed();
+        self.campaign_if_pre_vote_won();
     }
 
-    fn disk_stalls(&self) -> bool {
+    /// Whether the disk hasn't synced for so long that this replica could not lead.
+    pub(crate) fn is_disk_stalled(&self) -> bool {
         self.persistence.is_stalled(self.now, self.options.disk_stall_ms)
     }
 
-    /// All other voters.
-    fn others(&self) -> Vec<NodeId> {
+    /// All voters but this replica, of both halves in a joint phase.
+    pub(crate) fn other_voters(&self) -> Vec<NodeId> {
         self.log.voters().members().filter(|node| *node != self.options.node).collect()
     }
 
-    /// Whether a leader that may hold a lease was heard, or is this replica.
-    fn is_loyal(&self) -> bool {
-        match &self.state {
-            State::Leader(leadership) => {
-                let contact = leadership.contact_since(self.log.voters(), self.options.node);
-                contact.saturating_add(self.options.election_min_ms) > self.now
-            }
-            _ => self.now < self.loyal_until,
-        }
-    }
-
-    pub(crate) fn on_pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
-        if term <= self.hard.term {
-            self.send_in_term(from, Message::PreVoteResponse { term: self.hard.term, granted: false });
-        } else if !self.hard.recovering && !self.is_loyal() && last >= self.log.last() {
+    /// A rejection names the newer term, so it waits for that to be synced; nothing rests on a granted pre-vote.
+    pub(crate) fn on_pre_vote_request(&mut self, from: NodeId, term: Term, last: Position) {
+        if term <= self.hard_state.term {
+            let response = Message::PreVoteResponse { term: self.hard_state.term, granted: false };
+            self.send_in_term(from, response);
+        } else if !self.hard_state.recovering && !self.in_leader_lease() && last >= self.log.last() {
             self.send(from, Message::PreVoteResponse { term, granted: true });
         }
     }
 
-    pub(crate) fn on_pre_vote_answer(&mut self, from: NodeId, term: Term, granted: bool) {
+    pub(crate) fn on_pre_vote_response(&mut self, from: NodeId, term: Term, granted: bool) {
         if !granted {
-            self.adopt_newer(term);
+            self.adopt_newer_term(term);
             return;
         }
-        let asked = self.hard.term + 1;
-        let State::PreCandidate { granted } = &mut self.state else { return };
-        if term == asked {
+        let requested_term = self.hard_state.term + 1;
+        let RoleState::PreCandidate { granted } = &mut self.role_state else { return };
+        if term == requested_term {
             granted.insert(from);
-            self.stand_if_backed();
+            self.campaign_if_pre_vote_won();
         }
     }
 
-    fn stand_if_backed(&mut self) {
-        let State::PreCandidate { granted } = &self.state else { return };
+    fn campaign_if_pre_vote_won(&mut self) {
+        let RoleState::PreCandidate { granted } = &self.role_state else { return };
         if self.log.voters().has_quorum(|node| granted.contains(&node)) {
-            self.stand(false);
+            self.campaign(false);
         }
     }
 
-    /// Asks for votes in a new term. The own vote counts when it is synced, and the requests leave then.
-    fn stand(&mut self, leadership_transfer: bool) {
-        self.become_follower(self.hard.term + 1, None);
-        self.hard.voted_for = Some(self.options.node);
-        self.record_hard();
-        self.state = State::Candidate { granted: BTreeSet::new() };
-        let term = self.hard.term;
+    /// Asks for votes in a new term. The own vote counts when it is synced, and the requests leave then: they name the
+    /// new term.
+    pub(crate) fn campaign(&mut self, leadership_transfer: bool) {
+        self.become_follower(self.hard_state.term + 1, None);
+        self.hard_state.voted_for = Some(self.options.node);
+        self.record_hard_state();
+        self.role_state = RoleState::Candidate { granted: BTreeSet::new() };
+        let term = self.hard_state.term;
         let request = Message::VoteRequest { term, last: self.log.last(), leadership_transfer };
-        for node in self.others() {
-            self.send_promise(node, request.clone());
+        for node in self.other_voters() {
+            self.send_after_sync(node, request.clone());
         }
-        self.send_promise(self.options.node, Message::VoteResponse { term, granted: true });
+        self.send_after_sync(self.options.node, Message::VoteResponse { term, granted: true });
     }
 
-    pub(crate) fn on_vote(&mut self, from: NodeId, term: Term, last: Position, leadership_transfer: bool) {
-        if term >= self.hard.term && self.is_loyal() && !leadership_transfer {
+    /// Votes for one candidate a term (Election Safety), whose log is at least as up to date as this replica's
+    /// (Leader Completeness; Ongaro's thesis, section 3.6).
+    pub(crate) fn on_vote_request(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        last: Position,
+        leadership_transfer: bool,
+    ) {
+        // The lease is checked again, as the leader may have been in contact since the pre-vote. A transfer passes over
+        // it, as the former leader has stopped.
+        if term >= self.hard_state.term && self.in_leader_lease() && !leadership_transfer {
             return;
         }
-        self.adopt_newer(term);
-        let is_free = self.hard.voted_for.is_none_or(|node| node == from);
-        let granted = term == self.hard.term && is_free && !self.hard.recovering && last >= self.log.last();
+        self.adopt_newer_term(term);
+        let can_vote = self.hard_state.voted_for.is_none_or(|node| node == from);
+        let granted = term == self.hard_state.term
+            && can_vote
+            && !self.hard_state.recovering
+            && last >= self.log.last();
         if granted {
-            self.reset_election();
-            if self.hard.voted_for.is_none() {
-                self.hard.voted_for = Some(from);
-                self.record_hard();
+            self.reset_election_timeout();
+            if self.hard_state.voted_for.is_none() {
+                self.hard_state.voted_for = Some(from);
+                self.record_hard_state();
             }
         }
-        let answer = Message::VoteResponse { term: self.hard.term, granted };
-        self.send_promise(from, answer);
+        let response = Message::VoteResponse { term: self.hard_state.term, granted };
+        self.send_after_sync(from, response);
     }
 
-    pub(crate) fn on_vote_answer(&mut self, from: NodeId, term: Term, granted: bool) {
-        if term != self.hard.term || !granted {
-            self.adopt_newer(term);
+    pub(crate) fn on_vote_response(&mut self, from: NodeId, term: Term, granted: bool) {
+        if term != self.hard_state.term || !granted {
+            self.adopt_newer_term(term);
             return;
         }
-        let State::Candidate { granted } = &mut self.state else { return };
+        let RoleState::Candidate { granted } = &mut self.role_state else { return };
         granted.insert(from);
-        let State::Candidate { granted } = &self.state else { return };
+        let RoleState::Candidate { granted } = &self.role_state else { return };
         if self.log.voters().has_quorum(|node| granted.contains(&node)) {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    /// Goes on to a newer term of which an answer told.
-    pub(crate) fn adopt_newer(&mut self, term: Term) {
-        if term > self.hard.term {
-            self.become_follower(term, None);
-        }
-    }
-
-    pub(crate) fn on_timeout_now(&mut self, term: Term) {
-        let is_current = term == self.hard.term && !self.is_leader();
-        if is_current && self.is_eligible() && !self.disk_stalls() {
-            self.stand(true);
-        }
-    }
-
-    /// Stands for election as soon as voters may help, for a node that should rather lead than others: its owner has to
-    /// wait for something where another one leads.
+    /// Campaigns as soon as voters may grant it, for a node that should rather lead than others: its owner has to wait
+    /// for something where another one leads.
     pub fn campaign_soon(&mut self, now: Millis) {
         self.set_now(now);
         if !self.is_leader() {
-            let soonest = self.now + self.options.election_min_ms + HASTE_MARGIN;
+            let soonest = self.now + self.options.election_min_ms + CAMPAIGN_SOON_MARGIN_MS;
             self.election_at = self.election_at.min(soonest);
         }
     }
-
-    /// Stops leading and prompts the most advanced other voter to stand at once, for a driver whose disk is sick.
-    /// Without effect where there is no other voter.
-    pub fn transfer_leadership(&mut self, now: Millis) {
-        self.set_now(now);
-        self.replicate();
-        if self.others().iter().any(|node| self.log.voters().incoming().contains(node)) {
-            self.step_aside();
-        }
-    }
-
-    /// Stops leading, and only then prompts another voter.
-    pub(crate) fn step_aside(&mut self) {
-        let State::Leader(leadership) = &self.state else { return };
-        let in_touch_since = self.now.saturating_sub(self.options.election_max_ms);
-        let heir = leadership.best_voter(self.log.voters(), in_touch_since);
-        let term = self.hard.term;
-        self.become_follower(term, None);
-        self.election_at = self.now + STAND_BACK * self.options.election_max_ms;
-        if let Some(heir) = heir {
-            self.send(heir, Message::TimeoutNow { term });
-        }
-    }
 }
--- a/consensus/src/entry.rs
+++ b/consensus/src/entry.rs
@@ -6,47 +6,47 @@
 
 use crate::voters::VoterSet;
 
-/// Place of an entry in the log; the first is 1.
+/// Index of an entry in the log; the first is 1.
 pub type Index = u64;
-/// Number of a leadership; each has one leader at most.
+/// Number of a term; each has one leader at most (Election Safety; Ongaro's thesis, section 3.4).
 pub type Term = u64;
 
-/// Bytes that an entry takes besides its command, roughly.
-const OVERHEAD: usize = 32;
+/// Bytes that an entry takes besides its payload, roughly.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// What an entry says.
+/// What an entry holds.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Payload {
-    /// Nothing: the start of a leadership, or a readmission point.
+    /// Nothing: the first of a term, or a rejoin point.
     Empty,
-    /// A command of the state machine.
+    /// A command of the state machine, as its owner encodes it.
     Command(Arc<[u8]>),
-    /// The voters from here on; in force as soon as it is in the log.
+    /// The voters from here on; in force as soon as the entry is in the log, committed or not.
     Voters(VoterSet),
 }
 
-/// One entry.
+/// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// Its place.
+    /// Its index in the log.
     pub index: Index,
     /// The term of the leader that appended it.
     pub term: Term,
-    /// What it says.
+    /// What it holds.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Its size in bytes, roughly.
+    /// Its size in bytes, roughly, for the limits of [`Options`](crate::Options).
     pub fn size(&self) -> usize {
         match &self.payload {
-            Payload::Empty => OVERHEAD,
-            Payload::Command(command) => OVERHEAD + command.len(),
-            Payload::Voters(voters) => OVERHEAD + voters.size(),
+            Payload::Empty => ENTRY_OVERHEAD_BYTES,
+            Payload::Command(command) => ENTRY_OVERHEAD_BYTES + command.len(),
+            Payload::Voters(voters) => ENTRY_OVERHEAD_BYTES + voters.size(),
         }
     }
 
-    /// Where it stands.
+    /// Its term and index.
     pub fn position(&self) -> Position {
         Position { term: self.term, index: self.index }
     }
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -5,30 +5,30 @@
 use crate::entry::{Entry, Index, Position, Term};
 use crate::message::{AppendOutcome, Message, RoundStamp};
 use crate::record::{Record, Snapshot};
-use crate::replica::{Replica, State};
+use crate::replica::{Replica, RoleState};
 
 impl Replica {
     /// Follows the sender of a leader's message, or returns false where its term is over.
-    fn follow(&mut self, from: NodeId, term: Term) -> bool {
-        if term < self.hard.term || (term == self.hard.term && self.is_leader()) {
+    pub(crate) fn follow_leader(&mut self, from: NodeId, term: Term) -> bool {
+        if term < self.hard_state.term || (term == self.hard_state.term && self.is_leader()) {
             return false;
         }
-        if term > self.hard.term || !matches!(self.state, State::Follower) {
+        if term > self.hard_state.term || !matches!(self.role_state, RoleState::Follower) {
             self.become_follower(term, Some(from));
         }
-        self.founding = false;
+        self.bootstrapping = false;
         self.leader = Some(from);
-        self.loyal_until = self.now + self.options.election_min_ms;
-        self.reset_election();
+        self.leader_lease_until = self.now + self.options.election_min_ms;
+        self.reset_election_timeout();
         true
     }
 
-    /// As `follow`; a sender whose term is over is told the present one.
+    /// As [`Replica::follow_leader`]; a sender whose term is over gets a response that names the present one.
     pub(crate) fn follow_or_reject(&mut self, from: NodeId, term: Term) -> bool {
-        let follows = self.follow(from, term);
-        if !follows && term < self.hard.term {
-            let answer = self.heartbeat_answer(RoundStamp::default());
-            self.send_in_term(from, answer);
+        let follows = self.follow_leader(from, term);
+        if !follows && term < self.hard_state.term {
+            let response = self.heartbeat_response(RoundStamp::default());
+            self.send_in_term(from, response);
         }
         follows
     }
@@ -37,30 +37,33 @@
         if !self.follow_or_reject(from, term) {
             return;
         }
-        self.commit_to(commit.min(self.verified));
-        let answer = self.heartbeat_answer(stamp);
-        self.send_in_term(from, answer);
+        self.commit_to(commit.min(self.leader_match_index));
+        let response = self.heartbeat_response(stamp);
+        self.send_in_term(from, response);
     }
 
-    fn heartbeat_answer(&self, stamp: RoundStamp) -> Message {
+    /// The response names two indexes: only what is synced may count for commits, while what was received tells the
+    /// leader whether entries got lost.
+    fn heartbeat_response(&self, stamp: RoundStamp) -> Message {
         Message::HeartbeatResponse {
-            term: self.hard.term,
+            term: self.hard_state.term,
             stamp,
-            received: self.verified,
-            matched: self.verified.min(self.persistence.synced_index()),
-            status: self.standing(),
+            received: self.leader_match_index,
+            matched: self.leader_match_index.min(self.persistence.synced_index()),
+            status: self.voter_status(),
         }
     }
 
-    fn answer_append(&mut self, to: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
-        let answer =
-            Message::AppendResponse { term: self.hard.term, stamp, outcome, status: self.standing() };
+    fn send_append_response(&mut self, to: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
+        let status = self.voter_status();
+        let response = Message::AppendResponse { term: self.hard_state.term, stamp, outcome, status };
         match outcome {
-            AppendOutcome::Matched(_) => self.send_promise(to, answer),
-            AppendOutcome::Conflict(_) => self.send_in_term(to, answer),
+            AppendOutcome::Matched(_) => self.send_after_sync(to, response),
+            AppendOutcome::Conflict(_) => self.send_in_term(to, response),
         }
     }
 
+    /// Appends where the entry before the first is there (Log Matching; Ongaro's thesis, section 3.5).
     pub(crate) fn on_append(
         &mut self,
         from: NodeId,
@@ -73,34 +76,34 @@
         if !in_order {
             return;
         }
-        if !self.holds(previous) {
+        if !self.matches_log(previous) {
             let limit = previous.index.saturating_sub(1);
-            let hint = self.log.last_with_term_up_to(limit, previous.term).min(limit);
-            self.answer_append(from, AppendOutcome::Conflict(hint), stamp);
+            let hint = self.log.find_conflict_by_term(limit, previous.term).min(limit);
+            self.send_append_response(from, AppendOutcome::Conflict(hint), stamp);
             return;
         }
         let matched = previous.index + entries.len() as Index;
-        if !self.take_entries(entries) {
+        if !self.append_from_leader(entries) {
             return;
         }
-        self.verified = self.verified.max(matched);
-        self.commit_to(commit.min(self.verified));
-        self.answer_append(from, AppendOutcome::Matched(matched), stamp);
+        self.leader_match_index = self.leader_match_index.max(matched);
+        self.commit_to(commit.min(self.leader_match_index));
+        self.send_append_response(from, AppendOutcome::Matched(matched), stamp);
     }
 
-    /// Whether an entry is in the log, or so old that it is surely the same as the leader's.
-    fn holds(&self, position: Position) -> bool {
-        position.index <= self.commit || self.log.contains(position)
+    /// Whether an entry is in the log, or committed, so that the leader has the same one (Leader Completeness).
+    fn matches_log(&self, position: Position) -> bool {
+        position.index <= self.commit_index || self.log.contains(position)
     }
 
-    /// Adds what is missing, and drops what differs. False where that would drop a committed entry.
-    fn take_entries(&mut self, entries: Vec<Entry>) -> bool {
-        let is_new = |entry: &Entry| entry.index > self.commit && !self.log.contains(entry.position());
+    /// Appends what is missing, and drops what differs. False where that would drop a committed entry.
+    fn append_from_leader(&mut self, entries: Vec<Entry>) -> bool {
+        let is_new = |entry: &Entry| entry.index > self.commit_index && !self.log.contains(entry.position());
         let missing: Vec<Entry> = entries.into_iter().skip_while(|entry| !is_new(entry)).collect();
         let Some(first) = missing.first().map(|entry| entry.index) else { return true };
         if first <= self.log.last().index {
             self.log.truncate(first);
-            self.persistence.truncated(first);
+            self.persistence.on_truncated(first);
         }
         if first != self.log.last().index + 1 {
             return false;
@@ -112,23 +115,28 @@
         true
     }
 
-    pub(crate) fn on_install(&mut self, from: NodeId, snapshot: Snapshot, stamp: RoundStamp) {
+    pub(crate) fn on_install_snapshot(&mut self, from: NodeId, snapshot: Snapshot, stamp: RoundStamp) {
         let index = snapshot.index();
         if self.log.contains(snapshot.position) {
             self.commit_to(index);
-        } else if index > self.commit {
-            self.install(snapshot);
+        } else if index > self.commit_index {
+            self.install_snapshot(snapshot);
         }
-        self.verified = self.verified.max(index);
-        self.answer_append(from, AppendOutcome::Matched(index), stamp);
+        self.leader_match_index = self.leader_match_index.max(index);
+        self.send_append_response(from, AppendOutcome::Matched(index), stamp);
     }
 
-    pub(crate) fn on_readmit(&mut self, from: NodeId, term: Term, boot: u64) {
-        if !self.follow(from, term) || !self.hard.recovering || boot != self.hard.disk_id {
+    /// Stops recovering, where the leader's message names this disk. The vote of the term counts as given to the leader,
+    /// as a vote from before the loss may have been.
+    pub(crate) fn on_rejoin(&mut self, from: NodeId, term: Term, disk_id: u64) {
+        if !self.follow_leader(from, term)
+            || !self.hard_state.recovering
+            || disk_id != self.hard_state.disk_id
+        {
             return;
         }
-        self.hard.recovering = false;
-        self.hard.voted_for = Some(from);
-        self.record_hard();
+        self.hard_state.recovering = false;
+        self.hard_state.voted_for = Some(from);
+        self.record_hard_state();
     }
 }
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -1,4 +1,7 @@
 //! The log of a replica in memory: a snapshot and the entries after it.
+//!
+//! Log Matching (Ongaro's thesis, section 3.5): two logs with an entry of one index and term are equal up to it. It
+//! holds as a leader gives an index once a term, and a follower appends only behind the entry that came before.
 
 use std::collections::VecDeque;
 
@@ -6,9 +9,9 @@
 use crate::record::Snapshot;
 use crate::voters::VoterSet;
 
-/// A set of voters and the entry that brought it.
+/// A set of voters and the index of the entry that brought it.
 #[derive(Clone, Debug)]
-struct VotersSince {
+struct VoterSetAt {
     index: Index,
     voters: VoterSet,
 }
@@ -21,8 +24,9 @@
     base: Position,
     entries: VecDeque<Entry>,
     /// Sets of voters, oldest first: the snapshot's, then those of entries after it.
-    voter_sets: Vec<VotersSince>,
-    none: VoterSet,
+    voter_sets: Vec<VoterSetAt>,
+    /// The voters of an empty log.
+    no_voters: VoterSet,
 }
 
 impl Log {
@@ -41,7 +45,7 @@
         self.snapshot.as_ref().map_or(0, Snapshot::index)
     }
 
-    /// Where an entry stands, if it is kept or directly before those that are.
+    /// Term and index of an entry, if it is kept or directly before those that are.
     pub fn position(&self, index: Index) -> Option<Position> {
         if index == self.base.index {
             return Some(self.base);
@@ -55,13 +59,14 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Whether this very entry is in the log.
+    /// Whether an entry of this index and term is in the log.
     pub fn contains(&self, position: Position) -> bool {
         self.position(position.index) == Some(position)
     }
 
-    /// The last index up to `index` whose term is not over `term`, or the base's.
-    pub fn last_with_term_up_to(&self, index: Index, term: Term) -> Index {
+    /// The last index up to `index` whose term is not over `term`, or the base's: no later entry can match one of
+    /// `term` or before.
+    pub fn find_conflict_by_term(&self, index: Index, term: Term) -> Index {
         let mut index = index.min(self.last().index);
         while self.get(index).is_some_and(|entry| entry.term > term) {
             index -= 1;
@@ -73,7 +78,7 @@
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         if let Payload::Voters(voters) = &entry.payload {
-            self.voter_sets.push(VotersSince { index: entry.index, voters: voters.clone() });
+            self.voter_sets.push(VoterSetAt { index: entry.index, voters: voters.clone() });
         }
         self.entries.push_back(entry);
     }
@@ -122,13 +127,13 @@
     }
 
     /// Size of the entries after `index`, in bytes.
-    pub fn size_after(&self, index: Index) -> usize {
+    pub fn bytes_after(&self, index: Index) -> usize {
         self.entries.iter().rev().take_while(|entry| entry.index > index).map(Entry::size).sum()
     }
 
     /// The voters in force: those of the last entry that names any.
     pub fn voters(&self) -> &VoterSet {
-        self.voter_sets.last().map_or(&self.none, |set| &set.voters)
+        self.voter_sets.last().map_or(&self.no_voters, |set| &set.voters)
     }
 
     /// Index of the entry that brought the voters in force.
@@ -139,28 +144,29 @@
     /// The voters as of an index.
     pub fn voters_at(&self, index: Index) -> &VoterSet {
         let set = self.voter_sets.iter().rev().find(|set| set.index <= index);
-        set.map_or(&self.none, |set| &set.voters)
+        set.map_or(&self.no_voters, |set| &set.voters)
     }
 
-    /// Takes a snapshot over. Entries after it stay where its last entry is in the log; else all are dropped.
+    /// Takes over a snapshot. Entries after it stay where its last entry is in the log; else all are dropped.
     /// Entries that it covers stay as far as they fit in `retain` bytes. One older than the present is left out.
     pub fn install(&mut self, snapshot: Snapshot, retain: usize) {
         if snapshot.index() < self.snapshot_index() {
             return;
         }
         if self.contains(snapshot.position) {
-            self.drop_covered(&snapshot, retain);
+            self.trim_covered(&snapshot, retain);
         } else {
             self.entries.clear();
             self.voter_sets.clear();
             self.base = snapshot.position;
         }
         self.voter_sets.retain(|set| set.index > snapshot.index());
-        self.voter_sets.insert(0, VotersSince { index: snapshot.index(), voters: snapshot.voters.clone() });
+        self.voter_sets.insert(0, VoterSetAt { index: snapshot.index(), voters: snapshot.voters.clone() });
         self.snapshot = Some(snapshot);
     }
 
-    fn drop_covered(&mut self, snapshot: &Snapshot, retain: usize) {
+    /// Drops the entries that a snapshot covers, but for the newest `retain` bytes of them.
+    fn trim_covered(&mut self, snapshot: &Snapshot, retain: usize) {
         let mut size = 0;
         let covered = self.entries.iter().rev().skip_while(|entry| entry.index > snapshot.index());
         let kept = covered.take_while(|entry| {
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -1,123 +1,129 @@
-//! Changes of voters and learners.
+//! Changes of membership: voters by joint consensus (Ongaro's thesis, section 4.3), learners ahead of them (section
+//! 4.2.1).
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::effect::ReplicaError;
 use crate::entry::Payload;
-use crate::leadership::Leadership;
+use crate::error::ReplicaError;
+use crate::leader_state::LeaderState;
 use crate::progress::{PeerStatus, Progress};
-use crate::replica::{Replica, State};
+use crate::replica::{Replica, RoleState};
 use crate::voters::VoterSet;
 
 impl Replica {
     /// Starts to replace the voters, by a joint phase that ends by itself. New voters should have been learners
     /// that are caught up, else they hold up commits. Nothing happens where the voters are these already.
+    ///
+    /// # Errors
+    ///
+    /// [`ReplicaError::NotLeader`], [`ReplicaError::InvalidVoters`], and [`ReplicaError::ChangePending`] until the last
+    /// change and an entry of the leader's term are committed.
     pub fn change_voters(&mut self, now: Millis, voters: Vec<NodeId>) -> Result<(), ReplicaError> {
         self.set_now(now);
-        let State::Leader(leadership) = &self.state else { return self.not_leader() };
+        let RoleState::Leader(leader_state) = &self.role_state else { return self.not_leader() };
         if voters.is_empty() || voters.len() > self.options.max_peers {
             return Err(ReplicaError::InvalidVoters);
         }
-        let present = self.log.voters();
-        let is_settled = !present.is_joint() && self.log.voters_index() <= self.commit;
-        if !is_settled || self.commit < leadership.first_index {
+        let current = self.log.voters();
+        let is_change_committed = !current.is_joint() && self.log.voters_index() <= self.commit_index;
+        if !is_change_committed || self.commit_index < leader_state.term_start_index {
             return Err(ReplicaError::ChangePending);
         }
-        let joint = present.joint_with(&voters);
-        if joint.incoming() != present.incoming() {
-            self.append_voters(joint);
+        let joint = current.joint_with(&voters);
+        if joint.incoming() != current.incoming() {
+            self.append_voter_change(joint);
         }
         Ok(())
     }
 
-    /// Whether a change of voters is under way here.
+    /// Whether a change of voters is in progress by this replica's log.
     pub fn is_changing_voters(&self) -> bool {
-        self.log.voters().is_joint() || self.log.voters_index() > self.commit
+        self.log.voters().is_joint() || self.log.voters_index() > self.commit_index
     }
 
     /// Starts to send entries to a replica that does not vote. Forgotten when the leadership ends.
+    ///
+    /// # Errors
+    ///
+    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] where there are [`Options::max_peers`] learners.
+    ///
+    /// [`Options::max_peers`]: crate::Options::max_peers
     pub fn add_learner(&mut self, node: NodeId) -> Result<(), ReplicaError> {
         let next = self.log.last().index + 1;
-        let own = self.options.node;
-        let State::Leader(leadership) = &mut self.state else { return self.not_leader() };
-        if node == own || leadership.learners.contains(&node) {
+        let own_node = self.options.node;
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return self.not_leader() };
+        if node == own_node || leader_state.learners.contains(&node) {
             return Ok(());
         }
-        if leadership.learners.len() >= self.options.max_peers {
+        if leader_state.learners.len() >= self.options.max_peers {
             return Err(ReplicaError::Busy);
         }
-        leadership.learners.insert(node);
-        leadership.add_peer(node, next);
-        leadership.wants_round = true;
+        leader_state.learners.insert(node);
+        leader_state.add_peer(node, next);
+        leader_state.heartbeat_pending = true;
         Ok(())
     }
 
-    /// Stops sending to a replica that does not vote.
+    /// Stops sending to a learner. Without effect on voters, and where this replica doesn't lead.
     pub fn remove_learner(&mut self, node: NodeId) {
-        if let State::Leader(leadership) = &mut self.state {
-            leadership.learners.remove(&node);
+        if let RoleState::Leader(leader_state) = &mut self.role_state {
+            leader_state.learners.remove(&node);
         }
-        self.release_peers();
+        self.remove_departed_peers();
     }
 
-    /// The learners of this leader.
+    /// The learners of this leader, sorted; none where this replica doesn't lead.
     pub fn learners(&self) -> Vec<NodeId> {
-        match &self.state {
-            State::Leader(leadership) => leadership.learners.iter().copied().collect(),
+        match &self.role_state {
+            RoleState::Leader(leader_state) => leader_state.learners.iter().copied().collect(),
             _ => Vec::new(),
         }
     }
 
-    /// What this leader knows of another replica.
+    /// What this leader knows of another replica; `None` where this replica doesn't lead, or not that one.
     pub fn peer(&self, node: NodeId) -> Option<PeerStatus> {
-        match &self.state {
-            State::Leader(leadership) => leadership.peers.get(&node).map(Progress::status),
+        match &self.role_state {
+            RoleState::Leader(leader_state) => leader_state.peers.get(&node).map(Progress::status),
             _ => None,
         }
     }
 
-    /// Goes on with a change of voters whose present step is committed.
-    pub(crate) fn settle_voters(&mut self) {
+    /// Ends the joint phase once its entry is committed, by majorities of both halves.
+    pub(crate) fn leave_joint_if_committed(&mut self) {
         let voters = self.log.voters();
-        if voters.is_joint() && self.log.voters_index() <= self.commit {
-            let settled = voters.leave_joint();
-            self.append_voters(settled);
+        if voters.is_joint() && self.log.voters_index() <= self.commit_index {
+            let final_voters = voters.leave_joint();
+            self.append_voter_change(final_voters);
         }
     }
 
-    fn append_voters(&mut self, voters: VoterSet) {
+    fn append_voter_change(&mut self, voters: VoterSet) {
         let next = self.log.last().index + 1;
-        let own = self.options.node;
-        if let State::Leader(leadership) = &mut self.state {
-            for node in voters.members().filter(|node| *node != own) {
-                leadership.add_peer(node, next);
+        let own_node = self.options.node;
+        if let RoleState::Leader(leader_state) = &mut self.role_state {
+            for node in voters.members().filter(|node| *node != own_node) {
+                leader_state.add_peer(node, next);
             }
         }
-        self.append_own(Payload::Voters(voters));
+        self.append_entry(Payload::Voters(voters));
         self.advance_commit();
     }
 
-    /// Forgets peers that neither vote nor learn, once they were told so, and stops leading where that holds for
-    /// this replica itself.
-    pub(crate) fn release_peers(&mut self) {
+    /// Forgets peers that neither vote nor learn, once the commit of that was announced to them, and stops leading
+    /// where that holds for this replica itself (Ongaro's thesis, section 4.2.2).
+    pub(crate) fn remove_departed_peers(&mut self) {
         if self.is_changing_voters() {
             return;
         }
-        let State::Leader(leadership) = &mut self.state else { return };
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         let voters = self.log.voters();
-        let Leadership { peers, learners, has_commit_news, .. } = leadership.as_mut();
-        if *has_commit_news {
+        let LeaderState { peers, learners, commit_broadcast_pending, .. } = leader_state.as_mut();
+        if *commit_broadcast_pending {
             return;
         }
         peers.retain(|node, _| voters.contains(*node) || learners.contains(node));
         if !voters.contains(self.options.node) {
-            self.step_aside();
+            self.step_down();
         }
     }
 }
-
-impl Leadership {
-    fn add_peer(&mut self, node: NodeId, next: crate::entry::Index) {
-        self.peers.entry(node).or_insert_with(|| Progress::new(next));
-    }
-}
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas of a group send each other.
+//! What replicas of a group send each other. The encoding goes by position: variants and fields keep their order.
 
 use bitcode::{Decode, Encode};
 use shaletrail_protocol::Millis;
@@ -6,34 +6,34 @@
 use crate::entry::{Entry, Index, Position, Term};
 use crate::record::Snapshot;
 
-/// Put on each message of a leader and returned by the answer.
+/// Put on each message of a leader and returned by the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RoundStamp {
     /// Rises with each round of messages that the leader sends in its term.
     pub round: u64,
-    /// When it was sent, by the leader's clock.
+    /// When it was sent, by the leader's clock, in milliseconds.
     pub sent_at: Millis,
 }
 
-/// Which disk an answer speaks for, and whether it counts.
+/// Which disk a response speaks for, and whether it counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VoterStatus {
-    /// The disk's name, see [`HardState::boot`](crate::HardState::boot).
+    /// The disk, see [`HardState::disk_id`](crate::HardState::disk_id).
     pub disk_id: u64,
-    /// Whether a former disk was lost and no leader has readmitted this one.
+    /// Whether a former disk was lost and no leader has let this one rejoin.
     pub recovering: bool,
 }
 
-/// What became of an [`Message::Append`] or [`Message::InstallSnapshot`].
+/// What became of a [`Message::Append`] or [`Message::InstallSnapshot`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AppendOutcome {
-    /// The log is the leader's up to this index, and synced.
+    /// The log matches the leader's up to this index, and is synced.
     Matched(Index),
-    /// The entry before is not there; the log may be the leader's up to this index, but not further.
+    /// The entry before is not there; the log may match the leader's up to this index, but not further.
     Conflict(Index),
 }
 
-/// A message between replicas. `term` is the sender's, but in pre-votes, where it is the one stood for.
+/// A message between replicas. `term` is the sender's, but in pre-votes, where it is the one after the candidate's.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, strum::IntoStaticStr)]
 pub enum Message {
     /// Asks whether a vote would be given.
@@ -43,9 +43,9 @@
         /// End of the sender's log.
         last: Position,
     },
-    /// Answers a pre-vote.
+    /// Responds to [`Message::PreVoteRequest`].
     PreVoteResponse {
-        /// The term asked about where granted, else the answerer's.
+        /// The requested term where granted, else the sender's.
         term: Term,
         /// Whether the vote would be given.
         granted: bool,
@@ -56,36 +56,36 @@
         term: Term,
         /// End of the candidate's log.
         last: Position,
-        /// Whether the former leader, which leads no more, has prompted this.
+        /// Whether the former leader has stopped leading and prompted this.
         leadership_transfer: bool,
     },
-    /// Answers a request for a vote.
+    /// Responds to [`Message::VoteRequest`].
     VoteResponse {
-        /// The answerer's term.
+        /// The sender's term.
         term: Term,
         /// Whether the vote is given.
         granted: bool,
     },
-    /// Says that the leader is there, and how far entries are committed.
+    /// Announces that the leader is there, and how far entries are committed.
     Heartbeat {
         /// The leader's term.
         term: Term,
         /// The leader's commit index.
         commit: Index,
-        /// To be returned.
+        /// Returned by the response.
         stamp: RoundStamp,
     },
-    /// Answers a heartbeat.
+    /// Responds to [`Message::Heartbeat`].
     HeartbeatResponse {
         /// The follower's term.
         term: Term,
         /// As in the heartbeat.
         stamp: RoundStamp,
-        /// How far the log is known to be the leader's, synced or not.
+        /// How far the log is known to match the leader's, synced or not.
         received: Index,
-        /// How far it is known to be the leader's and synced.
+        /// How far it is known to match the leader's and synced.
         matched: Index,
-        /// Whether the answer counts.
+        /// The disk, and whether the response counts.
         status: VoterStatus,
     },
     /// Entries to append.
@@ -98,30 +98,30 @@
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
-        /// To be returned.
+        /// Returned by the response.
         stamp: RoundStamp,
     },
-    /// Answers [`Message::Append`] and [`Message::InstallSnapshot`].
+    /// Responds to [`Message::Append`] and [`Message::InstallSnapshot`].
     AppendResponse {
         /// The follower's term.
         term: Term,
         /// As in the message.
         stamp: RoundStamp,
-        /// What became of it.
+        /// Whether the log matches now, and how far.
         outcome: AppendOutcome,
-        /// Whether the answer counts.
+        /// The disk, and whether the response counts.
         status: VoterStatus,
     },
-    /// The whole state, where the leader's log no longer reaches back far enough.
+    /// A snapshot, where the leader's log no longer reaches back far enough.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The state.
+        /// The leader's newest.
         snapshot: Snapshot,
-        /// To be returned.
+        /// Returned by the response.
         stamp: RoundStamp,
     },
-    /// The leader has stopped leading and asks the receiver to stand at once.
+    /// The leader has stopped leading and asks the receiver to campaign at once (leadership transfer).
     TimeoutNow {
         /// The former leader's term.
         term: Term,
@@ -130,13 +130,13 @@
     Rejoin {
         /// The leader's term.
         term: Term,
-        /// The disk that is meant.
+        /// The disk that may count; another one stays recovering.
         disk_id: u64,
     },
 }
 
 /// Greater terms and indexes than this are not reached in any lifetime; sums with them might overflow.
-const PLAUSIBLE: u64 = 1 << 62;
+const MAX_PLAUSIBLE: u64 = 1 << 62;
 
 impl Message {
     /// Whether no term or index in it is absurdly great.
@@ -157,7 +157,7 @@
             | Message::TimeoutNow { term }
             | Message::Rejoin { term, .. } => (*term, 0),
         };
-        term.max(index) < PLAUSIBLE
+        term.max(index) < MAX_PLAUSIBLE
     }
 
     /// The message's name, for logs.
--- a/consensus/src/options.rs
+++ b/consensus/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica.
+//! Settings of a replica: its identity, timeouts, and limits of messages, proposals and memory.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -9,47 +9,47 @@
     pub node: NodeId,
     /// Seed of its randomness; must differ between nodes and between starts of one node.
     pub seed: u64,
-    /// Whether an earlier disk of this node may have been lost: true wherever the process is not told that the
-    /// whole system starts for the first time. Without effect where a hard state is restored.
+    /// Whether an earlier disk of this node may have been lost: true wherever the process doesn't know that
+    /// the whole system starts for the first time. Without effect where a hard state is restored.
     pub recovering: bool,
-    /// Between two heartbeats of a leader.
+    /// The interval between two heartbeats of a leader.
     pub heartbeat_ms: Millis,
-    /// The shortest election timeout; for as long no voter helps to replace a leader that it has heard.
+    /// The shortest election timeout; for as long no voter helps to replace a leader that it received a message of.
     pub election_min_ms: Millis,
-    /// The longest election timeout; a leader that no majority answers for as long steps down.
+    /// The longest election timeout; a leader that no majority responds to for as long steps down.
     pub election_max_ms: Millis,
-    /// The shortest election timeout of a group that was just founded and never had a leader.
+    /// The shortest election timeout of a group that was just bootstrapped and never had a leader.
     pub bootstrap_election_min_ms: Millis,
-    /// The longest such timeout.
+    /// The longest election timeout of such a group.
     pub bootstrap_election_max_ms: Millis,
-    /// How long a lease lasts from the sending of the message that was answered. Cut to nine tenths of
+    /// How long a lease lasts from the sending of the message that was responded to. Cut to nine tenths of
     /// `election_min_ms`.
     pub lease_ms: Millis,
-    /// A replica whose disk has not synced for as long does not stand for election.
+    /// A replica whose disk has not synced for as long does not campaign.
     pub disk_stall_ms: Millis,
-    /// Entries in one message, but for a single larger one.
+    /// Size of the entries in one message, but for a single larger one.
     pub max_append_bytes: usize,
-    /// Entries in a message to a follower whose log is not known yet.
+    /// Size of the entries in a probe of a follower.
     pub max_probe_bytes: usize,
-    /// Entries under way to one follower, but for a single larger one.
+    /// Size of the entries in flight to one follower, but for a single larger one.
     pub max_in_flight_bytes: usize,
-    /// Messages with entries under way to one follower.
+    /// Messages with entries in flight to one follower.
     pub max_in_flight_messages: usize,
-    /// A message with entries counts as lost no sooner than this after it was sent ...
+    /// A message with entries counts as lost no sooner than this after it was sent, ...
     pub resend_after_ms: Millis,
-    /// ... and one more millisecond for each of these bytes.
+    /// ... plus one millisecond for each of these bytes: the slowest link that is expected.
     pub resend_bytes_per_ms: usize,
-    /// The largest command.
+    /// The size of the largest command.
     pub max_command_bytes: usize,
-    /// Proposals that are not committed yet.
+    /// Proposals that may be uncommitted at a time.
     pub max_uncommitted_entries: u64,
-    /// Their size, but for a single larger one.
+    /// Size of those proposals, but for a single larger one.
     pub max_uncommitted_bytes: usize,
-    /// Reads that are not confirmed yet.
+    /// Reads that may be unconfirmed at a time.
     pub max_reads: usize,
-    /// Voters and learners together.
+    /// Voters, and learners, at a time.
     pub max_peers: usize,
-    /// Entries kept in memory behind a snapshot, for followers that are a little behind.
+    /// Size of the entries kept in memory behind a snapshot, for followers that are a little behind.
     pub retain_bytes: usize,
 }
 
--- a/consensus/src/persistence.rs
+++ b/consensus/src/persistence.rs
@@ -1,4 +1,7 @@
 //! Records on their way to the disk, and messages that wait for them.
+//!
+//! Records leave in batches. A batch has a ticket, and a ticket counts as synced when the driver has reported it or a
+//! later one.
 
 use std::collections::VecDeque;
 
@@ -8,45 +11,47 @@
 use crate::message::Message;
 use crate::record::Record;
 
-/// Messages that may wait for the disk; more are dropped, as a link may do.
-const MAX_WAITING: usize = 512;
+/// Messages that may wait for the disk; more are dropped, as they could be on a link.
+const MAX_DEFERRED_MESSAGES: usize = 512;
 
-/// Records handed to the driver that are not synced yet.
+/// A batch that the driver has not reported as synced yet.
 #[derive(Clone, Debug)]
-struct Outstanding {
+struct UnsyncedBatch {
     ticket: u64,
-    /// The end of the log as these records leave it.
+    /// The end of the log as these records leave it, or less where entries of it were dropped since.
     last_index: Index,
-    since: Millis,
+    flushed_at: Millis,
 }
 
-/// A message that promises what a ticket covers.
+/// A message that rests on the records up to a ticket.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct DeferredMessage {
     ticket: u64,
-    /// Whom it is for; the own node for a vote for itself.
+    /// The receiver; this node itself for its vote for itself.
     pub to: NodeId,
     /// The message.
     pub message: Message,
 }
 
-/// Records handed over under one ticket.
+/// Records that are handed to the driver together.
 pub(crate) struct Batch {
-    /// The ticket.
+    /// Rises by one with each batch.
     pub ticket: u64,
-    /// The records, in order.
+    /// In the order in which they have to be restored.
     pub records: Vec<Record>,
 }
 
-/// Keeps track of what is synced.
+/// What is recorded, handed to the driver, and synced.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Persistence {
     records: Vec<Record>,
-    issued: u64,
-    done: u64,
-    outstanding: VecDeque<Outstanding>,
+    /// The last ticket that was given to a batch.
+    issued_ticket: u64,
+    /// The last ticket that is synced.
+    synced_ticket: u64,
+    unsynced: VecDeque<UnsyncedBatch>,
     synced_index: Index,
-    waiting: VecDeque<Waiting>,
+    deferred: VecDeque<DeferredMessage>,
 }
 
 impl Persistence {
@@ -64,13 +69,13 @@
     }
 
     /// The ticket that covers all that was recorded so far.
-    pub fn covering(&self) -> u64 {
-        self.issued + u64::from(!self.records.is_empty())
+    pub fn covering_ticket(&self) -> u64 {
+        self.issued_ticket + u64::from(!self.records.is_empty())
     }
 
-    /// Whether all up to a ticket is synced.
-    pub fn is_done(&self, ticket: u64) -> bool {
-        self.done >= ticket
+    /// Whether all records up to a ticket are synced.
+    pub fn is_synced(&self, ticket: u64) -> bool {
+        self.synced_ticket >= ticket
     }
 
     /// How far the log in memory is synced.
@@ -79,48 +84,48 @@
     }
 
     /// Entries from `index` on were dropped from the log in memory.
-    pub fn truncated(&mut self, index: Index) {
+    pub fn on_truncated(&mut self, index: Index) {
         let last = index.saturating_sub(1);
         self.synced_index = self.synced_index.min(last);
-        for outstanding in &mut self.outstanding {
-            outstanding.last_index = outstanding.last_index.min(last);
+        for unsynced in &mut self.unsynced {
+            unsynced.last_index = unsynced.last_index.min(last);
         }
     }
 
-    /// The records since the last batch, if any.
+    /// The records since the last batch as the next one, if there are any.
     pub fn flush(&mut self, now: Millis, last_index: Index) -> Option<Batch> {
         if self.records.is_empty() {
             return None;
         }
-        self.issued += 1;
-        self.outstanding.push_back(Outstanding { ticket: self.issued, last_index, since: now });
-        Some(Batch { ticket: self.issued, records: std::mem::take(&mut self.records) })
+        self.issued_ticket += 1;
+        self.unsynced.push_back(UnsyncedBatch { ticket: self.issued_ticket, last_index, flushed_at: now });
+        Some(Batch { ticket: self.issued_ticket, records: std::mem::take(&mut self.records) })
     }
 
-    /// All up to a ticket is synced.
-    pub fn persisted(&mut self, ticket: u64) {
-        self.done = self.done.max(ticket.min(self.issued));
-        while let Some(first) = self.outstanding.front().filter(|first| first.ticket <= self.done) {
+    /// The driver reports all records up to a ticket as synced.
+    pub fn on_persisted(&mut self, ticket: u64) {
+        self.synced_ticket = self.synced_ticket.max(ticket.min(self.issued_ticket));
+        while let Some(first) = self.unsynced.front().filter(|first| first.ticket <= self.synced_ticket) {
             self.synced_index = first.last_index;
-            self.outstanding.pop_front();
+            self.unsynced.pop_front();
         }
     }
 
-    /// Lets a message wait for a ticket.
-    pub fn wait(&mut self, ticket: u64, to: NodeId, message: Message) {
-        if self.waiting.len() < MAX_WAITING {
-            self.waiting.push_back(Waiting { ticket, to, message });
+    /// Holds a message back until a ticket is synced.
+    pub fn defer(&mut self, ticket: u64, to: NodeId, message: Message) {
+        if self.deferred.len() < MAX_DEFERRED_MESSAGES {
+            self.deferred.push_back(DeferredMessage { ticket, to, message });
         }
     }
 
-    /// The next message that need not wait any longer.
-    pub fn next_released(&mut self) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|waiting| waiting.ticket <= self.done)?;
-        self.waiting.remove(place)
+    /// The next message whose ticket is synced.
+    pub fn next_sendable(&mut self) -> Option<DeferredMessage> {
+        let position = self.deferred.iter().position(|deferred| deferred.ticket <= self.synced_ticket)?;
+        self.deferred.remove(position)
     }
 
-    /// Whether records have been out for `limit` milliseconds or longer.
+    /// Whether a batch has been with the driver for `limit` milliseconds or longer.
     pub fn is_stalled(&self, now: Millis, limit: Millis) -> bool {
-        self.outstanding.front().is_some_and(|first| now >= first.since + limit)
+        self.unsynced.front().is_some_and(|first| now >= first.flushed_at + limit)
     }
 }
--- a/consensus/src/progress.rs
+++ b/consensus/src/progress.rs
@@ -1,4 +1,5 @@
-//! What a leader knows of another replica.
+//! What a leader knows of another replica: how far its log matches, which messages are in flight, and whether it counts
+//! towards a quorum.
 
 use std::collections::VecDeque;
 
@@ -8,14 +9,14 @@
 use crate::message::{RoundStamp, VoterStatus};
 use crate::options::Options;
 
-/// What a leader says of another replica.
+/// What a leader reports of another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// How far its log is known to be the leader's and synced.
+    /// How far its log is known to match the leader's and to be synced.
     pub matched: Index,
-    /// Whether it counts for majorities: false until it was heard and, if recovering, readmitted.
+    /// Whether it counts for majorities: false until it has responded in this term and, if recovering, has rejoined.
     pub counts_towards_quorum: bool,
-    /// When the newest message was sent that it has answered, by the leader's clock.
+    /// When the newest message was sent that it has responded to, by the leader's clock, in milliseconds.
     pub last_contact: Option<Millis>,
 }
 
@@ -26,42 +27,48 @@
     bytes: usize,
 }
 
-/// Whether the other log's end is known.
+/// Whether it is known where the other log begins to differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mode {
-    /// It is being looked for: one message at a time.
+enum ProgressState {
+    /// It is being looked for, with one message at a time.
     Probe,
-    /// It is known: several messages may be under way.
-    Stream,
+    /// It is known; several messages may be in flight.
+    Replicate,
 }
 
-/// How an answer's standing fits to what is known of the replica.
+/// How the status in a response fits to what is known of the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum StatusCheck {
     /// It speaks for the disk that is known.
-    Known,
-    /// It is from before a loss, or from before a readmission.
+    Current,
+    /// It was sent before the disk was lost, or before the replica rejoined.
     Stale,
-    /// It tells of a loss that was not known: a readmission point is needed.
+    /// The disk was lost, which was not known: the leader has to append a rejoin point.
     NewlyRecovering,
 }
 
-/// A leader's book on another replica.
+/// A leader's progress with another replica in its term.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
+    /// How far the log matches and is synced.
     matched: Index,
+    /// The first entry that was not sent.
     next: Index,
-    mode: Mode,
+    state: ProgressState,
+    /// Messages with entries, oldest first.
     in_flight: VecDeque<InFlight>,
     in_flight_bytes: usize,
-    sent: RoundStamp,
-    sent_bytes: usize,
-    answered: Option<RoundStamp>,
-    /// The newest round answered, whether it counts or not.
-    heard_round: u64,
-    boot: Option<u64>,
-    /// The readmission point, while the replica is recovering.
-    readmission: Option<Index>,
+    /// The stamp and size of the last message with entries.
+    last_sent: RoundStamp,
+    last_sent_bytes: usize,
+    /// The newest stamp acknowledged by the disk that is known.
+    last_ack: Option<RoundStamp>,
+    /// The newest round responded to, whether that counts or not.
+    last_response_round: u64,
+    /// The disk that the replica speaks for; `None` until it has responded in this term.
+    disk_id: Option<u64>,
+    /// The rejoin point, while the replica is recovering; [`Index::MAX`] until it is appended.
+    rejoin_index: Option<Index>,
 }
 
 impl Progress {
@@ -70,35 +77,35 @@
         Progress {
             matched: 0,
             next,
-            mode: Mode::Probe,
+            state: ProgressState::Probe,
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
-            sent: RoundStamp::default(),
-            sent_bytes: 0,
-            answered: None,
-            heard_round: 0,
-            boot: None,
-            readmission: None,
+            last_sent: RoundStamp::default(),
+            last_sent_bytes: 0,
+            last_ack: None,
+            last_response_round: 0,
+            disk_id: None,
+            rejoin_index: None,
         }
     }
 
-    /// For reports.
+    /// What the owner of the leader may see.
     pub fn status(&self) -> PeerStatus {
         PeerStatus {
             matched: self.matched,
-            counts_towards_quorum: self.counts(),
-            last_contact: self.answered.map(|stamp| stamp.sent_at),
+            counts_towards_quorum: self.counts_towards_quorum(),
+            last_contact: self.last_ack.map(|stamp| stamp.sent_at),
         }
     }
 
-    /// Whether it may count for majorities.
-    pub fn counts(&self) -> bool {
-        self.boot.is_some() && self.readmission.is_none()
+    /// Whether it may count for majorities: what an unknown or a lost disk holds is not known.
+    pub fn counts_towards_quorum(&self) -> bool {
+        self.disk_id.is_some() && self.rejoin_index.is_none()
     }
 
     /// How far it counts for commits.
-    pub fn counted_match(&self) -> Index {
-        if self.counts() {
+    pub fn quorum_matched(&self) -> Index {
+        if self.counts_towards_quorum() {
             self.matched
         } else {
             0
@@ -106,8 +113,8 @@
     }
 
     /// The newest stamp that counts for reads, leases and contact.
-    pub fn counted_answer(&self) -> RoundStamp {
-        self.answered.filter(|_| self.counts()).unwrap_or_default()
+    pub fn quorum_ack(&self) -> RoundStamp {
+        self.last_ack.filter(|_| self.counts_towards_quorum()).unwrap_or_default()
     }
 
     /// The first entry that was not sent.
@@ -115,129 +122,134 @@
         self.next
     }
 
-    /// Whether one more message with entries may go out now.
-    pub fn is_open(&self, options: &Options) -> bool {
-        match self.mode {
-            Mode::Probe => self.in_flight.is_empty(),
-            Mode::Stream => {
+    /// Whether one more message with entries may leave now.
+    pub fn can_send_entries(&self, options: &Options) -> bool {
+        match self.state {
+            ProgressState::Probe => self.in_flight.is_empty(),
+            ProgressState::Replicate => {
                 self.in_flight.len() < options.max_in_flight_messages
                     && (self.in_flight.is_empty() || self.in_flight_bytes < options.max_in_flight_bytes)
             }
         }
     }
 
-    /// Whether the end of its log is being looked for and no message is out to find it.
+    /// Whether a probe has to be sent, also where the log has no entry to go with it.
     pub fn needs_probe(&self) -> bool {
-        self.mode == Mode::Probe && self.in_flight.is_empty()
+        self.state == ProgressState::Probe && self.in_flight.is_empty()
     }
 
-    /// Whether the other log's end is known.
-    pub fn is_streaming(&self) -> bool {
-        self.mode == Mode::Stream
+    /// Whether it is known where the other log begins to differ.
+    pub fn is_replicating(&self) -> bool {
+        self.state == ProgressState::Replicate
     }
 
-    /// The boot to readmit, where the point is reached and committed.
-    pub fn readmittable(&self, commit: Index) -> Option<u64> {
-        let point = self.readmission?;
-        self.boot.filter(|_| point <= commit && point <= self.matched)
+    /// The disk that may rejoin: the rejoin point is committed by the others, and synced on that disk.
+    pub fn disk_ready_to_rejoin(&self, commit: Index) -> Option<u64> {
+        let point = self.rejoin_index?;
+        self.disk_id.filter(|_| point <= commit && point <= self.matched)
     }
 
     /// A message that ends with `last` was sent.
-    pub fn sent(&mut self, last: Index, bytes: usize, stamp: RoundStamp) {
+    pub fn record_sent(&mut self, last: Index, bytes: usize, stamp: RoundStamp) {
         self.in_flight.push_back(InFlight { last, bytes });
         self.in_flight_bytes += bytes;
         self.next = last + 1;
-        self.sent = stamp;
-        self.sent_bytes = bytes;
+        self.last_sent = stamp;
+        self.last_sent_bytes = bytes;
     }
 
-    /// Judges an answer's standing, and starts anew with a new disk. `next` is the entry after the leader's last.
-    pub fn hear(&mut self, standing: VoterStatus, stamp: RoundStamp, next: Index) -> Heard {
-        let heard = match self.boot {
-            Some(boot) if boot == standing.disk_id => self.hear_same_disk(standing.recovering),
-            Some(_) if !standing.recovering || stamp.round <= self.heard_round => Heard::Stale,
-            _ => self.hear_new_disk(standing, next),
+    /// Checks the status in a response, and starts anew with a new disk. `next` is the entry after the leader's last.
+    pub fn check_status(&mut self, status: VoterStatus, stamp: RoundStamp, next: Index) -> StatusCheck {
+        let check = match self.disk_id {
+            Some(disk_id) if disk_id == status.disk_id => self.check_known_disk(status.recovering),
+            // An older disk's response: the newest disk is recovering at first, and responds to newer rounds.
+            Some(_) if !status.recovering || stamp.round <= self.last_response_round => StatusCheck::Stale,
+            _ => self.adopt_disk(status, next),
         };
-        if heard != Heard::Stale {
-            self.heard_round = self.heard_round.max(stamp.round);
+        if check != StatusCheck::Stale {
+            self.last_response_round = self.last_response_round.max(stamp.round);
         }
-        heard
+        check
     }
 
-    fn hear_same_disk(&mut self, recovering: bool) -> Heard {
-        if recovering && self.readmission.is_none() {
-            return Heard::Stale;
+    fn check_known_disk(&mut self, recovering: bool) -> StatusCheck {
+        if recovering && self.rejoin_index.is_none() {
+            return StatusCheck::Stale;
         }
-        if !recovering && self.readmission.take().is_some() {
-            self.answered = None;
+        if !recovering && self.rejoin_index.take().is_some() {
+            // What it acknowledged while recovering counts for nothing.
+            self.last_ack = None;
         }
-        Heard::Known
+        StatusCheck::Current
     }
 
-    fn hear_new_disk(&mut self, standing: VoterStatus, next: Index) -> Heard {
-        if self.boot.is_some() {
+    fn adopt_disk(&mut self, status: VoterStatus, next: Index) -> StatusCheck {
+        if self.disk_id.is_some() {
             *self = Progress::new(next);
         }
-        self.boot = Some(standing.disk_id);
-        if !standing.recovering {
-            return Heard::Known;
+        self.disk_id = Some(status.disk_id);
+        if !status.recovering {
+            return StatusCheck::Current;
         }
-        self.readmission = Some(Index::MAX);
-        Heard::NewlyRecovering
+        self.rejoin_index = Some(Index::MAX);
+        StatusCheck::NewlyRecovering
     }
 
-    /// Sets the readmission point of a replica that is recovering.
-    pub fn readmit_at(&mut self, point: Index) {
-        self.readmission = Some(point);
+    /// Sets the rejoin point of a replica that is recovering.
+    pub fn set_rejoin_index(&mut self, point: Index) {
+        self.rejoin_index = Some(point);
     }
 
-    /// Notes the stamp of an answer; one from the future is none.
-    pub fn answered(&mut self, stamp: RoundStamp, now: Millis) {
-        let newest = self.answered.unwrap_or_default();
+    /// Records the stamp of a response; one from the future is none of this leader's.
+    pub fn record_ack(&mut self, stamp: RoundStamp, now: Millis) {
+        let newest = self.last_ack.unwrap_or_default();
         if stamp.round >= newest.round && stamp.sent_at <= now {
-            self.answered = Some(stamp);
+            self.last_ack = Some(stamp);
         }
     }
 
-    /// Its log is the leader's up to `index`, and synced.
+    /// Its log matches up to `index`, and is synced.
     pub fn on_matched(&mut self, index: Index) {
         while let Some(first) = self.in_flight.front().filter(|first| first.last <= index) {
             self.in_flight_bytes -= first.bytes;
             self.in_flight.pop_front();
-            self.mode = Mode::Stream;
+            self.state = ProgressState::Replicate;
         }
         self.matched = self.matched.max(index);
         self.next = self.next.max(index + 1);
     }
 
-    /// Its log is the leader's up to `hint` at most. An answer to an older probe than the last says nothing new.
+    /// Its log matches up to `hint` at most. A response to an older probe than the last says nothing new.
     pub fn on_conflict(&mut self, hint: Index, stamp: RoundStamp) {
-        if self.mode == Mode::Stream || stamp.round >= self.sent.round {
+        if self.state == ProgressState::Replicate || stamp.round >= self.last_sent.round {
             self.restart_at(hint);
         }
     }
 
-    /// An answer to a later message says how far it has received entries: sends again what got lost.
-    pub fn on_received(&mut self, received: Index, stamp: RoundStamp, now: Millis, options: &Options) {
+    /// Sends again what got lost, by a response to a later message that says how far entries were received. The time
+    /// that the last message may take rises with its size.
+    pub fn resend_if_lost(&mut self, received: Index, stamp: RoundStamp, now: Millis, options: &Options) {
         let Some(last) = self.in_flight.back() else { return };
-        let wait = options.resend_after_ms + (self.sent_bytes / options.resend_bytes_per_ms.max(1)) as Millis;
-        if last.last > received && stamp.round > self.sent.round && now >= self.sent.sent_at + wait {
+        let transfer_ms = (self.last_sent_bytes / options.resend_bytes_per_ms.max(1)) as Millis;
+        let lost_at = self.last_sent.sent_at + options.resend_after_ms + transfer_ms;
+        if last.last > received && stamp.round > self.last_sent.round && now >= lost_at {
             self.restart_at(received);
         }
     }
 
-    /// It tells that it knows its log to be the leader's up to `verified` only, less than it has acknowledged: it has
-    /// started anew in this term. A probe tells it, as commits count for it only as far as it knows.
-    pub fn on_verified(&mut self, verified: Index) {
-        if verified < self.matched && self.in_flight.is_empty() {
+    /// Probes a replica that knows its log to match up to `received` only, less than it has acknowledged: it has
+    /// restarted in this term, and commits nothing beyond that until a probe tells it.
+    pub fn probe_if_restarted(&mut self, received: Index) {
+        if received < self.matched && self.in_flight.is_empty() {
             self.restart_at(self.matched);
         }
     }
 
+    /// Probes from the entry after `index` on.
     fn restart_at(&mut self, index: Index) {
         self.in_flight.clear();
         self.in_flight_bytes = 0;
-        self.mode = Mode::Probe;
+        self.state = ProgressState::Probe;
         self.next = index.min(self.next.saturating_sub(1)).max(self.matched) + 1;
     }
 }
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -9,27 +9,27 @@
 use crate::entry::{Entry, Index, Position, Term};
 use crate::voters::VoterSet;
 
-/// What a replica must not forget besides its log.
+/// What a replica must not forget besides its log (Ongaro's thesis, section 3.8).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HardState {
     /// The newest term seen.
     pub term: Term,
-    /// Who got its vote in that term.
+    /// The candidate that has its vote in that term.
     pub voted_for: Option<NodeId>,
-    /// Whether votes and acknowledgements may have been forgotten with a former disk.
+    /// Whether votes and acknowledgements may have been lost with a former disk.
     pub recovering: bool,
-    /// Names the disk: drawn when the first record is written.
+    /// Identifies the disk: drawn at random when the first record is written.
     pub disk_id: u64,
 }
 
-/// The applied state at an index, in place of the log up to there.
+/// The applied state at an index, in place of the log up to there (Ongaro's thesis, chapter 5).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Snapshot {
     /// The last entry that the state holds.
     pub position: Position,
     /// The voters at that entry.
     pub voters: VoterSet,
-    /// The state, as the owner encodes it.
+    /// The state machine's state, as its owner encodes it.
     pub state: Arc<[u8]>,
 }
 
@@ -51,7 +51,7 @@
     Snapshot(Snapshot),
 }
 
-/// Bytes that are not a record.
+/// The error of [`Record::decode`]: bytes that are not a record.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("{length} bytes are not a record of a replica"))]
 pub struct MalformedRecord {
@@ -66,6 +66,10 @@
     }
 
     /// A record from bytes made by [`Record::encode`].
+    ///
+    /// # Errors
+    ///
+    /// [`MalformedRecord`] for any other bytes.
     pub fn decode(bytes: &[u8]) -> Result<Record, MalformedRecord> {
         bitcode::decode(bytes).map_err(|_| MalformedRecord { length: bytes.len() })
     }
--- /dev/null
+++ b/consensus/src/restore.rs
@@ -0,0 +1,103 @@
+//! How a replica begins: from the records of its disk, or by the bootstrap of its group.
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg32;
+use shaletrail_protocol::{Millis, NodeId};
+
+use crate::entry::{Index, Position};
+use crate::log::Log;
+use crate::options::Options;
+use crate::persistence::Persistence;
+use crate::record::{HardState, Record, Snapshot};
+use crate::replica::{Replica, RoleState};
+use crate::voters::VoterSet;
+
+/// Index and term of the empty snapshot with which a group is bootstrapped; it is never handed out to be installed.
+pub const BOOTSTRAP_INDEX: Index = 1;
+const BOOTSTRAP_POSITION: Position = Position { term: 1, index: BOOTSTRAP_INDEX };
+/// The lease in tenths of the shortest election timeout, at most.
+const MAX_LEASE_TENTHS: Millis = 9;
+
+impl Replica {
+    /// A replica from the records that it asked to persist before, in their order; without any it is new. The state of
+    /// the restored snapshot comes as [`Effect::InstallSnapshot`](crate::Effect::InstallSnapshot).
+    pub fn new(options: Options, restored: Vec<Record>, now: Millis) -> Replica {
+        let options = with_valid_timeouts(options);
+        let mut random = Pcg32::seed_from_u64(options.seed);
+        let (hard_state, log) = replay(restored);
+        let is_new = hard_state.is_none();
+        let recovering = options.recovering;
+        let new_disk = || HardState { term: 0, voted_for: None, recovering, disk_id: random.random() };
+        let hard_state = hard_state.unwrap_or_else(new_disk);
+        let mut replica = Replica {
+            now,
+            hard_state,
+            persistence: Persistence::restored(log.last().index),
+            role_state: RoleState::Follower,
+            leader: None,
+            commit_index: log.snapshot_index(),
+            applied_index: log.snapshot_index(),
+            leader_match_index: 0,
+            // It may have responded to a leader just before it stopped. A new disk has not: no response leaves before
+            // the hard state is synced.
+            leader_lease_until: if is_new { now } else { now + options.election_min_ms },
+            election_at: Millis::MAX,
+            bootstrapping: false,
+            hard_state_ticket: 0,
+            random,
+            effects: Vec::new(),
+            log,
+            options,
+        };
+        if is_new {
+            replica.record_hard_state();
+        }
+        replica.reset_election_timeout();
+        if let Some(snapshot) = replica.log.snapshot().cloned() {
+            replica.hand_out_snapshot(snapshot);
+        }
+        replica
+    }
+
+    /// Bootstraps the group, on each of its first voters alike, when the whole system starts for the first time.
+    /// Without effect on a replica that already has entries or is recovering.
+    pub fn bootstrap(&mut self, now: Millis, voters: &[NodeId]) {
+        self.set_now(now);
+        if self.hard_state.recovering || self.log.last().index > 0 || voters.is_empty() {
+            return;
+        }
+        if self.hard_state.term < BOOTSTRAP_POSITION.term {
+            self.hard_state.term = BOOTSTRAP_POSITION.term;
+            self.hard_state.voted_for = None;
+            self.record_hard_state();
+        }
+        let voters = VoterSet::new(voters);
+        let snapshot = Snapshot { position: BOOTSTRAP_POSITION, voters, state: [].into() };
+        self.install_snapshot(snapshot);
+        self.bootstrapping = self.leader.is_none();
+        self.reset_election_timeout();
+    }
+}
+
+/// Cuts the lease below the shortest election timeout, and raises each longest timeout to its shortest.
+fn with_valid_timeouts(mut options: Options) -> Options {
+    options.lease_ms = options.lease_ms.min(options.election_min_ms * MAX_LEASE_TENTHS / 10);
+    options.election_max_ms = options.election_max_ms.max(options.election_min_ms);
+    options.bootstrap_election_max_ms =
+        options.bootstrap_election_max_ms.max(options.bootstrap_election_min_ms);
+    options
+}
+
+/// The newest hard state, if there is one, and the log.
+fn replay(records: Vec<Record>) -> (Option<HardState>, Log) {
+    let mut hard_state = None;
+    let mut log = Log::default();
+    for record in records {
+        match record {
+            Record::Hard(newer) => hard_state = Some(newer),
+            Record::Entries(entries) => log.restore(entries),
+            Record::Snapshot(snapshot) => log.install(snapshot, 0),
+        }
+    }
+    (hard_state, log)
+}
--- a/consensus/src/voters.rs
+++ b/consensus/src/voters.rs
@@ -1,10 +1,10 @@
-//! Sets of voters and their majorities.
+//! Sets of voters and their quorums (Ongaro's thesis, section 4.3).
 
 use bitcode::{Decode, Encode};
 use shaletrail_protocol::NodeId;
 
-/// Bytes of an encoded node.
-const NODE_SIZE: usize = 4;
+/// Size of an encoded node, in bytes.
+const NODE_BYTES: usize = 4;
 
 /// The voters of a group. While they are being changed the set is joint: a majority is one of both the incoming
 /// and the outgoing voters.
@@ -25,7 +25,7 @@
         VoterSet { incoming: sorted(next), outgoing: self.incoming.clone() }
     }
 
-    /// The set after the joint phase.
+    /// The set that follows on the joint one: the incoming voters alone.
     pub fn leave_joint(&self) -> Self {
         VoterSet { incoming: self.incoming.clone(), outgoing: Vec::new() }
     }
@@ -52,8 +52,8 @@
 
     /// All voters of both halves, each once.
     pub fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
-        let leaving = self.outgoing.iter().filter(|node| !self.incoming.contains(node));
-        self.incoming.iter().chain(leaving).copied()
+        let only_outgoing = self.outgoing.iter().filter(|node| !self.incoming.contains(node));
+        self.incoming.iter().chain(only_outgoing).copied()
     }
 
     /// Whether those that agree are a majority, of both halves where the set is joint. Never for an empty set.
@@ -64,13 +64,13 @@
 
     /// The greatest value that a majority has reached, of both halves where the set is joint; 0 for an empty set.
     pub fn quorum_value(&self, value: impl Fn(NodeId) -> u64) -> u64 {
-        let reached = |least: u64| self.has_quorum(|node| value(node) >= least);
-        self.members().map(&value).filter(|least| reached(*least)).max().unwrap_or(0)
+        let is_reached = |minimum: u64| self.has_quorum(|node| value(node) >= minimum);
+        self.members().map(&value).filter(|minimum| is_reached(*minimum)).max().unwrap_or(0)
     }
 
     /// Its size in bytes, roughly.
     pub(crate) fn size(&self) -> usize {
-        (self.incoming.len() + self.outgoing.len()) * NODE_SIZE
+        (self.incoming.len() + self.outgoing.len()) * NODE_BYTES
     }
 }
 
