--- a/consensus/tests/elections.rs
+++ b/consensus/tests/elections.rs
@@ -6,77 +6,77 @@
 use shaletrail_consensus::{Message, Role};
 
 #[test]
-fn given_three_seeds_when_the_group_is_founded_then_one_leads_within_half_a_second() {
+fn bootstrapped_group_elects_leader_quickly() {
     for seed in 0..50 {
-        let mut group = Group::founded(3, seed);
-        let is_led =
+        let mut group = Group::bootstrapped(3, seed);
+        let has_leader =
             group.run_until(500, |group| group.leader().is_some_and(|leader| group.has_lease(leader)));
-        assert!(is_led, "seed {seed}: {}", group.describe());
+        assert!(has_leader, "seed {seed}: {}", group.describe());
     }
 }
 
 #[test]
-fn given_founders_that_start_one_after_the_other_when_all_run_then_they_are_one_group() {
+fn staggered_bootstrap_makes_one_group() {
     let founders = [node(1), node(2), node(3)];
     for seed in 0..20 {
         let mut group = Group::empty(seed, |_| {});
         for founder in [node(3), node(1), node(2)] {
             group.add_machine(founder, false);
-            group.act(founder, |replica, now| replica.bootstrap(now, &founders));
+            group.call(founder, |replica, now| replica.bootstrap(now, &founders));
             group.run(130);
         }
         let index = group.commit_one();
-        group.settle();
+        group.await_applied();
         assert!(group.all_applied(index));
     }
 }
 
 #[test]
-fn given_a_leader_when_it_crashes_then_another_leads_within_two_and_a_half_seconds() {
+fn crashed_leader_is_replaced_in_time() {
     for seed in 0..30 {
-        let mut group = Group::founded(3, seed);
-        let leader = group.elect();
+        let mut group = Group::bootstrapped(3, seed);
+        let leader = group.await_leader();
         group.run(1000);
         group.crash(leader);
-        let is_led =
+        let has_leader =
             group.run_until(2500, |group| group.leader().is_some_and(|leader| group.has_lease(leader)));
-        assert!(is_led, "seed {seed}: {}", group.describe());
+        assert!(has_leader, "seed {seed}: {}", group.describe());
     }
 }
 
 #[test]
-fn given_a_follower_cut_off_for_long_when_it_returns_then_leader_and_term_stay() {
-    let mut group = Group::founded(3, 1);
-    let leader = group.elect();
+fn partitioned_follower_returns_without_election() {
+    let mut group = Group::bootstrapped(3, 1);
+    let leader = group.await_leader();
     let term = group.term(leader);
     let follower = follower_of(&group);
     group.isolate(follower);
     group.run(10_000);
-    group.cuts.clear();
+    group.blocked_links.clear();
     group.run(3000);
     assert_eq!((group.leader(), group.term(leader)), (Some(leader), term));
     assert_eq!(group.replica(follower).leader(), Some(leader));
 }
 
 #[test]
-fn given_a_follower_that_hears_nothing_but_can_send_when_time_passes_then_leader_and_term_stay() {
-    let mut group = Group::founded(3, 2);
-    let leader = group.elect();
+fn follower_that_receives_nothing_causes_no_election() {
+    let mut group = Group::bootstrapped(3, 2);
+    let leader = group.await_leader();
     let term = group.term(leader);
     let follower = follower_of(&group);
     for other in group.running() {
-        group.cuts.insert((other, follower));
+        group.blocked_links.insert((other, follower));
     }
     group.run(10_000);
     assert_eq!((group.leader(), group.term(leader)), (Some(leader), term));
 }
 
 #[test]
-fn given_a_leader_that_hears_nobody_but_can_send_when_time_passes_then_another_leads() {
-    let mut group = Group::founded(3, 3);
-    let leader = group.elect();
+fn leader_that_receives_nothing_is_replaced() {
+    let mut group = Group::bootstrapped(3, 3);
+    let leader = group.await_leader();
     for other in group.running() {
-        group.cuts.insert((other, leader));
+        group.blocked_links.insert((other, leader));
     }
     let has_changed = group.run_until(4000, |group| group.leader().is_some_and(|other| other != leader));
     assert!(has_changed, "{}", group.describe());
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn given_a_leader_cut_off_when_a_second_passes_then_it_has_stepped_down() {
-    let mut group = Group::founded(3, 4);
-    let leader = group.elect();
+fn leader_without_quorum_steps_down() {
+    let mut group = Group::bootstrapped(3, 4);
+    let leader = group.await_leader();
     group.isolate(leader);
     group.run(1100);
     assert_ne!(group.role(leader), Role::Leader);
 }
 
 #[test]
-fn given_a_machine_without_voters_when_time_passes_then_it_says_nothing() {
-    let mut group = Group::founded(3, 5);
-    group.elect();
+fn replica_without_voters_sends_nothing() {
+    let mut group = Group::bootstrapped(3, 5);
+    group.await_leader();
     let fresh = node(9);
     group.add_machine(fresh, true);
     group.filter = Some(Box::new(move |from, _, message| {
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn given_a_leader_when_it_hands_over_then_another_leads_at_once() {
+fn leadership_transfer_elects_another_at_once() {
     for seed in 0..20 {
-        let mut group = Group::founded(3, seed);
-        let leader = group.elect();
+        let mut group = Group::bootstrapped(3, seed);
+        let leader = group.await_leader();
         group.run(500);
-        group.act(leader, |replica, now| replica.transfer_leadership(now));
+        group.call(leader, |replica, now| replica.transfer_leadership(now));
         assert!(!group.has_lease(leader));
         let has_changed = group.run_until(100, |group| group.leader().is_some_and(|other| other != leader));
         assert!(has_changed, "seed {seed}: {}", group.describe());
@@ -120,40 +120,40 @@
 }
 
 #[test]
-fn given_a_voter_whose_disk_hangs_when_the_leader_dies_then_the_voter_does_not_stand() {
-    let mut group = Group::founded(5, 6);
-    let leader = group.elect();
+fn voter_with_stalled_disk_does_not_campaign() {
+    let mut group = Group::bootstrapped(5, 6);
+    let leader = group.await_leader();
     group.run(500);
-    let sick = follower_of(&group);
-    group.machine(sick).is_disk_stalled = true;
+    let stalled = follower_of(&group);
+    group.machine(stalled).is_disk_stalled = true;
     group.propose(leader);
     group.run(600);
     group.crash(leader);
     for _ in 0..100 {
         group.run(50);
-        assert!(!matches!(group.role(sick), Role::PreCandidate | Role::Candidate | Role::Leader));
+        assert!(!matches!(group.role(stalled), Role::PreCandidate | Role::Candidate | Role::Leader));
     }
     assert!(group.leader().is_some());
 }
 
 #[test]
-fn given_one_voter_when_it_is_founded_then_it_leads_and_commits_alone() {
-    let mut group = Group::founded(1, 7);
+fn single_voter_leads_and_commits() {
+    let mut group = Group::bootstrapped(1, 7);
     let index = group.commit_one();
     assert!(group.all_applied(index));
 }
 
 #[test]
-fn given_a_pre_vote_when_a_leader_was_heard_then_it_is_not_answered() {
-    let mut group = Group::founded(3, 8);
-    let leader = group.elect();
+fn voter_in_leader_lease_ignores_candidates() {
+    let mut group = Group::bootstrapped(3, 8);
+    let leader = group.await_leader();
     group.run(500);
     let voter = follower_of(&group);
     let last = group.replica(leader).last();
     let term = group.term(leader) + 1;
     let before = group.sent.get("PreVoteResponse").copied();
-    group.forge(node(77), voter, Message::PreVoteRequest { term, last });
-    group.forge(node(77), voter, Message::VoteRequest { term, last, leadership_transfer: false });
+    group.inject(node(77), voter, Message::PreVoteRequest { term, last });
+    group.inject(node(77), voter, Message::VoteRequest { term, last, leadership_transfer: false });
     group.run(20);
     assert_eq!(group.sent.get("PreVoteResponse").copied(), before);
     assert_eq!(group.term(voter), group.term(leader));
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -6,22 +6,22 @@
 
 use super::{node, Conditions, Group};
 
-/// Between two random events, in milliseconds, at most.
-const PAUSE: Millis = 60;
-/// Time for the first syncs of all founders.
-const FOUNDING: Millis = 20;
-/// How long the faults go on.
-const TROUBLE: Millis = 20_000;
-/// Within which the group must work again after them.
-const RECOVERY: Millis = 6_000;
+/// The longest time between two random events, in milliseconds.
+const MAX_PAUSE_MS: Millis = 60;
+/// Time for the first syncs of all first voters, in milliseconds.
+const BOOTSTRAP_MS: Millis = 20;
+/// How long faults are injected, in milliseconds.
+const FAULTS_MS: Millis = 20_000;
+/// Time within which the group must work again after the faults, in milliseconds.
+const RECOVERY_MS: Millis = 6_000;
 /// Machines that may replace others in one history.
-const REPLACEMENTS: u32 = 3;
+const MAX_REPLACEMENTS: u32 = 3;
 
-/// Which kinds of trouble a history has.
+/// Which faults a history has besides those of links, processes and slow disks.
 #[derive(Clone, Copy, Debug)]
-pub struct Troubles {
+pub struct Faults {
     /// Disks are lost, one after the other, up to the tolerated number at once.
-    pub wipes: bool,
+    pub disk_losses: bool,
     /// Machines are removed for good and replaced.
     pub replacements: bool,
 }
@@ -29,15 +29,16 @@
 /// A history in progress.
 pub struct History {
     group: Group,
-    troubles: Troubles,
+    faults: Faults,
     size: u32,
+    /// Machines created so far.
     created: u32,
-    /// How much is going wrong, from 0 (little) to 3.
+    /// How lossy and slow links and disks get, from 0 (hardly) to 3.
     intensity: u32,
 }
 
-/// Small limits, so that batches, windows and snapshots are cut often.
-pub fn tight(options: &mut Options) {
+/// Sets small limits, so that messages, windows and snapshots reach them often.
+pub fn small_limits(options: &mut Options) {
     options.max_append_bytes = 200;
     options.max_probe_bytes = 50;
     options.max_in_flight_bytes = 400;
@@ -46,70 +47,70 @@
     options.retain_bytes = 300;
 }
 
-/// Plays one history of a group whose founding is synced, and checks the group after it.
-pub fn play(seed: u64, troubles: Troubles) -> Group {
+/// Plays one history of a group whose bootstrap is synced, and checks the group after it.
+pub fn play(seed: u64, faults: Faults) -> Group {
     let size = if seed.is_multiple_of(3) { 5 } else { 3 };
-    let mut group = Group::founded_with(size, seed, tight);
-    group.run(FOUNDING);
-    let mut history = History { group, troubles, size, created: size, intensity: (seed % 4) as u32 };
-    history.trouble();
+    let mut group = Group::bootstrapped_with(size, seed, small_limits);
+    group.run(BOOTSTRAP_MS);
+    let mut history = History { group, faults, size, created: size, intensity: (seed % 4) as u32 };
+    history.inject_faults();
     history.recover();
     history.group
 }
 
 impl History {
-    fn trouble(&mut self) {
-        let end = self.group.now + TROUBLE;
+    fn inject_faults(&mut self) {
+        let end = self.group.now + FAULTS_MS;
         while self.group.now < end {
             self.random_event();
-            self.repair();
-            let pause = self.group.random.random_range(0..=PAUSE);
+            self.replace_removed_voters();
+            let pause = self.group.random.random_range(0..=MAX_PAUSE_MS);
             self.group.run(pause);
         }
     }
 
     fn recover(&mut self) {
         self.group.heal();
-        let end = self.group.now + RECOVERY;
+        let end = self.group.now + RECOVERY_MS;
         while self.group.now < end {
-            self.repair();
+            self.replace_removed_voters();
             self.group.run(100);
         }
         let index = self.group.commit_one();
-        self.group.settle();
-        assert!(self.group.judge.is_acknowledged(index));
-        let leader = self.group.elect();
-        let gone = |node: &NodeId| self.group.machines[node].is_gone;
+        self.group.await_applied();
+        assert!(self.group.invariants.is_acknowledged(index));
+        let leader = self.group.await_leader();
+        let is_removed = |node: &NodeId| self.group.machines[node].is_removed;
         let voters: Vec<NodeId> = self.group.replica(leader).voters().members().collect();
-        for voter in voters.iter().filter(|voter| !gone(voter)) {
-            self.group.judge.has_all_acknowledged(&self.group.machines[voter]);
-            assert!(!self.group.replica(*voter).is_recovering(), "{voter} was not readmitted");
+        for voter in voters.iter().filter(|voter| !is_removed(voter)) {
+            self.group.invariants.assert_nothing_lost(&self.group.machines[voter]);
+            assert!(!self.group.replica(*voter).is_recovering(), "{voter} has not rejoined");
         }
         let token = self.group.read(leader).expect("a leader takes reads");
         self.group.run(500);
-        assert!(!self.group.judge.is_read_open(token), "a read is answered in calm times");
+        assert!(!self.group.invariants.is_read_pending(token), "a read is answered in calm times");
     }
 
     fn random_event(&mut self) {
         let roll = self.group.random.random_range(0..1000);
         match roll {
             0..435 => self.propose(),
-            435..450 => self.relief(),
+            435..450 => self.calm_period(),
             450..600 => self.read(),
             600..660 => self.compact(),
             660..690 => self.checkpoint(),
             690..700 => self.transfer_leadership(),
-            700..760 => self.links(),
-            760..790 => self.cut(),
-            790..830 => self.group.cuts.clear(),
+            700..760 => self.change_conditions(),
+            760..790 => self.block_links(),
+            790..830 => self.group.blocked_links.clear(),
             830..860 => self.crash(),
             860..910 => self.restart(),
-            910..930 => self.freeze(),
-            930..965 => self.thaw(),
+            910..930 => self.pause(),
+            930..965 => self.resume(),
             965..972 => self.stall_disk(),
-            972..980 => self.usurp(),
-            980..990 => self.wipe(),
-            990..995 => self.remove(),
+            972..980 => self.elect_behind_leader(),
+            980..990 => self.lose_disk(),
+            990..995 => self.replace_machine(),
             _ => self.power_off(),
         }
     }
@@ -120,7 +121,7 @@
     }
 
     fn leaders(&self) -> Vec<NodeId> {
-        self.group.running().into_iter().filter(|node| self.group.replica(*node).is_leader()).collect()
+        self.group.leaders()
     }
 
     fn propose(&mut self) {
@@ -149,27 +150,27 @@
 
     fn transfer_leadership(&mut self) {
         for leader in self.leaders() {
-            self.group.act(leader, |replica, now| replica.transfer_leadership(now));
+            self.group.call(leader, |replica, now| replica.transfer_leadership(now));
         }
     }
 
-    fn links(&mut self) {
-        let worst = self.intensity * 100;
+    fn change_conditions(&mut self) {
+        let max_fault = self.intensity * 100;
         let random = &mut self.group.random;
         self.group.conditions = Conditions {
-            lost: random.random_range(0..=worst),
-            doubled: random.random_range(0..=worst),
-            delay_ms: random.random_range(1..=1 + Millis::from(worst)),
-            sync_ms: random.random_range(1..=1 + Millis::from(worst)),
+            lost_permille: random.random_range(0..=max_fault),
+            duplicated_permille: random.random_range(0..=max_fault),
+            max_delay_ms: random.random_range(1..=1 + Millis::from(max_fault)),
+            max_sync_ms: random.random_range(1..=1 + Millis::from(max_fault)),
         };
     }
 
-    fn cut(&mut self) {
+    fn block_links(&mut self) {
         let (from, to) = (self.any_machine(), self.any_machine());
         match self.group.random.random_range(0..4) {
             0 => self.group.isolate(from),
             1 => self.group.partition(&[from], &[to]),
-            _ => _ = self.group.cuts.insert((from, to)),
+            _ => _ = self.group.blocked_links.insert((from, to)),
         }
     }
 
@@ -180,19 +181,19 @@
 
     fn restart(&mut self) {
         let node = self.any_machine();
-        if !self.group.machines[&node].is_gone {
+        if !self.group.machines[&node].is_removed {
             self.group.restart(node);
         }
     }
 
-    fn freeze(&mut self) {
+    fn pause(&mut self) {
         let node = self.any_machine();
-        self.group.freeze(node);
+        self.group.pause(node);
     }
 
-    fn thaw(&mut self) {
+    fn resume(&mut self) {
         let node = self.any_machine();
-        self.group.thaw(node);
+        self.group.resume(node);
     }
 
     fn stall_disk(&mut self) {
@@ -207,7 +208,7 @@
             self.group.crash(*node);
         }
         for node in nodes {
-            if !self.group.machines[&node].is_gone {
+            if !self.group.machines[&node].is_removed {
                 self.group.restart(node);
             }
         }
@@ -215,76 +216,80 @@
 
     /// The voters by the last committed change.
     fn voters(&self) -> VoterSet {
-        let founders: Vec<NodeId> = (1..=self.size).map(node).collect();
-        self.group.judge.committed_voters().map_or_else(|| VoterSet::new(&founders), |(_, voters)| voters)
+        let first_voters: Vec<NodeId> = (1..=self.size).map(node).collect();
+        self.group
+            .invariants
+            .committed_voters()
+            .map_or_else(|| VoterSet::new(&first_voters), |(_, voters)| voters)
     }
 
-    /// Whether one more voter may lose its disk: no change under way, and fewer lost than tolerated.
+    /// Whether one more voter may lose its disk: no change is in progress, and fewer are lost than tolerated.
     fn may_lose_a_disk(&self) -> bool {
         let voters = self.voters();
-        let since = self.group.judge.committed_voters().map_or(1, |(index, _)| index);
-        let changing = self.group.machines.values().filter_map(|machine| machine.replica.as_ref());
-        if voters.is_joint() || changing.into_iter().any(|replica| replica.voters_index() > since) {
+        let since = self.group.invariants.committed_voters().map_or(1, |(index, _)| index);
+        let replicas = self.group.machines.values().filter_map(|machine| machine.replica.as_ref());
+        if voters.is_joint() || replicas.into_iter().any(|replica| replica.voters_index() > since) {
             return false;
         }
-        let lost = voters.members().filter(|voter| self.has_lost_its_disk(*voter)).count();
+        let lost = voters.members().filter(|voter| self.lacks_disk(*voter)).count();
         lost < (voters.members().count() - 1) / 2
     }
 
-    fn has_lost_its_disk(&self, node: NodeId) -> bool {
+    fn lacks_disk(&self, node: NodeId) -> bool {
         let machine = &self.group.machines[&node];
-        machine.is_gone || machine.disk.is_recovering()
+        machine.is_removed || machine.disk.is_recovering()
     }
 
-    fn wipe(&mut self) {
+    fn lose_disk(&mut self) {
         let node = self.any_machine();
-        let is_lost_already = self.has_lost_its_disk(node);
-        let may_be_wiped = !self.group.machines[&node].is_gone && (is_lost_already || self.may_lose_a_disk());
-        if self.troubles.wipes && may_be_wiped {
-            self.group.wipe(node);
+        let is_lost_already = self.lacks_disk(node);
+        let may_lose_disk_now =
+            !self.group.machines[&node].is_removed && (is_lost_already || self.may_lose_a_disk());
+        if self.faults.disk_losses && may_lose_disk_now {
+            self.group.wipe_disk(node);
             self.group.restart(node);
         }
     }
 
-    fn remove(&mut self) {
+    fn replace_machine(&mut self) {
         let node = self.any_machine();
-        let may_go = self.troubles.replacements && self.created < self.size + REPLACEMENTS;
-        let is_gone = self.group.machines[&node].is_gone;
-        if may_go && !is_gone && self.voters().contains(node) && self.may_lose_a_disk() {
-            self.group.wipe(node);
-            self.group.machine(node).is_gone = true;
+        let may_be_replaced = self.faults.replacements && self.created < self.size + MAX_REPLACEMENTS;
+        let is_removed = self.group.machines[&node].is_removed;
+        if may_be_replaced && !is_removed && self.voters().contains(node) && self.may_lose_a_disk() {
+            self.group.wipe_disk(node);
+            self.group.machine(node).is_removed = true;
             self.created += 1;
             let successor = super::node(self.created);
             self.group.add_machine(successor, true);
         }
     }
 
-    /// All is well for a while.
-    fn relief(&mut self) {
+    /// A period without faults.
+    fn calm_period(&mut self) {
         self.group.heal();
         let end = self.group.now + self.group.random.random_range(500..2500);
         while self.group.now < end {
             self.propose();
             self.read();
-            self.repair();
+            self.replace_removed_voters();
             self.group.run(100);
         }
     }
 
-    /// Lets another be elected behind a leader's back, wipes one of the voters, and lets the former leader reach
-    /// the others again, but not the new one.
-    fn usurp(&mut self) {
+    /// Isolates a leader until another may have been elected, lets a voter lose its disk, and lets the former leader
+    /// reach the others again, but not the new one.
+    fn elect_behind_leader(&mut self) {
         let Some(former) = self.group.leader() else { return };
-        self.group.cuts.clear();
+        self.group.blocked_links.clear();
         self.group.isolate(former);
         let wait = self.group.random.random_range(500..1500);
         self.group.run(wait);
         self.propose();
         let wait = self.group.random.random_range(0..100);
         self.group.run(wait);
-        self.wipe();
+        self.lose_disk();
         let newest = self.group.leader();
-        self.group.cuts.clear();
+        self.group.blocked_links.clear();
         if let Some(newest) = newest {
             self.group.isolate(newest);
         }
@@ -292,30 +297,30 @@
         self.read();
     }
 
-    /// What the owner of the group does: voters that are gone are replaced.
-    fn repair(&mut self) {
+    /// Replaces voters that were removed, as the owner of a group does.
+    fn replace_removed_voters(&mut self) {
         for leader in self.leaders() {
-            self.repair_at(leader);
+            self.replace_removed_voter(leader);
         }
     }
 
-    fn repair_at(&mut self, leader: NodeId) {
+    fn replace_removed_voter(&mut self, leader: NodeId) {
         let replica = self.group.replica(leader);
         if replica.is_changing_voters() {
             return;
         }
         let voters: Vec<NodeId> = replica.voters().members().collect();
-        let Some(leaving) = voters.iter().find(|voter| self.group.machines[voter].is_gone) else { return };
-        let is_spare = |node: &NodeId| !self.group.machines[node].is_gone && !voters.contains(node);
+        let Some(removed) = voters.iter().find(|voter| self.group.machines[voter].is_removed) else { return };
+        let is_spare = |node: &NodeId| !self.group.machines[node].is_removed && !voters.contains(node);
         let Some(spare) = self.group.machines.keys().copied().find(is_spare) else { return };
         let commit = replica.commit_index();
         let is_ready =
             replica.peer(spare).is_some_and(|peer| peer.counts_towards_quorum && peer.matched + 10 > commit);
-        let next = voters.iter().map(|voter| if voter == leaving { spare } else { *voter }).collect();
+        let next = voters.iter().map(|voter| if voter == removed { spare } else { *voter }).collect();
         if is_ready {
-            self.group.act(leader, |replica, now| replica.change_voters(now, next));
+            self.group.call(leader, |replica, now| replica.change_voters(now, next));
         } else {
-            self.group.act(leader, |replica, _| replica.add_learner(spare));
+            self.group.call(leader, |replica, _| replica.add_learner(spare));
         }
     }
 }
--- a/consensus/tests/group/judge.rs
+++ b/consensus/tests/group/invariants.rs
@@ -1,6 +1,6 @@
-//! Checks what must hold at every moment.
+//! The invariants of Raft (Ongaro's thesis, figure 3.2) and of leases and reads, checked at each effect.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use shaletrail_consensus::{Entry, Index, Payload, Snapshot, Term, VoterSet};
 use shaletrail_protocol::{Millis, NodeId};
@@ -8,13 +8,13 @@
 use super::command_number;
 use super::machine::{decode_state, Machine};
 
-/// Sees all effects of all machines.
+/// Sees the effects of all machines and panics where an invariant is broken.
 #[derive(Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, NodeId>,
     acknowledged: BTreeMap<Index, Entry>,
-    /// Reads that are out, with the last index acknowledged when they were asked for.
+    /// Pending reads by token, with the last index acknowledged when they were asked for.
     reads: BTreeMap<u64, Index>,
     /// Reads answered.
     pub reads_answered: u64,
@@ -22,71 +22,74 @@
     pub reads_failed: u64,
 }
 
-impl Judge {
-    /// All machines apply the same entries.
-    pub fn applies(&mut self, node: NodeId, entry: &Entry) {
+impl InvariantChecker {
+    /// State Machine Safety: all machines apply the same entry at an index.
+    pub fn check_applied(&mut self, node: NodeId, entry: &Entry) {
         let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
         assert_eq!(known, entry, "{node} applies another entry than others did");
     }
 
-    /// States hold what was committed, and nothing else.
-    pub fn installs(&mut self, snapshot: &Snapshot) {
+    /// A snapshot's state holds what was committed up to its index, and nothing else.
+    pub fn check_installed(&mut self, snapshot: &Snapshot) {
         let covered = self.committed.range(..=snapshot.index());
         let commands: Vec<u64> = covered.filter_map(|(_, entry)| command_number(&entry.payload)).collect();
         assert_eq!(decode_state(&snapshot.state), commands, "a state differs from what was committed");
     }
 
-    /// There is one leader a term.
-    pub fn elects(&mut self, node: NodeId, term: Term) {
+    /// Election Safety: there is one leader a term.
+    pub fn check_elected(&mut self, node: NodeId, term: Term) {
         let leader = *self.leaders.entry(term).or_insert(node);
         assert_eq!(leader, node, "two leaders in term {term}");
     }
 
-    /// What is acknowledged is synced on a majority.
-    pub fn acknowledges(
+    /// What is acknowledged is synced on a majority, but for disks that were lost since.
+    pub fn check_acknowledged(
         &mut self,
         index: Index,
         entry: &Entry,
         machines: &BTreeMap<NodeId, Machine>,
         node: NodeId,
     ) {
-        let holds = |voter: NodeId| {
-            machines.get(&voter).is_some_and(|machine| machine.was_wiped || machine.disk.holds(entry))
+        let is_synced = |voter: NodeId| {
+            machines
+                .get(&voter)
+                .is_some_and(|machine| machine.has_lost_disk || machine.disk.has_synced(entry))
         };
         let voters = machines[&node].replica.as_ref().expect("it has just applied").voters();
-        assert!(voters.has_quorum(holds) || voters.is_joint(), "{index} is not synced on a majority");
+        assert!(voters.has_quorum(is_synced) || voters.is_joint(), "{index} is not synced on a majority");
         self.acknowledged.insert(index, entry.clone());
     }
 
-    /// Only one machine holds a lease, by true time.
-    pub fn leases(&self, machines: &BTreeMap<NodeId, Machine>, now: Millis) {
-        let holds = |machine: &Machine| {
+    /// One machine at most holds a lease, at a moment of true time.
+    pub fn check_leases(&self, machines: &BTreeMap<NodeId, Machine>, now: Millis) {
+        let has_lease = |machine: &Machine| {
             let replica = machine.replica.as_ref();
             replica.is_some_and(|replica| replica.is_leader_with_lease(machine.clock(now)))
         };
-        let holders: Vec<NodeId> =
-            machines.iter().filter(|(_, machine)| holds(machine)).map(|(node, _)| *node).collect();
-        assert!(holders.len() <= 1, "two leases at {now}: {holders:?}");
+        let leaseholders: Vec<NodeId> =
+            machines.iter().filter(|(_, machine)| has_lease(machine)).map(|(node, _)| *node).collect();
+        assert!(leaseholders.len() <= 1, "two leases at {now}: {leaseholders:?}");
     }
 
-    pub fn asks_read(&mut self, token: u64) {
+    /// Notes what a read that is asked for now has to see.
+    pub fn begin_read(&mut self, token: u64) {
         self.reads.insert(token, self.acknowledged_index());
     }
 
     /// A read sees all that was acknowledged before it was asked for.
-    pub fn answers_read(&mut self, token: u64, index: Index, applied: Index) {
-        let least = self.reads.remove(&token).expect("a read is answered once");
-        assert!(index >= least, "a read at {index} misses {least}");
+    pub fn check_read(&mut self, token: u64, index: Index, applied: Index) {
+        let min_index = self.reads.remove(&token).expect("a read is answered once");
+        assert!(index >= min_index, "a read at {index} misses {min_index}");
         assert!(applied >= index, "a read is answered before {index} is applied");
         self.reads_answered += 1;
     }
 
-    pub fn fails_read(&mut self, token: u64) {
+    pub fn fail_read(&mut self, token: u64) {
         self.reads.remove(&token).expect("a read is answered once");
         self.reads_failed += 1;
     }
 
-    pub fn is_read_open(&self, token: u64) -> bool {
+    pub fn is_read_pending(&self, token: u64) -> bool {
         self.reads.contains_key(&token)
     }
 
@@ -110,12 +113,12 @@
         })
     }
 
-    /// A machine has applied everything that was ever acknowledged.
-    pub fn has_all_acknowledged(&self, machine: &Machine) {
-        let held: std::collections::BTreeSet<u64> = machine.commands.iter().copied().collect();
+    /// Leader Completeness: a machine has applied everything that was ever acknowledged.
+    pub fn assert_nothing_lost(&self, machine: &Machine) {
+        let applied_commands: BTreeSet<u64> = machine.commands.iter().copied().collect();
         for (index, entry) in &self.acknowledged {
             let command = command_number(&entry.payload).expect("only commands are acknowledged");
-            assert!(held.contains(&command), "{index}, acknowledged, was lost");
+            assert!(applied_commands.contains(&command), "{index}, acknowledged, was lost");
         }
     }
 }
--- a/consensus/tests/group/machine.rs
+++ b/consensus/tests/group/machine.rs
@@ -4,13 +4,13 @@
 
 use rand::Rng;
 use rand_pcg::Pcg32;
-use shaletrail_consensus::{Entry, Index, Message, Options, Record, Replica, Snapshot, Term};
+use shaletrail_consensus::{Entry, HardState, Index, Message, Options, Record, Replica, Snapshot, Term};
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::command_number;
 
-/// Records on their way to the disk.
-struct Pending {
+/// Records that are handed to the disk and not synced yet.
+struct PendingSync {
     ticket: u64,
     records: Vec<Record>,
     due: Millis,
@@ -21,51 +21,60 @@
 pub struct Disk {
     /// Each was encoded and decoded on its way.
     synced: Vec<Record>,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingSync>,
 }
 
 impl Disk {
     pub fn enqueue(&mut self, ticket: u64, records: Vec<Record>, due: Millis) {
-        self.pending.push_back(Pending { ticket, records, due });
+        self.pending.push_back(PendingSync { ticket, records, due });
     }
 
-    /// Syncs the next records where their time has come. Their ticket.
+    /// Syncs the next records where that is due, and returns their ticket.
     pub fn sync_due(&mut self, now: Millis) -> Option<u64> {
         let pending = self.pending.pop_front_if(|pending| pending.due <= now)?;
-        self.synced.extend(pending.records.iter().map(through_bytes));
+        self.synced.extend(pending.records.iter().map(encode_and_decode));
         Some(pending.ticket)
     }
 
-    /// Loses what isn't synced, but for some records at its start.
+    /// Loses what isn't synced, but for the first few records, which may have reached the disk.
     fn lose_unsynced(&mut self, random: &mut Pcg32) {
         let unsynced: Vec<Record> = self.pending.drain(..).flat_map(|pending| pending.records).collect();
-        let kept = random.random_range(0..=unsynced.len());
-        self.synced.extend(unsynced.iter().take(kept).map(through_bytes));
+        let survivors = random.random_range(0..=unsynced.len());
+        self.synced.extend(unsynced.iter().take(survivors).map(encode_and_decode));
     }
 
+    /// The disk's identity by its newest hard state.
+    pub fn id(&self) -> u64 {
+        self.hard_state().expect("a hard state").disk_id
+    }
+
+    fn hard_state(&self) -> Option<&HardState> {
+        self.synced.iter().rev().find_map(|record| match record {
+            Record::Hard(hard_state) => Some(hard_state),
+            _ => None,
+        })
+    }
+
+    /// All records that are synced, oldest first.
     pub fn records(&self) -> &[Record] {
         &self.synced
     }
 
-    /// Replaces all that is synced; what is on its way follows.
+    /// Replaces all that is synced; pending records follow.
     pub fn checkpoint(&mut self, records: &[Record]) {
-        self.synced = records.iter().map(through_bytes).collect();
+        self.synced = records.iter().map(encode_and_decode).collect();
     }
 
-    /// Whether the disk is a new one that no leader has readmitted, as far as it is synced.
+    /// Whether no hard state is synced, or that of a recovering voter.
     pub fn is_recovering(&self) -> bool {
-        let hard = self.synced.iter().rev().find_map(|record| match record {
-            Record::Hard(hard) => Some(hard.recovering),
-            _ => None,
-        });
-        hard.unwrap_or(true)
+        self.hard_state().is_none_or(|hard_state| hard_state.recovering)
     }
 
-    /// Whether an entry is synced here.
-    pub fn holds(&self, entry: &Entry) -> bool {
+    /// Whether an entry is synced here, in the log or in a snapshot.
+    pub fn has_synced(&self, entry: &Entry) -> bool {
         let newest = self.synced.iter().rev().find_map(|record| match record {
             Record::Entries(entries) if entries.first().is_some_and(|first| first.index <= entry.index) => {
-                Some(entries.iter().any(|held| held.position() == entry.position()))
+                Some(entries.iter().any(|other| other.position() == entry.position()))
             }
             Record::Snapshot(snapshot) if snapshot.index() >= entry.index => Some(true),
             _ => None,
@@ -74,7 +83,7 @@
     }
 }
 
-fn through_bytes(record: &Record) -> Record {
+fn encode_and_decode(record: &Record) -> Record {
     Record::decode(&record.encode()).expect("own records decode")
 }
 
@@ -82,15 +91,15 @@
 pub struct Machine {
     pub replica: Option<Replica>,
     pub disk: Disk,
-    pub is_frozen: bool,
+    pub is_paused: bool,
     pub is_disk_stalled: bool,
-    /// Removed for good.
-    pub is_gone: bool,
+    /// Removed for good; it never runs again.
+    pub is_removed: bool,
     /// Whether it has lost a disk.
-    pub was_wiped: bool,
-    /// Messages that arrive while it is frozen.
+    pub has_lost_disk: bool,
+    /// Messages that arrived while it was paused.
     pub inbox: Vec<(NodeId, Message)>,
-    /// Proposals made here in the present leadership: index to term.
+    /// Proposals made here since it leads: the term of each by its index.
     pub proposals: BTreeMap<Index, Term>,
     pub applied: Index,
     /// Commands applied, in order.
@@ -103,10 +112,10 @@
         Machine {
             replica: None,
             disk: Disk::default(),
-            is_frozen: false,
+            is_paused: false,
             is_disk_stalled: false,
-            is_gone: false,
-            was_wiped: false,
+            is_removed: false,
+            has_lost_disk: false,
             inbox: Vec::new(),
             proposals: BTreeMap::new(),
             applied: 0,
@@ -115,13 +124,13 @@
         }
     }
 
-    /// Its own steady clock.
+    /// The time by its own steady clock.
     pub fn clock(&self, now: Millis) -> Millis {
         now + self.clock_offset
     }
 
     pub fn is_running(&self) -> bool {
-        self.replica.is_some() && !self.is_frozen
+        self.replica.is_some() && !self.is_paused
     }
 
     /// Starts with what the disk holds.
@@ -135,14 +144,14 @@
     pub fn crash(&mut self, random: &mut Pcg32) {
         self.disk.lose_unsynced(random);
         self.replica = None;
-        self.is_frozen = false;
+        self.is_paused = false;
         self.inbox.clear();
         self.proposals.clear();
     }
 
-    pub fn wipe(&mut self) {
+    pub fn wipe_disk(&mut self) {
         self.disk = Disk::default();
-        self.was_wiped = true;
+        self.has_lost_disk = true;
     }
 
     /// Applies an entry; its index where it was proposed here.
@@ -182,10 +191,12 @@
     }
 
     pub fn describe(&self, node: NodeId) -> String {
-        let Some(replica) = &self.replica else { return format!("{node}: down, gone {}", self.is_gone) };
+        let Some(replica) = &self.replica else {
+            return format!("{node}: down, removed {}", self.is_removed);
+        };
         format!(
             "{node}: {} in term {}, leader {:?}, last {:?}, commit {}, snapshot {}, applied {}, voters {:?}, \
-             recovering {}, frozen {}, disk stalled {}",
+             recovering {}, paused {}, disk stalled {}",
             replica.role(),
             replica.term(),
             replica.leader(),
@@ -195,7 +206,7 @@
             self.applied,
             replica.voters(),
             replica.is_recovering(),
-            self.is_frozen,
+            self.is_paused,
             self.is_disk_stalled,
         )
     }
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -1,80 +1,85 @@
-//! A group of replicas in memory: virtual time, lossy links, machines that freeze, crash and lose their disks.
+//! A group of replicas in memory: virtual time, lossy links, machines that pause, crash and lose their disks.
 //!
-//! Every effect is checked on the way by a [`Judge`]: one leader a term, one order of entries, no loss of what was
+//! Every effect is checked on the way by an [`InvariantChecker`]: one leader a term, one order of entries, no loss of what was
 //! acknowledged, no old reads, one lease at a time.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 pub mod history;
-mod judge;
+mod invariants;
 mod machine;
+pub mod scenario;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletrail_consensus::{Effect, Index, Message, Options, Payload, Replica, Role, Term};
+use shaletrail_consensus::{
+    Effect, Index, Message, Options, Payload, Replica, Role, RoundStamp, Term, VoterStatus,
+};
 use shaletrail_protocol::{Millis, NodeId};
 
-pub use judge::Judge;
+pub use invariants::InvariantChecker;
 pub use machine::Machine;
 
-/// Between two looks at what is due, in milliseconds.
-const STEP: Millis = 5;
-/// Messages that are kept to come once more.
-const MAX_KEPT: usize = 256;
+/// The step of virtual time, in milliseconds.
+const STEP_MS: Millis = 5;
+/// Messages that are recorded at most; further ones replace others at random.
+const MAX_RECORDED: usize = 256;
 
 /// How links and disks behave.
 #[derive(Clone, Debug)]
 pub struct Conditions {
     /// Messages lost, in a thousand.
-    pub lost: u32,
-    /// Messages that come twice, in a thousand.
-    pub doubled: u32,
+    pub lost_permille: u32,
+    /// Messages duplicated, in a thousand.
+    pub duplicated_permille: u32,
     /// The longest delay of a message; each draws its own, so that they overtake each other.
-    pub delay_ms: Millis,
+    pub max_delay_ms: Millis,
     /// The longest time of a sync.
-    pub sync_ms: Millis,
+    pub max_sync_ms: Millis,
 }
 
 impl Conditions {
-    /// Links that lose nothing and quick disks.
-    pub const CALM: Conditions = Conditions { lost: 0, doubled: 0, delay_ms: 3, sync_ms: 3 };
+    /// Links that lose nothing, and fast disks.
+    pub const HEALTHY: Conditions =
+        Conditions { lost_permille: 0, duplicated_permille: 0, max_delay_ms: 3, max_sync_ms: 3 };
 }
 
 /// A message on its way, ordered by arrival.
 #[derive(Clone, Debug)]
-struct Flight {
+struct MessageInTransit {
     from: NodeId,
     to: NodeId,
     message: Message,
 }
 
-/// What goes wrong with a message that a test wants to see or stop.
+/// Sees each message with its sender and receiver; the message is dropped where it returns false.
 pub type Filter = Box<dyn FnMut(NodeId, NodeId, &Message) -> bool>;
 
-/// The group and its world.
+/// The group, its network and its clock.
 pub struct Group {
+    /// True time; each machine's clock is ahead of it by an offset of its own.
     pub now: Millis,
     pub machines: BTreeMap<NodeId, Machine>,
     pub conditions: Conditions,
-    pub judge: Judge,
+    pub invariants: InvariantChecker,
     pub random: Pcg32,
-    /// Messages are dropped where it says false.
+    /// Drops messages of a test's choice.
     pub filter: Option<Filter>,
-    /// One-way cuts.
-    pub cuts: BTreeSet<(NodeId, NodeId)>,
-    /// Which messages are kept, whether they arrive or not, to come once more by `replay_one`.
-    pub keeps: fn(&Message) -> bool,
-    kept: Vec<Flight>,
+    /// Links that lose everything, as sender and receiver.
+    pub blocked_links: BTreeSet<(NodeId, NodeId)>,
+    /// Which messages are recorded, whether they arrive or not, for [`Group::replay_recorded`].
+    pub should_record: fn(&Message) -> bool,
+    recorded: Vec<MessageInTransit>,
     /// Messages sent so far, by name.
     pub sent: BTreeMap<&'static str, u64>,
     /// The last round that each leader sent a heartbeat in.
-    pub rounds_sent: BTreeMap<NodeId, u64>,
-    flights: BTreeMap<(Millis, u64), Flight>,
+    pub last_rounds: BTreeMap<NodeId, u64>,
+    in_transit: BTreeMap<(Millis, u64), MessageInTransit>,
     sequence: u64,
     next_token: u64,
     next_command: u64,
-    adjust: fn(&mut Options),
+    adjust_options: fn(&mut Options),
 }
 
 /// The node with a number.
@@ -83,43 +88,43 @@
 }
 
 impl Group {
-    /// Machines 1 to `size` that found a group together.
-    pub fn founded(size: u32, seed: u64) -> Group {
-        Group::founded_with(size, seed, |_| {})
+    /// Machines 1 to `size`, bootstrapped as one group.
+    pub fn bootstrapped(size: u32, seed: u64) -> Group {
+        Group::bootstrapped_with(size, seed, |_| {})
     }
 
-    /// As `founded`, with changed options.
-    pub fn founded_with(size: u32, seed: u64, adjust: fn(&mut Options)) -> Group {
-        let mut group = Group::empty(seed, adjust);
+    /// As [`Group::bootstrapped`], with changed options.
+    pub fn bootstrapped_with(size: u32, seed: u64, adjust_options: fn(&mut Options)) -> Group {
+        let mut group = Group::empty(seed, adjust_options);
         let voters: Vec<NodeId> = (1..=size).map(node).collect();
         for voter in &voters {
             group.add_machine(*voter, false);
         }
         for voter in &voters {
-            group.act(*voter, |replica, now| replica.bootstrap(now, &voters));
+            group.call(*voter, |replica, now| replica.bootstrap(now, &voters));
         }
         group
     }
 
-    /// No machines yet.
-    pub fn empty(seed: u64, adjust: fn(&mut Options)) -> Group {
+    /// A group without machines.
+    pub fn empty(seed: u64, adjust_options: fn(&mut Options)) -> Group {
         Group {
             now: 1000,
             machines: BTreeMap::new(),
-            conditions: Conditions::CALM,
-            judge: Judge::default(),
+            conditions: Conditions::HEALTHY,
+            invariants: InvariantChecker::default(),
             random: Pcg32::seed_from_u64(seed),
             filter: None,
-            cuts: BTreeSet::new(),
-            keeps: |_| false,
-            kept: Vec::new(),
+            blocked_links: BTreeSet::new(),
+            should_record: |_| false,
+            recorded: Vec::new(),
             sent: BTreeMap::new(),
-            rounds_sent: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            last_rounds: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sequence: 0,
             next_token: 0,
             next_command: 0,
-            adjust,
+            adjust_options,
         }
     }
 
@@ -133,10 +138,10 @@
     fn start(&mut self, node: NodeId, recovering: bool) {
         let mut options = Options::new(node, self.random.random());
         options.recovering = recovering;
-        (self.adjust)(&mut options);
+        (self.adjust_options)(&mut options);
         let now = self.now;
         self.machine(node).start(options, now);
-        self.act(node, |_, _| {});
+        self.call(node, |_, _| {});
     }
 
     pub fn machine(&mut self, node: NodeId) -> &mut Machine {
@@ -148,7 +153,7 @@
         self.machines[&node].replica.as_ref().expect("a machine that runs")
     }
 
-    /// Nodes that run and are not frozen.
+    /// Nodes that run and are not paused.
     pub fn running(&self) -> Vec<NodeId> {
         let running = self.machines.iter().filter(|(_, machine)| machine.is_running());
         running.map(|(node, _)| *node).collect()
@@ -168,100 +173,101 @@
     }
 
     /// Crashes a machine and empties its disk.
-    pub fn wipe(&mut self, node: NodeId) {
+    pub fn wipe_disk(&mut self, node: NodeId) {
         self.crash(node);
-        self.machine(node).wipe();
+        self.machine(node).wipe_disk();
     }
 
-    pub fn freeze(&mut self, node: NodeId) {
-        self.machine(node).is_frozen = true;
+    /// Stops a machine from running, as a scheduler or hypervisor may; its clock goes on.
+    pub fn pause(&mut self, node: NodeId) {
+        self.machine(node).is_paused = true;
     }
 
-    /// Lets a frozen machine run again. Its timers and its messages come in any order.
-    pub fn thaw(&mut self, node: NodeId) {
+    /// Lets a paused machine run again. Its timers and its messages come in any order.
+    pub fn resume(&mut self, node: NodeId) {
         let machine = self.machine(node);
-        if !machine.is_frozen {
+        if !machine.is_paused {
             return;
         }
-        machine.is_frozen = false;
+        machine.is_paused = false;
         let inbox = std::mem::take(&mut machine.inbox);
         if self.random.random_bool(0.5) {
-            self.act(node, |replica, now| replica.tick(now));
+            self.call(node, |replica, now| replica.tick(now));
         }
         for (from, message) in inbox {
-            self.act(node, |replica, now| replica.receive(now, from, message));
+            self.call(node, |replica, now| replica.receive(now, from, message));
         }
     }
 
-    /// Cuts all links between two sides, in both directions.
+    /// Blocks all links between two sides, in both directions.
     pub fn partition(&mut self, one: &[NodeId], other: &[NodeId]) {
-        for a in one {
-            for b in other {
-                self.cuts.insert((*a, *b));
-                self.cuts.insert((*b, *a));
+        for left in one {
+            for right in other {
+                self.blocked_links.insert((*left, *right));
+                self.blocked_links.insert((*right, *left));
             }
         }
     }
 
-    /// Cuts a machine off from all others.
+    /// Blocks all links of a machine.
     pub fn isolate(&mut self, node: NodeId) {
-        let others: Vec<NodeId> = self.machines.keys().copied().filter(|other| *other != node).collect();
+        let others = self.others(node);
         self.partition(&[node], &others);
     }
 
-    /// Mends all links and disks, thaws and starts all machines that are still there.
+    /// Repairs all links and disks, resumes and restarts all machines that are not removed.
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.conditions = Conditions::CALM;
+        self.blocked_links.clear();
+        self.conditions = Conditions::HEALTHY;
         let nodes: Vec<NodeId> = self.machines.keys().copied().collect();
         for node in nodes {
             self.machine(node).is_disk_stalled = false;
-            self.thaw(node);
-            if !self.machines[&node].is_gone {
+            self.resume(node);
+            if !self.machines[&node].is_removed {
                 self.restart(node);
             }
         }
     }
 
-    /// Calls a replica and carries its effects out.
-    pub fn act<T>(&mut self, node: NodeId, call: impl FnOnce(&mut Replica, Millis) -> T) -> Option<T> {
+    /// Calls a replica and performs its effects.
+    pub fn call<T>(&mut self, node: NodeId, call: impl FnOnce(&mut Replica, Millis) -> T) -> Option<T> {
         let now = self.now;
         let machine = self.machine(node);
-        let local = machine.clock(now);
+        let local_now = machine.clock(now);
         let replica = machine.replica.as_mut()?;
-        let result = call(replica, local);
+        let result = call(replica, local_now);
         let effects = replica.take_effects();
         for effect in effects {
-            self.carry_out(node, effect);
+            self.perform(node, effect);
         }
-        self.judge.leases(&self.machines, self.now);
+        self.invariants.check_leases(&self.machines, self.now);
         Some(result)
     }
 
-    fn carry_out(&mut self, node: NodeId, effect: Effect) {
+    fn perform(&mut self, node: NodeId, effect: Effect) {
         match effect {
             Effect::Send(to, message) => self.send(node, to, message),
             Effect::Persist { ticket, records } => {
-                let delay = self.random.random_range(0..=self.conditions.sync_ms);
+                let delay = self.random.random_range(0..=self.conditions.max_sync_ms);
                 let due = self.now + delay;
                 self.machine(node).disk.enqueue(ticket, records, due);
             }
             Effect::Apply(entry) => {
-                self.judge.applies(node, &entry);
+                self.invariants.check_applied(node, &entry);
                 if let Some(index) = self.machine(node).apply(entry.clone()) {
-                    self.judge.acknowledges(index, &entry, &self.machines, node);
+                    self.invariants.check_acknowledged(index, &entry, &self.machines, node);
                 }
             }
             Effect::InstallSnapshot(snapshot) => {
-                self.judge.installs(&snapshot);
+                self.invariants.check_installed(&snapshot);
                 self.machine(node).install(&snapshot);
             }
             Effect::ReadReady { token, index } => {
                 let applied = self.machine(node).applied;
-                self.judge.answers_read(token, index, applied);
+                self.invariants.check_read(token, index, applied);
             }
-            Effect::ReadFailed { token } => self.judge.fails_read(token),
-            Effect::Elected { term } => self.judge.elects(node, term),
+            Effect::ReadFailed { token } => self.invariants.fail_read(token),
+            Effect::Elected { term } => self.invariants.check_elected(node, term),
             Effect::Deposed { .. } => self.machine(node).proposals.clear(),
         }
     }
@@ -269,59 +275,68 @@
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         *self.sent.entry(message.name()).or_default() += 1;
         if let Message::Heartbeat { stamp, .. } = &message {
-            self.rounds_sent.insert(from, stamp.round);
+            self.last_rounds.insert(from, stamp.round);
         }
         let encoded = bitcode::encode(&message);
         let message: Message = bitcode::decode(&encoded).expect("messages decode");
-        if (self.keeps)(&message) {
-            self.keep(Flight { from, to, message: message.clone() });
+        if (self.should_record)(&message) {
+            self.record(MessageInTransit { from, to, message: message.clone() });
         }
         let passes = self.filter.as_mut().is_none_or(|filter| filter(from, to, &message));
-        if !passes || self.cuts.contains(&(from, to)) || self.happens(self.conditions.lost) {
+        if !passes || self.blocked_links.contains(&(from, to)) || self.occurs(self.conditions.lost_permille) {
             return;
         }
-        if self.happens(self.conditions.doubled) {
-            self.put_on_the_way(Flight { from, to, message: message.clone() });
+        if self.occurs(self.conditions.duplicated_permille) {
+            self.schedule(MessageInTransit { from, to, message: message.clone() });
         }
-        self.put_on_the_way(Flight { from, to, message });
+        self.schedule(MessageInTransit { from, to, message });
     }
 
-    fn keep(&mut self, flight: Flight) {
-        if self.kept.len() < MAX_KEPT {
-            self.kept.push(flight);
+    fn record(&mut self, message: MessageInTransit) {
+        if self.recorded.len() < MAX_RECORDED {
+            self.recorded.push(message);
         } else {
-            let place = self.random.random_range(0..MAX_KEPT);
-            self.kept[place] = flight;
+            let slot = self.random.random_range(0..MAX_RECORDED);
+            self.recorded[slot] = message;
         }
     }
 
-    /// Forgets what was kept so far.
-    pub fn forget_kept(&mut self) {
-        self.kept.clear();
+    /// Forgets the messages recorded so far.
+    pub fn clear_recorded(&mut self) {
+        self.recorded.clear();
     }
 
-    /// Lets a message that was sent before come once more, whatever the cuts: it has been on its way for long.
-    pub fn replay_one(&mut self) {
-        if !self.kept.is_empty() {
-            let place = self.random.random_range(0..self.kept.len());
-            let flight = self.kept[place].clone();
-            self.put_on_the_way(flight);
+    /// Delivers a recorded message once more, also over a blocked link: it has been in transit for long.
+    pub fn replay_recorded(&mut self) {
+        if !self.recorded.is_empty() {
+            let slot = self.random.random_range(0..self.recorded.len());
+            let message = self.recorded[slot].clone();
+            self.schedule(message);
         }
     }
 
-    /// A message that a test makes up.
-    pub fn forge(&mut self, from: NodeId, to: NodeId, message: Message) {
-        self.put_on_the_way(Flight { from, to, message });
+    /// Delivers a message that no replica has sent.
+    pub fn inject(&mut self, from: NodeId, to: NodeId, message: Message) {
+        self.schedule(MessageInTransit { from, to, message });
     }
 
-    fn put_on_the_way(&mut self, flight: Flight) {
-        let at = self.now + self.random.random_range(1..=self.conditions.delay_ms);
+    /// Blocks a follower's link to the leader, and delivers a response to a heartbeat in its name.
+    pub fn forge_heartbeat_response(&mut self, follower: NodeId, leader: NodeId, stamp: RoundStamp) {
+        self.blocked_links.insert((follower, leader));
+        let status = VoterStatus { disk_id: self.machines[&follower].disk.id(), recovering: false };
+        let term = self.term(leader);
+        let response = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, status };
+        self.inject(follower, leader, response);
+    }
+
+    fn schedule(&mut self, message: MessageInTransit) {
+        let at = self.now + self.random.random_range(1..=self.conditions.max_delay_ms);
         self.sequence += 1;
-        self.flights.insert((at, self.sequence), flight);
+        self.in_transit.insert((at, self.sequence), message);
     }
 
-    fn happens(&mut self, in_a_thousand: u32) -> bool {
-        in_a_thousand > 0 && self.random.random_ratio(in_a_thousand, 1000)
+    fn occurs(&mut self, permille: u32) -> bool {
+        permille > 0 && self.random.random_ratio(permille, 1000)
     }
 
     /// Lets time pass.
@@ -332,10 +347,10 @@
         }
     }
 
-    /// Lets time pass until something holds, or returns false after `limit`.
-    pub fn run_until(&mut self, limit: Millis, holds: impl Fn(&Group) -> bool) -> bool {
+    /// Lets time pass until a condition is met, or returns false after `limit`.
+    pub fn run_until(&mut self, limit: Millis, is_met: impl Fn(&Group) -> bool) -> bool {
         let end = self.now + limit;
-        while !holds(self) {
+        while !is_met(self) {
             if self.now >= end {
                 return false;
             }
@@ -345,25 +360,25 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        while let Some(flight) = self.next_arrival() {
-            self.deliver(flight);
+        self.now += STEP_MS;
+        while let Some(arrived) = self.next_arrival() {
+            self.deliver(arrived);
         }
         for node in self.running() {
             while let Some(ticket) = self.sync_one(node) {
-                self.act(node, |replica, now| replica.persisted(now, ticket));
+                self.call(node, |replica, now| replica.persisted(now, ticket));
             }
             let now = self.now;
             let machine = self.machine(node);
-            let local = machine.clock(now);
-            if machine.replica.as_ref().is_some_and(|replica| replica.next_wake() <= local) {
-                self.act(node, |replica, now| replica.tick(now));
+            let local_now = machine.clock(now);
+            if machine.replica.as_ref().is_some_and(|replica| replica.next_wake() <= local_now) {
+                self.call(node, |replica, now| replica.tick(now));
             }
         }
     }
 
-    fn next_arrival(&mut self) -> Option<Flight> {
-        let first = self.flights.first_entry().filter(|first| first.key().0 <= self.now)?;
+    fn next_arrival(&mut self) -> Option<MessageInTransit> {
+        let first = self.in_transit.first_entry().filter(|first| first.key().0 <= self.now)?;
         Some(first.remove())
     }
 
@@ -376,49 +391,49 @@
         machine.disk.sync_due(now)
     }
 
-    fn deliver(&mut self, flight: Flight) {
-        let Some(machine) = self.machines.get_mut(&flight.to) else { return };
-        if machine.is_frozen {
-            machine.inbox.push((flight.from, flight.message));
+    fn deliver(&mut self, message: MessageInTransit) {
+        let Some(machine) = self.machines.get_mut(&message.to) else { return };
+        if machine.is_paused {
+            machine.inbox.push((message.from, message.message));
         } else {
-            self.act(flight.to, |replica, now| replica.receive(now, flight.from, flight.message));
+            self.call(message.to, |replica, now| replica.receive(now, message.from, message.message));
         }
     }
 
     /// The running leader with the newest term.
     pub fn leader(&self) -> Option<NodeId> {
-        let leaders = self.running().into_iter().filter(|node| self.replica(*node).is_leader());
-        leaders.max_by_key(|node| self.replica(*node).term())
+        self.leaders().into_iter().max_by_key(|node| self.replica(*node).term())
     }
 
-    /// The leader there is.
-    pub fn elect_now(&self) -> NodeId {
+    /// The running leader, which must exist.
+    pub fn current_leader(&self) -> NodeId {
         self.leader().expect("a leader")
     }
 
     /// Waits for a leader that holds the lease.
-    pub fn elect(&mut self) -> NodeId {
-        let elected =
+    pub fn await_leader(&mut self) -> NodeId {
+        let has_leader =
             self.run_until(8000, |group| group.leader().is_some_and(|leader| group.has_lease(leader)));
-        assert!(elected, "no leader within eight seconds: {}", self.describe());
+        assert!(has_leader, "no leader within eight seconds: {}", self.describe());
         self.leader().expect("a leader")
     }
 
+    /// Whether a node leads and holds the lease by its own clock.
     pub fn has_lease(&self, node: NodeId) -> bool {
         let machine = &self.machines[&node];
         let now = machine.clock(self.now);
         machine.replica.as_ref().is_some_and(|replica| replica.is_leader_with_lease(now))
     }
 
-    /// Proposes the next command at a node. Its number and index.
+    /// Proposes the next command at a node, and returns its number and index.
     pub fn propose(&mut self, node: NodeId) -> Option<(u64, Index)> {
         let command = self.next_command;
         let bytes = command.to_be_bytes().to_vec();
         let term = self.machines[&node].replica.as_ref()?.term();
-        // The effects of the proposal may already commit it in a group of one: the book comes first.
+        // The effects of the proposal may already commit it in a group of one, so it is registered before.
         let index = self.machines[&node].replica.as_ref()?.last().index + 1;
         self.machine(node).proposals.insert(index, term);
-        match self.act(node, |replica, now| replica.propose(now, bytes))? {
+        match self.call(node, |replica, now| replica.propose(now, bytes))? {
             Ok(proposed) => {
                 assert_eq!(proposed, index);
                 self.next_command += 1;
@@ -431,15 +446,15 @@
         }
     }
 
-    /// Asks for a read at a node. Its token.
+    /// Asks for a read at a node, and returns its token.
     pub fn read(&mut self, node: NodeId) -> Option<u64> {
         let token = self.next_token;
         self.next_token += 1;
-        self.judge.asks_read(token);
-        match self.act(node, |replica, now| replica.read(now, token)) {
+        self.invariants.begin_read(token);
+        match self.call(node, |replica, now| replica.read(now, token)) {
             Some(Ok(())) => Some(token),
             _ => {
-                self.judge.fails_read(token);
+                self.invariants.fail_read(token);
                 None
             }
         }
@@ -447,9 +462,9 @@
 
     /// Proposes at the leader and waits until it is acknowledged.
     pub fn commit_one(&mut self) -> Index {
-        let leader = self.elect();
+        let leader = self.await_leader();
         let (_, index) = self.propose(leader).expect("the leader takes proposals");
-        let acknowledged = self.run_until(5000, |group| group.judge.is_acknowledged(index));
+        let acknowledged = self.run_until(5000, |group| group.invariants.is_acknowledged(index));
         assert!(acknowledged, "{index} not acknowledged within five seconds: {}", self.describe());
         index
     }
@@ -459,11 +474,36 @@
         self.running().iter().all(|node| self.machines[node].applied >= index)
     }
 
-    /// Lets all running machines apply what is acknowledged.
-    pub fn settle(&mut self) {
-        let index = self.judge.acknowledged_index();
-        let settled = self.run_until(8000, |group| group.all_applied(index));
-        assert!(settled, "{index} not applied everywhere: {}", self.describe());
+    /// Waits until all running machines have applied what is acknowledged.
+    pub fn await_applied(&mut self) {
+        let index = self.invariants.acknowledged_index();
+        let is_applied = self.run_until(8000, |group| group.all_applied(index));
+        assert!(is_applied, "{index} not applied everywhere: {}", self.describe());
+    }
+
+    /// All running machines that follow, sorted.
+    pub fn followers(&self) -> Vec<NodeId> {
+        self.running().into_iter().filter(|node| self.role(*node) != Role::Leader).collect()
+    }
+
+    /// All machines but one, running or not.
+    pub fn others(&self, node: NodeId) -> Vec<NodeId> {
+        self.machines.keys().copied().filter(|other| *other != node).collect()
+    }
+
+    /// All running machines that take themselves for the leader.
+    pub fn leaders(&self) -> Vec<NodeId> {
+        self.running().into_iter().filter(|node| self.replica(*node).is_leader()).collect()
+    }
+
+    /// Drops the messages for which a condition is met, from now on.
+    pub fn drop_messages(&mut self, is_dropped: fn(&Message) -> bool) {
+        self.filter = Some(Box::new(move |_, _, message| !is_dropped(message)));
+    }
+
+    /// Checks that every machine has applied all that was ever acknowledged.
+    pub fn assert_nothing_lost(&self) {
+        self.machines.values().for_each(|machine| self.invariants.assert_nothing_lost(machine));
     }
 
     pub fn role(&self, node: NodeId) -> Role {
@@ -481,10 +521,16 @@
     }
 }
 
-/// The number in a command of the tests.
+/// The number in a command that [`Group::propose`] made.
 pub fn command_number(payload: &Payload) -> Option<u64> {
     match payload {
         Payload::Command(bytes) => bytes.get(..8)?.try_into().ok().map(u64::from_be_bytes),
         _ => None,
     }
 }
+
+/// Whether a message brings the entry that ends a joint phase.
+pub fn leaves_joint(message: &Message) -> bool {
+    let Message::Append { entries, .. } = message else { return false };
+    entries.iter().any(|entry| matches!(&entry.payload, Payload::Voters(voters) if !voters.is_joint()))
+}
--- a/consensus/tests/histories.rs
+++ b/consensus/tests/histories.rs
@@ -2,23 +2,23 @@
 
 mod group;
 
-use group::history::{play, Troubles};
+use group::history::{play, Faults};
 
-/// Histories of each kind where the environment doesn't say.
-const USUAL_SEEDS: u64 = 60;
+/// Histories of each kind unless `SHALETRAIL_SEEDS` is set.
+const DEFAULT_SEEDS: u64 = 60;
 
 fn seeds() -> u64 {
-    std::env::var("SHALETRAIL_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(USUAL_SEEDS)
+    std::env::var("SHALETRAIL_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(DEFAULT_SEEDS)
 }
 
-fn play_all(first_seed: u64, troubles: Troubles) {
+fn play_all(first_seed: u64, faults: Faults) {
     let mut acknowledged = 0;
     let mut reads = 0;
     for seed in first_seed..first_seed + seeds() {
-        println!("seed {seed}, {troubles:?}");
-        let group = play(seed, troubles);
-        acknowledged += group.judge.acknowledged_count();
-        reads += group.judge.reads_answered;
+        println!("seed {seed}, {faults:?}");
+        let group = play(seed, faults);
+        acknowledged += group.invariants.acknowledged_count();
+        reads += group.invariants.reads_answered;
     }
     println!("{acknowledged} acknowledged, {reads} reads answered");
     assert!(acknowledged as u64 > 20 * seeds(), "the histories commit: {acknowledged}");
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn given_lossy_links_and_crashes_when_histories_are_played_then_nothing_acknowledged_is_lost() {
-    play_all(1_000_000, Troubles { wipes: false, replacements: false });
+fn random_histories_with_crashes_lose_nothing() {
+    play_all(1_000_000, Faults { disk_losses: false, replacements: false });
 }
 
 #[test]
-fn given_lost_disks_when_histories_are_played_then_nothing_acknowledged_is_lost() {
-    play_all(2_000_000, Troubles { wipes: true, replacements: false });
+fn random_histories_with_disk_losses_lose_nothing() {
+    play_all(2_000_000, Faults { disk_losses: true, replacements: false });
 }
 
 #[test]
-fn given_replaced_machines_when_histories_are_played_then_nothing_acknowledged_is_lost() {
-    play_all(3_000_000, Troubles { wipes: false, replacements: true });
+fn random_histories_with_replacements_lose_nothing() {
+    play_all(3_000_000, Faults { disk_losses: false, replacements: true });
 }
 
 #[test]
-fn given_lost_disks_and_replaced_machines_when_histories_are_played_then_nothing_acknowledged_is_lost() {
-    play_all(4_000_000, Troubles { wipes: true, replacements: true });
+fn random_histories_with_all_faults_lose_nothing() {
+    play_all(4_000_000, Faults { disk_losses: true, replacements: true });
 }
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn given_a_vote_when_it_is_not_synced_then_it_is_not_sent() {
+fn vote_is_sent_once_synced() {
     let mut voter = synced_voter();
     let last = voter.last();
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
@@ -63,19 +63,19 @@
 }
 
 #[test]
-fn given_a_vote_when_another_asks_in_the_same_term_then_it_is_refused() {
+fn second_candidate_of_term_is_rejected() {
     let mut voter = synced_voter();
     let last = voter.last();
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     voter.receive(11, node(3), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     let ticket = last_ticket(&voter.take_effects());
     voter.persisted(20, ticket);
-    let answers = voter.take_effects();
-    assert!(answers.contains(&Effect::Send(node(3), Message::VoteResponse { term: 2, granted: false })));
+    let responses = voter.take_effects();
+    assert!(responses.contains(&Effect::Send(node(3), Message::VoteResponse { term: 2, granted: false })));
 }
 
 #[test]
-fn given_a_candidate_when_its_term_is_not_synced_then_it_asks_nobody_and_does_not_lead() {
+fn candidate_requests_votes_once_term_is_synced() {
     let mut candidate = synced_voter();
     candidate.tick(5000);
     candidate.take_effects();
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn given_entries_when_they_are_not_synced_then_heartbeats_are_answered_and_the_append_is_not() {
-    let mut group = Group::founded(3, 1);
-    let leader = group.elect();
+fn append_is_acknowledged_once_synced() {
+    let mut group = Group::bootstrapped(3, 1);
+    let leader = group.await_leader();
     group.run(200);
     let slow = group.running().into_iter().find(|node| *node != leader).expect("a follower");
     group.machine(slow).is_disk_stalled = true;
@@ -100,43 +100,43 @@
     }));
     let before = group.sent["HeartbeatResponse"];
     group.run(1600);
-    assert!(group.judge.is_acknowledged(index));
+    assert!(group.invariants.is_acknowledged(index));
     assert!(group.sent["HeartbeatResponse"] >= before + 20);
     assert!(group.machines[&slow].applied >= index, "a commit does not wait for the own disk");
     assert!(group.replica(leader).peer(slow).is_some_and(|peer| peer.matched < index));
 }
 
 #[test]
-fn given_a_leader_whose_disk_hangs_when_the_others_sync_then_it_commits() {
-    let mut group = Group::founded(3, 2);
-    let leader = group.elect();
+fn leader_with_stalled_disk_commits() {
+    let mut group = Group::bootstrapped(3, 2);
+    let leader = group.await_leader();
     group.run(200);
     group.machine(leader).is_disk_stalled = true;
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(100);
-    assert!(group.judge.is_acknowledged(index));
+    assert!(group.invariants.is_acknowledged(index));
 }
 
 #[test]
-fn given_only_the_leader_and_one_hanging_disk_when_a_command_is_proposed_then_it_is_not_acknowledged() {
-    let mut group = Group::founded(3, 3);
-    let leader = group.elect();
+fn unsynced_majority_commits_nothing() {
+    let mut group = Group::bootstrapped(3, 3);
+    let leader = group.await_leader();
     group.run(200);
     let others: Vec<_> = group.running().into_iter().filter(|node| *node != leader).collect();
     group.crash(others[0]);
     group.machine(others[1]).is_disk_stalled = true;
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(2000);
-    assert!(!group.judge.is_acknowledged(index));
+    assert!(!group.invariants.is_acknowledged(index));
     group.machine(others[1]).is_disk_stalled = false;
     group.run(100);
-    assert!(group.judge.is_acknowledged(index));
+    assert!(group.invariants.is_acknowledged(index));
 }
 
 #[test]
-fn given_an_acknowledged_command_when_all_lose_power_then_it_is_still_there() {
+fn acknowledged_command_survives_power_loss() {
     for seed in 0..20 {
-        let mut group = Group::founded(3, seed);
+        let mut group = Group::bootstrapped(3, seed);
         let index = group.commit_one();
         for member in group.running() {
             group.crash(member);
@@ -145,9 +145,9 @@
             group.restart(node(member));
         }
         group.commit_one();
-        group.settle();
+        group.await_applied();
         assert!(group.all_applied(index));
-        group.machines.values().for_each(|machine| group.judge.has_all_acknowledged(machine));
+        group.assert_nothing_lost();
     }
 }
 
@@ -169,20 +169,20 @@
 }
 
 #[test]
-fn given_records_when_they_are_encoded_then_they_decode_to_the_same() {
+fn records_survive_encoding() {
     for record in [hard(3), snapshot(9, 2), Record::Entries(vec![entry(1, 1), entry(2, 1)])] {
         assert_eq!(Record::decode(&record.encode()), Ok(record));
     }
 }
 
 #[test]
-fn given_bytes_that_are_no_record_when_they_are_decoded_then_it_is_an_error() {
+fn malformed_record_is_an_error() {
     assert_eq!(Record::decode(&[255; 3]), Err(MalformedRecord { length: 3 }));
     assert_eq!(Record::decode(&[]), Err(MalformedRecord { length: 0 }));
 }
 
 #[test]
-fn given_entries_that_replace_others_when_they_are_restored_then_the_later_stand() {
+fn restored_entries_replace_earlier_ones() {
     let first = Record::Entries(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
     let second = Record::Entries(vec![entry(3, 2)]);
     let replica = restored(vec![hard(1), snapshot(1, 1), first, hard(2), second]);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn given_several_checkpoints_when_they_are_restored_then_only_what_the_last_does_not_cover_is_left() {
+fn restore_keeps_entries_after_last_snapshot() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let mut replica =
         restored(vec![hard(1), snapshot(1, 1), entries, snapshot(5, 1), hard(2), snapshot(7, 1)]);
@@ -203,14 +203,14 @@
 }
 
 #[test]
-fn given_older_entries_behind_a_checkpoint_when_they_are_restored_then_those_after_the_snapshot_stay() {
+fn restore_ignores_entries_below_snapshot() {
     let entries = |from: u64, to: u64| Record::Entries((from..=to).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard(1), snapshot(5, 1), entries(6, 9), entries(2, 4)]);
     assert_eq!(replica.last(), Position { term: 1, index: 9 });
 }
 
 #[test]
-fn given_entries_that_are_not_committed_when_a_snapshot_is_to_replace_them_then_they_stay() {
+fn uncommitted_entries_are_not_compacted() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let mut replica = restored(vec![hard(1), snapshot(1, 1), entries]);
     replica.compact(5, vec![7]);
@@ -218,14 +218,14 @@
 }
 
 #[test]
-fn given_a_snapshot_that_contradicts_the_log_when_it_is_restored_then_the_log_is_dropped() {
+fn restored_snapshot_drops_conflicting_log() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard(3), snapshot(1, 1), entries, snapshot(5, 3)]);
     assert_eq!(replica.last(), Position { term: 3, index: 5 });
 }
 
 #[test]
-fn given_a_restarted_replica_when_it_founds_again_then_nothing_changes() {
+fn restarted_replica_is_not_bootstrapped_again() {
     let mut replica = restored(vec![hard(3), snapshot(5, 3)]);
     let before = replica.records();
     replica.bootstrap(10, &[node(7)]);
@@ -233,19 +233,19 @@
 }
 
 #[test]
-fn given_a_compacted_log_when_the_machine_restarts_then_its_state_comes_from_the_snapshot() {
-    let mut group = Group::founded(3, 4);
+fn restart_restores_state_from_snapshot() {
+    let mut group = Group::bootstrapped(3, 4);
     for _ in 0..10 {
         group.commit_one();
     }
-    group.settle();
+    group.await_applied();
     let member = node(2);
     group.machine(member).compact();
-    group.act(member, |_, _| ());
+    group.call(member, |_, _| ());
     group.run(50);
     group.crash(member);
     group.restart(member);
     assert_eq!(group.machines[&member].commands.len(), 10);
     group.commit_one();
-    group.settle();
+    group.await_applied();
 }
--- /dev/null
+++ b/consensus/tests/read_scenarios.rs
@@ -0,0 +1,97 @@
+//! Scenarios of reads: leaders that were replaced, paused, or lead again get late responses.
+
+mod group;
+
+use group::scenario::{heal_and_await_leader, play_all, propose_and_read_at_leaders, run_up_to};
+use group::Group;
+use shaletrail_consensus::Message;
+
+#[test]
+fn replaced_leader_confirms_no_read_by_old_responses() {
+    play_all(70_000, |seed| {
+        let mut group = Group::bootstrapped(3, seed);
+        group.should_record =
+            |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
+        for _ in 0..5 {
+            let former = heal_and_await_leader(&mut group);
+            group.isolate(former);
+            group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
+            run_up_to(&mut group, 20);
+            for _ in 0..6 {
+                propose_and_read_at_leaders(&mut group);
+                for _ in 0..6 {
+                    group.replay_recorded();
+                }
+                group.run(10);
+            }
+        }
+        group
+    });
+}
+
+#[test]
+fn reelected_leader_confirms_no_read_by_former_term() {
+    play_all(72_000, |seed| {
+        let mut group = Group::bootstrapped(3, seed);
+        for _ in 0..4 {
+            transfer_until_leading_again(&mut group);
+            // It is cut off, and another leads.
+            let former = group.current_leader();
+            group.isolate(former);
+            group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
+            run_up_to(&mut group, 20);
+            for _ in 0..6 {
+                propose_and_read_at_leaders(&mut group);
+                for _ in 0..6 {
+                    group.replay_recorded();
+                }
+                group.run(10);
+            }
+        }
+        group
+    });
+}
+
+/// A leader hands over and leads again soon; only the answers of its former term are kept. Its rounds begin anew.
+fn transfer_until_leading_again(group: &mut Group) {
+    let leader = heal_and_await_leader(group);
+    group.clear_recorded();
+    group.should_record =
+        |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
+    for _ in 0..10 {
+        propose_and_read_at_leaders(group);
+        run_up_to(group, 30);
+    }
+    group.should_record = |_| false;
+    for _ in 0..20 {
+        if let Some(present) = group.leader() {
+            group.call(present, |replica, now| replica.transfer_leadership(now));
+        }
+        if group.run_until(60, |group| group.leader() == Some(leader)) {
+            break;
+        }
+    }
+    run_up_to(group, 30);
+}
+
+#[test]
+fn paused_leader_confirms_no_read_by_earlier_round() {
+    play_all(75_000, |seed| {
+        let mut group = Group::bootstrapped(3, seed);
+        for _ in 0..4 {
+            // The answers to a heartbeat wait in the socket of a leader that was stopped, and another leads.
+            let former = heal_and_await_leader(&mut group);
+            let round = group.last_rounds[&former];
+            group.run_until(400, |group| group.last_rounds[&former] > round);
+            group.pause(former);
+            group.run_until(4000, |group| group.leader().is_some());
+            propose_and_read_at_leaders(&mut group);
+            run_up_to(&mut group, 100);
+            // What it finds first when it goes on is a read, and only then the answers.
+            group.read(former);
+            group.resume(former);
+            group.run(100);
+        }
+        group
+    });
+}
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -10,16 +10,11 @@
     AppendOutcome, Effect, Entry, HardState, Index, Message, Options, Payload, Position, Record, Replica,
     ReplicaError, Role, RoundStamp, Snapshot, VoterSet, VoterStatus,
 };
-use shaletrail_protocol::NodeId;
-
-fn followers(group: &Group) -> Vec<NodeId> {
-    group.running().into_iter().filter(|node| group.role(*node) != Role::Leader).collect()
-}
 
 #[test]
-fn given_a_leader_when_commands_are_proposed_then_all_apply_them_in_order() {
-    let mut group = Group::founded(3, 1);
-    let leader = group.elect();
+fn commands_are_applied_in_order() {
+    let mut group = Group::bootstrapped(3, 1);
+    let leader = group.await_leader();
     for _ in 0..100 {
         group.propose(leader).expect("the leader takes it");
         group.run(5);
@@ -32,9 +27,9 @@
 }
 
 #[test]
-fn given_a_commit_when_nothing_else_happens_then_followers_apply_it_without_waiting_for_a_heartbeat() {
-    let mut group = Group::founded_with(3, 2, |options| options.heartbeat_ms = 400);
-    let leader = group.elect();
+fn commit_is_announced_at_once() {
+    let mut group = Group::bootstrapped_with(3, 2, |options| options.heartbeat_ms = 400);
+    let leader = group.await_leader();
     group.run(401);
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(40);
@@ -42,9 +37,9 @@
 }
 
 #[test]
-fn given_an_idle_group_when_ten_intervals_pass_then_each_follower_got_and_answered_one_heartbeat_in_each() {
-    let mut group = Group::founded(3, 3);
-    group.elect();
+fn idle_group_sends_one_heartbeat_an_interval() {
+    let mut group = Group::bootstrapped(3, 3);
+    group.await_leader();
     group.run(1000);
     group.sent.clear();
     group.run(1500);
@@ -64,13 +59,13 @@
 }
 
 #[test]
-fn given_large_commands_when_they_are_replicated_then_each_goes_alone_and_few_are_under_way() {
+fn large_commands_are_limited_in_flight() {
     const LARGE: usize = 4 << 20;
-    let mut group = Group::founded(3, 4);
-    let leader = group.elect();
-    let under_way = Rc::new(RefCell::new((0_usize, 0_usize)));
-    let seen = under_way.clone();
-    let slow = followers(&group)[0];
+    let mut group = Group::bootstrapped(3, 4);
+    let leader = group.await_leader();
+    let in_flight = Rc::new(RefCell::new((0_usize, 0_usize)));
+    let seen = in_flight.clone();
+    let slow = group.followers()[0];
     group.filter = Some(Box::new(move |_, to, message| {
         if let (true, Message::Append { entries, .. }) = (to == slow, message) {
             let size: usize = entries.iter().map(shaletrail_consensus::Entry::size).sum();
@@ -83,76 +78,76 @@
     }));
     group.machine(slow).is_disk_stalled = true;
     for _ in 0..6 {
-        let proposed = group.act(leader, |replica, now| replica.propose(now, vec![7; LARGE]));
+        let proposed = group.call(leader, |replica, now| replica.propose(now, vec![7; LARGE]));
         assert!(matches!(proposed, Some(Ok(_))));
         group.run(20);
     }
-    assert!(under_way.borrow().0 <= 3 * LARGE, "{under_way:?}");
+    assert!(in_flight.borrow().0 <= 3 * LARGE, "{in_flight:?}");
     group.machine(slow).is_disk_stalled = false;
     group.run(1000);
     assert!(group.all_applied(group.replica(leader).last().index));
 }
 
 #[test]
-fn given_proposals_that_cannot_be_committed_when_there_are_many_then_more_are_refused() {
-    let mut group = Group::founded_with(3, 5, |options| options.max_uncommitted_entries = 8);
-    let leader = group.elect();
+fn too_many_uncommitted_proposals_are_rejected() {
+    let mut group = Group::bootstrapped_with(3, 5, |options| options.max_uncommitted_entries = 8);
+    let leader = group.await_leader();
     group.run(100);
     group.isolate(leader);
-    let taken = (0..20).filter(|_| group.propose(leader).is_some()).count();
-    assert_eq!(taken, 8);
-    let refused = group.act(leader, |replica, now| replica.propose(now, vec![0; 8]));
-    assert_eq!(refused, Some(Err(ReplicaError::Busy)));
+    let accepted = (0..20).filter(|_| group.propose(leader).is_some()).count();
+    assert_eq!(accepted, 8);
+    let rejected = group.call(leader, |replica, now| replica.propose(now, vec![0; 8]));
+    assert_eq!(rejected, Some(Err(ReplicaError::Busy)));
 }
 
 #[test]
-fn given_a_command_over_the_limit_when_it_is_proposed_then_it_is_refused() {
-    let mut group = Group::founded_with(1, 6, |options| options.max_command_bytes = 100);
-    let leader = group.elect();
-    let refused = group.act(leader, |replica, now| replica.propose(now, vec![0; 101]));
-    assert_eq!(refused, Some(Err(ReplicaError::TooLarge { size: 101 })));
+fn too_large_command_is_rejected() {
+    let mut group = Group::bootstrapped_with(1, 6, |options| options.max_command_bytes = 100);
+    let leader = group.await_leader();
+    let rejected = group.call(leader, |replica, now| replica.propose(now, vec![0; 101]));
+    assert_eq!(rejected, Some(Err(ReplicaError::TooLarge { size: 101 })));
 }
 
 #[test]
-fn given_a_follower_when_a_command_is_proposed_there_then_it_names_the_leader() {
-    let mut group = Group::founded(3, 7);
-    let leader = group.elect();
+fn follower_rejects_proposal_with_leader() {
+    let mut group = Group::bootstrapped(3, 7);
+    let leader = group.await_leader();
     group.run(200);
-    let follower = followers(&group)[0];
-    let refused = group.act(follower, |replica, now| replica.propose(now, vec![0; 8]));
-    assert_eq!(refused, Some(Err(ReplicaError::NotLeader { leader: Some(leader) })));
+    let follower = group.followers()[0];
+    let rejected = group.call(follower, |replica, now| replica.propose(now, vec![0; 8]));
+    assert_eq!(rejected, Some(Err(ReplicaError::NotLeader { leader: Some(leader) })));
 }
 
 #[test]
-fn given_appends_that_get_lost_when_heartbeats_go_on_then_they_are_sent_again() {
-    let mut group = Group::founded(3, 8);
-    let leader = group.elect();
+fn lost_appends_are_sent_again() {
+    let mut group = Group::bootstrapped(3, 8);
+    let leader = group.await_leader();
     group.run(500);
-    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::Append { .. })));
+    group.drop_messages(|message| matches!(message, Message::Append { .. }));
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(100);
-    assert!(!group.judge.is_acknowledged(index));
+    assert!(!group.invariants.is_acknowledged(index));
     group.filter = None;
     group.run(700);
     assert!(group.all_applied(index), "{}", group.describe());
 }
 
 #[test]
-fn given_acknowledgements_that_get_lost_when_heartbeats_are_answered_then_entries_are_committed() {
-    let mut group = Group::founded(3, 9);
-    let leader = group.elect();
+fn heartbeat_response_makes_up_for_lost_acknowledgement() {
+    let mut group = Group::bootstrapped(3, 9);
+    let leader = group.await_leader();
     group.run(500);
-    group.filter = Some(Box::new(|_, _, message| !matches!(message, Message::AppendResponse { .. })));
+    group.drop_messages(|message| matches!(message, Message::AppendResponse { .. }));
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(700);
-    assert!(group.judge.is_acknowledged(index), "{}", group.describe());
+    assert!(group.invariants.is_acknowledged(index), "{}", group.describe());
 }
 
 #[test]
-fn given_a_follower_far_behind_when_it_returns_then_it_gets_the_snapshot_and_what_follows() {
-    let mut group = Group::founded_with(3, 10, |options| options.retain_bytes = 0);
-    let leader = group.elect();
-    let behind = followers(&group)[0];
+fn follower_behind_log_installs_snapshot() {
+    let mut group = Group::bootstrapped_with(3, 10, |options| options.retain_bytes = 0);
+    let leader = group.await_leader();
+    let behind = group.followers()[0];
     group.isolate(behind);
     for _ in 0..30 {
         group.commit_one();
@@ -160,32 +155,32 @@
     group.machine(leader).compact();
     let index = group.commit_one();
     assert!(group.replica(behind).last().index < 10);
-    group.cuts.clear();
-    group.settle();
+    group.blocked_links.clear();
+    group.await_applied();
     assert!(group.all_applied(index));
     assert!(group.sent["InstallSnapshot"] >= 1);
     assert_eq!(group.machines[&behind].commands, group.machines[&leader].commands);
 }
 
 #[test]
-fn given_a_follower_a_little_behind_when_the_leader_compacts_then_it_needs_no_snapshot() {
-    let mut group = Group::founded(3, 11);
-    let leader = group.elect();
+fn follower_slightly_behind_needs_no_snapshot() {
+    let mut group = Group::bootstrapped(3, 11);
+    let leader = group.await_leader();
     group.run(200);
-    let behind = followers(&group)[0];
+    let behind = group.followers()[0];
     group.isolate(behind);
     group.commit_one();
     group.machine(leader).compact();
     group.sent.clear();
-    group.cuts.clear();
-    group.settle();
+    group.blocked_links.clear();
+    group.await_applied();
     assert_eq!(group.sent.get("InstallSnapshot"), None);
 }
 
 #[test]
-fn given_entries_of_a_leader_that_was_cut_off_when_it_returns_then_they_give_way() {
-    let mut group = Group::founded(3, 12);
-    let former = group.elect();
+fn uncommitted_entries_of_former_leader_are_replaced() {
+    let mut group = Group::bootstrapped(3, 12);
+    let former = group.await_leader();
     group.run(200);
     group.isolate(former);
     for _ in 0..5 {
@@ -193,35 +188,35 @@
     }
     group.run(3000);
     let index = group.commit_one();
-    group.cuts.clear();
-    group.settle();
+    group.blocked_links.clear();
+    group.await_applied();
     assert!(group.all_applied(index));
-    let leader = group.elect();
+    let leader = group.await_leader();
     assert_eq!(group.machines[&former].commands, group.machines[&leader].commands);
 }
 
 #[test]
-fn given_a_learner_when_it_is_added_then_it_gets_everything_and_does_not_vote() {
-    let mut group = Group::founded(3, 13);
-    let leader = group.elect();
+fn learner_receives_entries_without_voting() {
+    let mut group = Group::bootstrapped(3, 13);
+    let leader = group.await_leader();
     let index = group.commit_one();
     let learner = node(9);
     group.add_machine(learner, false);
-    group.act(leader, |replica, _| replica.add_learner(learner));
+    group.call(leader, |replica, _| replica.add_learner(learner));
     group.run(1000);
     assert!(group.machines[&learner].applied >= index);
     assert_eq!(group.role(learner), Role::Learner);
-    group.act(leader, |replica, _| replica.remove_learner(learner));
+    group.call(leader, |replica, _| replica.remove_learner(learner));
     group.run(100);
     assert_eq!(group.replica(leader).peer(learner), None);
 }
 
 #[test]
-fn given_nonsense_from_outside_when_it_arrives_then_the_group_goes_on() {
-    let mut group = Group::founded(3, 14);
-    let leader = group.elect();
+fn implausible_messages_are_ignored() {
+    let mut group = Group::bootstrapped(3, 14);
+    let leader = group.await_leader();
     group.run(200);
-    let follower = followers(&group)[0];
+    let follower = group.followers()[0];
     let term = group.term(leader);
     let last = group.replica(leader).last();
     let gap = shaletrail_consensus::Entry {
@@ -231,20 +226,20 @@
     };
     let stamp = shaletrail_consensus::RoundStamp { round: u64::MAX, sent_at: u64::MAX };
     let (previous, entries) = (last, vec![gap.clone(), gap]);
-    group.forge(leader, follower, Message::Append { term, previous, entries, commit: u64::MAX, stamp });
-    group.forge(leader, follower, Message::Heartbeat { term, commit: u64::MAX, stamp });
-    let absurd = Position { term: u64::MAX, index: u64::MAX };
-    let (previous, entries) = (absurd, Vec::new());
-    group.forge(leader, follower, Message::Append { term, previous, entries, commit: 0, stamp });
-    group.forge(leader, follower, Message::VoteResponse { term: u64::MAX, granted: false });
-    group.forge(
+    group.inject(leader, follower, Message::Append { term, previous, entries, commit: u64::MAX, stamp });
+    group.inject(leader, follower, Message::Heartbeat { term, commit: u64::MAX, stamp });
+    let implausible = Position { term: u64::MAX, index: u64::MAX };
+    let (previous, entries) = (implausible, Vec::new());
+    group.inject(leader, follower, Message::Append { term, previous, entries, commit: 0, stamp });
+    group.inject(leader, follower, Message::VoteResponse { term: u64::MAX, granted: false });
+    group.inject(
         leader,
         follower,
-        Message::VoteRequest { term: u64::MAX, last: absurd, leadership_transfer: true },
+        Message::VoteRequest { term: u64::MAX, last: implausible, leadership_transfer: true },
     );
     group.run(300);
     let index = group.commit_one();
-    group.settle();
+    group.await_applied();
     assert!(group.all_applied(index));
 }
 
@@ -279,7 +274,7 @@
 }
 
 #[test]
-fn given_entries_of_an_older_term_when_a_majority_holds_them_then_they_wait_for_one_of_the_own_term() {
+fn older_term_commits_with_own_term_entry() {
     let mut replica = voter_with_old_entries();
     replica.tick(5000);
     replica.receive(5000, node(2), Message::PreVoteResponse { term: 3, granted: true });
@@ -287,20 +282,20 @@
     replica.receive(5001, node(2), Message::VoteResponse { term: 3, granted: true });
     assert_eq!(applied(&mut replica, 5001), []);
     assert_eq!(replica.role(), Role::Leader);
-    let answer = |index| Message::AppendResponse {
+    let response = |index| Message::AppendResponse {
         term: 3,
         stamp: RoundStamp { round: 1, sent_at: 5001 },
         outcome: AppendOutcome::Matched(index),
         status: VoterStatus { disk_id: 8, recovering: false },
     };
-    replica.receive(5002, node(2), answer(3));
+    replica.receive(5002, node(2), response(3));
     assert_eq!(applied(&mut replica, 5002), []);
-    replica.receive(5003, node(2), answer(4));
+    replica.receive(5003, node(2), response(4));
     assert_eq!(applied(&mut replica, 5003), [2, 3, 4]);
 }
 
 #[test]
-fn given_entries_of_a_former_leader_when_a_new_one_only_sends_heartbeats_then_they_are_not_applied() {
+fn unverified_entries_are_not_applied() {
     let mut replica = voter_with_old_entries();
     let stamp = RoundStamp { round: 1, sent_at: 1 };
     let previous = Position { term: 2, index: 3 };
@@ -320,7 +315,7 @@
 }
 
 #[test]
-fn given_synced_entries_that_were_replaced_when_the_new_ones_are_not_synced_then_they_are_not_acknowledged() {
+fn replaced_entries_are_acknowledged_once_synced() {
     // given: synced entries of an older term, and a synced newer term
     let mut replica = voter_with_old_entries();
     let stamp = RoundStamp { round: 1, sent_at: 1 };
@@ -332,21 +327,20 @@
     replica.receive(20, node(3), Message::Append { term: 3, previous, entries, commit: 1, stamp });
     replica.receive(30, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
     // then: the answer names them as received, not as synced
-    let answers = replica.take_effects().into_iter().filter_map(|effect| match effect {
+    let responses = replica.take_effects().into_iter().filter_map(|effect| match effect {
         Effect::Send(_, Message::HeartbeatResponse { received, matched, .. }) => Some((received, matched)),
         _ => None,
     });
-    assert_eq!(answers.collect::<Vec<_>>(), [(3, 1)]);
+    assert_eq!(responses.collect::<Vec<_>>(), [(3, 1)]);
 }
 
 #[test]
-fn given_a_follower_that_starts_anew_in_the_term_when_nothing_is_proposed_then_it_applies_what_is_committed()
-{
-    let mut group = Group::founded(3, 12);
-    let leader = group.elect();
+fn restarted_follower_applies_committed_entries() {
+    let mut group = Group::bootstrapped(3, 12);
+    let leader = group.await_leader();
     let (_, index) = group.propose(leader).expect("the leader takes it");
     group.run(200);
-    let follower = followers(&group)[0];
+    let follower = group.followers()[0];
     group.crash(follower);
     group.run(50);
     group.restart(follower);
