--- a/consensus/src/apply.rs
+++ b/consensus/src/apply.rs
@@ -40,11 +40,11 @@
         self.log.install(snapshot.clone(), 0);
         self.commit_index = snapshot.index();
         self.applied_index = snapshot.index();
-        self.hand_out_snapshot(snapshot);
+        self.apply_snapshot(snapshot);
     }
 
     /// Hands the state of a snapshot to the state machine, but for the empty one of the bootstrap.
-    pub(crate) fn hand_out_snapshot(&mut self, snapshot: Snapshot) {
+    pub(crate) fn apply_snapshot(&mut self, snapshot: Snapshot) {
         if snapshot.index() > BOOTSTRAP_INDEX {
             self.effects.push(Effect::InstallSnapshot(snapshot));
         }
--- a/consensus/src/effect.rs
+++ b/consensus/src/effect.rs
@@ -11,7 +11,8 @@
 pub enum Effect {
     /// Send a message to a node. It may get lost, be duplicated or delayed.
     Send(NodeId, Message),
-    /// Write and sync these records, in the order of tickets, then call [`Replica::persisted`](crate::Replica::persisted)
+    /// Write and sync these records, in the order of tickets, then call
+    /// [`Replica::persisted`](crate::Replica::persisted)
     /// with the ticket.
     Persist {
         /// Rises by one each time, from 1.
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -169,12 +169,12 @@
     fn trim_covered(&mut self, snapshot: &Snapshot, retain: usize) {
         let mut size = 0;
         let covered = self.entries.iter().rev().skip_while(|entry| entry.index > snapshot.index());
-        let kept = covered.take_while(|entry| {
+        let retained = covered.take_while(|entry| {
             size += entry.size();
             size <= retain
         });
-        let first_kept = kept.last().map_or(snapshot.index() + 1, |entry| entry.index);
-        while self.entries.front().is_some_and(|entry| entry.index < first_kept) {
+        let first_retained = retained.last().map_or(snapshot.index() + 1, |entry| entry.index);
+        while self.entries.front().is_some_and(|entry| entry.index < first_retained) {
             if let Some(entry) = self.entries.pop_front() {
                 self.base = entry.position();
             }
--- a/consensus/src/restore.rs
+++ b/consensus/src/restore.rs
@@ -54,7 +54,7 @@
         }
         replica.reset_election_timeout();
         if let Some(snapshot) = replica.log.snapshot().cloned() {
-            replica.hand_out_snapshot(snapshot);
+            replica.apply_snapshot(snapshot);
         }
         replica
     }
--- a/consensus/tests/durability_scenarios.rs
+++ b/consensus/tests/durability_scenarios.rs
@@ -15,7 +15,7 @@
         let mut group = Group::bootstrapped_with(3 + (seed % 3) as u32, seed, small_limits);
         let mut unreachable: Vec<NodeId> = Vec::new();
         for _ in 0..10 {
-            // The leader is cut off or stopped at an awkward moment, with entries that few others hold.
+            // The leader is isolated or crashes while few others hold its entries.
             if let Some(leader) = group.leader() {
                 propose_and_read_at_leaders(&mut group);
                 run_up_to(&mut group, 15);
@@ -88,7 +88,7 @@
             }
             let (absent, wiped) = (followers[0], followers[1]);
             if flip_coin(&mut group) {
-                // It alone has acknowledged with the leader, and meets one that has not heard of that.
+                // It alone has acknowledged with the leader, and is left with one that lacks the entry.
                 group.isolate(absent);
                 run_up_to(&mut group, 300);
                 propose_and_read_at_leaders(&mut group);
@@ -96,7 +96,7 @@
                 group.wipe_disk(wiped);
                 group.crash(former);
             } else {
-                // It has elected another leader, and meets the one before, which does not know.
+                // It has elected another leader, and is left with the former one, which doesn't know.
                 group.isolate(former);
                 group.run_until(950, |group| group.leader().is_some_and(|leader| leader != former));
                 run_up_to(&mut group, 30);
--- a/consensus/tests/election_scenarios.rs
+++ b/consensus/tests/election_scenarios.rs
@@ -22,7 +22,7 @@
             )
         };
         for _ in 0..6 {
-            // A hand-over, which may be interrupted.
+            // A leadership transfer, which may be interrupted.
             let leader = heal_and_await_leader(&mut group);
             group.call(leader, |replica, now| replica.transfer_leadership(now));
             run_up_to(&mut group, 10);
@@ -32,7 +32,7 @@
                 _ => {}
             }
             run_up_to(&mut group, 100);
-            // A leader that is cut off while it holds the lease, and messages of hand-overs that come now.
+            // A leader that is isolated while it holds the lease, and late messages of transfers.
             let leader = heal_and_await_leader(&mut group);
             group.isolate(leader);
             for _ in 0..3 {
@@ -57,9 +57,9 @@
     });
 }
 
-/// A leader is cut off for less than it takes to step down, a voter gathers pre-votes and is held up by its disk,
-/// the third voter hears the leader again and may start again, or lose its disk as the leader stops; then the request
-/// for its vote arrives.
+/// A leader is isolated for less than it takes to step down, a voter gathers pre-votes and is delayed by its disk,
+/// the third voter is in contact with the leader again and may restart, or lose its disk as the leader crashes; then the
+/// request for its vote arrives.
 fn delay_candidate_by_disk(group: &mut Group) {
     let leader = heal_and_await_rejoin(group);
     let others = group.others(leader);
@@ -107,7 +107,7 @@
     });
 }
 
-/// Two voters that don't hear each other stand in the same term; the one between loses power around its answer.
+/// Two voters without a link campaign in the same term; the voter between them loses power around its response.
 fn split_votes(group: &mut Group) {
     let middle = heal_and_await_leader(group);
     group.clear_recorded();
@@ -117,7 +117,7 @@
     for candidate in &candidates {
         group.machine(*candidate).is_disk_stalled = true;
     }
-    // Both have asked for pre-votes when the voter between wakes, and have heard nothing else.
+    // Both have requested pre-votes when the voter between them resumes, and have received nothing else.
     group.run(2100);
     group.resume(middle);
     let both_campaign = |group: &Group| {
@@ -135,7 +135,7 @@
     group.crash(middle);
     group.restart(middle);
     group.run(20);
-    // The one that was elected is not heard any more, and the other's request comes late.
+    // The one that was elected is isolated, and the other's request comes late.
     for leader in group.leaders() {
         group.isolate(leader);
     }
@@ -222,12 +222,15 @@
 
 #[test]
 fn restarted_replica_serves_nothing_until_elected() {
+    // given
     let mut group = Group::bootstrapped(3, 2);
     let leader = heal_and_await_leader(&mut group);
     group.commit_one();
     let member = group.others(leader)[0];
+    // when
     group.crash(member);
     group.restart(member);
+    // then
     // It neither leads nor holds a lease, and takes no proposals or reads, until it was elected anew.
     assert_eq!((group.role(member), group.has_lease(member)), (Role::Follower, false));
     assert_eq!((group.propose(member), group.read(member)), (None, None));
@@ -248,7 +251,7 @@
         group.isolate(voter);
         group.run_until(3500, |group| group.leaders().iter().any(|leader| *leader != former));
         let Some(newer) = group.leaders().into_iter().find(|leader| *leader != former) else { continue };
-        // The voter follows the newer one, and is needed for its commit.
+        // The voter follows the newer one, which needs it to commit.
         group
             .blocked_links
             .retain(|(from, to)| ![*from, *to].contains(&voter) || ![*from, *to].contains(&newer));
@@ -260,7 +263,7 @@
             continue;
         }
         played += 1;
-        // when: it starts again and hears the former leader only, and then the newer one and its follower are lost
+        // when: it restarts and receives messages of the former leader only, and the newer one and its follower are lost
         group.crash(voter);
         group.restart(voter);
         group.blocked_links.clear();
@@ -281,5 +284,5 @@
         group.await_applied();
         group.assert_nothing_lost();
     }
-    assert!(played >= 5, "{played} of the seeds come to the point");
+    assert!(played >= 5, "only {played} seeds reach the case");
 }
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -86,7 +86,7 @@
             self.group.invariants.assert_nothing_lost(&self.group.machines[voter]);
             assert!(!self.group.replica(*voter).is_recovering(), "{voter} has not rejoined");
         }
-        let token = self.group.read(leader).expect("a leader takes reads");
+        let token = self.group.read(leader).expect("a leader accepts reads");
         self.group.run(500);
         assert!(!self.group.invariants.is_read_pending(token), "a read is answered in calm times");
     }
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of voters.
+//! Membership: changes of voters by joint consensus, and learners.
 
 mod group;
 
@@ -37,11 +37,14 @@
 #[test]
 fn learner_replaces_follower() {
     for seed in 0..10 {
+        // given
         let (mut group, leader) = with_learner(seed);
         let leaving = (1..=3).find(|number| node(*number) != leader).expect("a follower");
         let staying: Vec<u32> = (1..=4).filter(|number| *number != leaving).collect();
+        // when
         assert_eq!(change(&mut group, leader, &staying), Ok(()));
         assert!(group.run_until(LIMIT_MS, |group| has_voters(group, &staying)), "{}", group.describe());
+        // then
         group.crash(node(leaving));
         let another =
             staying.iter().map(|number| node(*number)).find(|node| *node != leader).expect("two more");
@@ -52,6 +55,7 @@
 
 #[test]
 fn removed_voter_sends_nothing() {
+    // given
     let (mut group, leader) = with_learner(1);
     let leaving = (1..=3).find(|number| node(*number) != leader).expect("a follower");
     let staying: Vec<u32> = (1..=4).filter(|number| *number != leaving).collect();
@@ -60,17 +64,20 @@
     group.run(200);
     let term = group.term(leader);
     let removed = node(leaving);
+    // when
     group.filter = Some(Box::new(move |from, _, message| {
         assert_ne!(from, removed, "{message:?}");
         true
     }));
     group.run(10_000);
+    // then
     assert_eq!((group.leader(), group.term(leader)), (Some(leader), term));
     assert_eq!(group.role(removed), Role::Learner);
 }
 
 #[test]
 fn voter_removed_while_isolated_returns_without_election() {
+    // given
     let (mut group, leader) = with_learner(2);
     let leaving = (1..=3).find(|number| node(*number) != leader).expect("a follower");
     let staying: Vec<u32> = (1..=4).filter(|number| *number != leaving).collect();
@@ -79,8 +86,10 @@
     assert!(group.run_until(LIMIT_MS, |group| has_voters(group, &staying)));
     group.run(200);
     let term = group.term(leader);
+    // when
     group.blocked_links.clear();
     group.run(10_000);
+    // then
     assert_eq!((group.leader(), group.term(leader)), (Some(leader), term));
 }
 
@@ -118,6 +127,7 @@
 
 #[test]
 fn joint_commit_needs_incoming_majority() {
+    // given
     let mut group = Group::bootstrapped(3, 4);
     let leader = group.await_leader();
     group.commit_one();
@@ -127,9 +137,11 @@
     group.isolate(node(4));
     group.isolate(node(5));
     let number = (1..=3).find(|number| node(*number) == leader).expect("a founder");
+    // when
     assert_eq!(change(&mut group, leader, &[number, 4, 5]), Ok(()));
     let (_, index) = group.propose(leader).expect("it leads still");
     group.run(900);
+    // then
     assert!(!group.invariants.is_acknowledged(index), "the incoming half has no majority");
     group.blocked_links.clear();
     let has_changed = group.run_until(8000, |group| has_voters(group, &[number, 4, 5]));
@@ -138,7 +150,8 @@
 
 #[test]
 fn joint_commit_needs_outgoing_majority() {
-    // Long timeouts: those that are cut off are a majority of the present voters, and could elect one of their own.
+    // given
+    // Long timeouts: the isolated voters are a majority of the present ones, and could elect one of their own.
     let mut group = Group::bootstrapped_with(3, 6, |options| {
         (options.election_min_ms, options.election_max_ms) = (2000, 3000);
     });
@@ -151,10 +164,12 @@
     group.run(1000);
     let number = (1..=3).find(|number| node(*number) == leader).expect("a founder");
     let leaving: Vec<NodeId> = (1..=3).filter(|other| *other != number).map(node).collect();
+    // when
     group.partition(&[leader], &leaving);
     assert_eq!(change(&mut group, leader, &[number, 4, 5]), Ok(()));
     let (_, index) = group.propose(leader).expect("it leads still");
     group.run(700);
+    // then
     assert!(group.replica(node(4)).last().index >= index, "the incoming half holds it");
     assert!(!group.invariants.is_acknowledged(index));
     assert!(!group.has_lease(leader));
@@ -166,16 +181,19 @@
 #[test]
 fn next_leader_ends_joint_phase() {
     for seed in 0..10 {
+        // given
         let (mut group, leader) = with_learner(seed);
         group.drop_messages(leaves_joint);
         let follower = (1..=3).find(|number| node(*number) != leader).expect("a follower");
         let staying: Vec<u32> = (1..=4).filter(|number| *number != follower).collect();
         assert_eq!(change(&mut group, leader, &staying), Ok(()));
         group.run(50);
+        // when
         group.crash(leader);
         group.filter = None;
         group.run(50);
         group.restart(leader);
+        // then
         assert!(
             group.run_until(8000, |group| has_voters(group, &staying)),
             "seed {seed}: {}",
@@ -221,6 +239,7 @@
 
 #[test]
 fn uncommitted_change_of_voters_is_rolled_back() {
+    // given
     let mut group = Group::bootstrapped(3, 21);
     let former = group.await_leader();
     group.commit_one();
@@ -232,13 +251,15 @@
         .expect("it runs")
         .expect("it leads");
     assert!(group.replica(former).is_changing_voters());
-    // Its snapshot ends before the change, and holds the voters as of there.
+    // when
+    // Its snapshot ends before the change, and holds the voters as of that index.
     group.machine(former).compact();
     group.call(former, |_, _| ());
     group.run(4000);
     group.blocked_links.clear();
     group.commit_one();
     group.await_applied();
+    // then
     assert_eq!(group.replica(former).voters(), &before);
     assert!(!group.replica(former).is_changing_voters());
     // It needs none of the others' votes to lead again.
--- a/consensus/tests/membership_disk_loss.rs
+++ b/consensus/tests/membership_disk_loss.rs
@@ -62,13 +62,13 @@
         assert!(self.group.run_until(8000, is_done), "{}", self.group.describe());
     }
 
-    /// Waits until a machine's disk says that it was readmitted.
+    /// Waits until a machine's rejoin is synced.
     fn await_rejoin(&mut self, node: NodeId) {
         let has_rejoined = self.group.run_until(8000, |group| !group.machines[&node].disk.is_recovering());
         assert!(has_rejoined, "{}", self.group.describe());
     }
 
-    /// The one that leaves ends, and the others hold all that was acknowledged.
+    /// Crashes the voter that leaves, and checks that the others hold all that was acknowledged.
     fn assert_nothing_is_lost(&mut self) {
         self.group.crash(self.leaving);
         self.group.commit_one();
@@ -138,7 +138,7 @@
         fixture.group.restart(staying);
         fixture.group.run(500);
 
-        // when: of the voters that stay, only the recovering one is heard
+        // when: of the voters that stay, only the recovering one responds
         fixture.group.isolate(fixture.leaving);
         assert_eq!(fixture.change(), Ok(()));
         let (_, index) = fixture.group.propose(fixture.leader).expect("it leads still");
@@ -158,7 +158,7 @@
 #[test]
 fn learner_with_lost_disk_counts_once_rejoined() {
     for seed in SEEDS {
-        // given: the leader has not heard the new disk yet
+        // given: the new disk has not responded to the leader yet
         let mut fixture = Fixture::new(seed);
         let learner = fixture.learner;
         fixture.group.wipe_disk(learner);
@@ -185,6 +185,7 @@
 
 #[test]
 fn new_leader_rejects_change_before_own_commit() {
+    // given
     let mut group = Group::bootstrapped(3, 1);
     group.isolate(node(1));
     group.await_leader();
@@ -195,18 +196,23 @@
     group.run_until(LIMIT_MS, |group| group.leader().is_some());
     let leader = group.current_leader();
     let voters = vec![node(1), node(2)];
+    // when
     let rejected = group.call(leader, |replica, now| replica.change_voters(now, voters));
+    // then
     assert_eq!(rejected, Some(Err(ReplicaError::ChangePending)));
 }
 
 #[test]
 fn uncommitted_joint_phase_does_not_end() {
     for seed in SEEDS {
+        // given
         let mut fixture = Fixture::new(seed);
         fixture.group.drop_messages(changes_voters);
+        // when
         let (_, index) = fixture.group.propose(fixture.leader).expect("it leads");
         assert_eq!(fixture.change(), Ok(()));
         fixture.group.run(100);
+        // then
         assert!(fixture.group.invariants.is_acknowledged(index), "{}", fixture.group.describe());
         assert!(fixture.group.replica(fixture.leader).voters().is_joint(), "seed {seed}");
         fixture.group.filter = None;
@@ -223,12 +229,15 @@
 #[test]
 fn removed_leader_leads_until_committed() {
     for seed in SEEDS {
+        // given
         let mut fixture = Fixture::new(seed);
         let (leader, rest) = (fixture.leader, vec![fixture.staying, fixture.leaving, fixture.learner]);
         fixture.group.drop_messages(leaves_joint);
+        // when
         let changed = fixture.group.call(leader, |replica, now| replica.change_voters(now, rest));
         assert_eq!(changed, Some(Ok(())));
         fixture.group.run(100);
+        // then
         assert!(!fixture.group.replica(leader).voters().contains(leader), "{}", fixture.group.describe());
         assert!(fixture.group.replica(leader).is_leader(), "seed {seed}");
     }
@@ -236,13 +245,16 @@
 
 #[test]
 fn learner_without_contact_does_not_count() {
+    // given
     let mut fixture = Fixture::new(1);
+    // when
     fixture.group.call(fixture.leader, |replica, _| replica.add_learner(node(9)));
+    // then
     let peer = fixture.group.replica(fixture.leader).peer(node(9));
     assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
-/// An answer of another disk than the one that runs, which promises all that the leader has.
+/// Delivers a response of another disk than the one that runs, which acknowledges all that the leader has.
 fn inject_response(fixture: &mut Fixture, status: VoterStatus, round: u64) {
     let replica = fixture.group.replica(fixture.leader);
     let (term, last) = (replica.term(), replica.last().index);
@@ -255,29 +267,35 @@
 
 #[test]
 fn new_response_of_lost_disk_does_not_count() {
+    // given
     let mut fixture = Fixture::new(2);
     fixture.group.drop_messages(|message| matches!(message, Message::Rejoin { .. }));
     fixture.group.wipe_disk(fixture.staying);
     fixture.group.restart(fixture.staying);
     fixture.group.run(500);
-    // Newer than all that was heard, but of a round that was sent: others do not count anyway.
+    // Newer than all that was received, but of a round that was sent: others do not count anyway.
     fixture.group.isolate(fixture.staying);
     fixture.group.run(200);
     let newest = fixture.group.last_rounds[&fixture.leader];
+    // when
     inject_response(&mut fixture, VoterStatus { disk_id: 12345, recovering: false }, newest);
+    // then
     let peer = fixture.group.replica(fixture.leader).peer(fixture.staying);
     assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
 #[test]
 fn old_response_of_lost_disk_changes_nothing() {
+    // given
     let mut fixture = Fixture::new(3);
     fixture.group.wipe_disk(fixture.staying);
     fixture.group.restart(fixture.staying);
     fixture.await_rejoin(fixture.staying);
     fixture.group.run(500);
+    // when
     inject_response(&mut fixture, VoterStatus { disk_id: 12345, recovering: true }, 1);
     fixture.group.run(500);
+    // then
     let peer = fixture.group.replica(fixture.leader).peer(fixture.staying);
     assert!(peer.is_some_and(|peer| peer.counts_towards_quorum), "{peer:?}");
 }
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! What waits for the disk, and what a restart finds.
+//! Persistence: messages that wait for a sync, and replicas that are restored from their records.
 
 mod group;
 
@@ -30,7 +30,7 @@
     tickets.max().expect("something to persist")
 }
 
-/// A voter that has synced its founding.
+/// A voter that has synced its bootstrap.
 fn synced_voter() -> Replica {
     let mut voter = founded(2);
     let ticket = last_ticket(&voter.take_effects());
@@ -41,9 +41,12 @@
 
 #[test]
 fn vote_is_sent_once_synced() {
+    // given
     let mut voter = synced_voter();
     let last = voter.last();
+    // when
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
+    // then
     let effects = voter.take_effects();
     assert_eq!(sent(&effects), Vec::<&str>::new());
     voter.persisted(20, last_ticket(&effects));
@@ -64,10 +67,13 @@
 
 #[test]
 fn second_candidate_of_term_is_rejected() {
+    // given
     let mut voter = synced_voter();
     let last = voter.last();
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
+    // when
     voter.receive(11, node(3), Message::VoteRequest { term: 2, last, leadership_transfer: false });
+    // then
     let ticket = last_ticket(&voter.take_effects());
     voter.persisted(20, ticket);
     let responses = voter.take_effects();
@@ -76,11 +82,14 @@
 
 #[test]
 fn candidate_requests_votes_once_term_is_synced() {
+    // given
     let mut candidate = synced_voter();
     candidate.tick(5000);
     candidate.take_effects();
+    // when
     candidate.receive(5001, node(1), Message::PreVoteResponse { term: 2, granted: true });
     let effects = candidate.take_effects();
+    // then
     assert_eq!((candidate.role(), sent(&effects)), (Role::Candidate, vec![]));
     candidate.persisted(5002, last_ticket(&effects));
     assert_eq!(sent(&candidate.take_effects()), ["VoteRequest", "VoteRequest"]);
@@ -88,18 +97,21 @@
 
 #[test]
 fn append_is_acknowledged_once_synced() {
+    // given
     let mut group = Group::bootstrapped(3, 1);
     let leader = group.await_leader();
     group.run(200);
     let slow = group.running().into_iter().find(|node| *node != leader).expect("a follower");
     group.machine(slow).is_disk_stalled = true;
-    let (_, index) = group.propose(leader).expect("the leader takes it");
+    // when
+    let (_, index) = group.propose(leader).expect("the leader accepts it");
     group.filter = Some(Box::new(move |from, _, message| {
         assert!(from != slow || !matches!(message, Message::AppendResponse { .. }), "{message:?}");
         true
     }));
     let before = group.sent["HeartbeatResponse"];
     group.run(1600);
+    // then
     assert!(group.invariants.is_acknowledged(index));
     assert!(group.sent["HeartbeatResponse"] >= before + 20);
     assert!(group.machines[&slow].applied >= index, "a commit does not wait for the own disk");
@@ -108,25 +120,31 @@
 
 #[test]
 fn leader_with_stalled_disk_commits() {
+    // given
     let mut group = Group::bootstrapped(3, 2);
     let leader = group.await_leader();
     group.run(200);
     group.machine(leader).is_disk_stalled = true;
-    let (_, index) = group.propose(leader).expect("the leader takes it");
+    // when
+    let (_, index) = group.propose(leader).expect("the leader accepts it");
     group.run(100);
+    // then
     assert!(group.invariants.is_acknowledged(index));
 }
 
 #[test]
 fn unsynced_majority_commits_nothing() {
+    // given
     let mut group = Group::bootstrapped(3, 3);
     let leader = group.await_leader();
     group.run(200);
     let others: Vec<_> = group.running().into_iter().filter(|node| *node != leader).collect();
     group.crash(others[0]);
     group.machine(others[1]).is_disk_stalled = true;
-    let (_, index) = group.propose(leader).expect("the leader takes it");
+    // when
+    let (_, index) = group.propose(leader).expect("the leader accepts it");
     group.run(2000);
+    // then
     assert!(!group.invariants.is_acknowledged(index));
     group.machine(others[1]).is_disk_stalled = false;
     group.run(100);
@@ -136,14 +154,17 @@
 #[test]
 fn acknowledged_command_survives_power_loss() {
     for seed in 0..20 {
+        // given
         let mut group = Group::bootstrapped(3, seed);
         let index = group.commit_one();
+        // when
         for member in group.running() {
             group.crash(member);
         }
         for member in [1, 2, 3] {
             group.restart(node(member));
         }
+        // then
         group.commit_one();
         group.await_applied();
         assert!(group.all_applied(index));
@@ -211,9 +232,12 @@
 
 #[test]
 fn uncommitted_entries_are_not_compacted() {
+    // given
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let mut replica = restored(vec![hard(1), snapshot(1, 1), entries]);
+    // when
     replica.compact(5, vec![7]);
+    // then
     assert_eq!((replica.snapshot_index(), replica.last().index), (1, 9));
 }
 
@@ -226,14 +250,18 @@
 
 #[test]
 fn restarted_replica_is_not_bootstrapped_again() {
+    // given
     let mut replica = restored(vec![hard(3), snapshot(5, 3)]);
     let before = replica.records();
+    // when
     replica.bootstrap(10, &[node(7)]);
+    // then
     assert_eq!(replica.records(), before);
 }
 
 #[test]
 fn restart_restores_state_from_snapshot() {
+    // given
     let mut group = Group::bootstrapped(3, 4);
     for _ in 0..10 {
         group.commit_one();
@@ -243,8 +271,10 @@
     group.machine(member).compact();
     group.call(member, |_, _| ());
     group.run(50);
+    // when
     group.crash(member);
     group.restart(member);
+    // then
     assert_eq!(group.machines[&member].commands.len(), 10);
     group.commit_one();
     group.await_applied();
--- a/consensus/tests/read_scenarios.rs
+++ b/consensus/tests/read_scenarios.rs
@@ -35,7 +35,7 @@
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..4 {
             transfer_until_leading_again(&mut group);
-            // It is cut off, and another leads.
+            // It is isolated, and another leads.
             let former = group.current_leader();
             group.isolate(former);
             group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
@@ -52,7 +52,8 @@
     });
 }
 
-/// A leader hands over and leads again soon; only the answers of its former term are kept. Its rounds begin anew.
+/// A leader transfers the leadership and leads again soon; only the responses of its former term are recorded. Its rounds
+/// begin anew.
 fn transfer_until_leading_again(group: &mut Group) {
     let leader = heal_and_await_leader(group);
     group.clear_recorded();
@@ -79,7 +80,7 @@
     play_all(75_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..4 {
-            // The answers to a heartbeat wait in the socket of a leader that was stopped, and another leads.
+            // The responses to a heartbeat wait in the socket of a leader that was paused, and another leads.
             let former = heal_and_await_leader(&mut group);
             let round = group.last_rounds[&former];
             group.run_until(400, |group| group.last_rounds[&former] > round);
@@ -87,7 +88,7 @@
             group.run_until(4000, |group| group.leader().is_some());
             propose_and_read_at_leaders(&mut group);
             run_up_to(&mut group, 100);
-            // What it finds first when it goes on is a read, and only then the answers.
+            // When it resumes it handles a read first, and only then the responses.
             group.read(former);
             group.resume(former);
             group.run(100);
--- a/consensus/tests/recovering_voters.rs
+++ b/consensus/tests/recovering_voters.rs
@@ -1,4 +1,4 @@
-//! Voters that have lost their disks.
+//! Recovering voters: those that lost their disks, until they have rejoined.
 
 mod group;
 
@@ -34,11 +34,14 @@
 #[test]
 fn recovered_voter_counts_again() {
     for seed in 0..20 {
+        // given
         let Fixture { mut group, leader, other, recovering } = fixture(seed);
+        // when
         group.wipe_disk(recovering);
         group.restart(recovering);
         assert!(group.replica(recovering).is_recovering());
         group.run(1500);
+        // then
         assert!(!group.replica(recovering).is_recovering(), "{}", group.describe());
         assert_eq!(group.role(recovering), Role::Follower);
         group.crash(other);
@@ -52,12 +55,15 @@
 
 #[test]
 fn recovering_voter_makes_no_quorum() {
+    // given
     let Fixture { mut group, leader, other, recovering } = fixture(1);
+    // when
     group.wipe_disk(recovering);
     group.crash(other);
     group.restart(recovering);
     let (_, index) = group.propose(leader).expect("it leads still");
     group.run(10_000);
+    // then
     assert!(!group.invariants.is_acknowledged(index));
     assert!(group.replica(recovering).is_recovering());
     assert!(!group.has_lease(leader));
@@ -69,11 +75,14 @@
 
 #[test]
 fn recovering_voter_elects_nobody() {
+    // given
     let Fixture { mut group, leader, other: _, recovering } = fixture(2);
+    // when
     group.crash(leader);
     group.wipe_disk(recovering);
     group.restart(recovering);
     group.run(10_000);
+    // then
     assert_eq!(group.leader(), None);
     assert_eq!(group.role(recovering), Role::Learner);
     group.restart(leader);
@@ -82,15 +91,18 @@
 
 #[test]
 fn acknowledgement_of_recovering_voter_counts_for_nothing() {
+    // given
     let Fixture { mut group, leader, other, recovering } = fixture(3);
     group.drop_messages(is_rejoin);
     group.wipe_disk(recovering);
     group.restart(recovering);
     group.run(500);
+    // when
     group.isolate(other);
     let (_, index) = group.propose(leader).expect("it leads still");
     let token = group.read(leader).expect("it leads still");
     group.run(300);
+    // then
     assert!(group.replica(recovering).last().index >= index, "it takes entries");
     assert!(!group.invariants.is_acknowledged(index));
     assert!(group.invariants.is_read_pending(token));
@@ -98,11 +110,14 @@
 
 #[test]
 fn rejoin_needs_quorum_without_recovering_voter() {
+    // given
     let Fixture { mut group, leader, other, recovering } = fixture(4);
     group.isolate(other);
+    // when
     group.wipe_disk(recovering);
     group.restart(recovering);
     group.run(900);
+    // then
     assert_eq!(group.sent.get("Rejoin"), None);
     assert!(group.replica(recovering).is_recovering());
     assert!(group.replica(leader).peer(recovering).is_some_and(|peer| !peer.counts_towards_quorum));
@@ -110,13 +125,16 @@
 
 #[test]
 fn rejoin_counts_once_synced() {
+    // given
     let Fixture { mut group, recovering, .. } = fixture(5);
     group.wipe_disk(recovering);
     group.restart(recovering);
     let is_rejoin_sent = group.run_until(3000, |group| group.sent.contains_key("Rejoin"));
     assert!(is_rejoin_sent);
+    // when
     group.machine(recovering).is_disk_stalled = true;
     group.run(20);
+    // then
     assert!(!group.replica(recovering).is_recovering(), "in memory");
     let is_recovering_on_disk = group.machines[&recovering].disk.is_recovering();
     assert!(is_recovering_on_disk);
@@ -124,13 +142,13 @@
         group.replica(group.current_leader()).peer(recovering).is_some_and(|peer| peer.counts_towards_quorum)
     };
     group.run(500);
-    assert!(!counts(&group), "a readmission counts once it is synced");
+    assert!(!counts(&group), "a rejoin counts once it is synced");
     group.machine(recovering).is_disk_stalled = false;
     group.run(500);
     assert!(counts(&group));
 }
 
-/// A scene in which the voter's new disk is not readmitted, it and the third are cut off, and an entry waits for them.
+/// A group in which the voter's new disk has not rejoined, it and the third are isolated, and an entry is pending.
 fn fixture_with_pending_entry(seed: u64) -> (Fixture, Index) {
     let mut fixture = fixture(seed);
     let Fixture { group, leader, other, recovering } = &mut fixture;
@@ -144,8 +162,7 @@
     (fixture, index)
 }
 
-/// Brings the leader an answer of the lost disk to a round, by which it would hold the entry, and looks that it does not
-/// count.
+/// Delivers a response of the lost disk to a round, by which it would hold the entry, and checks that it does not count.
 fn assert_response_of_lost_disk_does_not_count(fixture: Fixture, index: Index, round: u64) {
     let Fixture { mut group, leader, recovering, .. } = fixture;
     let status = VoterStatus { disk_id: 12345, recovering: false };
@@ -175,21 +192,25 @@
 
 #[test]
 fn rejoin_needs_rejoin_point_on_disk() {
+    // given
     let Fixture { mut group, recovering, .. } = fixture(8);
     group.filter = Some(Box::new(move |_, to, message| {
         to != recovering || !matches!(message, Message::Append { .. } | Message::InstallSnapshot { .. })
     }));
+    // when
     group.wipe_disk(recovering);
     group.restart(recovering);
     group.run(500);
     group.commit_one();
     group.run(1000);
+    // then
     assert_eq!(group.sent.get("Rejoin"), None);
     assert!(group.replica(recovering).is_recovering());
 }
 
 #[test]
 fn rejoin_records_vote_for_leader() {
+    // given
     let mut options = Options::new(node(2), 1);
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
@@ -198,7 +219,9 @@
         _ => None,
     });
     let disk_id = disk_id.expect("a hard state");
+    // when
     voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id });
+    // then
     let expected = HardState { term: 3, voted_for: Some(node(1)), recovering: false, disk_id };
     assert_eq!(voter.records(), [Record::Hard(expected)]);
 }
@@ -207,7 +230,7 @@
 fn former_leader_gains_nothing_from_lost_disk() {
     let mut played = 0;
     for seed in 0..40 {
-        // given: a leader that has not noticed yet that another was elected with the vote of a follower
+        // given: a leader that doesn't know yet that another was elected with the vote of a follower
         let mut group = Group::bootstrapped_with(3, seed, |options| options.election_max_ms = 4000);
         let former = group.await_leader();
         group.commit_one();
@@ -222,7 +245,7 @@
             [1, 2, 3].map(node).into_iter().find(|node| ![former, leader].contains(node)).expect("a third");
         let (_, index) = group.propose(leader).expect("it leads");
         group.run_until(100, |group| group.invariants.is_acknowledged(index));
-        // when: the follower loses its disk and hears the former leader only
+        // when: the follower loses its disk and receives messages of the former leader only
         group.wipe_disk(voter);
         group.restart(voter);
         group.blocked_links.clear();
@@ -241,24 +264,29 @@
         group.await_applied();
         group.assert_nothing_lost();
     }
-    assert!(played >= 10, "{played} of the seeds come to the point");
+    assert!(played >= 10, "only {played} seeds reach the case");
 }
 
 #[test]
 fn rejoin_of_another_disk_is_ignored() {
+    // given
     let mut options = Options::new(node(2), 1);
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
+    // when
     voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id: 99 });
+    // then
     assert!(voter.is_recovering());
 }
 
 #[test]
 fn recovering_voter_grants_no_vote() {
+    // given
     let mut options = Options::new(node(2), 1);
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
     let last = Position { term: 9, index: 9 };
+    // when
     voter.receive(5000, node(1), Message::PreVoteRequest { term: 3, last });
     voter.receive(5000, node(1), Message::VoteRequest { term: 3, last, leadership_transfer: false });
     let mut effects = voter.take_effects();
@@ -268,6 +296,7 @@
         }
     }
     effects.extend(voter.take_effects());
+    // then
     let grants = |effect: &Effect| {
         matches!(
             effect,
@@ -282,7 +311,7 @@
 
 #[test]
 fn rejoin_point_outdates_candidates_from_before_loss() {
-    // given: five voters; a candidate has the vote of one that then loses its disk and is readmitted in the old term
+    // given: five voters; a candidate has the vote of one that then loses its disk and rejoins in the old term
     let mut group = Group::bootstrapped(5, 7);
     let leader = group.await_leader();
     group.commit_one();
@@ -296,10 +325,10 @@
     group.restart(recovering);
     group.run(1500);
     assert!(!group.replica(recovering).is_recovering());
-    // when: the candidate's request reaches another voter late, and no loyalty stops it
+    // when: the candidate's request reaches another voter late, and no leader lease stops it
     group.blocked_links.clear();
     group.inject(candidate, voter, Message::VoteRequest { term, last, leadership_transfer: true });
-    // then: it is refused, since the voter holds the readmission point
+    // then: it is rejected, since the voter's log holds the rejoin point
     group.drop_messages(|message| matches!(message, Message::VoteResponse { granted: true, .. }));
     let mut granted = false;
     for _ in 0..10 {
@@ -332,15 +361,18 @@
 #[test]
 fn disk_loss_and_power_loss_lose_nothing() {
     for seed in 0..30 {
+        // given
         let Fixture { mut group, leader, other, recovering } = fixture(seed);
         group.commit_one();
         let crashed = if seed % 2 == 0 { [leader, other] } else { [recovering, other] };
         let lost = if seed % 2 == 0 { recovering } else { leader };
+        // when
         group.wipe_disk(lost);
         crashed.iter().for_each(|node| group.crash(*node));
         for machine in [lost, crashed[0], crashed[1]] {
             group.restart(machine);
         }
+        // then
         group.commit_one();
         group.await_applied();
         group.assert_nothing_lost();
--- a/consensus/tests/snapshot_scenarios.rs
+++ b/consensus/tests/snapshot_scenarios.rs
@@ -9,7 +9,7 @@
 use group::{Conditions, Group};
 use shaletrail_protocol::NodeId;
 
-/// A group of three in which nothing is kept in memory behind a snapshot.
+/// A group of three that retains no entries behind a snapshot.
 fn bootstrapped_without_retained_entries(seed: u64) -> Group {
     Group::bootstrapped_with(3, seed, |options| {
         small_limits(options);
@@ -17,7 +17,7 @@
     })
 }
 
-/// Cuts a follower off until the leader's log no longer reaches back to where it stands.
+/// Isolates a follower until the leader's log no longer reaches back to its last entry.
 fn fall_behind(group: &mut Group, leader: NodeId) -> NodeId {
     let followers = group.others(leader);
     let behind = draw_node(group, &followers);
@@ -70,7 +70,7 @@
     play_all(90_000, |seed| {
         let mut group = bootstrapped_without_retained_entries(seed);
         for _ in 0..2 {
-            // A leader that is cut off keeps on taking proposals; the others go on and forget their logs.
+            // An isolated leader keeps on taking proposals; the others go on and compact their logs.
             let former = heal_and_await_leader(&mut group);
             group.isolate(former);
             for _ in 0..20 {
@@ -82,7 +82,7 @@
             group.run(200);
             group.machine(leader).compact();
             group.call(leader, |_, _| ());
-            // It returns, the new leader has nobody else, and its disk hangs as the snapshot comes.
+            // It returns, the new leader has nobody else, and its disk stalls as the snapshot arrives.
             let third = group.others(former).into_iter().find(|node| *node != leader).expect("a third");
             group.blocked_links.clear();
             group.isolate(third);
@@ -105,14 +105,16 @@
 
 #[test]
 fn follower_catches_up_under_steady_load() {
+    // given
     let mut group = bootstrapped_without_retained_entries(1);
     let leader = heal_and_await_leader(&mut group);
     let behind = fall_behind(&mut group, leader);
     group.crash(behind);
     group.blocked_links.clear();
     group.conditions = Conditions { max_delay_ms: 40, max_sync_ms: 60, ..Conditions::HEALTHY };
+    // when
     for change in 0..400 {
-        group.propose(leader).expect("the leader takes it");
+        group.propose(leader).expect("the leader accepts it");
         if change % 8 == 0 {
             group.machine(leader).compact();
         }
@@ -121,6 +123,7 @@
         }
         group.run(50);
     }
+    // then
     let distance = group.machines[&leader].applied - group.machines[&behind].applied;
     assert!(group.sent.contains_key("InstallSnapshot"));
     assert!(distance < 20, "{distance} entries behind: {}", group.describe());
--- a/consensus/tests/stored_format.rs
+++ b/consensus/tests/stored_format.rs
@@ -36,7 +36,7 @@
     RoundStamp { round: 5, sent_at: 600_006 }
 }
 
-fn standing() -> VoterStatus {
+fn voter_status() -> VoterStatus {
     VoterStatus { disk_id: 0x0102_0304_0506_0708, recovering: true }
 }
 
@@ -70,14 +70,14 @@
             stamp: stamp(),
             received: 28,
             matched: 29,
-            status: standing(),
+            status: voter_status(),
         },
         Message::Append { term: 30, previous: last(), entries: entries(), commit: 31, stamp: stamp() },
         Message::AppendResponse {
             term: 32,
             stamp: stamp(),
             outcome: AppendOutcome::Matched(33),
-            status: standing(),
+            status: voter_status(),
         },
         Message::InstallSnapshot { term: 34, snapshot: snapshot(), stamp: stamp() },
         Message::TimeoutNow { term: 35 },
