--- a/coordinator/src/driver/disk.rs
+++ b/coordinator/src/driver/disk.rs
@@ -6,8 +6,8 @@
 
 use shaletrail_protocol::settings::Settings;
 use shaletrail_storage::{
-    erase, Command, FolderDisk, Journal, Options, RejectedCommand, Report, StorageError, StoredRecord,
-    Writer, WriterOptions,
+    erase, Command, FolderDisk, Journal, Options, RejectedCommand, StorageError, StoredRecord, Writer,
+    WriterEvent, WriterOptions,
 };
 use slog::{error, warn, Logger};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
@@ -69,7 +69,7 @@
     /// Takes a checkpoint.
     fn checkpoint(&self, live: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand>;
     /// How long the oldest append that is not safe has been waiting.
-    fn oldest_unfinished(&self) -> Option<Duration>;
+    fn oldest_in_flight(&self) -> Option<Duration>;
 }
 
 impl Appender for Writer {
@@ -81,8 +81,8 @@
         Writer::checkpoint(self, live)
     }
 
-    fn oldest_unfinished(&self) -> Option<Duration> {
-        Writer::oldest_unfinished(self)
+    fn oldest_in_flight(&self) -> Option<Duration> {
+        Writer::oldest_in_flight(self)
     }
 }
 
@@ -103,8 +103,8 @@
 
 impl Disk<Writer> {
     /// Starts the thread; what it reports is to be told to the core as [`event_of`] says.
-    pub fn start(journal: Journal<FolderDisk>) -> (Self, UnboundedReceiver<Report>) {
-        let (sender, reports): (UnboundedSender<Report>, _) = unbounded_channel();
+    pub fn start(journal: Journal<FolderDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
+        let (sender, reports): (UnboundedSender<WriterEvent>, _) = unbounded_channel();
         let report = Box::new(move |report| {
             let _ = sender.send(report);
         });
@@ -120,7 +120,7 @@
 
     /// Whether something has been waiting to be safe for too long.
     pub fn is_late(&self) -> bool {
-        let oldest = self.appender.as_ref().and_then(Appender::oldest_unfinished);
+        let oldest = self.appender.as_ref().and_then(Appender::oldest_in_flight);
         !self.waiting.is_empty() || oldest.is_some_and(|oldest| oldest > SICK_AFTER)
     }
 
@@ -159,15 +159,15 @@
 }
 
 /// What the core is told of a report; `None` if nothing.
-pub fn event_of(report: &Report) -> Option<Event> {
+pub fn event_of(report: &WriterEvent) -> Option<Event> {
     match report {
-        Report::Done { ticket, wants_checkpoint, .. } => {
+        WriterEvent::Synced { ticket, wants_checkpoint, .. } => {
             Some(Event::Persisted { ticket: *ticket, wants_checkpoint: *wants_checkpoint })
         }
-        Report::Failed { wants_checkpoint, .. } => {
+        WriterEvent::SyncFailed { wants_checkpoint, .. } => {
             Some(Event::DiskDegraded { wants_checkpoint: *wants_checkpoint })
         }
-        Report::CheckpointFailed { .. } => Some(Event::DiskDegraded { wants_checkpoint: false }),
-        Report::Checkpointed { .. } | Report::Stopped => None,
+        WriterEvent::CheckpointFailed { .. } => Some(Event::DiskDegraded { wants_checkpoint: false }),
+        WriterEvent::Checkpointed { .. } | WriterEvent::Stopped => None,
     }
 }
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -11,7 +11,7 @@
 };
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Millis, ServerId};
-use shaletrail_storage::Report;
+use shaletrail_storage::WriterEvent;
 use slog::{debug, info, o, warn, Logger};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::oneshot;
@@ -157,17 +157,17 @@
     }
 
     /// Brings the reports of the journal's thread to the core.
-    async fn hear_disk(self: Rc<Self>, mut reports: UnboundedReceiver<Report>) {
+    async fn hear_disk(self: Rc<Self>, mut reports: UnboundedReceiver<WriterEvent>) {
         while let Some(report) = reports.recv().await {
             match &report {
-                Report::Checkpointed { .. } => self.checkpoint_ended(),
-                Report::CheckpointFailed { error } => {
+                WriterEvent::Checkpointed { .. } => self.checkpoint_ended(),
+                WriterEvent::CheckpointFailed { error } => {
                     self.checkpoint_ended();
                     warn!(self.log, "disk failed"; "error" => %error);
                 }
-                Report::Failed { error, .. } => warn!(self.log, "disk failed"; "error" => %error),
-                Report::Done { .. } => {}
-                Report::Stopped => return,
+                WriterEvent::SyncFailed { error, .. } => warn!(self.log, "disk failed"; "error" => %error),
+                WriterEvent::Synced { .. } => {}
+                WriterEvent::Stopped => return,
             }
             if let Some(event) = disk::event_of(&report) {
                 self.handle(event);
--- a/coordinator/tests/bounds.rs
+++ b/coordinator/tests/bounds.rs
@@ -15,5 +15,5 @@
     let snapshot = MAX_CONFIGURATION_BYTES + BESIDE_THE_TEXT;
 
     // then
-    assert!(snapshot <= journal.longest_record);
+    assert!(snapshot <= journal.max_record_bytes);
 }
--- a/coordinator/tests/driver_disk.rs
+++ b/coordinator/tests/driver_disk.rs
@@ -6,7 +6,7 @@
 
 use shaletrail_coordinator::driver::disk::{event_of, Appender, Disk};
 use shaletrail_coordinator::interface::Event;
-use shaletrail_storage::{Command, RejectReason, RejectedCommand, Report, StorageError};
+use shaletrail_storage::{Command, RejectReason, RejectedCommand, StorageError, WriterEvent};
 
 /// A journal's thread, as far as a test decides for it.
 #[derive(Default)]
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    fn oldest_unfinished(&self) -> Option<Duration> {
+    fn oldest_in_flight(&self) -> Option<Duration> {
         None
     }
 }
@@ -43,7 +43,7 @@
 
 #[test]
 fn given_an_append_that_was_refused_when_others_follow_then_none_passes_it_whatever_the_reason() {
-    for reason in [RejectReason::Busy, RejectReason::TooLong, RejectReason::Stopped] {
+    for reason in [RejectReason::Busy, RejectReason::RecordTooLarge, RejectReason::Stopped] {
         // given
         let journal = Near::default();
         let mut disk = Disk::new(Some(journal.clone()));
@@ -76,15 +76,15 @@
 #[test]
 fn given_reports_of_the_journal_when_they_are_told_then_only_a_sync_that_is_done_makes_records_safe() {
     let failure = || StorageError::RingFull { needed: 1, limit: 0 };
-    let done = Report::Done { ticket: 7, wants_checkpoint: true, took_ms: 3 };
+    let done = WriterEvent::Synced { ticket: 7, wants_checkpoint: true, elapsed_ms: 3 };
     assert!(matches!(event_of(&done), Some(Event::Persisted { ticket: 7, wants_checkpoint: true })));
 
-    let failed = Report::Failed { error: failure(), ticket: 7, wants_checkpoint: true };
+    let failed = WriterEvent::SyncFailed { error: failure(), ticket: 7, wants_checkpoint: true };
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
-    let failed = Report::CheckpointFailed { error: failure() };
+    let failed = WriterEvent::CheckpointFailed { error: failure() };
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
     // What it covers is told by a report of its own.
-    let checkpointed = Report::Checkpointed { wants_checkpoint: false, took_ms: 3 };
+    let checkpointed = WriterEvent::Checkpointed { wants_checkpoint: false, elapsed_ms: 3 };
     assert!(event_of(&checkpointed).is_none());
-    assert!(event_of(&Report::Stopped).is_none());
+    assert!(event_of(&WriterEvent::Stopped).is_none());
 }
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 use shaletrail_protocol::Millis;
-use shaletrail_storage::memory::{Faults, MemoryDisk};
-use shaletrail_storage::{erase, Journal, Opened, Options, StorageError, StoredRecord};
+use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
+use shaletrail_storage::{erase, Journal, OpenedJournal, Options, StorageError, StoredRecord};
 
 /// How long something may be unsafe before the disk counts as sick; as in the driver.
 const SICK_AFTER: Millis = 400;
@@ -58,14 +58,14 @@
             }
             other => other,
         };
-        let Opened { journal, stored, .. } = opened?;
+        let OpenedJournal { journal, stored, .. } = opened?;
         Ok((Writer::new(journal), stored))
     }
 }
 
 /// Small files, so that checkpoints come often.
 fn options() -> Options {
-    Options { file_bytes: 64 << 10, first_files: 6, max_files: 24, longest_record: 512 << 10 }
+    Options { file_bytes: 64 << 10, initial_files: 6, max_files: 24, max_record_bytes: 512 << 10 }
 }
 
 enum Command {
@@ -257,9 +257,9 @@
 
     /// The machine loses power, perhaps in the middle of a write.
     pub fn lose_power(mut self, disk: &MachineDisk, random: &mut Pcg64) {
-        disk.memory.cut_power_after(random.random_range(0..=CALLS_BEFORE_DARK));
+        disk.memory.lose_power_after(random.random_range(0..=CALLS_BEFORE_DARK));
         self.abandon_within(disk);
-        disk.memory.restart();
+        disk.memory.power_cycle();
     }
 
     fn abandon_within(&mut self, disk: &MachineDisk) {
@@ -273,6 +273,6 @@
 impl MachineDisk {
     /// The machine loses power while no process uses the disk.
     pub fn lose_power(&self) {
-        self.memory.restart();
+        self.memory.power_cycle();
     }
 }
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::memory::Faults;
+use shaletrail_storage::fault_injection::Faults;
 
 use crate::fleet::{Fleet, FleetOptions};
 use crate::network::{Conditions, Disorder};
--- a/simulation/src/history/core.rs
+++ b/simulation/src/history/core.rs
@@ -1,7 +1,7 @@
 //! Trouble in the core, within what may be lost at once.
 
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::memory::Faults;
+use shaletrail_storage::fault_injection::Faults;
 
 use super::{Ending, History, SYNC};
 use crate::fleet::Fleet;
--- a/simulation/src/history/storms.rs
+++ b/simulation/src/history/storms.rs
@@ -2,7 +2,7 @@
 //! write, and have disks that are full, refuse or hang; now and then all are killed.
 
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::memory::Faults;
+use shaletrail_storage::fault_injection::Faults;
 
 use super::{Ending, History, ACKNOWLEDGED_WITHIN};
 use crate::coordinator::CrashPoint;
--- a/simulation/src/troubles.rs
+++ b/simulation/src/troubles.rs
@@ -1,7 +1,7 @@
 //! What goes wrong with machines, disks and links.
 
 use shaletrail_protocol::{Millis, NodeId};
-use shaletrail_storage::memory::Faults;
+use shaletrail_storage::fault_injection::Faults;
 
 use crate::coordinator::CrashPoint;
 use crate::disk::MachineDisk;
--- a/simulation/tests/disks.rs
+++ b/simulation/tests/disks.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{assert_in_service, ready, ACKNOWLEDGED_WITHIN};
-use shaletrail_storage::memory::Faults;
+use shaletrail_storage::fault_injection::Faults;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
 const FULL: Faults = Faults { full: true, writes_fail: false, syncs_fail: false, reads_fail: false };
--- a/storage/src/erase.rs
+++ b/storage/src/erase.rs
@@ -1,44 +1,43 @@
-//! Removes a damaged journal so that a new one can begin.
+//! Removes a corrupt journal so that a new one can begin.
 
-use snafu::ResultExt;
+use crate::error::StorageError;
+use crate::segment_ring::is_ring_file;
+use crate::{disk_io, Disk};
 
-use crate::error::{IoSnafu, StorageError};
-use crate::ring::is_ring_file;
-use crate::Disk;
+/// Exists while files are being removed: the rest of them must not be taken for a journal.
+const MARKER_FILE: &str = "erasing";
 
-/// Is there while files are being removed: what is left of them must not be taken for a journal.
-const MARKER: &str = "erasing";
-
-/// Removes all files of a journal, for one that was found to be corrupt: the next one that is opened in the folder
-/// is fresh. Where this is interrupted, opening goes on with it.
+/// Removes all files of a journal that was found to be corrupt: the next one that is opened in the directory is fresh.
+/// If this is interrupted, the next [`Journal::open`](crate::Journal::open) completes it.
+///
+/// # Errors
+/// [`StorageError::Io`], after which some files may have been removed.
 pub fn erase<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    disk.create(MARKER, 0).context(IoSnafu { operation: "create", file: MARKER })?;
-    disk.sync(MARKER).context(IoSnafu { operation: "sync", file: MARKER })?;
-    sync_folder(disk)?;
+    disk_io::create(disk, MARKER_FILE, 0)?;
+    disk_io::sync(disk, MARKER_FILE)?;
+    // The marker must be durable before the first file goes: half a ring could look like an older journal.
+    disk_io::sync_folder(disk)?;
     remove_files(disk)
 }
 
-/// Completes an erasure that was interrupted.
-pub(crate) fn resume<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    let names = disk.list().context(IoSnafu { operation: "list", file: "the folder" })?;
-    if names.iter().any(|name| name == MARKER) {
-        // The marker may be there without having been synced.
-        sync_folder(disk)?;
+/// Completes an erasure that was interrupted, if there is one.
+pub(crate) fn complete_interrupted<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
+    let names = disk_io::list(disk)?;
+    if names.iter().any(|name| name == MARKER_FILE) {
+        // The marker may exist without having been synced.
+        disk_io::sync_folder(disk)?;
         remove_files(disk)?;
     }
     Ok(())
 }
 
 fn remove_files<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    let names = disk.list().context(IoSnafu { operation: "list", file: "the folder" })?;
+    let names = disk_io::list(disk)?;
     for name in names.iter().filter(|name| is_ring_file(name)) {
-        disk.remove(name).context(IoSnafu { operation: "remove", file: name })?;
+        disk_io::remove(disk, name)?;
     }
-    sync_folder(disk)?;
-    disk.remove(MARKER).context(IoSnafu { operation: "remove", file: MARKER })?;
-    sync_folder(disk)
-}
-
-fn sync_folder<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    disk.sync_folder().context(IoSnafu { operation: "sync", file: "the folder" })
+    // The removals must be durable before the marker goes, or a removed file could come back without it.
+    disk_io::sync_folder(disk)?;
+    disk_io::remove(disk, MARKER_FILE)?;
+    disk_io::sync_folder(disk)
 }
--- a/storage/src/folder.rs
+++ b/storage/src/folder_disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the system as a [`Disk`].
+//! A directory of the operating system as a [`Disk`].
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -8,36 +8,39 @@
 
 use crate::Disk;
 
-/// A folder of the system. Keeps the files it has used open.
+/// A directory of the operating system. Keeps the files that it has used open.
 #[derive(Debug)]
 pub struct FolderDisk {
     folder: PathBuf,
-    open: HashMap<String, File>,
+    open_files: HashMap<String, File>,
 }
 
 impl FolderDisk {
-    /// Uses a folder, which is made if it is not there.
+    /// Opens a directory; creates it and those above it if they do not exist.
+    ///
+    /// # Errors
+    /// The directory cannot be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        Ok(FolderDisk { folder: folder.to_owned(), open: HashMap::new() })
+        Ok(FolderDisk { folder: folder.to_owned(), open_files: HashMap::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&File> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let file = OpenOptions::new().read(true).write(true).open(self.folder.join(name))?;
-            self.open.insert(name.to_owned(), file);
+            self.open_files.insert(name.to_owned(), file);
         }
-        self.open.get(name).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.open_files.get(name).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
 impl Disk for FolderDisk {
     fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         let path = self.folder.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(length)?;
-        self.open.insert(name.to_owned(), file);
+        self.open_files.insert(name.to_owned(), file);
         Ok(())
     }
 
@@ -66,14 +69,14 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         fs::remove_file(self.folder.join(name))
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
-            // A name that is not Unicode is none of ours.
+            // No file of a journal has a name that is not Unicode.
             names.extend(entry?.file_name().into_string());
         }
         names.sort_unstable();
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -1,175 +1,167 @@
-//! The journal: appends, syncs and checkpoints over a ring of files.
+//! The journal: appends, syncs and checkpoints over a ring of segment files.
 
 use std::collections::VecDeque;
 
-use snafu::{ensure, ResultExt};
+use snafu::ensure;
 
-use crate::appender::{Appender, Item};
-use crate::error::{IoSnafu, StorageError, TooLongSnafu};
-use crate::header::PAGE;
-use crate::record::{self, Kind, LONGEST_PART};
-use crate::replay::{replay, Replay, StoredRecord};
-use crate::ring::Purpose;
-use crate::{erase, Disk, Options};
+use crate::error::{RecordTooLargeSnafu, StorageError};
+use crate::fragment::RecordKind;
+use crate::recovery::{recover, Recovery};
+use crate::segment_ring::SegmentPurpose;
+use crate::segment_writer::{RecordRef, SegmentWriter};
+use crate::{checkpoint, disk_io, erase, Disk, Options, StoredRecord};
 
-/// What opening a journal found.
-pub struct Opened<D> {
-    /// The journal, ready for appends. Ask it at once whether it [wants a checkpoint](Journal::wants_checkpoint).
+/// A journal that was opened, and what recovery found in it.
+pub struct OpenedJournal<D> {
+    /// The journal, ready for appends. Check at once whether it [wants a checkpoint](Journal::wants_checkpoint).
     pub journal: Journal<D>,
-    /// All records from the newest checkpoint on, in order. All of them are synced.
+    /// All records from the newest complete checkpoint on, in order. All of them are durable.
     pub stored: Vec<StoredRecord>,
-    /// No record has ever been safe in this folder, or the folder has been wiped or erased: whoever kept promises in
-    /// it has forgotten them. Stays so over restarts until the first record is synced, and never comes back unless
-    /// the folder is wiped or erased.
+    /// No record has ever been durable in this directory, or it has been wiped or erased: a voter that kept its state
+    /// there has lost it. Stays true across restarts until the first record is durable, and is never true again unless
+    /// the directory is wiped or erased.
     pub fresh: bool,
-    /// Whether ring files were there. A fresh journal with files was interrupted during its first start, or has had
-    /// nothing synced yet.
+    /// Whether ring files existed. A fresh journal with files was interrupted during its first start, or nothing has
+    /// been synced in it yet.
     pub had_files: bool,
 }
 
-/// Checksummed records of several streams in a ring of files.
+/// A write-ahead log of several streams of records.
 pub struct Journal<D> {
-    appender: Appender<D>,
-    longest_record: usize,
-    /// Appended and not yet synced.
+    writer: SegmentWriter<D>,
+    max_record_bytes: usize,
+    /// Appended and not yet durable.
     pending: VecDeque<StoredRecord>,
-    /// The newest sequence number that counts.
-    committed: u64,
+    /// Sequence number of the newest durable record's last fragment; 0 if there is none.
+    durable_sequence: u64,
 }
 
 impl<D: Disk> Journal<D> {
-    /// Reads the journal of a folder; begins one where there is none.
+    /// Recovers the journal of a directory; creates one if there is none.
     ///
     /// # Errors
-    /// [`StorageError::Io`] may pass. After [`StorageError::Corrupt`] the disk must be treated as one that has
-    /// forgotten; [`erase`](crate::erase) makes room for a new journal.
-    pub fn open(mut disk: D, options: &Options) -> Result<Opened<D>, StorageError> {
-        options.check()?;
-        erase::resume(&mut disk)?;
-        let Replay { stored, committed, ring } = replay(&mut disk, options.max_files)?;
+    /// [`StorageError::Io`] may be transient. After [`StorageError::Corrupt`] the disk must be treated as one that has
+    /// lost its data; [`erase`](crate::erase) prepares it for a new journal. [`StorageError::InvalidOption`] if
+    /// `options` cannot work.
+    pub fn open(mut disk: D, options: &Options) -> Result<OpenedJournal<D>, StorageError> {
+        options.validate()?;
+        erase::complete_interrupted(&mut disk)?;
+        let Recovery { stored, durable_sequence, ring } = recover(&mut disk, options.max_files)?;
         let had_files = !ring.files.is_empty();
+        // The process before may have crashed with names and records unsynced. They count as durable from here on, so
+        // they have to be.
         if had_files {
-            disk.sync_folder().context(IoSnafu { operation: "sync", file: "the folder" })?;
+            disk_io::sync_folder(&mut disk)?;
         }
-        if let Some(newest) = ring.chain.last() {
-            let file = ring.name(newest.file);
-            disk.sync(file).context(IoSnafu { operation: "sync", file })?;
+        if let Some(newest) = ring.live_segments.last() {
+            disk_io::sync(&mut disk, ring.file_name(newest.file))?;
         }
-        let mut appender = Appender::new(disk, ring, options.file_bytes, committed);
-        let fresh = committed == 0;
-        let missing = options.first_files.saturating_sub(appender.ring.files.len());
-        if fresh && missing > 0 {
-            appender.grow(missing)?;
+        let mut writer = SegmentWriter::new(disk, ring, options.file_bytes, durable_sequence);
+        let fresh = durable_sequence == 0;
+        let missing_files = options.initial_files.saturating_sub(writer.ring.files.len());
+        if fresh && missing_files > 0 {
+            writer.create_files(missing_files)?;
         }
-        let longest_record = options.longest_record;
-        let journal = Journal { appender, longest_record, pending: VecDeque::new(), committed };
-        Ok(Opened { journal, stored, fresh, had_files })
+        let max_record_bytes = options.max_record_bytes;
+        let journal = Journal { writer, max_record_bytes, pending: VecDeque::new(), durable_sequence };
+        Ok(OpenedJournal { journal, stored, fresh, had_files })
     }
 
-    /// Takes a record in. It is safe after the next [`Journal::sync`] that succeeds.
+    /// Appends a record. It is durable after the next [`Journal::sync`] that succeeds.
     ///
     /// # Errors
-    /// [`StorageError::TooLong`]; nothing was taken then.
+    /// [`StorageError::RecordTooLarge`]; nothing was appended then.
     pub fn append(&mut self, stream: u32, bytes: Vec<u8>) -> Result<(), StorageError> {
-        let (length, longest) = (bytes.len(), self.longest_record);
-        ensure!(length <= longest, TooLongSnafu { length, longest });
+        self.check_length(&bytes)?;
         self.pending.push_back(StoredRecord { stream, bytes });
         Ok(())
     }
 
-    /// Makes all appended records safe.
+    /// Makes all appended records durable.
     ///
     /// # Errors
-    /// Nothing is known to be safe that was not before, but no record is lost: the next call writes those that are
-    /// not safe yet anew, in another file. After [`StorageError::RingFull`] that succeeds only after a checkpoint.
+    /// [`StorageError::Io`], or [`StorageError::RingFull`], after which only a checkpoint helps. Some of the records may
+    /// be durable even so; the next call writes the others again, in another segment.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         let mut ends = Vec::with_capacity(self.pending.len());
         let result = self.write_pending(&mut ends);
-        let synced = self.appender.synced();
-        let safe = ends.partition_point(|end| *end <= synced);
-        self.committed = ends.get(..safe).and_then(<[u64]>::last).copied().unwrap_or(self.committed);
-        self.pending.drain(..safe);
+        let synced = self.writer.synced_sequence();
+        let durable = ends.partition_point(|end| *end <= synced);
+        let newest = ends.get(..durable).and_then(<[u64]>::last).copied();
+        self.durable_sequence = newest.unwrap_or(self.durable_sequence);
+        self.pending.drain(..durable);
         if result.is_err() {
-            self.appender.abandon(self.committed);
+            self.writer.abandon_segment(self.durable_sequence);
         }
         result
     }
 
-    /// Records that were appended and are not safe yet.
+    /// Number of records that were appended and are not durable yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The longest record that is taken, in bytes.
-    pub fn longest_record(&self) -> usize {
-        self.longest_record
+    /// The largest record that is accepted, in bytes.
+    pub fn max_record_bytes(&self) -> usize {
+        self.max_record_bytes
     }
 
-    /// Whether the ring is filling: appends are refused before a checkpoint would not fit any more.
+    /// Whether the ring is filling up. Appends are refused before a checkpoint would not fit any more.
     pub fn wants_checkpoint(&self) -> bool {
-        self.appender.ring.wants_checkpoint()
+        self.writer.ring.wants_checkpoint()
     }
 
-    /// Replaces all that was appended before, synced or not, by `live`, pairs of stream and bytes. All of it is safe
+    /// Replaces everything appended before, synced or not, by `live`, pairs of stream and payload. All of it is durable
     /// once this succeeds.
     ///
     /// # Errors
-    /// Nothing has changed then: what was safe is, what was appended and not safe is still to be synced.
-    /// [`StorageError::RingFull`] if `live` needs too many files; how many others are in use does not matter.
+    /// Nothing has changed then: durable records still are, the others are still pending. [`StorageError::RingFull`] if
+    /// `live` needs too many files, however many others are in use; [`StorageError::RecordTooLarge`];
+    /// [`StorageError::Io`].
     pub fn checkpoint(&mut self, live: &[(u32, Vec<u8>)]) -> Result<(), StorageError> {
-        let longest = self.longest_record;
-        for length in live.iter().map(|(_, bytes)| bytes.len()) {
-            ensure!(length <= longest, TooLongSnafu { length, longest });
+        for (_, bytes) in live {
+            self.check_length(bytes)?;
         }
-        let result = self.write_checkpoint(live);
-        match result {
+        match self.write_checkpoint(live) {
             Ok(generation) => {
-                self.committed = self.appender.synced();
-                self.appender.ring.rebase(generation);
+                self.durable_sequence = self.writer.synced_sequence();
+                self.writer.ring.release_before(generation);
                 self.pending.clear();
                 Ok(())
             }
             Err(error) => {
-                self.appender.abandon(self.committed);
+                self.writer.abandon_segment(self.durable_sequence);
                 Err(error)
             }
         }
     }
 
+    fn check_length(&self, bytes: &[u8]) -> Result<(), StorageError> {
+        let (length, limit) = (bytes.len(), self.max_record_bytes);
+        ensure!(length <= limit, RecordTooLargeSnafu { length, limit });
+        Ok(())
+    }
+
+    /// Writes and syncs the pending records. `ends` receives the sequence number of each one's last fragment, as far as
+    /// they were written.
     fn write_pending(&mut self, ends: &mut Vec<u64>) -> Result<(), StorageError> {
         for StoredRecord { stream, bytes } in &self.pending {
-            let item = Item { kind: Kind::Append, stream: *stream, bytes };
-            ends.push(self.appender.write(item, Purpose::Append)?);
+            let record = RecordRef { kind: RecordKind::Append, stream: *stream, bytes };
+            ends.push(self.writer.write(record, SegmentPurpose::Append)?);
         }
-        self.appender.sync()
+        self.writer.sync()
     }
 
-    /// Writes and syncs a whole checkpoint; the generation that it began with.
+    /// Writes and syncs a complete checkpoint; the generation of its first segment.
     fn write_checkpoint(&mut self, live: &[(u32, Vec<u8>)]) -> Result<u64, StorageError> {
-        let file_bytes = self.appender.file_bytes();
-        self.appender.ring.check_checkpoint(segments_for(live, file_bytes))?;
-        self.appender.begin_segment(Purpose::Checkpoint, true)?;
-        let generation = self.appender.ring.newest_generation;
-        let mark = |kind| Item { kind, stream: 0, bytes: &[] };
-        let records =
-            live.iter().map(|(stream, bytes)| Item { kind: Kind::CheckpointLive, stream: *stream, bytes });
-        let end = [mark(Kind::CheckpointEnd)];
-        for item in [mark(Kind::CheckpointBegin)].into_iter().chain(records).chain(end) {
-            self.appender.write(item, Purpose::Checkpoint)?;
+        let needed = checkpoint::max_segments(live, self.writer.file_bytes());
+        self.writer.ring.check_checkpoint(needed)?;
+        self.writer.begin_segment(SegmentPurpose::Checkpoint, true)?;
+        let generation = self.writer.ring.newest_generation;
+        for record in checkpoint::records(live) {
+            self.writer.write(record, SegmentPurpose::Checkpoint)?;
         }
-        self.appender.sync()?;
+        self.writer.sync()?;
         Ok(generation)
     }
 }
-
-/// Segments that a checkpoint takes up at most.
-fn segments_for(live: &[(u32, Vec<u8>)], file_bytes: u64) -> usize {
-    /// What may stay unused at a segment's end, or be needed for one more part after it.
-    const LOST: u64 = 256;
-    let whole_parts = |length: usize| length / LONGEST_PART * record::span(LONGEST_PART);
-    let spans =
-        live.iter().map(|(_, bytes)| whole_parts(bytes.len()) + record::span(bytes.len() % LONGEST_PART));
-    let marks = 2 * record::span(0);
-    let bytes = (spans.sum::<usize>() + marks) as u64;
-    bytes.div_ceil(file_bytes.saturating_sub(PAGE + LOST).max(1)) as usize
-}
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,58 +1,61 @@
-//! Checksummed records in a ring of preallocated files.
+//! A write-ahead log: checksummed records in a ring of preallocated segment files.
 //!
-//! A [`Journal`] keeps records of several streams over restarts and losses of power. A [`Writer`] owns a journal on
-//! a thread of its own and tells when appended records are safe. Both work over a [`Disk`]: [`FolderDisk`] is a
-//! folder of the system, [`memory::MemoryDisk`] one in memory that loses power, fills up, stalls and fails on
-//! demand.
+//! A [`Journal`] keeps the records of several streams across restarts and power losses. A [`Writer`] owns a journal on
+//! a thread of its own, commits appends in groups and reports when they are durable. Both work over a [`Disk`]:
+//! [`FolderDisk`] is a directory of the operating system, [`fault_injection::MemoryDisk`] a test double in memory that
+//! loses power, fills up, stalls and fails on demand.
 //!
 //! # Layout
 //!
-//! A ring file holds one *segment* at a time: a header ([`mod@self::header`]) in the file's first page, and records
-//! after it. The header names the segment's *generation*, which rises with each segment begun, and the sequence
-//! number of its first record. A record carries its generation, its own sequence number, and the newest sequence
-//! number that was synced when it was written. A record that does not fit into what is left of a segment goes on in
-//! the next one, in parts.
+//! A file of the ring holds one *segment* at a time: a header ([`mod@segment_header`]) in the file's first page, and
+//! record fragments ([`mod@fragment`]) after it. The header names the segment's *generation*, which is one higher for
+//! each segment begun, and the sequence number of its first fragment. A record that does not fit into the rest of a
+//! segment continues in the next one as a further fragment. A fragment carries its generation, its own sequence number,
+//! and the newest sequence number that was synced when it was encoded.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! 1. A header is synced before the first record of its segment is written. So no generation is used by records of
-//!    two segments, and what a recycled file held before cannot pass for new: it has another generation.
-//! 2. Before a header is written, all records before its first sequence number have been synced. So a record that is
-//!    missing before the first one of a later segment is damage. In the newest segment a missing record is damage
-//!    where a later record says that it was synced; otherwise it is the torn end of the journal.
-//! 3. A header *cuts*: records of older segments from its first sequence number on are void. After a failed write or
-//!    sync nothing more is written to that segment. The next one begins after the last record known to be safe, and
-//!    what was not safe is written there again.
-//! 4. A checkpoint begins with a segment. Older files are used again only after its end mark was synced; until then
-//!    opening falls back to the checkpoint before.
-//! 5. A journal is *fresh* only if no record has ever been safe in it: nothing removes the segments from the newest
-//!    complete checkpoint on, and a record found in a file without a valid header is damage, not freshness.
+//! 1. A segment header is synced before the first fragment of its segment is written. So no two segments with fragments
+//!    share a generation, and the previous content of a recycled file cannot be taken for new: its generation differs.
+//! 2. Before a header is written, all fragments below its first sequence number have been synced. So a fragment that is
+//!    missing below the first one of a later segment is corruption. In the newest segment a missing fragment is
+//!    corruption if a later fragment says that it was synced; otherwise it is a torn write at the end of the log.
+//! 3. A header *truncates* the log: fragments of older segments from its first sequence number on are void. After a
+//!    failed write or sync nothing more is written to that segment. The next one begins after the last record known to
+//!    be durable, and the records that were not durable are written there again.
+//! 4. A checkpoint begins with a segment of its own. Older files are recycled only after its end marker was synced;
+//!    until then recovery falls back to the previous checkpoint.
+//! 5. A journal is *fresh* only if no record has ever been durable in it: nothing removes the segments from the newest
+//!    complete checkpoint on, and a fragment in a file without a valid header is corruption, not freshness.
 //!
-//! Opening syncs what it has read, since a process that died may have left records that no sync covered. One case
-//! stays open: a disk that fails a sync, drops the data, and then keeps showing it to a new process.
+//! Opening a journal syncs what recovery has read, since a process that crashed may have left records that no sync
+//! covered. One case stays open: a disk that fails a sync, drops the data, and then keeps showing it to a new process.
 
-mod appender;
+#![warn(missing_docs)]
+
+mod checkpoint;
 mod disk;
+mod disk_io;
 mod erase;
 mod error;
-mod folder;
-pub mod header;
+pub mod fault_injection;
+mod folder_disk;
+pub mod fragment;
 mod journal;
-pub mod memory;
+mod little_endian;
 mod options;
-mod progress;
-pub mod record;
-mod replay;
-mod ring;
-mod segment_reader;
+mod recovery;
+pub mod segment_header;
+mod segment_ring;
+mod segment_writer;
+mod stored_record;
 mod writer;
 
 pub use disk::Disk;
 pub use erase::erase;
-pub use error::StorageError;
-pub use folder::FolderDisk;
-pub use journal::{Journal, Opened};
+pub use error::{Corruption, StorageError};
+pub use folder_disk::FolderDisk;
+pub use journal::{Journal, OpenedJournal};
 pub use options::Options;
-pub use progress::Clock;
-pub use replay::StoredRecord;
-pub use writer::{Command, RejectReason, RejectedCommand, Report, Writer, WriterOptions};
+pub use stored_record::StoredRecord;
+pub use writer::{Clock, Command, RejectReason, RejectedCommand, Writer, WriterEvent, WriterOptions};
--- /dev/null
+++ b/storage/src/segment_header.rs
@@ -0,0 +1,55 @@
+//! The header of a segment, in the first page of its file.
+
+use crate::little_endian::{u32_at, u64_at};
+
+/// Bytes reserved for the header. Fragments begin after them, so that writing those never touches the header's page.
+pub const PAGE_BYTES: u64 = 4096;
+/// Bytes of an encoded header.
+pub const HEADER_BYTES: usize = 48;
+
+const MAGIC: u64 = u64::from_le_bytes(*b"shalring");
+const STARTS_CHECKPOINT_FLAG: u32 = 1;
+
+/// What the first page of a file says about the segment in it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SegmentHeader {
+    /// One higher for each segment begun in the journal.
+    pub generation: u64,
+    /// Sequence number of its first fragment. Fragments from this number on in older segments are void.
+    pub first_sequence: u64,
+    /// Whether a checkpoint begins with its first fragment.
+    pub starts_checkpoint: bool,
+    /// Where the segment ends, in bytes from the file's start.
+    pub end_offset: u64,
+}
+
+impl SegmentHeader {
+    /// The header as it is stored: magic, generation, first sequence number, end and flags in little-endian order, and
+    /// a CRC-32 of all of them in the last four bytes.
+    pub fn encode(&self) -> [u8; HEADER_BYTES] {
+        let mut bytes = [0; HEADER_BYTES];
+        let flags = if self.starts_checkpoint { STARTS_CHECKPOINT_FLAG } else { 0 };
+        bytes[0..8].copy_from_slice(&MAGIC.to_le_bytes());
+        bytes[8..16].copy_from_slice(&self.generation.to_le_bytes());
+        bytes[16..24].copy_from_slice(&self.first_sequence.to_le_bytes());
+        bytes[24..32].copy_from_slice(&self.end_offset.to_le_bytes());
+        bytes[32..36].copy_from_slice(&flags.to_le_bytes());
+        let checksum = crc32fast::hash(&bytes[..HEADER_BYTES - 4]);
+        bytes[HEADER_BYTES - 4..].copy_from_slice(&checksum.to_le_bytes());
+        bytes
+    }
+
+    /// Decodes a header; `None` if its magic number or checksum is wrong.
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
+        let (body, checksum) = bytes.get(..HEADER_BYTES)?.split_last_chunk::<4>()?;
+        if crc32fast::hash(body) != u32::from_le_bytes(*checksum) || u64_at(body, 0)? != MAGIC {
+            return None;
+        }
+        Some(SegmentHeader {
+            generation: u64_at(body, 8)?,
+            first_sequence: u64_at(body, 16)?,
+            end_offset: u64_at(body, 24)?,
+            starts_checkpoint: u32_at(body, 32)? & STARTS_CHECKPOINT_FLAG != 0,
+        })
+    }
+}
--- /dev/null
+++ b/storage/src/writer/worker.rs
@@ -0,0 +1,142 @@
+//! The writer's thread: commits appends in groups, retries failed syncs with backoff, writes checkpoints.
+
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TryRecvError};
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::backoff::Backoff;
+use super::in_flight::InFlight;
+use super::{Command, WriterEvent, WriterOptions};
+use crate::{Disk, Journal, StorageError};
+
+/// The thread's ends of the channels to its handle.
+pub(super) struct WorkerChannels {
+    pub commands: Receiver<Command>,
+    /// Disconnected once the handle is gone.
+    pub running: Receiver<()>,
+    /// Dropped when the thread ends, by a panic too.
+    pub _ended: SyncSender<()>,
+}
+
+/// State of the thread.
+pub(super) struct Worker<D> {
+    journal: Journal<D>,
+    channels: WorkerChannels,
+    in_flight: Arc<InFlight>,
+    on_event: Box<dyn Fn(WriterEvent) + Send>,
+    options: WriterOptions,
+    /// The newest ticket appended to the journal, unless all are durable.
+    unsynced_ticket: Option<u64>,
+}
+
+impl<D: Disk> Worker<D> {
+    pub fn new(
+        journal: Journal<D>,
+        channels: WorkerChannels,
+        in_flight: Arc<InFlight>,
+        on_event: Box<dyn Fn(WriterEvent) + Send>,
+        options: WriterOptions,
+    ) -> Self {
+        Worker { journal, channels, in_flight, on_event, options, unsynced_ticket: None }
+    }
+
+    /// Executes commands until the handle is gone and the queue is empty.
+    pub fn run(mut self) {
+        while let Ok(command) = self.channels.commands.recv() {
+            let mut next = Some(command);
+            while let Some(command) = next.take() {
+                match command {
+                    Command::Append { ticket, records } => {
+                        next = self.append_batch(ticket, records);
+                        self.sync();
+                    }
+                    Command::Checkpoint { live } => self.checkpoint(&live),
+                }
+            }
+        }
+        (self.on_event)(WriterEvent::Stopped);
+    }
+
+    /// Appends all queued records up to the limit of a batch, so that one sync covers them. The command behind them, if
+    /// another one was taken from the queue.
+    fn append_batch(&mut self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Option<Command> {
+        let mut bytes = self.append(ticket, records);
+        while bytes < self.options.max_batch_bytes {
+            match self.channels.commands.try_recv() {
+                Ok(Command::Append { ticket, records }) => bytes += self.append(ticket, records),
+                Ok(command) => return Some(command),
+                Err(TryRecvError::Empty | TryRecvError::Disconnected) => return None,
+            }
+        }
+        None
+    }
+
+    /// Appends records to the journal; their number of bytes.
+    fn append(&mut self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> usize {
+        self.unsynced_ticket = Some(ticket);
+        let mut appended = 0;
+        for (stream, bytes) in records {
+            appended += bytes.len();
+            if let Err(error) = self.journal.append(stream, bytes) {
+                self.report_failure(error);
+            }
+        }
+        appended
+    }
+
+    /// Makes the batch durable: retries until it is, until only a checkpoint helps, or until the handle is gone.
+    fn sync(&mut self) {
+        let mut backoff = Backoff::new(self.options.initial_backoff, self.options.max_backoff);
+        loop {
+            let start = self.now();
+            let Err(error) = self.journal.sync() else { return self.report_synced(start) };
+            let ring_full = matches!(error, StorageError::RingFull { .. });
+            self.report_failure(error);
+            if ring_full || self.is_stopped_within(backoff.next_delay()) {
+                return;
+            }
+        }
+    }
+
+    fn checkpoint(&mut self, live: &[(u32, Vec<u8>)]) {
+        let start = self.now();
+        let result = self.journal.checkpoint(live);
+        self.in_flight.end_checkpoint();
+        match result {
+            Ok(()) => {
+                let wants_checkpoint = self.journal.wants_checkpoint();
+                let elapsed_ms = self.elapsed_ms(start);
+                (self.on_event)(WriterEvent::Checkpointed { wants_checkpoint, elapsed_ms });
+                self.report_synced(start);
+            }
+            Err(error) => (self.on_event)(WriterEvent::CheckpointFailed { error }),
+        }
+    }
+
+    fn report_synced(&mut self, start: Duration) {
+        let Some(ticket) = self.unsynced_ticket.take() else { return };
+        self.in_flight.finish_appends(ticket);
+        let wants_checkpoint = self.journal.wants_checkpoint();
+        let elapsed_ms = self.elapsed_ms(start);
+        (self.on_event)(WriterEvent::Synced { ticket, wants_checkpoint, elapsed_ms });
+    }
+
+    fn report_failure(&self, error: StorageError) {
+        let ticket = self.unsynced_ticket.unwrap_or_default();
+        let wants_checkpoint = self.journal.wants_checkpoint();
+        (self.on_event)(WriterEvent::SyncFailed { error, ticket, wants_checkpoint });
+    }
+
+    fn now(&self) -> Duration {
+        (self.options.clock)()
+    }
+
+    fn elapsed_ms(&self, start: Duration) -> u64 {
+        self.now().saturating_sub(start).as_millis() as u64
+    }
+
+    /// Waits; whether the handle is gone.
+    fn is_stopped_within(&self, delay: Duration) -> bool {
+        self.channels.running.recv_timeout(delay) == Err(RecvTimeoutError::Disconnected)
+    }
+}
--- a/storage/tests/power_loss.rs
+++ b/storage/tests/power_loss.rs
@@ -1,105 +1,105 @@
-//! Random histories with losses of power, deaths of the process and trouble with the disk.
+//! Random histories with power losses, crashes of the process and faults of the disk.
 
 mod support;
 
 use rand::Rng;
-use shaletrail_storage::memory::{Faults, MemoryDisk};
-use shaletrail_storage::{Journal, Opened, StorageError};
-use support::{seeded, small_options, Model};
+use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
+use shaletrail_storage::{Journal, OpenedJournal, StorageError};
+use support::{seeded_rng, small_options, JournalModel};
 
-/// Opens the journal, through losses of power during the opening itself.
-fn reopen(disk: &MemoryDisk, model: &mut Model) -> Journal<MemoryDisk> {
+/// Opens the journal; repeats that after a power loss during recovery.
+fn reopen(disk: &MemoryDisk, model: &mut JournalModel) -> Journal<MemoryDisk> {
     loop {
         match Journal::open(disk.clone(), &small_options()) {
-            Ok(Opened { journal, stored, fresh, .. }) => {
-                model.reopened(&stored, fresh);
+            Ok(OpenedJournal { journal, stored, fresh, .. }) => {
+                model.check_recovered(&stored, fresh);
                 return journal;
             }
-            Err(StorageError::Io { .. }) if !disk.powered() => disk.restart(),
+            Err(StorageError::Io { .. }) if !disk.is_powered() => disk.power_cycle(),
             Err(error) => panic!("the journal does not open: {error}"),
         }
     }
 }
 
 #[test]
-fn given_one_history_when_the_power_goes_at_each_call_in_turn_then_all_that_was_synced_is_there() {
+fn synced_records_survive_power_loss_at_each_call() {
     for seed in 0..6 {
-        let whole = MemoryDisk::new(seed);
-        let mut model = Model::new(seed);
-        let mut journal = reopen(&whole, &mut model);
-        model.live(&mut journal, &whole, 120);
-        let calls = whole.changes();
-        assert!(calls > 60, "the history is too short to show anything");
-        for cut in 0..calls {
-            // Given
-            let disk = MemoryDisk::new(cut);
-            disk.cut_power_after(cut);
-            let mut model = Model::new(seed);
-            // When
+        let uninterrupted = MemoryDisk::new(seed);
+        let mut model = JournalModel::new(seed);
+        let mut journal = reopen(&uninterrupted, &mut model);
+        model.run_random_calls(&mut journal, &uninterrupted, 120);
+        let calls = uninterrupted.mutations();
+        assert!(calls > 60, "the history is too short");
+        for step in 0..calls {
+            // given
+            let disk = MemoryDisk::new(step);
+            disk.lose_power_after(step);
+            let mut model = JournalModel::new(seed);
+            // when
             let mut journal = reopen(&disk, &mut model);
-            model.live(&mut journal, &disk, 120);
-            disk.restart();
-            // Then
+            model.run_random_calls(&mut journal, &disk, 120);
+            disk.power_cycle();
+            // then
             let mut journal = reopen(&disk, &mut model);
-            model.live(&mut journal, &disk, 10);
-            disk.restart();
+            model.run_random_calls(&mut journal, &disk, 10);
+            disk.power_cycle();
             reopen(&disk, &mut model);
         }
     }
 }
 
 #[test]
-fn given_random_histories_when_power_goes_again_and_again_then_all_that_was_synced_is_there() {
+fn synced_records_survive_repeated_power_loss() {
     for seed in 0..400 {
-        // Given
+        // given
         let disk = MemoryDisk::new(seed);
-        let mut model = Model::new(seed);
-        let mut luck = seeded(seed + 1_000_000);
-        for _life in 0..12 {
-            // When
-            if luck.random_ratio(4, 5) {
-                disk.cut_power_after(luck.random_range(0..80));
+        let mut model = JournalModel::new(seed);
+        let mut rng = seeded_rng(seed + 1_000_000);
+        for _restart in 0..12 {
+            // when
+            if rng.random_ratio(4, 5) {
+                disk.lose_power_after(rng.random_range(0..80));
             }
             let mut journal = reopen(&disk, &mut model);
-            model.live(&mut journal, &disk, luck.random_range(0..60));
+            model.run_random_calls(&mut journal, &disk, rng.random_range(0..60));
             drop(journal);
-            // Then: a process that died without a loss of power finds its unsynced writes, and they last.
-            if luck.random_ratio(1, 3) && disk.powered() {
+            // then: a process that crashed without a power loss finds its unsynced writes, and they are durable.
+            if rng.random_ratio(1, 3) && disk.is_powered() {
                 reopen(&disk, &mut model);
             }
-            disk.restart();
+            disk.power_cycle();
         }
         reopen(&disk, &mut model);
     }
 }
 
 #[test]
-fn given_random_histories_when_the_disk_refuses_now_and_then_then_all_that_was_synced_is_there() {
+fn synced_records_survive_disk_faults() {
     for seed in 0..400 {
-        // Given
+        // given
         let disk = MemoryDisk::new(seed);
-        let mut model = Model::new(seed);
-        let mut luck = seeded(seed + 2_000_000);
-        for _life in 0..6 {
+        let mut model = JournalModel::new(seed);
+        let mut rng = seeded_rng(seed + 2_000_000);
+        for _restart in 0..6 {
             let mut journal = reopen(&disk, &mut model);
-            // When
+            // when
             for _ in 0..12 {
                 disk.set_faults(Faults {
-                    full: luck.random_ratio(1, 6),
-                    writes_fail: luck.random_ratio(1, 6),
-                    syncs_fail: luck.random_ratio(1, 4),
+                    full: rng.random_ratio(1, 6),
+                    writes_fail: rng.random_ratio(1, 6),
+                    syncs_fail: rng.random_ratio(1, 4),
                     reads_fail: false,
                 });
-                model.live(&mut journal, &disk, luck.random_range(0..8));
+                model.run_random_calls(&mut journal, &disk, rng.random_range(0..8));
             }
-            // Then
+            // then
             disk.set_faults(Faults::default());
-            if luck.random() {
+            if rng.random() {
                 model.sync(&mut journal);
-                assert_eq!(journal.pending(), 0, "a disk that is well again takes everything");
+                assert_eq!(journal.pending(), 0, "a disk without faults accepts everything");
             }
-            if luck.random() {
-                disk.restart();
+            if rng.random() {
+                disk.power_cycle();
             }
         }
         reopen(&disk, &mut model);
@@ -107,42 +107,42 @@
 }
 
 #[test]
-fn given_an_opened_journal_when_power_goes_right_after_opening_then_what_was_found_lasts() {
+fn recovered_records_are_durable() {
     for seed in 0..200 {
-        // Given: a process that died with writes unsynced.
+        // given: a process that crashed with unsynced writes.
         let disk = MemoryDisk::new(seed);
-        let mut model = Model::new(seed);
+        let mut model = JournalModel::new(seed);
         let mut journal = reopen(&disk, &mut model);
-        model.live(&mut journal, &disk, 30);
+        model.run_random_calls(&mut journal, &disk, 30);
         disk.set_faults(Faults { syncs_fail: true, ..Faults::default() });
         model.append(&mut journal);
         model.sync(&mut journal);
         disk.set_faults(Faults::default());
         drop(journal);
-        // When
+        // when
         drop(reopen(&disk, &mut model));
-        disk.restart();
-        // Then
+        disk.power_cycle();
+        // then
         reopen(&disk, &mut model);
     }
 }
 
 #[test]
-fn given_a_record_of_many_parts_when_power_goes_while_it_is_written_then_it_is_there_whole_or_not_at_all() {
-    for cut in 0..40 {
-        // Given
-        let disk = MemoryDisk::new(cut);
+fn record_of_many_fragments_is_atomic() {
+    for step in 0..40 {
+        // given
+        let disk = MemoryDisk::new(step);
         let mut journal = support::open(&disk).journal;
         support::append_synced(&mut journal, &["before"]);
-        // When
+        // when
         let long: Vec<u8> = (0..60_000_u32).map(|byte| byte as u8).collect();
         journal.append(2, long.clone()).expect("the record is short enough");
-        disk.cut_power_after(cut);
-        let safe = journal.sync().is_ok();
-        disk.restart();
-        // Then
+        disk.lose_power_after(step);
+        let synced = journal.sync().is_ok();
+        disk.power_cycle();
+        // then
         let found = support::open(&disk).stored;
         let (before, after) = (support::stored(1, b"before"), support::stored(2, &long));
-        assert!(found == [before.clone(), after.clone()] || (!safe && found == [before]));
+        assert!(found == [before.clone(), after.clone()] || (!synced && found == [before]));
     }
 }
