--- a/storage/src/recovery/mod.rs
+++ b/storage/src/recovery/mod.rs
@@ -1,5 +1,5 @@
-//! Recovers a journal from its files: finds the newest complete checkpoint, replays what follows it, and tells a torn
-//! write at the log's end from corruption.
+//! Recovers a journal from its files: finds the newest complete checkpoint, replays what follows it, and distinguishes a
+//! torn write at the end of the log from corruption.
 
 mod record_assembler;
 mod replay;
--- a/storage/tests/folder_disk.rs
+++ b/storage/tests/folder_disk.rs
@@ -41,8 +41,8 @@
     // given
     let folder = TempFolder::new("names");
     let mut disk = folder.disk();
-    disk.create("b", 10).expect("a file can be made");
-    disk.create("a", 5).expect("a file can be made");
+    disk.create("b", 10).expect("a file can be created");
+    disk.create("a", 5).expect("a file can be created");
     // when
     disk.write_at("a", 3, b"xyz").expect("it can be written");
     disk.remove("b").expect("it can be removed");
@@ -59,7 +59,7 @@
     // given: a device that the operating system refuses to sync
     let folder = TempFolder::new("unsyncable-file");
     let mut disk = folder.disk();
-    std::os::unix::fs::symlink("/dev/null", folder.path.join("ring-0000")).expect("a link can be made");
+    std::os::unix::fs::symlink("/dev/null", folder.path.join("ring-0000")).expect("a link can be created");
     disk.write_at("ring-0000", 0, b"taken").expect("the device takes everything");
     // when
     let synced = disk.sync("ring-0000");
@@ -74,7 +74,7 @@
     let mut disk = folder.disk();
     disk.sync_folder().expect("a folder can be synced");
     std::fs::remove_dir(&folder.path).expect("it is empty");
-    std::os::unix::fs::symlink("/dev/null", &folder.path).expect("a link can be made");
+    std::os::unix::fs::symlink("/dev/null", &folder.path).expect("a link can be created");
     // when
     let synced = disk.sync_folder();
     std::fs::remove_file(&folder.path).expect("the link can be removed");
@@ -87,7 +87,7 @@
     // given
     let folder = TempFolder::new("full");
     let mut disk = folder.disk();
-    std::os::unix::fs::symlink("/dev/full", folder.path.join("ring-0000")).expect("a link can be made");
+    std::os::unix::fs::symlink("/dev/full", folder.path.join("ring-0000")).expect("a link can be created");
     // when
     let written = disk.write_at("ring-0000", 4096, b"record");
     // then
