--- a/ring/tests/slot_array.rs
+++ b/ring/tests/slot_array.rs
@@ -20,22 +20,23 @@
     ring
 }
 
-fn all(_: &String, _: u32) -> bool {
+/// Every member takes every key.
+fn takes_all(_: &String, _: u32) -> bool {
     true
 }
 
 fn owners(ring: &SlotArray<String>, keys: std::ops::Range<u64>) -> Vec<Option<String>> {
-    keys.map(|key| ring.owner(Key(key), 0, all).cloned()).collect()
+    keys.map(|key| ring.owner(Key(key), 0, takes_all).cloned()).collect()
 }
 
-/// The search in the points written out plainly, to compare with.
-fn plain_owner(members: &[usize], key: Key, attempt: u64) -> String {
+/// The owner by a straightforward search, as a reference.
+fn reference_owner(members: &[usize], key: Key, attempt: u64) -> String {
     let mut points = Vec::new();
     for &index in members {
         let name = address(index);
-        let base = name.bytes().fold(0u64, |hash, byte| mix(hash ^ u64::from(byte)));
-        points.extend((0..128).map(|point| {
-            let hash = mix(base ^ mix(point));
+        let name_hash = name.bytes().fold(0u64, |hash, byte| mix(hash ^ u64::from(byte)));
+        points.extend((0..128).map(|number| {
+            let hash = mix(name_hash ^ mix(number));
             (hash % 65536, (hash >> 32) as u32, name.clone())
         }));
     }
@@ -45,12 +46,12 @@
 }
 
 #[test]
-fn given_five_members_when_keys_are_looked_up_then_owners_are_the_pinned_ones() {
+fn owners_are_the_pinned_ones() {
     let ring = ring(1..=5);
     let table: Vec<String> = (0..6)
         .map(|key| {
             let row: Vec<_> =
-                (0..4).filter_map(|attempt| ring.owner(Key(key), attempt, all)).cloned().collect();
+                (0..4).filter_map(|attempt| ring.owner(Key(key), attempt, takes_all)).cloned().collect();
             format!("{key}: {}", row.join(" "))
         })
         .collect();
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn given_names_when_keys_are_made_then_they_are_the_pinned_ones_and_boundaries_count() {
+fn keys_are_the_pinned_ones_and_respect_boundaries() {
     let keys =
         [Key::of("m1"), Key::of_parts(&["m1", "a1"]), Key::of_parts(&["m", "1a1"]), Key::of_parts(&[])];
     insta::assert_snapshot!(format!("{keys:?}"), @"[Key(6991348797402220350), Key(2734906982435464236), Key(49754880635289226), Key(0)]");
@@ -75,19 +76,19 @@
 }
 
 #[test]
-fn given_members_when_looked_up_then_the_nearest_point_clockwise_owns() {
+fn nearest_point_clockwise_owns_a_slot() {
     let members: Vec<usize> = (1..=9).collect();
     let ring = ring(members.clone());
     for key in 0..200 {
         for attempt in 0..3 {
-            let expected = plain_owner(&members, Key(key), attempt);
-            assert_eq!(ring.owner(Key(key), attempt, all), Some(&expected));
+            let expected = reference_owner(&members, Key(key), attempt);
+            assert_eq!(ring.owner(Key(key), attempt, takes_all), Some(&expected));
         }
     }
 }
 
 #[test]
-fn given_the_same_members_in_another_order_when_added_one_by_one_then_owners_are_the_same() {
+fn owners_do_not_depend_on_the_order_of_updates() {
     let together = ring(1..=20);
     let mut apart = SlotArray::default();
     for index in (1..=20).rev() {
@@ -97,32 +98,32 @@
 }
 
 #[test]
-fn given_a_ring_when_a_member_goes_and_returns_then_only_its_keys_move_and_they_move_back() {
+fn only_keys_of_a_removed_member_move() {
     let mut ring = ring(1..=10);
     let before = owners(&ring, 0..2000);
-    let gone = address(4);
+    let removed = address(4);
     ring.update(&sized(&[(4, 0.0)]));
     for (old, new) in before.iter().zip(owners(&ring, 0..2000)) {
-        assert_ne!(new.as_ref(), Some(&gone));
-        assert!(*old == new || old.as_ref() == Some(&gone));
+        assert_ne!(new.as_ref(), Some(&removed));
+        assert!(*old == new || old.as_ref() == Some(&removed));
     }
     ring.update(&sized(&[(4, 1.0)]));
     assert_eq!(owners(&ring, 0..2000), before);
 }
 
 #[test]
-fn given_a_member_of_double_size_when_keys_are_counted_then_it_owns_about_twice_as_many() {
+fn member_of_double_size_owns_twice_as_many_keys() {
     let mut ring = SlotArray::default();
     ring.update(&sized(&[(1, 1.0), (2, 2.0), (3, 1.0)]));
-    let counted = owners(&ring, 0..10_000).into_iter().flatten().filter(|owner| *owner == address(2)).count();
-    assert!((4000..6000).contains(&counted), "{counted} of 10000");
+    let owned = owners(&ring, 0..10_000).into_iter().flatten().filter(|owner| *owner == address(2)).count();
+    assert!((4000..6000).contains(&owned), "{owned} of 10000");
 }
 
 #[test]
-fn given_members_that_do_not_take_a_key_when_looked_up_then_the_next_point_that_does_is_taken() {
+fn lookup_skips_members_that_do_not_take_the_key() {
     let ring = ring(1..=5);
     for key in 0..200 {
-        let first = ring.owner(Key(key), 0, all).cloned();
+        let first = ring.owner(Key(key), 0, takes_all).cloned();
         let second = ring.owner(Key(key), 0, |member, _| Some(member) != first.as_ref());
         assert!(second.is_some() && second != first.as_ref());
     }
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn given_many_members_when_a_sequence_is_drawn_then_it_begins_with_the_owners_and_holds_each_member_once() {
+fn sequence_begins_with_the_owners_and_holds_each_member_once() {
     let ring = ring(1..=90);
     for key in (0..50).map(Key) {
         let sequence: Vec<_> = ring.sequence(key).collect();
@@ -138,7 +139,7 @@
         assert_eq!((sequence.len(), distinct.len()), (90, 90));
         let mut expected = Vec::new();
         for attempt in 0..8 {
-            let owner = ring.owner(key, attempt, all).unwrap();
+            let owner = ring.owner(key, attempt, takes_all).unwrap();
             if !expected.contains(&owner) {
                 expected.push(owner);
             }
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn given_a_sequence_when_its_second_member_goes_then_the_first_stays_first() {
+fn removing_the_second_member_keeps_the_first() {
     let ring = ring(1..=12);
     for key in (0..50).map(Key) {
         let before: Vec<String> = ring.sequence(key).take(2).cloned().collect();
@@ -161,9 +162,9 @@
 }
 
 #[test]
-fn given_no_members_when_looked_up_then_there_is_no_owner() {
+fn empty_array_has_no_owner() {
     let mut ring: SlotArray<String> = SlotArray::default();
-    assert_eq!(ring.owner(Key(1), 0, all), None);
+    assert_eq!(ring.owner(Key(1), 0, takes_all), None);
     assert_eq!(ring.sequence(Key(1)).next(), None);
     ring.update(&sized(&[(1, 0.0)]));
     assert!(ring.is_empty());
