--- a/storage/tests/checkpoint.rs
+++ b/storage/tests/checkpoint.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn checkpoint_is_atomic_across_power_loss_at_each_step() {
-    let mut outcomes = [0, 0];
+    let (mut unchanged_count, mut completed_count) = (0, 0);
     for seed in 0..8 {
         for step in 0..30 {
             // given
@@ -26,19 +26,21 @@
             disk.power_cycle();
             // then
             let mut opened = open(&disk);
-            let before = names(&opened.stored) == ["a", "b"];
-            assert!(before || opened.stored.len() == 30);
-            assert!(!(before && succeeded));
-            outcomes[usize::from(before)] += 1;
+            let is_unchanged = names(&opened.stored) == ["a", "b"];
+            assert!(is_unchanged || opened.stored.len() == 30);
+            assert!(!(is_unchanged && succeeded));
+            unchanged_count += u32::from(is_unchanged);
+            completed_count += u32::from(!is_unchanged);
             // and the journal can be continued
             let expected = opened.stored.len() + 1;
             append_synced(&mut opened.journal, &["next"]);
             disk.power_cycle();
-            let again = open(&disk).stored;
-            assert_eq!((again.len(), names(&again).last()), (expected, Some(&"next".to_owned())));
+            let reopened = open(&disk).stored;
+            assert_eq!((reopened.len(), names(&reopened).last()), (expected, Some(&"next".to_owned())));
         }
     }
-    assert!(outcomes.iter().all(|count| *count > 20), "both outcomes must occur: {outcomes:?}");
+    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints left no trace");
+    assert!(completed_count > 20, "only {completed_count} checkpoints were completed");
 }
 
 #[test]
@@ -106,11 +108,11 @@
     append_synced(&mut journal, &["a"]);
     let live: Vec<_> = (0..400).map(|_| (1, vec![0; 1_000])).collect();
     // when
-    let changes = disk.mutations();
-    let error = journal.checkpoint(&live).expect_err("it is too long");
+    let mutations = disk.mutations();
+    let error = journal.checkpoint(&live).expect_err("it is too large");
     // then
     assert!(matches!(error, StorageError::RingFull { .. }));
-    assert_eq!(disk.mutations(), changes);
+    assert_eq!(disk.mutations(), mutations);
     assert_eq!(names(&open(&disk).stored), ["a"]);
 }
 
@@ -238,7 +240,7 @@
 
 #[test]
 fn power_loss_in_a_second_checkpoint_keeps_one_of_them() {
-    let mut outcomes = [0, 0];
+    let (mut unchanged_count, mut completed_count) = (0, 0);
     for seed in 0..6 {
         for step in 0..40 {
             // given
@@ -257,10 +259,11 @@
             disk.power_cycle();
             // then
             let opened = open(&disk);
-            let is_first = names(&opened.stored) == ["first", "after first", "after power loss"];
-            assert!(is_first || opened.stored.len() == 30);
-            assert!(!(is_first && succeeded));
-            outcomes[usize::from(is_first)] += 1;
+            let is_unchanged = names(&opened.stored) == ["first", "after first", "after power loss"];
+            assert!(is_unchanged || opened.stored.len() == 30);
+            assert!(!(is_unchanged && succeeded));
+            unchanged_count += u32::from(is_unchanged);
+            completed_count += u32::from(!is_unchanged);
             // and a third one is not confused by what the second left
             let mut journal = opened.journal;
             journal.checkpoint(&[(1, b"third".to_vec())]).expect("a checkpoint fits");
@@ -268,5 +271,6 @@
             assert_eq!(names(&open(&disk).stored), ["third"]);
         }
     }
-    assert!(outcomes.iter().all(|count| *count > 20), "both outcomes must occur: {outcomes:?}");
+    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints left no trace");
+    assert!(completed_count > 20, "only {completed_count} checkpoints were completed");
 }
