--- a/capacity-emulator/src/ledger.rs
+++ b/capacity-emulator/src/ledger.rs
@@ -66,7 +66,7 @@
             CoordinatorMessage::Directory { body } => match bitcode::decode(body) {
                 Ok(DirectoryMessage::Batch { .. }) => Kind::DirectoryBatch,
                 Ok(DirectoryMessage::Digest { .. }) => Kind::DirectoryDigest,
-                Ok(DirectoryMessage::Ask { .. }) | Err(_) => Kind::DirectoryAnswer,
+                Ok(DirectoryMessage::Request { .. }) | Err(_) => Kind::DirectoryAnswer,
             },
             CoordinatorMessage::DirectoryAck { .. } => Kind::DirectoryAnswer,
             CoordinatorMessage::ForwardRequest { .. } | CoordinatorMessage::ForwardResponse { .. } => {
--- /dev/null
+++ b/cluster/src/directory/anti_entropy.rs
@@ -0,0 +1,96 @@
+//! Anti-entropy: digests that carry signs of life and reveal records that differ.
+
+use shaletrail_protocol::internal::Presence;
+use shaletrail_protocol::{Millis, NodeId};
+
+use super::messages::{DirectoryMessage, ServerDigest};
+use super::options::MAX_DIGEST_SERVERS;
+use super::server_entry::{LifecycleStage, ServerEntry, ServerKey};
+use super::server_table::MergeOutcome;
+use super::Directory;
+
+impl Directory {
+    /// Merges a digest of another coordinator, and requests the records that differ.
+    pub fn receive_digest(&mut self, now: Millis, from: NodeId, servers: Vec<ServerDigest>) {
+        self.record_call(now);
+        self.record_contact(from);
+        let digests = servers.iter().take(MAX_DIGEST_SERVERS);
+        let requested: Vec<ServerKey> = digests
+            .filter(|digest| self.merge_digest_from_peer(now, from, digest))
+            .map(|digest| digest.key)
+            .collect();
+        if !requested.is_empty() {
+            self.sends.push(from, DirectoryMessage::Request { servers: requested });
+        }
+        self.flush_hints(now);
+    }
+
+    /// Sends another coordinator the records that it requests.
+    pub fn receive_request(&mut self, now: Millis, from: NodeId, servers: Vec<ServerKey>) {
+        self.record_call(now);
+        self.record_contact(from);
+        for key in servers.into_iter().take(MAX_DIGEST_SERVERS) {
+            self.push_hint(from, key);
+        }
+        self.flush_hints(now);
+    }
+
+    /// Merges one server of a digest; true if its record should be requested.
+    fn merge_digest_from_peer(&mut self, now: Millis, from: NodeId, digest: &ServerDigest) -> bool {
+        let Some(entry) = self.table.get(digest.key) else { return digest.presence != Presence::TimedOut };
+        let reported = LifecycleStage::from(digest.presence);
+        let has_later_stage = reported > entry.stage();
+        let has_newer_record = digest.sequence > entry.sequence() && digest.fingerprint != entry.fingerprint;
+        match self.table.merge_digest(now, digest, self.options.heartbeat_timeout_ms) {
+            MergeOutcome::Stale => {}
+            MergeOutcome::Refreshed => self.admit(digest.key),
+            MergeOutcome::Changed | MergeOutcome::StageAdvanced => {
+                self.publish_change(digest.key);
+                self.admit(digest.key);
+            }
+        }
+        self.reconcile_stage(from, digest.key, reported);
+        has_later_stage || has_newer_record
+    }
+
+    /// Sends a digest to all responsive peers if one is due: of all servers, or of those that were refreshed here.
+    pub(super) fn send_digests(&mut self, now: Millis) {
+        let is_full_due = self.next_full_digest <= now;
+        if !is_full_due && now < self.next_digest {
+            return;
+        }
+        self.next_digest = now + self.options.digest_interval_ms;
+        let refreshed = std::mem::take(&mut self.refreshed_servers);
+        let servers = if is_full_due {
+            self.next_full_digest = now + self.options.full_digest_interval_ms;
+            self.full_digest(now)
+        } else {
+            let entries = refreshed.into_iter().filter_map(|key| Some((key, self.table.get(key)?)));
+            entries.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(MAX_DIGEST_SERVERS).collect()
+        };
+        if servers.is_empty() {
+            return;
+        }
+        let responsive = self.hint_queues.iter().filter(|(_, queue)| queue.is_responsive());
+        for (peer, _) in responsive {
+            self.sends.push(*peer, DirectoryMessage::Digest { servers: servers.clone() });
+        }
+    }
+
+    /// All servers with recent contact, and recent tombstones.
+    fn full_digest(&self, now: Millis) -> Vec<ServerDigest> {
+        let included = self.table.iter().filter(|(_, entry)| self.belongs_in_full_digest(now, entry));
+        included.map(|(key, entry)| ServerDigest::of(key, entry, now)).take(MAX_DIGEST_SERVERS).collect()
+    }
+
+    fn belongs_in_full_digest(&self, now: Millis, entry: &ServerEntry) -> bool {
+        match entry.record.presence {
+            Presence::TimedOut => false,
+            Presence::Ready => now.saturating_sub(entry.last_contact) < self.options.heartbeat_timeout_ms,
+            Presence::Draining | Presence::Removed => {
+                let since = entry.presence_since.max(entry.last_contact);
+                now.saturating_sub(since) < self.options.tombstone_gossip_ms
+            }
+        }
+    }
+}
--- /dev/null
+++ b/cluster/src/directory/change_log.rs
@@ -0,0 +1,56 @@
+//! The numbered changes by which edges follow the directory.
+
+use std::collections::VecDeque;
+
+use shaletrail_protocol::internal::DirectoryCursor;
+use shaletrail_protocol::Incarnation;
+
+use super::server_entry::ServerKey;
+
+/// A change of one server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Change {
+    pub(super) number: u64,
+    pub(super) server: ServerKey,
+}
+
+/// The newest changes, numbered from 1 in each incarnation of the coordinator.
+#[derive(Debug)]
+pub(super) struct ChangeLog {
+    epoch: Incarnation,
+    last_number: u64,
+    changes: VecDeque<Change>,
+    capacity: usize,
+}
+
+impl ChangeLog {
+    /// An empty log that keeps `capacity` changes.
+    pub(super) fn new(epoch: Incarnation, capacity: usize) -> Self {
+        ChangeLog { epoch, last_number: 0, changes: VecDeque::new(), capacity }
+    }
+
+    /// Appends a change and returns its number; the oldest is dropped beyond the capacity.
+    pub(super) fn append(&mut self, server: ServerKey) -> u64 {
+        self.last_number += 1;
+        self.changes.push_back(Change { number: self.last_number, server });
+        if self.changes.len() > self.capacity {
+            self.changes.pop_front();
+        }
+        self.last_number
+    }
+
+    /// The position after the newest change.
+    pub(super) fn cursor(&self) -> DirectoryCursor {
+        DirectoryCursor { epoch: self.epoch, change: self.last_number }
+    }
+
+    /// The changes after the cursor; `None` if they are no longer all here or the cursor is of another incarnation,
+    /// so that a full snapshot is needed.
+    pub(super) fn since(&self, cursor: DirectoryCursor) -> Option<impl Iterator<Item = &Change> + '_> {
+        let oldest = self.changes.front().map_or(self.last_number + 1, |change| change.number);
+        let is_covered =
+            cursor.epoch == self.epoch && cursor.change <= self.last_number && cursor.change + 1 >= oldest;
+        let later = self.changes.iter().filter(move |change| change.number > cursor.change);
+        is_covered.then_some(later)
+    }
+}
--- /dev/null
+++ b/cluster/src/directory/majority.rs
@@ -0,0 +1,79 @@
+//! Majority acknowledgement: which coordinators know that a server is draining or removed.
+
+use shaletrail_protocol::{Millis, NodeId};
+
+use super::pending_calls::{CallOutcome, CallToken};
+use super::server_entry::{LifecycleStage, ServerKey};
+use super::Directory;
+
+impl Directory {
+    /// Names the voters, a majority of which must acknowledge that a server leaves; this coordinator counts if it is
+    /// one of them. Without voters no call is acknowledged.
+    pub fn set_voters(&mut self, voters: &[NodeId]) {
+        self.voters = voters.iter().copied().collect();
+        self.pending_calls.servers().into_iter().for_each(|server| self.complete_calls(server));
+    }
+
+    /// Takes the calls that have been acknowledged or have failed since the last time.
+    pub fn take_completed_calls(&mut self) -> Vec<CallOutcome> {
+        self.pending_calls.take_completed()
+    }
+
+    /// Whether a majority of the voters knows that the server is draining or removed.
+    pub fn is_known_to_majority(&self, id: &str) -> bool {
+        self.has_majority(ServerKey::of(id))
+    }
+
+    /// Adds a call that waits for a majority, and pushes the record to the peers that have not acknowledged it.
+    pub(super) fn await_majority(&mut self, now: Millis, key: ServerKey, stage: LifecycleStage) -> CallToken {
+        let token = self.pending_calls.add(key, stage, now + self.options.majority_timeout_ms);
+        self.complete_calls(key);
+        if self.pending_calls.contains(key) {
+            let acknowledged_by =
+                self.table.get(key).map(|entry| entry.acknowledged_by.clone()).unwrap_or_default();
+            self.push_hints_to_all(key, &acknowledged_by);
+            self.flush_hints(now);
+        }
+        token
+    }
+
+    /// Records that a peer knows the server's present stage, which may complete calls.
+    pub(super) fn record_acknowledgement(&mut self, peer: NodeId, key: ServerKey) {
+        if let Some(entry) = self.table.get_mut(key) {
+            entry.record_acknowledgement(peer);
+            self.complete_calls(key);
+        }
+    }
+
+    /// Drops all acknowledgements of a peer that has left, or has restarted without them.
+    pub(super) fn drop_acknowledgements_of(&mut self, peer: NodeId) {
+        self.table.iter_mut().for_each(|(_, entry)| entry.acknowledged_by.retain(|node| *node != peer));
+    }
+
+    /// Compares the stage that a peer reports with the one known here: a peer at the same stage has acknowledged it,
+    /// one at an earlier stage is sent the record.
+    pub(super) fn reconcile_stage(&mut self, peer: NodeId, key: ServerKey, reported: LifecycleStage) {
+        let Some(entry) = self.table.get(key) else { return };
+        if reported < entry.stage() {
+            self.push_hint(peer, key);
+        } else if reported == entry.stage() {
+            self.record_acknowledgement(peer, key);
+        }
+    }
+
+    fn complete_calls(&mut self, key: ServerKey) {
+        if self.pending_calls.contains(key) && self.has_majority(key) {
+            if let Some(entry) = self.table.get(key) {
+                self.pending_calls.acknowledge(key, entry.stage());
+            }
+        }
+    }
+
+    fn has_majority(&self, key: ServerKey) -> bool {
+        let Some(entry) = self.table.get(key).filter(|entry| entry.stage() != LifecycleStage::Active) else {
+            return false;
+        };
+        let knows = |voter: &&NodeId| **voter == self.node || entry.acknowledged_by.contains(voter);
+        self.voters.iter().filter(knows).count() * 2 > self.voters.len()
+    }
+}
--- a/cluster/src/directory/options.rs
+++ b/cluster/src/directory/options.rs
@@ -5,36 +5,36 @@
 /// Intervals and bounds of the directory; times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// A server without a sign of life for so long is silent.
+    /// A server without contact for this long is timed out.
     pub heartbeat_timeout_ms: Millis,
-    /// A server that has been silent for so long is removed.
+    /// A server that has been timed out for this long is dropped from the directory.
     pub remove_timed_out_ms: Millis,
-    /// Draining and gone servers are remembered for so long after the last that was heard of them.
+    /// Draining and removed servers stay as tombstones for this long after the last contact.
     pub tombstone_retention_ms: Millis,
-    /// Final states are offered to other coordinators for so long, beyond what is pushed to them.
+    /// Tombstones are part of full digests for this long after the last contact.
     pub tombstone_gossip_ms: Millis,
-    /// A server must have been silent for so long before another one at its address makes it gone.
+    /// A server must have had no contact for this long before another one at its address replaces it.
     pub address_takeover_ms: Millis,
-    /// Between two digests of the servers heard by this coordinator itself.
+    /// Between two digests of the servers whose heartbeats this coordinator itself received.
     pub digest_interval_ms: Millis,
     /// Between two digests of all servers.
     pub full_digest_interval_ms: Millis,
-    /// Without an acknowledgement for so long a batch is sent again.
+    /// A batch without an acknowledgement for this long is sent again.
     pub retry_interval_ms: Millis,
-    /// The longest pause between two batches to a coordinator that does not answer.
+    /// The longest backoff between two batches to a peer that does not respond.
     pub max_backoff_ms: Millis,
-    /// A call that waits for the majority fails after so long.
+    /// A call that a majority has not acknowledged for this long fails.
     pub majority_timeout_ms: Millis,
-    /// A longer pause between two calls of this object means that the process itself has stood still.
+    /// A longer gap between two calls of the directory means that the process itself has stalled.
     pub stall_ms: Millis,
-    /// Servers kept, at most.
-    pub servers: usize,
-    /// Changes kept for edges that come back, at most.
-    pub changes: usize,
+    /// Servers in the table.
+    pub max_servers: usize,
+    /// Changes in the log from which edges catch up.
+    pub max_changes: usize,
 }
 
 impl Options {
-    /// The usual options for servers that send a heartbeat each `heartbeat_ms`.
+    /// The defaults for servers that send a heartbeat each `heartbeat_ms` milliseconds.
     pub fn for_heartbeat(heartbeat_ms: Millis) -> Self {
         Options {
             heartbeat_timeout_ms: heartbeat_ms * 16 / 5,
@@ -48,19 +48,19 @@
             max_backoff_ms: 1000,
             majority_timeout_ms: 900,
             stall_ms: heartbeat_ms.max(500),
-            servers: 4096,
-            changes: 2048,
+            max_servers: 4096,
+            max_changes: 2048,
         }
     }
 }
 
-/// Records in one batch, at most.
+/// Records in one batch to a peer that responds.
 pub const MAX_BATCH_RECORDS: usize = 64;
-/// Records in one batch to a coordinator that does not answer, at most.
+/// Records in one batch to a peer that does not respond.
 pub const MAX_RETRY_RECORDS: usize = 16;
-/// Batches without an acknowledgement to one coordinator, at most.
+/// Batches to one peer that are not acknowledged yet.
 pub const MAX_BATCHES_IN_FLIGHT: usize = 4;
-/// Servers in one digest or ask, at most.
+/// Servers in one digest or request.
 pub const MAX_DIGEST_SERVERS: usize = 4096;
-/// Calls that wait for the majority, at most; further ones fail at once.
+/// Calls that wait for a majority; further ones fail at once.
 pub const MAX_PENDING_CALLS: usize = 1024;
--- /dev/null
+++ b/cluster/src/membership/member_table.rs
@@ -0,0 +1,234 @@
+//! The records of the other members, how they merge, and which of them are gossiped next.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use shaletrail_protocol::internal::{MemberRecord, MemberState};
+use shaletrail_protocol::{Incarnation, Millis, NodeId};
+
+use super::options::{MAX_MEMBERS, MAX_MESSAGE_RECORDS};
+
+/// Ended incarnations that are remembered for each node.
+const MAX_FORMER_INCARNATIONS: usize = 4;
+/// How long an ended incarnation is remembered, in milliseconds; its last messages arrive earlier.
+const FORMER_INCARNATION_RETENTION_MS: Millis = 5000;
+/// Messages that carry a change, for each doubling of the number of members.
+const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
+
+#[derive(Clone, Debug)]
+struct FormerIncarnation {
+    incarnation: Incarnation,
+    expires_at: Millis,
+}
+
+#[derive(Clone, Debug)]
+struct Member {
+    record: MemberRecord,
+    former_incarnations: Vec<FormerIncarnation>,
+    /// When the member entered its state.
+    state_since: Millis,
+    /// How many more messages carry the record as a recent change.
+    remaining_transmissions: u32,
+    /// Orders records by their last update: the newest are sent first.
+    update_number: u64,
+}
+
+/// The records of the other members.
+#[derive(Clone, Debug, Default)]
+pub(super) struct MemberTable {
+    members: BTreeMap<NodeId, Member>,
+    changed: BTreeSet<NodeId>,
+    last_update_number: u64,
+    /// Where the next full exchange starts if not all records fit into a message.
+    rotation: usize,
+}
+
+impl MemberTable {
+    pub(super) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.members.values().map(|member| &member.record)
+    }
+
+    pub(super) fn record(&self, node: NodeId) -> Option<&MemberRecord> {
+        self.members.get(&node).map(|member| &member.record)
+    }
+
+    pub(super) fn state(&self, node: NodeId) -> Option<MemberState> {
+        self.record(node).map(|record| record.state)
+    }
+
+    /// When the member entered its state.
+    pub(super) fn state_since(&self, node: NodeId) -> Option<Millis> {
+        self.members.get(&node).map(|member| member.state_since)
+    }
+
+    /// Takes the members that were updated or forgotten since the last call.
+    pub(super) fn take_changed(&mut self) -> Vec<NodeId> {
+        std::mem::take(&mut self.changed).into_iter().collect()
+    }
+
+    /// Merges a record that its own node has sent; true if something changed.
+    ///
+    /// Only here a new incarnation replaces a live one. Late messages of an ended incarnation are ignored.
+    pub(super) fn merge_from_subject(&mut self, now: Millis, record: &MemberRecord) -> bool {
+        let Some(member) = self.members.get_mut(&record.node) else {
+            return self.insert(now, MemberRecord { state: MemberState::Alive, ..record.clone() });
+        };
+        if member.record.incarnation == record.incarnation {
+            return self.merge(now, record);
+        }
+        member.former_incarnations.retain(|former| now < former.expires_at);
+        if member.former_incarnations.iter().any(|former| former.incarnation == record.incarnation) {
+            return false;
+        }
+        if member.former_incarnations.len() == MAX_FORMER_INCARNATIONS {
+            member.former_incarnations.remove(0);
+        }
+        member.former_incarnations.push(FormerIncarnation {
+            incarnation: member.record.incarnation,
+            expires_at: now + FORMER_INCARNATION_RETENTION_MS,
+        });
+        self.put(now, MemberRecord { state: MemberState::Alive, ..record.clone() });
+        true
+    }
+
+    /// Merges a record that another node has sent; true if something changed.
+    pub(super) fn merge_from_peer(&mut self, now: Millis, record: &MemberRecord) -> bool {
+        match self.members.get(&record.node).map(|member| &member.record) {
+            None => record.state == MemberState::Alive && self.insert(now, record.clone()),
+            Some(known) if known.incarnation == record.incarnation => self.merge(now, record),
+            Some(known) => {
+                let replaces = known.state == MemberState::Dead && record.state == MemberState::Alive;
+                if replaces {
+                    self.put(now, record.clone());
+                }
+                replaces
+            }
+        }
+    }
+
+    /// Whether the record names another incarnation than the known one, which only the node itself can confirm.
+    pub(super) fn has_other_incarnation(&self, record: &MemberRecord) -> bool {
+        self.record(record.node).is_some_and(|known| known.incarnation != record.incarnation)
+    }
+
+    /// Sets the state of a known member.
+    pub(super) fn set_state(&mut self, now: Millis, node: NodeId, state: MemberState) {
+        if let Some(record) = self.record(node).cloned() {
+            self.put(now, MemberRecord { state, ..record });
+        }
+    }
+
+    /// Restarts the time-out of all suspicions, as after a stall in which refutations could not be read.
+    pub(super) fn restart_suspicions(&mut self, now: Millis) {
+        let suspects = self.members.values_mut().filter(|member| member.record.state == MemberState::Suspect);
+        suspects.for_each(|member| member.state_since = now);
+    }
+
+    /// Forgets a member.
+    pub(super) fn remove(&mut self, node: NodeId) {
+        if self.members.remove(&node).is_some() {
+            self.changed.insert(node);
+        }
+    }
+
+    /// At most `max_records` records for a message to `receiver`: first the receiver's own if it should refute that,
+    /// then recent changes, the newest first; with `full`, also other records in rotation.
+    pub(super) fn records_for(
+        &mut self,
+        receiver: NodeId,
+        full: bool,
+        max_records: usize,
+    ) -> Vec<MemberRecord> {
+        let max_records = max_records.min(MAX_MESSAGE_RECORDS);
+        let refutable = self.record(receiver).filter(|record| record.state != MemberState::Alive);
+        let mut selected: Vec<MemberRecord> = refutable.cloned().into_iter().collect();
+        self.select_recent_changes(receiver, max_records, &mut selected);
+        if full {
+            self.select_others(receiver, max_records, &mut selected);
+        }
+        selected
+    }
+
+    fn select_recent_changes(
+        &mut self,
+        receiver: NodeId,
+        max_records: usize,
+        selected: &mut Vec<MemberRecord>,
+    ) {
+        let mut recent: Vec<(u64, NodeId)> = self
+            .members
+            .iter()
+            .filter(|(node, member)| **node != receiver && member.remaining_transmissions > 0)
+            .map(|(node, member)| (member.update_number, *node))
+            .collect();
+        recent.sort_unstable_by(|left, right| right.cmp(left));
+        for (_, node) in recent.into_iter().take(max_records.saturating_sub(selected.len())) {
+            if let Some(member) = self.members.get_mut(&node) {
+                member.remaining_transmissions -= 1;
+                selected.push(member.record.clone());
+            }
+        }
+    }
+
+    fn select_others(&mut self, receiver: NodeId, max_records: usize, selected: &mut Vec<MemberRecord>) {
+        let already: BTreeSet<NodeId> = selected.iter().map(|record| record.node).collect();
+        let mut others: Vec<&MemberRecord> = self
+            .records()
+            .filter(|record| record.node != receiver && !already.contains(&record.node))
+            .collect();
+        let remaining = max_records.saturating_sub(selected.len());
+        if others.len() > remaining {
+            let start = self.rotation % others.len();
+            others.rotate_left(start);
+            others.truncate(remaining);
+        }
+        selected.extend(others.into_iter().cloned());
+        self.rotation = self.rotation.wrapping_add(remaining);
+    }
+
+    fn insert(&mut self, now: Millis, record: MemberRecord) -> bool {
+        if self.members.len() >= MAX_MEMBERS && !self.evict_oldest_dead() {
+            return false;
+        }
+        self.put(now, record);
+        true
+    }
+
+    /// Evicts the member that has been dead for longest; false if none is dead.
+    fn evict_oldest_dead(&mut self) -> bool {
+        let dead = self.members.iter().filter(|(_, member)| member.record.state == MemberState::Dead);
+        let oldest = dead.min_by_key(|(_, member)| member.state_since).map(|(node, _)| *node);
+        oldest.is_some_and(|node| self.members.remove(&node).is_some())
+    }
+
+    /// Merges a record of the known incarnation: the higher refutation wins, then the worse state.
+    fn merge(&mut self, now: Millis, record: &MemberRecord) -> bool {
+        let Some(known) = self.record(record.node) else { return false };
+        let is_newer = (record.refutation, record.state) > (known.refutation, known.state);
+        if is_newer {
+            self.put(now, record.clone());
+        }
+        is_newer
+    }
+
+    fn put(&mut self, now: Millis, record: MemberRecord) {
+        self.last_update_number += 1;
+        let node = record.node;
+        let doublings = usize::BITS - self.members.len().leading_zeros();
+        let remaining_transmissions = TRANSMISSIONS_PER_DOUBLING * (doublings + 1);
+        let update_number = self.last_update_number;
+        let member = self.members.entry(node).or_insert_with(|| Member {
+            record: record.clone(),
+            former_incarnations: Vec::new(),
+            state_since: now,
+            remaining_transmissions,
+            update_number,
+        });
+        if member.record.state != record.state || member.record.incarnation != record.incarnation {
+            member.state_since = now;
+        }
+        member.record = record;
+        member.remaining_transmissions = remaining_transmissions;
+        member.update_number = update_number;
+        self.changed.insert(node);
+    }
+}
--- a/cluster/src/rendezvous.rs
+++ b/cluster/src/rendezvous.rs
@@ -1,11 +1,13 @@
-//! Rendezvous hashing (highest random weight): everybody who knows the same nodes ranks them alike for a key, and
-//! a node that comes or goes moves only the keys that it ranked first for.
+//! Rendezvous hashing (highest random weight).
+//!
+//! All that know the same nodes rank them alike for a key, and a node that joins or leaves moves only the keys for
+//! which it ranks first.
 
 use shaletrail_protocol::NodeId;
 
 use crate::stable_hash::mix;
 
-/// All distinct nodes, the best for `key` first.
+/// All distinct nodes in order of their weight for `key`, the highest first.
 pub fn rank(key: u64, nodes: &[NodeId]) -> Vec<NodeId> {
     let mut weighted: Vec<(u64, NodeId)> = nodes.iter().map(|node| (weight(key, *node), *node)).collect();
     weighted.sort_unstable_by(|left, right| right.cmp(left));
@@ -13,14 +15,14 @@
     weighted.into_iter().map(|(_, node)| node).collect()
 }
 
-/// The best `count` nodes for `key`, or all where there are fewer.
+/// The `count` nodes with the highest weight for `key`, or all nodes where there are fewer.
 pub fn choose(key: u64, nodes: &[NodeId], count: usize) -> Vec<NodeId> {
     let mut ranked = rank(key, nodes);
     ranked.truncate(count);
     ranked
 }
 
-/// The key under which a node itself is ranked for, as by the edges that choose a coordinator.
+/// The key of a node for which other nodes are ranked, such as an edge that chooses its coordinator.
 pub fn node_key(node: NodeId) -> u64 {
     mix(u64::from(node.0).wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
--- a/cluster/src/stable_hash.rs
+++ b/cluster/src/stable_hash.rs
@@ -1,23 +1,25 @@
-//! Hashes that are the same in every process.
+//! Hashes that are the same in every process and version, as coordinators compare them with each other.
 
 use std::hash::Hasher;
 
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0000_0100_0000_01b3;
+use shaletrail_protocol::Incarnation;
+
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// FNV-1a with a final mix; unlike the standard library's hasher it has no random key.
 pub(crate) struct StableHasher(u64);
 
 impl Default for StableHasher {
     fn default() -> Self {
-        StableHasher(OFFSET)
+        StableHasher(FNV_OFFSET_BASIS)
     }
 }
 
 impl Hasher for StableHasher {
     fn write(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(PRIME);
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
 
@@ -32,3 +34,11 @@
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
+
+/// Where an incarnation starts to number its messages.
+///
+/// The upper half is a hash of the incarnation, so that a late answer to an earlier incarnation of the same node
+/// matches no number of this one.
+pub(crate) fn first_message_number(incarnation: Incarnation) -> u64 {
+    mix(incarnation.0) << 32
+}
--- a/cluster/tests/directories/mod.rs
+++ b/cluster/tests/directories/mod.rs
@@ -102,7 +102,7 @@
                 from.acknowledge(now, to_node, acknowledged);
             }
             DirectoryMessage::Digest { servers } => to.receive_digest(now, from_node, servers),
-            DirectoryMessage::Ask { servers } => to.receive_ask(now, from_node, servers),
+            DirectoryMessage::Request { servers } => to.receive_request(now, from_node, servers),
         }
     }
 }
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -73,7 +73,7 @@
     assert!(!directory.is_known_to_majority("a"));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_120, batches[1].to, batches[1].number);
-    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
     assert!(directory.is_known_to_majority("a"));
 }
 
@@ -85,7 +85,7 @@
     directory.acknowledge(10_010, batches[0].to, batches[0].number);
     directory.take_completed_calls();
     let call = directory.heartbeat(11_000, "a", draining(1, 2)).call.expect("a draining waits");
-    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut directory = directory(OWN, 11, 0);
     directory.set_voters(&[OWN]);
     let call = directory.heartbeat(10, "a", draining(1, 1)).call.expect("a draining waits");
-    assert_eq!(directory.take_completed_calls(), [CallOutcome::Settled(call)]);
+    assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
 #[test]
@@ -249,7 +249,7 @@
 
 #[test]
 fn given_a_cursor_of_another_start_or_too_old_when_asked_then_the_whole_directory_is_told() {
-    let options = Options { changes: 4, ..Options::for_heartbeat(HEARTBEAT_MS) };
+    let options = Options { max_changes: 4, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     directory.heartbeat(0, "a", heartbeat(1, 1));
     let early = directory.cursor();
@@ -268,7 +268,7 @@
 
 #[test]
 fn given_more_servers_than_are_kept_when_they_come_then_the_table_stays_bounded_and_the_gone_give_way() {
-    let options = Options { servers: 50, ..Options::for_heartbeat(HEARTBEAT_MS) };
+    let options = Options { max_servers: 50, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     for server in 0..50 {
         directory.heartbeat(u64::from(server), &format!("s{server}"), heartbeat(server, 1));
@@ -295,5 +295,5 @@
     let call = directory.deregister(10_600, "a");
     let batches = take_batches(&mut directory);
     batches.iter().for_each(|batch| directory.acknowledge(10_610, batch.to, batch.number));
-    assert!(directory.take_completed_calls().contains(&CallOutcome::Settled(call)));
+    assert!(directory.take_completed_calls().contains(&CallOutcome::Acknowledged(call)));
 }
--- a/cluster/tests/exchange.rs
+++ b/cluster/tests/exchange.rs
@@ -145,7 +145,7 @@
                 receiver.merge(now, from, batch, records);
             }
             DirectoryMessage::Digest { servers } => receiver.receive_digest(now, from, servers),
-            DirectoryMessage::Ask { servers } => receiver.receive_ask(now, from, servers),
+            DirectoryMessage::Request { servers } => receiver.receive_request(now, from, servers),
         }
     }
 }
@@ -227,7 +227,7 @@
         own.receive_digest(10_100, PEER, servers);
         own.take_sends()
             .iter()
-            .any(|(to, message)| *to == PEER && matches!(message, DirectoryMessage::Ask { .. }))
+            .any(|(to, message)| *to == PEER && matches!(message, DirectoryMessage::Request { .. }))
     };
     assert!(!asked(&mut own, digest(2, 8)), "older");
     assert!(!asked(&mut own, digest(4, 4)), "newer, but alike");
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -304,8 +304,8 @@
             Letter::Directory(DirectoryMessage::Digest { servers }) => {
                 process.directory.receive_digest(now, from, servers);
             }
-            Letter::Directory(DirectoryMessage::Ask { servers }) => {
-                process.directory.receive_ask(now, from, servers);
+            Letter::Directory(DirectoryMessage::Request { servers }) => {
+                process.directory.receive_request(now, from, servers);
             }
             Letter::Acknowledgement(batch) => process.directory.acknowledge(now, from, batch),
         }
@@ -318,7 +318,7 @@
 
 impl Process {
     fn drive(&mut self, now: Millis, voters: &[NodeId]) {
-        self.membership.watch(voters);
+        self.membership.set_voters(voters);
         self.directory.set_voters(voters);
         if self.membership.next_wake() <= now {
             self.membership.tick(now);
--- a/cluster/tests/fleet/servers.rs
+++ b/cluster/tests/fleet/servers.rs
@@ -163,7 +163,7 @@
             self.call = None;
             self.at += 1;
             self.next = now;
-        } else if answer(CallOutcome::Settled(call.token)) {
+        } else if answer(CallOutcome::Acknowledged(call.token)) {
             self.call = None;
             self.settled = self.settled.or(Some(now));
             return Some(SettledDrain { id: self.id.clone() });
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -332,7 +332,7 @@
 /// This node with a member that it pings and that has just answered.
 fn with_one_that_is_heard() -> Membership {
     let mut membership = alone(&[]);
-    membership.watch(&[PEER]);
+    membership.set_voters(&[PEER]);
     membership.receive(0, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
     membership.tick(0);
     answer_all(&mut membership, 5);
@@ -354,7 +354,7 @@
 #[test]
 fn given_a_voter_of_which_nobody_tells_when_it_has_been_silent_for_long_enough_then_it_is_away() {
     let mut membership = alone(&[]);
-    membership.watch(&[PEER]);
+    membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 1_400);
     assert!(!membership.is_unreachable(PEER));
     run_idle(&mut membership, 1_400, 1_800);
@@ -367,7 +367,7 @@
 #[test]
 fn given_a_voter_of_which_nobody_tells_when_this_node_stood_still_then_it_is_not_away_at_once() {
     let mut membership = alone(&[]);
-    membership.watch(&[PEER]);
+    membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 400);
     membership.tick(5_000);
     assert!(!membership.is_unreachable(PEER));
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -80,7 +80,7 @@
         compare(&mut stored, &format!("digest {presence}"), &DirectoryMessage::Digest { servers });
     }
     let servers = vec![ServerKey(0x2122_2324_2526_2728), ServerKey(54)];
-    compare(&mut stored, "ask", &DirectoryMessage::Ask { servers });
+    compare(&mut stored, "request", &DirectoryMessage::Request { servers });
     stored.finish();
 }
 
--- a/coordinator/src/core/servers.rs
+++ b/coordinator/src/core/servers.rs
@@ -39,7 +39,7 @@
                 actions.push(Action::Send { to: from, message: CoordinatorMessage::DirectoryAck { batch } });
             }
             Ok(DirectoryMessage::Digest { servers }) => self.directory.receive_digest(now, from, servers),
-            Ok(DirectoryMessage::Ask { servers }) => self.directory.receive_ask(now, from, servers),
+            Ok(DirectoryMessage::Request { servers }) => self.directory.receive_request(now, from, servers),
             Err(_) => {}
         }
     }
@@ -47,7 +47,7 @@
     pub(super) fn answer_servers(&mut self, actions: &mut Vec<Action>) {
         for settlement in self.directory.take_completed_calls() {
             let (token, taken) = match settlement {
-                CallOutcome::Settled(token) => (token, true),
+                CallOutcome::Acknowledged(token) => (token, true),
                 CallOutcome::Failed(token) => (token, false),
             };
             if let Some(call) = self.server_calls.remove(&token) {
--- a/coordinator/src/core/touch.rs
+++ b/coordinator/src/core/touch.rs
@@ -110,7 +110,7 @@
             actions.push(Action::LogStateChange(StateChange::QuorumContactChanged(in_touch)));
         }
         self.directory.set_quorum_contact(now, in_touch);
-        self.membership.watch(&self.shards.voters());
+        self.membership.set_voters(&self.shards.voters());
         self.directory.set_voters(&voters);
     }
 
