--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -1,16 +1,16 @@
-//! The directory of one coordinator: what it makes of heartbeats, calls, silence, and edges that ask.
+//! The directory of one coordinator: heartbeats, pending calls, time-outs, and updates for edges.
 
-mod directories;
+mod directory_fixture;
 
-use directories::*;
+use directory_fixture::*;
 use shaletrail_cluster::directory::{Accepted, CallOutcome, Directory, Options};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel};
 use shaletrail_protocol::internal::{DirectoryCursor, Presence};
 use shaletrail_protocol::Incarnation;
 
 #[test]
-fn given_a_new_server_when_it_sends_heartbeats_then_only_the_first_is_a_change() {
-    let mut directory = settled_directory();
+fn only_first_heartbeat_is_a_change() {
+    let mut directory = running_directory();
     let first = directory.heartbeat(10_000, "a", heartbeat(1, 1));
     assert_eq!(first, Accepted { changed: true, call: None });
     let second = directory.heartbeat(11_000, "a", Heartbeat { cold_remaining_ms: 0.0, ..heartbeat(1, 2) });
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn given_a_server_when_it_holds_another_model_then_that_is_a_change_and_pushed_at_once() {
-    let mut directory = settled_directory();
+fn loaded_model_is_pushed_to_all_peers() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     take_batches(&mut directory);
     let models = Some(vec![LoadedModel { name: "m".into(), version: 1, adapters: vec![] }]);
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn given_a_late_heartbeat_when_it_arrives_after_a_newer_one_then_it_changes_nothing() {
-    let mut directory = settled_directory();
+fn late_heartbeat_changes_nothing() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
     assert!(!directory.heartbeat(10_100, "a", Heartbeat { slots: 9, ..heartbeat(1, 4) }).changed);
     assert_eq!(directory.record("a").map(|record| record.heartbeat.slots), Some(4));
 }
 
 #[test]
-fn given_a_draining_server_when_it_or_others_call_it_ready_then_it_stays_draining() {
-    let mut directory = settled_directory();
+fn draining_and_removed_are_final() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(10_100, "a", draining(1, 2));
     directory.heartbeat(10_200, "a", heartbeat(1, 3));
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn given_a_late_draining_when_its_sequence_is_old_then_it_counts_all_the_same() {
-    let mut directory = settled_directory();
+fn draining_with_old_sequence_counts() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
     directory.merge(10_100, PEER, 1, vec![record("a", Presence::Draining, draining(1, 4))]);
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
@@ -61,15 +61,16 @@
 }
 
 #[test]
-fn given_three_voters_when_one_other_acknowledges_a_draining_then_the_call_is_settled() {
-    let mut directory = settled_directory();
+fn draining_is_acknowledged_by_a_majority() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     let earlier = take_batches(&mut directory);
-    let call = directory.heartbeat(10_100, "a", draining(1, 2)).call.expect("a draining waits");
+    let call =
+        directory.heartbeat(10_100, "a", draining(1, 2)).call.expect("a draining waits for a majority");
     for batch in &earlier {
         directory.acknowledge(10_110, batch.to, batch.number);
     }
-    assert_eq!(directory.take_completed_calls(), [], "the earlier batches did not tell of it");
+    assert_eq!(directory.take_completed_calls(), [], "earlier batches do not cover the draining");
     assert!(!directory.is_known_to_majority("a"));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_120, batches[1].to, batches[1].number);
@@ -78,20 +79,22 @@
 }
 
 #[test]
-fn given_a_settled_draining_when_the_server_says_it_again_then_the_call_is_settled_at_once() {
-    let mut directory = settled_directory();
+fn repeated_draining_is_acknowledged_at_once() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_010, batches[0].to, batches[0].number);
     directory.take_completed_calls();
-    let call = directory.heartbeat(11_000, "a", draining(1, 2)).call.expect("a draining waits");
+    let call =
+        directory.heartbeat(11_000, "a", draining(1, 2)).call.expect("a draining waits for a majority");
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
 #[test]
-fn given_nobody_who_answers_when_the_time_is_over_then_the_call_fails() {
-    let mut directory = settled_directory();
-    let call = directory.heartbeat(10_000, "a", draining(1, 1)).call.expect("a draining waits");
+fn call_fails_without_acknowledgements() {
+    let mut directory = running_directory();
+    let call =
+        directory.heartbeat(10_000, "a", draining(1, 1)).call.expect("a draining waits for a majority");
     run_idle(&mut directory, 10_000, 10_899);
     assert_eq!(directory.take_completed_calls(), []);
     run_idle(&mut directory, 10_899, 10_900);
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn given_no_voters_yet_when_a_server_drains_then_the_call_is_not_settled() {
+fn draining_is_not_acknowledged_without_voters() {
     let mut directory = directory(OWN, 11, 0);
     directory.heartbeat(10, "a", draining(1, 1));
     assert_eq!(directory.take_completed_calls(), []);
@@ -107,16 +110,16 @@
 }
 
 #[test]
-fn given_a_single_voter_when_a_server_drains_then_the_call_is_settled_at_once() {
+fn single_voter_acknowledges_draining_at_once() {
     let mut directory = directory(OWN, 11, 0);
     directory.set_voters(&[OWN]);
-    let call = directory.heartbeat(10, "a", draining(1, 1)).call.expect("a draining waits");
+    let call = directory.heartbeat(10, "a", draining(1, 1)).call.expect("a draining waits for a majority");
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
 #[test]
-fn given_an_unknown_server_when_it_deregisters_then_a_late_heartbeat_does_not_revive_it() {
-    let mut directory = settled_directory();
+fn late_heartbeat_does_not_revive_deregistered_server() {
+    let mut directory = running_directory();
     directory.deregister(10_000, "a");
     directory.heartbeat(10_100, "a", heartbeat(1, 7));
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
@@ -124,16 +127,16 @@
     directory.merge(45_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 8))]);
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     run_idle(&mut directory, 45_000, 120_000);
-    assert_eq!(presence(&directory, "a"), None, "it is forgotten in the end");
+    assert_eq!(presence(&directory, "a"), None, "the tombstone has expired");
 }
 
 #[test]
-fn given_a_server_without_heartbeats_when_the_time_is_over_then_it_is_silent_then_back_then_forgotten() {
-    let mut directory = settled_directory();
+fn server_times_out_recovers_and_is_forgotten() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
-    run_idle(&mut directory, 10_000, 10_000 + SILENCE_MS - 1);
+    run_idle(&mut directory, 10_000, 10_000 + HEARTBEAT_TIMEOUT_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
-    run_idle(&mut directory, 10_000 + SILENCE_MS - 1, 13_500);
+    run_idle(&mut directory, 10_000 + HEARTBEAT_TIMEOUT_MS - 1, 13_500);
     assert_eq!(presence(&directory, "a"), Some(Presence::TimedOut));
     assert!(directory.heartbeat(13_600, "a", heartbeat(1, 2)).changed);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
@@ -144,31 +147,31 @@
 }
 
 #[test]
-fn given_a_young_coordinator_when_a_server_is_quiet_then_it_is_not_called_silent_before_the_span_is_over() {
+fn recently_started_coordinator_times_out_nobody() {
     let mut directory = directory(OWN, 11, 50_000);
     directory.merge(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
-    assert!(directory.is_recently_started(50_000 + SILENCE_MS - 1));
-    run_idle(&mut directory, 50_000, 50_000 + SILENCE_MS - 1);
+    assert!(directory.is_recently_started(50_000 + HEARTBEAT_TIMEOUT_MS - 1));
+    run_idle(&mut directory, 50_000, 50_000 + HEARTBEAT_TIMEOUT_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
 }
 
 #[test]
-fn given_an_isolated_coordinator_when_time_passes_then_nobody_is_silent_until_it_is_back_for_a_while() {
-    let mut directory = settled_directory();
+fn coordinator_without_quorum_contact_times_out_nobody() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.set_quorum_contact(11_000, false);
     run_idle(&mut directory, 11_000, 60_000);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
     directory.set_quorum_contact(60_000, true);
-    run_idle(&mut directory, 60_000, 60_000 + SILENCE_MS - 1);
+    run_idle(&mut directory, 60_000, 60_000 + HEARTBEAT_TIMEOUT_MS - 1);
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
-    run_idle(&mut directory, 60_000 + SILENCE_MS - 1, 64_000);
+    run_idle(&mut directory, 60_000 + HEARTBEAT_TIMEOUT_MS - 1, 64_000);
     assert_eq!(presence(&directory, "a"), Some(Presence::TimedOut));
 }
 
 #[test]
-fn given_a_coordinator_that_stood_still_when_it_goes_on_then_nobody_is_silent_at_once() {
-    let mut directory = settled_directory();
+fn stalled_coordinator_times_out_nobody_at_once() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     run_idle(&mut directory, 10_000, 11_000);
     directory.tick(25_000);
@@ -177,8 +180,8 @@
 }
 
 #[test]
-fn given_a_server_at_the_address_of_one_that_ended_when_it_is_heard_then_the_former_is_gone() {
-    let mut directory = settled_directory();
+fn new_server_replaces_former_owner_of_address() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     run_idle(&mut directory, 10_000, 12_000);
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
@@ -187,8 +190,8 @@
 }
 
 #[test]
-fn given_a_live_server_when_a_late_first_heartbeat_of_its_forerunner_arrives_then_the_live_one_stays() {
-    let mut directory = settled_directory();
+fn late_heartbeat_of_former_owner_does_not_replace_live_server() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 1));
     directory.heartbeat(10_900, "old", heartbeat(1, 7));
     for second in 11..20 {
@@ -200,16 +203,16 @@
 }
 
 #[test]
-fn given_a_coordinator_that_stood_still_when_a_late_heartbeat_is_read_first_then_it_displaces_nobody() {
-    let mut directory = settled_directory();
+fn late_heartbeat_after_stall_replaces_nobody() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
     directory.heartbeat(20_000, "old", heartbeat(1, 7));
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
 }
 
 #[test]
-fn given_a_server_taken_away_at_short_notice_when_its_time_is_over_then_it_is_gone() {
-    let mut directory = settled_directory();
+fn announced_termination_removes_server() {
+    let mut directory = running_directory();
     let notice = Heartbeat { remaining_ms: Some(1500.0), ..draining(1, 2) };
     directory.heartbeat(10_000, "a", notice);
     run_idle(&mut directory, 10_000, 11_400);
@@ -219,8 +222,8 @@
 }
 
 #[test]
-fn given_numbers_that_are_none_when_a_server_sends_them_as_its_time_then_it_stays() {
-    let mut directory = settled_directory();
+fn non_finite_remaining_time_is_ignored() {
+    let mut directory = running_directory();
     for (sequence, remaining) in [f64::NAN, f64::INFINITY, 1e300].into_iter().enumerate() {
         let odd = Heartbeat { remaining_ms: Some(remaining), ..heartbeat(1, sequence as u64 + 1) };
         directory.heartbeat(10_000, "a", odd);
@@ -230,25 +233,25 @@
 }
 
 #[test]
-fn given_an_edge_that_follows_when_servers_change_then_it_is_told_each_once() {
-    let mut directory = settled_directory();
+fn edge_receives_each_change_once() {
+    let mut directory = running_directory();
     let start = directory.updates_since(DirectoryCursor::default());
     assert!(start.complete && start.records.is_empty());
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(10_000, "b", heartbeat(2, 1));
     directory.heartbeat(10_100, "a", draining(1, 2));
-    let news = directory.updates_since(start.cursor);
-    assert!(!news.complete);
-    let told: Vec<(&str, Presence)> =
-        news.records.iter().map(|record| (record.id.as_str(), record.presence)).collect();
-    assert_eq!(told, [("b", Presence::Ready), ("a", Presence::Draining)]);
+    let update = directory.updates_since(start.cursor);
+    assert!(!update.complete);
+    let changes: Vec<(&str, Presence)> =
+        update.records.iter().map(|record| (record.id.as_str(), record.presence)).collect();
+    assert_eq!(changes, [("b", Presence::Ready), ("a", Presence::Draining)]);
     directory.heartbeat(11_000, "b", heartbeat(2, 2));
-    let nothing = directory.updates_since(news.cursor);
-    assert_eq!((nothing.records.len(), nothing.complete, nothing.cursor), (0, false, news.cursor));
+    let unchanged = directory.updates_since(update.cursor);
+    assert_eq!((unchanged.records.len(), unchanged.complete, unchanged.cursor), (0, false, update.cursor));
 }
 
 #[test]
-fn given_a_cursor_of_another_start_or_too_old_when_asked_then_the_whole_directory_is_told() {
+fn stale_cursor_gets_complete_directory() {
     let options = Options { max_changes: 4, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     directory.heartbeat(0, "a", heartbeat(1, 1));
@@ -267,7 +270,7 @@
 }
 
 #[test]
-fn given_more_servers_than_are_kept_when_they_come_then_the_table_stays_bounded_and_the_gone_give_way() {
+fn full_table_evicts_removed_servers_first() {
     let options = Options { max_servers: 50, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     for server in 0..50 {
@@ -285,8 +288,8 @@
 }
 
 #[test]
-fn given_a_server_gone_by_its_own_word_when_it_deregisters_after_that_then_the_call_can_be_settled() {
-    let mut directory = settled_directory();
+fn deregistration_after_termination_is_acknowledged() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", Heartbeat { remaining_ms: Some(100.0), ..draining(1, 2) });
     run_idle(&mut directory, 10_000, 10_500);
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
--- a/cluster/tests/directories/mod.rs
+++ b/cluster/tests/directory_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! Directories without a net, and what is handed to them.
+//! Directories without a network, and what the tests pass to them.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use shaletrail_cluster::directory::{Directory, DirectoryMessage, Options};
@@ -10,14 +10,15 @@
 pub const PEER: NodeId = NodeId(2);
 pub const OTHER: NodeId = NodeId(3);
 pub const HEARTBEAT_MS: Millis = 1000;
-pub const SILENCE_MS: Millis = 3200;
+/// As [`Options::for_heartbeat`] sets it for [`HEARTBEAT_MS`].
+pub const HEARTBEAT_TIMEOUT_MS: Millis = 3200;
 
 pub fn directory(node: NodeId, incarnation: u64, now: Millis) -> Directory {
     Directory::new(Options::for_heartbeat(HEARTBEAT_MS), node, Incarnation(incarnation), now)
 }
 
-/// A directory of a group of three that has been at work for a while.
-pub fn settled_directory() -> Directory {
+/// A directory of one of three voters that has run for ten seconds.
+pub fn running_directory() -> Directory {
     let mut directory = directory(OWN, 11, 0);
     directory.set_peers(0, &[PEER, OTHER]);
     directory.set_voters(&[OWN, PEER, OTHER]);
@@ -25,7 +26,7 @@
     directory
 }
 
-/// Calls `tick` whenever it is asked for.
+/// Calls `tick` whenever the directory wakes, without other input.
 pub fn run_idle(directory: &mut Directory, from: Millis, until: Millis) {
     let mut now = from;
     while now < until {
@@ -57,12 +58,14 @@
     directory.record(id).map(|record| record.presence)
 }
 
+/// A batch that a directory has sent.
 pub struct SentBatch {
     pub to: NodeId,
     pub number: u64,
     pub records: Vec<ServerRecord>,
 }
 
+/// Takes the sent batches; other messages are dropped.
 pub fn take_batches(directory: &mut Directory) -> Vec<SentBatch> {
     let batch = |(to, message)| match message {
         DirectoryMessage::Batch { batch, records } => Some(SentBatch { to, number: batch, records }),
@@ -71,8 +74,8 @@
     directory.take_sends().into_iter().filter_map(batch).collect()
 }
 
-/// Hands over all that two directories send each other, until nothing is left.
-pub fn converse(
+/// Delivers all messages between two directories, in both directions and with acknowledgements.
+pub fn exchange_messages(
     now: Millis,
     left: &mut Directory,
     left_node: NodeId,
@@ -80,18 +83,13 @@
     right_node: NodeId,
 ) {
     for _ in 0..20 {
-        transfer_leadership(now, left, left_node, right, right_node);
-        transfer_leadership(now, right, right_node, left, left_node);
+        deliver(now, left, left_node, right, right_node);
+        deliver(now, right, right_node, left, left_node);
     }
 }
 
-pub fn transfer_leadership(
-    now: Millis,
-    from: &mut Directory,
-    from_node: NodeId,
-    to: &mut Directory,
-    to_node: NodeId,
-) {
+/// Delivers the messages of one directory to another, and the acknowledgements back.
+pub fn deliver(now: Millis, from: &mut Directory, from_node: NodeId, to: &mut Directory, to_node: NodeId) {
     for (receiver, message) in from.take_sends() {
         if receiver != to_node {
             continue;
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Coordinators in memory: virtual time, links that lose, delay and are cut, processes that freeze, end and start.
+//! Simulated coordinators: virtual time, a network with loss, delay and partitions, processes that freeze and restart.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod servers;
@@ -14,71 +14,72 @@
 
 /// Virtual time between two steps, in milliseconds.
 pub const STEP_MS: Millis = 10;
-/// Between two heartbeats of a server.
+/// Between two heartbeats of a server, in milliseconds.
 pub const HEARTBEAT_MS: Millis = 1000;
-/// Without a sign of life for so long a server is silent.
-pub const SILENCE_MS: Millis = 3200;
-/// A freeze that is longer must be noticed by the process itself.
+/// A server without contact for this long is timed out, in milliseconds.
+pub const HEARTBEAT_TIMEOUT_MS: Millis = 3200;
+/// A longer freeze must be detected by the process itself, in milliseconds.
 pub const STALL_MS: Millis = 1000;
-/// Without answers of the majority for so long a coordinator is isolated.
+/// A coordinator without answers of a majority for this long has no quorum contact, in milliseconds.
 pub const ISOLATION_MS: Millis = 1500;
 
 #[derive(Clone, Debug)]
-enum Letter {
+enum Message {
     Membership(MembershipMessage),
     Directory(DirectoryMessage),
     Acknowledgement(u64),
 }
 
 #[derive(Clone, Debug)]
-struct Parcel {
+struct Packet {
     from: NodeId,
     to: NodeId,
-    letter: Letter,
+    message: Message,
 }
 
-/// What a process has been seen to hold of one server.
-pub type Seen = BTreeMap<String, Presence>;
+/// The last presence of each server that was observed at a process.
+pub type ObservedPresences = BTreeMap<String, Presence>;
 
-/// One start of a coordinator.
+/// One incarnation of a coordinator.
 pub struct Process {
     pub membership: Membership,
     pub directory: Directory,
     pub incarnation: Incarnation,
     pub started: Millis,
-    pub in_touch: bool,
-    /// When it was last out of touch, young or frozen.
-    pub unsure_at: Millis,
-    pub seen: Seen,
-    pub mirror: servers::Mirror,
+    pub has_quorum_contact: bool,
+    /// When it last lacked quorum contact, started or was frozen.
+    pub last_uncertain_at: Millis,
+    pub observed: ObservedPresences,
+    pub edge: servers::EdgeReplica,
 }
 
-/// A machine.
+/// A machine that runs one coordinator.
 pub struct Machine {
     pub node: NodeId,
     pub process: Option<Process>,
     pub frozen: bool,
     frozen_at: Millis,
-    /// Servers that some start of its process has known to leave.
-    pub has_known: BTreeSet<String>,
-    /// When a fault last touched it or one of its links.
-    pub disturbed_at: Millis,
-    held_up: Vec<Parcel>,
+    /// Servers that some incarnation of its process has known to leave.
+    pub known_leaving: BTreeSet<String>,
+    /// When a fault last affected it or one of its links.
+    pub last_fault_at: Millis,
+    unread_packets: Vec<Packet>,
 }
 
-/// Coordinators and the net between them.
+/// Coordinators and the network between them.
 pub struct Fleet {
     pub now: Millis,
     pub random: Pcg64,
     pub machines: Vec<Machine>,
     pub loss: f64,
-    pub ended_calls: Vec<(NodeId, Incarnation, CallOutcome)>,
-    pub longest_frame: usize,
-    pub most_records: usize,
+    pub completed_calls: Vec<(NodeId, Incarnation, CallOutcome)>,
+    pub max_frame_bytes: usize,
+    pub max_records: usize,
     pub messages: u64,
-    cuts: BTreeSet<(NodeId, NodeId)>,
-    wire: BTreeMap<(Millis, u64), Parcel>,
-    parcels: u64,
+    blocked_links: BTreeSet<(NodeId, NodeId)>,
+    /// By the time of arrival, then by number.
+    in_transit: BTreeMap<(Millis, u64), Packet>,
+    sent_packets: u64,
     seeds: Vec<NodeId>,
 }
 
@@ -91,27 +92,27 @@
             process: None,
             frozen: false,
             frozen_at: 0,
-            has_known: BTreeSet::new(),
-            disturbed_at: 0,
-            held_up: Vec::new(),
+            known_leaving: BTreeSet::new(),
+            last_fault_at: 0,
+            unread_packets: Vec::new(),
         };
         Fleet {
             now: 1_000_000,
             random: Pcg64::seed_from_u64(seed),
             machines: (1..=count).map(machine).collect(),
             loss: 0.0,
-            ended_calls: Vec::new(),
-            longest_frame: 0,
-            most_records: 0,
+            completed_calls: Vec::new(),
+            max_frame_bytes: 0,
+            max_records: 0,
             messages: 0,
-            cuts: BTreeSet::new(),
-            wire: BTreeMap::new(),
-            parcels: 0,
+            blocked_links: BTreeSet::new(),
+            in_transit: BTreeMap::new(),
+            sent_packets: 0,
             seeds: (1..=count.min(3)).map(node).collect(),
         }
     }
 
-    /// The same, all started and given time to find each other.
+    /// A fleet whose coordinators have all started and had time to find each other.
     pub fn running(seed: u64, count: u32) -> Self {
         let mut fleet = Fleet::new(seed, count);
         (0..fleet.machines.len()).for_each(|index| fleet.start(index));
@@ -142,31 +143,31 @@
         let membership = Membership::new(membership::Options::default(), node, incarnation, seeds, self.now);
         let options = directory::Options::for_heartbeat(HEARTBEAT_MS);
         let directory = Directory::new(options, node, incarnation, self.now);
-        self.disturb(index);
+        self.record_fault(index);
         self.machines[index].process = Some(Process {
             membership,
             directory,
             incarnation,
             started: self.now,
-            in_touch: false,
-            unsure_at: self.now,
-            seen: Seen::new(),
-            mirror: servers::Mirror::default(),
+            has_quorum_contact: false,
+            last_uncertain_at: self.now,
+            observed: ObservedPresences::new(),
+            edge: servers::EdgeReplica::default(),
         });
     }
 
     pub fn stop(&mut self, index: usize) {
         self.machines[index].process = None;
         self.machines[index].frozen = false;
-        self.machines[index].held_up.clear();
-        self.disturb(index);
+        self.machines[index].unread_packets.clear();
+        self.record_fault(index);
     }
 
     pub fn freeze(&mut self, index: usize) {
         if !std::mem::replace(&mut self.machines[index].frozen, true) {
             self.machines[index].frozen_at = self.now;
         }
-        self.disturb(index);
+        self.record_fault(index);
     }
 
     pub fn thaw(&mut self, index: usize) {
@@ -174,40 +175,40 @@
             return;
         }
         let now = self.now;
-        let noticed = now - self.machines[index].frozen_at > STALL_MS;
-        if let Some(process) = self.machines[index].process.as_mut().filter(|_| noticed) {
-            process.unsure_at = now;
+        let is_stall = now - self.machines[index].frozen_at > STALL_MS;
+        if let Some(process) = self.machines[index].process.as_mut().filter(|_| is_stall) {
+            process.last_uncertain_at = now;
         }
-        for parcel in std::mem::take(&mut self.machines[index].held_up) {
-            self.put_on_wire(parcel, 0);
+        for packet in std::mem::take(&mut self.machines[index].unread_packets) {
+            self.put_in_transit(packet, 0);
         }
-        self.disturb(index);
+        self.record_fault(index);
     }
 
-    /// Cuts the way from one machine to another, this direction only.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((self.machines[from].node, self.machines[to].node));
-        self.disturb(from);
-        self.disturb(to);
+    /// Blocks the link from one machine to another, in this direction only.
+    pub fn partition_one_way(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((self.machines[from].node, self.machines[to].node));
+        self.record_fault(from);
+        self.record_fault(to);
     }
 
-    pub fn cut_both(&mut self, left: usize, right: usize) {
-        self.cut(left, right);
-        self.cut(right, left);
+    pub fn partition(&mut self, left: usize, right: usize) {
+        self.partition_one_way(left, right);
+        self.partition_one_way(right, left);
     }
 
-    /// Cuts one machine from all others.
-    pub fn cut_off(&mut self, index: usize) {
+    /// Partitions one machine from all others.
+    pub fn isolate(&mut self, index: usize) {
         (0..self.machines.len())
             .filter(|other| *other != index)
-            .for_each(|other| self.cut_both(index, other));
+            .for_each(|other| self.partition(index, other));
     }
 
     pub fn heal(&mut self) {
-        for (from, to) in std::mem::take(&mut self.cuts) {
+        for (from, to) in std::mem::take(&mut self.blocked_links) {
             for index in 0..self.machines.len() {
                 if self.machines[index].node == from || self.machines[index].node == to {
-                    self.disturb(index);
+                    self.record_fault(index);
                 }
             }
         }
@@ -222,16 +223,16 @@
 
     pub fn step(&mut self) {
         self.now += STEP_MS;
-        while let Some(entry) = self.wire.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            let parcel = entry.remove();
-            self.deliver(parcel);
+        while let Some(entry) = self.in_transit.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            let packet = entry.remove();
+            self.deliver(packet);
         }
         for index in 0..self.machines.len() {
             self.drive(index);
         }
     }
 
-    /// What a coordinator's driver does: timers, what membership tells the directory, messages out.
+    /// What a coordinator's driver does: timers, updates from the membership to the directory, sends.
     fn drive(&mut self, index: usize) {
         let now = self.now;
         let voters = self.nodes();
@@ -240,79 +241,79 @@
         process.drive(now, &voters);
         let node = machine.node;
         let incarnation = process.incarnation;
-        self.ended_calls.extend(
-            process.directory.take_completed_calls().into_iter().map(|ended| (node, incarnation, ended)),
+        self.completed_calls.extend(
+            process.directory.take_completed_calls().into_iter().map(|outcome| (node, incarnation, outcome)),
         );
         let membership = process.membership.take_sends();
         let directory = process.directory.take_sends();
         for (to, message) in membership {
-            self.post(node, to, Letter::Membership(message));
+            self.send(node, to, Message::Membership(message));
         }
         for (to, message) in directory {
-            self.post(node, to, Letter::Directory(message));
+            self.send(node, to, Message::Directory(message));
         }
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, letter: Letter) {
-        self.measure(&letter);
-        if self.cuts.contains(&(from, to)) || self.random.random_bool(self.loss) {
+    fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
+        self.record_size(&message);
+        if self.blocked_links.contains(&(from, to)) || self.random.random_bool(self.loss) {
             return;
         }
         let delay = self.random.random_range(1..=20);
-        self.put_on_wire(Parcel { from, to, letter }, delay);
+        self.put_in_transit(Packet { from, to, message }, delay);
     }
 
-    fn put_on_wire(&mut self, parcel: Parcel, delay: Millis) {
-        self.parcels += 1;
-        self.wire.insert((self.now + delay, self.parcels), parcel);
+    fn put_in_transit(&mut self, packet: Packet, delay: Millis) {
+        self.sent_packets += 1;
+        self.in_transit.insert((self.now + delay, self.sent_packets), packet);
     }
 
-    fn measure(&mut self, letter: &Letter) {
+    fn record_size(&mut self, message: &Message) {
         self.messages += 1;
-        let (length, records) = match letter {
-            Letter::Membership(message) => {
+        let (length, records) = match message {
+            Message::Membership(message) => {
                 let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) =
                     message;
                 (frame::encode(&CoordinatorMessage::Membership(message.clone())).len(), members.len())
             }
-            Letter::Directory(message) => (frame::encode(message).len(), 0),
-            Letter::Acknowledgement(batch) => {
+            Message::Directory(message) => (frame::encode(message).len(), 0),
+            Message::Acknowledgement(batch) => {
                 (frame::encode(&CoordinatorMessage::DirectoryAck { batch: *batch }).len(), 0)
             }
         };
-        self.longest_frame = self.longest_frame.max(length);
-        self.most_records = self.most_records.max(records);
+        self.max_frame_bytes = self.max_frame_bytes.max(length);
+        self.max_records = self.max_records.max(records);
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
+    fn deliver(&mut self, packet: Packet) {
         let now = self.now;
-        let Some(machine) = self.machines.iter_mut().find(|machine| machine.node == parcel.to) else {
+        let Some(machine) = self.machines.iter_mut().find(|machine| machine.node == packet.to) else {
             return;
         };
         if machine.frozen {
-            machine.held_up.push(parcel);
+            machine.unread_packets.push(packet);
             return;
         }
         let Some(process) = &mut machine.process else { return };
-        let Parcel { from, to, letter } = parcel;
-        match letter {
-            Letter::Membership(message) => process.membership.receive(now, from, message),
-            Letter::Directory(DirectoryMessage::Batch { batch, records }) => {
+        let Packet { from, to, message } = packet;
+        match message {
+            Message::Membership(message) => process.membership.receive(now, from, message),
+            Message::Directory(DirectoryMessage::Batch { batch, records }) => {
                 let acknowledged = process.directory.merge(now, from, batch, records);
-                self.post(to, from, Letter::Acknowledgement(acknowledged));
+                self.send(to, from, Message::Acknowledgement(acknowledged));
             }
-            Letter::Directory(DirectoryMessage::Digest { servers }) => {
+            Message::Directory(DirectoryMessage::Digest { servers }) => {
                 process.directory.receive_digest(now, from, servers);
             }
-            Letter::Directory(DirectoryMessage::Request { servers }) => {
+            Message::Directory(DirectoryMessage::Request { servers }) => {
                 process.directory.receive_request(now, from, servers);
             }
-            Letter::Acknowledgement(batch) => process.directory.acknowledge(now, from, batch),
+            Message::Acknowledgement(batch) => process.directory.acknowledge(now, from, batch),
         }
     }
 
-    fn disturb(&mut self, index: usize) {
-        self.machines[index].disturbed_at = self.now;
+    fn record_fault(&mut self, index: usize) {
+        self.machines[index].last_fault_at = self.now;
     }
 }
 
@@ -330,11 +331,11 @@
                 self.directory.on_peer_started(now, node, record.incarnation);
             }
         }
-        self.in_touch = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
-        if !self.in_touch {
-            self.unsure_at = now;
+        self.has_quorum_contact = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
+        if !self.has_quorum_contact {
+            self.last_uncertain_at = now;
         }
-        self.directory.set_quorum_contact(now, self.in_touch);
+        self.directory.set_quorum_contact(now, self.has_quorum_contact);
         if self.directory.next_wake() <= now {
             self.directory.tick(now);
         }
--- a/cluster/tests/fleet/servers.rs
+++ b/cluster/tests/fleet/servers.rs
@@ -1,4 +1,4 @@
-//! Servers of the fleet in memory: they send heartbeats, leave, crash, and follow one another at an address.
+//! Simulated servers: they send heartbeats, drain, crash, and succeed one another at an address.
 
 use std::collections::BTreeMap;
 
@@ -10,65 +10,65 @@
 
 use super::{Fleet, HEARTBEAT_MS};
 
-/// How a server calls a coordinator that did not acknowledge it: the next one after so long.
-const NEXT_NODE_MS: Millis = 100;
+/// After this many milliseconds a server without an answer retries at the next coordinator.
+const FAILOVER_DELAY_MS: Millis = 100;
 
-/// What an edge knows that polls one coordinator.
+/// What an edge knows that polls one coordinator: a replica of its directory.
 #[derive(Default)]
-pub struct Mirror {
+pub struct EdgeReplica {
     cursor: DirectoryCursor,
     pub records: BTreeMap<String, ServerRecord>,
 }
 
-impl Mirror {
+impl EdgeReplica {
     pub fn poll(&mut self, directory: &Directory) {
-        let news = directory.updates_since(self.cursor);
-        if news.complete {
+        let update = directory.updates_since(self.cursor);
+        if update.complete {
             self.records.clear();
         }
-        self.records.extend(news.records.into_iter().map(|record| (record.id.clone(), record)));
-        self.cursor = news.cursor;
+        self.records.extend(update.records.into_iter().map(|record| (record.id.clone(), record)));
+        self.cursor = update.cursor;
     }
 }
 
-/// How far a server has come.
+/// The states of a simulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum Lifecycle {
     Ready,
     Draining,
     Ended,
     Crashed,
 }
 
-/// A call that waits for its answer.
+/// A call that waits for a majority, at the incarnation of the coordinator that took it.
 #[derive(Clone, Copy, Debug)]
-struct Call {
+struct PendingCall {
     node: NodeId,
     incarnation: Incarnation,
     token: CallToken,
 }
 
-/// One start of a server.
+/// One incarnation of a server, with an id of its own.
 pub struct Server {
     pub id: String,
     pub port: u16,
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     pub models: u32,
-    /// When its draining was acknowledged.
-    pub settled: Option<Millis>,
+    /// When its draining was first acknowledged.
+    pub acknowledged_at: Option<Millis>,
     pub ended_at: Millis,
     sequence: u64,
-    at: usize,
-    next: Millis,
-    call: Option<Call>,
+    coordinator: usize,
+    next_heartbeat: Millis,
+    pending_call: Option<PendingCall>,
 }
 
 /// A draining that a coordinator has just acknowledged.
-pub struct SettledDrain {
+pub struct AcknowledgedDrain {
     pub id: String,
 }
 
-/// All servers of a history.
+/// All servers of a history, ended ones included.
 #[derive(Default)]
 pub struct Servers {
     pub all: Vec<Server>,
@@ -81,40 +81,40 @@
         self.all.push(Server {
             id: format!("i-{}", self.started),
             port,
-            life: Life::Ready,
+            lifecycle: Lifecycle::Ready,
             models: 0,
-            settled: None,
+            acknowledged_at: None,
             ended_at: 0,
             sequence: 0,
-            at: fleet.random.random_range(0..fleet.machines.len()),
-            next: fleet.now,
-            call: None,
+            coordinator: fleet.random.random_range(0..fleet.machines.len()),
+            next_heartbeat: fleet.now,
+            pending_call: None,
         });
     }
 
-    pub fn with_life(&self, life: Life) -> Vec<usize> {
-        (0..self.all.len()).filter(|index| self.all[*index].life == life).collect()
+    pub fn in_lifecycle(&self, lifecycle: Lifecycle) -> Vec<usize> {
+        (0..self.all.len()).filter(|index| self.all[*index].lifecycle == lifecycle).collect()
     }
 
-    /// Lets the servers speak whose turn it is; the drainings that were acknowledged.
-    pub fn step(&mut self, fleet: &mut Fleet) -> Vec<SettledDrain> {
-        let ended = std::mem::take(&mut fleet.ended_calls);
-        let settled =
-            self.all.iter_mut().filter_map(|server| server.take_answer(fleet.now, &ended)).collect();
+    /// Sends the heartbeats that are due; returns the drainings that were acknowledged.
+    pub fn step(&mut self, fleet: &mut Fleet) -> Vec<AcknowledgedDrain> {
+        let outcomes = std::mem::take(&mut fleet.completed_calls);
+        let acknowledged =
+            self.all.iter_mut().filter_map(|server| server.handle_outcomes(fleet.now, &outcomes)).collect();
         for server in &mut self.all {
-            let speaks = matches!(server.life, Life::Ready | Life::Draining);
-            if speaks && server.next <= fleet.now {
-                server.speak(fleet);
+            let is_running = matches!(server.lifecycle, Lifecycle::Ready | Lifecycle::Draining);
+            if is_running && server.next_heartbeat <= fleet.now {
+                server.send_heartbeat(fleet);
             }
         }
-        settled
+        acknowledged
     }
 }
 
 impl Server {
-    /// Its next heartbeat is due at once.
-    pub fn hurry(&mut self, now: Millis) {
-        self.next = now;
+    /// Makes the next heartbeat due at once.
+    pub fn expedite_heartbeat(&mut self, now: Millis) {
+        self.next_heartbeat = now;
     }
 
     pub fn heartbeat(&self) -> Heartbeat {
@@ -123,50 +123,54 @@
             service: "pages".into(),
             address: format!("10.9.9.9:{}", self.port),
             slots: 4,
-            state: if self.life == Life::Draining { ServerState::Draining } else { ServerState::Ready },
+            state: if self.lifecycle == Lifecycle::Draining {
+                ServerState::Draining
+            } else {
+                ServerState::Ready
+            },
             models: Some((0..self.models).map(model).collect()),
             sequence: self.sequence,
             ..Heartbeat::default()
         }
     }
 
-    fn speak(&mut self, fleet: &mut Fleet) {
+    fn send_heartbeat(&mut self, fleet: &mut Fleet) {
         self.sequence += 1;
         let heartbeat = self.heartbeat();
         let (now, count) = (fleet.now, fleet.machines.len());
-        let lost = fleet.loss > 0.0 && fleet.random.random_bool(fleet.loss);
-        let machine = &mut fleet.machines[self.at % count];
-        let Some(process) = machine.process.as_mut().filter(|_| !machine.frozen && !lost) else {
-            return self.turn_to_next(fleet);
+        let is_lost = fleet.loss > 0.0 && fleet.random.random_bool(fleet.loss);
+        let machine = &mut fleet.machines[self.coordinator % count];
+        let Some(process) = machine.process.as_mut().filter(|_| !machine.frozen && !is_lost) else {
+            return self.fail_over(fleet);
         };
         let accepted = process.directory.heartbeat(now, &self.id, heartbeat);
-        self.next = now + HEARTBEAT_MS;
+        self.next_heartbeat = now + HEARTBEAT_MS;
         if let Some(token) = accepted.call {
             let (node, incarnation) = (machine.node, process.incarnation);
-            self.call = Some(Call { node, incarnation, token });
+            self.pending_call = Some(PendingCall { node, incarnation, token });
         }
     }
 
-    fn turn_to_next(&mut self, fleet: &Fleet) {
-        self.at += 1;
-        self.next = fleet.now + NEXT_NODE_MS;
+    fn fail_over(&mut self, fleet: &Fleet) {
+        self.coordinator += 1;
+        self.next_heartbeat = fleet.now + FAILOVER_DELAY_MS;
     }
 
-    fn take_answer(
+    fn handle_outcomes(
         &mut self,
         now: Millis,
-        ended: &[(NodeId, Incarnation, CallOutcome)],
-    ) -> Option<SettledDrain> {
-        let call = self.call?;
-        let answer = |settlement: CallOutcome| ended.contains(&(call.node, call.incarnation, settlement));
-        if answer(CallOutcome::Failed(call.token)) {
-            self.call = None;
-            self.at += 1;
-            self.next = now;
-        } else if answer(CallOutcome::Acknowledged(call.token)) {
-            self.call = None;
-            self.settled = self.settled.or(Some(now));
-            return Some(SettledDrain { id: self.id.clone() });
+        outcomes: &[(NodeId, Incarnation, CallOutcome)],
+    ) -> Option<AcknowledgedDrain> {
+        let call = self.pending_call?;
+        let has_outcome = |outcome: CallOutcome| outcomes.contains(&(call.node, call.incarnation, outcome));
+        if has_outcome(CallOutcome::Failed(call.token)) {
+            self.pending_call = None;
+            self.coordinator += 1;
+            self.next_heartbeat = now;
+        } else if has_outcome(CallOutcome::Acknowledged(call.token)) {
+            self.pending_call = None;
+            self.acknowledged_at = self.acknowledged_at.or(Some(now));
+            return Some(AcknowledgedDrain { id: self.id.clone() });
         }
         None
     }
--- a/cluster/tests/histories.rs
+++ b/cluster/tests/histories.rs
@@ -1,44 +1,47 @@
-//! Random histories of coordinators and servers, from fixed seeds: faults of every kind, then calm.
+//! Random histories of coordinators and servers from fixed seeds: faults of every kind, then recovery.
+//!
+//! Invariants are checked after every step, convergence at the end.
 
 mod fleet;
 
 use std::collections::BTreeSet;
 
-use fleet::servers::{Life, Servers, SettledDrain};
-use fleet::{Fleet, Process, SILENCE_MS};
+use fleet::servers::{AcknowledgedDrain, Lifecycle, Servers};
+use fleet::{Fleet, Process, HEARTBEAT_TIMEOUT_MS};
 use rand::Rng;
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// Between two events of a history.
-const EVENT_MS: Millis = 400;
-/// Events of a history.
+/// Between two events of a history, in milliseconds.
+const EVENT_INTERVAL_MS: Millis = 400;
+/// Events in a history.
 const EVENTS: usize = 80;
-/// Calm at its end: longer than it takes to notice silence, and for all to find each other.
-const CALM_MS: Millis = 12_000;
-/// Within which an undisturbed coordinator knows of a settled draining.
-const TOLD_MS: Millis = 1500;
-/// How long a coordinator must have been undisturbed to be held to that.
-const CLEAN_MS: Millis = 4000;
-/// Before an address is given to another server.
+/// Time without faults at the end: longer than a heartbeat time-out, and than it takes all to find each other.
+const RECOVERY_MS: Millis = 12_000;
+/// Within this a coordinator without faults learns of an acknowledged draining.
+const PROPAGATION_MS: Millis = 1500;
+/// How long a coordinator must have been without faults for that to be checked.
+const FAULT_FREE_MS: Millis = 4000;
+/// Before the address of an ended server is given to another one.
 const ADDRESS_REUSE_MS: Millis = 2000;
-const SERVERS: u16 = 12;
+/// Addresses, each with one server at most.
+const ADDRESSES: u16 = 12;
 
-/// A draining that all undisturbed coordinators must know after a while.
-struct Duty {
+/// A draining that all coordinators without faults must know after [`PROPAGATION_MS`].
+struct PropagationCheck {
     id: String,
-    settled: Millis,
+    acknowledged_at: Millis,
 }
 
 struct History {
     fleet: Fleet,
     servers: Servers,
-    duties: Vec<Duty>,
-    drains: usize,
-    duties_held: usize,
+    pending_checks: Vec<PropagationCheck>,
+    acknowledged_drains: usize,
+    checks_passed: usize,
 }
 
-fn leaves(presence: Presence) -> bool {
+fn is_leaving(presence: Presence) -> bool {
     matches!(presence, Presence::Draining | Presence::Removed)
 }
 
@@ -46,68 +49,78 @@
     fn new(seed: u64, coordinators: u32) -> Self {
         let mut fleet = Fleet::running(seed, coordinators);
         let mut servers = Servers::default();
-        (0..SERVERS).for_each(|port| servers.add(&mut fleet, port));
-        History { fleet, servers, duties: Vec::new(), drains: 0, duties_held: 0 }
+        (0..ADDRESSES).for_each(|port| servers.add(&mut fleet, port));
+        History { fleet, servers, pending_checks: Vec::new(), acknowledged_drains: 0, checks_passed: 0 }
     }
 
     fn run(&mut self, span: Millis) {
         let until = self.fleet.now + span;
         while self.fleet.now < until {
             self.fleet.step();
-            let settled = self.servers.step(&mut self.fleet);
-            self.check_processes();
-            for drain in settled {
-                self.check_settled(&drain);
-                self.drains += 1;
-                self.duties.push(Duty { id: drain.id, settled: self.fleet.now });
+            let acknowledged = self.servers.step(&mut self.fleet);
+            self.check_presences();
+            for drain in acknowledged {
+                self.check_majority(&drain);
+                self.acknowledged_drains += 1;
+                self.pending_checks.push(PropagationCheck { id: drain.id, acknowledged_at: self.fleet.now });
             }
-            self.check_duties();
+            self.check_propagation();
         }
     }
 
-    /// When a draining is settled, a majority of the machines knows it, or did before it started anew.
-    fn check_settled(&self, drain: &SettledDrain) {
+    /// Once a draining is acknowledged, a majority of the machines knows it, or did before a restart.
+    fn check_majority(&self, drain: &AcknowledgedDrain) {
         let machines = &self.fleet.machines;
-        let knowing = machines.iter().filter(|machine| machine.has_known.contains(&drain.id)).count();
-        assert!(knowing * 2 > machines.len(), "{} is settled but known to {knowing} only", drain.id);
+        let knowing = machines.iter().filter(|machine| machine.known_leaving.contains(&drain.id)).count();
+        assert!(knowing * 2 > machines.len(), "{} is acknowledged but known to {knowing} only", drain.id);
     }
 
-    /// Nothing that leaves is ever ready again, and nobody concludes silence without being sure.
-    fn check_processes(&mut self) {
+    /// No server that leaves becomes ready again, and none times out at a coordinator that might have missed its
+    /// heartbeats.
+    fn check_presences(&mut self) {
         let now = self.fleet.now;
         for machine in &mut self.fleet.machines {
             let (node, frozen) = (machine.node, machine.frozen);
             let Some(process) = machine.process.as_mut().filter(|_| !frozen) else { continue };
             for record in process.directory.records() {
-                let before = process.seen.insert(record.id.clone(), record.presence);
-                if leaves(record.presence) {
-                    machine.has_known.insert(record.id.clone());
+                let before = process.observed.insert(record.id.clone(), record.presence);
+                if is_leaving(record.presence) {
+                    machine.known_leaving.insert(record.id.clone());
                 }
-                let stays = !before.is_some_and(leaves) || leaves(record.presence);
-                assert!(stays, "{} went from {before:?} to {} at {node}", record.id, record.presence);
+                let is_monotonic = !before.is_some_and(is_leaving) || is_leaving(record.presence);
+                assert!(is_monotonic, "{} went from {before:?} to {} at {node}", record.id, record.presence);
                 if before == Some(Presence::Ready) && record.presence == Presence::TimedOut {
-                    assert!(now - process.unsure_at >= SILENCE_MS, "{node} expires {} unsure", record.id);
+                    assert!(
+                        now - process.last_uncertain_at >= HEARTBEAT_TIMEOUT_MS,
+                        "{node} times {} out too early",
+                        record.id
+                    );
                 }
             }
             check_not_forgotten(node, process);
-            process.mirror.poll(&process.directory);
+            process.edge.poll(&process.directory);
         }
     }
 
-    /// A coordinator that no fault has touched for a while, and that reaches the majority, soon knows of a settled
-    /// draining; one that doesn't reach it sends its edges elsewhere.
-    fn check_duties(&mut self) {
+    /// A coordinator without faults that reaches a quorum soon learns of an acknowledged draining; one that reaches
+    /// none sends its edges elsewhere.
+    fn check_propagation(&mut self) {
         let now = self.fleet.now;
-        let due: Vec<Duty> = self.duties.extract_if(.., |duty| duty.settled + TOLD_MS <= now).collect();
-        for duty in due {
+        let due: Vec<PropagationCheck> = self
+            .pending_checks
+            .extract_if(.., |check| check.acknowledged_at + PROPAGATION_MS <= now)
+            .collect();
+        for check in due {
             for machine in self.fleet.machines.iter().filter(|machine| !machine.frozen) {
                 let Some(process) = &machine.process else { continue };
-                if machine.disturbed_at.max(process.unsure_at) + CLEAN_MS > duty.settled {
+                if machine.last_fault_at.max(process.last_uncertain_at) + FAULT_FREE_MS
+                    > check.acknowledged_at
+                {
                     continue;
                 }
-                let presence = process.directory.record(&duty.id).map(|record| record.presence);
-                assert!(presence.is_some_and(leaves), "{} is {presence:?} at {}", duty.id, machine.node);
-                self.duties_held += 1;
+                let presence = process.directory.record(&check.id).map(|record| record.presence);
+                assert!(presence.is_some_and(is_leaving), "{} is {presence:?} at {}", check.id, machine.node);
+                self.checks_passed += 1;
             }
         }
     }
@@ -116,17 +129,17 @@
         self.fleet.random.random_range(0..self.fleet.machines.len())
     }
 
-    fn random_server(&mut self, life: Life) -> Option<usize> {
-        let servers = self.servers.with_life(life);
+    fn random_server(&mut self, lifecycle: Lifecycle) -> Option<usize> {
+        let servers = self.servers.in_lifecycle(lifecycle);
         (!servers.is_empty()).then(|| servers[self.fleet.random.random_range(0..servers.len())])
     }
 
-    fn disturb_machines(&mut self) {
+    fn inject_fault(&mut self) {
         let (one, other) = (self.random_machine(), self.random_machine());
         match self.fleet.random.random_range(0..12) {
-            0 => self.fleet.cut(one, other),
-            1 => self.fleet.cut_both(one, other),
-            2 => self.fleet.cut_off(one),
+            0 => self.fleet.partition_one_way(one, other),
+            1 => self.fleet.partition(one, other),
+            2 => self.fleet.isolate(one),
             3..=5 => self.fleet.heal(),
             6 => self.fleet.freeze(one),
             7 | 8 => (0..self.fleet.machines.len()).for_each(|index| self.fleet.thaw(index)),
@@ -154,19 +167,19 @@
         }
     }
 
-    fn disturb_servers(&mut self) {
+    fn change_one_server(&mut self) {
         let now = self.fleet.now;
         match self.fleet.random.random_range(0..6) {
-            0 => self.end(Life::Ready, Life::Crashed),
-            1 => self.end(Life::Draining, Life::Ended),
+            0 => self.end(Lifecycle::Ready, Lifecycle::Crashed),
+            1 => self.end(Lifecycle::Draining, Lifecycle::Ended),
             2 => {
-                if let Some(index) = self.random_server(Life::Ready) {
-                    self.servers.all[index].life = Life::Draining;
-                    self.servers.all[index].hurry(now);
+                if let Some(index) = self.random_server(Lifecycle::Ready) {
+                    self.servers.all[index].lifecycle = Lifecycle::Draining;
+                    self.servers.all[index].expedite_heartbeat(now);
                 }
             }
             3 => {
-                if let Some(index) = self.random_server(Life::Ready) {
+                if let Some(index) = self.random_server(Lifecycle::Ready) {
                     self.servers.all[index].models += 1;
                 }
             }
@@ -174,35 +187,35 @@
         }
     }
 
-    fn end(&mut self, from: Life, to: Life) {
+    fn end(&mut self, from: Lifecycle, to: Lifecycle) {
         if let Some(index) = self.random_server(from) {
-            self.servers.all[index].life = to;
+            self.servers.all[index].lifecycle = to;
             self.servers.all[index].ended_at = self.fleet.now;
         }
     }
 
     fn reuse_address(&mut self) {
-        let taken: BTreeSet<u16> = self
+        let occupied: BTreeSet<u16> = self
             .servers
             .all
             .iter()
             .filter(|server| {
-                matches!(server.life, Life::Ready | Life::Draining)
+                matches!(server.lifecycle, Lifecycle::Ready | Lifecycle::Draining)
                     || server.ended_at + ADDRESS_REUSE_MS > self.fleet.now
             })
             .map(|server| server.port)
             .collect();
-        if let Some(port) = (0..SERVERS).find(|port| !taken.contains(port)) {
+        if let Some(port) = (0..ADDRESSES).find(|port| !occupied.contains(port)) {
             self.servers.add(&mut self.fleet, port);
         }
     }
 
-    fn calm(&mut self) {
+    fn recover(&mut self) {
         self.fleet.heal();
         (0..self.fleet.machines.len()).for_each(|index| self.fleet.thaw(index));
         self.start_stopped();
         self.fleet.loss = 0.0;
-        self.run(CALM_MS);
+        self.run(RECOVERY_MS);
     }
 
     fn check_convergence(&self) {
@@ -214,7 +227,7 @@
                 assert_eq!(known, Some(running.incarnation), "{other} as {node} knows it");
             }
             self.check_servers(node, process);
-            check_mirror(node, process);
+            check_edge(node, process);
         }
     }
 
@@ -222,14 +235,16 @@
         for server in &self.servers.all {
             let record = process.directory.record(&server.id);
             let presence = record.map(|record| record.presence);
-            match server.life {
-                Life::Ready => {
+            match server.lifecycle {
+                Lifecycle::Ready => {
                     assert_eq!(presence, Some(Presence::Ready), "{} at {node}", server.id);
                     let models = record.and_then(|record| record.heartbeat.models.as_ref());
                     assert_eq!(models, server.heartbeat().models.as_ref(), "{} at {node}", server.id);
                 }
-                Life::Draining => assert_eq!(presence, Some(Presence::Draining), "{} at {node}", server.id),
-                Life::Ended | Life::Crashed => {
+                Lifecycle::Draining => {
+                    assert_eq!(presence, Some(Presence::Draining), "{} at {node}", server.id)
+                }
+                Lifecycle::Ended | Lifecycle::Crashed => {
                     assert_ne!(presence, Some(Presence::Ready), "{} at {node}", server.id);
                 }
             }
@@ -237,76 +252,79 @@
     }
 }
 
-/// What leaves is remembered: histories are shorter than the time for which it must be.
+/// Tombstones stay: histories are shorter than their retention.
 fn check_not_forgotten(node: NodeId, process: &Process) {
-    for (id, presence) in process.seen.iter().filter(|(_, presence)| leaves(**presence)) {
-        let known = process.directory.record(id);
-        assert!(known.is_some(), "{node} has forgotten {id}, which was {presence}");
+    for (id, presence) in process.observed.iter().filter(|(_, presence)| is_leaving(**presence)) {
+        let record = process.directory.record(id);
+        assert!(record.is_some(), "{node} has forgotten {id}, which was {presence}");
     }
 }
 
-fn check_mirror(node: NodeId, process: &Process) {
+fn check_edge(node: NodeId, process: &Process) {
     for record in process.directory.records() {
-        let told = process.mirror.records.get(&record.id);
+        let replicated = process.edge.records.get(&record.id);
         assert_eq!(
-            told.map(|told| told.presence),
+            replicated.map(|record| record.presence),
             Some(record.presence),
             "{} at an edge of {node}",
             record.id
         );
-        let models = told.map(|told| &told.heartbeat.models);
+        let models = replicated.map(|record| &record.heartbeat.models);
         assert_eq!(models, Some(&record.heartbeat.models), "{} at an edge of {node}", record.id);
     }
 }
 
-fn play(seed: u64) -> History {
+fn run_history(seed: u64) -> History {
     let coordinators = [3, 3, 5, 7, 9][(seed % 5) as usize];
     let mut history = History::new(seed, coordinators);
     history.fleet.loss = [0.0, 0.02, 0.1][(seed % 3) as usize];
     for _ in 0..EVENTS {
-        history.run(EVENT_MS);
+        history.run(EVENT_INTERVAL_MS);
         if history.fleet.random.random_bool(0.5) {
-            history.disturb_machines();
+            history.inject_fault();
         }
-        history.disturb_servers();
+        history.change_one_server();
     }
-    history.calm();
+    history.recover();
     history.check_convergence();
     history
 }
 
 #[test]
-fn given_faults_of_every_kind_when_calm_returns_then_all_agree_and_no_rule_was_broken() {
-    let mut drains = 0;
-    let mut duties_held = 0;
+fn random_faults_break_no_invariant_and_all_converge() {
+    let mut acknowledged_drains = 0;
+    let mut checks_passed = 0;
     for seed in 0..60 {
-        let history = play(seed);
-        drains += history.drains;
-        duties_held += history.duties_held;
-        assert!(history.fleet.longest_frame < 64 * 1024, "{} bytes", history.fleet.longest_frame);
+        let history = run_history(seed);
+        acknowledged_drains += history.acknowledged_drains;
+        checks_passed += history.checks_passed;
+        assert!(history.fleet.max_frame_bytes < 64 * 1024, "{} bytes", history.fleet.max_frame_bytes);
     }
-    assert!(drains > 200, "only {drains} drainings were settled");
-    assert!(duties_held > 200, "only {duties_held} times was an undisturbed coordinator held to its duty");
+    assert!(acknowledged_drains > 200, "only {acknowledged_drains} drainings were acknowledged");
+    assert!(checks_passed > 200, "propagation was checked only {checks_passed} times");
 }
 
 #[test]
-fn given_no_faults_when_servers_come_and_go_then_every_draining_is_settled_and_known_by_all() {
+fn every_draining_is_acknowledged_without_faults() {
     let mut history = History::new(1000, 3);
     history.run(2000);
     for _ in 0..20 {
         history.run(1000);
-        history.disturb_servers();
+        history.change_one_server();
     }
     history.run(2000);
-    let unsettled =
-        history.servers.all.iter().filter(|server| server.life == Life::Draining && server.settled.is_none());
-    assert_eq!(unsettled.count(), 0);
-    history.calm();
+    let unacknowledged = history
+        .servers
+        .all
+        .iter()
+        .filter(|server| server.lifecycle == Lifecycle::Draining && server.acknowledged_at.is_none());
+    assert_eq!(unacknowledged.count(), 0);
+    history.recover();
     history.check_convergence();
 }
 
 #[test]
-fn given_all_coordinators_when_they_restart_at_once_then_the_directory_is_rebuilt_from_heartbeats() {
+fn restart_of_all_rebuilds_directory_from_heartbeats() {
     let mut history = History::new(1001, 3);
     history.run(5000);
     (0..3).for_each(|index| history.fleet.stop(index));
@@ -317,8 +335,8 @@
 }
 
 #[test]
-fn given_the_same_seed_when_played_again_then_the_history_is_the_same() {
-    let (once, again) = (play(7), play(7));
+fn same_seed_replays_same_history() {
+    let (once, again) = (run_history(7), run_history(7));
     assert_eq!(once.fleet.messages, again.fleet.messages);
-    assert_eq!(once.drains, again.drains);
+    assert_eq!(once.acknowledged_drains, again.acknowledged_drains);
 }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Coordinators that find, watch and lose each other.
+//! Membership: discovery, failure detection, refutation, quorum contact.
 
 mod fleet;
 
@@ -18,7 +18,7 @@
     MembershipMessage::Ping { number: 1, members }
 }
 
-fn alone(seeds: &[NodeId]) -> Membership {
+fn single_member(seeds: &[NodeId]) -> Membership {
     Membership::new(Options::default(), OWN, Incarnation(11), seeds, 0)
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_three_seeds_when_all_start_within_a_moment_in_any_order_then_all_know_all() {
+fn coordinators_find_each_other_in_any_start_order() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(seed, 9);
         for index in [8, 2, 5, 0, 7, 1, 3, 6, 4] {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn given_a_dead_seed_and_a_wrong_one_when_it_comes_up_much_later_then_it_is_found() {
+fn late_seed_is_found() {
     let mut fleet = Fleet::new(1, 2);
     let late = fleet.machines[1].node;
     fleet.start_with_seeds(0, &[NodeId(77), late]);
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn given_a_seed_that_never_answers_when_time_passes_then_it_is_pinged_ever_more_rarely_but_for_ever() {
-    let mut membership = alone(&[PEER]);
+fn unanswered_seed_is_pinged_for_ever_with_backoff() {
+    let mut membership = single_member(&[PEER]);
     let sent: Vec<Millis> = run_idle(&mut membership, 0, 60_000).into_iter().map(|(at, _)| at).collect();
     assert_eq!(sent[..5], [0, 400, 1200, 2200, 3200]);
     assert_eq!(sent.last(), Some(&59_200));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn given_a_newcomer_without_common_seeds_when_seeds_are_added_then_the_groups_join() {
+fn added_seed_joins_two_groups() {
     let mut fleet = Fleet::new(2, 4);
     let nodes = fleet.nodes();
     fleet.start_with_seeds(0, &[nodes[1]]);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn given_a_group_when_one_ends_then_it_is_suspected_then_absent_then_forgotten_everywhere() {
+fn ended_member_is_suspected_then_dead_then_forgotten() {
     let mut fleet = Fleet::running(3, 5);
     let ended = fleet.machines[4].node;
     fleet.stop(4);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn given_a_group_when_one_starts_anew_then_its_new_incarnation_supersedes_soon() {
+fn restarted_member_is_known_by_its_new_incarnation() {
     let mut fleet = Fleet::running(4, 5);
     fleet.stop(2);
     fleet.start(2);
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn given_a_cut_between_two_when_others_reach_both_then_nobody_is_absent_for_the_others() {
+fn partition_between_two_members_declares_nobody_dead() {
     let mut fleet = Fleet::running(5, 5);
-    fleet.cut_both(0, 1);
+    fleet.partition(0, 1);
     for _ in 0..100 {
         fleet.run(200);
         let all = fleet.nodes();
@@ -129,9 +129,9 @@
 }
 
 #[test]
-fn given_a_member_cut_off_when_the_cut_heals_then_it_is_alive_again_with_the_same_incarnation() {
+fn isolated_member_returns_with_same_incarnation() {
     let mut fleet = Fleet::running(6, 4);
-    fleet.cut_off(3);
+    fleet.isolate(3);
     fleet.run(5000);
     let off = fleet.machines[3].node;
     assert!(!fleet.process(0).membership.alive().contains(&off));
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn given_a_one_way_cut_when_asked_then_neither_end_counts_as_heard() {
+fn one_way_partition_ends_contact_of_both_ends() {
     let mut fleet = Fleet::running(7, 3);
     let nodes = fleet.nodes();
-    fleet.cut(0, 1);
+    fleet.partition_one_way(0, 1);
     fleet.run(2000);
     let now = fleet.now;
     assert!(!fleet.process(0).membership.has_contact_within(nodes[1], now, 1500));
@@ -154,11 +154,11 @@
 }
 
 #[test]
-fn given_five_voters_when_some_are_cut_off_then_only_the_side_with_three_reaches_the_majority() {
+fn only_majority_side_has_quorum_contact() {
     let mut fleet = Fleet::running(8, 5);
     let voters = fleet.nodes();
     for minority in [3, 4] {
-        (0..3).for_each(|other| fleet.cut_both(minority, other));
+        (0..3).for_each(|other| fleet.partition(minority, other));
     }
     fleet.run(3000);
     let now = fleet.now;
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn given_no_voters_when_asked_for_the_majority_then_it_is_not_reached() {
-    assert!(!alone(&[]).has_quorum_contact(0, &[], 1500));
-    assert!(alone(&[]).has_quorum_contact(0, &[OWN, OWN], 1500));
-    assert!(!alone(&[]).has_quorum_contact(0, &[OWN, PEER], 1500));
+fn no_quorum_contact_without_voters() {
+    assert!(!single_member(&[]).has_quorum_contact(0, &[], 1500));
+    assert!(single_member(&[]).has_quorum_contact(0, &[OWN, OWN], 1500));
+    assert!(!single_member(&[]).has_quorum_contact(0, &[OWN, PEER], 1500));
 }
 
 #[test]
-fn given_a_coordinator_that_stood_still_when_it_goes_on_then_it_calls_nobody_absent() {
+fn stalled_coordinator_declares_nobody_dead() {
     let mut fleet = Fleet::running(9, 5);
     fleet.freeze(0);
     fleet.run(10_000);
@@ -190,17 +190,17 @@
 }
 
 #[test]
-fn given_a_large_group_when_it_is_calm_then_each_member_is_pinged_by_a_few_and_messages_are_bounded() {
+fn large_group_converges_with_bounded_messages() {
     let mut fleet = Fleet::new(10, 40);
     (0..40).for_each(|index| fleet.start(index));
     fleet.run(8000);
     assert_all_alive(&fleet);
-    assert!(fleet.most_records <= MAX_MESSAGE_RECORDS);
+    assert!(fleet.max_records <= MAX_MESSAGE_RECORDS);
 }
 
 #[test]
-fn given_a_member_when_it_is_pinged_by_its_monitors_only_then_others_send_it_nothing() {
-    let mut membership = alone(&[]);
+fn only_monitors_ping_a_member() {
+    let mut membership = single_member(&[]);
     let others = (2..=9).map(|node| member(NodeId(node), 1, 0, MemberState::Alive)).collect();
     membership.receive(0, PEER, ping(others));
     membership.take_sends();
@@ -209,26 +209,26 @@
 }
 
 #[test]
-fn given_a_suspicion_against_this_node_when_it_hears_of_it_then_it_refutes() {
-    let mut membership = alone(&[]);
-    let told = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 11, 4, MemberState::Suspect)];
-    membership.receive(100, PEER, ping(told));
-    let (_, answer) = membership.take_sends().pop().expect("a ping is answered");
-    let MembershipMessage::Pong { number: 1, members } = answer else { panic!("not the answer: {answer:?}") };
+fn suspicion_of_this_node_is_refuted() {
+    let mut membership = single_member(&[]);
+    let records = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 11, 4, MemberState::Suspect)];
+    membership.receive(100, PEER, ping(records));
+    let (_, pong) = membership.take_sends().pop().expect("a pong");
+    let MembershipMessage::Pong { number: 1, members } = pong else { panic!("not a pong: {pong:?}") };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
 }
 
 #[test]
-fn given_a_suspicion_against_a_former_start_when_this_node_hears_of_it_then_it_does_not_refute() {
-    let mut membership = alone(&[]);
-    let told = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Dead)];
-    membership.receive(100, PEER, ping(told));
+fn suspicion_of_former_incarnation_is_not_refuted() {
+    let mut membership = single_member(&[]);
+    let records = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Dead)];
+    membership.receive(100, PEER, ping(records));
     assert_eq!(membership.members()[0].refutation, 0);
 }
 
 #[test]
-fn given_another_start_told_by_others_when_the_known_one_is_alive_then_only_the_node_itself_is_believed() {
-    let mut membership = alone(&[]);
+fn only_the_node_itself_announces_new_incarnation() {
+    let mut membership = single_member(&[]);
     membership.receive(0, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
     let third = NodeId(3);
     membership.receive(10, third, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
@@ -236,16 +236,20 @@
     membership.receive(20, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
     assert_eq!(membership.record(PEER).map(|record| record.incarnation), Some(Incarnation(22)));
     membership.receive(30, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
-    assert_eq!(membership.record(PEER).map(|record| record.incarnation), Some(Incarnation(22)), "a late one");
+    assert_eq!(
+        membership.record(PEER).map(|record| record.incarnation),
+        Some(Incarnation(22)),
+        "late message of the former incarnation"
+    );
 }
 
 #[test]
-fn given_far_too_many_members_and_seeds_when_told_then_what_is_kept_and_sent_is_bounded() {
-    let mut membership = alone(&(2..500).map(NodeId).collect::<Vec<_>>());
+fn members_seeds_and_messages_are_bounded() {
+    let mut membership = single_member(&(2..500).map(NodeId).collect::<Vec<_>>());
     for batch in 0..50 {
         let first = 1000 + batch * 30;
-        let told = (first..first + 30).map(|node| member(NodeId(node), 1, 0, MemberState::Alive));
-        membership.receive(0, NodeId(first), ping(told.collect()));
+        let records = (first..first + 30).map(|node| member(NodeId(node), 1, 0, MemberState::Alive));
+        membership.receive(0, NodeId(first), ping(records.collect()));
     }
     assert!(membership.members().len() <= MAX_MEMBERS + 1);
     membership.tick(0);
@@ -258,8 +262,8 @@
 }
 
 #[test]
-fn given_an_answer_to_no_ping_when_it_arrives_then_it_is_no_sign_of_reach() {
-    let mut membership = alone(&[PEER]);
+fn pong_to_unknown_ping_proves_no_contact() {
+    let mut membership = single_member(&[PEER]);
     membership.tick(0);
     let members = vec![member(PEER, 21, 0, MemberState::Alive)];
     membership.receive(10, PEER, MembershipMessage::Pong { number: 123, members });
@@ -267,17 +271,17 @@
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
 }
 
-/// A member that answered a ping at 0 and none since.
-fn with_one_that_went_quiet() -> Membership {
-    let mut membership = alone(&[]);
+/// This node with a member that has answered a ping at 0 and none since.
+fn with_unresponsive_member() -> Membership {
+    let mut membership = single_member(&[]);
     membership.receive(0, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
     membership.tick(0);
-    answer_all(&mut membership, 0);
+    answer_pings(&mut membership, 0);
     membership
 }
 
-/// Lets the peer answer all pings that wait to be sent.
-fn answer_all(membership: &mut Membership, now: Millis) {
+/// Answers all sent pings on behalf of the peer.
+fn answer_pings(membership: &mut Membership, now: Millis) {
     for (to, message) in membership.take_sends() {
         if let (PEER, MembershipMessage::Ping { number, .. }) = (to, message) {
             membership.receive(now, PEER, MembershipMessage::Pong { number, members: vec![] });
@@ -286,8 +290,8 @@
 }
 
 #[test]
-fn given_a_member_that_went_quiet_when_this_node_stood_still_then_it_is_not_suspected_at_once() {
-    let mut membership = with_one_that_went_quiet();
+fn stall_restarts_ping_timeout() {
+    let mut membership = with_unresponsive_member();
     [200, 400, 600].into_iter().for_each(|now| membership.tick(now));
     membership.tick(20_000);
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
@@ -296,8 +300,8 @@
 }
 
 #[test]
-fn given_a_suspicion_when_this_node_stood_still_then_the_member_is_not_absent_at_once() {
-    let mut membership = with_one_that_went_quiet();
+fn stall_restarts_suspicion_timeout() {
+    let mut membership = with_unresponsive_member();
     run_idle(&mut membership, 200, 1000);
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
     membership.tick(20_000);
@@ -307,8 +311,8 @@
 }
 
 #[test]
-fn given_a_suspicion_that_was_refuted_elsewhere_when_this_node_hears_nothing_then_it_waits_before_the_next() {
-    let mut membership = with_one_that_went_quiet();
+fn refuted_suspicion_starts_cooldown() {
+    let mut membership = with_unresponsive_member();
     run_idle(&mut membership, 200, 1000);
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
     membership.receive(1000, NodeId(3), ping(vec![member(PEER, 21, 1, MemberState::Alive)]));
@@ -319,31 +323,31 @@
 }
 
 #[test]
-fn given_a_suspicion_of_others_when_this_node_hears_the_member_itself_then_it_is_not_absent_here() {
-    let mut membership = with_one_that_went_quiet();
+fn suspect_with_contact_is_not_declared_dead() {
+    let mut membership = with_unresponsive_member();
     membership.receive(100, NodeId(3), ping(vec![member(PEER, 21, 0, MemberState::Suspect)]));
     for now in (200..5000).step_by(200) {
         membership.tick(now);
-        answer_all(&mut membership, now);
+        answer_pings(&mut membership, now);
     }
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
 }
 
-/// This node with a member that it pings and that has just answered.
-fn with_one_that_is_heard() -> Membership {
-    let mut membership = alone(&[]);
+/// This node with a voter that has just answered a ping.
+fn with_responsive_member() -> Membership {
+    let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
     membership.receive(0, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
     membership.tick(0);
-    answer_all(&mut membership, 5);
+    answer_pings(&mut membership, 5);
     membership
 }
 
 #[test]
-fn given_a_member_that_this_node_hears_when_one_that_was_cut_off_tells_of_its_absence_then_it_is_suspected() {
-    let mut membership = with_one_that_is_heard();
-    let told = vec![member(NodeId(3), 33, 0, MemberState::Alive), member(PEER, 22, 0, MemberState::Dead)];
-    membership.receive(10, NodeId(3), ping(told));
+fn member_with_contact_reported_dead_is_only_suspected() {
+    let mut membership = with_responsive_member();
+    let records = vec![member(NodeId(3), 33, 0, MemberState::Alive), member(PEER, 22, 0, MemberState::Dead)];
+    membership.receive(10, NodeId(3), ping(records));
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
     assert!(!membership.is_unreachable(PEER));
     let refuted = vec![member(PEER, 22, 1, MemberState::Alive)];
@@ -352,21 +356,21 @@
 }
 
 #[test]
-fn given_a_voter_of_which_nobody_tells_when_it_has_been_silent_for_long_enough_then_it_is_away() {
-    let mut membership = alone(&[]);
+fn unknown_voter_becomes_unreachable_in_time() {
+    let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 1_400);
     assert!(!membership.is_unreachable(PEER));
     run_idle(&mut membership, 1_400, 1_800);
     assert!(membership.is_unreachable(PEER));
-    assert!(!membership.is_unreachable(NodeId(3)), "nobody knows whether it was ever there");
+    assert!(!membership.is_unreachable(NodeId(3)), "neither a member nor a voter");
     membership.receive(1_900, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
     assert!(!membership.is_unreachable(PEER));
 }
 
 #[test]
-fn given_a_voter_of_which_nobody_tells_when_this_node_stood_still_then_it_is_not_away_at_once() {
-    let mut membership = alone(&[]);
+fn stall_restarts_timeout_of_unknown_voter() {
+    let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 400);
     membership.tick(5_000);
@@ -374,15 +378,15 @@
 }
 
 #[test]
-fn given_a_voter_that_was_absent_for_so_long_that_it_is_forgotten_when_asked_then_it_is_still_away() {
-    let mut membership = with_one_that_is_heard();
+fn forgotten_voter_stays_unreachable() {
+    let mut membership = with_responsive_member();
     run_idle(&mut membership, 10, 70_000);
     assert_eq!(membership.state(PEER), None);
     assert!(membership.is_unreachable(PEER));
 }
 
 #[test]
-fn given_a_member_that_is_about_to_end_when_it_says_so_then_it_is_absent_for_all_at_once() {
+fn leaving_member_is_dead_for_all_at_once() {
     let mut fleet = Fleet::running(3, 3);
     let leaving = fleet.machines[1].node;
     let now = fleet.now;
@@ -391,7 +395,7 @@
     for (node, process) in fleet.processes().filter(|(node, _)| *node != leaving) {
         assert!(process.membership.is_unreachable(leaving), "as {node} sees it");
     }
-    // It does not take it back, though others tell it.
+    // Reports of its own death do not make it refute.
     fleet.run(3_000);
     assert!(fleet
         .processes()
--- a/cluster/tests/rendezvous.rs
+++ b/cluster/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing.
+//! Rendezvous hashing: agreement, minimal movement, even spread.
 
 use shaletrail_cluster::rendezvous::{choose, node_key, rank};
 use shaletrail_protocol::NodeId;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn given_the_same_nodes_in_another_order_when_ranked_then_all_agree() {
+fn rank_does_not_depend_on_order_of_nodes() {
     let forwards = nodes(9);
     let backwards: Vec<NodeId> = forwards.iter().rev().copied().chain([NodeId(3)]).collect();
     for key in 0..100 {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn given_many_keys_when_a_node_goes_then_only_its_own_keys_move() {
+fn removed_node_moves_only_its_own_keys() {
     let all = nodes(6);
     let rest: Vec<NodeId> = all.iter().copied().filter(|node| *node != NodeId(4)).collect();
     for key in 0..1000 {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn given_many_keys_when_they_choose_then_all_nodes_are_chosen_about_as_often() {
+fn keys_spread_evenly_over_nodes() {
     let all = nodes(6);
     for node in &all {
         let first = (0..6000).filter(|key| choose(*key, &all, 1) == [*node]).count();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn given_edges_with_neighbouring_addresses_when_they_choose_then_they_spread() {
+fn neighbouring_edges_spread_over_coordinators() {
     let coordinators = nodes(3);
     for node in &coordinators {
         let edges = (0x0a01_0020..0x0a01_0020 + 300).map(NodeId);
--- a/cluster/tests/exchange.rs
+++ b/cluster/tests/replication.rs
@@ -1,16 +1,16 @@
-//! Directories of coordinators that talk: hints, digests, and what they repair.
+//! Replication between directories: hinted handoff, digests, requests.
 
-mod directories;
+mod directory_fixture;
 
-use directories::*;
+use directory_fixture::*;
 use shaletrail_cluster::directory::{Directory, DirectoryMessage, MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS};
 use shaletrail_protocol::external::Heartbeat;
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 #[test]
-fn given_a_holder_that_has_started_anew_when_the_server_drains_again_then_it_does_not_count() {
-    let mut directory = settled_directory();
+fn acknowledgement_ends_with_restart_of_the_peer() {
+    let mut directory = running_directory();
     directory.on_peer_started(10_000, PEER, Incarnation(21));
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
@@ -18,16 +18,18 @@
     directory.take_completed_calls();
     directory.on_peer_started(10_500, PEER, Incarnation(22));
     assert!(!directory.is_known_to_majority("a"));
-    let again = take_batches(&mut directory);
-    assert!(again.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
+    let resent = take_batches(&mut directory);
+    assert!(resent.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
     directory.acknowledge(10_510, PEER, batches[0].number);
-    assert!(!directory.is_known_to_majority("a"), "an acknowledgement of the former start means nothing");
+    assert!(
+        !directory.is_known_to_majority("a"),
+        "an acknowledgement of the former incarnation does not count"
+    );
 }
 
 #[test]
-fn given_a_server_that_others_tell_of_when_its_address_has_another_that_was_not_heard_for_long_then_both_stay(
-) {
-    let mut directory = settled_directory();
+fn record_from_peer_replaces_no_owner_of_an_address() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
     directory.merge(12_000, PEER, 1, vec![record("old", Presence::Ready, heartbeat(1, 7))]);
     directory.merge(12_500, PEER, 2, vec![record("old", Presence::Ready, heartbeat(1, 8))]);
@@ -35,25 +37,25 @@
 }
 
 #[test]
-fn given_a_server_that_displaces_another_when_it_has_spoken_then_the_others_are_told() {
-    let mut directory = settled_directory();
+fn replacement_is_pushed_to_all_peers() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     let first = take_batches(&mut directory);
     first.iter().for_each(|batch| directory.acknowledge(10_010, batch.to, batch.number));
     run_idle(&mut directory, 10_010, 12_000);
     directory.take_sends();
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
-    let told = take_batches(&mut directory);
+    let batches = take_batches(&mut directory);
     for peer in [PEER, OTHER] {
-        let records = told.iter().filter(|batch| batch.to == peer).flat_map(|batch| &batch.records);
-        let gone = records.filter(|record| record.id == "old" && record.presence == Presence::Removed);
-        assert_eq!(gone.count(), 1);
+        let records = batches.iter().filter(|batch| batch.to == peer).flat_map(|batch| &batch.records);
+        let removed = records.filter(|record| record.id == "old" && record.presence == Presence::Removed);
+        assert_eq!(removed.count(), 1);
     }
 }
 
 #[test]
-fn given_a_coordinator_that_is_away_when_it_is_back_then_it_gets_what_it_missed() {
-    let mut directory = settled_directory();
+fn returning_peer_receives_missed_changes() {
+    let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(20_000, "a", draining(1, 2));
     run_idle(&mut directory, 20_000, 30_000);
@@ -61,22 +63,25 @@
     let mut back = self::directory(PEER, 21, 0);
     back.set_peers(0, &[OWN]);
     run_idle(&mut directory, 30_000, 31_500);
-    converse(31_500, &mut directory, OWN, &mut back, PEER);
+    exchange_messages(31_500, &mut directory, OWN, &mut back, PEER);
     assert_eq!(presence(&back, "a"), Some(Presence::Draining));
     assert!(directory.is_known_to_majority("a"));
     run_idle(&mut directory, 31_500, 32_500);
-    assert!(take_batches(&mut directory).iter().all(|batch| batch.to == OTHER), "nothing is left to tell");
+    assert!(
+        take_batches(&mut directory).iter().all(|batch| batch.to == OTHER),
+        "no hint for the peer is left"
+    );
 }
 
 #[test]
-fn given_a_coordinator_that_never_answers_when_much_changes_then_what_is_sent_to_it_stays_small() {
+fn unresponsive_peer_is_sent_few_small_batches() {
     let mut directory = directory(OWN, 11, 0);
     directory.set_peers(0, &[PEER]);
     let mut sent = Vec::new();
     for round in 1..=100 {
         for server in 0..500 {
-            let beat = Heartbeat { slots: round, ..heartbeat(server, u64::from(round)) };
-            directory.heartbeat(u64::from(round) * 100, &format!("s{server}"), beat);
+            let heartbeat = Heartbeat { slots: round, ..heartbeat(server, u64::from(round)) };
+            directory.heartbeat(u64::from(round) * 100, &format!("s{server}"), heartbeat);
         }
         directory.tick(u64::from(round) * 100);
         sent.extend(take_batches(&mut directory));
@@ -86,7 +91,7 @@
 }
 
 #[test]
-fn given_a_server_heard_elsewhere_when_digests_arrive_then_it_does_not_fall_silent() {
+fn digests_keep_server_alive_at_other_coordinators() {
     let (mut own, mut peer) = (directory(OWN, 11, 0), directory(PEER, 21, 0));
     own.set_peers(0, &[PEER]);
     peer.set_peers(0, &[OWN]);
@@ -97,7 +102,7 @@
         }
         own.tick(now);
         peer.tick(now);
-        converse(now, &mut own, OWN, &mut peer, PEER);
+        exchange_messages(now, &mut own, OWN, &mut peer, PEER);
     }
     assert_eq!(presence(&peer, "a"), Some(Presence::Ready));
     let lag = 190 - peer.record("a").map_or(0, |record| record.heartbeat.sequence);
@@ -105,7 +110,7 @@
 }
 
 #[test]
-fn given_a_cut_between_two_when_both_reach_a_third_then_records_and_signs_of_life_go_round_by_it() {
+fn third_coordinator_relays_across_a_partition() {
     let mut own = directory(OWN, 11, 0);
     let mut middle = directory(PEER, 21, 0);
     let mut far = directory(OTHER, 31, 0);
@@ -122,17 +127,17 @@
         }
         let for_middle = own.take_sends();
         let for_both = middle.take_sends();
-        let for_them = far.take_sends();
-        deliver(now, for_middle, OWN, PEER, &mut middle);
-        deliver(now, for_both.clone(), PEER, OWN, &mut own);
-        deliver(now, for_both, PEER, OTHER, &mut far);
-        deliver(now, for_them, OTHER, PEER, &mut middle);
+        let for_peers = far.take_sends();
+        deliver_without_acknowledgements(now, for_middle, OWN, PEER, &mut middle);
+        deliver_without_acknowledgements(now, for_both.clone(), PEER, OWN, &mut own);
+        deliver_without_acknowledgements(now, for_both, PEER, OTHER, &mut far);
+        deliver_without_acknowledgements(now, for_peers, OTHER, PEER, &mut middle);
         assert!(now < 5000 || presence(&far, "a") == Some(Presence::Ready), "at {now}");
     }
 }
 
-/// Hands over what is meant for one receiver; acknowledgements are lost.
-fn deliver(
+/// Delivers the messages for one receiver; acknowledgements are lost.
+fn deliver_without_acknowledgements(
     now: Millis,
     sends: Vec<(NodeId, DirectoryMessage)>,
     from: NodeId,
@@ -151,8 +156,8 @@
 }
 
 #[test]
-fn given_a_draining_known_here_when_a_peer_still_calls_the_server_ready_then_it_is_told() {
-    let mut own = settled_directory();
+fn peer_at_earlier_stage_is_sent_the_record() {
+    let mut own = running_directory();
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
     batches.iter().for_each(|batch| own.acknowledge(10_010, batch.to, batch.number));
@@ -163,50 +168,50 @@
 }
 
 #[test]
-fn given_a_record_that_is_old_when_it_is_handed_over_then_it_is_no_sign_of_life() {
-    let mut own = settled_directory();
+fn old_record_is_no_sign_of_life() {
+    let mut own = running_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 1));
     own.set_quorum_contact(10_000, false);
     run_idle(&mut own, 10_000, 20_000);
-    assert_eq!(presence(&own, "a"), Some(Presence::Ready), "an isolated coordinator calls nobody silent");
+    assert_eq!(presence(&own, "a"), Some(Presence::Ready), "no server times out without quorum contact");
     own.take_sends();
     own.on_peer_started(20_000, PEER, Incarnation(5));
     own.on_peer_started(20_000, PEER, Incarnation(6));
     run_idle(&mut own, 20_000, 21_500);
-    let handed = take_batches(&mut own);
-    assert!(!handed.is_empty());
-    assert!(handed.iter().all(|batch| batch.records[0].presence == Presence::TimedOut));
+    let batches = take_batches(&mut own);
+    assert!(!batches.is_empty());
+    assert!(batches.iter().all(|batch| batch.records[0].presence == Presence::TimedOut));
 }
 
 #[test]
-fn given_a_draining_that_one_coordinator_tells_when_it_is_merged_then_the_others_are_told_at_once() {
-    let mut own = settled_directory();
+fn merged_draining_is_pushed_to_remaining_peers() {
+    let mut own = running_directory();
     own.merge(10_000, PEER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
     let batches = take_batches(&mut own);
     assert_eq!(batches.iter().map(|batch| batch.to).collect::<Vec<_>>(), [OTHER]);
     own.merge(10_010, OTHER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
-    assert_eq!(take_batches(&mut own).len(), 0, "both know it now");
+    assert_eq!(take_batches(&mut own).len(), 0, "both peers know it");
 }
 
 #[test]
-fn given_a_batch_on_its_way_when_its_receiver_starts_anew_then_a_late_acknowledgement_means_nothing() {
-    let mut own = settled_directory();
+fn late_acknowledgement_of_former_incarnation_is_ignored() {
+    let mut own = running_directory();
     own.on_peer_started(10_000, PEER, Incarnation(21));
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
     own.on_peer_started(10_010, PEER, Incarnation(22));
-    let late = batches.iter().find(|batch| batch.to == PEER).expect("it was told");
+    let late = batches.iter().find(|batch| batch.to == PEER).expect("a batch for the peer");
     own.acknowledge(10_020, PEER, late.number);
     assert!(!own.is_known_to_majority("a"));
-    let again = take_batches(&mut own);
-    let again = again.iter().find(|batch| batch.to == PEER).expect("it is told again");
-    own.acknowledge(10_030, PEER, again.number);
+    let resent = take_batches(&mut own);
+    let resent = resent.iter().find(|batch| batch.to == PEER).expect("a second batch for the peer");
+    own.acknowledge(10_030, PEER, resent.number);
     assert!(own.is_known_to_majority("a"));
 }
 
 #[test]
-fn given_a_digest_with_other_contents_when_it_is_newer_then_the_record_is_asked_for() {
-    let mut own = settled_directory();
+fn newer_digest_with_other_content_requests_record() {
+    let mut own = running_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 3));
     own.take_sends();
     let digest = |sequence, slots| {
@@ -223,13 +228,13 @@
         });
         digest.expect("a digest each 300 ms")
     };
-    let asked = |own: &mut Directory, servers| {
+    let requests = |own: &mut Directory, servers| {
         own.receive_digest(10_100, PEER, servers);
         own.take_sends()
             .iter()
             .any(|(to, message)| *to == PEER && matches!(message, DirectoryMessage::Request { .. }))
     };
-    assert!(!asked(&mut own, digest(2, 8)), "older");
-    assert!(!asked(&mut own, digest(4, 4)), "newer, but alike");
-    assert!(asked(&mut own, digest(5, 8)), "newer and different");
+    assert!(!requests(&mut own, digest(2, 8)), "older");
+    assert!(!requests(&mut own, digest(4, 4)), "newer, with the same content");
+    assert!(requests(&mut own, digest(5, 8)), "newer, with other content");
 }
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -1,10 +1,9 @@
 //! The bytes that the directories of two coordinators exchange, and the hashes that they must agree on.
 //!
-//! Coordinators of two versions speak to each other while a release is rolled out, and bitcode encodes by position: a
-//! field or variant that is moved, added, removed or swapped is read as another value by the other version, without an
-//! error. These tests compare the present types with bytes that an earlier build wrote.
+//! Coordinators of two versions exchange messages during a rolling upgrade, and bitcode encodes by position: a field
+//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an error. These tests compare the present types with bytes that an earlier build wrote.
 //!
-//! If one turns red, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
+//! If one fails, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
 //! version of its own that old nodes are never sent.
 
 #[path = "../../protocol/tests/support/stored.rs"]
@@ -21,7 +20,7 @@
 const PEER: NodeId = NodeId(0x0a01_0003);
 /// The key of `server-9`.
 const KEY: u64 = 0xaa03_8d11_56b1_ada7;
-/// The fingerprint of [`heartbeat`] with [`note`].
+/// The fingerprint of [`heartbeat`] with [`overlay`].
 const FINGERPRINT: u32 = 0x2c79_8b68;
 
 fn compare(stored: &mut StoredBytes, name: &str, message: &DirectoryMessage) {
@@ -30,7 +29,7 @@
     });
 }
 
-fn held(name: &str, version: u64, adapter: &str) -> LoadedModel {
+fn loaded_model(name: &str, version: u64, adapter: &str) -> LoadedModel {
     LoadedModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
 }
 
@@ -45,17 +44,17 @@
         cold_remaining_ms: 1250.5,
         remaining_ms: Some(30_000.25),
         phase: "combined".to_owned(),
-        models: Some(vec![held("large", 32, "legal")]),
+        models: Some(vec![loaded_model("large", 32, "legal")]),
         sequence: 34,
     }
 }
 
-fn note() -> PlacementOverlay {
+fn overlay() -> PlacementOverlay {
     PlacementOverlay {
         fencing_token: 41,
         revision: 42,
-        added: vec![held("tiny", 43, "poems")],
-        evicting: vec![held("huge", 44, "prose")],
+        added: vec![loaded_model("tiny", 43, "poems")],
+        evicting: vec![loaded_model("huge", 44, "prose")],
     }
 }
 
@@ -71,7 +70,7 @@
         id: "server-9".to_owned(),
         heartbeat: heartbeat(),
         presence: Presence::Draining,
-        overlay: note(),
+        overlay: overlay(),
     };
     let batch = DirectoryMessage::Batch { batch: 0x0102_0304_0506_0708, records: vec![record] };
     compare(&mut stored, "batch", &batch);
@@ -90,7 +89,7 @@
     let mut directory = Directory::new(Options::for_heartbeat(1200), SELF, Incarnation(55), 1_000);
     directory.set_peers(1_000, &[SELF, PEER]);
     directory.heartbeat(1_100, "server-9", heartbeat());
-    directory.set_placement_overlay(1_200, "server-9", note());
+    directory.set_placement_overlay(1_200, "server-9", overlay());
 
     // when
     for (peer, message) in directory.take_sends() {
