--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -3,28 +3,43 @@
 mod directory_fixture;
 
 use directory_fixture::*;
-use shaletrail_cluster::directory::{Accepted, CallOutcome, Directory, Options};
+use shaletrail_cluster::directory::{Accepted, CallOutcome, CallToken, Directory, Options};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel};
 use shaletrail_protocol::internal::{DirectoryCursor, Presence};
-use shaletrail_protocol::Incarnation;
+use shaletrail_protocol::{Incarnation, Millis};
+
+/// Sends a draining heartbeat of server `a`; returns the call that waits for a majority.
+fn start_draining(directory: &mut Directory, now: Millis, sequence: u64) -> CallToken {
+    directory.heartbeat(now, "a", draining(1, sequence)).call.expect("a draining waits for a majority")
+}
 
 #[test]
 fn only_first_heartbeat_is_a_change() {
+    // given
     let mut directory = running_directory();
+
+    // when
     let first = directory.heartbeat(10_000, "a", heartbeat(1, 1));
-    assert_eq!(first, Accepted { changed: true, call: None });
     let second = directory.heartbeat(11_000, "a", Heartbeat { cold_remaining_ms: 0.0, ..heartbeat(1, 2) });
+
+    // then
+    assert_eq!(first, Accepted { changed: true, call: None });
     assert_eq!(second, Accepted { changed: false, call: None });
     assert_eq!(directory.record("a").map(|record| record.heartbeat.sequence), Some(2));
 }
 
 #[test]
 fn loaded_model_is_pushed_to_all_peers() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     take_batches(&mut directory);
+
+    // when
     let models = Some(vec![LoadedModel { name: "m".into(), version: 1, adapters: vec![] }]);
     assert!(directory.heartbeat(10_500, "a", Heartbeat { models, ..heartbeat(1, 2) }).changed);
+
+    // then
     let batches = take_batches(&mut directory);
     assert_eq!(batches.iter().map(|batch| batch.to).collect::<Vec<_>>(), [PEER, OTHER]);
     assert!(batches.iter().all(|batch| batch.records[0].heartbeat.models.is_some()));
@@ -32,9 +47,15 @@
 
 #[test]
 fn late_heartbeat_changes_nothing() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
-    assert!(!directory.heartbeat(10_100, "a", Heartbeat { slots: 9, ..heartbeat(1, 4) }).changed);
+
+    // when
+    let late = directory.heartbeat(10_100, "a", Heartbeat { slots: 9, ..heartbeat(1, 4) });
+
+    // then
+    assert!(!late.changed);
     assert_eq!(directory.record("a").map(|record| record.heartbeat.slots), Some(4));
 }
 
@@ -53,9 +74,14 @@
 
 #[test]
 fn draining_with_old_sequence_counts() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
+
+    // when
     directory.merge(10_100, PEER, 1, vec![record("a", Presence::Draining, draining(1, 4))]);
+
+    // then
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
     assert_eq!(directory.record("a").map(|record| record.heartbeat.sequence), Some(5));
 }
@@ -65,8 +91,7 @@
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     let earlier = take_batches(&mut directory);
-    let call =
-        directory.heartbeat(10_100, "a", draining(1, 2)).call.expect("a draining waits for a majority");
+    let call = start_draining(&mut directory, 10_100, 2);
     for batch in &earlier {
         directory.acknowledge(10_110, batch.to, batch.number);
     }
@@ -80,21 +105,24 @@
 
 #[test]
 fn repeated_draining_is_acknowledged_at_once() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_010, batches[0].to, batches[0].number);
     directory.take_completed_calls();
-    let call =
-        directory.heartbeat(11_000, "a", draining(1, 2)).call.expect("a draining waits for a majority");
+
+    // when
+    let call = start_draining(&mut directory, 11_000, 2);
+
+    // then
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
 #[test]
 fn call_fails_without_acknowledgements() {
     let mut directory = running_directory();
-    let call =
-        directory.heartbeat(10_000, "a", draining(1, 1)).call.expect("a draining waits for a majority");
+    let call = start_draining(&mut directory, 10_000, 1);
     run_idle(&mut directory, 10_000, 10_899);
     assert_eq!(directory.take_completed_calls(), []);
     run_idle(&mut directory, 10_899, 10_900);
@@ -103,17 +131,27 @@
 
 #[test]
 fn draining_is_not_acknowledged_without_voters() {
+    // given
     let mut directory = directory(OWN, 11, 0);
+
+    // when
     directory.heartbeat(10, "a", draining(1, 1));
+
+    // then
     assert_eq!(directory.take_completed_calls(), []);
     assert!(!directory.is_known_to_majority("a"));
 }
 
 #[test]
 fn single_voter_acknowledges_draining_at_once() {
+    // given
     let mut directory = directory(OWN, 11, 0);
     directory.set_voters(&[OWN]);
-    let call = directory.heartbeat(10, "a", draining(1, 1)).call.expect("a draining waits for a majority");
+
+    // when
+    let call = start_draining(&mut directory, 10, 1);
+
+    // then
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
@@ -148,10 +186,15 @@
 
 #[test]
 fn recently_started_coordinator_times_out_nobody() {
+    // given
     let mut directory = directory(OWN, 11, 50_000);
     directory.merge(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
     assert!(directory.is_recently_started(50_000 + HEARTBEAT_TIMEOUT_MS - 1));
+
+    // when
     run_idle(&mut directory, 50_000, 50_000 + HEARTBEAT_TIMEOUT_MS - 1);
+
+    // then
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
 }
 
@@ -171,42 +214,62 @@
 
 #[test]
 fn stalled_coordinator_times_out_nobody_at_once() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     run_idle(&mut directory, 10_000, 11_000);
+
+    // when
     directory.tick(25_000);
     run_idle(&mut directory, 25_000, 28_000);
+
+    // then
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
 }
 
 #[test]
 fn new_server_replaces_former_owner_of_address() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     run_idle(&mut directory, 10_000, 12_000);
+
+    // when
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
+
+    // then
     assert_eq!(presence(&directory, "old"), Some(Presence::Removed));
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
 }
 
 #[test]
 fn late_heartbeat_of_former_owner_does_not_replace_live_server() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 1));
+
+    // when
     directory.heartbeat(10_900, "old", heartbeat(1, 7));
     for second in 11..20 {
         directory.heartbeat(second * 1000, "new", heartbeat(1, second));
         directory.tick(second * 1000);
     }
+
+    // then
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
     assert_eq!(presence(&directory, "old"), Some(Presence::TimedOut));
 }
 
 #[test]
 fn late_heartbeat_after_stall_replaces_nobody() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
+
+    // when
     directory.heartbeat(20_000, "old", heartbeat(1, 7));
+
+    // then
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
 }
 
@@ -223,12 +286,17 @@
 
 #[test]
 fn non_finite_remaining_time_is_ignored() {
+    // given
     let mut directory = running_directory();
+
+    // when
     for (sequence, remaining) in [f64::NAN, f64::INFINITY, 1e300].into_iter().enumerate() {
         let odd = Heartbeat { remaining_ms: Some(remaining), ..heartbeat(1, sequence as u64 + 1) };
         directory.heartbeat(10_000, "a", odd);
     }
     run_idle(&mut directory, 10_000, 11_000);
+
+    // then
     assert_eq!(presence(&directory, "a"), Some(Presence::Ready));
 }
 
@@ -289,14 +357,19 @@
 
 #[test]
 fn deregistration_after_termination_is_acknowledged() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", Heartbeat { remaining_ms: Some(100.0), ..draining(1, 2) });
     run_idle(&mut directory, 10_000, 10_500);
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     let batches = take_batches(&mut directory);
     batches.iter().for_each(|batch| directory.acknowledge(10_500, batch.to, batch.number));
+
+    // when
     let call = directory.deregister(10_600, "a");
     let batches = take_batches(&mut directory);
     batches.iter().for_each(|batch| directory.acknowledge(10_610, batch.to, batch.number));
+
+    // then
     assert!(directory.take_completed_calls().contains(&CallOutcome::Acknowledged(call)));
 }
--- a/cluster/tests/histories.rs
+++ b/cluster/tests/histories.rs
@@ -325,12 +325,17 @@
 
 #[test]
 fn restart_of_all_rebuilds_directory_from_heartbeats() {
+    // given
     let mut history = History::new(1001, 3);
     history.run(5000);
+
+    // when
     (0..3).for_each(|index| history.fleet.stop(index));
     history.run(500);
     (0..3).for_each(|index| history.fleet.start(index));
     history.run(2500);
+
+    // then
     history.check_convergence();
 }
 
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -33,12 +33,16 @@
     sent
 }
 
+fn incarnation(membership: &Membership, node: NodeId) -> Option<Incarnation> {
+    membership.record(node).map(|record| record.incarnation)
+}
+
 fn assert_all_alive(fleet: &Fleet) {
     let running: Vec<NodeId> = fleet.processes().map(|(node, _)| node).collect();
     for (node, process) in fleet.processes() {
         assert_eq!(process.membership.alive(), running, "as {node} sees it");
         for (other, running) in fleet.processes() {
-            let known = process.membership.record(other).map(|record| record.incarnation);
+            let known = incarnation(&process.membership, other);
             assert_eq!(known, Some(running.incarnation), "{other} as {node} knows it");
         }
     }
@@ -59,19 +63,29 @@
 
 #[test]
 fn late_seed_is_found() {
+    // given
     let mut fleet = Fleet::new(1, 2);
     let late = fleet.machines[1].node;
     fleet.start_with_seeds(0, &[NodeId(77), late]);
     fleet.run(120_000);
+
+    // when
     fleet.start_with_seeds(1, &[]);
     fleet.run(1500);
+
+    // then
     assert_all_alive(&fleet);
 }
 
 #[test]
 fn unanswered_seed_is_pinged_for_ever_with_backoff() {
+    // given
     let mut membership = single_member(&[PEER]);
+
+    // when
     let sent: Vec<Millis> = run_idle(&mut membership, 0, 60_000).into_iter().map(|(at, _)| at).collect();
+
+    // then
     assert_eq!(sent[..5], [0, 400, 1200, 2200, 3200]);
     assert_eq!(sent.last(), Some(&59_200));
     assert_eq!(membership.alive(), [OWN]);
@@ -80,14 +94,19 @@
 
 #[test]
 fn added_seed_joins_two_groups() {
+    // given
     let mut fleet = Fleet::new(2, 4);
     let nodes = fleet.nodes();
     fleet.start_with_seeds(0, &[nodes[1]]);
     fleet.start_with_seeds(1, &[nodes[0]]);
     fleet.start_with_seeds(2, &[nodes[3]]);
     fleet.start_with_seeds(3, &[nodes[2]]);
+
+    // when
     fleet.process(0).membership.add_seeds(&[nodes[3]]);
     fleet.run(4000);
+
+    // then
     assert_all_alive(&fleet);
 }
 
@@ -110,10 +129,15 @@
 
 #[test]
 fn restarted_member_is_known_by_its_new_incarnation() {
+    // given
     let mut fleet = Fleet::running(4, 5);
+
+    // when
     fleet.stop(2);
     fleet.start(2);
     fleet.run(1500);
+
+    // then
     assert_all_alive(&fleet);
 }
 
@@ -133,9 +157,9 @@
     let mut fleet = Fleet::running(6, 4);
     fleet.isolate(3);
     fleet.run(5000);
-    let off = fleet.machines[3].node;
-    assert!(!fleet.process(0).membership.alive().contains(&off));
-    assert_eq!(fleet.process(3).membership.alive(), [off]);
+    let isolated = fleet.machines[3].node;
+    assert!(!fleet.process(0).membership.alive().contains(&isolated));
+    assert_eq!(fleet.process(3).membership.alive(), [isolated]);
     fleet.heal();
     fleet.run(3000);
     assert_all_alive(&fleet);
@@ -143,10 +167,15 @@
 
 #[test]
 fn one_way_partition_ends_contact_of_both_ends() {
+    // given
     let mut fleet = Fleet::running(7, 3);
     let nodes = fleet.nodes();
+
+    // when
     fleet.partition_one_way(0, 1);
     fleet.run(2000);
+
+    // then
     let now = fleet.now;
     assert!(!fleet.process(0).membership.has_contact_within(nodes[1], now, 1500));
     assert!(!fleet.process(1).membership.has_contact_within(nodes[0], now, 1500));
@@ -155,12 +184,17 @@
 
 #[test]
 fn only_majority_side_has_quorum_contact() {
+    // given
     let mut fleet = Fleet::running(8, 5);
     let voters = fleet.nodes();
+
+    // when
     for minority in [3, 4] {
         (0..3).for_each(|other| fleet.partition(minority, other));
     }
     fleet.run(3000);
+
+    // then
     let now = fleet.now;
     let reaching: Vec<bool> = fleet
         .processes()
@@ -200,19 +234,29 @@
 
 #[test]
 fn only_monitors_ping_a_member() {
+    // given
     let mut membership = single_member(&[]);
     let others = (2..=9).map(|node| member(NodeId(node), 1, 0, MemberState::Alive)).collect();
     membership.receive(0, PEER, ping(others));
     membership.take_sends();
+
+    // when
     let sent = run_idle(&mut membership, 0, 199);
+
+    // then
     assert!((1..=6).contains(&sent.len()), "{} of 8 members are pinged", sent.len());
 }
 
 #[test]
 fn suspicion_of_this_node_is_refuted() {
+    // given
     let mut membership = single_member(&[]);
     let records = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 11, 4, MemberState::Suspect)];
+
+    // when
     membership.receive(100, PEER, ping(records));
+
+    // then
     let (_, pong) = membership.take_sends().pop().expect("a pong");
     let MembershipMessage::Pong { number: 1, members } = pong else { panic!("not a pong: {pong:?}") };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
@@ -220,9 +264,14 @@
 
 #[test]
 fn suspicion_of_former_incarnation_is_not_refuted() {
+    // given
     let mut membership = single_member(&[]);
     let records = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Dead)];
+
+    // when
     membership.receive(100, PEER, ping(records));
+
+    // then
     assert_eq!(membership.members()[0].refutation, 0);
 }
 
@@ -232,12 +281,12 @@
     membership.receive(0, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
     let third = NodeId(3);
     membership.receive(10, third, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
-    assert_eq!(membership.record(PEER).map(|record| record.incarnation), Some(Incarnation(21)));
+    assert_eq!(incarnation(&membership, PEER), Some(Incarnation(21)));
     membership.receive(20, PEER, ping(vec![member(PEER, 22, 0, MemberState::Alive)]));
-    assert_eq!(membership.record(PEER).map(|record| record.incarnation), Some(Incarnation(22)));
+    assert_eq!(incarnation(&membership, PEER), Some(Incarnation(22)));
     membership.receive(30, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
     assert_eq!(
-        membership.record(PEER).map(|record| record.incarnation),
+        incarnation(&membership, PEER),
         Some(Incarnation(22)),
         "late message of the former incarnation"
     );
@@ -263,10 +312,15 @@
 
 #[test]
 fn pong_to_unknown_ping_proves_no_contact() {
+    // given
     let mut membership = single_member(&[PEER]);
     membership.tick(0);
+
+    // when
     let members = vec![member(PEER, 21, 0, MemberState::Alive)];
     membership.receive(10, PEER, MembershipMessage::Pong { number: 123, members });
+
+    // then
     assert!(!membership.has_contact_within(PEER, 10, 1000));
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
 }
@@ -324,12 +378,17 @@
 
 #[test]
 fn suspect_with_contact_is_not_declared_dead() {
+    // given
     let mut membership = with_unresponsive_member();
     membership.receive(100, NodeId(3), ping(vec![member(PEER, 21, 0, MemberState::Suspect)]));
+
+    // when
     for now in (200..5000).step_by(200) {
         membership.tick(now);
         answer_pings(&mut membership, now);
     }
+
+    // then
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
 }
 
@@ -370,17 +429,27 @@
 
 #[test]
 fn stall_restarts_timeout_of_unknown_voter() {
+    // given
     let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 400);
+
+    // when
     membership.tick(5_000);
+
+    // then
     assert!(!membership.is_unreachable(PEER));
 }
 
 #[test]
 fn forgotten_voter_stays_unreachable() {
+    // given
     let mut membership = with_responsive_member();
+
+    // when
     run_idle(&mut membership, 10, 70_000);
+
+    // then
     assert_eq!(membership.state(PEER), None);
     assert!(membership.is_unreachable(PEER));
 }
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -29,22 +29,32 @@
 
 #[test]
 fn record_from_peer_replaces_no_owner_of_an_address() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
+
+    // when
     directory.merge(12_000, PEER, 1, vec![record("old", Presence::Ready, heartbeat(1, 7))]);
     directory.merge(12_500, PEER, 2, vec![record("old", Presence::Ready, heartbeat(1, 8))]);
+
+    // then
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
 }
 
 #[test]
 fn replacement_is_pushed_to_all_peers() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     let first = take_batches(&mut directory);
     first.iter().for_each(|batch| directory.acknowledge(10_010, batch.to, batch.number));
     run_idle(&mut directory, 10_010, 12_000);
     directory.take_sends();
+
+    // when
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
+
+    // then
     let batches = take_batches(&mut directory);
     for peer in [PEER, OTHER] {
         let records = batches.iter().filter(|batch| batch.to == peer).flat_map(|batch| &batch.records);
@@ -55,15 +65,20 @@
 
 #[test]
 fn returning_peer_receives_missed_changes() {
+    // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(20_000, "a", draining(1, 2));
     run_idle(&mut directory, 20_000, 30_000);
     directory.take_sends();
+
+    // when
     let mut back = self::directory(PEER, 21, 0);
     back.set_peers(0, &[OWN]);
     run_idle(&mut directory, 30_000, 31_500);
     exchange_messages(31_500, &mut directory, OWN, &mut back, PEER);
+
+    // then
     assert_eq!(presence(&back, "a"), Some(Presence::Draining));
     assert!(directory.is_known_to_majority("a"));
     run_idle(&mut directory, 31_500, 32_500);
@@ -75,8 +90,11 @@
 
 #[test]
 fn unresponsive_peer_is_sent_few_small_batches() {
+    // given
     let mut directory = directory(OWN, 11, 0);
     directory.set_peers(0, &[PEER]);
+
+    // when
     let mut sent = Vec::new();
     for round in 1..=100 {
         for server in 0..500 {
@@ -86,15 +104,20 @@
         directory.tick(u64::from(round) * 100);
         sent.extend(take_batches(&mut directory));
     }
+
+    // then
     assert!(sent.iter().all(|batch| batch.records.len() <= MAX_BATCH_RECORDS));
     assert!(sent.len() <= MAX_BATCHES_IN_FLIGHT + 15, "{} batches in ten seconds", sent.len());
 }
 
 #[test]
 fn digests_keep_server_alive_at_other_coordinators() {
+    // given
     let (mut own, mut peer) = (directory(OWN, 11, 0), directory(PEER, 21, 0));
     own.set_peers(0, &[PEER]);
     peer.set_peers(0, &[OWN]);
+
+    // when
     for step in 0..200 {
         let now = step * 100;
         if now % HEARTBEAT_MS == 0 {
@@ -104,6 +127,8 @@
         peer.tick(now);
         exchange_messages(now, &mut own, OWN, &mut peer, PEER);
     }
+
+    // then
     assert_eq!(presence(&peer, "a"), Some(Presence::Ready));
     let lag = 190 - peer.record("a").map_or(0, |record| record.heartbeat.sequence);
     assert!(lag <= 10, "the sequence is {lag} steps behind");
@@ -157,11 +182,16 @@
 
 #[test]
 fn peer_at_earlier_stage_is_sent_the_record() {
+    // given
     let mut own = running_directory();
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
     batches.iter().for_each(|batch| own.acknowledge(10_010, batch.to, batch.number));
+
+    // when
     own.merge(10_020, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
+
+    // then
     let repair = take_batches(&mut own);
     assert_eq!(repair.len(), 1);
     assert_eq!((repair[0].to, repair[0].records[0].presence), (PEER, Presence::Draining));
@@ -169,15 +199,20 @@
 
 #[test]
 fn old_record_is_no_sign_of_life() {
+    // given
     let mut own = running_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 1));
     own.set_quorum_contact(10_000, false);
     run_idle(&mut own, 10_000, 20_000);
     assert_eq!(presence(&own, "a"), Some(Presence::Ready), "no server times out without quorum contact");
     own.take_sends();
+
+    // when
     own.on_peer_started(20_000, PEER, Incarnation(5));
     own.on_peer_started(20_000, PEER, Incarnation(6));
     run_idle(&mut own, 20_000, 21_500);
+
+    // then
     let batches = take_batches(&mut own);
     assert!(!batches.is_empty());
     assert!(batches.iter().all(|batch| batch.records[0].presence == Presence::TimedOut));
