--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -1,13 +1,13 @@
 //! The directory of servers: one coordinator's replica of the table that all coordinators share.
 //!
 //! A heartbeat reaches one coordinator. A change that it brings is pushed to all peers at once and kept as a hint
-//! for those that do not acknowledge it ([`hinted_handoff`]); unchanged servers are only named in digests
-//! ([`anti_entropy`]). There is no leader: records merge alike everywhere, as draining and removed are final for an
-//! id and otherwise the higher sequence wins ([`server_table`]). A heartbeat with `draining` and a deregistration
-//! are answered once a majority of the voters knows of them ([`majority`]).
+//! for those that do not acknowledge it (`hinted_handoff`); unchanged servers are only named in digests
+//! (`anti_entropy`). There is no leader: records merge alike everywhere, as draining and removed are final for an
+//! id and otherwise the higher sequence wins (`server_table`). A heartbeat with `draining` and a deregistration
+//! are answered once a majority of the voters knows of them (`majority`).
 //!
-//! Time-outs are not replicated ([`expiry`]): each coordinator concludes them by itself, and none while it has
-//! recently started, lacks contact with a quorum, or has stalled ([`quorum_contact`]).
+//! Time-outs are not replicated (`expiry`): each coordinator concludes them by itself, and none while it has
+//! recently started, lacks contact with a quorum, or has stalled (`quorum_contact`).
 
 mod anti_entropy;
 mod change_log;
@@ -28,7 +28,7 @@
 use shaletrail_protocol::internal::{DirectoryCursor, ServerRecord};
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
-pub use heartbeats::Accepted;
+pub use heartbeats::HeartbeatOutcome;
 pub use messages::{DirectoryMessage, ServerDigest};
 pub use options::{
     Options, MAX_BATCHES_IN_FLIGHT, MAX_BATCH_RECORDS, MAX_DIGEST_SERVERS, MAX_PENDING_CALLS,
@@ -67,7 +67,7 @@
     node: NodeId,
     table: ServerTable,
     change_log: ChangeLog,
-    /// One queue for each peer, absent ones included.
+    /// One queue for each peer, unreachable ones included.
     hint_queues: BTreeMap<NodeId, HintQueue>,
     voters: BTreeSet<NodeId>,
     pending_calls: PendingCalls,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Names all other coordinators, absent ones included, for which hints are kept. A new one is sent the whole
+    /// Names all other coordinators, unreachable ones included, for which hints are kept. A new one is sent the whole
     /// directory.
     pub fn set_peers(&mut self, now: Millis, peers: &[NodeId]) {
         let peers: BTreeSet<NodeId> = peers.iter().copied().filter(|peer| *peer != self.node).collect();
--- a/cluster/src/directory/heartbeats.rs
+++ b/cluster/src/directory/heartbeats.rs
@@ -11,7 +11,7 @@
 
 /// The effect of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct HeartbeatOutcome {
     /// Whether edges need to know what changed.
     pub changed: bool,
     /// Set for a draining server: answer once [`Directory::take_completed_calls`] returns this token.
@@ -20,7 +20,7 @@
 
 impl Directory {
     /// Merges a heartbeat of a server.
-    pub fn heartbeat(&mut self, now: Millis, id: &str, heartbeat: Heartbeat) -> Accepted {
+    pub fn heartbeat(&mut self, now: Millis, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
         self.record_call(now);
         let presence = match heartbeat.state {
             ServerState::Ready => Presence::Ready,
@@ -30,7 +30,7 @@
         let outcome = self.merge_from_server(now, record);
         let is_draining = presence == Presence::Draining;
         let call = is_draining.then(|| self.await_majority(now, ServerKey::of(id), LifecycleStage::Draining));
-        Accepted { changed: outcome.is_change(), call }
+        HeartbeatOutcome { changed: outcome.is_change(), call }
     }
 
     /// Removes a server at its own request; answer once [`Directory::take_completed_calls`] returns the token.
--- a/cluster/src/directory/quorum_contact.rs
+++ b/cluster/src/directory/quorum_contact.rs
@@ -19,7 +19,7 @@
         QuorumContact { connected: true, since: now, last_call: now }
     }
 
-    /// Sets whether a quorum is reachable; contact that is regained begins anew.
+    /// Sets whether a quorum is reachable; contact that is regained starts at `now`.
     pub(super) fn set(&mut self, now: Millis, connected: bool) {
         if connected && !self.connected {
             self.since = now;
@@ -28,7 +28,7 @@
     }
 
     /// Records that the process runs at `now`. A gap of more than `stall_ms` since the last call is a stall:
-    /// messages that arrived meanwhile may still be unread, so contact begins anew.
+    /// messages that arrived meanwhile may still be unread, so contact starts again at `now`.
     pub(super) fn record_call(&mut self, now: Millis, stall_ms: Millis) {
         if now.saturating_sub(self.last_call) > stall_ms {
             self.since = now;
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -1,9 +1,9 @@
 //! Membership of the coordinators: failure detection and gossip in the manner of SWIM.
 //!
-//! Each member is monitored by a few peers, chosen alike by all nodes ([`targets`]). A monitor pings it, suspects it
-//! after missed answers, and declares it dead unless it refutes the suspicion in time ([`failure_detector`]). Records
-//! travel on pings and their answers ([`gossip`]) and merge by incarnation, refutation number and state
-//! ([`member_table`]). A member that shuts down announces that itself ([`Membership::leave`]).
+//! Each member is monitored by a few peers, chosen alike by all nodes (`targets`). A monitor pings it, suspects it
+//! after missed answers, and declares it dead unless it refutes the suspicion in time (`failure_detector`). Records
+//! travel on pings and their answers (`gossip`) and merge by incarnation, refutation number and state
+//! (`member_table`). A member that shuts down announces that itself ([`Membership::leave`]).
 //!
 //! Seeds that are no members are pinged for ever with backoff, as they may start later. The voters
 //! ([`Membership::set_voters`]) are pinged by every coordinator, as each must know whether it reaches a quorum. A
--- a/cluster/src/membership/probe.rs
+++ b/cluster/src/membership/probe.rs
@@ -4,7 +4,7 @@
 
 use shaletrail_protocol::Millis;
 
-use super::Options;
+use super::options::Options;
 
 /// Unanswered pings that are tracked; an answer to an older one is ignored.
 const MAX_UNANSWERED_PINGS: usize = 16;
--- a/cluster/src/membership/targets.rs
+++ b/cluster/src/membership/targets.rs
@@ -8,7 +8,7 @@
 use crate::rendezvous::{choose, node_key};
 
 impl Membership {
-    /// Chooses the ping targets anew if members, voters or seeds have changed.
+    /// Chooses the ping targets again if members, voters or seeds have changed.
     pub(super) fn update_targets(&mut self, now: Millis) {
         if !std::mem::take(&mut self.targets_stale) {
             return;
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -3,7 +3,7 @@
 mod directory_fixture;
 
 use directory_fixture::*;
-use shaletrail_cluster::directory::{Accepted, CallOutcome, CallToken, Directory, Options};
+use shaletrail_cluster::directory::{CallOutcome, CallToken, Directory, HeartbeatOutcome, Options};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel};
 use shaletrail_protocol::internal::{DirectoryCursor, Presence};
 use shaletrail_protocol::{Incarnation, Millis};
@@ -23,8 +23,8 @@
     let second = directory.heartbeat(11_000, "a", Heartbeat { cold_remaining_ms: 0.0, ..heartbeat(1, 2) });
 
     // then
-    assert_eq!(first, Accepted { changed: true, call: None });
-    assert_eq!(second, Accepted { changed: false, call: None });
+    assert_eq!(first, HeartbeatOutcome { changed: true, call: None });
+    assert_eq!(second, HeartbeatOutcome { changed: false, call: None });
     assert_eq!(directory.record("a").map(|record| record.heartbeat.sequence), Some(2));
 }
 
