--- /dev/null
+++ b/configuration/src/host.rs
@@ -0,0 +1,23 @@
+//! Host names in the form that they are compared in.
+
+use std::borrow::Cow;
+
+/// Strips the port and converts to lower case. IPv6 addresses are recognised in brackets only.
+pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
+    let name = without_port(host);
+    if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
+        name.to_ascii_lowercase().into()
+    } else {
+        name.into()
+    }
+}
+
+fn without_port(host: &str) -> &str {
+    let Some((name, port)) = host.rsplit_once(':') else { return host };
+    let is_separator = !name.contains(':') || name.ends_with(']');
+    if is_separator && port.bytes().all(|byte| byte.is_ascii_digit()) {
+        name
+    } else {
+        host
+    }
+}
--- a/configuration/src/scan.rs
+++ b/configuration/src/json/precheck.rs
@@ -1,19 +1,19 @@
-//! What the JSON reader leaves unchecked: the depth of nesting, and the digits of escapes.
+//! Checks that the JSON parser leaves out: the depth of nesting, and the digits of `\u` escapes.
 
 use crate::error::{InvalidConfig, NotJsonSnafu, TooDeepSnafu};
 
-/// The deepest nesting taken. The reader of JSON descends by recursion, so that there must be a bound.
-const DEEPEST: usize = 64;
-/// Hexadecimal digits after `\u`.
+/// The greatest depth of nesting. The parser recurses once a level, so that its stack needs a bound.
+const MAX_DEPTH: usize = 64;
+/// Number of hexadecimal digits after `\u`.
 const ESCAPE_DIGITS: usize = 4;
 
-/// Checks nesting and escapes of a text that need not be JSON at all.
+/// Checks nesting and escapes of a text, which need not be valid JSON otherwise.
 pub(crate) fn check(text: &[u8]) -> Result<(), InvalidConfig> {
     let mut depth = 0_usize;
     let mut bytes = text.iter().enumerate();
     while let Some((_, byte)) = bytes.next() {
         match byte {
-            b'{' | b'[' if depth == DEEPEST => return TooDeepSnafu { most: DEEPEST }.fail(),
+            b'{' | b'[' if depth == MAX_DEPTH => return TooDeepSnafu { max_depth: MAX_DEPTH }.fail(),
             b'{' | b'[' => depth += 1,
             b'}' | b']' => depth = depth.saturating_sub(1),
             b'"' => skip_string(&mut bytes)?,
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// Goes on behind the closing quote of a string, or to the end if there is none.
+/// Advances past the closing quote of a string, or to the end of the text if there is none.
 fn skip_string<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), InvalidConfig> {
     while let Some((_, byte)) = bytes.next() {
         match byte {
--- a/configuration/src/snapshot.rs
+++ b/configuration/src/snapshot.rs
@@ -1,91 +1,96 @@
-//! The state machine as bytes, for snapshots of the configuration's shard.
+//! Encoding of the state machine for snapshots of the configuration's shard.
 
 use bitcode::{Decode, Encode};
 use snafu::ResultExt;
 
-use crate::document::{Document, ItemList, Stored};
+use crate::change_log::ChangeLogEntry;
+use crate::dedup_window::{AppliedChange, DedupWindow};
+use crate::document::{Document, StoredSection};
 use crate::error::{DecodeError, InvalidContentSnafu, UndecodableSnafu};
-use crate::log::{LogEntry, Taken, TakenChange};
+use crate::item_list::ItemList;
 use crate::state::ConfigState;
 
-/// All that a state holds but what is derived from the document.
+/// The state, but for what is derived from the document.
 #[derive(Encode, Decode)]
-struct Saved<'a> {
+struct Snapshot<'a> {
     version: u64,
-    sections: Vec<SavedSection<'a>>,
-    log: Vec<LogEntry>,
-    taken: Vec<TakenChange>,
-    forgotten: Option<u64>,
+    sections: Vec<SnapshotSection<'a>>,
+    change_log: Vec<ChangeLogEntry>,
+    applied_changes: Vec<AppliedChange>,
+    newest_evicted_base: Option<u64>,
 }
 
 #[derive(Encode, Decode)]
-struct SavedSection<'a> {
+struct SnapshotSection<'a> {
     key: &'a str,
-    content: SavedContent<'a>,
+    content: SnapshotContent<'a>,
 }
 
 #[derive(Encode, Decode)]
-enum SavedContent<'a> {
-    List(Vec<SavedItem<'a>>),
+enum SnapshotContent<'a> {
+    List(Vec<SnapshotItem<'a>>),
     Value(&'a str),
 }
 
 #[derive(Encode, Decode)]
-struct SavedItem<'a> {
+struct SnapshotItem<'a> {
     name: &'a str,
     json: &'a str,
 }
 
-impl<'a> SavedContent<'a> {
-    fn of(stored: &'a Stored) -> Self {
-        match stored {
-            Stored::Value(json) => SavedContent::Value(json),
-            Stored::List(list) => {
-                SavedContent::List(list.iter().map(|(name, json)| SavedItem { name, json }).collect())
+impl<'a> From<&'a StoredSection> for SnapshotContent<'a> {
+    fn from(section: &'a StoredSection) -> Self {
+        match section {
+            StoredSection::Value(json) => SnapshotContent::Value(json),
+            StoredSection::List(list) => {
+                SnapshotContent::List(list.iter().map(|(name, json)| SnapshotItem { name, json }).collect())
             }
         }
     }
+}
 
-    fn stored(&self) -> Stored {
-        match self {
-            SavedContent::Value(json) => Stored::Value((*json).to_owned()),
-            SavedContent::List(items) => {
+impl From<&SnapshotContent<'_>> for StoredSection {
+    fn from(content: &SnapshotContent<'_>) -> Self {
+        match content {
+            SnapshotContent::Value(json) => StoredSection::Value((*json).to_owned()),
+            SnapshotContent::List(items) => {
                 let mut list = ItemList::default();
                 for item in items {
-                    list.put(item.name.to_owned(), item.json.to_owned());
+                    list.insert(item.name.to_owned(), item.json.to_owned());
                 }
-                Stored::List(list)
+                StoredSection::List(list)
             }
         }
     }
 }
 
 impl ConfigState {
-    /// All of the state, as bytes; equal states give equal bytes.
+    /// Encodes the state; equal states give equal bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         let sections = self.document().sections();
-        let sections = sections.map(|(key, stored)| SavedSection { key, content: SavedContent::of(stored) });
-        bitcode::encode(&Saved {
+        let sections = sections.map(|(key, section)| SnapshotSection { key, content: section.into() });
+        bitcode::encode(&Snapshot {
             version: self.version(),
             sections: sections.collect(),
-            log: self.log().entries().cloned().collect(),
-            taken: self.taken().iter().collect(),
-            forgotten: self.taken().forgotten(),
+            change_log: self.change_log().entries().cloned().collect(),
+            applied_changes: self.dedup_window().iter().collect(),
+            newest_evicted_base: self.dedup_window().newest_evicted_base(),
         })
     }
 
-    /// Reads what [`snapshot`](ConfigState::snapshot) wrote.
+    /// Decodes what [`snapshot`](ConfigState::snapshot) returned, and checks the configuration in it.
     pub fn restore(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let saved: Result<Saved<'_>, _> = bitcode::decode(bytes);
-        let Ok(saved) = saved else {
+        let decoded: Result<Snapshot<'_>, _> = bitcode::decode(bytes);
+        let Ok(snapshot) = decoded else {
             return UndecodableSnafu { length: bytes.len(), expected: "a snapshot" }.fail();
         };
         let mut document = Document::default();
-        for section in &saved.sections {
-            document.put(section.key.to_owned(), section.content.stored());
+        for section in &snapshot.sections {
+            document.insert(section.key.to_owned(), (&section.content).into());
         }
-        let taken = Taken::restore(saved.taken, saved.forgotten);
-        ConfigState::from_parts(saved.version, document, saved.log.into_iter().collect(), taken)
+        let change_log = snapshot.change_log.into_iter().collect();
+        let dedup_window = DedupWindow::restore(snapshot.applied_changes, snapshot.newest_evicted_base);
+        ConfigState::from_parts(snapshot.version, document, change_log, dedup_window)
             .context(InvalidContentSnafu)
     }
 }
--- a/configuration/src/view.rs
+++ b/configuration/src/view.rs
@@ -1,59 +1,63 @@
-//! The typed form of a configuration, which requests are decided by.
+//! The typed form of a configuration, by which requests are routed.
 
-use std::collections::{BTreeMap, HashSet};
+use std::borrow::Cow;
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use shaletrail_protocol::internal::{ConfigUpdate, ItemKey};
 use snafu::ResultExt;
 
+use crate::diff::ConfigDiff;
 use crate::error::{BaseMismatchSnafu, InvalidConfig, InvalidUpdateSnafu, NotNewerSnafu, ViewError};
-use crate::reading::{Item, Typed, LIMITS, ROUTES, SERVICES};
+use crate::item::{Item, ItemValue};
+use crate::keys::{LIMITS, ROUTES, SERVICES};
 use crate::route_table::RouteTable;
-use crate::typed::{ClientLimits, Route, Service};
+use crate::schema::{ClientLimits, Route, Service};
 
-/// A configuration as requests see it. Clones share what they hold, so that a request may keep the one that it
-/// began with.
+/// A version of the configuration as requests see it. Clones share their content, so that a request can keep the
+/// version that it began with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// The configuration's version; 0 before the first.
+    /// Version of the configuration; 0 before the first.
     pub version: u64,
-    /// What clients may do.
+    /// Limits for clients.
     pub limits: ClientLimits,
     routes: Arc<RouteTable>,
     services: Arc<BTreeMap<String, Arc<Service>>>,
 }
 
 impl View {
-    /// Applies news, whole or not at all. The version never goes back, and news of what changed is taken only by
-    /// exactly the version that it builds on.
-    pub fn apply(&mut self, news: &ConfigUpdate) -> Result<(), ViewError> {
-        if news.version <= self.version {
-            return NotNewerSnafu { own: self.version, offered: news.version }.fail();
+    /// Applies an update as a whole or not at all. The version never goes back.
+    ///
+    /// # Errors
+    ///
+    /// If the update is not newer, builds on another version than the view's, or is invalid.
+    pub fn apply(&mut self, update: &ConfigUpdate) -> Result<(), ViewError> {
+        if update.version <= self.version {
+            return NotNewerSnafu { current: self.version, update: update.version }.fail();
         }
-        let items = news.upsert.iter().filter(|item| View::takes(&item.key));
-        let items = items.map(|item| Item::taken(&item.key.list, &item.key.name, &item.json));
-        let items = items.collect::<Result<Vec<_>, _>>().context(InvalidUpdateSnafu)?;
-        let items: Vec<&Item> = items.iter().collect();
-        match news.base {
-            Some(base) if base != self.version => BaseMismatchSnafu { own: self.version, base }.fail(),
-            Some(_) => self.check_and_replace(&items, news),
+        let items = parse_items(update).context(InvalidUpdateSnafu)?;
+        let diff = ConfigDiff { upsert: items.iter().collect(), remove: Cow::Borrowed(&update.remove) };
+        match update.base {
+            Some(base) if base != self.version => BaseMismatchSnafu { current: self.version, base }.fail(),
+            Some(_) => self.check_and_apply(&diff, update.version),
             None => {
                 let mut next = View::default();
-                next.check_and_replace(&items, news)?;
+                next.check_and_apply(&diff, update.version)?;
                 *self = next;
                 Ok(())
             }
         }
     }
 
-    fn check_and_replace(&mut self, items: &[&Item], news: &ConfigUpdate) -> Result<(), ViewError> {
-        self.check_places(items, &news.remove).context(InvalidUpdateSnafu)?;
-        self.replace(items, &news.remove, news.version);
+    fn check_and_apply(&mut self, diff: &ConfigDiff<'_>, version: u64) -> Result<(), ViewError> {
+        self.check(diff).context(InvalidUpdateSnafu)?;
+        self.apply_diff(diff, version);
         Ok(())
     }
 
-    /// The route of a request: among those of the host (with or without a port, in any case) the one with the
-    /// longest prefix that begins the path.
+    /// The route of a request: of the host's routes (with or without a port, in any case), the one with the longest
+    /// prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.find(host, path)
     }
@@ -73,8 +77,8 @@
         self.services.values()
     }
 
-    /// Whether a view keeps anything of an item.
-    pub(crate) fn takes(key: &ItemKey) -> bool {
+    /// Whether an item is part of views.
+    pub(crate) fn includes(key: &ItemKey) -> bool {
         match key.list.as_str() {
             ROUTES | SERVICES => !key.name.is_empty(),
             LIMITS => key.name.is_empty(),
@@ -82,20 +86,18 @@
         }
     }
 
-    /// Checks that no two routes would have one place once the changes are made.
-    pub(crate) fn check_places(&self, upsert: &[&Item], remove: &[ItemKey]) -> Result<(), InvalidConfig> {
-        let replaced: HashSet<&str> = replaced_routes(upsert, remove).collect();
-        self.routes.check(upsert.iter().filter_map(|item| as_route(item)).map(AsRef::as_ref), &replaced)
+    /// Checks that no two routes have the same host and prefix once `diff` is applied.
+    pub(crate) fn check(&self, diff: &ConfigDiff<'_>) -> Result<(), InvalidConfig> {
+        self.routes.check(diff)
     }
 
-    /// Takes items out and brings others in, as has been checked.
-    pub(crate) fn replace(&mut self, upsert: &[&Item], remove: &[ItemKey], version: u64) {
+    /// Applies a difference that was checked.
+    pub(crate) fn apply_diff(&mut self, diff: &ConfigDiff<'_>, version: u64) {
         self.version = version;
-        if replaced_routes(upsert, remove).next().is_some() {
-            let routes = upsert.iter().filter_map(|item| as_route(item)).cloned();
-            Arc::make_mut(&mut self.routes).apply(replaced_routes(upsert, remove), routes);
+        if diff.changed_route_names().next().is_some() {
+            Arc::make_mut(&mut self.routes).apply(diff);
         }
-        for key in remove {
+        for key in diff.remove.iter() {
             match key.list.as_str() {
                 SERVICES => {
                     Arc::make_mut(&mut self.services).remove(&key.name);
@@ -104,30 +106,20 @@
                 _ => {}
             }
         }
-        for item in upsert {
-            match &item.typed {
-                Typed::Service(service) => {
+        for item in &diff.upsert {
+            match &item.value {
+                ItemValue::Service(service) => {
                     Arc::make_mut(&mut self.services).insert(service.name.clone(), service.clone());
                 }
-                Typed::Limits(limits) => self.limits = *limits,
-                Typed::Route(_) | Typed::Other => {}
+                ItemValue::Limits(limits) => self.limits = *limits,
+                ItemValue::Route(_) | ItemValue::Opaque => {}
             }
         }
     }
 }
 
-fn as_route(item: &Item) -> Option<&Arc<Route>> {
-    match &item.typed {
-        Typed::Route(route) => Some(route),
-        _ => None,
-    }
-}
-
-/// Names of the routes that are removed or replaced.
-pub(crate) fn replaced_routes<'a>(
-    upsert: &'a [&Item],
-    remove: &'a [ItemKey],
-) -> impl Iterator<Item = &'a str> {
-    let removed = remove.iter().filter(|key| key.list == ROUTES).map(|key| key.name.as_str());
-    removed.chain(upsert.iter().filter_map(|item| as_route(item)).map(|route| route.name.as_str()))
+/// The update's items that are part of views.
+fn parse_items(update: &ConfigUpdate) -> Result<Vec<Item>, InvalidConfig> {
+    let items = update.upsert.iter().filter(|item| View::includes(&item.key));
+    items.map(|item| Item::parse_stored(&item.key.list, &item.key.name, &item.json)).collect()
 }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, InvalidConfig};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, InvalidConfig};
 
 /// A route with one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
@@ -34,17 +34,17 @@
 
 /// Sends `Config.Replace` as the coordinators do: parsed, judged, agreed on, applied.
 pub fn replace(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
-    send(state, true, base, body.to_string().as_bytes())
+    send(state, ChangeKind::Replace, base, body.to_string().as_bytes())
 }
 
 /// Sends `Config.Update`.
 pub fn update(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
-    send(state, false, base, body.to_string().as_bytes())
+    send(state, ChangeKind::Update, base, body.to_string().as_bytes())
 }
 
 /// Sends any body.
-pub fn send(state: &mut ConfigState, whole: bool, base: u64, body: &[u8]) -> ChangeOutcome {
-    let change = match Change::parse(whole, base, body) {
+pub fn send(state: &mut ConfigState, kind: ChangeKind, base_version: u64, body: &[u8]) -> ChangeOutcome {
+    let change = match Change::parse(kind, base_version, body) {
         Ok(change) => change,
         Err(invalid) => return ChangeOutcome::Invalid(invalid),
     };
--- a/configuration/tests/histories.rs
+++ b/configuration/tests/histories.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{json, Map, Value};
-use shaletrail_configuration::{ChangeOutcome, ConfigState, View};
+use shaletrail_configuration::{ChangeKind, ChangeOutcome, ConfigState, View};
 
 const HISTORIES: u64 = 60;
 const CHANGES: usize = 60;
@@ -39,7 +39,7 @@
 /// A call of the operator.
 #[derive(Clone, Debug, PartialEq)]
 struct Call {
-    whole: bool,
+    kind: ChangeKind,
     base: u64,
     body: Value,
 }
@@ -62,7 +62,10 @@
         if call.base != self.version() {
             return Verdict::Conflict;
         }
-        let next = if call.whole { call.body.clone() } else { updated(&self.current, &call.body) };
+        let next = match call.kind {
+            ChangeKind::Replace => call.body.clone(),
+            ChangeKind::Update => updated(&self.current, &call.body),
+        };
         if !is_valid(&next) || next["version"].as_u64() <= Some(self.version()) {
             return Verdict::Invalid;
         }
@@ -220,8 +223,12 @@
         let base = if self.chance(90) { current } else { current.saturating_sub(self.below(3)) };
         let version = if self.chance(95) { current + 1 + self.below(4) } else { current };
         let whole = current == 0 || self.chance(15);
-        let body = if whole { self.whole(version) } else { self.update(version) };
-        Call { whole, base, body }
+        let (kind, body) = if whole {
+            (ChangeKind::Replace, self.whole(version))
+        } else {
+            (ChangeKind::Update, self.update(version))
+        };
+        Call { kind, base, body }
     }
 }
 
@@ -236,7 +243,7 @@
         for _ in 0..CHANGES {
             let call = operator.call(&model);
             // When
-            let judgement = send(&mut state, call.whole, call.base, call.body.to_string().as_bytes());
+            let judgement = send(&mut state, call.kind, call.base, call.body.to_string().as_bytes());
             // Then: the answer and what is read back are the model's.
             let verdict = Verdict::from(judgement.clone());
             match model.take(&call) {
@@ -287,7 +294,7 @@
         let mut state = ConfigState::default();
         for _ in 0..CHANGES {
             let call = operator.call(&model);
-            send(&mut state, call.whole, call.base, call.body.to_string().as_bytes());
+            send(&mut state, call.kind, call.base, call.body.to_string().as_bytes());
             model.take(&call);
         }
         for (host, prefix) in (0..hosts).flat_map(|host| (0..prefixes).map(move |prefix| (host, prefix))) {
--- a/configuration/tests/invalid.rs
+++ b/configuration/tests/invalid.rs
@@ -4,7 +4,7 @@
 
 use common::{first, one_line, reason, replace, route, send, service, started, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
 
 /// Replaces the configuration of [`started`] by one that has been spoilt.
 fn replaced_by(spoil: impl FnOnce(&mut Value)) -> String {
@@ -26,14 +26,14 @@
 }
 
 fn sent(body: &[u8]) -> String {
-    reason(send(&mut started(), true, 1, body))
+    reason(send(&mut started(), ChangeKind::Replace, 1, body))
 }
 
 #[test]
 fn given_a_configuration_when_a_replacement_is_cut_short_anywhere_then_it_is_refused() {
     let body = two_routes(2).to_string();
     for length in 0..body.len() {
-        let whole = Change::parse(true, 1, &body.as_bytes()[..length]);
+        let whole = Change::parse(ChangeKind::Replace, 1, &body.as_bytes()[..length]);
         assert!(whole.is_err(), "{length} bytes were taken");
     }
     insta::assert_snapshot!(sent(&body.as_bytes()[..body.len() - 1]), @"body: not JSON from byte 669 on");
@@ -46,7 +46,10 @@
                       "remove": {"routes": ["r-one"]}});
     let body = body.to_string();
     for length in 0..body.len() {
-        assert!(Change::parse(false, 1, &body.as_bytes()[..length]).is_err(), "{length} bytes were taken");
+        assert!(
+            Change::parse(ChangeKind::Update, 1, &body.as_bytes()[..length]).is_err(),
+            "{length} bytes were taken"
+        );
     }
 }
 
@@ -71,7 +74,7 @@
     let deep = |depth: usize| format!("{{\"version\":2,\"a\":{}{}}}", "[".repeat(depth), "]".repeat(depth));
     insta::assert_snapshot!(sent(deep(1_000_000).as_bytes()), @"body: nested deeper than 64");
     insta::assert_snapshot!(sent(deep(64).as_bytes()), @"body: nested deeper than 64");
-    assert_eq!(send(&mut started(), true, 1, deep(63).as_bytes()), ChangeOutcome::Accepted);
+    assert_eq!(send(&mut started(), ChangeKind::Replace, 1, deep(63).as_bytes()), ChangeOutcome::Accepted);
 }
 
 #[test]
--- a/configuration/tests/races.rs
+++ b/configuration/tests/races.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::json;
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState};
 
 /// Histories that are played.
 const HISTORIES: u64 = 200;
@@ -84,7 +84,7 @@
             // Now and then both operators send the very same.
             let author = if self.chance(20) { 9 } else { operator };
             let body = json!({"version": version, "upsert": {"author": author}}).to_string();
-            let change = Change::parse(false, base, body.as_bytes()).expect("a valid body");
+            let change = Change::parse(ChangeKind::Update, base, body.as_bytes()).expect("a valid body");
             self.operators[operator] = Some(Sending { encoded: change.encode(), base });
         }
         if let Some(sending) = &self.operators[operator] {
--- a/configuration/tests/stored_format.rs
+++ b/configuration/tests/stored_format.rs
@@ -12,7 +12,7 @@
 
 use common::{route, service, two_routes};
 use serde_json::json;
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState, View};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, View};
 use stored::StoredBytes;
 
 fn starting_with(prefix: &str) -> StoredBytes {
@@ -20,11 +20,15 @@
 }
 
 /// Encodes a call of the operator, and decodes the stored bytes of the same.
-fn compare(stored: &mut StoredBytes, name: &str, whole: bool, base: u64, body: &str) -> Vec<u8> {
-    let change = Change::parse(whole, base, body.as_bytes()).expect("a proper change");
+fn compare(stored: &mut StoredBytes, name: &str, kind: ChangeKind, base: u64, body: &str) -> Vec<u8> {
+    let change = Change::parse(kind, base, body.as_bytes()).expect("a proper change");
     let bytes = stored.bytes(name, &change.encode());
     let decoded = Change::decode(&bytes).expect("stored changes decode");
-    assert_eq!((decoded.base(), decoded.version()), (change.base(), change.version()), "{name}");
+    assert_eq!(
+        (decoded.base_version(), decoded.version()),
+        (change.base_version(), change.version()),
+        "{name}"
+    );
     assert_eq!(decoded.encode(), bytes, "{name}: whether it replaces all, and its body");
     bytes
 }
@@ -36,8 +40,8 @@
         "upsert": {"routes": [changed], "services": [service("new")], "later": {"x": 1.50}, "tenants": []},
         "remove": {"routes": ["r-two"]}});
     [
-        compare(stored, "change replace", true, 0, &two_routes(3).to_string()),
-        compare(stored, "change update", false, 3, &update.to_string()),
+        compare(stored, "change replace", ChangeKind::Replace, 0, &two_routes(3).to_string()),
+        compare(stored, "change update", ChangeKind::Update, 3, &update.to_string()),
     ]
 }
 
--- a/configuration/tests/taking.rs
+++ b/configuration/tests/taking.rs
@@ -4,7 +4,7 @@
 
 use common::{first, read, replace, route, send, service, started, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, WeightedService};
 
 fn removal(version: u64, name: &str) -> Value {
     json!({"version": version, "remove": {"routes": [name]}})
@@ -31,7 +31,7 @@
         "weightsMb":65099.99999999999}]}}],"tenants":[],"ratio":100000000000000000000.5,"empty":{}}"#;
     let mut state = ConfigState::default();
     // When
-    assert_eq!(send(&mut state, true, 0, body.as_bytes()), ChangeOutcome::Accepted);
+    assert_eq!(send(&mut state, ChangeKind::Replace, 0, body.as_bytes()), ChangeOutcome::Accepted);
     // Then
     let sent: Value = serde_json::from_str(body).expect("JSON");
     assert_eq!(read(&state), sent);
@@ -86,8 +86,8 @@
     assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(names(&read(&state), "routes"), ["r-two", "r-one"]);
     assert_eq!(
-        state.view().route("a.example", "/one/").map(|route| route.targets.clone()),
-        Some(vec![("web".to_owned(), 1.0)])
+        state.view().route("a.example", "/one/").map(|route| route.traffic_split.clone()),
+        Some(vec![WeightedService { service: "web".to_owned(), weight: 1.0 }])
     );
 }
 
@@ -137,7 +137,10 @@
     assert_eq!(update(&mut state, 1, &removal(3, "r-one")), ChangeOutcome::Accepted);
     assert_eq!(update(&mut state, 1, &removal(3, "r-two")), ChangeOutcome::Conflict { current: 3 });
     let body = removal(3, "r-one").to_string();
-    assert_eq!(send(&mut state, true, 1, body.as_bytes()), ChangeOutcome::Conflict { current: 3 });
+    assert_eq!(
+        send(&mut state, ChangeKind::Replace, 1, body.as_bytes()),
+        ChangeOutcome::Conflict { current: 3 }
+    );
     assert_eq!(update(&mut state, 0, &removal(3, "r-one")), ChangeOutcome::Conflict { current: 3 });
 }
 
@@ -165,8 +168,10 @@
 fn given_two_changes_judged_on_one_version_when_both_are_agreed_on_then_the_first_wins_everywhere() {
     // Given: both pass the leader's look before either is applied.
     let (mut one, mut other) = (started(), started());
-    let first = Change::parse(false, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
-    let second = Change::parse(false, 1, removal(2, "r-two").to_string().as_bytes()).expect("valid");
+    let first =
+        Change::parse(ChangeKind::Update, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
+    let second =
+        Change::parse(ChangeKind::Update, 1, removal(2, "r-two").to_string().as_bytes()).expect("valid");
     assert_eq!(
         (one.validate(&first), one.validate(&second)),
         (ChangeOutcome::Accepted, ChangeOutcome::Accepted)
@@ -186,9 +191,9 @@
 
 #[test]
 fn given_a_change_when_it_is_encoded_and_decoded_then_it_is_the_same() {
-    let change = Change::parse(true, 6, two_routes(7).to_string().as_bytes()).expect("valid");
+    let change = Change::parse(ChangeKind::Replace, 6, two_routes(7).to_string().as_bytes()).expect("valid");
     let decoded = Change::decode(&change.encode()).expect("an encoded change");
-    assert_eq!((decoded.base(), decoded.version()), (6, 7));
+    assert_eq!((decoded.base_version(), decoded.version()), (6, 7));
     assert_eq!(decoded.encode(), change.encode());
 }
 
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -51,16 +51,16 @@
             path_prefix: "/pufi791/",
             kind: Streaming {
                 resumable: true,
-                gap_aim_ms: 350,
+                gap_target_ms: 350,
             },
             timeout_ms: 6000,
             target_latency_ms: 1500,
             priority: 0,
-            targets: [
-                (
-                    "huvo11a",
-                    1.0,
-                ),
+            traffic_split: [
+                WeightedService {
+                    service: "huvo11a",
+                    weight: 1.0,
+                },
             ],
             max_attempts: 2,
             affinity: true,
@@ -73,15 +73,15 @@
             timeout_ms: 5000,
             target_latency_ms: 800,
             priority: 1,
-            targets: [
-                (
-                    "huvo11a",
-                    90.0,
-                ),
-                (
-                    "wuno96b",
-                    10.0,
-                ),
+            traffic_split: [
+                WeightedService {
+                    service: "huvo11a",
+                    weight: 90.0,
+                },
+                WeightedService {
+                    service: "wuno96b",
+                    weight: 10.0,
+                },
             ],
             max_attempts: 1,
             affinity: false,
@@ -147,11 +147,11 @@
         timeout_ms: 30000,
         target_latency_ms: 30000,
         priority: 5,
-        targets: [
-            (
-                "s",
-                1.0,
-            ),
+        traffic_split: [
+            WeightedService {
+                service: "s",
+                weight: 1.0,
+            },
         ],
         max_attempts: 1,
         affinity: false,
@@ -160,7 +160,7 @@
     insta::assert_debug_snapshot!(view.route("h.example", "/q/").expect("a route").kind, @r#"
     Streaming {
         resumable: false,
-        gap_aim_ms: 400,
+        gap_target_ms: 400,
     }
     "#);
     insta::assert_debug_snapshot!(view.service("m").expect("a service"), @r#"
@@ -194,10 +194,10 @@
 
 #[test]
 fn given_kinds_of_routes_when_asked_then_they_tell_whether_a_request_may_run_twice() {
-    assert!(RouteKind::Idempotent.may_repeat());
-    assert!(!RouteKind::NonIdempotent.may_repeat());
-    assert!(RouteKind::Streaming { resumable: true, gap_aim_ms: 1 }.may_repeat());
-    assert!(!RouteKind::Streaming { resumable: false, gap_aim_ms: 1 }.may_repeat());
+    assert!(RouteKind::Idempotent.is_idempotent());
+    assert!(!RouteKind::NonIdempotent.is_idempotent());
+    assert!(RouteKind::Streaming { resumable: true, gap_target_ms: 1 }.is_idempotent());
+    assert!(!RouteKind::Streaming { resumable: false, gap_target_ms: 1 }.is_idempotent());
 }
 
 #[test]
@@ -329,7 +329,7 @@
     view.apply(&state.updates_since(0).expect("news")).expect("valid news");
     let before = view.clone();
     for old in [first, state.updates_since(1).expect("news"), state.updates_since(0).expect("news")] {
-        assert!(matches!(view.apply(&old), Err(ViewError::NotNewer { own: 5, .. })));
+        assert!(matches!(view.apply(&old), Err(ViewError::NotNewer { current: 5, .. })));
         assert_eq!(view, before);
     }
 }
@@ -343,7 +343,7 @@
     }
     let before = view.clone();
     let news = state.updates_since(2).expect("news");
-    assert_eq!(view.apply(&news), Err(ViewError::BaseMismatch { own: 1, base: 2 }));
+    assert_eq!(view.apply(&news), Err(ViewError::BaseMismatch { current: 1, base: 2 }));
     assert_eq!(view, before);
     view.apply(&state.updates_since(1).expect("news")).expect("valid news");
     assert_eq!(&view, state.view());
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -2,7 +2,7 @@
 
 mod table;
 
-use shaletrail_configuration::{Change, ChangeOutcome};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome};
 use shaletrail_consensus::Replica;
 use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
@@ -20,8 +20,9 @@
         call: OperatorCall,
         actions: &mut Vec<Action>,
     ) {
-        if let OperatorCall::Change { replace: whole, base_version: base, body } = &call {
-            if let Err(invalid) = Change::parse(*whole, *base, body) {
+        if let OperatorCall::Change { replace, base_version, body } = &call {
+            if let Err(invalid) = Change::parse(ChangeKind::from_replace_flag(*replace), *base_version, body)
+            {
                 let answer = OperatorResponse::Invalid { reason: invalid.to_string() };
                 return answer_caller(caller, answer, actions);
             }
@@ -106,8 +107,8 @@
 fn begin(replica: &mut Replica, now: Millis, ticket: Ticket, call: &OperatorCall) -> Option<Stage> {
     match call {
         OperatorCall::Read => replica.read(now, ticket.0).ok().map(|()| Stage::Reading),
-        OperatorCall::Change { replace: whole, base_version: base, body } => {
-            let change = Change::parse(*whole, *base, body).ok()?;
+        OperatorCall::Change { replace, base_version, body } => {
+            let change = Change::parse(ChangeKind::from_replace_flag(*replace), *base_version, body).ok()?;
             let term = replica.term();
             let index = replica.propose(now, change.encode()).ok()?;
             Some(Stage::Proposed { index, term })
--- a/dataplane/src/ingress.rs
+++ b/dataplane/src/ingress.rs
@@ -141,8 +141,8 @@
 
 /// The pause after which a stream counts as stalled; only where it may be taken up elsewhere.
 fn stall_after(route: &Route) -> Option<Duration> {
-    let RouteKind::Streaming { resumable: true, gap_aim_ms } = route.kind else { return None };
-    Some(Duration::from_millis(gap_aim_ms.saturating_mul(STALLED_GAPS)).max(LEAST_STALL))
+    let RouteKind::Streaming { resumable: true, gap_target_ms } = route.kind else { return None };
+    Some(Duration::from_millis(gap_target_ms.saturating_mul(STALLED_GAPS)).max(LEAST_STALL))
 }
 
 /// What the router is told. The time that a request has runs from its head: what it took to read the body is over.
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState};
 use shaletrail_dataplane::{Control, Dataplane};
 use shaletrail_protocol::external::Heartbeat;
 use shaletrail_protocol::internal::{ConfigUpdate, Presence, ServerRecord};
@@ -106,7 +106,8 @@
 pub fn updates_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigUpdate {
     let mut state = ConfigState::default();
     for (whole, base, body) in changes {
-        let change = Change::parse(*whole, *base, body.as_bytes()).expect("a change");
+        let change =
+            Change::parse(ChangeKind::from_replace_flag(*whole), *base, body.as_bytes()).expect("a change");
         assert_eq!(state.apply(&change.encode()), ChangeOutcome::Accepted);
     }
     state.updates_since(version).expect("news")
--- a/model-checker/src/judge.rs
+++ b/model-checker/src/judge.rs
@@ -113,7 +113,8 @@
         let change = change(number);
         for other in self.taken.keys().filter(|other| **other != number) {
             let other_change = crate::scenes::change(*other);
-            let apart = other_change.version() != change.version() && other_change.base() != change.base();
+            let apart = other_change.version() != change.version()
+                && other_change.base_version() != change.base_version();
             holds(apart, || format!("changes {other} and {number} are both taken under one number"))?;
         }
         self.taken.insert(number, index);
@@ -137,7 +138,7 @@
         let (Some(refused), Some(taken)) = (self.refused.get(&number), self.taken.get(&number)) else {
             return Ok(());
         };
-        holds(taken > refused && change(number).base() > 0, || {
+        holds(taken > refused && change(number).base_version() > 0, || {
             format!("change {number} was refused and is in force")
         })
     }
--- a/model-checker/src/scenes.rs
+++ b/model-checker/src/scenes.rs
@@ -2,7 +2,7 @@
 
 use std::sync::OnceLock;
 
-use shaletrail_configuration::Change;
+use shaletrail_configuration::{Change, ChangeKind};
 
 use crate::machine::{Input, Kind, Settings, ELECTION};
 use crate::world::{Budget, Script, World, SPARE};
@@ -37,7 +37,7 @@
 fn changes() -> &'static [Change] {
     static CHANGES_READ: OnceLock<Vec<Change>> = OnceLock::new();
     CHANGES_READ.get_or_init(|| {
-        let read = |(base, body): &(u64, &str)| Change::parse(true, *base, body.as_bytes());
+        let read = |(base, body): &(u64, &str)| Change::parse(ChangeKind::Replace, *base, body.as_bytes());
         CHANGES.iter().map(|change| read(change).expect("the changes are valid")).collect()
     })
 }
--- a/routing/src/placing.rs
+++ b/routing/src/placing.rs
@@ -159,7 +159,7 @@
             server: chosen.server,
             sent_at: now,
             until: request.deadline_at + self.options.deadline_grace_ms,
-            silent_at: request.new.route.kind.may_repeat().then_some(now + silence),
+            silent_at: request.new.route.kind.is_idempotent().then_some(now + silence),
             prefill,
             answered: false,
             first_visit,
--- a/routing/src/requests.rs
+++ b/routing/src/requests.rs
@@ -94,7 +94,7 @@
 
     /// Whether a verdict of the attempts that have ended allows another.
     pub fn may_run_again(&self) -> bool {
-        self.surely_not_run() || self.new.route.kind.may_repeat()
+        self.surely_not_run() || self.new.route.kind.is_idempotent()
     }
 
     /// Whether its answer, of which a part has been passed on, may go on at another server.
@@ -125,9 +125,9 @@
 
     /// Milliseconds of silence after which clients give a stream up.
     fn silence_borne(&self) -> Option<Millis> {
-        let RouteKind::Streaming { gap_aim_ms, .. } = self.new.route.kind else { return None };
+        let RouteKind::Streaming { gap_target_ms, .. } = self.new.route.kind else { return None };
         let by_aim = self.new.route.target_latency_ms.saturating_mul(SILENCE_PER_AIM);
-        Some(LEAST_SILENCE.max(by_aim).max(gap_aim_ms.saturating_mul(SILENCE_PER_PAUSE)))
+        Some(LEAST_SILENCE.max(by_aim).max(gap_target_ms.saturating_mul(SILENCE_PER_PAUSE)))
     }
 
     /// Until when it may be held while every server is full.
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -255,20 +255,20 @@
             };
             members.iter().any(ready)
         };
-        if let [(only, _)] = route.targets.as_slice() {
-            return only.clone();
+        if let [only] = route.traffic_split.as_slice() {
+            return only.service.clone();
         }
-        let usable: Vec<_> = route.targets.iter().filter(|(name, _)| has_ready(name)).collect();
-        let among = if usable.is_empty() { route.targets.iter().collect() } else { usable };
-        let sum: f64 = among.iter().map(|(_, weight)| weight).sum();
+        let usable: Vec<_> = route.traffic_split.iter().filter(|part| has_ready(&part.service)).collect();
+        let among = if usable.is_empty() { route.traffic_split.iter().collect() } else { usable };
+        let sum: f64 = among.iter().map(|part| part.weight).sum();
         let mut point = self.random.random::<f64>() * sum;
-        for (name, weight) in &among {
-            point -= weight;
+        for part in &among {
+            point -= part.weight;
             if point < 0.0 {
-                return name.clone();
+                return part.service.clone();
             }
         }
-        among.last().map(|(name, _)| name.clone()).unwrap_or_default()
+        among.last().map(|part| part.service.clone()).unwrap_or_default()
     }
 
     /// Whether a model is neither in the configuration nor on any server.
@@ -378,7 +378,7 @@
                     self.break_off(request, actions);
                 }
             }
-            Ending::Failed { status } if status >= 500 && request.new.route.kind.may_repeat() => {
+            Ending::Failed { status } if status >= 500 && request.new.route.kind.is_idempotent() => {
                 self.place(now, request, Otherwise::ForwardFailure, actions);
             }
             Ending::Failed { .. } => self.pass_on(request, actions),
--- a/routing/tests/choice.rs
+++ b/routing/tests/choice.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shaletrail_configuration::Route;
+use shaletrail_configuration::{Route, WeightedService};
 use shaletrail_protocol::internal::Presence;
 use shaletrail_ring::Key;
 use shaletrail_routing::interface::{Ending, Event, RejectReason, Verdict};
@@ -118,11 +118,16 @@
     assert_eq!(sent(&actions), None);
 }
 
+fn ninety_to_ten() -> Vec<WeightedService> {
+    let part = |service: &str, weight| WeightedService { service: service.to_owned(), weight };
+    vec![part(LLM, 90.0), part(WEB, 10.0)]
+}
+
 #[test]
 fn given_a_split_when_requests_come_then_services_get_them_by_weight() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     edge.servers((10..12).map(|n| server(WEB, n, &[])).collect());
-    let split = Route { targets: vec![(LLM.into(), 90.0), (WEB.into(), 10.0)], ..route(LLM) };
+    let split = Route { traffic_split: ninety_to_ten(), ..route(LLM) };
     let mut web = 0;
     for _ in 0..1000 {
         let sent = edge.ask_sent(&split, "m1");
@@ -135,7 +140,7 @@
 #[test]
 fn given_a_split_when_a_target_has_no_ready_server_then_the_other_takes_all() {
     let mut edge = Edge::with_servers(WEB, 2, &[]);
-    let split = Route { targets: vec![(LLM.into(), 90.0), (WEB.into(), 10.0)], ..route(LLM) };
+    let split = Route { traffic_split: ninety_to_ten(), ..route(LLM) };
     for _ in 0..50 {
         let sent = edge.ask_sent(&split, "m1");
         edge.serve(&sent);
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use shaletrail_configuration::{Route, RouteKind, View};
+use shaletrail_configuration::{Route, RouteKind, View, WeightedService};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
 use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey, Presence, ServerRecord};
 use shaletrail_protocol::Millis;
@@ -221,7 +221,7 @@
         timeout_ms: 4000,
         target_latency_ms: 800,
         priority: 1,
-        targets: vec![(service.to_owned(), 1.0)],
+        traffic_split: vec![WeightedService { service: service.to_owned(), weight: 1.0 }],
         max_attempts: 3,
         affinity: true,
     }
@@ -232,7 +232,7 @@
 }
 
 pub fn stream(service: &str, resumable: bool) -> Route {
-    Route { kind: RouteKind::Streaming { resumable, gap_aim_ms: 400 }, ..route(service) }
+    Route { kind: RouteKind::Streaming { resumable, gap_target_ms: 400 }, ..route(service) }
 }
 
 /// Server numbers in the order of a key's sequence.
--- a/routing/tests/lives.rs
+++ b/routing/tests/lives.rs
@@ -163,8 +163,8 @@
         let kind = match self.random.random_range(0..4) {
             0 => RouteKind::Idempotent,
             1 => RouteKind::NonIdempotent,
-            2 => RouteKind::Streaming { resumable: true, gap_aim_ms: 400 },
-            _ => RouteKind::Streaming { resumable: false, gap_aim_ms: 400 },
+            2 => RouteKind::Streaming { resumable: true, gap_target_ms: 400 },
+            _ => RouteKind::Streaming { resumable: false, gap_target_ms: 400 },
         };
         let route = Route {
             kind,
@@ -384,7 +384,7 @@
         assert!(life.out.is_none(), "two attempts at once");
         assert_eq!(sent.attempt.0, life.sendings);
         assert!(
-            life.verdict <= Verdict::SurelyNotRun || life.route.kind.may_repeat(),
+            life.verdict <= Verdict::SurelyNotRun || life.route.kind.is_idempotent(),
             "may run twice: {life:?}"
         );
         let visited: BTreeSet<&String> = life.arrivals.iter().chain([&sent.server]).collect();
