--- a/configuration/tests/taking.rs
+++ b/configuration/tests/changes.rs
@@ -1,8 +1,8 @@
-//! Changes that are taken, come again, or come too late; and what is read back.
+//! Changes that are accepted, repeated, in conflict or expired; and what is read back.
 
 mod common;
 
-use common::{first, read, replace, route, send, service, started, two_routes, update};
+use common::{first_item, read, replace, route, send, service, state_with_two_routes, two_routes, update};
 use serde_json::{json, Value};
 use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, WeightedService};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn given_nothing_when_it_is_read_then_it_has_version_0_and_there_are_no_news() {
+fn initial_state_has_version_0_and_no_updates() {
     let state = ConfigState::default();
     assert_eq!(read(&state), json!({"version": 0}));
     assert_eq!(state.updates_since(0), None);
@@ -24,25 +24,25 @@
 }
 
 #[test]
-fn given_a_configuration_when_it_is_taken_then_it_is_read_back_to_the_letter() {
-    // Given: numbers that floating point would change, unknown fields, escapes and spaces inside items.
+fn configuration_is_read_back_verbatim() {
+    // given: numbers that floating point would change, unknown fields, escapes, and spaces within items
     let body = r#"{"version":7,"remark":"tab\there","routes":[{"name":"r","host":"h","service":"s","timeoutMs":5e3,
         "later":{"a":[1.10,0.1e-7]}}],"services":[{"name":"s","runtime":{"models":[{"name":"m",
         "weightsMb":65099.99999999999}]}}],"tenants":[],"ratio":100000000000000000000.5,"empty":{}}"#;
     let mut state = ConfigState::default();
-    // When
+    // when
     assert_eq!(send(&mut state, ChangeKind::Replace, 0, body.as_bytes()), ChangeOutcome::Accepted);
-    // Then
+    // then
     let sent: Value = serde_json::from_str(body).expect("JSON");
     assert_eq!(read(&state), sent);
     let text = String::from_utf8(state.read()).expect("text");
-    for letters in ["65099.99999999999", "5e3", "1.10", "0.1e-7", "100000000000000000000.5", "tab\\there"] {
-        assert!(text.contains(letters), "{letters} is not in {text}");
+    for excerpt in ["65099.99999999999", "5e3", "1.10", "0.1e-7", "100000000000000000000.5", "tab\\there"] {
+        assert!(text.contains(excerpt), "{excerpt} is not in {text}");
     }
 }
 
 #[test]
-fn given_odd_keys_when_they_are_taken_then_they_are_read_back() {
+fn unusual_keys_are_read_back() {
     let body = json!({"version": 3, "a \"quoted\"\\key\n\u{1}é": [{"name": "x\"y\\z\n"}], "": {"name": ""}});
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, &body), ChangeOutcome::Accepted);
@@ -50,27 +50,30 @@
 }
 
 #[test]
-fn given_a_configuration_when_items_are_replaced_and_added_then_each_keeps_its_place() {
-    // Given
-    let mut state = started();
-    // When
+fn replaced_items_keep_their_position() {
+    // given
+    let mut state = state_with_two_routes();
+    // when
     let changed = route("r-one", "a.example", "/uno/", "web");
     let body = json!({"version": 4, "upsert": {"routes": [route("r-new", "b.example", "/", "new"), changed],
         "services": [service("new")], "limits": {"maxBodyBytes": 5}, "tenants": [{"name": "t"}]}});
     assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
-    // Then
-    let now = read(&state);
-    assert_eq!(names(&now, "routes"), ["r-one", "r-two", "r-new"]);
-    assert_eq!(names(&now, "services"), ["llm", "web", "new"]);
-    assert_eq!(now["routes"][0], changed);
-    assert_eq!((&now["limits"], &now["tenants"]), (&json!({"maxBodyBytes": 5}), &json!([{"name": "t"}])));
+    // then
+    let current = read(&state);
+    assert_eq!(names(&current, "routes"), ["r-one", "r-two", "r-new"]);
+    assert_eq!(names(&current, "services"), ["llm", "web", "new"]);
+    assert_eq!(current["routes"][0], changed);
+    assert_eq!(
+        (&current["limits"], &current["tenants"]),
+        (&json!({"maxBodyBytes": 5}), &json!([{"name": "t"}]))
+    );
     assert_eq!(state.view().limits.max_body_bytes, 5);
 }
 
 #[test]
-fn given_a_configuration_when_items_are_removed_then_the_emptied_list_stays() {
-    let mut state = started();
-    let body = json!({"version": 2, "remove": {"routes": ["r-two", "r-one", "r-never", "r-two"], "nothing": ["x"],
+fn emptied_list_stays() {
+    let mut state = state_with_two_routes();
+    let body = json!({"version": 2, "remove": {"routes": ["r-two", "r-one", "r-never", "r-two"], "unknown": ["x"],
         "limits": ["maxBodyBytes"], "services": null}});
     assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     let mut expected = two_routes(2);
@@ -79,10 +82,10 @@
 }
 
 #[test]
-fn given_a_configuration_when_an_update_removes_and_brings_one_item_then_it_is_there() {
-    let mut state = started();
-    let again = route("r-one", "a.example", "/one/", "web");
-    let body = json!({"version": 2, "upsert": {"routes": [again]}, "remove": {"routes": ["r-one"]}});
+fn upsert_wins_over_remove() {
+    let mut state = state_with_two_routes();
+    let replacement = route("r-one", "a.example", "/one/", "web");
+    let body = json!({"version": 2, "upsert": {"routes": [replacement]}, "remove": {"routes": ["r-one"]}});
     assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(names(&read(&state), "routes"), ["r-two", "r-one"]);
     assert_eq!(
@@ -92,8 +95,8 @@
 }
 
 #[test]
-fn given_a_value_when_it_becomes_a_list_and_a_value_again_then_nothing_of_the_other_form_stays() {
-    let mut state = started();
+fn value_and_list_replace_each_other() {
+    let mut state = state_with_two_routes();
     let list = json!([{"name": "a"}, {"name": "b"}]);
     for (version, value) in
         [(2, json!(5)), (3, list.clone()), (4, json!(["plain"])), (5, json!([])), (6, list)]
@@ -105,35 +108,35 @@
 }
 
 #[test]
-fn given_an_update_of_nothing_when_it_is_taken_then_only_the_version_rises() {
-    let mut state = started();
+fn empty_update_raises_only_the_version() {
+    let mut state = state_with_two_routes();
     assert_eq!(update(&mut state, 1, &json!({"version": 9})), ChangeOutcome::Accepted);
     assert_eq!(read(&state), two_routes(9));
-    let nothing = json!({"version": 10, "upsert": null, "remove": null, "unknown": 5});
-    assert_eq!(update(&mut state, 9, &nothing), ChangeOutcome::Accepted);
+    let null_fields = json!({"version": 10, "upsert": null, "remove": null, "unknown": 5});
+    assert_eq!(update(&mut state, 9, &null_fields), ChangeOutcome::Accepted);
     assert_eq!(read(&state), two_routes(10));
 }
 
 #[test]
-fn given_a_change_was_taken_when_it_comes_again_then_it_is_acknowledged_again() {
-    // Given
-    let mut state = started();
+fn repeated_change_is_a_duplicate() {
+    // given
+    let mut state = state_with_two_routes();
     let change = removal(3, "r-one");
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
     let after = state.snapshot();
-    // When, then: at once
+    // when, then: at once
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
     assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Duplicate);
-    assert_eq!(state.snapshot(), after, "a repeat changes nothing");
-    // When, then: after others
+    assert_eq!(state.snapshot(), after, "a duplicate changes nothing");
+    // when, then: after another change
     assert_eq!(update(&mut state, 3, &removal(8, "r-two")), ChangeOutcome::Accepted);
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
     assert_eq!(state.version(), 8);
 }
 
 #[test]
-fn given_a_change_was_taken_when_another_of_the_same_number_comes_then_it_is_a_conflict() {
-    let mut state = started();
+fn other_change_on_the_same_base_conflicts() {
+    let mut state = state_with_two_routes();
     assert_eq!(update(&mut state, 1, &removal(3, "r-one")), ChangeOutcome::Accepted);
     assert_eq!(update(&mut state, 1, &removal(3, "r-two")), ChangeOutcome::Conflict { current: 3 });
     let body = removal(3, "r-one").to_string();
@@ -145,8 +148,8 @@
 }
 
 #[test]
-fn given_a_version_when_a_change_builds_on_an_older_or_later_one_then_it_is_a_conflict() {
-    let mut state = started();
+fn change_on_another_version_conflicts() {
+    let mut state = state_with_two_routes();
     assert_eq!(update(&mut state, 1, &removal(5, "r-one")), ChangeOutcome::Accepted);
     for base in [0, 1, 4, 6, u64::MAX] {
         assert_eq!(update(&mut state, base, &removal(9, "r-two")), ChangeOutcome::Conflict { current: 5 });
@@ -155,102 +158,100 @@
 }
 
 #[test]
-fn given_a_refused_change_when_it_would_be_valid_later_then_it_is_taken_then() {
-    let mut state = started();
+fn rejected_change_can_be_corrected() {
+    let mut state = state_with_two_routes();
     let mut body = two_routes(4);
-    first(&mut body, "routes")["service"] = json!("nobody");
+    first_item(&mut body, "routes")["service"] = json!("nobody");
     assert!(matches!(replace(&mut state, 1, &body), ChangeOutcome::Invalid(_)));
-    first(&mut body, "routes")["service"] = json!("llm");
+    first_item(&mut body, "routes")["service"] = json!("llm");
     assert_eq!(replace(&mut state, 1, &body), ChangeOutcome::Accepted);
 }
 
 #[test]
-fn given_two_changes_judged_on_one_version_when_both_are_agreed_on_then_the_first_wins_everywhere() {
-    // Given: both pass the leader's look before either is applied.
-    let (mut one, mut other) = (started(), started());
+fn first_committed_of_two_valid_changes_wins() {
+    // given: two changes that a leader finds valid before either is applied
+    let (mut leader, mut follower) = (state_with_two_routes(), state_with_two_routes());
     let first =
         Change::parse(ChangeKind::Update, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
     let second =
         Change::parse(ChangeKind::Update, 1, removal(2, "r-two").to_string().as_bytes()).expect("valid");
     assert_eq!(
-        (one.validate(&first), one.validate(&second)),
+        (leader.validate(&first), leader.validate(&second)),
         (ChangeOutcome::Accepted, ChangeOutcome::Accepted)
     );
-    // When
-    let agreed = [first.encode(), second.encode(), first.encode()];
-    let answers = agreed.each_ref().map(|change| one.apply(change));
-    // Then
+    // when
+    let committed = [first.encode(), second.encode(), first.encode()];
+    let outcomes = committed.each_ref().map(|entry| leader.apply(entry));
+    // then
     assert_eq!(
-        answers,
+        outcomes,
         [ChangeOutcome::Accepted, ChangeOutcome::Conflict { current: 2 }, ChangeOutcome::Duplicate]
     );
-    assert_eq!(agreed.each_ref().map(|change| other.apply(change)), answers);
-    assert_eq!(one.snapshot(), other.snapshot());
-    assert_eq!(names(&read(&one), "routes"), ["r-two"]);
+    assert_eq!(committed.each_ref().map(|entry| follower.apply(entry)), outcomes);
+    assert_eq!(leader.snapshot(), follower.snapshot());
+    assert_eq!(names(&read(&leader), "routes"), ["r-two"]);
 }
 
 #[test]
-fn given_a_change_when_it_is_encoded_and_decoded_then_it_is_the_same() {
+fn decoded_change_equals_the_encoded_one() {
     let change = Change::parse(ChangeKind::Replace, 6, two_routes(7).to_string().as_bytes()).expect("valid");
     let decoded = Change::decode(&change.encode()).expect("an encoded change");
     assert_eq!((decoded.base_version(), decoded.version()), (6, 7));
     assert_eq!(decoded.encode(), change.encode());
 }
 
-/// Changes that are remembered as taken.
-const REMEMBERED: u64 = 4096;
+/// Number of changes in the deduplication window.
+const WINDOW: u64 = 4096;
 
-/// Takes updates of nothing until a version is reached, each on the one before.
-fn advance(state: &mut ConfigState, version: u64) {
+/// Applies empty updates, each on the one before, until a version is reached.
+fn advance_to(state: &mut ConfigState, version: u64) {
     for next in state.version() + 1..=version {
         assert_eq!(update(state, next - 1, &json!({"version": next})), ChangeOutcome::Accepted);
     }
 }
 
 #[test]
-fn given_other_changes_in_between_when_a_taken_one_comes_again_then_it_is_acknowledged_also_after_a_snapshot()
-{
-    for others in [5, 500, REMEMBERED - 2] {
-        let mut state = started();
+fn duplicates_are_recognized_within_the_window() {
+    for other_changes in [5, 500, WINDOW - 2] {
+        let mut state = state_with_two_routes();
         let change = removal(2, "r-one");
         assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
-        advance(&mut state, 2 + others);
+        advance_to(&mut state, 2 + other_changes);
         let mut restored = ConfigState::restore(&state.snapshot()).expect("a snapshot");
-        assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate, "after {others}");
-        assert_eq!(update(&mut restored, 1, &change), ChangeOutcome::Duplicate, "after {others}");
+        assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate, "after {other_changes}");
+        assert_eq!(update(&mut restored, 1, &change), ChangeOutcome::Duplicate, "after {other_changes}");
     }
 }
 
 #[test]
-fn given_more_changes_than_are_remembered_when_a_taken_one_comes_again_then_it_is_not_refused() {
-    // Given
-    let mut state = started();
+fn changes_beyond_the_window_expire() {
+    // given
+    let mut state = state_with_two_routes();
     let change = removal(2, "r-one");
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
-    advance(&mut state, 5002);
+    advance_to(&mut state, 5002);
     let restored = ConfigState::restore(&state.snapshot()).expect("a snapshot");
     for mut state in [state, restored] {
         let before = state.snapshot();
-        // When, then: it is as little known as another on that version, so neither is refused or acknowledged
+        // when, then: whether a change on an evicted version was applied is unknown, so that it gets no result
         assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Expired);
         assert_eq!(update(&mut state, 1, &removal(2, "r-two")), ChangeOutcome::Expired);
         assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Expired);
-        // Then: changes on versions that are remembered are told apart
-        let oldest = 5002 - REMEMBERED;
+        // then: changes on a version within the window are either duplicates or conflicts
+        let oldest = 5002 - WINDOW;
         let other = removal(oldest + 1, "r-two");
         assert_eq!(update(&mut state, oldest - 1, &other), ChangeOutcome::Expired);
         assert_eq!(update(&mut state, oldest, &other), ChangeOutcome::Conflict { current: 5002 });
         assert_eq!(update(&mut state, oldest, &json!({"version": oldest + 1})), ChangeOutcome::Duplicate);
-        assert_eq!(state.snapshot(), before, "nothing of this changes the state");
+        assert_eq!(state.snapshot(), before, "the state is unchanged");
     }
 }
 
 #[test]
-fn given_as_many_changes_as_are_remembered_when_the_state_is_saved_then_the_memory_takes_few_bytes_a_change()
-{
-    let mut state = started();
-    advance(&mut state, REMEMBERED + 10);
+fn snapshot_with_a_full_window_stays_small() {
+    let mut state = state_with_two_routes();
+    advance_to(&mut state, WINDOW + 10);
     let bytes = state.snapshot().len() as u64;
-    // The coordinator saves states of up to 96 KiB after each change.
+    // The coordinator takes a snapshot after each change while the state is below 96 KiB.
     assert!(bytes < 96 << 10, "{bytes} bytes");
 }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Configurations to test with.
+//! Configurations and calls that the tests of this crate share.
 
-#![allow(dead_code)] // each test file uses its own part
+#![allow(dead_code)] // each test file uses some of it
 
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, InvalidConfig};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, InvalidConfig, View};
 
-/// A route with one service.
+/// A route to one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
     json!({"name": name, "host": host, "pathPrefix": prefix, "type": "idempotent", "timeoutMs": 6000,
            "targetLatencyMs": 1500, "priority": 1, "service": service, "maxAttempts": 2, "affinity": false})
@@ -27,12 +27,12 @@
     })
 }
 
-/// A field of the first item of a list.
-pub fn first<'a>(configuration: &'a mut Value, list: &str) -> &'a mut Value {
+/// The first item of a list.
+pub fn first_item<'a>(configuration: &'a mut Value, list: &str) -> &'a mut Value {
     &mut configuration[list][0]
 }
 
-/// Sends `Config.Replace` as the coordinators do: parsed, judged, agreed on, applied.
+/// Sends `Config.Replace` as coordinators do: parsed, validated, encoded for the log, applied.
 pub fn replace(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
     send(state, ChangeKind::Replace, base, body.to_string().as_bytes())
 }
@@ -42,41 +42,46 @@
     send(state, ChangeKind::Update, base, body.to_string().as_bytes())
 }
 
-/// Sends any body.
+/// Sends a call with any body.
 pub fn send(state: &mut ConfigState, kind: ChangeKind, base_version: u64, body: &[u8]) -> ChangeOutcome {
     let change = match Change::parse(kind, base_version, body) {
         Ok(change) => change,
         Err(invalid) => return ChangeOutcome::Invalid(invalid),
     };
-    let judged = state.validate(&change);
-    let applied = state.apply(&change.encode());
-    assert_eq!(judged, applied, "nothing came in between");
-    applied
+    let expected = state.validate(&change);
+    let outcome = state.apply(&change.encode());
+    assert_eq!(outcome, expected, "nothing was applied in between");
+    outcome
 }
 
-/// A state that has taken [`two_routes`] as version 1.
-pub fn started() -> ConfigState {
+/// A state with [`two_routes`] as version 1.
+pub fn state_with_two_routes() -> ConfigState {
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Accepted);
     state
 }
 
-/// What is read back.
+/// The configuration as it is read back.
 pub fn read(state: &ConfigState) -> Value {
     serde_json::from_slice(&state.read()).expect("what is read back is JSON")
 }
 
-/// The message of an invalid change.
-pub fn reason(judgement: ChangeOutcome) -> String {
-    match judgement {
-        ChangeOutcome::Invalid(invalid) => one_line(&invalid),
+/// The error text of an invalid change.
+pub fn error_text(outcome: ChangeOutcome) -> String {
+    match outcome {
+        ChangeOutcome::Invalid(invalid) => checked_text(&invalid),
         other => panic!("not invalid: {other:?}"),
     }
 }
 
-/// A message, checked to be one line.
-pub fn one_line(invalid: &InvalidConfig) -> String {
+/// An error's text, checked to be one short line.
+pub fn checked_text(invalid: &InvalidConfig) -> String {
     let text = invalid.to_string();
     assert!(!text.contains('\n') && text.len() < 500, "{text:?}");
     text
 }
+
+/// Name of the route that a request takes.
+pub fn route_name<'a>(view: &'a View, host: &str, path: &str) -> Option<&'a str> {
+    view.route(host, path).map(|route| route.name.as_str())
+}
--- a/configuration/tests/stored_format.rs
+++ b/configuration/tests/stored_format.rs
@@ -1,10 +1,10 @@
-//! The bytes of the configuration's changes, which stand in the shard's log, and of its snapshots.
+//! The stored bytes of changes, which are entries of the configuration shard's log, and of snapshots.
 //!
 //! Both are read from disk by the next version, and by coordinators of two versions while a release is rolled out.
-//! These tests compare the present form with bytes that an earlier build wrote.
+//! These tests compare the current format with bytes that an earlier build wrote.
 //!
-//! If one turns red, the format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own and go on reading the old one.
+//! If one fails, the format has changed. Don't store new bytes: restore the types, or give the new format a version of
+//! its own and keep decoding the old one.
 
 mod common;
 #[path = "../../protocol/tests/support/stored.rs"]
@@ -15,13 +15,13 @@
 use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, View};
 use stored::StoredBytes;
 
-fn starting_with(prefix: &str) -> StoredBytes {
+fn stored_bytes(prefix: &str) -> StoredBytes {
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
 }
 
-/// Encodes a call of the operator, and decodes the stored bytes of the same.
-fn compare(stored: &mut StoredBytes, name: &str, kind: ChangeKind, base: u64, body: &str) -> Vec<u8> {
-    let change = Change::parse(kind, base, body.as_bytes()).expect("a proper change");
+/// Compares the encoding of a change with its stored bytes, and decodes those.
+fn check_change(stored: &mut StoredBytes, name: &str, kind: ChangeKind, base: u64, body: &str) -> Vec<u8> {
+    let change = Change::parse(kind, base, body.as_bytes()).expect("a valid change");
     let bytes = stored.bytes(name, &change.encode());
     let decoded = Change::decode(&bytes).expect("stored changes decode");
     assert_eq!(
@@ -29,34 +29,34 @@
         (change.base_version(), change.version()),
         "{name}"
     );
-    assert_eq!(decoded.encode(), bytes, "{name}: whether it replaces all, and its body");
+    assert_eq!(decoded.encode(), bytes, "{name}: kind and body");
     bytes
 }
 
 /// The stored changes: a replacement, and an update that adds, replaces and removes.
-fn changes(stored: &mut StoredBytes) -> [Vec<u8>; 2] {
+fn check_changes(stored: &mut StoredBytes) -> [Vec<u8>; 2] {
     let changed = route("r-one", "b.example", "/one/", "web");
     let update = json!({"version": 8,
         "upsert": {"routes": [changed], "services": [service("new")], "later": {"x": 1.50}, "tenants": []},
         "remove": {"routes": ["r-two"]}});
     [
-        compare(stored, "change replace", ChangeKind::Replace, 0, &two_routes(3).to_string()),
-        compare(stored, "change update", ChangeKind::Update, 3, &update.to_string()),
+        check_change(stored, "change replace", ChangeKind::Replace, 0, &two_routes(3).to_string()),
+        check_change(stored, "change update", ChangeKind::Update, 3, &update.to_string()),
     ]
 }
 
 #[test]
 fn changes_keep_their_bytes() {
-    let mut stored = starting_with("change ");
-    changes(&mut stored);
+    let mut stored = stored_bytes("change ");
+    check_changes(&mut stored);
     stored.finish();
 }
 
 #[test]
-fn a_snapshot_keeps_its_bytes_and_all_that_it_holds() {
+fn snapshot_keeps_its_bytes_and_content() {
     // given
-    let mut stored = starting_with("");
-    let changes = changes(&mut stored);
+    let mut stored = stored_bytes("");
+    let changes = check_changes(&mut stored);
     let mut state = ConfigState::default();
     for change in &changes {
         assert_eq!(state.apply(change), ChangeOutcome::Accepted);
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn news_that_are_not_newer_are_refused_in_the_same_words() {
+fn stale_update_keeps_its_error_text() {
     let mut state = ConfigState::default();
-    for change in changes(&mut starting_with("change ")) {
+    for change in check_changes(&mut stored_bytes("change ")) {
         assert_eq!(state.apply(&change), ChangeOutcome::Accepted);
     }
-    let whole = state.updates_since(0).expect("there is a configuration");
+    let update = state.updates_since(0).expect("there is a configuration");
     let mut view = View::default();
-    view.apply(&whole).expect("proper news");
-    insta::assert_snapshot!(view.apply(&whole).expect_err("not newer"), @"version 8 is not newer than 8");
+    view.apply(&update).expect("a valid update");
+    insta::assert_snapshot!(view.apply(&update).expect_err("not newer"), @"version 8 is not newer than 8");
 }
