--- a/configuration/src/diff.rs
+++ b/configuration/src/diff.rs
@@ -41,11 +41,8 @@
 
     /// Names of the items of a list that are added or replaced.
     pub(crate) fn upserted_names<'b>(&'b self, list: &'b str) -> impl Iterator<Item = &'b str> {
-        self.upsert
-            .iter()
-            .map(|item| &item.key)
-            .filter(move |key| key.list == list)
-            .map(|key| key.name.as_str())
+        let keys = self.upsert.iter().map(|item| &item.key);
+        keys.filter(move |key| key.list == list).map(|key| key.name.as_str())
     }
 
     /// Names of the items of a list that are removed.
@@ -85,8 +82,8 @@
     }
 
     fn remove_missing_sections(&mut self, document: &Document, change: &Change) {
-        let kept: HashSet<&str> = change.sections.iter().map(|section| section.key.as_str()).collect();
-        let removed = document.sections().filter(|(key, _)| !kept.contains(key));
+        let remaining: HashSet<&str> = change.sections.iter().map(|section| section.key.as_str()).collect();
+        let removed = document.sections().filter(|(key, _)| !remaining.contains(key));
         self.remove.to_mut().extend(removed.flat_map(|(key, section)| section.item_keys(key)));
     }
 
--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -23,7 +23,7 @@
 }
 
 impl StoredSection {
-    /// Keys of the items, where the section itself stands at the key `list`.
+    /// Keys of the items, where `list` is the key of the section itself.
     pub(crate) fn item_keys<'a>(&'a self, list: &'a str) -> impl Iterator<Item = ItemKey> + 'a {
         self.items().map(move |(name, _)| ItemKey { list: list.to_owned(), name: name.to_owned() })
     }
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -151,11 +151,11 @@
     }
 
     fn check_size(&self, change: &Change) -> Result<(), InvalidConfig> {
-        let kept = match change.kind {
+        let remaining_bytes = match change.kind {
             ChangeKind::Replace => 0,
             ChangeKind::Update => self.document.bytes(),
         };
-        let bytes = kept + change.body_bytes();
+        let bytes = remaining_bytes + change.body_bytes();
         if bytes > MAX_CONFIGURATION_BYTES {
             return TooLargeSnafu { bytes, max_bytes: MAX_CONFIGURATION_BYTES }.fail();
         }
