--- a/capacity-emulator/src/core_node.rs
+++ b/capacity-emulator/src/core_node.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-use shaletrail_coordinator::core::{memory, Coordinator};
+use shaletrail_coordinator::core::{directory_snapshot, Coordinator};
 use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event};
 use shaletrail_protocol::external::Heartbeat;
 use shaletrail_protocol::frame::{self, PREFIX_BYTES};
@@ -112,12 +112,12 @@
         CoordinatorOptions {
             retry_window: std::time::Duration::from_secs(10),
             node: site::core_node(self.place),
-            name: format!("core-{}", self.place),
+            node_name: format!("core-{}", self.place),
             incarnation,
             seeds: world.seeds(),
             bootstrap,
             hosts_lost: world.options.hosts_lost,
-            heartbeat: std::time::Duration::from_millis(world.options.heartbeat_ms),
+            heartbeat_interval: std::time::Duration::from_millis(world.options.heartbeat_ms),
             order_lease: std::time::Duration::from_secs(3),
             placement: shaletrail_placement::Options::default(),
             seed: incarnation.0,
@@ -172,7 +172,7 @@
                 let base = world.operator_version();
                 let call = self.call(Caller::Operator);
                 let operator = OperatorCall::Change { replace: whole, base_version: base, body };
-                self.tell(world, Kind::Operator, Event::Operator { call, operator });
+                self.tell(world, Kind::Operator, Event::OperatorCall { call, request: operator });
             }
             AtCore::Ordered(order, outcome) => {
                 self.tell(world, Kind::Order, Event::OrderCompleted { order, outcome });
@@ -262,7 +262,7 @@
     fn carry_out(&mut self, world: &mut World, now: Millis, action: Action) {
         match action {
             Action::Send { to, message } => self.send(world, to, &message),
-            Action::Store { ticket, records } => {
+            Action::Persist { ticket, records } => {
                 let records = records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes });
                 self.journal.waiting.push_back((ticket, records.collect()));
                 self.write(world);
@@ -289,7 +289,7 @@
                 let what = AtEdge::Reply { poll, frame };
                 world.schedule.after(latency(here, there), Happening::Edge(edge, start, what));
             }
-            Action::Order { order, server, address, body } => {
+            Action::SendOrder { order, server, address, body } => {
                 let allowed = self.core.as_ref().is_some_and(|core| core.may_write(now, order));
                 let Some(place) = site::server_at(&address).filter(|_| allowed) else { return };
                 let (here, there) = (zone_of(self.place), zone_of(place));
@@ -345,7 +345,7 @@
         let bytes: usize = records.iter().map(|record| record.bytes.len()).sum();
         self.ledger.disk.syncs += 1;
         self.ledger.disk.records += records.len() as u64;
-        let of_directory = records.iter().filter(|record| record.stream == memory::STREAM);
+        let of_directory = records.iter().filter(|record| record.stream == directory_snapshot::STREAM);
         self.ledger.disk.bytes += bytes as u64;
         self.ledger.disk.directory_bytes += of_directory.map(|record| record.bytes.len() as u64).sum::<u64>();
         self.journal.safe_bytes += bytes;
--- a/coordinator/src/core/disk.rs
+++ b/coordinator/src/core/disk.rs
@@ -35,8 +35,12 @@
 
     pub(super) fn checkpoint_if(&mut self, wanted: bool, actions: &mut Vec<Action>) {
         if wanted {
-            let live =
-                self.shards.live_records().into_iter().chain(self.directory_memory.live_record()).collect();
+            let live = self
+                .shards
+                .live_records()
+                .into_iter()
+                .chain(self.directory_snapshots.live_record())
+                .collect();
             actions.push(Action::Checkpoint { live });
         }
     }
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -5,14 +5,14 @@
 //! answers whoever waits for what has come about.
 
 pub mod demand;
+pub mod directory_snapshot;
 mod disk;
-pub mod memory;
+pub mod lease_state;
 pub mod operator;
 pub mod orders;
 pub mod polls;
 mod progress;
 mod servers;
-pub mod service_state;
 pub mod shards;
 mod touch;
 pub mod voters;
@@ -27,7 +27,7 @@
 
 use crate::interface::{Action, CallId, CoordinatorOptions, Event, OrderId};
 use demand::{AggregatedDemand, DemandBroadcastSchedule, Edges};
-use memory::DirectoryMemory;
+use directory_snapshot::DirectorySnapshotWriter;
 use operator::{Caller, OperatorCalls, Ticket};
 use orders::OrderLeases;
 use polls::PendingPolls;
@@ -39,7 +39,7 @@
     options: CoordinatorOptions,
     membership: Membership,
     directory: Directory,
-    directory_memory: DirectoryMemory,
+    directory_snapshots: DirectorySnapshotWriter,
     shards: Shards,
     operator_calls: OperatorCalls,
     /// Calls of servers that wait until a majority knows what they say.
@@ -68,12 +68,12 @@
     /// A coordinator with what its disk held.
     pub fn new(options: CoordinatorOptions, mut stored: Vec<StoredRecord>, now: Millis) -> Self {
         let mut startup_actions = Vec::new();
-        let remembered = DirectoryMemory::take_from(&mut stored);
+        let remembered = DirectorySnapshotWriter::restore_from(&mut stored);
         let shards = Shards::new(&options, stored, now, &mut startup_actions);
         let membership_options = membership::Options::default();
         let membership =
             Membership::new(membership_options, options.node, options.incarnation, &options.seeds, now);
-        let heartbeat = options.heartbeat.as_millis() as Millis;
+        let heartbeat = options.heartbeat_interval.as_millis() as Millis;
         let directory_options = directory::Options::for_heartbeat(heartbeat);
         let mut directory = Directory::new(directory_options, options.node, options.incarnation, now);
         directory.restore(now, remembered);
@@ -81,7 +81,7 @@
         Coordinator {
             membership,
             directory,
-            directory_memory: DirectoryMemory::default(),
+            directory_snapshots: DirectorySnapshotWriter::default(),
             shards,
             operator_calls: OperatorCalls::of_start(options.incarnation),
             server_calls: HashMap::new(),
@@ -117,7 +117,7 @@
             }
             Event::Heartbeat { call, id, heartbeat } => self.heartbeat(now, call, id, heartbeat, actions),
             Event::Deregister { call, id } => self.deregister(now, call, id),
-            Event::Operator { call, operator } => self.operate(now, Caller::Here(call), operator, actions),
+            Event::OperatorCall { call, request } => self.operate(now, Caller::Here(call), request, actions),
             Event::Poll { call, edge, request } => self.poll(now, call, edge, request),
             Event::PollCancelled(call) => drop(self.polls.remove(call)),
             Event::EdgeReport { edge, demand } => self.gather(edge, demand, Vec::new()),
@@ -128,7 +128,7 @@
                 self.transfer_leadership(now);
                 self.membership.leave(now);
             }
-            Event::Seeds(seeds) => self.membership.add_seeds(&seeds),
+            Event::SeedsChanged(seeds) => self.membership.add_seeds(&seeds),
         }
         self.settle(now, actions);
     }
@@ -208,8 +208,8 @@
         self.share_demand(now, actions);
         self.place(now, actions);
         self.run_shards(now, actions);
-        if let Some(record) = self.directory_memory.due(now, &self.directory) {
-            self.shards.store_beside(memory::STREAM, record, actions);
+        if let Some(record) = self.directory_snapshots.take_due(now, &self.directory) {
+            self.shards.store_beside(directory_snapshot::STREAM, record, actions);
         }
         self.compare_versions(now, actions);
         self.answer_polls(now, actions);
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -17,7 +17,7 @@
 use shaletrail_protocol::internal::{EdgeReport, PlacementOverlay, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
-use super::service_state::{LeaseHolder, ServiceState, Turn};
+use super::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use super::shards::{shard_of, Shards};
 use crate::interface::{Action, CoordinatorOptions, OrderId, OrderOutcome};
 
@@ -30,11 +30,11 @@
 /// How long before an eviction edges are told that the server will not serve that any more.
 const EVICTION_NOTICE: Millis = 50;
 /// Within this time after it was written an order has left the sender's socket, or never does, in milliseconds.
-pub const ORDER_LEAVES_WITHIN: Millis = 400;
+pub const ORDER_SEND_TIMEOUT: Millis = 400;
 /// The longest time that an order is reckoned to take over the network, in milliseconds.
-const ORDER_TRAVELS: Millis = 200;
+const MAX_ORDER_NETWORK_DELAY: Millis = 200;
 /// Added to the lease when a holder follows another: orders are taken by servers a little after they are written.
-const TURN_MARGIN: Millis = ORDER_LEAVES_WITHIN + ORDER_TRAVELS;
+const HANDOVER_MARGIN: Millis = ORDER_SEND_TIMEOUT + MAX_ORDER_NETWORK_DELAY;
 /// Orders and reports that may be under way at once.
 const MOST_UNDER_WAY: usize = 512;
 
@@ -93,7 +93,7 @@
     pub fn new(options: &CoordinatorOptions) -> Self {
         OrderLeases {
             node: options.node,
-            name: options.name.clone(),
+            name: options.node_name.clone(),
             order_lease: options.order_lease.as_millis() as Millis,
             placement: options.placement.clone(),
             leaderships: BTreeMap::new(),
@@ -109,31 +109,32 @@
     }
 
     /// This node leads a shard.
-    pub fn elected(&mut self, now: Millis, shard: u32, term: u64) {
+    pub fn on_elected(&mut self, now: Millis, shard: u32, term: u64) {
         let leadership =
             Leadership { term, elected_at: now, proposed: false, turn: None, wait_committed: false };
         self.leaderships.insert(shard, leadership);
     }
 
     /// This node leads a shard no more.
-    pub fn deposed(&mut self, shard: u32) {
+    pub fn on_deposed(&mut self, shard: u32) {
         self.leaderships.remove(&shard);
         self.planned.retain(|planned| shard_of(&planned.service) != shard);
     }
 
     /// A turn has begun; whether it is this node's, which still leads.
-    pub fn turn(&mut self, now: Millis, shard: u32, turn: Turn, leads: bool) -> bool {
+    pub fn on_epoch_started(&mut self, now: Millis, shard: u32, epoch: LeaseEpoch, leads: bool) -> bool {
         let Some(leadership) = self.leaderships.get_mut(&shard) else { return false };
-        if !leads || turn.holder.node != self.node || turn.holder.fence != leadership.term {
+        if !leads || epoch.holder.node != self.node || epoch.holder.fencing_token != leadership.term {
             return false;
         }
-        let (allowed_from, former_until) = match turn.previous {
+        let elected_at = leadership.elected_at;
+        let (allowed_from, former_until) = match epoch.previous_holder {
             None => (now, None),
-            Some(_) if !turn.must_wait => (now, Some(now)),
-            // The former's lease was over when this node was elected.
-            Some(_) => (leadership.elected_at + self.order_lease + TURN_MARGIN, Some(leadership.elected_at)),
+            Some(_) if !epoch.must_wait => (now, Some(now)),
+            // The lease of the previous holder was over when this node was elected.
+            Some(_) => (elected_at + self.order_lease + HANDOVER_MARGIN, Some(elected_at)),
         };
-        leadership.wait_committed = !turn.must_wait;
+        leadership.wait_committed = !epoch.must_wait;
         leadership.turn = Some(OwnTurn { allowed_from, former_until });
         for (_, planner) in self.planners.iter_mut().filter(|(service, _)| shard_of(service) == shard) {
             planner.start_ordering(now, former_until);
@@ -143,7 +144,7 @@
 
     /// From when on this node may send orders to the servers of a shard's services, while it holds the lease; `None`
     /// unless its turn has begun.
-    pub fn allowed_from(&self, shard: u32) -> Option<Millis> {
+    pub fn wait_until(&self, shard: u32) -> Option<Millis> {
         Some(self.leaderships.get(&shard)?.turn?.allowed_from)
     }
 
@@ -254,11 +255,11 @@
     fn propose_turns(&mut self, now: Millis, shards: &mut Shards) {
         for (shard, leadership) in self.leaderships.iter_mut().filter(|(_, leadership)| !leadership.proposed)
         {
-            let holder = LeaseHolder { node: self.node, fence: leadership.term };
+            let holder = LeaseHolder { node: self.node, fencing_token: leadership.term };
             if *shard == super::shards::CONFIGURATION {
                 leadership.proposed = true;
             } else if let Some(replica) = shards.replica_mut(*shard) {
-                leadership.proposed = replica.propose(now, ServiceState::command(holder)).is_ok();
+                leadership.proposed = replica.propose(now, LeaseState::acquire_command(holder)).is_ok();
             }
         }
     }
@@ -270,10 +271,10 @@
             if !over || leadership.wait_committed {
                 continue;
             }
-            let holder = LeaseHolder { node: self.node, fence: leadership.term };
+            let holder = LeaseHolder { node: self.node, fencing_token: leadership.term };
             if let Some(replica) = shards.replica_mut(*shard) {
                 leadership.wait_committed =
-                    replica.propose(now, ServiceState::waited_command(holder)).is_ok();
+                    replica.propose(now, LeaseState::wait_completed_command(holder)).is_ok();
             }
         }
     }
@@ -429,7 +430,7 @@
         lease_holder: name.to_owned(),
         fencing_token: fence,
     };
-    Action::Order { order, server: planned.server, address: planned.address, body }
+    Action::SendOrder { order, server: planned.server, address: planned.address, body }
 }
 
 fn catalogue(runtime: &Runtime) -> Catalogue {
--- a/coordinator/src/core/progress.rs
+++ b/coordinator/src/core/progress.rs
@@ -13,14 +13,15 @@
             match done {
                 Done::Judged { index, term, judgement } => self.judged(index, term, judgement, actions),
                 Done::Installed => {}
-                Done::Turn { shard, turn } => {
+                Done::Turn { shard, epoch } => {
                     let leads = self.shards.get(shard).map(|shard| &shard.replica);
-                    let leads = leads
-                        .is_some_and(|replica| replica.is_leader() && replica.term() == turn.holder.fence);
-                    if self.holders.turn(now, shard, turn, leads) {
+                    let leads = leads.is_some_and(|replica| {
+                        replica.is_leader() && replica.term() == epoch.holder.fencing_token
+                    });
+                    if self.holders.on_epoch_started(now, shard, epoch, leads) {
                         actions.push(Action::LogStateChange(StateChange::OrderLeaseAcquired {
                             shard,
-                            fencing_token: turn.holder.fence,
+                            fencing_token: epoch.holder.fencing_token,
                         }));
                     }
                 }
@@ -31,11 +32,11 @@
                     if shard == CONFIGURATION {
                         self.hand_over_if_disk_sick(now);
                     }
-                    self.holders.elected(now, shard, term);
+                    self.holders.on_elected(now, shard, term);
                 }
                 Done::Deposed { shard, term } => {
                     actions.push(Action::LogStateChange(StateChange::LostLeadership { shard, term }));
-                    self.holders.deposed(shard);
+                    self.holders.on_deposed(shard);
                     if shard == CONFIGURATION {
                         self.operator_calls.start_over(rests_on_leadership);
                     }
--- a/coordinator/src/core/servers.rs
+++ b/coordinator/src/core/servers.rs
@@ -64,7 +64,7 @@
 
     /// The call is answered when the directory settles it or gives it up, which also bounds how many wait.
     fn wait_for_majority(&mut self, call: CallId, token: CallToken) {
-        self.directory_memory.hurry();
+        self.directory_snapshots.expedite();
         self.server_calls.insert(token, call);
     }
 }
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -8,7 +8,7 @@
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_storage::StoredRecord;
 
-use super::service_state::{ServiceState, Turn};
+use super::lease_state::{LeaseEpoch, LeaseState};
 use crate::interface::{Action, CoordinatorOptions, StateChange};
 
 /// The shard of the configuration.
@@ -31,14 +31,14 @@
 /// A shard's state machine.
 enum Machine {
     Configuration(Box<ConfigState>),
-    Service(ServiceState),
+    Service(LeaseState),
 }
 
 impl Machine {
     fn new(shard: u32) -> Self {
         match shard {
             CONFIGURATION => Machine::Configuration(Box::default()),
-            _ => Machine::Service(ServiceState::default()),
+            _ => Machine::Service(LeaseState::default()),
         }
     }
 
@@ -56,7 +56,7 @@
                 Ok(restored) => **state = restored,
                 Err(_) => return false,
             },
-            Machine::Service(state) => match ServiceState::restore(bytes) {
+            Machine::Service(state) => match LeaseState::restore(bytes) {
                 Some(restored) => *state = restored,
                 None => return false,
             },
@@ -94,7 +94,7 @@
         /// The shard.
         shard: u32,
         /// The turn.
-        turn: Turn,
+        epoch: LeaseEpoch,
     },
     /// A read may be answered.
     ReadReady {
@@ -255,7 +255,7 @@
     /// Puts a record of another stream on its way to the disk. Nothing waits for it to be safe.
     pub fn store_beside(&mut self, stream: u32, bytes: Vec<u8>, actions: &mut Vec<Action>) {
         self.next_ticket += 1;
-        actions.push(Action::Store { ticket: self.next_ticket, records: vec![(stream, bytes)] });
+        actions.push(Action::Persist { ticket: self.next_ticket, records: vec![(stream, bytes)] });
     }
 
     /// All that the disk must hold of the shards, for a checkpoint.
@@ -286,7 +286,7 @@
             self.next_ticket += 1;
             let ticket = self.next_ticket;
             self.unsynced.extend(tickets.into_iter().map(|(shard, own)| (ticket, shard, own)));
-            actions.push(Action::Store { ticket, records: std::mem::take(&mut self.gathered) });
+            actions.push(Action::Persist { ticket, records: std::mem::take(&mut self.gathered) });
         }
         done
     }
@@ -346,7 +346,7 @@
                 let judgement = state.apply(&command);
                 Some(Done::Judged { index, term, judgement })
             }
-            Machine::Service(state) => state.apply(&command).map(|turn| Done::Turn { shard, turn }),
+            Machine::Service(state) => state.apply(&command).map(|epoch| Done::Turn { shard, epoch }),
         };
         self.compact_if_long(index);
         done
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -92,7 +92,7 @@
     fn carry_out(&self, state: &mut State, action: Action) {
         match action {
             Action::Send { to, message } => state.links.send(to, &message),
-            Action::Store { ticket, records } => state.disk.append(ticket, records),
+            Action::Persist { ticket, records } => state.disk.append(ticket, records),
             Action::Checkpoint { live } => state.disk.checkpoint(live),
             Action::RespondToServer { call, accepted: taken } => {
                 if let Some(Reply::Server(reply)) = state.replies.remove(&call) {
@@ -109,7 +109,7 @@
                     let _ = reply.send(news);
                 }
             }
-            Action::Order { order, server, address, body } => {
+            Action::SendOrder { order, server, address, body } => {
                 self.send_order(order, Outgoing { server, address, body });
             }
             Action::FetchReport { server, address } => self.ask_report(server, address),
@@ -227,7 +227,7 @@
         let (sender, answer) = oneshot::channel();
         let call = self.call();
         self.state.borrow_mut().replies.insert(call, Reply::Operator(sender));
-        self.handle(Event::Operator { call, operator });
+        self.handle(Event::OperatorCall { call, request: operator });
         answer.await.unwrap_or(OperatorResponse::Unavailable)
     }
 
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -103,7 +103,7 @@
     match Settings::read(path) {
         Ok(settings) => {
             let seeds: Vec<NodeId> = settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect();
-            host.handle(Event::Seeds(seeds));
+            host.handle(Event::SeedsChanged(seeds));
         }
         Err(error) => warn!(log, "settings not read again"; "error" => %error),
     }
--- a/coordinator/src/driver/orders.rs
+++ b/coordinator/src/driver/orders.rs
@@ -17,7 +17,7 @@
 
 use super::gate::GatedStream;
 use super::sockets;
-use crate::core::orders::ORDER_LEAVES_WITHIN;
+use crate::core::orders::ORDER_SEND_TIMEOUT;
 use crate::interface::OrderOutcome;
 
 /// Within which a server answers an order.
@@ -95,11 +95,11 @@
     report
 }
 
-/// A connection from which bytes leave within [`ORDER_LEAVES_WITHIN`] after they were written, or never; `None` if it
+/// A connection from which bytes leave within [`ORDER_SEND_TIMEOUT`] after they were written, or never; `None` if it
 /// does not come up, or the system does not promise that.
 pub async fn connect_for_order(address: &str) -> Option<TcpStream> {
     let stream = connect(address).await?;
-    sockets::give_up_after(&stream, Duration::from_millis(ORDER_LEAVES_WITHIN)).ok()?;
+    sockets::give_up_after(&stream, Duration::from_millis(ORDER_SEND_TIMEOUT)).ok()?;
     Some(stream)
 }
 
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -11,52 +11,52 @@
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, NodeId, ServerId};
 
-/// Names a call that waits for its answer; given by the driver, never used twice.
+/// Identifies a call that is to be answered. The driver assigns it and never reuses it within a start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Names an order on its way to a server.
+/// Identifies an order in flight to a server. The core assigns it and never reuses it within a start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
-/// What a coordinator goes by, from its settings file.
+/// Options of a coordinator, from its settings file.
 #[derive(Clone, Debug)]
 pub struct CoordinatorOptions {
-    /// This machine.
+    /// Id of this node.
     pub node: NodeId,
-    /// Its name, for orders.
-    pub name: String,
-    /// This start of the process.
+    /// Name of this node, which orders carry as their lease holder.
+    pub node_name: String,
+    /// Incarnation of this process: differs with each start.
     pub incarnation: Incarnation,
-    /// Other coordinators that the settings name.
+    /// Coordinators that the settings name as seeds.
     pub seeds: Vec<NodeId>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that the seeds become the first voters.
     pub bootstrap: bool,
-    /// Counted machines that may be lost at once.
+    /// Number of coordinators that may be lost at once; `2 * hosts_lost + 1` of them vote.
     pub hosts_lost: u32,
-    /// Between two heartbeats of a server.
-    pub heartbeat: Duration,
-    /// How far apart the orders of two holders must lie.
+    /// Interval between two heartbeats of a server.
+    pub heartbeat_interval: Duration,
+    /// Minimum time between the last order of a lease holder and the first order of the next one.
     pub order_lease: Duration,
-    /// The window over which repeats are counted.
+    /// Window of the data plane's retry budget.
     pub retry_window: Duration,
-    /// What placement goes by.
+    /// Options of the placement planners.
     pub placement: shaletrail_placement::Options,
-    /// For random numbers.
+    /// Seed of the pseudo-random election timeouts.
     pub seed: u64,
 }
 
 impl CoordinatorOptions {
-    /// From the settings of the process.
+    /// The options that the settings of the process give.
     pub fn from_settings(settings: &Settings, incarnation: Incarnation) -> Self {
         CoordinatorOptions {
             node: settings.node(),
-            name: settings.node_name.clone(),
+            node_name: settings.node_name.clone(),
             incarnation,
             seeds: settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect(),
             bootstrap: settings.bootstrap,
             hosts_lost: settings.hosts_lost,
-            heartbeat: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat,
             order_lease: settings.bounds.lease,
             retry_window: settings.bounds.retry_window,
             placement: shaletrail_placement::Options::from_bounds(&settings.bounds),
@@ -65,198 +65,200 @@
     }
 }
 
-/// What happens at a coordinator.
+/// Something that happens at a coordinator, as the driver reports it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed; the driver raises it at a fixed interval.
     Tick,
-    /// Another coordinator says something.
+    /// A message of another coordinator has arrived.
     Message {
-        /// Who.
+        /// The sender.
         from: NodeId,
-        /// What.
+        /// Its message.
         message: CoordinatorMessage,
     },
-    /// All records up to a ticket are safe on disk.
+    /// All records of [`Action::Persist`] up to and including a ticket are synced to disk.
     Persisted {
-        /// The ticket.
+        /// The highest ticket that is synced.
         ticket: u64,
-        /// The journal's ring is filling up: a checkpoint is wanted.
+        /// Whether the journal's ring is filling up, so that it needs an [`Action::Checkpoint`].
         wants_checkpoint: bool,
     },
-    /// The disk has refused or has not answered for long: nothing new is safe until it recovers.
+    /// The disk has rejected a write or has not finished one in time: no new record is durable until it recovers.
     DiskDegraded {
-        /// The journal's ring is full: only a checkpoint helps.
+        /// Whether the journal's ring is full, so that only an [`Action::Checkpoint`] makes space.
         wants_checkpoint: bool,
     },
-    /// A server's heartbeat.
+    /// A server has sent a heartbeat; answered by [`Action::RespondToServer`].
     Heartbeat {
-        /// To be answered.
+        /// The call to answer.
         call: CallId,
         /// The server.
         id: ServerId,
-        /// What it says.
+        /// The heartbeat's body.
         heartbeat: Heartbeat,
     },
-    /// A server is about to end.
+    /// A server is about to shut down; answered by [`Action::RespondToServer`].
     Deregister {
-        /// To be answered.
+        /// The call to answer.
         call: CallId,
         /// The server.
         id: ServerId,
     },
-    /// A call of the operator.
-    Operator {
-        /// To be answered.
+    /// The operator reads or changes the configuration; answered by [`Action::RespondToOperator`].
+    OperatorCall {
+        /// The call to answer.
         call: CallId,
-        /// The call.
-        operator: OperatorCall,
+        /// The read or the change.
+        request: OperatorCall,
     },
-    /// A data-plane node's long poll.
+    /// A data-plane node polls for updates; answered by [`Action::RespondToPoll`] once there are any, or after the
+    /// request's `max_wait_ms`.
     Poll {
-        /// To be answered.
+        /// The call to answer.
         call: CallId,
-        /// Who asks.
+        /// The data-plane node.
         edge: EdgeIdentity,
-        /// What for.
+        /// The state that it has, and its load and demand reports.
         request: PollRequest,
     },
-    /// The connection of a poll has ended.
+    /// The connection over which a poll came has closed: the poll needs no answer any more.
     PollCancelled(CallId),
-    /// Demand of a data-plane node that cannot wait for its next poll.
+    /// A data-plane node reports demand ahead of its next poll.
     EdgeReport {
-        /// The node.
+        /// The data-plane node.
         edge: NodeId,
-        /// Its demand.
+        /// Demand since its last report.
         demand: Vec<Demand>,
     },
-    /// A data-plane node's process is ending.
+    /// The process of a data-plane node is shutting down.
     EdgeDisconnected(NodeId),
-    /// How an order ended.
+    /// An [`Action::SendOrder`] has ended.
     OrderCompleted {
         /// The order.
         order: OrderId,
-        /// How.
+        /// How it ended.
         outcome: OrderOutcome,
     },
-    /// A server's answer to `GET /report`, if one came.
+    /// An [`Action::FetchReport`] has ended.
     ReportReceived {
         /// The server.
         server: ServerId,
-        /// Its answer.
+        /// Its answer to `GET /report`; `None` if there was none in time.
         report: Option<Report>,
     },
-    /// The process is about to end.
+    /// The process has been told to shut down.
     ShutdownRequested,
-    /// The settings file names other seeds.
-    Seeds(Vec<NodeId>),
+    /// The settings file was read again; it names these seeds.
+    SeedsChanged(Vec<NodeId>),
 }
 
-/// What the driver is to do.
+/// Something that the driver is to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send to another coordinator; may be dropped if it is out of reach.
+    /// Send a message to another coordinator. It may be dropped while that is unreachable.
     Send {
-        /// To whom.
+        /// The receiver.
         to: NodeId,
-        /// What.
+        /// The message.
         message: CoordinatorMessage,
     },
-    /// Append records to the journal and sync; an [`Event::Persisted`] with the ticket follows.
-    Store {
-        /// Rises with each.
+    /// Append records to the journal and sync them; an [`Event::Persisted`] with the ticket or a higher one follows.
+    Persist {
+        /// Rises with each action.
         ticket: u64,
-        /// Stream (the shard) and bytes of each record.
+        /// The journal's stream (the number of the shard, or
+        /// [`STREAM`](crate::core::directory_snapshot::STREAM)) and the encoded bytes of each record.
         records: Vec<(u32, Vec<u8>)>,
     },
-    /// Replace all that the journal holds by these records.
+    /// Replace the whole content of the journal by these records.
     Checkpoint {
-        /// Stream (the shard) and bytes of each record.
+        /// Stream and bytes of each record, as in [`Action::Persist`].
         live: Vec<(u32, Vec<u8>)>,
     },
-    /// Answer a heartbeat or a deregistration: taken, or ask another node.
+    /// Answer a heartbeat or a deregistration.
     RespondToServer {
-        /// The call.
+        /// The call to answer.
         call: CallId,
-        /// Whether it is acknowledged.
+        /// Whether the call is acknowledged; otherwise the server is to ask another node.
         accepted: bool,
     },
     /// Answer the operator.
     RespondToOperator {
-        /// The call.
+        /// The call to answer.
         call: CallId,
         /// The answer.
         response: OperatorResponse,
     },
     /// Answer a poll.
     RespondToPoll {
-        /// The call.
+        /// The call to answer.
         call: CallId,
-        /// The news.
+        /// The updates since the state that the poll named.
         response: Box<PollResponse>,
     },
-    /// Send an order to a server if [`Coordinator::may_write`](crate::core::Coordinator::may_write) allows it once the connection is
-    /// up; an [`Event::Ordered`] follows.
-    Order {
-        /// Its name.
+    /// Send an order to a server if [`Coordinator::may_write`](crate::core::Coordinator::may_write) allows it once the
+    /// connection is up; an [`Event::OrderCompleted`] follows.
+    SendOrder {
+        /// The id of the order.
         order: OrderId,
-        /// The server's id, for `Expected-Instance`.
+        /// The server's id, for the header `Expected-Instance`.
         server: ServerId,
-        /// Where it is, `IP:PORT`.
+        /// The server's address, `IP:PORT`.
         address: String,
-        /// The order.
+        /// The order's body.
         body: Order,
     },
-    /// Ask a server for its report; an [`Event::Reported`] follows.
+    /// Fetch a server's `GET /report`; an [`Event::ReportReceived`] follows.
     FetchReport {
-        /// The server's id, for `Expected-Instance`.
+        /// The server's id, for the header `Expected-Instance`.
         server: ServerId,
-        /// Where it is, `IP:PORT`.
+        /// The server's address, `IP:PORT`.
         address: String,
     },
-    /// Something that an operator of the system should see in the log.
+    /// Log a change of state that matters to whoever runs the system.
     LogStateChange(StateChange),
 }
 
-/// What is worth a line in the log.
+/// A change of state that is logged under the name of its variant.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 pub enum StateChange {
-    /// This node leads a shard.
+    /// This node has become the leader of a shard.
     BecameLeader {
         /// The shard.
         shard: u32,
-        /// Its term.
+        /// The term in which it leads.
         term: u64,
     },
     /// This node no longer leads a shard.
     LostLeadership {
         /// The shard.
         shard: u32,
-        /// Its term.
+        /// The term in which it led.
         term: u64,
     },
-    /// A version is in force here.
+    /// A version of the configuration has been applied at this node.
     ConfigurationApplied {
         /// The version.
         version: u64,
     },
-    /// The voters of a shard are being changed.
+    /// The leader of a shard has proposed other voters.
     VotersChanging {
         /// The shard.
         shard: u32,
-        /// The wanted voters.
+        /// The voters after the change.
         wanted: Vec<NodeId>,
     },
-    /// This node holds the orders of a service's shard.
+    /// This node has become the holder of a service shard's order lease.
     OrderLeaseAcquired {
         /// The shard.
         shard: u32,
-        /// The fence.
+        /// The fencing token of its orders.
         fencing_token: u64,
     },
-    /// The node has lost or regained touch with the majority.
+    /// The node has gained (`true`) or lost (`false`) contact with a quorum of the configuration's voters.
     QuorumContactChanged(bool),
-    /// Records on disk that cannot be read: taken as forgotten.
+    /// Records on disk cannot be decoded: the shard starts as a recovering voter without them.
     UnreadableRecords {
         /// The shard.
         shard: u32,
--- a/coordinator/src/lib.rs
+++ b/coordinator/src/lib.rs
@@ -1,7 +1,7 @@
-//! The coordinator: takes heartbeats of servers and calls of the operator, keeps the configuration, tells the
-//! data-plane nodes both, places models on servers and orders them to load and evict.
+//! The coordinator: receives heartbeats of servers and calls of the operator, replicates the configuration, publishes
+//! configuration and directory to the data-plane nodes, and places models on servers by load and evict orders.
 //!
-//! [`core`] holds every decision, as a sans-IO state machine: events in, actions out ([`interface`]). [`driver`]
+//! [`core`] makes every decision as a sans-IO state machine that turns events into actions ([`interface`]). [`driver`]
 //! owns sockets, disk and clock.
 
 pub mod core;
--- a/coordinator/tests/common/group.rs
+++ b/coordinator/tests/common/group.rs
@@ -206,8 +206,8 @@
                         let to = to.address().octets()[3];
                         self.under_way.push_back((number, to, message));
                     }
-                    Action::Store { .. } if self.machines[&number].refuses => {}
-                    Action::Store { ticket, records } => {
+                    Action::Persist { .. } if self.machines[&number].refuses => {}
+                    Action::Persist { ticket, records } => {
                         let stored =
                             records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes });
                         self.machine(number).stored.extend(stored);
@@ -297,7 +297,7 @@
     /// The operator calls a machine.
     pub fn operate(&mut self, number: u8, operator: OperatorCall) -> CallId {
         let call = self.call();
-        self.arrive(number, Event::Operator { call, operator });
+        self.arrive(number, Event::OperatorCall { call, request: operator });
         self.deliver();
         call
     }
--- a/coordinator/tests/common/mod.rs
+++ b/coordinator/tests/common/mod.rs
@@ -75,10 +75,10 @@
             self.core.handle(self.now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Store { ticket, .. } if self.syncs => {
+                    Action::Persist { ticket, .. } if self.syncs => {
                         events.push(Event::Persisted { ticket, wants_checkpoint: false });
                     }
-                    Action::Store { ticket, .. } => self.unsynced = Some(ticket),
+                    Action::Persist { ticket, .. } => self.unsynced = Some(ticket),
                     other => self.actions.push(other),
                 }
             }
@@ -110,7 +110,7 @@
     /// The operator calls.
     pub fn operate(&mut self, operator: OperatorCall) -> CallId {
         let call = self.call();
-        self.tell(Event::Operator { call, operator });
+        self.tell(Event::OperatorCall { call, request: operator });
         call
     }
 
--- a/coordinator/tests/fleet/mod.rs
+++ b/coordinator/tests/fleet/mod.rs
@@ -246,7 +246,7 @@
     fn carry_out(&mut self, node: NodeId, action: Action) {
         match action {
             Action::Send { to, message } => self.send(node, to, message),
-            Action::Store { ticket, records } => {
+            Action::Persist { ticket, records } => {
                 let sync_ms = self.machines[&node].sync_ms;
                 let due = self.now + 1 + self.below(sync_ms);
                 self.machine(node).pending.push_back(Pending { ticket, records, due });
@@ -360,7 +360,7 @@
     fn operate(&mut self, at: NodeId, operator: &OperatorCall) -> Option<OperatorResponse> {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.tell(at, Event::Operator { call, operator: operator.clone() });
+        self.tell(at, Event::OperatorCall { call, request: operator.clone() });
         self.run_until(OPERATOR_PATIENCE, |fleet| fleet.answers.contains_key(&call));
         self.answers.remove(&call)
     }
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -72,7 +72,7 @@
         alone.tell(Event::EdgeReport { edge: node(100), demand: vec![demand] });
         alone.run(50);
         let order = alone.actions.iter().find_map(|action| match action {
-            Action::Order { order, body, .. } => Some((*order, body.fencing_token)),
+            Action::SendOrder { order, body, .. } => Some((*order, body.fencing_token)),
             _ => None,
         });
         if let Some(order) = order {
--- a/coordinator/tests/parts.rs
+++ b/coordinator/tests/parts.rs
@@ -4,9 +4,9 @@
 
 use common::node;
 use shaletrail_coordinator::core::demand::{list_name, AggregatedDemand, Edges};
+use shaletrail_coordinator::core::lease_state::{LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::operator::{Caller, OperatorCalls, Stage};
 use shaletrail_coordinator::core::polls::{PendingPoll, PendingPolls};
-use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 use shaletrail_coordinator::core::voters::{group_size, wanted, Candidate};
 use shaletrail_coordinator::interface::CallId;
@@ -51,20 +51,23 @@
 #[test]
 fn given_a_holder_when_an_older_or_the_same_fence_comes_then_no_turn_begins() {
     // given
-    let mut state = ServiceState::default();
-    let first = LeaseHolder { node: node(1), fence: 4 };
-    let turn = state.apply(&ServiceState::command(first)).expect("a turn");
-    assert_eq!((turn.holder, turn.previous), (first, None));
+    let mut state = LeaseState::default();
+    let first = LeaseHolder { node: node(1), fencing_token: 4 };
+    let turn = state.apply(&LeaseState::acquire_command(first)).expect("a turn");
+    assert_eq!((turn.holder, turn.previous_holder), (first, None));
 
     // when, then
     for fence in [3, 4] {
-        assert_eq!(state.apply(&ServiceState::command(LeaseHolder { node: node(2), fence })), None);
+        assert_eq!(
+            state.apply(&LeaseState::acquire_command(LeaseHolder { node: node(2), fencing_token: fence })),
+            None
+        );
     }
-    let second = LeaseHolder { node: node(2), fence: 5 };
-    let turn = state.apply(&ServiceState::command(second)).expect("a turn");
-    assert_eq!((turn.holder, turn.previous), (second, Some(first)));
-    assert_eq!(ServiceState::restore(&state.snapshot()), Some(state));
-    assert_eq!(ServiceState::restore(&[255; 40]), None);
+    let second = LeaseHolder { node: node(2), fencing_token: 5 };
+    let turn = state.apply(&LeaseState::acquire_command(second)).expect("a turn");
+    assert_eq!((turn.holder, turn.previous_holder), (second, Some(first)));
+    assert_eq!(LeaseState::restore(&state.snapshot()), Some(state));
+    assert_eq!(LeaseState::restore(&[255; 40]), None);
 }
 
 #[test]
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -17,8 +17,8 @@
 use shaletrail_cluster::Directory;
 use shaletrail_consensus::Record;
 use shaletrail_coordinator::core::demand::list_name;
-use shaletrail_coordinator::core::memory::{DirectoryMemory, STREAM};
-use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
+use shaletrail_coordinator::core::directory_snapshot::{DirectorySnapshotWriter, STREAM};
+use shaletrail_coordinator::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 use shaletrail_coordinator::interface::{Action, Event, OrderOutcome, StateChange};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
@@ -30,9 +30,9 @@
 use stored::StoredBytes;
 
 const FIRST: LeaseHolder =
-    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0002), fence: 0x0102_0304_0506_0708 };
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0002), fencing_token: 0x0102_0304_0506_0708 };
 const SECOND: LeaseHolder =
-    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0003), fence: 0x1112_1314_1516_1718 };
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0003), fencing_token: 0x1112_1314_1516_1718 };
 
 fn starting_with(prefix: &str) -> StoredBytes {
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
@@ -41,23 +41,23 @@
 #[test]
 fn a_service_state_and_its_commands_keep_their_bytes() {
     let mut stored = starting_with("service ");
-    let decode = |bytes: &[u8]| ServiceState::restore(bytes).expect("stored states are restored");
-    let mut state = ServiceState::default();
-    stored.compare("service state, none", &state, ServiceState::snapshot, decode);
+    let decode = |bytes: &[u8]| LeaseState::restore(bytes).expect("stored states are restored");
+    let mut state = LeaseState::default();
+    stored.compare("service state, none", &state, LeaseState::snapshot, decode);
 
-    let begin = stored.bytes("service command, begin", &ServiceState::command(FIRST));
-    let turn = Turn { holder: FIRST, previous: None, must_wait: false };
+    let begin = stored.bytes("service command, begin", &LeaseState::acquire_command(FIRST));
+    let turn = LeaseEpoch { holder: FIRST, previous_holder: None, must_wait: false };
     assert_eq!(state.apply(&begin), Some(turn));
-    stored.compare("service state, first", &state, ServiceState::snapshot, decode);
+    stored.compare("service state, first", &state, LeaseState::snapshot, decode);
 
-    let turn = Turn { holder: SECOND, previous: Some(FIRST), must_wait: true };
-    assert_eq!(state.apply(&ServiceState::command(SECOND)), Some(turn));
-    stored.compare("service state, second waits", &state, ServiceState::snapshot, decode);
+    let turn = LeaseEpoch { holder: SECOND, previous_holder: Some(FIRST), must_wait: true };
+    assert_eq!(state.apply(&LeaseState::acquire_command(SECOND)), Some(turn));
+    stored.compare("service state, second waits", &state, LeaseState::snapshot, decode);
 
-    let waited = stored.bytes("service command, waited", &ServiceState::waited_command(SECOND));
+    let waited = stored.bytes("service command, waited", &LeaseState::wait_completed_command(SECOND));
     assert_eq!(state.apply(&waited), None);
-    assert!(state.has_waited());
-    stored.compare("service state, second", &state, ServiceState::snapshot, decode);
+    assert!(state.is_wait_completed());
+    stored.compare("service state, second", &state, LeaseState::snapshot, decode);
     stored.finish();
 }
 
@@ -93,18 +93,18 @@
     directory.set_placement_overlay(1_200, "server-9", note.clone());
 
     // when
-    let mut memory = DirectoryMemory::default();
-    let written = memory.due(1_300, &directory).expect("the directory has changed");
+    let mut writer = DirectorySnapshotWriter::default();
+    let written = writer.take_due(1_300, &directory).expect("the directory has changed");
 
     // then
     let bytes = stored.bytes("directory on disk", &written);
     stored.finish();
-    assert_eq!(memory.live_record(), Some((STREAM, bytes.clone())));
+    assert_eq!(writer.live_record(), Some((STREAM, bytes.clone())));
     let mut journal =
         vec![StoredRecord { stream: 0, bytes: vec![1] }, StoredRecord { stream: STREAM, bytes }];
     let record =
         ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, overlay: note };
-    assert_eq!(DirectoryMemory::take_from(&mut journal), [record]);
+    assert_eq!(DirectorySnapshotWriter::restore_from(&mut journal), [record]);
     assert_eq!(journal, [StoredRecord { stream: 0, bytes: vec![1] }]);
 }
 
--- a/model-checker/src/judge.rs
+++ b/model-checker/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use shaletrail_consensus::{Index, Term};
-use shaletrail_coordinator::core::orders::ORDER_LEAVES_WITHIN;
+use shaletrail_coordinator::core::orders::ORDER_SEND_TIMEOUT;
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::machine::{Fact, ORDER_LEASE};
@@ -147,7 +147,7 @@
         for (fence, turn) in &self.turns {
             for (later_fence, later) in self.turns.range(fence + 1..) {
                 let apart = turn.node == later.node
-                    || turn.until + ORDER_LEAVES_WITHIN + ORDER_LEASE <= later.allowed_from;
+                    || turn.until + ORDER_SEND_TIMEOUT + ORDER_LEASE <= later.allowed_from;
                 holds(apart || turn.until == 0, || {
                     format!(
                         "{} may order until {} by fence {fence}, {} from {} on by {later_fence}",
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! What is explored is the production code: `shaletrail_consensus::Replica`, the configuration's judgement
 //! (`shaletrail_configuration::ConfigState`) and the turns of holders of orders
-//! (`shaletrail_coordinator::core::{service_state, orders}`). Nothing of the protocol is written again here.
+//! (`shaletrail_coordinator::core::{lease_state, orders}`). Nothing of the protocol is written again here.
 //!
 //! A [`World`] is three voters, a spare, their disks and all messages under way. A [`Scene`] is a start close
 //! to a danger, and a [`Budget`] of faults. [`explore`] takes all [`Step`]s from there, breadth first, and drops
--- a/model-checker/src/machine.rs
+++ b/model-checker/src/machine.rs
@@ -8,8 +8,8 @@
 use shaletrail_consensus::{
     Effect, Entry, Index, Message, Options, Payload, Position, Record, Replica, Term,
 };
+use shaletrail_coordinator::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::orders::OrderLeases;
-use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
 use shaletrail_coordinator::interface::CoordinatorOptions;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
@@ -148,14 +148,14 @@
 #[derive(Clone, Debug)]
 enum State {
     Configuration(Box<ConfigState>),
-    Service(ServiceState),
+    Service(LeaseState),
 }
 
 impl State {
     fn new(kind: Kind) -> Self {
         match kind {
             Kind::Configuration => State::Configuration(Box::default()),
-            Kind::Service => State::Service(ServiceState::default()),
+            Kind::Service => State::Service(LeaseState::default()),
         }
     }
 
@@ -169,7 +169,7 @@
     fn restore(&mut self, bytes: &[u8]) {
         match self {
             State::Configuration(state) => **state = ConfigState::restore(bytes).expect("own states decode"),
-            State::Service(state) => *state = ServiceState::restore(bytes).expect("own states decode"),
+            State::Service(state) => *state = LeaseState::restore(bytes).expect("own states decode"),
         }
     }
 }
@@ -385,8 +385,8 @@
                     Some(Leadership { term, since: now, allowed_from: None, must_tell_waited: false });
                 facts.push(self.elected(term));
                 if self.settings.kind == Kind::Service {
-                    let holder = LeaseHolder { node: self.node, fence: term };
-                    let _ = self.replica.propose(now, ServiceState::command(holder));
+                    let holder = LeaseHolder { node: self.node, fencing_token: term };
+                    let _ = self.replica.propose(now, LeaseState::acquire_command(holder));
                 }
             }
             Effect::Deposed { .. } => {
@@ -416,8 +416,8 @@
                     self.judged(position, command, &judgement, facts);
                 }
                 State::Service(state) => {
-                    if let Some(turn) = state.apply(command) {
-                        self.begin_turn(now, turn, facts);
+                    if let Some(epoch) = state.apply(command) {
+                        self.begin_turn(now, epoch, facts);
                     }
                 }
             }
@@ -448,15 +448,15 @@
     }
 
     /// Asks the holders of the coordinator from when on orders may be sent.
-    fn begin_turn(&mut self, now: Millis, turn: Turn, facts: &mut Vec<Fact>) {
+    fn begin_turn(&mut self, now: Millis, epoch: LeaseEpoch, facts: &mut Vec<Fact>) {
         let Some(leadership) = &mut self.leadership else { return };
         let mut holders = OrderLeases::new(&core_options(self.node));
-        holders.elected(leadership.since, SERVICE_SHARD, leadership.term);
-        let leads = self.replica.is_leader() && self.replica.term() == turn.holder.fence;
-        holders.turn(now, SERVICE_SHARD, turn, leads);
-        let Some(allowed_from) = holders.allowed_from(SERVICE_SHARD) else { return };
+        holders.on_elected(leadership.since, SERVICE_SHARD, leadership.term);
+        let leads = self.replica.is_leader() && self.replica.term() == epoch.holder.fencing_token;
+        holders.on_epoch_started(now, SERVICE_SHARD, epoch, leads);
+        let Some(allowed_from) = holders.wait_until(SERVICE_SHARD) else { return };
         leadership.allowed_from = Some(allowed_from);
-        leadership.must_tell_waited = turn.must_wait;
+        leadership.must_tell_waited = epoch.must_wait;
         facts.push(Fact::Turn { fence: leadership.term, allowed_from });
     }
 
@@ -467,8 +467,8 @@
         if !over || !leadership.must_tell_waited {
             return false;
         }
-        let holder = LeaseHolder { node: self.node, fence: leadership.term };
-        let told = self.replica.propose(now, ServiceState::waited_command(holder)).is_ok();
+        let holder = LeaseHolder { node: self.node, fencing_token: leadership.term };
+        let told = self.replica.propose(now, LeaseState::wait_completed_command(holder)).is_ok();
         leadership.must_tell_waited = !told;
         told
     }
@@ -492,12 +492,12 @@
 fn core_options(node: NodeId) -> CoordinatorOptions {
     CoordinatorOptions {
         node,
-        name: format!("node-{}", node.0),
+        node_name: format!("node-{}", node.0),
         incarnation: Incarnation(1),
         seeds: Vec::new(),
         bootstrap: false,
         hosts_lost: 1,
-        heartbeat: Duration::from_secs(1),
+        heartbeat_interval: Duration::from_secs(1),
         order_lease: Duration::from_millis(ORDER_LEASE),
         retry_window: Duration::from_secs(10),
         placement: shaletrail_placement::Options::default(),
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -228,7 +228,7 @@
                 assert_ne!(to, self.node, "a coordinator sends itself {message:?}");
                 world.send(self.node, to, Message::Core(frame::encode(&message)));
             }
-            Action::Store { ticket, records } => {
+            Action::Persist { ticket, records } => {
                 let done = self.writer.append(world.now, disk, ticket, records, &mut world.random);
                 self.wake_for_disk(world, done);
             }
@@ -245,7 +245,7 @@
             Action::RespondToPoll { call, response: reply } => {
                 self.answer(world, call, Answer::Poll(frame::encode(&*reply)));
             }
-            Action::Order { order, server, address, body } => {
+            Action::SendOrder { order, server, address, body } => {
                 self.begin_order(world, order, server, &address, body);
             }
             Action::FetchReport { server, address } => self.ask_report(world, server, &address),
@@ -291,7 +291,7 @@
                 Event::Heartbeat { call: id, id: server, heartbeat }
             }
             Call::Deregister { id: server } => Event::Deregister { call: id, id: server },
-            Call::Operator(operator) => Event::Operator { call: id, operator },
+            Call::Operator(operator) => Event::OperatorCall { call: id, request: operator },
             Call::Order { .. } | Call::Report { .. } | Call::Request(_) => return,
         };
         self.replies.insert(id, caller);
