--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -1,7 +1,7 @@
-//! Demand that edges report with their polls, gathered and shared with the holders of orders.
+//! Demand that edges report with their polls, aggregated and broadcast to the holders of order leases.
 
+mod aggregated;
 mod edges;
-mod gathered;
 
 use shaletrail_protocol::internal::{CoordinatorMessage, Demand, Observation};
 use shaletrail_protocol::{Millis, NodeId};
@@ -9,15 +9,15 @@
 use super::Coordinator;
 use crate::interface::Action;
 
-pub use edges::{list_name, Edges};
-pub use gathered::AggregatedDemand;
+pub use aggregated::AggregatedDemand;
+pub use edges::{edge_list_hash, Edges};
 
-/// Between two messages that carry demand to the holders of orders.
-const DEMAND_EVERY: Millis = 250;
-/// The same where requests wait for a model or an adapter.
-const URGENT_DEMAND_EVERY: Millis = 30;
+/// Interval between two broadcasts.
+const BROADCAST_INTERVAL: Millis = 250;
+/// The interval while requests wait for a model or an adapter.
+const URGENT_BROADCAST_INTERVAL: Millis = 30;
 
-/// When demand is shared.
+/// When demand is broadcast.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandBroadcastSchedule {
     next: Millis,
@@ -25,46 +25,46 @@
 }
 
 impl DemandBroadcastSchedule {
-    /// It is due at once.
+    /// A schedule whose first broadcast is due at once.
     pub fn new(now: Millis) -> Self {
         DemandBroadcastSchedule { next: now, last: now }
     }
 
-    /// Requests wait for what is reported: it is due soon.
-    fn hurry(&mut self) {
-        self.next = self.next.min(self.last + URGENT_DEMAND_EVERY);
+    /// Brings the next broadcast forward, as requests wait for what the demand names.
+    fn expedite(&mut self) {
+        self.next = self.next.min(self.last + URGENT_BROADCAST_INTERVAL);
     }
 
-    /// The milliseconds that the demand covers, if it is due.
+    /// The milliseconds that the demand covers, if a broadcast is due.
     fn take_due(&mut self, now: Millis) -> Option<Millis> {
         if now < self.next {
             return None;
         }
-        self.next = now + DEMAND_EVERY;
-        let span = now.saturating_sub(self.last).max(1);
+        self.next = now + BROADCAST_INTERVAL;
+        let window = now.saturating_sub(self.last).max(1);
         self.last = now;
-        Some(span)
+        Some(window)
     }
 }
 
 impl Coordinator {
-    /// Takes over what an edge reports. Requests that wait for a model are told to the holders of orders soon.
-    pub(super) fn gather(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
+    /// Adds an edge's report to the demand. The broadcast is brought forward if requests wait for a model or an adapter.
+    pub(super) fn record_demand(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
         if demand.iter().any(|demand| demand.waiting > 0) {
-            self.sharing_times.hurry();
+            self.demand_broadcasts.expedite();
         }
-        self.gathered.add(edge, demand, observed);
+        self.demand.add(edge, demand, observed);
     }
 
-    /// Sends what edges reported here to the nodes that lead the service shards.
-    pub(super) fn share_demand(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let Some(span) = self.sharing_times.take_due(now) else { return };
-        let reports = self.gathered.take();
-        self.holders.demand(now, &reports);
-        let edges = self.edges.own();
+    /// Sends the demand since the last broadcast to the nodes that may hold order leases, when due.
+    pub(super) fn broadcast_demand(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let Some(window) = self.demand_broadcasts.take_due(now) else { return };
+        let reports = self.demand.take();
+        self.order_leases.record_demand(now, &reports);
+        let edges = self.edges.local();
         if edges.is_empty() && reports.is_empty() {
             return;
         }
-        self.send_to_others(&CoordinatorMessage::Demand { window_ms: span as u32, edges, reports }, actions);
+        self.broadcast(&CoordinatorMessage::Demand { window_ms: window as u32, edges, reports }, actions);
     }
 }
--- a/coordinator/src/core/demand/edges.rs
+++ b/coordinator/src/core/demand/edges.rs
@@ -1,101 +1,101 @@
-//! Which data-plane nodes are at work.
+//! The data-plane nodes that are active, and the number among which the retry budget is divided.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use shaletrail_protocol::{Millis, NodeId};
 
-/// How long after its last poll an edge counts as at work.
-const EDGE_STAYS: Millis = 4_000;
-/// Edges kept.
-pub(super) const MOST_EDGES: usize = 2_048;
+/// How long after its last poll an edge counts as active.
+const EDGE_TTL: Millis = 4_000;
+/// Edges that are tracked, at most.
+pub(super) const MAX_EDGES: usize = 2_048;
 
-/// Data-plane nodes that are at work, as far as this coordinator knows.
+/// The active data-plane nodes, as far as this coordinator knows.
 #[derive(Debug)]
 pub struct Edges {
-    own: BTreeMap<NodeId, Millis>,
-    others: BTreeMap<NodeId, Millis>,
-    /// All that were at work within the window over which repeats are counted.
-    lately: BTreeMap<NodeId, Millis>,
-    window: Millis,
-    /// Since when this coordinator has heard of the edges of all others.
-    hearing_since: Millis,
+    /// Edges that poll this coordinator, with the time of their last poll.
+    local: BTreeMap<NodeId, Millis>,
+    /// Edges that poll other coordinators, with the time of the last announcement.
+    remote: BTreeMap<NodeId, Millis>,
+    /// All edges that were active within the window of the retry budget.
+    recent: BTreeMap<NodeId, Millis>,
+    retry_window: Millis,
+    /// Since when this coordinator has received the announcements of all others without a gap.
+    complete_since: Millis,
 }
 
 impl Edges {
-    /// Nobody is known. Repeats are counted over `window` milliseconds.
-    pub fn new(window: Millis, now: Millis) -> Self {
+    /// No edge is known yet. `retry_window` is the window of the retry budget in milliseconds.
+    pub fn new(retry_window: Millis, now: Millis) -> Self {
         Edges {
-            own: BTreeMap::new(),
-            others: BTreeMap::new(),
-            lately: BTreeMap::new(),
-            window,
-            hearing_since: now,
+            local: BTreeMap::new(),
+            remote: BTreeMap::new(),
+            recent: BTreeMap::new(),
+            retry_window,
+            complete_since: now,
         }
     }
 
-    /// This coordinator has come into or out of touch with the others: edges that poll elsewhere may have been
-    /// forgotten meanwhile.
-    pub fn touch_changed(&mut self, now: Millis) {
-        self.hearing_since = now;
+    /// This coordinator has gained or lost quorum contact: edges that poll elsewhere may have been missed meanwhile.
+    pub fn quorum_contact_changed(&mut self, now: Millis) {
+        self.complete_since = now;
     }
 
-    /// An edge polls here.
-    pub fn polled(&mut self, node: NodeId, now: Millis) {
-        note(&mut self.own, node, now);
-        note(&mut self.lately, node, now);
+    /// An edge polls this coordinator.
+    pub fn on_poll(&mut self, node: NodeId, now: Millis) {
+        record_contact(&mut self.local, node, now);
+        record_contact(&mut self.recent, node, now);
     }
 
-    /// Another coordinator has edges.
-    pub fn told(&mut self, nodes: Vec<NodeId>, now: Millis) {
+    /// Another coordinator has announced the edges that poll it.
+    pub fn on_peer_edges(&mut self, nodes: Vec<NodeId>, now: Millis) {
         for node in nodes {
-            note(&mut self.others, node, now);
-            note(&mut self.lately, node, now);
+            record_contact(&mut self.remote, node, now);
+            record_contact(&mut self.recent, node, now);
         }
     }
 
-    /// An edge's process is ending.
-    pub fn left(&mut self, node: NodeId) {
-        self.own.remove(&node);
-        self.others.remove(&node);
+    /// The process of an edge is shutting down.
+    pub fn on_disconnect(&mut self, node: NodeId) {
+        self.local.remove(&node);
+        self.remote.remove(&node);
     }
 
-    /// Forgets those that were not heard of for long.
+    /// Drops the edges whose time is over.
     pub fn tick(&mut self, now: Millis) {
-        let window = self.window;
-        self.own.retain(|_, heard| *heard + EDGE_STAYS > now);
-        self.others.retain(|_, heard| *heard + EDGE_STAYS > now);
-        self.lately.retain(|_, heard| *heard + window.max(EDGE_STAYS) > now);
+        let recent_ttl = self.retry_window.max(EDGE_TTL);
+        self.local.retain(|_, last_contact| *last_contact + EDGE_TTL > now);
+        self.remote.retain(|_, last_contact| *last_contact + EDGE_TTL > now);
+        self.recent.retain(|_, last_contact| *last_contact + recent_ttl > now);
     }
 
-    /// Edges that poll here.
-    pub fn own(&self) -> Vec<NodeId> {
-        self.own.keys().copied().collect()
+    /// The edges that poll this coordinator, in order.
+    pub fn local(&self) -> Vec<NodeId> {
+        self.local.keys().copied().collect()
     }
 
-    /// The edges at work in the whole system, in order.
+    /// The active edges of the whole system, in order.
     pub fn list(&self) -> Vec<NodeId> {
-        let all: BTreeSet<NodeId> = self.own.keys().chain(self.others.keys()).copied().collect();
-        all.into_iter().take(MOST_EDGES).collect()
+        let all: BTreeSet<NodeId> = self.local.keys().chain(self.remote.keys()).copied().collect();
+        all.into_iter().take(MAX_EDGES).collect()
     }
 
-    /// Edges among which the budget of repeats is divided: those that were at work within its window, as they may
-    /// have spent their parts. 0, for unknown, while this coordinator has not heard
-    /// of the others' edges for as long.
-    pub fn sharing(&self, now: Millis) -> u32 {
-        if now < self.hearing_since + self.window {
+    /// Number of edges among which the retry budget is divided: all that were active within its window, as they may have
+    /// spent their shares. 0, for unknown, until this coordinator has known the others' edges for the whole window.
+    pub fn retry_budget_shares(&self, now: Millis) -> u32 {
+        if now < self.complete_since + self.retry_window {
             return 0;
         }
-        self.lately.len() as u32
+        self.recent.len() as u32
     }
 }
 
-fn note(table: &mut BTreeMap<NodeId, Millis>, node: NodeId, now: Millis) {
-    if table.len() < MOST_EDGES || table.contains_key(&node) {
+fn record_contact(table: &mut BTreeMap<NodeId, Millis>, node: NodeId, now: Millis) {
+    if table.len() < MAX_EDGES || table.contains_key(&node) {
         table.insert(node, now);
     }
 }
 
-/// Names a list of edges.
-pub fn list_name(edges: &[NodeId]) -> u64 {
-    edges.iter().fold(1, |name, node| shaletrail_ring::mix(name ^ u64::from(node.0)))
+/// Hash of a list of edges, by which an edge tells whether the list has changed. All coordinators must agree on it.
+pub fn edge_list_hash(edges: &[NodeId]) -> u64 {
+    edges.iter().fold(1, |hash, node| shaletrail_ring::mix(hash ^ u64::from(node.0)))
 }
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! Every decision of a coordinator, as a sans-IO state machine.
 //!
-//! Wanted state and reconcile loops: what heartbeats, operators and edges want is kept by the parts (shards,
-//! directory, planners), and each event ends with [`Coordinator::settle`], which works out what is still to be done and
-//! answers whoever waits for what has come about.
+//! The parts (shards, directory, planners) keep the desired state: what heartbeats, operators and edges ask for. Each event
+//! ends with [`Coordinator::reconcile`], which works out what is still to be done and answers whoever waits for what has
+//! come about.
 
 pub mod demand;
 pub mod directory_snapshot;
@@ -10,11 +10,12 @@
 pub mod lease_state;
 pub mod operator;
 pub mod orders;
+mod peer_versions;
 pub mod polls;
-mod progress;
-mod servers;
+mod quorum_contact;
+mod server_calls;
+mod shard_events;
 pub mod shards;
-mod touch;
 pub mod voters;
 
 use std::collections::HashMap;
@@ -28,11 +29,11 @@
 use crate::interface::{Action, CallId, CoordinatorOptions, Event, OrderId};
 use demand::{AggregatedDemand, DemandBroadcastSchedule, Edges};
 use directory_snapshot::DirectorySnapshotWriter;
-use operator::{Caller, OperatorCalls, Ticket};
+use operator::{CallOrigin, PendingCallId, PendingCalls};
 use orders::OrderLeases;
+use peer_versions::PeerVersions;
 use polls::PendingPolls;
 use shards::Shards;
-use touch::PeerVersions;
 
 /// A coordinator's decisions.
 pub struct Coordinator {
@@ -41,99 +42,103 @@
     directory: Directory,
     directory_snapshots: DirectorySnapshotWriter,
     shards: Shards,
-    operator_calls: OperatorCalls,
-    /// Calls of servers that wait until a majority knows what they say.
+    operator_calls: PendingCalls,
+    /// Calls of servers that wait until a majority has what they report.
     server_calls: HashMap<CallToken, CallId>,
     polls: PendingPolls,
     edges: Edges,
-    gathered: AggregatedDemand,
-    sharing_times: DemandBroadcastSchedule,
-    holders: OrderLeases,
-    /// Whether a majority of the configuration's voters has answered this node of late.
-    in_touch: bool,
+    demand: AggregatedDemand,
+    demand_broadcasts: DemandBroadcastSchedule,
+    order_leases: OrderLeases,
+    /// Whether a quorum of the configuration's voters had answered this node recently when the last event was handled.
+    has_quorum_contact: bool,
     /// Whether that has ever been so since the start.
-    was_in_touch: bool,
-    versions_elsewhere: PeerVersions,
-    /// The disk counts as sick until then.
-    sick_until: Millis,
-    /// When the voters are looked at next.
+    had_quorum_contact: bool,
+    peer_versions: PeerVersions,
+    /// Until when the disk counts as degraded.
+    disk_degraded_until: Millis,
     next_voter_review: Millis,
-    /// The version in force that the holders of orders and the log were last told of.
-    announced_version: u64,
-    /// Notes of the start, handed out with the first event.
+    /// The configuration's version that the order leases and the log know.
+    last_applied_version: u64,
+    /// Actions of the start, handed out with the first event.
     startup_actions: Vec<Action>,
 }
 
 impl Coordinator {
-    /// A coordinator with what its disk held.
+    /// A coordinator with the records that its journal held. `now` is in milliseconds of the clock that all events carry.
     pub fn new(options: CoordinatorOptions, mut stored: Vec<StoredRecord>, now: Millis) -> Self {
         let mut startup_actions = Vec::new();
-        let remembered = DirectorySnapshotWriter::restore_from(&mut stored);
+        let known_servers = DirectorySnapshotWriter::restore_from(&mut stored);
         let shards = Shards::new(&options, stored, now, &mut startup_actions);
         let membership_options = membership::Options::default();
         let membership =
             Membership::new(membership_options, options.node, options.incarnation, &options.seeds, now);
-        let heartbeat = options.heartbeat_interval.as_millis() as Millis;
-        let directory_options = directory::Options::for_heartbeat(heartbeat);
+        let heartbeat_interval = options.heartbeat_interval.as_millis() as Millis;
+        let directory_options = directory::Options::for_heartbeat(heartbeat_interval);
         let mut directory = Directory::new(directory_options, options.node, options.incarnation, now);
-        directory.restore(now, remembered);
-        let holders = OrderLeases::new(&options);
+        directory.restore(now, known_servers);
+        let order_leases = OrderLeases::new(&options);
         Coordinator {
             membership,
             directory,
             directory_snapshots: DirectorySnapshotWriter::default(),
             shards,
-            operator_calls: OperatorCalls::of_start(options.incarnation),
+            operator_calls: PendingCalls::for_incarnation(options.incarnation),
             server_calls: HashMap::new(),
             polls: PendingPolls::default(),
             edges: Edges::new(options.retry_window.as_millis() as Millis, now),
-            gathered: AggregatedDemand::default(),
-            sharing_times: DemandBroadcastSchedule::new(now),
-            holders,
-            in_touch: false,
-            was_in_touch: false,
-            versions_elsewhere: PeerVersions::default(),
-            sick_until: 0,
+            demand: AggregatedDemand::default(),
+            demand_broadcasts: DemandBroadcastSchedule::new(now),
+            order_leases,
+            has_quorum_contact: false,
+            had_quorum_contact: false,
+            peer_versions: PeerVersions::default(),
+            disk_degraded_until: 0,
             next_voter_review: now,
-            announced_version: 0,
+            last_applied_version: 0,
             startup_actions,
             options,
         }
     }
 
-    /// Takes an event and says what is to be done.
+    /// Handles an event and appends the actions that follow from it, in the order in which they are to be carried out.
+    /// `now` must never go back.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         actions.append(&mut self.startup_actions);
         match event {
             Event::Tick => self.tick(now),
             Event::Message { from, message } => self.receive(now, from, message, actions),
             Event::Persisted { ticket, wants_checkpoint } => {
-                self.shards.stored(now, ticket);
+                self.shards.on_persisted(now, ticket);
                 self.checkpoint_if(wants_checkpoint, actions);
             }
             Event::DiskDegraded { wants_checkpoint } => {
-                self.on_disk_sick(now);
+                self.on_disk_degraded(now);
                 self.checkpoint_if(wants_checkpoint, actions);
             }
-            Event::Heartbeat { call, id, heartbeat } => self.heartbeat(now, call, id, heartbeat, actions),
-            Event::Deregister { call, id } => self.deregister(now, call, id),
-            Event::OperatorCall { call, request } => self.operate(now, Caller::Here(call), request, actions),
-            Event::Poll { call, edge, request } => self.poll(now, call, edge, request),
+            Event::Heartbeat { call, id, heartbeat } => self.on_heartbeat(now, call, id, heartbeat, actions),
+            Event::Deregister { call, id } => self.on_deregister(now, call, id),
+            Event::OperatorCall { call, request } => {
+                self.on_operator_call(now, CallOrigin::Local(call), request, actions)
+            }
+            Event::Poll { call, edge, request } => self.on_poll(now, call, edge, request),
             Event::PollCancelled(call) => drop(self.polls.remove(call)),
-            Event::EdgeReport { edge, demand } => self.gather(edge, demand, Vec::new()),
-            Event::EdgeDisconnected(node) => self.edges.left(node),
-            Event::OrderCompleted { order, outcome } => self.holders.ordered(now, order, outcome),
-            Event::ReportReceived { server, report } => self.holders.reported(now, &server, report),
+            Event::EdgeReport { edge, demand } => self.record_demand(edge, demand, Vec::new()),
+            Event::EdgeDisconnected(node) => self.edges.on_disconnect(node),
+            Event::OrderCompleted { order, outcome } => {
+                self.order_leases.on_order_completed(now, order, outcome)
+            }
+            Event::ReportReceived { server, report } => self.order_leases.on_report(now, &server, report),
             Event::ShutdownRequested => {
-                self.transfer_leadership(now);
+                self.transfer_all_leaderships(now);
                 self.membership.leave(now);
             }
             Event::SeedsChanged(seeds) => self.membership.add_seeds(&seeds),
         }
-        self.settle(now, actions);
+        self.reconcile(now, actions);
     }
 
-    /// Nodes that take part as far as this one knows, itself included.
+    /// The coordinators that are alive as far as this one knows, itself included.
     pub fn coordinators(&self) -> Vec<NodeId> {
         let mut nodes = self.membership.alive();
         if !nodes.contains(&self.options.node) {
@@ -142,7 +147,7 @@
         nodes
     }
 
-    /// The configuration in force here.
+    /// The version of the configuration that is applied at this node; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.shards.configuration().version()
     }
@@ -159,12 +164,12 @@
 
     /// Whether an order may be written to its server now; to be asked as the last thing before its bytes go out.
     pub fn may_write(&self, now: Millis, order: OrderId) -> bool {
-        self.holders.may_write(now, order, &self.shards)
+        self.order_leases.may_write(now, order, &self.shards)
     }
 
-    /// Whether this node reaches a majority of the voters.
+    /// Whether a quorum of the configuration's voters had answered this node recently when the last event was handled.
     pub fn has_quorum_contact(&self) -> bool {
-        self.in_touch
+        self.has_quorum_contact
     }
 
     fn tick(&mut self, now: Millis) {
@@ -181,46 +186,45 @@
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
             CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
             CoordinatorMessage::ForwardRequest { call, change } => {
-                self.operate(now, Caller::Node { node: from, call }, change, actions)
+                self.on_operator_call(now, CallOrigin::Peer { node: from, call }, change, actions)
             }
-            CoordinatorMessage::ForwardResponse { call, response: answer } => {
-                self.forwarded(from, Ticket(call), answer, actions)
+            CoordinatorMessage::ForwardResponse { call, response } => {
+                self.on_forward_response(from, PendingCallId(call), response, actions)
             }
             CoordinatorMessage::Demand { edges, reports, .. } => {
-                self.edges.told(edges, now);
-                self.holders.demand(now, &reports);
-            }
-            CoordinatorMessage::AppliedConfigVersion { version } => {
-                self.versions_elsewhere.told(now, from, version)
+                self.edges.on_peer_edges(edges, now);
+                self.order_leases.record_demand(now, &reports);
             }
+            CoordinatorMessage::AppliedConfigVersion { version } => self.on_peer_version(now, from, version),
         }
     }
 
-    /// What each event ends with.
-    fn settle(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.update_touch(now, actions);
-        self.update_members(now, actions);
+    /// Brings all parts up to date with each other after an event.
+    fn reconcile(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.update_quorum_contact(now, actions);
+        self.update_peers(now, actions);
         self.update_voters(now, actions);
-        self.advance_calls(now, actions);
-        self.run_shards(now, actions);
+        self.advance_operator_calls(now, actions);
+        self.process_shards(now, actions);
         self.send_from_parts(actions);
-        self.answer_servers(actions);
-        self.share_demand(now, actions);
-        self.place(now, actions);
-        self.run_shards(now, actions);
-        if let Some(record) = self.directory_snapshots.take_due(now, &self.directory) {
-            self.shards.store_beside(directory_snapshot::STREAM, record, actions);
-        }
-        self.compare_versions(now, actions);
+        self.answer_server_calls(actions);
+        self.broadcast_demand(now, actions);
+        self.plan_orders(now, actions);
+        // The planners may have proposed entries.
+        self.process_shards(now, actions);
+        self.snapshot_directory(now, actions);
+        self.update_peer_versions(now, actions);
+        // Last, so that polls get all that the event has changed.
         self.answer_polls(now, actions);
     }
 
-    /// Sends a message to all other coordinators that take part as far as this one knows.
-    fn send_to_others(&self, message: &CoordinatorMessage, actions: &mut Vec<Action>) {
+    /// Sends a message to all other coordinators that are alive as far as this one knows.
+    fn broadcast(&self, message: &CoordinatorMessage, actions: &mut Vec<Action>) {
         let others = self.coordinators().into_iter().filter(|node| *node != self.options.node);
         actions.extend(others.map(|to| Action::Send { to, message: message.clone() }));
     }
 
+    /// Sends what membership and directory have queued.
     fn send_from_parts(&mut self, actions: &mut Vec<Action>) {
         for (to, message) in self.membership.take_sends() {
             actions.push(Action::Send { to, message: CoordinatorMessage::Membership(message) });
@@ -231,8 +235,14 @@
         }
     }
 
-    fn place(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.holders.plan(now, &mut self.shards, &mut self.directory, actions);
+    fn plan_orders(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.order_leases.plan(now, &mut self.shards, &mut self.directory, actions);
         self.send_from_parts(actions);
     }
+
+    fn snapshot_directory(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if let Some(record) = self.directory_snapshots.take_due(now, &self.directory) {
+            self.shards.persist_beside_shards(directory_snapshot::STREAM, record, actions);
+        }
+    }
 }
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -1,6 +1,6 @@
-//! The operator's calls: each is brought to the leader of the configuration's shard, and answered by what was agreed.
+//! Calls of the operator: each is brought to the leader of the configuration's shard, and answered by what was committed.
 
-mod table;
+mod pending_calls;
 
 use shaletrail_configuration::{Change, ChangeOutcome};
 use shaletrail_consensus::Replica;
@@ -10,118 +10,138 @@
 use super::Coordinator;
 use crate::interface::Action;
 
-pub use table::{Caller, OperatorCalls, Pending, Stage, Ticket};
+pub use pending_calls::{CallOrigin, CallStage, PendingCall, PendingCallId, PendingCalls};
 
 impl Coordinator {
-    pub(super) fn operate(
+    /// The operator calls, here or at a peer that has forwarded the call.
+    pub(super) fn on_operator_call(
         &mut self,
         now: Millis,
-        caller: Caller,
+        origin: CallOrigin,
         call: OperatorCall,
         actions: &mut Vec<Action>,
     ) {
-        if let OperatorCall::Change { replace: whole, base_version: base, body } = &call {
-            if let Err(invalid) = Change::parse(*whole, *base, body) {
-                let answer = OperatorResponse::Invalid { reason: invalid.to_string() };
-                return answer_caller(caller, answer, actions);
+        if let OperatorCall::Change { replace, base_version, body } = &call {
+            if let Err(invalid) = Change::parse(*replace, *base_version, body) {
+                let response = OperatorResponse::Invalid { reason: invalid.to_string() };
+                return respond(origin, response, actions);
             }
         }
-        if self.operator_calls.add(now, caller, call).is_none() {
-            answer_caller(caller, OperatorResponse::Unavailable, actions);
+        if self.operator_calls.add(now, origin, call).is_none() {
+            respond(origin, OperatorResponse::Unavailable, actions);
         }
     }
 
-    /// Brings calls that wait to the leader of the configuration's shard.
-    pub(super) fn advance_calls(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Brings calls that wait for a leader to it, and gives up those whose time is over.
+    pub(super) fn advance_operator_calls(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let leader = self.shards.configuration_replica().leader();
-        self.operator_calls.start_over(|stage| match stage {
-            Stage::Forwarded(node) => leader.is_some_and(|leader| leader != node),
+        self.operator_calls.restart(|stage| match stage {
+            CallStage::Forwarded(node) => leader.is_some_and(|leader| leader != node),
             _ => false,
         });
-        for ticket in self.operator_calls.find(|pending| pending.stage == Stage::Waiting) {
-            let Some(pending) = self.operator_calls.get_mut(ticket) else { continue };
-            let replica = self.shards.configuration_replica();
-            if replica.is_leader() {
-                if let Some(stage) = begin(replica, now, ticket, &pending.call) {
-                    pending.stage = stage;
-                }
-            } else if let (Some(leader), Caller::Here(_)) = (leader, pending.caller) {
-                let forward =
-                    CoordinatorMessage::ForwardRequest { call: ticket.0, change: pending.call.clone() };
-                actions.push(Action::Send { to: leader, message: forward });
-                pending.stage = Stage::Forwarded(leader);
-            }
+        for id in self.operator_calls.find(|pending| pending.stage == CallStage::WaitingForLeader) {
+            self.bring_to_leader(now, id, leader, actions);
         }
-        for ticket in self.operator_calls.find(|pending| pending.until <= now) {
-            self.end_call(ticket, OperatorResponse::Unavailable, actions);
+        for id in self.operator_calls.find(|pending| pending.deadline <= now) {
+            self.complete_call(id, OperatorResponse::Unavailable, actions);
         }
     }
 
-    pub(super) fn forwarded(
+    fn bring_to_leader(
+        &mut self,
+        now: Millis,
+        id: PendingCallId,
+        leader: Option<NodeId>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.operator_calls.get_mut(id) else { return };
+        let replica = self.shards.configuration_replica();
+        if replica.is_leader() {
+            if let Some(stage) = start_at_leader(replica, now, id, &pending.call) {
+                pending.stage = stage;
+            }
+        } else if let (Some(leader), CallOrigin::Local(_)) = (leader, pending.origin) {
+            let request = CoordinatorMessage::ForwardRequest { call: id.0, change: pending.call.clone() };
+            actions.push(Action::Send { to: leader, message: request });
+            pending.stage = CallStage::Forwarded(leader);
+        }
+    }
+
+    /// A peer has answered a call; only the node that the call was last forwarded to is believed.
+    pub(super) fn on_forward_response(
         &mut self,
         from: NodeId,
-        ticket: Ticket,
-        answer: OperatorResponse,
+        id: PendingCallId,
+        response: OperatorResponse,
         actions: &mut Vec<Action>,
     ) {
-        let Some(pending) = self.operator_calls.get_mut(ticket) else { return };
-        if pending.stage != Stage::Forwarded(from) {
+        let Some(pending) = self.operator_calls.get_mut(id) else { return };
+        if pending.stage != CallStage::Forwarded(from) {
             return;
         }
-        self.end_call(ticket, answer, actions);
+        self.complete_call(id, response, actions);
     }
 
-    pub(super) fn judged(
+    /// A change has been applied as the entry of this index and term, with this outcome.
+    pub(super) fn on_change_decided(
         &mut self,
         index: u64,
         term: u64,
-        judgement: ChangeOutcome,
+        outcome: &ChangeOutcome,
         actions: &mut Vec<Action>,
     ) {
-        for ticket in self.operator_calls.decided(index, term) {
-            let Some(pending) = self.operator_calls.get_mut(ticket) else { continue };
-            let answer = answer_of(&judgement, &pending.call);
-            self.end_call(ticket, answer, actions);
+        for id in self.operator_calls.decided_by_entry(index, term) {
+            let Some(pending) = self.operator_calls.get_mut(id) else { continue };
+            let response = response_to(outcome, &pending.call);
+            self.complete_call(id, response, actions);
         }
     }
 
-    pub(super) fn read_done(&mut self, token: u64, confirmed: bool, actions: &mut Vec<Action>) {
-        let ticket = Ticket(token);
-        if confirmed {
-            let body = self.shards.configuration().read();
-            self.end_call(ticket, OperatorResponse::Done { body }, actions);
-        } else if let Some(pending) = self.operator_calls.get_mut(ticket) {
-            pending.stage = Stage::Waiting;
+    /// A quorum has confirmed that this node still led when the read came.
+    pub(super) fn on_read_ready(&mut self, token: u64, actions: &mut Vec<Action>) {
+        let body = self.shards.configuration().read();
+        self.complete_call(PendingCallId(token), OperatorResponse::Done { body }, actions);
+    }
+
+    /// This node cannot answer a read: the next leader must.
+    pub(super) fn on_read_failed(&mut self, token: u64) {
+        if let Some(pending) = self.operator_calls.get_mut(PendingCallId(token)) {
+            pending.stage = CallStage::WaitingForLeader;
         }
     }
 
-    fn end_call(&mut self, ticket: Ticket, answer: OperatorResponse, actions: &mut Vec<Action>) {
-        if let Some(pending) = self.operator_calls.remove(ticket) {
-            answer_caller(pending.caller, answer, actions);
+    fn complete_call(&mut self, id: PendingCallId, response: OperatorResponse, actions: &mut Vec<Action>) {
+        if let Some(pending) = self.operator_calls.remove(id) {
+            respond(pending.origin, response, actions);
         }
     }
 }
 
-/// Starts a call at the leader; `None` if it must wait.
-fn begin(replica: &mut Replica, now: Millis, ticket: Ticket, call: &OperatorCall) -> Option<Stage> {
+/// Starts a call at the leader; `None` if the replica does not accept it now.
+fn start_at_leader(
+    replica: &mut Replica,
+    now: Millis,
+    id: PendingCallId,
+    call: &OperatorCall,
+) -> Option<CallStage> {
     match call {
-        OperatorCall::Read => replica.read(now, ticket.0).ok().map(|()| Stage::Reading),
-        OperatorCall::Change { replace: whole, base_version: base, body } => {
-            let change = Change::parse(*whole, *base, body).ok()?;
+        OperatorCall::Read => replica.read(now, id.0).ok().map(|()| CallStage::Reading),
+        OperatorCall::Change { replace, base_version, body } => {
+            let change = Change::parse(*replace, *base_version, body).ok()?;
             let term = replica.term();
             let index = replica.propose(now, change.encode()).ok()?;
-            Some(Stage::Proposed { index, term })
+            Some(CallStage::Proposed { index, term })
         }
     }
 }
 
-/// What a judgement tells the operator. A refusal must be final, as the same call may still be on its way to another
-/// node: one that builds on an older version can never be taken, but one that builds on a version that is yet to
-/// come can, so it gets no clear answer.
-fn answer_of(judgement: &ChangeOutcome, call: &OperatorCall) -> OperatorResponse {
+/// The response to a change with this outcome. A rejection must be final, as another copy of the same call may still be in
+/// flight to another node: a change that builds on an older version can never be accepted, but one that builds on a
+/// version yet to come can, so it gets no clear answer.
+fn response_to(outcome: &ChangeOutcome, call: &OperatorCall) -> OperatorResponse {
     let builds_after =
-        |version: u64| matches!(call, OperatorCall::Change { base_version: base, .. } if *base > version);
-    match judgement {
+        |version: u64| matches!(call, OperatorCall::Change { base_version, .. } if *base_version > version);
+    match outcome {
         ChangeOutcome::Accepted | ChangeOutcome::Duplicate => OperatorResponse::Done { body: b"{}".to_vec() },
         ChangeOutcome::Expired => OperatorResponse::Unavailable,
         ChangeOutcome::Conflict { current } if builds_after(*current) => OperatorResponse::Unavailable,
@@ -130,12 +150,10 @@
     }
 }
 
-fn answer_caller(caller: Caller, answer: OperatorResponse, actions: &mut Vec<Action>) {
-    match caller {
-        Caller::Here(call) => actions.push(Action::RespondToOperator { call, response: answer }),
-        Caller::Node { node, call } => actions.push(Action::Send {
-            to: node,
-            message: CoordinatorMessage::ForwardResponse { call, response: answer },
-        }),
+fn respond(origin: CallOrigin, response: OperatorResponse, actions: &mut Vec<Action>) {
+    match origin {
+        CallOrigin::Local(call) => actions.push(Action::RespondToOperator { call, response }),
+        CallOrigin::Peer { node, call } => actions
+            .push(Action::Send { to: node, message: CoordinatorMessage::ForwardResponse { call, response } }),
     }
 }
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -1,6 +1,6 @@
-//! Long polls of data-plane nodes: each is held until there is news, and answered by what this node knows.
+//! Long polls of data-plane nodes: each is pending until there are updates, and answered from this node's state.
 
-mod table;
+mod pending_polls;
 
 use shaletrail_protocol::internal::{EdgeIdentity, PollRequest, PollResponse};
 use shaletrail_protocol::Millis;
@@ -9,64 +9,65 @@
 use super::Coordinator;
 use crate::interface::{Action, CallId};
 
-pub use table::{PendingPoll, PendingPolls};
+pub use pending_polls::{PendingPoll, PendingPolls};
 
 impl Coordinator {
-    pub(super) fn poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
-        self.edges.polled(edge.node, now);
-        self.gather(edge.node, request.demand, request.observed);
-        let due = now + Millis::from(request.max_wait_ms);
+    /// A data-plane node polls, and reports its demand with the poll.
+    pub(super) fn on_poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
+        self.edges.on_poll(edge.node, now);
+        self.record_demand(edge.node, request.demand, request.observed);
         let poll = PendingPoll {
             edge: edge.node,
             config_version: request.config_version,
             cursor: request.cursor,
-            edge_list: request.edge_list_hash,
-            due,
+            edge_list_hash: request.edge_list_hash,
+            deadline: now + Millis::from(request.max_wait_ms),
         };
         self.polls.add(now, call, poll);
     }
 
+    /// Answers the polls for which there are updates or whose time is over.
     pub(super) fn answer_polls(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let version = self.configuration_version();
         let cursor = self.directory.cursor();
         let due = |poll: &PendingPoll| {
-            poll.due <= now
+            poll.deadline <= now
                 || poll.config_version < version
                 || poll.cursor != cursor
                 || !self.may_inform(now, poll.config_version)
         };
         for call in self.polls.find(due) {
             let Some(poll) = self.polls.remove(call) else { continue };
-            let reply = Box::new(self.reply_to(now, &poll));
-            actions.push(Action::RespondToPoll { call, response: reply });
+            let response = Box::new(self.poll_response(now, &poll));
+            actions.push(Action::RespondToPoll { call, response });
         }
     }
 
-    fn reply_to(&self, now: Millis, poll: &PendingPoll) -> PollResponse {
+    fn poll_response(&self, now: Millis, poll: &PendingPoll) -> PollResponse {
         if !self.may_inform(now, poll.config_version) {
-            return self.turn_away(poll);
+            return self.isolated_response(poll);
         }
-        let news = self.directory.updates_since(poll.cursor);
+        let directory = self.directory.updates_since(poll.cursor);
         let edges = self.edges.list();
-        let edge_list = demand::list_name(&edges);
+        let edge_list_hash = demand::edge_list_hash(&edges);
         PollResponse {
             config: self.shards.configuration().updates_since(poll.config_version),
-            servers: news.records,
-            // A young node has not heard of all servers: what it doesn't know may be there all the same.
-            complete: news.complete && !self.directory.is_recently_started(now),
-            cursor: news.cursor,
+            servers: directory.records,
+            // A node that has just started has not heard of all servers: what it does not know may exist all the same.
+            complete: directory.complete && !self.directory.is_recently_started(now),
+            cursor: directory.cursor,
             coordinators: self.coordinators(),
-            edges: self.edges.sharing(now),
-            edge_nodes: (edge_list != poll.edge_list).then_some(edges),
-            edge_list_hash: edge_list,
+            edges: self.edges.retry_budget_shares(now),
+            edge_nodes: (edge_list_hash != poll.edge_list_hash).then_some(edges),
+            edge_list_hash,
             isolated: false,
         }
     }
 
-    /// What this node knows may be out of date: the edge asks another, and keeps what it has. That holds for one
-    /// that has just started and has nothing as well: without a configuration it refuses all requests for a
-    /// moment, while with an old one it would go by routes that are no longer in force.
-    fn turn_away(&self, poll: &PendingPoll) -> PollResponse {
+    /// The response where this node's state may be out of date: the edge keeps what it has and polls another coordinator.
+    /// That holds for an edge that has just started, too: without a configuration it rejects all requests for a moment,
+    /// while with an old one it would route by what no longer applies.
+    fn isolated_response(&self, poll: &PendingPoll) -> PollResponse {
         PollResponse {
             cursor: poll.cursor,
             coordinators: self.coordinators(),
--- a/coordinator/src/core/servers.rs
+++ b/coordinator/src/core/server_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of servers, and what coordinators tell each other of them.
+//! Heartbeats and deregistrations of servers, and the directory messages by which coordinators replicate them.
 
 use shaletrail_cluster::directory::{CallOutcome, CallToken, DirectoryMessage};
 use shaletrail_protocol::external::Heartbeat;
@@ -9,7 +9,8 @@
 use crate::interface::{Action, CallId};
 
 impl Coordinator {
-    pub(super) fn heartbeat(
+    /// A server has sent a heartbeat. One that changes how the server may be used waits until a majority knows it.
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Millis,
         call: CallId,
@@ -20,12 +21,38 @@
         match self.directory.heartbeat(now, &id, heartbeat).call {
             Some(token) => self.wait_for_majority(call, token),
             None => {
-                let taken = !self.has_lost_touch(now);
-                actions.push(Action::RespondToServer { call, accepted: taken });
+                let accepted = !self.has_lost_quorum_contact(now);
+                actions.push(Action::RespondToServer { call, accepted });
             }
         }
     }
 
+    /// A server is about to shut down.
+    pub(super) fn on_deregister(&mut self, now: Millis, call: CallId, id: ServerId) {
+        let token = self.directory.deregister(now, &id);
+        self.wait_for_majority(call, token);
+    }
+
+    /// The call is answered when the directory completes it or gives it up; the directory also bounds how many wait.
+    fn wait_for_majority(&mut self, call: CallId, token: CallToken) {
+        self.directory_snapshots.expedite();
+        self.server_calls.insert(token, call);
+    }
+
+    /// Answers the calls that the directory has completed or given up.
+    pub(super) fn answer_server_calls(&mut self, actions: &mut Vec<Action>) {
+        for outcome in self.directory.take_completed_calls() {
+            let (token, accepted) = match outcome {
+                CallOutcome::Settled(token) => (token, true),
+                CallOutcome::Failed(token) => (token, false),
+            };
+            if let Some(call) = self.server_calls.remove(&token) {
+                actions.push(Action::RespondToServer { call, accepted });
+            }
+        }
+    }
+
+    /// A peer's directory message has arrived; one that cannot be decoded is ignored.
     pub(super) fn receive_directory(
         &mut self,
         now: Millis,
@@ -43,28 +70,4 @@
             Err(_) => {}
         }
     }
-
-    pub(super) fn answer_servers(&mut self, actions: &mut Vec<Action>) {
-        for settlement in self.directory.take_completed_calls() {
-            let (token, taken) = match settlement {
-                CallOutcome::Settled(token) => (token, true),
-                CallOutcome::Failed(token) => (token, false),
-            };
-            if let Some(call) = self.server_calls.remove(&token) {
-                actions.push(Action::RespondToServer { call, accepted: taken });
-            }
-        }
-    }
-
-    /// A server says that it is about to end.
-    pub(super) fn deregister(&mut self, now: Millis, call: CallId, id: ServerId) {
-        let token = self.directory.deregister(now, &id);
-        self.wait_for_majority(call, token);
-    }
-
-    /// The call is answered when the directory settles it or gives it up, which also bounds how many wait.
-    fn wait_for_majority(&mut self, call: CallId, token: CallToken) {
-        self.directory_snapshots.expedite();
-        self.server_calls.insert(token, call);
-    }
 }
--- /dev/null
+++ b/coordinator/src/core/shards/recovery.rs
@@ -0,0 +1,69 @@
+//! Recovery of the shards from the journal's records at the start of the process.
+
+use shaletrail_consensus::{Options, Record, Replica};
+use shaletrail_protocol::Millis;
+use shaletrail_storage::StoredRecord;
+
+use super::shard::Shard;
+use super::state_machine::StateMachine;
+use super::SERVICE_SHARDS;
+use crate::interface::{Action, CoordinatorOptions, StateChange};
+
+/// The decoded records of one shard.
+#[derive(Clone, Default)]
+struct StoredShard {
+    records: Vec<Record>,
+    /// Whether a record could not be decoded.
+    is_corrupt: bool,
+}
+
+/// All shards as the journal held them. A shard whose records cannot be decoded starts without them, as a recovering voter
+/// that counts for no quorum until a leader has readmitted it.
+pub(super) fn recover(
+    options: &CoordinatorOptions,
+    stored: Vec<StoredRecord>,
+    now: Millis,
+    actions: &mut Vec<Action>,
+) -> Vec<Shard> {
+    let mut shards = Vec::new();
+    for (shard, stored) in (0..).zip(decode(stored)) {
+        let is_unreadable = stored.is_corrupt || !is_state_readable(shard, &stored.records);
+        let mut records = stored.records;
+        if is_unreadable {
+            records.clear();
+            actions.push(Action::LogStateChange(StateChange::UnreadableRecords { shard }));
+        }
+        let recovering = !options.bootstrap || is_unreadable;
+        let seed = options.seed.wrapping_add(u64::from(shard));
+        let replica_options = Options { recovering, ..Options::new(options.node, seed) };
+        let mut replica = Replica::new(replica_options, records, now);
+        if options.bootstrap && options.seeds.contains(&options.node) {
+            replica.bootstrap(now, &options.seeds);
+        }
+        shards.push(Shard::new(shard, replica, now));
+    }
+    shards
+}
+
+/// The records of each shard; those of other streams are left out.
+fn decode(stored: Vec<StoredRecord>) -> Vec<StoredShard> {
+    let mut shards = vec![StoredShard::default(); SERVICE_SHARDS as usize + 1];
+    for StoredRecord { stream, bytes, .. } in stored {
+        let Some(shard) = shards.get_mut(stream as usize) else { continue };
+        match Record::decode(&bytes) {
+            Ok(record) => shard.records.push(record),
+            Err(_) => shard.is_corrupt = true,
+        }
+    }
+    shards
+}
+
+/// Whether the state machine can be restored from the newest snapshot among the records, which replaces all before it. The
+/// state of the bootstrap's snapshot is empty.
+fn is_state_readable(shard: u32, records: &[Record]) -> bool {
+    let newest = records.iter().rev().find_map(|record| match record {
+        Record::Snapshot(snapshot) => Some(&snapshot.state),
+        _ => None,
+    });
+    newest.is_none_or(|state| state.is_empty() || StateMachine::new(shard).restore(state))
+}
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -1,4 +1,4 @@
-//! Wanted voters of a shard: the difference between who votes and who should, one change at a time.
+//! The voters of a shard: its leader reconciles those that vote with those that should, one change at a time.
 
 use shaletrail_cluster::Membership;
 use shaletrail_consensus::{Index, Replica};
@@ -8,56 +8,58 @@
 use super::Coordinator;
 use crate::interface::{Action, StateChange};
 
-/// Between two looks at who should vote.
-const VOTERS_EVERY: Millis = 50;
-/// Entries by which a newcomer may be behind what is committed: under steady load it always is by some, and it has
-/// them before anything is committed that needs it.
-const NEARLY: Index = 16;
+/// Interval between two reviews of the voters.
+const VOTER_REVIEW_INTERVAL: Millis = 50;
+/// Entries by which a learner may lag behind the commit index and still become a voter: under steady load it always lags
+/// by some, and it has them before anything is committed that needs its vote.
+const MAX_LEARNER_LAG: Index = 16;
 
-/// What a leader sees of a node.
+/// A node that votes or could, as the leader of a shard sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The node.
     pub node: NodeId,
-    /// Taken to be away by the membership.
-    pub absent: bool,
-    /// Alive, readmitted if its disk is new, and its synced log nearly as long as what is committed.
+    /// Whether the membership takes it to be unreachable.
+    pub unreachable: bool,
+    /// Whether it is alive, counts towards quorums, and its synced log lags by [`MAX_LEARNER_LAG`] entries at most.
     pub caught_up: bool,
 }
 
-/// The voters that a shard should have, if they differ from those it has.
+/// The voters that a shard should have, if they differ from those that it has.
 ///
-/// Voters are added up to `size`; one that is absent makes way for a node that is not, once that has caught up.
-/// With nobody to take its place an absent voter stays, as it may come back.
-pub fn wanted(voters: &[NodeId], candidates: &[Candidate], size: usize) -> Option<Vec<NodeId>> {
-    let newcomer = candidates
-        .iter()
-        .find(|candidate| candidate.caught_up && !candidate.absent && !voters.contains(&candidate.node))?;
-    let mut next = voters.to_vec();
+/// Voters are added up to `size`. Beyond that an unreachable voter is replaced by a learner that has caught up; without
+/// one it stays, as it may come back.
+pub fn desired_voters(voters: &[NodeId], candidates: &[Candidate], size: usize) -> Option<Vec<NodeId>> {
+    let joining = candidates.iter().find(|candidate| {
+        candidate.caught_up && !candidate.unreachable && !voters.contains(&candidate.node)
+    })?;
+    let mut desired = voters.to_vec();
     if voters.len() >= size {
-        let absent = |node: &NodeId| candidates.iter().any(|other| other.node == *node && other.absent);
-        let leaving = voters.iter().position(absent)?;
-        next.remove(leaving);
+        let unreachable =
+            |node: &NodeId| candidates.iter().any(|other| other.node == *node && other.unreachable);
+        let leaving = voters.iter().position(unreachable)?;
+        desired.remove(leaving);
     }
-    next.push(newcomer.node);
-    next.sort();
-    Some(next)
+    desired.push(joining.node);
+    desired.sort();
+    Some(desired)
 }
 
-/// Brings newcomers up to date at the leader of a shard, and changes its voters where others should vote. The voters
-/// that are on their way to being in force, if a change has begun.
+/// Reconciles learners and voters at the leader of a shard with the membership: nodes that are alive become learners, dead
+/// learners are removed, and a change of voters is proposed if others should vote. The voters after that change, if one
+/// was proposed.
 pub fn review(
     replica: &mut Replica,
     membership: &Membership,
     size: usize,
     now: Millis,
 ) -> Option<Vec<NodeId>> {
-    let present: Vec<NodeId> = replica.voters().members().collect();
+    let voters: Vec<NodeId> = replica.voters().members().collect();
     let mut known: Vec<NodeId> = membership.members().iter().map(|member| member.node).collect();
-    known.extend(present.iter().copied().filter(|voter| membership.record(*voter).is_none()));
+    known.extend(voters.iter().copied().filter(|voter| membership.record(*voter).is_none()));
     let is_alive = |node: NodeId| membership.state(node) == Some(MemberState::Alive);
-    for node in known.iter().copied().filter(|node| is_alive(*node) && !present.contains(node)) {
-        // Refused where there are too many already.
+    for node in known.iter().copied().filter(|node| is_alive(*node) && !voters.contains(node)) {
+        // Rejected where there are too many learners already.
         let _ = replica.add_learner(node);
     }
     for learner in replica.learners() {
@@ -70,32 +72,32 @@
     }
     let candidate = |node: NodeId| Candidate {
         node,
-        absent: membership.is_unreachable(node),
+        unreachable: membership.is_unreachable(node),
         caught_up: is_alive(node) && is_caught_up(replica, node),
     };
     let candidates: Vec<Candidate> = known.into_iter().map(candidate).collect();
-    let wanted = wanted(&present, &candidates, size)?;
-    replica.change_voters(now, wanted.clone()).ok().map(|()| wanted)
+    let desired = desired_voters(&voters, &candidates, size)?;
+    replica.change_voters(now, desired.clone()).ok().map(|()| desired)
 }
 
 fn is_caught_up(replica: &Replica, node: NodeId) -> bool {
-    replica
-        .peer(node)
-        .is_some_and(|peer| peer.counts_towards_quorum && peer.matched + NEARLY >= replica.commit_index())
+    replica.peer(node).is_some_and(|peer| {
+        peer.counts_towards_quorum && peer.matched + MAX_LEARNER_LAG >= replica.commit_index()
+    })
 }
 
-/// The number of voters that a shard needs so that `hosts_lost` of them may be lost.
+/// The number of voters that a shard needs so that `hosts_lost` of them may be lost at once.
 pub fn group_size(hosts_lost: u32) -> usize {
     2 * hosts_lost as usize + 1
 }
 
 impl Coordinator {
-    /// Compares who votes with who should, shard by shard, where this node leads.
+    /// Reviews the voters of each shard that this node leads, when due.
     pub(super) fn update_voters(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if now < self.next_voter_review {
             return;
         }
-        self.next_voter_review = now + VOTERS_EVERY;
+        self.next_voter_review = now + VOTER_REVIEW_INTERVAL;
         let size = group_size(self.options.hosts_lost);
         for shard in self.shards.numbers() {
             let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) else {
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -4,7 +4,7 @@
 
 use common::{configuration, node, Alone};
 use shaletrail_consensus::{Message, RoundStamp};
-use shaletrail_coordinator::core::operator::{Caller, OperatorCalls};
+use shaletrail_coordinator::core::operator::{CallOrigin, PendingCalls};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION};
 use shaletrail_coordinator::interface::{Action, CallId, Event, OrderId};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
@@ -167,8 +167,8 @@
 #[test]
 fn given_two_starts_of_a_process_when_calls_come_then_no_ticket_is_used_twice() {
     let tickets = |incarnation: u64| {
-        let mut calls = OperatorCalls::of_start(Incarnation(incarnation));
-        let add = |number| calls.add(0, Caller::Here(CallId(number)), OperatorCall::Read);
+        let mut calls = PendingCalls::for_incarnation(Incarnation(incarnation));
+        let add = |number| calls.add(0, CallOrigin::Local(CallId(number)), OperatorCall::Read);
         (0..50).filter_map(add).collect::<Vec<_>>()
     };
     let (first, second) = (tickets(0x5eed_0001), tickets(0x5eed_0002));
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -16,7 +16,7 @@
 use shaletrail_cluster::directory::Options;
 use shaletrail_cluster::Directory;
 use shaletrail_consensus::Record;
-use shaletrail_coordinator::core::demand::list_name;
+use shaletrail_coordinator::core::demand::edge_list_hash;
 use shaletrail_coordinator::core::directory_snapshot::{DirectorySnapshotWriter, STREAM};
 use shaletrail_coordinator::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
@@ -117,7 +117,7 @@
 
 #[test]
 fn lists_of_edges_keep_their_names() {
-    assert_eq!([list_name(&[]), list_name(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
+    assert_eq!([edge_list_hash(&[]), edge_list_hash(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
 }
 
 /// The records that a coordinator alone in its system has on its disk once it has taken a configuration and a server's
