--- /dev/null
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -0,0 +1,480 @@
+//! Several coordinators in virtual time: links that delay, partitions, disks that sync late, and machines that are killed,
+//! lose power, lose their disks, are removed and join.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use shaletrail_consensus::{Record, Replica};
+use shaletrail_coordinator::core::Coordinator;
+use shaletrail_coordinator::interface::{Action, CallId, Event};
+use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
+use shaletrail_protocol::{Incarnation, Millis, NodeId};
+use shaletrail_storage::StoredRecord;
+
+use super::{configuration, coordinator_options, node, replace_call, stored, START, TICK};
+
+/// Interval between two looks at what is due.
+const STEP: Millis = 5;
+/// How long a process goes on after a request to shut down, as in the driver.
+const SHUTDOWN_GRACE: Millis = 400;
+/// How long the operator waits for one node before it retries at the next.
+const OPERATOR_TIMEOUT: Millis = 1_000;
+/// How long the operator retries a call.
+const OPERATOR_RETRY_PERIOD: Millis = 8_000;
+/// Number of machines that are named as seeds at the bootstrap.
+const SEEDS: usize = 3;
+/// Time within which all machines start at the bootstrap.
+const BOOTSTRAP_SPREAD: Millis = 300;
+/// The longest time that a sync takes on a usual disk.
+const SYNC_MS: Millis = 3;
+
+/// Records that are being synced to a disk.
+struct PendingSync {
+    ticket: u64,
+    records: Vec<(u32, Vec<u8>)>,
+    due: Millis,
+}
+
+/// A machine: its process, if it runs, and its disk.
+pub struct Machine {
+    core: Option<Coordinator>,
+    seeds: Vec<NodeId>,
+    synced: Vec<StoredRecord>,
+    pending_syncs: VecDeque<PendingSync>,
+    clock_offset: Millis,
+    /// [`Millis::MAX`] once the process was requested to shut down.
+    next_tick: Millis,
+    /// The longest time that a sync takes.
+    sync_ms: Millis,
+}
+
+/// A message in flight.
+struct Envelope {
+    from: NodeId,
+    to: NodeId,
+    message: CoordinatorMessage,
+}
+
+/// Says whether a message is delivered.
+pub type DeliveryFilter = Box<dyn FnMut(NodeId, NodeId, &CoordinatorMessage) -> bool>;
+
+/// Coordinators, and the links between them.
+pub struct SimulatedCluster {
+    pub now: Millis,
+    machines: BTreeMap<NodeId, Machine>,
+    /// One-way partitions: sender and receiver.
+    partitions: BTreeSet<(NodeId, NodeId)>,
+    /// Drops the messages for which it says `false`.
+    pub delivery_filter: Option<DeliveryFilter>,
+    /// The newest version that was acknowledged to the operator.
+    acknowledged_version: u64,
+    hosts_lost: usize,
+    /// By the time of delivery and the order of sending.
+    in_flight: BTreeMap<(Millis, u64), Envelope>,
+    responses: BTreeMap<CallId, OperatorResponse>,
+    random: u64,
+    last_sequence: u64,
+    last_call: u64,
+}
+
+impl SimulatedCluster {
+    /// Machines 1 to `2 * hosts_lost + 1`, started together for the first time in a random order, with the first three as
+    /// seeds. All vote, and a first configuration is acknowledged.
+    pub fn bootstrapped(hosts_lost: usize, seed: u64) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster::empty(hosts_lost, seed);
+        let voters: Vec<NodeId> = (1..=2 * hosts_lost as u8 + 1).map(node).collect();
+        let mut starting = voters.clone();
+        while !starting.is_empty() {
+            let next = cluster.random_below(starting.len() as u64) as usize;
+            let started = starting.swap_remove(next);
+            let mut seeds = voters[..SEEDS].to_vec();
+            seeds.rotate_left(next % SEEDS);
+            cluster.add(started, &seeds);
+            cluster.start_as(started, true);
+            let pause = cluster.random_below(BOOTSTRAP_SPREAD / voters.len() as u64);
+            cluster.run(pause);
+        }
+        cluster.commit_change();
+        cluster.await_voters(&voters);
+        cluster
+    }
+
+    /// No machines yet.
+    fn empty(hosts_lost: usize, seed: u64) -> SimulatedCluster {
+        SimulatedCluster {
+            now: START,
+            machines: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            delivery_filter: None,
+            acknowledged_version: 0,
+            hosts_lost,
+            in_flight: BTreeMap::new(),
+            responses: BTreeMap::new(),
+            random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
+            last_sequence: 0,
+            last_call: 0,
+        }
+    }
+
+    /// A random number below `bound`.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        self.random % bound
+    }
+
+    /// The nodes but for some of them, in a random rotation.
+    pub fn rotate_without(&mut self, nodes: &[NodeId], without: &[NodeId]) -> Vec<NodeId> {
+        let mut rest: Vec<NodeId> = nodes.iter().copied().filter(|node| !without.contains(node)).collect();
+        let turns = self.random_below(rest.len() as u64) as usize;
+        rest.rotate_left(turns);
+        rest
+    }
+
+    /// Chooses `count` of the nodes at random; these, and the others.
+    pub fn choose(&mut self, nodes: &[NodeId], count: usize) -> (Vec<NodeId>, Vec<NodeId>) {
+        let chosen = self.rotate_without(nodes, &[])[..count].to_vec();
+        let others = self.rotate_without(nodes, &chosen);
+        (chosen, others)
+    }
+
+    /// Adds a machine with an empty disk that is not started yet.
+    fn add(&mut self, node: NodeId, seeds: &[NodeId]) {
+        let clock_offset = self.random_below(1_000_000);
+        let machine = Machine {
+            core: None,
+            seeds: seeds.to_vec(),
+            synced: Vec::new(),
+            pending_syncs: VecDeque::new(),
+            clock_offset,
+            next_tick: 0,
+            sync_ms: SYNC_MS,
+        };
+        self.machines.insert(node, machine);
+    }
+
+    /// A machine joins with an empty disk.
+    pub fn join(&mut self, node: NodeId, seeds: &[NodeId]) {
+        self.join_with_disk(node, seeds, SYNC_MS);
+    }
+
+    /// A machine joins with an empty disk whose syncs take up to `sync_ms` milliseconds.
+    pub fn join_with_disk(&mut self, node: NodeId, seeds: &[NodeId], sync_ms: Millis) {
+        self.add(node, seeds);
+        self.slow_disk(node, sync_ms);
+        self.start(node);
+    }
+
+    /// Makes the syncs of a machine take up to `sync_ms` milliseconds.
+    pub fn slow_disk(&mut self, node: NodeId, sync_ms: Millis) {
+        self.machine(node).sync_ms = sync_ms;
+    }
+
+    /// Starts a process with what its disk holds.
+    pub fn start(&mut self, node: NodeId) {
+        self.start_as(node, false);
+    }
+
+    fn start_as(&mut self, node: NodeId, bootstrap: bool) {
+        let incarnation = Incarnation(self.random_below(u64::MAX));
+        let seeds = &self.machines[&node].seeds;
+        let options = coordinator_options(node, seeds, bootstrap, self.hosts_lost, incarnation);
+        let now = self.now;
+        let first_tick = now + self.random_below(TICK);
+        let machine = self.machine(node);
+        machine.next_tick = first_tick;
+        machine.core = Some(Coordinator::new(options, machine.synced.clone(), now + machine.clock_offset));
+        self.handle(node, Event::Tick);
+    }
+
+    fn machine(&mut self, node: NodeId) -> &mut Machine {
+        self.machines.get_mut(&node).expect("a machine of the test")
+    }
+
+    /// Nodes whose process runs.
+    pub fn running(&self) -> Vec<NodeId> {
+        let running = self.machines.iter().filter(|(_, machine)| machine.core.is_some());
+        running.map(|(node, _)| *node).collect()
+    }
+
+    /// The decisions of a machine whose process runs.
+    pub fn core(&self, node: NodeId) -> &Coordinator {
+        self.machines[&node].core.as_ref().expect("a process that runs")
+    }
+
+    /// A shard's replica at a machine whose process runs.
+    pub fn replica(&self, node: NodeId, shard: u32) -> &Replica {
+        &self.core(node).shards().get(shard).expect("a shard").replica
+    }
+
+    /// Numbers of the shards.
+    pub fn shards(&self) -> std::ops::Range<u32> {
+        let any = self.running()[0];
+        self.core(any).shards().numbers()
+    }
+
+    /// The machine loses power: what is not synced is lost, but for a part at its start.
+    pub fn lose_power(&mut self, node: NodeId) {
+        let kept = self.random_below(4) as usize;
+        let machine = self.machine(node);
+        machine.core = None;
+        let unsynced = machine.pending_syncs.drain(..).take(kept);
+        let kept: Vec<StoredRecord> = unsynced.flat_map(|pending| stored(pending.records)).collect();
+        machine.synced.extend(kept);
+    }
+
+    /// The machine loses power and its disk.
+    pub fn wipe(&mut self, node: NodeId) {
+        self.lose_power(node);
+        self.machine(node).synced.clear();
+    }
+
+    /// Corrupts all that the disk holds of a shard but its hard state.
+    pub fn corrupt_log(&mut self, node: NodeId, shard: u32) {
+        let is_hard = |record: &StoredRecord| matches!(Record::decode(&record.bytes), Ok(Record::Hard(_)));
+        let records = self.machine(node).synced.iter_mut().filter(|record| record.stream == shard);
+        records.filter(|record| !is_hard(record)).for_each(|record| record.bytes = vec![255; 3]);
+    }
+
+    /// Requests the process to shut down. It answers until [`SHUTDOWN_GRACE`] is over, without ticks.
+    pub fn request_shutdown(&mut self, node: NodeId) {
+        self.handle(node, Event::ShutdownRequested);
+        self.machine(node).next_tick = Millis::MAX;
+    }
+
+    /// Shuts a machine down: after the grace period it loses power, and keeps its disk.
+    pub fn shut_down(&mut self, node: NodeId) {
+        self.request_shutdown(node);
+        self.run(SHUTDOWN_GRACE);
+        self.lose_power(node);
+    }
+
+    /// Shuts a machine down and removes its disk.
+    pub fn remove_as_planned(&mut self, node: NodeId) {
+        self.shut_down(node);
+        self.wipe(node);
+    }
+
+    /// Drops the messages between a machine and all others.
+    pub fn isolate(&mut self, node: NodeId) {
+        for other in self.machines.keys().copied().filter(|other| *other != node) {
+            self.partitions.insert((node, other));
+            self.partitions.insert((other, node));
+        }
+    }
+
+    /// Ends all partitions.
+    pub fn heal(&mut self) {
+        self.partitions.clear();
+    }
+
+    /// Handles an event at a machine, if its process runs.
+    pub fn handle(&mut self, node: NodeId, event: Event) {
+        let now = self.now;
+        let machine = self.machine(node);
+        let clock = now + machine.clock_offset;
+        let Some(core) = machine.core.as_mut() else { return };
+        let mut actions = Vec::new();
+        core.handle(clock, event, &mut actions);
+        for action in actions {
+            self.carry_out(node, action);
+        }
+    }
+
+    fn carry_out(&mut self, node: NodeId, action: Action) {
+        match action {
+            Action::Send { to, message } => self.send(node, to, message),
+            Action::Persist { ticket, records } => {
+                let sync_ms = self.machines[&node].sync_ms;
+                let due = self.now + 1 + self.random_below(sync_ms);
+                self.machine(node).pending_syncs.push_back(PendingSync { ticket, records, due });
+            }
+            Action::Checkpoint { live } => self.machine(node).synced = stored(live),
+            Action::RespondToOperator { call, response } => _ = self.responses.insert(call, response),
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, from: NodeId, to: NodeId, message: CoordinatorMessage) {
+        let passes =
+            self.delivery_filter.as_mut().is_none_or(|is_delivered| is_delivered(from, to, &message));
+        if passes && !self.partitions.contains(&(from, to)) && self.machines.contains_key(&to) {
+            let at = self.now + 1 + self.random_below(3);
+            self.last_sequence += 1;
+            self.in_flight.insert((at, self.last_sequence), Envelope { from, to, message });
+        }
+    }
+
+    /// Lets time pass.
+    pub fn run(&mut self, duration: Millis) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.step();
+        }
+    }
+
+    /// Lets time pass until something holds, or returns false after `limit`.
+    pub fn run_until(&mut self, limit: Millis, holds: impl Fn(&SimulatedCluster) -> bool) -> bool {
+        let end = self.now + limit;
+        while !holds(self) {
+            if self.now >= end {
+                return false;
+            }
+            self.step();
+        }
+        true
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        while let Some(first) = self.in_flight.first_entry().filter(|first| first.key().0 <= self.now) {
+            let Envelope { from, to, message } = first.remove();
+            self.handle(to, Event::Message { from, message });
+        }
+        for node in self.running() {
+            while let Some(ticket) = self.sync_one(node) {
+                self.handle(node, Event::Persisted { ticket, wants_checkpoint: false });
+            }
+            if self.machines[&node].next_tick <= self.now {
+                self.machine(node).next_tick += TICK;
+                self.handle(node, Event::Tick);
+            }
+        }
+    }
+
+    fn sync_one(&mut self, node: NodeId) -> Option<u64> {
+        let now = self.now;
+        let machine = self.machine(node);
+        let pending = machine.pending_syncs.pop_front_if(|pending| pending.due <= now)?;
+        machine.synced.extend(stored(pending.records));
+        Some(pending.ticket)
+    }
+
+    /// The node that leads a shard, in the newest term, where one does.
+    pub fn leader_of(&self, shard: u32) -> Option<NodeId> {
+        let leaders = self.running().into_iter().filter(|node| self.replica(*node, shard).is_leader());
+        leaders.max_by_key(|node| self.replica(*node, shard).term())
+    }
+
+    /// Whether a shard has a leader that is one of these voters, and no others vote or are to vote.
+    pub fn has_voters_in(&self, shard: u32, voters: &[NodeId]) -> bool {
+        let mut voters = voters.to_vec();
+        voters.sort_unstable();
+        let Some(leader) = self.leader_of(shard) else { return false };
+        let replica = self.replica(leader, shard);
+        !replica.is_changing_voters() && replica.voters().incoming() == voters && voters.contains(&leader)
+    }
+
+    /// The same in all shards.
+    pub fn has_voters(&self, voters: &[NodeId]) -> bool {
+        self.shards().all(|shard| self.has_voters_in(shard, voters))
+    }
+
+    /// Waits until all shards have these voters.
+    pub fn await_voters(&mut self, voters: &[NodeId]) {
+        let has_voters = self.run_until(10_000, |cluster| cluster.has_voters(voters));
+        assert!(has_voters, "{voters:?} are not the voters: {}", self.describe());
+    }
+
+    /// Whether any shard of a machine would be a recovering voter if its process restarted now.
+    pub fn is_recovering_on_disk(&self, node: NodeId) -> bool {
+        let is_recovering = |shard: u32| {
+            let records = self.machines[&node].synced.iter().filter(|record| record.stream == shard).rev();
+            let hard = records.filter_map(|record| match Record::decode(&record.bytes) {
+                Ok(Record::Hard(hard)) => Some(hard.recovering),
+                _ => None,
+            });
+            hard.take(1).all(|recovering| recovering)
+        };
+        self.shards().any(is_recovering)
+    }
+
+    /// The operator calls a node; its response, if it comes in time.
+    fn operator_call(&mut self, at: NodeId, request: &OperatorCall) -> Option<OperatorResponse> {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
+        self.handle(at, Event::OperatorCall { call, request: request.clone() });
+        self.run_until(OPERATOR_TIMEOUT, |cluster| cluster.responses.contains_key(&call));
+        self.responses.remove(&call)
+    }
+
+    /// The operator calls one node after the other until one succeeds, or time is up; the response's body.
+    fn retry_operator_call(&mut self, request: &OperatorCall) -> Option<Vec<u8>> {
+        let end = self.now + OPERATOR_RETRY_PERIOD;
+        while self.now < end {
+            for at in self.running() {
+                if let Some(OperatorResponse::Done { body }) = self.operator_call(at, request) {
+                    return Some(body);
+                }
+            }
+        }
+        None
+    }
+
+    /// The operator replaces the configuration by the next version, which is acknowledged within some seconds.
+    pub fn commit_change(&mut self) {
+        let body = configuration(self.acknowledged_version + 1, "example");
+        let change = replace_call(self.acknowledged_version, &body);
+        let is_acknowledged = self.retry_operator_call(&change).is_some();
+        assert!(is_acknowledged, "no change is acknowledged: {}", self.describe());
+        self.acknowledged_version += 1;
+    }
+
+    /// What was acknowledged is read back, each shard has a leader, and the next change is acknowledged.
+    pub fn assert_available(&mut self) {
+        let body = self.retry_operator_call(&OperatorCall::Read);
+        let Some(body) = body else { panic!("nothing can be read: {}", self.describe()) };
+        let text = String::from_utf8(body).expect("JSON");
+        let version = format!("\"version\":{}", self.acknowledged_version);
+        assert!(text.contains(&version), "{version} was lost: {text}");
+        let has_leaders =
+            self.run_until(5_000, |cluster| cluster.shards().all(|shard| cluster.leader_of(shard).is_some()));
+        assert!(has_leaders, "a shard has no leader: {}", self.describe());
+        self.commit_change();
+    }
+
+    /// One line for each shard of each machine, for messages of failed tests.
+    pub fn describe(&self) -> String {
+        let mut lines = vec![format!("at {}", self.now)];
+        for node in self.machines.keys() {
+            let Some(core) = &self.machines[node].core else {
+                lines.push(format!("{node}: down"));
+                continue;
+            };
+            for shard in core.shards().numbers() {
+                let replica = self.replica(*node, shard);
+                lines.push(format!(
+                    "{node}, shard {shard}: {} in term {}, last {:?}, commit {}, voters {:?}, recovering {}",
+                    replica.role(),
+                    replica.term(),
+                    replica.last(),
+                    replica.commit_index(),
+                    replica.voters(),
+                    replica.is_recovering(),
+                ));
+            }
+        }
+        lines.join("\n")
+    }
+}
+
+/// A cluster after its bootstrap, with as many members chosen at random as may be lost at once.
+pub struct BootstrappedCluster {
+    pub cluster: SimulatedCluster,
+    /// The voters of the bootstrap.
+    pub members: Vec<NodeId>,
+    /// As many of them as may be lost at once.
+    pub chosen: Vec<NodeId>,
+    /// The others, in random order.
+    pub others: Vec<NodeId>,
+}
+
+impl BootstrappedCluster {
+    /// A cluster that bears `hosts_lost` losses at once.
+    pub fn new(hosts_lost: usize, seed: u64) -> Self {
+        let mut cluster = SimulatedCluster::bootstrapped(hosts_lost, seed);
+        let members = cluster.running();
+        let (chosen, others) = cluster.choose(&members, hosts_lost);
+        BootstrappedCluster { cluster, members, chosen, others }
+    }
+}
--- /dev/null
+++ b/coordinator/tests/desired_voters.rs
@@ -0,0 +1,46 @@
+//! The voters that a shard should have, by what its leader sees of the nodes.
+
+mod common;
+
+use common::{node, nodes};
+use shaletrail_coordinator::core::voters::{desired_voters, group_size, Candidate};
+
+fn caught_up(number: u8) -> Candidate {
+    Candidate { node: node(number), unreachable: false, caught_up: true }
+}
+
+fn lagging(number: u8) -> Candidate {
+    Candidate { node: node(number), unreachable: false, caught_up: false }
+}
+
+fn unreachable(number: u8) -> Candidate {
+    Candidate { node: node(number), unreachable: true, caught_up: false }
+}
+
+#[test]
+fn caught_up_node_is_added() {
+    let candidates = [caught_up(1), caught_up(2), lagging(3)];
+    assert_eq!(desired_voters(&nodes(&[1]), &candidates, 3), Some(nodes(&[1, 2])));
+    assert_eq!(desired_voters(&nodes(&[1, 2]), &candidates, 3), None, "the third has not caught up");
+}
+
+#[test]
+fn unreachable_voter_stays_without_replacement() {
+    let candidates = [caught_up(1), unreachable(2), caught_up(3)];
+    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &candidates, 3), None);
+    let with_learner = [&candidates[..], &[caught_up(4)]].concat();
+    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &with_learner, 3), Some(nodes(&[1, 3, 4])));
+}
+
+#[test]
+fn complete_group_is_unchanged() {
+    let candidates: Vec<Candidate> = (1..=4).map(caught_up).collect();
+    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &candidates, group_size(1)), None);
+}
+
+#[test]
+fn unreachable_candidate_is_not_added() {
+    let unreachable_but_caught_up = Candidate { unreachable: true, ..caught_up(4) };
+    let candidates = [caught_up(1), unreachable(2), unreachable_but_caught_up];
+    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &candidates, 3), None);
+}
--- /dev/null
+++ b/coordinator/tests/disk_loss.rs
@@ -0,0 +1,102 @@
+//! Acknowledged changes survive lost and corrupt disks, together with losses of power or one after the other.
+
+mod common;
+
+use common::node;
+use common::simulated_cluster::SimulatedCluster;
+use shaletrail_coordinator::core::shards::CONFIGURATION;
+use shaletrail_protocol::NodeId;
+
+const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
+/// Number of random histories of each kind, unless `SHALETRAIL_SEEDS` says otherwise.
+const HISTORIES: u64 = 4;
+/// Losses in a history.
+const LOSSES: usize = 8;
+
+/// A change that one voter has not got is acknowledged. All lose power, and the other follower comes back changed by
+/// `harm`, with the one that lags; the former leader comes later.
+fn lose_power_around(seed: u64, harm: impl Fn(&mut SimulatedCluster, NodeId)) {
+    // given
+    let mut cluster = SimulatedCluster::bootstrapped(1, seed);
+    let leader = cluster.leader_of(CONFIGURATION).expect("a leader");
+    let voters = cluster.running();
+    let followers = cluster.rotate_without(&voters, &[leader]);
+    let (lagging, harmed) = (followers[0], followers[1]);
+    cluster.isolate(lagging);
+    cluster.commit_change();
+
+    // when
+    voters.iter().for_each(|node| cluster.lose_power(*node));
+    harm(&mut cluster, harmed);
+    cluster.heal();
+    cluster.start(lagging);
+    cluster.start(harmed);
+    cluster.run(3_000);
+
+    // then
+    assert!(cluster.is_recovering_on_disk(harmed), "{}", cluster.describe());
+    assert_eq!(cluster.leader_of(CONFIGURATION), None, "seed {seed}");
+    cluster.start(leader);
+    cluster.assert_available();
+}
+
+#[test]
+fn change_survives_wiped_disk_and_power_loss() {
+    SEEDS.for_each(|seed| lose_power_around(seed, |cluster, harmed| cluster.wipe(harmed)));
+}
+
+#[test]
+fn change_survives_corrupt_disk_and_power_loss() {
+    SEEDS.for_each(|seed| {
+        lose_power_around(seed, |cluster, harmed| cluster.corrupt_log(harmed, CONFIGURATION))
+    });
+}
+
+/// Machines are removed and replaced or lose their disks, one round after the other; in each round the losses begin in
+/// the moment in which the last ones are made good.
+fn play_history(hosts_lost: usize, seed: u64) {
+    let mut cluster = SimulatedCluster::bootstrapped(hosts_lost, seed);
+    let mut voters = cluster.running();
+    let mut next_machine = 20;
+    for _ in 0..LOSSES {
+        let (struck, _) = cluster.choose(&voters, hosts_lost);
+        for lost in &struck {
+            cluster.wipe(*lost);
+            if cluster.random_below(2) == 0 {
+                cluster.start(*lost);
+                continue;
+            }
+            voters.retain(|voter| voter != lost);
+            let pause = cluster.random_below(2_500);
+            cluster.run(pause);
+            let joining = node(next_machine);
+            next_machine += 1;
+            let seeds = cluster.running();
+            let sync_ms = 3 + cluster.random_below(100);
+            cluster.join_with_disk(joining, &seeds, sync_ms);
+            voters.push(joining);
+        }
+        if cluster.random_below(2) == 0 {
+            cluster.assert_available();
+        }
+        cluster.await_voters(&voters);
+        let are_readmitted =
+            |cluster: &SimulatedCluster| voters.iter().all(|voter| !cluster.is_recovering_on_disk(*voter));
+        assert!(cluster.run_until(6_000, are_readmitted), "seed {seed}: {}", cluster.describe());
+    }
+    cluster.assert_available();
+}
+
+#[test]
+fn change_survives_consecutive_losses() {
+    for hosts_lost in [1, 2] {
+        for seed in 1..=histories() {
+            println!("{hosts_lost} lost at once, seed {seed}");
+            play_history(hosts_lost, seed);
+        }
+    }
+}
+
+fn histories() -> u64 {
+    std::env::var("SHALETRAIL_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(HISTORIES)
+}
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -12,7 +12,8 @@
 #[path = "../../protocol/tests/support/stored.rs"]
 mod stored;
 
-use common::{configuration, node, Alone};
+use common::single::SingleCoordinator;
+use common::{configuration, node};
 use shaletrail_cluster::directory::Options;
 use shaletrail_cluster::Directory;
 use shaletrail_consensus::Record;
@@ -46,12 +47,12 @@
     stored.compare("service state, none", &state, LeaseState::snapshot, decode);
 
     let begin = stored.bytes("service command, begin", &LeaseState::acquire_command(FIRST));
-    let turn = LeaseEpoch { holder: FIRST, previous_holder: None, must_wait: false };
-    assert_eq!(state.apply(&begin), Some(turn));
+    let epoch = LeaseEpoch { holder: FIRST, previous_holder: None, must_wait: false };
+    assert_eq!(state.apply(&begin), Some(epoch));
     stored.compare("service state, first", &state, LeaseState::snapshot, decode);
 
-    let turn = LeaseEpoch { holder: SECOND, previous_holder: Some(FIRST), must_wait: true };
-    assert_eq!(state.apply(&LeaseState::acquire_command(SECOND)), Some(turn));
+    let epoch = LeaseEpoch { holder: SECOND, previous_holder: Some(FIRST), must_wait: true };
+    assert_eq!(state.apply(&LeaseState::acquire_command(SECOND)), Some(epoch));
     stored.compare("service state, second waits", &state, LeaseState::snapshot, decode);
 
     let waited = stored.bytes("service command, waited", &LeaseState::wait_completed_command(SECOND));
@@ -123,15 +124,15 @@
 /// The records that a coordinator alone in its system has on its disk once it has taken a configuration and a server's
 /// heartbeat.
 fn disk_of_a_coordinator() -> Vec<(u32, Vec<u8>)> {
-    let mut alone = Alone::new(1);
-    alone.run(3_000);
-    let call = alone.replace(0, &configuration(7, "stored.example"));
-    alone.run(1_000);
-    assert!(matches!(alone.answer(call), Some(OperatorResponse::Done { .. })));
-    alone.heartbeat("server-9", ServerState::Ready, 34);
-    alone.run(2_000);
-    alone.tell(Event::Persisted { ticket: 0, wants_checkpoint: true });
-    let live = alone.actions.iter().find_map(|action| match action {
+    let mut coordinator = SingleCoordinator::new(1);
+    coordinator.run(3_000);
+    let call = coordinator.replace_config(0, &configuration(7, "stored.example"));
+    coordinator.run(1_000);
+    assert!(matches!(coordinator.operator_response(call), Some(OperatorResponse::Done { .. })));
+    coordinator.heartbeat("server-9", ServerState::Ready, 34);
+    coordinator.run(2_000);
+    coordinator.handle(Event::Persisted { ticket: 0, wants_checkpoint: true });
+    let live = coordinator.actions.iter().find_map(|action| match action {
         Action::Checkpoint { live } => Some(live.clone()),
         _ => None,
     });
@@ -170,19 +171,19 @@
     }
 
     // when
-    let mut alone = Alone::restarted(disk);
-    alone.run(5_000);
-    let read = alone.operate(OperatorCall::Read);
-    alone.run(1_000);
+    let mut coordinator = SingleCoordinator::restarted(disk);
+    coordinator.run(5_000);
+    let read = coordinator.operator_call(OperatorCall::Read);
+    coordinator.run(1_000);
 
     // then
-    let Some(OperatorResponse::Done { body }) = alone.answer(read) else {
+    let Some(OperatorResponse::Done { body }) = coordinator.operator_response(read) else {
         panic!("no configuration is read")
     };
     let body = std::str::from_utf8(body).expect("JSON is text");
     assert!(body.contains("stored.example") && body.contains("\"version\":7"), "{body}");
-    let poll = alone.poll(shaletrail_protocol::internal::PollRequest::default());
-    let reply = alone.reply(poll).expect("there is news");
+    let poll = coordinator.poll(shaletrail_protocol::internal::PollRequest::default());
+    let reply = coordinator.poll_response(poll).expect("there is news");
     let servers: Vec<&str> = reply.servers.iter().map(|server| server.id.as_str()).collect();
     assert_eq!(servers, ["server-9"]);
 }
