--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -12,13 +12,14 @@
 #[path = "../../protocol/tests/support/stored.rs"]
 mod stored;
 
-use common::{configuration, node, Alone};
+use common::single::SingleCoordinator;
+use common::{configuration, node};
 use shaletrail_cluster::directory::Options;
 use shaletrail_cluster::Directory;
 use shaletrail_consensus::Record;
-use shaletrail_coordinator::core::demand::list_name;
-use shaletrail_coordinator::core::memory::{DirectoryMemory, STREAM};
-use shaletrail_coordinator::core::service_state::{LeaseHolder, ServiceState, Turn};
+use shaletrail_coordinator::core::demand::edge_list_hash;
+use shaletrail_coordinator::core::directory_snapshot::{DirectorySnapshotWriter, STREAM};
+use shaletrail_coordinator::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 use shaletrail_coordinator::interface::{Action, Event, OrderOutcome, StateChange};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
@@ -30,9 +31,9 @@
 use stored::StoredBytes;
 
 const FIRST: LeaseHolder =
-    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0002), fence: 0x0102_0304_0506_0708 };
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0002), fencing_token: 0x0102_0304_0506_0708 };
 const SECOND: LeaseHolder =
-    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0003), fence: 0x1112_1314_1516_1718 };
+    LeaseHolder { node: shaletrail_protocol::NodeId(0x0a01_0003), fencing_token: 0x1112_1314_1516_1718 };
 
 fn starting_with(prefix: &str) -> StoredBytes {
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
@@ -41,23 +42,23 @@
 #[test]
 fn a_service_state_and_its_commands_keep_their_bytes() {
     let mut stored = starting_with("service ");
-    let decode = |bytes: &[u8]| ServiceState::restore(bytes).expect("stored states are restored");
-    let mut state = ServiceState::default();
-    stored.compare("service state, none", &state, ServiceState::snapshot, decode);
+    let decode = |bytes: &[u8]| LeaseState::restore(bytes).expect("stored states are restored");
+    let mut state = LeaseState::default();
+    stored.compare("service state, none", &state, LeaseState::snapshot, decode);
 
-    let begin = stored.bytes("service command, begin", &ServiceState::command(FIRST));
-    let turn = Turn { holder: FIRST, previous: None, must_wait: false };
-    assert_eq!(state.apply(&begin), Some(turn));
-    stored.compare("service state, first", &state, ServiceState::snapshot, decode);
+    let begin = stored.bytes("service command, begin", &LeaseState::acquire_command(FIRST));
+    let epoch = LeaseEpoch { holder: FIRST, previous_holder: None, must_wait: false };
+    assert_eq!(state.apply(&begin), Some(epoch));
+    stored.compare("service state, first", &state, LeaseState::snapshot, decode);
 
-    let turn = Turn { holder: SECOND, previous: Some(FIRST), must_wait: true };
-    assert_eq!(state.apply(&ServiceState::command(SECOND)), Some(turn));
-    stored.compare("service state, second waits", &state, ServiceState::snapshot, decode);
+    let epoch = LeaseEpoch { holder: SECOND, previous_holder: Some(FIRST), must_wait: true };
+    assert_eq!(state.apply(&LeaseState::acquire_command(SECOND)), Some(epoch));
+    stored.compare("service state, second waits", &state, LeaseState::snapshot, decode);
 
-    let waited = stored.bytes("service command, waited", &ServiceState::waited_command(SECOND));
+    let waited = stored.bytes("service command, waited", &LeaseState::wait_completed_command(SECOND));
     assert_eq!(state.apply(&waited), None);
-    assert!(state.has_waited());
-    stored.compare("service state, second", &state, ServiceState::snapshot, decode);
+    assert!(state.is_wait_completed());
+    stored.compare("service state, second", &state, LeaseState::snapshot, decode);
     stored.finish();
 }
 
@@ -93,18 +94,18 @@
     directory.set_placement_overlay(1_200, "server-9", note.clone());
 
     // when
-    let mut memory = DirectoryMemory::default();
-    let written = memory.due(1_300, &directory).expect("the directory has changed");
+    let mut writer = DirectorySnapshotWriter::default();
+    let written = writer.take_due(1_300, &directory).expect("the directory has changed");
 
     // then
     let bytes = stored.bytes("directory on disk", &written);
     stored.finish();
-    assert_eq!(memory.live_record(), Some((STREAM, bytes.clone())));
+    assert_eq!(writer.live_record(), Some((STREAM, bytes.clone())));
     let mut journal =
         vec![StoredRecord { stream: 0, bytes: vec![1] }, StoredRecord { stream: STREAM, bytes }];
     let record =
         ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, overlay: note };
-    assert_eq!(DirectoryMemory::take_from(&mut journal), [record]);
+    assert_eq!(DirectorySnapshotWriter::restore_from(&mut journal), [record]);
     assert_eq!(journal, [StoredRecord { stream: 0, bytes: vec![1] }]);
 }
 
@@ -117,21 +118,21 @@
 
 #[test]
 fn lists_of_edges_keep_their_names() {
-    assert_eq!([list_name(&[]), list_name(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
+    assert_eq!([edge_list_hash(&[]), edge_list_hash(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
 }
 
 /// The records that a coordinator alone in its system has on its disk once it has taken a configuration and a server's
 /// heartbeat.
 fn disk_of_a_coordinator() -> Vec<(u32, Vec<u8>)> {
-    let mut alone = Alone::new(1);
-    alone.run(3_000);
-    let call = alone.replace(0, &configuration(7, "stored.example"));
-    alone.run(1_000);
-    assert!(matches!(alone.answer(call), Some(OperatorResponse::Done { .. })));
-    alone.heartbeat("server-9", ServerState::Ready, 34);
-    alone.run(2_000);
-    alone.tell(Event::Persisted { ticket: 0, wants_checkpoint: true });
-    let live = alone.actions.iter().find_map(|action| match action {
+    let mut coordinator = SingleCoordinator::new(1);
+    coordinator.run(3_000);
+    let call = coordinator.replace_config(0, &configuration(7, "stored.example"));
+    coordinator.run(1_000);
+    assert!(matches!(coordinator.operator_response(call), Some(OperatorResponse::Done { .. })));
+    coordinator.heartbeat("server-9", ServerState::Ready, 34);
+    coordinator.run(2_000);
+    coordinator.handle(Event::Persisted { ticket: 0, wants_checkpoint: true });
+    let live = coordinator.actions.iter().find_map(|action| match action {
         Action::Checkpoint { live } => Some(live.clone()),
         _ => None,
     });
@@ -170,19 +171,19 @@
     }
 
     // when
-    let mut alone = Alone::restarted(disk);
-    alone.run(5_000);
-    let read = alone.operate(OperatorCall::Read);
-    alone.run(1_000);
+    let mut coordinator = SingleCoordinator::restarted(disk);
+    coordinator.run(5_000);
+    let read = coordinator.operator_call(OperatorCall::Read);
+    coordinator.run(1_000);
 
     // then
-    let Some(OperatorResponse::Done { body }) = alone.answer(read) else {
+    let Some(OperatorResponse::Done { body }) = coordinator.operator_response(read) else {
         panic!("no configuration is read")
     };
     let body = std::str::from_utf8(body).expect("JSON is text");
     assert!(body.contains("stored.example") && body.contains("\"version\":7"), "{body}");
-    let poll = alone.poll(shaletrail_protocol::internal::PollRequest::default());
-    let reply = alone.reply(poll).expect("there is news");
+    let poll = coordinator.poll(shaletrail_protocol::internal::PollRequest::default());
+    let reply = coordinator.poll_response(poll).expect("there is news");
     let servers: Vec<&str> = reply.servers.iter().map(|server| server.id.as_str()).collect();
     assert_eq!(servers, ["server-9"]);
 }
