--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -11,8 +11,8 @@
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
-    ConfigUpdate, Demand, DirectoryCursor, EdgeLoadReport, EdgeRequest, Observation, PollRequest,
-    PollResponse,
+    ConfigUpdate, Demand, DirectoryCursor, EdgeLoadReport, EdgeRequest, PollRequest, PollResponse,
+    ServerOutcomes,
 };
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 use shaletrail_routing::interface::{Action, Event};
@@ -73,7 +73,7 @@
     edge_list: u64,
     datagrams: LoadDatagrams,
     demand: Vec<Demand>,
-    observed: Vec<Observation>,
+    observed: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     urgent: bool,
     wake_at: Option<Millis>,
@@ -301,7 +301,7 @@
             cursor: self.cursor,
             max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
-            observed: self.observed.clone(),
+            server_outcomes: self.observed.clone(),
             edge_list_hash: self.edge_list,
         }
     }
@@ -396,9 +396,9 @@
             let own = site::edge_node(self.place);
             self.tell(world, kind, Event::EdgeList { own, edges: nodes });
         }
-        if reply.edges > 0 && reply.edges != self.edges {
-            self.edges = reply.edges;
-            self.tell(world, kind, Event::Edges(reply.edges));
+        if reply.edge_count > 0 && reply.edge_count != self.edges {
+            self.edges = reply.edge_count;
+            self.tell(world, kind, Event::Edges(reply.edge_count));
         }
     }
 
--- a/capacity-emulator/src/fleet.rs
+++ b/capacity-emulator/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rand::Rng;
-use shaletrail_protocol::internal::{Demand, Observation, OperatorResponse};
+use shaletrail_protocol::internal::{Demand, OperatorResponse, ServerOutcomes};
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::core_node::CoreNode;
@@ -30,7 +30,7 @@
 pub const OPERATOR_AGAIN: Millis = 200;
 
 /// What an edge reported.
-type EdgeReported = (Vec<Demand>, Vec<Observation>);
+type EdgeReported = (Vec<Demand>, Vec<ServerOutcomes>);
 
 /// What all nodes share.
 pub struct World {
@@ -108,7 +108,7 @@
     }
 
     /// Keeps what a full edge reports, for edges that have no router.
-    pub fn keep_report(&mut self, edge: usize, demand: &[Demand], observed: &[Observation]) {
+    pub fn keep_report(&mut self, edge: usize, demand: &[Demand], observed: &[ServerOutcomes]) {
         if self.options.full_edges < self.options.edges {
             self.reports[edge] = (demand.to_vec(), observed.to_vec());
         }
--- a/capacity-emulator/src/server.rs
+++ b/capacity-emulator/src/server.rs
@@ -157,7 +157,7 @@
     pub fn report(&self) -> Report {
         Report {
             models: self.held.clone(),
-            utilization: self.running.is_some(),
+            order_in_flight: self.running.is_some(),
             sequence: self.revision,
             active: u64::from(self.open),
             ..Report::default()
--- a/cluster/src/directory/changes.rs
+++ b/cluster/src/directory/changes.rs
@@ -39,14 +39,15 @@
     }
 
     pub(super) fn cursor(&self) -> DirectoryCursor {
-        DirectoryCursor { epoch: self.epoch, change: self.newest }
+        DirectoryCursor { epoch: self.epoch, revision: self.newest }
     }
 
     /// The changes after the cursor; `None` if it is too old or another incarnation's, so that all must be told.
     pub(super) fn since(&self, cursor: DirectoryCursor) -> Option<impl Iterator<Item = &Change> + '_> {
         let oldest = self.kept.front().map_or(self.newest + 1, |change| change.number);
-        let known = cursor.epoch == self.epoch && cursor.change <= self.newest && cursor.change + 1 >= oldest;
-        let news = self.kept.iter().filter(move |change| change.number > cursor.change);
+        let known =
+            cursor.epoch == self.epoch && cursor.revision <= self.newest && cursor.revision + 1 >= oldest;
+        let news = self.kept.iter().filter(move |change| change.number > cursor.revision);
         known.then_some(news)
     }
 }
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -111,16 +111,16 @@
             return;
         }
         match message {
-            MembershipMessage::Ping { number, members } => {
+            MembershipMessage::Ping { sequence_number: number, members } => {
                 let before = self.table.state(from);
                 self.learn(now, from, &members);
                 if before != Some(MemberState::Alive) {
                     self.ping_soon(now, from);
                 }
                 let members = self.tell(now, from, before.is_none());
-                self.send(from, MembershipMessage::Pong { number, members });
+                self.send(from, MembershipMessage::Ack { sequence_number: number, members });
             }
-            MembershipMessage::Pong { number, members } => {
+            MembershipMessage::Ack { sequence_number: number, members } => {
                 if let Some(probe) = self.probes.get_mut(&from) {
                     probe.pong(number);
                 }
@@ -304,7 +304,7 @@
             probe.sent(now, number, !answers, &self.options);
         }
         let members = self.tell(now, node, false);
-        self.send(node, MembershipMessage::Ping { number, members });
+        self.send(node, MembershipMessage::Ping { sequence_number: number, members });
     }
 
     /// Pings a node at the next tick and at the usual pace from then on, if it is pinged at all.
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -262,7 +262,7 @@
     assert_eq!(directory.updates_since(early).records.len(), 3);
     let other = DirectoryCursor { epoch: Incarnation(10), ..directory.cursor() };
     assert!(directory.updates_since(other).complete);
-    let ahead = DirectoryCursor { change: 1000, ..directory.cursor() };
+    let ahead = DirectoryCursor { revision: 1000, ..directory.cursor() };
     assert!(directory.updates_since(ahead).complete);
 }
 
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -271,7 +271,7 @@
         self.messages += 1;
         let (length, records) = match letter {
             Letter::Membership(message) => {
-                let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) =
+                let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) =
                     message;
                 (frame::encode(&CoordinatorMessage::Membership(message.clone())).len(), members.len())
             }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -15,7 +15,7 @@
 }
 
 fn ping(members: Vec<MemberRecord>) -> MembershipMessage {
-    MembershipMessage::Ping { number: 1, members }
+    MembershipMessage::Ping { sequence_number: 1, members }
 }
 
 fn alone(seeds: &[NodeId]) -> Membership {
@@ -214,7 +214,9 @@
     let told = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 11, 4, MemberState::Suspect)];
     membership.receive(100, PEER, ping(told));
     let (_, answer) = membership.take_sends().pop().expect("a ping is answered");
-    let MembershipMessage::Pong { number: 1, members } = answer else { panic!("not the answer: {answer:?}") };
+    let MembershipMessage::Ack { sequence_number: 1, members } = answer else {
+        panic!("not the answer: {answer:?}")
+    };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
 }
 
@@ -252,7 +254,7 @@
     let sends = membership.take_sends();
     assert!(sends.len() <= MAX_MEMBERS + MAX_SEEDS + 50);
     for (_, message) in sends {
-        let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) = message;
+        let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) = message;
         assert!(members.len() <= MAX_MESSAGE_RECORDS);
     }
 }
@@ -262,7 +264,7 @@
     let mut membership = alone(&[PEER]);
     membership.tick(0);
     let members = vec![member(PEER, 21, 0, MemberState::Alive)];
-    membership.receive(10, PEER, MembershipMessage::Pong { number: 123, members });
+    membership.receive(10, PEER, MembershipMessage::Ack { sequence_number: 123, members });
     assert!(!membership.has_contact_within(PEER, 10, 1000));
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
 }
@@ -279,8 +281,12 @@
 /// Lets the peer answer all pings that wait to be sent.
 fn answer_all(membership: &mut Membership, now: Millis) {
     for (to, message) in membership.take_sends() {
-        if let (PEER, MembershipMessage::Ping { number, .. }) = (to, message) {
-            membership.receive(now, PEER, MembershipMessage::Pong { number, members: vec![] });
+        if let (PEER, MembershipMessage::Ping { sequence_number: number, .. }) = (to, message) {
+            membership.receive(
+                now,
+                PEER,
+                MembershipMessage::Ack { sequence_number: number, members: vec![] },
+            );
         }
     }
 }
--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -3,7 +3,7 @@
 mod edges;
 mod gathered;
 
-use shaletrail_protocol::internal::{CoordinatorMessage, Demand, Observation};
+use shaletrail_protocol::internal::{CoordinatorMessage, Demand, ServerOutcomes};
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::Coordinator;
@@ -49,8 +49,8 @@
 
 impl Coordinator {
     /// Takes over what an edge reports. Requests that wait for a model are told to the holders of orders soon.
-    pub(super) fn gather(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
-        if demand.iter().any(|demand| demand.waiting > 0) {
+    pub(super) fn gather(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
+        if demand.iter().any(|demand| demand.queued > 0) {
             self.sharing_times.hurry();
         }
         self.gathered.add(edge, demand, observed);
--- a/coordinator/src/core/demand/gathered.rs
+++ b/coordinator/src/core/demand/gathered.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::internal::{Demand, EdgeReport, Observation};
+use shaletrail_protocol::internal::{Demand, EdgeReport, ServerOutcomes};
 use shaletrail_protocol::{NodeId, ServerId};
 
 use super::edges::MOST_EDGES;
@@ -23,12 +23,12 @@
 #[derive(Debug, Default)]
 struct Report {
     demand: BTreeMap<Asked, Demand>,
-    observed: BTreeMap<ServerId, Observation>,
+    observed: BTreeMap<ServerId, ServerOutcomes>,
 }
 
 impl AggregatedDemand {
     /// Adds one edge's report.
-    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
+    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
         if self.edges.len() < MOST_EDGES || self.edges.contains_key(&edge) {
             self.edges.entry(edge).or_default().add(demand, observed);
         }
@@ -40,14 +40,14 @@
         let report = |(edge, report): (NodeId, Report)| EdgeReport {
             edge,
             demand: report.demand.into_values().collect(),
-            observed: report.observed.into_values().collect(),
+            server_outcomes: report.observed.into_values().collect(),
         };
         reports.map(report).collect()
     }
 }
 
 impl Report {
-    fn add(&mut self, demand: Vec<Demand>, observed: Vec<Observation>) {
+    fn add(&mut self, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
         for one in demand {
             let asked = (one.service.clone(), one.model.clone(), one.adapter.clone());
             if let Some(sum) = self.demand.get_mut(&asked) {
@@ -74,6 +74,6 @@
     sum.tokens = sum.tokens.saturating_add(later.tokens);
     sum.priority = sum.priority.min(later.priority);
     sum.over_capacity = sum.over_capacity.saturating_add(later.over_capacity);
-    sum.waiting = later.waiting;
-    sum.open = later.open;
+    sum.queued = later.queued;
+    sum.in_flight = later.in_flight;
 }
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -180,11 +180,11 @@
             CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
             CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
-            CoordinatorMessage::ForwardRequest { call, change } => {
-                self.operate(now, Caller::Node { node: from, call }, change, actions)
+            CoordinatorMessage::ForwardRequest { call_id, call } => {
+                self.operate(now, Caller::Node { node: from, call: call_id }, call, actions)
             }
-            CoordinatorMessage::ForwardResponse { call, response: answer } => {
-                self.forwarded(from, Ticket(call), answer, actions)
+            CoordinatorMessage::ForwardResponse { call_id, response: answer } => {
+                self.forwarded(from, Ticket(call_id), answer, actions)
             }
             CoordinatorMessage::Demand { edges, reports, .. } => {
                 self.edges.told(edges, now);
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -47,7 +47,7 @@
                 }
             } else if let (Some(leader), Caller::Here(_)) = (leader, pending.caller) {
                 let forward =
-                    CoordinatorMessage::ForwardRequest { call: ticket.0, change: pending.call.clone() };
+                    CoordinatorMessage::ForwardRequest { call_id: ticket.0, call: pending.call.clone() };
                 actions.push(Action::Send { to: leader, message: forward });
                 pending.stage = Stage::Forwarded(leader);
             }
@@ -125,7 +125,7 @@
         ChangeOutcome::Accepted | ChangeOutcome::Duplicate => OperatorResponse::Done { body: b"{}".to_vec() },
         ChangeOutcome::Expired => OperatorResponse::Unavailable,
         ChangeOutcome::Conflict { current } if builds_after(*current) => OperatorResponse::Unavailable,
-        ChangeOutcome::Conflict { current } => OperatorResponse::Conflict { current: *current },
+        ChangeOutcome::Conflict { current } => OperatorResponse::Conflict { current_version: *current },
         ChangeOutcome::Invalid(invalid) => OperatorResponse::Invalid { reason: invalid.to_string() },
     }
 }
@@ -135,7 +135,7 @@
         Caller::Here(call) => actions.push(Action::RespondToOperator { call, response: answer }),
         Caller::Node { node, call } => actions.push(Action::Send {
             to: node,
-            message: CoordinatorMessage::ForwardResponse { call, response: answer },
+            message: CoordinatorMessage::ForwardResponse { call_id: call, response: answer },
         }),
     }
 }
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -169,7 +169,7 @@
 
     /// Takes over what edges reported.
     pub fn demand(&mut self, now: Millis, reports: &[EdgeReport]) {
-        let waits = |report: &EdgeReport| report.demand.iter().any(|demand| demand.waiting > 0);
+        let waits = |report: &EdgeReport| report.demand.iter().any(|demand| demand.queued > 0);
         if reports.iter().any(waits) && !self.leaderships.is_empty() {
             self.next_plan = now;
         }
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -14,7 +14,7 @@
 impl Coordinator {
     pub(super) fn poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
         self.edges.polled(edge.node, now);
-        self.gather(edge.node, request.demand, request.observed);
+        self.gather(edge.node, request.demand, request.server_outcomes);
         let due = now + Millis::from(request.max_wait_ms);
         let poll = PendingPoll {
             edge: edge.node,
@@ -56,7 +56,7 @@
             complete: news.complete && !self.directory.is_recently_started(now),
             cursor: news.cursor,
             coordinators: self.coordinators(),
-            edges: self.edges.sharing(now),
+            edge_count: self.edges.sharing(now),
             edge_nodes: (edge_list != poll.edge_list).then_some(edges),
             edge_list_hash: edge_list,
             isolated: false,
--- a/coordinator/src/driver/control.rs
+++ b/coordinator/src/driver/control.rs
@@ -120,7 +120,7 @@
 fn told(answer: OperatorResponse) -> Answer {
     match answer {
         OperatorResponse::Done { body } => json(body),
-        OperatorResponse::Conflict { current } => {
+        OperatorResponse::Conflict { current_version: current } => {
             plain(StatusCode::PRECONDITION_FAILED, &format!("version {current} is current"))
         }
         OperatorResponse::Invalid { reason } => plain(StatusCode::BAD_REQUEST, &reason),
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -150,7 +150,7 @@
             let report = fetch_report(&server, &address).await;
             if let Some(report) = &report {
                 debug!(host.log, "report"; "server" => &server, "count" => report.sequence,
-                    "busy" => report.utilization, "models" => report.models.len());
+                    "busy" => report.order_in_flight, "models" => report.models.len());
             }
             host.handle(Event::ReportReceived { server, report });
         });
--- a/coordinator/tests/alone.rs
+++ b/coordinator/tests/alone.rs
@@ -53,7 +53,7 @@
 
     // then
     assert!(is_done(alone.answer(again)));
-    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current: 3 }));
+    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current_version: 3 }));
 }
 
 #[test]
@@ -75,7 +75,7 @@
 
     // then
     assert_eq!(alone.answer(again), Some(&OperatorResponse::Unavailable));
-    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current: 5000 }));
+    assert_eq!(alone.answer(other), Some(&OperatorResponse::Conflict { current_version: 5000 }));
 }
 
 #[test]
@@ -169,7 +169,7 @@
 ) {
     let mut alone = Alone::new(3);
     alone.run(ELECTION);
-    let cursor = DirectoryCursor { change: 9, ..DirectoryCursor::default() };
+    let cursor = DirectoryCursor { revision: 9, ..DirectoryCursor::default() };
     let call =
         alone.poll(PollRequest { config_version: 4, cursor, max_wait_ms: 5_000, ..PollRequest::default() });
     let reply = alone.reply(call).expect("it is answered at once");
--- a/coordinator/tests/calls.rs
+++ b/coordinator/tests/calls.rs
@@ -70,15 +70,19 @@
     });
     let call = group.replace(sender, 1, &configuration(2, "b.example"));
     let name = group.held().find_map(|message| match message {
-        CoordinatorMessage::ForwardRequest { call, .. } => Some(*call),
+        CoordinatorMessage::ForwardRequest { call_id, .. } => Some(*call_id),
         _ => None,
     });
     let name = name.expect("it is handed on");
 
     // when: the answer of another node, and one to another call
     let answer = OperatorResponse::Done { body: Vec::new() };
-    group.send(third, sender, CoordinatorMessage::ForwardResponse { call: name, response: answer.clone() });
-    group.send(leader, sender, CoordinatorMessage::ForwardResponse { call: name + 1, response: answer });
+    group.send(
+        third,
+        sender,
+        CoordinatorMessage::ForwardResponse { call_id: name, response: answer.clone() },
+    );
+    group.send(leader, sender, CoordinatorMessage::ForwardResponse { call_id: name + 1, response: answer });
 
     // then
     assert_eq!(group.answer(sender, call), None);
@@ -105,7 +109,7 @@
     assert!(is_done(group.answer(next, won)));
 
     // then: it was brought to the next leader, and lost the race there
-    assert_eq!(group.answer(leader, lost), Some(&OperatorResponse::Conflict { current: 2 }));
+    assert_eq!(group.answer(leader, lost), Some(&OperatorResponse::Conflict { current_version: 2 }));
     group.run(3_000);
     for number in group.numbers() {
         let read = group.operate(number, OperatorCall::Read);
@@ -192,7 +196,7 @@
         // and one that builds on an older version is refused for good
         let old = group.replace(at, 1, &configuration(9, "x.example"));
         group.run(300);
-        assert_eq!(group.answer(at, old), Some(&OperatorResponse::Conflict { current: 3 }));
+        assert_eq!(group.answer(at, old), Some(&OperatorResponse::Conflict { current_version: 3 }));
     }
 }
 
--- a/coordinator/tests/contact.rs
+++ b/coordinator/tests/contact.rs
@@ -51,7 +51,7 @@
         && reply.config.is_none()
         && reply.servers.is_empty()
         && !reply.complete
-        && reply.edges == 0
+        && reply.edge_count == 0
         && reply.edge_nodes.is_none()
 }
 
@@ -139,7 +139,7 @@
     let leader = group.leader();
     let frozen = group.others(leader)[0];
     let pongs = |message: &CoordinatorMessage| {
-        matches!(message, CoordinatorMessage::Membership(MembershipMessage::Pong { .. }))
+        matches!(message, CoordinatorMessage::Membership(MembershipMessage::Ack { .. }))
     };
     group.hold(move |_, to, message| to == frozen && pongs(message));
     group.run(250);
@@ -338,12 +338,12 @@
         last
     };
     let (call, _) = polls(&mut group, 12_000);
-    assert_eq!(reply(&group, here, call).edges, 2);
+    assert_eq!(reply(&group, here, call).edge_count, 2);
 
     // when
     group.cut_off(here, true);
     let (call, _) = polls(&mut group, 15_000);
-    assert_eq!(reply(&group, here, call).edges, 0);
+    assert_eq!(reply(&group, here, call).edge_count, 0);
     group.hold(|_, _, message| matches!(message, CoordinatorMessage::Demand { .. }));
     group.cut_off(here, false);
     group.run(1_000);
@@ -352,7 +352,7 @@
     // then
     let reply = reply(&group, here, call);
     assert!(!reply.isolated);
-    assert_eq!(reply.edges, 0, "not known, and not one alone");
+    assert_eq!(reply.edge_count, 0, "not known, and not one alone");
 }
 
 #[test]
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -65,9 +65,9 @@
             arrived: 1,
             tokens: 1_000,
             priority: 1,
-            waiting: 1,
+            queued: 1,
             over_capacity: 0,
-            open: 0,
+            in_flight: 0,
         };
         alone.tell(Event::EdgeReport { edge: node(100), demand: vec![demand] });
         alone.run(50);
@@ -128,8 +128,8 @@
 /// By which number the last change was handed to the leader.
 fn forwarded(alone: &Alone, leader: NodeId) -> u64 {
     let number = alone.actions.iter().rev().find_map(|action| match action {
-        Action::Send { to, message: CoordinatorMessage::ForwardRequest { call, .. } } if *to == leader => {
-            Some(*call)
+        Action::Send { to, message: CoordinatorMessage::ForwardRequest { call_id, .. } } if *to == leader => {
+            Some(*call_id)
         }
         _ => None,
     });
@@ -138,7 +138,10 @@
 
 fn answer_from(leader: NodeId, call: u64) -> Event {
     let answer = OperatorResponse::Done { body: b"{}".to_vec() };
-    Event::Message { from: leader, message: CoordinatorMessage::ForwardResponse { call, response: answer } }
+    Event::Message {
+        from: leader,
+        message: CoordinatorMessage::ForwardResponse { call_id: call, response: answer },
+    }
 }
 
 #[test]
--- a/coordinator/tests/parts.rs
+++ b/coordinator/tests/parts.rs
@@ -10,7 +10,7 @@
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 use shaletrail_coordinator::core::voters::{group_size, wanted, Candidate};
 use shaletrail_coordinator::interface::CallId;
-use shaletrail_protocol::internal::{Demand, DirectoryCursor, Observation, OperatorCall};
+use shaletrail_protocol::internal::{Demand, DirectoryCursor, OperatorCall, ServerOutcomes};
 use shaletrail_protocol::{Incarnation, NodeId};
 
 fn candidate(number: u8, absent: bool, caught_up: bool) -> Candidate {
@@ -182,11 +182,11 @@
         service: "llm".into(),
         model: "m".into(),
         arrived,
-        waiting,
+        queued: waiting,
         priority,
         ..Demand::default()
     };
-    let observed = |failed| Observation { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
+    let observed = |failed| ServerOutcomes { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
     let mut gathered = AggregatedDemand::default();
 
     // when
@@ -198,7 +198,7 @@
     let reports = gathered.take();
     assert_eq!(reports.len(), 2);
     assert_eq!(reports[0].demand, vec![demand(5, 1, 3)]);
-    assert_eq!((reports[0].observed[0].succeeded, reports[0].observed[0].failed), (2, 3));
+    assert_eq!((reports[0].server_outcomes[0].succeeded, reports[0].server_outcomes[0].failed), (2, 3));
     assert!(gathered.take().is_empty());
 }
 
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -11,8 +11,8 @@
 use shaletrail_configuration::View;
 use shaletrail_protocol::frame::{self, FrameError};
 use shaletrail_protocol::internal::{
-    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeRequest, Handshake, Observation, PollRequest,
-    PollResponse,
+    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeRequest, Handshake, PollRequest, PollResponse,
+    ServerOutcomes,
 };
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Millis, NodeId};
@@ -94,7 +94,7 @@
     edges: u32,
     edge_list: u64,
     demand: Vec<Demand>,
-    observed: Vec<Observation>,
+    observed: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     random: Pcg64,
 }
@@ -180,7 +180,7 @@
             cursor: self.cursor,
             max_wait_ms: u32::try_from(self.pace.hold.as_millis()).unwrap_or(u32::MAX),
             demand: self.demand.clone(),
-            observed: self.observed.clone(),
+            server_outcomes: self.observed.clone(),
             edge_list_hash: self.edge_list,
         });
         // The connection is put back only after a whole reply, so that none is used in the middle of one.
@@ -239,9 +239,9 @@
             self.state.handle(Event::Servers { records: reply.servers, complete: reply.complete });
         }
         self.take_edges(reply.edge_nodes, reply.edge_list_hash);
-        if reply.edges > 0 && reply.edges != self.edges {
-            self.edges = reply.edges;
-            self.state.handle(Event::Edges(reply.edges));
+        if reply.edge_count > 0 && reply.edge_count != self.edges {
+            self.edges = reply.edge_count;
+            self.state.handle(Event::Edges(reply.edge_count));
         }
     }
 
@@ -283,7 +283,7 @@
     stream: &mut TcpStream,
     message: &[u8],
     pace: Pace,
-) -> Result<(PollResponse, Vec<Observation>), PollError> {
+) -> Result<(PollResponse, Vec<ServerOutcomes>), PollError> {
     let (mut from, mut to) = stream.split();
     let mut observed = Vec::new();
     let mut prefix = [0; frame::PREFIX_BYTES];
--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -69,8 +69,14 @@
 
     /// Tells the whole directory.
     pub fn publish_servers(&self, servers: Vec<ServerRecord>) {
-        let cursor = DirectoryCursor { epoch: Incarnation(1), change: 1 };
-        self.publish(PollResponse { servers, complete: true, cursor, edges: 1, ..PollResponse::default() });
+        let cursor = DirectoryCursor { epoch: Incarnation(1), revision: 1 };
+        self.publish(PollResponse {
+            servers,
+            complete: true,
+            cursor,
+            edge_count: 1,
+            ..PollResponse::default()
+        });
     }
 
     /// Waits until all that was published has been taken over: the edge has asked again after it.
--- a/dataplane/tests/polls.rs
+++ b/dataplane/tests/polls.rs
@@ -15,7 +15,7 @@
         let coordinator = edge.coordinator.clone();
         coordinator.publish_configuration(news(&configuration(&[route("r", "/x/", "idempotent")])));
         coordinator.all_taken().await;
-        let cursor = DirectoryCursor { epoch: Incarnation(9), change: 9 };
+        let cursor = DirectoryCursor { epoch: Incarnation(9), revision: 9 };
         coordinator.publish_late(PollResponse { cursor, ..PollResponse::default() });
         coordinator.is_late().await;
 
@@ -132,7 +132,7 @@
         // given
         let server = Server::start("i-1").await;
         let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
-        let anew = DirectoryCursor { epoch: Incarnation(2), change: 0 };
+        let anew = DirectoryCursor { epoch: Incarnation(2), revision: 0 };
 
         // when
         edge.coordinator.publish(PollResponse { cursor: anew, ..PollResponse::default() });
--- a/placement/src/demand.rs
+++ b/placement/src/demand.rs
@@ -97,8 +97,8 @@
         for entry in reported.iter().filter(|entry| entry.service == service).take(MOST_ENTRIES) {
             let Some(item) = models.current(&entry.model, entry.adapter.as_deref()) else { continue };
             count(now, item, entry, models);
-            if entry.waiting > 0 || entry.open > 0 {
-                gauges.push(Gauge { item, waiting: entry.waiting, open: entry.open });
+            if entry.queued > 0 || entry.in_flight > 0 {
+                gauges.push(Gauge { item, waiting: entry.queued, open: entry.in_flight });
             }
         }
         let asked = !gauges.is_empty();
@@ -134,7 +134,7 @@
 fn count(now: Millis, item: Item, entry: &Demand, models: &mut ModelTable) {
     let Some(model) = models.get_mut(item.model) else { return };
     let demand = &mut model.demand;
-    let asked = entry.arrived > 0 || entry.waiting > 0 || entry.open > 0;
+    let asked = entry.arrived > 0 || entry.queued > 0 || entry.in_flight > 0;
     demand.arrivals.add(now, f64::from(entry.arrived));
     demand.tokens.add(now, entry.tokens as f64);
     if asked {
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -235,7 +235,7 @@
     pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &Report) {
         let listed = self.list(&report.models);
         let Some(server) = self.server_mut(id) else { return };
-        server.report(now, report.sequence, report.utilization, &listed);
+        server.report(now, report.sequence, report.order_in_flight, &listed);
         self.changed = true;
     }
 
--- a/placement/tests/common/servers.rs
+++ b/placement/tests/common/servers.rs
@@ -71,7 +71,7 @@
     pub fn report(&self) -> Report {
         Report {
             models: list(&self.held),
-            utilization: self.running.is_some(),
+            order_in_flight: self.running.is_some(),
             sequence: self.sequence,
             ..Report::default()
         }
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/story.rs
@@ -93,7 +93,7 @@
     }
 
     pub fn report(&mut self, server: usize, sequence: u64, busy: bool, models: &[&str]) {
-        let report = Report { models: held(models), utilization: busy, sequence, ..Report::default() };
+        let report = Report { models: held(models), order_in_flight: busy, sequence, ..Report::default() };
         self.planner.record_report(self.now, &id(server), &report);
     }
 
@@ -128,7 +128,7 @@
 }
 
 pub fn waiting(model: &str) -> Demand {
-    Demand { waiting: 1, ..demand(model) }
+    Demand { queued: 1, ..demand(model) }
 }
 
 pub fn for_adapter(adapter: &str, demand: Demand) -> Demand {
--- a/placement/tests/common/world.rs
+++ b/placement/tests/common/world.rs
@@ -524,7 +524,7 @@
             let longest = self.longest_wait.entry(key.0.clone()).or_default();
             *longest = (*longest).max(now - since);
             if there == 0 {
-                reported.entry(key.clone()).or_default().waiting = count;
+                reported.entry(key.clone()).or_default().queued = count;
                 self.waiting.insert(key, (since, count));
             }
         }
--- a/placement/tests/scarce_room.rs
+++ b/placement/tests/scarce_room.rs
@@ -40,7 +40,7 @@
 #[test]
 fn given_a_replica_beyond_a_models_share_when_another_is_overloaded_then_it_gives_way_without_delay() {
     let mut story = Story::new(4, &[&["m0", "m2"], &["m0", "m3"], &["m0", "m1"]]);
-    let open = |model| Demand { open: 1, ..demand(model) };
+    let open = |model| Demand { in_flight: 1, ..demand(model) };
     story.ask(&[busy("m0", 60_000), open("m2"), open("m3"), open("m1")]);
     assert_eq!(story.orders(), [""; 0]);
     story.now += 200;
@@ -53,7 +53,7 @@
 fn given_a_model_asked_for_a_moment_ago_when_another_is_hard_pressed_then_it_gives_way_and_not_before() {
     for (tokens, gives_way) in [(45_000, false), (TOKENS_OF_EIGHT, true)] {
         let mut story = Story::new(4, &[&["m0", "m1"], &["m2", "m3"]]);
-        let open = Demand { open: 1, ..demand("m1") };
+        let open = Demand { in_flight: 1, ..demand("m1") };
         story.ask(&[demand("m2"), demand("m3"), open.clone()]);
         story.orders();
         story.now += 2_000;
--- a/placement/tests/stories.rs
+++ b/placement/tests/stories.rs
@@ -72,7 +72,7 @@
 #[test]
 fn given_one_server_whose_models_all_have_open_requests_when_another_waits_then_none_of_them_goes() {
     let mut story = Story::new(3, &[&["m0", "m1"]]);
-    let open = |model| Demand { open: 1, ..demand(model) };
+    let open = |model| Demand { in_flight: 1, ..demand(model) };
     story.ask(&[open("m0"), open("m1"), waiting("m2")]);
     assert_eq!(story.orders(), [""; 0]);
 }
@@ -239,7 +239,7 @@
 #[test]
 fn given_open_requests_beyond_the_ease_of_a_server_when_planned_then_another_replica_is_loaded() {
     let mut story = Story::new(2, &[&["m0"], &[]]);
-    story.ask(&[Demand { open: 40, ..demand("m0") }]);
+    story.ask(&[Demand { in_flight: 40, ..demand("m0") }]);
     assert_eq!(story.orders(), ["s1 load m0 at 0"]);
 }
 
--- a/protocol/src/external.rs
+++ b/protocol/src/external.rs
@@ -118,7 +118,8 @@
     /// What it holds.
     pub models: Vec<LoadedModel>,
     /// Whether an order is under way.
-    pub utilization: bool,
+    #[serde(rename = "utilization")]
+    pub order_in_flight: bool,
     /// Orders taken.
     pub sequence: u64,
     /// Requests that wait.
--- a/protocol/src/internal.rs
+++ b/protocol/src/internal.rs
@@ -40,7 +40,7 @@
     /// The coordinator's start that numbered the changes; another start numbers anew.
     pub epoch: Incarnation,
     /// The newest change seen.
-    pub change: u64,
+    pub revision: u64,
 }
 
 /// A long poll: answered at once where there is news, otherwise after `max_wait_ms`.
@@ -55,7 +55,7 @@
     /// Demand seen since the last poll.
     pub demand: Vec<Demand>,
     /// What the edge found out about servers since the last poll.
-    pub observed: Vec<Observation>,
+    pub server_outcomes: Vec<ServerOutcomes>,
     /// The list of edges that it knows, as `PollResponse::edge_list`.
     pub edge_list_hash: u64,
 }
@@ -76,16 +76,16 @@
     /// The most urgent rank among them (0 first).
     pub priority: u8,
     /// Requests that wait at this moment because no server holds what they ask for.
-    pub waiting: u32,
+    pub queued: u32,
     /// Requests that were refused or found every holder at its cap.
     pub over_capacity: u32,
     /// Requests open at servers at this moment.
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 /// What an edge concluded about a server from its answers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Observation {
+pub struct ServerOutcomes {
     /// The server.
     pub server: ServerId,
     /// Attempts that ended well since the last report.
@@ -102,11 +102,11 @@
     /// Hash of the server's id (`shaletrail_ring::hash_of_name`).
     pub server: u64,
     /// Requests that are open there.
-    pub open: u16,
+    pub in_flight: u16,
     /// Prompt tokens of those whose answer has not begun.
-    pub prefill: u32,
+    pub prefill_tokens: u32,
     /// Requests have been waiting there for long without any sign of life of the server.
-    pub silent: bool,
+    pub unresponsive: bool,
 }
 
 /// Whose requests the shares of a datagram count.
@@ -164,7 +164,7 @@
     /// The coordinators as this one knows them, itself among them.
     pub coordinators: Vec<NodeId>,
     /// Data-plane nodes that the coordinators know to be at work; 0 if unknown.
-    pub edges: u32,
+    pub edge_count: u32,
     /// Those nodes, where they differ from the list that the request names and are few enough to be told.
     pub edge_nodes: Option<Vec<NodeId>>,
     /// Names the list of these nodes: a hash of it.
@@ -300,14 +300,14 @@
     /// A change of the configuration that belongs to the leader of the configuration's shard.
     ForwardRequest {
         /// Names the call at the sender.
-        call: u64,
+        call_id: u64,
         /// The change.
-        change: OperatorCall,
+        call: OperatorCall,
     },
     /// Answer to `Forward`.
     ForwardResponse {
         /// The call.
-        call: u64,
+        call_id: u64,
         /// How it ended.
         response: OperatorResponse,
     },
@@ -335,7 +335,7 @@
     /// Demand that it saw.
     pub demand: Vec<Demand>,
     /// What it found out about servers.
-    pub observed: Vec<Observation>,
+    pub server_outcomes: Vec<ServerOutcomes>,
 }
 
 /// Messages of the membership protocol among coordinators.
@@ -344,14 +344,14 @@
     /// Are you there? Carries what the sender knows.
     Ping {
         /// Echoed by the answer.
-        number: u64,
+        sequence_number: u64,
         /// Members known to the sender.
         members: Vec<MemberRecord>,
     },
     /// I am.
-    Pong {
+    Ack {
         /// Of the ping.
-        number: u64,
+        sequence_number: u64,
         /// Members known to the sender.
         members: Vec<MemberRecord>,
     },
@@ -409,7 +409,7 @@
     /// Another version is current.
     Conflict {
         /// The current version.
-        current: u64,
+        current_version: u64,
     },
     /// The configuration cannot be taken.
     Invalid {
--- a/protocol/src/settings.rs
+++ b/protocol/src/settings.rs
@@ -21,7 +21,7 @@
 pub enum SettingsError {
     /// The file cannot be read.
     #[snafu(display("settings file {}: {source}", path.display()))]
-    Unreadable {
+    ReadFile {
         /// Its path.
         path: PathBuf,
         /// What the system said.
@@ -29,7 +29,7 @@
     },
     /// A key that a role needs is not there.
     #[snafu(display("{key}: missing, expected {expected}"))]
-    Missing {
+    MissingKey {
         /// The key.
         key: String,
         /// What should stand there.
@@ -37,7 +37,7 @@
     },
     /// A value that cannot be read.
     #[snafu(display("{key}: '{value}' found, expected {expected}"))]
-    Wrong {
+    InvalidValue {
         /// The key.
         key: String,
         /// Its value.
@@ -66,12 +66,12 @@
     }
 
     fn required<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
-        self.optional(key, expected)?.ok_or_else(|| MissingSnafu { key, expected }.build())
+        self.optional(key, expected)?.ok_or_else(|| MissingKeySnafu { key, expected }.build())
     }
 
     fn optional<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.value(key) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| WrongSnafu { key, value, expected }.build())
+        value.parse().map(Some).map_err(|_| InvalidValueSnafu { key, value, expected }.build())
     }
 
     fn or<T: FromStr>(&self, key: &str, expected: &'static str, otherwise: T) -> Result<T, SettingsError> {
@@ -81,7 +81,8 @@
     fn list<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<Vec<T>, SettingsError> {
         let items =
             self.value(key).unwrap_or_default().split(',').map(str::trim).filter(|item| !item.is_empty());
-        let parse = |item: &str| item.parse().map_err(|_| WrongSnafu { key, value: item, expected }.build());
+        let parse =
+            |item: &str| item.parse().map_err(|_| InvalidValueSnafu { key, value: item, expected }.build());
         items.map(parse).collect()
     }
 
@@ -90,7 +91,7 @@
         const EXPECTED: &str = "a number over 0";
         let number: f64 = self.or(key, EXPECTED, otherwise)?;
         if !(number.is_finite() && number > 0.0 && number < 1e9) {
-            return WrongSnafu { key, value: number.to_string(), expected: EXPECTED }.fail();
+            return InvalidValueSnafu { key, value: number.to_string(), expected: EXPECTED }.fail();
         }
         Ok(unit.mul_f64(number))
     }
@@ -100,7 +101,7 @@
         const EXPECTED: &str = "a number of 0 or more";
         let number: f64 = self.or(key, EXPECTED, otherwise)?;
         if !(number.is_finite() && number >= 0.0) {
-            return WrongSnafu { key, value: number.to_string(), expected: EXPECTED }.fail();
+            return InvalidValueSnafu { key, value: number.to_string(), expected: EXPECTED }.fail();
         }
         Ok(number)
     }
@@ -116,7 +117,7 @@
     /// How long nothing must have gone wrong for a machine to count as in touch.
     pub contact: Duration,
     /// Within which proper calls of the operator are acknowledged.
-    pub acknowledge: Duration,
+    pub ack_timeout: Duration,
     /// How long a machine that is back counts as lost.
     pub sync: Duration,
     /// From an acknowledged `draining` to the last request sent there.
@@ -136,7 +137,7 @@
     /// From the return of the machines until service is back.
     pub recovery: Duration,
     /// How late an event of a stream may be passed on.
-    pub pass: Duration,
+    pub stream_delay: Duration,
     /// Whether servers refuse a fence lower than one they have seen.
     pub fencing: bool,
     /// How far apart the orders of two holders to one server must lie.
@@ -190,9 +191,9 @@
     /// Where state is kept, on machines with a disk.
     pub data_dir: Option<PathBuf>,
     /// Between two heartbeats of a server.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Counted machines that may be lost at once.
-    pub hosts_lost: u32,
+    pub tolerated_host_losses: u32,
     /// Limits of the machine.
     pub limits: MachineLimits,
     /// Bounds of the rules.
@@ -203,7 +204,7 @@
     /// Reads the settings from a file.
     pub fn read(path: &std::path::Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
+            .map_err(|source| SettingsError::ReadFile { path: path.to_owned(), source })?;
         text.parse()
     }
 
@@ -245,8 +246,8 @@
             bootstrap: lines.or("bootstrap", "true or false", false)?,
             counts_for_quorum: lines.or("countsForQuorum", "true or false", false)?,
             data_dir: lines.value("dataDir").map(PathBuf::from),
-            heartbeat: lines.duration("heartbeatMs", MILLISECOND, 1000.0)?,
-            hosts_lost: lines.or("faultTolerance.hostsLost", NUMBER, 1)?,
+            heartbeat_interval: lines.duration("heartbeatMs", MILLISECOND, 1000.0)?,
+            tolerated_host_losses: lines.or("faultTolerance.hostsLost", NUMBER, 1)?,
             limits: machine_limits(&lines)?,
             bounds: bounds(&lines)?,
         })
@@ -267,8 +268,9 @@
     let ports: Vec<u16> = lines.list(KEY, EXPECTED)?;
     match ports[..] {
         [first, last] if first <= last => Ok((first, last)),
-        [] => MissingSnafu { key: KEY, expected: EXPECTED }.fail(),
-        _ => WrongSnafu { key: KEY, value: lines.value(KEY).unwrap_or_default(), expected: EXPECTED }.fail(),
+        [] => MissingKeySnafu { key: KEY, expected: EXPECTED }.fail(),
+        _ => InvalidValueSnafu { key: KEY, value: lines.value(KEY).unwrap_or_default(), expected: EXPECTED }
+            .fail(),
     }
 }
 
@@ -287,7 +289,7 @@
         seed_lag: lines.duration("bounds.seedLagS", SECOND, 3.0)?,
         address_reuse: lines.duration("bounds.addressReuseS", SECOND, 2.0)?,
         contact: lines.duration("bounds.contactMs", MILLISECOND, 3000.0)?,
-        acknowledge: lines.duration("bounds.ackTimeoutMs", MILLISECOND, 4000.0)?,
+        ack_timeout: lines.duration("bounds.ackTimeoutMs", MILLISECOND, 4000.0)?,
         sync: lines.duration("bounds.syncS", SECOND, 4.0)?,
         drain: lines.duration("bounds.drainMs", MILLISECOND, 2000.0)?,
         grace: lines.duration("bounds.graceS", SECOND, 8.0)?,
@@ -297,7 +299,7 @@
         retry_window: lines.duration("bounds.retryWindowS", SECOND, 10.0)?,
         retry_slack: lines.amount("bounds.retrySlack", 20.0)?,
         recovery: lines.duration("bounds.recoveryS", SECOND, 12.0)?,
-        pass: lines.duration("bounds.pass_ms", MILLISECOND, 120.0)?,
+        stream_delay: lines.duration("bounds.pass_ms", MILLISECOND, 120.0)?,
         fencing: lines.or("bounds.fencing", "true or false", false)?,
         lease: lines.duration("bounds.leaseMs", MILLISECOND, 3000.0)?,
         origin_window: lines.duration("bounds.originWindowS", SECOND, 5.0)?,
--- a/protocol/tests/settings.rs
+++ b/protocol/tests/settings.rs
@@ -35,10 +35,10 @@
     let settings: Settings = CORE.parse().expect("a proper file");
 
     assert_eq!(settings.node().to_string(), "10.1.0.38");
-    assert_eq!(settings.heartbeat, Duration::from_millis(1200));
+    assert_eq!(settings.heartbeat_interval, Duration::from_millis(1200));
     assert_eq!(settings.bounds.drain, Duration::from_millis(2500));
     assert_eq!(settings.bounds.retry_ratio, 0.2);
-    assert_eq!(settings.hosts_lost, 2);
+    assert_eq!(settings.tolerated_host_losses, 2);
     assert_eq!(settings.internal_port(), 7660);
     assert_eq!(settings.zones.len(), 2);
     assert!(settings.bootstrap && settings.counts_for_quorum && !settings.bounds.fencing);
--- a/protocol/tests/settings_keys.rs
+++ b/protocol/tests/settings_keys.rs
@@ -70,7 +70,7 @@
         seed_lag: seconds(11),
         address_reuse: seconds(12),
         contact: milliseconds(13),
-        acknowledge: milliseconds(14),
+        ack_timeout: milliseconds(14),
         sync: seconds(15),
         drain: milliseconds(16),
         grace: seconds(17),
@@ -80,7 +80,7 @@
         retry_window: seconds(22),
         retry_slack: 23.0,
         recovery: seconds(24),
-        pass: milliseconds(25),
+        stream_delay: milliseconds(25),
         fencing: true,
         lease: milliseconds(26),
         origin_window: seconds(27),
@@ -102,8 +102,8 @@
         bootstrap: true,
         counts_for_quorum: true,
         data_dir: Some("/data/core".into()),
-        heartbeat: milliseconds(1201),
-        hosts_lost: 2,
+        heartbeat_interval: milliseconds(1201),
+        tolerated_host_losses: 2,
         limits: MachineLimits { memory_mb: 301, max_fds: 302, link_mbps: 303.5, disk_mb: 304 },
         bounds,
     };
@@ -117,7 +117,7 @@
         seed_lag: seconds(3),
         address_reuse: seconds(2),
         contact: seconds(3),
-        acknowledge: seconds(4),
+        ack_timeout: seconds(4),
         sync: seconds(4),
         drain: seconds(2),
         grace: seconds(8),
@@ -127,7 +127,7 @@
         retry_window: seconds(10),
         retry_slack: 20.0,
         recovery: seconds(12),
-        pass: milliseconds(120),
+        stream_delay: milliseconds(120),
         fencing: false,
         lease: seconds(3),
         origin_window: seconds(5),
@@ -147,8 +147,8 @@
         bootstrap: false,
         counts_for_quorum: false,
         data_dir: None,
-        heartbeat: seconds(1),
-        hosts_lost: 1,
+        heartbeat_interval: seconds(1),
+        tolerated_host_losses: 1,
         limits: MachineLimits { memory_mb: 256, max_fds: 1024, link_mbps: 1000.0, disk_mb: 0 },
         bounds,
     };
@@ -165,7 +165,7 @@
     let without = |key: &str| {
         let lines = REQUIRED_KEYS.lines().filter(|line| !line.starts_with(key));
         let error = error_of(&lines.collect::<Vec<_>>().join("\n"));
-        assert!(matches!(error, SettingsError::Missing { .. }), "{error:?}");
+        assert!(matches!(error, SettingsError::MissingKey { .. }), "{error:?}");
         error.to_string()
     };
     assert_eq!(without("nodeName"), "nodeName: missing, expected the machine's name");
@@ -194,7 +194,7 @@
     ];
     for (line, text) in expectations {
         let error = error_of(&format!("{REQUIRED_KEYS}{line}\n"));
-        assert!(matches!(error, SettingsError::Wrong { .. }), "{error:?}");
+        assert!(matches!(error, SettingsError::InvalidValue { .. }), "{error:?}");
         assert_eq!(error.to_string(), text);
     }
 }
@@ -202,6 +202,6 @@
 #[test]
 fn a_file_that_cannot_be_read_is_named() {
     let error = Settings::read(Path::new("/nowhere/settings")).expect_err("there is no such file");
-    assert!(matches!(error, SettingsError::Unreadable { .. }), "{error:?}");
+    assert!(matches!(error, SettingsError::ReadFile { .. }), "{error:?}");
     assert_eq!(error.to_string(), "settings file /nowhere/settings: No such file or directory (os error 2)");
 }
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -21,8 +21,8 @@
 use shaletrail_protocol::internal::{
     ConfigItem, ConfigUpdate, CoordinatorMessage, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport,
     EdgeReport, EdgeRequest, EdgeServerLoad, Handshake, ItemKey, LoadScope, MemberRecord, MemberState,
-    MembershipMessage, Observation, OperatorCall, OperatorResponse, PlacementOverlay, PollRequest,
-    PollResponse, Presence, ServerRecord,
+    MembershipMessage, OperatorCall, OperatorResponse, PlacementOverlay, PollRequest, PollResponse, Presence,
+    ServerOutcomes, ServerRecord,
 };
 use shaletrail_protocol::{Incarnation, NodeId};
 use stored::StoredBytes;
@@ -59,22 +59,22 @@
         arrived: 11,
         tokens: 70_012,
         priority: 3,
-        waiting: 14,
+        queued: 14,
         over_capacity: 15,
-        open: 16,
+        in_flight: 16,
     }
 }
 
 fn demand_without_adapter() -> Demand {
-    Demand { service: "search".to_owned(), arrived: 17, open: 18, ..Demand::default() }
+    Demand { service: "search".to_owned(), arrived: 17, in_flight: 18, ..Demand::default() }
 }
 
-fn observation() -> Observation {
-    Observation { server: "server-9".to_owned(), succeeded: 21, failed: 22, unreachable: 23 }
+fn observation() -> ServerOutcomes {
+    ServerOutcomes { server: "server-9".to_owned(), succeeded: 21, failed: 22, unreachable: 23 }
 }
 
 fn cursor(epoch: u64, change: u64) -> DirectoryCursor {
-    DirectoryCursor { epoch: Incarnation(epoch), change }
+    DirectoryCursor { epoch: Incarnation(epoch), revision: change }
 }
 
 fn held(name: &str, version: u64, adapters: &[&str]) -> LoadedModel {
@@ -164,7 +164,7 @@
         cursor: cursor(0x2122_2324_2526_2728, 82),
         max_wait_ms: 2_500,
         demand: vec![demand(), demand_without_adapter()],
-        observed: vec![observation()],
+        server_outcomes: vec![observation()],
         edge_list_hash: 0x3132_3334_3536_3738,
     };
     frames.compare("edge request poll", &EdgeRequest::Poll(poll));
@@ -183,7 +183,7 @@
         complete: true,
         cursor: cursor(0x4142_4344_4546_4748, 92),
         coordinators: vec![NodeId(0x0a01_0007), NodeId(0x0a01_0008)],
-        edges: 93,
+        edge_count: 93,
         edge_nodes: Some(vec![NodeId(0x0a01_0009)]),
         edge_list_hash: 94,
         isolated: false,
@@ -221,8 +221,13 @@
             sequence: 101,
             scope,
             loads: vec![
-                EdgeServerLoad { server: 0x6162_6364_6566_6768, open: 102, prefill: 70_103, silent: true },
-                EdgeServerLoad { server: 104, open: 105, prefill: 106, silent: false },
+                EdgeServerLoad {
+                    server: 0x6162_6364_6566_6768,
+                    in_flight: 102,
+                    prefill_tokens: 70_103,
+                    unresponsive: true,
+                },
+                EdgeServerLoad { server: 104, in_flight: 105, prefill_tokens: 106, unresponsive: false },
             ],
         };
         frames.compare(&format!("edge loads {scope:?}"), &loads);
@@ -233,9 +238,9 @@
 #[test]
 fn messages_of_coordinators_keep_their_bytes() {
     let mut frames = Frames::starting_with("core message");
-    let ping = MembershipMessage::Ping { number: 111, members: members() };
+    let ping = MembershipMessage::Ping { sequence_number: 111, members: members() };
     frames.compare("core message ping", &CoordinatorMessage::Membership(ping));
-    let pong = MembershipMessage::Pong { number: 112, members: members() };
+    let pong = MembershipMessage::Ack { sequence_number: 112, members: members() };
     frames.compare("core message pong", &CoordinatorMessage::Membership(pong));
     frames.compare(
         "core message shard",
@@ -249,9 +254,11 @@
         "core message directory ack",
         &CoordinatorMessage::DirectoryAck { batch: 0x7172_7374_7576_7778 },
     );
-    frames
-        .compare("core message forward", &CoordinatorMessage::ForwardRequest { call: 115, change: change() });
-    let read = CoordinatorMessage::ForwardRequest { call: 116, change: OperatorCall::Read };
+    frames.compare(
+        "core message forward",
+        &CoordinatorMessage::ForwardRequest { call_id: 115, call: change() },
+    );
+    let read = CoordinatorMessage::ForwardRequest { call_id: 116, call: OperatorCall::Read };
     frames.compare("core message forward read", &read);
     let demand = CoordinatorMessage::Demand {
         window_ms: 117,
@@ -259,7 +266,7 @@
         reports: vec![EdgeReport {
             edge: NodeId(0x0a01_000d),
             demand: vec![demand()],
-            observed: vec![observation()],
+            server_outcomes: vec![observation()],
         }],
     };
     frames.compare("core message demand", &demand);
@@ -272,14 +279,14 @@
     let mut frames = Frames::starting_with("forwarded");
     let answers = [
         ("done", OperatorResponse::Done { body: b"{\"version\":121}".to_vec() }),
-        ("conflict", OperatorResponse::Conflict { current: 122 }),
+        ("conflict", OperatorResponse::Conflict { current_version: 122 }),
         ("invalid", OperatorResponse::Invalid { reason: "body: version: missing".to_owned() }),
         ("unavailable", OperatorResponse::Unavailable),
     ];
     for (name, answer) in answers {
         frames.compare(
             &format!("forwarded {name}"),
-            &CoordinatorMessage::ForwardResponse { call: 123, response: answer },
+            &CoordinatorMessage::ForwardResponse { call_id: 123, response: answer },
         );
     }
     frames.finish();
@@ -343,7 +350,7 @@
 fn a_report_keeps_its_json() {
     let report = Report {
         models: vec![held("large", 141, &["legal"])],
-        utilization: true,
+        order_in_flight: true,
         sequence: 142,
         queued: 143,
         active: 144,
--- a/routing/src/announced.rs
+++ b/routing/src/announced.rs
@@ -72,7 +72,7 @@
         if told.lapses(now, share) {
             return Some(u32::MAX);
         }
-        (told.share != *share).then(|| told.share.prefill.abs_diff(share.prefill))
+        (told.share != *share).then(|| told.share.prefill_tokens.abs_diff(share.prefill_tokens))
     }
 
     fn note(&mut self, now: Millis, share: &EdgeServerLoad) {
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -47,7 +47,7 @@
             fleet.open = fleet.open.saturating_sub(1);
         }
         if let Some(demand) = self.demand.known(&request.wanted) {
-            demand.open = demand.open.saturating_sub(1);
+            demand.in_flight = demand.in_flight.saturating_sub(1);
         }
     }
 
--- a/routing/src/endings.rs
+++ b/routing/src/endings.rs
@@ -23,7 +23,7 @@
             self.holding.remove(&request.wanted.service, Rank::of(&request));
             self.counters.held -= 1;
             if let Some(demand) = self.demand.known(&request.wanted) {
-                demand.waiting = demand.waiting.saturating_sub(1);
+                demand.queued = demand.queued.saturating_sub(1);
             }
         }
         Some((request, phase))
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -116,21 +116,21 @@
     pub fn as_share(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
             server,
-            open: u16::try_from(self.open).unwrap_or(u16::MAX),
-            prefill: u32::try_from(self.prefill).unwrap_or(u32::MAX),
-            silent: self.silent > 0,
+            in_flight: u16::try_from(self.open).unwrap_or(u16::MAX),
+            prefill_tokens: u32::try_from(self.prefill).unwrap_or(u32::MAX),
+            unresponsive: self.silent > 0,
         }
     }
 }
 
 fn add(sum: &mut Elsewhere, share: &EdgeServerLoad) {
-    sum.open += u32::from(share.open);
-    sum.prefill += u64::from(share.prefill);
-    sum.silent += u32::from(share.silent);
+    sum.open += u32::from(share.in_flight);
+    sum.prefill += u64::from(share.prefill_tokens);
+    sum.silent += u32::from(share.unresponsive);
 }
 
 fn subtract(sum: &mut Elsewhere, share: &EdgeServerLoad) {
-    sum.open = sum.open.saturating_sub(u32::from(share.open));
-    sum.prefill = sum.prefill.saturating_sub(u64::from(share.prefill));
-    sum.silent = sum.silent.saturating_sub(u32::from(share.silent));
+    sum.open = sum.open.saturating_sub(u32::from(share.in_flight));
+    sum.prefill = sum.prefill.saturating_sub(u64::from(share.prefill_tokens));
+    sum.silent = sum.silent.saturating_sub(u32::from(share.unresponsive));
 }
--- a/routing/src/placing.rs
+++ b/routing/src/placing.rs
@@ -129,7 +129,7 @@
             }
         }
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
-            demand.open += 1;
+            demand.in_flight += 1;
             demand.over_capacity += u32::from(chosen.crowded);
         }
         self.counters.sendings += 1;
@@ -196,7 +196,7 @@
         }
         self.urgent |= reason == RejectReason::NoModel;
         if let Some(demand) = self.demand.of(&request.wanted, &self.options) {
-            demand.waiting += 1;
+            demand.queued += 1;
             demand.over_capacity += u32::from(reason == RejectReason::Full);
         }
         self.holding.insert(&request.wanted.service, rank);
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use shaletrail_protocol::internal::{Demand, Observation};
+use shaletrail_protocol::internal::{Demand, ServerOutcomes};
 
 use crate::servers::Servers;
 use crate::Options;
@@ -52,10 +52,10 @@
         let reported = self.0.values().cloned().collect();
         self.0.retain(|_, demand| {
             (demand.arrived, demand.tokens, demand.over_capacity) = (0, 0, 0);
-            if demand.waiting == 0 {
+            if demand.queued == 0 {
                 demand.priority = u8::MAX;
             }
-            demand.waiting > 0 || demand.open > 0
+            demand.queued > 0 || demand.in_flight > 0
         });
         reported
     }
@@ -71,7 +71,7 @@
 }
 
 /// Takes what was found out about servers.
-pub(crate) fn take_observations(servers: &mut Servers) -> Vec<Observation> {
+pub(crate) fn take_observations(servers: &mut Servers) -> Vec<ServerOutcomes> {
     let mut taken = Vec::new();
     for server in servers.iter_mut() {
         let observed = &mut server.observed;
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shaletrail_configuration::{Route, View};
-use shaletrail_protocol::internal::{Demand, Observation, ServerRecord};
+use shaletrail_protocol::internal::{Demand, ServerOutcomes, ServerRecord};
 use shaletrail_protocol::Millis;
 
 use crate::choice::request_key;
@@ -95,7 +95,7 @@
     }
 
     /// Demand and observations since the last report.
-    pub fn take_report(&mut self, _now: Millis) -> (Vec<Demand>, Vec<Observation>) {
+    pub fn take_report(&mut self, _now: Millis) -> (Vec<Demand>, Vec<ServerOutcomes>) {
         self.urgent = false;
         (self.demand.take(), take_observations(&mut self.servers))
     }
--- a/routing/src/servers.rs
+++ b/routing/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use shaletrail_protocol::external::ServerState;
-use shaletrail_protocol::internal::{Observation, Presence, ServerRecord};
+use shaletrail_protocol::internal::{Presence, ServerOutcomes, ServerRecord};
 use shaletrail_protocol::{Millis, ServerId};
 
 use crate::health::Health;
@@ -61,7 +61,7 @@
     /// When an answer last came from it.
     pub heard_at: Millis,
     /// For the next report.
-    pub observed: Observation,
+    pub observed: ServerOutcomes,
     load: Option<SeenLoad>,
     full_until: Millis,
     lacks: Vec<Lack>,
@@ -77,7 +77,7 @@
 
 impl Server {
     fn new(record: ServerRecord) -> Self {
-        let observed = Observation { server: record.id.clone(), succeeded: 0, failed: 0, unreachable: 0 };
+        let observed = ServerOutcomes { server: record.id.clone(), succeeded: 0, failed: 0, unreachable: 0 };
         Server {
             share: OwnShare::new(&record.id),
             record,
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_protocol::internal::Observation;
+use shaletrail_protocol::internal::ServerOutcomes;
 use shaletrail_routing::interface::{Event, RejectReason};
 use shaletrail_routing::Options;
 
@@ -47,12 +47,12 @@
     "#);
     // What is open or waits is told again; what arrived is not.
     let (demand, _) = edge.router.take_report(edge.now);
-    let told: Vec<_> = demand.iter().map(|d| (d.model.as_str(), d.arrived, d.waiting, d.open)).collect();
+    let told: Vec<_> = demand.iter().map(|d| (d.model.as_str(), d.arrived, d.queued, d.in_flight)).collect();
     assert_eq!(told, vec![("m1", 0, 0, 1), ("m2", 0, 1, 0)]);
     edge.pass(edge.now + 10_000);
     let (demand, _) = edge.router.take_report(edge.now);
     let told: Vec<_> =
-        demand.iter().map(|d| (d.model.as_str(), d.over_capacity, d.waiting, d.open)).collect();
+        demand.iter().map(|d| (d.model.as_str(), d.over_capacity, d.queued, d.in_flight)).collect();
     assert_eq!(told, vec![("m1", 1, 0, 0), ("m2", 1, 0, 0)]);
     assert_eq!(edge.router.take_report(edge.now).0, vec![]);
 }
@@ -64,7 +64,7 @@
     edge.serve(&served);
     let bad = edge.ask_sent(&route(LLM), "m1");
     edge.end(&bad, lost());
-    let expected = Observation { server: name(0), succeeded: 1, failed: 1, unreachable: 0 };
+    let expected = ServerOutcomes { server: name(0), succeeded: 1, failed: 1, unreachable: 0 };
     assert_eq!(edge.router.take_report(edge.now).1, vec![expected]);
     assert_eq!(edge.router.take_report(edge.now).1, vec![]);
 }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -9,8 +9,8 @@
 use shaletrail_dataplane::poller::Pace;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
-    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport, EdgeRequest, Observation,
-    PollRequest, PollResponse,
+    ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport, EdgeRequest, PollRequest,
+    PollResponse, ServerOutcomes,
 };
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
@@ -63,7 +63,7 @@
     edge_list: u64,
     datagrams: LoadDatagrams,
     demand: Vec<Demand>,
-    observed: Vec<Observation>,
+    observed: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     urgent: bool,
     router_wake: Option<Millis>,
@@ -270,7 +270,7 @@
             cursor: self.cursor,
             max_wait_ms: self.pace.hold.as_millis() as u32,
             demand: self.demand.clone(),
-            observed: self.observed.clone(),
+            server_outcomes: self.observed.clone(),
             edge_list_hash: self.edge_list,
         }
     }
@@ -345,9 +345,9 @@
             self.edge_list = reply.edge_list_hash;
             self.tell(world, Event::EdgeList { own: self.node(), edges: nodes });
         }
-        if reply.edges > 0 && reply.edges != self.edges {
-            self.edges = reply.edges;
-            self.tell(world, Event::Edges(reply.edges));
+        if reply.edge_count > 0 && reply.edge_count != self.edges {
+            self.edges = reply.edge_count;
+            self.tell(world, Event::Edges(reply.edge_count));
         }
     }
 
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -264,7 +264,7 @@
     fn change_answered(&mut self, world: &mut World, change: u64, begun: Millis, answer: OperatorResponse) {
         let outcome = match answer {
             OperatorResponse::Done { .. } => Outcome::Acknowledged,
-            OperatorResponse::Conflict { current } => Outcome::Conflict { current },
+            OperatorResponse::Conflict { current_version: current } => Outcome::Conflict { current },
             OperatorResponse::Invalid { .. } | OperatorResponse::Unavailable => Outcome::Invalid,
         };
         if outcome == Outcome::Acknowledged {
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -22,7 +22,7 @@
     pub(super) fn report(&self) -> Report {
         Report {
             models: listed(&self.held),
-            utilization: self.running.is_some(),
+            order_in_flight: self.running.is_some(),
             sequence: self.revision,
             active: self.serving.len() as u64,
             ..Report::default()
