--- a/capacity-emulator/src/schedule.rs
+++ b/capacity-emulator/src/schedule.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use shaletrail_coordinator::interface::{OrderId, OrderOutcome};
-use shaletrail_protocol::external::{Order, Report};
+use shaletrail_protocol::external::{Order, ServerReport};
 use shaletrail_protocol::{Millis, ServerId};
 use shaletrail_routing::interface::{Attempt, RequestId};
 
@@ -59,7 +59,7 @@
     /// How an order ended.
     Ordered(OrderId, OrderOutcome),
     /// A server's report.
-    Reported(ServerId, Option<Box<Report>>),
+    Reported(ServerId, Option<Box<ServerReport>>),
 }
 
 /// Something at an edge.
--- a/capacity-emulator/src/server.rs
+++ b/capacity-emulator/src/server.rs
@@ -2,7 +2,7 @@
 //! request.
 
 use shaletrail_coordinator::interface::OrderOutcome;
-use shaletrail_protocol::external::{Heartbeat, LoadedModel, Operation, Order, Report, ServerState};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, Operation, Order, ServerReport, ServerState};
 use shaletrail_protocol::{Millis, ServerId};
 
 use crate::options::Options;
@@ -154,13 +154,13 @@
     }
 
     /// Its answer to `GET /report`.
-    pub fn report(&self) -> Report {
-        Report {
+    pub fn report(&self) -> ServerReport {
+        ServerReport {
             models: self.held.clone(),
             order_in_flight: self.running.is_some(),
             sequence: self.revision,
             active: u64::from(self.open),
-            ..Report::default()
+            ..ServerReport::default()
         }
     }
 }
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -13,7 +13,7 @@
 use shaletrail_cluster::Directory;
 use shaletrail_configuration::{Runtime, View};
 use shaletrail_placement::{Catalogue, ModelSpec, OrderNumber, PlannedOrder, Planner};
-use shaletrail_protocol::external::{LoadedModel, Operation, Order, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, Order, ServerReport};
 use shaletrail_protocol::internal::{EdgeReport, PlacementOverlay, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
@@ -205,7 +205,7 @@
     }
 
     /// A server's report has come, or none has.
-    pub fn reported(&mut self, now: Millis, server: &ServerId, report: Option<Report>) {
+    pub fn reported(&mut self, now: Millis, server: &ServerId, report: Option<ServerReport>) {
         // Orders may wait for it.
         self.next_plan = now;
         for planner in self.planners.values_mut() {
--- a/coordinator/src/driver/orders.rs
+++ b/coordinator/src/driver/orders.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_protocol::external::{Order, Report};
+use shaletrail_protocol::external::{Order, ServerReport};
 use shaletrail_protocol::ServerId;
 use tokio::net::TcpStream;
 
@@ -75,7 +75,7 @@
 }
 
 /// Asks a server for its report; `None` if none comes in time.
-pub async fn fetch_report(server: &str, address: &str) -> Option<Report> {
+pub async fn fetch_report(server: &str, address: &str) -> Option<ServerReport> {
     let request = Request::get("/report")
         .header(HOST, address)
         .header(EXPECTED_INSTANCE, server)
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 pub use shaletrail_placement::Outcome as OrderOutcome;
-use shaletrail_protocol::external::{Heartbeat, Order, Report};
+use shaletrail_protocol::external::{Heartbeat, Order, ServerReport};
 use shaletrail_protocol::internal::{
     CoordinatorMessage, Demand, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
 };
@@ -144,7 +144,7 @@
         /// The server.
         server: ServerId,
         /// Its answer.
-        report: Option<Report>,
+        report: Option<ServerReport>,
     },
     /// The process is about to end.
     ShutdownRequested,
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -7,7 +7,7 @@
 use shaletrail_coordinator::core::operator::{Caller, OperatorCalls};
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION};
 use shaletrail_coordinator::interface::{Action, CallId, Event, OrderId};
-use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerReport};
 use shaletrail_protocol::internal::{CoordinatorMessage, Demand, OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Incarnation, NodeId};
 
@@ -39,7 +39,7 @@
         ..Heartbeat::default()
     };
     alone.tell(Event::Heartbeat { call: CallId(alone.now), id: "i-1".to_owned(), heartbeat });
-    let report = Report { models: held, sequence: 1, ..Report::default() };
+    let report = ServerReport { models: held, sequence: 1, ..ServerReport::default() };
     alone.tell(Event::ReportReceived { server: "i-1".to_owned(), report: Some(report) });
 }
 
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::external::{LoadedModel, Operation, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, ServerReport};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 use shaletrail_ring::{hash_of_name, SlotArray};
@@ -232,7 +232,7 @@
     }
 
     /// Takes over a server's answer to `GET /report`.
-    pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &Report) {
+    pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &ServerReport) {
         let listed = self.list(&report.models);
         let Some(server) = self.server_mut(id) else { return };
         server.report(now, report.sequence, report.order_in_flight, &listed);
--- a/placement/tests/common/servers.rs
+++ b/placement/tests/common/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use shaletrail_placement::{Catalogue, ModelSpec};
-use shaletrail_protocol::external::{LoadedModel, Operation, Report};
+use shaletrail_protocol::external::{LoadedModel, Operation, ServerReport};
 use shaletrail_protocol::Millis;
 
 /// `count` models `m0`, `m1`, ... of 70 GB, three of which fit a server; 42 adapters each.
@@ -56,7 +56,7 @@
     pub last_beat: Millis,
     pub draining: bool,
     pub back_at: Option<Millis>,
-    pub past: VecDeque<(Millis, Report)>,
+    pub past: VecDeque<(Millis, ServerReport)>,
 }
 
 impl SimulatedServer {
@@ -68,12 +68,12 @@
         self.back_at.is_none()
     }
 
-    pub fn report(&self) -> Report {
-        Report {
+    pub fn report(&self) -> ServerReport {
+        ServerReport {
             models: list(&self.held),
             order_in_flight: self.running.is_some(),
             sequence: self.sequence,
-            ..Report::default()
+            ..ServerReport::default()
         }
     }
 }
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/story.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use shaletrail_placement::{Catalogue, ModelSpec, Options, OrderNumber, Outcome, PlannedOrder, Planner};
-use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerReport};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
@@ -93,7 +93,8 @@
     }
 
     pub fn report(&mut self, server: usize, sequence: u64, busy: bool, models: &[&str]) {
-        let report = Report { models: held(models), order_in_flight: busy, sequence, ..Report::default() };
+        let report =
+            ServerReport { models: held(models), order_in_flight: busy, sequence, ..ServerReport::default() };
         self.planner.record_report(self.now, &id(server), &report);
     }
 
--- a/placement/tests/common/world.rs
+++ b/placement/tests/common/world.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use shaletrail_placement::{Catalogue, Options, OrderNumber, Outcome, PlannedOrder, Planner};
-use shaletrail_protocol::external::{Heartbeat, Operation, Report, ServerState};
+use shaletrail_protocol::external::{Heartbeat, Operation, ServerReport, ServerState};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -27,7 +27,7 @@
     Order(PlannedOrder, bool),
     Outcome(String, OrderNumber, Outcome),
     Heartbeat(ServerRecord),
-    Report(String, Report),
+    Report(String, ServerReport),
 }
 
 /// A steady demand for one model.
--- a/protocol/src/external.rs
+++ b/protocol/src/external.rs
@@ -114,7 +114,7 @@
 /// Answer to `GET /report`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
-pub struct Report {
+pub struct ServerReport {
     /// What it holds.
     pub models: Vec<LoadedModel>,
     /// Whether an order is under way.
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_protocol::external::{
-    Heartbeat, HeartbeatResponse, LoadedModel, Operation, Order, Report, ServerState,
+    Heartbeat, HeartbeatResponse, LoadedModel, Operation, Order, ServerReport, ServerState,
 };
 use shaletrail_protocol::frame::{self, PREFIX_BYTES};
 use shaletrail_protocol::internal::{
@@ -348,7 +348,7 @@
 
 #[test]
 fn a_report_keeps_its_json() {
-    let report = Report {
+    let report = ServerReport {
         models: vec![held("large", 141, &["legal"])],
         order_in_flight: true,
         sequence: 142,
@@ -362,7 +362,10 @@
         "{\"models\":[{\"name\":\"large\",\"version\":141,\"adapters\":[\"legal\"]}],\"utilization\":true,\
          \"sequence\":142,\"queued\":143,\"active\":144,\"kvInUse\":145,\"kvLimit\":146}",
     );
-    assert_eq!(sonic_rs::from_str::<Report>("{\"new\":1}").expect("the text is read"), Report::default());
+    assert_eq!(
+        sonic_rs::from_str::<ServerReport>("{\"new\":1}").expect("the text is read"),
+        ServerReport::default()
+    );
 }
 
 #[test]
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -4,7 +4,7 @@
 
 use shaletrail_coordinator::core::Coordinator as CoordinatorCore;
 use shaletrail_coordinator::interface::{Action, CallId, CoordinatorOptions, Event, OrderId, OrderOutcome};
-use shaletrail_protocol::external::{Heartbeat, Order, Report, MAX_HEARTBEAT_BYTES};
+use shaletrail_protocol::external::{Heartbeat, Order, ServerReport, MAX_HEARTBEAT_BYTES};
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{EdgeRequest, PollRequest};
 use shaletrail_protocol::settings::Settings;
@@ -368,7 +368,7 @@
             }
             Answer::Report(body) => {
                 if let Some(server) = self.reports.remove(&number) {
-                    let report: Option<Report> = sonic_rs::from_slice(body).ok();
+                    let report: Option<ServerReport> = sonic_rs::from_slice(body).ok();
                     self.tell(world, disk, Event::ReportReceived { server, report });
                 }
             }
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use shaletrail_protocol::external::{Operation, Order, Report};
+use shaletrail_protocol::external::{Operation, Order, ServerReport};
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::{concerns, listed, ModelServer, Running};
@@ -19,13 +19,13 @@
 const FROM_OWN_DISK: f64 = 0.2;
 
 impl ModelServer {
-    pub(super) fn report(&self) -> Report {
-        Report {
+    pub(super) fn report(&self) -> ServerReport {
+        ServerReport {
             models: listed(&self.held),
             order_in_flight: self.running.is_some(),
             sequence: self.revision,
             active: self.serving.len() as u64,
-            ..Report::default()
+            ..ServerReport::default()
         }
     }
 
