--- a/protocol/src/node.rs
+++ b/protocol/src/node.rs
@@ -1,13 +1,13 @@
-//! Names of machines, processes and servers, and the unit of time.
+//! Identifiers of machines, processes and servers, and the unit of time.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// Milliseconds of a node's own steady clock. Never compared between machines.
+/// A time or a span in milliseconds of a node's own monotonic clock. Times of two machines are never compared.
 pub type Millis = u64;
 
-/// A machine of the system, known by its IPv4 address: a machine that replaces another has a new one.
-/// Ports are the same on all machines, so that the address says how to reach it.
+/// The identity of a machine: its IPv4 address as a number. A machine that replaces another one has a new address.
+/// Ports are the same on all machines, so that the address is enough to reach it.
 #[derive(
     Clone,
     Copy,
@@ -26,7 +26,7 @@
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The machine's address.
+    /// The IPv4 address of the machine.
     pub fn address(self) -> Ipv4Addr {
         Ipv4Addr::from(self.0)
     }
@@ -44,9 +44,9 @@
     }
 }
 
-/// One start of a process: drawn at random, equal only to itself.
+/// One start of a process, drawn at random so that no two starts have the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default, bitcode::Encode, bitcode::Decode)]
 pub struct Incarnation(pub u64);
 
-/// One start of a server, as the server names itself (`id` in the path of its heartbeats).
+/// One start of a model server, as the server names itself: `ID` in the path of its heartbeats.
 pub type ServerId = String;
