--- a/protocol/tests/settings.rs
+++ b/protocol/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The settings of a process: what is read, what is passed over, and how wrong ones are told.
+//! The settings of a process: values that are read, keys that are ignored, and the texts of errors.
 
 use std::time::Duration;
 
 use shaletrail_protocol::settings::Settings;
 
-const CORE: &str = "\
+const COORDINATOR_SETTINGS: &str = "\
 nodeName=core-a-1
 ip=10.1.0.38
 zone=hall-a
@@ -26,13 +26,13 @@
 bounds.somethingNew=7
 ";
 
-fn error_of(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     text.parse::<Settings>().map(|_| "no error".to_owned()).unwrap_or_else(|error| error.to_string())
 }
 
 #[test]
-fn given_a_proper_file_when_it_is_read_then_values_have_units_and_unknown_keys_are_passed_over() {
-    let settings: Settings = CORE.parse().expect("a proper file");
+fn values_have_units_and_unknown_keys_are_ignored() {
+    let settings: Settings = COORDINATOR_SETTINGS.parse().expect("valid settings");
 
     assert_eq!(settings.node().to_string(), "10.1.0.38");
     assert_eq!(settings.heartbeat_interval, Duration::from_millis(1200));
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn given_seeds_that_name_this_machine_when_others_are_asked_for_then_it_is_left_out() {
-    let settings: Settings = CORE.parse().expect("a proper file");
+fn seed_nodes_exclude_this_machine() {
+    let settings: Settings = COORDINATOR_SETTINGS.parse().expect("valid settings");
 
     let others: Vec<String> = settings.seed_nodes().iter().map(|node| node.to_string()).collect();
 
@@ -54,34 +54,34 @@
 }
 
 #[test]
-fn given_a_missing_key_when_the_file_is_read_then_the_error_names_it_and_what_was_expected() {
-    insta::assert_snapshot!(error_of(&CORE.replace("ip=10.1.0.38\n", "")), @"ip: missing, expected an IPv4 address");
+fn missing_key_error_names_key_and_expectation() {
+    insta::assert_snapshot!(parse_error(&COORDINATOR_SETTINGS.replace("ip=10.1.0.38\n", "")), @"ip: missing, expected an IPv4 address");
     insta::assert_snapshot!(
-        error_of(&CORE.replace("ephemeralPorts=7660,7675\n", "")),
+        parse_error(&COORDINATOR_SETTINGS.replace("ephemeralPorts=7660,7675\n", "")),
         @"ephemeralPorts: missing, expected the first and the last port, with a comma between them"
     );
 }
 
 #[test]
-fn given_a_wrong_value_when_the_file_is_read_then_the_error_names_key_value_and_what_was_expected() {
+fn invalid_value_error_names_key_value_and_expectation() {
     insta::assert_snapshot!(
-        error_of(&CORE.replace("heartbeatMs=1200", "heartbeatMs=often")),
+        parse_error(&COORDINATOR_SETTINGS.replace("heartbeatMs=1200", "heartbeatMs=often")),
         @"heartbeatMs: 'often' found, expected a number over 0"
     );
     insta::assert_snapshot!(
-        error_of(&CORE.replace("bounds.drainMs=2500", "bounds.drainMs=-1")),
+        parse_error(&COORDINATOR_SETTINGS.replace("bounds.drainMs=2500", "bounds.drainMs=-1")),
         @"bounds.drainMs: '-1' found, expected a number over 0"
     );
     insta::assert_snapshot!(
-        error_of(&CORE.replace("10.2.0.30:8146", "10.2.0.30")),
+        parse_error(&COORDINATOR_SETTINGS.replace("10.2.0.30:8146", "10.2.0.30")),
         @"seedNodes: '10.2.0.30' found, expected addresses, IP:PORT, with commas between them"
     );
     insta::assert_snapshot!(
-        error_of(&CORE.replace("bootstrap=true", "bootstrap=perhaps")),
+        parse_error(&COORDINATOR_SETTINGS.replace("bootstrap=true", "bootstrap=perhaps")),
         @"bootstrap: 'perhaps' found, expected true or false"
     );
     insta::assert_snapshot!(
-        error_of(&CORE.replace("7660,7675", "7675,7660")),
+        parse_error(&COORDINATOR_SETTINGS.replace("7660,7675", "7675,7660")),
         @"ephemeralPorts: '7675,7660' found, expected the first and the last port, with a comma between them"
     );
 }
--- a/protocol/tests/settings_keys.rs
+++ b/protocol/tests/settings_keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings file, the field that each one fills, and the texts of its errors.
+//! The keys of the settings file, the field that each one sets, and the texts of its errors.
 //!
 //! The files are written by others: a key or a text that changes here breaks deployments that are out there. If one of
 //! these tests turns red, put the key or the text back.
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn each_key_fills_its_field() {
-    let settings: Settings = ALL_KEYS.parse().expect("a proper file");
+fn each_key_sets_its_field() {
+    let settings: Settings = ALL_KEYS.parse().expect("valid settings");
     let address = |text: &str| text.parse().expect("an address");
     let bounds = Bounds {
         seed_lag: seconds(11),
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn absent_keys_leave_the_defaults() {
-    let settings: Settings = REQUIRED_KEYS.parse().expect("a proper file");
+fn absent_keys_have_defaults() {
+    let settings: Settings = REQUIRED_KEYS.parse().expect("valid settings");
     let bounds = Bounds {
         seed_lag: seconds(3),
         address_reuse: seconds(2),
@@ -156,15 +156,15 @@
     assert_eq!(PATH_VARIABLE, "SHALETRAIL_BOOT");
 }
 
-fn error_of(text: &str) -> SettingsError {
+fn parse_error(text: &str) -> SettingsError {
     text.parse::<Settings>().expect_err("the file cannot be used")
 }
 
 #[test]
-fn each_missing_key_is_named() {
+fn errors_name_missing_keys() {
     let without = |key: &str| {
         let lines = REQUIRED_KEYS.lines().filter(|line| !line.starts_with(key));
-        let error = error_of(&lines.collect::<Vec<_>>().join("\n"));
+        let error = parse_error(&lines.collect::<Vec<_>>().join("\n"));
         assert!(matches!(error, SettingsError::MissingKey { .. }), "{error:?}");
         error.to_string()
     };
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn each_wrong_value_is_named_with_what_was_expected() {
+fn errors_name_invalid_values_and_expectations() {
     let expectations = [
         ("ip=10.1", "ip: '10.1' found, expected an IPv4 address"),
         ("listenersMap.ingress=a", "listenersMap.ingress: 'a' found, expected IP:PORT"),
@@ -193,14 +193,14 @@
         ("bounds.fencing=no", "bounds.fencing: 'no' found, expected true or false"),
     ];
     for (line, text) in expectations {
-        let error = error_of(&format!("{REQUIRED_KEYS}{line}\n"));
+        let error = parse_error(&format!("{REQUIRED_KEYS}{line}\n"));
         assert!(matches!(error, SettingsError::InvalidValue { .. }), "{error:?}");
         assert_eq!(error.to_string(), text);
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn unreadable_file_is_named() {
     let error = Settings::read(Path::new("/nowhere/settings")).expect_err("there is no such file");
     assert!(matches!(error, SettingsError::ReadFile { .. }), "{error:?}");
     assert_eq!(error.to_string(), "settings file /nowhere/settings: No such file or directory (os error 2)");
--- a/protocol/tests/support/stored.rs
+++ b/protocol/tests/support/stored.rs
@@ -1,6 +1,6 @@
 //! Reads the files of stored bytes that tests of formats compare with; used by the tests of several crates.
 //!
-//! A file has one case a line: its name, a colon, and its bytes in hex. Lines that begin with `#` are notes.
+//! A file has one case a line: its name, a colon, and its bytes in hex. Lines that begin with `#` are comments.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -69,15 +69,15 @@
     Demand { service: "search".to_owned(), arrived: 17, in_flight: 18, ..Demand::default() }
 }
 
-fn observation() -> ServerOutcomes {
+fn server_outcomes() -> ServerOutcomes {
     ServerOutcomes { server: "server-9".to_owned(), succeeded: 21, failed: 22, unreachable: 23 }
 }
 
-fn cursor(epoch: u64, change: u64) -> DirectoryCursor {
-    DirectoryCursor { epoch: Incarnation(epoch), revision: change }
+fn cursor(epoch: u64, revision: u64) -> DirectoryCursor {
+    DirectoryCursor { epoch: Incarnation(epoch), revision }
 }
 
-fn held(name: &str, version: u64, adapters: &[&str]) -> LoadedModel {
+fn loaded_model(name: &str, version: u64, adapters: &[&str]) -> LoadedModel {
     let adapters = adapters.iter().map(|adapter| (*adapter).to_owned()).collect();
     LoadedModel { name: name.to_owned(), version, adapters }
 }
@@ -93,7 +93,7 @@
         cold_remaining_ms: 1250.5,
         remaining_ms: Some(30_000.25),
         phase: "combined".to_owned(),
-        models: Some(vec![held("large", 32, &["legal", "medical"]), held("small", 33, &[])]),
+        models: Some(vec![loaded_model("large", 32, &["legal", "medical"]), loaded_model("small", 33, &[])]),
         sequence: 34,
     }
 }
@@ -106,22 +106,25 @@
         overlay: PlacementOverlay {
             fencing_token: 41,
             revision: 42,
-            added: vec![held("tiny", 43, &["poems"])],
-            evicting: vec![held("huge", 44, &["prose", "verse"])],
+            added: vec![loaded_model("tiny", 43, &["poems"])],
+            evicting: vec![loaded_model("huge", 44, &["prose", "verse"])],
         },
     }
 }
 
-fn news() -> ConfigUpdate {
+fn config_update() -> ConfigUpdate {
     ConfigUpdate {
         base: Some(51),
         version: 52,
-        upsert: vec![ConfigItem { key: key("routes", "r-one"), json: "{\"name\":\"r-one\"}".to_owned() }],
-        remove: vec![key("services", "old"), key("later", "")],
+        upsert: vec![ConfigItem {
+            key: item_key("routes", "r-one"),
+            json: "{\"name\":\"r-one\"}".to_owned(),
+        }],
+        remove: vec![item_key("services", "old"), item_key("later", "")],
     }
 }
 
-fn key(list: &str, name: &str) -> ItemKey {
+fn item_key(list: &str, name: &str) -> ItemKey {
     ItemKey { list: list.to_owned(), name: name.to_owned() }
 }
 
@@ -137,22 +140,22 @@
     ]
 }
 
-fn change() -> OperatorCall {
+fn change_call() -> OperatorCall {
     OperatorCall::Change { replace: true, base_version: 71, body: b"{\"version\":72}".to_vec() }
 }
 
 #[test]
-fn hello_keeps_its_bytes() {
-    let mut frames = Frames::starting_with("hello");
+fn handshakes_keep_their_bytes() {
+    let mut frames = Frames::starting_with("handshake");
     let edge = EdgeIdentity {
         node: NodeId(0x0a01_0005),
         incarnation: Incarnation(0x0102_0304_0506_0708),
         zone: "hall-a".to_owned(),
     };
-    frames.compare("hello edge", &Handshake::Edge(edge));
-    let core =
+    frames.compare("handshake edge", &Handshake::Edge(edge));
+    let coordinator =
         Handshake::Coordinator { node: NodeId(0x0a02_0006), incarnation: Incarnation(0x1112_1314_1516_1718) };
-    frames.compare("hello core", &core);
+    frames.compare("handshake coordinator", &coordinator);
     frames.finish();
 }
 
@@ -164,7 +167,7 @@
         cursor: cursor(0x2122_2324_2526_2728, 82),
         max_wait_ms: 2_500,
         demand: vec![demand(), demand_without_adapter()],
-        server_outcomes: vec![observation()],
+        server_outcomes: vec![server_outcomes()],
         edge_list_hash: 0x3132_3334_3536_3738,
     };
     frames.compare("edge request poll", &EdgeRequest::Poll(poll));
@@ -175,10 +178,10 @@
 }
 
 #[test]
-fn poll_replies_keep_their_bytes() {
-    let mut frames = Frames::starting_with("poll reply");
+fn poll_responses_keep_their_bytes() {
+    let mut frames = Frames::starting_with("poll response");
     let full = PollResponse {
-        config: Some(news()),
+        config: Some(config_update()),
         servers: vec![record()],
         complete: true,
         cursor: cursor(0x4142_4344_4546_4748, 92),
@@ -189,11 +192,11 @@
         isolated: false,
     };
     let isolated = PollResponse { isolated: true, ..PollResponse::default() };
-    frames.compare("poll reply full", &full);
-    frames.compare("poll reply isolated", &isolated);
-    let whole_configuration = ConfigUpdate { base: None, ..news() };
-    let whole = PollResponse { config: Some(whole_configuration), ..PollResponse::default() };
-    frames.compare("poll reply whole configuration", &whole);
+    frames.compare("poll response full", &full);
+    frames.compare("poll response isolated", &isolated);
+    let full_update = ConfigUpdate { base: None, ..config_update() };
+    let snapshot = PollResponse { config: Some(full_update), ..PollResponse::default() };
+    frames.compare("poll response configuration snapshot", &snapshot);
     frames.finish();
 }
 
@@ -212,8 +215,8 @@
 }
 
 #[test]
-fn edge_loads_keep_their_bytes() {
-    let mut frames = Frames::starting_with("edge loads");
+fn edge_load_reports_keep_their_bytes() {
+    let mut frames = Frames::starting_with("edge load report");
     for scope in [LoadScope::Own, LoadScope::Group, LoadScope::Fleet] {
         let loads = EdgeLoadReport {
             edge: NodeId(0x0a01_000a),
@@ -230,63 +233,66 @@
                 EdgeServerLoad { server: 104, in_flight: 105, prefill_tokens: 106, unresponsive: false },
             ],
         };
-        frames.compare(&format!("edge loads {scope:?}"), &loads);
+        frames.compare(&format!("edge load report {scope:?}"), &loads);
     }
     frames.finish();
 }
 
 #[test]
-fn messages_of_coordinators_keep_their_bytes() {
-    let mut frames = Frames::starting_with("core message");
+fn coordinator_messages_keep_their_bytes() {
+    let mut frames = Frames::starting_with("coordinator message");
     let ping = MembershipMessage::Ping { sequence_number: 111, members: members() };
-    frames.compare("core message ping", &CoordinatorMessage::Membership(ping));
-    let pong = MembershipMessage::Ack { sequence_number: 112, members: members() };
-    frames.compare("core message pong", &CoordinatorMessage::Membership(pong));
+    frames.compare("coordinator message ping", &CoordinatorMessage::Membership(ping));
+    let ack = MembershipMessage::Ack { sequence_number: 112, members: members() };
+    frames.compare("coordinator message ack", &CoordinatorMessage::Membership(ack));
     frames.compare(
-        "core message shard",
+        "coordinator message shard",
         &CoordinatorMessage::Shard { shard: 113, body: b"shard body".to_vec() },
     );
     frames.compare(
-        "core message directory",
+        "coordinator message directory",
         &CoordinatorMessage::Directory { body: b"directory body".to_vec() },
     );
     frames.compare(
-        "core message directory ack",
+        "coordinator message directory ack",
         &CoordinatorMessage::DirectoryAck { batch: 0x7172_7374_7576_7778 },
     );
     frames.compare(
-        "core message forward",
-        &CoordinatorMessage::ForwardRequest { call_id: 115, call: change() },
+        "coordinator message forward request",
+        &CoordinatorMessage::ForwardRequest { call_id: 115, call: change_call() },
     );
     let read = CoordinatorMessage::ForwardRequest { call_id: 116, call: OperatorCall::Read };
-    frames.compare("core message forward read", &read);
+    frames.compare("coordinator message forward request of a read", &read);
     let demand = CoordinatorMessage::Demand {
         window_ms: 117,
         edges: vec![NodeId(0x0a01_000b), NodeId(0x0a01_000c)],
         reports: vec![EdgeReport {
             edge: NodeId(0x0a01_000d),
             demand: vec![demand()],
-            server_outcomes: vec![observation()],
+            server_outcomes: vec![server_outcomes()],
         }],
     };
-    frames.compare("core message demand", &demand);
-    frames.compare("core message in force", &CoordinatorMessage::AppliedConfigVersion { version: 118 });
+    frames.compare("coordinator message demand", &demand);
+    frames.compare(
+        "coordinator message applied config version",
+        &CoordinatorMessage::AppliedConfigVersion { version: 118 },
+    );
     frames.finish();
 }
 
 #[test]
-fn answers_of_the_operators_calls_keep_their_bytes() {
-    let mut frames = Frames::starting_with("forwarded");
-    let answers = [
+fn operator_responses_keep_their_bytes() {
+    let mut frames = Frames::starting_with("operator response");
+    let responses = [
         ("done", OperatorResponse::Done { body: b"{\"version\":121}".to_vec() }),
         ("conflict", OperatorResponse::Conflict { current_version: 122 }),
         ("invalid", OperatorResponse::Invalid { reason: "body: version: missing".to_owned() }),
         ("unavailable", OperatorResponse::Unavailable),
     ];
-    for (name, answer) in answers {
+    for (name, response) in responses {
         frames.compare(
-            &format!("forwarded {name}"),
-            &CoordinatorMessage::ForwardResponse { call_id: 123, response: answer },
+            &format!("operator response {name}"),
+            &CoordinatorMessage::ForwardResponse { call_id: 123, response },
         );
     }
     frames.finish();
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn a_heartbeat_keeps_its_json() {
+fn heartbeat_keeps_its_json() {
     compare_json(
         &heartbeat(),
         "{\"service\":\"chat\",\"address\":\"10.3.0.7:9000\",\"zone\":\"hall-b\",\"version\":\"2.5.1\",\"slots\":31,\
@@ -310,22 +316,23 @@
 }
 
 #[test]
-fn a_heartbeat_with_absent_and_unknown_fields_is_read() {
+fn heartbeat_with_absent_and_unknown_fields_is_read() {
     let text = "{\"state\":\"ready\",\"sequence\":5,\"comingSoon\":{\"a\":[1]},\"models\":[{\"name\":\"m\",\"x\":1}]}";
-    let expected = Heartbeat { sequence: 5, models: Some(vec![held("m", 0, &[])]), ..Heartbeat::default() };
+    let expected =
+        Heartbeat { sequence: 5, models: Some(vec![loaded_model("m", 0, &[])]), ..Heartbeat::default() };
     assert_eq!(sonic_rs::from_str::<Heartbeat>(text).expect("the text is read"), expected);
     assert_eq!(sonic_rs::from_str::<Heartbeat>("{}").expect("the text is read"), Heartbeat::default());
 }
 
 #[test]
-fn an_answer_to_a_heartbeat_keeps_its_json() {
+fn heartbeat_response_keeps_its_json() {
     compare_json(&HeartbeatResponse { heartbeat_endpoint: None }, "{}");
     let elsewhere = HeartbeatResponse { heartbeat_endpoint: Some("10.1.0.2:8146".to_owned()) };
     compare_json(&elsewhere, "{\"heartbeatEndpoint\":\"10.1.0.2:8146\"}");
 }
 
 #[test]
-fn an_order_keeps_its_json() {
+fn order_keeps_its_json() {
     let order = Order {
         operation: Operation::Load,
         model: "large".to_owned(),
@@ -347,9 +354,9 @@
 }
 
 #[test]
-fn a_report_keeps_its_json() {
+fn server_report_keeps_its_json() {
     let report = ServerReport {
-        models: vec![held("large", 141, &["legal"])],
+        models: vec![loaded_model("large", 141, &["legal"])],
         order_in_flight: true,
         sequence: 142,
         queued: 143,
@@ -369,7 +376,7 @@
 }
 
 #[test]
-fn names_in_logs_stay() {
+fn names_in_logs_are_stable() {
     let presences = [Presence::Ready, Presence::Draining, Presence::TimedOut, Presence::Removed];
     assert_eq!(presences.map(|presence| presence.to_string()), ["Ready", "Draining", "TimedOut", "Removed"]);
     let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead];
