--- a/cluster/src/directory/change_log.rs
+++ b/cluster/src/directory/change_log.rs
@@ -41,16 +41,17 @@
 
     /// The position after the newest change.
     pub(super) fn cursor(&self) -> DirectoryCursor {
-        DirectoryCursor { epoch: self.epoch, change: self.last_number }
+        DirectoryCursor { epoch: self.epoch, revision: self.last_number }
     }
 
     /// The changes after the cursor; `None` if they are no longer all here or the cursor is of another incarnation,
     /// so that a full snapshot is needed.
     pub(super) fn since(&self, cursor: DirectoryCursor) -> Option<impl Iterator<Item = &Change> + '_> {
         let oldest = self.changes.front().map_or(self.last_number + 1, |change| change.number);
-        let is_covered =
-            cursor.epoch == self.epoch && cursor.change <= self.last_number && cursor.change + 1 >= oldest;
-        let later = self.changes.iter().filter(move |change| change.number > cursor.change);
+        let is_covered = cursor.epoch == self.epoch
+            && cursor.revision <= self.last_number
+            && cursor.revision + 1 >= oldest;
+        let later = self.changes.iter().filter(move |change| change.number > cursor.revision);
         is_covered.then_some(later)
     }
 }
--- a/cluster/src/membership/gossip.rs
+++ b/cluster/src/membership/gossip.rs
@@ -13,16 +13,16 @@
             return;
         }
         match message {
-            MembershipMessage::Ping { number, members } => {
+            MembershipMessage::Ping { sequence_number: number, members } => {
                 let state_before = self.table.state(from);
                 self.merge_records(now, from, &members);
                 if state_before != Some(MemberState::Alive) {
                     self.expedite_ping(now, from);
                 }
                 let members = self.records_for(now, from, state_before.is_none());
-                self.sends.push(from, MembershipMessage::Pong { number, members });
+                self.sends.push(from, MembershipMessage::Ack { sequence_number: number, members });
             }
-            MembershipMessage::Pong { number, members } => {
+            MembershipMessage::Ack { sequence_number: number, members } => {
                 if let Some(probe) = self.probes.get_mut(&from) {
                     probe.record_pong(number);
                 }
@@ -47,7 +47,7 @@
             probe.record_ping(now, number, !is_live, &self.options);
         }
         let members = self.records_for(now, node, false);
-        self.sends.push(node, MembershipMessage::Ping { number, members });
+        self.sends.push(node, MembershipMessage::Ping { sequence_number: number, members });
     }
 
     /// Pings a node at the next tick, if it is a ping target at all.
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -333,7 +333,7 @@
     assert_eq!(directory.updates_since(early).records.len(), 3);
     let other = DirectoryCursor { epoch: Incarnation(10), ..directory.cursor() };
     assert!(directory.updates_since(other).complete);
-    let ahead = DirectoryCursor { change: 1000, ..directory.cursor() };
+    let ahead = DirectoryCursor { revision: 1000, ..directory.cursor() };
     assert!(directory.updates_since(ahead).complete);
 }
 
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -272,7 +272,7 @@
         self.messages += 1;
         let (length, records) = match message {
             Message::Membership(message) => {
-                let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) =
+                let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) =
                     message;
                 (frame::encode(&CoordinatorMessage::Membership(message.clone())).len(), members.len())
             }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -15,7 +15,7 @@
 }
 
 fn ping(members: Vec<MemberRecord>) -> MembershipMessage {
-    MembershipMessage::Ping { number: 1, members }
+    MembershipMessage::Ping { sequence_number: 1, members }
 }
 
 fn single_member(seeds: &[NodeId]) -> Membership {
@@ -258,7 +258,7 @@
 
     // then
     let (_, pong) = membership.take_sends().pop().expect("a pong");
-    let MembershipMessage::Pong { number: 1, members } = pong else { panic!("not a pong: {pong:?}") };
+    let MembershipMessage::Ack { sequence_number: 1, members } = pong else { panic!("not a pong: {pong:?}") };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
 }
 
@@ -305,7 +305,7 @@
     let sends = membership.take_sends();
     assert!(sends.len() <= MAX_MEMBERS + MAX_SEEDS + 50);
     for (_, message) in sends {
-        let (MembershipMessage::Ping { members, .. } | MembershipMessage::Pong { members, .. }) = message;
+        let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) = message;
         assert!(members.len() <= MAX_MESSAGE_RECORDS);
     }
 }
@@ -318,7 +318,7 @@
 
     // when
     let members = vec![member(PEER, 21, 0, MemberState::Alive)];
-    membership.receive(10, PEER, MembershipMessage::Pong { number: 123, members });
+    membership.receive(10, PEER, MembershipMessage::Ack { sequence_number: 123, members });
 
     // then
     assert!(!membership.has_contact_within(PEER, 10, 1000));
@@ -337,8 +337,12 @@
 /// Answers all sent pings on behalf of the peer.
 fn answer_pings(membership: &mut Membership, now: Millis) {
     for (to, message) in membership.take_sends() {
-        if let (PEER, MembershipMessage::Ping { number, .. }) = (to, message) {
-            membership.receive(now, PEER, MembershipMessage::Pong { number, members: vec![] });
+        if let (PEER, MembershipMessage::Ping { sequence_number: number, .. }) = (to, message) {
+            membership.receive(
+                now,
+                PEER,
+                MembershipMessage::Ack { sequence_number: number, members: vec![] },
+            );
         }
     }
 }
--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -3,7 +3,7 @@
 mod aggregated;
 mod edges;
 
-use shaletrail_protocol::internal::{CoordinatorMessage, Demand, Observation};
+use shaletrail_protocol::internal::{CoordinatorMessage, Demand, ServerOutcomes};
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::Coordinator;
@@ -49,8 +49,8 @@
 
 impl Coordinator {
     /// Adds an edge's report to the demand. The broadcast is brought forward if requests wait for a model or an adapter.
-    pub(super) fn record_demand(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
-        if demand.iter().any(|demand| demand.waiting > 0) {
+    pub(super) fn record_demand(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
+        if demand.iter().any(|demand| demand.queued > 0) {
             self.demand_broadcasts.expedite();
         }
         self.demand.add(edge, demand, observed);
--- a/coordinator/src/core/demand/aggregated.rs
+++ b/coordinator/src/core/demand/aggregated.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_protocol::internal::{Demand, EdgeReport, Observation};
+use shaletrail_protocol::internal::{Demand, EdgeReport, ServerOutcomes};
 use shaletrail_protocol::{NodeId, ServerId};
 
 use super::edges::MAX_EDGES;
@@ -40,12 +40,12 @@
 #[derive(Debug, Default)]
 struct AggregatedReport {
     demand: BTreeMap<DemandKey, Demand>,
-    observed: BTreeMap<ServerId, Observation>,
+    observed: BTreeMap<ServerId, ServerOutcomes>,
 }
 
 impl AggregatedDemand {
     /// Adds one edge's report. Edges beyond a bound are ignored.
-    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<Observation>) {
+    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
         if self.edges.len() < MAX_EDGES || self.edges.contains_key(&edge) {
             self.edges.entry(edge).or_default().add(demand, observed);
         }
@@ -57,14 +57,14 @@
         let report = |(edge, report): (NodeId, AggregatedReport)| EdgeReport {
             edge,
             demand: report.demand.into_values().collect(),
-            observed: report.observed.into_values().collect(),
+            server_outcomes: report.observed.into_values().collect(),
         };
         reports.map(report).collect()
     }
 }
 
 impl AggregatedReport {
-    fn add(&mut self, demand: Vec<Demand>, observed: Vec<Observation>) {
+    fn add(&mut self, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
         for later in demand {
             let key = DemandKey::of(&later);
             if let Some(sum) = self.demand.get_mut(&key) {
@@ -89,11 +89,11 @@
     sum.tokens = sum.tokens.saturating_add(later.tokens);
     sum.priority = sum.priority.min(later.priority);
     sum.over_capacity = sum.over_capacity.saturating_add(later.over_capacity);
-    sum.waiting = later.waiting;
-    sum.open = later.open;
+    sum.queued = later.queued;
+    sum.in_flight = later.in_flight;
 }
 
-fn add_observation(sum: &mut Observation, later: &Observation) {
+fn add_observation(sum: &mut ServerOutcomes, later: &ServerOutcomes) {
     sum.succeeded = sum.succeeded.saturating_add(later.succeeded);
     sum.failed = sum.failed.saturating_add(later.failed);
     sum.unreachable = sum.unreachable.saturating_add(later.unreachable);
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -185,10 +185,10 @@
             CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
             CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
-            CoordinatorMessage::ForwardRequest { call, change } => {
-                self.on_operator_call(now, CallOrigin::Peer { node: from, call }, change, actions)
+            CoordinatorMessage::ForwardRequest { call_id, call } => {
+                self.on_operator_call(now, CallOrigin::Peer { node: from, call: call_id }, call, actions)
             }
-            CoordinatorMessage::ForwardResponse { call, response } => {
+            CoordinatorMessage::ForwardResponse { call_id: call, response } => {
                 self.on_forward_response(from, PendingCallId(call), response, actions)
             }
             CoordinatorMessage::Demand { edges, reports, .. } => {
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -62,7 +62,7 @@
                 pending.stage = stage;
             }
         } else if let (Some(leader), CallOrigin::Local(_)) = (leader, pending.origin) {
-            let request = CoordinatorMessage::ForwardRequest { call: id.0, change: pending.call.clone() };
+            let request = CoordinatorMessage::ForwardRequest { call_id: id.0, call: pending.call.clone() };
             actions.push(Action::Send { to: leader, message: request });
             pending.stage = CallStage::Forwarded(leader);
         }
@@ -146,7 +146,7 @@
         ChangeOutcome::Accepted | ChangeOutcome::Duplicate => OperatorResponse::Done { body: b"{}".to_vec() },
         ChangeOutcome::Expired => OperatorResponse::Unavailable,
         ChangeOutcome::Conflict { current } if builds_after(*current) => OperatorResponse::Unavailable,
-        ChangeOutcome::Conflict { current } => OperatorResponse::Conflict { current: *current },
+        ChangeOutcome::Conflict { current } => OperatorResponse::Conflict { current_version: *current },
         ChangeOutcome::Invalid(invalid) => OperatorResponse::Invalid { reason: invalid.to_string() },
     }
 }
@@ -154,7 +154,9 @@
 fn respond(origin: CallOrigin, response: OperatorResponse, actions: &mut Vec<Action>) {
     match origin {
         CallOrigin::Local(call) => actions.push(Action::RespondToOperator { call, response }),
-        CallOrigin::Peer { node, call } => actions
-            .push(Action::Send { to: node, message: CoordinatorMessage::ForwardResponse { call, response } }),
+        CallOrigin::Peer { node, call } => actions.push(Action::Send {
+            to: node,
+            message: CoordinatorMessage::ForwardResponse { call_id: call, response },
+        }),
     }
 }
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -16,7 +16,7 @@
 use shaletrail_cluster::Directory;
 use shaletrail_configuration::View;
 use shaletrail_placement::PlannedOrder;
-use shaletrail_protocol::external::{Operation, Order, Report};
+use shaletrail_protocol::external::{Operation, Order, ServerReport};
 use shaletrail_protocol::internal::{EdgeReport, PlacementOverlay};
 use shaletrail_protocol::{Millis, ServerId};
 
@@ -110,7 +110,7 @@
 
     /// Records what edges have reported. Requests that wait for a model or an adapter make the planners run at once.
     pub fn record_demand(&mut self, now: Millis, reports: &[EdgeReport]) {
-        let has_waiting = |report: &EdgeReport| report.demand.iter().any(|demand| demand.waiting > 0);
+        let has_waiting = |report: &EdgeReport| report.demand.iter().any(|demand| demand.queued > 0);
         if reports.iter().any(has_waiting) && !self.leases.is_empty() {
             self.next_plan = now;
         }
@@ -132,7 +132,7 @@
     }
 
     /// A server's report has arrived, or none has in time.
-    pub fn on_report(&mut self, now: Millis, server: &ServerId, report: Option<Report>) {
+    pub fn on_report(&mut self, now: Millis, server: &ServerId, report: Option<ServerReport>) {
         // Orders may wait for the report.
         self.next_plan = now;
         self.planners.record_report(now, server, report.as_ref());
--- a/coordinator/src/core/orders/planners.rs
+++ b/coordinator/src/core/orders/planners.rs
@@ -5,7 +5,7 @@
 use shaletrail_cluster::Directory;
 use shaletrail_configuration::View;
 use shaletrail_placement::{Catalogue, Options, OrderNumber, Planner};
-use shaletrail_protocol::external::Report;
+use shaletrail_protocol::external::ServerReport;
 use shaletrail_protocol::internal::EdgeReport;
 use shaletrail_protocol::{Millis, ServerId};
 
@@ -95,7 +95,7 @@
     }
 
     /// A server's report has arrived, or none has in time.
-    pub fn record_report(&mut self, now: Millis, server: &ServerId, report: Option<&Report>) {
+    pub fn record_report(&mut self, now: Millis, server: &ServerId, report: Option<&ServerReport>) {
         for planner in self.planners.values_mut() {
             match report {
                 Some(report) => planner.record_report(now, server, report),
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -15,7 +15,7 @@
     /// A data-plane node polls, and reports its demand with the poll.
     pub(super) fn on_poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
         self.edges.on_poll(edge.node, now);
-        self.record_demand(edge.node, request.demand, request.observed);
+        self.record_demand(edge.node, request.demand, request.server_outcomes);
         let poll = PendingPoll {
             edge: edge.node,
             config_version: request.config_version,
@@ -57,7 +57,7 @@
             complete: directory.complete && !self.directory.is_recently_started(now),
             cursor: directory.cursor,
             coordinators: self.coordinators(),
-            edges: self.edges.retry_budget_shares(now),
+            edge_count: self.edges.retry_budget_shares(now),
             edge_nodes: (edge_list_hash != poll.edge_list_hash).then_some(edges),
             edge_list_hash,
             isolated: false,
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 pub use shaletrail_placement::Outcome as OrderOutcome;
-use shaletrail_protocol::external::{Heartbeat, Order, Report};
+use shaletrail_protocol::external::{Heartbeat, Order, ServerReport};
 use shaletrail_protocol::internal::{
     CoordinatorMessage, Demand, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
 };
@@ -55,8 +55,8 @@
             incarnation,
             seeds: settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect(),
             bootstrap: settings.bootstrap,
-            hosts_lost: settings.hosts_lost,
-            heartbeat_interval: settings.heartbeat,
+            hosts_lost: settings.tolerated_host_losses,
+            heartbeat_interval: settings.heartbeat_interval,
             order_lease: settings.bounds.lease,
             retry_window: settings.bounds.retry_window,
             placement: shaletrail_placement::Options::from_bounds(&settings.bounds),
@@ -145,7 +145,7 @@
         /// The server.
         server: ServerId,
         /// Its answer to `GET /report`; `None` if there was none in time.
-        report: Option<Report>,
+        report: Option<ServerReport>,
     },
     /// The process has been told to shut down.
     ShutdownRequested,
--- a/coordinator/tests/demand.rs
+++ b/coordinator/tests/demand.rs
@@ -4,7 +4,7 @@
 
 use common::{node, nodes};
 use shaletrail_coordinator::core::demand::{edge_list_hash, AggregatedDemand, Edges};
-use shaletrail_protocol::internal::{Demand, Observation};
+use shaletrail_protocol::internal::{Demand, ServerOutcomes};
 use shaletrail_protocol::NodeId;
 
 const RETRY_WINDOW: u64 = 10_000;
@@ -17,11 +17,11 @@
         service: "llm".into(),
         model: "m".into(),
         arrived,
-        waiting,
+        queued: waiting,
         priority,
         ..Demand::default()
     };
-    let observed = |failed| Observation { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
+    let observed = |failed| ServerOutcomes { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
     let mut aggregated = AggregatedDemand::default();
 
     // when
@@ -33,7 +33,7 @@
     let reports = aggregated.take();
     assert_eq!(reports.len(), 2);
     assert_eq!(reports[0].demand, vec![demand(5, 1, 3)]);
-    assert_eq!((reports[0].observed[0].succeeded, reports[0].observed[0].failed), (2, 3));
+    assert_eq!((reports[0].server_outcomes[0].succeeded, reports[0].server_outcomes[0].failed), (2, 3));
     assert!(aggregated.take().is_empty());
 }
 
--- a/coordinator/tests/operator_calls.rs
+++ b/coordinator/tests/operator_calls.rs
@@ -73,15 +73,19 @@
     cluster.delay_messages(move |from, _, message| from == sender && is_forward_request(message));
     let call = cluster.replace_config(sender, 1, &configuration(2, "b.example"));
     let id = cluster.delayed().find_map(|message| match message {
-        CoordinatorMessage::ForwardRequest { call, .. } => Some(*call),
+        CoordinatorMessage::ForwardRequest { call_id, .. } => Some(*call_id),
         _ => None,
     });
     let id = id.expect("it is forwarded");
 
     // when: the answer of another node, and one to another call
     let response = OperatorResponse::Done { body: Vec::new() };
-    cluster.send(third, sender, CoordinatorMessage::ForwardResponse { call: id, response: response.clone() });
-    cluster.send(leader, sender, CoordinatorMessage::ForwardResponse { call: id + 1, response });
+    cluster.send(
+        third,
+        sender,
+        CoordinatorMessage::ForwardResponse { call_id: id, response: response.clone() },
+    );
+    cluster.send(leader, sender, CoordinatorMessage::ForwardResponse { call_id: id + 1, response });
 
     // then
     assert_eq!(cluster.operator_response(sender, call), None);
@@ -107,7 +111,10 @@
     assert!(is_done(cluster.operator_response(next, won)));
 
     // then: it was forwarded to the next leader, and is in conflict there
-    assert_eq!(cluster.operator_response(leader, lost), Some(&OperatorResponse::Conflict { current: 2 }));
+    assert_eq!(
+        cluster.operator_response(leader, lost),
+        Some(&OperatorResponse::Conflict { current_version: 2 })
+    );
     cluster.run(3_000);
     for number in cluster.numbers() {
         let read = cluster.operator_call(number, OperatorCall::Read);
@@ -205,7 +212,10 @@
         // and one that builds on an older version is rejected for good
         let old = cluster.replace_config(at, 1, &configuration(9, "x.example"));
         cluster.run(300);
-        assert_eq!(cluster.operator_response(at, old), Some(&OperatorResponse::Conflict { current: 3 }));
+        assert_eq!(
+            cluster.operator_response(at, old),
+            Some(&OperatorResponse::Conflict { current_version: 3 })
+        );
     }
 }
 
@@ -248,8 +258,8 @@
 /// The id by which the last change was forwarded to the leader.
 fn forwarded_id(coordinator: &SingleCoordinator, leader: NodeId) -> u64 {
     let id = coordinator.actions.iter().rev().find_map(|action| match action {
-        Action::Send { to, message: CoordinatorMessage::ForwardRequest { call, .. } } if *to == leader => {
-            Some(*call)
+        Action::Send { to, message: CoordinatorMessage::ForwardRequest { call_id, .. } } if *to == leader => {
+            Some(*call_id)
         }
         _ => None,
     });
@@ -258,7 +268,7 @@
 
 fn forward_response(from: NodeId, call: u64) -> Event {
     let response = OperatorResponse::Done { body: b"{}".to_vec() };
-    Event::Message { from, message: CoordinatorMessage::ForwardResponse { call, response } }
+    Event::Message { from, message: CoordinatorMessage::ForwardResponse { call_id: call, response } }
 }
 
 #[test]
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -7,7 +7,7 @@
 use shaletrail_consensus::{Message, RoundStamp};
 use shaletrail_coordinator::core::shards::shard_of;
 use shaletrail_coordinator::interface::{Action, CallId, Event, OrderId};
-use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
+use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerReport};
 use shaletrail_protocol::internal::{CoordinatorMessage, Demand};
 
 /// A service with models.
@@ -38,7 +38,7 @@
     };
     let call = CallId(coordinator.now);
     coordinator.handle(Event::Heartbeat { call, id: "i-1".to_owned(), heartbeat });
-    let report = Report { models, sequence: 1, ..Report::default() };
+    let report = ServerReport { models, sequence: 1, ..ServerReport::default() };
     coordinator.handle(Event::ReportReceived { server: "i-1".to_owned(), report: Some(report) });
 }
 
@@ -64,9 +64,9 @@
             arrived: 1,
             tokens: 1_000,
             priority: 1,
-            waiting: 1,
+            queued: 1,
             over_capacity: 0,
-            open: 0,
+            in_flight: 0,
         };
         coordinator.handle(Event::EdgeReport { edge: node(EDGE), demand: vec![demand] });
         coordinator.run(50);
--- a/coordinator/tests/quorum_contact.rs
+++ b/coordinator/tests/quorum_contact.rs
@@ -36,7 +36,7 @@
 
 /// The edge is told that the coordinator is isolated, and nothing else.
 fn assert_isolated(response: &PollResponse) {
-    let PollResponse { config, servers, complete, edges, edge_nodes, isolated, .. } = response;
+    let PollResponse { config, servers, complete, edge_count: edges, edge_nodes, isolated, .. } = response;
     assert!(*isolated, "{response:?}");
     assert_eq!((config, servers.len(), *complete), (&None, 0, false), "{response:?}");
     assert_eq!((*edges, edge_nodes), (0, &None), "{response:?}");
@@ -134,7 +134,7 @@
     let leader = cluster.leader();
     let frozen = cluster.follower();
     let is_pong = |message: &CoordinatorMessage| {
-        matches!(message, CoordinatorMessage::Membership(MembershipMessage::Pong { .. }))
+        matches!(message, CoordinatorMessage::Membership(MembershipMessage::Ack { .. }))
     };
     cluster.delay_messages(move |_, to, message| to == frozen && is_pong(message));
     cluster.run(250);
@@ -239,12 +239,12 @@
     // given
     let mut cluster = Cluster::configured(3);
     let call = poll_for(&mut cluster, 12_000);
-    assert_eq!(response(&cluster, 1, call).edges, 2);
+    assert_eq!(response(&cluster, 1, call).edge_count, 2);
 
     // when: the coordinator is back, and has heard of no edge elsewhere
     cluster.isolate(1);
     let call = poll_for(&mut cluster, 15_000);
-    assert_eq!(response(&cluster, 1, call).edges, 0);
+    assert_eq!(response(&cluster, 1, call).edge_count, 0);
     cluster.delay_messages(|_, _, message| matches!(message, CoordinatorMessage::Demand { .. }));
     cluster.reconnect(1);
     cluster.run(1_000);
@@ -253,7 +253,7 @@
     // then
     let response = response(&cluster, 1, call);
     assert!(!response.isolated);
-    assert_eq!(response.edges, 0, "unknown, and not one alone");
+    assert_eq!(response.edge_count, 0, "unknown, and not one alone");
 }
 
 #[test]
--- a/coordinator/tests/single_coordinator.rs
+++ b/coordinator/tests/single_coordinator.rs
@@ -40,7 +40,10 @@
 
     // then
     assert!(is_done(coordinator.operator_response(again)));
-    assert_eq!(coordinator.operator_response(other), Some(&OperatorResponse::Conflict { current: 3 }));
+    assert_eq!(
+        coordinator.operator_response(other),
+        Some(&OperatorResponse::Conflict { current_version: 3 })
+    );
 }
 
 #[test]
@@ -66,7 +69,10 @@
 
     // then
     assert_eq!(coordinator.operator_response(again), Some(&OperatorResponse::Unavailable));
-    assert_eq!(coordinator.operator_response(other), Some(&OperatorResponse::Conflict { current: 5000 }));
+    assert_eq!(
+        coordinator.operator_response(other),
+        Some(&OperatorResponse::Conflict { current_version: 5000 })
+    );
 }
 
 #[test]
@@ -172,7 +178,7 @@
 #[test]
 fn poll_without_quorum_keeps_edge_state() {
     let mut coordinator = SingleCoordinator::without_quorum();
-    let cursor = DirectoryCursor { change: 9, ..DirectoryCursor::default() };
+    let cursor = DirectoryCursor { revision: 9, ..DirectoryCursor::default() };
     let call = coordinator.poll(PollRequest {
         config_version: 4,
         cursor,
--- a/protocol/tests/settings_keys.rs
+++ b/protocol/tests/settings_keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings file, the field that each one fills, and the texts of its errors.
+//! The keys of the settings file, the field that each one sets, and the texts of its errors.
 //!
 //! The files are written by others: a key or a text that changes here breaks deployments that are out there. If one of
 //! these tests turns red, put the key or the text back.
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn each_key_fills_its_field() {
-    let settings: Settings = ALL_KEYS.parse().expect("a proper file");
+fn each_key_sets_its_field() {
+    let settings: Settings = ALL_KEYS.parse().expect("valid settings");
     let address = |text: &str| text.parse().expect("an address");
     let bounds = Bounds {
         seed_lag: seconds(11),
         address_reuse: seconds(12),
         contact: milliseconds(13),
-        acknowledge: milliseconds(14),
+        ack_timeout: milliseconds(14),
         sync: seconds(15),
         drain: milliseconds(16),
         grace: seconds(17),
@@ -80,7 +80,7 @@
         retry_window: seconds(22),
         retry_slack: 23.0,
         recovery: seconds(24),
-        pass: milliseconds(25),
+        stream_delay: milliseconds(25),
         fencing: true,
         lease: milliseconds(26),
         origin_window: seconds(27),
@@ -102,8 +102,8 @@
         bootstrap: true,
         counts_for_quorum: true,
         data_dir: Some("/data/core".into()),
-        heartbeat: milliseconds(1201),
-        hosts_lost: 2,
+        heartbeat_interval: milliseconds(1201),
+        tolerated_host_losses: 2,
         limits: MachineLimits { memory_mb: 301, max_fds: 302, link_mbps: 303.5, disk_mb: 304 },
         bounds,
     };
@@ -111,13 +111,13 @@
 }
 
 #[test]
-fn absent_keys_leave_the_defaults() {
-    let settings: Settings = REQUIRED_KEYS.parse().expect("a proper file");
+fn absent_keys_have_defaults() {
+    let settings: Settings = REQUIRED_KEYS.parse().expect("valid settings");
     let bounds = Bounds {
         seed_lag: seconds(3),
         address_reuse: seconds(2),
         contact: seconds(3),
-        acknowledge: seconds(4),
+        ack_timeout: seconds(4),
         sync: seconds(4),
         drain: seconds(2),
         grace: seconds(8),
@@ -127,7 +127,7 @@
         retry_window: seconds(10),
         retry_slack: 20.0,
         recovery: seconds(12),
-        pass: milliseconds(120),
+        stream_delay: milliseconds(120),
         fencing: false,
         lease: seconds(3),
         origin_window: seconds(5),
@@ -147,8 +147,8 @@
         bootstrap: false,
         counts_for_quorum: false,
         data_dir: None,
-        heartbeat: seconds(1),
-        hosts_lost: 1,
+        heartbeat_interval: seconds(1),
+        tolerated_host_losses: 1,
         limits: MachineLimits { memory_mb: 256, max_fds: 1024, link_mbps: 1000.0, disk_mb: 0 },
         bounds,
     };
@@ -156,16 +156,16 @@
     assert_eq!(PATH_VARIABLE, "SHALETRAIL_BOOT");
 }
 
-fn error_of(text: &str) -> SettingsError {
+fn parse_error(text: &str) -> SettingsError {
     text.parse::<Settings>().expect_err("the file cannot be used")
 }
 
 #[test]
-fn each_missing_key_is_named() {
+fn errors_name_missing_keys() {
     let without = |key: &str| {
         let lines = REQUIRED_KEYS.lines().filter(|line| !line.starts_with(key));
-        let error = error_of(&lines.collect::<Vec<_>>().join("\n"));
-        assert!(matches!(error, SettingsError::Missing { .. }), "{error:?}");
+        let error = parse_error(&lines.collect::<Vec<_>>().join("\n"));
+        assert!(matches!(error, SettingsError::MissingKey { .. }), "{error:?}");
         error.to_string()
     };
     assert_eq!(without("nodeName"), "nodeName: missing, expected the machine's name");
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn each_wrong_value_is_named_with_what_was_expected() {
+fn errors_name_invalid_values_and_expectations() {
     let expectations = [
         ("ip=10.1", "ip: '10.1' found, expected an IPv4 address"),
         ("listenersMap.ingress=a", "listenersMap.ingress: 'a' found, expected IP:PORT"),
@@ -193,15 +193,15 @@
         ("bounds.fencing=no", "bounds.fencing: 'no' found, expected true or false"),
     ];
     for (line, text) in expectations {
-        let error = error_of(&format!("{REQUIRED_KEYS}{line}\n"));
-        assert!(matches!(error, SettingsError::Wrong { .. }), "{error:?}");
+        let error = parse_error(&format!("{REQUIRED_KEYS}{line}\n"));
+        assert!(matches!(error, SettingsError::InvalidValue { .. }), "{error:?}");
         assert_eq!(error.to_string(), text);
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn unreadable_file_is_named() {
     let error = Settings::read(Path::new("/nowhere/settings")).expect_err("there is no such file");
-    assert!(matches!(error, SettingsError::Unreadable { .. }), "{error:?}");
+    assert!(matches!(error, SettingsError::ReadFile { .. }), "{error:?}");
     assert_eq!(error.to_string(), "settings file /nowhere/settings: No such file or directory (os error 2)");
 }
