--- a/capacity-emulator/src/server.rs
+++ b/capacity-emulator/src/server.rs
@@ -103,14 +103,14 @@
     /// Takes an order or doesn't; with the time until it is carried out.
     pub fn order(&mut self, expected: &str, order: Order) -> (OrderOutcome, Option<Millis>) {
         if expected != self.id {
-            return (OrderOutcome::Gone, None);
+            return (OrderOutcome::WrongInstance, None);
         }
         let wrong_revision = order.if_revision.is_some_and(|revision| revision != self.revision);
         if self.running.is_some() || wrong_revision {
             return (OrderOutcome::Busy, None);
         }
         if self.is_done(&order) {
-            return (OrderOutcome::AlreadyHeld, None);
+            return (OrderOutcome::AlreadyDone, None);
         }
         self.revision += 1;
         let takes = match (&order.adapter, order.operation) {
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -134,7 +134,7 @@
             "adapter" => body.adapter.clone().unwrap_or_default(), "server" => server.to_owned(),
             "count" => body.if_revision, "fence" => body.fencing_token, "outcome" => outcome.to_string()));
         match outcome {
-            OrderOutcome::Busy | OrderOutcome::AlreadyHeld => info!(log, "order refused"),
+            OrderOutcome::Busy | OrderOutcome::AlreadyDone => info!(log, "order refused"),
             _ => debug!(log, "order"),
         }
     }
--- a/coordinator/src/driver/orders.rs
+++ b/coordinator/src/driver/orders.rs
@@ -110,11 +110,11 @@
 fn outcome(status: StatusCode) -> OrderOutcome {
     match status {
         StatusCode::ACCEPTED => OrderOutcome::Accepted,
-        StatusCode::OK => OrderOutcome::AlreadyHeld,
+        StatusCode::OK => OrderOutcome::AlreadyDone,
         StatusCode::CONFLICT => OrderOutcome::Busy,
         StatusCode::PRECONDITION_FAILED => OrderOutcome::Fenced,
         StatusCode::BAD_REQUEST => OrderOutcome::Rejected,
-        StatusCode::MISDIRECTED_REQUEST => OrderOutcome::Gone,
+        StatusCode::MISDIRECTED_REQUEST => OrderOutcome::WrongInstance,
         _ => OrderOutcome::Unknown,
     }
 }
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-pub use shaletrail_placement::Outcome as OrderOutcome;
+pub use shaletrail_placement::OrderOutcome;
 use shaletrail_protocol::external::{Heartbeat, Order, Report};
 use shaletrail_protocol::internal::{
     CoordinatorMessage, Demand, EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
--- a/coordinator/tests/driver_orders.rs
+++ b/coordinator/tests/driver_orders.rs
@@ -86,11 +86,11 @@
 fn given_a_server_s_status_when_it_answers_then_the_outcome_says_what_is_known() {
     on_one_thread(async {
         for (status, outcome) in [
-            ("200 OK", OrderOutcome::AlreadyHeld),
+            ("200 OK", OrderOutcome::AlreadyDone),
             ("409 Conflict", OrderOutcome::Busy),
             ("412 Precondition Failed", OrderOutcome::Fenced),
             ("400 Bad Request", OrderOutcome::Rejected),
-            ("421 Misdirected Request", OrderOutcome::Gone),
+            ("421 Misdirected Request", OrderOutcome::WrongInstance),
             ("500 Internal Server Error", OrderOutcome::Unknown),
             ("503 Service Unavailable", OrderOutcome::Unknown),
         ] {
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -210,11 +210,11 @@
     assert_eq!(notes.map(|note| note.to_string()), expected);
     let outcomes = [
         OrderOutcome::Accepted,
-        OrderOutcome::AlreadyHeld,
+        OrderOutcome::AlreadyDone,
         OrderOutcome::Busy,
         OrderOutcome::Fenced,
         OrderOutcome::Rejected,
-        OrderOutcome::Gone,
+        OrderOutcome::WrongInstance,
         OrderOutcome::NotSent,
         OrderOutcome::Unknown,
     ];
--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -64,7 +64,7 @@
         {
             let there = copies.get(&(id, *number)).copied().unwrap_or_default();
             let rate = demand.arrivals.per_second(scene.now);
-            let wanted = 1 + (rate / scene.options.adapter_rate.max(0.1)) as usize;
+            let wanted = 1 + (rate / scene.options.adapter_replica_rate.max(0.1)) as usize;
             if there < wanted.min(of_model) {
                 let item = Item { model: id, adapter: Some(*number) };
                 all.push(Missing { item, waiting: demand.waiting, rate: (rate * 1_000.0) as u64 });
--- a/placement/src/catalogue.rs
+++ b/placement/src/catalogue.rs
@@ -30,7 +30,7 @@
 
 impl Catalogue {
     /// Loads that the store likely serves at once at full speed: as many as its rate keeps under way.
-    pub fn loads_at_once(&self) -> usize {
+    pub fn max_concurrent_loads(&self) -> usize {
         const LEAST: f64 = 2.0;
         const MOST: f64 = 4_096.0;
         let sum: f64 = self.models.iter().map(|model| model.load_time_s).sum();
@@ -44,7 +44,7 @@
 
     /// Models that a server holds in the mean where all models are put onto as few servers as possible, the largest
     /// that fits next.
-    pub fn places_per_server(&self) -> f64 {
+    pub fn model_slots_per_server(&self) -> f64 {
         let mut sizes = self.sizes();
         let (mut models, mut servers) = (0, 0);
         loop {
@@ -74,7 +74,7 @@
     }
 
     /// The size of the largest model, in MB.
-    pub fn largest_mb(&self) -> f64 {
+    pub fn largest_model_mb(&self) -> f64 {
         self.models.iter().map(|model| model.weights_mb).fold(0.0, f64::max)
     }
 }
--- a/placement/src/in_flight.rs
+++ b/placement/src/in_flight.rs
@@ -4,7 +4,7 @@
 use shaletrail_protocol::Millis;
 
 use crate::model::Item;
-use crate::origin::{LoadToken, BEGUN_WITHIN};
+use crate::origin::{LoadToken, ACCEPTANCE_TIMEOUT};
 
 /// A load counts as likely done this long after the time that it should take, in milliseconds.
 const LOADED_MARGIN: Millis = 20;
@@ -77,7 +77,7 @@
 
     /// Until when it can still be taken if it has no answer.
     pub fn taken_until(&self) -> Millis {
-        self.sent.saturating_add(BEGUN_WITHIN)
+        self.sent.saturating_add(ACCEPTANCE_TIMEOUT)
     }
 
     /// The longest time that a load is reckoned to take, in milliseconds.
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -42,4 +42,4 @@
 
 pub use catalogue::{Catalogue, ModelSpec};
 pub use options::Options;
-pub use planner::{DesiredServer, OrderNumber, Outcome, PlannedOrder, Planner, PlannerCounters};
+pub use planner::{DesiredServer, OrderNumber, OrderOutcome, PlannedOrder, Planner, PlannerCounters};
--- a/placement/src/model.rs
+++ b/placement/src/model.rs
@@ -47,14 +47,14 @@
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         self.models.iter_mut().for_each(|model| model.current = false);
         for spec in &catalogue.models {
-            let id = self.intern(&spec.name, catalogue.largest_mb());
+            let id = self.intern(&spec.name, catalogue.largest_model_mb());
             if let Some(model) = id.and_then(|id| self.models.get_mut(id.0)) {
                 (model.spec, model.current) = (spec.clone(), true);
             }
         }
         // Held by a server before any configuration was known, and not named by this one either.
         for model in self.models.iter_mut().filter(|model| !model.current && model.spec.weights_mb <= 0.0) {
-            model.spec.weights_mb = catalogue.largest_mb();
+            model.spec.weights_mb = catalogue.largest_model_mb();
         }
     }
 
--- a/placement/src/origin.rs
+++ b/placement/src/origin.rs
@@ -1,13 +1,13 @@
 //! How many loads from the weight store may begin.
 //!
 //! A load begins between the moment at which its order is sent and the moment at which the answer is there, or
-//! at the latest [`BEGUN_WITHIN`] later where no answer came. Counted is the latest moment, so that no window of
+//! at the latest [`ACCEPTANCE_TIMEOUT`] later where no answer came. Counted is the latest moment, so that no window of
 //! the rule's length sees more than its limit, wherever in its span each load began.
 
 use shaletrail_protocol::Millis;
 
 /// An order without an answer is taken within this time or never, in milliseconds.
-pub const BEGUN_WITHIN: Millis = 1_500;
+pub const ACCEPTANCE_TIMEOUT: Millis = 1_500;
 /// Bound of the limit in one window.
 const MOST: f64 = 10_000.0;
 
@@ -40,7 +40,7 @@
     }
 
     /// A budget that a former holder may have used up: what it may have begun is freed at the store's rate.
-    pub fn used_up(now: Millis, window: Millis, load_per_s: f64) -> Self {
+    pub fn exhausted(now: Millis, window: Millis, load_per_s: f64) -> Self {
         let mut budget = OriginBudget::unused(window, load_per_s);
         for number in 1..=budget.limit {
             let freed = now + (number as f64 / budget.per_second * 1_000.0) as Millis;
@@ -70,7 +70,7 @@
 
     /// Counts a load whose order is sent now.
     pub fn order(&mut self, now: Millis) -> LoadToken {
-        self.count(now.saturating_add(BEGUN_WITHIN))
+        self.count(now.saturating_add(ACCEPTANCE_TIMEOUT))
     }
 
     /// The order's answer is there: the load began by now.
--- a/placement/src/planner.rs
+++ b/placement/src/planner.rs
@@ -27,11 +27,12 @@
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum Outcome {
+pub enum OrderOutcome {
     /// 202: it is being carried out.
     Accepted,
     /// 200: there is nothing to do.
-    AlreadyHeld,
+    #[strum(to_string = "AlreadyHeld")]
+    AlreadyDone,
     /// 409: another order is under way, or the count of orders is not the expected one.
     Busy,
     /// 412: the server has seen a higher fence.
@@ -39,7 +40,8 @@
     /// 400: there is no such order.
     Rejected,
     /// 421: the address has another server.
-    Gone,
+    #[strum(to_string = "Gone")]
+    WrongInstance,
     /// It was surely not sent, or the connection was refused.
     NotSent,
     /// It was sent and no clear answer came: it may have been taken.
@@ -80,11 +82,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlannerCounters {
     /// Rounds that looked for missing replicas; the others found that nothing had changed.
-    pub rounds: u64,
+    pub planning_passes: u64,
     /// Servers that were looked at as places.
-    pub examined: u64,
+    pub servers_examined: u64,
     /// Loads of models from the weight store.
-    pub loads: u64,
+    pub origin_loads: u64,
     /// Loads of models from a server's own disk.
     pub disk_loads: u64,
     /// Evictions of models.
@@ -100,7 +102,7 @@
     pub(crate) options: Options,
     pub(crate) catalogue: Catalogue,
     /// Models that a server holds in the mean where servers are filled well.
-    pub(crate) places_per_server: f64,
+    pub(crate) model_slots_per_server: f64,
     pub(crate) models: ModelTable,
     pub(crate) sources: Sources,
     pub(crate) servers: BTreeMap<ServerKey, Server>,
@@ -122,14 +124,14 @@
     /// A planner that takes over at this moment: the lease of a former holder is over, what it has ordered is
     /// not known, and it may have used up the store's rate.
     pub fn new(service: String, catalogue: Catalogue, options: Options, now: Millis) -> Self {
-        let origin = OriginBudget::used_up(now, options.origin_window, catalogue.load_per_s);
+        let origin = OriginBudget::exhausted(now, options.origin_window, catalogue.load_per_s);
         let former = Doubt::of_former_orders(&catalogue, now);
         let mut models = ModelTable::default();
         models.set_catalogue(&catalogue);
         Planner {
             service,
             options,
-            places_per_server: catalogue.places_per_server(),
+            model_slots_per_server: catalogue.model_slots_per_server(),
             catalogue,
             models,
             sources: Sources::default(),
@@ -152,9 +154,10 @@
     pub fn start_ordering(&mut self, now: Millis, former_until: Option<Millis>) {
         let (window, rate) = (self.options.origin_window, self.catalogue.load_per_s);
         (self.origin, self.former) = match former_until {
-            Some(until) => {
-                (OriginBudget::used_up(until, window, rate), Doubt::of_former_orders(&self.catalogue, until))
-            }
+            Some(until) => (
+                OriginBudget::exhausted(until, window, rate),
+                Doubt::of_former_orders(&self.catalogue, until),
+            ),
             None => (OriginBudget::unused(window, rate), Doubt::ended(now)),
         };
         let doubt = former_until.map(|_| self.former);
@@ -166,7 +169,7 @@
     pub fn set_catalogue(&mut self, catalogue: Catalogue) {
         self.models.set_catalogue(&catalogue);
         self.origin.set_rate(catalogue.load_per_s);
-        self.places_per_server = catalogue.places_per_server();
+        self.model_slots_per_server = catalogue.model_slots_per_server();
         self.catalogue = catalogue;
         self.changed = true;
     }
@@ -248,25 +251,25 @@
     }
 
     /// Takes over how an order to a server ended, if it is still outstanding.
-    pub fn complete_order(&mut self, now: Millis, id: &ServerId, number: OrderNumber, outcome: Outcome) {
+    pub fn complete_order(&mut self, now: Millis, id: &ServerId, number: OrderNumber, outcome: OrderOutcome) {
         let Some(server) = self.keys.get(id).and_then(|key| self.servers.get_mut(key)) else { return };
         let outstanding = |order: &&InFlight| order.number == number && order.accepted.is_none();
         let Some(order) = server.in_flight.as_ref().filter(outstanding) else { return };
         if let Some(token) = order.origin {
             match outcome {
-                Outcome::Accepted => self.origin.accepted(now, token),
-                Outcome::Unknown => {}
+                OrderOutcome::Accepted => self.origin.accepted(now, token),
+                OrderOutcome::Unknown => {}
                 _ => self.origin.cancel(token),
             }
         }
         match outcome {
-            Outcome::Accepted => server.accepted(now),
-            Outcome::AlreadyHeld => server.already(now),
-            Outcome::Busy => server.busy(now),
-            Outcome::Rejected => server.not_taken(now, PAUSE_REJECTED),
-            Outcome::Fenced | Outcome::NotSent => server.not_taken(now, PAUSE_UNREACHABLE),
-            Outcome::Gone => return self.silence(now, id),
-            Outcome::Unknown => server.unanswered(now),
+            OrderOutcome::Accepted => server.accepted(now),
+            OrderOutcome::AlreadyDone => server.already(now),
+            OrderOutcome::Busy => server.busy(now),
+            OrderOutcome::Rejected => server.not_taken(now, PAUSE_REJECTED),
+            OrderOutcome::Fenced | OrderOutcome::NotSent => server.not_taken(now, PAUSE_UNREACHABLE),
+            OrderOutcome::WrongInstance => return self.silence(now, id),
+            OrderOutcome::Unknown => server.unanswered(now),
         }
         self.changed = true;
     }
@@ -323,7 +326,7 @@
     }
 
     /// How many replicas of a model are wanted; 0 without demand.
-    pub fn replicas_wanted(&self, model: &str) -> usize {
+    pub fn desired_replicas(&self, model: &str) -> usize {
         let item = self.models.current(model, None);
         item.and_then(|item| self.models.get(item.model)).map_or(0, |model| model.target.replicas)
     }
@@ -360,7 +363,7 @@
     }
 
     fn list(&mut self, held: &[LoadedModel]) -> Vec<Listed> {
-        let assumed = self.catalogue.largest_mb();
+        let assumed = self.catalogue.largest_model_mb();
         let list = held.iter().map(|entry| {
             let adapters: Vec<u32> = entry.adapters.iter().filter_map(|name| adapter_number(name)).collect();
             let strange = entry.adapters.len() - adapters.len();
--- a/placement/src/rounds.rs
+++ b/placement/src/rounds.rs
@@ -81,7 +81,7 @@
         }
         self.changed = false;
         self.last_round = now;
-        self.figures.rounds += 1;
+        self.figures.planning_passes += 1;
         self.update_targets(now);
         self.cancel_reservations();
         self.reserve(now);
@@ -100,7 +100,7 @@
         let tally = self.tally();
         let scene = self.scene(now, &tally);
         let ready: Vec<_> = self.servers.iter().filter(|(_, server)| server.is_ready()).collect();
-        let largest = self.catalogue.largest_mb();
+        let largest = self.catalogue.largest_model_mb();
         let has_room = |server: &Server| {
             let evicts = server.in_flight.as_ref().is_some_and(|order| order.is_model(Operation::Evict));
             evicts || server.used_mb(&self.models) + largest <= self.catalogue.weights_mb
@@ -160,8 +160,8 @@
 
     /// Replicas beyond each model's first that there may be on so many ready servers.
     fn room_for_extra_replicas(&self, ready: usize) -> usize {
-        let places = ready as f64 * self.places_per_server;
-        (places * self.options.extra_share.clamp(0.0, 1.0)) as usize
+        let places = ready as f64 * self.model_slots_per_server;
+        (places * self.options.extra_replica_share.clamp(0.0, 1.0)) as usize
     }
 
     /// Gives up places for models that by now have enough replicas.
@@ -216,7 +216,7 @@
                 server.reserved = Some(reservation);
             }
         }
-        self.figures.examined += examined;
+        self.figures.servers_examined += examined;
     }
 
     fn on_some_disk(&self, model: ModelId) -> bool {
@@ -231,10 +231,10 @@
     fn load_budget(&mut self, now: Millis, ready: usize) -> LoadBudget {
         let reserved =
             self.servers.values().filter(|s| s.reserved.is_some_and(|place| place.from_origin)).count();
-        let at_once = self.catalogue.loads_at_once();
+        let at_once = self.catalogue.max_concurrent_loads();
         let under_way = (reserved + self.loads_under_way(now)) as isize;
         let most_unawaited = MOST_UNAWAITED.max(ready / SERVERS_PER_UNAWAITED);
-        let spare = self.origin.limit() as f64 * self.options.urgent_share.clamp(0.0, 1.0);
+        let spare = self.origin.limit() as f64 * self.options.urgent_load_share.clamp(0.0, 1.0);
         LoadBudget {
             rate: self.origin.available(now).saturating_sub(reserved),
             at_once: at_once as isize - under_way,
@@ -258,7 +258,7 @@
         self.await_counts(now);
         let mut tally = self.tally();
         let mut rate = self.origin.available(now);
-        let mut at_once = self.catalogue.loads_at_once() as isize - self.loads_under_way(now) as isize;
+        let mut at_once = self.catalogue.max_concurrent_loads() as isize - self.loads_under_way(now) as isize;
         let scene = self.scene(now, &tally);
         let mut steps = Vec::new();
         let ready = |server: &Server| server.takes_orders(now) && server.count.known().is_some();
@@ -302,7 +302,7 @@
     fn adapter_orders(&mut self, now: Millis) -> Vec<PlannedOrder> {
         let mut examined = 0;
         let orders = adapters::orders(&self.bare_scene(now), &mut examined);
-        self.figures.examined += examined;
+        self.figures.servers_examined += examined;
         let sent =
             orders.iter().map(|order| self.send(now, order.server, order.operation, order.item, false));
         sent.collect::<Vec<_>>().into_iter().flatten().collect()
@@ -320,7 +320,7 @@
     ) -> Option<PlannedOrder> {
         let spec = &self.models.get(item.model)?.spec;
         // Too many loads slow each other in proportion.
-        let crowding = (self.loads_under_way(now) + 1) as f64 / self.catalogue.loads_at_once() as f64;
+        let crowding = (self.loads_under_way(now) + 1) as f64 / self.catalogue.max_concurrent_loads() as f64;
         let takes = match (operation, item.adapter) {
             (Operation::Load, None) => {
                 InFlight::load_takes(spec.load_time_s * crowding.max(1.0), from_origin)
@@ -335,7 +335,7 @@
         match (operation, item.adapter) {
             (_, Some(_)) => self.figures.adapter_orders += 1,
             (Operation::Evict, None) => self.figures.evictions += 1,
-            (Operation::Load, None) if from_origin => self.figures.loads += 1,
+            (Operation::Load, None) if from_origin => self.figures.origin_loads += 1,
             (Operation::Load, None) => self.figures.disk_loads += 1,
         }
         self.last_order += 1;
--- a/placement/src/target.rs
+++ b/placement/src/target.rs
@@ -81,11 +81,12 @@
 /// The work that is asked for, in replicas at ease: by tokens, or by open requests if that is more. `None` where
 /// nothing was asked for lately. `slots` is that of one server.
 pub fn load(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> Option<f64> {
-    if !demand.within(now, options.recent) && demand.waiting == 0 && demand.open == 0 {
+    if !demand.within(now, options.demand_window) && demand.waiting == 0 && demand.open == 0 {
         return None;
     }
-    let by_tokens = demand.tokens.per_second(now) / options.tokens_per_replica.max(1.0);
-    let by_slots = f64::from(demand.open) / (f64::from(slots.max(1)) * options.slots_at_ease.max(0.01));
+    let by_tokens = demand.tokens.per_second(now) / options.target_tokens_per_replica.max(1.0);
+    let by_slots =
+        f64::from(demand.open) / (f64::from(slots.max(1)) * options.target_slot_utilization.max(0.01));
     Some(by_tokens.max(by_slots))
 }
 
--- a/placement/tests/adapters.rs
+++ b/placement/tests/adapters.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::story::{catalogue, demand, for_adapter, waiting, Story};
-use shaletrail_placement::Outcome;
+use shaletrail_placement::OrderOutcome;
 
 #[test]
 fn given_an_adapter_that_nobody_holds_when_it_is_asked_for_then_one_holder_of_its_model_loads_it() {
@@ -12,7 +12,7 @@
     let orders = story.orders();
     assert!(orders == ["s0 load m0/a3 at 0"] || orders == ["s2 load m0/a3 at 0"], "{orders:?}");
     let server = if orders[0].starts_with("s0") { 0 } else { 2 };
-    story.outcome(server, Outcome::Accepted);
+    story.outcome(server, OrderOutcome::Accepted);
     story.ask(&[for_adapter("a3", demand("m0"))]);
     assert_eq!(story.after(100), [""; 0]);
 }
@@ -38,7 +38,7 @@
     story.now += 1_500;
     story.ask(&[for_adapter("a9", waiting("m0"))]);
     assert_eq!(story.orders(), ["s0 evict m0/a2 at 0"]);
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
     story.heartbeat(0, &["m0/a1", "m1/a3"]);
     assert_eq!(story.after(100), ["s0 load m0/a9 at 1"]);
 }
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/story.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shaletrail_placement::{Catalogue, ModelSpec, Options, OrderNumber, Outcome, PlannedOrder, Planner};
+use shaletrail_placement::{Catalogue, ModelSpec, Options, OrderNumber, OrderOutcome, PlannedOrder, Planner};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, Report};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
@@ -101,7 +101,7 @@
         self.planner.record_demand(self.now, EDGE, asked);
     }
 
-    pub fn outcome(&mut self, server: usize, outcome: Outcome) {
+    pub fn outcome(&mut self, server: usize, outcome: OrderOutcome) {
         let number = self.newest[&id(server)];
         self.planner.complete_order(self.now, &id(server), number, outcome);
     }
--- a/placement/tests/common/world.rs
+++ b/placement/tests/common/world.rs
@@ -5,7 +5,7 @@
 use super::servers::{catalogue, list, Held, Running, SimulatedServer};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use shaletrail_placement::{Catalogue, Options, OrderNumber, Outcome, PlannedOrder, Planner};
+use shaletrail_placement::{Catalogue, Options, OrderNumber, OrderOutcome, PlannedOrder, Planner};
 use shaletrail_protocol::external::{Heartbeat, Operation, Report, ServerState};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     Order(PlannedOrder, bool),
-    Outcome(String, OrderNumber, Outcome),
+    Outcome(String, OrderNumber, OrderOutcome),
     Heartbeat(ServerRecord),
     Report(String, Report),
 }
@@ -274,9 +274,9 @@
             let arrives = self.now + self.random.random_range(1..late);
             let timeout = self.now + ANSWER_WITHIN;
             if self.chance(self.faults.order_lost) {
-                self.at(timeout, Event::Outcome(order.server, order.number, Outcome::Unknown));
+                self.at(timeout, Event::Outcome(order.server, order.number, OrderOutcome::Unknown));
             } else if self.chance(self.faults.answer_lost) {
-                self.at(timeout, Event::Outcome(order.server.clone(), order.number, Outcome::Unknown));
+                self.at(timeout, Event::Outcome(order.server.clone(), order.number, OrderOutcome::Unknown));
                 self.at(arrives, Event::Order(order, false));
             } else {
                 self.at(arrives, Event::Order(order, true));
@@ -307,8 +307,8 @@
         }
     }
 
-    fn outcome(&mut self, order: &PlannedOrder) -> Outcome {
-        let (now, at_once) = (self.now, self.catalogue.loads_at_once());
+    fn outcome(&mut self, order: &PlannedOrder) -> OrderOutcome {
+        let (now, at_once) = (self.now, self.catalogue.max_concurrent_loads());
         let spec = self
             .catalogue
             .models
@@ -328,7 +328,7 @@
             return self.nobody_there(&order.server);
         };
         if server.running.is_some() || order.if_revision != server.sequence {
-            return Outcome::Busy;
+            return OrderOutcome::Busy;
         }
         let held = server.held.get(&order.model);
         let has = match &order.adapter {
@@ -336,10 +336,10 @@
             Some(adapter) => held.is_some_and(|adapters| adapters.contains(adapter)),
         };
         if has == (order.operation == Operation::Load) {
-            return Outcome::AlreadyHeld;
+            return OrderOutcome::AlreadyDone;
         }
         if order.adapter.is_some() && held.is_none() {
-            return Outcome::Rejected;
+            return OrderOutcome::Rejected;
         }
         server.sequence += 1;
         let mut from_store = false;
@@ -368,17 +368,17 @@
         if from_store {
             self.count_load();
         }
-        Outcome::Accepted
+        OrderOutcome::Accepted
     }
 
     /// The address of a server that has ended refuses, or another start of it answers 421.
-    fn nobody_there(&self, id: &str) -> Outcome {
+    fn nobody_there(&self, id: &str) -> OrderOutcome {
         let place = id.split('-').next();
         let another = self.servers.iter().any(|server| server.up() && server.id().split('-').next() == place);
         if another {
-            Outcome::Gone
+            OrderOutcome::WrongInstance
         } else {
-            Outcome::NotSent
+            OrderOutcome::NotSent
         }
     }
 
--- a/placement/tests/histories.rs
+++ b/placement/tests/histories.rs
@@ -34,7 +34,7 @@
     let mut world = full_world(39, 2);
     world.run(60_000);
     assert_eq!((world.orders.len(), world.reports), (0, 0));
-    assert_eq!(world.planner.counters().examined, 0);
+    assert_eq!(world.planner.counters().servers_examined, 0);
 }
 
 #[test]
@@ -170,8 +170,12 @@
     let before = world.planner.counters();
     world.run(20_000);
     let after = world.planner.counters();
-    assert_eq!(after.examined, before.examined);
-    assert!(after.rounds - before.rounds <= 200, "{}", after.rounds - before.rounds);
+    assert_eq!(after.servers_examined, before.servers_examined);
+    assert!(
+        after.planning_passes - before.planning_passes <= 200,
+        "{}",
+        after.planning_passes - before.planning_passes
+    );
 }
 
 #[test]
@@ -183,7 +187,10 @@
     world.demand = (0..332).map(|index| asked(&format!("m{index}"), 0.5, 1_000)).collect();
     world.run(30_000);
     let figures = world.planner.counters();
-    assert!(figures.rounds > 0 && figures.examined / figures.rounds <= 16 * 90, "{figures:?}");
+    assert!(
+        figures.planning_passes > 0 && figures.servers_examined / figures.planning_passes <= 16 * 90,
+        "{figures:?}"
+    );
 }
 
 /// Demand for a few models and adapters, drawn at random.
--- a/placement/tests/room.rs
+++ b/placement/tests/room.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::story::{waiting, Story};
-use shaletrail_placement::Outcome;
+use shaletrail_placement::OrderOutcome;
 use shaletrail_protocol::Millis;
 
 /// Long after the time that a former holder's loads should take.
@@ -39,7 +39,7 @@
     story.report(0, 1, false, &["m1"]);
     story.ask(&[waiting("m0")]);
     assert_eq!(story.orders(), ["s0 load m0 at 1"]);
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
 
     // when: one heartbeat is from before the eviction, the next from before the load has ended
     story.now += 100;
@@ -58,7 +58,7 @@
     let mut story = Story::new(4, &[&["m0"]]);
     story.ask(&[waiting("m2")]);
     assert_eq!(story.orders(), ["s0 load m2 at 0"]);
-    story.outcome(0, Outcome::Busy);
+    story.outcome(0, OrderOutcome::Busy);
 
     // when
     for _ in 0..2 {
--- a/placement/tests/scarce_room.rs
+++ b/placement/tests/scarce_room.rs
@@ -18,7 +18,7 @@
     let mut story = Story::new(2, &[&["m0"], &["m1"], &[], &[], &[], &[], &[], &[]]);
     story.ask(&[busy("m0", TOKENS_OF_EIGHT)]);
     story.orders();
-    assert_eq!(story.planner.replicas_wanted("m0"), 8);
+    assert_eq!(story.planner.desired_replicas("m0"), 8);
 }
 
 #[test]
@@ -27,11 +27,11 @@
     let mut story = Story::new(2, &[&["m0"], &["m0"], &["m0"], &["m0", "m1"]]);
     story.ask(&[busy("m0", TOKENS_OF_EIGHT)]);
     story.orders();
-    let alone = story.planner.replicas_wanted("m0");
+    let alone = story.planner.desired_replicas("m0");
     story.now += 100;
     story.ask(&[busy("m0", 0), busy("m1", TOKENS_OF_EIGHT)]);
     story.orders();
-    let (first, second) = (story.planner.replicas_wanted("m0"), story.planner.replicas_wanted("m1"));
+    let (first, second) = (story.planner.desired_replicas("m0"), story.planner.desired_replicas("m1"));
     assert!(alone > first && second >= first, "alone {alone}, then {first} and {second}");
     // Four servers have room for eight models.
     assert!(first + second <= 8, "{first} and {second}");
@@ -58,7 +58,7 @@
         story.orders();
         story.now += 2_000;
         story.ask(&[busy("m0", tokens), open]);
-        assert!(story.planner.replicas_wanted("m0") <= 1);
+        assert!(story.planner.desired_replicas("m0") <= 1);
         let orders = story.orders();
         assert_eq!(orders.iter().any(|order| order.starts_with("s1 evict")), gives_way, "{orders:?}");
     }
@@ -89,7 +89,7 @@
     let places = |sizes: &[f64], weights_mb: f64| {
         let spec = |weights_mb: &f64| ModelSpec { weights_mb: *weights_mb, ..ModelSpec::default() };
         let models = sizes.iter().map(spec).collect();
-        Catalogue { models, weights_mb, ..Catalogue::default() }.places_per_server()
+        Catalogue { models, weights_mb, ..Catalogue::default() }.model_slots_per_server()
     };
     assert_eq!(places(&[72.7, 72.7, 72.7, 72.7], 140.0), 1.0);
     assert_eq!(places(&[72.7, 65.1, 72.7, 65.1], 140.0), 2.0);
@@ -98,5 +98,5 @@
     assert_eq!(places(&[200.0], 140.0), 0.0);
     assert_eq!(places(&[], 140.0), 0.0);
     assert_eq!(places(&[0.0, f64::NAN, 70.0], 140.0), 1.0);
-    assert_eq!(catalogue(0).places_per_server(), 0.0);
+    assert_eq!(catalogue(0).model_slots_per_server(), 0.0);
 }
--- a/placement/tests/stories.rs
+++ b/placement/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::story::{catalogue, demand, for_adapter, id, sequence, waiting, Story, LATE};
-use shaletrail_placement::{Options, Outcome, Planner};
+use shaletrail_placement::{Options, OrderOutcome, Planner};
 use shaletrail_protocol::internal::{Demand, Presence};
 
 #[test]
@@ -32,7 +32,7 @@
     story.now += 2_000;
     story.ask(&[waiting("m2")]);
     assert_eq!(story.orders(), ["s0 evict m1 at 0"]);
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
     // Until the eviction is seen to be over nothing more is ordered.
     assert_eq!(story.after(200), [""; 0]);
     story.heartbeat(0, &["m0"]);
@@ -45,7 +45,7 @@
     story.ask(&[waiting("m2")]);
     assert_eq!(story.orders(), ["s0 evict m0 at 0"]);
     story.now += 20;
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
     assert_eq!(story.planner.next_reports(story.now), [""; 0]);
     story.now += 250;
     assert_eq!(story.planner.next_reports(story.now), ["s0"]);
@@ -84,7 +84,7 @@
     story.ask(&[waiting("m1")]);
     assert_eq!(story.orders(), ["s0 load m1 at 0"]);
     story.now += 1_000;
-    story.outcome(0, Outcome::Unknown);
+    story.outcome(0, OrderOutcome::Unknown);
     story.ask(&[waiting("m1"), waiting("m2")]);
     assert_eq!(story.after(100), [""; 0]);
     // A heartbeat and a report from before the order could have arrived tell nothing.
@@ -105,7 +105,7 @@
     let mut story = Story::new(4, &[&["m0"]]);
     story.ask(&[waiting("m1")]);
     assert_eq!(story.orders(), ["s0 load m1 at 0"]);
-    story.outcome(0, Outcome::Unknown);
+    story.outcome(0, OrderOutcome::Unknown);
     story.now += 2_100;
     story.report(0, 3, false, &["m0"]);
     story.ask(&[waiting("m1")]);
@@ -118,7 +118,7 @@
     story.ask(&[waiting("m1")]);
     let first = story.orders();
     let server = (0..3).find(|server| first[0].starts_with(&id(*server))).unwrap();
-    story.outcome(server, Outcome::Unknown);
+    story.outcome(server, OrderOutcome::Unknown);
     story.ask(&[waiting("m1")]);
     assert_eq!(story.after(1_000), [""; 0]);
     story.now += 1_100;
@@ -147,7 +147,7 @@
     let mut story = Story::new(4, &[&[]]);
     story.ask(&[waiting("m1")]);
     assert_eq!(story.orders(), ["s0 load m1 at 0"]);
-    story.outcome(0, Outcome::Busy);
+    story.outcome(0, OrderOutcome::Busy);
     assert_eq!(story.after(100), [""; 0]);
     story.now += 500;
     assert_eq!(story.planner.next_reports(story.now), ["s0"]);
@@ -166,7 +166,7 @@
     story.ask(&[waiting("m0")]);
     assert_eq!(story.orders(), [format!("{} load m0 at 0", order[0])]);
     let first = if order[0] == id(0) { 0 } else { 1 };
-    story.outcome(first, Outcome::Busy);
+    story.outcome(first, OrderOutcome::Busy);
     assert_eq!(story.after(100), [format!("{} load m0 at 0", order[1])]);
 }
 
@@ -177,7 +177,7 @@
     story.ask(&[waiting("m0")]);
     assert_eq!(story.orders(), [format!("{} load m0 at 0", order[0])]);
     let first = if order[0] == "s0" { 0 } else { 1 };
-    story.outcome(first, Outcome::NotSent);
+    story.outcome(first, OrderOutcome::NotSent);
     assert_eq!(story.after(100), [format!("{} load m0 at 0", order[1])]);
 }
 
@@ -187,7 +187,7 @@
     story.ask(&[demand("m0"), waiting("m2")]);
     let ordered = story.orders();
     let gone = if ordered == ["s0 load m2 at 0"] { 0 } else { 1 };
-    story.outcome(gone, Outcome::Gone);
+    story.outcome(gone, OrderOutcome::WrongInstance);
     story.ask(&[waiting("m0"), demand("m1"), waiting("m2")]);
     let other = 1 - gone;
     assert_eq!(story.after(100), [format!("s{other} load {} at 0", if gone == 0 { "m0" } else { "m2" })]);
@@ -217,12 +217,12 @@
     let mut story = Story::new(2, &[&["m0"], &[], &[], &[]]);
     story.ask(&[Demand { arrived: 15, tokens: 75_000, ..demand("m0") }]);
     assert_eq!(story.orders().len(), 2);
-    assert_eq!(story.planner.replicas_wanted("m0"), 3);
+    assert_eq!(story.planner.desired_replicas("m0"), 3);
     story.ask(&[demand("m0")]);
     story.after(4_000);
-    assert_eq!(story.planner.replicas_wanted("m0"), 2);
+    assert_eq!(story.planner.desired_replicas("m0"), 2);
     story.after(40_000);
-    assert_eq!(story.planner.replicas_wanted("m0"), 0);
+    assert_eq!(story.planner.desired_replicas("m0"), 0);
 }
 
 #[test]
@@ -233,7 +233,7 @@
     assert_eq!(story.orders().len(), 1);
     story.ask(&crowded());
     assert_eq!(story.after(3_000), [""; 0]);
-    assert_eq!(story.planner.replicas_wanted("m0"), 2);
+    assert_eq!(story.planner.desired_replicas("m0"), 2);
 }
 
 #[test]
@@ -249,7 +249,7 @@
     story.report(0, 1, false, &[]);
     story.ask(&[waiting("m0")]);
     assert_eq!(story.orders(), ["s0 load m0 at 1"]);
-    assert_eq!((story.planner.counters().loads, story.planner.counters().disk_loads), (0, 1));
+    assert_eq!((story.planner.counters().origin_loads, story.planner.counters().disk_loads), (0, 1));
 }
 
 #[test]
@@ -296,7 +296,7 @@
     let mut story = Story::new(4, &[&["m0"]]);
     story.ask(&[waiting("m1")]);
     assert_eq!(story.orders(), ["s0 load m1 at 0"]);
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
     story.now += 2_300;
     story.report(0, 1, false, &["m0", "m1"]);
     story.heartbeat(0, &["m0"]);
@@ -312,7 +312,7 @@
     story.report(0, 0, false, &["m0"]);
     story.ask(&[waiting("m1")]);
     assert_eq!(story.orders(), ["s0 load m1 at 0"]);
-    story.outcome(0, Outcome::Accepted);
+    story.outcome(0, OrderOutcome::Accepted);
     story.now += 2_000;
     story.heartbeat(0, &["m0", "m1"]);
     story.report(0, 1, true, &["m0"]);
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -395,11 +395,11 @@
 fn order_outcome(status: u16) -> OrderOutcome {
     match status {
         202 => OrderOutcome::Accepted,
-        200 => OrderOutcome::AlreadyHeld,
+        200 => OrderOutcome::AlreadyDone,
         409 => OrderOutcome::Busy,
         412 => OrderOutcome::Fenced,
         400 => OrderOutcome::Rejected,
-        421 => OrderOutcome::Gone,
+        421 => OrderOutcome::WrongInstance,
         _ => OrderOutcome::Unknown,
     }
 }
