--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -1,4 +1,4 @@
-//! Which adapters go where: to holders of their model, in the order of the adapter's own RJ-CH sequence.
+//! Placement of adapters: each goes to servers that hold its model, in the order of the adapter's own hash ring sequence.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,154 +8,173 @@
 use shaletrail_ring::Key;
 
 use crate::catalogue::adapter_name;
-use crate::choice::{Scene, ServerKey};
+use crate::context::PlacementContext;
 use crate::demand::{is_within, AdapterDemand};
-use crate::model::{Item, Model, ModelId};
-use crate::server::Server;
+use crate::model::{Artifact, Model, ModelId};
+use crate::server::{Server, ServerKey};
 
-/// An adapter without a holder is loaded if it was asked for within this time, in milliseconds.
-const ASKED: Millis = 2_000;
-/// An adapter that was asked for within this time does not give way, in milliseconds.
-const SETTLED: Millis = 1_000;
-/// Missing adapters that one round looks at.
-const MOST_NEEDS: usize = 64;
+/// Time after its last request during which an adapter counts as in demand, in milliseconds.
+const DEMAND_WINDOW: Millis = 2_000;
+/// Time after its last request during which an adapter is not evicted, in milliseconds.
+const MIN_IDLE: Millis = 1_000;
+/// Maximum number of missing adapters that one planning pass handles.
+const MAX_MISSING_ADAPTERS: usize = 64;
+/// Resolution at which request rates are compared, per request per second.
+const RATE_SCALE: f64 = 1_000.0;
 
 /// An order about an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdapterOrder {
-    /// At which server.
+    /// The server to send it to.
     pub server: ServerKey,
-    /// What to do.
+    /// Whether to load or to evict.
     pub operation: Operation,
     /// The adapter.
-    pub item: Item,
+    pub artifact: Artifact,
 }
 
+/// An adapter with fewer replicas than its demand needs.
 #[derive(Clone, Copy, Debug)]
-struct Missing {
-    item: Item,
+struct MissingAdapter {
+    artifact: Artifact,
     waiting: u32,
-    /// Thousandths of a request a second.
-    rate: u64,
+    /// Requests per second, in units of 1 / [`RATE_SCALE`].
+    scaled_rate: u64,
 }
 
-/// The next orders, at most one for each server, for adapters that are missing.
-pub fn orders(scene: &Scene, examined: &mut u64) -> Vec<AdapterOrder> {
+/// The next orders for missing adapters, at most one for each server. Adds the number of servers examined to `examined`.
+pub fn adapter_orders(context: &PlacementContext, examined: &mut u64) -> Vec<AdapterOrder> {
     let mut orders: Vec<AdapterOrder> = Vec::new();
-    for missing in missing(scene) {
-        let taken = |key: ServerKey| orders.iter().any(|order| order.server == key);
-        if let Some(order) = order_for(scene, missing.item, taken, examined) {
+    for missing in missing_adapters(context) {
+        let has_order = |key: ServerKey| orders.iter().any(|order| order.server == key);
+        if let Some(order) = order_for(context, missing.artifact, has_order, examined) {
             orders.push(order);
         }
     }
     orders
 }
 
-fn missing(scene: &Scene) -> Vec<Missing> {
-    let asked = |model: &Model| model.demand.adapters.values().any(|adapter| is_asked(adapter, scene.now));
-    if !scene.models.configured().any(|(_, model)| asked(model)) {
+/// The missing adapters, the most urgent first.
+fn missing_adapters(context: &PlacementContext) -> Vec<MissingAdapter> {
+    let has_demand =
+        |model: &Model| model.demand.adapters.values().any(|adapter| is_in_demand(adapter, context.now));
+    if !context.models.configured().any(|(_, model)| has_demand(model)) {
         return Vec::new();
     }
-    let (holders, copies) = count(scene);
+    let counts = AdapterCounts::of_servers(context);
     let mut all = Vec::new();
-    for (id, model) in scene.models.configured() {
-        let of_model = holders.get(&id).copied().unwrap_or_default();
-        for (number, demand) in model.demand.adapters.iter().filter(|(_, demand)| is_asked(demand, scene.now))
-        {
-            let there = copies.get(&(id, *number)).copied().unwrap_or_default();
-            let rate = demand.arrivals.per_second(scene.now);
-            let wanted = 1 + (rate / scene.options.adapter_replica_rate.max(0.1)) as usize;
-            if there < wanted.min(of_model) {
-                let item = Item { model: id, adapter: Some(*number) };
-                all.push(Missing { item, waiting: demand.waiting, rate: (rate * 1_000.0) as u64 });
+    for (id, model) in context.models.configured() {
+        let adapters = model.demand.adapters.iter();
+        for (number, demand) in adapters.filter(|(_, demand)| is_in_demand(demand, context.now)) {
+            let rate = demand.arrivals.per_second(context.now);
+            let wanted = 1 + (rate / context.options.adapter_replica_rate.max(0.1)) as usize;
+            if counts.of_adapter(id, *number) < wanted.min(counts.of_model(id)) {
+                all.push(MissingAdapter {
+                    artifact: Artifact::adapter(id, *number),
+                    waiting: demand.waiting,
+                    scaled_rate: (rate * RATE_SCALE) as u64,
+                });
             }
         }
     }
-    all.sort_by_key(|missing| (Reverse(missing.waiting), Reverse(missing.rate), missing.item));
-    all.truncate(MOST_NEEDS);
+    all.sort_by_key(|missing| (Reverse(missing.waiting), Reverse(missing.scaled_rate), missing.artifact));
+    all.truncate(MAX_MISSING_ADAPTERS);
     all
 }
 
-fn is_asked(demand: &AdapterDemand, now: Millis) -> bool {
-    demand.waiting > 0 || is_within(demand.last, now, ASKED)
+fn is_in_demand(demand: &AdapterDemand, now: Millis) -> bool {
+    demand.waiting > 0 || is_within(demand.last_requested, now, DEMAND_WINDOW)
 }
 
-type Holders = BTreeMap<ModelId, usize>;
-type AdapterCopies = BTreeMap<(ModelId, u32), usize>;
-
-/// Ready holders of each model, and of each adapter, those on their way included.
-fn count(scene: &Scene) -> (Holders, AdapterCopies) {
-    let (mut holders, mut copies) = (Holders::new(), AdapterCopies::new());
-    for server in scene.servers.values().filter(|server| server.is_ready()) {
-        for model in
-            server.holding.models().filter(|model| server.serves(Item { model: *model, adapter: None }))
-        {
-            *holders.entry(model).or_default() += 1;
+/// Replicas of models and of adapters on ready servers.
+#[derive(Default)]
+struct AdapterCounts {
+    models: BTreeMap<ModelId, usize>,
+    /// Those that are being loaded included.
+    adapters: BTreeMap<(ModelId, u32), usize>,
+}
+
+impl AdapterCounts {
+    fn of_servers(context: &PlacementContext) -> Self {
+        let mut counts = AdapterCounts::default();
+        context.servers.values().filter(|server| server.is_ready()).for_each(|server| counts.add(server));
+        counts
+    }
+
+    fn add(&mut self, server: &Server) {
+        let models = server.contents.models();
+        for model in models.filter(|model| server.serves(Artifact::model(*model))) {
+            *self.models.entry(model).or_default() += 1;
         }
-        let held = server.holding.adapters();
-        let served =
-            held.filter(|(model, number)| server.serves(Item { model: *model, adapter: Some(*number) }));
-        for adapter in served {
-            *copies.entry(adapter).or_default() += 1;
+        let adapters = server.contents.adapters();
+        for adapter in adapters.filter(|(model, number)| server.serves(Artifact::adapter(*model, *number))) {
+            *self.adapters.entry(adapter).or_default() += 1;
         }
-        let coming = server.in_flight.iter().filter(|order| order.operation == Operation::Load);
-        for item in coming.map(|order| order.item).filter(|item| !server.holding.has(*item)) {
-            if let Some(number) = item.adapter {
-                *copies.entry((item.model, number)).or_default() += 1;
-            }
+        let load = server.in_flight.as_ref().filter(|order| order.operation == Operation::Load);
+        let loading = load.map(|order| order.artifact).filter(|artifact| !server.contents.has(*artifact));
+        if let Some(Artifact { model, adapter: Some(number) }) = loading {
+            *self.adapters.entry((model, number)).or_default() += 1;
         }
     }
-    (holders, copies)
+
+    fn of_model(&self, model: ModelId) -> usize {
+        self.models.get(&model).copied().unwrap_or_default()
+    }
+
+    fn of_adapter(&self, model: ModelId, number: u32) -> usize {
+        self.adapters.get(&(model, number)).copied().unwrap_or_default()
+    }
 }
 
-/// The order that brings an adapter nearer: a load where there is room, else an eviction where the adapter that
-/// goes was not asked for the longest.
+/// The next order for a missing adapter: a load if a server has room, otherwise the eviction of the adapter that was idle
+/// the longest.
 fn order_for(
-    scene: &Scene,
-    item: Item,
-    taken: impl Fn(ServerKey) -> bool,
+    context: &PlacementContext,
+    artifact: Artifact,
+    has_order: impl Fn(ServerKey) -> bool,
     examined: &mut u64,
 ) -> Option<AdapterOrder> {
-    let model = scene.models.get(item.model)?;
-    let key = Key::of_parts(&[&model.spec.name, &adapter_name(item.adapter?)]);
-    let mut best: Option<(Millis, AdapterOrder)> = None;
-    for key in scene.ring.sequence(key) {
-        let Some(server) = scene.servers.get(key).filter(|server| takes(scene, server, item)) else {
-            continue;
-        };
-        if taken(*key) {
-            continue;
-        }
+    let model = context.models.get(artifact.model)?;
+    let ring_key = Key::of_parts(&[&model.spec.name, &adapter_name(artifact.adapter?)]);
+    let mut best_eviction: Option<(Millis, AdapterOrder)> = None;
+    for key in context.ring.sequence(ring_key) {
+        let server = context.servers.get(key).filter(|server| is_candidate(context, server, artifact));
+        let Some(server) = server.filter(|_| !has_order(*key)) else { continue };
         *examined += 1;
-        let added = scene.models.size_mb(item);
-        let fits = server.used_mb(scene.models) + added <= scene.catalogue.weights_mb;
-        if fits && server.holding.adapter_count() < scene.catalogue.adapter_capacity as usize {
-            return Some(AdapterOrder { server: *key, operation: Operation::Load, item });
+        if has_room(context, server, artifact) {
+            return Some(AdapterOrder { server: *key, operation: Operation::Load, artifact });
         }
-        let Some((idle, victim)) = oldest(scene, server) else { continue };
-        if best.is_none_or(|(longest, _)| idle > longest) {
-            best = Some((idle, AdapterOrder { server: *key, operation: Operation::Evict, item: victim }));
+        let Some((idle_ms, victim)) = longest_idle_adapter(context, server) else { continue };
+        if best_eviction.is_none_or(|(longest, _)| idle_ms > longest) {
+            let order = AdapterOrder { server: *key, operation: Operation::Evict, artifact: victim };
+            best_eviction = Some((idle_ms, order));
         }
     }
-    best.map(|(_, order)| order)
+    best_eviction.map(|(_, order)| order)
+}
+
+/// Whether a server accepts an order now and holds the adapter's model, but not the adapter.
+fn is_candidate(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
+    server.accepts_orders(context.now)
+        && server.reservation.is_none()
+        && server.contents.has(Artifact::model(artifact.model))
+        && !server.contents.has(artifact)
 }
 
-fn takes(scene: &Scene, server: &Server, item: Item) -> bool {
-    server.takes_orders(scene.now)
-        && server.reserved.is_none()
-        && server.holding.has(Item { adapter: None, ..item })
-        && !server.holding.has(item)
+fn has_room(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
+    let used_mb = server.used_mb(context.models) + context.models.size_mb(artifact);
+    let max_adapters = context.catalogue.adapter_capacity as usize;
+    used_mb <= context.catalogue.weights_mb && server.contents.adapter_count() < max_adapters
 }
 
-/// The adapter of a server that was not asked for the longest, with that time.
-fn oldest(scene: &Scene, server: &Server) -> Option<(Millis, Item)> {
-    let held = server.holding.adapters();
-    let with_idle = held.filter_map(|(id, number)| {
-        let demand = scene.models.get(id)?.demand.adapters.get(&number);
-        let last = demand.and_then(|demand| demand.last);
-        let idle = last.map_or(Millis::MAX, |last| scene.now.saturating_sub(last));
-        let settled = idle >= SETTLED && demand.is_none_or(|demand| demand.waiting == 0);
-        settled.then_some((idle, Item { model: id, adapter: Some(number) }))
+/// The adapter of a server that was idle the longest, with its idle time in milliseconds; `None` if all are in use.
+fn longest_idle_adapter(context: &PlacementContext, server: &Server) -> Option<(Millis, Artifact)> {
+    let idle_adapters = server.contents.adapters().filter_map(|(id, number)| {
+        let demand = context.models.get(id)?.demand.adapters.get(&number);
+        let last_requested = demand.and_then(|demand| demand.last_requested);
+        let idle_ms = last_requested.map_or(Millis::MAX, |last| context.now.saturating_sub(last));
+        let is_idle = idle_ms >= MIN_IDLE && demand.is_none_or(|demand| demand.waiting == 0);
+        is_idle.then_some((idle_ms, Artifact::adapter(id, number)))
     });
-    with_idle.max_by_key(|(idle, item)| (*idle, Reverse(*item)))
+    idle_adapters.max_by_key(|(idle_ms, artifact)| (*idle_ms, Reverse(*artifact)))
 }
--- /dev/null
+++ b/placement/src/candidates.rs
@@ -0,0 +1,80 @@
+//! On which server a missing replica is loaded.
+//!
+//! The servers are examined in the order of the model's hash ring sequence, so that routing and placement agree on a model's
+//! preferred servers. Before that order come the cost of evictions and, for overloaded models, the server's utilisation.
+
+use shaletrail_ring::Key;
+
+use crate::context::PlacementContext;
+use crate::eviction::{max_eviction_cost, Cost, EvictionCost};
+use crate::missing::MissingReplica;
+use crate::model::{Artifact, ModelId};
+use crate::replicas::ReplicaCounts;
+use crate::server::{Server, ServerKey};
+use crate::urgency::Urgency;
+
+/// Utilisation of a server, relative to one replica at target utilisation, from which further replicas avoid it.
+const MAX_UTILIZATION: f64 = 1.0;
+
+/// The server chosen for a replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Candidate {
+    /// The server.
+    pub server: ServerKey,
+    /// Whether the load comes from the weight store, as far as is known.
+    pub from_origin: bool,
+    /// The first model to evict there, if one must be.
+    pub victim: Option<ModelId>,
+}
+
+/// Compares candidates, the best first: avoided for its utilisation or not, cost, position in the hash ring sequence.
+type Rank = (bool, Cost, usize);
+
+impl PlacementContext<'_> {
+    /// The best server for a missing replica, among those that accept an order now. Adds the number of servers examined to
+    /// `examined`.
+    pub fn best_candidate(
+        &self,
+        missing: &MissingReplica,
+        counts: &ReplicaCounts,
+        examined: &mut u64,
+    ) -> Option<Candidate> {
+        let model = self.models.get(missing.model)?;
+        let max_cost = max_eviction_cost(missing.urgency, missing.utilization());
+        let mut best: Option<(Rank, ServerKey)> = None;
+        for (position, key) in self.ring.sequence(Key::of(&model.spec.name)).enumerate() {
+            let Some(server) = self.available_server(*key, missing.model) else { continue };
+            *examined += 1;
+            let cost = self.cost_of_room(*key, server, missing.model, max_cost, counts);
+            let Some(cost) = cost else { continue };
+            let is_avoided = missing.urgency == Urgency::Overloaded && self.is_fully_utilized(*key);
+            let rank = (is_avoided, cost, position);
+            if best.is_none_or(|(other, _)| rank < other) {
+                best = Some((rank, *key));
+            }
+            if !is_avoided && cost.0 == EvictionCost::None {
+                break;
+            }
+        }
+        let (_, key) = best?;
+        let server = self.servers.get(&key)?;
+        let victim = match self.missing_mb(server, missing.model) > 0.0 {
+            true => self.first_victim(key, server, missing.model, max_cost, counts),
+            false => None,
+        };
+        Some(Candidate { server: key, from_origin: !server.has_on_disk(missing.model), victim })
+    }
+
+    /// A server if it accepts an order now, is not chosen for another model and does not hold this one.
+    fn available_server(&self, key: ServerKey, model: ModelId) -> Option<&Server> {
+        let is_free = |server: &&Server| {
+            let is_claimed = server.reservation.is_some() || self.claimed.contains(&key);
+            server.accepts_orders(self.now) && !is_claimed && !server.contents.has(Artifact::model(model))
+        };
+        self.servers.get(&key).filter(is_free)
+    }
+
+    fn is_fully_utilized(&self, key: ServerKey) -> bool {
+        self.utilization.get(&key).is_some_and(|utilization| *utilization >= MAX_UTILIZATION)
+    }
+}
--- a/placement/src/catalogue.rs
+++ b/placement/src/catalogue.rs
@@ -1,49 +1,53 @@
-//! What the operator's configuration says about a service's models and servers.
+//! The configuration of a service as the planner needs it: its models, the capacity of its servers, the rate of the weight
+//! store.
 
-/// One model of a service.
+/// Bounds of [`Catalogue::max_concurrent_loads`].
+const MIN_CONCURRENT_LOADS: f64 = 2.0;
+const MAX_CONCURRENT_LOADS: f64 = 4_096.0;
+
+/// The configuration of one model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// The model's name, unique within the service.
     pub name: String,
-    /// Size of its weights, in MB.
+    /// Size of the weights, in MB.
     pub weights_mb: f64,
-    /// How long a load from the weight store takes, in seconds.
+    /// Time that a load from the weight store takes at full speed, in seconds.
     pub load_time_s: f64,
-    /// Adapters that there are, named `a1`, `a2` and so on.
+    /// Number of adapters. They are named `a1`, `a2` and so on.
     pub adapters: u32,
-    /// Size of each of its adapters, in MB.
+    /// Size of each adapter, in MB.
     pub adapter_size_mb: f64,
 }
 
-/// The models of a service and what each of its servers can hold.
+/// The models of a service and the capacity of each of its servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
-    /// The models.
+    /// The models that servers may load.
     pub models: Vec<ModelSpec>,
-    /// Room of a server for weights and adapters together, in MB.
+    /// Capacity of a server for weights and adapters together, in MB.
     pub weights_mb: f64,
-    /// Adapters that a server can hold, over all of its models.
+    /// Number of adapters that a server can hold, over all of its models.
     pub adapter_capacity: u32,
-    /// Loads a second that the weight store allows over all servers.
+    /// Loads per second that the weight store allows over all servers.
     pub load_per_s: f64,
 }
 
 impl Catalogue {
-    /// Loads that the store likely serves at once at full speed: as many as its rate keeps under way.
+    /// Number of concurrent loads that the weight store is expected to serve at full speed: by Little's law its rate times the
+    /// mean time of a load, within 2 and 4,096.
     pub fn max_concurrent_loads(&self) -> usize {
-        const LEAST: f64 = 2.0;
-        const MOST: f64 = 4_096.0;
         let sum: f64 = self.models.iter().map(|model| model.load_time_s).sum();
-        let under_way = (self.load_per_s * sum / self.models.len().max(1) as f64).round();
-        if under_way.is_finite() {
-            under_way.clamp(LEAST, MOST) as usize
+        let in_flight = (self.load_per_s * sum / self.models.len().max(1) as f64).round();
+        if in_flight.is_finite() {
+            in_flight.clamp(MIN_CONCURRENT_LOADS, MAX_CONCURRENT_LOADS) as usize
         } else {
-            LEAST as usize
+            MIN_CONCURRENT_LOADS as usize
         }
     }
 
-    /// Models that a server holds in the mean where all models are put onto as few servers as possible, the largest
-    /// that fits next.
+    /// Mean number of models on a server if all models are packed onto as few servers as possible (first fit, decreasing
+    /// size); 0 if no model fits onto a server.
     pub fn model_slots_per_server(&self) -> f64 {
         let mut sizes = self.sizes();
         let (mut models, mut servers) = (0, 0);
@@ -58,7 +62,7 @@
         f64::from(models) / f64::from(servers.max(1))
     }
 
-    /// The models that a server can hold by their sizes, the largest first, with how many there are of each.
+    /// The sizes of the models that fit onto a server in MB, in decreasing order, each with its number of models.
     fn sizes(&self) -> Vec<(f64, u32)> {
         let fits = |size: &f64| *size > 0.0 && *size <= self.weights_mb;
         let mut all: Vec<f64> = self.models.iter().map(|model| model.weights_mb).filter(fits).collect();
@@ -73,24 +77,25 @@
         sizes
     }
 
-    /// The size of the largest model, in MB.
+    /// The size of the largest model, in MB; 0 without models.
     pub fn largest_model_mb(&self) -> f64 {
         self.models.iter().map(|model| model.weights_mb).fold(0.0, f64::max)
     }
 }
 
-/// Takes the models that fit onto one server, the largest first; how many.
-fn fill_server(room_mb: f64, sizes: &mut [(f64, u32)]) -> u32 {
-    let (mut room, mut placed) = (room_mb, 0);
+/// Removes the models that fit onto one server from `sizes`, the largest first. Returns how many these are.
+fn fill_server(capacity_mb: f64, sizes: &mut [(f64, u32)]) -> u32 {
+    let (mut free_mb, mut placed) = (capacity_mb, 0);
     for (size, count) in sizes.iter_mut().filter(|(_, count)| *count > 0) {
-        let fit = ((room / *size) as u32).min(*count);
-        (room, placed) = (room - f64::from(fit) * *size, placed + fit);
+        let fit = ((free_mb / *size) as u32).min(*count);
+        free_mb -= f64::from(fit) * *size;
+        placed += fit;
         *count -= fit;
     }
     placed
 }
 
-/// The number in an adapter's name: 3 for `a3`.
+/// The number in an adapter's name, 3 for `a3`; `None` for a name of another form.
 pub fn adapter_number(name: &str) -> Option<u32> {
     let digits = name.strip_prefix('a')?;
     digits.parse().ok().filter(|number: &u32| *number > 0 && adapter_name(*number) == name)
--- a/placement/src/fair_share.rs
+++ b/placement/src/fair_share.rs
@@ -1,32 +1,33 @@
-//! How replicas are divided among models where there is no room for as many as would be at ease.
+//! The fair share of replicas where capacity does not suffice for all models at target utilisation.
 //!
-//! Each replica then bears more work than one at ease does, and all bear the same: a model whose demand rises gets
-//! replicas that others give up, rather than waiting until the others' demand has fallen.
+//! All replicas then run at the same utilisation above the target: a model whose demand rises gets replicas that others
+//! give up at once, instead of waiting until the demand of others has fallen.
 
-/// Halvings of the interval in which the work of one replica is sought.
-const SEARCH_STEPS: usize = 16;
+/// Steps of the bisection.
+const BISECTION_STEPS: usize = 16;
 
-/// The work that each replica has to bear so that all replicas beyond each model's first fit into `room`. `loads` are
-/// the models' work. Work is counted in replicas at ease: the result is 1 where there is room for all of them.
-pub fn work_per_replica(loads: &[f64], room: usize) -> f64 {
-    let fits = |work: f64| extra_replicas(loads, work) <= room;
+/// The utilisation of each replica, relative to the target, at which all replicas beyond each model's first fit into
+/// `extra_slots` model slots. `demands` holds each model's demand, in replicas at target utilisation. The result is 1 where
+/// there are enough slots for the target utilisation.
+pub fn utilization_per_replica(demands: &[f64], extra_slots: usize) -> f64 {
+    let fits = |utilization: f64| extra_replicas(demands, utilization) <= extra_slots;
     if fits(1.0) {
         return 1.0;
     }
-    let most = loads.iter().copied().fold(1.0, f64::max);
-    let (mut too_little, mut enough) = (1.0, most);
-    for _ in 0..SEARCH_STEPS {
-        let middle = (too_little + enough) / 2.0;
+    let greatest_demand = demands.iter().copied().fold(1.0, f64::max);
+    let (mut too_low, mut high_enough) = (1.0, greatest_demand);
+    for _ in 0..BISECTION_STEPS {
+        let middle = (too_low + high_enough) / 2.0;
         if fits(middle) {
-            enough = middle;
+            high_enough = middle;
         } else {
-            too_little = middle;
+            too_low = middle;
         }
     }
-    enough
+    high_enough
 }
 
-/// Replicas beyond each model's first, where each bears `work`.
-fn extra_replicas(loads: &[f64], work: f64) -> usize {
-    loads.iter().map(|load| ((load / work).ceil() as usize).saturating_sub(1)).sum()
+/// Number of replicas beyond each model's first where each replica runs at `utilization`.
+fn extra_replicas(demands: &[f64], utilization: f64) -> usize {
+    demands.iter().map(|demand| ((demand / utilization).ceil() as usize).saturating_sub(1)).sum()
 }
--- a/placement/src/in_flight.rs
+++ b/placement/src/in_flight.rs
@@ -1,87 +1,86 @@
-//! An order that is under way: when it was sent and taken, and how long it should take.
+//! An order in flight: when it was sent and accepted, and how long it should take.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 
-use crate::model::Item;
+use crate::interface::OrderNumber;
+use crate::model::Artifact;
 use crate::origin::{LoadToken, ACCEPTANCE_TIMEOUT};
 
-/// A load counts as likely done this long after the time that it should take, in milliseconds.
-const LOADED_MARGIN: Millis = 20;
-/// A load takes at most this many times its usual time, plus [`ORDER_SLACK`].
-const SLOWEST_LOAD: f64 = 4.0;
-/// Milliseconds.
-const ORDER_SLACK: Millis = 4_000;
-/// An unload waits for its runs, at most for this time, in milliseconds.
-pub const SLOWEST_EVICTION: Millis = 30_000;
-/// A load from the server's own disk takes this part of one from the store.
-const DISK_PART: f64 = 0.2;
-
-/// Names an order of one planner.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OrderNumber(pub u64);
+/// Added to the expected time of a load before the load counts as complete, in milliseconds.
+const LOAD_MARGIN: Millis = 20;
+/// A load takes at most this multiple of its expected time, plus [`MAX_LOAD_SLACK`].
+const MAX_LOAD_FACTOR: f64 = 4.0;
+/// See [`MAX_LOAD_FACTOR`], in milliseconds.
+const MAX_LOAD_SLACK: Millis = 4_000;
+/// Maximum time of an eviction, which waits for the requests in progress on the model, in milliseconds.
+pub const EVICTION_TIMEOUT: Millis = 30_000;
+/// Time of a load from the server's own disk, relative to one from the weight store.
+const DISK_LOAD_FACTOR: f64 = 0.2;
+/// Upper bound of a configured load time, in seconds.
+pub const MAX_LOAD_TIME_S: f64 = 3_600.0;
 
 /// An order that was sent and whose effect is not yet seen.
 #[derive(Clone, Debug)]
-pub struct InFlight {
-    /// Its name.
+pub struct InFlightOrder {
+    /// Identifies the order.
     pub number: OrderNumber,
-    /// The count of orders that it names.
-    pub named: u64,
-    /// What was ordered.
+    /// The server's revision that the order requires.
+    pub if_revision: u64,
+    /// Whether to load or to evict.
     pub operation: Operation,
-    /// Of what.
-    pub item: Item,
-    /// When it was planned.
-    pub sent: Millis,
-    /// When the server said that it carries it out.
-    pub accepted: Option<Millis>,
-    /// What it counts as at the weight store.
-    pub origin: Option<LoadToken>,
-    /// How long it should take from its acceptance, in milliseconds.
-    pub takes: Millis,
+    /// What to load or evict.
+    pub artifact: Artifact,
+    /// When the order was planned.
+    pub sent_at: Millis,
+    /// When the server accepted the order; `None` until then.
+    pub accepted_at: Option<Millis>,
+    /// The load's entry in the weight store's budget, if it loads from there.
+    pub origin_load: Option<LoadToken>,
+    /// Expected time from acceptance to completion, in milliseconds.
+    pub expected_ms: Millis,
 }
 
-impl InFlight {
-    /// How long a load of a model should take whose time from the store this is, in milliseconds.
-    pub fn load_takes(load_time_s: f64, from_origin: bool) -> Millis {
-        let part = if from_origin { 1.0 } else { DISK_PART };
-        (load_time_s.clamp(0.0, 3_600.0) * 1_000.0 * part) as Millis
+impl InFlightOrder {
+    /// Expected time of a load, in milliseconds, for a model that takes `load_time_s` seconds from the weight store.
+    pub fn expected_load_ms(load_time_s: f64, from_origin: bool) -> Millis {
+        let factor = if from_origin { 1.0 } else { DISK_LOAD_FACTOR };
+        (load_time_s.clamp(0.0, MAX_LOAD_TIME_S) * 1_000.0 * factor) as Millis
     }
 
-    /// Whether it is a load that is likely done, by the time that it should take.
-    pub fn is_likely_loaded(&self, now: Millis) -> bool {
-        let done = |accepted: Millis| now >= accepted + self.takes + LOADED_MARGIN;
-        self.operation == Operation::Load && self.accepted.is_some_and(done)
+    /// Whether the order is a load whose expected time has passed.
+    pub fn is_probably_loaded(&self, now: Millis) -> bool {
+        let is_over = |accepted_at: Millis| now >= accepted_at + self.expected_ms + LOAD_MARGIN;
+        self.operation == Operation::Load && self.accepted_at.is_some_and(is_over)
     }
 
-    /// Whether it loads or evicts a model as a whole.
-    pub fn is_model(&self, operation: Operation) -> bool {
-        self.operation == operation && self.item.adapter.is_none()
+    /// Whether the order is this operation on a model, and not on an adapter.
+    pub fn is_for_model(&self, operation: Operation) -> bool {
+        self.operation == operation && self.artifact.adapter.is_none()
     }
 
-    /// Whether it evicts this, or the model that this belongs to.
-    pub fn evicts(&self, item: Item) -> bool {
-        self.operation == Operation::Evict
-            && (self.item == item || self.item == Item { adapter: None, ..item })
+    /// Whether the order evicts the artifact, or the model that the artifact belongs to.
+    pub fn evicts(&self, artifact: Artifact) -> bool {
+        let evicts_it = self.artifact == artifact || self.artifact == Artifact::model(artifact.model);
+        self.operation == Operation::Evict && evicts_it
     }
 
-    /// Whether it was taken so long ago that it should be over by now.
+    /// Whether the order was accepted so long ago that it should have ended.
     pub fn is_overdue(&self, now: Millis) -> bool {
-        let longest = match self.operation {
-            Operation::Load => self.slowest_load(),
-            Operation::Evict => SLOWEST_EVICTION,
+        let timeout = match self.operation {
+            Operation::Load => self.load_timeout(),
+            Operation::Evict => EVICTION_TIMEOUT,
         };
-        self.accepted.is_some_and(|accepted| now.saturating_sub(accepted) >= longest)
+        self.accepted_at.is_some_and(|accepted_at| now.saturating_sub(accepted_at) >= timeout)
     }
 
-    /// Until when it can still be taken if it has no answer.
-    pub fn taken_until(&self) -> Millis {
-        self.sent.saturating_add(ACCEPTANCE_TIMEOUT)
+    /// Until when the server may still accept the order if there is no response.
+    pub fn acceptance_deadline(&self) -> Millis {
+        self.sent_at.saturating_add(ACCEPTANCE_TIMEOUT)
     }
 
-    /// The longest time that a load is reckoned to take, in milliseconds.
-    pub fn slowest_load(&self) -> Millis {
-        (self.takes as f64 * SLOWEST_LOAD) as Millis + ORDER_SLACK
+    /// Maximum time of a load, in milliseconds.
+    pub fn load_timeout(&self) -> Millis {
+        (self.expected_ms as f64 * MAX_LOAD_FACTOR) as Millis + MAX_LOAD_SLACK
     }
 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,45 +1,55 @@
-//! The planner of model placement: for one service, demand and the servers' state in, next orders out.
+//! The planner of model placement: turns the demand for a service's models and the state of its servers into orders to load
+//! and evict models and adapters.
 //!
-//! The holder of a service's orders owns one [`Planner`]. It feeds it what edges ask for ([`Planner::demand`]),
-//! what the directory knows of servers ([`Planner::server`]), what servers report ([`Planner::report`]) and how
-//! orders ended ([`Planner::outcome`]), and every 100 ms or so sends what [`Planner::next_orders`] returns.
+//! The lease holder of a service's orders owns one [`Planner`]. Inputs are demand ([`Planner::record_demand`]), directory
+//! records ([`Planner::update_server`]), servers' reports ([`Planner::record_report`]) and outcomes of orders
+//! ([`Planner::complete_order`]). Every 50 to 100 ms the holder sends the orders that [`Planner::next_orders`] returns.
 //!
-//! How it decides, in the order of the modules:
-//! - [`rate`] and `demand` smooth what edges report;
-//! - `target` turns that into a number of replicas for each model, and `fair_share` divides the room among them where
-//!   there is not enough for all;
-//! - `holding` and `server` keep what a server may hold, counting every order whose effect is not known: `in_flight`
-//!   is an order under way, `doubt` what is not known;
-//! - `order_count` keeps for how many orders of a server that holds: each order names it;
+//! Modules, in the order of a decision:
+//! - [`rate`], `demand` and `demand_sources` smooth and aggregate the demand that edges report;
+//! - `target` derives the number of replicas of each model; `fair_share` limits them where capacity does not suffice;
+//! - `server` is the state of a server: `contents` is what it may hold, `in_flight` its order in flight, `revision` the number
+//!   of orders that it has accepted, `uncertainty` which orders are not known;
 //! - [`origin`] keeps loads from the weight store within their rate;
-//! - `needs`, `choice`, `adapters` and `rounds` find the missing replicas, the server for each, and what gives way.
+//! - `replicas` counts replicas, and `missing` finds missing ones, by `urgency`;
+//! - `candidates` chooses the server for each, `eviction` what it evicts; `surplus` and `utilization` inform both;
+//!   `context` is the state that they read; `adapters` does the same for adapters;
+//! - `planner` runs the planning passes.
 //!
-//! A missing replica reserves a server until it is there: the server first drops what gives way, then loads. A
-//! model without demand is never loaded, and nothing is dropped except to make room.
+//! A missing replica reserves a server until its load starts: the server first evicts what must make room, then loads. A
+//! model without demand is never loaded, and models are evicted only to make room.
 //!
-//! The planner is pure: time is an argument, nothing is drawn at random, and equal inputs give equal orders.
+//! The planner is pure and deterministic: time is an argument, there is no randomness, and equal inputs give equal orders.
 
 #![warn(missing_docs)]
 
 mod adapters;
+mod candidates;
 pub mod catalogue;
-mod choice;
+mod contents;
+mod context;
 mod demand;
-mod doubt;
+mod demand_sources;
+mod eviction;
 mod fair_share;
-mod holding;
 mod in_flight;
+mod interface;
+mod missing;
 mod model;
-mod needs;
 mod options;
-mod order_count;
 pub mod origin;
 mod planner;
 pub mod rate;
-mod rounds;
+mod replicas;
+mod revision;
 mod server;
+mod surplus;
 mod target;
+mod uncertainty;
+mod urgency;
+mod utilization;
 
 pub use catalogue::{Catalogue, ModelSpec};
+pub use interface::{DesiredServer, OrderNumber, OrderOutcome, PlannedOrder, PlannerCounters};
 pub use options::Options;
-pub use planner::{DesiredServer, OrderNumber, OrderOutcome, PlannedOrder, Planner, PlannerCounters};
+pub use planner::Planner;
--- /dev/null
+++ b/placement/src/missing.rs
@@ -0,0 +1,92 @@
+//! Which replicas are missing, the most urgent first.
+
+use std::cmp::Reverse;
+
+use shaletrail_protocol::Millis;
+
+use crate::model::{Model, ModelId, ModelTable};
+use crate::replicas::ReplicaCounts;
+use crate::urgency::Urgency;
+
+/// Maximum number of missing replicas that one planning pass handles.
+const MAX_MISSING_REPLICAS: usize = 16;
+/// Scale of the weight of an overloaded model.
+const PERCENT: f64 = 100.0;
+
+/// A missing replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MissingReplica {
+    /// The model to load.
+    pub model: ModelId,
+    /// Why the replica is missing.
+    pub urgency: Urgency,
+    /// Order within the same urgency and priority, the greatest first. For [`Urgency::Overloaded`] the utilisation of each
+    /// replica in percent of the target, for [`Urgency::Waiting`] the number of waiting requests, for [`Urgency::Absent`]
+    /// the recency of the last request.
+    pub weight: u64,
+    /// Priority of the requests, 0 for the most urgent.
+    pub priority: u8,
+}
+
+impl MissingReplica {
+    /// Utilisation of the model's replicas, relative to the target; without meaning unless the model is overloaded.
+    pub fn utilization(&self) -> f64 {
+        self.weight as f64 / PERCENT
+    }
+
+    /// The first replica of a model that has none.
+    fn first(now: Millis, id: ModelId, model: &Model) -> Self {
+        let demand = &model.demand;
+        let idle_s = demand.idle_ms(now) / 1_000;
+        let (urgency, weight) = match demand.waiting {
+            0 => (Urgency::Absent, u64::MAX - idle_s),
+            waiting => (Urgency::Waiting, u64::from(waiting)),
+        };
+        MissingReplica { model: id, urgency, weight, priority: demand.priority }
+    }
+
+    /// A further replica of a model with `replicas` replicas. The most overloaded model comes first, whatever its priority.
+    fn further(id: ModelId, model: &Model, replicas: usize) -> Self {
+        let weight = (model.target.demand / replicas as f64 * PERCENT) as u64;
+        MissingReplica { model: id, urgency: Urgency::Overloaded, weight, priority: 0 }
+    }
+}
+
+/// The missing replicas, the most urgent first. Replicas beyond each model's first may fill `extra_slots` model slots, the
+/// existing ones included; a model has at most one on each of the `ready` servers.
+pub fn missing_replicas(
+    now: Millis,
+    models: &ModelTable,
+    counts: &ReplicaCounts,
+    ready: usize,
+    extra_slots: usize,
+) -> Vec<MissingReplica> {
+    let mut missing = Vec::new();
+    let mut filled_slots = 0;
+    for (id, model) in models.configured().filter(|(_, model)| model.target.replicas > 0) {
+        let replicas = counts.of(id).total();
+        filled_slots += replicas.min(model.target.replicas).saturating_sub(1);
+        if replicas == 0 {
+            missing.push(MissingReplica::first(now, id, model));
+        }
+        let wanted = model.target.replicas.min(ready);
+        missing
+            .extend((replicas.max(1)..wanted).map(|replicas| MissingReplica::further(id, model, replicas)));
+    }
+    missing.sort_by_key(|entry| (entry.urgency, entry.priority, Reverse(entry.weight), entry.model));
+    limit_extra_replicas(&mut missing, extra_slots.saturating_sub(filled_slots));
+    missing.truncate(MAX_MISSING_REPLICAS);
+    missing
+}
+
+/// Keeps the first `free_slots` of the replicas beyond each model's first.
+fn limit_extra_replicas(missing: &mut Vec<MissingReplica>, mut free_slots: usize) {
+    missing.retain(|entry| {
+        if entry.urgency != Urgency::Overloaded {
+            return true;
+        }
+        let fits = free_slots > 0;
+        free_slots -= usize::from(fits);
+        fits
+    });
+}
--- a/placement/src/options.rs
+++ b/placement/src/options.rs
@@ -1,4 +1,4 @@
-//! What can be set about a [`crate::Planner`].
+//! The tunables of a [`crate::Planner`].
 
 use shaletrail_protocol::settings::Bounds;
 use shaletrail_protocol::Millis;
@@ -6,19 +6,19 @@
 /// Tunables of the planner. [`Options::default`] suits the deployments described to the project.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// The window over which loads from the weight store are counted, in milliseconds.
+    /// Length of the sliding window over which loads from the weight store are limited, in milliseconds.
     pub origin_window: Millis,
-    /// Work in tokens a second (prompt, and output tenfold) that one replica takes at ease.
+    /// Tokens per second (prompt tokens plus ten times the output tokens) of one replica at target utilisation.
     pub target_tokens_per_replica: f64,
-    /// Part of a server's slots that may be open before a model gets another replica.
+    /// Fraction of a server's slots in use at target utilisation, from 0 to 1. Above it a model gets another replica.
     pub target_slot_utilization: f64,
-    /// Part of all places that replicas beyond each model's first may fill.
+    /// Fraction of all model slots that replicas beyond each model's first may fill, from 0 to 1.
     pub extra_replica_share: f64,
-    /// Part of the store's rate that only models with waiting requests and no holder may use.
+    /// Fraction of the store's rate that is reserved for models without a replica whose requests wait, from 0 to 1.
     pub urgent_load_share: f64,
-    /// How long a model or adapter counts as in demand after its last request, in milliseconds.
+    /// Time after its last request during which a model counts as in demand, in milliseconds.
     pub demand_window: Millis,
-    /// Requests a second from which an adapter gets one more replica, and again for each multiple.
+    /// Requests per second for each further replica of an adapter.
     pub adapter_replica_rate: f64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Options {
-    /// The defaults, with the window that the settings give.
+    /// The defaults, with the weight store's window from the settings.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Options { origin_window: bounds.origin_window.as_millis() as Millis, ..Options::default() }
     }
--- /dev/null
+++ b/placement/src/planner/inputs.rs
@@ -0,0 +1,120 @@
+//! Applies the planner's inputs: demand, directory records, and servers' reports.
+
+use shaletrail_protocol::external::{LoadedModel, Report};
+use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
+use shaletrail_protocol::{Millis, NodeId, ServerId};
+use shaletrail_ring::hash_of_name;
+
+use super::{Planner, UNREACHABLE_BACKOFF};
+use crate::catalogue::adapter_number;
+use crate::contents::ListedModel;
+use crate::server::{Server, ServerKey};
+
+/// Maximum number of servers; further ones are ignored.
+const MAX_SERVERS: usize = 4_096;
+
+impl Planner {
+    /// Applies the demand that a source reports (an edge, or a coordinator for its edges). Its waiting and open requests
+    /// replace those of the source's last report.
+    pub fn record_demand(&mut self, now: Millis, source: NodeId, demand: &[Demand]) {
+        self.demand_sources.record(now, source, demand, &self.service, &mut self.models);
+        self.has_changed |= demand.iter().any(|entry| entry.service == self.service);
+    }
+
+    /// Applies the directory's record of a server. Records of other services, and those of older heartbeats, are ignored.
+    pub fn update_server(&mut self, now: Millis, record: &ServerRecord) {
+        let heartbeat = &record.heartbeat;
+        if heartbeat.service != self.service {
+            return;
+        }
+        if record.presence == Presence::Removed {
+            return self.remove_server(&record.id);
+        }
+        let Some(key) = self.find_or_add_server(&record.id) else { return };
+        let listed = heartbeat.models.as_deref().map(|models| self.identify(models));
+        let Some(server) = self.servers.get_mut(&key) else { return };
+        let is_newer = server.record_heartbeat(now, heartbeat.sequence, listed.as_deref());
+        if !is_newer && record.presence == Presence::Ready && !server.is_ready() {
+            return;
+        }
+        self.has_changed |= is_newer;
+        server.slots = heartbeat.slots;
+        let has_moved = server.address != heartbeat.address;
+        server.address.clone_from(&heartbeat.address);
+        self.set_presence(key, record.presence, has_moved);
+    }
+
+    /// Removes a server that is no longer in the directory.
+    pub fn remove_server(&mut self, id: &ServerId) {
+        let Some(key) = self.keys.remove(id) else { return };
+        self.ring.update(&[(key, 0, 0.0)]);
+        self.servers.remove(&key);
+        self.has_changed = true;
+    }
+
+    /// Applies a server's response to `GET /report`.
+    pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &Report) {
+        let listed = self.identify(&report.models);
+        let Some(server) = self.server_mut(id) else { return };
+        server.record_report(now, report.sequence, report.utilization, &listed);
+        self.has_changed = true;
+    }
+
+    /// A server did not respond to `GET /report`.
+    pub fn report_failed(&mut self, now: Millis, id: &ServerId) {
+        if let Some(server) = self.server_mut(id) {
+            server.report_failed(now, UNREACHABLE_BACKOFF);
+            self.has_changed = true;
+        }
+    }
+
+    /// Another server has this server's address: it counts as timed out until its next heartbeat.
+    pub(super) fn mark_timed_out(&mut self, now: Millis, id: &ServerId) {
+        let Some(key) = self.keys.get(id).copied() else { return };
+        if let Some(server) = self.servers.get_mut(&key) {
+            server.order_rejected(now, UNREACHABLE_BACKOFF);
+        }
+        self.set_presence(key, Presence::TimedOut, false);
+    }
+
+    fn set_presence(&mut self, key: ServerKey, presence: Presence, has_moved: bool) {
+        let Some(server) = self.servers.get_mut(&key) else { return };
+        let was_ready = server.is_ready();
+        server.presence = presence;
+        if !server.is_ready() {
+            server.reservation = None;
+        }
+        if was_ready != server.is_ready() || has_moved {
+            self.has_changed = true;
+            let weight = if server.is_ready() { 1.0 } else { 0.0 };
+            self.ring.update(&[(key, hash_of_name(&server.address), weight)]);
+        }
+    }
+
+    fn find_or_add_server(&mut self, id: &ServerId) -> Option<ServerKey> {
+        if let Some(key) = self.keys.get(id) {
+            return Some(*key);
+        }
+        if self.servers.len() >= MAX_SERVERS {
+            return None;
+        }
+        self.last_key += 1;
+        let key = ServerKey(self.last_key);
+        self.keys.insert(id.clone(), key);
+        self.servers.insert(key, Server::new(id.clone(), self.initial_uncertainty));
+        Some(key)
+    }
+
+    /// Resolves the names of models and adapters in a message. A model that the configuration does not know counts as large
+    /// as the largest one.
+    fn identify(&mut self, loaded: &[LoadedModel]) -> Vec<ListedModel> {
+        let assumed_mb = self.catalogue.largest_model_mb();
+        let identify_model = |entry: &LoadedModel| {
+            let adapters: Vec<u32> = entry.adapters.iter().filter_map(|name| adapter_number(name)).collect();
+            let unidentified_adapters = entry.adapters.len() - adapters.len();
+            let model = self.models.intern(&entry.name, assumed_mb);
+            ListedModel { model, adapters, unidentified_adapters }
+        };
+        loaded.iter().map(identify_model).collect()
+    }
+}
--- a/placement/src/rate.rs
+++ b/placement/src/rate.rs
@@ -1,49 +1,50 @@
-//! A rate that rises fast and falls slowly.
+//! A smoothed event rate that follows a rise fast and a fall slowly.
 
 use shaletrail_protocol::Millis;
 
-/// Half-life of the part that follows a rise.
-pub const RISE: Millis = 1_000;
-/// Half-life of the part that holds on in a lull.
-pub const FALL: Millis = 8_000;
+/// Half-life of the average that follows a rise, in milliseconds.
+pub const RISE_HALF_LIFE: Millis = 1_000;
+/// Half-life of the average that bridges a lull, in milliseconds.
+pub const FALL_HALF_LIFE: Millis = 8_000;
 
-/// A count that fades with a half-life.
+/// An exponentially decaying count.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Fading {
+struct DecayingCount {
     count: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Fading {
-    fn faded(&self, now: Millis, half_life: Millis) -> f64 {
-        self.count * (-(now.saturating_sub(self.at) as f64) / half_life as f64).exp2()
+impl DecayingCount {
+    fn decayed(&self, now: Millis, half_life: Millis) -> f64 {
+        self.count * (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2()
     }
 
     fn add(&mut self, now: Millis, count: f64, half_life: Millis) {
-        (self.count, self.at) = (self.faded(now, half_life) + count, self.at.max(now));
+        self.count = self.decayed(now, half_life) + count;
+        self.updated_at = self.updated_at.max(now);
     }
 
     fn per_second(&self, now: Millis, half_life: Millis) -> f64 {
-        self.faded(now, half_life) * std::f64::consts::LN_2 / half_life as f64 * 1_000.0
+        self.decayed(now, half_life) * std::f64::consts::LN_2 / half_life as f64 * 1_000.0
     }
 }
 
-/// Events a second: the greater of a short and a long mean.
+/// Events per second: the greater of a short-term and a long-term exponential moving average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
-    short: Fading,
-    long: Fading,
+    short_term: DecayingCount,
+    long_term: DecayingCount,
 }
 
 impl Rate {
-    /// Counts events.
+    /// Counts `count` events at `now`.
     pub fn add(&mut self, now: Millis, count: f64) {
-        self.short.add(now, count, RISE);
-        self.long.add(now, count, FALL);
+        self.short_term.add(now, count, RISE_HALF_LIFE);
+        self.long_term.add(now, count, FALL_HALF_LIFE);
     }
 
-    /// Events a second, as it stands.
+    /// Events per second at `now`.
     pub fn per_second(&self, now: Millis) -> f64 {
-        self.short.per_second(now, RISE).max(self.long.per_second(now, FALL))
+        self.short_term.per_second(now, RISE_HALF_LIFE).max(self.long_term.per_second(now, FALL_HALF_LIFE))
     }
 }
--- /dev/null
+++ b/placement/src/server/mod.rs
@@ -0,0 +1,141 @@
+//! The state of one server as the planner knows it.
+//!
+//! [`messages`] applies heartbeats and reports, [`orders`] follows an order from its sending to its end, [`reporting`] decides
+//! when to request a report.
+
+mod messages;
+mod orders;
+mod reporting;
+
+use std::collections::BTreeSet;
+
+use shaletrail_protocol::external::Operation;
+use shaletrail_protocol::internal::Presence;
+use shaletrail_protocol::{Millis, ServerId};
+
+use crate::contents::ServerContents;
+use crate::in_flight::InFlightOrder;
+use crate::model::{Artifact, ModelId, ModelTable};
+use crate::revision::OrderRevision;
+use crate::uncertainty::Uncertainty;
+use crate::urgency::Urgency;
+use reporting::ReportSchedule;
+
+/// Identifies a server within the planner, for one start of its process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ServerKey(pub u64);
+
+/// Reserves a server for a model that is loaded once there is room.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Reservation {
+    /// The model to load.
+    pub model: ModelId,
+    /// Whether the load comes from the weight store.
+    pub from_origin: bool,
+    /// Why the replica is missing.
+    pub urgency: Urgency,
+}
+
+/// A server of the service, for one start of its process.
+#[derive(Clone, Debug)]
+pub struct Server {
+    /// The server's identity, new at each start.
+    pub id: ServerId,
+    /// The server's address, `IP:PORT`, which determines its position on the hash ring.
+    pub address: String,
+    /// Maximum number of requests that it processes concurrently.
+    pub slots: u32,
+    /// The server's state in the directory.
+    pub presence: Presence,
+    /// What the server may hold.
+    pub contents: ServerContents,
+    /// The order in flight. A server has at most one.
+    pub in_flight: Option<InFlightOrder>,
+    /// The model that the server is reserved for.
+    pub reservation: Option<Reservation>,
+    /// How many orders the server has accepted. `contents` are known for that revision.
+    pub revision: OrderRevision,
+    /// Set while the server may have accepted orders that are not known.
+    pub uncertainty: Option<Uncertainty>,
+    /// Models that the server has held, and so has on its disk.
+    on_disk: BTreeSet<ModelId>,
+    /// Sequence number of the newest heartbeat that listed the contents.
+    last_heartbeat: Option<u64>,
+    /// No order is sent before this time.
+    blocked_until: Millis,
+    reports: ReportSchedule,
+}
+
+impl Server {
+    /// A server that is seen for the first time. `uncertainty` covers the orders of the previous lease holder. If it has sent
+    /// any, the server rejects the first order, and a report gives the revision.
+    pub fn new(id: ServerId, uncertainty: Uncertainty) -> Self {
+        Server {
+            id,
+            address: String::new(),
+            slots: 0,
+            presence: Presence::TimedOut,
+            contents: ServerContents::default(),
+            in_flight: None,
+            reservation: None,
+            revision: OrderRevision::INITIAL,
+            uncertainty: Some(uncertainty),
+            on_disk: BTreeSet::new(),
+            last_heartbeat: None,
+            blocked_until: 0,
+            reports: ReportSchedule::default(),
+        }
+    }
+
+    /// Drops all state of orders at the start of a lease. `uncertainty` covers earlier orders; `None` if nobody has sent any.
+    pub fn reset_for_lease(&mut self, uncertainty: Option<Uncertainty>) {
+        self.in_flight = None;
+        self.reservation = None;
+        self.uncertainty = uncertainty;
+        self.blocked_until = 0;
+        self.reports = ReportSchedule::default();
+        match uncertainty {
+            Some(_) => self.revision.invalidate(),
+            None => self.revision = OrderRevision::INITIAL,
+        }
+    }
+
+    /// Whether requests may be routed to the server.
+    pub fn is_ready(&self) -> bool {
+        self.presence == Presence::Ready
+    }
+
+    /// Whether an order may be sent now.
+    pub fn accepts_orders(&self, now: Millis) -> bool {
+        self.is_ready()
+            && self.last_heartbeat.is_some()
+            && self.in_flight.is_none()
+            && self.uncertainty.is_none()
+            && now >= self.blocked_until
+    }
+
+    /// Whether the server holds the artifact and does not evict it.
+    pub fn serves(&self, artifact: Artifact) -> bool {
+        self.contents.has(artifact) && !self.in_flight.as_ref().is_some_and(|order| order.evicts(artifact))
+    }
+
+    /// Whether the server loads the artifact, or is reserved for it.
+    pub fn expects(&self, artifact: Artifact) -> bool {
+        let is_load =
+            |order: &InFlightOrder| order.operation == Operation::Load && order.artifact == artifact;
+        let is_reserved = |reservation: &Reservation| artifact == Artifact::model(reservation.model);
+        self.in_flight.as_ref().is_some_and(is_load) || self.reservation.as_ref().is_some_and(is_reserved)
+    }
+
+    /// Whether a load of the model is known to come from the server's own disk.
+    pub fn has_on_disk(&self, model: ModelId) -> bool {
+        self.on_disk.contains(&model)
+    }
+
+    /// Capacity that may be in use, a load in flight included, in MB.
+    pub fn used_mb(&self, models: &ModelTable) -> f64 {
+        let load = self.in_flight.as_ref().filter(|order| order.operation == Operation::Load);
+        let loading = load.map(|order| order.artifact).filter(|artifact| !self.contents.has(*artifact));
+        self.contents.used_mb(models) + loading.map_or(0.0, |artifact| models.size_mb(artifact))
+    }
+}
--- a/placement/src/target.rs
+++ b/placement/src/target.rs
@@ -1,95 +1,103 @@
-//! How many replicas of a model there should be.
+//! The target number of replicas of a model.
 //!
-//! Raised at once when demand or crowding says so, lowered one at a time: each replica costs a load. Where there is no
-//! room for all models' replicas, those that one has too many are lowered at once, as others want the room.
+//! The target rises at once with demand or when requests find all replicas full, and falls one replica at a time, because
+//! each replica costs a load. Where capacity does not suffice for all models, it falls to the fair share at once, because
+//! others need the capacity.
 
 use shaletrail_protocol::Millis;
 
 use crate::demand::{is_within, ModelDemand};
 use crate::options::Options;
 
-/// Part of a replica's ease by which demand may be over before another is wanted.
+/// Hysteresis of a rise: the part of a replica by which demand may exceed the replicas before another is added.
 const RISE_MARGIN: f64 = 0.15;
-/// The same by which it must be under before one fewer is wanted.
+/// Hysteresis of a fall: the part of a replica by which demand must fall below the replicas before one is removed.
 const FALL_MARGIN: f64 = 0.3;
-/// Between two steps down, in milliseconds.
-const STEP_DOWN: Millis = 4_000;
-/// Between two raises for crowding, in milliseconds: the first must have had time to help.
-const STEP_UP: Millis = 2_500;
-/// How long a report of crowding counts, in milliseconds.
-const CROWDED_FOR: Millis = 1_000;
-/// How long a raise for crowding lasts after the last crowding, in milliseconds.
-const RAISE_LASTS: Millis = 10_000;
+/// Minimum time between two steps down, in milliseconds.
+const STEP_DOWN_INTERVAL: Millis = 4_000;
+/// Minimum time between two boosts, in milliseconds: the first must have had time to take effect.
+const BOOST_INTERVAL: Millis = 2_500;
+/// Time for which a report of requests over capacity counts, in milliseconds.
+const OVER_CAPACITY_TTL: Millis = 1_000;
+/// Time after the last report of requests over capacity at which the boost ends, in milliseconds.
+const BOOST_TTL: Millis = 10_000;
+/// Maximum number of replicas that demand alone asks for.
+const MAX_REPLICAS: f64 = 1024.0;
 
-/// The wanted number of replicas of one model.
+/// The target number of replicas of one model.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Target {
-    /// Replicas wanted; 0 without demand.
+pub struct ReplicaTarget {
+    /// Replicas that there should be; 0 without demand.
     pub replicas: usize,
-    /// The work that is asked for, in replicas at ease.
-    pub load: f64,
-    raised: usize,
-    raised_at: Millis,
+    /// The demand, in replicas at target utilisation.
+    pub demand: f64,
+    /// Replicas beyond those by demand, because requests found all replicas at their limit.
+    boost: usize,
+    boosted_at: Millis,
     lowered_at: Millis,
 }
 
-impl Target {
-    /// Brings the target up to date. `load` is the work that is asked for, if any; `copies` how many replicas are
-    /// ready; each may bear `work_per_replica`, which is more than 1 where there is no room for all models' replicas.
+impl ReplicaTarget {
+    /// Updates the target. `replica_demand` is the result of [`replica_demand`], `serving` the number of ready replicas, and
+    /// `utilization_per_replica` their utilisation relative to the target, above 1 only where capacity does not suffice for
+    /// all models.
     pub fn update(
         &mut self,
         now: Millis,
-        load: Option<f64>,
+        replica_demand: Option<f64>,
         demand: &ModelDemand,
-        copies: usize,
-        work_per_replica: f64,
+        serving: usize,
+        utilization_per_replica: f64,
     ) {
-        let Some(load) = load else {
-            *self = Target { lowered_at: now, ..Target::default() };
+        let Some(replica_demand) = replica_demand else {
+            *self = ReplicaTarget { lowered_at: now, ..ReplicaTarget::default() };
             return;
         };
-        self.load = load;
-        let is_short_of_room = work_per_replica > 1.0;
-        if is_short_of_room {
-            self.raised = 0;
+        self.demand = replica_demand;
+        let is_capacity_scarce = utilization_per_replica > 1.0;
+        if is_capacity_scarce {
+            self.boost = 0;
         } else {
-            self.raise_for_crowding(now, demand, copies);
+            self.update_boost(now, demand, serving);
         }
-        let wanted = load / work_per_replica;
-        let least = replicas(wanted - RISE_MARGIN) + self.raised;
-        let most = replicas(wanted + FALL_MARGIN) + self.raised;
-        if least >= self.replicas {
-            (self.replicas, self.lowered_at) = (least, now);
-        } else if most < self.replicas && is_short_of_room {
-            (self.replicas, self.lowered_at) = (most, now);
-        } else if most < self.replicas && now.saturating_sub(self.lowered_at) >= STEP_DOWN {
+        let wanted = replica_demand / utilization_per_replica;
+        let min = whole_replicas(wanted - RISE_MARGIN) + self.boost;
+        let max = whole_replicas(wanted + FALL_MARGIN) + self.boost;
+        if min >= self.replicas {
+            (self.replicas, self.lowered_at) = (min, now);
+        } else if max < self.replicas && is_capacity_scarce {
+            (self.replicas, self.lowered_at) = (max, now);
+        } else if max < self.replicas && now.saturating_sub(self.lowered_at) >= STEP_DOWN_INTERVAL {
             (self.replicas, self.lowered_at) = (self.replicas - 1, now);
         }
     }
 
-    fn raise_for_crowding(&mut self, now: Millis, demand: &ModelDemand, copies: usize) {
-        let crowded = is_within(demand.crowded, now, CROWDED_FOR);
-        if crowded && copies >= self.replicas && now.saturating_sub(self.raised_at) >= STEP_UP {
-            (self.raised, self.raised_at) = (self.raised + 1, now);
+    /// Adds a replica while requests find all replicas at their limit, and ends the boost once none has for a while.
+    fn update_boost(&mut self, now: Millis, demand: &ModelDemand, serving: usize) {
+        let is_over_capacity = is_within(demand.last_over_capacity, now, OVER_CAPACITY_TTL);
+        let is_due = now.saturating_sub(self.boosted_at) >= BOOST_INTERVAL;
+        if is_over_capacity && serving >= self.replicas && is_due {
+            (self.boost, self.boosted_at) = (self.boost + 1, now);
         }
-        if self.raised > 0 && !is_within(demand.crowded, now, RAISE_LASTS) {
-            self.raised = 0;
+        if self.boost > 0 && !is_within(demand.last_over_capacity, now, BOOST_TTL) {
+            self.boost = 0;
         }
     }
 }
 
-/// The work that is asked for, in replicas at ease: by tokens, or by open requests if that is more. `None` where
-/// nothing was asked for lately. `slots` is that of one server.
-pub fn load(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> Option<f64> {
-    if !demand.within(now, options.demand_window) && demand.waiting == 0 && demand.open == 0 {
+/// The demand for a model in replicas at target utilisation: by tokens, or by open requests if that is more. `slots` is the
+/// concurrency limit of one server. `None` if the model was not requested recently.
+pub fn replica_demand(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> Option<f64> {
+    let is_requested = demand.is_requested_within(now, options.demand_window);
+    if !is_requested && demand.waiting == 0 && demand.open == 0 {
         return None;
     }
     let by_tokens = demand.tokens.per_second(now) / options.target_tokens_per_replica.max(1.0);
-    let by_slots =
-        f64::from(demand.open) / (f64::from(slots.max(1)) * options.target_slot_utilization.max(0.01));
+    let target_slots = f64::from(slots.max(1)) * options.target_slot_utilization.max(0.01);
+    let by_slots = f64::from(demand.open) / target_slots;
     Some(by_tokens.max(by_slots))
 }
 
-fn replicas(load: f64) -> usize {
-    load.ceil().clamp(1.0, 1024.0) as usize
+fn whole_replicas(demand: f64) -> usize {
+    demand.ceil().clamp(1.0, MAX_REPLICAS) as usize
 }
--- a/placement/tests/origin.rs
+++ b/placement/tests/origin.rs
@@ -24,7 +24,7 @@
 fn given_orders_without_an_answer_when_time_passes_then_they_count_from_the_latest_moment_they_may_begin() {
     let mut budget = fresh(1.0);
     for _ in 0..5 {
-        budget.order(20_000);
+        budget.order_sent(20_000);
     }
     assert_eq!(budget.available(20_000 + WINDOW + ACCEPTANCE_TIMEOUT - 1), 0);
     assert_eq!(budget.available(20_000 + WINDOW + ACCEPTANCE_TIMEOUT), 5);
@@ -33,15 +33,15 @@
 #[test]
 fn given_an_order_that_was_accepted_when_time_passes_then_it_counts_from_its_answer() {
     let mut budget = fresh(0.2);
-    let token = budget.order(20_000);
-    budget.accepted(20_040, token);
+    let token = budget.order_sent(20_000);
+    budget.order_accepted(20_040, token);
     assert_eq!((budget.available(25_039), budget.available(25_040)), (0, 1));
 }
 
 #[test]
 fn given_an_order_that_was_surely_not_taken_when_asked_then_its_allowance_is_free_again() {
     let mut budget = fresh(0.2);
-    let token = budget.order(20_000);
+    let token = budget.order_sent(20_000);
     assert_eq!(budget.available(20_000), 0);
     budget.cancel(token);
     assert_eq!(budget.available(20_000), 1);
@@ -63,7 +63,7 @@
         let mut open = Vec::new();
         for now in (0..60_000).step_by(50) {
             while budget.available(now) > 0 && random.random_bool(0.7) {
-                let token = budget.order(now);
+                let token = budget.order_sent(now);
                 let begins = now + random.random_range(0..=ACCEPTANCE_TIMEOUT);
                 begun.push(begins);
                 if random.random_bool(0.7) {
@@ -73,7 +73,7 @@
             open.retain(|(begins, token)| {
                 let answered = *begins <= now;
                 if answered {
-                    budget.accepted(now, *token);
+                    budget.order_accepted(now, *token);
                 }
                 !answered
             });
