--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests share: simulated servers and their world, and stories told message by message.
+//! Shared by the tests: [`scenario`] feeds a planner one message at a time, [`simulation`] runs it against simulated servers.
 
 #![allow(dead_code)]
 
-pub mod servers;
-pub mod story;
-pub mod world;
+pub mod scenario;
+pub mod simulated_server;
+pub mod simulation;
--- a/placement/tests/common/story.rs
+++ b/placement/tests/common/scenario.rs
@@ -1,4 +1,4 @@
-//! A planner that is told one message after the other, and its orders in words.
+//! A planner that receives one message at a time, and its orders as text.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
 
 pub const EDGE: NodeId = NodeId(1);
-/// A former holder's orders are over and its allowance is free again.
-pub const LATE: Millis = 20_000;
+/// A time at which the orders of the previous lease holder have ended, and the load budget is unused.
+pub const AFTER_TAKEOVER: Millis = 20_000;
 
-pub fn catalogue(models: usize) -> Catalogue {
+/// `count` models `m0`, `m1` and so on, two of which fit onto a server.
+pub fn catalogue(count: usize) -> Catalogue {
     let model = |index| ModelSpec {
         name: format!("m{index}"),
         weights_mb: 70_000.0,
@@ -21,7 +22,7 @@
         adapter_size_mb: 100.0,
     };
     Catalogue {
-        models: (0..models).map(model).collect(),
+        models: (0..count).map(model).collect(),
         weights_mb: 150_000.0,
         adapter_capacity: 3,
         load_per_s: 2.0,
@@ -36,8 +37,8 @@
     format!("s{server}")
 }
 
-/// What a server lists: `m1` or, with adapters, `m1/a1/a2`.
-pub fn held(models: &[&str]) -> Vec<LoadedModel> {
+/// Models as a server lists them, from `m1` or, with adapters, `m1/a1/a2`.
+pub fn loaded(models: &[&str]) -> Vec<LoadedModel> {
     let entry = |text: &&str| {
         let mut parts = text.split('/').map(str::to_owned);
         LoadedModel { name: parts.next().unwrap_or_default(), version: 1, adapters: parts.collect() }
@@ -45,46 +46,48 @@
     models.iter().map(entry).collect()
 }
 
-pub struct Story {
+pub struct Scenario {
     pub planner: Planner,
     pub now: Millis,
-    pub beats: u64,
+    /// Sequence number of the newest heartbeat.
+    pub heartbeats: u64,
     /// The newest order to each server.
-    pub newest: BTreeMap<String, OrderNumber>,
+    pub newest_orders: BTreeMap<String, OrderNumber>,
 }
 
-impl Story {
-    /// A planner that took over long ago, with servers that hold two models each.
-    pub fn new(models: usize, servers: &[&[&str]]) -> Story {
+impl Scenario {
+    /// A planner long after its lease began, with servers that hold these models.
+    pub fn new(models: usize, servers: &[&[&str]]) -> Scenario {
         let planner = Planner::new("s".into(), catalogue(models), Options::default(), 0);
-        let mut story = Story::of(planner);
+        let mut scenario = Scenario::with_planner(planner);
         for (index, models) in servers.iter().enumerate() {
-            story.heartbeat(index, models);
+            scenario.heartbeat(index, models);
         }
-        story
+        scenario
     }
 
     /// A planner that knows no servers yet.
-    pub fn of(planner: Planner) -> Story {
-        Story { planner, now: LATE, beats: 0, newest: BTreeMap::new() }
+    pub fn with_planner(planner: Planner) -> Scenario {
+        Scenario { planner, now: AFTER_TAKEOVER, heartbeats: 0, newest_orders: BTreeMap::new() }
     }
 
+    /// The directory's record of a server after a new heartbeat, which the planner does not receive yet.
     pub fn record(&mut self, server: usize, models: &[&str], presence: Presence) -> ServerRecord {
-        self.beats += 1;
+        self.heartbeats += 1;
         let heartbeat = Heartbeat {
             service: "s".into(),
             address: address(server),
             slots: 64,
-            models: Some(held(models)),
-            sequence: self.beats,
+            models: Some(loaded(models)),
+            sequence: self.heartbeats,
             ..Heartbeat::default()
         };
         ServerRecord { id: id(server), heartbeat, presence, ..ServerRecord::default() }
     }
 
+    /// A ready server's heartbeat.
     pub fn heartbeat(&mut self, server: usize, models: &[&str]) {
-        let record = self.record(server, models, Presence::Ready);
-        self.planner.update_server(self.now, &record);
+        self.presence(server, models, Presence::Ready);
     }
 
     pub fn presence(&mut self, server: usize, models: &[&str], presence: Presence) {
@@ -92,41 +95,46 @@
         self.planner.update_server(self.now, &record);
     }
 
+    /// A server's report after `sequence` orders.
     pub fn report(&mut self, server: usize, sequence: u64, busy: bool, models: &[&str]) {
-        let report = Report { models: held(models), utilization: busy, sequence, ..Report::default() };
+        let report = Report { models: loaded(models), utilization: busy, sequence, ..Report::default() };
         self.planner.record_report(self.now, &id(server), &report);
     }
 
-    pub fn ask(&mut self, asked: &[Demand]) {
-        self.planner.record_demand(self.now, EDGE, asked);
+    pub fn report_demand(&mut self, demand: &[Demand]) {
+        self.planner.record_demand(self.now, EDGE, demand);
     }
 
-    pub fn outcome(&mut self, server: usize, outcome: OrderOutcome) {
-        let number = self.newest[&id(server)];
+    /// Completes the newest order to a server.
+    pub fn complete_order(&mut self, server: usize, outcome: OrderOutcome) {
+        let number = self.newest_orders[&id(server)];
         self.planner.complete_order(self.now, &id(server), number, outcome);
     }
 
-    pub fn after(&mut self, span: Millis) -> Vec<String> {
+    /// The next orders after `span` milliseconds.
+    pub fn orders_after(&mut self, span: Millis) -> Vec<String> {
         self.now += span;
-        self.orders()
+        self.next_orders()
     }
 
-    /// The next orders, in words.
-    pub fn orders(&mut self) -> Vec<String> {
-        let words = |order: PlannedOrder| {
+    /// The next orders as text, such as `s0 load m1 at 0` with the required revision.
+    pub fn next_orders(&mut self) -> Vec<String> {
+        let text = |order: PlannedOrder| {
             let adapter = order.adapter.map(|adapter| format!("/{adapter}")).unwrap_or_default();
             format!("{} {} {}{adapter} at {}", order.server, order.operation, order.model, order.if_revision)
         };
         let orders = self.planner.next_orders(self.now);
-        self.newest.extend(orders.iter().map(|order| (order.server.clone(), order.number)));
-        orders.into_iter().map(words).collect()
+        self.newest_orders.extend(orders.iter().map(|order| (order.server.clone(), order.number)));
+        orders.into_iter().map(text).collect()
     }
 }
 
+/// One arriving request.
 pub fn demand(model: &str) -> Demand {
     Demand { service: "s".into(), model: model.into(), arrived: 1, tokens: 1_000, ..Demand::default() }
 }
 
+/// One arriving request that waits for the model.
 pub fn waiting(model: &str) -> Demand {
     Demand { waiting: 1, ..demand(model) }
 }
@@ -135,10 +143,10 @@
     Demand { adapter: Some(adapter.into()), ..demand }
 }
 
-/// Names of servers 0 to `count` in the order of a model's sequence.
-pub fn sequence(model: &str, count: usize) -> Vec<String> {
+/// The servers 0 to `count` in the order of a model's hash ring sequence.
+pub fn ring_sequence(model: &str, count: usize) -> Vec<String> {
     let mut ring = SlotArray::default();
-    let sizes: Vec<_> = (0..count).map(|index| (id(index), hash_of_name(&address(index)), 1.0)).collect();
-    ring.update(&sizes);
+    let weights: Vec<_> = (0..count).map(|index| (id(index), hash_of_name(&address(index)), 1.0)).collect();
+    ring.update(&weights);
     ring.sequence(Key::of(model)).cloned().collect()
 }
