--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -67,8 +67,8 @@
         let adapters = model.demand.adapters.iter();
         for (number, demand) in adapters.filter(|(_, demand)| is_in_demand(demand, context.now)) {
             let rate = demand.arrivals.per_second(context.now);
-            let wanted = 1 + (rate / context.options.adapter_replica_rate.max(0.1)) as usize;
-            if counts.of_adapter(id, *number) < wanted.min(counts.of_model(id)) {
+            let desired = 1 + (rate / context.options.adapter_replica_rate.max(0.1)) as usize;
+            if counts.of_adapter(id, *number) < desired.min(counts.of_model(id)) {
                 all.push(MissingAdapter {
                     artifact: Artifact::adapter(id, *number),
                     waiting: demand.waiting,
@@ -126,7 +126,7 @@
     }
 }
 
-/// The next order for a missing adapter: a load if a server has room, otherwise the eviction of the adapter that was idle
+/// The next order for a missing adapter: a load if it fits onto a server, otherwise the eviction of the adapter that was idle
 /// the longest.
 fn order_for(
     context: &PlacementContext,
@@ -141,7 +141,7 @@
         let server = context.servers.get(key).filter(|server| is_candidate(context, server, artifact));
         let Some(server) = server.filter(|_| !has_order(*key)) else { continue };
         *examined += 1;
-        if has_room(context, server, artifact) {
+        if fits_adapter(context, server, artifact) {
             return Some(AdapterOrder { server: *key, operation: Operation::Load, artifact });
         }
         let Some((idle_ms, victim)) = longest_idle_adapter(context, server) else { continue };
@@ -161,7 +161,8 @@
         && !server.contents.has(artifact)
 }
 
-fn has_room(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
+/// Whether the server's capacity suffices for a further adapter.
+fn fits_adapter(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
     let used_mb = server.used_mb(context.models) + context.models.size_mb(artifact);
     let max_adapters = context.catalogue.adapter_capacity as usize;
     used_mb <= context.catalogue.weights_mb && server.contents.adapter_count() < max_adapters
--- a/placement/src/candidates.rs
+++ b/placement/src/candidates.rs
@@ -45,7 +45,7 @@
         for (position, key) in self.ring.sequence(Key::of(&model.spec.name)).enumerate() {
             let Some(server) = self.available_server(*key, missing.model) else { continue };
             *examined += 1;
-            let cost = self.cost_of_room(*key, server, missing.model, max_cost, counts);
+            let cost = self.cost_to_fit(*key, server, missing.model, max_cost, counts);
             let Some(cost) = cost else { continue };
             let is_avoided = missing.urgency == Urgency::Overloaded && self.is_fully_utilized(*key);
             let rank = (is_avoided, cost, position);
--- a/placement/src/eviction.rs
+++ b/placement/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Which models a server evicts to make room for another one.
+//! Which models a server evicts to free capacity for another one.
 
 use shaletrail_protocol::Millis;
 
@@ -54,8 +54,8 @@
 }
 
 impl PlacementContext<'_> {
-    /// The cost of making room for a model on a server; `None` if it exceeds `max_cost`.
-    pub fn cost_of_room(
+    /// The cost of the evictions that make a model fit onto a server; `None` if one of them exceeds `max_cost`.
+    pub fn cost_to_fit(
         &self,
         key: ServerKey,
         server: &Server,
@@ -77,7 +77,7 @@
     }
 
     /// The first model to evict from a server for another one; `None` if all evictions within `max_cost` together would not
-    /// make enough room.
+    /// free enough capacity.
     pub fn first_victim(
         &self,
         key: ServerKey,
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The lease holder of a service's orders owns one [`Planner`]. Inputs are demand ([`Planner::record_demand`]), directory
 //! records ([`Planner::update_server`]), servers' reports ([`Planner::record_report`]) and outcomes of orders
-//! ([`Planner::complete_order`]). Every 50 to 100 ms the holder sends the orders that [`Planner::next_orders`] returns.
+//! ([`Planner::complete_order`]). Every 50 to 100 ms the lease holder sends the orders that [`Planner::next_orders`] returns.
 //!
 //! Modules, in the order of a decision:
 //! - [`rate`], `demand` and `demand_sources` smooth and aggregate the demand that edges report;
@@ -16,8 +16,8 @@
 //!   `context` is the state that they read; `adapters` does the same for adapters;
 //! - `planner` runs the planning passes.
 //!
-//! A missing replica reserves a server until its load starts: the server first evicts what must make room, then loads. A
-//! model without demand is never loaded, and models are evicted only to make room.
+//! A missing replica reserves a server until its load starts: the server first evicts until the model fits, then loads
+//! it. A model without demand is never loaded, and models are evicted only to free capacity for others.
 //!
 //! The planner is pure and deterministic: time is an argument, there is no randomness, and equal inputs give equal orders.
 
--- a/placement/src/missing.rs
+++ b/placement/src/missing.rs
@@ -69,9 +69,9 @@
         if replicas == 0 {
             missing.push(MissingReplica::first(now, id, model));
         }
-        let wanted = model.target.replicas.min(ready);
+        let desired = model.target.replicas.min(ready);
         missing
-            .extend((replicas.max(1)..wanted).map(|replicas| MissingReplica::further(id, model, replicas)));
+            .extend((replicas.max(1)..desired).map(|replicas| MissingReplica::further(id, model, replicas)));
     }
     missing.sort_by_key(|entry| (entry.urgency, entry.priority, Reverse(entry.weight), entry.model));
     limit_extra_replicas(&mut missing, extra_slots.saturating_sub(filled_slots));
--- a/placement/src/planner/headroom.rs
+++ b/placement/src/planner/headroom.rs
@@ -8,13 +8,14 @@
 use crate::model::Artifact;
 use crate::server::Server;
 
-/// One of so many servers keeps room for another model.
+/// One of this many servers keeps free capacity for another model.
 const SERVERS_PER_HEADROOM: usize = 6;
 /// Minimum time from the first demand to the first eviction for headroom, in milliseconds.
 const HEADROOM_DELAY: Millis = 3_000;
 
 impl Planner {
-    /// Evicts the cheapest model if too few servers have room for another one. No replica may be missing meanwhile.
+    /// Evicts the cheapest model if too few servers have free capacity for another one. Does nothing while replicas
+    /// are missing.
     pub(super) fn evict_for_headroom(&mut self, now: Millis) -> Option<PlannedOrder> {
         let first_demand_at = self.demand_sources.first_demand_at()?;
         if self.has_missing_replicas || now.saturating_sub(first_demand_at) < HEADROOM_DELAY {
@@ -38,7 +39,7 @@
         self.send(now, key, Operation::Evict, Artifact::model(model), false)
     }
 
-    /// Whether a server has room for the largest model, or evicts one.
+    /// Whether the largest model fits onto a server, or the server is evicting a model.
     fn has_headroom(&self, server: &Server) -> bool {
         let is_evicting = server.in_flight.as_ref().is_some_and(|order| order.is_for_model(Operation::Evict));
         let used_mb = server.used_mb(&self.models) + self.catalogue.largest_model_mb();
--- a/placement/src/planner/queries.rs
+++ b/placement/src/planner/queries.rs
@@ -36,11 +36,11 @@
         if server.uncertainty.is_some() {
             return None;
         }
-        let held = server.contents.models().filter(|model| server.serves(Artifact::model(*model)));
+        let loaded = server.contents.models().filter(|model| server.serves(Artifact::model(*model)));
         let load = server.in_flight.as_ref().filter(|order| order.is_probably_loaded(now));
-        let loaded = load.map(|order| order.artifact).filter(|artifact| artifact.adapter.is_none());
-        let loaded = loaded.filter(|artifact| !server.contents.has(*artifact));
-        let models = held.chain(loaded.map(|artifact| artifact.model));
+        let loading = load.map(|order| order.artifact).filter(|artifact| artifact.adapter.is_none());
+        let loading = loading.filter(|artifact| !server.contents.has(*artifact));
+        let models = loaded.chain(loading.map(|artifact| artifact.model));
         let mut served: Vec<LoadedModel> =
             models.filter_map(|model| self.served_model(server, model)).collect();
         served.sort_by(|one, other| one.name.cmp(&other.name));
--- a/placement/src/planner/reservations.rs
+++ b/placement/src/planner/reservations.rs
@@ -1,14 +1,14 @@
-//! Reserves servers for missing replicas. A reserved server first evicts what must make room, then loads the model.
+//! Reserves servers for missing replicas. A reserved server first evicts until the model fits, then loads the model.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
 
-use super::load_budget::MAX_URGENT_EXCESS;
+use super::load_budget::{LoadBudget, MAX_URGENT_EXCESS};
 use super::Planner;
 use crate::context::PlacementContext;
 use crate::eviction::max_eviction_cost;
 use crate::interface::PlannedOrder;
-use crate::missing::missing_replicas;
+use crate::missing::{missing_replicas, MissingReplica};
 use crate::model::{Artifact, ModelId};
 use crate::replicas::ReplicaCounts;
 use crate::server::{Reservation, Server, ServerKey};
@@ -37,7 +37,7 @@
 
     /// Reserves servers for missing replicas, as far as the weight store's budget allows.
     pub(super) fn reserve_servers(&mut self, now: Millis) {
-        let mut counts = self.replica_counts();
+        let counts = self.replica_counts();
         let ready = self.ready_servers().count();
         let extra_slots = self.slots_for_extra_replicas(ready);
         let all_missing = missing_replicas(now, &self.models, &counts, ready, extra_slots);
@@ -45,16 +45,34 @@
         if all_missing.is_empty() {
             return;
         }
-        let mut budget = self.load_budget(now, ready);
+        let budget = self.load_budget(now, ready);
         let mut examined = 0;
+        let reservations = self.choose_servers(now, &all_missing, counts, budget, &mut examined);
+        self.counters.servers_examined += examined;
+        for (key, reservation) in reservations {
+            if let Some(server) = self.servers.get_mut(&key) {
+                server.reservation = Some(reservation);
+            }
+        }
+    }
+
+    /// Chooses a server for each missing replica that the budget allows. Adds the number of servers examined to `examined`.
+    fn choose_servers(
+        &self,
+        now: Millis,
+        all_missing: &[MissingReplica],
+        mut counts: ReplicaCounts,
+        mut budget: LoadBudget,
+        examined: &mut u64,
+    ) -> Vec<(ServerKey, Reservation)> {
         let mut reservations = Vec::new();
         let mut context = self.context(now, &counts);
-        for missing in &all_missing {
+        for missing in all_missing {
             let is_allowed = budget.allows(missing.urgency);
             if !is_allowed && !self.is_on_any_disk(missing.model) {
                 continue;
             }
-            let candidate = context.best_candidate(missing, &counts, &mut examined);
+            let candidate = context.best_candidate(missing, &counts, examined);
             let Some(candidate) = candidate.filter(|candidate| is_allowed || !candidate.from_origin) else {
                 continue;
             };
@@ -74,12 +92,7 @@
             };
             reservations.push((candidate.server, reservation));
         }
-        for (key, reservation) in reservations {
-            if let Some(server) = self.servers.get_mut(&key) {
-                server.reservation = Some(reservation);
-            }
-        }
-        self.counters.servers_examined += examined;
+        reservations
     }
 
     fn is_on_any_disk(&self, model: ModelId) -> bool {
@@ -92,7 +105,7 @@
         demand / (counts.of(model).total() + 1) as f64
     }
 
-    /// The next order of each reserved server: the evictions that make room, then the load.
+    /// The next order of each reserved server: the evictions until the model fits, then the load.
     pub(super) fn execute_reservations(&mut self, now: Millis) -> Vec<PlannedOrder> {
         if !self.servers.values().any(|server| server.reservation.is_some()) {
             return Vec::new();
--- a/placement/src/server/mod.rs
+++ b/placement/src/server/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerKey(pub u64);
 
-/// Reserves a server for a model that is loaded once there is room.
+/// Reserves a server for a model that is loaded once it fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// The model to load.
--- a/placement/src/target.rs
+++ b/placement/src/target.rs
@@ -60,9 +60,9 @@
         } else {
             self.update_boost(now, demand, serving);
         }
-        let wanted = replica_demand / utilization_per_replica;
-        let min = whole_replicas(wanted - RISE_MARGIN) + self.boost;
-        let max = whole_replicas(wanted + FALL_MARGIN) + self.boost;
+        let desired = replica_demand / utilization_per_replica;
+        let min = whole_replicas(desired - RISE_MARGIN) + self.boost;
+        let max = whole_replicas(desired + FALL_MARGIN) + self.boost;
         if min >= self.replicas {
             (self.replicas, self.lowered_at) = (min, now);
         } else if max < self.replicas && is_capacity_scarce {
--- a/placement/tests/catalogue.rs
+++ b/placement/tests/catalogue.rs
@@ -7,18 +7,18 @@
 
 #[test]
 fn model_slots_are_those_of_packed_servers() {
-    let places = |sizes: &[f64], weights_mb: f64| {
+    let model_slots = |sizes: &[f64], weights_mb: f64| {
         let spec = |weights_mb: &f64| ModelSpec { weights_mb: *weights_mb, ..ModelSpec::default() };
         let models = sizes.iter().map(spec).collect();
         Catalogue { models, weights_mb, ..Catalogue::default() }.model_slots_per_server()
     };
-    assert_eq!(places(&[72.7, 72.7, 72.7, 72.7], 140.0), 1.0);
-    assert_eq!(places(&[72.7, 65.1, 72.7, 65.1], 140.0), 2.0);
-    assert_eq!(places(&[72.7, 72.7, 72.7, 65.1], 140.0), 4.0 / 3.0);
-    assert_eq!(places(&[70.0, 70.0, 70.0], 220.0), 3.0);
-    assert_eq!(places(&[200.0], 140.0), 0.0);
-    assert_eq!(places(&[], 140.0), 0.0);
-    assert_eq!(places(&[0.0, f64::NAN, 70.0], 140.0), 1.0);
+    assert_eq!(model_slots(&[72.7, 72.7, 72.7, 72.7], 140.0), 1.0);
+    assert_eq!(model_slots(&[72.7, 65.1, 72.7, 65.1], 140.0), 2.0);
+    assert_eq!(model_slots(&[72.7, 72.7, 72.7, 65.1], 140.0), 4.0 / 3.0);
+    assert_eq!(model_slots(&[70.0, 70.0, 70.0], 220.0), 3.0);
+    assert_eq!(model_slots(&[200.0], 140.0), 0.0);
+    assert_eq!(model_slots(&[], 140.0), 0.0);
+    assert_eq!(model_slots(&[0.0, f64::NAN, 70.0], 140.0), 1.0);
     assert_eq!(catalogue(0).model_slots_per_server(), 0.0);
 }
 
--- a/placement/tests/order_outcomes.rs
+++ b/placement/tests/order_outcomes.rs
@@ -101,15 +101,15 @@
     let mut scenario = Scenario::new(3, &[&["m0"], &["m1"]]);
     scenario.report_demand(&[demand("m0"), waiting("m2")]);
     let ordered = scenario.next_orders();
-    let gone = if ordered == ["s0 load m2 at 0"] { 0 } else { 1 };
-    scenario.complete_order(gone, OrderOutcome::WrongInstance);
+    let replaced = if ordered == ["s0 load m2 at 0"] { 0 } else { 1 };
+    scenario.complete_order(replaced, OrderOutcome::WrongInstance);
     scenario.report_demand(&[waiting("m0"), demand("m1"), waiting("m2")]);
-    let other = 1 - gone;
+    let other = 1 - replaced;
     assert_eq!(
         scenario.orders_after(100),
-        [format!("s{other} load {} at 0", if gone == 0 { "m0" } else { "m2" })]
+        [format!("s{other} load {} at 0", if replaced == 0 { "m0" } else { "m2" })]
     );
-    assert!(scenario.planner.desired_servers().iter().all(|wanted| wanted.server != id(gone)));
+    assert!(scenario.planner.desired_servers().iter().all(|wanted| wanted.server != id(replaced)));
 }
 
 #[test]
