--- a/placement/src/candidates.rs
+++ b/placement/src/candidates.rs
@@ -27,8 +27,15 @@
     pub victim: Option<ModelId>,
 }
 
-/// Compares candidates, the best first: avoided for its utilisation or not, cost, position in the hash ring sequence.
-type Rank = (bool, Cost, usize);
+/// Ranks candidates, the best first, by its fields in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    /// Whether the server's utilisation is too high for the replica.
+    is_avoided: bool,
+    cost: Cost,
+    /// Position in the model's hash ring sequence.
+    position: usize,
+}
 
 impl PlacementContext<'_> {
     /// The best server for a missing replica, among those that accept an order now. Adds the number of servers examined to
@@ -48,11 +55,11 @@
             let cost = self.cost_to_fit(*key, server, missing.model, max_cost, counts);
             let Some(cost) = cost else { continue };
             let is_avoided = missing.urgency == Urgency::Overloaded && self.is_fully_utilized(*key);
-            let rank = (is_avoided, cost, position);
+            let rank = Rank { is_avoided, cost, position };
             if best.is_none_or(|(other, _)| rank < other) {
                 best = Some((rank, *key));
             }
-            if !is_avoided && cost.0 == EvictionCost::None {
+            if !is_avoided && cost.eviction == EvictionCost::None {
                 break;
             }
         }
--- a/placement/src/eviction.rs
+++ b/placement/src/eviction.rs
@@ -40,8 +40,21 @@
     NeededReplica,
 }
 
-/// The cost of a choice: what is evicted, then the negated idle time, so that the longest idle is the cheapest.
-pub type Cost = (EvictionCost, u64);
+/// The cost of freeing capacity on a server, compared by its fields in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Cost {
+    /// The cost of the most expensive eviction.
+    pub eviction: EvictionCost,
+    /// How recently that model was requested: the longest idle is the cheapest.
+    pub recency: u64,
+}
+
+impl Cost {
+    /// The model fits without an eviction.
+    const NONE: Cost = Cost { eviction: EvictionCost::None, recency: 0 };
+    /// The evicted model is not in the configuration.
+    const UNCONFIGURED: Cost = Cost { eviction: EvictionCost::Unconfigured, recency: 0 };
+}
 
 /// The maximum eviction cost for a missing replica. `utilization` is that of the model's replicas, relative to the target.
 pub fn max_eviction_cost(urgency: Urgency, utilization: f64) -> EvictionCost {
@@ -65,7 +78,7 @@
     ) -> Option<Cost> {
         let mut missing_mb = self.missing_mb(server, model);
         if missing_mb <= 0.0 {
-            return Some((EvictionCost::None, 0));
+            return Some(Cost::NONE);
         }
         for (cost, victim) in self.eviction_candidates(key, server, max_cost, counts) {
             missing_mb -= server.contents.replica_mb(victim, self.models);
@@ -115,7 +128,7 @@
             let cost = self.eviction_cost(key, id, self.models.get(id)?, counts)?;
             Some((cost, id))
         });
-        let mut candidates: Vec<_> = with_cost.filter(|((cost, _), _)| *cost <= max_cost).collect();
+        let mut candidates: Vec<_> = with_cost.filter(|(cost, _)| cost.eviction <= max_cost).collect();
         candidates.sort();
         candidates
     }
@@ -129,11 +142,11 @@
         counts: &ReplicaCounts,
     ) -> Option<Cost> {
         if !model.is_configured {
-            return Some((EvictionCost::Unconfigured, 0));
+            return Some(Cost::UNCONFIGURED);
         }
         let (serving, target) = (counts.of(id).serving, model.target.replicas);
         let idle_ms = model.demand.idle_ms(self.now);
-        let cost = if model.demand.waiting > 0 && serving <= 1 {
+        let eviction = if model.demand.waiting > 0 && serving <= 1 {
             return None;
         } else if target == 0 && serving > 1 {
             EvictionCost::IdleReplica
@@ -150,6 +163,6 @@
         } else {
             EvictionCost::OnlyReplica
         };
-        Some((cost, u64::MAX - idle_ms / IDLE_RESOLUTION))
+        Some(Cost { eviction, recency: u64::MAX - idle_ms / IDLE_RESOLUTION })
     }
 }
--- a/placement/tests/common/scenario.rs
+++ b/placement/tests/common/scenario.rs
@@ -37,6 +37,11 @@
     format!("s{server}")
 }
 
+/// The inverse of [`id`].
+pub fn server_index(id: &str) -> usize {
+    id.strip_prefix('s').and_then(|digits| digits.parse().ok()).expect("an id of a server")
+}
+
 /// Models as a server lists them, from `m1` or, with adapters, `m1/a1/a2`.
 pub fn loaded(models: &[&str]) -> Vec<LoadedModel> {
     let entry = |text: &&str| {
--- a/placement/tests/common/simulated_server.rs
+++ b/placement/tests/common/simulated_server.rs
@@ -9,10 +9,14 @@
 /// Number of reports that a server keeps.
 const REPORT_HISTORY: usize = 32;
 
+pub fn model_name(index: usize) -> String {
+    format!("m{index}")
+}
+
 /// `count` models `m0`, `m1`, ... of 70 GB, three of which fit a server; 42 adapters each.
 pub fn catalogue(count: usize) -> Catalogue {
     let model = |index| ModelSpec {
-        name: format!("m{index}"),
+        name: model_name(index),
         weights_mb: 70_000.0,
         load_time_s: 2.0,
         adapters: 42,
--- a/placement/tests/common/simulation/mod.rs
+++ b/placement/tests/common/simulation/mod.rs
@@ -7,8 +7,9 @@
 mod orders;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::ops::Range;
 
-use super::simulated_server::{catalogue, SimulatedServer};
+use super::simulated_server::{catalogue, model_name, SimulatedServer};
 use messages::Message;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -41,6 +42,11 @@
     SteadyDemand { model: model.into(), adapter: None, per_second, tokens }
 }
 
+/// The same demand for each of these models.
+pub fn demand_for_models(models: Range<usize>, per_second: f64, tokens: u64) -> Vec<SteadyDemand> {
+    models.map(|index| steady_demand(&model_name(index), per_second, tokens)).collect()
+}
+
 /// Probabilities of faults, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
@@ -138,18 +144,36 @@
         }
     }
 
+    /// Loads the first `models` models onto the servers in turn, before the simulation starts.
+    pub fn preload_in_turn(&mut self, models: usize) {
+        let servers = self.servers.len();
+        for index in 0..models {
+            self.preload(index % servers, &[&model_name(index)]);
+        }
+    }
+
     /// The servers in operation that hold a model.
     pub fn replicas(&self, model: &str) -> Vec<usize> {
         let holds = |server: &&SimulatedServer| server.is_up() && server.has(model, None);
         self.servers.iter().filter(holds).map(|server| server.index).collect()
     }
 
+    /// Which of these models no server in operation holds.
+    pub fn models_without_replica(&self, models: Range<usize>) -> Vec<usize> {
+        models.filter(|index| self.replicas(&model_name(*index)).is_empty()).collect()
+    }
+
     /// Number of servers in operation that hold an adapter.
     pub fn adapter_replicas(&self, model: &str, adapter: &str) -> usize {
         let holds = |server: &&SimulatedServer| server.is_up() && server.has(model, Some(adapter));
         self.servers.iter().filter(holds).count()
     }
 
+    /// The lease of the holder expires: until [`Simulation::replace_planner`] a planner of another service is in its place.
+    pub fn suspend_planner(&mut self) {
+        self.planner = Planner::new("another".into(), self.catalogue.clone(), Options::default(), self.now);
+    }
+
     /// A new planner takes over without any knowledge, as on a node that has just started.
     pub fn replace_planner(&mut self) {
         self.planner = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
--- a/placement/tests/histories.rs
+++ b/placement/tests/histories.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::simulation::{steady_demand, Faults, Simulation, SteadyDemand};
+use common::simulation::{demand_for_models, steady_demand, Faults, Simulation, SteadyDemand};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -10,10 +10,7 @@
 /// Twelve servers that hold the models in turn, up to three each.
 fn full_servers(models: usize, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(models, 12, seed);
-    for index in 0..models.min(36) {
-        let name = format!("m{index}");
-        simulation.preload(index % 12, &[&name]);
-    }
+    simulation.preload_in_turn(models.min(36));
     simulation
 }
 
@@ -70,7 +67,7 @@
 fn rare_models_load_as_fast_as_the_store_allows() {
     let mut simulation = Simulation::new(30, 12, 5);
     simulation.run(15_000);
-    simulation.demand = (0..30).map(|index| steady_demand(&format!("m{index}"), 0.5, 4_000)).collect();
+    simulation.demand = demand_for_models(0..30, 0.5, 4_000);
     simulation.run(18_000);
     for index in 0..30 {
         assert_eq!(simulation.replicas(&format!("m{index}")).len(), 1, "m{index}");
@@ -80,7 +77,7 @@
 #[test]
 fn models_of_crashed_server_load_elsewhere() {
     let mut simulation = full_servers(36, 6);
-    simulation.demand = (0..36).map(|index| steady_demand(&format!("m{index}"), 0.3, 2_000)).collect();
+    simulation.demand = demand_for_models(0..36, 0.3, 2_000);
     simulation.run(15_000);
     simulation.crash(4, 4_500);
     simulation.run(20_000);
@@ -111,22 +108,16 @@
     for seed in 0..20 {
         let mut simulation = Simulation::new(30, 12, 100 + seed);
         simulation.run(15_000);
-        simulation.demand = (0..30).map(|index| steady_demand(&format!("m{index}"), 0.5, 4_000)).collect();
+        simulation.demand = demand_for_models(0..30, 0.5, 4_000);
         simulation.run(2_000 + 300 * seed);
         let demand = std::mem::take(&mut simulation.demand);
         // The lease of the previous holder expires.
-        simulation.planner = shaletrail_placement::Planner::new(
-            "another".into(),
-            simulation.catalogue.clone(),
-            shaletrail_placement::Options::default(),
-            simulation.now,
-        );
+        simulation.suspend_planner();
         simulation.run(3_000);
         simulation.replace_planner();
         simulation.demand = demand;
         simulation.run(25_000);
-        let missing: Vec<_> =
-            (0..30).filter(|index| simulation.replicas(&format!("m{index}")).is_empty()).collect();
+        let missing = simulation.models_without_replica(0..30);
         assert!(missing.is_empty(), "seed {seed}: {missing:?}");
     }
 }
@@ -153,10 +144,9 @@
         }
         // Without faults every requested model has a replica in the end.
         simulation.faults = Faults::default();
-        simulation.demand = (0..20).map(|index| steady_demand(&format!("m{index}"), 0.5, 1_000)).collect();
+        simulation.demand = demand_for_models(0..20, 0.5, 1_000);
         simulation.run(25_000);
-        let missing: Vec<_> =
-            (0..20).filter(|index| simulation.replicas(&format!("m{index}")).is_empty()).collect();
+        let missing = simulation.models_without_replica(0..20);
         assert!(missing.is_empty(), "seed {seed}: {missing:?}");
     }
 }
@@ -164,29 +154,22 @@
 #[test]
 fn unchanged_large_service_examines_no_servers() {
     let mut simulation = Simulation::new(332, 90, 8);
-    for index in 0..270 {
-        simulation.preload(index % 90, &[&format!("m{index}")]);
-    }
-    simulation.demand = (0..200).map(|index| steady_demand(&format!("m{index}"), 0.5, 1_000)).collect();
+    simulation.preload_in_turn(270);
+    simulation.demand = demand_for_models(0..200, 0.5, 1_000);
     simulation.run(20_000);
     let before = simulation.planner.counters();
     simulation.run(20_000);
     let after = simulation.planner.counters();
     assert_eq!(after.servers_examined, before.servers_examined);
-    assert!(
-        after.planning_passes - before.planning_passes <= 200,
-        "{}",
-        after.planning_passes - before.planning_passes
-    );
+    let passes = after.planning_passes - before.planning_passes;
+    assert!(passes <= 200, "{passes}");
 }
 
 #[test]
 fn planning_pass_examines_few_servers() {
     let mut simulation = Simulation::new(332, 90, 9);
-    for index in 0..270 {
-        simulation.preload(index % 90, &[&format!("m{index}")]);
-    }
-    simulation.demand = (0..332).map(|index| steady_demand(&format!("m{index}"), 0.5, 1_000)).collect();
+    simulation.preload_in_turn(270);
+    simulation.demand = demand_for_models(0..332, 0.5, 1_000);
     simulation.run(30_000);
     let counters = simulation.planner.counters();
     assert!(
@@ -206,7 +189,7 @@
     (0..random.random_range(1..12)).map(|_| one(random)).collect()
 }
 
-/// Seeds of histories with late messages; `LIMIT_SEEDS` names another number of them.
+/// Number of histories with late messages; the environment variable `LIMIT_SEEDS` overrides it.
 fn late_seeds() -> u64 {
     std::env::var("LIMIT_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(150)
 }
@@ -217,9 +200,7 @@
         let mut random = Pcg64::seed_from_u64(seed);
         let servers = random.random_range(2..8);
         let mut simulation = Simulation::new(servers * 4, servers, seed);
-        for index in 0..servers * 3 {
-            simulation.preload(index % servers, &[&format!("m{index}")]);
-        }
+        simulation.preload_in_turn(servers * 3);
         simulation.faults = Faults {
             order_lost: 0.05,
             response_lost: 0.1,
--- a/placement/tests/lease_takeover.rs
+++ b/placement/tests/lease_takeover.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::scenario::{catalogue, id, ring_sequence, waiting, Scenario, AFTER_TAKEOVER};
+use common::scenario::{catalogue, ring_sequence, server_index, waiting, Scenario, AFTER_TAKEOVER};
 use shaletrail_placement::{Options, Planner};
 use shaletrail_protocol::Millis;
 
@@ -102,7 +102,7 @@
     // then
     assert_eq!(scenario.orders_after(100), [""; 0]);
     assert_eq!(scenario.planner.next_reports(scenario.now), [order[1].clone()]);
-    let other = if order[1] == id(0) { 0 } else { 1 };
+    let other = server_index(&order[1]);
     scenario.report(other, 6, false, &[]);
     assert_eq!(scenario.orders_after(50), [format!("{} load m0 at 6", order[1])]);
 }
--- a/placement/tests/order_outcomes.rs
+++ b/placement/tests/order_outcomes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::scenario::{demand, id, ring_sequence, waiting, Scenario};
+use common::scenario::{demand, id, ring_sequence, server_index, waiting, Scenario};
 use shaletrail_placement::OrderOutcome;
 use shaletrail_protocol::Millis;
 
@@ -80,7 +80,7 @@
     let order = ring_sequence("m0", 2);
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", order[0])]);
-    let first = if order[0] == id(0) { 0 } else { 1 };
+    let first = server_index(&order[0]);
     scenario.complete_order(first, OrderOutcome::Busy);
     assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", order[1])]);
 }
@@ -91,7 +91,7 @@
     let order = ring_sequence("m0", 2);
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", order[0])]);
-    let first = if order[0] == "s0" { 0 } else { 1 };
+    let first = server_index(&order[0]);
     scenario.complete_order(first, OrderOutcome::NotSent);
     assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", order[1])]);
 }
@@ -109,7 +109,7 @@
         scenario.orders_after(100),
         [format!("s{other} load {} at 0", if replaced == 0 { "m0" } else { "m2" })]
     );
-    assert!(scenario.planner.desired_servers().iter().all(|wanted| wanted.server != id(replaced)));
+    assert!(scenario.planner.desired_servers().iter().all(|server| server.server != id(replaced)));
 }
 
 #[test]
--- a/placement/tests/scarce_capacity.rs
+++ b/placement/tests/scarce_capacity.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn recent_model_is_evicted_only_under_severe_overload() {
-    for (tokens, gives_way) in [(45_000, false), (TOKENS_OF_EIGHT, true)] {
+    for (tokens, is_evicted) in [(45_000, false), (TOKENS_OF_EIGHT, true)] {
         let mut scenario = Scenario::new(4, &[&["m0", "m1"], &["m2", "m3"]]);
         let open = Demand { open: 1, ..demand("m1") };
         scenario.report_demand(&[demand("m2"), demand("m3"), open.clone()]);
@@ -59,7 +59,7 @@
         scenario.report_demand(&[busy("m0", tokens), open]);
         assert!(scenario.planner.desired_replicas("m0") <= 1);
         let orders = scenario.next_orders();
-        assert_eq!(orders.iter().any(|order| order.starts_with("s1 evict")), gives_way, "{orders:?}");
+        assert_eq!(orders.iter().any(|order| order.starts_with("s1 evict")), is_evicted, "{orders:?}");
     }
 }
 
