--- a/placement/src/demand.rs
+++ b/placement/src/demand.rs
@@ -20,8 +20,6 @@
 /// Demand for one model, with or without adapters.
 #[derive(Clone, Debug, Default)]
 pub struct ModelDemand {
-    /// Rate of arriving requests.
-    pub arrivals: Rate,
     /// Rate of the tokens of arriving requests, as weighted by the edges.
     pub tokens: Rate,
     /// When the model was last requested.
--- a/placement/src/demand_sources.rs
+++ b/placement/src/demand_sources.rs
@@ -92,7 +92,6 @@
     let Some(model) = models.get_mut(artifact.model) else { return };
     let demand = &mut model.demand;
     let is_requested = entry.arrived > 0 || entry.waiting > 0 || entry.open > 0;
-    demand.arrivals.add(now, f64::from(entry.arrived));
     demand.tokens.add(now, entry.tokens as f64);
     if is_requested {
         demand.last_requested = Some(now);
