--- a/storage/src/recovery/mod.rs
+++ b/storage/src/recovery/mod.rs
@@ -9,12 +9,10 @@
 use crate::segment_header::{SegmentHeader, HEADER_BYTES, PAGE_BYTES};
 use crate::segment_ring::{is_ring_file, RingFile, Segment, SegmentRing};
 use crate::{disk_io, Disk, StoredRecord};
+use record_assembler::FIRST_SEQUENCE;
 use replay::{replay, Replayed};
 use segment_reader::SegmentReader;
 
-/// The first sequence number of a journal.
-const FIRST_SEQUENCE: u64 = 1;
-
 /// What the files of a journal hold.
 pub(crate) struct Recovery {
     /// The records from the newest complete checkpoint on, in order.
--- a/storage/src/recovery/record_assembler.rs
+++ b/storage/src/recovery/record_assembler.rs
@@ -1,10 +1,12 @@
 //! Assembles records from their fragments, and the journal's content from appends and checkpoints.
 
-use super::FIRST_SEQUENCE;
 use crate::error::Corruption;
 use crate::fragment::{FragmentHeader, RecordKind};
 use crate::StoredRecord;
 
+/// The first sequence number of a journal.
+pub(super) const FIRST_SEQUENCE: u64 = 1;
+
 /// A record of which fragments are still missing.
 struct PartialRecord {
     kind: RecordKind,
--- a/storage/src/writer/worker.rs
+++ b/storage/src/writer/worker.rs
@@ -5,8 +5,10 @@
 use std::time::Duration;
 
 use super::backoff::Backoff;
+use super::command::Command;
+use super::event::WriterEvent;
 use super::in_flight::InFlight;
-use super::{Command, WriterEvent, WriterOptions};
+use super::options::WriterOptions;
 use crate::{Disk, Journal, StorageError};
 
 /// The thread's ends of the channels to its handle.
