--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -126,8 +126,8 @@
         self.send_append_response(from, AppendOutcome::Matched(index), stamp);
     }
 
-    /// Stops recovering, where the leader's message names this disk. The vote of the term counts as given to the leader,
-    /// as a vote from before the loss may have been.
+    /// Stops recovering, where the leader's message names this disk. The vote of the term counts as given to the
+    /// leader, as a vote from before the loss may have been.
     pub(crate) fn on_rejoin(&mut self, from: NodeId, term: Term, disk_id: u64) {
         if !self.follow_leader(from, term)
             || !self.hard_state.recovering
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -18,9 +18,9 @@
 //! # The protocol
 //!
 //! Raft as in Ongaro's thesis ("Consensus: Bridging Theory and Practice", 2014): pre-votes (section 9.6), check-quorum
-//! (6.2) and leader stickiness (4.2.3), randomized election timeouts (3.4), joint consensus for changes of voters (4.3),
-//! learners (4.2.1), snapshots of the whole state (chapter 5), leadership transfer (3.10), reads that a round of
-//! heartbeats confirms (6.4), and leases (6.4.1).
+//! (6.2) and leader stickiness (4.2.3), randomized election timeouts (3.4), joint consensus for changes of voters
+//! (4.3), learners (4.2.1), snapshots of the whole state (chapter 5), leadership transfer (3.10), reads that a round
+//! of heartbeats confirms (6.4), and leases (6.4.1).
 //!
 //! **Persistence.** A message that rests on stored state (votes, requests for votes, acknowledgements of entries, all
 //! that names a new term) waits until the records before it are synced; heartbeats, pre-votes and commit indexes don't
@@ -36,10 +36,11 @@
 //!
 //! # Recovering voters
 //!
-//! A voter whose disk was lost has lost votes that it gave and entries that it acknowledged; Raft assumes that this never
-//! happens. As in Viewstamped Replication Revisited (section 4.3) such a voter recovers before it counts again. It first
-//! stores a hard state with `recovering` set and a newly drawn `disk_id`. As long as it is recovering it gives neither
-//! votes nor pre-votes, counts towards no quorum (commit, lease, read), and says so in each response. It rejoins so:
+//! A voter whose disk was lost has lost votes that it gave and entries that it acknowledged; Raft assumes that this
+//! never happens. As in Viewstamped Replication Revisited (section 4.3) such a voter recovers before it counts again.
+//! It first stores a hard state with `recovering` set and a newly drawn `disk_id`. As long as it is recovering it
+//! gives neither votes nor pre-votes, counts towards no quorum (commit, lease, read), and says so in each response.
+//! It rejoins so:
 //!
 //! 1. A leader of term T receives the voter's `disk_id` and appends an empty entry, the *rejoin point* r.
 //! 2. r is committed by a majority M of the whole voter set (of both, where it is joint) in which no recovering
--- a/consensus/src/options.rs
+++ b/consensus/src/options.rs
@@ -46,7 +46,7 @@
     /// Size of those proposals, but for a single larger one.
     pub max_uncommitted_bytes: usize,
     /// Reads that may be unconfirmed at a time.
-    pub max_reads: usize,
+    pub max_pending_reads: usize,
     /// Voters, and learners, at a time.
     pub max_peers: usize,
     /// Size of the entries kept in memory behind a snapshot, for followers that are a little behind.
@@ -76,7 +76,7 @@
             max_command_bytes: 8 << 20,
             max_uncommitted_entries: 256,
             max_uncommitted_bytes: 32 << 20,
-            max_reads: 1024,
+            max_pending_reads: 1024,
             max_peers: 64,
             retain_bytes: 1 << 20,
         }
--- a/consensus/src/read_index.rs
+++ b/consensus/src/read_index.rs
@@ -17,12 +17,12 @@
     ///
     /// # Errors
     ///
-    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] where [`Options::max_reads`](crate::Options::max_reads)
+    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] where [`Options::max_pending_reads`](crate::Options::max_pending_reads)
     /// are pending.
     pub fn read(&mut self, now: Millis, token: u64) -> Result<(), ReplicaError> {
         self.set_now(now);
         let RoleState::Leader(leader_state) = &mut self.role_state else { return self.not_leader() };
-        if leader_state.pending_reads.len() >= self.options.max_reads {
+        if leader_state.pending_reads.len() >= self.options.max_pending_reads {
             return Err(ReplicaError::Busy);
         }
         leader_state.pending_reads.push_back(PendingRead { token, round: leader_state.round + 1 });
--- a/consensus/tests/election_scenarios.rs
+++ b/consensus/tests/election_scenarios.rs
@@ -58,8 +58,8 @@
 }
 
 /// A leader is isolated for less than it takes to step down, a voter gathers pre-votes and is delayed by its disk,
-/// the third voter is in contact with the leader again and may restart, or lose its disk as the leader crashes; then the
-/// request for its vote arrives.
+/// the third voter is in contact with the leader again and may restart, or lose its disk as the leader crashes; then
+/// the request for its vote arrives.
 fn delay_candidate_by_disk(group: &mut Group) {
     let leader = heal_and_await_rejoin(group);
     let others = group.others(leader);
@@ -263,7 +263,8 @@
             continue;
         }
         played += 1;
-        // when: it restarts and receives messages of the former leader only, and the newer one and its follower are lost
+        // when: it restarts and receives messages of the former leader only, and the newer one and its follower are
+        // lost
         group.crash(voter);
         group.restart(voter);
         group.blocked_links.clear();
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -1,7 +1,7 @@
 //! A group of replicas in memory: virtual time, lossy links, machines that pause, crash and lose their disks.
 //!
-//! Every effect is checked on the way by an [`InvariantChecker`]: one leader a term, one order of entries, no loss of what was
-//! acknowledged, no old reads, one lease at a time.
+//! Every effect is checked on the way by an [`InvariantChecker`]: one leader a term, one order of entries, no loss of
+//! what was acknowledged, no old reads, one lease at a time.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 pub mod history;
--- a/consensus/tests/read_index.rs
+++ b/consensus/tests/read_index.rs
@@ -108,7 +108,7 @@
 #[test]
 fn too_many_pending_reads_are_rejected() {
     // given
-    let mut group = Group::bootstrapped_with(3, 6, |options| options.max_reads = 4);
+    let mut group = Group::bootstrapped_with(3, 6, |options| options.max_pending_reads = 4);
     let leader = group.await_leader();
     group.run(100);
     group.isolate(leader);
--- a/consensus/tests/read_scenarios.rs
+++ b/consensus/tests/read_scenarios.rs
@@ -52,8 +52,8 @@
     });
 }
 
-/// A leader transfers the leadership and leads again soon; only the responses of its former term are recorded. Its rounds
-/// begin anew.
+/// A leader transfers the leadership and leads again soon; only the responses of its former term are recorded. Its
+/// rounds begin anew.
 fn transfer_until_leading_again(group: &mut Group) {
     let leader = heal_and_await_leader(group);
     group.clear_recorded();
--- a/consensus/tests/recovering_voters.rs
+++ b/consensus/tests/recovering_voters.rs
@@ -162,7 +162,8 @@
     (fixture, index)
 }
 
-/// Delivers a response of the lost disk to a round, by which it would hold the entry, and checks that it does not count.
+/// Delivers a response of the lost disk to a round, by which it would hold the entry, and checks that it does not
+/// count.
 fn assert_response_of_lost_disk_does_not_count(fixture: Fixture, index: Index, round: u64) {
     let Fixture { mut group, leader, recovering, .. } = fixture;
     let status = VoterStatus { disk_id: 12345, recovering: false };
@@ -330,12 +331,14 @@
     group.inject(candidate, voter, Message::VoteRequest { term, last, leadership_transfer: true });
     // then: it is rejected, since the voter's log holds the rejoin point
     group.drop_messages(|message| matches!(message, Message::VoteResponse { granted: true, .. }));
+    let is_vote = |record: &Record| match record {
+        Record::Hard(hard_state) => hard_state.voted_for == Some(candidate) && hard_state.term == term,
+        _ => false,
+    };
     let mut granted = false;
     for _ in 0..10 {
         group.run(5);
-        granted |= group.machines[&voter].disk.records().iter().any(
-            |record| matches!(record, Record::Hard(hard_state) if hard_state.voted_for == Some(candidate) && hard_state.term == term),
-        );
+        granted |= group.machines[&voter].disk.records().iter().any(is_vote);
     }
     assert!(!granted);
 }
