--- a/consensus/src/persistence.rs
+++ b/consensus/src/persistence.rs
@@ -29,7 +29,6 @@
     ticket: u64,
     /// The receiver; this node itself for its vote for itself.
     pub to: NodeId,
-    /// The message.
     pub message: Message,
 }
 
@@ -44,13 +43,17 @@
 /// What is recorded, handed to the driver, and synced.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Persistence {
+    /// The next batch.
     records: Vec<Record>,
     /// The last ticket that was given to a batch.
     issued_ticket: u64,
     /// The last ticket that is synced.
     synced_ticket: u64,
+    /// Batches that the driver has, oldest first.
     unsynced: VecDeque<UnsyncedBatch>,
+    /// How far the log in memory is synced.
     synced_index: Index,
+    /// Messages that wait for a ticket, oldest first.
     deferred: VecDeque<DeferredMessage>,
 }
 
@@ -63,7 +66,7 @@
     /// Adds a record to the next batch. A hard state takes the place of one directly before it.
     pub fn record(&mut self, record: Record) {
         match (self.records.last_mut(), record) {
-            (Some(Record::Hard(last)), Record::Hard(hard)) => *last = hard,
+            (Some(Record::Hard(last)), Record::Hard(newer)) => *last = newer,
             (_, record) => self.records.push(record),
         }
     }
--- a/consensus/tests/read_scenarios.rs
+++ b/consensus/tests/read_scenarios.rs
@@ -5,6 +5,7 @@
 use group::scenario::{heal_and_await_leader, play_all, propose_and_read_at_leaders, run_up_to};
 use group::Group;
 use shaletrail_consensus::Message;
+use shaletrail_protocol::NodeId;
 
 #[test]
 fn replaced_leader_confirms_no_read_by_old_responses() {
@@ -14,16 +15,7 @@
             |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
         for _ in 0..5 {
             let former = heal_and_await_leader(&mut group);
-            group.isolate(former);
-            group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
-            run_up_to(&mut group, 20);
-            for _ in 0..6 {
-                propose_and_read_at_leaders(&mut group);
-                for _ in 0..6 {
-                    group.replay_recorded();
-                }
-                group.run(10);
-            }
+            isolate_and_replay(&mut group, former);
         }
         group
     });
@@ -35,23 +27,27 @@
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..4 {
             transfer_until_leading_again(&mut group);
-            // It is isolated, and another leads.
             let former = group.current_leader();
-            group.isolate(former);
-            group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
-            run_up_to(&mut group, 20);
-            for _ in 0..6 {
-                propose_and_read_at_leaders(&mut group);
-                for _ in 0..6 {
-                    group.replay_recorded();
-                }
-                group.run(10);
-            }
+            isolate_and_replay(&mut group, former);
         }
         group
     });
 }
 
+/// Isolates a leader until another leads, and replays recorded messages while both are asked for reads.
+fn isolate_and_replay(group: &mut Group, former: NodeId) {
+    group.isolate(former);
+    group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
+    run_up_to(group, 20);
+    for _ in 0..6 {
+        propose_and_read_at_leaders(group);
+        for _ in 0..6 {
+            group.replay_recorded();
+        }
+        group.run(10);
+    }
+}
+
 /// A leader transfers the leadership and leads again soon; only the responses of its former term are recorded. Its
 /// rounds begin anew.
 fn transfer_until_leading_again(group: &mut Group) {
