--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -7,54 +7,23 @@
 pub mod history;
 mod invariants;
 mod machine;
+mod network;
 pub mod scenario;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletrail_consensus::{
-    Effect, Index, Message, Options, Payload, Replica, Role, RoundStamp, Term, VoterStatus,
-};
+use shaletrail_consensus::{Effect, Index, Message, Options, Payload, Replica, Role, Term};
 use shaletrail_protocol::{Millis, NodeId};
 
 pub use invariants::InvariantChecker;
 pub use machine::Machine;
+use network::MessageInTransit;
+pub use network::{Conditions, Filter};
 
 /// The step of virtual time, in milliseconds.
 const STEP_MS: Millis = 5;
-/// Messages that are recorded at most; further ones replace others at random.
-const MAX_RECORDED: usize = 256;
-
-/// How links and disks behave.
-#[derive(Clone, Debug)]
-pub struct Conditions {
-    /// Messages lost, in a thousand.
-    pub lost_permille: u32,
-    /// Messages duplicated, in a thousand.
-    pub duplicated_permille: u32,
-    /// The longest delay of a message; each draws its own, so that they overtake each other.
-    pub max_delay_ms: Millis,
-    /// The longest time of a sync.
-    pub max_sync_ms: Millis,
-}
-
-impl Conditions {
-    /// Links that lose nothing, and fast disks.
-    pub const HEALTHY: Conditions =
-        Conditions { lost_permille: 0, duplicated_permille: 0, max_delay_ms: 3, max_sync_ms: 3 };
-}
-
-/// A message on its way, ordered by arrival.
-#[derive(Clone, Debug)]
-struct MessageInTransit {
-    from: NodeId,
-    to: NodeId,
-    message: Message,
-}
-
-/// Sees each message with its sender and receiver; the message is dropped where it returns false.
-pub type Filter = Box<dyn FnMut(NodeId, NodeId, &Message) -> bool>;
 
 /// The group, its network and its clock.
 pub struct Group {
@@ -75,7 +44,9 @@
     pub sent: BTreeMap<&'static str, u64>,
     /// The last round that each leader sent a heartbeat in.
     pub last_rounds: BTreeMap<NodeId, u64>,
+    /// Messages by the time of their arrival and a number of their own.
     in_transit: BTreeMap<(Millis, u64), MessageInTransit>,
+    /// The number of the last message put in transit.
     sequence: u64,
     next_token: u64,
     next_command: u64,
@@ -199,22 +170,6 @@
         }
     }
 
-    /// Blocks all links between two sides, in both directions.
-    pub fn partition(&mut self, one: &[NodeId], other: &[NodeId]) {
-        for left in one {
-            for right in other {
-                self.blocked_links.insert((*left, *right));
-                self.blocked_links.insert((*right, *left));
-            }
-        }
-    }
-
-    /// Blocks all links of a machine.
-    pub fn isolate(&mut self, node: NodeId) {
-        let others = self.others(node);
-        self.partition(&[node], &others);
-    }
-
     /// Repairs all links and disks, resumes and restarts all machines that are not removed.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
@@ -272,73 +227,6 @@
         }
     }
 
-    fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
-        *self.sent.entry(message.name()).or_default() += 1;
-        if let Message::Heartbeat { stamp, .. } = &message {
-            self.last_rounds.insert(from, stamp.round);
-        }
-        let encoded = bitcode::encode(&message);
-        let message: Message = bitcode::decode(&encoded).expect("messages decode");
-        if (self.should_record)(&message) {
-            self.record(MessageInTransit { from, to, message: message.clone() });
-        }
-        let passes = self.filter.as_mut().is_none_or(|filter| filter(from, to, &message));
-        if !passes || self.blocked_links.contains(&(from, to)) || self.occurs(self.conditions.lost_permille) {
-            return;
-        }
-        if self.occurs(self.conditions.duplicated_permille) {
-            self.schedule(MessageInTransit { from, to, message: message.clone() });
-        }
-        self.schedule(MessageInTransit { from, to, message });
-    }
-
-    fn record(&mut self, message: MessageInTransit) {
-        if self.recorded.len() < MAX_RECORDED {
-            self.recorded.push(message);
-        } else {
-            let slot = self.random.random_range(0..MAX_RECORDED);
-            self.recorded[slot] = message;
-        }
-    }
-
-    /// Forgets the messages recorded so far.
-    pub fn clear_recorded(&mut self) {
-        self.recorded.clear();
-    }
-
-    /// Delivers a recorded message once more, also over a blocked link: it has been in transit for long.
-    pub fn replay_recorded(&mut self) {
-        if !self.recorded.is_empty() {
-            let slot = self.random.random_range(0..self.recorded.len());
-            let message = self.recorded[slot].clone();
-            self.schedule(message);
-        }
-    }
-
-    /// Delivers a message that no replica has sent.
-    pub fn inject(&mut self, from: NodeId, to: NodeId, message: Message) {
-        self.schedule(MessageInTransit { from, to, message });
-    }
-
-    /// Blocks a follower's link to the leader, and delivers a response to a heartbeat in its name.
-    pub fn forge_heartbeat_response(&mut self, follower: NodeId, leader: NodeId, stamp: RoundStamp) {
-        self.blocked_links.insert((follower, leader));
-        let status = VoterStatus { disk_id: self.machines[&follower].disk.id(), recovering: false };
-        let term = self.term(leader);
-        let response = Message::HeartbeatResponse { term, stamp, received: 1, matched: 1, status };
-        self.inject(follower, leader, response);
-    }
-
-    fn schedule(&mut self, message: MessageInTransit) {
-        let at = self.now + self.random.random_range(1..=self.conditions.max_delay_ms);
-        self.sequence += 1;
-        self.in_transit.insert((at, self.sequence), message);
-    }
-
-    fn occurs(&mut self, permille: u32) -> bool {
-        permille > 0 && self.random.random_ratio(permille, 1000)
-    }
-
     /// Lets time pass.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
@@ -377,11 +265,6 @@
         }
     }
 
-    fn next_arrival(&mut self) -> Option<MessageInTransit> {
-        let first = self.in_transit.first_entry().filter(|first| first.key().0 <= self.now)?;
-        Some(first.remove())
-    }
-
     fn sync_one(&mut self, node: NodeId) -> Option<u64> {
         let now = self.now;
         let machine = self.machine(node);
@@ -391,15 +274,6 @@
         machine.disk.sync_due(now)
     }
 
-    fn deliver(&mut self, message: MessageInTransit) {
-        let Some(machine) = self.machines.get_mut(&message.to) else { return };
-        if machine.is_paused {
-            machine.inbox.push((message.from, message.message));
-        } else {
-            self.call(message.to, |replica, now| replica.receive(now, message.from, message.message));
-        }
-    }
-
     /// The running leader with the newest term.
     pub fn leader(&self) -> Option<NodeId> {
         self.leaders().into_iter().max_by_key(|node| self.replica(*node).term())
@@ -496,11 +370,6 @@
         self.running().into_iter().filter(|node| self.replica(*node).is_leader()).collect()
     }
 
-    /// Drops the messages for which a condition is met, from now on.
-    pub fn drop_messages(&mut self, is_dropped: fn(&Message) -> bool) {
-        self.filter = Some(Box::new(move |_, _, message| !is_dropped(message)));
-    }
-
     /// Checks that every machine has applied all that was ever acknowledged.
     pub fn assert_nothing_lost(&self) {
         self.machines.values().for_each(|machine| self.invariants.assert_nothing_lost(machine));
