--- a/coordinator/src/core/shard_events.rs
+++ b/coordinator/src/core/shard_events.rs
@@ -14,6 +14,7 @@
         for event in self.shards.process_effects(actions) {
             self.on_shard_event(now, event, actions);
         }
+        // An installed snapshot changes the version without an event.
         let version = self.configuration_version();
         if version != self.last_applied_version {
             self.last_applied_version = version;
@@ -27,7 +28,6 @@
             ShardEvent::ChangeDecided { index, term, outcome } => {
                 self.on_change_decided(index, term, &outcome, actions)
             }
-            ShardEvent::SnapshotInstalled => {}
             ShardEvent::LeaseEpochStarted { shard, epoch } => {
                 self.on_lease_epoch_started(now, shard, epoch, actions)
             }
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -204,7 +204,6 @@
                 // The snapshot of the bootstrap has an empty state.
                 if self.shards[number].state.restore(&snapshot.state) || snapshot.state.is_empty() {
                     self.campaign_soon_if_last_holder(number);
-                    output.events.push(ShardEvent::SnapshotInstalled);
                 } else {
                     actions.push(Action::LogStateChange(StateChange::UnreadableRecords { shard }));
                 }
--- a/coordinator/src/core/shards/event.rs
+++ b/coordinator/src/core/shards/event.rs
@@ -16,8 +16,6 @@
         /// Whether the change was accepted, and why not.
         outcome: ChangeOutcome,
     },
-    /// The state machine was replaced by a snapshot: the configuration may have changed without an entry.
-    SnapshotInstalled,
     /// A node has acquired the order lease of a service shard.
     LeaseEpochStarted {
         /// The shard.
