--- /dev/null
+++ b/coordinator/src/driver/control_api.rs
@@ -0,0 +1,150 @@
+//! The control API over HTTP/1.1: heartbeats of servers, calls of the operator.
+
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use shaletrail_protocol::external::{Heartbeat, HeartbeatResponse, MAX_HEARTBEAT_BYTES};
+use shaletrail_protocol::internal::{OperatorCall, OperatorResponse};
+use slog::{debug, Logger};
+use tokio::net::{TcpListener, TcpStream};
+
+use super::accept::accept_connections;
+use super::host::Host;
+
+/// Connections that are open at a time.
+const MAX_CONNECTIONS: usize = 1024;
+/// How long a caller may take to send the head of a request.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest body of a change of the configuration that is accepted, in bytes.
+const MAX_CONFIGURATION_BYTES: usize = 7 << 20;
+/// After how many seconds a caller may retry a call whose result is unknown.
+const RETRY_AFTER_SECONDS: &str = "0.2";
+
+const HEARTBEAT_PATH: &str = "/Instances.Heartbeat/";
+const DEREGISTER_PATH: &str = "/Instances.Deregister/";
+const BASE_VERSION: &str = "base-version";
+
+type HttpResponse = Response<Full<Bytes>>;
+
+/// Serves connections for as long as the process runs.
+pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
+    accept_connections(listener, MAX_CONNECTIONS, |stream| {
+        serve_connection(Rc::clone(&host), stream, log.clone())
+    })
+    .await;
+}
+
+async fn serve_connection(host: Rc<Host>, stream: TcpStream, log: Logger) {
+    let service = service_fn(move |request| respond(Rc::clone(&host), request));
+    let connection = hyper::server::conn::http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEADER_READ_TIMEOUT)
+        .serve_connection(TokioIo::new(stream), service);
+    if let Err(error) = connection.await {
+        debug!(log, "control connection ended"; "error" => %error);
+    }
+}
+
+async fn respond(host: Rc<Host>, request: Request<Incoming>) -> Result<HttpResponse, Infallible> {
+    let path = request.uri().path().to_owned();
+    let is_post = request.method() == Method::POST;
+    Ok(if let Some(id) = path.strip_prefix(HEARTBEAT_PATH).filter(|id| is_post && !id.is_empty()) {
+        heartbeat(&host, id.to_owned(), request).await
+    } else if let Some(id) = path.strip_prefix(DEREGISTER_PATH).filter(|id| is_post && !id.is_empty()) {
+        server_response(host.deregister(id.to_owned()).await)
+    } else {
+        match path.as_str() {
+            "/Config.Replace" if is_post => change(&host, true, request).await,
+            "/Config.Update" if is_post => change(&host, false, request).await,
+            "/Config.Read" if request.method() == Method::GET => {
+                operator_response(host.operator(OperatorCall::Read).await)
+            }
+            "/Config.Replace" | "/Config.Update" | "/Config.Read" => {
+                plain_text(StatusCode::METHOD_NOT_ALLOWED, "another method is expected here")
+            }
+            _ => plain_text(StatusCode::NOT_FOUND, "there is no such call"),
+        }
+    })
+}
+
+async fn heartbeat(host: &Host, id: String, request: Request<Incoming>) -> HttpResponse {
+    let body = match Limited::new(request.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
+        Ok(body) => body.to_bytes(),
+        Err(_) => return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "a heartbeat holds at most 4096 bytes"),
+    };
+    match sonic_rs::from_slice::<Heartbeat>(&body) {
+        Ok(heartbeat) => server_response(host.heartbeat(id, heartbeat).await),
+        Err(error) => {
+            plain_text(StatusCode::BAD_REQUEST, &format!("heartbeat: {}", first_line(&error.to_string())))
+        }
+    }
+}
+
+async fn change(host: &Host, replace: bool, request: Request<Incoming>) -> HttpResponse {
+    let Some(base_version) = base_version(&request) else {
+        return plain_text(StatusCode::BAD_REQUEST, "Base-Version: expected a whole number");
+    };
+    let body = match Limited::new(request.into_body(), MAX_CONFIGURATION_BYTES).collect().await {
+        Ok(body) => body.to_bytes().to_vec(),
+        Err(error) if error.is::<LengthLimitError>() => {
+            return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the configuration is too long")
+        }
+        Err(_) => return plain_text(StatusCode::BAD_REQUEST, "the body did not come whole"),
+    };
+    operator_response(host.operator(OperatorCall::Change { replace, base_version, body }).await)
+}
+
+/// The version that a change builds on; 0 where the header is absent, `None` where it is no whole number.
+fn base_version(request: &Request<Incoming>) -> Option<u64> {
+    let Some(value) = request.headers().get(BASE_VERSION) else { return Some(0) };
+    value.to_str().unwrap_or("").trim().parse().ok()
+}
+
+fn operator_response(response: OperatorResponse) -> HttpResponse {
+    match response {
+        OperatorResponse::Done { body } => json(body),
+        OperatorResponse::Conflict { current_version } => {
+            plain_text(StatusCode::PRECONDITION_FAILED, &format!("version {current_version} is current"))
+        }
+        OperatorResponse::Invalid { reason } => plain_text(StatusCode::BAD_REQUEST, &reason),
+        OperatorResponse::Unavailable => unavailable(),
+    }
+}
+
+fn server_response(accepted: bool) -> HttpResponse {
+    if !accepted {
+        return unavailable();
+    }
+    let response = HeartbeatResponse::default();
+    json(sonic_rs::to_vec(&response).unwrap_or_else(|_| b"{}".to_vec()))
+}
+
+fn unavailable() -> HttpResponse {
+    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "no clear answer: ask another node");
+    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_SECONDS));
+    response
+}
+
+fn json(body: Vec<u8>) -> HttpResponse {
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+}
+
+fn plain_text(status: StatusCode, text: &str) -> HttpResponse {
+    let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
+    *response.status_mut() = status;
+    response
+}
+
+fn first_line(text: &str) -> &str {
+    text.lines().next().unwrap_or_default()
+}
--- /dev/null
+++ b/coordinator/src/driver/edge_polls.rs
@@ -0,0 +1,118 @@
+//! The connection of one edge: its polls, which may be pending for long, and the reports that it sends meanwhile.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use shaletrail_protocol::frame;
+use shaletrail_protocol::internal::{EdgeIdentity, EdgeRequest, PollRequest, PollResponse};
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+use super::frames::{read_frame, ReadFrameError};
+use super::host::Host;
+use super::sockets::with_timeout;
+use crate::interface::Event;
+
+/// How long a response may take to be written.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long an edge may be silent between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Requests of one edge that are read ahead.
+const MAX_QUEUED_REQUESTS: usize = 4;
+
+/// How a poll ended.
+enum PollOutcome {
+    Answered(Box<PollResponse>),
+    /// The edge has sent another poll before it had the response: only the new one counts.
+    Superseded(PollRequest),
+    /// There is nobody to respond to any more, or nobody who could.
+    Closed,
+}
+
+/// Serves an edge until it disconnects.
+///
+/// # Errors
+/// The edge is idle for too long, or does not read its responses.
+pub async fn serve_edge(
+    host: &Rc<Host>,
+    edge: EdgeIdentity,
+    stream: TcpStream,
+) -> Result<(), ReadFrameError> {
+    let (reader, mut writer) = stream.into_split();
+    let (sender, mut requests) = mpsc::channel(MAX_QUEUED_REQUESTS);
+    let _reading = AbortOnDrop(tokio::task::spawn_local(read_requests(reader, sender)));
+    let mut next_poll = None;
+    loop {
+        let request = match next_poll.take() {
+            Some(poll) => Some(EdgeRequest::Poll(poll)),
+            None => with_timeout(IDLE_TIMEOUT, requests.recv()).await?,
+        };
+        let poll = match request {
+            Some(EdgeRequest::Poll(poll)) => poll,
+            Some(EdgeRequest::Report { demand }) => {
+                host.handle(Event::EdgeReport { edge: edge.node, demand });
+                continue;
+            }
+            Some(EdgeRequest::Leave) => {
+                host.handle(Event::EdgeDisconnected(edge.node));
+                return Ok(());
+            }
+            None => return Ok(()),
+        };
+        match await_response(host, &edge, poll, &mut requests).await {
+            PollOutcome::Answered(response) => {
+                let bytes = frame::encode(&*response);
+                with_timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await??;
+            }
+            PollOutcome::Superseded(poll) => next_poll = Some(poll),
+            PollOutcome::Closed => return Ok(()),
+        }
+    }
+}
+
+/// Waits for the response to a poll, and handles the edge's other requests meanwhile.
+async fn await_response(
+    host: &Rc<Host>,
+    edge: &EdgeIdentity,
+    poll: PollRequest,
+    requests: &mut mpsc::Receiver<EdgeRequest>,
+) -> PollOutcome {
+    let pending = host.poll(edge.clone(), poll);
+    tokio::pin!(pending);
+    loop {
+        tokio::select! {
+            response = &mut pending => return response.map_or(PollOutcome::Closed, PollOutcome::Answered),
+            request = requests.recv() => match request {
+                Some(EdgeRequest::Poll(poll)) => return PollOutcome::Superseded(poll),
+                Some(EdgeRequest::Report { demand }) => {
+                    host.handle(Event::EdgeReport { edge: edge.node, demand });
+                }
+                Some(EdgeRequest::Leave) => {
+                    host.handle(Event::EdgeDisconnected(edge.node));
+                    return PollOutcome::Closed;
+                }
+                None => return PollOutcome::Closed,
+            },
+        }
+    }
+}
+
+/// Reads what an edge sends until its connection ends.
+async fn read_requests(mut reader: OwnedReadHalf, requests: mpsc::Sender<EdgeRequest>) {
+    while let Ok(request) = read_frame(&mut reader).await {
+        if requests.send(request).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// A task that is aborted with its owner.
+struct AbortOnDrop(tokio::task::JoinHandle<()>);
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- /dev/null
+++ b/coordinator/src/driver/host/calls.rs
@@ -0,0 +1,58 @@
+//! The calls of servers, operators and edges, each of which waits for its response.
+
+use shaletrail_protocol::external::Heartbeat;
+use shaletrail_protocol::internal::{
+    EdgeIdentity, OperatorCall, OperatorResponse, PollRequest, PollResponse,
+};
+use shaletrail_protocol::ServerId;
+
+use super::Host;
+use crate::interface::{CallId, Event};
+
+impl Host {
+    /// Handles a server's heartbeat; whether it is acknowledged.
+    pub async fn heartbeat(&self, id: ServerId, heartbeat: Heartbeat) -> bool {
+        self.call_of_server(|call| Event::Heartbeat { call, id, heartbeat }).await
+    }
+
+    /// Handles a server's deregistration; whether it is acknowledged.
+    pub async fn deregister(&self, id: ServerId) -> bool {
+        self.call_of_server(|call| Event::Deregister { call, id }).await
+    }
+
+    async fn call_of_server(&self, event: impl FnOnce(CallId) -> Event) -> bool {
+        let (call, response) = self.state.borrow_mut().calls.add_server_call();
+        self.handle(event(call));
+        response.await.unwrap_or(false)
+    }
+
+    /// Handles a call of the operator.
+    pub async fn operator(&self, operator: OperatorCall) -> OperatorResponse {
+        let (call, response) = self.state.borrow_mut().calls.add_operator_call();
+        self.handle(Event::Operator { call, operator });
+        response.await.unwrap_or(OperatorResponse::Unavailable)
+    }
+
+    /// Handles an edge's long poll; `None` during a shutdown. Dropping the future cancels the poll.
+    pub async fn poll(&self, edge: EdgeIdentity, request: PollRequest) -> Option<Box<PollResponse>> {
+        let (call, response) = self.state.borrow_mut().calls.add_poll();
+        let _cancel = CancelPollOnDrop { host: self, call };
+        self.handle(Event::Poll { call, edge, request });
+        response.await.ok()
+    }
+}
+
+/// Cancels a poll whose caller does not wait for the response any more.
+struct CancelPollOnDrop<'a> {
+    host: &'a Host,
+    call: CallId,
+}
+
+impl Drop for CancelPollOnDrop<'_> {
+    fn drop(&mut self) {
+        let was_pending = self.host.state.borrow_mut().calls.cancel(self.call);
+        if was_pending {
+            self.host.handle(Event::PollCancelled(self.call));
+        }
+    }
+}
--- /dev/null
+++ b/coordinator/src/driver/host/log.rs
@@ -0,0 +1,65 @@
+//! The log lines of events that an operator of the system may act on.
+
+use shaletrail_protocol::external::ServerReport;
+use shaletrail_storage::Report as JournalReport;
+use slog::{debug, info, o, warn, Logger};
+
+use crate::driver::order_client::OutgoingOrder;
+use crate::interface::{OrderOutcome, StateChange};
+
+/// Logs a change of the coordinator's state: info for the expected ones, warning where an operator may have to act.
+pub fn log_state_change(log: &Logger, change: &StateChange) {
+    match change {
+        StateChange::BecameLeader { shard, term } => {
+            info!(log, "became leader of shard"; "shard" => shard, "term" => term)
+        }
+        StateChange::LostLeadership { shard, term } => {
+            info!(log, "lost leadership of shard"; "shard" => shard, "term" => term)
+        }
+        StateChange::ConfigurationApplied { version } => {
+            info!(log, "configuration applied"; "version" => version)
+        }
+        StateChange::VotersChanging { shard, wanted } => {
+            let voters: Vec<String> = wanted.iter().map(ToString::to_string).collect();
+            info!(log, "changing voters of shard"; "shard" => shard, "target_voters" => voters.join(","))
+        }
+        StateChange::OrderLeaseAcquired { shard, fencing_token } => {
+            info!(log, "acquired order lease of shard"; "shard" => shard, "fencing_token" => fencing_token)
+        }
+        StateChange::QuorumContactChanged(has_contact) => {
+            warn!(log, "quorum contact changed"; "has_contact" => has_contact)
+        }
+        StateChange::UnreadableRecords { shard } => {
+            warn!(log, "records of shard are unreadable"; "shard" => shard)
+        }
+    }
+}
+
+/// Logs an order with its outcome. One that the server rejects says that something about the server was not known: another
+/// order that it has accepted.
+pub(super) fn log_order(log: &Logger, outgoing: &OutgoingOrder, outcome: OrderOutcome) {
+    let order = &outgoing.body;
+    let log = log.new(o!("operation" => order.operation.to_string(), "model" => order.model.clone(),
+        "adapter" => order.adapter.clone().unwrap_or_default(), "server" => outgoing.server.clone(),
+        "revision" => order.if_revision, "fencing_token" => order.fencing_token,
+        "outcome" => outcome.to_string()));
+    match outcome {
+        OrderOutcome::Busy | OrderOutcome::AlreadyHeld => info!(log, "order rejected by server"),
+        _ => debug!(log, "order completed"),
+    }
+}
+
+pub(super) fn log_server_report(log: &Logger, server: &str, report: &ServerReport) {
+    debug!(log, "received report of server"; "server" => server, "revision" => report.sequence,
+        "order_in_flight" => report.order_in_flight, "models" => report.models.len());
+}
+
+pub(super) fn log_journal_failure(log: &Logger, report: &JournalReport) {
+    match report {
+        JournalReport::Failed { error, .. } => warn!(log, "journal write failed"; "error" => %error),
+        JournalReport::CheckpointFailed { error } => {
+            warn!(log, "journal checkpoint failed"; "error" => %error)
+        }
+        JournalReport::Done { .. } | JournalReport::Checkpointed { .. } | JournalReport::Stopped => {}
+    }
+}
--- /dev/null
+++ b/coordinator/src/driver/internal_api.rs
@@ -0,0 +1,49 @@
+//! The internal port: edges poll here, and other coordinators send their messages.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use shaletrail_protocol::internal::{CoordinatorMessage, Handshake};
+use shaletrail_protocol::NodeId;
+use slog::{debug, Logger};
+use tokio::net::{TcpListener, TcpStream};
+
+use super::accept::accept_connections;
+use super::edge_polls::serve_edge;
+use super::frames::{read_frame, ReadFrameError};
+use super::host::Host;
+use super::sockets::with_timeout;
+use crate::interface::Event;
+
+/// How long a caller may take to introduce itself.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Connections that are open at a time: all nodes of a zone may connect at the same moment.
+const MAX_CONNECTIONS: usize = 2048;
+
+/// Serves connections for as long as the process runs.
+pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
+    accept_connections(listener, MAX_CONNECTIONS, |stream| {
+        let (host, log) = (Rc::clone(&host), log.clone());
+        async move {
+            if let Err(error) = serve_connection(&host, stream).await {
+                debug!(log, "internal connection ended"; "error" => %error);
+            }
+        }
+    })
+    .await;
+}
+
+async fn serve_connection(host: &Rc<Host>, mut stream: TcpStream) -> Result<(), ReadFrameError> {
+    match with_timeout(HANDSHAKE_TIMEOUT, read_frame(&mut stream)).await?? {
+        Handshake::Coordinator { node, .. } => receive_messages(host, node, stream).await,
+        Handshake::Edge(edge) => serve_edge(host, edge, stream).await,
+    }
+}
+
+async fn receive_messages(host: &Rc<Host>, from: NodeId, stream: TcpStream) -> Result<(), ReadFrameError> {
+    let mut stream = tokio::io::BufReader::new(stream);
+    loop {
+        let message: CoordinatorMessage = read_frame(&mut stream).await?;
+        host.handle(Event::Message { from, message });
+    }
+}
--- /dev/null
+++ b/coordinator/src/driver/journal/open.rs
@@ -0,0 +1,86 @@
+//! Opening the journal at the start of the process.
+
+use std::path::Path;
+use std::time::Duration;
+
+use shaletrail_protocol::settings::Settings;
+use shaletrail_storage::{erase, FolderDisk, Journal, Options, StorageError, StoredRecord};
+use slog::{error, warn, Logger};
+use snafu::{ResultExt, Snafu};
+
+use crate::driver::error::{CoordinatorError, JournalSnafu};
+
+/// Attempts to open the journal: a disk may fail for a while after a restart of the machine.
+const MAX_OPEN_ATTEMPTS: u32 = 100;
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// Why one attempt to open the journal has failed.
+#[derive(Debug, Snafu)]
+pub enum OpenJournalError {
+    /// The directory cannot be used.
+    #[snafu(display("{source}"))]
+    Directory {
+        /// The error of the operating system.
+        source: std::io::Error,
+    },
+    /// The files of the journal cannot be read, or not be relied on.
+    #[snafu(display("{source}"))]
+    Files {
+        /// The error of the storage.
+        source: StorageError,
+    },
+}
+
+/// A journal with the records that it held when it was opened.
+pub struct OpenedJournal {
+    /// The journal, ready for appends.
+    pub journal: Journal<FolderDisk>,
+    /// Its records, oldest first.
+    pub stored: Vec<StoredRecord>,
+}
+
+/// Opens the journal in a directory, and tries again while that fails. Blocks the thread.
+///
+/// A corrupt journal counts as a lost disk: it is erased, and the node rejoins its replica groups as a recovering voter.
+///
+/// # Errors
+/// The error of the last attempt.
+pub fn open_journal(
+    folder: &Path,
+    settings: &Settings,
+    log: &Logger,
+) -> Result<OpenedJournal, CoordinatorError> {
+    let options = Options::for_disk(settings.limits.disk_mb);
+    let mut attempts = 0;
+    loop {
+        let error = match try_open(folder, &options, log) {
+            Ok(opened) => return Ok(opened),
+            Err(error) => error,
+        };
+        std::thread::sleep(RETRY_PAUSE);
+        attempts += 1;
+        if attempts == MAX_OPEN_ATTEMPTS {
+            return Err(error).context(JournalSnafu { folder });
+        }
+    }
+}
+
+fn try_open(folder: &Path, options: &Options, log: &Logger) -> Result<OpenedJournal, OpenJournalError> {
+    let disk = FolderDisk::open(folder).context(DirectorySnafu)?;
+    match Journal::open(disk, options) {
+        Ok(opened) => Ok(OpenedJournal { journal: opened.journal, stored: opened.stored }),
+        Err(error) => {
+            if matches!(error, StorageError::Corrupt { .. }) {
+                error!(log, "journal is corrupt, erasing it to rejoin as a recovering voter"; "error" => %error);
+                if let Ok(mut disk) = FolderDisk::open(folder) {
+                    // An erasure that fails is resumed by the next attempt.
+                    let _ = erase(&mut disk);
+                }
+            } else {
+                warn!(log, "journal not opened yet, retrying"; "error" => %error);
+            }
+            Err(error).context(FilesSnafu)
+        }
+    }
+}
--- a/coordinator/src/driver/gate.rs
+++ b/coordinator/src/driver/lease_guard.rs
@@ -1,4 +1,7 @@
-//! A connection whose every write is asked for as the last thing before the bytes go to the system.
+//! A connection that checks before each write whether it may still write.
+//!
+//! An order may be written only under a valid lease. A check before the connection is established, or before the request
+//! is encoded, would not do: the process may be suspended in between for longer than the lease lasts.
 
 use std::cell::Cell;
 use std::io::{Error, ErrorKind};
@@ -9,23 +12,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection that writes only while it may. Between the question and the system's call nothing else runs, so that
-/// a process that was frozen for long finds the answer of now, whatever it had been about to write.
-pub struct GatedStream<Permit> {
+/// A connection whose writes fail once `may_write` denies them. Nothing runs between that check and the system call, so
+/// that a process that resumes after a suspension checks the lease as it is then, whatever it was about to write.
+pub struct LeaseGuardedStream<Permit> {
     stream: TcpStream,
     may_write: Permit,
-    written: Rc<Cell<bool>>,
+    has_written: Rc<Cell<bool>>,
 }
 
-impl<Permit: Fn() -> bool> GatedStream<Permit> {
-    /// A connection that asks `may_write` before each write; and what tells whether any byte was written.
+impl<Permit: Fn() -> bool> LeaseGuardedStream<Permit> {
+    /// Guards a connection; also returns the flag that says whether any byte has been written.
     pub fn new(stream: TcpStream, may_write: Permit) -> (Self, Rc<Cell<bool>>) {
-        let written = Rc::new(Cell::new(false));
-        (GatedStream { stream, may_write, written: Rc::clone(&written) }, written)
+        let has_written = Rc::new(Cell::new(false));
+        (LeaseGuardedStream { stream, may_write, has_written: Rc::clone(&has_written) }, has_written)
     }
 }
 
-impl<Permit: Unpin> AsyncRead for GatedStream<Permit> {
+impl<Permit: Unpin> AsyncRead for LeaseGuardedStream<Permit> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -35,7 +38,7 @@
     }
 }
 
-impl<Permit: Fn() -> bool + Unpin> AsyncWrite for GatedStream<Permit> {
+impl<Permit: Fn() -> bool + Unpin> AsyncWrite for LeaseGuardedStream<Permit> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -46,7 +49,7 @@
         }
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
         if matches!(result, Poll::Ready(Ok(1..))) {
-            self.written.set(true);
+            self.has_written.set(true);
         }
         result
     }
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -1,116 +1,110 @@
 //! Sockets, disk and clock of a coordinator, around the decisions of [`crate::core::Coordinator`].
 //!
-//! [`host`] owns the core and carries out its actions; [`links`], [`orders`] and [`disk`] do one kind of work each and
-//! know nothing of it; [`control`] and [`polls`] bring it what callers ask.
+//! [`host`] owns the decisions and carries out their actions by [`peers`], [`order_client`] and [`journal`], which know
+//! nothing of it. [`control_api`] and [`internal_api`] accept connections and bring it what callers ask.
 
-pub mod control;
-pub mod disk;
-pub mod gate;
+pub mod accept;
+pub mod control_api;
+pub mod edge_polls;
+pub mod error;
+pub mod frames;
 pub mod host;
-pub mod links;
-pub mod orders;
-pub mod polls;
+pub mod internal_api;
+pub mod journal;
+pub mod lease_guard;
+pub mod order_client;
+pub mod peers;
 pub mod sockets;
 
-use std::path::PathBuf;
+use std::net::SocketAddrV4;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, NodeId};
 use slog::{info, warn, Logger};
-use snafu::{ResultExt, Snafu};
-use tokio::signal::unix::{signal, SignalKind};
+use snafu::ResultExt;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::time::MissedTickBehavior;
+
+pub use error::CoordinatorError;
 
 use crate::interface::{CoordinatorOptions, Event};
+use error::{ListenSnafu, SignalsSnafu};
 use host::Host;
 
-/// How often the core is told that time has passed.
-const TICK: Duration = Duration::from_millis(50);
-/// How long answers under way are waited for when the process is told to end.
-const FAREWELL: Duration = Duration::from_millis(400);
-
-/// Why a coordinator cannot run.
-#[derive(Debug, Snafu)]
-pub enum CoordinatorError {
-    /// A listener cannot be opened.
-    #[snafu(display("listener on {address}: {source}"))]
-    Listen {
-        /// Where.
-        address: String,
-        /// What the system said.
-        source: std::io::Error,
-    },
-    /// The settings lack what a coordinator needs.
-    #[snafu(display("{key}: missing, a coordinator needs it"))]
-    Lacking {
-        /// The key.
-        key: &'static str,
-    },
-    /// The journal cannot be opened.
-    #[snafu(display("journal in {}: {reason}", folder.display()))]
-    Journal {
-        /// Its folder.
-        folder: PathBuf,
-        /// What went wrong.
-        reason: String,
-    },
-    /// Signals cannot be heard.
-    #[snafu(display("signals: {source}"))]
-    Signals {
-        /// What the system said.
-        source: std::io::Error,
-    },
-}
+/// Time between two [`Event::Tick`]s.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long responses and transfers of leadership may go on after SIGTERM, before the process ends.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
 
-/// Runs a coordinator until the process is told to end. Needs a `LocalSet`.
+/// Runs a coordinator until SIGTERM. Needs a `LocalSet`.
+///
+/// # Errors
+/// The settings lack a key, an address cannot be listened on, or the journal cannot be opened.
 pub async fn run(settings: Settings, path: PathBuf, log: Logger) -> Result<(), CoordinatorError> {
-    let control =
-        settings.control_plane.ok_or(CoordinatorError::Lacking { key: "listenersMap.controlPlane" })?;
-    let folder = settings.data_dir.clone().ok_or(CoordinatorError::Lacking { key: "dataDir" })?;
-    let internal = std::net::SocketAddrV4::new(settings.ip, settings.internal_port());
-    let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
-    let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+    let missing = |key| CoordinatorError::MissingSetting { key };
+    let control = settings.control_plane.ok_or(missing("listenersMap.controlPlane"))?;
+    let folder = settings.data_dir.clone().ok_or(missing("dataDir"))?;
+    let internal = SocketAddrV4::new(settings.ip, settings.internal_port());
+    let terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
+    let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
 
-    let incarnation = Incarnation(fresh_number());
-    let opened = disk::open(&folder, &settings, &log)?;
+    let incarnation = Incarnation(random_number());
+    let opened = journal::open_journal(&folder, &settings, &log)?;
     let options = CoordinatorOptions::from_settings(&settings, incarnation);
     let host = Host::start(options, &settings, opened, log.clone());
 
-    let calls = sockets::listen(control.into()).context(ListenSnafu { address: control.to_string() })?;
-    let inside = sockets::listen(internal.into()).context(ListenSnafu { address: internal.to_string() })?;
-    tokio::task::spawn_local(control::serve(Rc::clone(&host), calls, log.clone()));
-    tokio::task::spawn_local(polls::serve(Rc::clone(&host), inside, log.clone()));
+    let control_listener = listen(control)?;
+    let internal_listener = listen(internal)?;
+    tokio::task::spawn_local(control_api::serve(Rc::clone(&host), control_listener, log.clone()));
+    tokio::task::spawn_local(internal_api::serve(Rc::clone(&host), internal_listener, log.clone()));
     info!(log, "coordinator started"; "control" => %control, "internal" => %internal);
 
-    let mut ticks = tokio::time::interval(TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    run_until_terminated(&host, terminate, hangup, &path, &log).await;
+    info!(log, "shutting down");
+    host.shut_down();
+    tokio::time::sleep(SHUTDOWN_GRACE).await;
+    Ok(())
+}
+
+fn listen(address: SocketAddrV4) -> Result<TcpListener, CoordinatorError> {
+    sockets::listen(address.into()).context(ListenSnafu { address: address.to_string() })
+}
+
+async fn run_until_terminated(
+    host: &Host,
+    mut terminate: Signal,
+    mut hangup: Signal,
+    path: &Path,
+    log: &Logger,
+) {
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => host.handle(Event::Tick),
-            _ = hangup.recv() => reread(&host, &path, &log),
-            _ = terminate.recv() => break,
+            _ = hangup.recv() => reload_seeds(host, path, log),
+            _ = terminate.recv() => return,
         }
     }
-    info!(log, "told to end");
-    host.leave();
-    tokio::time::sleep(FAREWELL).await;
-    Ok(())
 }
 
-/// Takes over the seeds that the settings file names now.
-fn reread(host: &Host, path: &std::path::Path, log: &Logger) {
+/// Reads the settings file again for its seeds; the other settings take effect at the next start only.
+fn reload_seeds(host: &Host, path: &Path, log: &Logger) {
     match Settings::read(path) {
         Ok(settings) => {
             let seeds: Vec<NodeId> = settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect();
             host.handle(Event::Seeds(seeds));
         }
-        Err(error) => warn!(log, "settings not read again"; "error" => %error),
+        Err(error) => warn!(log, "settings reload failed"; "error" => %error),
     }
 }
 
-/// A number that no other start of a process has, from the hasher's random keys.
-fn fresh_number() -> u64 {
+/// A random number, from the keys that the standard library draws for its hashers.
+fn random_number() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/coordinator/src/driver/orders.rs
+++ b/coordinator/src/driver/order_client.rs
@@ -1,8 +1,6 @@
-//! Orders on their way to servers: one connection each, closed after the answer.
+//! Requests to model servers: orders and reports, each on a connection of its own that is closed after the response.
 
-use std::cell::Cell;
 use std::net::SocketAddrV4;
-use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -15,48 +13,52 @@
 use shaletrail_protocol::ServerId;
 use tokio::net::TcpStream;
 
-use super::gate::GatedStream;
+use super::lease_guard::LeaseGuardedStream;
 use super::sockets;
 use crate::core::orders::ORDER_LEAVES_WITHIN;
 use crate::interface::OrderOutcome;
 
-/// Within which a server answers an order.
-const ANSWER_TIME: Duration = Duration::from_millis(1500);
-/// The longest report taken, in bytes.
-const LONGEST_REPORT: usize = 256 << 10;
-/// The header by which another server than the one that is meant, and a later start of it, refuses.
+/// How long a server may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The longest report that is accepted, in bytes.
+const MAX_REPORT_BYTES: usize = 256 << 10;
+/// Names the start of a server that is meant: another server at the address, or a later start, rejects the request.
 const EXPECTED_INSTANCE: &str = "expected-instance";
 
-/// An order for a server.
+/// An order with its destination.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
-    /// The server's id.
+pub struct OutgoingOrder {
+    /// The start of the server that is meant.
     pub server: ServerId,
-    /// Where it is, `IP:PORT`.
+    /// The address of the server, `IP:PORT`.
     pub address: String,
-    /// The order.
+    /// The body of the request.
     pub body: Order,
 }
 
-/// Sends an order on a connection of its own, if `may_write` allows it then; how that ended. It is sent once only:
-/// no answer is [`OrderOutcome::Unknown`], as the server may have taken the order.
-pub async fn deliver(outgoing: &Outgoing, may_write: impl Fn() -> bool + Unpin + 'static) -> OrderOutcome {
+/// Sends an order if `may_write` permits it at the moment when the bytes are written. It is never retried here: without
+/// a response the outcome is [`OrderOutcome::Unknown`], as the server may have accepted the order.
+pub async fn send_order(
+    outgoing: &OutgoingOrder,
+    may_write: impl Fn() -> bool + Unpin + 'static,
+) -> OrderOutcome {
     let Some(request) = order_request(outgoing) else { return OrderOutcome::NotSent };
     let Some(stream) = connect_for_order(&outgoing.address).await else { return OrderOutcome::NotSent };
-    let (stream, written) = GatedStream::new(stream, may_write);
+    let (stream, has_written) = LeaseGuardedStream::new(stream, may_write);
     let Ok((mut sender, connection)) = handshake(TokioIo::new(stream)).await else {
         return OrderOutcome::NotSent;
     };
     let driving = tokio::task::spawn_local(connection);
-    let answer = tokio::time::timeout(ANSWER_TIME, sender.send_request(request)).await;
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await;
     driving.abort();
-    match answer {
-        Ok(Ok(answer)) => outcome(answer.status()),
-        Ok(Err(_)) | Err(_) => unanswered(&written),
+    match response {
+        Ok(Ok(response)) => outcome_of(response.status()),
+        Ok(Err(_)) | Err(_) if has_written.get() => OrderOutcome::Unknown,
+        Ok(Err(_)) | Err(_) => OrderOutcome::NotSent,
     }
 }
 
-fn order_request(outgoing: &Outgoing) -> Option<Request<Full<Bytes>>> {
+fn order_request(outgoing: &OutgoingOrder) -> Option<Request<Full<Bytes>>> {
     let body = sonic_rs::to_vec(&outgoing.body).ok()?;
     let request = Request::post("/order")
         .header(HOST, &outgoing.address)
@@ -66,15 +68,7 @@
     request.body(Full::new(Bytes::from(body))).ok()
 }
 
-fn unanswered(written: &Rc<Cell<bool>>) -> OrderOutcome {
-    if written.get() {
-        OrderOutcome::Unknown
-    } else {
-        OrderOutcome::NotSent
-    }
-}
-
-/// Asks a server for its report; `None` if none comes in time.
+/// Asks a server for its report; `None` if it does not send a valid one in time.
 pub async fn fetch_report(server: &str, address: &str) -> Option<ServerReport> {
     let request = Request::get("/report")
         .header(HOST, address)
@@ -83,23 +77,25 @@
         .body(Full::new(Bytes::new()))
         .ok()?;
     let (mut sender, connection) = handshake(TokioIo::new(connect(address).await?)).await.ok()?;
-    let asking = async move {
-        let answer =
-            sender.send_request(request).await.ok().filter(|answer| answer.status() == StatusCode::OK)?;
-        let body = Limited::new(answer.into_body(), LONGEST_REPORT).collect().await.ok()?;
+    let exchange = async move {
+        let response = sender.send_request(request).await.ok()?;
+        if response.status() != StatusCode::OK {
+            return None;
+        }
+        let body = Limited::new(response.into_body(), MAX_REPORT_BYTES).collect().await.ok()?;
         sonic_rs::from_slice(&body.to_bytes()).ok()
     };
     let driving = tokio::task::spawn_local(connection);
-    let report = tokio::time::timeout(ANSWER_TIME, asking).await.ok().flatten();
+    let report = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.ok().flatten();
     driving.abort();
     report
 }
 
-/// A connection from which bytes leave within [`ORDER_LEAVES_WITHIN`] after they were written, or never; `None` if it
-/// does not come up, or the system does not promise that.
+/// A connection whose bytes leave within [`ORDER_LEAVES_WITHIN`] after they were written, or never. `None` if it cannot be
+/// established, or the operating system does not guarantee that.
 pub async fn connect_for_order(address: &str) -> Option<TcpStream> {
     let stream = connect(address).await?;
-    sockets::give_up_after(&stream, Duration::from_millis(ORDER_LEAVES_WITHIN)).ok()?;
+    sockets::set_unacknowledged_timeout(&stream, Duration::from_millis(ORDER_LEAVES_WITHIN)).ok()?;
     Some(stream)
 }
 
@@ -107,7 +103,7 @@
     sockets::connect(address.parse::<SocketAddrV4>().ok()?).await.ok()
 }
 
-fn outcome(status: StatusCode) -> OrderOutcome {
+fn outcome_of(status: StatusCode) -> OrderOutcome {
     match status {
         StatusCode::ACCEPTED => OrderOutcome::Accepted,
         StatusCode::OK => OrderOutcome::AlreadyHeld,
--- a/coordinator/src/driver/sockets.rs
+++ b/coordinator/src/driver/sockets.rs
@@ -1,23 +1,25 @@
-//! Opening sockets so that silent peers are noticed.
+//! Opening sockets, with timeouts by which peers that have disappeared are noticed.
 
+use std::future::Future;
+use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use shaletrail_protocol::frame::{self, FrameError};
-use snafu::Snafu;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
-use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::{TcpListener, TcpStream};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long a connection to another node may take to come up.
-pub const CONNECT_TIME: Duration = Duration::from_millis(400);
-/// How long written bytes may stay without an acknowledgement before a connection counts as dead.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
+/// How long a connection to another machine may take to be established.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long written bytes may stay unacknowledged before a connection counts as dead.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Opens a listener; may be called again right after an earlier process on the address has ended.
-pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
+/// Opens a listener. The address may be in use by closing connections of an earlier process.
+///
+/// # Errors
+/// Another process listens on the address, or the machine does not have it.
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
@@ -26,53 +28,36 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Options that every connection has, where the system takes them.
-pub fn tune(stream: &TcpStream) {
+/// Sets the options of every connection, where the operating system supports them.
+pub fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = give_up_after(stream, UNACKNOWLEDGED);
+    let _ = set_unacknowledged_timeout(stream, UNACKNOWLEDGED_TIMEOUT);
 }
 
-/// Lets written bytes stay without an acknowledgement for so long: after that the system sends them no more, and the
-/// connection has failed.
+/// Limits how long written bytes may stay unacknowledged (`TCP_USER_TIMEOUT`). After that the operating system no longer
+/// retransmits them, and the connection has failed.
 ///
 /// # Errors
-/// The system does not take the option.
-pub fn give_up_after(stream: &TcpStream, unacknowledged: Duration) -> std::io::Result<()> {
-    SockRef::from(stream).set_tcp_user_timeout(Some(unacknowledged))
+/// The operating system does not support the option.
+pub fn set_unacknowledged_timeout(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+    SockRef::from(stream).set_tcp_user_timeout(Some(timeout))
 }
 
-/// Connects within [`CONNECT_TIME`].
-pub async fn connect(address: SocketAddrV4) -> std::io::Result<TcpStream> {
-    let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let stream = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await.map_err(late)??;
-    tune(&stream);
+/// Connects within [`CONNECT_TIMEOUT`].
+///
+/// # Errors
+/// The connection is refused or times out.
+pub async fn connect(address: SocketAddrV4) -> io::Result<TcpStream> {
+    let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
+    set_options(&stream);
     Ok(stream)
 }
 
-/// Why no frame came.
-#[derive(Debug, Snafu)]
-pub enum ReadError {
-    /// The connection has ended or failed.
-    #[snafu(context(false), display("{source}"))]
-    Ended {
-        /// What the system said.
-        source: std::io::Error,
-    },
-    /// The bytes are no message.
-    #[snafu(context(false), display("{source}"))]
-    Frame {
-        /// What is wrong with them.
-        source: FrameError,
-    },
-}
-
-/// Reads one message.
-pub async fn read_frame<M: bitcode::DecodeOwned>(
-    from: &mut (impl AsyncRead + Unpin),
-) -> Result<M, ReadError> {
-    let mut prefix = [0; frame::PREFIX_BYTES];
-    from.read_exact(&mut prefix).await?;
-    let mut body = vec![0; frame::body_length(prefix)?];
-    from.read_exact(&mut body).await?;
-    Ok(frame::decode(&body)?)
+/// Waits for an operation on a connection.
+///
+/// # Errors
+/// [`io::ErrorKind::TimedOut`]; the operation is cancelled then.
+pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = T>) -> io::Result<T> {
+    let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
+    tokio::time::timeout(timeout, operation).await.map_err(timed_out)
 }
--- a/coordinator/tests/driver_control.rs
+++ b/coordinator/tests/driver_control_api.rs
@@ -1,13 +1,13 @@
-//! A coordinator's process over loopback: each caller has the answer to what it asked, whatever others do.
+//! The control API and the internal port of a coordinator over loopback: each caller gets the response to its own call.
 
-use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
+use shaletrail_coordinator::driver::frames::read_frame;
 use shaletrail_coordinator::driver::host::Host;
-use shaletrail_coordinator::driver::{control, disk, polls, sockets};
+use shaletrail_coordinator::driver::{control_api, internal_api, journal, sockets};
 use shaletrail_coordinator::interface::{CoordinatorOptions, Event};
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
@@ -20,35 +20,35 @@
 use tokio::net::TcpStream;
 
 mod common;
+mod local_runtime;
 
-/// Between two ticks.
-const TICK: Duration = Duration::from_millis(20);
+use local_runtime::run_within;
 
-/// A coordinator that is alone in its system, and where it listens.
-struct Process {
+/// How long a test may last. None that passes comes near it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The time between two ticks, and between two attempts of a call.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The only coordinator of its system.
+struct TestCoordinator {
     control: SocketAddr,
     internal: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Process {
+impl Drop for TestCoordinator {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let bounded = async { tokio::time::timeout(Duration::from_secs(20), test).await };
-    tokio::task::LocalSet::new().block_on(&runtime, bounded).expect("the test ends in time");
-}
-
-impl Process {
-    fn start(name: &str) -> Process {
-        Process::with_seeds(name, "127.0.0.1:8146")
+impl TestCoordinator {
+    fn start(name: &str) -> TestCoordinator {
+        TestCoordinator::with_seeds(name, "127.0.0.1:8146")
     }
 
-    fn with_seeds(name: &str, seeds: &str) -> Process {
+    fn with_seeds(name: &str, seeds: &str) -> TestCoordinator {
         let folder = std::env::temp_dir().join(format!("shaletrail-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let text = format!(
@@ -57,7 +57,7 @@
         );
         let settings: Settings = text.parse().expect("the settings are read");
         let log = Logger::root(Discard, o!());
-        let opened = disk::open(&folder, &settings, &log).expect("the journal is opened");
+        let opened = journal::open_journal(&folder, &settings, &log).expect("the journal is opened");
         let options = CoordinatorOptions::from_settings(&settings, Incarnation(7));
         let host = Host::start(options, &settings, opened, log.clone());
         let listen = || {
@@ -65,16 +65,16 @@
             let address = listener.local_addr().expect("an address");
             (listener, address)
         };
-        let ((calls, control), (inside, internal)) = (listen(), listen());
-        tokio::task::spawn_local(control::serve(Rc::clone(&host), calls, log.clone()));
-        tokio::task::spawn_local(polls::serve(Rc::clone(&host), inside, log));
+        let ((control_listener, control), (internal_listener, internal)) = (listen(), listen());
+        tokio::task::spawn_local(control_api::serve(Rc::clone(&host), control_listener, log.clone()));
+        tokio::task::spawn_local(internal_api::serve(Rc::clone(&host), internal_listener, log));
         tokio::task::spawn_local(async move {
             loop {
                 host.handle(Event::Tick);
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
             }
         });
-        Process { control, internal, folder }
+        TestCoordinator { control, internal, folder }
     }
 
     async fn connect(&self) -> TcpStream {
@@ -86,11 +86,11 @@
         loop {
             let mut stream = self.connect().await;
             send(&mut stream, method, path, base, body).await;
-            let (status, body) = answer(&mut stream).await;
+            let (status, body) = read_response(&mut stream).await;
             if status != 503 {
                 return (status, body);
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 }
@@ -103,8 +103,8 @@
     stream.write_all(format!("{head}{body}").as_bytes()).await.expect("the call is written");
 }
 
-/// Reads one answer, to the end that its length names.
-async fn answer(stream: &mut TcpStream) -> (u16, String) {
+/// Reads one response, of the length that its head announces.
+async fn read_response(stream: &mut TcpStream) -> (u16, String) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.expect("an answer"));
@@ -125,15 +125,15 @@
 }
 
 #[test]
-fn given_calls_one_after_the_other_on_one_connection_when_they_are_answered_then_each_has_its_own_answer() {
-    on_one_thread(async {
+fn pipelined_calls_get_their_own_responses() {
+    run_within(TEST_TIMEOUT, async {
         // given
-        let process = Process::start("kept-alive");
+        let coordinator = TestCoordinator::start("kept-alive");
         let configuration = common::configuration(3, "a.example");
-        assert_eq!(process.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
+        assert_eq!(coordinator.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
 
         // when: all are written before the first is answered
-        let mut stream = process.connect().await;
+        let mut stream = coordinator.connect().await;
         send(&mut stream, "POST", "/Instances.Heartbeat/i-1", 0, &heartbeat(1)).await;
         send(&mut stream, "POST", "/Config.Replace", 0, &common::configuration(3, "b.example")).await;
         send(&mut stream, "GET", "/Config.Read", 0, "").await;
@@ -141,22 +141,22 @@
         send(&mut stream, "POST", "/Nothing", 0, "").await;
 
         // then
-        let (status, body) = answer(&mut stream).await;
-        assert_eq!((status, body.as_str()), (200, "{}"), "no address for later heartbeats is given out");
-        assert_eq!(answer(&mut stream).await, (412, "version 3 is current\n".to_owned()));
-        let (status, body) = answer(&mut stream).await;
+        let (status, body) = read_response(&mut stream).await;
+        assert_eq!((status, body.as_str()), (200, "{}"), "no endpoint for later heartbeats is given");
+        assert_eq!(read_response(&mut stream).await, (412, "version 3 is current\n".to_owned()));
+        let (status, body) = read_response(&mut stream).await;
         assert!(status == 200 && body.contains("a.example") && !body.contains("b.example"), "{body}");
-        assert_eq!(answer(&mut stream).await.0, 400);
-        assert_eq!(answer(&mut stream).await.0, 404);
+        assert_eq!(read_response(&mut stream).await.0, 400);
+        assert_eq!(read_response(&mut stream).await.0, 404);
     });
 }
 
-/// One call's status, `content-type` and `retry-after` where they are there, and body.
-async fn whole_answer(
-    process: &Process,
+/// The status, the headers `content-type` and `retry-after` where they are present, and the body of one call.
+async fn full_response(
+    coordinator: &TestCoordinator,
     (method, path, base, body): (&str, &str, &str, &str),
 ) -> (String, Vec<String>, String) {
-    let mut stream = process.connect().await;
+    let mut stream = coordinator.connect().await;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: control\r\nConnection: close\r\nBase-Version: {base}\r\n\
          Content-Length: {}\r\n\r\n",
@@ -168,18 +168,18 @@
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
     let mut lines = head.lines();
     let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 ")).expect("a status line");
-    let told = lines.filter(|line| line.starts_with("content-type") || line.starts_with("retry-after"));
-    (status.to_owned(), told.map(str::to_owned).collect(), body.to_owned())
+    let headers = lines.filter(|line| line.starts_with("content-type") || line.starts_with("retry-after"));
+    (status.to_owned(), headers.map(str::to_owned).collect(), body.to_owned())
 }
 
-/// What servers and operators are told stands in their programs: if this turns red, put the answer back.
+/// The programs of servers and operators rely on these responses: if this turns red, put the response back.
 #[test]
-fn answers_keep_their_status_headers_and_text() {
-    on_one_thread(async {
+fn responses_keep_status_headers_and_text() {
+    run_within(TEST_TIMEOUT, async {
         // given
-        let process = Process::start("answers");
+        let coordinator = TestCoordinator::start("answers");
         let configuration = common::configuration(3, "a.example");
-        assert_eq!(process.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
+        assert_eq!(coordinator.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
         let replace = "/Config.Replace";
         let long = format!("{}{}", heartbeat(1), " ".repeat(4096));
         let json: &[&str] = &["content-type: application/json"];
@@ -222,89 +222,90 @@
         for (call, status, headers, body) in calls {
             let expected =
                 (status.to_owned(), headers.iter().map(|line| (*line).to_owned()).collect(), body.to_owned());
-            assert_eq!(whole_answer(&process, call).await, expected, "{} {}", call.0, call.1);
+            assert_eq!(full_response(&coordinator, call).await, expected, "{} {}", call.0, call.1);
         }
     });
 }
 
 #[test]
-fn an_operator_without_a_clear_answer_is_told_when_to_come_back() {
-    on_one_thread(async {
-        let process = Process::with_seeds("unclear", "127.0.0.1:8146,127.0.0.2:8146,127.0.0.3:8146");
+fn unavailable_response_has_retry_after() {
+    run_within(TEST_TIMEOUT, async {
+        let coordinator =
+            TestCoordinator::with_seeds("unclear", "127.0.0.1:8146,127.0.0.2:8146,127.0.0.3:8146");
         let call = ("POST", "/Instances.Deregister/i-1", "", "");
         let expected = (
             "503 Service Unavailable".to_owned(),
             vec!["retry-after: 0.2".to_owned()],
             "no clear answer: ask another node\n".to_owned(),
         );
-        assert_eq!(whole_answer(&process, call).await, expected);
+        assert_eq!(full_response(&coordinator, call).await, expected);
     });
 }
 
 #[test]
-fn given_callers_that_leave_before_their_answer_when_others_call_then_they_get_their_own() {
-    on_one_thread(async {
-        let process = Process::start("leaving");
+fn abandoned_calls_do_not_affect_others() {
+    run_within(TEST_TIMEOUT, async {
+        let coordinator = TestCoordinator::start("leaving");
         assert_eq!(
-            process.call("POST", "/Config.Replace", 0, &common::configuration(2, "a.example")).await.0,
+            coordinator.call("POST", "/Config.Replace", 0, &common::configuration(2, "a.example")).await.0,
             200
         );
         for version in 3..20 {
-            let mut leaving = process.connect().await;
+            let mut abandoned = coordinator.connect().await;
             let body = common::configuration(version, "left.example");
-            send(&mut leaving, "POST", "/Config.Replace", 0, &body).await;
-            drop(leaving);
-            let (status, body) = process.call("GET", "/Config.Read", 0, "").await;
+            send(&mut abandoned, "POST", "/Config.Replace", 0, &body).await;
+            drop(abandoned);
+            let (status, body) = coordinator.call("GET", "/Config.Read", 0, "").await;
             assert!(status == 200 && body.contains("a.example"), "{status} {body}");
         }
     });
 }
 
 #[test]
-fn given_bodies_over_their_bounds_when_they_come_then_they_are_refused() {
-    on_one_thread(async {
-        let process = Process::start("bounds");
+fn oversized_and_malformed_bodies_are_rejected() {
+    run_within(TEST_TIMEOUT, async {
+        let coordinator = TestCoordinator::start("bounds");
         let long = format!("{}{}", heartbeat(1), " ".repeat(4096));
-        assert_eq!(process.call("POST", "/Instances.Heartbeat/i-1", 0, &long).await.0, 413);
-        assert_eq!(process.call("POST", "/Instances.Heartbeat/i-1", 0, "{}x").await.0, 400);
-        assert_eq!(process.call("GET", "/Config.Replace", 0, "").await.0, 405);
+        assert_eq!(coordinator.call("POST", "/Instances.Heartbeat/i-1", 0, &long).await.0, 413);
+        assert_eq!(coordinator.call("POST", "/Instances.Heartbeat/i-1", 0, "{}x").await.0, 400);
+        assert_eq!(coordinator.call("GET", "/Config.Replace", 0, "").await.0, 405);
     });
 }
 
 #[test]
-fn given_other_nodes_that_send_half_a_frame_or_garbage_when_an_edge_polls_then_it_is_answered() {
-    on_one_thread(async {
+fn broken_frames_of_peers_do_not_affect_polls() {
+    run_within(TEST_TIMEOUT, async {
         // given
-        let process = Process::start("frames");
+        let coordinator = TestCoordinator::start("frames");
         assert_eq!(
-            process.call("POST", "/Config.Replace", 0, &common::configuration(5, "a.example")).await.0,
+            coordinator.call("POST", "/Config.Replace", 0, &common::configuration(5, "a.example")).await.0,
             200
         );
-        let hello = Handshake::Coordinator {
+        let handshake = Handshake::Coordinator {
             node: NodeId::from(Ipv4Addr::new(127, 0, 0, 8)),
             incarnation: Incarnation(3),
         };
         let message = frame::encode(&CoordinatorMessage::DirectoryAck { batch: 1 });
         for rest in [&message[..message.len() - 1], b"\xff\xff\xff\xffgarbage", b"\x00\x00\x00\x02\xff\xff"] {
-            let mut stream = TcpStream::connect(process.internal).await.expect("a connection");
-            stream.write_all(&frame::encode(&hello)).await.expect("the greeting is written");
+            let mut stream = TcpStream::connect(coordinator.internal).await.expect("a connection");
+            stream.write_all(&frame::encode(&handshake)).await.expect("the handshake is written");
             stream.write_all(rest).await.expect("the bytes are written");
             stream.shutdown().await.expect("the end is written");
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer).await;
-            assert_eq!(answer, b"", "nobody answers on such a connection");
+            assert_eq!(answer, b"", "such a connection gets no response");
         }
 
         // when
         let edge = EdgeIdentity { node: NodeId(100), incarnation: Incarnation(1), zone: "a".to_owned() };
-        let mut stream = TcpStream::connect(process.internal).await.expect("a connection");
+        let mut stream = TcpStream::connect(coordinator.internal).await.expect("a connection");
         let poll = EdgeRequest::Poll(PollRequest { max_wait_ms: 200, ..PollRequest::default() });
         let call = [frame::encode(&Handshake::Edge(edge)), frame::encode(&poll)].concat();
         stream.write_all(&call).await.expect("the poll is written");
 
         // then
-        let reply: PollResponse = sockets::read_frame(&mut stream).await.expect("an answer");
-        assert!(!reply.isolated);
-        assert!(reply.config.is_some());
+        let response: PollResponse = read_frame(&mut stream).await.expect("an answer");
+        assert!(!response.isolated);
+        assert!(response.config.is_some());
     });
 }
--- a/coordinator/tests/driver_disk.rs
+++ b/coordinator/tests/driver_journal.rs
@@ -1,30 +1,30 @@
-//! What is handed to the journal, in which order, and what its reports tell the core.
+//! The order in which appends reach the journal's thread, and the events that its reports stand for.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
-use shaletrail_coordinator::driver::disk::{event_of, Appender, Disk};
+use shaletrail_coordinator::driver::journal::{event_of, JournalQueue, JournalThread};
 use shaletrail_coordinator::interface::Event;
 use shaletrail_storage::{Command, RejectReason, RejectedCommand, Report, StorageError};
 
-/// A journal's thread, as far as a test decides for it.
+/// A journal's thread that rejects appends as a test wants it.
+#[derive(Clone, Default)]
+struct TestThread(Rc<ThreadState>);
+
 #[derive(Default)]
-struct Journal {
-    taken: RefCell<Vec<u64>>,
-    /// Why appends are refused, if they are.
-    refuses: RefCell<Option<RejectReason>>,
+struct ThreadState {
+    accepted_tickets: RefCell<Vec<u64>>,
+    /// Why appends are rejected, if they are.
+    rejects: RefCell<Option<RejectReason>>,
 }
 
-#[derive(Clone, Default)]
-struct Near(Rc<Journal>);
-
-impl Appender for Near {
+impl JournalThread for TestThread {
     fn append(&self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Result<(), RejectedCommand> {
-        if let Some(reason) = *self.0.refuses.borrow() {
+        if let Some(reason) = *self.0.rejects.borrow() {
             return Err(RejectedCommand { reason, command: Command::Append { ticket, records } });
         }
-        self.0.taken.borrow_mut().push(ticket);
+        self.0.accepted_tickets.borrow_mut().push(ticket);
         Ok(())
     }
 
@@ -42,39 +42,39 @@
 }
 
 #[test]
-fn given_an_append_that_was_refused_when_others_follow_then_none_passes_it_whatever_the_reason() {
+fn no_append_overtakes_a_rejected_one() {
     for reason in [RejectReason::Busy, RejectReason::TooLong, RejectReason::Stopped] {
         // given
-        let journal = Near::default();
-        let mut disk = Disk::new(Some(journal.clone()));
-        disk.append(1, records());
-        *journal.0.refuses.borrow_mut() = Some(reason);
-        disk.append(2, records());
+        let thread = TestThread::default();
+        let mut queue = JournalQueue::new(Some(thread.clone()));
+        queue.append(1, records());
+        *thread.0.rejects.borrow_mut() = Some(reason);
+        queue.append(2, records());
 
         // when
-        disk.append(3, records());
-        disk.transfer_leadership();
+        queue.append(3, records());
+        queue.submit_pending();
 
         // then
-        assert_eq!(*journal.0.taken.borrow(), [1], "{reason:?}");
-        assert!(disk.is_late(), "{reason:?}: others should lead meanwhile");
-        *journal.0.refuses.borrow_mut() = None;
-        disk.append(4, records());
-        assert_eq!(*journal.0.taken.borrow(), [1, 2, 3, 4], "{reason:?}");
-        assert!(!disk.is_late());
+        assert_eq!(*thread.0.accepted_tickets.borrow(), [1], "{reason:?}");
+        assert!(queue.is_late(), "{reason:?}: leaderships should be transferred meanwhile");
+        *thread.0.rejects.borrow_mut() = None;
+        queue.append(4, records());
+        assert_eq!(*thread.0.accepted_tickets.borrow(), [1, 2, 3, 4], "{reason:?}");
+        assert!(!queue.is_late());
     }
 }
 
 #[test]
-fn given_no_thread_for_the_journal_when_records_come_then_the_disk_counts_as_sick() {
-    let mut disk: Disk<Near> = Disk::new(None);
-    assert!(!disk.is_late());
-    disk.append(1, records());
-    assert!(disk.is_late());
+fn journal_without_thread_is_late() {
+    let mut queue: JournalQueue<TestThread> = JournalQueue::new(None);
+    assert!(!queue.is_late());
+    queue.append(1, records());
+    assert!(queue.is_late());
 }
 
 #[test]
-fn given_reports_of_the_journal_when_they_are_told_then_only_a_sync_that_is_done_makes_records_safe() {
+fn only_finished_syncs_make_records_durable() {
     let failure = || StorageError::RingFull { needed: 1, limit: 0 };
     let done = Report::Done { ticket: 7, wants_checkpoint: true, took_ms: 3 };
     assert!(matches!(event_of(&done), Some(Event::Persisted { ticket: 7, wants_checkpoint: true })));
@@ -83,7 +83,7 @@
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
     let failed = Report::CheckpointFailed { error: failure() };
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
-    // What it covers is told by a report of its own.
+    // The records that a checkpoint contains have reports of their own.
     let checkpointed = Report::Checkpointed { wants_checkpoint: false, took_ms: 3 };
     assert!(event_of(&checkpointed).is_none());
     assert!(event_of(&Report::Stopped).is_none());
--- /dev/null
+++ b/coordinator/tests/driver_log.rs
@@ -0,0 +1,65 @@
+//! The log lines of state changes. Operators and their alerts search for these texts and keys, so they are listed in
+//! `docs/operations.md`, too.
+
+use std::fmt;
+use std::sync::{Arc, Mutex};
+
+use shaletrail_coordinator::driver::host::log::log_state_change;
+use shaletrail_coordinator::interface::StateChange;
+use shaletrail_protocol::NodeId;
+use slog::{o, Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, KV};
+
+/// Keeps each line as its level, its text and its key-values.
+#[derive(Default)]
+struct LogCapture(Mutex<Vec<String>>);
+
+impl Drain for LogCapture {
+    type Ok = ();
+    type Err = Never;
+
+    fn log(&self, record: &Record, _: &OwnedKVList) -> Result<(), Never> {
+        let mut line = LineWriter(format!("{} {}", record.level(), record.msg()));
+        record.kv().serialize(record, &mut line).expect("a line is written");
+        self.0.lock().expect("no test panics with the lock").push(line.0);
+        Ok(())
+    }
+}
+
+struct LineWriter(String);
+
+impl Serializer for LineWriter {
+    fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments) -> slog::Result {
+        fmt::Write::write_fmt(&mut self.0, format_args!(" {key}={value}"))?;
+        Ok(())
+    }
+}
+
+fn line_of(change: &StateChange) -> String {
+    let capture = Arc::new(LogCapture::default());
+    log_state_change(&Logger::root(Arc::clone(&capture).fuse(), o!()), change);
+    let lines = capture.0.lock().expect("no test panics with the lock");
+    assert_eq!(lines.len(), 1, "{lines:?}");
+    lines[0].clone()
+}
+
+#[test]
+fn state_changes_keep_their_lines() {
+    let lines = [
+        (StateChange::BecameLeader { shard: 1, term: 2 }, "INFO became leader of shard term=2 shard=1"),
+        (StateChange::LostLeadership { shard: 1, term: 2 }, "INFO lost leadership of shard term=2 shard=1"),
+        (StateChange::ConfigurationApplied { version: 3 }, "INFO configuration applied version=3"),
+        (
+            StateChange::VotersChanging { shard: 1, wanted: vec![NodeId(0x0a01_0002), NodeId(0x0a01_0003)] },
+            "INFO changing voters of shard target_voters=10.1.0.2,10.1.0.3 shard=1",
+        ),
+        (
+            StateChange::OrderLeaseAcquired { shard: 1, fencing_token: 4 },
+            "INFO acquired order lease of shard fencing_token=4 shard=1",
+        ),
+        (StateChange::QuorumContactChanged(false), "WARN quorum contact changed has_contact=false"),
+        (StateChange::UnreadableRecords { shard: 1 }, "WARN records of shard are unreadable shard=1"),
+    ];
+    for (change, line) in lines {
+        assert_eq!(line_of(&change), line);
+    }
+}
--- a/coordinator/tests/driver_orders.rs
+++ b/coordinator/tests/driver_orders.rs
@@ -1,21 +1,28 @@
-//! Orders over loopback: when they are written, what they carry, what becomes of the answer.
+//! Orders over loopback: the check of the lease before they are written, their contents and their outcomes.
 
 use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 
-use shaletrail_coordinator::driver::orders::{connect_for_order, deliver, Outgoing};
+use shaletrail_coordinator::driver::order_client::{connect_for_order, send_order, OutgoingOrder};
 use shaletrail_coordinator::interface::OrderOutcome;
 use shaletrail_protocol::external::{Operation, Order};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The end of the lease, on the clock that a test sets.
+mod local_runtime;
+
+use local_runtime::run_within;
+
+/// How long a test may last. None that passes comes near it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// The end of the lease, on the clock that a test sets, in milliseconds.
 const LEASE_END: u64 = 500;
 
-fn order_to(address: String) -> Outgoing {
+fn order_to(address: String) -> OutgoingOrder {
     let body = Order {
         operation: Operation::Load,
         model: "m1".to_owned(),
@@ -24,7 +31,7 @@
         lease_holder: "core-1".to_owned(),
         fencing_token: 41,
     };
-    Outgoing { server: "i-7f3a".to_owned(), address, body }
+    OutgoingOrder { server: "i-7f3a".to_owned(), address, body }
 }
 
 async fn listener() -> (TcpListener, String) {
@@ -33,13 +40,6 @@
     (listener, address)
 }
 
-/// Runs a test on a thread of its own loop, as the process does.
-fn on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let bounded = async { tokio::time::timeout(Duration::from_secs(10), test).await };
-    tokio::task::LocalSet::new().block_on(&runtime, bounded).expect("the test ends in time");
-}
-
 /// Reads a request with its body.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
@@ -53,23 +53,23 @@
     }
 }
 
-async fn answered(status: &'static str) -> (OrderOutcome, String) {
+async fn response_to_order(status: &'static str) -> (OrderOutcome, String) {
     let (listener, address) = listener().await;
     let server = tokio::task::spawn_local(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let request = read_request(&mut stream).await;
-        let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-        stream.write_all(answer.as_bytes()).await.expect("the answer is written");
+        let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+        stream.write_all(response.as_bytes()).await.expect("the response is written");
         request
     });
-    let outcome = deliver(&order_to(address), || true).await;
+    let outcome = send_order(&order_to(address), || true).await;
     (outcome, server.await.expect("the server has ended"))
 }
 
 #[test]
-fn given_a_lease_that_holds_when_an_order_is_sent_then_it_names_server_holder_fence_and_revision() {
-    on_one_thread(async {
-        let (outcome, request) = answered("202 Accepted").await;
+fn order_names_server_lease_holder_token_and_revision() {
+    run_within(TEST_TIMEOUT, async {
+        let (outcome, request) = response_to_order("202 Accepted").await;
 
         assert_eq!(outcome, OrderOutcome::Accepted);
         let head = request.to_ascii_lowercase();
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn given_a_server_s_status_when_it_answers_then_the_outcome_says_what_is_known() {
-    on_one_thread(async {
+fn outcome_follows_from_response_status() {
+    run_within(TEST_TIMEOUT, async {
         for (status, outcome) in [
             ("200 OK", OrderOutcome::AlreadyHeld),
             ("409 Conflict", OrderOutcome::Busy),
@@ -94,31 +94,31 @@
             ("500 Internal Server Error", OrderOutcome::Unknown),
             ("503 Service Unavailable", OrderOutcome::Unknown),
         ] {
-            assert_eq!(answered(status).await.0, outcome, "{status}");
+            assert_eq!(response_to_order(status).await.0, outcome, "{status}");
         }
     });
 }
 
 #[test]
-fn given_a_lease_that_ends_while_the_connection_comes_up_when_it_is_up_then_not_a_byte_is_written() {
-    on_one_thread(async {
-        // given: the lease holds when the connection is asked for
+fn lease_that_ends_while_connecting_prevents_the_write() {
+    run_within(TEST_TIMEOUT, async {
+        // given: the lease is valid when the connection is requested
         let (listener, address) = listener().await;
         let clock = Rc::new(Cell::new(LEASE_END - 1));
-        let asked = Rc::clone(&clock);
+        let now = Rc::clone(&clock);
         let outgoing = order_to(address);
-        let delivering = deliver(&outgoing, move || asked.get() < LEASE_END);
-        tokio::pin!(delivering);
-        let begun = std::future::poll_fn(|context| {
-            assert!(delivering.as_mut().poll(context).is_pending());
+        let sending = send_order(&outgoing, move || now.get() < LEASE_END);
+        tokio::pin!(sending);
+        let begin = std::future::poll_fn(|context| {
+            assert!(sending.as_mut().poll(context).is_pending());
             std::task::Poll::Ready(())
         });
-        begun.await;
+        begin.await;
 
         // when
         clock.set(LEASE_END);
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let outcome = delivering.await;
+        let outcome = sending.await;
 
         // then
         assert_eq!(outcome, OrderOutcome::NotSent);
@@ -129,25 +129,25 @@
 }
 
 #[test]
-fn given_an_order_when_it_is_sent_then_the_lease_is_asked_for_at_the_write_and_not_before() {
-    on_one_thread(async {
+fn lease_is_checked_at_the_write_only() {
+    run_within(TEST_TIMEOUT, async {
         let (listener, address) = listener().await;
-        let asked = Rc::new(Cell::new(0));
-        let counted = Rc::clone(&asked);
+        let checks = Rc::new(Cell::new(0));
+        let counted = Rc::clone(&checks);
         let outgoing = order_to(address);
-        let delivering = deliver(&outgoing, move || {
+        let sending = send_order(&outgoing, move || {
             counted.set(counted.get() + 1);
             false
         });
-        assert_eq!(delivering.await, OrderOutcome::NotSent);
-        assert_eq!(asked.get(), 1, "each write asks, and the first was refused");
+        assert_eq!(sending.await, OrderOutcome::NotSent);
+        assert_eq!(checks.get(), 1, "the first write was denied, and there was no other");
         drop(listener);
     });
 }
 
 #[test]
-fn given_a_server_that_takes_an_order_and_closes_without_an_answer_then_it_is_unknown_and_not_sent_again() {
-    on_one_thread(async {
+fn order_without_response_is_unknown_and_not_retried() {
+    run_within(TEST_TIMEOUT, async {
         let (listener, address) = listener().await;
         let server = tokio::task::spawn_local(async move {
             let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -156,7 +156,7 @@
             (listener, request)
         });
 
-        let outcome = deliver(&order_to(address), || true).await;
+        let outcome = send_order(&order_to(address), || true).await;
 
         assert_eq!(outcome, OrderOutcome::Unknown);
         let (listener, request) = server.await.expect("the server has ended");
@@ -167,22 +167,21 @@
 }
 
 #[test]
-fn given_nobody_at_the_address_when_an_order_is_sent_then_it_was_surely_not() {
-    on_one_thread(async {
+fn order_without_connection_is_not_sent() {
+    run_within(TEST_TIMEOUT, async {
         let (listener, address) = listener().await;
         drop(listener);
-        assert_eq!(deliver(&order_to(address), || true).await, OrderOutcome::NotSent);
-        assert_eq!(deliver(&order_to("nowhere".to_owned()), || true).await, OrderOutcome::NotSent);
+        assert_eq!(send_order(&order_to(address), || true).await, OrderOutcome::NotSent);
+        assert_eq!(send_order(&order_to("nowhere".to_owned()), || true).await, OrderOutcome::NotSent);
     });
 }
 
 #[test]
-fn given_a_connection_for_an_order_when_it_is_up_then_the_system_gives_its_bytes_up_within_the_margin_of_a_turn(
-) {
-    on_one_thread(async {
+fn connection_for_order_limits_unacknowledged_time() {
+    run_within(TEST_TIMEOUT, async {
         let (_listener, address) = listener().await;
         let stream = connect_for_order(&address).await.expect("a connection");
-        let given_up = SockRef::from(&stream).tcp_user_timeout().expect("the option is read");
-        assert_eq!(given_up, Some(Duration::from_millis(400)));
+        let timeout = SockRef::from(&stream).tcp_user_timeout().expect("the option is read");
+        assert_eq!(timeout, Some(Duration::from_millis(400)));
     });
 }
--- a/daemon/tests/roles.rs
+++ b/daemon/tests/roles.rs
@@ -137,9 +137,9 @@
     let (process, lines) = start("coordinator", &file);
 
     wait_for_line(&lines, &["coordinator started", &format!("{ip}:{CONTROL_PORT}")]);
-    wait_for_line(&lines, &["BecameLeader", "shard: 0"]);
+    wait_for_line(&lines, &["became leader of shard", "shard: 0"]);
     process.signal("TERM");
-    wait_for_line(&lines, &["told to end"]);
+    wait_for_line(&lines, &["shutting down"]);
     let status = process.wait();
     assert_eq!(status.code(), Some(0), "{status:?}");
     std::fs::remove_dir_all(folder).expect("the tests' folder can be removed");
