--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. Doc comments of commands and options are their help texts; some are not sentences for that reason.
 
 use std::path::PathBuf;
 
@@ -14,15 +14,15 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    DataPlane(DataPlane),
-    Coordinator(Coordinator),
-    Settings(SettingsCommand),
+    DataPlane(DataPlaneOptions),
+    Coordinator(CoordinatorOptions),
+    Settings(SettingsOptions),
 }
 
 /// Take requests of clients and send them to servers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "data-plane")]
-pub struct DataPlane {
+pub struct DataPlaneOptions {
     /// settings file (else the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
@@ -34,7 +34,7 @@
 /// Keep the configuration and the directory of servers, place models.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "coordinator")]
-pub struct Coordinator {
+pub struct CoordinatorOptions {
     /// settings file (else the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
@@ -46,7 +46,7 @@
 /// Look at a settings file.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "settings")]
-pub struct SettingsCommand {
+pub struct SettingsOptions {
     #[argh(subcommand)]
     pub action: SettingsAction,
 }
@@ -54,14 +54,14 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum SettingsAction {
-    Check(CheckFile),
-    Show(ShowFile),
+    Check(CheckOptions),
+    Show(ShowOptions),
 }
 
 /// Say whether a process could run with it, or what is wrong.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
-pub struct CheckFile {
+pub struct CheckOptions {
     /// the settings file
     #[argh(positional)]
     pub file: PathBuf,
@@ -70,7 +70,7 @@
 /// Print what a process would run with.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "show")]
-pub struct ShowFile {
+pub struct ShowOptions {
     /// the settings file
     #[argh(positional)]
     pub file: PathBuf,
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,9 +1,9 @@
-//! Logs: one line an event that an operator can act on, to standard error.
+//! The log: a line for each event that an operator can act on, to standard error.
 
 use slog::{o, Drain, Level, Logger};
 
-/// The level of a name on the command line.
-pub fn level(name: &str) -> Option<Level> {
+/// The level that the command line names; `None` if there is none of that name.
+pub fn parse_level(name: &str) -> Option<Level> {
     match name {
         "error" => Some(Level::Error),
         "warning" => Some(Level::Warning),
@@ -13,7 +13,8 @@
     }
 }
 
-/// A logger for lines of this level and above. Lines are written at once by the thread that logs: they are few.
+/// A logger for lines of this level and of more urgent ones. The thread that logs writes them: they are too few for a
+/// thread of their own, whose wake-ups would cost more.
 pub fn logger(level: Level) -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(decorator).build().filter_level(level).fuse();
