--- a/daemon/tests/command.rs
+++ b/daemon/tests/command.rs
@@ -1,11 +1,11 @@
-//! The command line: what each subcommand says, and the exit codes that supervisors go by.
+//! The command line: the output of each subcommand, and the exit codes that supervisors rely on.
 
 mod common;
 
-use common::{end_of, folder, settings_file, shaletrail, Ended, PATH_VARIABLE};
+use common::{run_to_end, settings_file, shaletrail, test_folder, Finished, PATH_VARIABLE};
 
-/// What both roles need.
-const COMMON: &str = "\
+/// The keys that both roles need.
+const COMMON_SETTINGS: &str = "\
 nodeName=machine-1
 ip=127.0.0.1
 zone=hall-a
@@ -13,121 +13,125 @@
 seedNodes=127.0.0.1:8146
 ";
 
-fn run(arguments: &[&str]) -> Ended {
-    end_of(shaletrail(arguments))
+fn run(arguments: &[&str]) -> Finished {
+    run_to_end(shaletrail(arguments))
 }
 
 #[test]
-fn given_no_settings_when_help_is_asked_for_then_all_roles_are_listed() {
-    let ended = run(&["--help"]);
+fn help_lists_all_subcommands() {
+    let finished = run(&["--help"]);
 
-    assert_eq!(ended.code, Some(0), "{ended:?}");
+    assert_eq!(finished.code, Some(0), "{finished:?}");
     for role in ["data-plane", "coordinator", "settings"] {
-        assert!(ended.stdout.contains(role), "{role} is not listed: {}", ended.stdout);
+        assert!(finished.stdout.contains(role), "{role} is not listed: {}", finished.stdout);
     }
 }
 
 #[test]
-fn given_no_settings_when_help_on_settings_is_asked_for_then_its_actions_are_listed() {
-    let ended = run(&["settings", "--help"]);
+fn settings_help_lists_its_actions() {
+    let finished = run(&["settings", "--help"]);
 
-    assert_eq!(ended.code, Some(0), "{ended:?}");
+    assert_eq!(finished.code, Some(0), "{finished:?}");
     for action in ["check", "show"] {
-        assert!(ended.stdout.contains(action), "{action} is not listed: {}", ended.stdout);
+        assert!(finished.stdout.contains(action), "{action} is not listed: {}", finished.stdout);
     }
 }
 
 #[test]
-fn given_a_role_when_its_help_is_asked_for_then_its_options_are_told() {
+fn role_help_lists_its_options() {
     for role in ["data-plane", "coordinator"] {
-        let ended = run(&[role, "--help"]);
+        let finished = run(&[role, "--help"]);
 
-        assert_eq!(ended.code, Some(0), "{ended:?}");
+        assert_eq!(finished.code, Some(0), "{finished:?}");
         for option in ["--settings", "--log-level", PATH_VARIABLE] {
-            assert!(ended.stdout.contains(option), "{option} is not told: {}", ended.stdout);
+            assert!(finished.stdout.contains(option), "{option} is not listed: {}", finished.stdout);
         }
     }
 }
 
 #[test]
-fn given_a_role_that_is_not_there_when_it_is_started_then_the_line_is_refused_with_a_word_on_it() {
-    let ended = run(&["load-balancer"]);
+fn unknown_subcommand_is_named() {
+    let finished = run(&["load-balancer"]);
 
-    assert_eq!(ended.code, Some(1), "{ended:?}");
-    assert!(ended.stderr.contains("load-balancer"), "{}", ended.stderr);
-    assert_eq!(ended.stdout, "");
+    assert_eq!(finished.code, Some(1), "{finished:?}");
+    assert!(finished.stderr.contains("load-balancer"), "{}", finished.stderr);
+    assert_eq!(finished.stdout, "");
 }
 
 #[test]
-fn given_no_settings_file_when_a_role_starts_then_it_says_how_to_name_one() {
+fn missing_path_says_how_to_give_one() {
     for role in ["data-plane", "coordinator"] {
-        let ended = run(&[role]);
+        let finished = run(&[role]);
 
-        assert_eq!(ended.code, Some(2), "{ended:?}");
+        assert_eq!(finished.code, Some(2), "{finished:?}");
         assert_eq!(
-            ended.stderr,
+            finished.stderr,
             "shaletrail: no settings file: set SHALETRAIL_BOOT or give --settings FILE\n"
         );
     }
 }
 
 #[test]
-fn given_a_file_that_is_not_there_when_a_role_starts_then_its_path_is_told() {
-    let path = folder("file-that-is-not-there").join("missing.conf");
+fn missing_file_is_named() {
+    let path = test_folder("file-that-is-not-there").join("missing.conf");
     let path = path.to_str().expect("a path in UTF-8");
 
     for role in ["data-plane", "coordinator"] {
-        let ended = run(&[role, "--settings", path]);
+        let finished = run(&[role, "--settings", path]);
 
-        assert_eq!(ended.code, Some(2), "{ended:?}");
-        assert!(ended.stderr.starts_with(&format!("shaletrail: settings file {path}: ")), "{}", ended.stderr);
+        assert_eq!(finished.code, Some(2), "{finished:?}");
+        assert!(
+            finished.stderr.starts_with(&format!("shaletrail: settings file {path}: ")),
+            "{}",
+            finished.stderr
+        );
     }
 }
 
 #[test]
-fn given_the_path_in_the_environment_when_a_role_starts_then_that_file_is_read() {
-    let file = settings_file(&folder("path-in-the-environment"), "nodeName=machine-1\n");
+fn path_can_come_from_the_environment() {
+    let file = settings_file(&test_folder("path-in-the-environment"), "nodeName=machine-1\n");
     let mut command = shaletrail(&["coordinator"]);
     command.env(PATH_VARIABLE, &file);
 
-    let ended = end_of(command);
+    let finished = run_to_end(command);
 
-    assert_eq!(ended.code, Some(2), "{ended:?}");
-    assert_eq!(ended.stderr, "shaletrail: ip: missing, expected an IPv4 address\n");
+    assert_eq!(finished.code, Some(2), "{finished:?}");
+    assert_eq!(finished.stderr, "shaletrail: ip: missing, expected an IPv4 address\n");
 }
 
 #[test]
-fn given_a_path_on_the_command_line_when_the_environment_names_another_then_the_command_line_goes_first() {
-    let folder = folder("command-line-goes-first");
-    let file = settings_file(&folder, &COMMON.replace("7660,7675", "7660"));
+fn command_line_path_has_precedence() {
+    let folder = test_folder("command-line-goes-first");
+    let file = settings_file(&folder, &COMMON_SETTINGS.replace("7660,7675", "7660"));
     let mut command = shaletrail(&["coordinator", "--settings", &file]);
     command.env(PATH_VARIABLE, folder.join("missing.conf"));
 
-    let ended = end_of(command);
+    let finished = run_to_end(command);
 
-    assert_eq!(ended.code, Some(2), "{ended:?}");
+    assert_eq!(finished.code, Some(2), "{finished:?}");
     assert!(
-        ended.stderr.starts_with("shaletrail: ephemeralPorts: '7660' found, expected "),
+        finished.stderr.starts_with("shaletrail: ephemeralPorts: '7660' found, expected "),
         "{}",
-        ended.stderr
+        finished.stderr
     );
 }
 
 #[test]
-fn given_a_wrong_value_when_a_role_starts_then_key_value_and_what_was_expected_are_told() {
-    let file = settings_file(&folder("wrong-value"), &format!("{COMMON}bounds.drainMs=soon\n"));
+fn invalid_value_is_named() {
+    let file = settings_file(&test_folder("wrong-value"), &format!("{COMMON_SETTINGS}bounds.drainMs=soon\n"));
 
     for role in ["data-plane", "coordinator"] {
-        let ended = run(&[role, "--settings", &file]);
+        let finished = run(&[role, "--settings", &file]);
 
-        assert_eq!(ended.code, Some(2), "{ended:?}");
-        assert_eq!(ended.stderr, "shaletrail: bounds.drainMs: 'soon' found, expected a number over 0\n");
+        assert_eq!(finished.code, Some(2), "{finished:?}");
+        assert_eq!(finished.stderr, "shaletrail: bounds.drainMs: 'soon' found, expected a number over 0\n");
     }
 }
 
 #[test]
-fn given_settings_without_a_listener_that_the_role_needs_when_it_starts_then_the_listener_is_named() {
-    let folder = folder("missing-listener");
+fn missing_key_of_a_role_is_named() {
+    let folder = test_folder("missing-listener");
     let cases = [
         ("data-plane", "", "listenersMap.ingress"),
         ("data-plane", "listenersMap.ingress=127.0.0.1:8144\n", "listenersMap.readiness"),
@@ -136,70 +140,72 @@
     ];
 
     for (role, more, key) in cases {
-        let file = settings_file(&folder, &format!("{COMMON}{more}"));
+        let file = settings_file(&folder, &format!("{COMMON_SETTINGS}{more}"));
 
-        let ended = run(&[role, "--settings", &file]);
+        let finished = run(&[role, "--settings", &file]);
 
-        assert_eq!(ended.code, Some(2), "{ended:?}");
-        assert_eq!(ended.stderr, format!("shaletrail: {key}: missing, the role needs it\n"));
+        assert_eq!(finished.code, Some(2), "{finished:?}");
+        assert_eq!(finished.stderr, format!("shaletrail: {key}: missing, the role needs it\n"));
     }
 }
 
 #[test]
-fn given_a_log_level_that_is_not_there_when_a_role_starts_then_the_levels_are_told() {
-    let file = settings_file(&folder("log-level"), COMMON);
+fn unknown_log_level_lists_the_levels() {
+    let file = settings_file(&test_folder("log-level"), COMMON_SETTINGS);
 
-    let ended = run(&["data-plane", "--settings", &file, "--log-level", "loud"]);
+    let finished = run(&["data-plane", "--settings", &file, "--log-level", "loud"]);
 
-    assert_eq!(ended.code, Some(2), "{ended:?}");
+    assert_eq!(finished.code, Some(2), "{finished:?}");
     assert_eq!(
-        ended.stderr,
+        finished.stderr,
         "shaletrail: --log-level: 'loud' found, expected error, warning, info or debug\n"
     );
 }
 
 #[test]
-fn given_a_proper_file_when_it_is_checked_then_it_is_right() {
-    let file = settings_file(&folder("proper-file-checked"), COMMON);
+fn check_accepts_valid_file() {
+    let file = settings_file(&test_folder("proper-file-checked"), COMMON_SETTINGS);
 
-    let ended = run(&["settings", "check", &file]);
+    let finished = run(&["settings", "check", &file]);
 
-    assert_eq!(ended.code, Some(0), "{ended:?}");
-    assert_eq!(ended.stdout, format!("{file}: right\n"));
-    assert_eq!(ended.stderr, "");
+    assert_eq!(finished.code, Some(0), "{finished:?}");
+    assert_eq!(finished.stdout, format!("{file}: right\n"));
+    assert_eq!(finished.stderr, "");
 }
 
 #[test]
-fn given_keys_that_are_not_known_when_a_file_is_checked_then_they_are_passed_over() {
-    let file =
-        settings_file(&folder("unknown-keys"), &format!("{COMMON}limits.somethingNew=7\nno value here\n"));
+fn check_ignores_unknown_keys() {
+    let file = settings_file(
+        &test_folder("unknown-keys"),
+        &format!("{COMMON_SETTINGS}limits.somethingNew=7\nno value here\n"),
+    );
 
-    let ended = run(&["settings", "check", &file]);
+    let finished = run(&["settings", "check", &file]);
 
-    assert_eq!(ended.code, Some(0), "{ended:?}");
+    assert_eq!(finished.code, Some(0), "{finished:?}");
 }
 
 #[test]
-fn given_a_wrong_file_when_it_is_checked_or_shown_then_the_first_error_is_told_and_nothing_else() {
-    let file = settings_file(&folder("wrong-file"), &COMMON.replace("ip=127.0.0.1", "ip=here"));
+fn check_and_show_report_the_first_error() {
+    let file = settings_file(&test_folder("wrong-file"), &COMMON_SETTINGS.replace("ip=127.0.0.1", "ip=here"));
 
     for action in ["check", "show"] {
-        let ended = run(&["settings", action, &file]);
+        let finished = run(&["settings", action, &file]);
 
-        assert_eq!(ended.code, Some(2), "{ended:?}");
-        assert_eq!(ended.stderr, "shaletrail: ip: 'here' found, expected an IPv4 address\n");
-        assert_eq!(ended.stdout, "");
+        assert_eq!(finished.code, Some(2), "{finished:?}");
+        assert_eq!(finished.stderr, "shaletrail: ip: 'here' found, expected an IPv4 address\n");
+        assert_eq!(finished.stdout, "");
     }
 }
 
 #[test]
-fn given_a_file_with_few_keys_when_it_is_shown_then_defaults_stand_beside_what_it_says() {
-    let file = settings_file(&folder("shown"), &format!("{COMMON}bounds.graceS=6\n"));
+fn show_includes_defaults() {
+    let file = settings_file(&test_folder("shown"), &format!("{COMMON_SETTINGS}bounds.graceS=6\n"));
 
-    let ended = run(&["settings", "show", &file]);
+    let finished = run(&["settings", "show", &file]);
 
-    assert_eq!(ended.code, Some(0), "{ended:?}");
+    assert_eq!(finished.code, Some(0), "{finished:?}");
     for line in ["node_name: \"machine-1\"", "grace: 6s", "drain: 2s", "bootstrap: false", "ingress: None"] {
-        assert!(ended.stdout.contains(line), "{line} is not shown: {}", ended.stdout);
+        assert!(finished.stdout.contains(line), "{line} is not shown: {}", finished.stdout);
     }
 }
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -1,20 +1,20 @@
-//! Running the binary, and settings files for it.
+//! Runs the binary, and writes settings files for it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The variable that holds the settings file's path.
+/// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
 
-/// How a process ended, and what it wrote.
+/// The exit code and the output of a process.
 #[derive(Debug)]
-pub struct Ended {
+pub struct Finished {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-/// The binary with these arguments, without the caller's settings.
+/// The binary with these arguments, and without the caller's environment variable for settings.
 pub fn shaletrail(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletrail"));
     command.args(arguments).env_remove(PATH_VARIABLE).stdin(Stdio::null());
@@ -22,24 +22,24 @@
 }
 
 /// Runs a command to its end.
-pub fn end_of(mut command: Command) -> Ended {
+pub fn run_to_end(mut command: Command) -> Finished {
     let output = command.output().expect("the binary starts");
-    Ended {
+    Finished {
         code: output.status.code(),
         stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
         stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
     }
 }
 
-/// A folder of one test, empty at its start.
-pub fn folder(test: &str) -> PathBuf {
+/// An empty folder for one test, which is named after it.
+pub fn test_folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("the tests' folder can be written");
     folder
 }
 
-/// Writes a settings file into a test's folder; its path.
+/// Writes a settings file into a folder and returns its path.
 pub fn settings_file(folder: &Path, text: &str) -> String {
     let path = folder.join("node.conf");
     std::fs::write(&path, text).expect("the tests' folder can be written");
--- a/daemon/tests/roles.rs
+++ b/daemon/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Processes of the two roles from their start to their end.
+//! Processes of the two roles, from their start to their exit.
 
 mod common;
 
@@ -8,48 +8,48 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-use common::{end_of, folder, settings_file, shaletrail};
+use common::{run_to_end, settings_file, shaletrail, test_folder};
 
 const CONTROL_PORT: u16 = 8146;
 const INGRESS_PORT: u16 = 8144;
-/// How long a process may take for anything that a test waits for. Nothing waits for as long that goes well.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for a line of the log, or for an exit. None that passes comes near it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A loopback address that only this process's tests use, so that fixed ports on it are free. `number` tells the
-/// tests apart.
+/// A loopback address that only the tests of this process use, so that its fixed ports are free. Each test has its own
+/// `number`.
 fn loopback(number: u8) -> String {
     let process = std::process::id();
     format!("127.{}.{}.{number}", 100 + (process >> 8) % 100, process % 256)
 }
 
-/// A process that is killed where a test ends before it.
-struct Running(Child);
+/// A process that is killed if the test ends before it.
+struct RunningProcess(Child);
 
-impl Running {
+impl RunningProcess {
     /// Sends a signal by its name.
     fn signal(&self, name: &str) {
         let sent = Command::new("kill").args(["-s", name, &self.0.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "SIG{name} could not be sent");
     }
 
-    /// Waits for its end.
+    /// Waits for its exit.
     fn wait(mut self) -> ExitStatus {
         let (ended, waiting) = channel::<()>();
         let id = self.0.id().to_string();
-        // Kills the process, and so ends the wait below, if it lasts too long.
-        let guard = std::thread::spawn(move || {
-            if waiting.recv_timeout(PATIENCE) == Err(RecvTimeoutError::Timeout) {
+        // Kills the process if it does not exit in time, which ends the wait below.
+        let watchdog = std::thread::spawn(move || {
+            if waiting.recv_timeout(TIMEOUT) == Err(RecvTimeoutError::Timeout) {
                 let _ = Command::new("kill").args(["-s", "KILL", &id]).status();
             }
         });
         let status = self.0.wait().expect("a child can be waited for");
         drop(ended);
-        guard.join().expect("the guard does not panic");
+        watchdog.join().expect("the watchdog does not panic");
         status
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -71,8 +71,8 @@
     )
 }
 
-/// Starts a role; the process and the lines that it logs.
-fn start(role: &str, file: &str) -> (Running, Receiver<String>) {
+/// Starts a role; returns the process and the lines of its log.
+fn start(role: &str, file: &str) -> (RunningProcess, Receiver<String>) {
     let mut command = shaletrail(&[role, "--settings", file]);
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the binary starts");
     let stderr = child.stderr.take().expect("standard error is piped");
@@ -81,13 +81,13 @@
         let read = BufReader::new(stderr).lines().map_while(Result::ok);
         read.map(|line| sender.send(line)).take_while(Result::is_ok).count()
     });
-    (Running(child), lines)
+    (RunningProcess(child), lines)
 }
 
 /// Waits for a line that contains all of these words.
 fn wait_for_line(lines: &Receiver<String>, words: &[&str]) -> String {
     let mut seen = Vec::new();
-    while let Ok(line) = lines.recv_timeout(PATIENCE) {
+    while let Ok(line) = lines.recv_timeout(TIMEOUT) {
         if words.iter().all(|word| line.contains(word)) {
             return line;
         }
@@ -97,39 +97,39 @@
 }
 
 #[test]
-fn given_an_address_that_is_taken_when_a_data_plane_starts_then_it_ends_with_1_and_names_the_address() {
+fn data_plane_names_an_address_in_use() {
     let ip = loopback(1);
-    let _taken = TcpListener::bind((ip.as_str(), INGRESS_PORT)).expect("the address is free");
-    let file = settings_file(&folder("data-plane-address-taken"), &data_plane_settings(&ip, &ip));
+    let _in_use = TcpListener::bind((ip.as_str(), INGRESS_PORT)).expect("the address is free");
+    let file = settings_file(&test_folder("data-plane-address-taken"), &data_plane_settings(&ip, &ip));
 
-    let ended = end_of(shaletrail(&["data-plane", "--settings", &file]));
+    let finished = run_to_end(shaletrail(&["data-plane", "--settings", &file]));
 
-    assert_eq!(ended.code, Some(1), "{ended:?}");
-    assert!(ended.stderr.contains(&format!("listening on {ip}:{INGRESS_PORT}")), "{}", ended.stderr);
-    assert_eq!(ended.stdout, "", "logs go to standard error");
+    assert_eq!(finished.code, Some(1), "{finished:?}");
+    assert!(finished.stderr.contains(&format!("listening on {ip}:{INGRESS_PORT}")), "{}", finished.stderr);
+    assert_eq!(finished.stdout, "", "logs go to standard error");
 }
 
 #[test]
-fn given_an_address_that_is_taken_when_a_coordinator_starts_then_it_ends_with_1_and_names_the_address() {
+fn coordinator_names_an_address_in_use() {
     let ip = loopback(2);
-    let _taken = TcpListener::bind((ip.as_str(), CONTROL_PORT)).expect("the address is free");
-    let folder = folder("coordinator-address-taken");
+    let _in_use = TcpListener::bind((ip.as_str(), CONTROL_PORT)).expect("the address is free");
+    let folder = test_folder("coordinator-address-taken");
     let data = folder.join("data");
     std::fs::create_dir(&data).expect("the tests' folder can be written");
     let file = settings_file(&folder, &coordinator_settings(&ip, data.to_str().expect("a path in UTF-8")));
 
-    let ended = end_of(shaletrail(&["coordinator", "--settings", &file]));
+    let finished = run_to_end(shaletrail(&["coordinator", "--settings", &file]));
 
-    assert_eq!(ended.code, Some(1), "{ended:?}");
-    assert!(ended.stderr.contains(&format!("listener on {ip}:{CONTROL_PORT}")), "{}", ended.stderr);
-    assert_eq!(ended.stdout, "", "logs go to standard error");
+    assert_eq!(finished.code, Some(1), "{finished:?}");
+    assert!(finished.stderr.contains(&format!("listener on {ip}:{CONTROL_PORT}")), "{}", finished.stderr);
+    assert_eq!(finished.stdout, "", "logs go to standard error");
     std::fs::remove_dir_all(folder).expect("the tests' folder can be removed");
 }
 
 #[test]
-fn given_the_only_coordinator_when_it_starts_then_it_leads_the_configuration_and_sigterm_ends_it_with_0() {
+fn single_coordinator_leads_and_exits_on_sigterm() {
     let ip = loopback(3);
-    let folder = folder("only-coordinator");
+    let folder = test_folder("only-coordinator");
     let data = folder.join("data");
     std::fs::create_dir(&data).expect("the tests' folder can be written");
     let file = settings_file(&folder, &coordinator_settings(&ip, data.to_str().expect("a path in UTF-8")));
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn given_a_data_plane_that_finds_no_coordinator_when_sigterm_comes_then_it_ends_with_0_within_its_grace() {
+fn data_plane_without_coordinator_exits_on_sigterm() {
     let (ip, nobody) = (loopback(4), loopback(5));
-    let file = settings_file(&folder("data-plane-ends"), &data_plane_settings(&ip, &nobody));
+    let file = settings_file(&test_folder("data-plane-ends"), &data_plane_settings(&ip, &nobody));
 
     let (process, lines) = start("data-plane", &file);
 
