--- a/coordinator/src/driver/journal/open.rs
+++ b/coordinator/src/driver/journal/open.rs
@@ -8,8 +8,6 @@
 use slog::{error, warn, Logger};
 use snafu::{ResultExt, Snafu};
 
-use crate::driver::error::{CoordinatorError, JournalSnafu};
-
 /// Attempts to open the journal: a disk may fail for a while after a restart of the machine.
 const MAX_OPEN_ATTEMPTS: u32 = 100;
 /// Pause between two attempts.
@@ -50,7 +48,7 @@
     folder: &Path,
     settings: &Settings,
     log: &Logger,
-) -> Result<OpenedJournal, CoordinatorError> {
+) -> Result<OpenedJournal, OpenJournalError> {
     let options = Options::for_disk(settings.limits.disk_mb);
     let mut attempts = 0;
     loop {
@@ -61,7 +59,7 @@
         std::thread::sleep(RETRY_PAUSE);
         attempts += 1;
         if attempts == MAX_OPEN_ATTEMPTS {
-            return Err(error).context(JournalSnafu { folder });
+            return Err(error);
         }
     }
 }
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -32,7 +32,7 @@
 pub use error::CoordinatorError;
 
 use crate::interface::{CoordinatorOptions, Event};
-use error::{ListenSnafu, SignalsSnafu};
+use error::{JournalSnafu, ListenSnafu, SignalsSnafu};
 use host::Host;
 
 /// Time between two [`Event::Tick`]s.
@@ -53,7 +53,7 @@
     let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
 
     let incarnation = Incarnation(random_number());
-    let opened = journal::open_journal(&folder, &settings, &log)?;
+    let opened = journal::open_journal(&folder, &settings, &log).context(JournalSnafu { folder: &folder })?;
     let options = CoordinatorOptions::from_settings(&settings, incarnation);
     let host = Host::start(options, &settings, opened, log.clone());
 
