--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -7,10 +7,12 @@
 /// A router and placer for many models.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
+    /// the role to run, or the command for settings files
     #[argh(subcommand)]
     pub command: Command,
 }
 
+/// The subcommands of the binary.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
@@ -47,10 +49,12 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsOptions {
+    /// what to do with the file
     #[argh(subcommand)]
     pub action: SettingsAction,
 }
 
+/// The subcommands of `settings`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum SettingsAction {
