--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. Doc comments of commands and options are their help texts; some are not sentences for that reason.
 
 use std::path::PathBuf;
 
@@ -7,22 +7,24 @@
 /// A router and placer for many models.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
+    /// the role to run, or the command for settings files
     #[argh(subcommand)]
     pub command: Command,
 }
 
+/// The subcommands of the binary.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    DataPlane(DataPlane),
-    Coordinator(Coordinator),
-    Settings(SettingsCommand),
+    DataPlane(DataPlaneOptions),
+    Coordinator(CoordinatorOptions),
+    Settings(SettingsOptions),
 }
 
 /// Take requests of clients and send them to servers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "data-plane")]
-pub struct DataPlane {
+pub struct DataPlaneOptions {
     /// settings file (else the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
@@ -34,7 +36,7 @@
 /// Keep the configuration and the directory of servers, place models.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "coordinator")]
-pub struct Coordinator {
+pub struct CoordinatorOptions {
     /// settings file (else the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
@@ -46,22 +48,24 @@
 /// Look at a settings file.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "settings")]
-pub struct SettingsCommand {
+pub struct SettingsOptions {
+    /// what to do with the file
     #[argh(subcommand)]
     pub action: SettingsAction,
 }
 
+/// The subcommands of `settings`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum SettingsAction {
-    Check(CheckFile),
-    Show(ShowFile),
+    Check(CheckOptions),
+    Show(ShowOptions),
 }
 
 /// Say whether a process could run with it, or what is wrong.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
-pub struct CheckFile {
+pub struct CheckOptions {
     /// the settings file
     #[argh(positional)]
     pub file: PathBuf,
@@ -70,7 +74,7 @@
 /// Print what a process would run with.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "show")]
-pub struct ShowFile {
+pub struct ShowOptions {
     /// the settings file
     #[argh(positional)]
     pub file: PathBuf,
