--- /dev/null
+++ b/routing/src/advertisement.rs
@@ -0,0 +1,89 @@
+//! What was told of requests at servers, so that only what has changed is told.
+
+use std::cmp::Reverse;
+use std::collections::HashMap;
+
+use shaletrail_protocol::internal::EdgeServerLoad;
+use shaletrail_protocol::Millis;
+
+use crate::load_table::{RemoteLoad, REFRESH_INTERVAL};
+
+/// Shares told at once, at most: what a relay sends must stay a small part of its link. The most urgent go first.
+const MAX_LOADS_PER_UPDATE: usize = 256;
+
+/// What was told last of one server.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Advertisement {
+    /// The share.
+    pub load: EdgeServerLoad,
+    /// When it was told.
+    pub at: Millis,
+}
+
+impl Advertisement {
+    /// Nothing is under way at a server: what others take for granted.
+    pub fn idle(server: u64) -> Self {
+        Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, at: 0 }
+    }
+
+    /// Whether a share must be told as others will soon forget what they were told.
+    pub fn needs_refresh(&self, now: Millis, load: &EdgeServerLoad) -> bool {
+        !is_idle(load) && self.at + REFRESH_INTERVAL <= now
+    }
+}
+
+/// The sums that a relay has told last.
+#[derive(Debug, Default)]
+pub(crate) struct AdvertisedLoads {
+    advertised: HashMap<u64, Advertisement>,
+}
+
+impl AdvertisedLoads {
+    /// The sums that differ from what was told, or were told long ago. `servers` are those at which there is anything.
+    pub fn take_changes(
+        &mut self,
+        now: Millis,
+        servers: impl Iterator<Item = u64>,
+        sum_at: impl Fn(u64) -> RemoteLoad,
+    ) -> Vec<EdgeServerLoad> {
+        let mut servers: Vec<u64> = servers.chain(self.advertised.keys().copied()).collect();
+        servers.sort_unstable();
+        servers.dedup();
+        let mut changes: Vec<(Reverse<u32>, EdgeServerLoad)> = servers
+            .into_iter()
+            .filter_map(|server| {
+                let load = sum_at(server).to_edge_load(server);
+                Some((Reverse(self.urgency(now, &load)?), load))
+            })
+            .collect();
+        changes.sort_unstable_by_key(|(urgency, load)| (*urgency, load.server));
+        changes.truncate(MAX_LOADS_PER_UPDATE);
+        for (_, load) in &changes {
+            self.record_advertised(now, load);
+        }
+        changes.into_iter().map(|(_, load)| load).collect()
+    }
+
+    /// How urgent it is to tell a sum: by how many prompt tokens it has changed, and above all where it was never told
+    /// or others will soon forget it. `None` where it need not be told.
+    fn urgency(&self, now: Millis, load: &EdgeServerLoad) -> Option<u32> {
+        let advertised = self.advertised.get(&load.server).copied();
+        let advertised = advertised.unwrap_or(Advertisement::idle(load.server));
+        if advertised.needs_refresh(now, load) {
+            return Some(u32::MAX);
+        }
+        (advertised.load != *load).then(|| advertised.load.prefill_tokens.abs_diff(load.prefill_tokens))
+    }
+
+    fn record_advertised(&mut self, now: Millis, load: &EdgeServerLoad) {
+        if is_idle(load) {
+            self.advertised.remove(&load.server);
+        } else {
+            self.advertised.insert(load.server, Advertisement { load: *load, at: now });
+        }
+    }
+}
+
+fn is_idle(load: &EdgeServerLoad) -> bool {
+    *load == Advertisement::idle(load.server).load
+}
--- /dev/null
+++ b/routing/src/attempt_events.rs
@@ -0,0 +1,131 @@
+//! What the driver reports of attempts: the response's head and first event, a stalled stream, the end, the client's
+//! departure.
+
+use shaletrail_protocol::Millis;
+
+use crate::dispatch::Fallback;
+use crate::interface::{Action, Attempt, Ending, Outcome, RequestId, ServerLoad, Verdict};
+use crate::request::{InFlight, Phase, Request};
+use crate::router::Router;
+
+impl Router {
+    pub(crate) fn on_head(&mut self, now: Millis, id: RequestId, attempt: Attempt, load: Option<ServerLoad>) {
+        let Some((request, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
+        request.response_started = true;
+        request.verdict = Verdict::HasRun;
+        let (handle, sent_at, prefill) = (in_flight.server, in_flight.sent_at, in_flight.prefill);
+        let first = !std::mem::replace(&mut in_flight.answered, true);
+        if let Some(server) = self.servers.get_mut(handle) {
+            server.last_response_at = now;
+            if first {
+                self.has_urgent_load |= server.local_load.record_response(sent_at, prefill);
+            }
+            if let Some(load) = load {
+                server.record_load(now, load);
+            }
+        }
+    }
+
+    pub(crate) fn on_first(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
+        let Some((_, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
+        let (handle, response_check_at, until) =
+            (in_flight.server, in_flight.response_check_at.take(), in_flight.give_up_at);
+        let (sent_at, prefill) = (in_flight.sent_at, in_flight.prefill);
+        let first = !std::mem::replace(&mut in_flight.answered, true);
+        if let Some(response_check_at) = response_check_at.filter(|at| *at < until) {
+            self.timers.remove(&(response_check_at, id));
+            self.timers.insert((until, id));
+        }
+        if let Some(server) = self.servers.get_mut(handle) {
+            server.last_response_at = now;
+            server.health.responded();
+            if first {
+                self.has_urgent_load |= server.local_load.record_response(sent_at, prefill);
+            }
+        }
+    }
+
+    /// A stream hangs: it goes on elsewhere if it may be resumed.
+    pub(crate) fn on_stalled(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: Attempt,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.in_flight_attempt(id, attempt).is_some_and(|(request, _)| request.response_started) {
+            self.cancel(now, id, actions);
+        }
+    }
+
+    pub(crate) fn on_ended(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: Attempt,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.in_flight_attempt(id, attempt).is_none() {
+            return;
+        }
+        let Some((mut request, in_flight)) = self.take_in_flight(id) else { return };
+        let service = request.target.service.clone();
+        self.record_outcome(now, &mut request, &in_flight, &outcome, actions);
+        self.continue_after_attempt(now, request, outcome, actions);
+        self.drop_servers(now);
+        self.drain_queue(now, &service, actions);
+    }
+
+    pub(crate) fn on_finished(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+        let Some((request, phase)) = self.remove_request(id) else { return };
+        if let Phase::InFlight(in_flight) = phase {
+            self.release_server(&request, &in_flight);
+            self.record_client_departure(now, &in_flight);
+            actions.push(Action::Cancel(id, in_flight.attempt));
+        }
+        let service = request.target.service.clone();
+        self.counters.client_left += 1;
+        self.counters.open -= 1;
+        self.drop_servers(now);
+        self.drain_queue(now, &service, actions);
+    }
+
+    /// What becomes of a request whose attempt has ended.
+    fn continue_after_attempt(
+        &mut self,
+        now: Millis,
+        request: Request,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        match outcome.ending {
+            Ending::Served => self.complete(request),
+            _ if request.response_started => {
+                if request.is_resumable() {
+                    self.dispatch(now, request, Fallback::AbortResponse, actions);
+                } else {
+                    self.abort_response(request, actions);
+                }
+            }
+            Ending::Failed { status } if status >= 500 && request.incoming.route.kind.is_idempotent() => {
+                self.dispatch(now, request, Fallback::ForwardFailure, actions);
+            }
+            Ending::Failed { .. } => self.forward_failure(request, actions),
+            _ => self.dispatch(now, request, Fallback::Queue, actions),
+        }
+    }
+
+    fn in_flight_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: Attempt,
+    ) -> Option<(&mut Request, &mut InFlight)> {
+        match self.requests.get_mut(&id) {
+            Some((request, Phase::InFlight(in_flight))) if in_flight.attempt == attempt => {
+                Some((request, in_flight))
+            }
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/routing/src/attempt_outcomes.rs
@@ -0,0 +1,176 @@
+//! What the end of an attempt says: of the request (its verdict), of the server (load, capacity, failures) and of the
+//! retry budget.
+
+use rand::Rng;
+use shaletrail_protocol::Millis;
+
+use crate::failure_accrual::FailureKind;
+use crate::interface::{Action, Ending, Outcome, Verdict};
+use crate::request::{InFlight, Request};
+use crate::router::Router;
+
+/// The status with which a server says that it is not the one named, or lacks the model.
+const MISDIRECTED: u16 = 421;
+/// Sendings over stale connections after which a server is no longer asked again.
+const STALE_SENDINGS: u32 = 3;
+
+/// How a server turned a request away.
+struct Rejected<'a> {
+    status: u16,
+    /// Who said so.
+    instance: Option<&'a str>,
+}
+
+impl Router {
+    /// Notes what the end of an attempt says of the request and of the server.
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: Millis,
+        request: &mut Request,
+        in_flight: &InFlight,
+        outcome: &Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_verdict(now, request, in_flight, outcome);
+        self.record_server_load(now, in_flight, outcome);
+        match &outcome.ending {
+            Ending::Rejected { status, instance } => {
+                let rejection = Rejected { status: *status, instance: instance.as_deref() };
+                self.record_rejection(now, request, in_flight, outcome, rejection, actions);
+            }
+            _ if in_flight.cancelled => {}
+            ending => self.record_health(now, in_flight, ending),
+        }
+    }
+
+    fn record_verdict(
+        &mut self,
+        now: Millis,
+        request: &mut Request,
+        in_flight: &InFlight,
+        outcome: &Outcome,
+    ) {
+        let pool = self.pools.get_mut(&request.target.service);
+        if outcome.verdict == Verdict::NeverSent {
+            request.arrivals = request.arrivals.saturating_sub(1);
+            if in_flight.is_first_visit {
+                request.visited.retain(|visited| *visited != in_flight.server);
+            }
+            if in_flight.is_retry {
+                pool.into_iter().for_each(|pool| pool.budget.refund(now));
+            }
+            if outcome.ending == Ending::StaleConnection && request.attempts < STALE_SENDINGS {
+                request.tried.retain(|tried| *tried != in_flight.server);
+            }
+            return;
+        }
+        self.counters.retries += u64::from(in_flight.is_retry);
+        request.verdict = request.verdict.max(outcome.verdict);
+        request.retry_after_ms = outcome.retry_after_ms.or(request.retry_after_ms);
+        if let Ending::Truncated { last_event, .. } = outcome.ending {
+            request.last_event = last_event.or(request.last_event);
+        }
+        if matches!(outcome.ending, Ending::Served | Ending::Failed { .. }) {
+            pool.into_iter().for_each(|pool| pool.record_completion(now, now - in_flight.sent_at));
+        }
+    }
+
+    fn record_server_load(&mut self, now: Millis, in_flight: &InFlight, outcome: &Outcome) {
+        let answered =
+            matches!(outcome.ending, Ending::Served | Ending::Failed { .. } | Ending::Rejected { .. });
+        let Some(server) = self.servers.get_mut(in_flight.server).filter(|_| answered) else { return };
+        server.last_response_at = now;
+        if let Some(load) = outcome.load {
+            server.record_load(now, load);
+        }
+    }
+
+    fn record_rejection(
+        &mut self,
+        now: Millis,
+        request: &Request,
+        in_flight: &InFlight,
+        outcome: &Outcome,
+        rejection: Rejected<'_>,
+        actions: &mut Vec<Action>,
+    ) {
+        let full_ms = self.rejection_backoff(&request.target.service, outcome.retry_after_ms);
+        let Some(server) = self.servers.get_mut(in_flight.server) else { return };
+        server.health.responded();
+        if rejection.status == MISDIRECTED
+            && rejection.instance.is_some_and(|instance| instance != server.record.id)
+        {
+            server.mark_displaced();
+            server.outcomes.unreachable += 1;
+            self.close_connections(in_flight.server, actions);
+        } else if rejection.status == MISDIRECTED {
+            server.record_missing_model(&request.target, now + self.options.missing_model_ttl_ms);
+        } else if outcome.load.is_some_and(|load| load.waiting == 0 && load.running < load.slots) {
+            // It has room: what it turned away is the model, while an order for that is carried out.
+            server.record_missing_model(&request.target, now + full_ms);
+            server.record_full_without_models(now + full_ms);
+        } else {
+            server.record_full(now + full_ms);
+        }
+    }
+
+    /// How long a server that turned a request away counts as full: shorter where requests are short.
+    fn rejection_backoff(&mut self, service: &str, retry_after_ms: Option<Millis>) -> Millis {
+        let longest = self.options.max_full_ttl_ms;
+        let usual =
+            self.pools.get(service).map_or(longest, |pool| pool.mean_latency_ms()).clamp(1, longest.max(1));
+        let shortest = self.options.min_full_ttl_ms.min(usual);
+        retry_after_ms.unwrap_or_else(|| self.random.random_range(shortest..=usual)).clamp(shortest, usual)
+    }
+
+    fn record_health(&mut self, now: Millis, in_flight: &InFlight, ending: &Ending) {
+        let Some(server) = self.servers.get_mut(in_flight.server) else { return };
+        let kind_of_failure = match ending {
+            Ending::Served => {
+                server.outcomes.succeeded += 1;
+                return server.health.record_success();
+            }
+            Ending::Failed { status } if *status < 500 => return server.health.record_success(),
+            Ending::StaleConnection | Ending::Cancelled | Ending::Rejected { .. } => {
+                return server.health.probe_inconclusive()
+            }
+            Ending::Unreachable => {
+                server.outcomes.unreachable += 1;
+                FailureKind::Unreachable
+            }
+            Ending::Failed { .. }
+            | Ending::ConnectionLost
+            | Ending::MalformedResponse
+            | Ending::Truncated { .. } => {
+                server.outcomes.failed += 1;
+                FailureKind::Failure
+            }
+        };
+        server.health.record_failure(now, kind_of_failure, &self.options, &mut self.random);
+    }
+
+    /// A client has left while an attempt was under way. That speaks against the server if it has let the client wait
+    /// for long and has said nothing to anybody since.
+    pub(crate) fn record_client_departure(&mut self, now: Millis, in_flight: &InFlight) {
+        if now.saturating_sub(in_flight.sent_at) >= self.options.min_response_timeout_ms
+            && !in_flight.answered
+        {
+            self.record_response_timeout(now, in_flight);
+        } else if let Some(server) = self.servers.get_mut(in_flight.server) {
+            server.health.probe_inconclusive();
+        }
+    }
+
+    /// An attempt was given up: that speaks against a server that has said nothing since.
+    pub(crate) fn record_response_timeout(&mut self, now: Millis, in_flight: &InFlight) {
+        let Some(server) = self.servers.get_mut(in_flight.server) else { return };
+        if in_flight.cancelled {
+            return;
+        }
+        if server.last_response_at > in_flight.sent_at {
+            return server.health.probe_inconclusive();
+        }
+        server.outcomes.failed += 1;
+        server.health.record_failure(now, FailureKind::Failure, &self.options, &mut self.random);
+    }
+}
--- /dev/null
+++ b/routing/src/balance.rs
@@ -0,0 +1,270 @@
+//! The server of a request.
+//!
+//! A key goes to the owner of its home slot h(key, 0) if that server can serve it and is below the cap
+//! C = ⌈(1 + ε)·n/k⌉, where n counts the requests that this edge has open at the service, the new one included,
+//! and k the ready servers that can serve the key. Overflow follows h(key, 1), h(key, 2) and so on. Where all are
+//! at the cap, the one with the fewest requests for its slots takes it, unless all are known to be full.
+
+use shaletrail_protocol::Millis;
+use shaletrail_ring::{mix, Key};
+
+use crate::interface::NewRequest;
+use crate::load_gossip::LoadGossip;
+use crate::report::Target;
+use crate::server::{Availability, Capacity, Server, ServerHandle};
+use crate::server_pool::ServerPool;
+use crate::server_table::ServerTable;
+use crate::Options;
+
+/// What a request looks for.
+pub(crate) struct Selection<'a> {
+    /// Its key.
+    pub key: Key,
+    /// What the server must hold.
+    pub target: &'a Target,
+    /// Servers that it has been sent to.
+    pub tried: &'a [ServerHandle],
+    /// The only servers that it may be sent to, where it may be sent to no further one.
+    pub restricted_to: Option<&'a [ServerHandle]>,
+    /// Connections to one server that this edge may hold.
+    pub max_connections: u32,
+    /// Prompt tokens that have to be read even where all shared parts have been.
+    pub unshared_prefill_tokens: u32,
+}
+
+/// A server was found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SelectedServer {
+    /// The server.
+    pub server: ServerHandle,
+    /// Whether every server was at the cap.
+    pub over_cap: bool,
+    /// Whether it is the first in the key's sequence that can serve it: it has likely read what the key's requests
+    /// share.
+    pub is_home: bool,
+}
+
+/// Why there is none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Unavailable {
+    /// The service has no server that takes requests.
+    NoServer,
+    /// None that may be asked holds what is wanted.
+    NoReplica {
+        /// When one may be asked, with no event but the passing of time.
+        retry_at: Option<Millis>,
+    },
+    /// All that could serve it are known to be full.
+    Full {
+        /// When one may no longer be.
+        retry_at: Option<Millis>,
+    },
+}
+
+/// The key that a request is placed by: the model, with its adapter, or the path where there is no model. Parts of
+/// the prompt that other requests share belong to it: the server that has read them need not read them again, and
+/// the subjects of a busy model spread over its replicas.
+pub(crate) fn request_key(request: &NewRequest, target: &Target) -> Key {
+    let key = match &target.adapter {
+        _ if target.model.is_empty() => return Key(request.path_hash),
+        None => Key::of(&target.model),
+        Some(adapter) => Key::of_parts(&[&target.model, adapter]),
+    };
+    // The last part is the request's own, or its session's.
+    let shared = request.prompt.split_last().map_or(&[][..], |(_, shared)| shared);
+    shared.iter().fold(key, |key, (part, _)| Key(mix(key.0 ^ mix(*part))))
+}
+
+/// C = ⌈(1 + ε)·n/k⌉, and never below the floor.
+pub(crate) fn cap(open_requests: u32, eligible: u32, options: &Options) -> u32 {
+    let share = (1.0 + options.epsilon) * f64::from(open_requests) / f64::from(eligible.max(1));
+    (share.ceil() as u32).max(options.min_cap)
+}
+
+/// Chooses among the servers of a service.
+pub(crate) fn select(
+    pool: &ServerPool,
+    servers: &ServerTable,
+    load_gossip: &LoadGossip,
+    selection: &Selection<'_>,
+    now: Millis,
+    options: &Options,
+) -> Result<SelectedServer, Unavailable> {
+    let load_ttl = pool
+        .mean_latency_ms()
+        .clamp(options.min_load_ttl_ms, options.max_load_ttl_ms.max(options.min_load_ttl_ms));
+    Balancer { pool, servers, load_gossip, selection, now, load_ttl, options }.select()
+}
+
+struct Balancer<'a> {
+    pool: &'a ServerPool,
+    servers: &'a ServerTable,
+    load_gossip: &'a LoadGossip,
+    selection: &'a Selection<'a>,
+    now: Millis,
+    /// How long what an answer told of a server's load counts, in milliseconds.
+    load_ttl: Millis,
+    options: &'a Options,
+}
+
+/// A server that can serve a key.
+type Candidate<'a> = (ServerHandle, &'a Server);
+
+/// The servers of a service, as one request sees them.
+#[derive(Default)]
+struct Candidates<'a> {
+    /// Servers that have not left.
+    usable: usize,
+    /// Of those, the ready ones.
+    ready: usize,
+    /// Ready servers with evidence against them, the worst first once sorted.
+    ejected: Vec<(std::cmp::Reverse<u32>, ServerHandle)>,
+    /// Ready servers that can serve the key.
+    eligible: Vec<Candidate<'a>>,
+    /// Silent servers that could.
+    silent: Vec<Candidate<'a>>,
+}
+
+impl<'a> Balancer<'a> {
+    fn members(&self) -> impl Iterator<Item = Candidate<'a>> {
+        let servers = self.servers;
+        self.pool.members.iter().filter_map(move |handle| Some((*handle, servers.get(*handle)?)))
+    }
+
+    fn select(&self) -> Result<SelectedServer, Unavailable> {
+        let candidates = self.candidates();
+        if candidates.usable == 0 {
+            return Err(Unavailable::NoServer);
+        }
+        let eligible = candidates.eligible;
+        let selected = self.first_below_cap(&eligible).or_else(|| self.least_loaded(&eligible));
+        // A silent server only where no other can serve the key at all.
+        let silent = if eligible.is_empty() { candidates.silent } else { Vec::new() };
+        selected.or_else(|| self.least_loaded(&silent)).ok_or_else(|| self.unavailable(&eligible))
+    }
+
+    /// Looks at all members once. At most half of the ready ones are skipped by evidence: those that failed most
+    /// often.
+    fn candidates(&self) -> Candidates<'a> {
+        let mut candidates = Candidates::default();
+        for (handle, server) in self.members() {
+            let availability = server.availability();
+            if availability == Availability::Draining {
+                continue;
+            }
+            candidates.usable += 1;
+            let is_ready = availability == Availability::Ready;
+            candidates.ready += usize::from(is_ready);
+            let admits = server.health.admits(self.now);
+            if is_ready && !admits {
+                candidates.ejected.push((std::cmp::Reverse(server.health.failures()), handle));
+            }
+            let allowed = self.selection.restricted_to.is_none_or(|only| only.contains(&handle));
+            let can_serve = allowed
+                && server.holds(self.selection.target, self.now)
+                && !self.selection.tried.contains(&handle);
+            match is_ready {
+                true if can_serve => candidates.eligible.push((handle, server)),
+                false if can_serve && admits => candidates.silent.push((handle, server)),
+                _ => {}
+            }
+        }
+        candidates.ejected.sort_unstable();
+        candidates.ejected.truncate(candidates.ready / 2);
+        candidates
+            .eligible
+            .retain(|(handle, _)| candidates.ejected.iter().all(|(_, ejected)| ejected != handle));
+        candidates
+    }
+
+    /// The first in the key's sequence that is below the cap, not known to be full and at ease; where none is at
+    /// ease, the one below the cap with the least of prompts to read.
+    fn first_below_cap(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
+        let cap = cap(self.pool.open + 1, eligible.len() as u32, self.options);
+        let takes = |server: &Server| server.open < cap && self.capacity(server) == Capacity::Free;
+        let takers: Vec<(ServerHandle, &Server)> =
+            eligible.iter().filter(|(_, server)| takes(server)).copied().collect();
+        if let [(only, _)] = takers.as_slice() {
+            return Some(SelectedServer { server: *only, over_cap: false, is_home: eligible.len() == 1 });
+        }
+        if self.selection.unshared_prefill_tokens >= self.options.long_prompt_tokens {
+            return self.select_for_long_prompt(&takers);
+        }
+        let mut sequence = self.pool.slot_array.sequence(self.selection.key).copied();
+        let mut home = None;
+        let lightly_loaded = sequence.find(|owner| {
+            if home.is_none() && eligible.iter().any(|(handle, _)| handle == owner) {
+                home = Some(*owner);
+            }
+            takers.iter().any(|(handle, server)| handle == owner && self.is_lightly_loaded(server))
+        });
+        let server = match lightly_loaded {
+            Some(server) => server,
+            None => {
+                takers.iter().min_by_key(|(_, server)| self.total_load(server)).map(|(handle, _)| *handle)?
+            }
+        };
+        Some(SelectedServer { server, over_cap: false, is_home: home == Some(server) })
+    }
+
+    /// For a prompt so long that reading it holds up all streams of its server: the server with the fewest of them.
+    fn select_for_long_prompt(&self, takers: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
+        let sequence: Vec<ServerHandle> =
+            self.pool.slot_array.sequence(self.selection.key).copied().collect();
+        let position = |handle: &ServerHandle| sequence.iter().position(|owner| owner == handle);
+        let rank = |(handle, server): &&(ServerHandle, &Server)| {
+            let (silent, prefill, open) = self.total_load(server);
+            (silent || prefill > self.options.max_pending_prefill_tokens, open, prefill, position(handle))
+        };
+        let (server, _) = takers.iter().min_by_key(rank)?;
+        Some(SelectedServer { server: *server, over_cap: false, is_home: sequence.first() == Some(server) })
+    }
+
+    /// Whether a request would be worked on soon, as far as the edges know.
+    fn is_lightly_loaded(&self, server: &Server) -> bool {
+        let (silent, prefill, _) = self.total_load(server);
+        !silent && prefill <= self.options.max_pending_prefill_tokens
+    }
+
+    /// How much speaks against sending a request there now: silence, prompts that wait to be read, open requests.
+    fn total_load(&self, server: &Server) -> (bool, u64, u32) {
+        let remote = self.load_gossip.remote_load(server.local_load.advertised());
+        let silent = remote.unresponsive_edges > 0 || server.is_unresponsive(self.now, self.options);
+        (silent, server.local_load.prefill_tokens + remote.prefill_tokens, server.open + remote.open)
+    }
+
+    /// The one with the fewest requests for its slots, of those with a free slot or else a place to wait.
+    fn least_loaded(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
+        let load =
+            |server: &Server| f64::from(server.occupied(self.load_valid_since())) / f64::from(server.slots());
+        let open = eligible.iter().map(|(handle, server)| (self.capacity(server), load(server), *handle));
+        let open = open.filter(|(room, _, _)| *room != Capacity::Full);
+        let least = open.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
+        least.map(|(_, _, server)| SelectedServer { server, over_cap: true, is_home: false })
+    }
+
+    fn capacity(&self, server: &Server) -> Capacity {
+        if server.open >= self.selection.max_connections {
+            return Capacity::Full;
+        }
+        server.capacity(self.now, self.load_valid_since(), self.options)
+    }
+
+    /// What an answer told before this no longer counts.
+    fn load_valid_since(&self) -> Millis {
+        (self.now + 1).saturating_sub(self.load_ttl)
+    }
+
+    fn unavailable(&self, eligible: &[Candidate<'_>]) -> Unavailable {
+        if !eligible.is_empty() {
+            let until = |(_, server): &(ServerHandle, &Server)| server.full_until(self.now, self.load_ttl);
+            return Unavailable::Full { retry_at: eligible.iter().filter_map(until).min() };
+        }
+        let usable = self.members().filter(|(_, server)| server.availability() != Availability::Draining);
+        let until = |(_, server): (ServerHandle, &Server)| {
+            let retry_at = server.health.probe_at().filter(|at| *at > self.now);
+            retry_at.into_iter().chain(server.missing_until(self.selection.target, self.now)).min()
+        };
+        Unavailable::NoReplica { retry_at: usable.filter_map(until).min() }
+    }
+}
--- /dev/null
+++ b/routing/src/dispatch.rs
@@ -0,0 +1,206 @@
+//! Sending requests, and holding those for which there is no server now.
+
+use std::sync::Arc;
+
+use shaletrail_protocol::Millis;
+
+use crate::balance::{select, SelectedServer, Selection, Unavailable};
+use crate::interface::{Action, Attempt, RejectReason};
+use crate::report::Target;
+use crate::request::{InFlight, Phase, Request};
+use crate::router::Router;
+
+/// Times that a request may be sent anew to servers that have it surely not run, beyond its attempts.
+const MAX_SAME_SERVER_RETRIES: u32 = 2;
+/// The highest value of `Priority`.
+const MAX_PRIORITY: u8 = 9;
+/// The shortest `Deadline-Ms`.
+const MIN_DEADLINE: Millis = 1;
+
+/// What becomes of a request for which no attempt can be made now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Fallback {
+    /// It is queued, or rejected where it may not wait.
+    Queue,
+    /// The failed response that the driver buffers is forwarded to the client.
+    ForwardFailure,
+    /// Its response, of which the client has a part, is aborted.
+    AbortResponse,
+}
+
+impl Router {
+    /// Sends a request if it may be sent and there is a server; otherwise it waits or ends.
+    pub(crate) fn dispatch(
+        &mut self,
+        now: Millis,
+        request: Request,
+        fallback: Fallback,
+        actions: &mut Vec<Action>,
+    ) {
+        if now >= request.deadline_at {
+            return self.apply_fallback(now, request, fallback, RejectReason::TooLate, actions);
+        }
+        if let Some(reason) = self.retry_denied(now, &request) {
+            return self.apply_fallback(now, request, fallback, reason, actions);
+        }
+        match self.select_server(now, &request) {
+            Ok(selected) => self.send(now, request, selected, actions),
+            Err(unavailable) if fallback == Fallback::Queue => {
+                self.enqueue(now, request, unavailable, actions)
+            }
+            Err(unavailable) => {
+                let target = Arc::clone(&request.target);
+                self.apply_fallback(now, request, fallback, reject_reason(unavailable, &target), actions);
+            }
+        }
+    }
+
+    fn apply_fallback(
+        &mut self,
+        now: Millis,
+        request: Request,
+        fallback: Fallback,
+        reason: RejectReason,
+        actions: &mut Vec<Action>,
+    ) {
+        match fallback {
+            Fallback::Queue => self.reject(now, request, reason, actions),
+            Fallback::ForwardFailure => self.forward_failure(request, actions),
+            Fallback::AbortResponse => self.abort_response(request, actions),
+        }
+    }
+
+    /// Why no further attempt may be made, if none may.
+    pub(crate) fn retry_denied(&mut self, now: Millis, request: &Request) -> Option<RejectReason> {
+        if !request.may_run_again() {
+            return Some(RejectReason::MayHaveRun);
+        }
+        if request.attempts >= self.options.max_attempts_per_request {
+            return Some(RejectReason::NoServer);
+        }
+        if request.arrivals == 0 {
+            return None;
+        }
+        // A server at which it surely has not run may be asked again: that is no further server.
+        let may_reuse_server = request.surely_not_run()
+            && request.arrivals < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
+        let may_retry = (self.may_use_another_server(request) || may_reuse_server)
+            && self.has_retry_budget(now, &request.target);
+        (!may_retry).then(|| request.exhausted_reason())
+    }
+
+    /// Whether it may be sent to one more server than it was.
+    fn may_use_another_server(&self, request: &Request) -> bool {
+        (request.visited.len() as u32) < request.incoming.route.max_attempts
+    }
+
+    fn has_retry_budget(&mut self, now: Millis, target: &Target) -> bool {
+        let pool = self.pools.get_mut(&target.service);
+        pool.is_some_and(|pool| pool.budget.has_balance(now, self.edges, &self.options))
+    }
+
+    /// The server that a request would be sent to.
+    pub(crate) fn select_server(
+        &self,
+        now: Millis,
+        request: &Request,
+    ) -> Result<SelectedServer, Unavailable> {
+        let Some(pool) = self.pools.get(&request.target.service) else { return Err(Unavailable::NoServer) };
+        let max_connections = self.max_connections_per_server(&request.target.service);
+        let restricted_to = (!self.may_use_another_server(request)).then_some(request.visited.as_slice());
+        let selection = Selection {
+            key: request.key,
+            target: &request.target,
+            tried: &request.tried,
+            restricted_to,
+            max_connections,
+            unshared_prefill_tokens: request.prefill_tokens(true),
+        };
+        select(pool, &self.servers, &self.load_gossip, &selection, now, &self.options)
+    }
+
+    /// Connections to one server of a service that this edge may hold.
+    fn max_connections_per_server(&self, service: &str) -> u32 {
+        let total =
+            self.view.as_ref().and_then(|view| view.service(service)).map_or(0, |s| s.max_connections);
+        if total == 0 || self.edges == 0 {
+            return u32::MAX;
+        }
+        (total / self.edges).max(1)
+    }
+
+    fn send(
+        &mut self,
+        now: Millis,
+        mut request: Request,
+        selected: SelectedServer,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_retry = request.arrivals > 0;
+        let Some(server) = self.servers.get_mut(selected.server) else {
+            return self.reject(now, request, RejectReason::NoServer, actions);
+        };
+        let prefill = request.prefill_tokens(selected.is_home);
+        self.has_urgent_load |= server.local_load.record_sent(now, prefill);
+        server.open += 1;
+        server.health.record_sent();
+        let (id, address) = (server.record.id.clone(), server.record.heartbeat.address.clone());
+        if let Some(pool) = self.pools.get_mut(&request.target.service) {
+            pool.open += 1;
+            if is_retry {
+                pool.budget.withdraw(now, self.edges, &self.options);
+            }
+        }
+        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+            demand.in_flight += 1;
+            demand.over_capacity += u32::from(selected.over_cap);
+        }
+        self.counters.attempts += 1;
+        self.counters.resumed += u64::from(request.response_started);
+        let attempt = Attempt(request.attempts);
+        request.attempts += 1;
+        request.arrivals += 1;
+        request.tried.push(selected.server);
+        let is_first_visit = !request.visited.contains(&selected.server);
+        if is_first_visit {
+            request.visited.push(selected.server);
+        }
+        let remaining_ms =
+            request.deadline_at.saturating_sub(now).saturating_sub(self.options.response_margin_ms);
+        actions.push(Action::Send {
+            request: request.id(),
+            attempt,
+            server: id,
+            address,
+            service: request.target.service.clone(),
+            deadline_ms: remaining_ms.max(MIN_DEADLINE),
+            priority: request.incoming.route.priority.min(MAX_PRIORITY),
+            resume_after: request.last_event.filter(|_| request.response_started),
+        });
+        let response_timeout =
+            request.incoming.route.target_latency_ms.max(self.options.min_response_timeout_ms);
+        let in_flight = InFlight {
+            attempt,
+            server: selected.server,
+            sent_at: now,
+            give_up_at: request.deadline_at + self.options.deadline_grace_ms,
+            response_check_at: request.incoming.route.kind.is_idempotent().then_some(now + response_timeout),
+            prefill,
+            answered: false,
+            is_first_visit,
+            is_retry,
+            cancelled: false,
+        };
+        self.insert_request(request, Phase::InFlight(in_flight));
+    }
+}
+
+/// Why a request is rejected for which no server is available.
+pub(crate) fn reject_reason(unavailable: Unavailable, target: &Target) -> RejectReason {
+    match unavailable {
+        Unavailable::NoReplica { .. } if target.model.is_empty() => RejectReason::NoServer,
+        Unavailable::NoServer => RejectReason::NoServer,
+        Unavailable::NoReplica { .. } => RejectReason::NoModel,
+        Unavailable::Full { .. } => RejectReason::Full,
+    }
+}
--- a/routing/src/health.rs
+++ b/routing/src/failure_accrual.rs
@@ -8,7 +8,7 @@
 
 /// How strong a failure speaks against a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Evidence {
+pub(crate) enum FailureKind {
     /// Nobody is at its address: enough by itself.
     Unreachable,
     /// An attempt failed by its doing.
@@ -17,70 +17,76 @@
 
 /// What speaks against a server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Health {
+pub(crate) struct FailureAccrual {
     failures: u32,
-    suspicion: Option<Suspicion>,
+    ejection: Option<Ejection>,
 }
 
 #[derive(Clone, Debug)]
-struct Suspicion {
+struct Ejection {
     until: Millis,
     backoff: Millis,
-    trial: bool,
+    probing: bool,
 }
 
-impl Health {
+impl FailureAccrual {
     /// An attempt went well.
-    pub fn succeeded(&mut self) {
-        *self = Health::default();
+    pub fn record_success(&mut self) {
+        *self = FailureAccrual::default();
     }
 
     /// A trial shows life: others may follow it, though the failures still count.
-    pub fn shows_life(&mut self) {
-        self.suspicion = None;
+    pub fn responded(&mut self) {
+        self.ejection = None;
     }
 
     /// An attempt failed.
-    pub fn failed(&mut self, now: Millis, evidence: Evidence, options: &Options, random: &mut impl Rng) {
+    pub fn record_failure(
+        &mut self,
+        now: Millis,
+        kind: FailureKind,
+        options: &Options,
+        random: &mut impl Rng,
+    ) {
         self.failures = self.failures.saturating_add(1);
-        let backoff = match &mut self.suspicion {
+        let backoff = match &mut self.ejection {
             // Attempts that were out when it became suspect say nothing new.
-            Some(suspicion) if now < suspicion.until => {
-                suspicion.trial = false;
+            Some(ejection) if now < ejection.until => {
+                ejection.probing = false;
                 return;
             }
-            Some(suspicion) => (suspicion.backoff * 2).min(options.backoff_longest_ms),
-            None if evidence == Evidence::Unreachable || self.failures >= options.suspect_after => {
-                options.backoff_first_ms
+            Some(ejection) => (ejection.backoff * 2).min(options.max_backoff_ms),
+            None if kind == FailureKind::Unreachable || self.failures >= options.eject_after_failures => {
+                options.initial_backoff_ms
             }
             None => return,
         };
         let jitter = random.random_range(0..=backoff / 4);
-        self.suspicion = Some(Suspicion { until: now + backoff + jitter, backoff, trial: false });
+        self.ejection = Some(Ejection { until: now + backoff + jitter, backoff, probing: false });
     }
 
     /// A request was sent to it: the trial, if it is suspect.
-    pub fn sent(&mut self) {
-        if let Some(suspicion) = &mut self.suspicion {
-            suspicion.trial = true;
+    pub fn record_sent(&mut self) {
+        if let Some(ejection) = &mut self.ejection {
+            ejection.probing = true;
         }
     }
 
     /// The trial ended and says nothing either way.
-    pub fn trial_over(&mut self) {
-        if let Some(suspicion) = &mut self.suspicion {
-            suspicion.trial = false;
+    pub fn probe_inconclusive(&mut self) {
+        if let Some(ejection) = &mut self.ejection {
+            ejection.probing = false;
         }
     }
 
     /// Whether it may get a request as far as the evidence goes.
     pub fn admits(&self, now: Millis) -> bool {
-        self.suspicion.as_ref().is_none_or(|suspicion| now >= suspicion.until && !suspicion.trial)
+        self.ejection.as_ref().is_none_or(|ejection| now >= ejection.until && !ejection.probing)
     }
 
     /// When it may be tried next, if it may not now.
-    pub fn again_at(&self) -> Option<Millis> {
-        self.suspicion.as_ref().filter(|suspicion| !suspicion.trial).map(|suspicion| suspicion.until)
+    pub fn probe_at(&self) -> Option<Millis> {
+        self.ejection.as_ref().filter(|ejection| !ejection.probing).map(|ejection| ejection.until)
     }
 
     /// Failures since the last success, to tell better suspects from worse.
--- a/routing/src/topology.rs
+++ b/routing/src/gossip_topology.rs
@@ -16,7 +16,7 @@
 
 /// Whom this edge tells and hears.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Topology {
+pub(crate) enum GossipTopology {
     /// Each edge tells all others.
     Mesh {
         /// The other edges.
@@ -36,20 +36,20 @@
     },
 }
 
-impl Default for Topology {
+impl Default for GossipTopology {
     fn default() -> Self {
-        Topology::Mesh { others: Arc::default() }
+        GossipTopology::Mesh { others: Arc::default() }
     }
 }
 
-impl Topology {
+impl GossipTopology {
     /// The place of `own` among the edges at work.
-    pub fn of(own: NodeId, edges: &[NodeId]) -> Topology {
+    pub fn of(own: NodeId, edges: &[NodeId]) -> GossipTopology {
         let mut edges = edges.to_vec();
         edges.sort_unstable();
         edges.dedup();
         if edges.len() <= MESH_EDGES {
-            return Topology::Mesh { others: without(&edges, own) };
+            return GossipTopology::Mesh { others: without(&edges, own) };
         }
         let group_size = edges.len().isqrt();
         let groups: Vec<&[NodeId]> = edges.chunks(group_size).collect();
@@ -57,8 +57,8 @@
         let own_group = position / group_size;
         let relays: Vec<NodeId> = groups.iter().map(|group| relay_of(group, own)).collect();
         match relays.get(own_group) {
-            Some(relay) if *relay != own => Topology::Member { relay: *relay },
-            _ => Topology::Relay {
+            Some(relay) if *relay != own => GossipTopology::Member { relay: *relay },
+            _ => GossipTopology::Relay {
                 members: without(groups.get(own_group).copied().unwrap_or_default(), own),
                 relays: without(&relays, own),
             },
@@ -67,9 +67,9 @@
 
     /// Whether what was heard in one place still counts in the other: it comes from the same kind of edges, and for a
     /// member from the same relay.
-    pub fn hears_as(&self, other: &Topology) -> bool {
+    pub fn has_same_sources_as(&self, other: &GossipTopology) -> bool {
         match (self, other) {
-            (Topology::Member { relay }, Topology::Member { relay: other }) => relay == other,
+            (GossipTopology::Member { relay }, GossipTopology::Member { relay: other }) => relay == other,
             _ => std::mem::discriminant(self) == std::mem::discriminant(other),
         }
     }
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -9,62 +9,63 @@
 use shaletrail_protocol::{Millis, NodeId};
 
 /// What was told counts for so long, in milliseconds.
-const COUNTS_FOR: Millis = 1_500;
+const LOAD_TTL: Millis = 1_500;
 /// Shares that are not nothing are told anew after so long, in milliseconds.
-pub(crate) const TELL_AGAIN: Millis = 500;
+pub(crate) const REFRESH_INTERVAL: Millis = 500;
 /// Edges kept.
-const MOST_EDGES: usize = 256;
+const MAX_EDGES: usize = 256;
 /// Servers kept of one edge.
-const MOST_SERVERS: usize = 8_192;
+const MAX_SERVERS_PER_EDGE: usize = 8_192;
 
 /// What edges have under way at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Elsewhere {
+pub(crate) struct RemoteLoad {
     /// Requests that are open there.
     pub open: u32,
     /// Prompt tokens of those whose answer has not begun.
-    pub prefill: u64,
+    pub prefill_tokens: u64,
     /// Edges to which the server has been silent for long.
-    pub silent: u32,
+    pub unresponsive_edges: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    share: EdgeServerLoad,
+struct ReceivedLoad {
+    load: EdgeServerLoad,
     until: Millis,
 }
 
 /// What edges have told, by edge and in sum.
 #[derive(Debug, Default)]
 pub(crate) struct LoadTable {
-    edges: HashMap<NodeId, HashMap<u64, Told>>,
-    sums: HashMap<u64, Elsewhere>,
+    edges: HashMap<NodeId, HashMap<u64, ReceivedLoad>>,
+    sums: HashMap<u64, RemoteLoad>,
     next_expiry: Millis,
 }
 
 impl LoadTable {
     /// Takes what an edge tells.
-    pub fn tell(&mut self, now: Millis, edge: NodeId, shares: Vec<EdgeServerLoad>) {
+    pub fn record(&mut self, now: Millis, edge: NodeId, loads: Vec<EdgeServerLoad>) {
         self.expire(now);
-        if self.edges.len() >= MOST_EDGES && !self.edges.contains_key(&edge) {
+        if self.edges.len() >= MAX_EDGES && !self.edges.contains_key(&edge) {
             return;
         }
         let servers = self.edges.entry(edge).or_default();
-        for share in shares {
-            if servers.len() >= MOST_SERVERS && !servers.contains_key(&share.server) {
+        for load in loads {
+            if servers.len() >= MAX_SERVERS_PER_EDGE && !servers.contains_key(&load.server) {
                 continue;
             }
-            let told = Told { share, until: now + COUNTS_FOR };
-            let former = servers.insert(share.server, told).map(|told| told.share).unwrap_or_default();
-            let sum = self.sums.entry(share.server).or_default();
-            subtract(sum, &former);
-            add(sum, &share);
+            let received = ReceivedLoad { load, until: now + LOAD_TTL };
+            let previous =
+                servers.insert(load.server, received).map(|received| received.load).unwrap_or_default();
+            let sum = self.sums.entry(load.server).or_default();
+            subtract(sum, &previous);
+            add(sum, &load);
         }
-        self.next_expiry = self.next_expiry.min(now + COUNTS_FOR);
+        self.next_expiry = self.next_expiry.min(now + LOAD_TTL);
     }
 
     /// What the edges have at a server.
-    pub fn at(&self, server: u64) -> Elsewhere {
+    pub fn at(&self, server: u64) -> RemoteLoad {
         self.sums.get(&server).copied().unwrap_or_default()
     }
 
@@ -80,57 +81,57 @@
         }
         let sums = &mut self.sums;
         for servers in self.edges.values_mut() {
-            servers.retain(|server, told| {
-                let counts = told.until > now;
-                if !counts {
+            servers.retain(|server, received| {
+                let is_valid = received.until > now;
+                if !is_valid {
                     if let Some(sum) = sums.get_mut(server) {
-                        subtract(sum, &told.share);
+                        subtract(sum, &received.load);
                     }
                 }
-                counts
+                is_valid
             });
         }
         self.edges.retain(|_, servers| !servers.is_empty());
-        self.sums.retain(|_, sum| *sum != Elsewhere::default());
-        self.next_expiry = now + COUNTS_FOR / 2;
+        self.sums.retain(|_, sum| *sum != RemoteLoad::default());
+        self.next_expiry = now + LOAD_TTL / 2;
     }
 }
 
-impl Elsewhere {
+impl RemoteLoad {
     /// Both together.
-    pub fn plus(self, other: Elsewhere) -> Elsewhere {
-        Elsewhere {
+    pub fn saturating_add(self, other: RemoteLoad) -> RemoteLoad {
+        RemoteLoad {
             open: self.open.saturating_add(other.open),
-            prefill: self.prefill.saturating_add(other.prefill),
-            silent: self.silent.saturating_add(other.silent),
+            prefill_tokens: self.prefill_tokens.saturating_add(other.prefill_tokens),
+            unresponsive_edges: self.unresponsive_edges.saturating_add(other.unresponsive_edges),
         }
     }
 
     /// Without what one edge has told.
-    pub fn without(mut self, share: &EdgeServerLoad) -> Elsewhere {
-        subtract(&mut self, share);
+    pub fn excluding(mut self, load: &EdgeServerLoad) -> RemoteLoad {
+        subtract(&mut self, load);
         self
     }
 
     /// As a share, to be told on.
-    pub fn as_share(self, server: u64) -> EdgeServerLoad {
+    pub fn to_edge_load(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
             server,
             in_flight: u16::try_from(self.open).unwrap_or(u16::MAX),
-            prefill_tokens: u32::try_from(self.prefill).unwrap_or(u32::MAX),
-            unresponsive: self.silent > 0,
+            prefill_tokens: u32::try_from(self.prefill_tokens).unwrap_or(u32::MAX),
+            unresponsive: self.unresponsive_edges > 0,
         }
     }
 }
 
-fn add(sum: &mut Elsewhere, share: &EdgeServerLoad) {
-    sum.open += u32::from(share.in_flight);
-    sum.prefill += u64::from(share.prefill_tokens);
-    sum.silent += u32::from(share.unresponsive);
+fn add(sum: &mut RemoteLoad, load: &EdgeServerLoad) {
+    sum.open += u32::from(load.in_flight);
+    sum.prefill_tokens += u64::from(load.prefill_tokens);
+    sum.unresponsive_edges += u32::from(load.unresponsive);
 }
 
-fn subtract(sum: &mut Elsewhere, share: &EdgeServerLoad) {
-    sum.open = sum.open.saturating_sub(u32::from(share.in_flight));
-    sum.prefill = sum.prefill.saturating_sub(u64::from(share.prefill_tokens));
-    sum.silent = sum.silent.saturating_sub(u32::from(share.unresponsive));
+fn subtract(sum: &mut RemoteLoad, load: &EdgeServerLoad) {
+    sum.open = sum.open.saturating_sub(u32::from(load.in_flight));
+    sum.prefill_tokens = sum.prefill_tokens.saturating_sub(u64::from(load.prefill_tokens));
+    sum.unresponsive_edges = sum.unresponsive_edges.saturating_sub(u32::from(load.unresponsive));
 }
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -5,7 +5,7 @@
 
 use shaletrail_protocol::internal::{Demand, ServerOutcomes};
 
-use crate::servers::Servers;
+use crate::server_table::ServerTable;
 use crate::Options;
 
 /// Output tokens count this many times as much as those of a prompt.
@@ -13,7 +13,7 @@
 
 /// What a request needs of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Wanted {
+pub(crate) struct Target {
     /// The service.
     pub service: String,
     /// The model; empty for services without models.
@@ -24,27 +24,27 @@
 
 /// Demand since the last report.
 #[derive(Debug, Default)]
-pub(crate) struct DemandTable(BTreeMap<Arc<Wanted>, Demand>);
+pub(crate) struct DemandTable(BTreeMap<Arc<Target>, Demand>);
 
 impl DemandTable {
     /// The demand for what a request needs; `None` where the table is full.
-    pub fn of(&mut self, wanted: &Arc<Wanted>, options: &Options) -> Option<&mut Demand> {
-        if self.0.len() >= options.max_demand && !self.0.contains_key(wanted) {
+    pub fn of(&mut self, target: &Arc<Target>, options: &Options) -> Option<&mut Demand> {
+        if self.0.len() >= options.max_demand_entries && !self.0.contains_key(target) {
             return None;
         }
         let none_yet = || Demand {
-            service: wanted.service.clone(),
-            model: wanted.model.clone(),
-            adapter: wanted.adapter.clone(),
+            service: target.service.clone(),
+            model: target.model.clone(),
+            adapter: target.adapter.clone(),
             priority: u8::MAX,
             ..Demand::default()
         };
-        Some(self.0.entry(Arc::clone(wanted)).or_insert_with(none_yet))
+        Some(self.0.entry(Arc::clone(target)).or_insert_with(none_yet))
     }
 
     /// The demand for what a request needs, if any has been counted.
-    pub fn known(&mut self, wanted: &Wanted) -> Option<&mut Demand> {
-        self.0.get_mut(wanted)
+    pub fn known(&mut self, target: &Target) -> Option<&mut Demand> {
+        self.0.get_mut(target)
     }
 
     /// Takes what is to be reported; what is open or waits is counted on.
@@ -62,7 +62,7 @@
 }
 
 /// Counts a request that arrived.
-pub(crate) fn count_arrival(demand: &mut Demand, tokens: Option<(u32, u32)>, priority: u8) {
+pub(crate) fn record_arrival(demand: &mut Demand, tokens: Option<(u32, u32)>, priority: u8) {
     let (prompt, output) = tokens.unwrap_or_default();
     demand.arrived = demand.arrived.saturating_add(1);
     let weighed = u64::from(prompt).saturating_add(u64::from(output).saturating_mul(OUTPUT_WEIGHT));
@@ -71,13 +71,13 @@
 }
 
 /// Takes what was found out about servers.
-pub(crate) fn take_observations(servers: &mut Servers) -> Vec<ServerOutcomes> {
+pub(crate) fn take_server_outcomes(servers: &mut ServerTable) -> Vec<ServerOutcomes> {
     let mut taken = Vec::new();
     for server in servers.iter_mut() {
-        let observed = &mut server.observed;
-        if observed.succeeded > 0 || observed.failed > 0 || observed.unreachable > 0 {
-            taken.push(observed.clone());
-            (observed.succeeded, observed.failed, observed.unreachable) = (0, 0, 0);
+        let outcomes = &mut server.outcomes;
+        if outcomes.succeeded > 0 || outcomes.failed > 0 || outcomes.unreachable > 0 {
+            taken.push(outcomes.clone());
+            (outcomes.succeeded, outcomes.failed, outcomes.unreachable) = (0, 0, 0);
         }
     }
     taken
--- a/routing/src/holding.rs
+++ b/routing/src/request_queue.rs
@@ -5,11 +5,11 @@
 use shaletrail_protocol::Millis;
 
 use crate::interface::RequestId;
-use crate::requests::Request;
+use crate::request::Request;
 
 /// The place of a request among those that wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Rank {
+pub(crate) struct QueueKey {
     /// The route's rank, 0 first.
     pub priority: u8,
     /// When it must have been answered.
@@ -18,38 +18,38 @@
     pub id: RequestId,
 }
 
-impl Rank {
+impl QueueKey {
     pub fn of(request: &Request) -> Self {
-        let (priority, deadline_at) = (request.new.route.priority, request.deadline_at);
-        Rank { priority, deadline_at, id: request.id() }
+        let (priority, deadline_at) = (request.incoming.route.priority, request.deadline_at);
+        QueueKey { priority, deadline_at, id: request.id() }
     }
 }
 
 /// Requests that wait, by service.
 #[derive(Debug, Default)]
-pub(crate) struct Holding {
-    by_service: BTreeMap<String, BTreeSet<Rank>>,
+pub(crate) struct RequestQueue {
+    by_service: BTreeMap<String, BTreeSet<QueueKey>>,
     count: usize,
 }
 
-impl Holding {
+impl RequestQueue {
     /// Takes a request in.
-    pub fn insert(&mut self, service: &str, rank: Rank) {
+    pub fn insert(&mut self, service: &str, key: QueueKey) {
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.to_owned(), BTreeSet::new());
         }
-        if self.by_service.get_mut(service).is_some_and(|ranks| ranks.insert(rank)) {
+        if self.by_service.get_mut(service).is_some_and(|keys| keys.insert(key)) {
             self.count += 1;
         }
     }
 
     /// Lets a request go.
-    pub fn remove(&mut self, service: &str, rank: Rank) {
-        let Some(ranks) = self.by_service.get_mut(service) else { return };
-        if ranks.remove(&rank) {
+    pub fn remove(&mut self, service: &str, key: QueueKey) {
+        let Some(keys) = self.by_service.get_mut(service) else { return };
+        if keys.remove(&key) {
             self.count -= 1;
         }
-        if ranks.is_empty() {
+        if keys.is_empty() {
             self.by_service.remove(service);
         }
     }
@@ -60,17 +60,17 @@
     }
 
     /// How many wait for a service.
-    pub fn waiting_for(&self, service: &str) -> usize {
+    pub fn len_for(&self, service: &str) -> usize {
         self.by_service.get(service).map_or(0, BTreeSet::len)
     }
 
     /// Those that wait for a service, in order.
-    pub fn of_service(&self, service: &str) -> Vec<Rank> {
-        self.by_service.get(service).map_or_else(Vec::new, |ranks| ranks.iter().copied().collect())
+    pub fn for_service(&self, service: &str) -> Vec<QueueKey> {
+        self.by_service.get(service).map_or_else(Vec::new, |keys| keys.iter().copied().collect())
     }
 
     /// All that wait, by service.
-    pub fn all(&self) -> Vec<Rank> {
+    pub fn all(&self) -> Vec<QueueKey> {
         self.by_service.values().flatten().copied().collect()
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// The least urgent of all.
-    pub fn last(&self) -> Option<Rank> {
-        self.by_service.values().filter_map(|ranks| ranks.last()).max().copied()
+    pub fn lowest_priority(&self) -> Option<QueueKey> {
+        self.by_service.values().filter_map(|keys| keys.last()).max().copied()
     }
 }
--- /dev/null
+++ b/routing/src/request_table.rs
@@ -0,0 +1,28 @@
+//! The table of open requests, with the timer of each.
+
+use crate::interface::RequestId;
+use crate::request::{Phase, Request};
+use crate::request_queue::QueueKey;
+use crate::router::Router;
+
+impl Router {
+    /// Keeps a request in a phase.
+    pub(crate) fn insert_request(&mut self, request: Request, phase: Phase) {
+        self.timers.insert((phase.next_at(), request.id()));
+        self.requests.insert(request.id(), (request, phase));
+    }
+
+    /// Takes a request out of the table, and out of those that wait.
+    pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<(Request, Phase)> {
+        let (request, phase) = self.requests.remove(&id)?;
+        self.timers.remove(&(phase.next_at(), id));
+        if let Phase::Queued(_) = phase {
+            self.queue.remove(&request.target.service, QueueKey::of(&request));
+            self.counters.queued -= 1;
+            if let Some(demand) = self.demand.known(&request.target) {
+                demand.queued = demand.queued.saturating_sub(1);
+            }
+        }
+        Some((request, phase))
+    }
+}
--- a/routing/src/window.rs
+++ b/routing/src/sliding_count.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes one back that was counted in the window, from the newest bucket that has any.
-    pub fn take_back(&mut self, now: Millis) {
+    pub fn remove(&mut self, now: Millis) {
         self.advance(now);
         let buckets =
             (0..BUCKETS as u64).map(|age| ((self.newest.wrapping_sub(age)) % BUCKETS as u64) as usize);
@@ -48,13 +48,13 @@
     }
 
     /// At least this many lie in the window.
-    pub fn at_least(&mut self, now: Millis) -> u32 {
+    pub fn lower_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.sum - self.counts[((self.newest + 1) % BUCKETS as u64) as usize]
     }
 
     /// At most this many lie in the window.
-    pub fn at_most(&mut self, now: Millis) -> u32 {
+    pub fn upper_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.sum
     }
--- a/routing/tests/choice.rs
+++ b/routing/tests/balance.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn given_a_home_at_its_cap_when_more_come_then_they_follow_the_rehash_and_the_cap_holds() {
-    let options = Options { epsilon: 0.3, cap_floor: 4, ..options() };
+    let options = Options { epsilon: 0.3, min_cap: 4, ..options() };
     let mut edge = Edge::new(options);
     edge.servers((0..4).map(|n| server(LLM, n, &["m1"])).collect());
     let order = sequence(Key::of("m1"), 4);
@@ -104,7 +104,7 @@
     (0..3).for_each(|number| tell_load(&mut edge, number, 64, 40));
     let (_, actions) = edge.ask(&route(LLM), "m1");
     assert_eq!(actions, vec![]);
-    assert_eq!(edge.router.counters().held, 1);
+    assert_eq!(edge.router.counters().queued, 1);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let (_, actions) = edge.ask(&route(LLM), "m1");
     assert_eq!(actions, vec![]);
     let (_, actions) = edge.ask(&route("nowhere"), "m1");
-    assert_refused(&actions, 503, RejectReason::NoServer);
+    assert_rejected(&actions, 503, RejectReason::NoServer);
 }
 
 #[test]
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -136,25 +136,25 @@
     actions.iter().filter_map(sent).collect()
 }
 
-pub fn refusal(actions: &[Action]) -> Option<Rejection> {
+pub fn rejection(actions: &[Action]) -> Option<Rejection> {
     actions.iter().find_map(|action| match action {
-        Action::Reject { rejection: refusal, .. } => Some(*refusal),
+        Action::Reject { rejection, .. } => Some(*rejection),
         _ => None,
     })
 }
 
 /// Asserts that a request was refused with a status and for a reason.
-pub fn assert_refused(actions: &[Action], status: u16, reason: RejectReason) {
-    let refusal = refusal(actions).unwrap_or_else(|| panic!("not refused: {actions:?}"));
-    assert_eq!((refusal.status, refusal.reason), (status, reason));
-    assert_eq!(refusal.retry_after_ms.is_some(), status == 503, "{refusal:?}");
+pub fn assert_rejected(actions: &[Action], status: u16, reason: RejectReason) {
+    let rejection = rejection(actions).unwrap_or_else(|| panic!("not refused: {actions:?}"));
+    assert_eq!((rejection.status, rejection.reason), (status, reason));
+    assert_eq!(rejection.retry_after_ms.is_some(), status == 503, "{rejection:?}");
 }
 
 pub fn outcome(verdict: Verdict, ending: Ending) -> Outcome {
     Outcome { verdict, ending, load: None, retry_after_ms: None }
 }
 
-pub fn turned_away(status: u16) -> Outcome {
+pub fn rejected(status: u16) -> Outcome {
     outcome(Verdict::SurelyNotRun, Ending::Rejected { status, instance: None })
 }
 
--- a/routing/tests/health.rs
+++ b/routing/tests/failure_accrual.rs
@@ -165,7 +165,7 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let order = sequence(Key::of("m1"), 3);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let outcome = Outcome { retry_after_ms: Some(150), ..turned_away(503) };
+    let outcome = Outcome { retry_after_ms: Some(150), ..rejected(503) };
     let second = sent(&edge.end(&first, outcome)).expect("elsewhere");
     edge.serve(&second);
     edge.now += 149;
@@ -181,7 +181,7 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1", "m2"]);
     let order = sequence(Key::of("m1"), 3);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let outcome = Outcome { load: Some(load(3, 0, 64)), ..turned_away(503) };
+    let outcome = Outcome { load: Some(load(3, 0, 64)), ..rejected(503) };
     assert_eq!(sent(&edge.end(&first, outcome)).map(|sent| sent.server), Some(order[1].clone()));
     assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
     let other = (2..40).map(|n| format!("m{n}")).find(|m| sequence(Key::of(m), 3)[0] == order[0]);
--- a/routing/tests/lives.rs
+++ b/routing/tests/random_histories.rs
@@ -40,7 +40,7 @@
         fates.left,
         fates.repeats,
         fates.resumed,
-        fates.called_off,
+        fates.cancelled,
         fates.held,
     ];
     assert!(reached.iter().all(|count| *count > 100), "{fates:?}");
@@ -56,7 +56,7 @@
     left: u64,
     repeats: u64,
     resumed: u64,
-    called_off: u64,
+    cancelled: u64,
     held: u64,
 }
 
@@ -70,7 +70,7 @@
         self.left += other.left;
         self.repeats += other.repeats;
         self.resumed += other.resumed;
-        self.called_off += other.called_off;
+        self.cancelled += other.cancelled;
         self.held += other.held;
     }
 }
@@ -119,7 +119,7 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let options = Options { retry_ratio: 0.3, retry_slack: 30.0, max_held: 20, ..Options::default() };
+        let options = Options { retry_ratio: 0.3, retry_slack: 30.0, max_queued: 20, ..Options::default() };
         let mut world = World {
             edge: Edge::new(options),
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -370,7 +370,7 @@
             match &action {
                 Action::Send { .. } => self.check_sent(&sent(&[action]).expect("a sending")),
                 Action::Cancel(id, attempt) => self.check_cancel(*id, *attempt),
-                Action::Reject { request, rejection: refusal } => self.check_refused(*request, *refusal),
+                Action::Reject { request, rejection } => self.check_refused(*request, *rejection),
                 Action::ForwardFailure(id) => self.check_passed_on(*id),
                 Action::AbortResponse(id) => self.check_broken_off(*id),
                 Action::CloseConnections(_) => {}
@@ -416,19 +416,19 @@
         let out = life.out.as_mut().expect("an attempt under way");
         assert_eq!(out.attempt, attempt);
         assert!(!std::mem::replace(&mut out.cancelled, true) || self.edge.now >= life.deadline_at);
-        self.fates.called_off += u64::from(self.edge.now < life.deadline_at);
+        self.fates.cancelled += u64::from(self.edge.now < life.deadline_at);
     }
 
-    fn check_refused(&mut self, id: RequestId, refusal: Rejection) {
+    fn check_refused(&mut self, id: RequestId, rejection: Rejection) {
         let life = self.end_of(id);
         assert!(!life.head_passed, "an answer after an answer");
         let sure = life.verdict <= Verdict::SurelyNotRun && life.out.is_none();
-        match refusal.status {
+        match rejection.status {
             503 => assert!(sure, "a promise that may be broken: {life:?}"),
             502 | 504 => assert!(!sure, "no promise where one could be given: {life:?}"),
             status => panic!("status {status}"),
         }
-        assert_eq!(refusal.retry_after_ms.is_some(), sure);
+        assert_eq!(rejection.retry_after_ms.is_some(), sure);
         self.fates.refused_with_promise += u64::from(sure);
         self.fates.refused_without += u64::from(!sure);
     }
@@ -454,12 +454,13 @@
 
     fn check_counts(&self) {
         let counters = self.edge.router.counters();
-        let ended = counters.answered + counters.refused() + counters.broken_off + counters.client_left;
+        let ended =
+            counters.answered + counters.rejected() + counters.aborted_responses + counters.client_left;
         assert_eq!(counters.received, ended + counters.open);
         assert_eq!(counters.open, self.lives.len() as u64);
         assert_eq!(counters.received, (self.lives.len() + self.over.len()) as u64);
         let held = self.lives.values().filter(|life| life.out.is_none()).count() as u64;
-        assert_eq!(counters.held, held);
+        assert_eq!(counters.queued, held);
         assert!(held <= 20);
     }
 
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn given_more_models_than_are_kept_when_they_are_asked_for_then_the_table_stays_within_its_bound() {
-    let mut edge = Edge::new(Options { max_demand: 5, ..options() });
+    let mut edge = Edge::new(Options { max_demand_entries: 5, ..options() });
     edge.servers(vec![server(LLM, 0, &["m1"])]);
     for model in 0..30 {
         edge.ask(&route(LLM), &format!("m{model}"));
@@ -93,7 +93,7 @@
     edge.ask(&route(LLM), "m2");
     edge.ask_sent(&route(LLM), "m1");
     let counters = edge.router.counters();
-    assert_eq!((counters.received, counters.answered, counters.passed_on), (6, 2, 1));
-    assert_eq!((counters.refused(), counters.refused_for(RejectReason::MayHaveRun)), (1, 1));
-    assert_eq!((counters.client_left, counters.open, counters.held), (1, 2, 1));
+    assert_eq!((counters.received, counters.answered, counters.forwarded_failures), (6, 2, 1));
+    assert_eq!((counters.rejected(), counters.rejected_for(RejectReason::MayHaveRun)), (1, 1));
+    assert_eq!((counters.client_left, counters.open, counters.queued), (1, 2, 1));
 }
--- a/routing/tests/holding.rs
+++ b/routing/tests/request_queue.rs
@@ -23,7 +23,7 @@
     assert_eq!(order, vec![soon, late, patient]);
     assert!(sent.iter().all(|sent| sent.server == name(0)));
     assert_eq!(sent[0].deadline_ms, 4000 - 700 - 5);
-    assert_eq!(edge.router.counters().held, 1);
+    assert_eq!(edge.router.counters().queued, 1);
     assert_eq!(edge.handle(Event::Finished(other)), vec![]);
 }
 
@@ -34,7 +34,7 @@
     let ended = edge.pass(edge.now + 4000);
     let (times, actions): (Vec<_>, Vec<_>) = ended.into_iter().unzip();
     assert_eq!(times, vec![1000 + 1800]);
-    assert_refused(&actions, 503, RejectReason::NoModel);
+    assert_rejected(&actions, 503, RejectReason::NoModel);
 }
 
 #[test]
@@ -51,7 +51,7 @@
 fn given_a_model_that_nobody_knows_when_it_is_asked_for_then_it_is_refused_at_once() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     for model in ["unheard-of", "m1/a4", "m1/b"] {
-        assert_refused(&edge.ask(&route(LLM), model).1, 503, RejectReason::NoModel);
+        assert_rejected(&edge.ask(&route(LLM), model).1, 503, RejectReason::NoModel);
     }
 }
 
@@ -71,7 +71,7 @@
     let ended = edge.pass(begin + 60);
     let (times, actions): (Vec<_>, Vec<_>) = ended.into_iter().unzip();
     assert_eq!(times, vec![begin + 50]);
-    assert_refused(&actions, 503, RejectReason::Full);
+    assert_rejected(&actions, 503, RejectReason::Full);
 }
 
 #[test]
@@ -87,12 +87,12 @@
 
 #[test]
 fn given_as_many_held_as_may_be_when_another_comes_then_the_least_urgent_is_refused() {
-    let mut edge = Edge::new(Options { max_held: 2, ..options() });
+    let mut edge = Edge::new(Options { max_queued: 2, ..options() });
     edge.servers(vec![server(LLM, 0, &["m9"])]);
     edge.ask(&route(LLM), "m1");
     let (last, _) = edge.ask(&Route { priority: 2, ..route(LLM) }, "m2");
     let (_, actions) = edge.ask(&route(LLM), "m3");
-    assert_refused(&actions, 503, RejectReason::Overloaded);
+    assert_rejected(&actions, 503, RejectReason::Overloaded);
     assert!(matches!(actions[0], Action::Reject { request, .. } if request == last));
     let (less, actions) = edge.ask(&Route { priority: 5, ..route(LLM) }, "m3");
     assert!(matches!(actions[0], Action::Reject { request, .. } if request == less));
@@ -103,7 +103,7 @@
     let mut edge = Edge::new(Options { max_open: 3, ..options() });
     edge.servers(vec![server(LLM, 0, &["m1"])]);
     (0..3).for_each(|_| drop(edge.ask_sent(&route(LLM), "m1")));
-    assert_refused(&edge.ask(&route(LLM), "m1").1, 503, RejectReason::Overloaded);
+    assert_rejected(&edge.ask(&route(LLM), "m1").1, 503, RejectReason::Overloaded);
 }
 
 #[test]
@@ -125,12 +125,12 @@
     edge.ask(&route(LLM), "m1");
     let actions = edge.handle(Event::ShutdownRequested);
     assert_eq!(actions.len(), 1);
-    assert_refused(&actions, 503, RejectReason::Stopping);
+    assert_rejected(&actions, 503, RejectReason::Stopping);
     assert!(!edge.router.is_usable(edge.now));
     // New ones are served, but do not wait for a model.
     edge.servers(vec![server(LLM, 1, &["m5"])]);
     edge.ask_sent(&route(LLM), "m5");
-    assert_refused(&edge.ask(&route(LLM), "m6").1, 503, RejectReason::Stopping);
+    assert_rejected(&edge.ask(&route(LLM), "m6").1, 503, RejectReason::Stopping);
 }
 
 #[test]
@@ -149,5 +149,5 @@
     while sent(&edge.ask(&route(LLM), "m1").1).is_some() {}
     let held = edge.router.counters().received;
     edge.handle(Event::Finished(RequestId(held)));
-    assert_eq!(edge.router.counters().held, 0);
+    assert_eq!(edge.router.counters().queued, 0);
 }
--- a/routing/tests/repeats.rs
+++ b/routing/tests/retries.rs
@@ -15,14 +15,14 @@
     let second = sent(&edge.end(&first, unreachable())).expect("sent elsewhere");
     let third = sent(&edge.end(&second, unreachable())).expect("sent elsewhere");
     assert!(first.server != second.server && second.server != third.server && first.server != third.server);
-    assert_eq!(edge.router.counters().repeats, 0);
+    assert_eq!(edge.router.counters().retries, 0);
 }
 
 #[test]
 fn given_a_server_that_turned_it_away_when_attempts_are_left_then_another_server_gets_it() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let second = sent(&edge.end(&first, turned_away(503))).expect("sent elsewhere");
+    let second = sent(&edge.end(&first, rejected(503))).expect("sent elsewhere");
     assert_ne!(first.server, second.server);
     assert_eq!(second.attempt.0, 1);
 }
@@ -31,10 +31,10 @@
 fn given_one_attempt_only_when_a_server_turned_it_away_then_it_is_refused_at_once_with_a_promise() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let sent = edge.ask_sent(&Route { max_attempts: 1, ..route(LLM) }, "m1");
-    let outcome = Outcome { retry_after_ms: Some(400), ..turned_away(503) };
+    let outcome = Outcome { retry_after_ms: Some(400), ..rejected(503) };
     let actions = edge.end(&sent, outcome);
-    assert_refused(&actions, 503, RejectReason::Rejected);
-    let retry_after = refusal(&actions).and_then(|refusal| refusal.retry_after_ms).expect("told when");
+    assert_rejected(&actions, 503, RejectReason::Rejected);
+    let retry_after = rejection(&actions).and_then(|rejection| rejection.retry_after_ms).expect("told when");
     assert!((400..=500).contains(&retry_after), "{retry_after}");
 }
 
@@ -42,23 +42,23 @@
 fn given_servers_that_turn_it_away_when_attempts_are_used_up_then_no_more_servers_see_it() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let second = sent(&edge.end(&first, turned_away(503))).expect("second");
-    let third = sent(&edge.end(&second, turned_away(421))).expect("third");
+    let second = sent(&edge.end(&first, rejected(503))).expect("second");
+    let third = sent(&edge.end(&second, rejected(421))).expect("third");
     let visited = [&first.server, &second.server, &third.server];
-    let mut ended = edge.end(&third, turned_away(503));
+    let mut ended = edge.end(&third, rejected(503));
     let mut sendings = 3;
     // It has surely not run at these: they may be asked again, a few times, while it may be held.
-    while refusal(&ended).is_none() {
+    while rejection(&ended).is_none() {
         match sent(&ended) {
             Some(again) => {
                 assert!(visited.contains(&&again.server), "a fourth server");
                 sendings += 1;
-                ended = edge.end(&again, turned_away(503));
+                ended = edge.end(&again, rejected(503));
             }
             None => ended = edge.pass(edge.now + 10).into_iter().map(|(_, action)| action).collect(),
         }
     }
-    assert_refused(&ended, 503, RejectReason::Rejected);
+    assert_rejected(&ended, 503, RejectReason::Rejected);
     assert!((3..=5).contains(&sendings), "{sendings}");
 }
 
@@ -70,7 +70,7 @@
             let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
             let sent = edge.ask_sent(&kind, "m1");
             let actions = edge.end(&sent, outcome(Verdict::MayHaveRun, ending.clone()));
-            assert_refused(&actions, 502, RejectReason::MayHaveRun);
+            assert_rejected(&actions, 502, RejectReason::MayHaveRun);
         }
     }
 }
@@ -79,8 +79,8 @@
 fn given_a_request_turned_away_first_when_it_then_may_have_run_then_there_is_no_promise() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let first = edge.ask_sent(&route(LLM), "m1");
-    let second = sent(&edge.end(&first, turned_away(503))).expect("second");
-    assert_refused(&edge.end(&second, lost()), 502, RejectReason::MayHaveRun);
+    let second = sent(&edge.end(&first, rejected(503))).expect("second");
+    assert_rejected(&edge.end(&second, lost()), 502, RejectReason::MayHaveRun);
 }
 
 #[test]
@@ -90,9 +90,9 @@
         let first = edge.ask_sent(&kind, "m1");
         let second = sent(&edge.end(&first, lost())).expect("sent elsewhere");
         assert_ne!(first.server, second.server);
-        let third = sent(&edge.end(&second, turned_away(503))).expect("sent elsewhere");
+        let third = sent(&edge.end(&second, rejected(503))).expect("sent elsewhere");
         // It may have run at the first: no promise at the end.
-        assert_refused(&edge.end(&third, turned_away(503)), 502, RejectReason::MayHaveRun);
+        assert_rejected(&edge.end(&third, rejected(503)), 502, RejectReason::MayHaveRun);
     }
 }
 
@@ -149,15 +149,15 @@
                 repeats += 1;
                 edge.serve(&second);
             }
-            None => assert_eq!(edge.router.counters().refused_for(RejectReason::MayHaveRun), 1),
+            None => assert_eq!(edge.router.counters().rejected_for(RejectReason::MayHaveRun), 1),
         }
-        if edge.router.counters().refused() > 0 {
+        if edge.router.counters().rejected() > 0 {
             break;
         }
     }
     // (0.2 * requests + 50 / 10) * 0.8 with the requests there were by then.
     assert_eq!(repeats, 23);
-    assert_eq!(edge.router.counters().repeats, 23);
+    assert_eq!(edge.router.counters().retries, 23);
 
     // The window has passed: there are repeats again, by the slack alone.
     edge.now += 10_400;
@@ -172,9 +172,9 @@
     let mut edge = Edge::new(options);
     edge.servers((0..6).map(|n| server(LLM, n, &["m1"])).collect());
     let first = edge.ask_sent(&route(LLM), "m1");
-    assert!(sent(&edge.end(&first, turned_away(503))).is_some());
+    assert!(sent(&edge.end(&first, rejected(503))).is_some());
     let first = edge.ask_sent(&route(LLM), "m1");
-    assert_refused(&edge.end(&first, turned_away(503)), 503, RejectReason::Rejected);
+    assert_rejected(&edge.end(&first, rejected(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -184,9 +184,9 @@
     edge.servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::Edges(1));
     let first = edge.ask_sent(&route(LLM), "m1");
-    let repeat = sent(&edge.end(&first, turned_away(503))).expect("the one repeat");
+    let repeat = sent(&edge.end(&first, rejected(503))).expect("the one repeat");
     let again = sent(&edge.end(&repeat, unreachable())).expect("the same repeat");
-    assert_refused(&edge.end(&again, turned_away(503)), 503, RejectReason::Rejected);
+    assert_rejected(&edge.end(&again, rejected(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let (times, actions): (Vec<_>, Vec<_>) = ended.into_iter().unzip();
     assert_eq!(times, vec![1950, 1950]);
     assert_eq!(actions[0], Action::Cancel(sent.request, sent.attempt));
-    assert_refused(&actions, 504, RejectReason::TooLate);
+    assert_rejected(&actions, 504, RejectReason::TooLate);
     // What the driver reports of the cancelled attempt changes nothing.
     assert_eq!(edge.end(&sent, outcome(Verdict::MayHaveRun, Ending::Cancelled)), vec![]);
 }
@@ -209,7 +209,7 @@
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let mut request = edge.new_request(&route(LLM), "m1");
     request.deadline_ms = 0;
-    assert_refused(&edge.handle(Event::Request(request)), 503, RejectReason::TooLate);
+    assert_rejected(&edge.handle(Event::Request(request)), 503, RejectReason::TooLate);
 }
 
 #[test]
@@ -217,15 +217,15 @@
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let sent = edge.ask_sent(&route(LLM), "m1");
     edge.now += 4000;
-    assert_refused(&edge.end(&sent, turned_away(503)), 503, RejectReason::TooLate);
+    assert_rejected(&edge.end(&sent, rejected(503)), 503, RejectReason::TooLate);
 }
 
 #[test]
 fn given_a_server_that_shows_no_life_when_silence_lasts_then_a_request_that_may_repeat_is_taken_elsewhere() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let first = edge.ask_sent(&idempotent(LLM), "m1");
-    let called_off = edge.pass(edge.now + 1000);
-    assert_eq!(called_off, vec![(2000, Action::Cancel(first.request, first.attempt))]);
+    let cancelled = edge.pass(edge.now + 1000);
+    assert_eq!(cancelled, vec![(2000, Action::Cancel(first.request, first.attempt))]);
     let second = sent(&edge.end(&first, outcome(Verdict::MayHaveRun, Ending::Cancelled))).expect("elsewhere");
     assert_ne!(first.server, second.server);
 }
@@ -259,12 +259,12 @@
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let route = Route { max_attempts: 2, target_latency_ms: 1200, ..route(LLM) };
     let first = edge.ask_sent(&route, "m1");
-    let outcome = Outcome { retry_after_ms: Some(200), ..turned_away(503) };
+    let outcome = Outcome { retry_after_ms: Some(200), ..rejected(503) };
     assert_eq!(edge.end(&first, outcome), vec![]);
     let later = edge.pass(edge.now + 250);
     let second = sent(&[later[0].1.clone()]).expect("sent again");
     assert_eq!((later[0].0, &second.server), (1200, &first.server));
-    assert_refused(&edge.end(&second, turned_away(503)), 503, RejectReason::Rejected);
+    assert_rejected(&edge.end(&second, rejected(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
@@ -282,5 +282,5 @@
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let first = edge.ask_sent(&Route { target_latency_ms: 100, ..route(LLM) }, "m1");
     // It could be asked again only after the time for which it may be held: it is refused at once.
-    assert_refused(&edge.end(&first, unreachable()), 503, RejectReason::Full);
+    assert_rejected(&edge.end(&first, unreachable()), 503, RejectReason::Full);
 }
--- a/routing/tests/budget.rs
+++ b/routing/tests/retry_budget.rs
@@ -8,14 +8,18 @@
 
 #[test]
 fn given_a_process_that_may_follow_another_when_the_window_is_not_over_then_the_slack_is_not_spent_again() {
-    let options =
-        Options { slack_from_ms: 11_000, retry_ratio: 0.0, retry_slack: 100.0, ..Options::default() };
+    let options = Options {
+        slack_available_from_ms: 11_000,
+        retry_ratio: 0.0,
+        retry_slack: 100.0,
+        ..Options::default()
+    };
     let mut edge = Edge::new(options);
     edge.handle(Event::Edges(1));
     edge.servers((0..6).map(|number| server(LLM, number, &["m1"])).collect());
     let early = edge.ask_sent(&route(LLM), "m1");
-    assert_refused(&edge.end(&early, turned_away(503)), 503, RejectReason::Rejected);
+    assert_rejected(&edge.end(&early, rejected(503)), 503, RejectReason::Rejected);
     edge.pass(11_000);
     let late = edge.ask_sent(&route(LLM), "m1");
-    assert!(sent(&edge.end(&late, turned_away(503))).is_some(), "the slack is there again");
+    assert!(sent(&edge.end(&late, rejected(503))).is_some(), "the slack is there again");
 }
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -83,7 +83,7 @@
 #[test]
 fn given_a_whole_directory_when_a_server_is_not_in_it_then_it_is_used_for_want_of_others_and_dropped_in_time()
 {
-    let mut edge = Edge::new(Options { unlisted_ms: 10_000, ..options() });
+    let mut edge = Edge::new(Options { unlisted_ttl_ms: 10_000, ..options() });
     edge.servers((0..2).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::Servers { records: vec![server(LLM, 1, &["m9"])], complete: true });
     assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(0));
--- a/routing/tests/streams.rs
+++ b/routing/tests/streams.rs
@@ -36,7 +36,7 @@
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let first = begin(&mut edge, &Route { max_attempts: 1, ..stream(LLM, true) });
     assert_eq!(edge.end(&first, broken(Some(3))), vec![Action::AbortResponse(first.request)]);
-    assert_eq!(edge.router.counters().broken_off, 1);
+    assert_eq!(edge.router.counters().aborted_responses, 1);
 }
 
 #[test]
