--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -91,6 +91,6 @@
         members
             .iter()
             .filter_map(|handle| self.servers.get(*handle))
-            .any(|server| server.holds(target, Millis::MAX))
+            .any(|server| server.has_loaded(target, Millis::MAX))
     }
 }
--- a/routing/src/advertisement.rs
+++ b/routing/src/advertisement.rs
@@ -1,4 +1,4 @@
-//! What was told of requests at servers, so that only what has changed is told.
+//! The loads that this edge advertised last, so that an update carries only those that changed or need a refresh.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -8,38 +8,38 @@
 
 use crate::load_table::{RemoteLoad, REFRESH_INTERVAL};
 
-/// Shares told at once, at most: what a relay sends must stay a small part of its link. The most urgent go first.
+/// Loads in one update at most, since a relay's updates must stay a small part of its link. The most urgent go first.
 const MAX_LOADS_PER_UPDATE: usize = 256;
 
-/// What was told last of one server.
+/// The load that was advertised last of one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Advertisement {
-    /// The share.
+    /// The advertised load.
     pub load: EdgeServerLoad,
-    /// When it was told.
+    /// When it was advertised.
     pub at: Millis,
 }
 
 impl Advertisement {
-    /// Nothing is under way at a server: what others take for granted.
+    /// No load, which is what other edges assume of a server that was never advertised.
     pub fn idle(server: u64) -> Self {
         Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, at: 0 }
     }
 
-    /// Whether a share must be told as others will soon forget what they were told.
+    /// Whether `load` must be advertised again before it expires at the other edges.
     pub fn needs_refresh(&self, now: Millis, load: &EdgeServerLoad) -> bool {
         !is_idle(load) && self.at + REFRESH_INTERVAL <= now
     }
 }
 
-/// The sums that a relay has told last.
+/// The aggregated loads that a relay advertised last, by server.
 #[derive(Debug, Default)]
 pub(crate) struct AdvertisedLoads {
     advertised: HashMap<u64, Advertisement>,
 }
 
 impl AdvertisedLoads {
-    /// The sums that differ from what was told, or were told long ago. `servers` are those at which there is anything.
+    /// Takes the loads that differ from those advertised, or need a refresh. `servers` are those with any load.
     pub fn take_changes(
         &mut self,
         now: Millis,
@@ -64,8 +64,8 @@
         changes.into_iter().map(|(_, load)| load).collect()
     }
 
-    /// How urgent it is to tell a sum: by how many prompt tokens it has changed, and above all where it was never told
-    /// or others will soon forget it. `None` where it need not be told.
+    /// How urgent an advertisement is: the change in prompt tokens, or the maximum where the former one is about to
+    /// expire. `None` where nothing needs to be advertised.
     fn urgency(&self, now: Millis, load: &EdgeServerLoad) -> Option<u32> {
         let advertised = self.advertised.get(&load.server).copied();
         let advertised = advertised.unwrap_or(Advertisement::idle(load.server));
--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A stream hangs: it goes on elsewhere if it may be resumed.
+    /// A stalled stream moves to another server if it may be resumed.
     pub(crate) fn on_stalled(
         &mut self,
         now: Millis,
@@ -91,7 +91,7 @@
         self.drain_queue(now, &service, actions);
     }
 
-    /// What becomes of a request whose attempt has ended.
+    /// Completes, retries, forwards or aborts a request whose attempt has ended.
     fn continue_after_attempt(
         &mut self,
         now: Millis,
--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -9,20 +9,20 @@
 use crate::request::{InFlight, Request};
 use crate::router::Router;
 
-/// The status with which a server says that it is not the one named, or lacks the model.
+/// Status (421) of a server that is not the named instance, or does not have the model loaded.
 const MISDIRECTED: u16 = 421;
-/// Sendings over stale connections after which a server is no longer asked again.
-const STALE_SENDINGS: u32 = 3;
+/// Attempts of a request below which a stale connection is retried at the same server.
+const MAX_STALE_ATTEMPTS: u32 = 3;
 
-/// How a server turned a request away.
+/// A rejection by a server.
 struct Rejected<'a> {
     status: u16,
-    /// Who said so.
+    /// The instance that answered.
     instance: Option<&'a str>,
 }
 
 impl Router {
-    /// Notes what the end of an attempt says of the request and of the server.
+    /// Records what the end of an attempt says of the request and of the server.
     pub(crate) fn record_outcome(
         &mut self,
         now: Millis,
@@ -59,7 +59,7 @@
             if in_flight.is_retry {
                 pool.into_iter().for_each(|pool| pool.budget.refund(now));
             }
-            if outcome.ending == Ending::StaleConnection && request.attempts < STALE_SENDINGS {
+            if outcome.ending == Ending::StaleConnection && request.attempts < MAX_STALE_ATTEMPTS {
                 request.tried.retain(|tried| *tried != in_flight.server);
             }
             return;
@@ -106,7 +106,7 @@
         } else if rejection.status == MISDIRECTED {
             server.record_missing_model(&request.target, now + self.options.missing_model_ttl_ms);
         } else if outcome.load.is_some_and(|load| load.waiting == 0 && load.running < load.slots) {
-            // It has room: what it turned away is the model, while an order for that is carried out.
+            // It has free slots, so it rejected the model, which an order is loading or evicting.
             server.record_missing_model(&request.target, now + full_ms);
             server.record_full_without_models(now + full_ms);
         } else {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// How long a server that turned a request away counts as full: shorter where requests are short.
+    /// How long a server that rejected a request counts as full, in milliseconds: shorter where requests are short.
     fn rejection_backoff(&mut self, service: &str, retry_after_ms: Option<Millis>) -> Millis {
         let longest = self.options.max_full_ttl_ms;
         let usual =
@@ -149,8 +149,8 @@
         server.health.record_failure(now, kind_of_failure, &self.options, &mut self.random);
     }
 
-    /// A client has left while an attempt was under way. That speaks against the server if it has let the client wait
-    /// for long and has said nothing to anybody since.
+    /// Records that the client left while an attempt was in flight: a time-out of the server if the client waited for
+    /// long without a response.
     pub(crate) fn record_client_departure(&mut self, now: Millis, in_flight: &InFlight) {
         if now.saturating_sub(in_flight.sent_at) >= self.options.min_response_timeout_ms
             && !in_flight.answered
@@ -161,7 +161,7 @@
         }
     }
 
-    /// An attempt was given up: that speaks against a server that has said nothing since.
+    /// Records an attempt that was given up: a failure of the server unless it has responded to any request since.
     pub(crate) fn record_response_timeout(&mut self, now: Millis, in_flight: &InFlight) {
         let Some(server) = self.servers.get_mut(in_flight.server) else { return };
         if in_flight.cancelled {
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts under way: their evidence, their silence, their end.
+//! Attempts in flight: their release, time-out and cancellation.
 
 use shaletrail_protocol::Millis;
 
@@ -7,7 +7,7 @@
 use crate::router::Router;
 
 impl Router {
-    /// Takes a request whose attempt is over.
+    /// Removes a request whose attempt is over from the table, and releases its server.
     pub(crate) fn take_in_flight(&mut self, id: RequestId) -> Option<(Request, InFlight)> {
         match self.remove_request(id)? {
             (request, Phase::InFlight(in_flight)) => {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// An attempt no longer counts as open.
+    /// Takes an attempt out of the counts of its server, pool and demand.
     pub(crate) fn release_server(&mut self, request: &Request, in_flight: &InFlight) {
         if let Some(server) = self.servers.get_mut(in_flight.server) {
             server.open = server.open.saturating_sub(1);
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The deadline of a request has come while an attempt is under way.
+    /// Ends a request whose deadline has passed with an attempt in flight.
     pub(crate) fn expire(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, in_flight)) = self.take_in_flight(id) else { return };
         self.record_response_timeout(now, &in_flight);
         actions.push(Action::Cancel(id, in_flight.attempt));
-        // What is cut off may have run, whatever earlier attempts were told.
+        // The cancelled attempt may have run, whatever the verdicts of earlier ones.
         request.verdict = request.verdict.max(Verdict::MayHaveRun);
         if request.response_started {
             self.abort_response(request, actions);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An attempt has not shown life for long: it is taken elsewhere if the server shows none to others either.
+    /// Cancels an attempt without a response for long, if its server has not responded to other requests either.
     pub(crate) fn check_response_timeout(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((request, Phase::InFlight(in_flight))) = self.requests.get_mut(&id) else { return };
         let Some(previous_check_at) = in_flight.response_check_at else { return };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Has an attempt cancelled in order to go elsewhere, if that is allowed and there is a server.
+    /// Cancels an attempt in order to retry at another server, if a retry is allowed and a server available.
     pub(crate) fn cancel(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, phase)) = self.remove_request(id) else { return };
         let Phase::InFlight(mut in_flight) = phase else { return self.insert_request(request, phase) };
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -1,4 +1,4 @@
-//! The server of a request.
+//! The choice of a request's server.
 //!
 //! A key goes to the owner of its home slot h(key, 0) if that server can serve it and is below the cap
 //! C = ⌈(1 + ε)·n/k⌉, where n counts the requests that this edge has open at the service, the new one included,
@@ -16,53 +16,53 @@
 use crate::server_table::ServerTable;
 use crate::Options;
 
-/// What a request looks for.
+/// What a request asks of the balancer.
 pub(crate) struct Selection<'a> {
-    /// Its key.
+    /// The request's key on the ring.
     pub key: Key,
-    /// What the server must hold.
+    /// The service, model and adapter.
     pub target: &'a Target,
-    /// Servers that it has been sent to.
+    /// Servers that are excluded, as attempts were sent there.
     pub tried: &'a [ServerHandle],
-    /// The only servers that it may be sent to, where it may be sent to no further one.
+    /// The only servers allowed, once the request has visited as many as its route allows.
     pub restricted_to: Option<&'a [ServerHandle]>,
-    /// Connections to one server that this edge may hold.
+    /// Connections to one server that this edge may open.
     pub max_connections: u32,
-    /// Prompt tokens that have to be read even where all shared parts have been.
+    /// Prompt tokens that must be prefilled even where the shared prefix is cached.
     pub unshared_prefill_tokens: u32,
 }
 
-/// A server was found.
+/// The server that was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SelectedServer {
     /// The server.
     pub server: ServerHandle,
-    /// Whether every server was at the cap.
+    /// Whether every eligible server was at the cap.
     pub over_cap: bool,
-    /// Whether it is the first in the key's sequence that can serve it: it has likely read what the key's requests
-    /// share.
+    /// Whether it is the first eligible server in the key's sequence, which has likely cached the prefix that the
+    /// key's requests share.
     pub is_home: bool,
 }
 
-/// Why there is none.
+/// Why no server was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unavailable {
     /// The service has no server that takes requests.
     NoServer,
-    /// None that may be asked holds what is wanted.
+    /// No server that may be used has the model loaded.
     NoReplica {
-        /// When one may be asked, with no event but the passing of time.
+        /// When one may be used without any further event.
         retry_at: Option<Millis>,
     },
-    /// All that could serve it are known to be full.
+    /// All eligible servers are known to be full.
     Full {
-        /// When one may no longer be.
+        /// When one may have capacity without any further event.
         retry_at: Option<Millis>,
     },
 }
 
-/// The key that a request is placed by: the model, with its adapter, or the path where there is no model. Parts of
-/// the prompt that other requests share belong to it: the server that has read them need not read them again, and
+/// The key that a request is balanced by: the model, with its adapter, or the path where there is no model. Parts of
+/// the prompt that other requests share belong to it: a server that has them in its prefix cache skips their prefill, and
 /// the subjects of a busy model spread over its replicas.
 pub(crate) fn request_key(request: &NewRequest, target: &Target) -> Key {
     let key = match &target.adapter {
@@ -81,7 +81,7 @@
     (share.ceil() as u32).max(options.min_cap)
 }
 
-/// Chooses among the servers of a service.
+/// Selects a server of a pool.
 pub(crate) fn select(
     pool: &ServerPool,
     servers: &ServerTable,
@@ -102,7 +102,7 @@
     load_gossip: &'a LoadGossip,
     selection: &'a Selection<'a>,
     now: Millis,
-    /// How long what an answer told of a server's load counts, in milliseconds.
+    /// How long a load that a response reported counts, in milliseconds.
     load_ttl: Millis,
     options: &'a Options,
 }
@@ -110,19 +110,30 @@
 /// A server that can serve a key.
 type Candidate<'a> = (ServerHandle, &'a Server);
 
-/// The servers of a service, as one request sees them.
+/// The load of one server over all edges, in the order in which servers are compared: the least is preferred.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct TotalLoad {
+    /// It does not respond to this edge or another.
+    is_unresponsive: bool,
+    /// Prompt tokens whose prefill is pending.
+    prefill_tokens: u64,
+    /// Requests in flight.
+    open: u32,
+}
+
+/// The servers of a pool, classified for one request.
 #[derive(Default)]
 struct Candidates<'a> {
-    /// Servers that have not left.
+    /// Servers that are not draining.
     usable: usize,
     /// Of those, the ready ones.
     ready: usize,
-    /// Ready servers with evidence against them, the worst first once sorted.
+    /// Ready servers that outlier detection ejects, those with the most failures first once sorted.
     ejected: Vec<(std::cmp::Reverse<u32>, ServerHandle)>,
     /// Ready servers that can serve the key.
     eligible: Vec<Candidate<'a>>,
-    /// Silent servers that could.
-    silent: Vec<Candidate<'a>>,
+    /// Timed-out servers that could serve it.
+    timed_out: Vec<Candidate<'a>>,
 }
 
 impl<'a> Balancer<'a> {
@@ -138,13 +149,12 @@
         }
         let eligible = candidates.eligible;
         let selected = self.first_below_cap(&eligible).or_else(|| self.least_loaded(&eligible));
-        // A silent server only where no other can serve the key at all.
-        let silent = if eligible.is_empty() { candidates.silent } else { Vec::new() };
-        selected.or_else(|| self.least_loaded(&silent)).ok_or_else(|| self.unavailable(&eligible))
+        // A timed-out server only where no other can serve the key at all.
+        let timed_out = if eligible.is_empty() { candidates.timed_out } else { Vec::new() };
+        selected.or_else(|| self.least_loaded(&timed_out)).ok_or_else(|| self.unavailable(&eligible))
     }
 
-    /// Looks at all members once. At most half of the ready ones are skipped by evidence: those that failed most
-    /// often.
+    /// Classifies all members. At most half of the ready ones are ejected: those with the most failures.
     fn candidates(&self) -> Candidates<'a> {
         let mut candidates = Candidates::default();
         for (handle, server) in self.members() {
@@ -161,11 +171,11 @@
             }
             let allowed = self.selection.restricted_to.is_none_or(|only| only.contains(&handle));
             let can_serve = allowed
-                && server.holds(self.selection.target, self.now)
+                && server.has_loaded(self.selection.target, self.now)
                 && !self.selection.tried.contains(&handle);
             match is_ready {
                 true if can_serve => candidates.eligible.push((handle, server)),
-                false if can_serve && admits => candidates.silent.push((handle, server)),
+                false if can_serve && admits => candidates.timed_out.push((handle, server)),
                 _ => {}
             }
         }
@@ -177,18 +187,18 @@
         candidates
     }
 
-    /// The first in the key's sequence that is below the cap, not known to be full and at ease; where none is at
-    /// ease, the one below the cap with the least of prompts to read.
+    /// The first in the key's sequence that is below the cap, not known to be full and lightly loaded; where none is
+    /// lightly loaded, the one below the cap with the least total load.
     fn first_below_cap(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let cap = cap(self.pool.open + 1, eligible.len() as u32, self.options);
-        let takes = |server: &Server| server.open < cap && self.capacity(server) == Capacity::Free;
-        let takers: Vec<(ServerHandle, &Server)> =
-            eligible.iter().filter(|(_, server)| takes(server)).copied().collect();
-        if let [(only, _)] = takers.as_slice() {
+        let is_below_cap = |server: &Server| server.open < cap && self.capacity(server) == Capacity::Free;
+        let below_cap: Vec<(ServerHandle, &Server)> =
+            eligible.iter().filter(|(_, server)| is_below_cap(server)).copied().collect();
+        if let [(only, _)] = below_cap.as_slice() {
             return Some(SelectedServer { server: *only, over_cap: false, is_home: eligible.len() == 1 });
         }
         if self.selection.unshared_prefill_tokens >= self.options.long_prompt_tokens {
-            return self.select_for_long_prompt(&takers);
+            return self.select_for_long_prompt(&below_cap);
         }
         let mut sequence = self.pool.slot_array.sequence(self.selection.key).copied();
         let mut home = None;
@@ -196,49 +206,57 @@
             if home.is_none() && eligible.iter().any(|(handle, _)| handle == owner) {
                 home = Some(*owner);
             }
-            takers.iter().any(|(handle, server)| handle == owner && self.is_lightly_loaded(server))
+            below_cap.iter().any(|(handle, server)| handle == owner && self.is_lightly_loaded(server))
         });
         let server = match lightly_loaded {
             Some(server) => server,
-            None => {
-                takers.iter().min_by_key(|(_, server)| self.total_load(server)).map(|(handle, _)| *handle)?
-            }
+            None => below_cap
+                .iter()
+                .min_by_key(|(_, server)| self.total_load(server))
+                .map(|(handle, _)| *handle)?,
         };
         Some(SelectedServer { server, over_cap: false, is_home: home == Some(server) })
     }
 
-    /// For a prompt so long that reading it holds up all streams of its server: the server with the fewest of them.
-    fn select_for_long_prompt(&self, takers: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
+    /// For a prompt so long that its prefill stalls all streams of its server: the server with the fewest of them.
+    fn select_for_long_prompt(&self, below_cap: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let sequence: Vec<ServerHandle> =
             self.pool.slot_array.sequence(self.selection.key).copied().collect();
         let position = |handle: &ServerHandle| sequence.iter().position(|owner| owner == handle);
         let rank = |(handle, server): &&(ServerHandle, &Server)| {
-            let (silent, prefill, open) = self.total_load(server);
-            (silent || prefill > self.options.max_pending_prefill_tokens, open, prefill, position(handle))
+            let load = self.total_load(server);
+            (!self.is_light(&load), load.open, load.prefill_tokens, position(handle))
         };
-        let (server, _) = takers.iter().min_by_key(rank)?;
+        let (server, _) = below_cap.iter().min_by_key(rank)?;
         Some(SelectedServer { server: *server, over_cap: false, is_home: sequence.first() == Some(server) })
     }
 
-    /// Whether a request would be worked on soon, as far as the edges know.
+    /// Whether the server responds and has little prefill pending, as far as the edges know.
     fn is_lightly_loaded(&self, server: &Server) -> bool {
-        let (silent, prefill, _) = self.total_load(server);
-        !silent && prefill <= self.options.max_pending_prefill_tokens
+        self.is_light(&self.total_load(server))
     }
 
-    /// How much speaks against sending a request there now: silence, prompts that wait to be read, open requests.
-    fn total_load(&self, server: &Server) -> (bool, u64, u32) {
+    fn is_light(&self, load: &TotalLoad) -> bool {
+        !load.is_unresponsive && load.prefill_tokens <= self.options.max_pending_prefill_tokens
+    }
+
+    /// The load that all edges know of.
+    fn total_load(&self, server: &Server) -> TotalLoad {
         let remote = self.load_gossip.remote_load(server.local_load.advertised());
-        let silent = remote.unresponsive_edges > 0 || server.is_unresponsive(self.now, self.options);
-        (silent, server.local_load.prefill_tokens + remote.prefill_tokens, server.open + remote.open)
+        let is_unresponsive = remote.unresponsive_edges > 0 || server.is_unresponsive(self.now, self.options);
+        TotalLoad {
+            is_unresponsive,
+            prefill_tokens: server.local_load.prefill_tokens + remote.prefill_tokens,
+            open: server.open + remote.open,
+        }
     }
 
-    /// The one with the fewest requests for its slots, of those with a free slot or else a place to wait.
+    /// The one with the fewest requests for its slots, of those with a free slot or else room in their queue.
     fn least_loaded(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let load =
             |server: &Server| f64::from(server.occupied(self.load_valid_since())) / f64::from(server.slots());
         let open = eligible.iter().map(|(handle, server)| (self.capacity(server), load(server), *handle));
-        let open = open.filter(|(room, _, _)| *room != Capacity::Full);
+        let open = open.filter(|(capacity, _, _)| *capacity != Capacity::Full);
         let least = open.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         least.map(|(_, _, server)| SelectedServer { server, over_cap: true, is_home: false })
     }
@@ -250,7 +268,7 @@
         server.capacity(self.now, self.load_valid_since(), self.options)
     }
 
-    /// What an answer told before this no longer counts.
+    /// Loads that were reported before this time no longer count.
     fn load_valid_since(&self) -> Millis {
         (self.now + 1).saturating_sub(self.load_ttl)
     }
--- a/routing/src/counters.rs
+++ b/routing/src/counters.rs
@@ -1,42 +1,42 @@
-//! What became of requests.
+//! Counts of requests by their end.
 
 use strum::EnumCount;
 
 use crate::interface::RejectReason;
 
-/// Counts since the start. `received == answered + refused() + broken_off + client_left + open` at all times.
+/// Counts since the start. `received == answered + rejected() + aborted_responses + client_left + open` at all times.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that came.
+    /// Requests received from clients.
     pub received: u64,
-    /// Requests that got a server's whole answer, failures of servers among them.
+    /// Requests that got a complete response of a server, failures among them.
     pub answered: u64,
-    /// Of those, failures of servers.
+    /// Of those, failures of servers that were forwarded.
     pub forwarded_failures: u64,
-    /// Answers that broke off midway.
+    /// Responses that were aborted midway.
     pub aborted_responses: u64,
     /// Requests whose client left first.
     pub client_left: u64,
-    /// Requests that are here.
+    /// Requests without a final action yet.
     pub open: u64,
-    /// Of those, requests that wait for a server.
+    /// Of those, requests that are queued for a server.
     pub queued: u64,
-    /// Sendings.
+    /// Attempts sent to servers.
     pub attempts: u64,
-    /// Sendings beyond the first that arrived, or may have.
+    /// Retries: attempts beyond a request's first that reached a server, or may have.
     pub retries: u64,
-    /// Streams taken up at another server.
+    /// Streams resumed at another server.
     pub resumed: u64,
     rejected: [u64; RejectReason::COUNT],
 }
 
 impl Counters {
-    /// Requests that were refused.
+    /// Requests that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected.iter().sum()
     }
 
-    /// Requests that were refused for one reason.
+    /// Requests that were rejected for one reason.
     pub fn rejected_for(&self, reason: RejectReason) -> u64 {
         self.rejected.get(reason as usize).copied().unwrap_or(0)
     }
--- a/routing/src/discovery.rs
+++ b/routing/src/discovery.rs
@@ -55,7 +55,7 @@
         self.drain_queues(now, actions);
     }
 
-    /// Brings servers into the slot arrays of their services, or out of them.
+    /// Updates the slot arrays for servers that became ready or ceased to be.
     fn update_slots(&mut self, changed_servers: &[ServerHandle]) {
         let mut changed: BTreeMap<String, Vec<ReadinessChange>> = BTreeMap::new();
         for handle in changed_servers {
--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending requests, and holding those for which there is no server now.
+//! Dispatch of requests: the retry policy, and the sending of an attempt to the server that the balancer selects.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::request::{InFlight, Phase, Request};
 use crate::router::Router;
 
-/// Times that a request may be sent anew to servers that have it surely not run, beyond its attempts.
+/// Retries at servers that have surely not run the request, beyond the route's maximum of attempts.
 const MAX_SAME_SERVER_RETRIES: u32 = 2;
 /// The highest value of `Priority`.
 const MAX_PRIORITY: u8 = 9;
@@ -29,7 +29,7 @@
 }
 
 impl Router {
-    /// Sends a request if it may be sent and there is a server; otherwise it waits or ends.
+    /// Sends a request if another attempt is allowed and a server available; otherwise the fallback applies.
     pub(crate) fn dispatch(
         &mut self,
         now: Millis,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Why no further attempt may be made, if none may.
+    /// Why no further attempt is allowed, if none is.
     pub(crate) fn retry_denied(&mut self, now: Millis, request: &Request) -> Option<RejectReason> {
         if !request.may_run_again() {
             return Some(RejectReason::MayHaveRun);
@@ -81,7 +81,7 @@
         if request.arrivals == 0 {
             return None;
         }
-        // A server at which it surely has not run may be asked again: that is no further server.
+        // A server that has surely not run the request may be retried without counting as another server.
         let may_reuse_server = request.surely_not_run()
             && request.arrivals < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
         let may_retry = (self.may_use_another_server(request) || may_reuse_server)
@@ -89,7 +89,7 @@
         (!may_retry).then(|| request.exhausted_reason())
     }
 
-    /// Whether it may be sent to one more server than it was.
+    /// Whether the request may visit one more server.
     fn may_use_another_server(&self, request: &Request) -> bool {
         (request.visited.len() as u32) < request.incoming.route.max_attempts
     }
@@ -99,7 +99,7 @@
         pool.is_some_and(|pool| pool.budget.has_balance(now, self.edges, &self.options))
     }
 
-    /// The server that a request would be sent to.
+    /// The server that a request would be sent to now.
     pub(crate) fn select_server(
         &self,
         now: Millis,
@@ -119,7 +119,7 @@
         select(pool, &self.servers, &self.load_gossip, &selection, now, &self.options)
     }
 
-    /// Connections to one server of a service that this edge may hold.
+    /// Connections to one server of a service that this edge may open.
     fn max_connections_per_server(&self, service: &str) -> u32 {
         let total =
             self.view.as_ref().and_then(|view| view.service(service)).map_or(0, |s| s.max_connections);
--- a/routing/src/failure_accrual.rs
+++ b/routing/src/failure_accrual.rs
@@ -1,21 +1,21 @@
-//! Evidence against a server: failures in a row make it suspect; a suspect is skipped for a time that grows with
-//! each failed trial, and then tried with one request at a time until a success clears it.
+//! Outlier detection for one server: consecutive failures eject it for a backoff that doubles with each failed probe.
+//! After the backoff, single requests probe it until a success readmits it.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
 
 use crate::Options;
 
-/// How strong a failure speaks against a server.
+/// What kind of failure an attempt saw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// Nobody is at its address: enough by itself.
+    /// No connection came up: ejects the server by itself.
     Unreachable,
-    /// An attempt failed by its doing.
+    /// The server failed an attempt: ejects it after [`Options::eject_after_failures`] in a row.
     Failure,
 }
 
-/// What speaks against a server.
+/// Consecutive failures of one server, and its ejection.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureAccrual {
     failures: u32,
@@ -30,17 +30,17 @@
 }
 
 impl FailureAccrual {
-    /// An attempt went well.
+    /// Records a success, which clears all failures and readmits the server.
     pub fn record_success(&mut self) {
         *self = FailureAccrual::default();
     }
 
-    /// A trial shows life: others may follow it, though the failures still count.
+    /// Records a sign of life, which ends the ejection while the failures still count.
     pub fn responded(&mut self) {
         self.ejection = None;
     }
 
-    /// An attempt failed.
+    /// Records a failure, and ejects the server where it is one too many or a failed probe.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -50,7 +50,7 @@
     ) {
         self.failures = self.failures.saturating_add(1);
         let backoff = match &mut self.ejection {
-            // Attempts that were out when it became suspect say nothing new.
+            // Attempts that were in flight at the ejection say nothing new.
             Some(ejection) if now < ejection.until => {
                 ejection.probing = false;
                 return;
@@ -65,31 +65,31 @@
         self.ejection = Some(Ejection { until: now + backoff + jitter, backoff, probing: false });
     }
 
-    /// A request was sent to it: the trial, if it is suspect.
+    /// Records a request sent to the server: the probe, if it is ejected.
     pub fn record_sent(&mut self) {
         if let Some(ejection) = &mut self.ejection {
             ejection.probing = true;
         }
     }
 
-    /// The trial ended and says nothing either way.
+    /// Records the end of an attempt that shows neither success nor failure.
     pub fn probe_inconclusive(&mut self) {
         if let Some(ejection) = &mut self.ejection {
             ejection.probing = false;
         }
     }
 
-    /// Whether it may get a request as far as the evidence goes.
+    /// Whether the server may get a request: it is not ejected, or due for a probe.
     pub fn admits(&self, now: Millis) -> bool {
         self.ejection.as_ref().is_none_or(|ejection| now >= ejection.until && !ejection.probing)
     }
 
-    /// When it may be tried next, if it may not now.
+    /// When an ejected server may be probed, unless a probe is in flight.
     pub fn probe_at(&self) -> Option<Millis> {
         self.ejection.as_ref().filter(|ejection| !ejection.probing).map(|ejection| ejection.until)
     }
 
-    /// Failures since the last success, to tell better suspects from worse.
+    /// Failures since the last success, which rank ejected servers.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/routing/src/gossip_topology.rs
+++ b/routing/src/gossip_topology.rs
@@ -1,28 +1,28 @@
-//! Which edges tell each other of their loads.
+//! The topology of the exchange of loads: which edge sends its updates to which others.
 //!
-//! Up to [`MESH_EDGES`] edges each tell all others. Beyond that the work would grow with the square of their number, so
-//! edges form about √n groups of √n: each tells the relay of its group, relays tell each other the sums of their
-//! groups, and each tells its group the sum of all. Groups are runs of the edges in the order of their addresses, which
+//! Up to [`MESH_EDGES`] edges form a full mesh. Beyond that the work would grow with the square of their number, so
+//! edges form about √n groups of √n: each sends to the relay of its group, relays send each other the sums of their
+//! groups, and each sends its group the sum of all. Groups are runs of the edges in the order of their addresses, which
 //! keeps edges of one zone together where zones are address ranges. All nodes compute the same groups from one list;
-//! while lists differ, some loads are missing or counted twice for as long as what was told counts.
+//! while lists differ, some loads are missing or counted twice until they expire.
 
 use std::sync::Arc;
 
 use shaletrail_protocol::NodeId;
 use shaletrail_ring::mix;
 
-/// Edges that tell each other directly, at most.
+/// Edges in a full mesh at most.
 const MESH_EDGES: usize = 128;
 
-/// Whom this edge tells and hears.
+/// The place of this edge in the topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum GossipTopology {
-    /// Each edge tells all others.
+    /// Each edge sends to all others.
     Mesh {
         /// The other edges.
         others: Arc<[NodeId]>,
     },
-    /// This edge tells its relay, and hears the sum of all from it.
+    /// This edge sends to its relay, and receives the sum of all from it.
     Member {
         /// The relay of its group.
         relay: NodeId,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether what was heard in one place still counts in the other: it comes from the same kind of edges, and for a
+    /// Whether loads received in one place still count in the other: they come from the same kind of edges, and for a
     /// member from the same relay.
     pub fn has_same_sources_as(&self, other: &GossipTopology) -> bool {
         match (self, other) {
--- a/routing/src/load_gossip.rs
+++ b/routing/src/load_gossip.rs
@@ -1,8 +1,8 @@
-//! What the edges have under way at servers, told among them.
+//! The exchange of loads among edges.
 //!
-//! A server says how many requests it has only in its answers, and never how much of prompts it still has to read.
-//! Each edge therefore tells others what it has sent and not seen answered: all of them, or, where they are many, the
-//! relay of its group ([`Topology`]).
+//! A server reports its load only in responses, and never the prompt tokens that are still to be prefilled. Each edge
+//! therefore advertises its requests in flight: to all other edges or, where there are many, to the relay of its group
+//! ([`GossipTopology`]).
 
 use std::sync::Arc;
 
@@ -14,17 +14,17 @@
 use crate::interface::LoadUpdate;
 use crate::load_table::{LoadTable, RemoteLoad};
 
-/// Between two sums that a relay tells the other relays, in milliseconds.
+/// Interval of a relay's updates to the other relays, in milliseconds.
 const GROUP_INTERVAL: Millis = 100;
-/// Between two sums that a relay tells its group, in milliseconds.
+/// Interval of a relay's updates to its group, in milliseconds.
 const FLEET_INTERVAL: Millis = 200;
 
-/// What was heard of requests at servers.
+/// The loads received from other edges.
 #[derive(Debug, Default)]
 struct ReceivedLoads {
-    /// What edges told of their own requests. At a relay, those of this edge are among them.
+    /// Loads of single edges. At a relay, those of this edge are among them.
     per_edge: LoadTable,
-    /// Sums that relays told.
+    /// Aggregates of relays.
     aggregated: LoadTable,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// What the other edges have under way, and what a relay tells on.
+/// The loads of the other edges, and what a relay has advertised of them.
 #[derive(Debug, Default)]
 pub(crate) struct LoadGossip {
     own: NodeId,
@@ -56,7 +56,7 @@
 }
 
 impl LoadGossip {
-    /// Takes over which edges are at work.
+    /// Sets the edges at work; received loads are dropped where they would no longer come from the same sources.
     pub fn set_edges(&mut self, own: NodeId, edges: &[NodeId]) {
         let topology = GossipTopology::of(own, edges);
         if !topology.has_same_sources_as(&self.topology) {
@@ -65,7 +65,7 @@
         (self.own, self.topology) = (own, topology);
     }
 
-    /// Takes what another edge tells, if it is for this one.
+    /// Records an update of another edge, if this edge's place in the topology expects it.
     pub fn receive(&mut self, now: Millis, edge: NodeId, scope: LoadScope, loads: Vec<EdgeServerLoad>) {
         if edge == self.own {
             return;
@@ -83,7 +83,8 @@
         table.record(now, edge, loads);
     }
 
-    /// What the other edges have at a server. `told` is what this edge has told of it.
+    /// The other edges' load at a server. `advertised` is this edge's own advertisement, which a relay's aggregate
+    /// contains.
     pub fn remote_load(&self, advertised: &EdgeServerLoad) -> RemoteLoad {
         let all = self.received.at(advertised.server);
         match self.topology {
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Forgets what was told long ago.
+    /// Drops the loads that have expired.
     pub fn expire(&mut self, now: Millis) {
         self.received.expire(now);
     }
 
-    /// What is to be told now, where this edge has `own_news` of its own.
+    /// The updates to send now, where `own_loads` of this edge have changed.
     pub fn take_updates(&mut self, now: Millis, own_loads: Vec<EdgeServerLoad>) -> Vec<LoadUpdate> {
         match &self.topology {
             GossipTopology::Mesh { others } => {
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -1,30 +1,30 @@
-//! What other edges have told of their requests at servers, summed by server.
+//! The loads received from other edges, by edge and in sum by server.
 //!
-//! What is told is a state, not a change: a datagram that is lost is made good by the next, and what an edge told is
-//! forgotten when it falls silent.
+//! An update carries states and not changes: the next one repairs a lost datagram, and the loads of an edge expire when it
+//! sends no more.
 
 use std::collections::HashMap;
 
 use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// What was told counts for so long, in milliseconds.
+/// How long a received load counts, in milliseconds.
 const LOAD_TTL: Millis = 1_500;
-/// Shares that are not nothing are told anew after so long, in milliseconds.
+/// After how long a load other than zero is advertised again, in milliseconds; well below [`LOAD_TTL`].
 pub(crate) const REFRESH_INTERVAL: Millis = 500;
-/// Edges kept.
+/// Edges of which loads are kept.
 const MAX_EDGES: usize = 256;
-/// Servers kept of one edge.
+/// Servers of which one edge's loads are kept.
 const MAX_SERVERS_PER_EDGE: usize = 8_192;
 
-/// What edges have under way at one server.
+/// The load that edges have put on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RemoteLoad {
-    /// Requests that are open there.
+    /// Requests in flight.
     pub open: u32,
-    /// Prompt tokens of those whose answer has not begun.
+    /// Prompt tokens of those whose response has not begun.
     pub prefill_tokens: u64,
-    /// Edges to which the server has been silent for long.
+    /// Edges to which the server is unresponsive.
     pub unresponsive_edges: u32,
 }
 
@@ -34,7 +34,7 @@
     until: Millis,
 }
 
-/// What edges have told, by edge and in sum.
+/// Received loads, by edge and in sum.
 #[derive(Debug, Default)]
 pub(crate) struct LoadTable {
     edges: HashMap<NodeId, HashMap<u64, ReceivedLoad>>,
@@ -43,7 +43,7 @@
 }
 
 impl LoadTable {
-    /// Takes what an edge tells.
+    /// Records an update of an edge; beyond the bounds on edges and servers it is ignored.
     pub fn record(&mut self, now: Millis, edge: NodeId, loads: Vec<EdgeServerLoad>) {
         self.expire(now);
         if self.edges.len() >= MAX_EDGES && !self.edges.contains_key(&edge) {
@@ -64,17 +64,17 @@
         self.next_expiry = self.next_expiry.min(now + LOAD_TTL);
     }
 
-    /// What the edges have at a server.
+    /// The sum of the edges' loads at a server.
     pub fn at(&self, server: u64) -> RemoteLoad {
         self.sums.get(&server).copied().unwrap_or_default()
     }
 
-    /// The servers at which the edges have anything.
+    /// The servers with any load.
     pub fn servers(&self) -> impl Iterator<Item = u64> + '_ {
         self.sums.keys().copied()
     }
 
-    /// Forgets what was told long ago.
+    /// Drops the loads that have expired.
     pub fn expire(&mut self, now: Millis) {
         if now < self.next_expiry {
             return;
@@ -98,7 +98,7 @@
 }
 
 impl RemoteLoad {
-    /// Both together.
+    /// The sum of both.
     pub fn saturating_add(self, other: RemoteLoad) -> RemoteLoad {
         RemoteLoad {
             open: self.open.saturating_add(other.open),
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Without what one edge has told.
+    /// This sum without the load of one edge.
     pub fn excluding(mut self, load: &EdgeServerLoad) -> RemoteLoad {
         subtract(&mut self, load);
         self
     }
 
-    /// As a share, to be told on.
+    /// The message form, for an update to other edges; saturates at the bounds of its fields.
     pub fn to_edge_load(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
             server,
--- a/routing/src/options.rs
+++ b/routing/src/options.rs
@@ -1,82 +1,82 @@
-//! What the decisions go by.
+//! Settings of the decisions.
 
 use shaletrail_protocol::settings::Bounds;
 use shaletrail_protocol::Millis;
 
-/// Constants of the decisions. Times are in milliseconds.
+/// Settings of the decisions. Times are in milliseconds, fractions between 0 and 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// ε of the cap ⌈(1 + ε)·n/k⌉ on the requests that this edge has open at one server.
     pub epsilon: f64,
     /// The cap is never below this.
     pub min_cap: u32,
-    /// Repeats allowed for each request of a service, over all edges.
+    /// Retries allowed for each request of a service, over all edges.
     pub retry_ratio: f64,
-    /// Repeats allowed beyond the ratio in a window, over all edges.
+    /// Retries allowed beyond the ratio in a window, over all edges.
     pub retry_slack: f64,
-    /// The window over which repeats are counted.
+    /// The window over which retries are counted.
     pub retry_window_ms: Millis,
-    /// From when on the slack counts. A process that ran here before may have spent it within the same window; the
+    /// When the slack begins to count. A process that ran here before may have spent it within the same window; the
     /// clock that events carry must then begin with the process.
     pub slack_available_from_ms: Millis,
-    /// The share of the edge's part of the budget that is used.
+    /// The fraction of this edge's part of the retry budget that is used.
     pub budget_fraction: f64,
     /// Edges assumed to be at work while their number is not known.
     pub assumed_edges: u32,
-    /// Requests open at once, held ones included.
+    /// Open requests at most, queued ones included.
     pub max_open: usize,
-    /// Requests held at once.
+    /// Queued requests at most.
     pub max_queued: usize,
-    /// The share of the time it has that a request is held for a model to come up.
+    /// The fraction of its time that a request is queued for a model to load.
     pub model_wait_fraction: f64,
-    /// The share of the silence after which clients give a stream up that it is held for a model to come up.
+    /// The fraction of the client's patience that a stream is queued for a model to load.
     pub patience_fraction: f64,
-    /// The share of its latency objective that a request is held while every server is full.
+    /// The fraction of its latency target that a request is queued while every server is full.
     pub capacity_wait_fraction: f64,
-    /// Sendings of one request that may find nobody.
+    /// Attempts of one request at most, including those that reach no server.
     pub max_attempts_per_request: u32,
-    /// Taken off the deadline handed to a server, for the way back.
+    /// Subtracted from the deadline that a server is given, for the response's way back.
     pub response_margin_ms: Millis,
-    /// How long an attempt under way may outlast the deadline, so that the server's own end of it is seen.
+    /// How long an attempt may outlast the deadline, so that the server's own time-out is seen.
     pub deadline_grace_ms: Millis,
-    /// The shortest time for which `Server-Load` counts; otherwise as long as an attempt usually takes.
+    /// The shortest time for which a `Server-Load` counts; otherwise the mean latency of attempts.
     pub min_load_ttl_ms: Millis,
     /// The longest such time.
     pub max_load_ttl_ms: Millis,
-    /// Requests that may wait at a server while no other has a free slot, as a part of its slots.
+    /// Requests that may queue at a server while no other has a free slot, as a fraction of its slots.
     pub server_queue_fraction: f64,
-    /// The shortest time for which a server that turned a request away counts as full.
+    /// The shortest time for which a server that rejected a request counts as full.
     pub min_full_ttl_ms: Millis,
     /// The longest such time.
     pub max_full_ttl_ms: Millis,
-    /// The pause before a server that turned a request away is asked again with the same one.
+    /// The delay before a server that rejected a request is retried with the same one.
     pub same_server_retry_delay_ms: Millis,
-    /// How long a server that said so counts as lacking a model.
+    /// How long a model counts as missing at a server that rejected it.
     pub missing_model_ttl_ms: Millis,
-    /// Failures in a row that make a server suspect.
+    /// Consecutive failures that eject a server.
     pub eject_after_failures: u32,
-    /// How long a suspect is skipped at first.
+    /// How long the first ejection of a server lasts.
     pub initial_backoff_ms: Millis,
-    /// How long a suspect is skipped at most.
+    /// How long an ejection lasts at most.
     pub max_backoff_ms: Millis,
-    /// The shortest silence after which a request that may run twice is taken elsewhere.
+    /// The shortest response time-out, after which an idempotent request moves to another server.
     pub min_response_timeout_ms: Millis,
-    /// Prompt tokens that may wait to be read at a server before a request goes to another one.
+    /// Prompt tokens whose prefill may be pending at a server before requests prefer others.
     pub max_pending_prefill_tokens: u64,
-    /// Prompt tokens to be read from which a request goes where the fewest streams are: reading them holds up the others
-    /// for longer than pauses between events may last.
+    /// Prompt tokens from which a request goes where the fewest streams are, as its prefill stalls the others for longer
+    /// than the target for gaps between events.
     pub long_prompt_tokens: u32,
-    /// How long a server may show no sign of life to a request before others avoid it.
+    /// How long a request may wait without any response of its server before other requests avoid that server.
     pub unresponsive_after_ms: Millis,
-    /// How long a server that the directory no longer lists is kept for want of others.
+    /// How long a server that the directory no longer lists is kept as a last resort.
     pub unlisted_ttl_ms: Millis,
     /// The shortest `Retry-After`.
     pub min_retry_after_ms: Millis,
     /// The longest `Retry-After`.
     pub max_retry_after_ms: Millis,
-    /// Servers known at most.
+    /// Known servers at most.
     pub max_servers: usize,
-    /// Models and adapters of which demand is kept at most.
+    /// Models and adapters whose demand is counted at most.
     pub max_demand_entries: usize,
     /// For the driver: how long a connection may take to come up before it reports `Unreachable`.
     pub connect_timeout_ms: Millis,
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -15,7 +15,7 @@
 use crate::router::Router;
 
 impl Router {
-    /// Holds a request for which there is no server, if that may be worth it.
+    /// Queues a request without an available server, unless its wait would be over at once.
     pub(crate) fn enqueue(
         &mut self,
         now: Millis,
@@ -56,7 +56,7 @@
         self.insert_request(request, Phase::Queued(Queued { until, reason }));
     }
 
-    /// Servers at which a request surely has not run may be asked again, after a pause.
+    /// Allows servers that have surely not run the request again, after a delay.
     fn allow_same_servers(
         &self,
         now: Millis,
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Sends what waits for any service and now finds a server.
+    /// Dispatches the queued requests of all services that now find a server.
     pub(crate) fn drain_queues(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for service in self.queue.services() {
             self.drain_queue(now, &service, actions);
         }
     }
 
-    /// Sends what waits for a service and now finds a server, in order.
+    /// Dispatches the queued requests of a service that now find a server, in the order of the queue.
     pub(crate) fn drain_queue(&mut self, now: Millis, service: &str, actions: &mut Vec<Action>) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.queue_retry_at = None;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A request that waits goes on waiting, perhaps for another reason; never for a shorter time.
+    /// Keeps a request queued, with the newest reason and never for a shorter time.
     fn keep_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
         let Some((request, Phase::Queued(queued))) = self.requests.get(&key.id) else { return };
         let (target, previous_until) = (Arc::clone(&request.target), queued.until);
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -1,4 +1,4 @@
-//! Demand and observations for the coordinators.
+//! Demand and outcomes of attempts, for the reports to the coordinators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 /// Output tokens count this many times as much as those of a prompt.
 const OUTPUT_WEIGHT: u64 = 10;
 
-/// What a request needs of a server.
+/// What a request asks for: the service, and the model and adapter that must be loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Target {
     /// The service.
@@ -27,7 +27,7 @@
 pub(crate) struct DemandTable(BTreeMap<Arc<Target>, Demand>);
 
 impl DemandTable {
-    /// The demand for what a request needs; `None` where the table is full.
+    /// The demand for a target; `None` where the table is full.
     pub fn of(&mut self, target: &Arc<Target>, options: &Options) -> Option<&mut Demand> {
         if self.0.len() >= options.max_demand_entries && !self.0.contains_key(target) {
             return None;
@@ -42,12 +42,12 @@
         Some(self.0.entry(Arc::clone(target)).or_insert_with(none_yet))
     }
 
-    /// The demand for what a request needs, if any has been counted.
+    /// The demand for a target, if any has been counted.
     pub fn known(&mut self, target: &Target) -> Option<&mut Demand> {
         self.0.get_mut(target)
     }
 
-    /// Takes what is to be reported; what is open or waits is counted on.
+    /// Takes the report and resets its counts; the gauges stay.
     pub fn take(&mut self) -> Vec<Demand> {
         let reported = self.0.values().cloned().collect();
         self.0.retain(|_, demand| {
@@ -70,7 +70,7 @@
     demand.priority = demand.priority.min(priority);
 }
 
-/// Takes what was found out about servers.
+/// Takes the outcomes of attempts since the last report, by server.
 pub(crate) fn take_server_outcomes(servers: &mut ServerTable) -> Vec<ServerOutcomes> {
     let mut taken = Vec::new();
     for server in servers.iter_mut() {
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! A request at this edge and its phases.
+//! An open request of this edge and its phases.
 
 use std::sync::Arc;
 
@@ -11,43 +11,43 @@
 use crate::server::ServerHandle;
 use crate::Options;
 
-/// Clients give a stream up after the longest of: this silence in milliseconds, ...
+/// Clients abandon a stream after the longest of: this time without an event, in milliseconds, ...
 const MIN_CLIENT_PATIENCE: Millis = 2_000;
-/// ... so many times the latency objective, ...
+/// ... this multiple of the latency target, ...
 const PATIENCE_PER_LATENCY_TARGET: Millis = 4;
-/// ... and so many times the longest pause between events.
+/// ... and this multiple of the target for the gap between events.
 const PATIENCE_PER_EVENT_GAP: Millis = 8;
 
-/// A request that has no final answer yet.
+/// A request without a final action yet.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// As it came.
+    /// The request as the driver received it.
     pub incoming: NewRequest,
-    /// What a server must hold.
+    /// The service, model and adapter that it asks for.
     pub target: Arc<Target>,
-    /// Where it is at home.
+    /// Its key on the ring.
     pub key: Key,
-    /// When it came.
+    /// When it was received.
     pub arrived_at: Millis,
-    /// When it must have been answered.
+    /// When it must have a response.
     pub deadline_at: Millis,
     /// The worst verdict of the attempts that have ended.
     pub verdict: Verdict,
-    /// Sendings, those that found nobody among them.
+    /// Attempts, including those that reached no server.
     pub attempts: u32,
-    /// Sendings that arrived, or may have; the one under way counts.
+    /// Attempts that reached a server, or may have; the one in flight counts.
     pub arrivals: u32,
-    /// Servers that it was sent to.
+    /// Servers that it was sent to, which the balancer excludes.
     pub tried: Vec<ServerHandle>,
-    /// Servers at which it arrived, or may have, each once.
+    /// Servers that it reached, or may have, each once.
     pub visited: Vec<ServerHandle>,
-    /// While it waits: when servers that it was sent to may be asked again.
+    /// While it is queued: when the servers that it was sent to may be retried.
     pub not_before: Millis,
-    /// The client has the head of a server's answer.
+    /// The client has the head of a server's response.
     pub response_started: bool,
-    /// The last event of a stream that the client has whole.
+    /// The last complete event of a stream that the client has.
     pub last_event: Option<u64>,
-    /// What a server that turned it away said about coming back, in milliseconds.
+    /// `Retry-After` of the last server that rejected it, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Its name.
+    /// The driver's id of the request.
     pub fn id(&self) -> RequestId {
         self.incoming.id
     }
 
-    /// Prompt tokens that a server has to read. Where it has likely read the parts that others share, these don't
-    /// count.
+    /// Prompt tokens that a server has to prefill. Where it has likely cached the shared prefix, only the request's own
+    /// part counts.
     pub fn prefill_tokens(&self, has_shared_prefix: bool) -> u32 {
         let prompt_tokens = self.incoming.tokens.map_or(0, |(prompt, _)| prompt);
         match self.incoming.prompt.last() {
@@ -89,24 +89,24 @@
         }
     }
 
-    /// Whether it surely has not run, with no attempt out.
+    /// Whether no attempt has run it; holds only without an attempt in flight.
     pub fn surely_not_run(&self) -> bool {
         self.verdict <= Verdict::SurelyNotRun
     }
 
-    /// Whether a verdict of the attempts that have ended allows another.
+    /// Whether the verdict of the attempts that have ended allows another.
     pub fn may_run_again(&self) -> bool {
         self.surely_not_run() || self.incoming.route.kind.is_idempotent()
     }
 
-    /// Whether its answer, of which a part has been passed on, may go on at another server.
+    /// Whether its response, of which the client has a part, may resume at another server.
     pub fn is_resumable(&self) -> bool {
         let resumable_route =
             matches!(self.incoming.route.kind, RouteKind::Streaming { resumable: true, .. });
         resumable_route && self.last_event.is_some()
     }
 
-    /// What it is to be told if it gets no other attempt.
+    /// The reason of the rejection when no attempt is left.
     pub fn exhausted_reason(&self) -> RejectReason {
         if self.surely_not_run() {
             RejectReason::Rejected
@@ -115,8 +115,7 @@
         }
     }
 
-    /// Until when it may be held for a model to come up: for a share of its time, and of the silence after which
-    /// clients give a stream up.
+    /// Until when it may be queued for a model to load: a fraction of its time, and of the client's patience.
     pub fn model_wait_until(&self, options: &Options) -> Millis {
         let time = self.deadline_at - self.arrived_at;
         let wait = (time as f64 * options.model_wait_fraction) as Millis;
@@ -126,7 +125,7 @@
         self.arrived_at + wait.min(patience)
     }
 
-    /// Milliseconds of silence after which clients give a stream up.
+    /// How long clients wait for a stream's next event, in milliseconds.
     fn client_patience(&self) -> Option<Millis> {
         let RouteKind::Streaming { gap_target_ms, .. } = self.incoming.route.kind else { return None };
         let by_latency_target =
@@ -138,24 +137,24 @@
         )
     }
 
-    /// Until when it may be held while every server is full.
+    /// Until when it may be queued while every server is full.
     pub fn capacity_wait_until(&self, options: &Options) -> Millis {
         let latency_target = self.incoming.route.target_latency_ms as f64;
         (self.arrived_at + (latency_target * options.capacity_wait_fraction) as Millis).min(self.deadline_at)
     }
 }
 
-/// Where a request stands between two events.
+/// The phase of a request between two events.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// It waits for a server.
+    /// It is queued for a server.
     Queued(Queued),
-    /// An attempt is under way.
+    /// An attempt is in flight.
     InFlight(InFlight),
 }
 
 impl Phase {
-    /// When time changes something.
+    /// When its timer is due.
     pub fn next_at(&self) -> Millis {
         match self {
             Phase::Queued(queued) => queued.until,
@@ -168,19 +167,19 @@
     }
 }
 
-/// A request that waits for a server.
+/// The state of a queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Queued {
-    /// When it is given up.
+    /// When the wait is over.
     pub until: Millis,
-    /// Why there was no server when it was last looked for.
+    /// Why the balancer selected no server the last time.
     pub reason: RejectReason,
 }
 
-/// An attempt under way.
+/// The state of an attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
-    /// Its number.
+    /// The number of the attempt.
     pub attempt: Attempt,
     /// The server.
     pub server: ServerHandle,
@@ -188,16 +187,16 @@
     pub sent_at: Millis,
     /// When it is given up.
     pub give_up_at: Millis,
-    /// When its silence is looked at, where it may be taken elsewhere.
+    /// When the response time-out is checked, where the request may move to another server.
     pub response_check_at: Option<Millis>,
-    /// Prompt tokens that the server has to read before it answers, as far as this edge can tell.
+    /// Prompt tokens that the server has to prefill before it responds, as estimated by this edge.
     pub prefill: u32,
-    /// Whether the answer has begun.
+    /// Whether the response has begun.
     pub answered: bool,
-    /// Whether it is the first sending to that server.
+    /// Whether it is the request's first attempt at that server.
     pub is_first_visit: bool,
-    /// Whether it took a repeat of the budget.
+    /// Whether it is a retry, withdrawn from the budget.
     pub is_retry: bool,
-    /// Whether the router called it off in order to go elsewhere.
+    /// Whether the router cancelled it in order to retry at another server.
     pub cancelled: bool,
 }
--- a/routing/src/request_queue.rs
+++ b/routing/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a server: the most urgent first, then the one whose deadline comes first.
+//! The queue of requests that wait for a server: by priority, then by deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,12 +7,12 @@
 use crate::interface::RequestId;
 use crate::request::Request;
 
-/// The place of a request among those that wait.
+/// The key that orders a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// The route's rank, 0 first.
+    /// The route's priority; 0 is the most urgent.
     pub priority: u8,
-    /// When it must have been answered.
+    /// When it must have a response.
     pub deadline_at: Millis,
     /// The request.
     pub id: RequestId,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Requests that wait, by service.
+/// Queued requests, by service.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQueue {
     by_service: BTreeMap<String, BTreeSet<QueueKey>>,
@@ -33,7 +33,7 @@
 }
 
 impl RequestQueue {
-    /// Takes a request in.
+    /// Adds a request.
     pub fn insert(&mut self, service: &str, key: QueueKey) {
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.to_owned(), BTreeSet::new());
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Lets a request go.
+    /// Removes a request.
     pub fn remove(&mut self, service: &str, key: QueueKey) {
         let Some(keys) = self.by_service.get_mut(service) else { return };
         if keys.remove(&key) {
@@ -54,32 +54,32 @@
         }
     }
 
-    /// How many wait.
+    /// The number of queued requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// How many wait for a service.
+    /// The number of requests queued for a service.
     pub fn len_for(&self, service: &str) -> usize {
         self.by_service.get(service).map_or(0, BTreeSet::len)
     }
 
-    /// Those that wait for a service, in order.
+    /// The requests queued for a service, in order.
     pub fn for_service(&self, service: &str) -> Vec<QueueKey> {
         self.by_service.get(service).map_or_else(Vec::new, |keys| keys.iter().copied().collect())
     }
 
-    /// All that wait, by service.
+    /// All queued requests, by service.
     pub fn all(&self) -> Vec<QueueKey> {
         self.by_service.values().flatten().copied().collect()
     }
 
-    /// Services that any request waits for.
+    /// The services with queued requests.
     pub fn services(&self) -> Vec<String> {
         self.by_service.keys().cloned().collect()
     }
 
-    /// The least urgent of all.
+    /// The least urgent request of all services.
     pub fn lowest_priority(&self) -> Option<QueueKey> {
         self.by_service.values().filter_map(|keys| keys.last()).max().copied()
     }
--- a/routing/src/request_table.rs
+++ b/routing/src/request_table.rs
@@ -6,13 +6,13 @@
 use crate::router::Router;
 
 impl Router {
-    /// Keeps a request in a phase.
+    /// Inserts a request in a phase, with its timer.
     pub(crate) fn insert_request(&mut self, request: Request, phase: Phase) {
         self.timers.insert((phase.next_at(), request.id()));
         self.requests.insert(request.id(), (request, phase));
     }
 
-    /// Takes a request out of the table, and out of those that wait.
+    /// Removes a request with its timer, and from the queue where it is queued.
     pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<(Request, Phase)> {
         let (request, phase) = self.requests.remove(&id)?;
         self.timers.remove(&(phase.next_at(), id));
--- a/routing/src/responses.rs
+++ b/routing/src/responses.rs
@@ -8,13 +8,13 @@
 use crate::router::Router;
 
 impl Router {
-    /// The client has a server's whole answer.
+    /// The client has a server's complete response.
     pub(crate) fn complete(&mut self, _request: Request) {
         self.counters.open -= 1;
         self.counters.answered += 1;
     }
 
-    /// The client gets the failed answer that the driver holds.
+    /// Forwards the failed response that the driver buffers.
     pub(crate) fn forward_failure(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
         self.counters.answered += 1;
@@ -22,14 +22,14 @@
         actions.push(Action::ForwardFailure(request.id()));
     }
 
-    /// The answer cannot be completed.
+    /// Aborts a response that cannot be completed.
     pub(crate) fn abort_response(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
         self.counters.aborted_responses += 1;
         actions.push(Action::AbortResponse(request.id()));
     }
 
-    /// Answers with a failure of our own: a promise that it has not run only where that is sure.
+    /// Rejects a request: with 503, which promises that it has not run, only where that is sure.
     pub(crate) fn reject(
         &mut self,
         now: Millis,
@@ -55,7 +55,7 @@
         });
     }
 
-    /// When a refused request may find a server, with jitter, so that not all come back at once.
+    /// When a rejected request may find a server, in milliseconds, with jitter against synchronized retries.
     fn retry_after(&mut self, now: Millis, request: &Request, reason: RejectReason) -> Millis {
         let (shortest, longest) = (self.options.min_retry_after_ms, self.options.max_retry_after_ms);
         let estimate = match reason {
@@ -76,7 +76,7 @@
         model.map_or(0, |model| (model.load_time_s * 1000.0) as Millis)
     }
 
-    /// How long it takes until those that wait already have been answered, in milliseconds.
+    /// How long the queue of the request's service takes to drain, in milliseconds.
     fn drain_time(&mut self, now: Millis, request: &Request) -> Millis {
         let waiting = self.queue.len_for(&request.target.service) as Millis;
         let pool = self.pools.get_mut(&request.target.service);
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The edge's part of the repeats that the operators allow for a service.
+//! This edge's part of the retries that the operators allow for a service.
 //!
 //! Over any window and all edges, arrivals beyond the first of each request may not be more than
 //! `ratio * requests + slack`. Each edge keeps to `ratio` of its own requests and an equal part of the slack.
@@ -8,7 +8,7 @@
 use crate::sliding_count::SlidingCount;
 use crate::Options;
 
-/// Requests and repeats of one service at this edge.
+/// Requests and retries of one service at this edge.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     requests: SlidingCount,
@@ -21,12 +21,12 @@
         RetryBudget { requests: count.clone(), retries: count }
     }
 
-    /// A request of a client for the service has come.
+    /// Counts a client's request for the service.
     pub fn deposit(&mut self, now: Millis) {
         self.requests.add(now);
     }
 
-    /// Counts a repeat if one is left.
+    /// Withdraws a retry; returns whether one was left.
     pub fn withdraw(&mut self, now: Millis, edges: u32, options: &Options) -> bool {
         let allowed = self.has_balance(now, edges, options);
         if allowed {
@@ -35,7 +35,7 @@
         allowed
     }
 
-    /// Whether a repeat is left.
+    /// Whether a retry is left.
     pub fn has_balance(&mut self, now: Millis, edges: u32, options: &Options) -> bool {
         let edges = if edges == 0 { options.assumed_edges } else { edges };
         let slack = match now < options.slack_available_from_ms {
@@ -46,7 +46,7 @@
         f64::from(self.retries.upper_bound(now)) + 1.0 <= allowance * options.budget_fraction
     }
 
-    /// A repeat that was taken did not arrive anywhere.
+    /// Returns a retry that reached no server.
     pub fn refund(&mut self, now: Millis) {
         self.retries.remove(now);
     }
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -19,7 +19,7 @@
 use crate::server_table::ServerTable;
 use crate::Options;
 
-/// Decides on the requests of one edge.
+/// The decisions on the requests of one edge.
 pub struct Router {
     pub(crate) options: Options,
     pub(crate) random: Pcg64Mcg,
@@ -33,16 +33,16 @@
     pub(crate) queue: RequestQueue,
     pub(crate) demand: DemandTable,
     pub(crate) counters: Counters,
-    /// A request has begun to wait for a model since the last report.
+    /// A request was queued for a model since the last report.
     pub(crate) has_urgent_demand: bool,
-    /// What the other edges have under way.
+    /// The exchange of loads with the other edges.
     pub(crate) load_gossip: LoadGossip,
-    /// The other edges should hear at once what this one has under way.
+    /// The load of this edge changed so much that it should be advertised at once.
     pub(crate) has_urgent_load: bool,
 }
 
 impl Router {
-    /// A router that knows nothing yet. Equal seeds and events give equal actions.
+    /// A router without configuration and servers. Equal seeds and events give equal actions.
     pub fn new(options: Options, seed: u64) -> Self {
         Router {
             options,
@@ -86,41 +86,41 @@
     /// When `Event::Tick` is wanted next.
     pub fn next_wake(&self) -> NextWake {
         let timer = self.timers.first().map(|(at, _)| *at);
-        let held = self.pools.values().filter_map(|pool| pool.queue_retry_at).min();
-        [timer, held, self.servers.next_drop(&self.options)].into_iter().flatten().min()
+        let queue_retry = self.pools.values().filter_map(|pool| pool.queue_retry_at).min();
+        [timer, queue_retry, self.servers.next_drop(&self.options)].into_iter().flatten().min()
     }
 
-    /// Demand and observations since the last report.
+    /// Takes demand and the outcomes of attempts since the last report.
     pub fn take_report(&mut self, _now: Millis) -> (Vec<Demand>, Vec<ServerOutcomes>) {
         self.has_urgent_demand = false;
         (self.demand.take(), take_server_outcomes(&mut self.servers))
     }
 
-    /// What other edges should hear of requests under way at servers.
+    /// Takes the load updates to send to other edges now.
     pub fn take_load_update(&mut self, now: Millis) -> Vec<LoadUpdate> {
         self.has_urgent_load = false;
         let options = &self.options;
         let own = self.servers.iter_mut().filter_map(|server| {
-            let silent = server.is_unresponsive(now, options);
-            server.local_load.take_changed_load(now, server.open, silent)
+            let is_unresponsive = server.is_unresponsive(now, options);
+            server.local_load.take_changed_load(now, server.open, is_unresponsive)
         });
         let own = own.collect();
         let mut updates = self.load_gossip.take_updates(now, own);
-        updates.retain(|updates| !updates.to.is_empty() && !updates.loads.is_empty());
+        updates.retain(|update| !update.to.is_empty() && !update.loads.is_empty());
         updates
     }
 
-    /// Whether the other edges should hear at once.
+    /// Whether a load update should be sent at once.
     pub fn has_urgent_load_update(&self) -> bool {
         self.has_urgent_load
     }
 
-    /// Whether a request has begun to wait for a model or an adapter since the last report.
+    /// Whether a request was queued for a model or an adapter since the last report.
     pub fn has_urgent_report(&self) -> bool {
         self.has_urgent_demand
     }
 
-    /// What became of requests.
+    /// Counts of requests by their end.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -1,4 +1,4 @@
-//! What is known of each server: its record, its load, what speaks against it.
+//! One server as this edge knows it: its record, load, capacity and failures.
 
 use shaletrail_protocol::external::ServerState;
 use shaletrail_protocol::internal::{Presence, ServerOutcomes, ServerRecord};
@@ -10,21 +10,21 @@
 use crate::report::Target;
 use crate::Options;
 
-/// Models that one server is remembered to lack.
+/// Missing models that are remembered of one server.
 const MAX_MISSING_MODELS: usize = 16;
 
-/// Names a server inside the router; never used twice.
+/// Identifies a server inside the router; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerHandle(pub(crate) u32);
 
-/// How a server stands for new requests.
+/// Whether a server is available to new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Availability {
-    /// Takes requests.
+    /// It takes requests.
     Ready,
-    /// Nothing has been heard of it for a while: only for want of others.
+    /// Its heartbeats have timed out, or the directory no longer lists it: the last resort.
     TimedOut,
-    /// Leaves or is gone: never again.
+    /// It is draining, removed or displaced, and gets no request.
     Draining,
 }
 
@@ -32,7 +32,7 @@
 struct ReportedLoad {
     at: Millis,
     load: ServerLoad,
-    /// Requests of this edge that were open there.
+    /// Requests of this edge that were in flight there at the time.
     open: u32,
 }
 
@@ -43,20 +43,20 @@
     until: Millis,
 }
 
-/// A server.
+/// A server and what this edge has observed of it.
 #[derive(Debug)]
 pub(crate) struct Server {
     /// The newest record.
     pub record: ServerRecord,
     /// Requests of this edge that are open there.
     pub open: u32,
-    /// What speaks against it.
+    /// Outlier detection.
     pub health: FailureAccrual,
-    /// What this edge has under way there.
+    /// The load of this edge there, for the exchange among edges.
     pub local_load: LocalLoad,
-    /// When an answer last came from it.
+    /// When it last responded to any request.
     pub last_response_at: Millis,
-    /// For the next report.
+    /// Outcomes of attempts since the last report.
     pub outcomes: ServerOutcomes,
     load: Option<ReportedLoad>,
     full_until: Millis,
@@ -65,7 +65,7 @@
     pub in_slot_array: bool,
     /// Another instance answered at its address.
     pub displaced: bool,
-    /// The driver has been told to close its connections.
+    /// The driver was told to close its connections.
     pub connections_closed: bool,
     /// Since when the directory no longer lists it.
     pub unlisted_since: Option<Millis>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// How it stands.
+    /// Its availability by its record and the directory.
     pub fn availability(&self) -> Availability {
         if is_draining(&self.record) || self.displaced {
             Availability::Draining
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Whether it holds what is asked for, as far as is known.
-    pub fn holds(&self, target: &Target, now: Millis) -> bool {
+    /// Whether it has the model and adapter loaded, as far as is known.
+    pub fn has_loaded(&self, target: &Target, now: Millis) -> bool {
         if target.model.is_empty() {
             return true;
         }
@@ -113,7 +113,7 @@
         self.record.serves(&target.model, target.adapter.as_deref()) && !self.is_missing(target, now)
     }
 
-    /// It said that it lacks what was asked for.
+    /// Records that it rejected a request as the model or adapter is missing.
     pub fn record_missing_model(&mut self, target: &Target, until: Millis) {
         if self.missing_models.len() >= MAX_MISSING_MODELS {
             self.missing_models.remove(0);
@@ -129,7 +129,7 @@
         self.missing_models.iter().any(same)
     }
 
-    /// When a lack may be over by itself.
+    /// Until when the model or adapter counts as missing.
     pub fn missing_until(&self, target: &Target, now: Millis) -> Option<Millis> {
         let same = |missing: &&MissingModel| {
             missing.until > now && missing.model == target.model && missing.adapter == target.adapter
@@ -137,46 +137,46 @@
         self.missing_models.iter().filter(same).map(|missing| missing.until).max()
     }
 
-    /// Another instance answered at its address: it is gone until a newer record says otherwise.
+    /// Another instance answered at its address: it is unavailable until a newer heartbeat.
     pub fn mark_displaced(&mut self) {
         self.displaced = true;
     }
 
-    /// Its id where the driver has not been told yet to close its connections.
+    /// Marks its connections as closed. Returns its id the first time.
     pub fn close_connections(&mut self) -> Option<ServerId> {
         let already_closed = std::mem::replace(&mut self.connections_closed, true);
         (!already_closed).then(|| self.record.id.clone())
     }
 
-    /// It told its load.
+    /// Records the load that a response reported.
     pub fn record_load(&mut self, now: Millis, load: ServerLoad) {
         self.load = Some(ReportedLoad { at: now, load, open: self.open });
     }
 
-    /// It turned a request away for being full.
+    /// Records that it rejected a request for lack of capacity.
     pub fn record_full(&mut self, until: Millis) {
         self.full_until = self.full_until.max(until);
     }
 
-    /// A service without models has nothing else to turn away: it is full after all.
+    /// Records a rejection despite free slots: without models it can only mean a lack of capacity.
     pub fn record_full_without_models(&mut self, until: Millis) {
         if self.record.heartbeat.models.is_none() {
             self.record_full(until);
         }
     }
 
-    /// Slots that it works with: as an answer told, or its record.
+    /// Its slots, as a response reported them or else its heartbeat.
     pub fn slots(&self) -> u32 {
         let reported = self.load.map(|seen| seen.load.slots).filter(|slots| *slots > 0);
         reported.unwrap_or(self.record.heartbeat.slots).max(1)
     }
 
-    /// Whether it has shown no sign of life for long to a request that waits there.
+    /// Whether a request in flight has waited for long without any response of the server.
     pub fn is_unresponsive(&self, now: Millis, options: &Options) -> bool {
         self.local_load.is_unresponsive(now, self.last_response_at, options.unresponsive_after_ms)
     }
 
-    /// Requests that are there by the best knowledge: those of this edge, and what an answer told since `since`.
+    /// Requests that are there as far as is known: those of this edge, and the load reported since `since`.
     pub fn occupied(&self, since: Millis) -> u32 {
         let reported = self.reported_load(since).map(|seen| {
             let there = seen.load.running.saturating_add(seen.load.waiting);
@@ -185,7 +185,7 @@
         reported.unwrap_or(0).max(self.open)
     }
 
-    /// What is known of its room.
+    /// Its capacity, as far as is known.
     pub fn capacity(&self, now: Millis, since: Millis, options: &Options) -> Capacity {
         let (slots, occupied) = (self.slots(), self.occupied(since));
         let waiting = self.reported_load(since).map_or(0, |seen| seen.load.waiting);
@@ -199,10 +199,9 @@
         }
     }
 
-    /// When it may no longer be full, where only time is needed for that. What an answer told counts for `valid`
-    /// milliseconds.
-    pub fn full_until(&self, now: Millis, valid: Millis) -> Option<Millis> {
-        let load_until = self.load.map(|seen| seen.at + valid);
+    /// When it may have capacity without any further event. A reported load counts for `load_ttl` milliseconds.
+    pub fn full_until(&self, now: Millis, load_ttl: Millis) -> Option<Millis> {
+        let load_until = self.load.map(|seen| seen.at + load_ttl);
         [Some(self.full_until), load_until].into_iter().flatten().filter(|until| *until > now).min()
     }
 
@@ -211,14 +210,14 @@
     }
 }
 
-/// Whether a server has room for a request.
+/// The capacity of a server for one more request; the lesser variant is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Capacity {
     /// A slot is free, as far as is known.
     Free,
-    /// It would wait there.
+    /// It would wait in the server's queue.
     Queue,
-    /// It would be turned away, or wait long.
+    /// It would be rejected, or wait for long.
     Full,
 }
 
--- a/routing/src/server_pool.rs
+++ b/routing/src/server_pool.rs
@@ -1,4 +1,4 @@
-//! The servers of one service as this edge uses them.
+//! The pool of one service's servers, with its retry budget and latency.
 
 use shaletrail_protocol::Millis;
 use shaletrail_ring::{hash_of_name, SlotArray};
@@ -10,9 +10,9 @@
 
 /// The window over which completions are counted, in milliseconds.
 const DRAIN_WINDOW: Millis = 2000;
-/// How long an attempt takes, in milliseconds, until some have been seen.
+/// The mean latency that is assumed at first, in milliseconds.
 const INITIAL_LATENCY_MS: f64 = 300.0;
-/// The part that the newest attempt has in the mean.
+/// The weight of the newest attempt in the moving average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.125;
 
 /// A server that became ready or ceased to be.
@@ -20,24 +20,24 @@
 pub(crate) struct ReadinessChange {
     /// The server.
     pub server: ServerHandle,
-    /// Where it is.
+    /// Its address, which names its points on the ring.
     pub address: String,
     /// Whether it is ready.
     pub ready: bool,
 }
 
-/// A service.
+/// The servers of one service.
 #[derive(Debug)]
 pub(crate) struct ServerPool {
-    /// Its servers that have not left, in the order in which they became known.
+    /// Servers that are not draining, in the order in which they became known.
     pub members: Vec<ServerHandle>,
-    /// Where its keys are at home: the ready servers.
+    /// The ring slots of the ready servers.
     pub slot_array: SlotArray<ServerHandle>,
-    /// Requests of this edge that are open at its servers.
+    /// Requests of this edge in flight at its servers.
     pub open: u32,
-    /// Repeats.
+    /// The retries that are left.
     pub budget: RetryBudget,
-    /// When held requests may find a server with no event but the passing of time.
+    /// When queued requests may find a server without any further event.
     pub queue_retry_at: Option<Millis>,
     completions: SlidingCount,
     mean_latency_ms: f64,
@@ -56,12 +56,13 @@
         }
     }
 
-    /// A server became known.
+    /// Adds a server.
     pub fn add(&mut self, added: ServerHandle) {
         self.members.push(added);
     }
 
-    /// Servers became ready or ceased to be. Those at one address, one after the other, have the same slots.
+    /// Updates the ring slots of servers that became ready or ceased to be. Successive servers at one address have the
+    /// same slots.
     pub fn update_slots(&mut self, changed: &[ReadinessChange]) {
         let size = |ready: bool| if ready { 1.0 } else { 0.0 };
         let points: Vec<_> =
@@ -69,29 +70,29 @@
         self.slot_array.update(&points);
     }
 
-    /// A server left.
+    /// Removes a server.
     pub fn remove(&mut self, removed: ServerHandle) {
         self.members.retain(|member| *member != removed);
         self.slot_array.update(&[(removed, 0, 0.0)]);
     }
 
-    /// An attempt was answered whole by one of its servers, so long after it was sent.
-    pub fn record_completion(&mut self, now: Millis, took: Millis) {
+    /// Records a complete response and its latency, in milliseconds.
+    pub fn record_completion(&mut self, now: Millis, latency_ms: Millis) {
         self.completions.add(now);
-        self.mean_latency_ms += (took as f64 - self.mean_latency_ms) * LATENCY_EWMA_WEIGHT;
+        self.mean_latency_ms += (latency_ms as f64 - self.mean_latency_ms) * LATENCY_EWMA_WEIGHT;
     }
 
-    /// How long an attempt usually takes, in milliseconds.
+    /// The moving average of the latency of attempts, in milliseconds.
     pub fn mean_latency_ms(&self) -> Millis {
         self.mean_latency_ms as Millis
     }
 
-    /// How long it takes this edge until one more request has been answered, in milliseconds.
+    /// The mean time between two completed responses at this edge, in milliseconds.
     pub fn drain_interval(&mut self, now: Millis) -> Millis {
         DRAIN_WINDOW / Millis::from(self.completions.upper_bound(now).max(1))
     }
 
-    /// Held requests may find a server at this time.
+    /// Schedules the queue's next retry at this time, or earlier where one is already scheduled.
     pub fn retry_queue_by(&mut self, at: Option<Millis>) {
         self.queue_retry_at = [self.queue_retry_at, at].into_iter().flatten().min();
     }
--- a/routing/src/server_table.rs
+++ b/routing/src/server_table.rs
@@ -11,7 +11,7 @@
 /// Ids of removed servers that are remembered, so that no late record brings them back.
 const MAX_RETIRED_SERVERS: usize = 4096;
 
-/// The later heartbeat with the later note: each may come by another way.
+/// The later heartbeat with the later overlay, since each may arrive by another way.
 fn merge_records(known: &ServerRecord, mut record: ServerRecord) -> ServerRecord {
     if record.heartbeat.sequence < known.heartbeat.sequence {
         record.heartbeat = known.heartbeat.clone();
@@ -30,18 +30,18 @@
     Updated(ServerHandle),
     /// A server that was not known.
     Added(ServerHandle),
-    /// It has begun to leave.
+    /// It began to drain or was removed.
     Draining(ServerHandle),
     /// The record is older than what is known, or the table is full.
     Ignored,
 }
 
-/// All servers known.
+/// All known servers.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     by_handle: BTreeMap<ServerHandle, Server>,
     by_id: BTreeMap<ServerId, ServerHandle>,
-    /// Servers that leave or are not listed.
+    /// Servers that are draining or unlisted.
     departing: BTreeSet<ServerHandle>,
     retired: BTreeSet<ServerId>,
     retired_order: VecDeque<ServerId>,
@@ -69,7 +69,7 @@
         self.by_handle.is_empty()
     }
 
-    /// Takes a record over unless it is older than what is known. `Draining` and `Gone` are final.
+    /// Merges a record unless it is older than what is known. `Draining` and `Removed` are final.
     pub fn merge(&mut self, record: ServerRecord, options: &Options) -> MergeOutcome {
         if self.retired.contains(&record.id) {
             return MergeOutcome::Ignored;
@@ -124,8 +124,8 @@
         MergeOutcome::Added(handle)
     }
 
-    /// Marks and returns servers that a whole directory does not list; they are dropped by
-    /// [`Servers::drop_unlisted`].
+    /// Marks and returns the servers that a complete directory does not list; they are dropped by
+    /// [`ServerTable::drop_unlisted`].
     pub fn mark_unlisted(&mut self, now: Millis, listed: &BTreeSet<&ServerId>) -> Vec<ServerHandle> {
         let mut unlisted = Vec::new();
         for (handle, server) in self.by_handle.iter_mut() {
@@ -138,7 +138,7 @@
         unlisted
     }
 
-    /// Drops servers that have left, and those not listed for long, where no request is open there.
+    /// Drops servers that are draining, and those unlisted for long, once no request is in flight there.
     pub fn drop_unlisted(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
         let over = |server: &Server| {
             let unlisted = server.unlisted_since.is_some_and(|since| now >= since + options.unlisted_ttl_ms);
--- a/routing/src/sliding_count.rs
+++ b/routing/src/sliding_count.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts one more.
+    /// Adds one at this time.
     pub fn add(&mut self, now: Millis) {
         self.advance(now);
         let newest = (self.newest % BUCKETS as u64) as usize;
@@ -33,7 +33,7 @@
         self.sum = self.sum.saturating_add(1);
     }
 
-    /// Takes one back that was counted in the window, from the newest bucket that has any.
+    /// Removes one from the newest bucket that is not empty.
     pub fn remove(&mut self, now: Millis) {
         self.advance(now);
         let buckets =
@@ -47,13 +47,13 @@
         }
     }
 
-    /// At least this many lie in the window.
+    /// The lower bound of the count in the window.
     pub fn lower_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.sum - self.counts[((self.newest + 1) % BUCKETS as u64) as usize]
     }
 
-    /// At most this many lie in the window.
+    /// The upper bound of the count in the window.
     pub fn upper_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.sum
