--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -1,4 +1,4 @@
-//! The server that a request goes to.
+//! Selection of the server for a request.
 
 mod common;
 
@@ -10,26 +10,26 @@
 use shaletrail_routing::Options;
 
 #[test]
-fn given_ready_holders_when_a_request_comes_then_it_goes_to_the_owner_of_its_home_slot() {
+fn request_goes_to_owner_of_home_slot() {
     let models: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
     let held: Vec<&str> = models.iter().map(String::as_str).collect();
     let mut edge = Edge::with_servers(LLM, 8, &held);
     for model in &models {
-        let sent = edge.ask_sent(&route(LLM), model);
+        let sent = edge.send_request(&route(LLM), model);
         assert_eq!(sent.server, sequence(Key::of(model), 8)[0], "{model}");
         edge.serve(&sent);
     }
 }
 
 #[test]
-fn given_an_adapter_when_a_request_for_it_comes_then_its_key_is_that_of_model_and_adapter() {
+fn key_covers_model_and_adapter() {
     let mut edge = Edge::with_servers(LLM, 8, &["m0/a1/a2"]);
-    let sent = edge.ask_sent(&route(LLM), "m0/a2");
+    let sent = edge.send_request(&route(LLM), "m0/a2");
     assert_eq!(sent.server, sequence(Key::of_parts(&["m0", "a2"]), 8)[0]);
 }
 
 #[test]
-fn given_a_service_without_models_when_requests_come_then_their_path_is_the_key() {
+fn path_is_key_without_models() {
     let mut edge = Edge::with_servers(WEB, 5, &[]);
     for path in 0..20 {
         let mut request = edge.new_request(&route(WEB), "ignored");
@@ -41,23 +41,23 @@
 }
 
 #[test]
-fn given_that_the_home_lacks_the_model_when_a_request_comes_then_the_next_owner_that_holds_it_is_taken() {
+fn next_owner_with_model_replaces_home() {
     let order = sequence(Key::of("m3"), 6);
     let mut edge = Edge::new(options());
     let holds = |number: u32| order[2..].contains(&name(number));
     edge.servers((0..6).map(|n| server(LLM, n, if holds(n) { &["m3"] } else { &["m4"] })).collect());
-    assert_eq!(edge.ask_sent(&route(LLM), "m3").server, order[2]);
+    assert_eq!(edge.send_request(&route(LLM), "m3").server, order[2]);
 }
 
 #[test]
-fn given_a_home_at_its_cap_when_more_come_then_they_follow_the_rehash_and_the_cap_holds() {
+fn overflow_follows_rehash_below_cap() {
     let options = Options { epsilon: 0.3, min_cap: 4, ..options() };
     let mut edge = Edge::new(options);
     edge.servers((0..4).map(|n| server(LLM, n, &["m1"])).collect());
     let order = sequence(Key::of("m1"), 4);
     let mut open = std::collections::BTreeMap::<String, u32>::new();
     for number in 1..=40_u32 {
-        let sent = edge.ask_sent(&route(LLM), "m1");
+        let sent = edge.send_request(&route(LLM), "m1");
         let cap = (1.3 * f64::from(number) / 4.0).ceil().max(4.0) as u32;
         let expected = order.iter().find(|id| open.get(*id).copied().unwrap_or(0) < cap).expect("one below");
         assert_eq!(&sent.server, expected, "request {number}");
@@ -67,54 +67,54 @@
 }
 
 #[test]
-fn given_servers_not_ready_when_a_request_comes_then_they_count_neither_as_homes_nor_for_the_cap() {
+fn unready_servers_count_neither_as_home_nor_for_cap() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     for number in 1..4 {
         edge.servers(vec![with_presence(server(LLM, number, &["m1"]), Presence::Draining)]);
     }
     for _ in 0..30 {
-        assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(0));
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, name(0));
     }
 }
 
 #[test]
-fn given_a_home_that_told_that_its_slots_are_taken_when_a_request_comes_then_one_with_free_slots_is_taken() {
+fn reported_full_home_is_skipped_until_report_expires() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let order = sequence(Key::of("m1"), 4);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     edge.handle(Event::Head(first.request, first.attempt, Some(load(64, 0, 64))));
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
     // What it told is out of date before long.
     edge.pass(edge.now + 1001);
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
 }
 
 #[test]
-fn given_every_slot_taken_when_a_request_comes_then_it_waits_at_the_least_loaded_server() {
+fn request_queues_at_least_loaded_server() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     for (number, running) in [(0, 70), (1, 66), (2, 69)] {
-        tell_load(&mut edge, number, 64, running - 64);
+        report_load(&mut edge, number, 64, running - 64);
     }
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, name(1));
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, name(1));
 }
 
 #[test]
-fn given_every_server_known_to_be_full_when_a_request_comes_then_it_is_sent_to_none() {
+fn request_waits_at_edge_while_all_servers_full() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
-    (0..3).for_each(|number| tell_load(&mut edge, number, 64, 40));
-    let (_, actions) = edge.ask(&route(LLM), "m1");
+    (0..3).for_each(|number| report_load(&mut edge, number, 64, 40));
+    let (_, actions) = edge.request(&route(LLM), "m1");
     assert_eq!(actions, vec![]);
     assert_eq!(edge.router.counters().queued, 1);
 }
 
 #[test]
-fn given_a_known_number_of_edges_when_connections_are_shared_then_no_edge_takes_more_than_its_part() {
+fn connections_per_edge_are_bounded() {
     let mut edge = Edge::with_servers(WEB, 1, &[]);
     edge.handle(Event::Edges(24));
     for _ in 0..4 {
-        edge.ask_sent(&route(WEB), "");
+        edge.send_request(&route(WEB), "");
     }
-    let (_, actions) = edge.ask(&route(WEB), "");
+    let (_, actions) = edge.request(&route(WEB), "");
     assert_eq!(sent(&actions), None);
 }
 
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn given_a_split_when_requests_come_then_services_get_them_by_weight() {
+fn traffic_split_follows_weights() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     edge.servers((10..12).map(|n| server(WEB, n, &[])).collect());
     let split = Route { traffic_split: ninety_to_ten(), ..route(LLM) };
     let mut web = 0;
     for _ in 0..1000 {
-        let sent = edge.ask_sent(&split, "m1");
+        let sent = edge.send_request(&split, "m1");
         web += u32::from([name(10), name(11)].contains(&sent.server));
         edge.serve(&sent);
     }
@@ -138,26 +138,26 @@
 }
 
 #[test]
-fn given_a_split_when_a_target_has_no_ready_server_then_the_other_takes_all() {
+fn traffic_split_skips_service_without_ready_server() {
     let mut edge = Edge::with_servers(WEB, 2, &[]);
     let split = Route { traffic_split: ninety_to_ten(), ..route(LLM) };
     for _ in 0..50 {
-        let sent = edge.ask_sent(&split, "m1");
+        let sent = edge.send_request(&split, "m1");
         edge.serve(&sent);
     }
 }
 
 #[test]
-fn given_a_route_to_a_service_without_servers_when_a_request_comes_then_no_other_service_takes_it() {
+fn request_never_moves_to_another_service() {
     let mut edge = Edge::with_servers(WEB, 2, &[]);
-    let (_, actions) = edge.ask(&route(LLM), "m1");
+    let (_, actions) = edge.request(&route(LLM), "m1");
     assert_eq!(actions, vec![]);
-    let (_, actions) = edge.ask(&route("nowhere"), "m1");
+    let (_, actions) = edge.request(&route("nowhere"), "m1");
     assert_rejected(&actions, 503, RejectReason::NoServer);
 }
 
 #[test]
-fn given_a_request_when_it_is_sent_then_it_carries_rank_and_what_is_left_of_its_time() {
+fn attempt_carries_priority_and_remaining_deadline() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let mut request = edge.new_request(&Route { priority: 12, ..route(LLM) }, "m1");
     request.deadline_ms = 700;
@@ -166,12 +166,12 @@
 }
 
 /// A server tells its load: in an answer to a request that goes nowhere else, as others drain meanwhile.
-fn tell_load(edge: &mut Edge, number: u32, running: u32, waiting: u32) {
+fn report_load(edge: &mut Edge, number: u32, running: u32, waiting: u32) {
     let only = format!("m{}", 30 + number);
     let mut record = server(LLM, number, &["m1", &only]);
     record.heartbeat.sequence = 2;
     edge.servers(vec![record]);
-    let sent = edge.ask_sent(&route(LLM), &only);
+    let sent = edge.send_request(&route(LLM), &only);
     assert_eq!(sent.server, name(number));
     let mut served = outcome(Verdict::HasRun, Ending::Served);
     // The answer's own request ends with it.
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An edge's router with a clock of its own, and shorthands for what it is told.
+//! An edge's router with a clock of its own, and shorthands for its events and actions.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     next_request: u64,
 }
 
-/// A sending, as the driver was told of it.
+/// An attempt, as the driver was asked to send it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
     pub request: RequestId,
@@ -45,7 +45,7 @@
         edge
     }
 
-    /// An edge that knows `count` servers of a service, each holding models.
+    /// An edge that knows `count` servers of a service, each with the models loaded.
     pub fn with_servers(service: &str, count: u32, models: &[&str]) -> Self {
         let mut edge = Edge::new(options());
         edge.servers((0..count).map(|number| server(service, number, models)).collect());
@@ -63,14 +63,14 @@
     }
 
     /// A request by a route for a model.
-    pub fn ask(&mut self, route: &Route, model: &str) -> (RequestId, Vec<Action>) {
+    pub fn request(&mut self, route: &Route, model: &str) -> (RequestId, Vec<Action>) {
         let request = self.new_request(route, model);
         (request.id, self.handle(Event::Request(request)))
     }
 
     /// A request that is sent at once.
-    pub fn ask_sent(&mut self, route: &Route, model: &str) -> Sent {
-        let (_, actions) = self.ask(route, model);
+    pub fn send_request(&mut self, route: &Route, model: &str) -> Sent {
+        let (_, actions) = self.request(route, model);
         sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// The usual options, with more repeats than most tests need.
+/// The usual options, with more retries than most tests need.
 pub fn options() -> Options {
     Options { retry_ratio: 0.2, retry_slack: 1000.0, ..Options::default() }
 }
@@ -143,9 +143,9 @@
     })
 }
 
-/// Asserts that a request was refused with a status and for a reason.
+/// Asserts that a request was rejected with a status and for a reason.
 pub fn assert_rejected(actions: &[Action], status: u16, reason: RejectReason) {
-    let rejection = rejection(actions).unwrap_or_else(|| panic!("not refused: {actions:?}"));
+    let rejection = rejection(actions).unwrap_or_else(|| panic!("not rejected: {actions:?}"));
     assert_eq!((rejection.status, rejection.reason), (status, reason));
     assert_eq!(rejection.retry_after_ms.is_some(), status == 503, "{rejection:?}");
 }
@@ -170,7 +170,7 @@
     outcome(Verdict::HasRun, Ending::Failed { status })
 }
 
-pub fn broken(last_event: Option<u64>) -> Outcome {
+pub fn truncated(last_event: Option<u64>) -> Outcome {
     outcome(Verdict::HasRun, Ending::Truncated { last_event, at_fault: false })
 }
 
@@ -180,7 +180,7 @@
 
 /// Servers are named by their number, and so are their addresses.
 pub fn server(service: &str, number: u32, models: &[&str]) -> ServerRecord {
-    let held = |name: &&str| {
+    let loaded = |name: &&str| {
         let mut parts = name.split('/').map(str::to_owned);
         let name = parts.next().unwrap_or_default();
         LoadedModel { name, version: 1, adapters: parts.collect() }
@@ -190,7 +190,7 @@
         address: address(number),
         slots: 64,
         state: ServerState::Ready,
-        models: (service == LLM).then(|| models.iter().map(held).collect()),
+        models: (service == LLM).then(|| models.iter().map(loaded).collect()),
         sequence: 1,
         ..Heartbeat::default()
     };
@@ -261,9 +261,9 @@
         key: ItemKey { list: "services".into(), name: name.into() },
         json: json.to_owned(),
     };
-    let news =
+    let update =
         ConfigUpdate { base: None, version, upsert: vec![item(LLM, &llm), item(WEB, web)], remove: vec![] };
     let mut view = View::default();
-    view.apply(&news).expect("the view is taken");
+    view.apply(&update).expect("the view is taken");
     Arc::new(view)
 }
--- a/routing/tests/failure_accrual.rs
+++ b/routing/tests/failure_accrual.rs
@@ -1,4 +1,4 @@
-//! Evidence against servers.
+//! Outlier detection: ejection, backoff and probes.
 
 mod common;
 
@@ -7,65 +7,65 @@
 use shaletrail_routing::interface::{Action, Ending, Outcome, Verdict};
 
 #[test]
-fn given_failures_in_a_row_when_the_next_request_comes_then_the_server_is_skipped_for_a_while() {
+fn consecutive_failures_eject_server() {
     let order = sequence(Key::of("m1"), 4);
     for outcome in [lost(), failed(500), outcome(Verdict::MayHaveRun, Ending::MalformedResponse)] {
         let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
         for _ in 0..2 {
-            let sent = edge.ask_sent(&route(LLM), "m1");
+            let sent = edge.send_request(&route(LLM), "m1");
             assert_eq!(sent.server, order[0]);
             edge.end(&sent, outcome.clone());
         }
-        assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
         edge.pass(edge.now + 626);
-        assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
     }
 }
 
 #[test]
-fn given_a_success_between_failures_when_the_next_request_comes_then_the_server_is_not_skipped() {
+fn success_resets_failure_count() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     for _ in 0..3 {
-        let bad = edge.ask_sent(&route(LLM), "m1");
+        let bad = edge.send_request(&route(LLM), "m1");
         edge.end(&bad, lost());
-        let good = edge.ask_sent(&route(LLM), "m1");
+        let good = edge.send_request(&route(LLM), "m1");
         assert_eq!(bad.server, good.server);
         edge.serve(&good);
     }
 }
 
 #[test]
-fn given_a_suspect_when_its_time_has_passed_then_one_request_tries_it_and_a_success_clears_it() {
+fn single_probe_readmits_ejected_server() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let order = sequence(Key::of("m1"), 4);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let elsewhere = sent(&edge.end(&first, unreachable())).expect("sent elsewhere");
     edge.serve(&elsewhere);
     edge.now += 700;
-    let trial = edge.ask_sent(&route(LLM), "m1");
-    let beside = edge.ask_sent(&route(LLM), "m1");
+    let trial = edge.send_request(&route(LLM), "m1");
+    let beside = edge.send_request(&route(LLM), "m1");
     assert_eq!((&trial.server, &beside.server), (&order[0], &order[1]));
     edge.serve(&trial);
     for _ in 0..2 {
-        assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
     }
 }
 
 #[test]
-fn given_trials_that_fail_when_more_are_made_then_the_pause_grows_up_to_its_bound() {
+fn failed_probes_double_backoff_up_to_maximum() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let order = sequence(Key::of("m1"), 4);
     let mut pauses = Vec::new();
     for _ in 0..7 {
-        let sent = edge.ask_sent(&route(LLM), "m1");
+        let sent = edge.send_request(&route(LLM), "m1");
         assert_eq!(sent.server, order[0]);
         edge.end(&sent, unreachable());
         let begin = edge.now;
         while edge.now < begin + 10_000 {
             edge.now += 50;
-            let sent = edge.ask_sent(&route(LLM), "m1");
+            let sent = edge.send_request(&route(LLM), "m1");
             let is_trial = sent.server == order[0];
-            edge.serve_or_leave(&sent, is_trial);
+            edge.serve_or_abandon(&sent, is_trial);
             if is_trial {
                 break;
             }
@@ -81,7 +81,7 @@
 
 impl Edge {
     /// Serves a request, or has its client leave, which says nothing of the server.
-    fn serve_or_leave(&mut self, sent: &Sent, leave: bool) {
+    fn serve_or_abandon(&mut self, sent: &Sent, leave: bool) {
         if leave {
             self.handle(shaletrail_routing::interface::Event::Finished(sent.request));
         } else {
@@ -91,16 +91,16 @@
 }
 
 #[test]
-fn given_that_most_servers_fail_when_requests_come_then_at_most_half_are_skipped() {
+fn at_most_half_of_servers_are_ejected() {
     let mut edge = Edge::with_servers(LLM, 5, &["m1"]);
     let mut failures = std::collections::BTreeMap::<String, u32>::new();
     for _ in 0..40 {
-        let sent = edge.ask_sent(&route(LLM), "m1");
+        let sent = edge.send_request(&route(LLM), "m1");
         *failures.entry(sent.server.clone()).or_default() += 1;
         edge.end(&sent, lost());
     }
     let tried: Vec<String> = {
-        let open: Vec<_> = (0..30).map(|_| edge.ask_sent(&route(LLM), "m1")).collect();
+        let open: Vec<_> = (0..30).map(|_| edge.send_request(&route(LLM), "m1")).collect();
         open.into_iter().map(|sent| sent.server).collect()
     };
     let distinct: std::collections::BTreeSet<_> = tried.into_iter().collect();
@@ -108,12 +108,12 @@
 }
 
 #[test]
-fn given_the_only_holder_is_suspect_when_its_trial_is_due_then_a_request_that_waits_makes_it() {
+fn queued_request_probes_only_replica() {
     let mut edge = Edge::with_servers(LLM, 4, &["m9"]);
     let mut record = server(LLM, 0, &["m1"]);
     record.heartbeat.sequence = 2;
     edge.servers(vec![record]);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     assert_eq!(edge.end(&first, unreachable()), vec![]);
     let later = edge.pass(edge.now + 1000);
     let actions: Vec<Action> = later.iter().map(|(_, action)| action.clone()).collect();
@@ -123,71 +123,71 @@
 }
 
 #[test]
-fn given_another_instance_at_the_address_when_it_says_so_then_the_server_is_gone_until_a_newer_record() {
+fn displaced_server_is_unused_until_newer_record() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let order = sequence(Key::of("m1"), 3);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let other = Ending::Rejected { status: 421, instance: Some("i-other".into()) };
     let actions = edge.end(&first, outcome(Verdict::SurelyNotRun, other));
     assert_eq!(actions[0], Action::CloseConnections(order[0].clone()));
     assert_eq!(sent(&actions).map(|sent| sent.server), Some(order[1].clone()));
     edge.pass(edge.now + 20_000);
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
     let number = order[0].trim_start_matches("i-").parse().expect("a number");
     let mut newer = server(LLM, number, &["m1"]);
     newer.heartbeat.sequence = 2;
     edge.servers(vec![newer]);
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
 }
 
 #[test]
-fn given_a_server_that_says_that_it_lacks_the_model_when_others_hold_it_then_it_is_skipped_for_a_second() {
+fn misdirected_model_skips_server_for_a_while() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1", "m2"]);
     let order = sequence(Key::of("m1"), 3);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let same = Ending::Rejected { status: 421, instance: Some(order[0].clone()) };
     let second = sent(&edge.end(&first, outcome(Verdict::SurelyNotRun, same))).expect("elsewhere");
     assert_eq!(second.server, order[1]);
     edge.serve(&second);
-    let third = edge.ask_sent(&route(LLM), "m1");
+    let third = edge.send_request(&route(LLM), "m1");
     assert_eq!(third.server, order[1]);
     edge.serve(&third);
     // Another model is not concerned.
-    let other = edge.ask_sent(&route(LLM), "m2");
+    let other = edge.send_request(&route(LLM), "m2");
     assert_eq!(other.server, sequence(Key::of("m2"), 3)[0]);
     edge.serve(&other);
     edge.pass(edge.now + 1001);
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
 }
 
 #[test]
-fn given_a_server_that_was_full_when_a_short_time_has_passed_then_it_is_asked_again() {
+fn rejecting_server_is_retried_after_retry_after() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let order = sequence(Key::of("m1"), 3);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let outcome = Outcome { retry_after_ms: Some(150), ..rejected(503) };
     let second = sent(&edge.end(&first, outcome)).expect("elsewhere");
     edge.serve(&second);
     edge.now += 149;
-    let third = edge.ask_sent(&route(LLM), "m1");
+    let third = edge.send_request(&route(LLM), "m1");
     assert_eq!(third.server, order[1]);
     edge.serve(&third);
     edge.now += 1;
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[0]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
 }
 
 #[test]
-fn given_a_server_with_room_that_turned_a_model_away_when_another_model_is_asked_for_then_it_gets_that() {
+fn rejection_with_free_slots_concerns_model_only() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1", "m2"]);
     let order = sequence(Key::of("m1"), 3);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let outcome = Outcome { load: Some(load(3, 0, 64)), ..rejected(503) };
     assert_eq!(sent(&edge.end(&first, outcome)).map(|sent| sent.server), Some(order[1].clone()));
-    assert_eq!(edge.ask_sent(&route(LLM), "m1").server, order[1]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
     let other = (2..40).map(|n| format!("m{n}")).find(|m| sequence(Key::of(m), 3)[0] == order[0]);
     let mut record =
         server(LLM, order[0][2..].parse().expect("a number"), &["m1", other.as_deref().expect("one")]);
     record.heartbeat.sequence = 2;
     edge.servers(vec![record]);
-    assert_eq!(edge.ask_sent(&route(LLM), &other.expect("one")).server, order[0]);
+    assert_eq!(edge.send_request(&route(LLM), &other.expect("one")).server, order[0]);
 }
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -9,13 +9,13 @@
 use shaletrail_routing::Options;
 
 #[test]
-fn given_requests_of_all_fates_when_a_report_is_taken_then_demand_tells_them_apart() {
+fn report_separates_demand_by_outcome() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    let served = edge.ask_sent(&route(LLM), "m1");
+    let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
-    edge.ask_sent(&Route { priority: 0, ..route(LLM) }, "m1");
-    edge.ask(&route(LLM), "m2/a1");
-    edge.ask(&route(LLM), "unheard-of");
+    edge.send_request(&Route { priority: 0, ..route(LLM) }, "m1");
+    edge.request(&route(LLM), "m2/a1");
+    edge.request(&route(LLM), "unheard-of");
     let (demand, _) = edge.router.take_report(edge.now);
     insta::assert_debug_snapshot!(demand, @r#"
     [
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn given_attempts_that_ended_when_a_report_is_taken_then_it_tells_of_each_server_once() {
+fn report_contains_server_outcomes_once() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    let served = edge.ask_sent(&route(LLM), "m1");
+    let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
-    let bad = edge.ask_sent(&route(LLM), "m1");
+    let bad = edge.send_request(&route(LLM), "m1");
     edge.end(&bad, lost());
     let expected = ServerOutcomes { server: name(0), succeeded: 1, failed: 1, unreachable: 0 };
     assert_eq!(edge.router.take_report(edge.now).1, vec![expected]);
@@ -70,28 +70,28 @@
 }
 
 #[test]
-fn given_more_models_than_are_kept_when_they_are_asked_for_then_the_table_stays_within_its_bound() {
+fn demand_table_is_bounded() {
     let mut edge = Edge::new(Options { max_demand_entries: 5, ..options() });
     edge.servers(vec![server(LLM, 0, &["m1"])]);
     for model in 0..30 {
-        edge.ask(&route(LLM), &format!("m{model}"));
+        edge.request(&route(LLM), &format!("m{model}"));
     }
     assert_eq!(edge.router.take_report(edge.now).0.len(), 5);
 }
 
 #[test]
-fn given_requests_of_all_fates_when_they_are_counted_then_the_counts_add_up() {
+fn counters_add_up() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
-    let served = edge.ask_sent(&route(LLM), "m1");
+    let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
-    let failing = edge.ask_sent(&route(LLM), "m1");
+    let failing = edge.send_request(&route(LLM), "m1");
     edge.end(&failing, failed(500));
-    let lost_one = edge.ask_sent(&route(LLM), "m1");
+    let lost_one = edge.send_request(&route(LLM), "m1");
     edge.end(&lost_one, lost());
-    let left = edge.ask_sent(&route(LLM), "m1");
+    let left = edge.send_request(&route(LLM), "m1");
     edge.handle(Event::Finished(left.request));
-    edge.ask(&route(LLM), "m2");
-    edge.ask_sent(&route(LLM), "m1");
+    edge.request(&route(LLM), "m2");
+    edge.send_request(&route(LLM), "m1");
     let counters = edge.router.counters();
     assert_eq!((counters.received, counters.answered, counters.forwarded_failures), (6, 2, 1));
     assert_eq!((counters.rejected(), counters.rejected_for(RejectReason::MayHaveRun)), (1, 1));
--- a/routing/tests/retries.rs
+++ b/routing/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Repeats, their budget, and final answers.
+//! Retries, their budget, and final actions.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use shaletrail_routing::Options;
 
 #[test]
-fn given_nobody_at_the_server_when_an_attempt_ends_then_it_goes_elsewhere_and_is_no_arrival() {
+fn unreachable_server_costs_no_retry() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
     let once = Route { max_attempts: 1, ..route(LLM) };
-    let first = edge.ask_sent(&once, "m1");
+    let first = edge.send_request(&once, "m1");
     let second = sent(&edge.end(&first, unreachable())).expect("sent elsewhere");
     let third = sent(&edge.end(&second, unreachable())).expect("sent elsewhere");
     assert!(first.server != second.server && second.server != third.server && first.server != third.server);
@@ -19,18 +19,18 @@
 }
 
 #[test]
-fn given_a_server_that_turned_it_away_when_attempts_are_left_then_another_server_gets_it() {
+fn rejected_request_moves_to_another_server() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let second = sent(&edge.end(&first, rejected(503))).expect("sent elsewhere");
     assert_ne!(first.server, second.server);
     assert_eq!(second.attempt.0, 1);
 }
 
 #[test]
-fn given_one_attempt_only_when_a_server_turned_it_away_then_it_is_refused_at_once_with_a_promise() {
+fn single_attempt_rejection_returns_retry_after() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-    let sent = edge.ask_sent(&Route { max_attempts: 1, ..route(LLM) }, "m1");
+    let sent = edge.send_request(&Route { max_attempts: 1, ..route(LLM) }, "m1");
     let outcome = Outcome { retry_after_ms: Some(400), ..rejected(503) };
     let actions = edge.end(&sent, outcome);
     assert_rejected(&actions, 503, RejectReason::Rejected);
@@ -39,36 +39,36 @@
 }
 
 #[test]
-fn given_servers_that_turn_it_away_when_attempts_are_used_up_then_no_more_servers_see_it() {
+fn visited_servers_are_bounded_by_max_attempts() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let second = sent(&edge.end(&first, rejected(503))).expect("second");
     let third = sent(&edge.end(&second, rejected(421))).expect("third");
     let visited = [&first.server, &second.server, &third.server];
     let mut ended = edge.end(&third, rejected(503));
-    let mut sendings = 3;
+    let mut attempts = 3;
     // It has surely not run at these: they may be asked again, a few times, while it may be held.
     while rejection(&ended).is_none() {
         match sent(&ended) {
             Some(again) => {
                 assert!(visited.contains(&&again.server), "a fourth server");
-                sendings += 1;
+                attempts += 1;
                 ended = edge.end(&again, rejected(503));
             }
             None => ended = edge.pass(edge.now + 10).into_iter().map(|(_, action)| action).collect(),
         }
     }
     assert_rejected(&ended, 503, RejectReason::Rejected);
-    assert!((3..=5).contains(&sendings), "{sendings}");
+    assert!((3..=5).contains(&attempts), "{attempts}");
 }
 
 #[test]
-fn given_a_request_that_may_run_once_when_it_may_have_run_then_it_is_never_sent_again() {
+fn non_idempotent_request_is_never_repeated() {
     let endings = [Ending::ConnectionLost, Ending::MalformedResponse, Ending::StaleConnection];
     for ending in endings {
         for kind in [route(LLM), stream(LLM, false)] {
             let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-            let sent = edge.ask_sent(&kind, "m1");
+            let sent = edge.send_request(&kind, "m1");
             let actions = edge.end(&sent, outcome(Verdict::MayHaveRun, ending.clone()));
             assert_rejected(&actions, 502, RejectReason::MayHaveRun);
         }
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn given_a_request_turned_away_first_when_it_then_may_have_run_then_there_is_no_promise() {
+fn worst_verdict_decides_status() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let second = sent(&edge.end(&first, rejected(503))).expect("second");
     assert_rejected(&edge.end(&second, lost()), 502, RejectReason::MayHaveRun);
 }
 
 #[test]
-fn given_an_idempotent_request_when_it_may_have_run_then_another_server_gets_it() {
+fn idempotent_request_is_retried_after_loss() {
     for kind in [idempotent(LLM), stream(LLM, true)] {
         let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-        let first = edge.ask_sent(&kind, "m1");
+        let first = edge.send_request(&kind, "m1");
         let second = sent(&edge.end(&first, lost())).expect("sent elsewhere");
         assert_ne!(first.server, second.server);
         let third = sent(&edge.end(&second, rejected(503))).expect("sent elsewhere");
@@ -97,31 +97,31 @@
 }
 
 #[test]
-fn given_a_failed_answer_when_the_request_may_run_again_then_another_server_is_asked_else_it_is_passed_on() {
+fn failed_response_is_retried_or_forwarded() {
     let mut edge = Edge::with_servers(LLM, 6, &["m1"]);
-    let first = edge.ask_sent(&idempotent(LLM), "m1");
+    let first = edge.send_request(&idempotent(LLM), "m1");
     let second = sent(&edge.end(&first, failed(500))).expect("sent elsewhere");
     let third = sent(&edge.end(&second, failed(500))).expect("sent elsewhere");
     assert_eq!(edge.end(&third, failed(500)), vec![Action::ForwardFailure(third.request)]);
 
-    let once = edge.ask_sent(&route(LLM), "m1");
+    let once = edge.send_request(&route(LLM), "m1");
     assert_eq!(edge.end(&once, failed(500)), vec![Action::ForwardFailure(once.request)]);
-    let wrong = edge.ask_sent(&idempotent(LLM), "m1");
+    let wrong = edge.send_request(&idempotent(LLM), "m1");
     assert_eq!(edge.end(&wrong, failed(404)), vec![Action::ForwardFailure(wrong.request)]);
 }
 
 #[test]
-fn given_a_failed_answer_when_no_other_server_holds_the_model_then_it_is_passed_on_at_once() {
+fn failed_response_is_forwarded_without_replica() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    let sent = edge.ask_sent(&idempotent(LLM), "m1");
+    let sent = edge.send_request(&idempotent(LLM), "m1");
     assert_eq!(edge.end(&sent, failed(500)), vec![Action::ForwardFailure(sent.request)]);
 }
 
 #[test]
-fn given_stale_connections_when_nothing_was_written_then_the_same_server_is_asked_anew_a_few_times() {
+fn stale_connections_retry_same_server() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let stale = || outcome(Verdict::NeverSent, Ending::StaleConnection);
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let second = sent(&edge.end(&first, stale())).expect("sent again");
     let third = sent(&edge.end(&second, stale())).expect("sent again");
     let fourth = sent(&edge.end(&third, stale())).expect("sent elsewhere");
@@ -130,23 +130,23 @@
 }
 
 #[test]
-fn given_the_edges_part_of_the_budget_when_it_is_used_up_then_no_more_repeats_are_sent() {
+fn retries_stop_when_budget_is_spent() {
     // A ratio of 0.2 and a slack of 50 over 10 edges, of which 0.8 is used.
     let options = Options { retry_ratio: 0.2, retry_slack: 50.0, ..Options::default() };
     let mut edge = Edge::new(options);
     edge.servers((0..6).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::Edges(10));
     for _ in 0..100 {
-        let sent = edge.ask_sent(&route(LLM), "m1");
+        let sent = edge.send_request(&route(LLM), "m1");
         edge.serve(&sent);
     }
     edge.now += 500;
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..100 {
-        let first = edge.ask_sent(&idempotent(LLM), "m1");
+        let first = edge.send_request(&idempotent(LLM), "m1");
         match sent(&edge.end(&first, lost())) {
             Some(second) => {
-                repeats += 1;
+                retries += 1;
                 edge.serve(&second);
             }
             None => assert_eq!(edge.router.counters().rejected_for(RejectReason::MayHaveRun), 1),
@@ -156,41 +156,41 @@
         }
     }
     // (0.2 * requests + 50 / 10) * 0.8 with the requests there were by then.
-    assert_eq!(repeats, 23);
+    assert_eq!(retries, 23);
     assert_eq!(edge.router.counters().retries, 23);
 
-    // The window has passed: there are repeats again, by the slack alone.
+    // The window has passed: there are retries again, by the slack alone.
     edge.now += 10_400;
     edge.servers((0..6).map(|n| server(LLM, 10 + n, &["m1"])).collect());
-    let first = edge.ask_sent(&idempotent(LLM), "m1");
+    let first = edge.send_request(&idempotent(LLM), "m1");
     assert!(sent(&edge.end(&first, lost())).is_some());
 }
 
 #[test]
-fn given_an_unknown_number_of_edges_when_repeats_are_wanted_then_many_are_assumed() {
+fn unknown_edge_count_assumes_many() {
     let options = Options { retry_ratio: 0.0, retry_slack: 100.0, assumed_edges: 64, ..Options::default() };
     let mut edge = Edge::new(options);
     edge.servers((0..6).map(|n| server(LLM, n, &["m1"])).collect());
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     assert!(sent(&edge.end(&first, rejected(503))).is_some());
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     assert_rejected(&edge.end(&first, rejected(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
-fn given_a_repeat_that_found_nobody_when_more_are_wanted_then_it_has_cost_nothing() {
+fn unreachable_retry_is_refunded() {
     let options = Options { retry_ratio: 0.0, retry_slack: 2.0, ..Options::default() };
     let mut edge = Edge::new(options);
     edge.servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::Edges(1));
-    let first = edge.ask_sent(&route(LLM), "m1");
+    let first = edge.send_request(&route(LLM), "m1");
     let repeat = sent(&edge.end(&first, rejected(503))).expect("the one repeat");
     let again = sent(&edge.end(&repeat, unreachable())).expect("the same repeat");
     assert_rejected(&edge.end(&again, rejected(503)), 503, RejectReason::Rejected);
 }
 
 #[test]
-fn given_an_attempt_under_way_when_the_deadline_comes_then_it_is_cancelled_without_a_promise() {
+fn deadline_cancels_attempt_without_promise() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let mut request = edge.new_request(&route(LLM), "m1");
     request.deadline_ms = 900;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn given_no_time_left_when_a_request_comes_then_it_is_refused_at_once() {
+fn expired_request_is_rejected_at_once() {
     let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
     let mut request = edge.new_request(&route(LLM), "m1");
     request.deadline_ms = 0;
@@ -213,17 +213,17 @@
 }
 
 #[test]
-fn given_the_deadline_has_passed_when_an_attempt_is_turned_away_then_it_is_refused_with_a_promise() {
+fn rejection_after_deadline_keeps_promise() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
-    let sent = edge.ask_sent(&route(LLM), "m1");
+    let sent = edge.send_request(&route(LLM), "m1");
     edge.now += 4000;
     assert_rejected(&edge.end(&sent, rejected(503)), 503, RejectReason::TooLate);
 }
 
 #[test]
-fn given_a_server_that_shows_no_life_when_silence_lasts_then_a_request_that_may_repeat_is_taken_elsewhere() {
+fn unresponsive_server_loses_idempotent_request() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
-    let first = edge.ask_sent(&idempotent(LLM), "m1");
+    let first = edge.send_request(&idempotent(LLM), "m1");
     let cancelled = edge.pass(edge.now + 1000);
     assert_eq!(cancelled, vec![(2000, Action::Cancel(first.request, first.attempt))]);
     let second = sent(&edge.end(&first, outcome(Verdict::MayHaveRun, Ending::Cancelled))).expect("elsewhere");
@@ -231,15 +231,15 @@
 }
 
 #[test]
-fn given_silence_when_the_request_may_run_once_or_the_server_answers_others_then_it_is_left_there() {
+fn attempt_stays_if_not_idempotent_or_server_responds() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    edge.ask_sent(&route(LLM), "m1");
+    edge.send_request(&route(LLM), "m1");
     edge.servers(vec![server(LLM, 1, &["m1"])]);
     assert_eq!(edge.pass(edge.now + 3000), vec![]);
 
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    edge.ask_sent(&idempotent(LLM), "m1");
-    let other = edge.ask_sent(&idempotent(LLM), "m1");
+    edge.send_request(&idempotent(LLM), "m1");
+    let other = edge.send_request(&idempotent(LLM), "m1");
     edge.servers(vec![server(LLM, 1, &["m1"])]);
     edge.now += 500;
     edge.serve(&other);
@@ -247,18 +247,17 @@
 }
 
 #[test]
-fn given_silence_when_no_other_server_can_serve_it_then_it_is_left_there() {
+fn attempt_stays_without_alternative() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    edge.ask_sent(&idempotent(LLM), "m1");
+    edge.send_request(&idempotent(LLM), "m1");
     assert_eq!(edge.pass(edge.now + 3000), vec![]);
 }
 
 #[test]
-fn given_the_only_holder_turned_it_away_when_it_may_have_room_again_then_it_is_asked_again_within_its_attempts(
-) {
+fn only_replica_is_retried_within_attempts() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let route = Route { max_attempts: 2, target_latency_ms: 1200, ..route(LLM) };
-    let first = edge.ask_sent(&route, "m1");
+    let first = edge.send_request(&route, "m1");
     let outcome = Outcome { retry_after_ms: Some(200), ..rejected(503) };
     assert_eq!(edge.end(&first, outcome), vec![]);
     let later = edge.pass(edge.now + 250);
@@ -268,9 +267,9 @@
 }
 
 #[test]
-fn given_nobody_at_the_only_server_of_a_service_when_it_is_asked_again_then_there_is_a_pause_before() {
+fn only_server_is_retried_after_delay() {
     let mut edge = Edge::with_servers(WEB, 1, &[]);
-    let first = edge.ask_sent(&route(WEB), "");
+    let first = edge.send_request(&route(WEB), "");
     assert_eq!(edge.end(&first, unreachable()), vec![]);
     let later = edge.pass(edge.now + 60);
     assert_eq!(later.iter().map(|(at, _)| *at).collect::<Vec<_>>(), vec![1050]);
@@ -278,9 +277,9 @@
 }
 
 #[test]
-fn given_nobody_at_the_only_holder_when_the_aim_is_near_then_it_is_not_held_as_for_a_model_to_come() {
+fn ejected_only_replica_uses_capacity_wait() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    let first = edge.ask_sent(&Route { target_latency_ms: 100, ..route(LLM) }, "m1");
+    let first = edge.send_request(&Route { target_latency_ms: 100, ..route(LLM) }, "m1");
     // It could be asked again only after the time for which it may be held: it is refused at once.
     assert_rejected(&edge.end(&first, unreachable()), 503, RejectReason::Full);
 }
--- a/routing/tests/retry_budget.rs
+++ b/routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats over restarts of an edge's process.
+//! The retry budget across restarts of an edge's process.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use shaletrail_routing::Options;
 
 #[test]
-fn given_a_process_that_may_follow_another_when_the_window_is_not_over_then_the_slack_is_not_spent_again() {
+fn retry_slack_is_withheld_after_restart() {
     let options = Options {
         slack_available_from_ms: 11_000,
         retry_ratio: 0.0,
@@ -17,9 +17,9 @@
     let mut edge = Edge::new(options);
     edge.handle(Event::Edges(1));
     edge.servers((0..6).map(|number| server(LLM, number, &["m1"])).collect());
-    let early = edge.ask_sent(&route(LLM), "m1");
+    let early = edge.send_request(&route(LLM), "m1");
     assert_rejected(&edge.end(&early, rejected(503)), 503, RejectReason::Rejected);
     edge.pass(11_000);
-    let late = edge.ask_sent(&route(LLM), "m1");
+    let late = edge.send_request(&route(LLM), "m1");
     assert!(sent(&edge.end(&late, rejected(503))).is_some(), "the slack is there again");
 }
