--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -7,19 +7,36 @@
 use crate::interface::{Action, Attempt, Ending, Outcome, RequestId, ServerLoad, Verdict};
 use crate::request::{InFlight, Phase, Request};
 use crate::router::Router;
+use crate::server::ServerHandle;
+
+/// A part of a response that arrived for an attempt in flight.
+struct ResponsePart {
+    server: ServerHandle,
+    /// When the attempt was sent.
+    sent_at: Millis,
+    /// Prompt tokens that the server had to prefill.
+    prefill: u32,
+    /// Whether nothing of the response had arrived before.
+    is_first: bool,
+}
+
+impl ResponsePart {
+    /// Marks the attempt as answered.
+    fn of(in_flight: &mut InFlight) -> Self {
+        let is_first = !std::mem::replace(&mut in_flight.answered, true);
+        let InFlight { server, sent_at, prefill, .. } = *in_flight;
+        ResponsePart { server, sent_at, prefill, is_first }
+    }
+}
 
 impl Router {
     pub(crate) fn on_head(&mut self, now: Millis, id: RequestId, attempt: Attempt, load: Option<ServerLoad>) {
         let Some((request, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         request.response_started = true;
         request.verdict = Verdict::HasRun;
-        let (handle, sent_at, prefill) = (in_flight.server, in_flight.sent_at, in_flight.prefill);
-        let first = !std::mem::replace(&mut in_flight.answered, true);
-        if let Some(server) = self.servers.get_mut(handle) {
-            server.last_response_at = now;
-            if first {
-                self.has_urgent_load |= server.local_load.record_response(sent_at, prefill);
-            }
+        let response = ResponsePart::of(in_flight);
+        self.record_response(now, &response);
+        if let Some(server) = self.servers.get_mut(response.server) {
             if let Some(load) = load {
                 server.record_load(now, load);
             }
@@ -28,20 +45,24 @@
 
     pub(crate) fn on_first(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
         let Some((_, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
-        let (handle, response_check_at, until) =
-            (in_flight.server, in_flight.response_check_at.take(), in_flight.give_up_at);
-        let (sent_at, prefill) = (in_flight.sent_at, in_flight.prefill);
-        let first = !std::mem::replace(&mut in_flight.answered, true);
-        if let Some(response_check_at) = response_check_at.filter(|at| *at < until) {
+        let (response_check_at, give_up_at) = (in_flight.response_check_at.take(), in_flight.give_up_at);
+        let response = ResponsePart::of(in_flight);
+        if let Some(response_check_at) = response_check_at.filter(|at| *at < give_up_at) {
             self.timers.remove(&(response_check_at, id));
-            self.timers.insert((until, id));
+            self.timers.insert((give_up_at, id));
         }
-        if let Some(server) = self.servers.get_mut(handle) {
-            server.last_response_at = now;
+        self.record_response(now, &response);
+        if let Some(server) = self.servers.get_mut(response.server) {
             server.health.responded();
-            if first {
-                self.has_urgent_load |= server.local_load.record_response(sent_at, prefill);
-            }
+        }
+    }
+
+    /// Records a sign of life of a server, and that the request no longer waits for its prefill.
+    fn record_response(&mut self, now: Millis, response: &ResponsePart) {
+        let Some(server) = self.servers.get_mut(response.server) else { return };
+        server.last_response_at = now;
+        if response.is_first {
+            self.has_urgent_load |= server.local_load.record_response(response.sent_at, response.prefill);
         }
     }
 
--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use shaletrail_protocol::Millis;
+use shaletrail_protocol::{Millis, ServerId};
 
 use crate::balance::{select, SelectedServer, Selection, Unavailable};
 use crate::interface::{Action, Attempt, RejectReason};
@@ -129,25 +129,23 @@
         (total / self.edges).max(1)
     }
 
-    fn send(
+    /// Counts an attempt at its server, pool and demand, and withdraws a retry from the budget. Returns the server's id
+    /// and address; `None` where the server is no longer known.
+    fn record_sent(
         &mut self,
         now: Millis,
-        mut request: Request,
+        request: &Request,
         selected: SelectedServer,
-        actions: &mut Vec<Action>,
-    ) {
-        let is_retry = request.arrivals > 0;
-        let Some(server) = self.servers.get_mut(selected.server) else {
-            return self.reject(now, request, RejectReason::NoServer, actions);
-        };
-        let prefill = request.prefill_tokens(selected.is_home);
+        prefill: u32,
+    ) -> Option<(ServerId, String)> {
+        let server = self.servers.get_mut(selected.server)?;
         self.has_urgent_load |= server.local_load.record_sent(now, prefill);
         server.open += 1;
         server.health.record_sent();
         let (id, address) = (server.record.id.clone(), server.record.heartbeat.address.clone());
         if let Some(pool) = self.pools.get_mut(&request.target.service) {
             pool.open += 1;
-            if is_retry {
+            if request.arrivals > 0 {
                 pool.budget.withdraw(now, self.edges, &self.options);
             }
         }
@@ -157,6 +155,22 @@
         }
         self.counters.attempts += 1;
         self.counters.resumed += u64::from(request.response_started);
+        Some((id, address))
+    }
+
+    /// Sends a request's next attempt to the selected server.
+    fn send(
+        &mut self,
+        now: Millis,
+        mut request: Request,
+        selected: SelectedServer,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_retry = request.arrivals > 0;
+        let prefill = request.prefill_tokens(selected.is_home);
+        let Some((server, address)) = self.record_sent(now, &request, selected, prefill) else {
+            return self.reject(now, request, RejectReason::NoServer, actions);
+        };
         let attempt = Attempt(request.attempts);
         request.attempts += 1;
         request.arrivals += 1;
@@ -170,7 +184,7 @@
         actions.push(Action::Send {
             request: request.id(),
             attempt,
-            server: id,
+            server,
             address,
             service: request.target.service.clone(),
             deadline_ms: remaining_ms.max(MIN_DEADLINE),
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -1,4 +1,4 @@
-//! Events and actions between the decisions on requests and the driver that carries them out.
+//! The events that the driver reports to the router, and the actions that it carries out.
 
 use std::sync::Arc;
 
@@ -6,27 +6,27 @@
 use shaletrail_protocol::internal::{EdgeServerLoad, LoadScope, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
-/// Names a request at this edge; given by the driver, never used twice.
+/// Identifies a request at this edge; assigned by the driver, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// One sending of a request to a server: 0 for the first.
+/// The number of an attempt of a request: 0 for the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt(pub u32);
 
-/// What happens at the edge.
+/// What the driver reports to the router.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A newer configuration is in force.
     View(Arc<View>),
-    /// Servers changed; where `whole` is set, all servers not among them are no longer known.
+    /// Servers changed; where `complete` is set, all servers not among them are unlisted.
     Servers {
         /// The records.
         records: Vec<ServerRecord>,
-        /// Whether they are the whole directory.
+        /// Whether they are the complete directory.
         complete: bool,
     },
-    /// Edges at work in the whole system, this one included; shares budgets and limits.
+    /// Number of edges at work, this one included; budgets and limits are divided by it.
     Edges(u32),
     /// The edges at work, by name.
     EdgeList {
@@ -35,41 +35,41 @@
         /// All edges, this one included.
         edges: Vec<NodeId>,
     },
-    /// Another edge has told what is under way at servers.
+    /// Another edge advertised its loads at servers.
     PeerLoads {
         /// The edge.
         edge: NodeId,
         /// Whose requests it counted.
         scope: LoadScope,
-        /// What it told.
+        /// The loads, by server.
         loads: Vec<EdgeServerLoad>,
     },
-    /// A client's request, its head read whole. Its route was looked up in the configuration then in force.
+    /// A client's request with its complete head. Its route was looked up in the configuration then in force.
     Request(NewRequest),
     /// An attempt's request has been written to a server's connection, in part at least.
     Written(RequestId, Attempt),
-    /// The head of a success has come and is being passed on: from here on the client has a server's answer.
+    /// The head of a success has arrived and is being forwarded: from here on the client has a server's response.
     Head(RequestId, Attempt, Option<ServerLoad>),
-    /// The first event (or body byte) has come.
+    /// The first event (or byte) of the body has arrived.
     First(RequestId, Attempt),
-    /// A stream whose head has been passed on has paused for far longer than its aim, so that its server may be
-    /// gone. Answered with `Action::Cancel` where it may go on elsewhere.
+    /// A stream whose head was forwarded has paused for far longer than its gap target, so that its server may be
+    /// gone. Answered with `Action::Cancel` where the stream may resume at another server.
     Stalled(RequestId, Attempt),
-    /// An attempt is over.
+    /// An attempt ended.
     Ended(RequestId, Attempt, Outcome),
-    /// The client has its whole answer, or has gone: the request is over and nothing may be sent for it. Comes
-    /// after the `Ended` of an attempt that served it; before that, it means that the client has gone.
+    /// The client has its complete response, or has left: the request is over and nothing may be sent for it. Comes
+    /// after the `Ended` of an attempt that served it; before that, it means that the client has left.
     Finished(RequestId),
-    /// The process has been told to end: nothing may wait longer than it must.
+    /// The process shuts down gracefully: requests no longer wait for models to load.
     ShutdownRequested,
-    /// Time has passed; sent at `Router::next_wake` or earlier.
+    /// Time passed; sent at `Router::next_wake` or earlier.
     Tick,
 }
 
-/// A request as it came.
+/// A request as the driver received it.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
-    /// Its name here.
+    /// Its id at this edge.
     pub id: RequestId,
     /// The route, of the configuration in force when the head had been read.
     pub route: Arc<Route>,
@@ -77,13 +77,13 @@
     pub model: Option<String>,
     /// `Model` after the slash.
     pub adapter: Option<String>,
-    /// `Token-Count`: tokens of the prompt, and the most out.
+    /// `Token-Count`: tokens of the prompt, and output tokens at most.
     pub tokens: Option<(u32, u32)>,
     /// `Prompt-Prefix`: parts of the prompt, in order, with their tokens.
     pub prompt: Vec<(u64, u32)>,
     /// `Deadline-Ms`, or the route's timeout where there is none.
     pub deadline_ms: u64,
-    /// `Last-Event-Id`, where the client takes a stream up again.
+    /// `Last-Event-Id`, where the client resumes a stream.
     pub last_event: Option<u64>,
     /// Bytes of the body where its length is known.
     pub body_bytes: Option<u64>,
@@ -91,27 +91,27 @@
     pub path_hash: u64,
 }
 
-/// `Server-Load`: what a server says of itself in an answer.
+/// `Server-Load`: the load that a server reports in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the server's queue.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests that it can run at once.
     pub slots: u32,
 }
 
-/// Whether a request may have run: the only thing that repeats, refusals and final answers are decided by.
+/// Whether a request may have run: the only basis of retries, rejections and final responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display)]
 pub enum Verdict {
     /// No byte of it was written to any server.
     NeverSent,
-    /// The server said so (`Not-Executed`, 421), and nothing of the attempt is still out.
+    /// The server said so (`Not-Executed`, 421), and nothing of the attempt is still in flight.
     SurelyNotRun,
-    /// It was written in part or whole, and no answer says what became of it.
+    /// It was written in part or completely, and no response shows whether it ran.
     MayHaveRun,
-    /// A server's answer shows that it ran.
+    /// A server's response shows that it ran.
     HasRun,
 }
 
@@ -120,63 +120,63 @@
 pub struct Outcome {
     /// Whether the request may have run in this attempt.
     pub verdict: Verdict,
-    /// What was seen.
+    /// What the driver saw.
     pub ending: Ending,
-    /// The server's load, where the answer told it.
+    /// The server's load, where the response reported it.
     pub load: Option<ServerLoad>,
-    /// `Retry-After` of the server's answer, in milliseconds.
+    /// `Retry-After` of the server's response, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What was seen at the end of an attempt.
+/// How an attempt ended, as the driver saw it.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 pub enum Ending {
-    /// A whole success has been passed on.
+    /// A complete success was forwarded.
     Served,
-    /// A whole answer that is no success is held by the driver, to be passed on or dropped.
+    /// A complete response other than a success is buffered by the driver, to be forwarded or dropped.
     Failed {
         /// Its status.
         status: u16,
     },
-    /// The server turned the request away (503, 429, 421, 400 with `Not-Executed` or 421).
+    /// The server rejected the request (503, 429, 421, 400 with `Not-Executed` or 421).
     Rejected {
         /// Its status.
         status: u16,
-        /// `Instance-Id` of the answer: who is at that address.
+        /// `Instance-Id` of the response: the instance at that address.
         instance: Option<String>,
     },
     /// No connection came up.
     Unreachable,
-    /// A connection that had been used before was found closed or reset before any answer.
+    /// A connection that had been used before was found closed or reset before any response.
     StaleConnection,
-    /// The connection ended or was reset before a whole head.
+    /// The connection ended or was reset before a complete head.
     ConnectionLost,
-    /// What came is no answer, or another request's.
+    /// What arrived is not a valid response, or belongs to another request.
     MalformedResponse,
-    /// The answer broke off after its head had been passed on.
+    /// The response was truncated after its head had been forwarded.
     Truncated {
-        /// The last event that was passed on whole, for streams.
+        /// The last complete event that was forwarded, for streams.
         last_event: Option<u64>,
-        /// Whether the server is known to have said more than was passed on whole.
+        /// Whether the server is known to have sent more than was forwarded completely.
         at_fault: bool,
     },
-    /// The router called it off (`Action::Cancel`) before its head had been passed on. A stream that is called off
-    /// later ends as `Broken`, so that it can be taken up after its last event.
+    /// The router cancelled it (`Action::Cancel`) before its head had been forwarded. A stream that is cancelled later
+    /// ends as `Truncated`, so that it can resume after its last event.
     Cancelled,
 }
 
-/// What the driver is to do.
+/// What the driver has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server. A held failed answer of an earlier attempt is dropped.
+    /// Send the request to a server. A buffered failed response of an earlier attempt is dropped.
     Send {
         /// The request.
         request: RequestId,
-        /// This sending.
+        /// The attempt.
         attempt: Attempt,
         /// The server's id, for `Expected-Instance`.
         server: ServerId,
-        /// Where it is, `IP:PORT`.
+        /// Its address, `IP:PORT`.
         address: String,
         /// Its service.
         service: String,
@@ -184,19 +184,19 @@
         deadline_ms: u64,
         /// For `Priority`.
         priority: u8,
-        /// Take the stream up after this event, inside the answer that the client already has.
+        /// Resume the stream after this event, inside the response that the client already has.
         resume_after: Option<u64>,
     },
-    /// Pass the held failed answer on to the client, unchanged.
+    /// Forward the buffered failed response to the client, unchanged.
     ForwardFailure(RequestId),
-    /// Answer with a failure of our own, at once. Only where no answer's head has been passed on.
+    /// Reject the request at once. Only where no response's head was forwarded.
     Reject {
         /// The request.
         request: RequestId,
-        /// The answer.
+        /// The response to the client.
         rejection: Rejection,
     },
-    /// Break the answer off, as it cannot be completed: the client must see that it is not whole.
+    /// Abort the response, which cannot be completed: the client must see that it is truncated.
     AbortResponse(RequestId),
     /// Stop waiting for an attempt and close its connection; an `Event::Ended` follows.
     Cancel(RequestId, Attempt),
@@ -204,48 +204,48 @@
     CloseConnections(ServerId),
 }
 
-/// An answer of our own.
+/// A response of the edge itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// 404, 429, 502, 503 or 504. 429 and 503 promise that the request has not run and never will.
     pub status: u16,
-    /// When to come back, in milliseconds; only with 429 and 503.
+    /// When to retry, in milliseconds; only with 429 and 503.
     pub retry_after_ms: Option<u64>,
-    /// Why, for counters and logs.
+    /// The reason, for counters and logs.
     pub reason: RejectReason,
 }
 
-/// Why a request was refused.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter, strum::EnumCount)]
 pub enum RejectReason {
     /// No server of the service is known or usable.
     NoServer,
-    /// No server holds the model, and none will in time.
+    /// No server has the model loaded, and none will in time.
     NoModel,
     /// Every usable server is full.
     Full,
-    /// Servers turned it away as often as it may be sent.
+    /// Servers rejected it as often as it may be sent.
     Rejected,
     /// It may have run, and may not be repeated.
     MayHaveRun,
-    /// The deadline or the route's timeout has come.
+    /// The deadline or the route's timeout has passed.
     TooLate,
-    /// This process is ending.
+    /// This process is shutting down.
     Stopping,
     /// A bound of this process is reached.
     Overloaded,
 }
 
-/// What other edges are to be told of requests under way at servers.
+/// An update of loads at servers, to be sent to other edges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadUpdate {
-    /// Whom to tell.
+    /// The receivers.
     pub to: Arc<[NodeId]>,
     /// Whose requests are counted.
     pub scope: LoadScope,
-    /// What to tell.
+    /// The loads, by server.
     pub loads: Vec<EdgeServerLoad>,
 }
 
-/// When the router next wants `Event::Tick`, and what it reports; see `Router`.
+/// When the router next wants `Event::Tick`; `None` while no timer is set.
 pub type NextWake = Option<Millis>;
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -65,7 +65,7 @@
     pub in_slot_array: bool,
     /// Another instance answered at its address.
     pub displaced: bool,
-    /// The driver was told to close its connections.
+    /// Whether the driver was asked to close its connections.
     pub connections_closed: bool,
     /// Since when the directory no longer lists it.
     pub unlisted_since: Option<Millis>,
--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -84,7 +84,7 @@
     let first = edge.send_request(&route(LLM), "m1");
     edge.handle(Event::Head(first.request, first.attempt, Some(load(64, 0, 64))));
     assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
-    // What it told is out of date before long.
+    // The reported load expires.
     edge.pass(edge.now + 1001);
     assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
 }
@@ -165,7 +165,7 @@
     assert_eq!((sent.priority, sent.deadline_ms, sent.resume_after), (9, 695, None));
 }
 
-/// A server tells its load: in an answer to a request that goes nowhere else, as others drain meanwhile.
+/// Has a server report its load, in the response to a request that only it can serve.
 fn report_load(edge: &mut Edge, number: u32, running: u32, waiting: u32) {
     let only = format!("m{}", 30 + number);
     let mut record = server(LLM, number, &["m1", &only]);
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -45,15 +45,16 @@
         },
     ]
     "#);
-    // What is open or waits is told again; what arrived is not.
+    // Gauges are reported again; counts start anew.
     let (demand, _) = edge.router.take_report(edge.now);
-    let told: Vec<_> = demand.iter().map(|d| (d.model.as_str(), d.arrived, d.queued, d.in_flight)).collect();
-    assert_eq!(told, vec![("m1", 0, 0, 1), ("m2", 0, 1, 0)]);
+    let reported: Vec<_> =
+        demand.iter().map(|d| (d.model.as_str(), d.arrived, d.queued, d.in_flight)).collect();
+    assert_eq!(reported, vec![("m1", 0, 0, 1), ("m2", 0, 1, 0)]);
     edge.pass(edge.now + 10_000);
     let (demand, _) = edge.router.take_report(edge.now);
-    let told: Vec<_> =
+    let reported: Vec<_> =
         demand.iter().map(|d| (d.model.as_str(), d.over_capacity, d.queued, d.in_flight)).collect();
-    assert_eq!(told, vec![("m1", 1, 0, 0), ("m2", 1, 0, 0)]);
+    assert_eq!(reported, vec![("m1", 1, 0, 0), ("m2", 1, 0, 0)]);
     assert_eq!(edge.router.take_report(edge.now).0, vec![]);
 }
 
