--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -9,10 +9,11 @@
 use crate::balance::request_key;
 use crate::dispatch::Fallback;
 use crate::interface::{Action, NewRequest, RejectReason};
-use crate::report::{record_arrival, Target};
+use crate::report::record_arrival;
 use crate::request::Request;
 use crate::router::Router;
 use crate::server::{Availability, ServerHandle};
+use crate::target::Target;
 
 impl Router {
     pub(crate) fn on_request(&mut self, now: Millis, new: NewRequest, actions: &mut Vec<Action>) {
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -10,10 +10,10 @@
 
 use crate::interface::NewRequest;
 use crate::load_gossip::LoadGossip;
-use crate::report::Target;
 use crate::server::{Availability, Capacity, Server, ServerHandle};
 use crate::server_pool::ServerPool;
 use crate::server_table::ServerTable;
+use crate::target::Target;
 use crate::Options;
 
 /// What a request asks of the balancer.
--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -6,9 +6,9 @@
 
 use crate::balance::{select, SelectedServer, Selection, Unavailable};
 use crate::interface::{Action, Attempt, RejectReason};
-use crate::report::Target;
 use crate::request::{InFlight, Phase, Request};
 use crate::router::Router;
+use crate::target::Target;
 
 /// Retries at servers that have surely not run the request, beyond the route's maximum of attempts.
 const MAX_SAME_SERVER_RETRIES: u32 = 2;
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -16,7 +16,7 @@
 //! | `attempt_outcomes` | what the end of an attempt says of the request and of the server |
 //! | `responses` | the final action of a request |
 //! | `timers`, `request_table` | requests and attempts that are due; the table of open requests |
-//! | `request` | a request and its phases |
+//! | `request`, `target` | a request and its phases; the service, model and adapter that it asks for |
 //! | `balance` | the server of a request: RJ-CH sequence, cap, known load |
 //! | `server`, `server_table`, `server_pool` | one server; all servers; the servers of one service |
 //! | `failure_accrual` | consecutive failures, ejection with backoff, probes |
@@ -55,6 +55,7 @@
 mod server_pool;
 mod server_table;
 mod sliding_count;
+mod target;
 mod timers;
 
 pub use counters::Counters;
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -9,10 +9,10 @@
 use crate::balance::Unavailable;
 use crate::dispatch::{reject_reason, Fallback};
 use crate::interface::{Action, RejectReason};
-use crate::report::Target;
 use crate::request::{Phase, Queued, Request};
 use crate::request_queue::QueueKey;
 use crate::router::Router;
+use crate::target::Target;
 
 impl Router {
     /// Queues a request without an available server, unless its wait would be over at once.
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -6,22 +6,12 @@
 use shaletrail_protocol::internal::{Demand, ServerOutcomes};
 
 use crate::server_table::ServerTable;
+use crate::target::Target;
 use crate::Options;
 
 /// Output tokens count this many times as much as those of a prompt.
 const OUTPUT_WEIGHT: u64 = 10;
 
-/// What a request asks for: the service, and the model and adapter that must be loaded.
-#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Target {
-    /// The service.
-    pub service: String,
-    /// The model; empty for services without models.
-    pub model: String,
-    /// The adapter.
-    pub adapter: Option<String>,
-}
-
 /// Demand since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct DemandTable(BTreeMap<Arc<Target>, Demand>);
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -7,8 +7,8 @@
 use shaletrail_ring::Key;
 
 use crate::interface::{Attempt, NewRequest, RejectReason, RequestId, Verdict};
-use crate::report::Target;
 use crate::server::ServerHandle;
+use crate::target::Target;
 use crate::Options;
 
 /// Clients abandon a stream after the longest of: this time without an event, in milliseconds, ...
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -7,7 +7,7 @@
 use crate::failure_accrual::FailureAccrual;
 use crate::interface::ServerLoad;
 use crate::local_load::LocalLoad;
-use crate::report::Target;
+use crate::target::Target;
 use crate::Options;
 
 /// Missing models that are remembered of one server.
@@ -123,10 +123,7 @@
     }
 
     fn is_missing(&self, target: &Target, now: Millis) -> bool {
-        let same = |missing: &MissingModel| {
-            missing.until > now && missing.model == target.model && missing.adapter == target.adapter
-        };
-        self.missing_models.iter().any(same)
+        self.missing_until(target, now).is_some()
     }
 
     /// Until when the model or adapter counts as missing.
