--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -12,7 +12,7 @@
 use crate::report::record_arrival;
 use crate::request::Request;
 use crate::router::Router;
-use crate::server::{Availability, ServerHandle};
+use crate::server::{Availability, Server};
 use crate::target::Target;
 
 impl Router {
@@ -43,29 +43,25 @@
         self.dispatch(now, request, Fallback::Queue, actions);
     }
 
-    /// A target of the route by weight, among those that have a server that takes requests if any has.
+    /// Picks a service of the route's traffic split by weight, among those with a ready server if there is one.
     fn pick_service(&mut self, route: &Route) -> String {
-        let has_ready = |name: &str| {
-            let members = self.pools.get(name).map(|pool| pool.members.as_slice()).unwrap_or_default();
-            let ready = |handle: &ServerHandle| {
-                self.servers.get(*handle).is_some_and(|server| server.availability() == Availability::Ready)
-            };
-            members.iter().any(ready)
+        let has_ready = |service: &str| {
+            self.servers_of(service).any(|server| server.availability() == Availability::Ready)
         };
         if let [only] = route.traffic_split.as_slice() {
             return only.service.clone();
         }
         let usable: Vec<_> = route.traffic_split.iter().filter(|part| has_ready(&part.service)).collect();
-        let among = if usable.is_empty() { route.traffic_split.iter().collect() } else { usable };
-        let sum: f64 = among.iter().map(|part| part.weight).sum();
-        let mut point = self.random.random::<f64>() * sum;
-        for part in &among {
+        let candidates = if usable.is_empty() { route.traffic_split.iter().collect() } else { usable };
+        let total_weight: f64 = candidates.iter().map(|part| part.weight).sum();
+        let mut point = self.random.random::<f64>() * total_weight;
+        for part in &candidates {
             point -= part.weight;
             if point < 0.0 {
                 return part.service.clone();
             }
         }
-        among.last().map(|part| part.service.clone()).unwrap_or_default()
+        candidates.last().map(|part| part.service.clone()).unwrap_or_default()
     }
 
     /// Whether a model is neither in the configuration nor on any server.
@@ -77,21 +73,23 @@
         let runtime = service.and_then(|service| service.runtime.as_ref());
         let model =
             runtime.and_then(|runtime| runtime.models.iter().find(|model| model.name == target.model));
-        let configured = model.is_some_and(|model| match &target.adapter {
+        let is_configured = model.is_some_and(|model| match &target.adapter {
             None => true,
             Some(adapter) => {
                 let number = adapter.strip_prefix('a').and_then(|number| number.parse().ok());
                 number.is_some_and(|number: u32| (1..=model.adapters).contains(&number))
             }
         });
-        !configured && !self.is_loaded_somewhere(target)
+        !is_configured && !self.is_loaded_somewhere(target)
     }
 
     fn is_loaded_somewhere(&self, target: &Target) -> bool {
-        let members = self.pools.get(&target.service).map(|pool| pool.members.as_slice()).unwrap_or_default();
-        members
-            .iter()
-            .filter_map(|handle| self.servers.get(*handle))
-            .any(|server| server.has_loaded(target, Millis::MAX))
+        self.servers_of(&target.service).any(|server| server.has_loaded(target, Millis::MAX))
+    }
+
+    /// The servers in a service's pool.
+    fn servers_of(&self, service: &str) -> impl Iterator<Item = &Server> {
+        let members = self.pools.get(service).map(|pool| pool.members.as_slice()).unwrap_or_default();
+        members.iter().filter_map(|handle| self.servers.get(*handle))
     }
 }
--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -21,9 +21,9 @@
 }
 
 impl ResponsePart {
-    /// Marks the attempt as answered.
+    /// Marks that the attempt has a response.
     fn of(in_flight: &mut InFlight) -> Self {
-        let is_first = !std::mem::replace(&mut in_flight.answered, true);
+        let is_first = !std::mem::replace(&mut in_flight.has_response, true);
         let InFlight { server, sent_at, prefill, .. } = *in_flight;
         ResponsePart { server, sent_at, prefill, is_first }
     }
@@ -45,11 +45,11 @@
 
     pub(crate) fn on_first(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
         let Some((_, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
-        let (response_check_at, give_up_at) = (in_flight.response_check_at.take(), in_flight.give_up_at);
+        let (response_check_at, timeout_at) = (in_flight.response_check_at.take(), in_flight.timeout_at);
         let response = ResponsePart::of(in_flight);
-        if let Some(response_check_at) = response_check_at.filter(|at| *at < give_up_at) {
+        if let Some(response_check_at) = response_check_at.filter(|at| *at < timeout_at) {
             self.timers.remove(&(response_check_at, id));
-            self.timers.insert((give_up_at, id));
+            self.timers.insert((timeout_at, id));
         }
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -76,9 +76,9 @@
     }
 
     fn record_server_load(&mut self, now: Millis, in_flight: &InFlight, outcome: &Outcome) {
-        let answered =
+        let has_response =
             matches!(outcome.ending, Ending::Served | Ending::Failed { .. } | Ending::Rejected { .. });
-        let Some(server) = self.servers.get_mut(in_flight.server).filter(|_| answered) else { return };
+        let Some(server) = self.servers.get_mut(in_flight.server).filter(|_| has_response) else { return };
         server.last_response_at = now;
         if let Some(load) = outcome.load {
             server.record_load(now, load);
@@ -153,7 +153,7 @@
     /// long without a response.
     pub(crate) fn record_client_departure(&mut self, now: Millis, in_flight: &InFlight) {
         if now.saturating_sub(in_flight.sent_at) >= self.options.min_response_timeout_ms
-            && !in_flight.answered
+            && !in_flight.has_response
         {
             self.record_response_timeout(now, in_flight);
         } else if let Some(server) = self.servers.get_mut(in_flight.server) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Records an attempt that was given up: a failure of the server unless it has responded to any request since.
+    /// Records an attempt without a response: a failure of the server unless it has responded to any request since.
     pub(crate) fn record_response_timeout(&mut self, now: Millis, in_flight: &InFlight) {
         let Some(server) = self.servers.get_mut(in_flight.server) else { return };
         if in_flight.cancelled {
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -25,7 +25,7 @@
     pub(crate) fn release_server(&mut self, request: &Request, in_flight: &InFlight) {
         if let Some(server) = self.servers.get_mut(in_flight.server) {
             server.open = server.open.saturating_sub(1);
-            if !in_flight.answered {
+            if !in_flight.has_response {
                 self.has_urgent_load |=
                     server.local_load.record_response(in_flight.sent_at, in_flight.prefill);
             }
@@ -59,7 +59,7 @@
         let next_check_at = now + self.options.min_response_timeout_ms.max(1);
         in_flight.response_check_at = Some(next_check_at).filter(|_| !in_flight.cancelled);
         let timer_at =
-            in_flight.response_check_at.map_or(in_flight.give_up_at, |at| at.min(in_flight.give_up_at));
+            in_flight.response_check_at.map_or(in_flight.timeout_at, |at| at.min(in_flight.timeout_at));
         let (server, sent_at, cancelled) = (in_flight.server, in_flight.sent_at, in_flight.cancelled);
         self.timers.remove(&(previous_check_at, request.id()));
         self.timers.insert((timer_at, id));
--- a/routing/src/counters.rs
+++ b/routing/src/counters.rs
@@ -4,13 +4,13 @@
 
 use crate::interface::RejectReason;
 
-/// Counts since the start. `received == answered + rejected() + aborted_responses + client_left + open` at all times.
+/// Counts since the start. `received == completed + rejected() + aborted_responses + client_left + open` at all times.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests received from clients.
     pub received: u64,
     /// Requests that got a complete response of a server, failures among them.
-    pub answered: u64,
+    pub completed: u64,
     /// Of those, failures of servers that were forwarded.
     pub forwarded_failures: u64,
     /// Responses that were aborted midway.
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,5 +1,5 @@
 //! Decisions on requests at an edge, as a sans-IO state machine: a driver feeds a [`Router`] with
-//! [`interface::Event`]s and carries out the [`interface::Action`]s that it answers. It has no clock, no threads
+//! [`interface::Event`]s and carries out the [`interface::Action`]s that it returns. It has no clock, no threads
 //! and no I/O; the same events give the same actions.
 //!
 //! A request's way: `admission` names its service, `dispatch` asks `balance` for a server and sends it, or `queueing` keeps
--- a/routing/src/local_load.rs
+++ b/routing/src/local_load.rs
@@ -57,10 +57,18 @@
     }
 
     /// The load to advertise, if it changed or needs a refresh.
-    pub fn take_changed_load(&mut self, now: Millis, open: u32, silent: bool) -> Option<EdgeServerLoad> {
-        let load =
-            RemoteLoad { open, prefill_tokens: self.prefill_tokens, unresponsive_edges: u32::from(silent) }
-                .to_edge_load(self.key);
+    pub fn take_changed_load(
+        &mut self,
+        now: Millis,
+        open: u32,
+        is_unresponsive: bool,
+    ) -> Option<EdgeServerLoad> {
+        let load = RemoteLoad {
+            open,
+            prefill_tokens: self.prefill_tokens,
+            unresponsive_edges: u32::from(is_unresponsive),
+        }
+        .to_edge_load(self.key);
         if load == self.advertised.load && !self.advertised.needs_refresh(now, &load) {
             return None;
         }
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -121,7 +121,7 @@
         let wait = (time as f64 * options.model_wait_fraction) as Millis;
         let patience = self
             .client_patience()
-            .map_or(Millis::MAX, |silence| (silence as f64 * options.patience_fraction) as Millis);
+            .map_or(Millis::MAX, |patience| (patience as f64 * options.patience_fraction) as Millis);
         self.arrived_at + wait.min(patience)
     }
 
@@ -159,9 +159,7 @@
         match self {
             Phase::Queued(queued) => queued.until,
             Phase::InFlight(in_flight) => {
-                in_flight.response_check_at.map_or(in_flight.give_up_at, |response_check_at| {
-                    response_check_at.min(in_flight.give_up_at)
-                })
+                in_flight.response_check_at.map_or(in_flight.timeout_at, |at| at.min(in_flight.timeout_at))
             }
         }
     }
@@ -185,14 +183,14 @@
     pub server: ServerHandle,
     /// When it was sent.
     pub sent_at: Millis,
-    /// When it is given up.
-    pub give_up_at: Millis,
+    /// When it times out.
+    pub timeout_at: Millis,
     /// When the response time-out is checked, where the request may move to another server.
     pub response_check_at: Option<Millis>,
     /// Prompt tokens that the server has to prefill before it responds, as estimated by this edge.
     pub prefill: u32,
     /// Whether the response has begun.
-    pub answered: bool,
+    pub has_response: bool,
     /// Whether it is the request's first attempt at that server.
     pub is_first_visit: bool,
     /// Whether it is a retry, withdrawn from the budget.
--- a/routing/src/responses.rs
+++ b/routing/src/responses.rs
@@ -11,13 +11,13 @@
     /// The client has a server's complete response.
     pub(crate) fn complete(&mut self, _request: Request) {
         self.counters.open -= 1;
-        self.counters.answered += 1;
+        self.counters.completed += 1;
     }
 
     /// Forwards the failed response that the driver buffers.
     pub(crate) fn forward_failure(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
-        self.counters.answered += 1;
+        self.counters.completed += 1;
         self.counters.forwarded_failures += 1;
         actions.push(Action::ForwardFailure(request.id()));
     }
--- a/routing/src/timers.rs
+++ b/routing/src/timers.rs
@@ -31,7 +31,7 @@
                     self.reject(now, request, if late { RejectReason::TooLate } else { reason }, actions);
                 }
             }
-            Some((_, Phase::InFlight(in_flight))) if now >= in_flight.give_up_at => {
+            Some((_, Phase::InFlight(in_flight))) if now >= in_flight.timeout_at => {
                 self.expire(now, id, actions)
             }
             Some((_, Phase::InFlight(_))) => self.check_response_timeout(now, id, actions),
--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -12,8 +12,8 @@
 #[test]
 fn request_goes_to_owner_of_home_slot() {
     let models: Vec<String> = (0..40).map(|number| format!("m{number}")).collect();
-    let held: Vec<&str> = models.iter().map(String::as_str).collect();
-    let mut edge = Edge::with_servers(LLM, 8, &held);
+    let loaded: Vec<&str> = models.iter().map(String::as_str).collect();
+    let mut edge = Edge::with_servers(LLM, 8, &loaded);
     for model in &models {
         let sent = edge.send_request(&route(LLM), model);
         assert_eq!(sent.server, sequence(Key::of(model), 8)[0], "{model}");
@@ -44,8 +44,8 @@
 fn next_owner_with_model_replaces_home() {
     let order = sequence(Key::of("m3"), 6);
     let mut edge = Edge::new(options());
-    let holds = |number: u32| order[2..].contains(&name(number));
-    edge.servers((0..6).map(|n| server(LLM, n, if holds(n) { &["m3"] } else { &["m4"] })).collect());
+    let has_model = |number: u32| order[2..].contains(&name(number));
+    edge.servers((0..6).map(|n| server(LLM, n, if has_model(n) { &["m3"] } else { &["m4"] })).collect());
     assert_eq!(edge.send_request(&route(LLM), "m3").server, order[2]);
 }
 
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -26,7 +26,7 @@
     next_request: u64,
 }
 
-/// An attempt, as the driver was asked to send it.
+/// An attempt, as the driver has to send it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
     pub request: RequestId,
--- a/routing/tests/failure_accrual.rs
+++ b/routing/tests/failure_accrual.rs
@@ -39,13 +39,13 @@
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let order = sequence(Key::of("m1"), 4);
     let first = edge.send_request(&route(LLM), "m1");
-    let elsewhere = sent(&edge.end(&first, unreachable())).expect("sent elsewhere");
-    edge.serve(&elsewhere);
+    let retry = sent(&edge.end(&first, unreachable())).expect("sent elsewhere");
+    edge.serve(&retry);
     edge.now += 700;
-    let trial = edge.send_request(&route(LLM), "m1");
-    let beside = edge.send_request(&route(LLM), "m1");
-    assert_eq!((&trial.server, &beside.server), (&order[0], &order[1]));
-    edge.serve(&trial);
+    let probe = edge.send_request(&route(LLM), "m1");
+    let other = edge.send_request(&route(LLM), "m1");
+    assert_eq!((&probe.server, &other.server), (&order[0], &order[1]));
+    edge.serve(&probe);
     for _ in 0..2 {
         assert_eq!(edge.send_request(&route(LLM), "m1").server, order[0]);
     }
--- a/routing/tests/random_histories.rs
+++ b/routing/tests/random_histories.rs
@@ -299,8 +299,8 @@
     }
 
     fn add_server(&mut self) {
-        let held: Vec<&str> = MODELS.iter().copied().filter(|_| self.random.random_bool(0.5)).collect();
-        let record = server(LLM, self.next_server, &held);
+        let loaded: Vec<&str> = MODELS.iter().copied().filter(|_| self.random.random_bool(0.5)).collect();
+        let record = server(LLM, self.next_server, &loaded);
         self.next_server += 1;
         self.records.insert(record.id.clone(), record.clone());
         self.deliver(Event::Servers { records: vec![record], complete: false });
@@ -372,7 +372,7 @@
     fn check_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match &action {
-                Action::Send { .. } => self.check_sent(&sent(&[action]).expect("a sending")),
+                Action::Send { .. } => self.check_sent(&sent(&[action]).expect("an attempt")),
                 Action::Cancel(id, attempt) => self.check_cancel(*id, *attempt),
                 Action::Reject { request, rejection } => self.check_rejected(*request, *rejection),
                 Action::ForwardFailure(id) => self.check_forwarded_failure(*id),
@@ -398,10 +398,13 @@
             "too many attempts: {tracked:?}"
         );
         assert!(!tracked.may_run_at.contains(&sent.server), "sent again to a server that may have run it");
-        assert!(!self.departed_servers.contains(&sent.server), "sent to a server that leaves");
+        assert!(!self.departed_servers.contains(&sent.server), "sent to a departed server");
         let record = self.records.get(&sent.server).expect("a known server");
         let models = record.heartbeat.models.as_deref().unwrap_or_default();
-        assert!(models.iter().any(|held| held.name == tracked.model), "sent to a server without the model");
+        assert!(
+            models.iter().any(|loaded| loaded.name == tracked.model),
+            "sent to a server without the model"
+        );
         assert_eq!(sent.resume_after, tracked.last_event.filter(|_| tracked.response_started));
         assert!(sent.resume_after.is_some() == tracked.response_started, "a second head");
         assert!(self.edge.now < tracked.deadline_at);
@@ -465,7 +468,7 @@
     fn check_counts(&self) {
         let counters = self.edge.router.counters();
         let ended =
-            counters.answered + counters.rejected() + counters.aborted_responses + counters.client_left;
+            counters.completed + counters.rejected() + counters.aborted_responses + counters.client_left;
         assert_eq!(counters.received, ended + counters.open);
         assert_eq!(counters.open, self.open.len() as u64);
         assert_eq!(counters.received, (self.open.len() + self.finished.len()) as u64);
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -94,7 +94,7 @@
     edge.request(&route(LLM), "m2");
     edge.send_request(&route(LLM), "m1");
     let counters = edge.router.counters();
-    assert_eq!((counters.received, counters.answered, counters.forwarded_failures), (6, 2, 1));
+    assert_eq!((counters.received, counters.completed, counters.forwarded_failures), (6, 2, 1));
     assert_eq!((counters.rejected(), counters.rejected_for(RejectReason::MayHaveRun)), (1, 1));
     assert_eq!((counters.client_left, counters.open, counters.queued), (1, 2, 1));
 }
--- a/routing/tests/request_queue.rs
+++ b/routing/tests/request_queue.rs
@@ -147,7 +147,7 @@
 /// Has so many requests open that the servers can take no more.
 fn fill(edge: &mut Edge) {
     while sent(&edge.request(&route(LLM), "m1").1).is_some() {}
-    let held = edge.router.counters().received;
-    edge.handle(Event::Finished(RequestId(held)));
+    let newest = edge.router.counters().received;
+    edge.handle(Event::Finished(RequestId(newest)));
     assert_eq!(edge.router.counters().queued, 0);
 }
--- a/routing/tests/retries.rs
+++ b/routing/tests/retries.rs
@@ -34,7 +34,8 @@
     let outcome = Outcome { retry_after_ms: Some(400), ..rejected(503) };
     let actions = edge.end(&sent, outcome);
     assert_rejected(&actions, 503, RejectReason::Rejected);
-    let retry_after = rejection(&actions).and_then(|rejection| rejection.retry_after_ms).expect("told when");
+    let retry_after =
+        rejection(&actions).and_then(|rejection| rejection.retry_after_ms).expect("a Retry-After");
     assert!((400..=500).contains(&retry_after), "{retry_after}");
 }
 
@@ -47,7 +48,7 @@
     let visited = [&first.server, &second.server, &third.server];
     let mut ended = edge.end(&third, rejected(503));
     let mut attempts = 3;
-    // It has surely not run at these: they may be asked again, a few times, while it may be held.
+    // These have surely not run it: they may be retried, a few times, while it may be queued.
     while rejection(&ended).is_none() {
         match sent(&ended) {
             Some(again) => {
@@ -184,8 +185,8 @@
     edge.servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::Edges(1));
     let first = edge.send_request(&route(LLM), "m1");
-    let repeat = sent(&edge.end(&first, rejected(503))).expect("the one repeat");
-    let again = sent(&edge.end(&repeat, unreachable())).expect("the same repeat");
+    let retry = sent(&edge.end(&first, rejected(503))).expect("the one retry");
+    let again = sent(&edge.end(&retry, unreachable())).expect("the same retry");
     assert_rejected(&edge.end(&again, rejected(503)), 503, RejectReason::Rejected);
 }
 
@@ -280,6 +281,6 @@
 fn ejected_only_replica_uses_capacity_wait() {
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let first = edge.send_request(&Route { target_latency_ms: 100, ..route(LLM) }, "m1");
-    // It could be asked again only after the time for which it may be held: it is refused at once.
+    // The server could be probed only after the time for which the request may be queued: it is rejected at once.
     assert_rejected(&edge.end(&first, unreachable()), 503, RejectReason::Full);
 }
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -99,7 +99,7 @@
     let open = edge.send_request(&route(LLM), "m1");
     edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Draining)]);
     assert_eq!(edge.serve(&open), vec![]);
-    assert_eq!(edge.router.counters().answered, 1);
+    assert_eq!(edge.router.counters().completed, 1);
 }
 
 #[test]
--- a/routing/tests/streams.rs
+++ b/routing/tests/streams.rs
@@ -11,23 +11,23 @@
 fn truncated_stream_resumes_after_last_event() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    let second = sent(&edge.end(&first, truncated(Some(17)))).expect("taken up");
+    let second = sent(&edge.end(&first, truncated(Some(17)))).expect("resumed");
     assert_ne!(first.server, second.server);
     assert_eq!(second.resume_after, Some(17));
     assert_eq!(edge.router.counters().resumed, 1);
     // The next server is lost before it says anything: the place in the stream is still known.
-    let third = sent(&edge.end(&second, lost())).expect("taken up");
+    let third = sent(&edge.end(&second, lost())).expect("resumed");
     assert_eq!(third.resume_after, Some(17));
     assert_eq!(edge.serve(&third), vec![]);
-    assert_eq!(edge.router.counters().answered, 1);
+    assert_eq!(edge.router.counters().completed, 1);
 }
 
 #[test]
 fn resumed_stream_keeps_last_event() {
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    let second = sent(&edge.end(&first, truncated(Some(17)))).expect("taken up");
-    let third = sent(&edge.end(&second, truncated(None))).expect("taken up");
+    let second = sent(&edge.end(&first, truncated(Some(17)))).expect("resumed");
+    let third = sent(&edge.end(&second, truncated(None))).expect("resumed");
     assert_eq!(third.resume_after, Some(17));
 }
 
@@ -76,7 +76,7 @@
     let actions = edge.handle(Event::Stalled(first.request, first.attempt));
     assert_eq!(actions, vec![Action::Cancel(first.request, first.attempt)]);
     assert_eq!(edge.handle(Event::Stalled(first.request, first.attempt)), vec![]);
-    let second = sent(&edge.end(&first, truncated(Some(5)))).expect("taken up");
+    let second = sent(&edge.end(&first, truncated(Some(5)))).expect("resumed");
     assert_eq!(second.resume_after, Some(5));
 }
 
@@ -117,7 +117,7 @@
     let first = begin(&mut edge, &stream(LLM, true));
     let number = first.server[2..].parse().expect("a number");
     edge.servers(vec![with_presence(server(LLM, number, &["m1"]), Presence::Removed)]);
-    let second = sent(&edge.end(&first, truncated(Some(9)))).expect("taken up");
+    let second = sent(&edge.end(&first, truncated(Some(9)))).expect("resumed");
     assert_ne!(first.server, second.server);
 }
 
