--- /dev/null
+++ b/routing/src/request_queue.rs
@@ -0,0 +1,86 @@
+//! The queue of requests that wait for a server: by priority, then by deadline.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use shaletrail_protocol::Millis;
+
+use crate::interface::RequestId;
+use crate::request::Request;
+
+/// The key that orders a request in the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueueKey {
+    /// The route's priority; 0 is the most urgent.
+    pub priority: u8,
+    /// When it must have a response.
+    pub deadline_at: Millis,
+    /// The request.
+    pub id: RequestId,
+}
+
+impl QueueKey {
+    pub fn of(request: &Request) -> Self {
+        let (priority, deadline_at) = (request.incoming.route.priority, request.deadline_at);
+        QueueKey { priority, deadline_at, id: request.id() }
+    }
+}
+
+/// Queued requests, by service.
+#[derive(Debug, Default)]
+pub(crate) struct RequestQueue {
+    by_service: BTreeMap<String, BTreeSet<QueueKey>>,
+    count: usize,
+}
+
+impl RequestQueue {
+    /// Adds a request.
+    pub fn insert(&mut self, service: &str, key: QueueKey) {
+        if !self.by_service.contains_key(service) {
+            self.by_service.insert(service.to_owned(), BTreeSet::new());
+        }
+        if self.by_service.get_mut(service).is_some_and(|keys| keys.insert(key)) {
+            self.count += 1;
+        }
+    }
+
+    /// Removes a request.
+    pub fn remove(&mut self, service: &str, key: QueueKey) {
+        let Some(keys) = self.by_service.get_mut(service) else { return };
+        if keys.remove(&key) {
+            self.count -= 1;
+        }
+        if keys.is_empty() {
+            self.by_service.remove(service);
+        }
+    }
+
+    /// The number of queued requests.
+    pub fn len(&self) -> usize {
+        self.count
+    }
+
+    /// The number of requests queued for a service.
+    pub fn len_for(&self, service: &str) -> usize {
+        self.by_service.get(service).map_or(0, BTreeSet::len)
+    }
+
+    /// The requests queued for a service, in order.
+    pub fn for_service(&self, service: &str) -> Vec<QueueKey> {
+        self.by_service.get(service).map_or_else(Vec::new, |keys| keys.iter().copied().collect())
+    }
+
+    /// All queued requests, by service.
+    pub fn all(&self) -> Vec<QueueKey> {
+        self.by_service.values().flatten().copied().collect()
+    }
+
+    /// The services with queued requests.
+    pub fn services(&self) -> Vec<String> {
+        self.by_service.keys().cloned().collect()
+    }
+
+    /// The least urgent request of all services.
+    pub fn lowest_priority(&self) -> Option<QueueKey> {
+        self.by_service.values().filter_map(|keys| keys.last()).max().copied()
+    }
+}
--- /dev/null
+++ b/routing/src/responses.rs
@@ -0,0 +1,85 @@
+//! The final action of a request: each request gets exactly one.
+
+use rand::Rng;
+use shaletrail_protocol::Millis;
+
+use crate::interface::{Action, RejectReason, Rejection};
+use crate::request::Request;
+use crate::router::Router;
+
+impl Router {
+    /// The client has a server's complete response.
+    pub(crate) fn complete(&mut self, _request: Request) {
+        self.counters.open -= 1;
+        self.counters.completed += 1;
+    }
+
+    /// Forwards the failed response that the driver buffers.
+    pub(crate) fn forward_failure(&mut self, request: Request, actions: &mut Vec<Action>) {
+        self.counters.open -= 1;
+        self.counters.completed += 1;
+        self.counters.forwarded_failures += 1;
+        actions.push(Action::ForwardFailure(request.id()));
+    }
+
+    /// Aborts a response that cannot be completed.
+    pub(crate) fn abort_response(&mut self, request: Request, actions: &mut Vec<Action>) {
+        self.counters.open -= 1;
+        self.counters.aborted_responses += 1;
+        actions.push(Action::AbortResponse(request.id()));
+    }
+
+    /// Rejects a request: with 503, which promises that it has not run, only where that is sure.
+    pub(crate) fn reject(
+        &mut self,
+        now: Millis,
+        request: Request,
+        reason: RejectReason,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(demand) = self.demand.known(&request.target) {
+            demand.over_capacity += 1;
+        }
+        let has_not_run = request.surely_not_run();
+        let status = match reason {
+            _ if has_not_run => 503,
+            RejectReason::TooLate => 504,
+            _ => 502,
+        };
+        let retry_after_ms = has_not_run.then(|| self.retry_after(now, &request, reason));
+        self.counters.open -= 1;
+        self.counters.record_rejection(reason);
+        actions.push(Action::Reject {
+            request: request.id(),
+            rejection: Rejection { status, retry_after_ms, reason },
+        });
+    }
+
+    /// When a rejected request may find a server, in milliseconds, with jitter against synchronized retries.
+    fn retry_after(&mut self, now: Millis, request: &Request, reason: RejectReason) -> Millis {
+        let (shortest, longest) = (self.options.min_retry_after_ms, self.options.max_retry_after_ms);
+        let estimate = match reason {
+            RejectReason::Stopping => shortest,
+            RejectReason::NoModel | RejectReason::NoServer => self.load_time(request),
+            _ => request.retry_after_ms.unwrap_or_else(|| self.drain_time(now, request)),
+        };
+        let estimate = estimate.clamp(shortest, longest.max(shortest));
+        estimate + self.random.random_range(0..=estimate / 4)
+    }
+
+    /// How long a load of the request's model takes, in milliseconds.
+    fn load_time(&self, request: &Request) -> Millis {
+        let service = self.view.as_ref().and_then(|view| view.service(&request.target.service));
+        let runtime = service.and_then(|service| service.runtime.as_ref());
+        let model =
+            runtime.and_then(|runtime| runtime.models.iter().find(|m| m.name == request.target.model));
+        model.map_or(0, |model| (model.load_time_s * 1000.0) as Millis)
+    }
+
+    /// How long the queue of the request's service takes to drain, in milliseconds.
+    fn drain_time(&mut self, now: Millis, request: &Request) -> Millis {
+        let waiting = self.queue.len_for(&request.target.service) as Millis;
+        let pool = self.pools.get_mut(&request.target.service);
+        pool.map_or(0, |pool| pool.drain_interval(now).saturating_mul(waiting + 1))
+    }
+}
--- /dev/null
+++ b/routing/src/server.rs
@@ -0,0 +1,225 @@
+//! One server as this edge knows it: its record, load, capacity and failures.
+
+use shaletrail_protocol::external::ServerState;
+use shaletrail_protocol::internal::{Presence, ServerOutcomes, ServerRecord};
+use shaletrail_protocol::{Millis, ServerId};
+
+use crate::failure_accrual::FailureAccrual;
+use crate::interface::ServerLoad;
+use crate::local_load::LocalLoad;
+use crate::target::Target;
+use crate::Options;
+
+/// Missing models that are remembered of one server.
+const MAX_MISSING_MODELS: usize = 16;
+
+/// Identifies a server inside the router; never reused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct ServerHandle(pub(crate) u32);
+
+/// Whether a server is available to new requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Availability {
+    /// It takes requests.
+    Ready,
+    /// Its heartbeats have timed out, or the directory no longer lists it: the last resort.
+    TimedOut,
+    /// It is draining, removed or displaced, and gets no request.
+    Draining,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct ReportedLoad {
+    at: Millis,
+    load: ServerLoad,
+    /// Requests of this edge that were in flight there at the time.
+    open: u32,
+}
+
+#[derive(Clone, Debug)]
+struct MissingModel {
+    model: String,
+    adapter: Option<String>,
+    until: Millis,
+}
+
+/// A server and what this edge has observed of it.
+#[derive(Debug)]
+pub(crate) struct Server {
+    /// The newest record.
+    pub record: ServerRecord,
+    /// Requests of this edge that are open there.
+    pub open: u32,
+    /// Outlier detection.
+    pub health: FailureAccrual,
+    /// The load of this edge there, for the exchange among edges.
+    pub local_load: LocalLoad,
+    /// When it last responded to any request.
+    pub last_response_at: Millis,
+    /// Outcomes of attempts since the last report.
+    pub outcomes: ServerOutcomes,
+    load: Option<ReportedLoad>,
+    full_until: Millis,
+    missing_models: Vec<MissingModel>,
+    /// Whether it is in its service's slot array.
+    pub in_slot_array: bool,
+    /// Another instance answered at its address.
+    pub displaced: bool,
+    /// Whether the driver was asked to close its connections.
+    pub connections_closed: bool,
+    /// Since when the directory no longer lists it.
+    pub unlisted_since: Option<Millis>,
+}
+
+impl Server {
+    pub fn new(record: ServerRecord) -> Self {
+        let outcomes = ServerOutcomes { server: record.id.clone(), succeeded: 0, failed: 0, unreachable: 0 };
+        Server {
+            local_load: LocalLoad::new(&record.id),
+            record,
+            open: 0,
+            health: FailureAccrual::default(),
+            last_response_at: 0,
+            outcomes,
+            load: None,
+            full_until: 0,
+            missing_models: Vec::new(),
+            in_slot_array: false,
+            displaced: false,
+            connections_closed: false,
+            unlisted_since: None,
+        }
+    }
+
+    /// Its availability by its record and the directory.
+    pub fn availability(&self) -> Availability {
+        if is_draining(&self.record) || self.displaced {
+            Availability::Draining
+        } else if self.record.presence == Presence::TimedOut || self.unlisted_since.is_some() {
+            Availability::TimedOut
+        } else {
+            Availability::Ready
+        }
+    }
+
+    /// Whether it has the model and adapter loaded, as far as is known.
+    pub fn has_loaded(&self, target: &Target, now: Millis) -> bool {
+        if target.model.is_empty() {
+            return true;
+        }
+        if self.record.heartbeat.models.is_none() {
+            return true;
+        }
+        self.record.serves(&target.model, target.adapter.as_deref()) && !self.is_missing(target, now)
+    }
+
+    /// Records that it rejected a request as the model or adapter is missing.
+    pub fn record_missing_model(&mut self, target: &Target, until: Millis) {
+        if self.missing_models.len() >= MAX_MISSING_MODELS {
+            self.missing_models.remove(0);
+        }
+        let (model, adapter) = (target.model.clone(), target.adapter.clone());
+        self.missing_models.push(MissingModel { model, adapter, until });
+    }
+
+    fn is_missing(&self, target: &Target, now: Millis) -> bool {
+        self.missing_until(target, now).is_some()
+    }
+
+    /// Until when the model or adapter counts as missing.
+    pub fn missing_until(&self, target: &Target, now: Millis) -> Option<Millis> {
+        let same = |missing: &&MissingModel| {
+            missing.until > now && missing.model == target.model && missing.adapter == target.adapter
+        };
+        self.missing_models.iter().filter(same).map(|missing| missing.until).max()
+    }
+
+    /// Another instance answered at its address: it is unavailable until a newer heartbeat.
+    pub fn mark_displaced(&mut self) {
+        self.displaced = true;
+    }
+
+    /// Marks its connections as closed. Returns its id the first time.
+    pub fn close_connections(&mut self) -> Option<ServerId> {
+        let already_closed = std::mem::replace(&mut self.connections_closed, true);
+        (!already_closed).then(|| self.record.id.clone())
+    }
+
+    /// Records the load that a response reported.
+    pub fn record_load(&mut self, now: Millis, load: ServerLoad) {
+        self.load = Some(ReportedLoad { at: now, load, open: self.open });
+    }
+
+    /// Records that it rejected a request for lack of capacity.
+    pub fn record_full(&mut self, until: Millis) {
+        self.full_until = self.full_until.max(until);
+    }
+
+    /// Records a rejection despite free slots: without models it can only mean a lack of capacity.
+    pub fn record_full_without_models(&mut self, until: Millis) {
+        if self.record.heartbeat.models.is_none() {
+            self.record_full(until);
+        }
+    }
+
+    /// Its slots, as a response reported them or else its heartbeat.
+    pub fn slots(&self) -> u32 {
+        let reported = self.load.map(|seen| seen.load.slots).filter(|slots| *slots > 0);
+        reported.unwrap_or(self.record.heartbeat.slots).max(1)
+    }
+
+    /// Whether a request in flight has waited for long without any response of the server.
+    pub fn is_unresponsive(&self, now: Millis, options: &Options) -> bool {
+        self.local_load.is_unresponsive(now, self.last_response_at, options.unresponsive_after_ms)
+    }
+
+    /// Requests that are there as far as is known: those of this edge, and the load reported since `since`.
+    pub fn occupied(&self, since: Millis) -> u32 {
+        let reported = self.reported_load(since).map(|seen| {
+            let there = seen.load.running.saturating_add(seen.load.waiting);
+            there.saturating_add(self.open).saturating_sub(seen.open)
+        });
+        reported.unwrap_or(0).max(self.open)
+    }
+
+    /// Its capacity, as far as is known.
+    pub fn capacity(&self, now: Millis, since: Millis, options: &Options) -> Capacity {
+        let (slots, occupied) = (self.slots(), self.occupied(since));
+        let waiting = self.reported_load(since).map_or(0, |seen| seen.load.waiting);
+        let queue = (f64::from(slots) * options.server_queue_fraction).ceil() as u32;
+        if now < self.full_until || waiting > queue || occupied >= slots.saturating_add(queue) {
+            Capacity::Full
+        } else if waiting > 0 || occupied >= slots {
+            Capacity::Queue
+        } else {
+            Capacity::Free
+        }
+    }
+
+    /// When it may have capacity without any further event. A reported load counts for `load_ttl` milliseconds.
+    pub fn full_until(&self, now: Millis, load_ttl: Millis) -> Option<Millis> {
+        let load_until = self.load.map(|seen| seen.at + load_ttl);
+        [Some(self.full_until), load_until].into_iter().flatten().filter(|until| *until > now).min()
+    }
+
+    fn reported_load(&self, since: Millis) -> Option<&ReportedLoad> {
+        self.load.as_ref().filter(|seen| seen.at >= since)
+    }
+}
+
+/// The capacity of a server for one more request; the lesser variant is preferred.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Capacity {
+    /// A slot is free, as far as is known.
+    Free,
+    /// It would wait in the server's queue.
+    Queue,
+    /// It would be rejected, or wait for long.
+    Full,
+}
+
+/// Whether a record says that its server is draining or gone, which is final.
+pub(crate) fn is_draining(record: &ServerRecord) -> bool {
+    matches!(record.presence, Presence::Draining | Presence::Removed)
+        || record.heartbeat.state == ServerState::Draining
+}
