--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -251,7 +251,8 @@
 
     /// Shuts a machine down and removes its disk.
     pub fn remove_as_planned(&mut self, node: NodeId) {
-        self.shut_down(node);
+        self.request_shutdown(node);
+        self.run(SHUTDOWN_GRACE);
         self.wipe(node);
     }
 
--- a/coordinator/tests/voters.rs
+++ b/coordinator/tests/voters.rs
@@ -211,14 +211,16 @@
 fn planned_removal_allows_immediate_loss() {
     for seed in SEEDS {
         // given: the successor has had its time
-        let BootstrappedCluster { mut cluster, members, chosen: leaving, others: staying } =
-            BootstrappedCluster::new(1, seed);
+        let mut cluster = SimulatedCluster::bootstrapped(1, seed);
+        let members = cluster.running();
         cluster.join(node(JOINING), &members);
         cluster.run(SYNC[0]);
         cluster.commit_change();
 
         // when: a machine shuts down, and as soon as it has, another is lost
-        cluster.remove_as_planned(leaving[0]);
+        let leaving = cluster.rotate_without(&members, &[])[0];
+        cluster.remove_as_planned(leaving);
+        let staying = cluster.rotate_without(&members, &[leaving]);
         cluster.wipe(staying[0]);
 
         // then
