--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -8,7 +8,7 @@
 use shaletrail_configuration::View;
 use shaletrail_dataplane::coordinators::Coordinators;
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
-use shaletrail_dataplane::poller::Pace;
+use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
     ConfigUpdate, Demand, DirectoryCursor, EdgeLoadReport, EdgeRequest, PollRequest, PollResponse,
@@ -63,7 +63,7 @@
     decisions: Option<Decisions>,
     /// Its clients' requests.
     pub requests: Requests,
-    pace: Pace,
+    poll_timeouts: PollTimeouts,
     coordinators: Coordinators,
     polling: Option<Polling>,
     version: u64,
@@ -91,7 +91,7 @@
             start: 0,
             decisions: None,
             requests: Requests::default(),
-            pace: Pace::within(CONVERGENCE, DRAIN),
+            poll_timeouts: PollTimeouts::within(CONVERGENCE, DRAIN),
             coordinators: Coordinators::new(site::edge_node(place), Vec::new()),
             polling: None,
             version: 0,
@@ -290,7 +290,7 @@
         self.ledger.sent(Kind::Poll, frame.len(), here != there);
         let what = AtCore::EdgeFrame { edge: self.place, poll: number, frame };
         world.schedule.after(latency(here, there), Happening::Core(core, start, what));
-        let patience = (self.pace.hold + self.pace.late).as_millis() as Millis;
+        let patience = self.poll_timeouts.response_timeout().as_millis() as Millis;
         self.wake(world, patience, AtEdge::PollFailed(number));
         self.arm_urgent(world);
     }
@@ -299,7 +299,7 @@
         PollRequest {
             config_version: if self.wants_whole { 0 } else { self.version },
             cursor: self.cursor,
-            max_wait_ms: self.pace.hold.as_millis() as u32,
+            max_wait_ms: self.poll_timeouts.max_wait.as_millis() as u32,
             demand: self.demand.clone(),
             server_outcomes: self.observed.clone(),
             edge_list_hash: self.edge_list,
--- a/daemon/tests/roles.rs
+++ b/daemon/tests/roles.rs
@@ -152,9 +152,9 @@
 
     let (process, lines) = start("data-plane", &file);
 
-    wait_for_line(&lines, &["coordinator given up", &nobody]);
+    wait_for_line(&lines, &["failed to poll coordinator", &nobody]);
     process.signal("TERM");
-    wait_for_line(&lines, &["stopping"]);
+    wait_for_line(&lines, &["shutdown started"]);
     let status = process.wait();
     assert_eq!(status.code(), Some(0), "{status:?}");
 }
--- /dev/null
+++ b/dataplane/src/client_response.rs
@@ -0,0 +1,86 @@
+//! The response to a client: a server's, forwarded complete or as it arrives, or one of the edge's own.
+
+use bytes::Bytes;
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+use shaletrail_routing::interface::{Ending, Rejection};
+
+use crate::request::strip_hop_by_hop;
+use crate::response_body::{ResponseAborted, ResponseWriter};
+
+/// The response to a client, of which a part may have been sent.
+pub struct ClientResponse {
+    writer: ResponseWriter,
+    has_begun: bool,
+    last_event: Option<u64>,
+    in_partial_event: bool,
+}
+
+impl ClientResponse {
+    /// A response that has not begun.
+    pub fn new(writer: ResponseWriter) -> Self {
+        ClientResponse { writer, has_begun: false, last_event: None, in_partial_event: false }
+    }
+
+    /// Records how far a stream has come: the last event sent, and whether a part of the next one has arrived.
+    pub fn record_stream_position(&mut self, last_event: Option<u64>, in_partial_event: bool) {
+        self.last_event = last_event;
+        self.in_partial_event = in_partial_event;
+    }
+
+    /// How an attempt ends that fails after the head has been sent.
+    pub fn truncated(&self) -> Ending {
+        Ending::Truncated { last_event: self.last_event, at_fault: self.in_partial_event }
+    }
+
+    /// Whether the head has been sent.
+    pub fn has_begun(&self) -> bool {
+        self.has_begun
+    }
+
+    /// Sends the head, if none has been sent: a stream that another server resumes keeps its first head.
+    pub fn begin(&mut self, mut head: Parts) {
+        if self.has_begun {
+            return;
+        }
+        self.has_begun = true;
+        strip_hop_by_hop(&mut head.headers);
+        self.writer.begin(head);
+    }
+
+    /// Sends a chunk of the body.
+    pub async fn send_chunk(&self, chunk: Bytes) {
+        self.writer.write(chunk).await;
+    }
+
+    /// Sends the last chunk of the body.
+    pub fn finish(&self, chunk: Bytes) {
+        self.writer.finish(chunk);
+    }
+
+    /// Sends a complete response.
+    ///
+    /// # Errors
+    ///
+    /// If another response has begun.
+    pub fn send_complete(&mut self, head: Parts, body: Bytes) -> Result<(), ResponseAborted> {
+        if self.has_begun {
+            return Err(ResponseAborted);
+        }
+        self.begin(head);
+        self.finish(body);
+        Ok(())
+    }
+}
+
+/// The head of a response of the edge's own; `None` if the status is not valid.
+pub fn rejection_head(rejection: Rejection) -> Option<Parts> {
+    let (mut head, ()) = Response::new(()).into_parts();
+    head.status = StatusCode::from_u16(rejection.status).ok()?;
+    if let Some(milliseconds) = rejection.retry_after_ms {
+        let seconds = format!("{}.{:03}", milliseconds / 1000, milliseconds % 1000);
+        head.headers.insert(RETRY_AFTER, HeaderValue::try_from(seconds).ok()?);
+    }
+    Some(head)
+}
--- a/dataplane/src/control.rs
+++ b/dataplane/src/control.rs
@@ -1,4 +1,4 @@
-//! How the process is told to end, and to read its settings anew.
+//! Requests to shut down and to reload the settings, by signal or by handle.
 
 use std::rc::Rc;
 
@@ -16,27 +16,27 @@
 }
 
 impl Control {
-    /// Tells it to end: what SIGTERM does.
+    /// Requests graceful shutdown, as SIGTERM does.
     pub fn stop(&self) {
         self.0.stop.notify_one();
     }
 
-    /// Tells it to read its settings anew: what SIGHUP does.
+    /// Requests that the settings are reloaded, as SIGHUP does.
     pub fn reload(&self) {
         self.0.reload.notify_one();
     }
 
-    /// Waits until it is told to end.
+    /// Waits until shutdown is requested.
     pub(crate) async fn stopped(&self) {
         self.0.stop.notified().await;
     }
 
-    /// Waits until it is told to read its settings anew.
+    /// Waits until a reload is requested.
     pub(crate) async fn reloaded(&self) {
         self.0.reload.notified().await;
     }
 
-    /// Passes the process's signals on; never returns.
+    /// Turns SIGTERM and SIGHUP of the process into requests; returns only if signals cannot be received.
     pub(crate) async fn follow_signals(self) -> std::io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut hang_up = signal(SignalKind::hangup())?;
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's life, from the router's first order to the end of the answer.
+//! The exchange of one request: carries out the router's commands, from its first to the end of the response.
 
 use std::future::Future;
 use std::pin::pin;
@@ -7,127 +7,136 @@
 use bytes::Bytes;
 use shaletrail_routing::interface::{Attempt, Ending, Event, Outcome, Rejection, Verdict};
 
-use crate::attempt::{self, AttemptEnd, HeldFailure, Progress};
-use crate::body::{AnswerWriter, BrokenOff};
-use crate::client_answer::{refusal_head, ClientAnswer};
+use crate::attempt;
+use crate::attempt_result::{AttemptResult, BufferedFailure};
 use crate::client_request::ClientRequest;
-use crate::state::{Command, SendOrder, Ticket};
+use crate::client_response::{rejection_head, ClientResponse};
+use crate::mailbox::{Command, SendCommand};
+use crate::progress::Progress;
+use crate::request_handle::RequestHandle;
+use crate::response_body::{ResponseAborted, ResponseWriter};
 
-/// The life of one request.
+/// The exchange of one request.
 pub struct Exchange {
-    ticket: Ticket,
+    handle: RequestHandle,
     request: ClientRequest,
-    answer: ClientAnswer,
-    held: Option<HeldFailure>,
+    client: ClientResponse,
+    buffered_failure: Option<BufferedFailure>,
 }
 
-/// What came of a command.
+/// What follows a command.
 enum Step {
-    /// The answer is whole.
-    Over,
+    /// The response is complete.
+    Finished,
     /// The router decides what is next.
-    Wait,
-    /// This command came meanwhile.
+    AwaitCommand,
+    /// This command arrived meanwhile.
     Next(Command),
 }
 
 impl Exchange {
-    /// A request that the router has been told of, and where its answer goes.
-    pub fn new(ticket: Ticket, request: ClientRequest, writer: AnswerWriter) -> Self {
-        Exchange { ticket, request, answer: ClientAnswer::new(writer), held: None }
+    /// The exchange of a request that the router knows, and of the response that goes to `writer`.
+    pub fn new(handle: RequestHandle, request: ClientRequest, writer: ResponseWriter) -> Self {
+        Exchange { handle, request, client: ClientResponse::new(writer), buffered_failure: None }
     }
 
-    /// Carries out the router's commands until the answer is whole or cannot become so.
-    pub async fn run(mut self) -> Result<(), BrokenOff> {
+    /// Carries out the router's commands until the response is complete.
+    ///
+    /// # Errors
+    ///
+    /// If the response cannot be completed: the client's connection has to be closed.
+    pub async fn run(mut self) -> Result<(), ResponseAborted> {
         let mut next = None;
         loop {
             let command = match next.take() {
                 Some(command) => command,
-                None => self.ticket.command().await,
+                None => self.handle.command().await,
             };
-            match self.obey(command).await? {
-                Step::Over => return Ok(()),
-                Step::Wait => {}
+            match self.execute(command).await? {
+                Step::Finished => return Ok(()),
+                Step::AwaitCommand => {}
                 Step::Next(command) => next = Some(command),
             }
         }
     }
 
-    async fn obey(&mut self, command: Command) -> Result<Step, BrokenOff> {
+    async fn execute(&mut self, command: Command) -> Result<Step, ResponseAborted> {
         match command {
-            Command::Send(order) => Ok(self.send(&order).await),
-            Command::ForwardFailure => self.pass_on(),
-            Command::Refuse(refusal) => self.refuse(refusal),
-            Command::AbortResponse => Err(BrokenOff),
-            // The attempt has ended before the command was read.
-            Command::Cancel(_) => Ok(Step::Wait),
+            Command::Send(command) => Ok(self.send(&command).await),
+            Command::ForwardFailure => self.forward_failure(),
+            Command::Reject(rejection) => self.reject(rejection),
+            Command::AbortResponse => Err(ResponseAborted),
+            // The attempt ended before the command was read.
+            Command::Cancel(_) => Ok(Step::AwaitCommand),
         }
     }
 
-    /// One attempt, unless another command comes before its end.
-    async fn send(&mut self, order: &SendOrder) -> Step {
-        self.held = None;
-        let progress = Rc::new(Progress::new(self.ticket.state().clone(), self.ticket.id, order.attempt));
-        let sending = attempt::run(&self.request, order, &progress, &mut self.answer);
-        match until_interrupted(&self.ticket, order.attempt, sending).await {
-            Ok(end) => self.end(order.attempt, end),
-            Err(command) => self.interrupt(order.attempt, progress.verdict(), command),
+    /// Makes one attempt, unless another command interrupts it.
+    async fn send(&mut self, command: &SendCommand) -> Step {
+        self.buffered_failure = None;
+        let attempt = command.attempt;
+        let progress = Rc::new(Progress::new(self.handle.state().clone(), self.handle.id(), attempt));
+        let sending = attempt::run(&self.request, command, &progress, &mut self.client);
+        match run_until_command(&self.handle, attempt, sending).await {
+            Ok(result) => self.finish_attempt(attempt, result),
+            Err(command) => self.interrupt_attempt(attempt, progress.verdict(), command),
         }
     }
 
-    fn end(&mut self, attempt: Attempt, end: AttemptEnd) -> Step {
-        let (outcome, step) = match end {
-            AttemptEnd::Served(outcome) => (outcome, Step::Over),
-            AttemptEnd::Over(outcome) => (outcome, Step::Wait),
-            AttemptEnd::Held(outcome, held) => {
-                self.held = Some(held);
-                (outcome, Step::Wait)
+    fn finish_attempt(&mut self, attempt: Attempt, result: AttemptResult) -> Step {
+        let (outcome, step) = match result {
+            AttemptResult::Served(outcome) => (outcome, Step::Finished),
+            AttemptResult::NoResponse(outcome) => (outcome, Step::AwaitCommand),
+            AttemptResult::Failed(outcome, failure) => {
+                self.buffered_failure = Some(failure);
+                (outcome, Step::AwaitCommand)
             }
         };
-        self.ticket.state().handle(Event::Ended(self.ticket.id, attempt, outcome));
+        self.handle.state().handle(Event::Ended(self.handle.id(), attempt, outcome));
         step
     }
 
     /// The attempt has been dropped, and its connection with it.
-    fn interrupt(&self, attempt: Attempt, verdict: Verdict, command: Command) -> Step {
-        let ending = if self.answer.has_begun() { self.answer.broken() } else { Ending::Cancelled };
+    fn interrupt_attempt(&self, attempt: Attempt, verdict: Verdict, command: Command) -> Step {
+        let ending = if self.client.has_begun() { self.client.truncated() } else { Ending::Cancelled };
         let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
-        self.ticket.state().handle(Event::Ended(self.ticket.id, attempt, outcome));
+        self.handle.state().handle(Event::Ended(self.handle.id(), attempt, outcome));
         match command {
-            Command::Cancel(_) => Step::Wait,
+            Command::Cancel(_) => Step::AwaitCommand,
             command => Step::Next(command),
         }
     }
 
-    fn pass_on(&mut self) -> Result<Step, BrokenOff> {
-        let held = self.held.take().ok_or(BrokenOff)?;
-        self.answer.whole(held.head, held.body)?;
-        Ok(Step::Over)
+    fn forward_failure(&mut self) -> Result<Step, ResponseAborted> {
+        let failure = self.buffered_failure.take().ok_or(ResponseAborted)?;
+        self.client.send_complete(failure.head, failure.body)?;
+        Ok(Step::Finished)
     }
 
-    fn refuse(&mut self, refusal: Rejection) -> Result<Step, BrokenOff> {
-        slog::debug!(self.ticket.state().log, "refused"; "status" => refusal.status, "reason" => %refusal.reason);
-        let head = refusal_head(refusal).ok_or(BrokenOff)?;
-        self.answer.whole(head, Bytes::new())?;
-        Ok(Step::Over)
+    fn reject(&mut self, rejection: Rejection) -> Result<Step, ResponseAborted> {
+        slog::debug!(self.handle.state().log, "request rejected";
+            "status" => rejection.status, "reason" => %rejection.reason);
+        let head = rejection_head(rejection).ok_or(ResponseAborted)?;
+        self.client.send_complete(head, Bytes::new())?;
+        Ok(Step::Finished)
     }
 }
 
-/// Waits for an attempt's end, or for a command that ends it sooner.
-async fn until_interrupted(
-    ticket: &Ticket,
+/// Runs an attempt to its end, or returns the command that interrupts it.
+async fn run_until_command(
+    handle: &RequestHandle,
     attempt: Attempt,
-    sending: impl Future<Output = AttemptEnd>,
-) -> Result<AttemptEnd, Command> {
+    sending: impl Future<Output = AttemptResult>,
+) -> Result<AttemptResult, Command> {
     let mut sending = pin!(sending);
     loop {
         tokio::select! {
             biased;
-            command = ticket.command() => match command {
+            command = handle.command() => match command {
                 Command::Cancel(other) if other != attempt => {}
                 command => return Err(command),
             },
-            end = &mut sending => return Ok(end),
+            result = &mut sending => return Ok(result),
         }
     }
 }
--- a/dataplane/src/ingress.rs
+++ b/dataplane/src/ingress.rs
@@ -1,4 +1,5 @@
-//! A client's request, from its head to the exchange that serves it.
+//! Serves one request of a client connection: reads its body, finds its route, hands it to the router and starts its
+//! exchange.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -16,35 +17,37 @@
 use shaletrail_protocol::Millis;
 use shaletrail_routing::interface::{NewRequest, RejectReason, Rejection, RequestId};
 
-use crate::body::{answer, AnswerBody, AnswerWriter, BrokenOff};
-use crate::client_answer::refusal_head;
+use crate::body_memory::BodyReservation;
+use crate::client_connection::{ClientConnection, RequestGuard};
 use crate::client_request::ClientRequest;
+use crate::client_response::rejection_head;
 use crate::exchange::Exchange;
-use crate::listener::{Connection, Serving};
-use crate::request::{host, path_hash, Wish};
-use crate::state::{BodyRoom, State};
-
-/// When to come back after a refusal that has nothing to do with servers, in milliseconds.
-const COME_BACK_MS: u64 = 200;
-/// A stream counts as stalled after a pause of so many times its aim.
-const STALLED_GAPS: u64 = 4;
+use crate::request::{host, path_hash, RequestHeaders};
+use crate::request_handle::RequestHandle;
+use crate::response_body::{drive_to_head, ResponseAborted, ResponseBody, ResponseWriter};
+use crate::state::State;
+
+/// `Retry-After` of a rejection that does not depend on servers, in milliseconds.
+const LOCAL_RETRY_AFTER_MS: u64 = 200;
+/// A stream counts as stalled after a pause of this many times its target gap.
+const STALL_GAP_FACTOR: u64 = 4;
 /// The shortest pause after which a stream counts as stalled.
-const LEAST_STALL: Duration = Duration::from_millis(1000);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// An answer's body, which keeps its connection from counting as resting.
-pub struct ServedBody {
-    body: AnswerBody,
-    _serving: Serving,
+/// A response's body, which keeps its connection from counting as idle.
+pub struct GuardedBody {
+    body: ResponseBody,
+    _guard: RequestGuard,
 }
 
-impl Body for ServedBody {
+impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
@@ -60,92 +63,98 @@
 /// Serves one request of a client's connection.
 pub async fn serve(
     state: Rc<State>,
-    connection: Rc<Connection>,
+    connection: Rc<ClientConnection>,
     request: Request<Incoming>,
-) -> Result<Response<ServedBody>, BrokenOff> {
-    let serving = connection.begin_request();
+) -> Result<Response<GuardedBody>, ResponseAborted> {
+    let guard = connection.begin_request();
     let arrived_at = state.clock.now();
     let (head, body) = request.into_parts();
     let mut response = match read_body(&state, body).await {
-        Ok((body, room)) => {
-            connection.begin_answer();
-            exchange(&state, head, body, room, arrived_at).await?
+        Ok((body, reservation)) => {
+            connection.begin_response();
+            start_exchange(&state, head, body, reservation, arrived_at).await?
+        }
+        Err(BodyError::Interrupted) => return Err(ResponseAborted),
+        Err(BodyError::TooLong) => closing(local_response(StatusCode::PAYLOAD_TOO_LARGE, None)?),
+        Err(BodyError::OutOfMemory) => {
+            closing(local_response(StatusCode::SERVICE_UNAVAILABLE, Some(LOCAL_RETRY_AFTER_MS))?)
         }
-        Err(BodyError::Broken) => return Err(BrokenOff),
-        Err(BodyError::TooLong) => closing(own_answer(StatusCode::PAYLOAD_TOO_LARGE, None)?),
-        Err(BodyError::NoRoom) => closing(own_answer(StatusCode::SERVICE_UNAVAILABLE, Some(COME_BACK_MS))?),
     };
-    if state.is_stopping() {
+    if state.is_shutting_down() {
         response = closing(response);
     }
-    Ok(response.map(|body| ServedBody { body, _serving: serving }))
+    Ok(response.map(|body| GuardedBody { body, _guard: guard }))
 }
 
 /// Why a request's body was not read.
 enum BodyError {
-    Broken,
+    /// The client's connection ended before the body did.
+    Interrupted,
+    /// The body is longer than the configuration allows.
     TooLong,
-    NoRoom,
+    /// The bodies held leave too little memory.
+    OutOfMemory,
 }
 
-/// Reads the body whole, as long as the limits allow.
-async fn read_body(state: &Rc<State>, body: Incoming) -> Result<(Bytes, BodyRoom), BodyError> {
+/// Reads the complete body, if the limits allow.
+async fn read_body(state: &Rc<State>, body: Incoming) -> Result<(Bytes, BodyReservation), BodyError> {
     let limit = state.view().limits.max_body_bytes;
-    let announced = body.size_hint().exact();
-    if announced.is_some_and(|length| length > limit) {
+    let declared = body.size_hint().exact();
+    if declared.is_some_and(|length| length > limit) {
         return Err(BodyError::TooLong);
     }
-    let mut room = state.reserve_body(announced.unwrap_or(0)).ok_or(BodyError::NoRoom)?;
+    let mut reservation = state.body_memory.reserve(declared.unwrap_or(0)).ok_or(BodyError::OutOfMemory)?;
     if body.is_end_stream() {
-        return Ok((Bytes::new(), room));
+        return Ok((Bytes::new(), reservation));
     }
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let bytes = match Limited::new(body, limit).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => return Err(BodyError::TooLong),
-        Err(_) => return Err(BodyError::Broken),
+        Err(_) => return Err(BodyError::Interrupted),
     };
-    if announced.is_none() {
-        room = state.reserve_body(bytes.len() as u64).ok_or(BodyError::NoRoom)?;
+    if declared.is_none() {
+        reservation = state.body_memory.reserve(bytes.len() as u64).ok_or(BodyError::OutOfMemory)?;
     }
-    Ok((bytes, room))
+    Ok((bytes, reservation))
 }
 
-/// Finds the request's route and has it served.
-async fn exchange(
+/// Finds the request's route and starts its exchange; returns once the response has a head.
+async fn start_exchange(
     state: &Rc<State>,
     head: Parts,
     body: Bytes,
-    room: BodyRoom,
+    reservation: BodyReservation,
     arrived_at: Millis,
-) -> Result<Response<AnswerBody>, BrokenOff> {
+) -> Result<Response<ResponseBody>, ResponseAborted> {
     let view = state.view();
     if view.version == 0 {
-        return own_answer(StatusCode::SERVICE_UNAVAILABLE, Some(COME_BACK_MS));
+        return local_response(StatusCode::SERVICE_UNAVAILABLE, Some(LOCAL_RETRY_AFTER_MS));
     }
     let Some(route) = view.route(host(&head.headers, &head.uri), head.uri.path()) else {
-        return own_answer(StatusCode::NOT_FOUND, None);
+        return local_response(StatusCode::NOT_FOUND, None);
     };
-    let id = state.name_request();
+    let id = state.next_request_id();
     let reading_ms = state.clock.now().saturating_sub(arrived_at);
     let new_request = new_request(id, route.clone(), &head, body.len() as u64, reading_ms);
-    if !state.takes(new_request.deadline_ms) {
-        return own_answer(StatusCode::SERVICE_UNAVAILABLE, Some(COME_BACK_MS));
+    if !state.accepts(new_request.deadline_ms) {
+        return local_response(StatusCode::SERVICE_UNAVAILABLE, Some(LOCAL_RETRY_AFTER_MS));
     }
-    let request = ClientRequest::new(head, body, room, stall_after(route));
-    let writer = AnswerWriter::default();
-    let ticket = state.open(id, new_request);
-    let exchange = Exchange::new(ticket, request, writer.clone());
-    answer(writer, Box::pin(exchange.run())).await
+    let request = ClientRequest::new(head, body, reservation, stall_timeout(route));
+    let writer = ResponseWriter::default();
+    let handle = RequestHandle::open(state, new_request);
+    let exchange = Exchange::new(handle, request, writer.clone());
+    drive_to_head(writer, Box::pin(exchange.run())).await
 }
 
-/// The pause after which a stream counts as stalled; only where it may be taken up elsewhere.
-fn stall_after(route: &Route) -> Option<Duration> {
+/// The pause after which a stream counts as stalled; only for streams that another server may resume.
+fn stall_timeout(route: &Route) -> Option<Duration> {
     let RouteKind::Streaming { resumable: true, gap_target_ms } = route.kind else { return None };
-    Some(Duration::from_millis(gap_target_ms.saturating_mul(STALLED_GAPS)).max(LEAST_STALL))
+    Some(Duration::from_millis(gap_target_ms.saturating_mul(STALL_GAP_FACTOR)).max(MIN_STALL_TIMEOUT))
 }
 
-/// What the router is told. The time that a request has runs from its head: what it took to read the body is over.
+/// The request as the router sees it. Its deadline runs from its head, so that the time for reading the body is
+/// deducted.
 fn new_request(
     id: RequestId,
     route: Arc<Route>,
@@ -153,30 +162,34 @@
     body_bytes: u64,
     reading_ms: Millis,
 ) -> NewRequest {
-    let wish = Wish::read(&head.headers);
-    let time_ms = wish.deadline.map_or(route.timeout_ms, |deadline| deadline.min(route.timeout_ms));
+    let headers = RequestHeaders::parse(&head.headers);
+    let timeout_ms = headers.deadline.map_or(route.timeout_ms, |deadline| deadline.min(route.timeout_ms));
     NewRequest {
         id,
-        deadline_ms: time_ms.saturating_sub(reading_ms),
+        deadline_ms: timeout_ms.saturating_sub(reading_ms),
         route,
-        model: wish.model,
-        adapter: wish.adapter,
-        tokens: wish.tokens,
-        prompt: wish.prompt,
-        last_event: wish.last_event,
+        model: headers.model,
+        adapter: headers.adapter,
+        tokens: headers.tokens,
+        prompt: headers.prompt,
+        last_event: headers.last_event,
         body_bytes: Some(body_bytes),
         path_hash: path_hash(head.uri.path()),
     }
 }
 
-/// An answer of our own, about which the router is not asked.
-fn own_answer(status: StatusCode, retry_after_ms: Option<u64>) -> Result<Response<AnswerBody>, BrokenOff> {
-    let refusal = Rejection { status: status.as_u16(), retry_after_ms, reason: RejectReason::Overloaded };
-    let head = refusal_head(refusal).ok_or(BrokenOff)?;
-    Ok(Response::from_parts(head, AnswerBody::Whole(None)))
+/// A rejection by the edge itself, without the router.
+fn local_response(
+    status: StatusCode,
+    retry_after_ms: Option<u64>,
+) -> Result<Response<ResponseBody>, ResponseAborted> {
+    let rejection = Rejection { status: status.as_u16(), retry_after_ms, reason: RejectReason::Overloaded };
+    let head = rejection_head(rejection).ok_or(ResponseAborted)?;
+    Ok(Response::from_parts(head, ResponseBody::Complete(None)))
 }
 
-fn closing(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+/// Announces that the connection closes after this response.
+fn closing(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -1,6 +1,6 @@
-//! Datagrams between the edges: each tells the others what it has under way at servers.
+//! Exchanges loads among the edges by datagrams: each announces what it has in flight at servers.
 //!
-//! Nothing rests on them but how well requests are spread: an edge that hears nothing decides by what it has itself.
+//! Only the balance of load depends on them: an edge that receives none balances by its own load alone.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -16,26 +16,30 @@
 use crate::load_datagrams::LoadDatagrams;
 use crate::state::State;
 
-/// Between two looks at what has changed a little.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// The longest datagram taken, in bytes.
-const LONGEST: usize = 2048;
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Edges of which the newest datagram's number is kept.
-const MOST_EDGES: usize = 256;
+/// Between two announcements of small changes.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest datagram accepted, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Pause after a failed receive.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Edges whose last sequence number is kept.
+const MAX_TRACKED_EDGES: usize = 256;
 
-/// The exchange with the other edges.
+/// The exchange of loads with the other edges.
 pub struct Peers {
     state: Rc<State>,
     socket: UdpSocket,
     port: u16,
     datagrams: RefCell<LoadDatagrams>,
-    seen: RefCell<AHashMap<NodeId, (Incarnation, u64)>>,
+    last_reports: RefCell<AHashMap<NodeId, (Incarnation, u64)>>,
 }
 
 impl Peers {
-    /// Opens the socket at this machine's address.
+    /// Opens the socket.
+    ///
+    /// # Errors
+    ///
+    /// If the address cannot be bound.
     pub async fn open(
         state: Rc<State>,
         address: SocketAddrV4,
@@ -47,65 +51,65 @@
             socket,
             port: address.port(),
             datagrams: RefCell::new(LoadDatagrams::new(NodeId::from(*address.ip()), incarnation)),
-            seen: RefCell::default(),
+            last_reports: RefCell::default(),
         })
     }
 
-    /// Tells and hears for as long as the process runs.
+    /// Announces and receives loads; never returns.
     pub async fn run(&self) {
-        tokio::join!(self.tell(), self.hear());
+        tokio::join!(self.announce(), self.receive());
     }
 
-    async fn tell(&self) {
+    async fn announce(&self) {
         loop {
-            let _ = tokio::time::timeout(INTERVAL, self.state.shares_changed.notified()).await;
+            let _ = tokio::time::timeout(ANNOUNCE_INTERVAL, self.state.load_update_ready.notified()).await;
             let now = self.state.clock.now();
-            for news in self.state.with_router(|router| router.take_load_update(now)) {
-                self.send(&news).await;
+            for update in self.state.with_router(|router| router.take_load_update(now)) {
+                self.send(&update).await;
             }
         }
     }
 
-    async fn send(&self, news: &LoadUpdate) {
-        let datagrams = self.datagrams.borrow_mut().encode(news);
+    async fn send(&self, update: &LoadUpdate) {
+        let datagrams = self.datagrams.borrow_mut().encode(update);
         for datagram in datagrams {
-            for edge in news.to.iter() {
-                // A datagram that is lost is made good by the next.
+            for edge in update.to.iter() {
+                // The next update makes up for a lost datagram.
                 let _ = self.socket.send_to(&datagram, SocketAddrV4::new(edge.address(), self.port)).await;
             }
         }
     }
 
-    async fn hear(&self) {
-        let mut buffer = [0; LONGEST];
+    async fn receive(&self) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
-            let Some(Ok(loads)) = buffer.get(..length).map(bitcode::decode::<EdgeLoadReport>) else {
+            let Some(Ok(report)) = buffer.get(..length).map(bitcode::decode::<EdgeLoadReport>) else {
                 continue;
             };
-            if self.is_new(&loads) {
+            if self.is_new(&report) {
                 self.state.handle(Event::PeerLoads {
-                    edge: loads.edge,
-                    scope: loads.scope,
-                    loads: loads.loads,
+                    edge: report.edge,
+                    scope: report.scope,
+                    loads: report.loads,
                 });
             }
         }
     }
 
-    /// Whether it is no earlier one than the edge's newest that was seen.
-    fn is_new(&self, loads: &EdgeLoadReport) -> bool {
-        let mut seen = self.seen.borrow_mut();
-        if seen.len() >= MOST_EDGES && !seen.contains_key(&loads.edge) {
-            seen.clear();
+    /// Whether a report is newer than the last one of its edge; the newest is recorded.
+    fn is_new(&self, report: &EdgeLoadReport) -> bool {
+        let mut last_reports = self.last_reports.borrow_mut();
+        if last_reports.len() >= MAX_TRACKED_EDGES && !last_reports.contains_key(&report.edge) {
+            last_reports.clear();
         }
-        let newest = seen.entry(loads.edge).or_insert((loads.incarnation, 0));
-        let is_new = newest.0 != loads.incarnation || loads.sequence > newest.1;
+        let last = last_reports.entry(report.edge).or_insert((report.incarnation, 0));
+        let is_new = last.0 != report.incarnation || report.sequence > last.1;
         if is_new {
-            *newest = (loads.incarnation, loads.sequence);
+            *last = (report.incarnation, report.sequence);
         }
         is_new
     }
--- a/dataplane/src/readiness.rs
+++ b/dataplane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the platform should send new connections here: 200 or 503, on an address of its own.
+//! Answers the platform's health checks on an address of its own: 200 if it should send new connections here, else 503.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,36 +16,36 @@
 
 use crate::state::State;
 
-/// Connections at once; others wait in the queue.
-const MOST_CONNECTIONS: usize = 16;
-/// The longest that a caller's connection may rest, or take for a head.
-const LONGEST_REST: Duration = Duration::from_secs(5);
-/// After an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Connections served at once; others wait to be accepted.
+const MAX_CONNECTIONS: usize = 16;
+/// The longest that a connection may be idle, or take for a request's head.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers who asks; never returns.
+/// Serves health checks; never returns.
 pub async fn serve(state: Rc<State>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         // The semaphore is never closed.
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let state = state.clone();
                 tokio::task::spawn_local(async move {
-                    answer(state, stream).await;
-                    drop(place);
+                    serve_connection(state, stream).await;
+                    drop(permit);
                 });
             }
             Err(error) => {
-                slog::debug!(state.log, "accept failed"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                slog::debug!(state.log, "failed to accept readiness connection"; "error" => %error);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn answer(state: Rc<State>, stream: TcpStream) {
+async fn serve_connection(state: Rc<State>, stream: TcpStream) {
     let log = state.log.clone();
     let service = service_fn(move |_request| {
         let mut response = Response::new(Empty::<Bytes>::new());
@@ -55,8 +55,8 @@
         std::future::ready(Ok::<_, Infallible>(response))
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(LONGEST_REST).auto_date_header(false);
+    builder.timer(TokioTimer::new()).header_read_timeout(HEADER_READ_TIMEOUT).auto_date_header(false);
     if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
-        slog::debug!(log, "readiness connection ended"; "error" => %error);
+        slog::debug!(log, "readiness connection closed"; "error" => %error);
     }
 }
--- a/dataplane/src/request.rs
+++ b/dataplane/src/request.rs
@@ -1,27 +1,27 @@
-//! What a client's request asks for: the headers that decide where it goes, and those that are passed along.
+//! Parses the headers of a client's request that routing depends on, and strips those that concern one connection.
 
 use hyper::header::{HeaderMap, HeaderName, CONNECTION, HOST};
 use shaletrail_protocol::Millis;
 
-/// Names this try of a client; servers echo it.
+/// Identifies this attempt of a client; servers echo it.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
-/// Milliseconds that the client will wait.
+/// How long the client waits, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 /// The id of the server that the request is meant for.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("expected-instance");
-/// The newest event that the receiver of a stream has.
+/// The last event of a stream that the receiver has.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// The model asked for, with one of its adapters after a slash.
+/// The requested model, followed by a slash and one of its adapters.
 pub const MODEL: HeaderName = HeaderName::from_static("model");
-/// Rank among the requests of a server, 0 first.
+/// Priority among the requests of a server; 0 is the highest.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// The parts of the prompt.
+/// The segments of the prompt, as identifiers and tokens.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("prompt-prefix");
-/// Tokens of the prompt and the most out.
+/// Tokens of the prompt, and the most that may be generated.
 pub const TOKEN_COUNT: HeaderName = HeaderName::from_static("token-count");
 
-/// Parts of a prompt that are taken into account; further ones are passed along only.
-pub const MOST_PROMPT_PARTS: usize = 64;
+/// Segments of a prompt that routing takes into account; further ones are only forwarded.
+pub const MAX_PROMPT_SEGMENTS: usize = 64;
 
 /// Headers that concern one connection, besides those that `Connection` names.
 const HOP_BY_HOP: [&str; 9] = [
@@ -36,39 +36,39 @@
     "proxy-connection",
 ];
 
-/// What the headers of a request ask for.
+/// What routing takes from the headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
-    /// `Model` before the slash.
+pub struct RequestHeaders {
+    /// The part of `Model` before the slash.
     pub model: Option<String>,
-    /// `Model` after the slash.
+    /// The part of `Model` after the slash.
     pub adapter: Option<String>,
-    /// `Token-Count`.
+    /// `Token-Count`: tokens of the prompt, and the most that may be generated.
     pub tokens: Option<(u32, u32)>,
-    /// `Prompt-Prefix`.
+    /// `Prompt-Prefix`: identifiers and tokens of the segments of the prompt.
     pub prompt: Vec<(u64, u32)>,
-    /// `Deadline-Ms`.
+    /// `Deadline-Ms`, in milliseconds.
     pub deadline: Option<Millis>,
     /// `Last-Event-Id`.
     pub last_event: Option<u64>,
 }
 
-impl Wish {
-    /// Reads the headers; what cannot be read counts as not there.
-    pub fn read(headers: &HeaderMap) -> Wish {
+impl RequestHeaders {
+    /// Parses the headers; what cannot be parsed counts as missing.
+    pub fn parse(headers: &HeaderMap) -> RequestHeaders {
         let (model, adapter) = text(headers, &MODEL).map(model_and_adapter).unwrap_or_default();
-        Wish {
+        RequestHeaders {
             model,
             adapter,
             tokens: text(headers, &TOKEN_COUNT).and_then(token_count),
-            prompt: text(headers, &PROMPT_PREFIX).map(prompt_parts).unwrap_or_default(),
+            prompt: text(headers, &PROMPT_PREFIX).map(prompt_segments).unwrap_or_default(),
             deadline: text(headers, &DEADLINE_MS).and_then(milliseconds),
             last_event: text(headers, &LAST_EVENT_ID).and_then(|value| value.parse().ok()),
         }
     }
 }
 
-/// The host that a request names, without port; empty if it names none.
+/// The host of a request, without port; empty if there is none.
 pub fn host<'a>(headers: &'a HeaderMap, uri: &'a hyper::Uri) -> &'a str {
     let named = uri.host().or_else(|| text(headers, &HOST)).unwrap_or_default();
     named.rsplit_once(':').map_or(named, |(name, port)| {
@@ -81,7 +81,7 @@
     })
 }
 
-/// Takes out the headers that concern only the connection they came over.
+/// Removes the headers that concern only the connection they arrived on.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -117,28 +117,28 @@
 }
 
 fn model_and_adapter(value: &str) -> (Option<String>, Option<String>) {
-    let filled = |name: &str| (!name.is_empty()).then(|| name.to_owned());
+    let non_empty = |name: &str| (!name.is_empty()).then(|| name.to_owned());
     match value.split_once('/') {
-        Some((model, adapter)) => (filled(model), filled(adapter)),
-        None => (filled(value), None),
+        Some((model, adapter)) => (non_empty(model), non_empty(adapter)),
+        None => (non_empty(value), None),
     }
 }
 
 fn token_count(value: &str) -> Option<(u32, u32)> {
-    let (prompt, out) = value.split_once(',')?;
-    Some((prompt.trim().parse().ok()?, out.trim().parse().ok()?))
+    let (prompt, output) = value.split_once(',')?;
+    Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
 }
 
-/// The parts up to the first that cannot be read: later ones are of no use without it.
-fn prompt_parts(value: &str) -> Vec<(u64, u32)> {
-    let part = |item: &str| {
+/// The segments up to the first that cannot be parsed: a prefix ends there.
+fn prompt_segments(value: &str) -> Vec<(u64, u32)> {
+    let segment = |item: &str| {
         let (id, tokens) = item.trim().split_once(':')?;
         Some((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?))
     };
-    value.split(',').map_while(part).take(MOST_PROMPT_PARTS).collect()
+    value.split(',').map_while(segment).take(MAX_PROMPT_SEGMENTS).collect()
 }
 
-/// Whole or fractional milliseconds, rounded down.
+/// Integral or fractional milliseconds, rounded down.
 fn milliseconds(value: &str) -> Option<Millis> {
     let number: f64 = value.parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number as Millis)
--- a/dataplane/src/answer.rs
+++ b/dataplane/src/response.rs
@@ -1,4 +1,4 @@
-//! What a server's answer is: a success, a failure, a request turned away, or nothing that belongs here.
+//! Classifies the head of a server's response: a success, a failure, a rejection, or malformed.
 
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, TRANSFER_ENCODING,
@@ -10,99 +10,101 @@
 
 use crate::request::{text, ATTEMPT_ID};
 
-/// The mark of a server's own answer.
+/// Marks a response that a model server made itself, rather than something on the way.
 pub const SERVER_STAMP: HeaderName = HeaderName::from_static("server-stamp");
-/// Says that the server has not run the request.
+/// States that the server has not executed the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// Who has answered.
+/// The id of the server that responded.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("instance-id");
-/// How busy the server is.
+/// The server's load: running, waiting and slots.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
-/// How long the server keeps a connection that rests.
+/// How long the server keeps an idle connection.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Statuses that promise a client that its request has not run and never will.
-const PROMISES: [StatusCode; 3] =
+/// Statuses from which a client concludes that its request has not been executed and never will be.
+const REJECTION_STATUSES: [StatusCode; 3] =
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
 
-/// How the body of an answer comes.
+/// How the body of a response is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyShape {
-    /// None, or of a known length in bytes.
+    /// No body, or one of a known length in bytes.
     Length(u64),
-    /// In chunks.
+    /// In chunks of unknown total length.
     Chunked,
-    /// A series of events, in chunks or of a known length.
+    /// An event stream, in chunks or of a known length.
     Events,
 }
 
-/// What the head of an answer tells.
+/// What a response is, by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A success with its stamp.
+pub enum ResponseKind {
+    /// A success with the server's stamp.
     Success(BodyShape),
-    /// A failure of the server's own, which is to be passed on as it is or not at all.
+    /// A failure of the server's own, which is forwarded unchanged or not at all.
     Failure,
-    /// The server says that it has not run the request.
-    Rejected,
-    /// No answer to this request.
-    MalformedResponse(Garble),
+    /// The server states that it has not executed the request.
+    Rejection,
+    /// No valid response to this request.
+    Malformed(MalformedReason),
 }
 
-/// Why an answer is none.
+/// Why a response is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Garble {
-    /// It names another request.
-    OtherRequest,
-    /// A success without stamp.
-    NoStamp,
-    /// Its end cannot be told from a broken connection.
-    NoEnd,
-    /// A status that is no final answer.
-    NotFinal,
-    /// A status that promises that the request has not run, without the server's word for it: passed on, it would
-    /// be a promise to the client that nobody can keep.
-    EmptyPromise,
+pub enum MalformedReason {
+    /// Its `Attempt-Id` is not the request's.
+    AttemptIdMismatch,
+    /// A success without the server's stamp.
+    MissingStamp,
+    /// The end of its body cannot be told from a broken connection.
+    UnknownLength,
+    /// Its status announces another response to come.
+    InformationalStatus,
+    /// Its status says that the request has not been executed, but [`NOT_EXECUTED`] is missing: forwarded, it would
+    /// assure the client of what nobody has confirmed.
+    UnconfirmedRejection,
 }
 
-/// Judges the head of an answer to a request with this method and `Attempt-Id`.
-pub fn judge(head: &Parts, method: &Method, attempt_id: Option<&HeaderValue>) -> Kind {
+/// Classifies the head of a response to a request with this method and `Attempt-Id`.
+pub fn classify(head: &Parts, method: &Method, attempt_id: Option<&HeaderValue>) -> ResponseKind {
     if head.headers.get(ATTEMPT_ID) != attempt_id {
-        return Kind::MalformedResponse(Garble::OtherRequest);
+        return ResponseKind::Malformed(MalformedReason::AttemptIdMismatch);
     }
     if head.status.is_informational() {
-        return Kind::MalformedResponse(Garble::NotFinal);
+        return ResponseKind::Malformed(MalformedReason::InformationalStatus);
     }
-    if is_turned_away(head) {
-        return Kind::Rejected;
+    if is_rejection(head) {
+        return ResponseKind::Rejection;
     }
-    if PROMISES.contains(&head.status) {
-        return Kind::MalformedResponse(Garble::EmptyPromise);
+    if REJECTION_STATUSES.contains(&head.status) {
+        return ResponseKind::Malformed(MalformedReason::UnconfirmedRejection);
     }
-    let Some(shape) = body_shape(head, method) else { return Kind::MalformedResponse(Garble::NoEnd) };
+    let Some(shape) = body_shape(head, method) else {
+        return ResponseKind::Malformed(MalformedReason::UnknownLength);
+    };
     if !head.status.is_success() {
-        return Kind::Failure;
+        return ResponseKind::Failure;
     }
     if head.headers.contains_key(SERVER_STAMP) {
-        Kind::Success(shape)
+        ResponseKind::Success(shape)
     } else {
-        Kind::MalformedResponse(Garble::NoStamp)
+        ResponseKind::Malformed(MalformedReason::MissingStamp)
     }
 }
 
-/// `Server-Load`: running, waiting, slots.
+/// The value of `Server-Load`: running, waiting, slots.
 pub fn server_load(headers: &HeaderMap) -> Option<ServerLoad> {
     let mut numbers = text(headers, &SERVER_LOAD)?.split(',').map(|number| number.trim().parse().ok());
     Some(ServerLoad { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
 }
 
-/// `Retry-After` in milliseconds.
+/// The value of `Retry-After`, in milliseconds.
 pub fn retry_after(headers: &HeaderMap) -> Option<Millis> {
     let seconds: f64 = text(headers, &RETRY_AFTER)?.parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1000.0) as Millis)
 }
 
-/// `timeout` of `Keep-Alive`, in milliseconds.
+/// The `timeout` of `Keep-Alive`, in milliseconds.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Millis> {
     let options = text(headers, &KEEP_ALIVE)?.split(',');
     let timeout =
@@ -110,14 +112,14 @@
     timeout.1.trim().parse::<Millis>().ok()?.checked_mul(1000)
 }
 
-fn is_turned_away(head: &Parts) -> bool {
-    const WITH_MARK: [StatusCode; 3] =
+fn is_rejection(head: &Parts) -> bool {
+    const MARKED_STATUSES: [StatusCode; 3] =
         [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS, StatusCode::BAD_REQUEST];
     head.status == StatusCode::MISDIRECTED_REQUEST
-        || (WITH_MARK.contains(&head.status) && head.headers.contains_key(NOT_EXECUTED))
+        || (MARKED_STATUSES.contains(&head.status) && head.headers.contains_key(NOT_EXECUTED))
 }
 
-/// How the body comes; `None` where its end could not be told from a broken connection.
+/// How the body is framed; `None` where its end could not be told from a broken connection.
 fn body_shape(head: &Parts, method: &Method) -> Option<BodyShape> {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
     if bodiless || method == Method::HEAD {
--- a/dataplane/src/watched.rs
+++ b/dataplane/src/tracked_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that tells an observer when bytes are read from it and written to it.
+//! A TCP stream below hyper that notifies an observer when bytes are read from it and written to it.
 
 use std::io;
 use std::pin::Pin;
@@ -9,34 +9,34 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Who is told.
-pub trait Observer {
-    /// Bytes have been read, or the end of them.
-    fn has_read(&self) {}
-    /// Bytes have been written: more than none.
-    fn has_written(&self) {}
+/// Is notified of reads and writes.
+pub trait IoObserver {
+    /// Bytes, the end of the stream or an error have been read.
+    fn on_read(&self) {}
+    /// At least one byte has been written.
+    fn on_write(&self) {}
 }
 
-/// A connection and its observer.
-pub struct WatchedIo<O> {
+/// A TCP stream and its observer.
+pub struct TrackedStream<O> {
     io: TokioIo<TcpStream>,
     observer: Rc<O>,
 }
 
-impl<O: Observer> WatchedIo<O> {
-    /// Watches a connection.
+impl<O: IoObserver> TrackedStream<O> {
+    /// A stream that notifies `observer`.
     pub fn new(stream: TcpStream, observer: Rc<O>) -> Self {
-        WatchedIo { io: TokioIo::new(stream), observer }
+        TrackedStream { io: TokioIo::new(stream), observer }
     }
 
-    fn note_write(&self, result: &Poll<io::Result<usize>>) {
+    fn notify_write(&self, result: &Poll<io::Result<usize>>) {
         if matches!(result, Poll::Ready(Ok(1..))) {
-            self.observer.has_written();
+            self.observer.on_write();
         }
     }
 }
 
-impl<O: Observer> Read for WatchedIo<O> {
+impl<O: IoObserver> Read for TrackedStream<O> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -44,20 +44,20 @@
     ) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.io).poll_read(context, buffer);
         if result.is_ready() {
-            self.observer.has_read();
+            self.observer.on_read();
         }
         result
     }
 }
 
-impl<O: Observer> Write for WatchedIo<O> {
+impl<O: IoObserver> Write for TrackedStream<O> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.io).poll_write(context, bytes);
-        self.note_write(&result);
+        self.notify_write(&result);
         result
     }
 
@@ -79,7 +79,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.io).poll_write_vectored(context, buffers);
-        self.note_write(&result);
+        self.notify_write(&result);
         result
     }
 }
--- a/dataplane/tests/pure.rs
+++ b/dataplane/tests/parsing.rs
@@ -5,12 +5,14 @@
 use hyper::{Method, Response, Uri};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use shaletrail_dataplane::answer::{judge, keep_alive, retry_after, server_load, BodyShape, Garble, Kind};
 use shaletrail_dataplane::coordinators::Coordinators;
-use shaletrail_dataplane::events::{CutError, EventCutter, LONGEST_EVENT};
-use shaletrail_dataplane::poller::Pace;
-use shaletrail_dataplane::request::{asks_to_close, host, strip_hop_by_hop, Wish};
-use shaletrail_dataplane::stopping::Stopping;
+use shaletrail_dataplane::event_splitter::{EventSplitter, SplitError, MAX_EVENT_BYTES};
+use shaletrail_dataplane::poll_timeouts::PollTimeouts;
+use shaletrail_dataplane::request::{asks_to_close, host, strip_hop_by_hop, RequestHeaders};
+use shaletrail_dataplane::response::{
+    classify, keep_alive, retry_after, server_load, BodyShape, MalformedReason, ResponseKind,
+};
+use shaletrail_dataplane::shutdown_window::ShutdownWindow;
 use shaletrail_protocol::NodeId;
 use std::time::Duration;
 
@@ -25,10 +27,10 @@
     headers
 }
 
-fn judged(status: u16, pairs: &[(&str, &str)]) -> Kind {
+fn judged(status: u16, pairs: &[(&str, &str)]) -> ResponseKind {
     let (mut head, ()) = Response::builder().status(status).body(()).expect("an answer").into_parts();
     head.headers = headers(pairs);
-    judge(&head, &Method::POST, Some(&HeaderValue::from_static("t1")))
+    classify(&head, &Method::POST, Some(&HeaderValue::from_static("t1")))
 }
 
 #[test]
@@ -39,7 +41,7 @@
     let mut random = Pcg64::seed_from_u64(1);
     for _ in 0..500 {
         // when
-        let mut cutter = EventCutter::after(None);
+        let mut cutter = EventSplitter::after(None);
         let (mut rest, mut passed) = (text.as_bytes(), Vec::new());
         while !rest.is_empty() {
             let (piece, later) = rest.split_at(random.random_range(1..=rest.len()));
@@ -52,7 +54,7 @@
         // then
         assert_eq!(passed, whole.as_bytes());
         assert_eq!(cutter.last_id(), Some(7));
-        assert!(cutter.holds_part());
+        assert!(cutter.has_partial_event());
         assert_eq!(cutter.finish(), "id: 8\nda");
     }
 }
@@ -60,7 +62,7 @@
 #[test]
 fn given_a_stream_taken_up_when_events_come_again_then_only_later_ones_are_passed() {
     // given
-    let mut cutter = EventCutter::after(Some(2));
+    let mut cutter = EventSplitter::after(Some(2));
 
     // when
     let events = cutter.push(Bytes::from_static(b"id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"));
@@ -73,13 +75,13 @@
 #[test]
 fn given_an_event_without_end_when_it_grows_too_long_then_it_is_an_error() {
     // given
-    let mut cutter = EventCutter::after(None);
+    let mut cutter = EventSplitter::after(None);
 
     // when
-    let result = cutter.push(Bytes::from(vec![b'x'; LONGEST_EVENT + 1]));
+    let result = cutter.push(Bytes::from(vec![b'x'; MAX_EVENT_BYTES + 1]));
 
     // then
-    assert_eq!(result, Err(CutError::TooLong));
+    assert_eq!(result, Err(SplitError::TooLong));
 }
 
 #[test]
@@ -100,11 +102,11 @@
     ]);
 
     // when
-    let (full, odd) = (Wish::read(&full), Wish::read(&odd));
+    let (full, odd) = (RequestHeaders::parse(&full), RequestHeaders::parse(&odd));
 
     // then
     insta::assert_debug_snapshot!(full, @r#"
-    Wish {
+    RequestHeaders {
         model: Some(
             "daka510000",
         ),
@@ -139,7 +141,8 @@
         ),
     }
     "#);
-    let expected = Wish { model: Some("m".to_owned()), prompt: vec![(10, 1)], ..Wish::default() };
+    let expected =
+        RequestHeaders { model: Some("m".to_owned()), prompt: vec![(10, 1)], ..RequestHeaders::default() };
     assert_eq!(odd, expected);
 }
 
@@ -189,35 +192,53 @@
     const MARK: (&str, &str) = ("not-executed", "1");
 
     // when, then
-    assert_eq!(judged(200, &[ID, STAMP, LENGTH]), Kind::Success(BodyShape::Length(5)));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED]), Kind::Success(BodyShape::Chunked));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, EVENTS]), Kind::Success(BodyShape::Events));
-    assert_eq!(judged(204, &[ID, STAMP]), Kind::Success(BodyShape::Length(0)));
-    assert_eq!(judged(200, &[ID, STAMP]), Kind::MalformedResponse(Garble::NoEnd));
-    assert_eq!(judged(200, &[ID, STAMP, IDENTITY, LENGTH]), Kind::MalformedResponse(Garble::NoEnd));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, IDENTITY]), Kind::MalformedResponse(Garble::NoEnd));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, LENGTH]), Kind::Success(BodyShape::Chunked));
-    assert_eq!(judged(200, &[ID, LENGTH]), Kind::MalformedResponse(Garble::NoStamp));
+    assert_eq!(judged(200, &[ID, STAMP, LENGTH]), ResponseKind::Success(BodyShape::Length(5)));
+    assert_eq!(judged(200, &[ID, STAMP, CHUNKED]), ResponseKind::Success(BodyShape::Chunked));
+    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, EVENTS]), ResponseKind::Success(BodyShape::Events));
+    assert_eq!(judged(204, &[ID, STAMP]), ResponseKind::Success(BodyShape::Length(0)));
+    assert_eq!(judged(200, &[ID, STAMP]), ResponseKind::Malformed(MalformedReason::UnknownLength));
+    assert_eq!(
+        judged(200, &[ID, STAMP, IDENTITY, LENGTH]),
+        ResponseKind::Malformed(MalformedReason::UnknownLength)
+    );
+    assert_eq!(
+        judged(200, &[ID, STAMP, CHUNKED, IDENTITY]),
+        ResponseKind::Malformed(MalformedReason::UnknownLength)
+    );
+    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, LENGTH]), ResponseKind::Success(BodyShape::Chunked));
+    assert_eq!(judged(200, &[ID, LENGTH]), ResponseKind::Malformed(MalformedReason::MissingStamp));
     assert_eq!(
         judged(200, &[("attempt-id", "t0"), STAMP, LENGTH]),
-        Kind::MalformedResponse(Garble::OtherRequest)
+        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
+    );
+    assert_eq!(judged(200, &[STAMP, LENGTH]), ResponseKind::Malformed(MalformedReason::AttemptIdMismatch));
+    assert_eq!(judged(503, &[ID, MARK, LENGTH]), ResponseKind::Rejection);
+    assert_eq!(judged(429, &[ID, MARK]), ResponseKind::Rejection);
+    assert_eq!(judged(400, &[ID, MARK]), ResponseKind::Rejection);
+    assert_eq!(judged(421, &[ID]), ResponseKind::Rejection);
+    assert_eq!(
+        judged(503, &[ID, STAMP, LENGTH]),
+        ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
     );
-    assert_eq!(judged(200, &[STAMP, LENGTH]), Kind::MalformedResponse(Garble::OtherRequest));
-    assert_eq!(judged(503, &[ID, MARK, LENGTH]), Kind::Rejected);
-    assert_eq!(judged(429, &[ID, MARK]), Kind::Rejected);
-    assert_eq!(judged(400, &[ID, MARK]), Kind::Rejected);
-    assert_eq!(judged(421, &[ID]), Kind::Rejected);
-    assert_eq!(judged(503, &[ID, STAMP, LENGTH]), Kind::MalformedResponse(Garble::EmptyPromise));
     for status in [408, 429, 503] {
-        assert_eq!(judged(status, &[ID, STAMP, LENGTH]), Kind::MalformedResponse(Garble::EmptyPromise));
+        assert_eq!(
+            judged(status, &[ID, STAMP, LENGTH]),
+            ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
+        );
     }
     for status in [200, 500, 504] {
-        assert_ne!(judged(status, &[ID, STAMP, LENGTH, MARK]), Kind::Rejected);
+        assert_ne!(judged(status, &[ID, STAMP, LENGTH, MARK]), ResponseKind::Rejection);
     }
-    assert_eq!(judged(503, &[("attempt-id", "t0"), MARK]), Kind::MalformedResponse(Garble::OtherRequest));
-    assert_eq!(judged(421, &[("attempt-id", "t0")]), Kind::MalformedResponse(Garble::OtherRequest));
-    assert_eq!(judged(400, &[ID, LENGTH]), Kind::Failure);
-    assert_eq!(judged(500, &[ID, STAMP, LENGTH]), Kind::Failure);
+    assert_eq!(
+        judged(503, &[("attempt-id", "t0"), MARK]),
+        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
+    );
+    assert_eq!(
+        judged(421, &[("attempt-id", "t0")]),
+        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
+    );
+    assert_eq!(judged(400, &[ID, LENGTH]), ResponseKind::Failure);
+    assert_eq!(judged(500, &[ID, STAMP, LENGTH]), ResponseKind::Failure);
 }
 
 #[test]
@@ -274,32 +295,36 @@
 
 #[test]
 fn given_bounds_when_the_pace_is_set_then_it_stays_within_them() {
-    let pace =
-        |convergence, drain| Pace::within(Duration::from_millis(convergence), Duration::from_millis(drain));
+    let pace = |convergence, drain| {
+        PollTimeouts::within(Duration::from_millis(convergence), Duration::from_millis(drain))
+    };
     // given, when, then
-    assert_eq!(pace(2000, 2000), Pace { hold: Duration::from_millis(500), late: Duration::from_millis(333) });
+    assert_eq!(
+        pace(2000, 2000),
+        PollTimeouts { max_wait: Duration::from_millis(500), max_lateness: Duration::from_millis(333) }
+    );
     assert_eq!(
         pace(60_000, 100),
-        Pace { hold: Duration::from_millis(100), late: Duration::from_millis(150) }
+        PollTimeouts { max_wait: Duration::from_millis(100), max_lateness: Duration::from_millis(150) }
     );
     assert_eq!(
         pace(60_000, 60_000),
-        Pace { hold: Duration::from_millis(1000), late: Duration::from_millis(400) }
+        PollTimeouts { max_wait: Duration::from_millis(1000), max_lateness: Duration::from_millis(400) }
     );
 }
 
 #[test]
 fn given_a_process_that_ends_when_requests_come_then_late_ones_are_taken_only_if_they_end_before_it() {
     // given
-    let stopping = Stopping { begun_at: 10_000, ends_at: 17_300 };
+    let stopping = ShutdownWindow { started_at: 10_000, aborts_at: 17_300 };
 
     // when
-    let at_once = stopping.takes(10_000, 15_000);
-    let while_still_asked = stopping.takes(12_699, 15_000);
-    let late_and_long = stopping.takes(13_492, 15_000);
-    let late_and_short = stopping.takes(13_492, 1_500);
-    let last_that_fits = stopping.takes(15_800, 1_500);
-    let first_that_does_not = stopping.takes(15_801, 1_500);
+    let at_once = stopping.accepts(10_000, 15_000);
+    let while_still_asked = stopping.accepts(12_699, 15_000);
+    let late_and_long = stopping.accepts(13_492, 15_000);
+    let late_and_short = stopping.accepts(13_492, 1_500);
+    let last_that_fits = stopping.accepts(15_800, 1_500);
+    let first_that_does_not = stopping.accepts(15_801, 1_500);
 
     // then
     assert!(at_once && while_still_asked && late_and_short && last_that_fits);
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -6,7 +6,7 @@
 use shaletrail_configuration::View;
 use shaletrail_dataplane::coordinators::Coordinators;
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
-use shaletrail_dataplane::poller::Pace;
+use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
     ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeLoadReport, EdgeRequest, PollRequest,
@@ -53,7 +53,7 @@
     pub(crate) requests: Requests,
     view: Arc<View>,
     started: Millis,
-    pace: Pace,
+    poll_timeouts: PollTimeouts,
     coordinators: Coordinators,
     connected: Option<NodeId>,
     polling: Option<Polling>,
@@ -83,7 +83,7 @@
             requests: Requests::default(),
             view: Arc::default(),
             started: world.now,
-            pace: Pace::within(settings.bounds.convergence, settings.bounds.drain),
+            poll_timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
             coordinators: Coordinators::new(node, settings.seed_nodes()),
             connected: None,
             polling: None,
@@ -259,7 +259,7 @@
         let frame = frame::encode(&EdgeRequest::Poll(self.poll_request()));
         let call = Call::Poll { edge: self.identity.clone(), frame };
         world.send(self.node(), coordinator, Message::Call { number, call });
-        let patience = (self.pace.hold + self.pace.late).as_millis() as Millis;
+        let patience = self.poll_timeouts.response_timeout().as_millis() as Millis;
         world.wake(self.node(), world.now + patience, Timer::PollLate(number));
         self.arm_urgent(world);
     }
@@ -268,7 +268,7 @@
         PollRequest {
             config_version: if self.wants_whole { 0 } else { self.view.version },
             cursor: self.cursor,
-            max_wait_ms: self.pace.hold.as_millis() as u32,
+            max_wait_ms: self.poll_timeouts.max_wait.as_millis() as u32,
             demand: self.demand.clone(),
             server_outcomes: self.observed.clone(),
             edge_list_hash: self.edge_list,
