--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -26,9 +26,9 @@
             arrived: 2,
             tokens: 400,
             priority: 0,
-            waiting: 0,
+            queued: 0,
             over_capacity: 0,
-            open: 1,
+            in_flight: 1,
         },
         Demand {
             service: "llm",
@@ -39,9 +39,9 @@
             arrived: 1,
             tokens: 200,
             priority: 1,
-            waiting: 1,
+            queued: 1,
             over_capacity: 0,
-            open: 0,
+            in_flight: 0,
         },
     ]
     "#);
