--- a/consensus/src/apply.rs
+++ b/consensus/src/apply.rs
@@ -24,7 +24,7 @@
     /// All that must be kept, for a checkpoint that replaces all earlier records, those included that are still
     /// on their way to the disk. Records of tickets that are not synced yet may follow it once more.
     pub fn records(&self) -> Vec<Record> {
-        let mut records = vec![Record::Hard(self.hard_state.clone())];
+        let mut records = vec![Record::HardState(self.hard_state.clone())];
         records.extend(self.log.snapshot().cloned().map(Record::Snapshot));
         let entries = self.log.batch(self.log.snapshot_index() + 1, usize::MAX, false);
         if !entries.is_empty() {
--- a/consensus/src/effect.rs
+++ b/consensus/src/effect.rs
@@ -37,12 +37,12 @@
         token: u64,
     },
     /// This replica leads from now on. What former leaders have committed is applied once an entry of this term is.
-    Elected {
+    BecameLeader {
         /// The term in which it leads.
         term: Term,
     },
     /// This replica leads no more. Proposals not applied yet may still be committed by others, or not.
-    Deposed {
+    LostLeadership {
         /// The term in which it led.
         term: Term,
     },
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -4,7 +4,7 @@
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::entry::{Position, Term};
+use crate::entry::{LogPosition, Term};
 use crate::message::Message;
 use crate::replica::{Replica, RoleState};
 
@@ -41,7 +41,7 @@
     }
 
     /// A rejection names the newer term, so it waits for that to be synced; nothing rests on a granted pre-vote.
-    pub(crate) fn on_pre_vote_request(&mut self, from: NodeId, term: Term, last: Position) {
+    pub(crate) fn on_pre_vote_request(&mut self, from: NodeId, term: Term, last: LogPosition) {
         if term <= self.hard_state.term {
             let response = Message::PreVoteResponse { term: self.hard_state.term, granted: false };
             self.send_in_term(from, response);
@@ -91,7 +91,7 @@
         &mut self,
         from: NodeId,
         term: Term,
-        last: Position,
+        last: LogPosition,
         leadership_transfer: bool,
     ) {
         // The lease is checked again, as the leader may have been in contact since the pre-vote. A transfer passes over
--- a/consensus/src/entry.rs
+++ b/consensus/src/entry.rs
@@ -47,14 +47,14 @@
     }
 
     /// Its term and index.
-    pub fn position(&self) -> Position {
-        Position { term: self.term, index: self.index }
+    pub fn position(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.index }
     }
 }
 
 /// An entry's term and index. Greater means more up to date, as elections compare logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct Position {
+pub struct LogPosition {
     /// Term of the entry.
     pub term: Term,
     /// Index of the entry.
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -2,7 +2,7 @@
 
 use shaletrail_protocol::NodeId;
 
-use crate::entry::{Entry, Index, Position, Term};
+use crate::entry::{Entry, Index, LogPosition, Term};
 use crate::message::{AppendOutcome, Message, RoundStamp};
 use crate::record::{Record, Snapshot};
 use crate::replica::{Replica, RoleState};
@@ -67,7 +67,7 @@
     pub(crate) fn on_append(
         &mut self,
         from: NodeId,
-        previous: Position,
+        previous: LogPosition,
         entries: Vec<Entry>,
         commit: Index,
         stamp: RoundStamp,
@@ -92,7 +92,7 @@
     }
 
     /// Whether an entry is in the log, or committed, so that the leader has the same one (Leader Completeness).
-    fn matches_log(&self, position: Position) -> bool {
+    fn matches_log(&self, position: LogPosition) -> bool {
         position.index <= self.commit_index || self.log.contains(position)
     }
 
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -19,7 +19,7 @@
         self.role_state = RoleState::Leader(Box::new(LeaderState::new(self.now, term_start_index, peers)));
         self.leader = Some(own_node);
         self.bootstrapping = false;
-        self.effects.push(Effect::Elected { term: self.hard_state.term });
+        self.effects.push(Effect::BecameLeader { term: self.hard_state.term });
         self.append_entry(Payload::Empty);
     }
 
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -96,7 +96,7 @@
 mod voters;
 
 pub use effect::Effect;
-pub use entry::{Entry, Index, Payload, Position, Term};
+pub use entry::{Entry, Index, LogPosition, Payload, Term};
 pub use error::ReplicaError;
 pub use message::{AppendOutcome, Message, RoundStamp, VoterStatus};
 pub use options::Options;
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use crate::entry::{Entry, Index, Payload, Position, Term};
+use crate::entry::{Entry, Index, LogPosition, Payload, Term};
 use crate::record::Snapshot;
 use crate::voters::VoterSet;
 
@@ -21,7 +21,7 @@
 pub(crate) struct Log {
     snapshot: Option<Snapshot>,
     /// The entry before the first that is kept.
-    base: Position,
+    base: LogPosition,
     entries: VecDeque<Entry>,
     /// Sets of voters, oldest first: the snapshot's, then those of entries after it.
     voter_sets: Vec<VoterSetAt>,
@@ -31,7 +31,7 @@
 
 impl Log {
     /// The last entry.
-    pub fn last(&self) -> Position {
+    pub fn last(&self) -> LogPosition {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Term and index of an entry, if it is kept or directly before those that are.
-    pub fn position(&self, index: Index) -> Option<Position> {
+    pub fn position(&self, index: Index) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Whether an entry of this index and term is in the log.
-    pub fn contains(&self, position: Position) -> bool {
+    pub fn contains(&self, position: LogPosition) -> bool {
         self.position(position.index) == Some(position)
     }
 
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -81,7 +81,7 @@
     }
 
     /// What this leader knows of another replica; `None` where this replica doesn't lead, or not that one.
-    pub fn peer(&self, node: NodeId) -> Option<PeerStatus> {
+    pub fn peer_status(&self, node: NodeId) -> Option<PeerStatus> {
         match &self.role_state {
             RoleState::Leader(leader_state) => leader_state.peers.get(&node).map(Progress::status),
             _ => None,
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -3,7 +3,7 @@
 use bitcode::{Decode, Encode};
 use shaletrail_protocol::Millis;
 
-use crate::entry::{Entry, Index, Position, Term};
+use crate::entry::{Entry, Index, LogPosition, Term};
 use crate::record::Snapshot;
 
 /// Put on each message of a leader and returned by the response.
@@ -41,7 +41,7 @@
         /// The term after the sender's.
         term: Term,
         /// End of the sender's log.
-        last: Position,
+        last: LogPosition,
     },
     /// Responds to [`Message::PreVoteRequest`].
     PreVoteResponse {
@@ -55,7 +55,7 @@
         /// The candidate's term.
         term: Term,
         /// End of the candidate's log.
-        last: Position,
+        last: LogPosition,
         /// Whether the former leader has stopped leading and prompted this.
         leadership_transfer: bool,
     },
@@ -93,7 +93,7 @@
         /// The leader's term.
         term: Term,
         /// The entry before the first.
-        previous: Position,
+        previous: LogPosition,
         /// Entries in order, without gaps; may be empty, to ask whether `previous` is there.
         entries: Vec<Entry>,
         /// The leader's commit index.
--- a/consensus/src/persistence.rs
+++ b/consensus/src/persistence.rs
@@ -66,7 +66,7 @@
     /// Adds a record to the next batch. A hard state takes the place of one directly before it.
     pub fn record(&mut self, record: Record) {
         match (self.records.last_mut(), record) {
-            (Some(Record::Hard(last)), Record::Hard(newer)) => *last = newer,
+            (Some(Record::HardState(last)), Record::HardState(newer)) => *last = newer,
             (_, record) => self.records.push(record),
         }
     }
--- a/consensus/src/record.rs
+++ b/consensus/src/record.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::NodeId;
 use snafu::Snafu;
 
-use crate::entry::{Entry, Index, Position, Term};
+use crate::entry::{Entry, Index, LogPosition, Term};
 use crate::voters::VoterSet;
 
 /// What a replica must not forget besides its log (Ongaro's thesis, section 3.8).
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Snapshot {
     /// The last entry that the state holds.
-    pub position: Position,
+    pub position: LogPosition,
     /// The voters at that entry.
     pub voters: VoterSet,
     /// The state machine's state, as its owner encodes it.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Record {
     /// Replaces the hard state.
-    Hard(HardState),
+    HardState(HardState),
     /// Replaces all entries from the index of the first on.
     Entries(Vec<Entry>),
     /// Replaces the entries that it covers, and all entries where its last one isn't in the log.
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -7,7 +7,7 @@
 use shaletrail_protocol::{Millis, NodeId};
 
 use crate::effect::Effect;
-use crate::entry::{Index, Position, Term};
+use crate::entry::{Index, LogPosition, Term};
 use crate::error::ReplicaError;
 use crate::leader_state::LeaderState;
 use crate::log::Log;
@@ -126,7 +126,7 @@
     }
 
     /// The last entry of the log.
-    pub fn last(&self) -> Position {
+    pub fn last(&self) -> LogPosition {
         self.log.last()
     }
 
@@ -168,7 +168,7 @@
             let failed =
                 leader_state.pending_reads.iter().map(|read| Effect::ReadFailed { token: read.token });
             self.effects.extend(failed);
-            self.effects.push(Effect::Deposed { term: self.hard_state.term });
+            self.effects.push(Effect::LostLeadership { term: self.hard_state.term });
         }
         if term > self.hard_state.term {
             self.hard_state.term = term;
--- a/consensus/src/replication.rs
+++ b/consensus/src/replication.rs
@@ -4,7 +4,7 @@
 use shaletrail_protocol::NodeId;
 
 use crate::effect::Effect;
-use crate::entry::{Entry, Index, Payload, Position, Term};
+use crate::entry::{Entry, Index, LogPosition, Payload, Term};
 use crate::log::Log;
 use crate::message::{AppendOutcome, Message, RoundStamp, VoterStatus};
 use crate::options::Options;
@@ -155,7 +155,7 @@
         peer.next() <= self.log.last().index
     }
 
-    fn append(&self, previous: Position, peer: &mut Progress) -> Option<Message> {
+    fn append(&self, previous: LogPosition, peer: &mut Progress) -> Option<Message> {
         let is_replicating = peer.is_replicating();
         let limit = if is_replicating { self.options.max_append_bytes } else { self.options.max_probe_bytes };
         let entries = self.log.batch(peer.next(), limit, is_replicating);
--- a/consensus/src/restore.rs
+++ b/consensus/src/restore.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg32;
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::entry::{Index, Position};
+use crate::entry::{Index, LogPosition};
 use crate::log::Log;
 use crate::options::Options;
 use crate::persistence::Persistence;
@@ -14,7 +14,7 @@
 
 /// Index and term of the empty snapshot with which a group is bootstrapped; it is never handed out to be installed.
 pub const BOOTSTRAP_INDEX: Index = 1;
-const BOOTSTRAP_POSITION: Position = Position { term: 1, index: BOOTSTRAP_INDEX };
+const BOOTSTRAP_POSITION: LogPosition = LogPosition { term: 1, index: BOOTSTRAP_INDEX };
 /// The lease in tenths of the shortest election timeout, at most.
 const MAX_LEASE_TENTHS: Millis = 9;
 
@@ -94,7 +94,7 @@
     let mut log = Log::default();
     for record in records {
         match record {
-            Record::Hard(newer) => hard_state = Some(newer),
+            Record::HardState(newer) => hard_state = Some(newer),
             Record::Entries(entries) => log.restore(entries),
             Record::Snapshot(snapshot) => log.install(snapshot, 0),
         }
--- a/consensus/src/send.rs
+++ b/consensus/src/send.rs
@@ -38,7 +38,7 @@
 
     /// Records the hard state with the next batch.
     pub(crate) fn record_hard_state(&mut self) {
-        self.persistence.record(Record::Hard(self.hard_state.clone()));
+        self.persistence.record(Record::HardState(self.hard_state.clone()));
         self.hard_state_ticket = self.persistence.covering_ticket();
     }
 }
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -314,8 +314,9 @@
         let is_spare = |node: &NodeId| !self.group.machines[node].is_removed && !voters.contains(node);
         let Some(spare) = self.group.machines.keys().copied().find(is_spare) else { return };
         let commit = replica.commit_index();
-        let is_ready =
-            replica.peer(spare).is_some_and(|peer| peer.counts_towards_quorum && peer.matched + 10 > commit);
+        let is_ready = replica
+            .peer_status(spare)
+            .is_some_and(|peer| peer.counts_towards_quorum && peer.matched + 10 > commit);
         let next = voters.iter().map(|voter| if voter == removed { spare } else { *voter }).collect();
         if is_ready {
             self.group.call(leader, |replica, now| replica.change_voters(now, next));
--- a/consensus/tests/group/machine.rs
+++ b/consensus/tests/group/machine.rs
@@ -50,7 +50,7 @@
 
     fn hard_state(&self) -> Option<&HardState> {
         self.synced.iter().rev().find_map(|record| match record {
-            Record::Hard(hard_state) => Some(hard_state),
+            Record::HardState(hard_state) => Some(hard_state),
             _ => None,
         })
     }
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -222,8 +222,8 @@
                 self.invariants.check_read(token, index, applied);
             }
             Effect::ReadFailed { token } => self.invariants.fail_read(token),
-            Effect::Elected { term } => self.invariants.check_elected(node, term),
-            Effect::Deposed { .. } => self.machine(node).proposals.clear(),
+            Effect::BecameLeader { term } => self.invariants.check_elected(node, term),
+            Effect::LostLeadership { .. } => self.machine(node).proposals.clear(),
         }
     }
 
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -16,7 +16,7 @@
     group.add_machine(node(4), true);
     group.call(leader, |replica, _| replica.add_learner(node(4)));
     let caught_up = group.run_until(LIMIT_MS, |group| {
-        let peer = group.leader().and_then(|leader| group.replica(leader).peer(node(4)));
+        let peer = group.leader().and_then(|leader| group.replica(leader).peer_status(node(4)));
         peer.is_some_and(|peer| peer.counts_towards_quorum && peer.matched > 1)
     });
     assert!(caught_up, "{}", group.describe());
@@ -219,7 +219,7 @@
             group.run(100);
             let Some(leader) = group.leader() else { continue };
             group.call(leader, |replica, _| replica.add_learner(node(joining)));
-            let peer = group.replica(leader).peer(node(joining));
+            let peer = group.replica(leader).peer_status(node(joining));
             if peer.is_some_and(|peer| peer.counts_towards_quorum) {
                 let _ = change(&mut group, leader, &next);
             }
--- a/consensus/tests/membership_disk_loss.rs
+++ b/consensus/tests/membership_disk_loss.rs
@@ -27,7 +27,7 @@
         group.add_machine(learner, true);
         group.call(leader, |replica, _| replica.add_learner(learner));
         let counts = |group: &Group| {
-            group.replica(leader).peer(learner).is_some_and(|peer| peer.counts_towards_quorum)
+            group.replica(leader).peer_status(learner).is_some_and(|peer| peer.counts_towards_quorum)
         };
         assert!(group.run_until(LIMIT_MS, counts), "{}", group.describe());
         group.run(300);
@@ -250,7 +250,7 @@
     // when
     fixture.group.call(fixture.leader, |replica, _| replica.add_learner(node(9)));
     // then
-    let peer = fixture.group.replica(fixture.leader).peer(node(9));
+    let peer = fixture.group.replica(fixture.leader).peer_status(node(9));
     assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
@@ -280,7 +280,7 @@
     // when
     inject_response(&mut fixture, VoterStatus { disk_id: 12345, recovering: false }, newest);
     // then
-    let peer = fixture.group.replica(fixture.leader).peer(fixture.staying);
+    let peer = fixture.group.replica(fixture.leader).peer_status(fixture.staying);
     assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
@@ -296,6 +296,6 @@
     inject_response(&mut fixture, VoterStatus { disk_id: 12345, recovering: true }, 1);
     fixture.group.run(500);
     // then
-    let peer = fixture.group.replica(fixture.leader).peer(fixture.staying);
+    let peer = fixture.group.replica(fixture.leader).peer_status(fixture.staying);
     assert!(peer.is_some_and(|peer| peer.counts_towards_quorum), "{peer:?}");
 }
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -4,7 +4,7 @@
 
 use group::{node, Group};
 use shaletrail_consensus::{
-    Effect, Entry, HardState, MalformedRecord, Message, Options, Payload, Position, Record, Replica, Role,
+    Effect, Entry, HardState, LogPosition, MalformedRecord, Message, Options, Payload, Record, Replica, Role,
     Snapshot, VoterSet,
 };
 
@@ -115,7 +115,7 @@
     assert!(group.invariants.is_acknowledged(index));
     assert!(group.sent["HeartbeatResponse"] >= before + 20);
     assert!(group.machines[&slow].applied >= index, "a commit does not wait for the own disk");
-    assert!(group.replica(leader).peer(slow).is_some_and(|peer| peer.matched < index));
+    assert!(group.replica(leader).peer_status(slow).is_some_and(|peer| peer.matched < index));
 }
 
 #[test]
@@ -177,12 +177,16 @@
 }
 
 fn hard(term: u64) -> Record {
-    Record::Hard(HardState { term, voted_for: None, recovering: false, disk_id: 5 })
+    Record::HardState(HardState { term, voted_for: None, recovering: false, disk_id: 5 })
 }
 
 fn snapshot(index: u64, term: u64) -> Record {
     let voters = VoterSet::new(&[node(1), node(2), node(3)]);
-    Record::Snapshot(Snapshot { position: Position { term, index }, voters, state: [1, 2].as_slice().into() })
+    Record::Snapshot(Snapshot {
+        position: LogPosition { term, index },
+        voters,
+        state: [1, 2].as_slice().into(),
+    })
 }
 
 fn restored(records: Vec<Record>) -> Replica {
@@ -207,7 +211,7 @@
     let first = Record::Entries(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
     let second = Record::Entries(vec![entry(3, 2)]);
     let replica = restored(vec![hard(1), snapshot(1, 1), first, hard(2), second]);
-    assert_eq!(replica.last(), Position { term: 2, index: 3 });
+    assert_eq!(replica.last(), LogPosition { term: 2, index: 3 });
     assert_eq!(replica.term(), 2);
 }
 
@@ -227,7 +231,7 @@
 fn restore_ignores_entries_below_snapshot() {
     let entries = |from: u64, to: u64| Record::Entries((from..=to).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard(1), snapshot(5, 1), entries(6, 9), entries(2, 4)]);
-    assert_eq!(replica.last(), Position { term: 1, index: 9 });
+    assert_eq!(replica.last(), LogPosition { term: 1, index: 9 });
 }
 
 #[test]
@@ -245,7 +249,7 @@
 fn restored_snapshot_drops_conflicting_log() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard(3), snapshot(1, 1), entries, snapshot(5, 3)]);
-    assert_eq!(replica.last(), Position { term: 3, index: 5 });
+    assert_eq!(replica.last(), LogPosition { term: 3, index: 5 });
 }
 
 #[test]
--- a/consensus/tests/recovering_voters.rs
+++ b/consensus/tests/recovering_voters.rs
@@ -4,7 +4,7 @@
 
 use group::{node, Group};
 use shaletrail_consensus::{
-    Effect, HardState, Index, Message, Options, Position, Record, Replica, Role, RoundStamp, VoterStatus,
+    Effect, HardState, Index, LogPosition, Message, Options, Record, Replica, Role, RoundStamp, VoterStatus,
 };
 use shaletrail_protocol::NodeId;
 
@@ -120,7 +120,7 @@
     // then
     assert_eq!(group.sent.get("Rejoin"), None);
     assert!(group.replica(recovering).is_recovering());
-    assert!(group.replica(leader).peer(recovering).is_some_and(|peer| !peer.counts_towards_quorum));
+    assert!(group.replica(leader).peer_status(recovering).is_some_and(|peer| !peer.counts_towards_quorum));
 }
 
 #[test]
@@ -139,7 +139,10 @@
     let is_recovering_on_disk = group.machines[&recovering].disk.is_recovering();
     assert!(is_recovering_on_disk);
     let counts = |group: &Group| {
-        group.replica(group.current_leader()).peer(recovering).is_some_and(|peer| peer.counts_towards_quorum)
+        group
+            .replica(group.current_leader())
+            .peer_status(recovering)
+            .is_some_and(|peer| peer.counts_towards_quorum)
     };
     group.run(500);
     assert!(!counts(&group), "a rejoin counts once it is synced");
@@ -173,7 +176,7 @@
     group.inject(recovering, leader, response);
     group.run(50);
     assert!(!group.invariants.is_acknowledged(index));
-    let peer = group.replica(leader).peer(recovering).expect("a voter");
+    let peer = group.replica(leader).peer_status(recovering).expect("a voter");
     assert!(!peer.counts_towards_quorum && peer.matched < index, "{peer:?}");
 }
 
@@ -216,7 +219,7 @@
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
     let disk_id = voter.records().into_iter().find_map(|record| match record {
-        Record::Hard(hard_state) => Some(hard_state.disk_id),
+        Record::HardState(hard_state) => Some(hard_state.disk_id),
         _ => None,
     });
     let disk_id = disk_id.expect("a hard state");
@@ -224,7 +227,7 @@
     voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id });
     // then
     let expected = HardState { term: 3, voted_for: Some(node(1)), recovering: false, disk_id };
-    assert_eq!(voter.records(), [Record::Hard(expected)]);
+    assert_eq!(voter.records(), [Record::HardState(expected)]);
 }
 
 #[test]
@@ -286,7 +289,7 @@
     let mut options = Options::new(node(2), 1);
     options.recovering = true;
     let mut voter = Replica::new(options, Vec::new(), 0);
-    let last = Position { term: 9, index: 9 };
+    let last = LogPosition { term: 9, index: 9 };
     // when
     voter.receive(5000, node(1), Message::PreVoteRequest { term: 3, last });
     voter.receive(5000, node(1), Message::VoteRequest { term: 3, last, leadership_transfer: false });
@@ -332,7 +335,7 @@
     // then: it is rejected, since the voter's log holds the rejoin point
     group.drop_messages(|message| matches!(message, Message::VoteResponse { granted: true, .. }));
     let is_vote = |record: &Record| match record {
-        Record::Hard(hard_state) => hard_state.voted_for == Some(candidate) && hard_state.term == term,
+        Record::HardState(hard_state) => hard_state.voted_for == Some(candidate) && hard_state.term == term,
         _ => false,
     };
     let mut granted = false;
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -7,7 +7,7 @@
 
 use group::{node, Group};
 use shaletrail_consensus::{
-    AppendOutcome, Effect, Entry, HardState, Index, Message, Options, Payload, Position, Record, Replica,
+    AppendOutcome, Effect, Entry, HardState, Index, LogPosition, Message, Options, Payload, Record, Replica,
     ReplicaError, Role, RoundStamp, Snapshot, VoterSet, VoterStatus,
 };
 
@@ -247,7 +247,7 @@
     assert_eq!(group.role(learner), Role::Learner);
     group.call(leader, |replica, _| replica.remove_learner(learner));
     group.run(100);
-    assert_eq!(group.replica(leader).peer(learner), None);
+    assert_eq!(group.replica(leader).peer_status(learner), None);
 }
 
 #[test]
@@ -269,7 +269,7 @@
     let (previous, entries) = (last, vec![gap.clone(), gap]);
     group.inject(leader, follower, Message::Append { term, previous, entries, commit: u64::MAX, stamp });
     group.inject(leader, follower, Message::Heartbeat { term, commit: u64::MAX, stamp });
-    let implausible = Position { term: u64::MAX, index: u64::MAX };
+    let implausible = LogPosition { term: u64::MAX, index: u64::MAX };
     let (previous, entries) = (implausible, Vec::new());
     group.inject(leader, follower, Message::Append { term, previous, entries, commit: 0, stamp });
     group.inject(leader, follower, Message::VoteResponse { term: u64::MAX, granted: false });
@@ -289,9 +289,9 @@
 fn voter_with_old_entries() -> Replica {
     let entry = |index| Entry { index, term: 2, payload: Payload::Command([0].as_slice().into()) };
     let voters = VoterSet::new(&[node(1), node(2), node(3)]);
-    let position = Position { term: 1, index: 1 };
+    let position = LogPosition { term: 1, index: 1 };
     let records = vec![
-        Record::Hard(HardState { term: 2, voted_for: Some(node(2)), recovering: false, disk_id: 5 }),
+        Record::HardState(HardState { term: 2, voted_for: Some(node(2)), recovering: false, disk_id: 5 }),
         Record::Snapshot(Snapshot { position, voters, state: [].into() }),
         Record::Entries(vec![entry(2), entry(3)]),
     ];
@@ -344,7 +344,7 @@
     // given
     let mut replica = voter_with_old_entries();
     let stamp = RoundStamp { round: 1, sent_at: 1 };
-    let previous = Position { term: 2, index: 3 };
+    let previous = LogPosition { term: 2, index: 3 };
     replica.receive(
         10,
         node(2),
@@ -371,7 +371,7 @@
     applied(&mut replica, 10);
     // when: its leader replaces them, and the disk is slow
     let entry = |index| Entry { index, term: 3, payload: Payload::Empty };
-    let (previous, entries) = (Position { term: 1, index: 1 }, vec![entry(2), entry(3)]);
+    let (previous, entries) = (LogPosition { term: 1, index: 1 }, vec![entry(2), entry(3)]);
     replica.receive(20, node(3), Message::Append { term: 3, previous, entries, commit: 1, stamp });
     replica.receive(30, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
     // then: the response names them as received, not as synced
--- a/consensus/tests/stored_format.rs
+++ b/consensus/tests/stored_format.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use shaletrail_consensus::{
-    AppendOutcome, Entry, HardState, Message, Payload, Position, Record, Role, RoundStamp, Snapshot,
+    AppendOutcome, Entry, HardState, LogPosition, Message, Payload, Record, Role, RoundStamp, Snapshot,
     VoterSet, VoterStatus,
 };
 use shaletrail_protocol::NodeId;
@@ -40,8 +40,8 @@
     VoterStatus { disk_id: 0x0102_0304_0506_0708, recovering: true }
 }
 
-fn last() -> Position {
-    Position { term: 7, index: 8 }
+fn last() -> LogPosition {
+    LogPosition { term: 7, index: 8 }
 }
 
 fn entries() -> Vec<Entry> {
@@ -55,7 +55,7 @@
 
 fn snapshot() -> Snapshot {
     let state: Arc<[u8]> = Arc::from(&b"the state"[..]);
-    Snapshot { position: Position { term: 12, index: 13 }, voters: joint_voters(), state }
+    Snapshot { position: LogPosition { term: 12, index: 13 }, voters: joint_voters(), state }
 }
 
 fn messages() -> Vec<Message> {
@@ -113,8 +113,8 @@
         disk_id: 0x1112_1314_1516_1718,
     };
     let recovering = HardState { voted_for: None, recovering: true, ..voted.clone() };
-    stored.compare("record hard state, voted", &Record::Hard(voted), Record::encode, decode);
-    stored.compare("record hard state, recovering", &Record::Hard(recovering), Record::encode, decode);
+    stored.compare("record hard state, voted", &Record::HardState(voted), Record::encode, decode);
+    stored.compare("record hard state, recovering", &Record::HardState(recovering), Record::encode, decode);
     stored.compare("record entries", &Record::Entries(entries()), Record::encode, decode);
     stored.compare("record snapshot", &Record::Snapshot(snapshot()), Record::encode, decode);
     stored.finish();
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -210,8 +210,8 @@
             }
             Effect::ReadReady { token, .. } => output.events.push(ShardEvent::ReadReady { token }),
             Effect::ReadFailed { token } => output.events.push(ShardEvent::ReadFailed { token }),
-            Effect::Elected { term } => output.events.push(ShardEvent::BecameLeader { shard, term }),
-            Effect::Deposed { term } => output.events.push(ShardEvent::LostLeadership { shard, term }),
+            Effect::BecameLeader { term } => output.events.push(ShardEvent::BecameLeader { shard, term }),
+            Effect::LostLeadership { term } => output.events.push(ShardEvent::LostLeadership { shard, term }),
         }
     }
 
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -81,7 +81,7 @@
 }
 
 fn is_caught_up(replica: &Replica, node: NodeId) -> bool {
-    replica.peer(node).is_some_and(|peer| {
+    replica.peer_status(node).is_some_and(|peer| {
         peer.counts_towards_quorum && peer.matched + MAX_LEARNER_LAG >= replica.commit_index()
     })
 }
--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -231,7 +231,8 @@
 
     /// Corrupts all that the disk holds of a shard but its hard state.
     pub fn corrupt_log(&mut self, node: NodeId, shard: u32) {
-        let is_hard = |record: &StoredRecord| matches!(Record::decode(&record.bytes), Ok(Record::Hard(_)));
+        let is_hard =
+            |record: &StoredRecord| matches!(Record::decode(&record.bytes), Ok(Record::HardState(_)));
         let records = self.machine(node).synced.iter_mut().filter(|record| record.stream == shard);
         records.filter(|record| !is_hard(record)).for_each(|record| record.bytes = vec![255; 3]);
     }
@@ -382,7 +383,7 @@
         let is_recovering = |shard: u32| {
             let records = self.machines[&node].synced.iter().filter(|record| record.stream == shard).rev();
             let hard = records.filter_map(|record| match Record::decode(&record.bytes) {
-                Ok(Record::Hard(hard)) => Some(hard.recovering),
+                Ok(Record::HardState(hard)) => Some(hard.recovering),
                 _ => None,
             });
             hard.take(1).all(|recovering| recovering)
--- a/model-checker/src/machine.rs
+++ b/model-checker/src/machine.rs
@@ -6,7 +6,7 @@
 
 use shaletrail_configuration::{Change, ChangeOutcome, ConfigState};
 use shaletrail_consensus::{
-    Effect, Entry, Index, Message, Options, Payload, Position, Record, Replica, Term,
+    Effect, Entry, Index, LogPosition, Message, Options, Payload, Record, Replica, Term,
 };
 use shaletrail_coordinator::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use shaletrail_coordinator::core::orders::OrderLeases;
@@ -86,9 +86,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Fact {
     /// It leads; what its log holds.
-    Elected { term: Term, covered: Index, log: Vec<Position> },
+    Elected { term: Term, covered: Index, log: Vec<LogPosition> },
     /// It has applied an entry, and this is the state then.
-    Applied { position: Position, payload: u64, state: u64 },
+    Applied { position: LogPosition, payload: u64, state: u64 },
     /// It has taken over a state.
     Installed { index: Index, state: u64 },
     /// It has judged a change, in the order of the log.
@@ -262,7 +262,7 @@
     /// Whether its disk was lost and its replacement is not readmitted as far as that is synced.
     pub fn is_lost(&self) -> bool {
         let hard = self.disk.synced.iter().rev().find_map(|record| match record {
-            Record::Hard(hard) => Some(hard.recovering),
+            Record::HardState(hard) => Some(hard.recovering),
             _ => None,
         });
         self.has_lost_disk && hard.unwrap_or(true)
@@ -380,7 +380,7 @@
             }
             Effect::ReadReady { token, index } => facts.push(Fact::Read { token, index }),
             Effect::ReadFailed { .. } => {}
-            Effect::Elected { term } => {
+            Effect::BecameLeader { term } => {
                 self.leadership =
                     Some(Leadership { term, since: now, allowed_from: None, must_tell_waited: false });
                 facts.push(self.elected(term));
@@ -389,7 +389,7 @@
                     let _ = self.replica.propose(now, LeaseState::acquire_command(holder));
                 }
             }
-            Effect::Deposed { .. } => {
+            Effect::LostLeadership { .. } => {
                 self.leadership = None;
                 self.proposals.clear();
             }
@@ -431,7 +431,7 @@
 
     fn judged(
         &mut self,
-        position: Position,
+        position: LogPosition,
         command: &[u8],
         judgement: &ChangeOutcome,
         facts: &mut Vec<Fact>,
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -283,7 +283,7 @@
     let Some((leader, voters)) = voters_of(fleet, number) else { return false };
     let Some(leading) = replica_of(leader) else { return false };
     let holds_all = |node: &NodeId| {
-        let peer = leading.peer(*node);
+        let peer = leading.peer_status(*node);
         *node == leader
             || peer.is_some_and(|peer| peer.counts_towards_quorum && peer.matched >= leading.commit_index())
     };
