--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -16,15 +16,15 @@
 
 #[derive(Default)]
 struct Shared {
-    replies: RefCell<VecDeque<PollResponse>>,
+    responses: RefCell<VecDeque<PollResponse>>,
     published: Notify,
     polls: RefCell<Vec<PollRequest>>,
-    hellos: Cell<usize>,
-    has_left: Cell<bool>,
-    asked: Notify,
+    handshakes: Cell<usize>,
+    has_shutdown_notice: Cell<bool>,
+    changed: Notify,
     /// The next poll is answered late, with this.
-    late_reply: RefCell<Option<PollResponse>>,
-    is_late: Cell<bool>,
+    delayed_response: RefCell<Option<PollResponse>>,
+    delayed_poll_arrived: Cell<bool>,
     released: Notify,
 }
 
@@ -57,17 +57,17 @@
     }
 
     /// Answers the next poll with this.
-    pub fn publish(&self, reply: PollResponse) {
-        self.shared.replies.borrow_mut().push_back(reply);
+    pub fn publish(&self, response: PollResponse) {
+        self.shared.responses.borrow_mut().push_back(response);
         self.shared.published.notify_waiters();
     }
 
-    /// Tells news of the configuration.
-    pub fn publish_configuration(&self, news: ConfigUpdate) {
-        self.publish(PollResponse { config: Some(news), ..PollResponse::default() });
+    /// Publishes an update of the configuration.
+    pub fn publish_configuration(&self, config_update: ConfigUpdate) {
+        self.publish(PollResponse { config: Some(config_update), ..PollResponse::default() });
     }
 
-    /// Tells the whole directory.
+    /// Publishes the complete directory.
     pub fn publish_servers(&self, servers: Vec<ServerRecord>) {
         let cursor = DirectoryCursor { epoch: Incarnation(1), revision: 1 };
         self.publish(PollResponse {
@@ -80,35 +80,35 @@
     }
 
     /// Waits until all that was published has been taken over: the edge has asked again after it.
-    pub async fn all_taken(&self) {
-        let answered = self.shared.replies.borrow().len() + self.shared.polls.borrow().len();
-        self.until(|shared| shared.replies.borrow().is_empty() && shared.polls.borrow().len() > answered)
+    pub async fn all_applied(&self) {
+        let answered = self.shared.responses.borrow().len() + self.shared.polls.borrow().len();
+        self.until(|shared| shared.responses.borrow().is_empty() && shared.polls.borrow().len() > answered)
             .await;
     }
 
     /// Answers the next poll with this, but only once it is released.
-    pub fn publish_late(&self, reply: PollResponse) {
-        self.shared.late_reply.replace(Some(reply));
+    pub fn publish_delayed(&self, response: PollResponse) {
+        self.shared.delayed_response.replace(Some(response));
     }
 
     /// Waits until the poll that is answered late has come.
-    pub async fn is_late(&self) {
-        self.until(|shared| shared.is_late.get()).await;
+    pub async fn delayed_poll_arrived(&self) {
+        self.until(|shared| shared.delayed_poll_arrived.get()).await;
     }
 
-    /// Sends the late answer.
-    pub fn release(&self) {
+    /// Sends the delayed response.
+    pub fn release_delayed(&self) {
         self.shared.released.notify_one();
     }
 
     /// Waits until an edge has introduced itself.
-    pub async fn greeted(&self) {
-        self.greeted_times(1).await;
+    pub async fn connected(&self) {
+        self.connected_times(1).await;
     }
 
     /// Waits until edges have introduced themselves so many times, each on a connection of its own.
-    pub async fn greeted_times(&self, times: usize) {
-        self.until(|shared| shared.hellos.get() >= times).await;
+    pub async fn connected_times(&self, times: usize) {
+        self.until(|shared| shared.handshakes.get() >= times).await;
     }
 
     /// Waits for so many polls in all.
@@ -117,8 +117,8 @@
     }
 
     /// Waits until the edge has said that it leaves.
-    pub async fn left(&self) {
-        self.until(|shared| shared.has_left.get()).await;
+    pub async fn received_shutdown_notice(&self) {
+        self.until(|shared| shared.has_shutdown_notice.get()).await;
     }
 
     /// All polls so far.
@@ -128,50 +128,50 @@
 
     async fn until(&self, holds: impl Fn(&Shared) -> bool) {
         loop {
-            let asked = self.shared.asked.notified();
+            let changed = self.shared.changed.notified();
             if holds(&self.shared) {
                 return;
             }
-            asked.await;
+            changed.await;
         }
     }
 }
 
 async fn serve(shared: Rc<Shared>, mut stream: TcpStream) {
     let Some(Handshake::Edge(_)) = read::<Handshake>(&mut stream).await else { return };
-    shared.hellos.set(shared.hellos.get() + 1);
-    shared.asked.notify_waiters();
+    shared.handshakes.set(shared.handshakes.get() + 1);
+    shared.changed.notify_waiters();
     while let Some(request) = read::<EdgeRequest>(&mut stream).await {
         let EdgeRequest::Poll(poll) = request else {
-            shared.has_left.set(true);
-            shared.asked.notify_waiters();
+            shared.has_shutdown_notice.set(true);
+            shared.changed.notify_waiters();
             return;
         };
-        let (cursor, hold) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
+        let (cursor, max_wait) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
         shared.polls.borrow_mut().push(poll);
-        shared.asked.notify_waiters();
-        let late = shared.late_reply.take();
-        if let Some(reply) = late {
-            shared.is_late.set(true);
-            shared.asked.notify_waiters();
+        shared.changed.notify_waiters();
+        let late = shared.delayed_response.take();
+        if let Some(response) = late {
+            shared.delayed_poll_arrived.set(true);
+            shared.changed.notify_waiters();
             shared.released.notified().await;
             // The edge may have closed the connection meanwhile.
-            drop(stream.write_all(&frame::encode(&reply)).await);
+            drop(stream.write_all(&frame::encode(&response)).await);
             continue;
         }
-        let quiet = PollResponse { cursor, ..PollResponse::default() };
-        let reply = tokio::time::timeout(hold, next_reply(&shared)).await.unwrap_or(quiet);
-        if stream.write_all(&frame::encode(&reply)).await.is_err() {
+        let no_update = PollResponse { cursor, ..PollResponse::default() };
+        let response = tokio::time::timeout(max_wait, next_response(&shared)).await.unwrap_or(no_update);
+        if stream.write_all(&frame::encode(&response)).await.is_err() {
             return;
         }
     }
 }
 
-async fn next_reply(shared: &Shared) -> PollResponse {
+async fn next_response(shared: &Shared) -> PollResponse {
     loop {
         let published = shared.published.notified();
-        if let Some(reply) = shared.replies.borrow_mut().pop_front() {
-            return reply;
+        if let Some(response) = shared.responses.borrow_mut().pop_front() {
+            return response;
         }
         published.await;
     }
--- a/dataplane/tests/common/http.rs
+++ b/dataplane/tests/common/http.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
@@ -14,7 +14,7 @@
 }
 
 impl Message {
-    /// The status of an answer.
+    /// The status of a response.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
@@ -64,14 +64,14 @@
         self.write(&request).await;
     }
 
-    /// Answers a request with a whole success.
-    pub async fn answer(&mut self, request: &Message, body: &str) {
+    /// Answers a request with a complete success.
+    pub async fn respond(&mut self, request: &Message, body: &str) {
         let length = body.len();
         self.head(request, 200, &format!("server-stamp: st\r\ncontent-length: {length}\r\n")).await;
         self.write(body).await;
     }
 
-    /// Begins an answer; `headers` are whole lines.
+    /// Begins a response; `headers` are complete lines.
     pub async fn head(&mut self, request: &Message, status: u16, headers: &str) {
         let id = request.header("attempt-id").expect("an id");
         self.write(&format!("HTTP/1.1 {status} X\r\nattempt-id: {id}\r\n{headers}\r\n")).await;
@@ -95,14 +95,14 @@
         self.write("0\r\n\r\n").await;
     }
 
-    /// Reads a request whole.
+    /// Reads a complete request.
     pub async fn read_request(&mut self) -> Message {
         let mut message = self.read_head().await;
         message.body = self.read_body(&message).await.expect("a whole body");
         message
     }
 
-    /// Reads a request whole; `None` once the connection has ended.
+    /// Reads a complete request; `None` once the connection has ended.
     pub async fn next_request(&mut self) -> Option<Message> {
         let head = self.read_until("\r\n\r\n").await?;
         let mut message = Message::parse_head(&head);
@@ -110,8 +110,8 @@
         Some(message)
     }
 
-    /// Reads an answer whole.
-    pub async fn read_answer(&mut self) -> Message {
+    /// Reads a complete response.
+    pub async fn read_response(&mut self) -> Message {
         self.read_request().await
     }
 
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -20,12 +20,12 @@
 use http::{Connection, Message};
 
 /// A test that takes longer hangs.
-const LONGEST_TEST: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test on a single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let bounded = async { tokio::time::timeout(LONGEST_TEST, test).await.expect("the test hangs") };
+    let bounded = async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test hangs") };
     LocalSet::new().block_on(&runtime, bounded);
 }
 
@@ -60,9 +60,9 @@
     /// One that has taken a configuration over, and these servers.
     pub async fn with(configuration: &str, servers: &[&Server]) -> Edge {
         let edge = Edge::start().await;
-        edge.coordinator.publish_configuration(news(configuration));
+        edge.coordinator.publish_configuration(config_update(configuration));
         edge.coordinator.publish_servers(servers.iter().map(|server| server.record()).collect());
-        edge.coordinator.all_taken().await;
+        edge.coordinator.all_applied().await;
         edge
     }
 
@@ -75,7 +75,7 @@
     pub async fn readiness_status(&self) -> u16 {
         let mut connection = Connection::open(self.readiness).await;
         connection.write("GET /readyz HTTP/1.1\r\nhost: edge\r\n\r\n").await;
-        connection.read_answer().await.status()
+        connection.read_response().await.status()
     }
 }
 
@@ -97,17 +97,17 @@
     lines.join("\n")
 }
 
-/// A whole configuration, as coordinators tell it to an edge that knows none.
-pub fn news(configuration: &str) -> ConfigUpdate {
+/// A complete configuration, as coordinators tell it to an edge that knows none.
+pub fn config_update(configuration: &str) -> ConfigUpdate {
     updates_since(0, &[(true, 0, configuration)])
 }
 
-/// What the last of some changes brings to an edge that is at `version`. Each is `(whole, base, body)`.
+/// What the last of some changes brings to an edge that is at `version`. Each is `(complete, base, body)`.
 pub fn updates_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigUpdate {
     let mut state = ConfigState::default();
-    for (whole, base, body) in changes {
-        let change =
-            Change::parse(ChangeKind::from_replace_flag(*whole), *base, body.as_bytes()).expect("a change");
+    for (complete, base, body) in changes {
+        let change = Change::parse(ChangeKind::from_replace_flag(*complete), *base, body.as_bytes())
+            .expect("a change");
         assert_eq!(state.apply(&change.encode()), ChangeOutcome::Accepted);
     }
     state.updates_since(version).expect("news")
@@ -183,7 +183,7 @@
     }
 
     /// Whether the data plane has opened a connection that was not accepted.
-    pub async fn has_caller(&self) -> bool {
+    pub async fn is_contacted(&self) -> bool {
         tokio::select! {
             biased;
             accepted = self.listener.accept() => accepted.is_ok(),
@@ -198,7 +198,7 @@
                 let mut connection = self.accept().await;
                 tokio::task::spawn_local(async move {
                     while let Some(request) = connection.next_request().await {
-                        connection.answer(&request, &request.body).await;
+                        connection.respond(&request, &request.body).await;
                     }
                 });
             }
@@ -226,7 +226,7 @@
 }
 
 /// The server that is asked first, with the connection and the request, and the other one.
-pub async fn first_asked<'a>(
+pub async fn first_contacted<'a>(
     one: &'a Server,
     other: &'a Server,
 ) -> (Connection, Message, &'a Server, &'a Server) {
--- a/dataplane/tests/connections.rs
+++ b/dataplane/tests/connections.rs
@@ -5,7 +5,7 @@
 use common::{configuration, route, run, Edge, Server};
 
 #[test]
-fn given_a_connection_that_has_served_when_the_next_request_comes_then_it_is_used_again() {
+fn idle_connection_is_reused() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -13,19 +13,19 @@
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "one").await;
-        client.read_answer().await;
+        upstream.respond(&request, "one").await;
+        client.read_response().await;
 
         // when
         client.request("/x/", "t2", "").await;
         let request = upstream.read_request().await;
         upstream.head(&request, 200, "server-stamp: st\r\nconnection: close\r\ncontent-length: 3\r\n").await;
         upstream.write("two").await;
-        let second = client.read_answer().await;
+        let second = client.read_response().await;
         client.request("/x/", "t3", "").await;
         let (mut third_upstream, request) = server.accept_request().await;
-        third_upstream.answer(&request, "three").await;
-        let third = client.read_answer().await;
+        third_upstream.respond(&request, "three").await;
+        let third = client.read_response().await;
 
         // then
         assert_eq!((second.body.as_str(), third.body.as_str()), ("two", "three"));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn given_whole_answers_of_all_shapes_when_the_next_request_comes_then_the_connection_is_used_again() {
+fn connection_is_reused_after_any_complete_response() {
     const LONG: usize = 300_000;
     run(async {
         // given
@@ -45,29 +45,29 @@
         let (mut upstream, request) = server.accept_request().await;
 
         // when
-        upstream.answer(&request, "").await;
-        let empty = client.read_answer().await;
+        upstream.respond(&request, "").await;
+        let empty = client.read_response().await;
         client.request("/x/", "t2", "body").await;
         let request = upstream.read_request().await;
-        upstream.answer(&request, &"y".repeat(LONG)).await;
-        let long = client.read_answer().await;
+        upstream.respond(&request, &"y".repeat(LONG)).await;
+        let long = client.read_response().await;
         client.request("/x/", "t3", &"b".repeat(4096)).await;
         let request = upstream.read_request().await;
         upstream.head(&request, 200, "server-stamp: st\r\ntransfer-encoding: chunked\r\n").await;
         upstream.chunk("three").await;
         upstream.end_chunks().await;
-        let chunked = client.read_answer().await;
+        let chunked = client.read_response().await;
         client.request("/x/", "t4", "").await;
         let request = upstream.read_request().await;
         upstream.head(&request, 404, "content-length: 4\r\n").await;
         upstream.write("none").await;
-        let failure = client.read_answer().await;
+        let failure = client.read_response().await;
         client.request("/x/", "t5", "").await;
         let request = upstream.read_request().await;
         upstream.stream_head(&request, "st").await;
         upstream.chunk("id: 1\n\n").await;
         upstream.end_chunks().await;
-        let stream = client.read_answer().await;
+        let stream = client.read_response().await;
         client.request("/x/", "t6", "").await;
         let last = upstream.read_request().await;
 
@@ -76,12 +76,12 @@
         assert_eq!((chunked.body.as_str(), failure.body.as_str()), ("three", "none"));
         assert_eq!(stream.body, "id: 1\n\n");
         assert_eq!(last.header("attempt-id"), Some("t6"));
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_request_under_way_when_the_client_leaves_then_the_servers_connection_is_closed() {
+fn client_disconnect_closes_server_connection() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -99,8 +99,7 @@
 }
 
 #[test]
-fn given_a_request_that_waits_for_a_server_when_its_client_leaves_then_the_server_that_comes_does_not_get_it()
-{
+fn client_disconnect_drops_queued_request() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -115,17 +114,17 @@
         edge.readiness_status().await;
         edge.coordinator.publish_servers(vec![server.record()]);
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "two").await;
-        let answer = staying.read_answer().await;
+        upstream.respond(&request, "two").await;
+        let response = staying.read_response().await;
 
         // then
-        assert_eq!((request.header("attempt-id"), answer.body.as_str()), (Some("t2"), "two"));
-        assert!(!server.has_caller().await);
+        assert_eq!((request.header("attempt-id"), response.body.as_str()), (Some("t2"), "two"));
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_request_whose_body_breaks_off_when_its_client_leaves_then_no_server_gets_it() {
+fn truncated_request_body_is_not_sent() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -140,12 +139,12 @@
         edge.readiness_status().await;
 
         // then
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_second_answer_nobody_asked_for_when_it_comes_late_then_its_connection_is_not_used_again() {
+fn unsolicited_response_prevents_connection_reuse() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -153,25 +152,25 @@
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "one").await;
-        client.read_answer().await;
+        upstream.respond(&request, "one").await;
+        client.read_response().await;
 
         // when
-        upstream.answer(&request, "one more").await;
+        upstream.respond(&request, "one more").await;
         upstream.closed().await;
         client.request("/x/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "two").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&request, "two").await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.header("attempt-id"), Some("t2"));
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "two"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "two"));
     });
 }
 
 #[test]
-fn given_many_clients_when_they_ask_at_once_then_each_gets_its_own_answers() {
+fn concurrent_clients_get_their_own_responses() {
     const CLIENTS: usize = 40;
     const REQUESTS: usize = 10;
     run(async {
@@ -189,11 +188,11 @@
                 for number in 0..REQUESTS {
                     let (id, body) = (format!("t{client}-{number}"), format!("body {client} {number}"));
                     connection.request(&format!("/x/{client}"), &id, &body).await;
-                    let answer = connection.read_answer().await;
+                    let response = connection.read_response().await;
 
                     // then
-                    assert_eq!((answer.status(), answer.body.as_str()), (200, body.as_str()));
-                    assert_eq!(answer.header("attempt-id"), Some(id.as_str()));
+                    assert_eq!((response.status(), response.body.as_str()), (200, body.as_str()));
+                    assert_eq!(response.header("attempt-id"), Some(id.as_str()));
                 }
             }
         });
@@ -216,7 +215,7 @@
 }
 
 #[test]
-fn given_a_connection_that_rests_when_it_rests_too_long_then_it_is_closed_but_no_busy_one_is() {
+fn only_idle_client_connections_time_out() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -229,10 +228,10 @@
 
         // when
         resting.closed().await;
-        upstream.answer(&request, "still there").await;
-        let answer = busy.read_answer().await;
+        upstream.respond(&request, "still there").await;
+        let response = busy.read_response().await;
 
         // then
-        assert_eq!(answer.body, "still there");
+        assert_eq!(response.body, "still there");
     });
 }
--- a/dataplane/tests/deadlines.rs
+++ b/dataplane/tests/deadlines.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use common::http::Message;
-use common::{configuration, first_asked, route, run, Edge, Server};
+use common::{configuration, first_contacted, route, run, Edge, Server};
 
-/// A final answer comes this long after a route's time at the latest.
+/// A final response comes this long after a route's time at the latest.
 const LATEST: Duration = Duration::from_millis(500);
 /// The time of a short route, in milliseconds.
 const SHORT_MS: u64 = 150;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn given_a_server_that_says_nothing_when_the_routes_time_is_over_then_the_answer_promises_nothing() {
+fn timeout_with_silent_server_does_not_imply_not_executed() {
     run(async {
         for kind in ["non_idempotent", "idempotent", "streaming", "resumable"] {
             // given
@@ -33,12 +33,12 @@
             let sent_at = Instant::now();
             client.request("/x/", "t1", "").await;
             let (mut upstream, request) = server.accept_request().await;
-            let answer = client.read_answer().await;
+            let response = client.read_response().await;
             let taken = sent_at.elapsed();
 
             // then
             let time = Duration::from_millis(SHORT_MS);
-            assert_eq!((answer.status(), answer.header("retry-after")), (504, None), "{kind}");
+            assert_eq!((response.status(), response.header("retry-after")), (504, None), "{kind}");
             assert!(taken >= time && taken < time + LATEST, "{kind}: {taken:?}");
             assert!(deadline_ms(&request) <= SHORT_MS, "{kind}");
             upstream.closed().await;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn given_a_stream_without_end_when_the_routes_time_is_over_then_it_is_broken_off_and_the_server_called_off() {
+fn timeout_aborts_endless_stream() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn given_no_server_when_the_time_is_over_then_the_answer_promises_that_it_has_not_run() {
+fn timeout_without_server_implies_not_executed() {
     run(async {
         // given
         let edge = Edge::with(&configuration(&[short_route("non_idempotent")]), &[]).await;
@@ -82,16 +82,16 @@
         // when
         let sent_at = Instant::now();
         client.request("/x/", "t1", "").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 503);
+        assert_eq!(response.status(), 503);
         assert!(sent_at.elapsed() < Duration::from_millis(SHORT_MS) + LATEST);
     });
 }
 
 #[test]
-fn given_a_body_that_comes_slowly_when_the_request_is_sent_on_then_the_server_is_told_what_is_left() {
+fn deadline_header_deducts_body_reading_time() {
     run(async {
         // given
         const PAUSE: Duration = Duration::from_millis(60);
@@ -110,13 +110,13 @@
         let (_upstream, request) = server.accept_request().await;
 
         // then
-        let left = Duration::from_millis(deadline_ms(&request));
-        assert!(left <= Duration::from_millis(5000) - PAUSE, "{left:?}");
+        let remaining = Duration::from_millis(deadline_ms(&request));
+        assert!(remaining <= Duration::from_millis(5000) - PAUSE, "{remaining:?}");
     });
 }
 
 #[test]
-fn given_a_request_that_is_sent_again_when_time_has_passed_then_the_second_server_is_told_what_is_left() {
+fn deadline_header_of_retry_deducts_elapsed_time() {
     run(async {
         // given
         const PAUSE: Duration = Duration::from_millis(60);
@@ -124,7 +124,7 @@
         let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let (upstream, first, _, other) = first_asked(&one, &two).await;
+        let (upstream, first, _, other) = first_contacted(&one, &two).await;
 
         // when
         tokio::time::sleep(PAUSE).await;
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -27,65 +27,65 @@
     headers
 }
 
-fn judged(status: u16, pairs: &[(&str, &str)]) -> ResponseKind {
+fn classified(status: u16, pairs: &[(&str, &str)]) -> ResponseKind {
     let (mut head, ()) = Response::builder().status(status).body(()).expect("an answer").into_parts();
     head.headers = headers(pairs);
     classify(&head, &Method::POST, Some(&HeaderValue::from_static("t1")))
 }
 
 #[test]
-fn given_a_stream_when_it_is_cut_anywhere_then_the_same_whole_events_come_out() {
+fn splitter_output_does_not_depend_on_chunk_boundaries() {
     // given
     let text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nversions: 3\nid:7\ndata: c\n\nid: 8\nda";
-    let whole = text.strip_suffix("id: 8\nda").expect("a part of an event");
+    let complete = text.strip_suffix("id: 8\nda").expect("a part of an event");
     let mut random = Pcg64::seed_from_u64(1);
     for _ in 0..500 {
         // when
-        let mut cutter = EventSplitter::after(None);
-        let (mut rest, mut passed) = (text.as_bytes(), Vec::new());
+        let mut splitter = EventSplitter::after(None);
+        let (mut rest, mut forwarded) = (text.as_bytes(), Vec::new());
         while !rest.is_empty() {
-            let (piece, later) = rest.split_at(random.random_range(1..=rest.len()));
-            let events = cutter.push(Bytes::copy_from_slice(piece)).expect("events");
+            let (chunk, later) = rest.split_at(random.random_range(1..=rest.len()));
+            let events = splitter.push(Bytes::copy_from_slice(chunk)).expect("events");
             assert!(events.is_empty() || events.ends_with(b"\n\n") || events.ends_with(b"\n\r\n"));
-            passed.extend_from_slice(&events);
+            forwarded.extend_from_slice(&events);
             rest = later;
         }
 
         // then
-        assert_eq!(passed, whole.as_bytes());
-        assert_eq!(cutter.last_id(), Some(7));
-        assert!(cutter.has_partial_event());
-        assert_eq!(cutter.finish(), "id: 8\nda");
+        assert_eq!(forwarded, complete.as_bytes());
+        assert_eq!(splitter.last_id(), Some(7));
+        assert!(splitter.has_partial_event());
+        assert_eq!(splitter.finish(), "id: 8\nda");
     }
 }
 
 #[test]
-fn given_a_stream_taken_up_when_events_come_again_then_only_later_ones_are_passed() {
+fn splitter_drops_events_before_resume_point() {
     // given
-    let mut cutter = EventSplitter::after(Some(2));
+    let mut splitter = EventSplitter::after(Some(2));
 
     // when
-    let events = cutter.push(Bytes::from_static(b"id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"));
+    let events = splitter.push(Bytes::from_static(b"id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"));
 
     // then
     assert_eq!(events, Ok(Bytes::from_static(b"id: 3\n\nid: 4\n\n")));
-    assert_eq!(cutter.last_id(), Some(4));
+    assert_eq!(splitter.last_id(), Some(4));
 }
 
 #[test]
-fn given_an_event_without_end_when_it_grows_too_long_then_it_is_an_error() {
+fn splitter_rejects_too_long_event() {
     // given
-    let mut cutter = EventSplitter::after(None);
+    let mut splitter = EventSplitter::after(None);
 
     // when
-    let result = cutter.push(Bytes::from(vec![b'x'; MAX_EVENT_BYTES + 1]));
+    let result = splitter.push(Bytes::from(vec![b'x'; MAX_EVENT_BYTES + 1]));
 
     // then
     assert_eq!(result, Err(SplitError::TooLong));
 }
 
 #[test]
-fn given_headers_of_a_request_when_they_are_read_then_what_it_asks_for_is_known() {
+fn request_headers_are_parsed() {
     // given
     let full = headers(&[
         ("model", "daka510000/a3"),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn given_a_request_when_its_host_is_read_then_the_port_is_left_out() {
+fn host_excludes_port() {
     // given
     let path = Uri::from_static("/x");
     let absolute = Uri::from_static("http://b.example:81/x");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn given_headers_of_a_connection_when_they_are_stripped_then_only_others_stay() {
+fn hop_by_hop_headers_are_stripped() {
     // given
     let mut all = headers(&[
         ("connection", "close, x-own"),
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn given_heads_of_answers_when_they_are_judged_then_only_proper_ones_count() {
+fn response_heads_are_classified() {
     // given
     const ID: (&str, &str) = ("attempt-id", "t1");
     const STAMP: (&str, &str) = ("server-stamp", "s");
@@ -192,57 +192,60 @@
     const MARK: (&str, &str) = ("not-executed", "1");
 
     // when, then
-    assert_eq!(judged(200, &[ID, STAMP, LENGTH]), ResponseKind::Success(BodyShape::Length(5)));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED]), ResponseKind::Success(BodyShape::Chunked));
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, EVENTS]), ResponseKind::Success(BodyShape::Events));
-    assert_eq!(judged(204, &[ID, STAMP]), ResponseKind::Success(BodyShape::Length(0)));
-    assert_eq!(judged(200, &[ID, STAMP]), ResponseKind::Malformed(MalformedReason::UnknownLength));
+    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), ResponseKind::Success(BodyShape::Length(5)));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), ResponseKind::Success(BodyShape::Chunked));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), ResponseKind::Success(BodyShape::Events));
+    assert_eq!(classified(204, &[ID, STAMP]), ResponseKind::Success(BodyShape::Length(0)));
+    assert_eq!(classified(200, &[ID, STAMP]), ResponseKind::Malformed(MalformedReason::UnknownLength));
     assert_eq!(
-        judged(200, &[ID, STAMP, IDENTITY, LENGTH]),
+        classified(200, &[ID, STAMP, IDENTITY, LENGTH]),
         ResponseKind::Malformed(MalformedReason::UnknownLength)
     );
     assert_eq!(
-        judged(200, &[ID, STAMP, CHUNKED, IDENTITY]),
+        classified(200, &[ID, STAMP, CHUNKED, IDENTITY]),
         ResponseKind::Malformed(MalformedReason::UnknownLength)
     );
-    assert_eq!(judged(200, &[ID, STAMP, CHUNKED, LENGTH]), ResponseKind::Success(BodyShape::Chunked));
-    assert_eq!(judged(200, &[ID, LENGTH]), ResponseKind::Malformed(MalformedReason::MissingStamp));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), ResponseKind::Success(BodyShape::Chunked));
+    assert_eq!(classified(200, &[ID, LENGTH]), ResponseKind::Malformed(MalformedReason::MissingStamp));
     assert_eq!(
-        judged(200, &[("attempt-id", "t0"), STAMP, LENGTH]),
+        classified(200, &[("attempt-id", "t0"), STAMP, LENGTH]),
         ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
     );
-    assert_eq!(judged(200, &[STAMP, LENGTH]), ResponseKind::Malformed(MalformedReason::AttemptIdMismatch));
-    assert_eq!(judged(503, &[ID, MARK, LENGTH]), ResponseKind::Rejection);
-    assert_eq!(judged(429, &[ID, MARK]), ResponseKind::Rejection);
-    assert_eq!(judged(400, &[ID, MARK]), ResponseKind::Rejection);
-    assert_eq!(judged(421, &[ID]), ResponseKind::Rejection);
     assert_eq!(
-        judged(503, &[ID, STAMP, LENGTH]),
+        classified(200, &[STAMP, LENGTH]),
+        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
+    );
+    assert_eq!(classified(503, &[ID, MARK, LENGTH]), ResponseKind::Rejection);
+    assert_eq!(classified(429, &[ID, MARK]), ResponseKind::Rejection);
+    assert_eq!(classified(400, &[ID, MARK]), ResponseKind::Rejection);
+    assert_eq!(classified(421, &[ID]), ResponseKind::Rejection);
+    assert_eq!(
+        classified(503, &[ID, STAMP, LENGTH]),
         ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
     );
     for status in [408, 429, 503] {
         assert_eq!(
-            judged(status, &[ID, STAMP, LENGTH]),
+            classified(status, &[ID, STAMP, LENGTH]),
             ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
         );
     }
     for status in [200, 500, 504] {
-        assert_ne!(judged(status, &[ID, STAMP, LENGTH, MARK]), ResponseKind::Rejection);
+        assert_ne!(classified(status, &[ID, STAMP, LENGTH, MARK]), ResponseKind::Rejection);
     }
     assert_eq!(
-        judged(503, &[("attempt-id", "t0"), MARK]),
+        classified(503, &[("attempt-id", "t0"), MARK]),
         ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
     );
     assert_eq!(
-        judged(421, &[("attempt-id", "t0")]),
+        classified(421, &[("attempt-id", "t0")]),
         ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
     );
-    assert_eq!(judged(400, &[ID, LENGTH]), ResponseKind::Failure);
-    assert_eq!(judged(500, &[ID, STAMP, LENGTH]), ResponseKind::Failure);
+    assert_eq!(classified(400, &[ID, LENGTH]), ResponseKind::Failure);
+    assert_eq!(classified(500, &[ID, STAMP, LENGTH]), ResponseKind::Failure);
 }
 
 #[test]
-fn given_headers_of_answers_when_their_numbers_are_read_then_odd_ones_count_as_missing() {
+fn invalid_response_header_values_count_as_missing() {
     // given
     let proper =
         headers(&[("server-load", "3,0,8"), ("retry-after", "0.25"), ("keep-alive", "max=9, timeout=5")]);
@@ -255,7 +258,7 @@
 }
 
 #[test]
-fn given_coordinators_when_one_fails_then_each_is_asked_once_in_a_round() {
+fn each_coordinator_is_chosen_once_a_round() {
     // given
     let mut coordinators = Coordinators::new(NodeId(1), vec![NodeId(2), NodeId(3)]);
     coordinators.learn(vec![NodeId(3), NodeId(4)]);
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn given_many_edges_when_each_chooses_a_coordinator_then_they_spread() {
+fn edges_spread_over_coordinators() {
     // given
     let seeds = vec![NodeId(1001), NodeId(1002), NodeId(1003)];
 
@@ -294,27 +297,27 @@
 }
 
 #[test]
-fn given_bounds_when_the_pace_is_set_then_it_stays_within_them() {
-    let pace = |convergence, drain| {
+fn poll_timeouts_stay_within_bounds() {
+    let poll_timeouts = |convergence, drain| {
         PollTimeouts::within(Duration::from_millis(convergence), Duration::from_millis(drain))
     };
     // given, when, then
     assert_eq!(
-        pace(2000, 2000),
+        poll_timeouts(2000, 2000),
         PollTimeouts { max_wait: Duration::from_millis(500), max_lateness: Duration::from_millis(333) }
     );
     assert_eq!(
-        pace(60_000, 100),
+        poll_timeouts(60_000, 100),
         PollTimeouts { max_wait: Duration::from_millis(100), max_lateness: Duration::from_millis(150) }
     );
     assert_eq!(
-        pace(60_000, 60_000),
+        poll_timeouts(60_000, 60_000),
         PollTimeouts { max_wait: Duration::from_millis(1000), max_lateness: Duration::from_millis(400) }
     );
 }
 
 #[test]
-fn given_a_process_that_ends_when_requests_come_then_late_ones_are_taken_only_if_they_end_before_it() {
+fn late_requests_are_accepted_only_if_they_end_in_time() {
     // given
     let stopping = ShutdownWindow { started_at: 10_000, aborts_at: 17_300 };
 
--- a/dataplane/tests/polls.rs
+++ b/dataplane/tests/polls.rs
@@ -1,28 +1,28 @@
-//! Answers of coordinators: which poll they answer, and what is taken from them.
+//! Responses of coordinators: which poll they belong to, and what is taken from them.
 
 mod common;
 
 use common::coordinator::Coordinator;
-use common::{configuration, news, route, run, Edge, Server};
+use common::{config_update, configuration, route, run, Edge, Server};
 use shaletrail_protocol::internal::{DirectoryCursor, PollResponse};
 use shaletrail_protocol::Incarnation;
 
 #[test]
-fn given_a_poll_that_was_given_up_when_its_reply_comes_late_then_it_answers_no_later_poll() {
+fn late_poll_response_is_not_taken_for_a_later_poll() {
     run(async {
         // given
         let edge = Edge::start().await;
         let coordinator = edge.coordinator.clone();
-        coordinator.publish_configuration(news(&configuration(&[route("r", "/x/", "idempotent")])));
-        coordinator.all_taken().await;
+        coordinator.publish_configuration(config_update(&configuration(&[route("r", "/x/", "idempotent")])));
+        coordinator.all_applied().await;
         let cursor = DirectoryCursor { epoch: Incarnation(9), revision: 9 };
-        coordinator.publish_late(PollResponse { cursor, ..PollResponse::default() });
-        coordinator.is_late().await;
+        coordinator.publish_delayed(PollResponse { cursor, ..PollResponse::default() });
+        coordinator.delayed_poll_arrived().await;
 
         // when
         let polled = coordinator.polls().len();
-        coordinator.greeted_times(2).await;
-        coordinator.release();
+        coordinator.connected_times(2).await;
+        coordinator.release_delayed();
         coordinator.polled_times(polled + 3).await;
 
         // then
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn given_a_configuration_when_an_older_one_is_told_then_the_newer_stays_in_force() {
+fn older_configuration_is_ignored() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -40,11 +40,15 @@
         let edge = Edge::with(&newer, &[&server]).await;
 
         // when
-        edge.coordinator.publish_configuration(news(&configuration(&[route("old", "/x/", "idempotent")])));
-        edge.coordinator.all_taken().await;
+        edge.coordinator.publish_configuration(config_update(&configuration(&[route(
+            "old",
+            "/x/",
+            "idempotent",
+        )])));
+        edge.coordinator.all_applied().await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let by_old = client.read_answer().await;
+        let by_old = client.read_response().await;
 
         // then
         assert_eq!(by_old.status(), 404);
@@ -53,7 +57,7 @@
 }
 
 #[test]
-fn given_a_configuration_when_a_coordinator_out_of_touch_tells_a_newer_one_then_it_is_not_taken() {
+fn update_from_isolated_coordinator_is_ignored() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -64,11 +68,11 @@
         // when
         let polled = edge.coordinator.polls().len();
         edge.coordinator.publish(PollResponse {
-            config: Some(news(&newer)),
+            config: Some(config_update(&newer)),
             isolated: true,
             ..PollResponse::default()
         });
-        edge.coordinator.greeted_times(2).await;
+        edge.coordinator.connected_times(2).await;
         edge.coordinator.polled_times(polled + 2).await;
 
         // then
@@ -77,10 +81,10 @@
 }
 
 #[test]
-fn given_no_configuration_when_a_coordinator_out_of_touch_tells_one_then_it_is_not_taken() {
+fn first_configuration_from_isolated_coordinator_is_ignored() {
     run(async {
         // given
-        let remembered = news(&configuration(&[route("r", "/x/", "idempotent")]));
+        let remembered = config_update(&configuration(&[route("r", "/x/", "idempotent")]));
         let edge = Edge::start().await;
 
         // when
@@ -89,34 +93,35 @@
             isolated: true,
             ..PollResponse::default()
         });
-        edge.coordinator.greeted_times(2).await;
-        edge.coordinator.all_taken().await;
+        edge.coordinator.connected_times(2).await;
+        edge.coordinator.all_applied().await;
 
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
 
         // then
         assert_eq!(edge.coordinator.polls().last().map(|poll| poll.config_version), Some(0));
-        assert_eq!(client.read_answer().await.status(), 503);
+        assert_eq!(client.read_response().await.status(), 503);
     });
 }
 
 #[test]
-fn given_news_that_build_on_another_version_when_they_come_then_the_whole_configuration_is_asked_for() {
+fn update_on_unknown_version_requests_full_configuration() {
     run(async {
         // given
         let server = Server::start("i-1").await;
         let first = configuration(&[route("r", "/x/", "idempotent")]);
         let edge = Edge::with(&first, &[&server]).await;
-        let mut odd = news(&first);
+        let mut odd = config_update(&first);
         (odd.base, odd.version) = (Some(4), 5);
 
         // when
         let polled = edge.coordinator.polls().len();
         edge.coordinator.publish_configuration(odd);
-        edge.coordinator.all_taken().await;
-        edge.coordinator.publish_configuration(news(&first.replace(r#""version":1"#, r#""version":6"#)));
-        edge.coordinator.all_taken().await;
+        edge.coordinator.all_applied().await;
+        edge.coordinator
+            .publish_configuration(config_update(&first.replace(r#""version":1"#, r#""version":6"#)));
+        edge.coordinator.all_applied().await;
 
         // then
         let versions: Vec<u64> =
@@ -127,7 +132,7 @@
 }
 
 #[test]
-fn given_a_coordinator_that_has_started_anew_when_its_cursor_comes_then_the_next_poll_names_that() {
+fn poll_returns_cursor_of_restarted_coordinator() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -136,7 +141,7 @@
 
         // when
         edge.coordinator.publish(PollResponse { cursor: anew, ..PollResponse::default() });
-        edge.coordinator.all_taken().await;
+        edge.coordinator.all_applied().await;
 
         // then
         assert_eq!(edge.coordinator.polls().last().map(|poll| poll.cursor), Some(anew));
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn given_no_configuration_when_requests_come_then_none_is_told_that_its_route_is_not_there() {
+fn request_without_configuration_is_not_404() {
     run(async {
         // given
         let coordinator = Coordinator::start().await;
@@ -156,10 +161,10 @@
         // when
         for path in ["/", "/x/", "/never-there/"] {
             client.request(path, "t1", "").await;
-            let answer = client.read_answer().await;
+            let response = client.read_response().await;
 
             // then
-            assert_eq!(answer.status(), 503, "{path}");
+            assert_eq!(response.status(), 503, "{path}");
         }
     });
 }
--- a/dataplane/tests/requests.rs
+++ b/dataplane/tests/requests.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{configuration, first_asked, news, route, route_to, run, Edge, Server};
+use common::{config_update, configuration, first_contacted, route, route_to, run, Edge, Server};
 
 #[test]
-fn given_a_route_when_a_request_comes_then_it_is_passed_on_unchanged_but_for_its_connection() {
+fn request_is_forwarded_without_hop_by_hop_headers() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -21,8 +21,8 @@
             )
             .await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "hello").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&request, "hello").await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.start_line, "POST /x/y?q=1&r=%20 HTTP/1.1");
@@ -39,16 +39,16 @@
         for dropped in ["secret", "keep-alive", "connection", "transfer-encoding"] {
             assert_eq!(request.header(dropped), None, "{dropped}");
         }
-        assert_eq!(answer.status(), 200);
-        assert_eq!(answer.body, "hello");
-        assert_eq!(answer.header("server-stamp"), Some("st"));
-        assert_eq!(answer.header("attempt-id"), Some("t1"));
-        assert_eq!(answer.header("content-length"), Some("5"));
+        assert_eq!(response.status(), 200);
+        assert_eq!(response.body, "hello");
+        assert_eq!(response.header("server-stamp"), Some("st"));
+        assert_eq!(response.header("attempt-id"), Some("t1"));
+        assert_eq!(response.header("content-length"), Some("5"));
     });
 }
 
 #[test]
-fn given_routes_when_host_or_path_fit_none_then_the_answer_is_404() {
+fn unknown_route_is_404() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -57,18 +57,18 @@
 
         // when
         client.write("GET /y/ HTTP/1.1\r\nhost: a.example\r\n\r\n").await;
-        let by_path = client.read_answer().await;
+        let by_path = client.read_response().await;
         client.write("GET /x/ HTTP/1.1\r\nhost: b.example\r\n\r\n").await;
-        let by_host = client.read_answer().await;
+        let by_host = client.read_response().await;
 
         // then
         assert_eq!((by_path.status(), by_host.status()), (404, 404));
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_two_services_when_requests_come_then_the_longest_prefix_says_whose_they_are() {
+fn longest_prefix_selects_service() {
     run(async {
         // given
         let one = Server::of("s1", "i-1").await;
@@ -80,12 +80,12 @@
         // when
         client.request("/x/a", "t1", "").await;
         let (mut upstream, request) = one.accept_request().await;
-        upstream.answer(&request, "from s1").await;
-        let first = client.read_answer().await;
+        upstream.respond(&request, "from s1").await;
+        let first = client.read_response().await;
         client.request("/x/y/a", "t2", "").await;
         let (mut upstream, request) = two.accept_request().await;
-        upstream.answer(&request, "from s2").await;
-        let second = client.read_answer().await;
+        upstream.respond(&request, "from s2").await;
+        let second = client.read_response().await;
 
         // then
         assert_eq!((first.body.as_str(), second.body.as_str()), ("from s1", "from s2"));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn given_nothing_known_when_a_request_comes_then_it_is_refused_with_a_promise_and_not_ready() {
+fn edge_without_configuration_is_unready_and_rejects() {
     run(async {
         // given
         let edge = Edge::start().await;
@@ -101,18 +101,18 @@
 
         // when
         client.request("/x/", "t1", "").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 503);
-        assert_eq!(answer.header("retry-after"), Some("0.200"));
-        assert_eq!(answer.header("server-stamp"), None);
+        assert_eq!(response.status(), 503);
+        assert_eq!(response.header("retry-after"), Some("0.200"));
+        assert_eq!(response.header("server-stamp"), None);
         assert_eq!(edge.readiness_status().await, 503);
     });
 }
 
 #[test]
-fn given_configuration_and_servers_when_readiness_is_asked_then_it_is_200() {
+fn edge_with_configuration_and_servers_is_ready() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn given_a_body_over_the_limit_when_it_is_announced_or_comes_in_chunks_then_the_answer_is_413() {
+fn too_long_request_body_is_413() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -137,23 +137,23 @@
         // when
         let mut client = edge.connect().await;
         client.request("/x/", "t1", &long).await;
-        let announced = client.read_answer().await;
+        let announced = client.read_response().await;
         let mut client = edge.connect().await;
         client
             .write(&format!(
                 "POST /x/ HTTP/1.1\r\nhost: a.example\r\ntransfer-encoding: chunked\r\n\r\n1001\r\n{long}\r\n0\r\n\r\n"
             ))
             .await;
-        let chunked = client.read_answer().await;
+        let chunked = client.read_response().await;
 
         // then
         assert_eq!((announced.status(), chunked.status()), (413, 413));
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_request_that_may_not_repeat_when_its_connection_is_reset_then_it_is_sent_no_second_time() {
+fn reset_does_not_retry_non_idempotent() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -162,19 +162,19 @@
 
         // when
         client.request("/x/", "t1", "body").await;
-        let (upstream, ..) = first_asked(&one, &two).await;
+        let (upstream, ..) = first_contacted(&one, &two).await;
         upstream.reset();
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 502);
-        assert_eq!(answer.header("server-stamp"), None);
-        assert!(!one.has_caller().await && !two.has_caller().await);
+        assert_eq!(response.status(), 502);
+        assert_eq!(response.header("server-stamp"), None);
+        assert!(!one.is_contacted().await && !two.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_request_that_may_repeat_when_its_connection_is_reset_then_another_server_answers() {
+fn reset_retries_idempotent_on_another_server() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -183,21 +183,21 @@
 
         // when
         client.request("/x/", "t1", "body").await;
-        let (upstream, _, _, other) = first_asked(&one, &two).await;
+        let (upstream, _, _, other) = first_contacted(&one, &two).await;
         upstream.reset();
         let (mut upstream, request) = other.accept_request().await;
-        upstream.answer(&request, "second").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&request, "second").await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.body, "body");
         assert_eq!(request.header("attempt-id"), Some("t1"));
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "second"));
     });
 }
 
 #[test]
-fn given_a_request_that_may_not_repeat_when_a_server_turns_it_away_then_another_gets_it() {
+fn rejection_retries_non_idempotent_on_another_server() {
     run(async {
         for rejection in [(503, "not-executed: 1\r\ncontent-length: 4\r\n"), (421, "content-length: 4\r\n")] {
             // given
@@ -208,21 +208,21 @@
 
             // when
             client.request("/x/", "t1", "body").await;
-            let (mut upstream, request, _, other) = first_asked(&one, &two).await;
+            let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
             upstream.head(&request, rejection.0, rejection.1).await;
             upstream.write("full").await;
             let (mut upstream, request) = other.accept_request().await;
-            upstream.answer(&request, "taken").await;
-            let answer = client.read_answer().await;
+            upstream.respond(&request, "taken").await;
+            let response = client.read_response().await;
 
             // then
-            assert_eq!((answer.status(), answer.body.as_str()), (200, "taken"), "{rejection:?}");
+            assert_eq!((response.status(), response.body.as_str()), (200, "taken"), "{rejection:?}");
         }
     });
 }
 
 #[test]
-fn given_a_503_without_promise_when_the_request_may_not_repeat_then_it_is_no_promise_either() {
+fn unconfirmed_503_does_not_imply_not_executed() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -231,18 +231,18 @@
 
         // when
         client.request("/x/", "t1", "body").await;
-        let (mut upstream, request, ..) = first_asked(&one, &two).await;
+        let (mut upstream, request, ..) = first_contacted(&one, &two).await;
         upstream.head(&request, 503, "content-length: 0\r\n").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 502);
-        assert!(!one.has_caller().await && !two.has_caller().await);
+        assert_eq!(response.status(), 502);
+        assert!(!one.is_contacted().await && !two.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_failure_of_the_servers_own_when_the_request_may_not_repeat_then_it_is_passed_on_unchanged() {
+fn failure_of_non_idempotent_is_forwarded_unchanged() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -254,17 +254,16 @@
         let (mut upstream, request) = server.accept_request().await;
         upstream.head(&request, 500, "server-stamp: st\r\ncontent-length: 3\r\n").await;
         upstream.write("sad").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!((answer.status(), answer.body.as_str()), (500, "sad"));
-        assert_eq!(answer.header("server-stamp"), Some("st"));
+        assert_eq!((response.status(), response.body.as_str()), (500, "sad"));
+        assert_eq!(response.header("server-stamp"), Some("st"));
     });
 }
 
 #[test]
-fn given_an_answer_that_names_another_request_when_it_comes_then_it_is_not_passed_on_and_its_connection_closed(
-) {
+fn response_with_other_attempt_id_is_malformed() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -277,19 +276,19 @@
         upstream
             .write("HTTP/1.1 200 OK\r\nattempt-id: t0\r\nserver-stamp: st\r\ncontent-length: 5\r\n\r\nother")
             .await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 502);
-        assert_eq!(answer.body, "");
+        assert_eq!(response.status(), 502);
+        assert_eq!(response.body, "");
         upstream.closed().await;
     });
 }
 
 #[test]
-fn given_successes_that_are_none_when_they_come_then_the_client_gets_a_failure() {
+fn malformed_successes_are_not_forwarded() {
     run(async {
-        let answers = [
+        let responses = [
             ("no stamp", "HTTP/1.1 200 OK\r\nattempt-id: t1\r\ncontent-length: 1\r\n\r\nx"),
             ("no length", "HTTP/1.1 200 OK\r\nattempt-id: t1\r\nserver-stamp: st\r\n\r\nx"),
             (
@@ -298,7 +297,7 @@
             ),
             ("no answer", "\u{1}\u{2}what is this\r\n\r\n"),
         ];
-        for (case, text) in answers {
+        for (case, text) in responses {
             // given
             let server = Server::start("i-1").await;
             let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
@@ -309,17 +308,17 @@
             let (mut upstream, _) = server.accept_request().await;
             upstream.write(text).await;
             drop(upstream);
-            let answer = client.read_answer().await;
+            let response = client.read_response().await;
 
             // then
-            assert_eq!(answer.status(), 502, "{case}");
-            assert!(!server.has_caller().await, "{case}");
+            assert_eq!(response.status(), 502, "{case}");
+            assert!(!server.is_contacted().await, "{case}");
         }
     });
 }
 
 #[test]
-fn given_a_long_answer_when_it_breaks_off_then_it_does_not_look_whole() {
+fn truncated_long_response_does_not_look_complete() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -343,7 +342,7 @@
 }
 
 #[test]
-fn given_an_edge_when_news_of_the_configuration_come_then_they_are_in_force() {
+fn configuration_update_is_applied() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -358,15 +357,15 @@
 
         // when
         edge.coordinator.publish_configuration(delta);
-        edge.coordinator.publish_configuration(news(&first));
-        edge.coordinator.all_taken().await;
+        edge.coordinator.publish_configuration(config_update(&first));
+        edge.coordinator.all_applied().await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let dropped = client.read_answer().await;
+        let dropped = client.read_response().await;
         client.request("/y/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "new").await;
-        let added = client.read_answer().await;
+        upstream.respond(&request, "new").await;
+        let added = client.read_response().await;
 
         // then
         assert_eq!(dropped.status(), 404);
--- a/dataplane/tests/responses.rs
+++ b/dataplane/tests/responses.rs
@@ -1,14 +1,14 @@
-//! Which answer belongs to whom: late, early, surplus and broken answers on connections to servers.
+//! Which response belongs to whom: late, early, surplus and broken responses on connections to servers.
 
 mod common;
 
 use common::http::{Connection, Message};
-use common::{configuration, configuration_within, first_asked, route, run, Edge, Server};
+use common::{configuration, configuration_within, first_contacted, route, run, Edge, Server};
 
 /// More than the buffers of both ends of a connection hold.
 const LONG_BODY: usize = 16 << 20;
 /// How much of it a server reads that answers before the rest.
-const READ_BEFORE_ANSWER: usize = 1000;
+const READ_BEFORE_RESPONSE_BYTES: usize = 1000;
 
 /// An edge with one server, whose requests may run once, and a client.
 async fn edge_with_one(server: &Server) -> (Edge, Connection) {
@@ -21,14 +21,13 @@
 async fn served_once(server: &Server, client: &mut Connection) -> (Connection, Message) {
     client.request("/x/", "t1", "").await;
     let (mut upstream, request) = server.accept_request().await;
-    upstream.answer(&request, "one").await;
-    assert_eq!(client.read_answer().await.body, "one");
+    upstream.respond(&request, "one").await;
+    assert_eq!(client.read_response().await.body, "one");
     (upstream, request)
 }
 
 #[test]
-fn given_a_connection_used_again_when_the_former_answer_comes_once_more_then_the_next_caller_does_not_get_it()
-{
+fn duplicate_response_is_not_given_to_next_request() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -38,24 +37,23 @@
         // when
         client.request("/x/", "t2", "").await;
         let second = upstream.read_request().await;
-        upstream.answer(&first, "one").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&first, "one").await;
+        let response = client.read_response().await;
         client.request("/x/", "t3", "").await;
         let (_other, third) = server.accept_request().await;
 
         // then
         assert_eq!(second.header("attempt-id"), Some("t2"));
-        assert_eq!((answer.status(), answer.body.as_str()), (502, ""));
-        assert_eq!(answer.header("server-stamp"), None);
+        assert_eq!((response.status(), response.body.as_str()), (502, ""));
+        assert_eq!(response.header("server-stamp"), None);
         assert_eq!(third.header("attempt-id"), Some("t3"));
         upstream.closed().await;
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_an_answer_with_bytes_after_its_end_when_the_next_request_comes_then_it_goes_over_another_connection()
-{
+fn surplus_bytes_prevent_connection_reuse() {
     run(async {
         for surplus in
             ["x", "HTTP/1.1 200 OK\r\nattempt-id: t2\r\nserver-stamp: st\r\ncontent-length: 0\r\n\r\n"]
@@ -69,11 +67,11 @@
             // when
             let head = "HTTP/1.1 200 OK\r\nattempt-id: t1\r\nserver-stamp: st\r\ncontent-length: 3\r\n\r\n";
             upstream.write(&format!("{head}one{surplus}")).await;
-            let first = client.read_answer().await;
+            let first = client.read_response().await;
             client.request("/x/", "t2", "").await;
             let (mut other, request) = server.accept_request().await;
-            other.answer(&request, "two").await;
-            let second = client.read_answer().await;
+            other.respond(&request, "two").await;
+            let second = client.read_response().await;
 
             // then
             assert_eq!((first.body.as_str(), second.body.as_str()), ("one", "two"));
@@ -83,8 +81,7 @@
 }
 
 #[test]
-fn given_a_request_sent_again_to_the_same_server_when_its_first_rejection_comes_twice_then_that_is_no_verdict(
-) {
+fn duplicate_rejection_does_not_count_for_retry() {
     run(async {
         // given
         const REJECTION: &str = "not-executed: 1\r\nretry-after: 0.05\r\ncontent-length: 0\r\n";
@@ -96,7 +93,7 @@
 
         // when
         let again = tokio::select! {
-            // Over the same connection, the copy would be taken for the answer to the second sending.
+            // Over the same connection, the copy would be taken for the response to the second sending.
             again = upstream.next_request() => {
                 assert!(again.is_some(), "closed");
                 upstream.head(&request, 503, REJECTION).await;
@@ -107,15 +104,15 @@
 
         // then
         let (mut other, again) = again.expect("a connection of its own");
-        other.answer(&again, "taken").await;
-        let answer = client.read_answer().await;
+        other.respond(&again, "taken").await;
+        let response = client.read_response().await;
         assert_eq!(again.header("attempt-id"), Some("t1"));
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "taken"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "taken"));
     });
 }
 
 #[test]
-fn given_an_answer_before_the_whole_request_was_read_when_the_next_comes_then_no_byte_of_it_is_in_the_body() {
+fn early_response_does_not_mix_requests() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -125,15 +122,15 @@
         client.request("/x/", "t1", &"b".repeat(LONG_BODY)).await;
         let mut upstream = server.accept().await;
         let request = upstream.read_head().await;
-        let mut read = upstream.read_up_to(READ_BEFORE_ANSWER).await;
-        upstream.answer(&request, "early").await;
-        let first = client.read_answer().await;
+        let mut read = upstream.read_up_to(READ_BEFORE_RESPONSE_BYTES).await;
+        upstream.respond(&request, "early").await;
+        let first = client.read_response().await;
 
         // when
         client.request("/x/", "t2", "").await;
         let (mut other, request) = server.accept_request().await;
-        other.answer(&request, "two").await;
-        let second = client.read_answer().await;
+        other.respond(&request, "two").await;
+        let second = client.read_response().await;
         read.push_str(&upstream.read_rest().await);
 
         // then
@@ -143,8 +140,7 @@
 }
 
 #[test]
-fn given_a_rejection_before_the_whole_request_was_read_when_it_is_sent_again_then_no_byte_of_it_is_in_the_body(
-) {
+fn early_rejection_does_not_mix_requests() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -161,18 +157,18 @@
         // when
         upstream.head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
         let (mut second, request) = other.accept_request().await;
-        second.answer(&request, "taken").await;
-        let answer = client.read_answer().await;
+        second.respond(&request, "taken").await;
+        let response = client.read_response().await;
         let read = upstream.read_rest().await;
 
         // then
-        assert_eq!((answer.status(), request.body.len()), (200, LONG_BODY));
+        assert_eq!((response.status(), request.body.len()), (200, LONG_BODY));
         assert!(read.len() < LONG_BODY && read.bytes().all(|byte| byte == b'b'), "other bytes in the body");
     });
 }
 
 #[test]
-fn given_heads_that_are_not_final_when_they_come_first_then_only_the_final_answer_is_passed_on() {
+fn only_final_response_is_forwarded() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -183,17 +179,17 @@
         // when
         upstream.write("HTTP/1.1 100 Continue\r\n\r\n").await;
         upstream.write("HTTP/1.1 103 Early Hints\r\nattempt-id: t0\r\nserver-stamp: no\r\n\r\n").await;
-        upstream.answer(&request, "final").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&request, "final").await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "final"));
-        assert_eq!(answer.header("server-stamp"), Some("st"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "final"));
+        assert_eq!(response.header("server-stamp"), Some("st"));
     });
 }
 
 #[test]
-fn given_an_answer_that_switches_protocols_when_it_comes_then_it_is_none_and_its_connection_closed() {
+fn switching_protocols_is_malformed() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -209,17 +205,17 @@
                 "server-stamp: st\r\nupgrade: other\r\nconnection: upgrade\r\ncontent-length: 0\r\n",
             )
             .await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.status(), 502);
+        assert_eq!(response.status(), 502);
         upstream.closed().await;
-        assert!(!server.has_caller().await);
+        assert!(!server.is_contacted().await);
     });
 }
 
 #[test]
-fn given_answers_without_a_length_when_their_connection_ends_or_is_reset_then_neither_counts_as_whole() {
+fn response_without_length_is_malformed() {
     run(async {
         for head in ["", "transfer-encoding: identity\r\ncontent-length: 3\r\n"] {
             for is_reset in [false, true] {
@@ -237,18 +233,18 @@
                 } else {
                     drop(upstream);
                 }
-                let answer = client.read_answer().await;
+                let response = client.read_response().await;
 
                 // then
-                assert_eq!((answer.status(), answer.body.as_str()), (502, ""), "{head:?} {is_reset}");
-                assert!(!server.has_caller().await);
+                assert_eq!((response.status(), response.body.as_str()), (502, ""), "{head:?} {is_reset}");
+                assert!(!server.is_contacted().await);
             }
         }
     });
 }
 
 #[test]
-fn given_a_connection_that_rests_when_its_server_closes_it_then_the_next_request_goes_over_another() {
+fn closed_idle_connection_is_not_reused() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -259,42 +255,41 @@
         drop(upstream);
         client.request("/x/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.answer(&request, "two").await;
-        let answer = client.read_answer().await;
+        upstream.respond(&request, "two").await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "two"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "two"));
     });
 }
 
 #[test]
-fn given_a_connection_that_ends_with_a_request_on_it_when_that_may_not_repeat_then_it_is_sent_no_second_time()
-{
+fn lost_reused_connection_does_not_retry_non_idempotent() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let (mut upstream, request, ..) = first_asked(&one, &two).await;
-        upstream.answer(&request, "one").await;
-        client.read_answer().await;
+        let (mut upstream, request, ..) = first_contacted(&one, &two).await;
+        upstream.respond(&request, "one").await;
+        client.read_response().await;
 
         // when
         client.request("/x/", "t2", "").await;
         let request = upstream.read_request().await;
         drop(upstream);
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.header("attempt-id"), Some("t2"));
-        assert_eq!((answer.status(), answer.header("retry-after")), (502, None));
-        assert!(!one.has_caller().await && !two.has_caller().await);
+        assert_eq!((response.status(), response.header("retry-after")), (502, None));
+        assert!(!one.is_contacted().await && !two.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_server_that_says_that_its_connection_is_over_when_the_next_request_comes_then_it_opens_another() {
+fn expired_keep_alive_prevents_connection_reuse() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -306,19 +301,19 @@
         let headers = "server-stamp: st\r\nkeep-alive: timeout=0\r\ncontent-length: 3\r\n";
         upstream.head(&request, 200, headers).await;
         upstream.write("one").await;
-        client.read_answer().await;
+        client.read_response().await;
         client.request("/x/", "t2", "").await;
         let (mut other, request) = server.accept_request().await;
-        other.answer(&request, "two").await;
-        let answer = client.read_answer().await;
+        other.respond(&request, "two").await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(answer.body, "two");
+        assert_eq!(response.body, "two");
     });
 }
 
 #[test]
-fn given_a_request_when_another_instance_answers_at_the_address_then_the_one_that_was_meant_is_named() {
+fn request_names_expected_instance() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -328,17 +323,17 @@
         client.request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.head(&request, 421, "instance-id: i-2\r\ncontent-length: 0\r\n").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.header("expected-instance"), Some("i-1"));
-        assert_eq!(answer.status(), 503);
-        assert!(answer.header("retry-after").is_some());
+        assert_eq!(response.status(), 503);
+        assert!(response.header("retry-after").is_some());
     });
 }
 
 #[test]
-fn given_requests_sent_together_on_one_connection_when_answers_come_then_they_come_in_order() {
+fn pipelined_requests_are_answered_in_order() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -350,12 +345,12 @@
         };
         client.write(&format!("{}{}", request("t1"), request("t2"))).await;
         let (mut upstream, first) = server.accept_request().await;
-        assert!(!server.has_caller().await);
-        upstream.answer(&first, "one").await;
-        let first_answer = client.read_answer().await;
+        assert!(!server.is_contacted().await);
+        upstream.respond(&first, "one").await;
+        let first_answer = client.read_response().await;
         let second = upstream.read_request().await;
-        upstream.answer(&second, "two").await;
-        let second_answer = client.read_answer().await;
+        upstream.respond(&second, "two").await;
+        let second_answer = client.read_response().await;
 
         // then
         assert_eq!((first_answer.header("attempt-id"), first_answer.body.as_str()), (Some("t1"), "one"));
@@ -364,7 +359,7 @@
 }
 
 #[test]
-fn given_a_server_given_up_for_its_silence_when_the_other_rejects_the_request_then_there_is_no_promise() {
+fn rejection_after_silent_server_does_not_imply_not_executed() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -373,21 +368,21 @@
         let edge = Edge::with(&configuration(&[route]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let (mut silent, _, _, other) = first_asked(&one, &two).await;
+        let (mut silent, _, _, other) = first_contacted(&one, &two).await;
 
         // when
         let (mut upstream, request) = other.accept_request().await;
         silent.closed().await;
         upstream.head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!((answer.status(), answer.header("retry-after")), (502, None));
+        assert_eq!((response.status(), response.header("retry-after")), (502, None));
     });
 }
 
 #[test]
-fn given_answers_that_break_off_when_they_are_failures_or_rejections_then_only_the_rejection_counts() {
+fn truncated_rejection_counts_truncated_failure_does_not() {
     run(async {
         let cases = [(500, "server-stamp: st\r\n", 502), (503, "not-executed: 1\r\n", 503)];
         for (status, headers, expected) in cases {
@@ -404,10 +399,10 @@
             upstream.head(&request, status, &format!("{headers}content-length: 9\r\n")).await;
             upstream.write("cut").await;
             drop(upstream);
-            let answer = loop {
+            let response = loop {
                 // It has surely not run where it was rejected, and may be sent again.
                 tokio::select! {
-                    answer = client.read_answer() => break answer,
+                    response = client.read_response() => break response,
                     (mut upstream, request) = server.accept_request() => {
                         assert_eq!(status, 503, "sent a second time");
                         upstream.head(&request, status, &format!("{headers}content-length: 0\r\n")).await;
@@ -416,18 +411,18 @@
             };
 
             // then
-            assert_eq!((answer.status(), answer.body.as_str()), (expected, ""));
-            assert_eq!(answer.header("server-stamp"), None);
+            assert_eq!((response.status(), response.body.as_str()), (expected, ""));
+            assert_eq!(response.header("server-stamp"), None);
         }
     });
 }
 
 #[test]
-fn given_requests_without_an_id_when_a_surplus_answer_may_come_then_each_has_a_connection_of_its_own() {
+fn requests_without_attempt_id_use_fresh_connections() {
     run(async {
         // given
         const REQUEST: &str = "POST /x/ HTTP/1.1\r\nhost: a.example\r\ncontent-length: 0\r\n\r\n";
-        const ANSWER: &str = "HTTP/1.1 200 OK\r\nserver-stamp: st\r\ncontent-length: 3\r\n\r\n";
+        const RESPONSE: &str = "HTTP/1.1 200 OK\r\nserver-stamp: st\r\ncontent-length: 3\r\n\r\n";
         let server = Server::start("i-1").await;
         let (_edge, mut client) = edge_with_one(&server).await;
 
@@ -436,8 +431,8 @@
         for body in ["one", "two"] {
             client.write(REQUEST).await;
             let (mut upstream, _) = server.accept_request().await;
-            upstream.write(&format!("{ANSWER}{body}")).await;
-            bodies.push(client.read_answer().await.body);
+            upstream.write(&format!("{RESPONSE}{body}")).await;
+            bodies.push(client.read_response().await.body);
             upstreams.push(upstream);
         }
 
--- a/dataplane/tests/shutdown.rs
+++ b/dataplane/tests/shutdown.rs
@@ -7,7 +7,7 @@
 use shaletrail_protocol::internal::PollResponse;
 
 #[test]
-fn given_an_open_request_when_the_process_is_stopped_then_it_is_unready_and_answers_before_it_ends() {
+fn shutdown_completes_requests_in_flight() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -23,22 +23,22 @@
         let (mut late_upstream, late_request) = server.accept_request().await;
         let readiness = edge.readiness_status().await;
         let asked_again = edge.readiness_status().await;
-        late_upstream.answer(&late_request, "late").await;
-        upstream.answer(&request, "open").await;
-        let (open_answer, late_answer) = (open.read_answer().await, late.read_answer().await);
+        late_upstream.respond(&late_request, "late").await;
+        upstream.respond(&request, "open").await;
+        let (open_response, late_response) = (open.read_response().await, late.read_response().await);
 
         // then
         assert_eq!((readiness, asked_again), (503, 503));
-        assert_eq!((open_answer.body.as_str(), late_answer.body.as_str()), ("open", "late"));
-        assert_eq!(open_answer.header("connection"), Some("close"));
-        assert_eq!(late_answer.header("connection"), Some("close"));
-        edge.coordinator.left().await;
+        assert_eq!((open_response.body.as_str(), late_response.body.as_str()), ("open", "late"));
+        assert_eq!(open_response.header("connection"), Some("close"));
+        assert_eq!(late_response.header("connection"), Some("close"));
+        edge.coordinator.received_shutdown_notice().await;
         edge.serving.await.expect("a proper end");
     });
 }
 
 #[test]
-fn given_a_request_without_end_when_the_process_is_stopped_then_it_ends_before_it_would_be_killed() {
+fn shutdown_aborts_endless_request() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn given_a_coordinator_out_of_touch_when_it_says_so_then_another_is_asked() {
+fn isolated_coordinator_is_replaced() {
     run(async {
         // given
         let one = Coordinator::start().await;
@@ -70,13 +70,13 @@
         let _edge = Edge::with_seeds(one.clone(), &["127.0.0.2", "127.0.0.3"], "no-such-file");
 
         // then
-        one.greeted().await;
-        other.greeted().await;
+        one.connected().await;
+        other.connected().await;
     });
 }
 
 #[test]
-fn given_a_coordinator_that_names_others_when_it_is_out_of_touch_then_they_are_asked() {
+fn coordinators_learned_from_isolated_one_are_polled() {
     run(async {
         // given
         let one = Coordinator::start().await;
@@ -89,12 +89,12 @@
         let _edge = Edge::with_seeds(one, &["127.0.0.2"], "no-such-file");
 
         // then
-        other.greeted().await;
+        other.connected().await;
     });
 }
 
 #[test]
-fn given_seeds_that_are_all_down_when_the_settings_file_names_another_then_it_is_asked() {
+fn settings_are_reloaded_when_all_seeds_fail() {
     run(async {
         // given
         let coordinator = Coordinator::start().await;
@@ -105,13 +105,13 @@
         let _edge = Edge::with_seeds(coordinator.clone(), &["127.0.0.5"], path.to_str().expect("a path"));
 
         // then
-        coordinator.greeted().await;
+        coordinator.connected().await;
         std::fs::remove_file(&path).expect("the settings file");
     });
 }
 
 #[test]
-fn given_a_process_that_ends_when_a_request_comes_late_that_may_outlast_it_then_it_is_refused_unsent() {
+fn late_long_request_is_rejected_during_shutdown() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -126,15 +126,15 @@
             client.request("/x/", &format!("t{attempts}"), "").await;
             let taken = async {
                 let (mut upstream, request) = server.accept_request().await;
-                upstream.answer(&request, "early").await;
+                upstream.respond(&request, "early").await;
                 std::future::pending::<()>().await;
             };
-            let answer = tokio::select! {
-                answer = client.read_answer() => answer,
+            let response = tokio::select! {
+                response = client.read_response() => response,
                 () = taken => unreachable!("a server that has answered waits"),
             };
-            if answer.status() != 200 {
-                break answer;
+            if response.status() != 200 {
+                break response;
             }
         };
 
--- a/dataplane/tests/signals.rs
+++ b/dataplane/tests/signals.rs
@@ -9,7 +9,7 @@
 use common::{run, settings};
 
 #[test]
-fn given_a_data_plane_when_its_process_gets_sighup_and_sigterm_then_it_reads_its_seeds_and_ends_properly() {
+fn sighup_reloads_seeds_and_sigterm_shuts_down() {
     run(async {
         // given
         let first = Coordinator::start().await;
@@ -19,18 +19,18 @@
         let started = settings(first.port, &["127.0.0.2"]).parse().expect("settings");
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let running = tokio::task::spawn_local(shaletrail_dataplane::run(started, PathBuf::from(&path), log));
-        first.greeted().await;
+        first.connected().await;
 
         // when
         send("-HUP");
         first.publish(shaletrail_protocol::internal::PollResponse { isolated: true, ..Default::default() });
-        second.greeted().await;
+        second.connected().await;
         send("-TERM");
         let ended = running.await.expect("no panic");
 
         // then
         assert!(ended.is_ok(), "{ended:?}");
-        second.left().await;
+        second.received_shutdown_notice().await;
         std::fs::remove_file(&path).expect("the settings file");
     });
 }
--- a/dataplane/tests/streams.rs
+++ b/dataplane/tests/streams.rs
@@ -1,15 +1,15 @@
-//! Streams: events are passed on at once and whole, go on elsewhere where they may, and never look whole if not.
+//! Streams: events are passed on at once and complete, go on elsewhere where they may, and never look complete if not.
 
 mod common;
 
-use common::{configuration, first_asked, route, run, Edge, Server};
+use common::{configuration, first_contacted, route, run, Edge, Server};
 
 const FIRST: &str = "id: 1\ndata: a\n\n";
 const SECOND: &str = "versions: 2\nid: 2\ndata: b\n\n";
 const THIRD: &str = "id: 3\ndata: c\n\n";
 
 #[test]
-fn given_a_stream_when_an_event_comes_then_it_is_passed_on_before_the_next_is_written() {
+fn event_is_forwarded_at_once() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn given_a_stream_when_an_event_comes_in_parts_then_it_is_passed_on_whole() {
+fn partial_events_are_forwarded_complete() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn given_a_stream_that_may_be_resumed_when_it_breaks_then_it_goes_on_in_the_same_answer() {
+fn truncated_stream_is_resumed_in_same_response() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let edge = Edge::with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "prompt").await;
-        let (mut upstream, request, _, other) = first_asked(&one, &two).await;
+        let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
         upstream.stream_head(&request, "st-1").await;
         upstream.chunk(FIRST).await;
         let head = client.read_head().await;
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn given_a_stream_that_may_not_be_resumed_when_it_breaks_then_the_answer_does_not_look_whole() {
+fn truncated_non_resumable_stream_does_not_look_complete() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let edge = Edge::with(&configuration(&[route("r", "/x/", "streaming")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "prompt").await;
-        let (mut upstream, request, ..) = first_asked(&one, &two).await;
+        let (mut upstream, request, ..) = first_contacted(&one, &two).await;
         upstream.stream_head(&request, "st-1").await;
         upstream.chunk(FIRST).await;
         client.read_head().await;
@@ -119,20 +119,19 @@
 
         // then
         assert_eq!(rest, "");
-        assert!(!one.has_caller().await && !two.has_caller().await);
+        assert!(!one.is_contacted().await && !two.is_contacted().await);
     });
 }
 
 #[test]
-fn given_a_stream_that_may_be_resumed_when_it_breaks_before_its_first_event_then_another_servers_answer_comes(
-) {
+fn stream_failed_before_first_event_is_retried() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let edge = Edge::with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let (mut upstream, request, _, other) = first_asked(&one, &two).await;
+        let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
         upstream.stream_head(&request, "st-1").await;
 
         // when
@@ -141,17 +140,17 @@
         upstream.stream_head(&request, "st-2").await;
         upstream.chunk(FIRST).await;
         upstream.end_chunks().await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.header("last-event-id"), None);
-        assert_eq!(answer.header("server-stamp"), Some("st-2"));
-        assert_eq!(answer.body, FIRST);
+        assert_eq!(response.header("server-stamp"), Some("st-2"));
+        assert_eq!(response.body, FIRST);
     });
 }
 
 #[test]
-fn given_a_client_that_takes_a_stream_up_when_it_is_passed_on_then_the_server_is_told_where() {
+fn last_event_id_of_client_is_forwarded() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -166,16 +165,16 @@
         upstream.stream_head(&request, "st-1").await;
         upstream.chunk(THIRD).await;
         upstream.end_chunks().await;
-        let answer = client.read_answer().await;
+        let response = client.read_response().await;
 
         // then
         assert_eq!(request.header("last-event-id"), Some("2"));
-        assert_eq!(answer.body, THIRD);
+        assert_eq!(response.body, THIRD);
     });
 }
 
 #[test]
-fn given_a_stream_under_way_when_the_client_leaves_then_the_servers_connection_is_closed() {
+fn client_disconnect_closes_server_stream() {
     run(async {
         // given
         let server = Server::start("i-1").await;
@@ -197,7 +196,7 @@
 }
 
 #[test]
-fn given_a_stream_that_may_be_resumed_when_its_server_falls_silent_then_it_goes_on_elsewhere() {
+fn stalled_stream_is_resumed_on_another_server() {
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
@@ -205,7 +204,7 @@
         let edge = Edge::with(&configuration(&[route]), &[&one, &two]).await;
         let mut client = edge.connect().await;
         client.request("/x/", "t1", "").await;
-        let (mut silent, request, _, other) = first_asked(&one, &two).await;
+        let (mut silent, request, _, other) = first_contacted(&one, &two).await;
         silent.stream_head(&request, "st-1").await;
         silent.chunk(FIRST).await;
         client.read_head().await;
