--- a/dataplane/src/client_request.rs
+++ b/dataplane/src/client_request.rs
@@ -65,9 +65,9 @@
         self.used.borrow_mut().push(connection);
     }
 
-    /// Whether the request may not be sent over this connection, as a surplus response could be taken for its own: either
-    /// it has been sent over it before, with the same `Attempt-Id`, so that the former response may come twice; or it has
-    /// no `Attempt-Id`, so that only a connection which has carried no response will do.
+    /// Whether the request must not be sent over this connection, as a surplus response could be accepted as its own:
+    /// either it has been sent over it before, with the same `Attempt-Id`, so that the earlier response may arrive twice;
+    /// or it has no `Attempt-Id`, so that only a connection which has carried no response will do.
     pub fn is_excluded_from(&self, connection: ConnectionId) -> bool {
         self.attempt_id().is_none() || self.used.borrow().contains(&connection)
     }
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -16,7 +16,7 @@
 //! | `attempt`, `progress`, `attempt_result` | one attempt: its course, what is reported of it, its end |
 //! | `pool` | connections to servers, and the reuse of idle ones |
 //! | `server_connection` | opens a connection to a server and sends on it |
-//! | `tracked_stream` | tells when bytes are read from and written to a socket |
+//! | `tracked_stream` | notifies of reads from and writes to a socket |
 //! | [`response`] | classifies the head of a server's response |
 //! | `server_response` | buffers or forwards a server's response |
 //! | [`event_splitter`] | splits streams into events |
--- a/dataplane/src/pool.rs
+++ b/dataplane/src/pool.rs
@@ -57,8 +57,8 @@
 }
 
 impl IdleConnection {
-    /// Whether a request may be sent on it now: it has not been idle for too long, and the previous exchange is over in
-    /// both directions, with no byte left.
+    /// Whether a request may be sent on it now: it has not been idle for too long, and the previous exchange is complete
+    /// in both directions, with no byte left.
     fn is_usable(&self, now: Millis) -> bool {
         now < self.expires_at && self.connection.is_ready()
     }
@@ -219,8 +219,9 @@
         self.connection.send(request, on_first_write).await
     }
 
-    /// Returns the connection after a complete response. `keep_alive_ms` is the server's time for idle ones. It is closed
-    /// where a part of the request is still to be written: a server may respond before it has read all of it.
+    /// Returns the connection after a complete response. `keep_alive_ms` is the server's time for idle ones. The
+    /// connection is closed if a part of the request is still to be written: a server may respond before it has read all
+    /// of it.
     pub fn return_to_pool(self, keep_alive_ms: Option<Millis>) {
         let PooledConnection { connection, mut checkout } = self;
         if !connection.is_ready() {
--- a/dataplane/src/request.rs
+++ b/dataplane/src/request.rs
@@ -99,7 +99,7 @@
 }
 
 /// Whether a `Connection` header names `close`.
-pub fn asks_to_close(headers: &HeaderMap) -> bool {
+pub fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
--- a/dataplane/src/request_handle.rs
+++ b/dataplane/src/request_handle.rs
@@ -7,7 +7,7 @@
 use crate::mailbox::Command;
 use crate::state::State;
 
-/// An open request. Dropping it tells the router that the request is finished, whether its client has the response or
+/// An open request. Dropping it reports the request to the router as finished, whether its client has the response or
 /// has disconnected.
 pub struct RequestHandle {
     state: Rc<State>,
@@ -18,7 +18,7 @@
     /// Hands a request over to the router.
     pub fn open(state: &Rc<State>, request: NewRequest) -> RequestHandle {
         let id = request.id;
-        // The router may answer with a command at once.
+        // The router may respond with a command at once.
         state.mailboxes.open(id);
         let handle = RequestHandle { state: state.clone(), id };
         state.handle(Event::Request(request));
--- a/dataplane/src/response_body.rs
+++ b/dataplane/src/response_body.rs
@@ -1,7 +1,7 @@
 //! Hands the response over from the exchange that makes it to the client's connection that writes it.
 //!
-//! An exchange is one future. Until the response has a head it is driven by the service of the client's connection, from
-//! then on by the response's body. When the client disconnects, the connection drops whichever of them holds the
+//! An exchange is one future. Until the response has a head it is driven by the service of the client's connection,
+//! from then on by the response's body. When the client disconnects, the connection drops whichever of them holds the
 //! exchange, and with it everything that was in flight for the request.
 
 use std::cell::RefCell;
--- a/dataplane/src/server_connection.rs
+++ b/dataplane/src/server_connection.rs
@@ -158,7 +158,7 @@
         self.id
     }
 
-    /// Whether the next request may be sent: the previous exchange is over in both directions, with no byte left.
+    /// Whether the next request may be sent: the previous exchange is complete in both directions.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
--- a/dataplane/src/server_response.rs
+++ b/dataplane/src/server_response.rs
@@ -16,7 +16,7 @@
 use crate::event_splitter::EventSplitter;
 use crate::pool::PooledConnection;
 use crate::progress::Progress;
-use crate::request::{asks_to_close, text};
+use crate::request::{has_connection_close, text};
 use crate::response::{self, BodyShape, INSTANCE_ID};
 use crate::stall_detector::StallDetector;
 
@@ -284,7 +284,7 @@
 
 /// Keeps the connection of a complete response, unless the server closes it.
 fn return_to_pool(connection: PooledConnection, head: &Parts) {
-    if !asks_to_close(&head.headers) {
+    if !has_connection_close(&head.headers) {
         connection.return_to_pool(response::keep_alive(&head.headers));
     }
 }
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -95,8 +95,8 @@
         self.handle(Event::View(view));
     }
 
-    /// Begins graceful shutdown; responses still open after `time_left` are aborted. The process is unready from now on,
-    /// and the router lets no request wait longer than it must.
+    /// Begins graceful shutdown; responses still open after `time_left` are aborted. The process is unready from now
+    /// on, and the router lets no request wait longer than it must.
     pub fn begin_shutdown(&self, time_left: Duration) {
         if self.is_shutting_down() {
             return;
--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -1,4 +1,4 @@
-//! A scripted coordinator: it answers polls with what has been published, in order, and holds them otherwise.
+//! A scripted coordinator: it responds to polls with what has been published, in order, and holds them otherwise.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -22,13 +22,13 @@
     handshakes: Cell<usize>,
     has_shutdown_notice: Cell<bool>,
     changed: Notify,
-    /// The next poll is answered late, with this.
+    /// The response to the next poll, which is held until it is released.
     delayed_response: RefCell<Option<PollResponse>>,
     delayed_poll_arrived: Cell<bool>,
     released: Notify,
 }
 
-/// Its handle. It runs on the test's runtime.
+/// The handle of a scripted coordinator, which runs on the test's runtime.
 #[derive(Clone)]
 pub struct Coordinator {
     pub port: u16,
@@ -36,12 +36,12 @@
 }
 
 impl Coordinator {
-    /// One at 127.0.0.2, on any port.
+    /// Starts a coordinator at 127.0.0.2, on any port.
     pub async fn start() -> Coordinator {
         Coordinator::at("127.0.0.2", 0).await
     }
 
-    /// One at an address.
+    /// Starts a coordinator at an address.
     pub async fn at(address: &str, port: u16) -> Coordinator {
         let listener = TcpListener::bind((address, port)).await.expect("a port");
         let port = listener.local_addr().expect("an address").port();
@@ -56,7 +56,7 @@
         coordinator
     }
 
-    /// Answers the next poll with this.
+    /// Queues the response to a poll.
     pub fn publish(&self, response: PollResponse) {
         self.shared.responses.borrow_mut().push_back(response);
         self.shared.published.notify_waiters();
@@ -79,19 +79,19 @@
         });
     }
 
-    /// Waits until all that was published has been taken over: the edge has asked again after it.
+    /// Waits until everything published has been applied: the edge has polled again after it.
     pub async fn all_applied(&self) {
         let answered = self.shared.responses.borrow().len() + self.shared.polls.borrow().len();
         self.until(|shared| shared.responses.borrow().is_empty() && shared.polls.borrow().len() > answered)
             .await;
     }
 
-    /// Answers the next poll with this, but only once it is released.
+    /// Sets the response to the next poll, which is sent only once it is released.
     pub fn publish_delayed(&self, response: PollResponse) {
         self.shared.delayed_response.replace(Some(response));
     }
 
-    /// Waits until the poll that is answered late has come.
+    /// Waits until the poll whose response is delayed has arrived.
     pub async fn delayed_poll_arrived(&self) {
         self.until(|shared| shared.delayed_poll_arrived.get()).await;
     }
@@ -101,22 +101,22 @@
         self.shared.released.notify_one();
     }
 
-    /// Waits until an edge has introduced itself.
+    /// Waits until an edge has sent its handshake.
     pub async fn connected(&self) {
         self.connected_times(1).await;
     }
 
-    /// Waits until edges have introduced themselves so many times, each on a connection of its own.
+    /// Waits for this many handshakes, each on a connection of its own.
     pub async fn connected_times(&self, times: usize) {
         self.until(|shared| shared.handshakes.get() >= times).await;
     }
 
-    /// Waits for so many polls in all.
+    /// Waits for this many polls in all.
     pub async fn polled_times(&self, times: usize) {
         self.until(|shared| shared.polls.borrow().len() >= times).await;
     }
 
-    /// Waits until the edge has said that it leaves.
+    /// Waits until the edge has sent its shutdown notice.
     pub async fn received_shutdown_notice(&self) {
         self.until(|shared| shared.has_shutdown_notice.get()).await;
     }
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -39,13 +39,13 @@
 }
 
 impl Edge {
-    /// One that knows nothing yet.
+    /// Starts an edge without configuration.
     pub async fn start() -> Edge {
         let coordinator = Coordinator::start().await;
         Edge::with_seeds(coordinator, &["127.0.0.2"], "no-such-file")
     }
 
-    /// One that knows nothing yet, with these coordinators, and the settings file that it reads later.
+    /// Starts an edge without configuration, with these coordinators, and the settings file that it reloads.
     pub fn with_seeds(coordinator: Coordinator, seeds: &[&str], path: &str) -> Edge {
         let settings = settings(coordinator.port, seeds).parse().expect("settings");
         let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -57,7 +57,7 @@
         Edge { coordinator, control, ingress, readiness, serving }
     }
 
-    /// One that has taken a configuration over, and these servers.
+    /// Starts an edge that has applied a configuration and knows these servers.
     pub async fn with(configuration: &str, servers: &[&Server]) -> Edge {
         let edge = Edge::start().await;
         edge.coordinator.publish_configuration(config_update(configuration));
@@ -66,12 +66,12 @@
         edge
     }
 
-    /// A client's connection.
+    /// Opens a client connection.
     pub async fn connect(&self) -> Connection {
         Connection::open(self.ingress).await
     }
 
-    /// The status that the platform's check gets.
+    /// The status of the platform's health check.
     pub async fn readiness_status(&self) -> u16 {
         let mut connection = Connection::open(self.readiness).await;
         connection.write("GET /readyz HTTP/1.1\r\nhost: edge\r\n\r\n").await;
@@ -97,12 +97,12 @@
     lines.join("\n")
 }
 
-/// A complete configuration, as coordinators tell it to an edge that knows none.
+/// The update by which an edge without configuration gets a complete one.
 pub fn config_update(configuration: &str) -> ConfigUpdate {
     updates_since(0, &[(true, 0, configuration)])
 }
 
-/// What the last of some changes brings to an edge that is at `version`. Each is `(complete, base, body)`.
+/// The update from `version` to the state after some changes. Each is `(complete, base, body)`.
 pub fn updates_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigUpdate {
     let mut state = ConfigState::default();
     for (complete, base, body) in changes {
@@ -136,12 +136,12 @@
     configuration_with(routes, 15_000)
 }
 
-/// One in which clients' connections may rest for so many milliseconds.
+/// A configuration with an idle time-out of client connections, in milliseconds.
 pub fn configuration_with(routes: &[String], idle_timeout_ms: u64) -> String {
     configuration_within(routes, idle_timeout_ms, 4096)
 }
 
-/// One in which bodies of requests may have so many bytes, too.
+/// A configuration with an idle time-out, in milliseconds, and a limit of request bodies, in bytes.
 pub fn configuration_within(routes: &[String], idle_timeout_ms: u64, max_body_bytes: usize) -> String {
     let services = r#"{"name":"s1","healthPath":"/healthz","maxConnections":64,"protocol":"h1","tls":false},
         {"name":"s2","healthPath":"/healthz","maxConnections":64,"protocol":"h1","tls":false}"#;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Answers all that comes from now on with the request's own body.
+    /// Responds to every request from now on with its own body.
     pub fn echo(self) {
         tokio::task::spawn_local(async move {
             loop {
@@ -205,7 +205,7 @@
         });
     }
 
-    /// How coordinators know it.
+    /// The server's record in the directory.
     pub fn record(&self) -> ServerRecord {
         let address = self.listener.local_addr().expect("an address").to_string();
         let heartbeat = Heartbeat {
@@ -225,7 +225,7 @@
     }
 }
 
-/// The server that is asked first, with the connection and the request, and the other one.
+/// The connection and request of the server that is contacted first, that server, and the other one.
 pub async fn first_contacted<'a>(
     one: &'a Server,
     other: &'a Server,
--- a/dataplane/tests/connections.rs
+++ b/dataplane/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and to servers: kept, used again, closed.
+//! Connections of clients and to servers: reuse, time-outs and closing.
 
 mod common;
 
@@ -200,7 +200,7 @@
     });
 }
 
-/// Waits for all of them, each polled in a task's place.
+/// Runs futures concurrently, and waits until all are complete.
 async fn futures_join<F: std::future::Future<Output = ()>>(futures: impl Iterator<Item = F>) {
     let mut open: Vec<_> = futures.map(Box::pin).collect();
     std::future::poll_fn(|context| {
--- a/dataplane/tests/deadlines.rs
+++ b/dataplane/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time that requests have: what servers are told of it, and what comes when it is over.
+//! Deadlines of requests: what `Deadline-Ms` says to servers, and the response when they pass.
 
 mod common;
 
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! What is read from bytes and headers, without sockets.
+//! Parsing of headers and event streams, choice of coordinators, time-outs: whatever needs no sockets.
 
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -8,7 +8,7 @@
 use shaletrail_dataplane::coordinators::Coordinators;
 use shaletrail_dataplane::event_splitter::{EventSplitter, SplitError, MAX_EVENT_BYTES};
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
-use shaletrail_dataplane::request::{asks_to_close, host, strip_hop_by_hop, RequestHeaders};
+use shaletrail_dataplane::request::{has_connection_close, host, strip_hop_by_hop, RequestHeaders};
 use shaletrail_dataplane::response::{
     classify, keep_alive, retry_after, server_load, BodyShape, MalformedReason, ResponseKind,
 };
@@ -171,7 +171,7 @@
         ("proxy-connection", "x"),
         ("attempt-id", "t1"),
     ]);
-    assert!(asks_to_close(&all));
+    assert!(has_connection_close(&all));
 
     // when
     strip_hop_by_hop(&mut all);
@@ -183,65 +183,43 @@
 #[test]
 fn response_heads_are_classified() {
     // given
+    use MalformedReason::{AttemptIdMismatch, MissingStamp, UnconfirmedRejection, UnknownLength};
+    use ResponseKind::{Failure, Malformed, Rejection, Success};
     const ID: (&str, &str) = ("attempt-id", "t1");
     const STAMP: (&str, &str) = ("server-stamp", "s");
     const LENGTH: (&str, &str) = ("content-length", "5");
     const CHUNKED: (&str, &str) = ("transfer-encoding", "chunked");
     const IDENTITY: (&str, &str) = ("transfer-encoding", "identity");
     const EVENTS: (&str, &str) = ("content-type", "text/event-stream; charset=utf-8");
-    const MARK: (&str, &str) = ("not-executed", "1");
+    const NOT_EXECUTED: (&str, &str) = ("not-executed", "1");
 
     // when, then
-    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), ResponseKind::Success(BodyShape::Length(5)));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), ResponseKind::Success(BodyShape::Chunked));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), ResponseKind::Success(BodyShape::Events));
-    assert_eq!(classified(204, &[ID, STAMP]), ResponseKind::Success(BodyShape::Length(0)));
-    assert_eq!(classified(200, &[ID, STAMP]), ResponseKind::Malformed(MalformedReason::UnknownLength));
-    assert_eq!(
-        classified(200, &[ID, STAMP, IDENTITY, LENGTH]),
-        ResponseKind::Malformed(MalformedReason::UnknownLength)
-    );
-    assert_eq!(
-        classified(200, &[ID, STAMP, CHUNKED, IDENTITY]),
-        ResponseKind::Malformed(MalformedReason::UnknownLength)
-    );
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), ResponseKind::Success(BodyShape::Chunked));
-    assert_eq!(classified(200, &[ID, LENGTH]), ResponseKind::Malformed(MalformedReason::MissingStamp));
-    assert_eq!(
-        classified(200, &[("attempt-id", "t0"), STAMP, LENGTH]),
-        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
-    );
-    assert_eq!(
-        classified(200, &[STAMP, LENGTH]),
-        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
-    );
-    assert_eq!(classified(503, &[ID, MARK, LENGTH]), ResponseKind::Rejection);
-    assert_eq!(classified(429, &[ID, MARK]), ResponseKind::Rejection);
-    assert_eq!(classified(400, &[ID, MARK]), ResponseKind::Rejection);
-    assert_eq!(classified(421, &[ID]), ResponseKind::Rejection);
-    assert_eq!(
-        classified(503, &[ID, STAMP, LENGTH]),
-        ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
-    );
+    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), Success(BodyShape::Length(5)));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), Success(BodyShape::Chunked));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), Success(BodyShape::Events));
+    assert_eq!(classified(204, &[ID, STAMP]), Success(BodyShape::Length(0)));
+    assert_eq!(classified(200, &[ID, STAMP]), Malformed(UnknownLength));
+    assert_eq!(classified(200, &[ID, STAMP, IDENTITY, LENGTH]), Malformed(UnknownLength));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, IDENTITY]), Malformed(UnknownLength));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), Success(BodyShape::Chunked));
+    assert_eq!(classified(200, &[ID, LENGTH]), Malformed(MissingStamp));
+    assert_eq!(classified(200, &[("attempt-id", "t0"), STAMP, LENGTH]), Malformed(AttemptIdMismatch));
+    assert_eq!(classified(200, &[STAMP, LENGTH]), Malformed(AttemptIdMismatch));
+    assert_eq!(classified(503, &[ID, NOT_EXECUTED, LENGTH]), Rejection);
+    assert_eq!(classified(429, &[ID, NOT_EXECUTED]), Rejection);
+    assert_eq!(classified(400, &[ID, NOT_EXECUTED]), Rejection);
+    assert_eq!(classified(421, &[ID]), Rejection);
+    assert_eq!(classified(503, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
     for status in [408, 429, 503] {
-        assert_eq!(
-            classified(status, &[ID, STAMP, LENGTH]),
-            ResponseKind::Malformed(MalformedReason::UnconfirmedRejection)
-        );
+        assert_eq!(classified(status, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
     }
     for status in [200, 500, 504] {
-        assert_ne!(classified(status, &[ID, STAMP, LENGTH, MARK]), ResponseKind::Rejection);
+        assert_ne!(classified(status, &[ID, STAMP, LENGTH, NOT_EXECUTED]), Rejection);
     }
-    assert_eq!(
-        classified(503, &[("attempt-id", "t0"), MARK]),
-        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
-    );
-    assert_eq!(
-        classified(421, &[("attempt-id", "t0")]),
-        ResponseKind::Malformed(MalformedReason::AttemptIdMismatch)
-    );
-    assert_eq!(classified(400, &[ID, LENGTH]), ResponseKind::Failure);
-    assert_eq!(classified(500, &[ID, STAMP, LENGTH]), ResponseKind::Failure);
+    assert_eq!(classified(503, &[("attempt-id", "t0"), NOT_EXECUTED]), Malformed(AttemptIdMismatch));
+    assert_eq!(classified(421, &[("attempt-id", "t0")]), Malformed(AttemptIdMismatch));
+    assert_eq!(classified(400, &[ID, LENGTH]), Failure);
+    assert_eq!(classified(500, &[ID, STAMP, LENGTH]), Failure);
 }
 
 #[test]
@@ -291,8 +269,8 @@
 
     // then
     for seed in &seeds {
-        let share = chosen.iter().filter(|node| *node == seed).count();
-        assert!((70..=130).contains(&share), "{seed}: {share}");
+        let chosen_by = chosen.iter().filter(|node| *node == seed).count();
+        assert!((70..=130).contains(&chosen_by), "{seed}: {chosen_by}");
     }
 }
 
@@ -304,32 +282,32 @@
     // given, when, then
     assert_eq!(
         poll_timeouts(2000, 2000),
-        PollTimeouts { max_wait: Duration::from_millis(500), max_lateness: Duration::from_millis(333) }
+        PollTimeouts { max_wait: Duration::from_millis(500), max_delay: Duration::from_millis(333) }
     );
     assert_eq!(
         poll_timeouts(60_000, 100),
-        PollTimeouts { max_wait: Duration::from_millis(100), max_lateness: Duration::from_millis(150) }
+        PollTimeouts { max_wait: Duration::from_millis(100), max_delay: Duration::from_millis(150) }
     );
     assert_eq!(
         poll_timeouts(60_000, 60_000),
-        PollTimeouts { max_wait: Duration::from_millis(1000), max_lateness: Duration::from_millis(400) }
+        PollTimeouts { max_wait: Duration::from_millis(1000), max_delay: Duration::from_millis(400) }
     );
 }
 
 #[test]
 fn late_requests_are_accepted_only_if_they_end_in_time() {
     // given
-    let stopping = ShutdownWindow { started_at: 10_000, aborts_at: 17_300 };
+    let window = ShutdownWindow { started_at: 10_000, aborts_at: 17_300 };
 
     // when
-    let at_once = stopping.accepts(10_000, 15_000);
-    let while_still_asked = stopping.accepts(12_699, 15_000);
-    let late_and_long = stopping.accepts(13_492, 15_000);
-    let late_and_short = stopping.accepts(13_492, 1_500);
-    let last_that_fits = stopping.accepts(15_800, 1_500);
-    let first_that_does_not = stopping.accepts(15_801, 1_500);
+    let at_once = window.accepts(10_000, 15_000);
+    let while_still_polled = window.accepts(12_699, 15_000);
+    let late_and_long = window.accepts(13_492, 15_000);
+    let late_and_short = window.accepts(13_492, 1_500);
+    let last_that_fits = window.accepts(15_800, 1_500);
+    let first_that_does_not = window.accepts(15_801, 1_500);
 
     // then
-    assert!(at_once && while_still_asked && late_and_short && last_that_fits);
+    assert!(at_once && while_still_polled && late_and_short && last_that_fits);
     assert!(!late_and_long && !first_that_does_not);
 }
--- a/dataplane/tests/requests.rs
+++ b/dataplane/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Plain requests: what reaches servers, what comes back, and what is never sent twice.
+//! Requests without streams: forwarding, routing, limits, retries and malformed responses.
 
 mod common;
 
--- a/dataplane/tests/responses.rs
+++ b/dataplane/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Which response belongs to whom: late, early, surplus and broken responses on connections to servers.
+//! Matching of responses to requests: late, early, surplus and truncated responses on connections to servers.
 
 mod common;
 
--- a/dataplane/tests/shutdown.rs
+++ b/dataplane/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process, and the coordinators that it asks.
+//! Graceful shutdown, and the choice of the coordinator to poll.
 
 mod common;
 
--- a/dataplane/tests/signals.rs
+++ b/dataplane/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The process's own signals. The only test of its process, as signals are everybody's.
+//! SIGHUP and SIGTERM. The only test of its process, as signals reach all tests of a process.
 
 mod common;
 
--- a/dataplane/tests/streams.rs
+++ b/dataplane/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: events are passed on at once and complete, go on elsewhere where they may, and never look complete if not.
+//! Event streams: forwarding, resumption on another server, and truncation.
 
 mod common;
 
