--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -1,4 +1,4 @@
-//! A scripted coordinator: it answers polls with what has been published, in order, and holds them otherwise.
+//! A scripted coordinator: it responds to polls with what has been published, in order, and holds them otherwise.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,19 +16,19 @@
 
 #[derive(Default)]
 struct Shared {
-    replies: RefCell<VecDeque<PollResponse>>,
+    responses: RefCell<VecDeque<PollResponse>>,
     published: Notify,
     polls: RefCell<Vec<PollRequest>>,
-    hellos: Cell<usize>,
-    has_left: Cell<bool>,
-    asked: Notify,
-    /// The next poll is answered late, with this.
-    late_reply: RefCell<Option<PollResponse>>,
-    is_late: Cell<bool>,
+    handshakes: Cell<usize>,
+    has_shutdown_notice: Cell<bool>,
+    changed: Notify,
+    /// The response to the next poll, which is held until it is released.
+    delayed_response: RefCell<Option<PollResponse>>,
+    delayed_poll_arrived: Cell<bool>,
     released: Notify,
 }
 
-/// Its handle. It runs on the test's runtime.
+/// The handle of a scripted coordinator, which runs on the test's runtime.
 #[derive(Clone)]
 pub struct Coordinator {
     pub port: u16,
@@ -36,12 +36,12 @@
 }
 
 impl Coordinator {
-    /// One at 127.0.0.2, on any port.
+    /// Starts a coordinator at 127.0.0.2, on any port.
     pub async fn start() -> Coordinator {
         Coordinator::at("127.0.0.2", 0).await
     }
 
-    /// One at an address.
+    /// Starts a coordinator at an address.
     pub async fn at(address: &str, port: u16) -> Coordinator {
         let listener = TcpListener::bind((address, port)).await.expect("a port");
         let port = listener.local_addr().expect("an address").port();
@@ -56,18 +56,18 @@
         coordinator
     }
 
-    /// Answers the next poll with this.
-    pub fn publish(&self, reply: PollResponse) {
-        self.shared.replies.borrow_mut().push_back(reply);
+    /// Queues the response to a poll.
+    pub fn publish(&self, response: PollResponse) {
+        self.shared.responses.borrow_mut().push_back(response);
         self.shared.published.notify_waiters();
     }
 
-    /// Tells news of the configuration.
-    pub fn publish_configuration(&self, news: ConfigUpdate) {
-        self.publish(PollResponse { config: Some(news), ..PollResponse::default() });
+    /// Publishes an update of the configuration.
+    pub fn publish_configuration(&self, config_update: ConfigUpdate) {
+        self.publish(PollResponse { config: Some(config_update), ..PollResponse::default() });
     }
 
-    /// Tells the whole directory.
+    /// Publishes the complete directory.
     pub fn publish_servers(&self, servers: Vec<ServerRecord>) {
         let cursor = DirectoryCursor { epoch: Incarnation(1), revision: 1 };
         self.publish(PollResponse {
@@ -79,46 +79,46 @@
         });
     }
 
-    /// Waits until all that was published has been taken over: the edge has asked again after it.
-    pub async fn all_taken(&self) {
-        let answered = self.shared.replies.borrow().len() + self.shared.polls.borrow().len();
-        self.until(|shared| shared.replies.borrow().is_empty() && shared.polls.borrow().len() > answered)
+    /// Waits until everything published has been applied: the edge has polled again after it.
+    pub async fn all_applied(&self) {
+        let answered = self.shared.responses.borrow().len() + self.shared.polls.borrow().len();
+        self.until(|shared| shared.responses.borrow().is_empty() && shared.polls.borrow().len() > answered)
             .await;
     }
 
-    /// Answers the next poll with this, but only once it is released.
-    pub fn publish_late(&self, reply: PollResponse) {
-        self.shared.late_reply.replace(Some(reply));
+    /// Sets the response to the next poll, which is sent only once it is released.
+    pub fn publish_delayed(&self, response: PollResponse) {
+        self.shared.delayed_response.replace(Some(response));
     }
 
-    /// Waits until the poll that is answered late has come.
-    pub async fn is_late(&self) {
-        self.until(|shared| shared.is_late.get()).await;
+    /// Waits until the poll whose response is delayed has arrived.
+    pub async fn delayed_poll_arrived(&self) {
+        self.until(|shared| shared.delayed_poll_arrived.get()).await;
     }
 
-    /// Sends the late answer.
-    pub fn release(&self) {
+    /// Sends the delayed response.
+    pub fn release_delayed(&self) {
         self.shared.released.notify_one();
     }
 
-    /// Waits until an edge has introduced itself.
-    pub async fn greeted(&self) {
-        self.greeted_times(1).await;
+    /// Waits until an edge has sent its handshake.
+    pub async fn connected(&self) {
+        self.connected_times(1).await;
     }
 
-    /// Waits until edges have introduced themselves so many times, each on a connection of its own.
-    pub async fn greeted_times(&self, times: usize) {
-        self.until(|shared| shared.hellos.get() >= times).await;
+    /// Waits for this many handshakes, each on a connection of its own.
+    pub async fn connected_times(&self, times: usize) {
+        self.until(|shared| shared.handshakes.get() >= times).await;
     }
 
-    /// Waits for so many polls in all.
+    /// Waits for this many polls in all.
     pub async fn polled_times(&self, times: usize) {
         self.until(|shared| shared.polls.borrow().len() >= times).await;
     }
 
-    /// Waits until the edge has said that it leaves.
-    pub async fn left(&self) {
-        self.until(|shared| shared.has_left.get()).await;
+    /// Waits until the edge has sent its shutdown notice.
+    pub async fn received_shutdown_notice(&self) {
+        self.until(|shared| shared.has_shutdown_notice.get()).await;
     }
 
     /// All polls so far.
@@ -128,50 +128,50 @@
 
     async fn until(&self, holds: impl Fn(&Shared) -> bool) {
         loop {
-            let asked = self.shared.asked.notified();
+            let changed = self.shared.changed.notified();
             if holds(&self.shared) {
                 return;
             }
-            asked.await;
+            changed.await;
         }
     }
 }
 
 async fn serve(shared: Rc<Shared>, mut stream: TcpStream) {
     let Some(Handshake::Edge(_)) = read::<Handshake>(&mut stream).await else { return };
-    shared.hellos.set(shared.hellos.get() + 1);
-    shared.asked.notify_waiters();
+    shared.handshakes.set(shared.handshakes.get() + 1);
+    shared.changed.notify_waiters();
     while let Some(request) = read::<EdgeRequest>(&mut stream).await {
         let EdgeRequest::Poll(poll) = request else {
-            shared.has_left.set(true);
-            shared.asked.notify_waiters();
+            shared.has_shutdown_notice.set(true);
+            shared.changed.notify_waiters();
             return;
         };
-        let (cursor, hold) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
+        let (cursor, max_wait) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
         shared.polls.borrow_mut().push(poll);
-        shared.asked.notify_waiters();
-        let late = shared.late_reply.take();
-        if let Some(reply) = late {
-            shared.is_late.set(true);
-            shared.asked.notify_waiters();
+        shared.changed.notify_waiters();
+        let late = shared.delayed_response.take();
+        if let Some(response) = late {
+            shared.delayed_poll_arrived.set(true);
+            shared.changed.notify_waiters();
             shared.released.notified().await;
             // The edge may have closed the connection meanwhile.
-            drop(stream.write_all(&frame::encode(&reply)).await);
+            drop(stream.write_all(&frame::encode(&response)).await);
             continue;
         }
-        let quiet = PollResponse { cursor, ..PollResponse::default() };
-        let reply = tokio::time::timeout(hold, next_reply(&shared)).await.unwrap_or(quiet);
-        if stream.write_all(&frame::encode(&reply)).await.is_err() {
+        let no_update = PollResponse { cursor, ..PollResponse::default() };
+        let response = tokio::time::timeout(max_wait, next_response(&shared)).await.unwrap_or(no_update);
+        if stream.write_all(&frame::encode(&response)).await.is_err() {
             return;
         }
     }
 }
 
-async fn next_reply(shared: &Shared) -> PollResponse {
+async fn next_response(shared: &Shared) -> PollResponse {
     loop {
         let published = shared.published.notified();
-        if let Some(reply) = shared.replies.borrow_mut().pop_front() {
-            return reply;
+        if let Some(response) = shared.responses.borrow_mut().pop_front() {
+            return response;
         }
         published.await;
     }
