--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -25,13 +25,19 @@
 /// Edges whose last sequence number is kept.
 const MAX_TRACKED_EDGES: usize = 256;
 
+/// The newest load report of an edge.
+struct LastReport {
+    incarnation: Incarnation,
+    sequence: u64,
+}
+
 /// The exchange of loads with the other edges.
 pub struct Peers {
     state: Rc<State>,
     socket: UdpSocket,
     port: u16,
     datagrams: RefCell<LoadDatagrams>,
-    last_reports: RefCell<AHashMap<NodeId, (Incarnation, u64)>>,
+    last_reports: RefCell<AHashMap<NodeId, LastReport>>,
 }
 
 impl Peers {
@@ -106,10 +112,11 @@
         if last_reports.len() >= MAX_TRACKED_EDGES && !last_reports.contains_key(&report.edge) {
             last_reports.clear();
         }
-        let last = last_reports.entry(report.edge).or_insert((report.incarnation, 0));
-        let is_new = last.0 != report.incarnation || report.sequence > last.1;
+        let first = LastReport { incarnation: report.incarnation, sequence: 0 };
+        let last = last_reports.entry(report.edge).or_insert(first);
+        let is_new = last.incarnation != report.incarnation || report.sequence > last.sequence;
         if is_new {
-            *last = (report.incarnation, report.sequence);
+            *last = LastReport { incarnation: report.incarnation, sequence: report.sequence };
         }
         is_new
     }
