--- a/capacity-emulator/src/core_node.rs
+++ b/capacity-emulator/src/core_node.rs
@@ -229,7 +229,7 @@
             EdgeRequest::Report { demand } => {
                 self.tell(world, kind, Event::EdgeReport { edge: node, demand });
             }
-            EdgeRequest::Leave => self.tell(world, kind, Event::EdgeDisconnected(node)),
+            EdgeRequest::ShutdownNotice => self.tell(world, kind, Event::EdgeDisconnected(node)),
         }
     }
 
--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -389,16 +389,20 @@
         }
         self.cursor = reply.cursor;
         if reply.complete || !reply.servers.is_empty() {
-            self.tell(world, kind, Event::Servers { records: reply.servers, complete: reply.complete });
+            self.tell(
+                world,
+                kind,
+                Event::ServersUpdated { records: reply.servers, complete: reply.complete },
+            );
         }
         if let Some(nodes) = reply.edge_nodes {
             self.edge_list = reply.edge_list_hash;
             let own = site::edge_node(self.place);
-            self.tell(world, kind, Event::EdgeList { own, edges: nodes });
+            self.tell(world, kind, Event::EdgesUpdated { own, edges: nodes });
         }
         if reply.edge_count > 0 && reply.edge_count != self.edges {
             self.edges = reply.edge_count;
-            self.tell(world, kind, Event::Edges(reply.edge_count));
+            self.tell(world, kind, Event::EdgeCountUpdated(reply.edge_count));
         }
     }
 
@@ -422,6 +426,6 @@
         self.version = view.version;
         decisions.view = Arc::new(view);
         let view = Arc::clone(&decisions.view);
-        self.tell(world, kind, Event::View(view));
+        self.tell(world, kind, Event::ConfigurationUpdated(view));
     }
 }
--- a/capacity-emulator/src/ledger.rs
+++ b/capacity-emulator/src/ledger.rs
@@ -81,7 +81,7 @@
     pub fn of_request(request: &EdgeRequest) -> Kind {
         match request {
             EdgeRequest::Poll(_) => Kind::Poll,
-            EdgeRequest::Report { .. } | EdgeRequest::Leave => Kind::Report,
+            EdgeRequest::Report { .. } | EdgeRequest::ShutdownNotice => Kind::Report,
         }
     }
 
--- a/capacity-emulator/src/requests.rs
+++ b/capacity-emulator/src/requests.rs
@@ -104,7 +104,7 @@
             }
             Err(status) => (status, 0),
         };
-        self.tell(world, Kind::Request, Event::Written(request, attempt));
+        self.tell(world, Kind::Request, Event::RequestWritten(request, attempt));
         self.wake(world, way + takes, AtEdge::Answered { request, attempt, server: place, status });
     }
 
@@ -120,8 +120,8 @@
         let load = ServerLoad { running: server.open, waiting: 0, slots: site::SLOTS };
         if status == SERVED {
             server.open = server.open.saturating_sub(1);
-            self.tell(world, Kind::Request, Event::Head(request, attempt, Some(load)));
-            self.tell(world, Kind::Request, Event::First(request, attempt));
+            self.tell(world, Kind::Request, Event::ResponseHead(request, attempt, Some(load)));
+            self.tell(world, Kind::Request, Event::FirstEvent(request, attempt));
             self.end(world, request, attempt, Verdict::HasRun, Ending::Served, Some(load));
             self.finish(world, request, true);
         } else {
@@ -140,7 +140,7 @@
         load: Option<ServerLoad>,
     ) {
         let outcome = Outcome { verdict, ending, load, retry_after_ms: None };
-        self.tell(world, Kind::Request, Event::Ended(request, attempt, outcome));
+        self.tell(world, Kind::Request, Event::AttemptEnded(request, attempt, outcome));
     }
 
     /// The client has its answer.
@@ -148,7 +148,7 @@
         if self.requests.open.remove(&request).is_some() {
             self.requests.served += u64::from(served);
             self.requests.failed += u64::from(!served);
-            self.tell(world, Kind::Request, Event::Finished(request));
+            self.tell(world, Kind::Request, Event::RequestFinished(request));
         }
     }
 }
--- a/capacity-emulator/src/state.rs
+++ b/capacity-emulator/src/state.rs
@@ -80,7 +80,7 @@
         let records = records();
         state.router_of_servers = allocated(live, || {
             let mut router = Router::new(Options::default(), 1);
-            router.handle(0, Event::Servers { records, complete: true }, &mut Vec::new());
+            router.handle(0, Event::ServersUpdated { records, complete: true }, &mut Vec::new());
             router
         });
     }
--- a/coordinator/src/driver/edge_polls.rs
+++ b/coordinator/src/driver/edge_polls.rs
@@ -55,7 +55,7 @@
                 host.handle(Event::EdgeReport { edge: edge.node, demand });
                 continue;
             }
-            Some(EdgeRequest::Leave) => {
+            Some(EdgeRequest::ShutdownNotice) => {
                 host.handle(Event::EdgeDisconnected(edge.node));
                 return Ok(());
             }
@@ -89,7 +89,7 @@
                 Some(EdgeRequest::Report { demand }) => {
                     host.handle(Event::EdgeReport { edge: edge.node, demand });
                 }
-                Some(EdgeRequest::Leave) => {
+                Some(EdgeRequest::ShutdownNotice) => {
                     host.handle(Event::EdgeDisconnected(edge.node));
                     return PollOutcome::Closed;
                 }
--- a/dataplane/src/coordinator_link.rs
+++ b/dataplane/src/coordinator_link.rs
@@ -76,7 +76,7 @@
 
     /// Announces that this edge is about to end, and closes the connection.
     pub async fn send_shutdown_notice(mut self) -> Result<(), PollError> {
-        let message = self.prepare(&EdgeRequest::Leave);
+        let message = self.prepare(&EdgeRequest::ShutdownNotice);
         self.stream.write_all(&message).await.context(IoSnafu)?;
         self.stream.shutdown().await.context(IoSnafu)
     }
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -92,7 +92,7 @@
                 (outcome, Step::AwaitCommand)
             }
         };
-        self.handle.state().handle(Event::Ended(self.handle.id(), attempt, outcome));
+        self.handle.state().handle(Event::AttemptEnded(self.handle.id(), attempt, outcome));
         step
     }
 
@@ -100,7 +100,7 @@
     fn interrupt_attempt(&self, attempt: Attempt, verdict: Verdict, command: Command) -> Step {
         let ending = if self.client.has_begun() { self.client.truncated() } else { Ending::Cancelled };
         let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
-        self.handle.state().handle(Event::Ended(self.handle.id(), attempt, outcome));
+        self.handle.state().handle(Event::AttemptEnded(self.handle.id(), attempt, outcome));
         match command {
             Command::Cancel(_) => Step::AwaitCommand,
             command => Step::Next(command),
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -175,19 +175,20 @@
         }
         self.cursor = response.cursor;
         if response.complete || !response.servers.is_empty() {
-            self.state.handle(Event::Servers { records: response.servers, complete: response.complete });
+            self.state
+                .handle(Event::ServersUpdated { records: response.servers, complete: response.complete });
         }
         self.apply_edge_list(response.edge_nodes, response.edge_list_hash);
         if response.edge_count > 0 && response.edge_count != self.edge_count {
             self.edge_count = response.edge_count;
-            self.state.handle(Event::Edges(response.edge_count));
+            self.state.handle(Event::EdgeCountUpdated(response.edge_count));
         }
     }
 
     /// Adopts the list of edges, if there is a new one, for the load reports among them.
     fn apply_edge_list(&mut self, nodes: Option<Vec<NodeId>>, hash: u64) {
         if let Some(edges) = nodes {
-            self.state.handle(Event::EdgeList { own: self.identity.node, edges });
+            self.state.handle(Event::EdgesUpdated { own: self.identity.node, edges });
             self.edge_list_hash = hash;
         }
     }
--- a/dataplane/src/progress.rs
+++ b/dataplane/src/progress.rs
@@ -34,22 +34,22 @@
     /// A byte of the request has been written.
     pub fn on_request_written(&self) {
         self.verdict.set(Verdict::MayHaveRun);
-        self.state.handle(Event::Written(self.request, self.attempt));
+        self.state.handle(Event::RequestWritten(self.request, self.attempt));
     }
 
     /// The head of a success is about to be forwarded.
     pub fn on_response_head(&self, load: Option<ServerLoad>) {
         self.verdict.set(Verdict::HasRun);
-        self.state.handle(Event::Head(self.request, self.attempt, load));
+        self.state.handle(Event::ResponseHead(self.request, self.attempt, load));
     }
 
     /// The first event or byte of the body has arrived.
     pub fn on_first_chunk(&self) {
-        self.state.handle(Event::First(self.request, self.attempt));
+        self.state.handle(Event::FirstEvent(self.request, self.attempt));
     }
 
     /// A stream has paused for too long.
     pub fn on_stalled(&self) {
-        self.state.handle(Event::Stalled(self.request, self.attempt));
+        self.state.handle(Event::StreamStalled(self.request, self.attempt));
     }
 }
--- a/dataplane/src/request_handle.rs
+++ b/dataplane/src/request_handle.rs
@@ -44,6 +44,6 @@
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.state.mailboxes.close(self.id);
-        self.state.handle(Event::Finished(self.id));
+        self.state.handle(Event::RequestFinished(self.id));
     }
 }
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -92,7 +92,7 @@
     /// Puts a newer configuration in force.
     pub fn set_view(&self, view: Arc<View>) {
         *self.view.borrow_mut() = view.clone();
-        self.handle(Event::View(view));
+        self.handle(Event::ConfigurationUpdated(view));
     }
 
     /// Begins graceful shutdown; responses still open after `time_left` are aborted. The process is unready from now
--- a/protocol/src/internal/edge.rs
+++ b/protocol/src/internal/edge.rs
@@ -27,7 +27,7 @@
         demand: Vec<Demand>,
     },
     /// The edge's process is about to end.
-    Leave,
+    ShutdownNotice,
 }
 
 /// A long poll: answered at once where there are updates, otherwise after `max_wait_ms`.
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -173,7 +173,7 @@
     frames.compare("edge request poll", &EdgeRequest::Poll(poll));
     frames.compare("edge request empty poll", &EdgeRequest::Poll(PollRequest::default()));
     frames.compare("edge request report", &EdgeRequest::Report { demand: vec![demand()] });
-    frames.compare("edge request leave", &EdgeRequest::Leave);
+    frames.compare("edge request leave", &EdgeRequest::ShutdownNotice);
     frames.finish();
 }
 
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -18,18 +18,18 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A newer configuration is in force.
-    View(Arc<View>),
+    ConfigurationUpdated(Arc<View>),
     /// Servers changed; where `complete` is set, all servers not among them are unlisted.
-    Servers {
+    ServersUpdated {
         /// The records.
         records: Vec<ServerRecord>,
         /// Whether they are the complete directory.
         complete: bool,
     },
     /// Number of edges at work, this one included; budgets and limits are divided by it.
-    Edges(u32),
+    EdgeCountUpdated(u32),
     /// The edges at work, by name.
-    EdgeList {
+    EdgesUpdated {
         /// This edge.
         own: NodeId,
         /// All edges, this one included.
@@ -47,19 +47,19 @@
     /// A client's request with its complete head. Its route was looked up in the configuration then in force.
     Request(NewRequest),
     /// An attempt's request has been written to a server's connection, in part at least.
-    Written(RequestId, Attempt),
+    RequestWritten(RequestId, Attempt),
     /// The head of a success has arrived and is being forwarded: from here on the client has a server's response.
-    Head(RequestId, Attempt, Option<ServerLoad>),
+    ResponseHead(RequestId, Attempt, Option<ServerLoad>),
     /// The first event (or byte) of the body has arrived.
-    First(RequestId, Attempt),
+    FirstEvent(RequestId, Attempt),
     /// A stream whose head was forwarded has paused for far longer than its gap target, so that its server may be
     /// gone. Answered with `Action::Cancel` where the stream may resume at another server.
-    Stalled(RequestId, Attempt),
+    StreamStalled(RequestId, Attempt),
     /// An attempt ended.
-    Ended(RequestId, Attempt, Outcome),
+    AttemptEnded(RequestId, Attempt, Outcome),
     /// The client has its complete response, or has left: the request is over and nothing may be sent for it. Comes
-    /// after the `Ended` of an attempt that served it; before that, it means that the client has left.
-    Finished(RequestId),
+    /// after the `AttemptEnded` of an attempt that served it; before that, it means that the client has left.
+    RequestFinished(RequestId),
     /// The process shuts down gracefully: requests no longer wait for models to load.
     ShutdownRequested,
     /// Time passed; sent at `Router::next_wake` or earlier.
@@ -198,7 +198,7 @@
     },
     /// Abort the response, which cannot be completed: the client must see that it is truncated.
     AbortResponse(RequestId),
-    /// Stop waiting for an attempt and close its connection; an `Event::Ended` follows.
+    /// Stop waiting for an attempt and close its connection; an `Event::AttemptEnded` follows.
     Cancel(RequestId, Attempt),
     /// Close the idle connections to a server, and others as they become idle.
     CloseConnections(ServerId),
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -66,18 +66,18 @@
     /// Takes an event; what is to be done is added to `actions`, in order. `now` never goes back.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::View(view) => self.on_view(now, view, actions),
-            Event::Servers { records, complete } => self.on_servers(now, records, complete, actions),
-            Event::Edges(edges) => self.edges = edges,
-            Event::EdgeList { own, edges } => self.load_gossip.set_edges(own, &edges),
+            Event::ConfigurationUpdated(view) => self.on_view(now, view, actions),
+            Event::ServersUpdated { records, complete } => self.on_servers(now, records, complete, actions),
+            Event::EdgeCountUpdated(edges) => self.edges = edges,
+            Event::EdgesUpdated { own, edges } => self.load_gossip.set_edges(own, &edges),
             Event::PeerLoads { edge, scope, loads } => self.load_gossip.receive(now, edge, scope, loads),
             Event::Request(request) => self.on_request(now, request, actions),
-            Event::Written(..) => {}
-            Event::Head(id, attempt, load) => self.on_head(now, id, attempt, load),
-            Event::First(id, attempt) => self.on_first(now, id, attempt),
-            Event::Stalled(id, attempt) => self.on_stalled(now, id, attempt, actions),
-            Event::Ended(id, attempt, outcome) => self.on_ended(now, id, attempt, outcome, actions),
-            Event::Finished(id) => self.on_finished(now, id, actions),
+            Event::RequestWritten(..) => {}
+            Event::ResponseHead(id, attempt, load) => self.on_head(now, id, attempt, load),
+            Event::FirstEvent(id, attempt) => self.on_first(now, id, attempt),
+            Event::StreamStalled(id, attempt) => self.on_stalled(now, id, attempt, actions),
+            Event::AttemptEnded(id, attempt, outcome) => self.on_ended(now, id, attempt, outcome, actions),
+            Event::RequestFinished(id) => self.on_finished(now, id, actions),
             Event::ShutdownRequested => self.on_shutdown_requested(now, actions),
             Event::Tick => self.on_tick(now, actions),
         }
--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -82,7 +82,7 @@
     let mut edge = Edge::with_servers(LLM, 4, &["m1"]);
     let order = sequence(Key::of("m1"), 4);
     let first = edge.send_request(&route(LLM), "m1");
-    edge.handle(Event::Head(first.request, first.attempt, Some(load(64, 0, 64))));
+    edge.handle(Event::ResponseHead(first.request, first.attempt, Some(load(64, 0, 64))));
     assert_eq!(edge.send_request(&route(LLM), "m1").server, order[1]);
     // The reported load expires.
     edge.pass(edge.now + 1001);
@@ -110,7 +110,7 @@
 #[test]
 fn connections_per_edge_are_bounded() {
     let mut edge = Edge::with_servers(WEB, 1, &[]);
-    edge.handle(Event::Edges(24));
+    edge.handle(Event::EdgeCountUpdated(24));
     for _ in 0..4 {
         edge.send_request(&route(WEB), "");
     }
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -41,7 +41,7 @@
     /// An edge that knows the configuration and no server.
     pub fn new(options: Options) -> Self {
         let mut edge = Edge { router: Router::new(options, 7), now: 1000, next_request: 0 };
-        edge.handle(Event::View(view(1)));
+        edge.handle(Event::ConfigurationUpdated(view(1)));
         edge
     }
 
@@ -59,7 +59,7 @@
     }
 
     pub fn servers(&mut self, records: Vec<ServerRecord>) -> Vec<Action> {
-        self.handle(Event::Servers { records, complete: false })
+        self.handle(Event::ServersUpdated { records, complete: false })
     }
 
     /// A request by a route for a model.
@@ -92,14 +92,14 @@
     }
 
     pub fn end(&mut self, sent: &Sent, outcome: Outcome) -> Vec<Action> {
-        self.handle(Event::Ended(sent.request, sent.attempt, outcome))
+        self.handle(Event::AttemptEnded(sent.request, sent.attempt, outcome))
     }
 
     pub fn serve(&mut self, sent: &Sent) -> Vec<Action> {
-        self.handle(Event::Head(sent.request, sent.attempt, None));
-        self.handle(Event::First(sent.request, sent.attempt));
+        self.handle(Event::ResponseHead(sent.request, sent.attempt, None));
+        self.handle(Event::FirstEvent(sent.request, sent.attempt));
         let mut actions = self.end(sent, outcome(Verdict::HasRun, Ending::Served));
-        actions.extend(self.handle(Event::Finished(sent.request)));
+        actions.extend(self.handle(Event::RequestFinished(sent.request)));
         actions
     }
 
--- a/routing/tests/failure_accrual.rs
+++ b/routing/tests/failure_accrual.rs
@@ -83,7 +83,7 @@
     /// Serves a request, or has its client leave, which says nothing of the server.
     fn serve_or_abandon(&mut self, sent: &Sent, leave: bool) {
         if leave {
-            self.handle(shaletrail_routing::interface::Event::Finished(sent.request));
+            self.handle(shaletrail_routing::interface::Event::RequestFinished(sent.request));
         } else {
             self.serve(sent);
         }
--- a/routing/tests/load_gossip.rs
+++ b/routing/tests/load_gossip.rs
@@ -43,7 +43,7 @@
     fn announce_edges(&mut self) {
         let nodes: Vec<NodeId> = self.edges.keys().copied().collect();
         for (node, edge) in &mut self.edges {
-            edge.handle(Event::EdgeList { own: *node, edges: nodes.clone() });
+            edge.handle(Event::EdgesUpdated { own: *node, edges: nodes.clone() });
         }
     }
 
--- a/routing/tests/random_histories.rs
+++ b/routing/tests/random_histories.rs
@@ -132,7 +132,7 @@
             retry_times: Vec::new(),
             counts: HistoryCounts::default(),
         };
-        history.deliver(Event::Edges(EDGES));
+        history.deliver(Event::EdgeCountUpdated(EDGES));
         (0..4).for_each(|_| history.add_server());
         history
     }
@@ -215,11 +215,11 @@
                 tracked.last_event = Some(tracked.last_event.map_or(1, |event| event + 1));
             }
             let load = load(self.random.random_range(0..70), self.random.random_range(0..3), 64);
-            self.deliver(Event::Head(id, in_flight.attempt, Some(load)));
-            return self.deliver(Event::First(id, in_flight.attempt));
+            self.deliver(Event::ResponseHead(id, in_flight.attempt, Some(load)));
+            return self.deliver(Event::FirstEvent(id, in_flight.attempt));
         }
         if in_flight.has_first_event && is_stream && !in_flight.cancelled && self.random.random_bool(0.1) {
-            return self.deliver(Event::Stalled(id, in_flight.attempt));
+            return self.deliver(Event::StreamStalled(id, in_flight.attempt));
         }
         let outcome = self.outcome(&in_flight, id);
         self.end(id, in_flight, outcome);
@@ -277,9 +277,9 @@
             self.finished.insert(id);
             self.counts.served += 1;
         }
-        self.deliver(Event::Ended(id, in_flight.attempt, outcome));
+        self.deliver(Event::AttemptEnded(id, in_flight.attempt, outcome));
         if self.finished.contains(&id) {
-            self.deliver(Event::Finished(id));
+            self.deliver(Event::RequestFinished(id));
         }
     }
 
@@ -289,7 +289,7 @@
         let tracked = self.open.remove(&id).expect("an open request");
         self.finished.insert(id);
         self.counts.departed_clients += 1;
-        let actions = self.edge.handle(Event::Finished(id));
+        let actions = self.edge.handle(Event::RequestFinished(id));
         let cancels = tracked.attempt.iter().map(|in_flight| Action::Cancel(id, in_flight.attempt));
         let (own, others): (Vec<Action>, Vec<Action>) = actions
             .into_iter()
@@ -303,7 +303,7 @@
         let record = server(LLM, self.next_server, &loaded);
         self.next_server += 1;
         self.records.insert(record.id.clone(), record.clone());
-        self.deliver(Event::Servers { records: vec![record], complete: false });
+        self.deliver(Event::ServersUpdated { records: vec![record], complete: false });
     }
 
     fn change_server(&mut self) {
@@ -333,11 +333,11 @@
             self.records.remove(&record.id);
             self.departed_servers.insert(record.id.clone());
         }
-        self.deliver(Event::Servers { records: vec![record.clone()], complete: false });
+        self.deliver(Event::ServersUpdated { records: vec![record.clone()], complete: false });
         if self.departed_servers.contains(&record.id) && self.random.random_bool(0.5) {
             // A late record of a server that has left changes nothing.
             let late = ServerRecord { presence: Presence::Ready, ..record };
-            self.deliver(Event::Servers { records: vec![late], complete: false });
+            self.deliver(Event::ServersUpdated { records: vec![late], complete: false });
         }
     }
 
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -90,7 +90,7 @@
     let lost_one = edge.send_request(&route(LLM), "m1");
     edge.end(&lost_one, lost());
     let left = edge.send_request(&route(LLM), "m1");
-    edge.handle(Event::Finished(left.request));
+    edge.handle(Event::RequestFinished(left.request));
     edge.request(&route(LLM), "m2");
     edge.send_request(&route(LLM), "m1");
     let counters = edge.router.counters();
--- a/routing/tests/request_queue.rs
+++ b/routing/tests/request_queue.rs
@@ -24,7 +24,7 @@
     assert!(sent.iter().all(|sent| sent.server == name(0)));
     assert_eq!(sent[0].deadline_ms, 4000 - 700 - 5);
     assert_eq!(edge.router.counters().queued, 1);
-    assert_eq!(edge.handle(Event::Finished(other)), vec![]);
+    assert_eq!(edge.handle(Event::RequestFinished(other)), vec![]);
 }
 
 #[test]
@@ -110,7 +110,7 @@
 fn queued_request_of_departed_client_is_dropped() {
     let mut edge = Edge::with_servers(LLM, 1, &["m9"]);
     let (request, _) = edge.request(&route(LLM), "m1");
-    edge.handle(Event::Finished(request));
+    edge.handle(Event::RequestFinished(request));
     let mut loaded = server(LLM, 0, &["m1"]);
     loaded.heartbeat.sequence = 2;
     assert_eq!(edge.servers(vec![loaded]), vec![]);
@@ -148,6 +148,6 @@
 fn fill(edge: &mut Edge) {
     while sent(&edge.request(&route(LLM), "m1").1).is_some() {}
     let newest = edge.router.counters().received;
-    edge.handle(Event::Finished(RequestId(newest)));
+    edge.handle(Event::RequestFinished(RequestId(newest)));
     assert_eq!(edge.router.counters().queued, 0);
 }
--- a/routing/tests/retries.rs
+++ b/routing/tests/retries.rs
@@ -136,7 +136,7 @@
     let options = Options { retry_ratio: 0.2, retry_slack: 50.0, ..Options::default() };
     let mut edge = Edge::new(options);
     edge.servers((0..6).map(|n| server(LLM, n, &["m1"])).collect());
-    edge.handle(Event::Edges(10));
+    edge.handle(Event::EdgeCountUpdated(10));
     for _ in 0..100 {
         let sent = edge.send_request(&route(LLM), "m1");
         edge.serve(&sent);
@@ -183,7 +183,7 @@
     let options = Options { retry_ratio: 0.0, retry_slack: 2.0, ..Options::default() };
     let mut edge = Edge::new(options);
     edge.servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
-    edge.handle(Event::Edges(1));
+    edge.handle(Event::EdgeCountUpdated(1));
     let first = edge.send_request(&route(LLM), "m1");
     let retry = sent(&edge.end(&first, rejected(503))).expect("the one retry");
     let again = sent(&edge.end(&retry, unreachable())).expect("the same retry");
--- a/routing/tests/retry_budget.rs
+++ b/routing/tests/retry_budget.rs
@@ -15,7 +15,7 @@
         ..Options::default()
     };
     let mut edge = Edge::new(options);
-    edge.handle(Event::Edges(1));
+    edge.handle(Event::EdgeCountUpdated(1));
     edge.servers((0..6).map(|number| server(LLM, number, &["m1"])).collect());
     let early = edge.send_request(&route(LLM), "m1");
     assert_rejected(&edge.end(&early, rejected(503)), 503, RejectReason::Rejected);
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -84,7 +84,7 @@
 fn unlisted_server_is_last_resort_then_dropped() {
     let mut edge = Edge::new(Options { unlisted_ttl_ms: 10_000, ..options() });
     edge.servers((0..2).map(|n| server(LLM, n, &["m1"])).collect());
-    edge.handle(Event::Servers { records: vec![server(LLM, 1, &["m9"])], complete: true });
+    edge.handle(Event::ServersUpdated { records: vec![server(LLM, 1, &["m9"])], complete: true });
     assert_eq!(edge.send_request(&route(LLM), "m1").server, name(0));
     let late = edge.send_request(&route(LLM), "m1");
     edge.serve(&late);
@@ -115,9 +115,9 @@
 fn router_is_unusable_without_configuration_or_servers() {
     let mut router = shaletrail_routing::Router::new(options(), 1);
     assert!(!router.is_usable(0));
-    router.handle(0, Event::View(view(3)), &mut Vec::new());
+    router.handle(0, Event::ConfigurationUpdated(view(3)), &mut Vec::new());
     assert!(!router.is_usable(0));
     let records = vec![server(LLM, 0, &["m1"])];
-    router.handle(0, Event::Servers { records, complete: true }, &mut Vec::new());
+    router.handle(0, Event::ServersUpdated { records, complete: true }, &mut Vec::new());
     assert!(router.is_usable(0));
 }
--- a/routing/tests/streams.rs
+++ b/routing/tests/streams.rs
@@ -73,9 +73,9 @@
 fn stalled_stream_moves_to_another_server() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    let actions = edge.handle(Event::Stalled(first.request, first.attempt));
+    let actions = edge.handle(Event::StreamStalled(first.request, first.attempt));
     assert_eq!(actions, vec![Action::Cancel(first.request, first.attempt)]);
-    assert_eq!(edge.handle(Event::Stalled(first.request, first.attempt)), vec![]);
+    assert_eq!(edge.handle(Event::StreamStalled(first.request, first.attempt)), vec![]);
     let second = sent(&edge.end(&first, truncated(Some(5)))).expect("resumed");
     assert_eq!(second.resume_after, Some(5));
 }
@@ -84,17 +84,17 @@
 fn stalled_stream_stays_without_alternative() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, false));
-    assert_eq!(edge.handle(Event::Stalled(first.request, first.attempt)), vec![]);
+    assert_eq!(edge.handle(Event::StreamStalled(first.request, first.attempt)), vec![]);
     let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    assert_eq!(edge.handle(Event::Stalled(first.request, first.attempt)), vec![]);
+    assert_eq!(edge.handle(Event::StreamStalled(first.request, first.attempt)), vec![]);
 }
 
 #[test]
 fn client_departure_cancels_attempt() {
     let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
     let first = begin(&mut edge, &stream(LLM, true));
-    let actions = edge.handle(Event::Finished(first.request));
+    let actions = edge.handle(Event::RequestFinished(first.request));
     assert_eq!(actions, vec![Action::Cancel(first.request, first.attempt)]);
     assert_eq!(edge.end(&first, truncated(Some(1))), vec![]);
     assert_eq!(edge.router.counters().client_left, 1);
@@ -125,8 +125,8 @@
 fn begin(edge: &mut Edge, route: &Route) -> Sent {
     let sent = edge.send_request(route, "m1");
     edge.now += 30;
-    edge.handle(Event::Written(sent.request, sent.attempt));
-    edge.handle(Event::Head(sent.request, sent.attempt, None));
-    edge.handle(Event::First(sent.request, sent.attempt));
+    edge.handle(Event::RequestWritten(sent.request, sent.attempt));
+    edge.handle(Event::ResponseHead(sent.request, sent.attempt, None));
+    edge.handle(Event::FirstEvent(sent.request, sent.attempt));
     sent
 }
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -149,7 +149,7 @@
                 EdgeRequest::Report { demand } => {
                     self.tell(world, disk, Event::EdgeReport { edge: edge.node, demand })
                 }
-                EdgeRequest::Leave => self.tell(world, disk, Event::EdgeDisconnected(edge.node)),
+                EdgeRequest::ShutdownNotice => self.tell(world, disk, Event::EdgeDisconnected(edge.node)),
                 EdgeRequest::Poll(_) => {}
             },
             Message::Call { number, call } => {
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -133,7 +133,7 @@
     pub fn stop(&mut self, world: &mut World) {
         self.tell(world, Event::ShutdownRequested);
         if let Some(coordinator) = self.polls() {
-            let frame = frame::encode(&EdgeRequest::Leave);
+            let frame = frame::encode(&EdgeRequest::ShutdownNotice);
             world.send(self.node(), coordinator, Message::EdgeReport { edge: self.identity.clone(), frame });
         }
     }
@@ -339,15 +339,15 @@
         }
         self.cursor = reply.cursor;
         if reply.complete || !reply.servers.is_empty() {
-            self.tell(world, Event::Servers { records: reply.servers, complete: reply.complete });
+            self.tell(world, Event::ServersUpdated { records: reply.servers, complete: reply.complete });
         }
         if let Some(nodes) = reply.edge_nodes {
             self.edge_list = reply.edge_list_hash;
-            self.tell(world, Event::EdgeList { own: self.node(), edges: nodes });
+            self.tell(world, Event::EdgesUpdated { own: self.node(), edges: nodes });
         }
         if reply.edge_count > 0 && reply.edge_count != self.edges {
             self.edges = reply.edge_count;
-            self.tell(world, Event::Edges(reply.edge_count));
+            self.tell(world, Event::EdgeCountUpdated(reply.edge_count));
         }
     }
 
@@ -365,7 +365,7 @@
                 world.witness.in_force(world.now, self.node(), self.identity.incarnation, version, change);
                 self.view = Arc::new(view);
                 let view = Arc::clone(&self.view);
-                self.tell(world, Event::View(view));
+                self.tell(world, Event::ConfigurationUpdated(view));
             }
             Err(_) => self.wants_whole = true,
         }
--- a/simulation/src/requests.rs
+++ b/simulation/src/requests.rs
@@ -146,7 +146,7 @@
         world.send(node, address, Message::Call { number, call });
         world.witness.written(world.now, request.0, &out.service);
         self.requests.out.insert(number, out);
-        self.tell(world, Event::Written(request, attempt));
+        self.tell(world, Event::RequestWritten(request, attempt));
     }
 
     fn cancel(&mut self, world: &mut World, request: RequestId, attempt: Attempt) {
@@ -189,8 +189,8 @@
         self.requests.pooled.insert(out.server.clone());
         match status {
             200..=299 => {
-                self.tell(world, Event::Head(out.request, out.attempt, None));
-                self.tell(world, Event::First(out.request, out.attempt));
+                self.tell(world, Event::ResponseHead(out.request, out.attempt, None));
+                self.tell(world, Event::FirstEvent(out.request, out.attempt));
                 self.end(world, &out, Verdict::HasRun, Ending::Served);
                 self.finish(world, out.request, status);
             }
@@ -209,14 +209,14 @@
 
     fn end(&mut self, world: &mut World, out: &Out, verdict: Verdict, ending: Ending) {
         let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
-        self.tell(world, Event::Ended(out.request, out.attempt, outcome));
+        self.tell(world, Event::AttemptEnded(out.request, out.attempt, outcome));
     }
 
     /// The client has its answer.
     fn finish(&mut self, world: &mut World, request: RequestId, status: u16) {
         if self.requests.open.remove(&request).is_some() {
             world.witness.answered(world.now, request.0, status);
-            self.tell(world, Event::Finished(request));
+            self.tell(world, Event::RequestFinished(request));
         }
     }
 }
