--- /dev/null
+++ b/registry/tests/common/mod.rs
@@ -0,0 +1,120 @@
+//! A replica that runs alone inside the test's process, and calls to it.
+
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::Method;
+use shaletrail_client::call::{Call, Line};
+use shaletrail_registry::{run, Options, Settings};
+use shaletrail_wire::duty::{DUTY_HEADER, FENCE_HEADER};
+use tokio::runtime::Builder;
+use tokio::sync::oneshot;
+
+/// The name of the replica in all stored data.
+pub const REPLICA_NAME: &str = "r1";
+/// Longest wait for one answer, and for the replica to begin.
+const PATIENCE: Duration = Duration::from_secs(20);
+const LONGEST_ANSWER: usize = 1 << 20;
+
+/// A folder of this test alone, empty, and removed at the end.
+pub struct TestFolder(pub PathBuf);
+
+impl TestFolder {
+    pub fn new(test: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("registry-{test}-{}", std::process::id()));
+        drop(std::fs::remove_dir_all(&path));
+        std::fs::create_dir_all(&path).expect("a folder for the test");
+        TestFolder(path)
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        drop(std::fs::remove_dir_all(&self.0));
+    }
+}
+
+/// The addresses of a running replica.
+#[derive(Clone, Copy)]
+pub struct Service {
+    pub discovery: SocketAddr,
+    pub ops: SocketAddr,
+    pub replica: SocketAddr,
+}
+
+/// An answer: its status and its body.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Reply {
+    pub status: u16,
+    pub body: Bytes,
+}
+
+impl Reply {
+    pub fn text(&self) -> &str {
+        std::str::from_utf8(&self.body).expect("an answer in text")
+    }
+}
+
+/// One call, made under a duty's fencing number where `fence` is given.
+pub async fn call_under(
+    addr: SocketAddr,
+    method: Method,
+    path: &str,
+    body: &str,
+    fence: Option<(&str, u64)>,
+) -> Reply {
+    let number = fence.map(|(_, number)| number.to_string()).unwrap_or_default();
+    let headers: Vec<_> =
+        fence.iter().flat_map(|(duty, _)| [(DUTY_HEADER, *duty), (FENCE_HEADER, number.as_str())]).collect();
+    let body = Bytes::copy_from_slice(body.as_bytes());
+    let call = Call { method, path, headers: &headers, body, most: LONGEST_ANSWER, last: true };
+    let answer = Line::new(addr).within(PATIENCE, call).await.expect("an answer");
+    Reply { status: answer.status.as_u16(), body: answer.body }
+}
+
+pub async fn call(addr: SocketAddr, method: Method, path: &str, body: &str) -> Reply {
+    call_under(addr, method, path, body, None).await
+}
+
+pub async fn get(addr: SocketAddr, path: &str) -> Reply {
+    call(addr, Method::GET, path, "").await
+}
+
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("its address")
+}
+
+/// Runs a replica on the folder while `calls` runs, and ends it.
+pub fn with_service<F, T>(folder: &Path, settings: Settings, calls: impl FnOnce(Service) -> F) -> T
+where
+    F: std::future::Future<Output = T>,
+{
+    let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("a runtime");
+    let service = Service { discovery: free_address(), ops: free_address(), replica: free_address() };
+    let options = Options {
+        name: REPLICA_NAME.into(),
+        data: folder.to_owned(),
+        discovery: service.discovery,
+        ops: service.ops,
+        replica: Some(service.replica),
+        peers: [(REPLICA_NAME.to_owned(), service.replica)].into(),
+        join: Vec::new(),
+        settings,
+    };
+    let result = runtime.block_on(async {
+        let (begun, begins) = oneshot::channel();
+        let (stop, stopped) = oneshot::channel::<()>();
+        let ready = move || begun.send(()).expect("the test waits");
+        let running = tokio::spawn(run(options, ready, async { drop(stopped.await) }));
+        tokio::time::timeout(PATIENCE, begins).await.expect("in time").expect("the replica begins");
+        let result = calls(service).await;
+        drop(stop);
+        running.await.expect("the replica ends").expect("without an error");
+        result
+    });
+    runtime.shutdown_timeout(PATIENCE);
+    result
+}
