--- a/wire/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -11,11 +11,11 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_wire::duty::{
+use shaletrail_registry_protocol::duty::{
     check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, HandOver, Kept, Release, Renew,
     Standing, Transfer, Why,
 };
-use shaletrail_wire::{
+use shaletrail_registry_protocol::{
     check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
     RenewMany, Renewal, Renewed, Replica, Stamp, State, Status,
 };
@@ -56,8 +56,8 @@
 
 #[test]
 fn paths_and_headers() {
-    assert_eq!(shaletrail_wire::INSTANCES, "/registry/instances");
-    assert_eq!(shaletrail_wire::NOT_RUN, "x-not-run");
+    assert_eq!(shaletrail_registry_protocol::INSTANCES, "/registry/instances");
+    assert_eq!(shaletrail_registry_protocol::NOT_RUN, "x-not-run");
     assert_eq!(duty::DUTIES, "/registry/duties");
     assert_eq!(duty::DUTY_HEADER, "x-duty");
     assert_eq!(duty::FENCE_HEADER, "x-fence");
@@ -65,12 +65,12 @@
 
 #[test]
 fn limits() {
-    assert_eq!(shaletrail_wire::LONGEST_NAME, 128);
-    assert_eq!(shaletrail_wire::LEASE_S, 0.1..=86_400.0);
-    assert_eq!(shaletrail_wire::LONGEST_HOLD, Duration::from_secs(60));
-    assert_eq!(shaletrail_wire::MOST_RENEWED, 10_000);
-    assert_eq!(shaletrail_wire::LONGEST_CALL, 2_097_152);
-    assert_eq!(shaletrail_wire::LONGEST_LIST, 16_777_216);
+    assert_eq!(shaletrail_registry_protocol::LONGEST_NAME, 128);
+    assert_eq!(shaletrail_registry_protocol::LEASE_S, 0.1..=86_400.0);
+    assert_eq!(shaletrail_registry_protocol::LONGEST_HOLD, Duration::from_secs(60));
+    assert_eq!(shaletrail_registry_protocol::MOST_RENEWED, 10_000);
+    assert_eq!(shaletrail_registry_protocol::LONGEST_CALL, 2_097_152);
+    assert_eq!(shaletrail_registry_protocol::LONGEST_LIST, 16_777_216);
     assert_eq!(duty::LEASE_S, 0.5..=30.0);
     assert_eq!(duty::LONGEST_HOLD, Duration::from_secs(3));
     assert_eq!(duty::LONGEST_CHECKPOINT, 16_384);
--- a/registry/tests/common/mod.rs
+++ b/registry/tests/common/mod.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use shaletrail_client::call::{Call, Line};
 use shaletrail_registry::{run, Options, Settings};
-use shaletrail_wire::duty::{DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_protocol::duty::{DUTY_HEADER, FENCE_HEADER};
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
 
--- a/registry/tests/wire_format.rs
+++ b/registry/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! What a replica answers at its three addresses, as text: nodes, agents, operators' tools and other replicas of
 //! other releases read it.
 //!
-//! The forms of the calls themselves are held in the tests of `shaletrail-wire`; here are the answers that the
+//! The forms of the calls themselves are held in the tests of `shaletrail-registry-protocol`; here are the answers that the
 //! service composes: errors, figures, the greeting between replicas. If a test turns red, a key, a path, a status or
 //! a text that others read has changed. Put it back; a wanted change is an added key or a new path, read beside the
 //! old one, and not a new text here.
