--- a/simulation/src/bin/histories.rs
+++ b/simulation/src/bin/histories.rs
@@ -1,4 +1,4 @@
-//! Plays random histories of the whole system in memory and names those in which a rule is broken.
+//! Plays random histories of the whole system in memory and prints those in which an invariant is violated.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
@@ -9,39 +9,39 @@
 use std::time::Instant;
 
 use argh::FromArgs;
-use shaletrail_simulation::history::{History, Point};
+use shaletrail_simulation::history::{History, Scenario};
 use strum::IntoEnumIterator;
 
 /// plays random histories of the whole system in memory
 #[derive(FromArgs)]
 struct Arguments {
-    /// what the histories aim at: cuts, races, losses, storms, calls, the number of one of them (1 to 5), or all
-    #[argh(option, default = "\"all\".to_owned()")]
-    point: String,
-    /// histories of each point
+    /// scenario of the histories: cuts, races, losses, storms, calls, the number of one of them (1 to 5), or all
+    #[argh(option, long = "point", default = "\"all\".to_owned()")]
+    scenario: String,
+    /// histories of each scenario
     #[argh(option, default = "100")]
     count: u64,
-    /// seed of the first; those that follow have the next ones
+    /// seed of the first history; the following ones have consecutive seeds
     #[argh(option, default = "1")]
     seed: u64,
-    /// histories that are played at once
+    /// histories that are played concurrently
     #[argh(option, default = "3")]
     threads: usize,
-    /// failing histories that are printed whole; of the others only the rule and the seed
-    #[argh(option, default = "1")]
-    whole: usize,
+    /// failing histories that are printed in full; of the others only the violation and the seed
+    #[argh(option, long = "whole", default = "1")]
+    full_reports: usize,
 }
 
-/// A history in which a rule was broken.
+/// A history in which an invariant was violated or service did not return.
 struct Failure {
-    point: Point,
+    scenario: Scenario,
     seed: u64,
-    told: String,
+    message: String,
 }
 
-/// The histories that are asked for, and how far they are.
+/// The histories to play and the progress of the worker threads.
 struct Plan {
-    points: Vec<Point>,
+    scenarios: Vec<Scenario>,
     count: u64,
     seed: u64,
     next: AtomicU64,
@@ -50,63 +50,67 @@
 
 impl Plan {
     fn total(&self) -> u64 {
-        self.count * self.points.len() as u64
+        self.count * self.scenarios.len() as u64
     }
 
     /// Plays histories until none is left.
-    fn work(&self) {
+    fn run(&self) {
         loop {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
-            let point = self.points.get((number % self.points.len() as u64) as usize).copied();
-            let Some(point) = point.filter(|_| number < self.total()) else { return };
-            let seed = self.seed + number / self.points.len() as u64;
-            if let Err(panic) = catch_unwind(AssertUnwindSafe(|| History::play_point(point, seed))) {
-                let told = panic.downcast_ref::<String>().cloned();
-                let told = told.or_else(|| panic.downcast_ref::<&str>().map(|told| (*told).to_owned()));
-                let failure = Failure { point, seed, told: told.unwrap_or_default() };
+            let scenario = self.scenarios.get((number % self.scenarios.len() as u64) as usize).copied();
+            let Some(scenario) = scenario.filter(|_| number < self.total()) else { return };
+            let seed = self.seed + number / self.scenarios.len() as u64;
+            if let Err(panic) = catch_unwind(AssertUnwindSafe(|| History::play_scenario(scenario, seed))) {
+                let message = panic.downcast_ref::<String>().cloned();
+                let message =
+                    message.or_else(|| panic.downcast_ref::<&str>().map(|message| (*message).to_owned()));
+                let failure = Failure { scenario, seed, message: message.unwrap_or_default() };
                 self.failures.lock().unwrap_or_else(PoisonError::into_inner).push(failure);
             }
         }
     }
 }
 
-fn points(asked: &str) -> Option<Vec<Point>> {
+fn scenarios(asked: &str) -> Option<Vec<Scenario>> {
     if asked == "all" {
-        return Some(Point::iter().collect());
+        return Some(Scenario::iter().collect());
     }
-    let numbered = Point::iter().find(|point| point.number().to_string() == asked);
-    numbered.or_else(|| Point::from_str(asked).ok()).map(|point| vec![point])
+    let numbered = Scenario::iter().find(|scenario| scenario.number().to_string() == asked);
+    numbered.or_else(|| Scenario::from_str(asked).ok()).map(|scenario| vec![scenario])
 }
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let Some(points) = points(&arguments.point) else {
-        eprintln!("no such point: {}", arguments.point);
+    let Some(scenarios) = scenarios(&arguments.scenario) else {
+        eprintln!("no such point: {}", arguments.scenario);
         return ExitCode::from(2);
     };
-    // What a history panics with is told at the end.
+    // The panics of failed histories are printed at the end.
     std::panic::set_hook(Box::new(|_| {}));
-    let Arguments { count, seed, threads, whole, .. } = arguments;
-    let plan = Plan { points, count, seed, next: AtomicU64::new(0), failures: Mutex::default() };
-    let begun = Instant::now();
+    let Arguments { count, seed, threads, full_reports, .. } = arguments;
+    let plan = Plan { scenarios, count, seed, next: AtomicU64::new(0), failures: Mutex::default() };
+    let started_at = Instant::now();
     thread::scope(|scope| {
         for _ in 0..threads.max(1) {
-            scope.spawn(|| plan.work());
+            scope.spawn(|| plan.run());
         }
     });
-    let took = begun.elapsed().as_secs_f64();
+    let took = started_at.elapsed().as_secs_f64();
     let mut failures = plan.failures.into_inner().unwrap_or_else(PoisonError::into_inner);
-    failures.sort_by_key(|failure| (failure.point.number(), failure.seed));
-    for (number, Failure { point, seed, told }) in failures.iter().enumerate() {
-        let lines = if number < whole { usize::MAX } else { 1 };
-        let told: Vec<&str> = told.lines().take(lines).collect();
-        println!("FAILED {point} with seed {seed}: {}\n", told.join("\n"));
+    failures.sort_by_key(|failure| (failure.scenario.number(), failure.seed));
+    for (number, Failure { scenario, seed, message }) in failures.iter().enumerate() {
+        let lines = if number < full_reports { usize::MAX } else { 1 };
+        let message: Vec<&str> = message.lines().take(lines).collect();
+        println!("FAILED {scenario} with seed {seed}: {}\n", message.join("\n"));
     }
-    for point in &plan.points {
-        let failed = failures.iter().filter(|failure| failure.point == *point).count();
-        println!("{point}: {count} histories, seeds {seed} to {}, {failed} failed", seed + count.max(1) - 1);
+    for scenario in &plan.scenarios {
+        let failed = failures.iter().filter(|failure| failure.scenario == *scenario).count();
+        println!(
+            "{scenario}: {count} histories, seeds {seed} to {}, {failed} failed",
+            seed + count.max(1) - 1
+        );
     }
-    let total = count * plan.points.len() as u64;
+    let total = count * plan.scenarios.len() as u64;
     println!("{total} histories in {took:.1} s on {threads} threads, {:.1} a second", total as f64 / took);
     if failures.is_empty() {
         ExitCode::SUCCESS
--- a/simulation/src/touch.rs
+++ b/simulation/src/contact.rs
@@ -6,23 +6,23 @@
 
 use crate::network::Network;
 
-/// How long nothing must have gone wrong, in milliseconds (`contactMs`).
-pub const CONTACT: Millis = 3_000;
+/// How long a machine must have been without faults to have quorum contact, in milliseconds (`contactMs`).
+pub const CONTACT_PERIOD: Millis = 3_000;
 
-/// What has gone wrong, and when.
+/// When each machine last had a fault, and which coordinators run.
 #[derive(Debug, Default)]
-pub struct Touch {
+pub struct ContactTracker {
     core: BTreeSet<NodeId>,
-    /// Machines of the core whose processes run.
+    /// Coordinators whose processes run.
     running: BTreeSet<NodeId>,
-    /// Machines of the core that are slow at present.
+    /// Coordinators whose disks are slow at present.
     slow: BTreeSet<NodeId>,
     core_trouble: Option<Millis>,
     trouble: BTreeMap<NodeId, Millis>,
 }
 
-impl Touch {
-    /// A machine joins the core or leaves it.
+impl ContactTracker {
+    /// A machine becomes a coordinator, or is removed as one.
     pub fn set_core(&mut self, node: NodeId, belongs: bool) {
         if belongs {
             self.core.insert(node);
@@ -45,7 +45,7 @@
         self.disturb(now, node);
     }
 
-    /// A machine of the core becomes slow, or is no more.
+    /// A coordinator's disk becomes slow, or fast again.
     pub fn set_slow(&mut self, now: Millis, node: NodeId, slow: bool) {
         if slow {
             self.slow.insert(node);
@@ -55,7 +55,7 @@
         self.disturb(now, node);
     }
 
-    /// Something has happened to a machine.
+    /// Records a fault or a repair of a machine.
     pub fn disturb(&mut self, now: Millis, node: NodeId) {
         self.trouble.insert(node, now);
         if self.core.contains(&node) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A link was cut or joined.
+    /// A link was partitioned or healed.
     pub fn disturb_link(&mut self, now: Millis, one: NodeId, other: NodeId) {
         let both = self.core.contains(&one) && self.core.contains(&other);
         for node in [one, other] {
@@ -74,32 +74,32 @@
         }
     }
 
-    /// Whether the core is stable and has been for as long as it takes.
+    /// Whether a majority of coordinators is connected and none had a fault within the contact period.
     pub fn is_stable(&self, now: Millis, network: &Network) -> bool {
-        let calm = self.core_trouble.is_none_or(|at| at + CONTACT <= now);
+        let calm = self.core_trouble.is_none_or(|at| at + CONTACT_PERIOD <= now);
         calm && self.slow.is_empty() && !self.majority(network).is_empty()
     }
 
-    /// Whether nothing at all is wrong anywhere, and nothing has been for as long as it takes.
+    /// Whether there is no fault anywhere, and was none within the contact period.
     pub fn is_calm(&self, now: Millis, network: &Network) -> bool {
-        let calm = self.trouble.values().all(|at| at + CONTACT <= now);
-        calm && network.cuts().is_empty() && self.is_stable(now, network)
+        let calm = self.trouble.values().all(|at| at + CONTACT_PERIOD <= now);
+        calm && network.partitions().is_empty() && self.is_stable(now, network)
     }
 
-    /// Whether a machine is in touch.
+    /// Whether a machine has quorum contact.
     pub fn has_quorum_contact(&self, now: Millis, node: NodeId, network: &Network) -> bool {
-        let calm = self.trouble.get(&node).is_none_or(|at| at + CONTACT <= now);
+        let calm = self.trouble.get(&node).is_none_or(|at| at + CONTACT_PERIOD <= now);
         let majority = self.majority(network);
         calm && self.is_stable(now, network)
-            && majority.iter().all(|other| *other == node || network.joins(node, *other))
+            && majority.iter().all(|other| *other == node || network.is_connected(node, *other))
             && (!self.core.contains(&node) || majority.contains(&node))
     }
 
-    /// Running machines of the core that reach more than half of it.
+    /// Running coordinators that reach more than half of all coordinators.
     fn majority(&self, network: &Network) -> Vec<NodeId> {
         let reaches = |node: &&NodeId| {
             let reached =
-                self.running.iter().filter(|other| *other == *node || network.joins(**node, **other));
+                self.running.iter().filter(|other| *other == *node || network.is_connected(**node, **other));
             reached.count() * 2 > self.core.len()
         };
         self.running.iter().filter(reaches).copied().collect()
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -11,174 +11,176 @@
 use shaletrail_protocol::{Incarnation, Millis, NodeId, ServerId};
 use shaletrail_storage::StorageError;
 
-use crate::disk::{DiskReport, MachineDisk, Writer};
-use crate::message::{decode, Answer, Call, CallNumber, Message};
-use crate::site::server_node;
+use crate::disk::{DiskReport, JournalWriter, MachineDisk};
+use crate::fixtures::server_node;
+use crate::message::{decode, Call, CallNumber, Message, Response};
 use crate::world::{Timer, World};
 
-/// Where the clock that events carry begins, as in the driver.
+/// Start of the clock that events carry, as in the driver, in milliseconds.
 const CLOCK_START: Millis = 1_000_000;
-/// How often the core is told that time has passed, as in the driver.
-const TICK: Millis = 50;
-/// How long a connection for an order may take to come up, as in the driver.
-const CONNECT_TIME: Millis = 400;
-/// Within which a server answers an order, as in the driver.
-const ANSWER_TIME: Millis = 1_500;
-/// The time that a connection takes to come up.
-const ROUND_TRIP: std::ops::RangeInclusive<Millis> = 1..=6;
-
-/// Who waits for an answer.
+/// Interval of the core's ticks, as in the driver, in milliseconds.
+const TICK_INTERVAL: Millis = 50;
+/// Time-out of a connection for an order, as in the driver, in milliseconds.
+const ORDER_CONNECT_TIMEOUT: Millis = 400;
+/// Time-out of a server's response, as in the driver, in milliseconds.
+const RESPONSE_TIMEOUT: Millis = 1_500;
+/// Time to establish a connection, in milliseconds.
+const CONNECT_LATENCY: std::ops::RangeInclusive<Millis> = 1..=6;
+
+/// The caller that waits for a response.
 #[derive(Clone, Copy, Debug)]
 struct Caller {
     node: NodeId,
     number: CallNumber,
 }
 
-/// An order on its way.
+/// An order in flight to a server.
 #[derive(Clone, Debug)]
-struct OrderUnderWay {
+struct InFlightOrder {
     server: ServerId,
     address: NodeId,
     body: Order,
-    /// Named once it has been sent.
+    /// The call that carries it; `None` until the connection is up.
     number: Option<CallNumber>,
 }
 
-/// Where a process ends in the middle of its work.
+/// Where a process crashes in the middle of its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Between two actions of the core, after this many more of them.
-    Action(u32),
-    /// Between a write that is safe on the disk and the core's hearing of it, after this many more writes.
-    Stored(u32),
+    /// Between two actions of the core, after this many more actions.
+    BeforeAction(u32),
+    /// Between the sync of a write and the event that reports it to the core, after this many more writes.
+    AfterPersist(u32),
 }
 
-/// A coordinator's process.
-pub struct Coordinator {
+/// A coordinator's simulated process: the production state machine, its journal and its calls in flight.
+pub struct CoordinatorProcess {
     node: NodeId,
     core: CoordinatorCore,
     started: Millis,
-    writer: Writer,
-    replies: BTreeMap<CallId, Caller>,
+    writer: JournalWriter,
+    callers: BTreeMap<CallId, Caller>,
     next_call: u64,
-    orders: BTreeMap<OrderId, OrderUnderWay>,
+    orders: BTreeMap<OrderId, InFlightOrder>,
     reports: BTreeMap<CallNumber, ServerId>,
     crash_point: Option<CrashPoint>,
     crashed: bool,
 }
 
-impl Coordinator {
-    /// Starts a process with what its disk holds.
+impl CoordinatorProcess {
+    /// Starts a process from the journal on its disk.
     ///
     /// # Errors
-    /// The disk refuses: try again later.
+    /// The journal can't be opened at present; a later attempt may succeed.
     pub fn start(settings: &Settings, world: &mut World, disk: &MachineDisk) -> Result<Self, StorageError> {
         let (writer, stored) = disk.open()?;
-        let incarnation = Incarnation(world.between(1..=u64::MAX));
+        let incarnation = Incarnation(world.random_range(1..=u64::MAX));
         let options = CoordinatorOptions::from_settings(settings, incarnation);
         let wants_checkpoint = writer.wants_checkpoint();
-        let mut coordinator = Coordinator {
+        let mut coordinator = CoordinatorProcess {
             node: settings.node(),
             core: CoordinatorCore::new(options, stored, CLOCK_START),
             started: world.now,
             writer,
-            replies: BTreeMap::new(),
+            callers: BTreeMap::new(),
             next_call: 0,
             orders: BTreeMap::new(),
             reports: BTreeMap::new(),
             crash_point: None,
             crashed: false,
         };
-        coordinator.tell(world, disk, Event::Persisted { ticket: 0, wants_checkpoint });
+        coordinator.handle_event(world, disk, Event::Persisted { ticket: 0, wants_checkpoint });
         world.wake(coordinator.node, world.now, Timer::Tick);
         Ok(coordinator)
     }
 
-    /// The decisions, for tests that look for the cause of what was seen.
+    /// The production state machine, for tests that look for the cause of an observation.
     pub fn core(&self) -> &CoordinatorCore {
         &self.core
     }
 
-    /// Whether the connection of an order is coming up, over which nothing was written yet.
+    /// Whether an order waits for its connection, over which nothing was written yet.
     pub fn has_unsent_orders(&self) -> bool {
-        self.orders.values().any(|under_way| under_way.number.is_none())
+        self.orders.values().any(|in_flight| in_flight.number.is_none())
     }
 
-    /// Has the process end in the middle of its work.
-    pub fn crash_at(&mut self, point: CrashPoint) {
+    /// Sets the point of its work at which the process crashes.
+    pub fn set_crash_point(&mut self, point: CrashPoint) {
         self.crash_point = Some(point);
     }
 
-    /// Whether it has come to the point at which it ends: it does nothing any more.
+    /// Whether the process has reached its crash point; it handles nothing any more.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// The process is told to end: everybody who waits is told to ask elsewhere.
+    /// Begins a graceful shutdown (SIGTERM): all callers that wait are failed.
     pub fn stop(&mut self, world: &mut World, disk: &MachineDisk) {
-        self.tell(world, disk, Event::ShutdownRequested);
-        self.refuse_all(world);
+        self.handle_event(world, disk, Event::ShutdownRequested);
+        self.fail_callers(world);
     }
 
-    fn refuse_all(&mut self, world: &mut World) {
-        for (_, caller) in std::mem::take(&mut self.replies) {
-            let refused = Message::Refused { number: caller.number, accepted: true };
-            world.send(self.node, caller.node, refused);
+    fn fail_callers(&mut self, world: &mut World) {
+        for (_, caller) in std::mem::take(&mut self.callers) {
+            let connection_failed = Message::ConnectionFailed { number: caller.number, accepted: true };
+            world.send(self.node, caller.node, connection_failed);
         }
     }
 
-    /// The process ends: its connections are reset, and the disk keeps what it has.
+    /// Ends the process abruptly: its connections are reset, and its disk keeps what was synced.
     pub fn kill(mut self, world: &mut World, disk: &MachineDisk) {
-        self.refuse_all(world);
-        self.writer.abandon(disk, &mut world.random);
+        self.fail_callers(world);
+        self.writer.abandon(disk, &mut world.rng);
     }
 
-    /// The machine loses power.
+    /// Cuts the power: unsynced records may be lost.
     pub fn lose_power(self, world: &mut World, disk: &MachineDisk) {
-        self.writer.lose_power(disk, &mut world.random);
+        self.writer.lose_power(disk, &mut world.rng);
     }
 
-    /// Something has come over a link.
+    /// Handles a message from the network.
     pub fn receive(&mut self, world: &mut World, disk: &MachineDisk, from: NodeId, message: Message) {
         match message {
-            Message::Core(bytes) => {
+            Message::Coordinator(bytes) => {
                 let message = decode(&bytes);
-                self.tell(world, disk, Event::Message { from, message });
+                self.handle_event(world, disk, Event::Message { from, message });
             }
             Message::EdgeReport { edge, frame } => match decode(&frame) {
                 EdgeRequest::Report { demand } => {
-                    self.tell(world, disk, Event::EdgeReport { edge: edge.node, demand })
+                    self.handle_event(world, disk, Event::EdgeReport { edge: edge.node, demand })
                 }
-                EdgeRequest::Leave => self.tell(world, disk, Event::EdgeDisconnected(edge.node)),
+                EdgeRequest::Leave => self.handle_event(world, disk, Event::EdgeDisconnected(edge.node)),
                 EdgeRequest::Poll(_) => {}
             },
             Message::Call { number, call } => {
-                self.take_call(world, disk, Caller { node: from, number }, call)
+                self.handle_call(world, disk, Caller { node: from, number }, call)
             }
-            Message::Closed { number } => self.close(world, disk, number),
-            Message::Answer { number, answer } => self.take_answer(world, disk, number, &answer),
-            Message::Refused { number, accepted } => self.refused(world, disk, number, accepted),
-            // Between edges only.
-            Message::Loads(_) => {}
+            Message::Cancelled { number } => self.cancel_call(world, disk, number),
+            Message::Response { number, response } => self.handle_response(world, disk, number, &response),
+            Message::ConnectionFailed { number, accepted } => {
+                self.connection_failed(world, disk, number, accepted)
+            }
+            // Edges exchange these among themselves only.
+            Message::LoadReport(_) => {}
         }
     }
 
-    /// It has been woken.
+    /// Handles a timer that has expired.
     pub fn wake(&mut self, world: &mut World, disk: &MachineDisk, timer: Timer) {
         match timer {
             Timer::Tick => {
-                world.wake(self.node, world.now + TICK, Timer::Tick);
-                self.tell(world, disk, Event::Tick);
-                if self.writer.is_late(world.now) {
-                    self.tell(world, disk, Event::DiskDegraded { wants_checkpoint: false });
+                world.wake(self.node, world.now + TICK_INTERVAL, Timer::Tick);
+                self.handle_event(world, disk, Event::Tick);
+                if self.writer.is_degraded(world.now) {
+                    self.handle_event(world, disk, Event::DiskDegraded { wants_checkpoint: false });
                 }
             }
-            Timer::Disk => self.disk_worked(world, disk),
+            Timer::DiskIo => self.complete_disk_io(world, disk),
             Timer::OrderConnected(order) => self.send_order(world, disk, order),
-            Timer::OrderLate(order) => self.end_order(world, disk, order, OrderOutcome::Unknown),
-            Timer::ReportLate(number) => {
+            Timer::OrderTimeout(order) => self.complete_order(world, disk, order, OrderOutcome::Unknown),
+            Timer::ReportTimeout(number) => {
                 if let Some(server) = self.reports.remove(&number) {
-                    self.tell(world, disk, Event::ReportReceived { server, report: None });
+                    self.handle_event(world, disk, Event::ReportReceived { server, report: None });
                 }
             }
             _ => {}
@@ -189,7 +191,7 @@
         CLOCK_START + world.now.saturating_sub(self.started)
     }
 
-    fn tell(&mut self, world: &mut World, disk: &MachineDisk, event: Event) {
+    fn handle_event(&mut self, world: &mut World, disk: &MachineDisk, event: Event) {
         if self.crashed {
             return;
         }
@@ -197,86 +199,86 @@
         let mut actions = Vec::new();
         self.core.handle(now, event, &mut actions);
         for action in actions {
-            if self.comes_to_action() {
+            if self.reaches_action_crash() {
                 return;
             }
-            self.carry_out(world, disk, action);
+            self.execute(world, disk, action);
         }
     }
 
-    /// Counts an action; whether the process ends before it.
-    fn comes_to_action(&mut self) -> bool {
-        if let Some(CrashPoint::Action(left)) = &mut self.crash_point {
+    /// Counts an action; whether the process crashes before executing it.
+    fn reaches_action_crash(&mut self) -> bool {
+        if let Some(CrashPoint::BeforeAction(left)) = &mut self.crash_point {
             self.crashed = *left == 0;
             *left = left.saturating_sub(1);
         }
         self.crashed
     }
 
-    /// Counts a write that is safe; whether the process ends before the core hears of it.
-    fn comes_to_stored(&mut self) -> bool {
-        if let Some(CrashPoint::Stored(left)) = &mut self.crash_point {
+    /// Counts a synced write; whether the process crashes before the core learns of it.
+    fn reaches_persist_crash(&mut self) -> bool {
+        if let Some(CrashPoint::AfterPersist(left)) = &mut self.crash_point {
             self.crashed = *left == 0;
             *left = left.saturating_sub(1);
         }
         self.crashed
     }
 
-    fn carry_out(&mut self, world: &mut World, disk: &MachineDisk, action: Action) {
+    fn execute(&mut self, world: &mut World, disk: &MachineDisk, action: Action) {
         match action {
             Action::Send { to, message } => {
                 assert_ne!(to, self.node, "a coordinator sends itself {message:?}");
-                world.send(self.node, to, Message::Core(frame::encode(&message)));
+                world.send(self.node, to, Message::Coordinator(frame::encode(&message)));
             }
             Action::Persist { ticket, records } => {
-                let done = self.writer.append(world.now, disk, ticket, records, &mut world.random);
+                let done = self.writer.append(world.now, disk, ticket, records, &mut world.rng);
                 self.wake_for_disk(world, done);
             }
             Action::Checkpoint { live } => {
-                let done = self.writer.checkpoint(world.now, disk, live, &mut world.random);
+                let done = self.writer.checkpoint(world.now, disk, live, &mut world.rng);
                 self.wake_for_disk(world, done);
             }
             Action::RespondToServer { call, accepted: taken } => {
-                self.answer(world, call, Answer::Server(taken))
+                self.respond(world, call, Response::Server(taken))
             }
-            Action::RespondToOperator { call, response: answer } => {
-                self.answer(world, call, Answer::Operator(answer))
+            Action::RespondToOperator { call, response } => {
+                self.respond(world, call, Response::Operator(response))
             }
             Action::RespondToPoll { call, response: reply } => {
-                self.answer(world, call, Answer::Poll(frame::encode(&*reply)));
+                self.respond(world, call, Response::Poll(frame::encode(&*reply)));
             }
             Action::SendOrder { order, server, address, body } => {
-                self.begin_order(world, order, server, &address, body);
+                self.start_order(world, order, server, &address, body);
             }
-            Action::FetchReport { server, address } => self.ask_report(world, server, &address),
-            Action::LogStateChange(note) => world.witness.note(world.now, self.node, note),
+            Action::FetchReport { server, address } => self.fetch_report(world, server, &address),
+            Action::LogStateChange(note) => world.observer.state_changed(world.now, self.node, note),
         }
     }
 
     fn wake_for_disk(&self, world: &mut World, done: Option<Millis>) {
         if let Some(done) = done {
-            world.wake(self.node, done, Timer::Disk);
+            world.wake(self.node, done, Timer::DiskIo);
         }
     }
 
-    fn disk_worked(&mut self, world: &mut World, disk: &MachineDisk) {
-        let (reports, again) = self.writer.work(world.now, disk, &mut world.random);
+    fn complete_disk_io(&mut self, world: &mut World, disk: &MachineDisk) {
+        let (reports, again) = self.writer.complete_io(world.now, disk, &mut world.rng);
         self.wake_for_disk(world, again);
         for report in reports {
             let event = match report {
-                DiskReport::Done { .. } if self.comes_to_stored() => return,
+                DiskReport::Done { .. } if self.reaches_persist_crash() => return,
                 DiskReport::Done { ticket, wants_checkpoint } => {
                     Event::Persisted { ticket, wants_checkpoint }
                 }
                 DiskReport::Failed { wants_checkpoint } => Event::DiskDegraded { wants_checkpoint },
             };
-            self.tell(world, disk, event);
+            self.handle_event(world, disk, event);
         }
     }
 
     // ---- Calls that come in ----------------------------------------------------------------------------
 
-    fn take_call(&mut self, world: &mut World, disk: &MachineDisk, caller: Caller, call: Call) {
+    fn handle_call(&mut self, world: &mut World, disk: &MachineDisk, caller: Caller, call: Call) {
         let id = CallId(self.next_call);
         self.next_call += 1;
         let event = match call {
@@ -294,27 +296,27 @@
             Call::Operator(operator) => Event::OperatorCall { call: id, request: operator },
             Call::Order { .. } | Call::Report { .. } | Call::Request(_) => return,
         };
-        self.replies.insert(id, caller);
-        self.tell(world, disk, event);
+        self.callers.insert(id, caller);
+        self.handle_event(world, disk, event);
     }
 
-    fn answer(&mut self, world: &mut World, call: CallId, answer: Answer) {
-        if let Some(caller) = self.replies.remove(&call) {
-            world.send(self.node, caller.node, Message::Answer { number: caller.number, answer });
+    fn respond(&mut self, world: &mut World, call: CallId, response: Response) {
+        if let Some(caller) = self.callers.remove(&call) {
+            world.send(self.node, caller.node, Message::Response { number: caller.number, response });
         }
     }
 
-    fn close(&mut self, world: &mut World, disk: &MachineDisk, number: CallNumber) {
-        let call = self.replies.iter().find(|(_, caller)| caller.number == number).map(|(call, _)| *call);
+    fn cancel_call(&mut self, world: &mut World, disk: &MachineDisk, number: CallNumber) {
+        let call = self.callers.iter().find(|(_, caller)| caller.number == number).map(|(call, _)| *call);
         if let Some(call) = call {
-            self.replies.remove(&call);
-            self.tell(world, disk, Event::PollCancelled(call));
+            self.callers.remove(&call);
+            self.handle_event(world, disk, Event::PollCancelled(call));
         }
     }
 
     // ---- Orders and reports ----------------------------------------------------------------------------
 
-    fn begin_order(
+    fn start_order(
         &mut self,
         world: &mut World,
         order: OrderId,
@@ -324,74 +326,92 @@
     ) {
         let address = server_node(address);
         let up = world.network.can_connect(self.node, address);
-        let takes = if up { world.between(ROUND_TRIP) } else { CONNECT_TIME };
-        self.orders.insert(order, OrderUnderWay { server, address, body, number: None });
+        let takes = if up { world.random_range(CONNECT_LATENCY) } else { ORDER_CONNECT_TIMEOUT };
+        self.orders.insert(order, InFlightOrder { server, address, body, number: None });
         world.wake(self.node, world.now + takes, Timer::OrderConnected(order));
     }
 
     fn send_order(&mut self, world: &mut World, disk: &MachineDisk, order: OrderId) {
         let now = self.clock(world);
-        let Some(under_way) = self.orders.get_mut(&order) else { return };
-        let up = world.network.can_connect(self.node, under_way.address);
+        let Some(in_flight) = self.orders.get_mut(&order) else { return };
+        let up = world.network.can_connect(self.node, in_flight.address);
         if !up || !self.core.may_write(now, order) {
-            return self.end_order(world, disk, order, OrderOutcome::NotSent);
+            return self.complete_order(world, disk, order, OrderOutcome::NotSent);
         }
-        let number = world.number();
-        under_way.number = Some(number);
-        let body = sonic_rs::to_vec(&under_way.body).expect("an order is written");
-        let call = Call::Order { expected: under_way.server.clone(), body };
-        world.send(self.node, under_way.address, Message::Call { number, call });
-        world.wake(self.node, world.now + ANSWER_TIME, Timer::OrderLate(order));
+        let number = world.next_id();
+        in_flight.number = Some(number);
+        let body = sonic_rs::to_vec(&in_flight.body).expect("an order is written");
+        let call = Call::Order { expected: in_flight.server.clone(), body };
+        world.send(self.node, in_flight.address, Message::Call { number, call });
+        world.wake(self.node, world.now + RESPONSE_TIMEOUT, Timer::OrderTimeout(order));
     }
 
-    fn end_order(&mut self, world: &mut World, disk: &MachineDisk, order: OrderId, outcome: OrderOutcome) {
+    fn complete_order(
+        &mut self,
+        world: &mut World,
+        disk: &MachineDisk,
+        order: OrderId,
+        outcome: OrderOutcome,
+    ) {
         if self.orders.remove(&order).is_some() {
-            self.tell(world, disk, Event::OrderCompleted { order, outcome });
+            self.handle_event(world, disk, Event::OrderCompleted { order, outcome });
         }
     }
 
-    fn ask_report(&mut self, world: &mut World, server: ServerId, address: &str) {
-        let number = world.number();
+    fn fetch_report(&mut self, world: &mut World, server: ServerId, address: &str) {
+        let number = world.next_id();
         self.reports.insert(number, server.clone());
         let call = Call::Report { expected: server };
         world.send(self.node, server_node(address), Message::Call { number, call });
-        world.wake(self.node, world.now + ANSWER_TIME, Timer::ReportLate(number));
+        world.wake(self.node, world.now + RESPONSE_TIMEOUT, Timer::ReportTimeout(number));
     }
 
-    fn take_answer(&mut self, world: &mut World, disk: &MachineDisk, number: CallNumber, answer: &Answer) {
-        match answer {
-            Answer::Order(status) => {
-                let order = self.order_of(number);
+    fn handle_response(
+        &mut self,
+        world: &mut World,
+        disk: &MachineDisk,
+        number: CallNumber,
+        response: &Response,
+    ) {
+        match response {
+            Response::Order(status) => {
+                let order = self.order_of_call(number);
                 if let Some(order) = order {
-                    self.end_order(world, disk, order, order_outcome(*status));
+                    self.complete_order(world, disk, order, order_outcome(*status));
                 }
             }
-            Answer::Report(body) => {
+            Response::Report(body) => {
                 if let Some(server) = self.reports.remove(&number) {
                     let report: Option<ServerReport> = sonic_rs::from_slice(body).ok();
-                    self.tell(world, disk, Event::ReportReceived { server, report });
+                    self.handle_event(world, disk, Event::ReportReceived { server, report });
                 }
             }
             _ => {}
         }
     }
 
-    fn refused(&mut self, world: &mut World, disk: &MachineDisk, number: CallNumber, accepted: bool) {
-        if let Some(order) = self.order_of(number) {
+    fn connection_failed(
+        &mut self,
+        world: &mut World,
+        disk: &MachineDisk,
+        number: CallNumber,
+        accepted: bool,
+    ) {
+        if let Some(order) = self.order_of_call(number) {
             let outcome = if accepted { OrderOutcome::Unknown } else { OrderOutcome::NotSent };
-            self.end_order(world, disk, order, outcome);
+            self.complete_order(world, disk, order, outcome);
         } else if let Some(server) = self.reports.remove(&number) {
-            self.tell(world, disk, Event::ReportReceived { server, report: None });
+            self.handle_event(world, disk, Event::ReportReceived { server, report: None });
         }
     }
 
-    fn order_of(&self, number: CallNumber) -> Option<OrderId> {
+    fn order_of_call(&self, number: CallNumber) -> Option<OrderId> {
         let mut orders = self.orders.iter();
-        orders.find(|(_, under_way)| under_way.number == Some(number)).map(|(order, _)| *order)
+        orders.find(|(_, in_flight)| in_flight.number == Some(number)).map(|(order, _)| *order)
     }
 }
 
-/// What the driver makes of a server's status.
+/// Maps a server's status to an outcome, as the driver does.
 fn order_outcome(status: u16) -> OrderOutcome {
     match status {
         202 => OrderOutcome::Accepted,
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -12,44 +12,44 @@
 use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
 use shaletrail_storage::{erase, Journal, OpenedJournal, Options, StorageError, StoredRecord};
 
-/// How long something may be unsafe before the disk counts as sick; as in the driver.
-const SICK_AFTER: Millis = 400;
-/// The pause after a failed attempt; doubled with each further one.
-const FIRST_PAUSE: Millis = 20;
-/// The longest such pause.
-const LONGEST_PAUSE: Millis = 500;
-/// Between two looks at a disk that has stalled.
-const STALLED_AGAIN: Millis = 20;
-/// Calls that may still succeed before the power is gone, at most.
-const CALLS_BEFORE_DARK: u64 = 6;
+/// How long a record may be unsynced before the disk counts as degraded, as in the driver, in milliseconds.
+const DEGRADED_AFTER: Millis = 400;
+/// Backoff after the first failed I/O, in milliseconds; doubled with each further failure.
+const INITIAL_BACKOFF: Millis = 20;
+/// Upper bound of the backoff, in milliseconds.
+const MAX_BACKOFF: Millis = 500;
+/// Interval at which a stalled disk is tried again, in milliseconds.
+const STALL_RETRY_INTERVAL: Millis = 20;
+/// Most disk calls that still succeed before the power is lost.
+const MAX_CALLS_BEFORE_POWER_LOSS: u64 = 6;
 
-/// A machine's disk. Stays over restarts.
+/// A coordinator machine's disk, which outlives its processes.
 pub struct MachineDisk {
     memory: MemoryDisk,
-    /// The time that a write with its sync takes.
-    pub takes: RangeInclusive<Millis>,
-    /// Whether calls hang.
+    /// Latency of a write with its sync, in milliseconds.
+    pub latency: RangeInclusive<Millis>,
+    /// Whether disk calls hang.
     pub stalled: bool,
 }
 
 impl MachineDisk {
-    /// An empty disk.
-    pub fn new(seed: u64, takes: RangeInclusive<Millis>) -> Self {
-        MachineDisk { memory: MemoryDisk::new(seed), takes, stalled: false }
+    /// Creates an empty disk with this latency, in milliseconds.
+    pub fn new(seed: u64, latency: RangeInclusive<Millis>) -> Self {
+        MachineDisk { memory: MemoryDisk::new(seed), latency, stalled: false }
     }
 
-    /// Sets what the disk refuses.
+    /// Sets which operations of the disk fail.
     pub fn set_faults(&self, faults: Faults) {
         self.memory.set_faults(faults);
     }
 
-    /// Loses all that it holds.
-    pub fn wipe(&self) {
+    /// Loses all its contents.
+    pub fn erase(&self) {
         self.memory.wipe();
     }
 
-    /// Opens the journal; one that is damaged is erased, as the driver does.
-    pub fn open(&self) -> Result<(Writer, Vec<StoredRecord>), StorageError> {
+    /// Opens the journal; a corrupt one is erased, as the driver does.
+    pub fn open(&self) -> Result<(JournalWriter, Vec<StoredRecord>), StorageError> {
         let options = options();
         let opened = match Journal::open(self.memory.clone(), &options) {
             Err(StorageError::Corrupt { .. }) => {
@@ -59,7 +59,7 @@
             other => other,
         };
         let OpenedJournal { journal, stored, .. } = opened?;
-        Ok((Writer::new(journal), stored))
+        Ok((JournalWriter::new(journal), stored))
     }
 }
 
@@ -73,110 +73,110 @@
     Checkpoint(Vec<(u32, Vec<u8>)>),
 }
 
-/// What the journal tells.
+/// The result of an I/O operation of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskReport {
-    /// All records up to a ticket are safe.
+    /// All records up to a ticket are synced.
     Done {
         /// The ticket.
         ticket: u64,
         /// Whether a checkpoint is wanted.
         wants_checkpoint: bool,
     },
-    /// An attempt failed.
+    /// An append, a sync or a checkpoint failed.
     Failed {
         /// Whether a checkpoint is wanted.
         wants_checkpoint: bool,
     },
 }
 
-/// The journal of a running process.
-pub struct Writer {
+/// Writes the journal of a running process; stands in for the driver's journal thread.
+pub struct JournalWriter {
     journal: Journal<MemoryDisk>,
     queue: VecDeque<Command>,
-    /// The newest ticket given to the journal that is not safe, and since when the oldest waits.
-    waiting: Option<(u64, Millis)>,
-    /// Appends wait for a checkpoint.
+    /// The newest ticket that is not synced, and since when the oldest one waits.
+    unsynced: Option<(u64, Millis)>,
+    /// Appends fail until a checkpoint frees space.
     ring_full: bool,
     checkpointing: bool,
-    pause: Millis,
+    backoff: Millis,
     busy: bool,
 }
 
-impl Writer {
+impl JournalWriter {
     fn new(journal: Journal<MemoryDisk>) -> Self {
-        Writer {
+        JournalWriter {
             journal,
             queue: VecDeque::new(),
-            waiting: None,
+            unsynced: None,
             ring_full: false,
             checkpointing: false,
-            pause: FIRST_PAUSE,
+            backoff: INITIAL_BACKOFF,
             busy: false,
         }
     }
 
-    /// Whether the ring is filling up.
+    /// Whether the journal's ring is filling up.
     pub fn wants_checkpoint(&self) -> bool {
         self.journal.wants_checkpoint()
     }
 
-    /// Whether something has been waiting to be safe for too long.
-    pub fn is_late(&self, now: Millis) -> bool {
+    /// Whether a record has been unsynced for too long.
+    pub fn is_degraded(&self, now: Millis) -> bool {
         let queued = self.queue.iter().find_map(|command| match command {
             Command::Append { since, .. } => Some(*since),
             Command::Checkpoint(_) => None,
         });
-        let oldest = self.waiting.map(|(_, since)| since).or(queued);
-        oldest.is_some_and(|since| now.saturating_sub(since) > SICK_AFTER)
+        let oldest = self.unsynced.map(|(_, since)| since).or(queued);
+        oldest.is_some_and(|since| now.saturating_sub(since) > DEGRADED_AFTER)
     }
 
-    /// Hands records over; when the disk will have done something, if it was idle.
+    /// Queues records; returns when the disk has completed I/O, if it was idle.
     pub fn append(
         &mut self,
         now: Millis,
         disk: &MachineDisk,
         ticket: u64,
         records: Vec<(u32, Vec<u8>)>,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> Option<Millis> {
         self.queue.push_back(Command::Append { ticket, since: now, records });
-        self.begin(now, disk, random)
+        self.start_io(now, disk, rng)
     }
 
-    /// Hands a checkpoint over, unless one is under way.
+    /// Queues a checkpoint unless one is in flight; returns when the disk has completed I/O, if it was idle.
     pub fn checkpoint(
         &mut self,
         now: Millis,
         disk: &MachineDisk,
         live: Vec<(u32, Vec<u8>)>,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> Option<Millis> {
         if self.checkpointing {
             return None;
         }
         self.checkpointing = true;
         self.queue.push_back(Command::Checkpoint(live));
-        self.begin(now, disk, random)
+        self.start_io(now, disk, rng)
     }
 
-    fn begin(&mut self, now: Millis, disk: &MachineDisk, random: &mut Pcg64) -> Option<Millis> {
+    fn start_io(&mut self, now: Millis, disk: &MachineDisk, rng: &mut Pcg64) -> Option<Millis> {
         if self.busy {
             return None;
         }
         self.busy = true;
-        Some(now + random.random_range(disk.takes.clone()))
+        Some(now + rng.random_range(disk.latency.clone()))
     }
 
-    /// The disk has had its time: what came of it, and when it will have done something again.
-    pub fn work(
+    /// Completes the I/O in flight; returns its results and when the next I/O completes.
+    pub fn complete_io(
         &mut self,
         now: Millis,
         disk: &MachineDisk,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> (Vec<DiskReport>, Option<Millis>) {
         if disk.stalled {
-            return (Vec::new(), Some(now + STALLED_AGAIN));
+            return (Vec::new(), Some(now + STALL_RETRY_INTERVAL));
         }
         let mut reports = Vec::new();
         let failed = match self.queue.front() {
@@ -184,14 +184,14 @@
             _ => !self.write_appends(&mut reports),
         };
         let next = if failed {
-            let pause = self.pause;
-            self.pause = (pause * 2).min(LONGEST_PAUSE);
-            Some(now + pause)
+            let backoff = self.backoff;
+            self.backoff = (backoff * 2).min(MAX_BACKOFF);
+            Some(now + backoff)
         } else {
-            self.pause = FIRST_PAUSE;
-            Some(now + random.random_range(disk.takes.clone()))
+            self.backoff = INITIAL_BACKOFF;
+            Some(now + rng.random_range(disk.latency.clone()))
         };
-        let idle = self.queue.is_empty() && (self.waiting.is_none() || self.ring_full);
+        let idle = self.queue.is_empty() && (self.unsynced.is_none() || self.ring_full);
         self.busy = !idle;
         (reports, next.filter(|_| !idle))
     }
@@ -213,7 +213,7 @@
     }
 
     fn write_appends(&mut self, reports: &mut Vec<DiskReport>) -> bool {
-        self.take_in();
+        self.append_queued();
         match self.journal.sync() {
             Ok(()) => {
                 self.ring_full = false;
@@ -228,50 +228,50 @@
         }
     }
 
-    /// Gives the journal all appends up to the next checkpoint.
-    fn take_in(&mut self) {
+    /// Passes all queued appends up to the next checkpoint to the journal.
+    fn append_queued(&mut self) {
         while let Some(Command::Append { .. }) = self.queue.front() {
             let Some(Command::Append { ticket, since, records }) = self.queue.pop_front() else { return };
             for (stream, bytes) in records {
                 self.journal.append(stream, bytes).expect("records of the tests are short");
             }
-            let since = self.waiting.map_or(since, |(_, oldest)| oldest);
-            self.waiting = Some((ticket, since));
+            let since = self.unsynced.map_or(since, |(_, oldest)| oldest);
+            self.unsynced = Some((ticket, since));
         }
     }
 
     fn report_done(&mut self, reports: &mut Vec<DiskReport>) {
-        if let Some((ticket, _)) = self.waiting.take() {
+        if let Some((ticket, _)) = self.unsynced.take() {
             reports.push(DiskReport::Done { ticket, wants_checkpoint: self.journal.wants_checkpoint() });
         }
     }
 
-    /// The process ends: what was handed over may have reached the disk or not.
-    pub fn abandon(mut self, disk: &MachineDisk, random: &mut Pcg64) {
-        if !disk.stalled && random.random() {
-            self.take_in();
-            // Whether that succeeds is nobody's concern any more.
+    /// Ends the process: queued records may have reached the disk or not.
+    pub fn abandon(mut self, disk: &MachineDisk, rng: &mut Pcg64) {
+        if !disk.stalled && rng.random() {
+            self.append_queued();
+            // The process has ended: nobody waits for the result.
             let _ = self.journal.sync();
         }
     }
 
-    /// The machine loses power, perhaps in the middle of a write.
-    pub fn lose_power(mut self, disk: &MachineDisk, random: &mut Pcg64) {
-        disk.memory.lose_power_after(random.random_range(0..=CALLS_BEFORE_DARK));
-        self.abandon_within(disk);
+    /// Cuts the power, perhaps in the middle of a write.
+    pub fn lose_power(mut self, disk: &MachineDisk, rng: &mut Pcg64) {
+        disk.memory.lose_power_after(rng.random_range(0..=MAX_CALLS_BEFORE_POWER_LOSS));
+        self.flush_if_not_stalled(disk);
         disk.memory.power_cycle();
     }
 
-    fn abandon_within(&mut self, disk: &MachineDisk) {
+    fn flush_if_not_stalled(&mut self, disk: &MachineDisk) {
         if !disk.stalled {
-            self.take_in();
+            self.append_queued();
             let _ = self.journal.sync();
         }
     }
 }
 
 impl MachineDisk {
-    /// The machine loses power while no process uses the disk.
+    /// Cuts the power while no process uses the disk.
     pub fn lose_power(&self) {
         self.memory.power_cycle();
     }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -17,36 +17,36 @@
 use shaletrail_routing::interface::Event;
 use shaletrail_routing::{Options, Router};
 
-use crate::message::{decode, Answer, Call, CallNumber, Message};
+use crate::fixtures;
+use crate::message::{decode, Call, CallNumber, Message, Response};
 use crate::requests::Requests;
-use crate::site;
 use crate::world::{Timer, World};
 
-/// How long a connection to a coordinator may take to come up, as in the poller.
+/// Time-out of a connection to a coordinator, as in the poller, in milliseconds.
 const CONNECT_TIMEOUT: Millis = 300;
-/// The least time between the starts of two polls that succeeded, as in the poller.
-const LEAST_SPACING: Millis = 20;
-/// The least time between two reports, as in the poller.
+/// Least time between the starts of two successful polls, as in the poller, in milliseconds.
+const MIN_POLL_SPACING: Millis = 20;
+/// Least time between two reports, as in the poller, in milliseconds.
 const REPORT_INTERVAL: Millis = 250;
-/// How long an urgent report waits for others to go with it, as in the poller.
+/// How long an urgent report waits so that others can be batched with it, as in the poller, in milliseconds.
 const URGENT_DELAY: Millis = 5;
-/// The shortest and longest pause after all coordinators have failed, as in the poller.
-const ROUND_PAUSE: std::ops::RangeInclusive<u64> = 100..=300;
+/// Backoff after all coordinators have failed, as in the poller, in milliseconds.
+const ROUND_BACKOFF: std::ops::RangeInclusive<u64> = 100..=300;
 
-/// Between two looks at what the other edges should hear, as in the data plane.
-const TELL_PEERS: Millis = 100;
+/// Interval of load reports to the other edges, as in the data plane, in milliseconds.
+const LOAD_GOSSIP_INTERVAL: Millis = 100;
 
-/// A poll under way.
+/// A poll in flight.
 #[derive(Clone, Copy, Debug)]
-struct Polling {
+struct InFlightPoll {
     number: CallNumber,
     coordinator: NodeId,
-    begun: Millis,
-    /// Whether it has been sent; otherwise its connection does not come up.
+    started_at: Millis,
+    /// Whether it has been sent; otherwise its connection can't be established.
     sent: bool,
 }
 
-/// An edge's process.
+/// An edge's simulated process: the production router, its polls and its requests in flight.
 pub struct Edge {
     identity: EdgeIdentity,
     pub(crate) router: Router,
@@ -56,27 +56,27 @@
     poll_timeouts: PollTimeouts,
     coordinators: Coordinators,
     connected: Option<NodeId>,
-    polling: Option<Polling>,
+    in_flight_poll: Option<InFlightPoll>,
     cursor: DirectoryCursor,
-    wants_whole: bool,
-    edges: u32,
-    edge_list: u64,
+    wants_full_config: bool,
+    edge_count: u32,
+    edge_list_hash: u64,
     datagrams: LoadDatagrams,
     demand: Vec<Demand>,
-    observed: Vec<ServerOutcomes>,
+    server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
-    urgent: bool,
+    urgent_report_pending: bool,
     router_wake: Option<Millis>,
 }
 
 impl Edge {
-    /// Starts a process that knows nothing yet.
+    /// Starts a process without a configuration.
     pub fn start(settings: &Settings, world: &mut World) -> Self {
-        let incarnation = Incarnation(world.between(1..=u64::MAX));
+        let incarnation = Incarnation(world.random_range(1..=u64::MAX));
         let node = settings.node();
-        let seed = world.random.random();
-        world.wake(node, world.now, Timer::PollStep);
-        world.wake(node, world.now, Timer::TellPeers);
+        let seed = world.rng.random();
+        world.wake(node, world.now, Timer::PollNext);
+        world.wake(node, world.now, Timer::LoadGossip);
         Edge {
             identity: EdgeIdentity { node, incarnation, zone: settings.zone.clone() },
             router: Router::new(Options::within(&settings.bounds), seed),
@@ -86,41 +86,41 @@
             poll_timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
             coordinators: Coordinators::new(node, settings.seed_nodes()),
             connected: None,
-            polling: None,
+            in_flight_poll: None,
             cursor: DirectoryCursor::default(),
-            wants_whole: false,
-            edges: 0,
-            edge_list: 0,
+            wants_full_config: false,
+            edge_count: 0,
+            edge_list_hash: 0,
             datagrams: LoadDatagrams::new(node, incarnation),
             demand: Vec::new(),
-            observed: Vec::new(),
+            server_outcomes: Vec::new(),
             reported_at: None,
-            urgent: false,
+            urgent_report_pending: false,
             router_wake: None,
         }
     }
 
-    /// The machine.
+    /// The machine's address.
     pub fn node(&self) -> NodeId {
         self.identity.node
     }
 
-    /// The configuration in force.
+    /// The applied configuration.
     pub fn view(&self) -> &Arc<View> {
         &self.view
     }
 
-    /// The router, for tests that look for the cause of what was seen.
+    /// The production router, for tests that look for the cause of an observation.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The coordinator that is polled.
-    pub fn polls(&self) -> Option<NodeId> {
-        self.polling.map(|polling| polling.coordinator)
+    /// The coordinator of the poll in flight.
+    pub fn polled_coordinator(&self) -> Option<NodeId> {
+        self.in_flight_poll.map(|in_flight_poll| in_flight_poll.coordinator)
     }
 
-    /// Takes over the seeds of the settings file as it stands now.
+    /// Applies the seeds of a changed settings file.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.coordinators.set_seeds(seeds);
     }
@@ -129,42 +129,46 @@
         world.now.saturating_sub(self.started)
     }
 
-    /// The process is told to end, and tells the coordinator that it polls.
+    /// Begins a graceful shutdown (SIGTERM) and notifies the coordinator that it polls.
     pub fn stop(&mut self, world: &mut World) {
-        self.tell(world, Event::ShutdownRequested);
-        if let Some(coordinator) = self.polls() {
+        self.handle_event(world, Event::ShutdownRequested);
+        if let Some(coordinator) = self.polled_coordinator() {
             let frame = frame::encode(&EdgeRequest::Leave);
             world.send(self.node(), coordinator, Message::EdgeReport { edge: self.identity.clone(), frame });
         }
     }
 
-    /// The process ends.
+    /// Ends the process abruptly: its poll and its requests are cancelled.
     pub fn kill(self, world: &mut World) {
-        if let Some(polling) = self.polling.filter(|polling| polling.sent) {
-            world.send(self.identity.node, polling.coordinator, Message::Closed { number: polling.number });
+        if let Some(in_flight_poll) = self.in_flight_poll.filter(|in_flight_poll| in_flight_poll.sent) {
+            world.send(
+                self.identity.node,
+                in_flight_poll.coordinator,
+                Message::Cancelled { number: in_flight_poll.number },
+            );
         }
-        self.requests.close_all(self.identity.node, world);
+        self.requests.cancel_all(self.identity.node, world);
     }
 
-    /// Something has come over a link.
+    /// Handles a message from the network.
     pub fn receive(&mut self, world: &mut World, message: Message) {
         match message {
-            Message::Answer { number, answer: Answer::Poll(frame) } => {
+            Message::Response { number, response: Response::Poll(frame) } => {
                 self.poll_answered(world, number, &frame)
             }
-            Message::Answer { number, answer: Answer::Request { status, instance } } => {
+            Message::Response { number, response: Response::Request { status, instance } } => {
                 self.request_answered(world, number, status, instance);
             }
-            Message::Loads(datagram) => {
+            Message::LoadReport(datagram) => {
                 let loads: EdgeLoadReport =
                     bitcode::decode(&datagram).expect("a datagram of an edge is read");
-                self.tell(
+                self.handle_event(
                     world,
                     Event::PeerLoads { edge: loads.edge, scope: loads.scope, loads: loads.loads },
                 );
             }
-            Message::Refused { number, accepted } => {
-                if self.polling.is_some_and(|polling| polling.number == number) {
+            Message::ConnectionFailed { number, accepted } => {
+                if self.in_flight_poll.is_some_and(|in_flight_poll| in_flight_poll.number == number) {
                     self.poll_failed(world);
                 } else {
                     self.request_refused(world, number, accepted);
@@ -174,70 +178,72 @@
         }
     }
 
-    /// It has been woken. `seeds` are those that the settings file names now.
+    /// Handles a timer that has expired. `seeds` are those that the settings file names now.
     pub fn wake(&mut self, world: &mut World, timer: Timer, seeds: &[NodeId]) {
         match timer {
-            Timer::PollStep if self.polling.is_none() => self.poll(world),
-            Timer::PollRound if self.polling.is_none() => {
+            Timer::PollNext if self.in_flight_poll.is_none() => self.poll(world),
+            Timer::PollRoundBackoff if self.in_flight_poll.is_none() => {
                 self.coordinators.set_seeds(seeds.to_vec());
                 self.coordinators.begin_round();
                 self.poll(world);
             }
-            Timer::PollLate(number) if self.polling.is_some_and(|polling| polling.number == number) => {
+            Timer::PollTimeout(number)
+                if self.in_flight_poll.is_some_and(|in_flight_poll| in_flight_poll.number == number) =>
+            {
                 self.poll_failed(world);
             }
-            Timer::TellPeers => {
-                self.tell_peers(world);
-                world.wake(self.node(), world.now + TELL_PEERS, Timer::TellPeers);
+            Timer::LoadGossip => {
+                self.gossip_loads(world);
+                world.wake(self.node(), world.now + LOAD_GOSSIP_INTERVAL, Timer::LoadGossip);
             }
-            Timer::UrgentReport => self.report_urgently(world),
-            Timer::Router => {
+            Timer::UrgentReport => self.send_urgent_report(world),
+            Timer::RouterWake => {
                 if self.router_wake.is_some_and(|at| at <= self.clock(world)) {
                     self.router_wake = None;
                 }
                 if self.router.next_wake().is_some_and(|at| at <= self.clock(world)) {
-                    self.tell(world, Event::Tick);
+                    self.handle_event(world, Event::Tick);
                 }
-                self.arm(world);
+                self.schedule_router_wake(world);
             }
-            Timer::RequestUnreachable(number) => self.request_unreachable(world, number),
+            Timer::ConnectTimeout(number) => self.request_unreachable(world, number),
             _ => {}
         }
     }
 
-    /// Tells the router something, and does what it asks for.
-    pub(crate) fn tell(&mut self, world: &mut World, event: Event) {
+    /// Hands an event to the router and executes the actions that it returns.
+    pub(crate) fn handle_event(&mut self, world: &mut World, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.clock(world), event, &mut actions);
-        if self.router.has_urgent_report() && !self.urgent {
-            self.urgent = true;
-            self.arm_urgent(world);
+        if self.router.has_urgent_report() && !self.urgent_report_pending {
+            self.urgent_report_pending = true;
+            self.schedule_urgent_report(world);
         }
         if self.router.has_urgent_load_update() {
-            self.tell_peers(world);
+            self.gossip_loads(world);
         }
         for action in actions {
-            self.carry_out(world, action);
+            self.execute(world, action);
         }
-        self.arm(world);
+        self.schedule_router_wake(world);
     }
 
-    /// Tells the other edges what has changed, in a datagram to each.
-    fn tell_peers(&mut self, world: &mut World) {
-        for news in self.router.take_load_update(self.clock(world)) {
-            for datagram in self.datagrams.encode(&news) {
-                for edge in news.to.iter() {
-                    world.send(self.node(), *edge, Message::Loads(datagram.clone()));
+    /// Sends changed loads to the other edges, in a datagram to each.
+    fn gossip_loads(&mut self, world: &mut World) {
+        for update in self.router.take_load_update(self.clock(world)) {
+            for datagram in self.datagrams.encode(&update) {
+                for edge in update.to.iter() {
+                    world.send(self.node(), *edge, Message::LoadReport(datagram.clone()));
                 }
             }
         }
     }
 
-    fn arm(&mut self, world: &mut World) {
+    fn schedule_router_wake(&mut self, world: &mut World) {
         let Some(next) = self.router.next_wake() else { return };
         if self.router_wake.is_none_or(|armed| next < armed) {
             self.router_wake = Some(next);
-            world.wake(self.node(), self.started + next, Timer::Router);
+            world.wake(self.node(), self.started + next, Timer::RouterWake);
         }
     }
 
@@ -245,129 +251,151 @@
 
     fn poll(&mut self, world: &mut World) {
         let Some(coordinator) = self.coordinators.choose() else {
-            let pause = world.between(ROUND_PAUSE);
-            return world.wake(self.node(), world.now + pause, Timer::PollRound);
+            let pause = world.random_range(ROUND_BACKOFF);
+            return world.wake(self.node(), world.now + pause, Timer::PollRoundBackoff);
         };
-        self.gather_report(world);
-        let number = world.number();
+        self.collect_report(world);
+        let number = world.next_id();
         let known = self.connected.take() == Some(coordinator);
         let sent = known || world.network.can_connect(self.node(), coordinator);
-        self.polling = Some(Polling { number, coordinator, begun: world.now, sent });
+        self.in_flight_poll = Some(InFlightPoll { number, coordinator, started_at: world.now, sent });
         if !sent {
-            return world.wake(self.node(), world.now + CONNECT_TIMEOUT, Timer::PollLate(number));
+            return world.wake(self.node(), world.now + CONNECT_TIMEOUT, Timer::PollTimeout(number));
         }
         let frame = frame::encode(&EdgeRequest::Poll(self.poll_request()));
         let call = Call::Poll { edge: self.identity.clone(), frame };
         world.send(self.node(), coordinator, Message::Call { number, call });
-        let patience = self.poll_timeouts.response_timeout().as_millis() as Millis;
-        world.wake(self.node(), world.now + patience, Timer::PollLate(number));
-        self.arm_urgent(world);
+        let response_timeout = self.poll_timeouts.response_timeout().as_millis() as Millis;
+        world.wake(self.node(), world.now + response_timeout, Timer::PollTimeout(number));
+        self.schedule_urgent_report(world);
     }
 
     fn poll_request(&self) -> PollRequest {
         PollRequest {
-            config_version: if self.wants_whole { 0 } else { self.view.version },
+            config_version: if self.wants_full_config { 0 } else { self.view.version },
             cursor: self.cursor,
             max_wait_ms: self.poll_timeouts.max_wait.as_millis() as u32,
             demand: self.demand.clone(),
-            server_outcomes: self.observed.clone(),
-            edge_list_hash: self.edge_list,
+            server_outcomes: self.server_outcomes.clone(),
+            edge_list_hash: self.edge_list_hash,
         }
     }
 
     fn poll_answered(&mut self, world: &mut World, number: CallNumber, frame: &[u8]) {
-        let Some(polling) = self.polling.take_if(|polling| polling.number == number) else { return };
-        let reply: PollResponse = decode(frame);
+        let Some(in_flight_poll) =
+            self.in_flight_poll.take_if(|in_flight_poll| in_flight_poll.number == number)
+        else {
+            return;
+        };
+        let response: PollResponse = decode(frame);
         self.demand.clear();
-        self.observed.clear();
-        if reply.isolated {
-            // It may know of others that the settings do not name.
+        self.server_outcomes.clear();
+        if response.isolated {
+            // It may know coordinators that the settings don't name.
             if self.view.version == 0 {
-                self.coordinators.learn(reply.coordinators);
+                self.coordinators.learn(response.coordinators);
             }
             self.coordinators.failed();
-            return world.wake(self.node(), world.now, Timer::PollStep);
+            return world.wake(self.node(), world.now, Timer::PollNext);
         }
-        self.connected = Some(polling.coordinator);
+        self.connected = Some(in_flight_poll.coordinator);
         self.coordinators.succeeded();
-        self.take_over(world, reply);
-        world.wake(self.node(), world.now.max(polling.begun + LEAST_SPACING), Timer::PollStep);
+        self.apply_response(world, response);
+        world.wake(self.node(), world.now.max(in_flight_poll.started_at + MIN_POLL_SPACING), Timer::PollNext);
     }
 
     fn poll_failed(&mut self, world: &mut World) {
-        let Some(polling) = self.polling.take() else { return };
-        if polling.sent {
-            world.send(self.node(), polling.coordinator, Message::Closed { number: polling.number });
+        let Some(in_flight_poll) = self.in_flight_poll.take() else { return };
+        if in_flight_poll.sent {
+            world.send(
+                self.node(),
+                in_flight_poll.coordinator,
+                Message::Cancelled { number: in_flight_poll.number },
+            );
         }
         self.coordinators.failed();
-        world.wake(self.node(), world.now, Timer::PollStep);
+        world.wake(self.node(), world.now, Timer::PollNext);
     }
 
-    /// Reports that have not reached a coordinator are sent again, before new ones are made.
-    fn gather_report(&mut self, world: &World) {
+    /// Collects a new report when one is due; a report that has not reached a coordinator is resent first.
+    fn collect_report(&mut self, world: &World) {
         let now = self.clock(world);
         let is_due = self.reported_at.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
-        if is_due && self.demand.is_empty() && self.observed.is_empty() {
+        if is_due && self.demand.is_empty() && self.server_outcomes.is_empty() {
             self.reported_at = Some(now);
-            (self.demand, self.observed) = self.router.take_report(now);
+            (self.demand, self.server_outcomes) = self.router.take_report(now);
         }
     }
 
-    fn arm_urgent(&self, world: &mut World) {
-        if self.urgent && self.polling.is_some_and(|polling| polling.sent) {
+    fn schedule_urgent_report(&self, world: &mut World) {
+        if self.urgent_report_pending && self.in_flight_poll.is_some_and(|in_flight_poll| in_flight_poll.sent)
+        {
             world.wake(self.node(), world.now + URGENT_DELAY, Timer::UrgentReport);
         }
     }
 
-    fn report_urgently(&mut self, world: &mut World) {
-        let Some(polling) = self.polling.filter(|polling| polling.sent && self.urgent) else { return };
-        self.urgent = false;
+    fn send_urgent_report(&mut self, world: &mut World) {
+        let Some(in_flight_poll) =
+            self.in_flight_poll.filter(|in_flight_poll| in_flight_poll.sent && self.urgent_report_pending)
+        else {
+            return;
+        };
+        self.urgent_report_pending = false;
         let (demand, seen) = self.router.take_report(self.clock(world));
-        self.observed.extend(seen);
+        self.server_outcomes.extend(seen);
         let frame = frame::encode(&EdgeRequest::Report { demand });
         world.send(
             self.node(),
-            polling.coordinator,
+            in_flight_poll.coordinator,
             Message::EdgeReport { edge: self.identity.clone(), frame },
         );
     }
 
-    fn take_over(&mut self, world: &mut World, reply: PollResponse) {
-        self.coordinators.learn(reply.coordinators);
-        if let Some(news) = reply.config {
-            self.take_configuration(world, &news);
+    fn apply_response(&mut self, world: &mut World, response: PollResponse) {
+        self.coordinators.learn(response.coordinators);
+        if let Some(update) = response.config {
+            self.apply_config(world, &update);
         }
-        self.cursor = reply.cursor;
-        if reply.complete || !reply.servers.is_empty() {
-            self.tell(world, Event::Servers { records: reply.servers, complete: reply.complete });
+        self.cursor = response.cursor;
+        if response.complete || !response.servers.is_empty() {
+            self.handle_event(
+                world,
+                Event::Servers { records: response.servers, complete: response.complete },
+            );
         }
-        if let Some(nodes) = reply.edge_nodes {
-            self.edge_list = reply.edge_list_hash;
-            self.tell(world, Event::EdgeList { own: self.node(), edges: nodes });
+        if let Some(nodes) = response.edge_nodes {
+            self.edge_list_hash = response.edge_list_hash;
+            self.handle_event(world, Event::EdgeList { own: self.node(), edges: nodes });
         }
-        if reply.edge_count > 0 && reply.edge_count != self.edges {
-            self.edges = reply.edge_count;
-            self.tell(world, Event::Edges(reply.edge_count));
+        if response.edge_count > 0 && response.edge_count != self.edge_count {
+            self.edge_count = response.edge_count;
+            self.handle_event(world, Event::Edges(response.edge_count));
         }
     }
 
-    fn take_configuration(&mut self, world: &mut World, news: &ConfigUpdate) {
-        if news.version <= self.view.version {
-            // An older coordinator, or the whole configuration that we have.
-            self.wants_whole = false;
+    fn apply_config(&mut self, world: &mut World, update: &ConfigUpdate) {
+        if update.version <= self.view.version {
+            // A response of an older coordinator, or the full configuration that is applied already.
+            self.wants_full_config = false;
             return;
         }
         let mut view = View::clone(&self.view);
-        match view.apply(news) {
+        match view.apply(update) {
             Ok(()) => {
-                self.wants_whole = false;
-                let (version, change) = (view.version, site::marked_in_view(&view));
-                world.witness.in_force(world.now, self.node(), self.identity.incarnation, version, change);
+                self.wants_full_config = false;
+                let (version, change) = (view.version, fixtures::change_in_view(&view));
+                world.observer.config_applied(
+                    world.now,
+                    self.node(),
+                    self.identity.incarnation,
+                    version,
+                    change,
+                );
                 self.view = Arc::new(view);
                 let view = Arc::clone(&self.view);
-                self.tell(world, Event::View(view));
+                self.handle_event(world, Event::View(view));
             }
-            Err(_) => self.wants_whole = true,
+            Err(_) => self.wants_full_config = true,
         }
     }
 }
--- a/simulation/src/troubles.rs
+++ b/simulation/src/faults.rs
@@ -5,14 +5,14 @@
 
 use crate::coordinator::CrashPoint;
 use crate::disk::MachineDisk;
+use crate::fixtures;
 use crate::fleet::{Fleet, Machine, Process};
-use crate::site;
-use crate::world::Happening;
+use crate::world::ScheduledEvent;
 
-/// How long a coordinator that is told to end goes on, as in the driver.
-const COORDINATOR_FAREWELL: Millis = 400;
-/// How long an edge that is told to end goes on; enough for the requests of the tests.
-const EDGE_FAREWELL: Millis = 2_000;
+/// Time from a coordinator's SIGTERM to its exit, as in the driver, in milliseconds.
+const COORDINATOR_SHUTDOWN_TIME: Millis = 400;
+/// Time from an edge's SIGTERM to its exit, in milliseconds; enough for the requests of the tests.
+const EDGE_SHUTDOWN_TIME: Millis = 2_000;
 
 impl Fleet {
     /// Kills a coordinator's or an edge's process. Its machine goes on: connections are reset, files stay.
@@ -23,103 +23,103 @@
             (Process::Edge(edge), _) => edge.kill(&mut self.world),
             _ => {}
         }
-        self.world.touch.set_running(self.world.now, node, false);
+        self.world.contact.set_running(self.world.now, node, false);
     }
 
-    /// Tells a coordinator's or an edge's process to end (SIGTERM); it ends a little later.
+    /// Begins a graceful shutdown (SIGTERM) of a coordinator's or an edge's process, which exits a little later.
     pub fn terminate(&mut self, node: NodeId) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        let farewell = match (&mut machine.process, self.disks.get(&node)) {
+        let shutdown_time = match (&mut machine.process, self.disks.get(&node)) {
             (Some(Process::Coordinator(coordinator)), Some(disk)) => {
                 coordinator.stop(&mut self.world, disk);
-                COORDINATOR_FAREWELL
+                COORDINATOR_SHUTDOWN_TIME
             }
             (Some(Process::Edge(edge)), _) => {
                 edge.stop(&mut self.world);
-                EDGE_FAREWELL
+                EDGE_SHUTDOWN_TIME
             }
             _ => return,
         };
-        self.world.touch.disturb(self.world.now, node);
-        let start = self.world.start_of(node);
-        self.world.at(self.world.now + farewell, Happening::End { node, start });
+        self.world.contact.disturb(self.world.now, node);
+        let incarnation = self.world.incarnation_of(node);
+        self.world.schedule_at(self.world.now + shutdown_time, ScheduledEvent::End { node, incarnation });
     }
 
-    /// A coordinator's or an edge's machine loses power: nobody is told, and what was not synced may be gone.
+    /// Cuts the power of a coordinator's or an edge's machine: no peer is notified, and unsynced data may be lost.
     pub fn lose_power(&mut self, node: NodeId) {
         let Some(process) = self.take_process(node) else { return };
         if let (Process::Coordinator(coordinator), Some(disk)) = (process, self.disks.get(&node)) {
             coordinator.lose_power(&mut self.world, disk);
         }
         self.world.network.set_power(node, false);
-        self.world.touch.set_running(self.world.now, node, false);
+        self.world.contact.set_running(self.world.now, node, false);
     }
 
     fn take_process(&mut self, node: NodeId) -> Option<Process> {
         let machine = self.machines.get_mut(&node)?;
         let process = machine.process.take()?;
         *machine = Machine::default();
-        // What it was to be woken for concerns nobody any more.
-        self.world.begin_start(node);
+        // Timers of the former incarnation must not reach the next one.
+        self.world.begin_incarnation(node);
         Some(process)
     }
 
-    /// Has a coordinator's process end in the middle of its work.
-    pub fn crash_at(&mut self, node: NodeId, point: CrashPoint) {
+    /// Sets the point of its work at which a coordinator's process crashes.
+    pub fn set_crash_point(&mut self, node: NodeId, point: CrashPoint) {
         if let Some(Machine { process: Some(Process::Coordinator(coordinator)), .. }) =
             self.machines.get_mut(&node)
         {
-            coordinator.crash_at(point);
+            coordinator.set_crash_point(point);
         }
     }
 
-    /// Kills a coordinator's or an edge's process and starts it again at once.
+    /// Kills a coordinator's or an edge's process and restarts it at once.
     pub fn restart(&mut self, node: NodeId) {
         self.kill(node);
         self.start(node);
     }
 
-    /// A machine's disk loses all that it holds. Only while no process runs there.
+    /// Erases a machine's disk. Only while no process runs there.
     ///
     /// # Panics
     /// A process runs there, or there is no such machine.
-    pub fn wipe(&mut self, node: NodeId) {
+    pub fn lose_disk(&mut self, node: NodeId) {
         assert!(!self.is_running(node), "the disk of {node} is in use");
-        self.disks[&node].wipe();
+        self.disks[&node].erase();
     }
 
-    /// Freezes a process: nothing reaches it, and its clock goes on.
+    /// Freezes a process: it handles no event, while its clock goes on.
     pub fn freeze(&mut self, node: NodeId) {
-        self.set_frozen(node);
-        self.world.touch.disturb(self.world.now, node);
+        self.begin_freeze(node);
+        self.world.contact.disturb(self.world.now, node);
     }
 
-    /// Thaws a process.
+    /// Thaws a frozen process, which then handles all deferred events.
     pub fn thaw(&mut self, node: NodeId) {
         if self.is_frozen(node) {
-            self.world.touch.disturb(self.world.now, node);
-            self.world.witness.heals(self.world.now, node);
-            self.set_thawed(node);
+            self.world.contact.disturb(self.world.now, node);
+            self.world.observer.connectivity_restored(self.world.now, node);
+            self.end_freeze(node);
         }
     }
 
-    /// A coordinator is removed for good, and loses its power without a word.
+    /// Removes a coordinator for good: its machine loses power without notice.
     pub fn remove_coordinator(&mut self, node: NodeId) {
         self.lose_power(node);
         self.world.network.set_power(node, false);
-        self.world.touch.set_core(node, false);
+        self.world.contact.set_core(node, false);
         let rest = self.coordinators().into_iter().filter(|other| *other != node).collect();
         self.set_coordinators(rest);
     }
 
-    /// A coordinator joins, at a new address and with an empty disk. Its seeds are those that serve now.
+    /// Adds a coordinator with a new address and an empty disk. Its seeds are three of the current coordinators.
     pub fn join_coordinator(&mut self, node: NodeId) {
         let seeds = self.coordinators().into_iter().take(3).collect();
-        self.join_coordinator_by(node, seeds);
+        self.join_coordinator_with_seeds(node, seeds);
     }
 
-    /// A coordinator joins, at a new address and with an empty disk, by seeds of its own.
-    pub fn join_coordinator_by(&mut self, node: NodeId, seeds: Vec<NodeId>) {
+    /// Adds a coordinator with a new address, an empty disk and seeds of its own.
+    pub fn join_coordinator_with_seeds(&mut self, node: NodeId, seeds: Vec<NodeId>) {
         self.add_coordinator(node);
         let mut serving = self.coordinators();
         self.seeds.insert(node, seeds);
@@ -128,7 +128,7 @@
         self.start(node);
     }
 
-    /// A model server's process ends without a word. Its disk stays.
+    /// Crashes a model server's process without notice. Its disk stays.
     pub fn crash_server(&mut self, node: NodeId) {
         if let Some(Process::Server(server)) = self.take_process(node) {
             let disk = server.kill(&mut self.world);
@@ -139,81 +139,81 @@
     /// A model server leaves as planned, or at short notice.
     pub fn drain_server(&mut self, node: NodeId, remaining: Option<Millis>) {
         if let Some(Machine { process: Some(Process::Server(server)), .. }) = self.machines.get_mut(&node) {
-            server.leave(&mut self.world, remaining);
+            server.drain(&mut self.world, remaining);
         }
     }
 
     // ---- Links -----------------------------------------------------------------------------------------
 
-    /// Cuts or joins one direction between two machines.
-    pub fn cut_one_way(&mut self, from: NodeId, to: NodeId, cut: bool) {
-        if !self.world.network.set_cut((from, to), cut) {
+    /// Partitions or heals one direction between two machines.
+    pub fn partition_one_way(&mut self, from: NodeId, to: NodeId, partitioned: bool) {
+        if !self.world.network.set_partitioned((from, to), partitioned) {
             return;
         }
         let now = self.world.now;
-        self.world.touch.disturb_link(now, from, to);
-        if !cut {
-            self.world.witness.heals(now, from);
-            self.world.witness.heals(now, to);
+        self.world.contact.disturb_link(now, from, to);
+        if !partitioned {
+            self.world.observer.connectivity_restored(now, from);
+            self.world.observer.connectivity_restored(now, to);
         }
     }
 
-    /// Cuts or joins two machines, both ways.
-    pub fn cut(&mut self, one: NodeId, other: NodeId, cut: bool) {
-        self.cut_one_way(one, other, cut);
-        self.cut_one_way(other, one, cut);
+    /// Partitions two machines in both directions, or heals that partition.
+    pub fn partition(&mut self, one: NodeId, other: NodeId, partitioned: bool) {
+        self.partition_one_way(one, other, partitioned);
+        self.partition_one_way(other, one, partitioned);
     }
 
-    /// Cuts two groups of machines from each other, or joins them.
-    pub fn split(&mut self, some: &[NodeId], others: &[NodeId], cut: bool) {
+    /// Partitions two groups of machines from each other, or heals that partition.
+    pub fn partition_groups(&mut self, some: &[NodeId], others: &[NodeId], partitioned: bool) {
         for one in some {
             for other in others.iter().filter(|other| *other != one) {
-                self.cut(*one, *other, cut);
+                self.partition(*one, *other, partitioned);
             }
         }
     }
 
-    /// The connections of a link are reset: what is on its way from one machine to the other is lost.
+    /// Resets the connections of a link: what is in flight from one machine to the other is lost.
     pub fn reset_link(&mut self, from: NodeId, to: NodeId) {
         self.world.network.reset((from, to));
     }
 
-    /// Joins all links.
-    pub fn join_all(&mut self) {
-        for (from, to) in self.world.network.cuts() {
-            self.cut_one_way(from, to, false);
+    /// Heals all partitions.
+    pub fn heal_partitions(&mut self) {
+        for (from, to) in self.world.network.partitions() {
+            self.partition_one_way(from, to, false);
         }
     }
 
     // ---- Disks -----------------------------------------------------------------------------------------
 
-    /// Sets what a disk refuses.
+    /// Sets which operations of a disk fail.
     pub fn set_disk_faults(&mut self, node: NodeId, faults: Faults) {
-        self.trouble_disk(node, faults != Faults::default(), |disk| disk.set_faults(faults));
+        self.change_disk(node, faults != Faults::default(), |disk| disk.set_faults(faults));
     }
 
-    /// Has a disk hang, or go on.
+    /// Stalls a disk, or ends the stall.
     pub fn set_disk_stalled(&mut self, node: NodeId, stalled: bool) {
-        self.trouble_disk(node, stalled, |disk| disk.stalled = stalled);
+        self.change_disk(node, stalled, |disk| disk.stalled = stalled);
     }
 
-    /// Sets the time that a write with its sync takes.
-    pub fn set_disk_speed(&mut self, node: NodeId, takes: std::ops::RangeInclusive<Millis>) {
-        let slow = takes.end() > self.options.disk.end();
-        self.trouble_disk(node, slow, |disk| disk.takes = takes);
+    /// Sets the latency of a write with its sync, in milliseconds.
+    pub fn set_disk_speed(&mut self, node: NodeId, latency: std::ops::RangeInclusive<Millis>) {
+        let slow = latency.end() > self.options.disk_latency.end();
+        self.change_disk(node, slow, |disk| disk.latency = latency);
     }
 
-    fn trouble_disk(&mut self, node: NodeId, slow: bool, change: impl FnOnce(&mut MachineDisk)) {
+    fn change_disk(&mut self, node: NodeId, slow: bool, change: impl FnOnce(&mut MachineDisk)) {
         if let Some(disk) = self.disks.get_mut(&node) {
             change(disk);
-            self.world.touch.set_slow(self.world.now, node, slow);
+            self.world.contact.set_slow(self.world.now, node, slow);
         }
     }
 
     // ---- All at once -----------------------------------------------------------------------------------
 
-    /// All coordinators and edges lose power, or are killed.
-    pub fn lose_all(&mut self, power: bool) {
+    /// Cuts the power of all coordinators and edges, or kills their processes.
+    pub fn stop_all(&mut self, power: bool) {
         let nodes: Vec<NodeId> = self.coordinators().into_iter().chain(self.edges()).collect();
         for node in nodes {
             if power {
@@ -224,34 +224,34 @@
         }
     }
 
-    /// Starts all coordinators and edges that don't run, within 300 ms.
-    pub fn start_missing(&mut self) {
+    /// Schedules the start of all coordinators and edges that don't run, within 300 ms.
+    pub fn start_stopped(&mut self) {
         let mut nodes: Vec<NodeId> = self.coordinators().into_iter().chain(self.edges()).collect();
         nodes.retain(|node| !self.is_running(*node));
         for node in nodes {
-            let at = self.world.now + self.world.between(0..=300);
-            self.world.at(at, Happening::Start(node));
+            let at = self.world.now + self.world.random_range(0..=300);
+            self.world.schedule_at(at, ScheduledEvent::Start(node));
         }
     }
 
-    /// The trouble ends everywhere: links, disks, freezes, processes.
-    pub fn heal_all(&mut self) {
-        self.join_all();
+    /// Repairs all faults: links, disks, freezes and stopped processes.
+    pub fn repair_all(&mut self) {
+        self.heal_partitions();
         self.world.network.clear_special();
         for node in self.coordinators() {
             self.set_disk_faults(node, Faults::default());
             self.set_disk_stalled(node, false);
-            self.set_disk_speed(node, self.options.disk.clone());
+            self.set_disk_speed(node, self.options.disk_latency.clone());
             self.thaw(node);
         }
         for node in self.edges() {
             self.thaw(node);
         }
-        self.start_missing();
+        self.start_stopped();
     }
 
     /// The model server's machine of a number, for short.
     pub fn server_at(&self, number: u8) -> NodeId {
-        site::server(number)
+        fixtures::server(number)
     }
 }
--- a/simulation/src/site.rs
+++ b/simulation/src/fixtures.rs
@@ -7,45 +7,45 @@
 use shaletrail_protocol::NodeId;
 
 /// The service with models.
-pub const LLM: &str = "llm";
+pub const LLM_SERVICE: &str = "llm";
 /// The service without models.
-pub const WEB: &str = "web";
-/// The host of the usual routes.
+pub const WEB_SERVICE: &str = "web";
+/// The host of all routes but the marker route.
 pub const HOST: &str = "site.example";
-/// Requests for models that may run once.
-pub const ONCE: &str = "/once/";
-/// Requests for models that may be repeated.
-pub const AGAIN: &str = "/again/";
-/// Requests to the service without models that may run once.
-pub const PLAIN: &str = "/plain/";
+/// Path of requests for models that are not idempotent.
+pub const NON_IDEMPOTENT_PATH: &str = "/once/";
+/// Path of requests for models that are idempotent.
+pub const IDEMPOTENT_PATH: &str = "/again/";
+/// Path of requests to the service without models, which are not idempotent.
+pub const WEB_PATH: &str = "/plain/";
 /// `maxAttempts` of all routes.
 pub const MAX_ATTEMPTS: usize = 2;
-/// The route whose host names the change that is in force.
-const MARK: &str = "mark";
+/// Name of the route whose host names the change of the configuration.
+const MARKER_ROUTE: &str = "mark";
 
 /// The port of model servers.
 const SERVER_PORT: u16 = 8_080;
 
-/// What a site's servers run.
+/// The models of a service and the capacity of its servers.
 #[derive(Clone, Debug)]
 pub struct Models {
-    /// Models, named `m0`, `m1`, ...
+    /// Number of models, named `m0`, `m1`, ...
     pub count: usize,
-    /// Of each model, in MB.
+    /// Weights of each model, in MB.
     pub weights_mb: f64,
-    /// From the weight store, in seconds.
+    /// Load time of a model from the weight store, in seconds.
     pub load_time_s: f64,
-    /// Adapters of each model, named `a1`, `a2`, ...
+    /// Number of adapters of each model, named `a1`, `a2`, ...
     pub adapters: u32,
-    /// Of each adapter, in MB.
+    /// Size of each adapter, in MB.
     pub adapter_size_mb: f64,
-    /// Of each server, in MB.
+    /// Memory of each server, in MB.
     pub server_mb: f64,
-    /// Of each server.
+    /// Number of adapters that a server can have loaded.
     pub adapter_capacity: u32,
-    /// Loads a second that the weight store allows.
+    /// Rate limit of the weight store, in loads per second.
     pub load_per_s: f64,
-    /// Requests that a server works on at once.
+    /// Requests that a server executes at once.
     pub slots: u32,
 }
 
@@ -66,63 +66,64 @@
 }
 
 impl Models {
-    /// MB that models with their adapters take.
-    pub fn megabytes(&self, models: usize, adapters: usize) -> f64 {
+    /// Memory that models and adapters occupy, in MB.
+    pub fn memory_mb(&self, models: usize, adapters: usize) -> f64 {
         models as f64 * self.weights_mb + adapters as f64 * self.adapter_size_mb
     }
 
-    /// Loads at once at which the weight store still gives each its full speed.
-    pub fn loads_at_once(&self) -> u32 {
+    /// The number of concurrent loads that the weight store serves at full speed.
+    pub fn max_concurrent_loads(&self) -> u32 {
         (self.load_per_s * self.load_time_s).ceil().max(1.0) as u32
     }
 }
 
-/// A whole configuration.
+/// A complete configuration whose marker route names a change.
 pub fn configuration(models: &Models, change: u64, version: u64) -> Value {
     json!({
         "version": version,
         "routes": [
-            mark(change),
-            route("once", HOST, ONCE, "non_idempotent", LLM),
-            route("again", HOST, AGAIN, "idempotent", LLM),
-            route("plain", HOST, PLAIN, "non_idempotent", WEB),
+            marker_route(change),
+            route("once", HOST, NON_IDEMPOTENT_PATH, "non_idempotent", LLM_SERVICE),
+            route("again", HOST, IDEMPOTENT_PATH, "idempotent", LLM_SERVICE),
+            route("plain", HOST, WEB_PATH, "non_idempotent", WEB_SERVICE),
         ],
-        "services": [llm(models), service(WEB)],
+        "services": [llm(models), service(WEB_SERVICE)],
         "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 4194304, "headerTimeoutMs": 3000,
                    "idleTimeoutMs": 15000},
     })
 }
 
-/// Items that mark a change, as the body of an update.
-pub fn marking_update(change: u64, version: u64) -> Value {
-    json!({"version": version, "upsert": {"routes": [mark(change)]}, "remove": {}})
+/// The body of an update that changes the marker route only.
+pub fn marker_update(change: u64, version: u64) -> Value {
+    json!({"version": version, "upsert": {"routes": [marker_route(change)]}, "remove": {}})
 }
 
-/// The route that marks a change.
-pub fn mark(change: u64) -> Value {
-    route(MARK, &format!("change-{change}.example"), "/", "idempotent", WEB)
+/// The marker route of a change.
+pub fn marker_route(change: u64) -> Value {
+    route(MARKER_ROUTE, &format!("change-{change}.example"), "/", "idempotent", WEB_SERVICE)
 }
 
-/// The change that is in force in a view; `None` where there is no configuration.
-pub fn marked_in_view(view: &View) -> Option<u64> {
-    let route = view.routes().find(|route| route.name == MARK)?;
-    change_of_host(&route.host)
+/// The change that a view's marker route names; `None` without a configuration.
+pub fn change_in_view(view: &View) -> Option<u64> {
+    let route = view.routes().find(|route| route.name == MARKER_ROUTE)?;
+    change_in_host(&route.host)
 }
 
-/// The change that is in force in a configuration.
-pub fn marked(configuration: &Value) -> Option<u64> {
+/// The change that a configuration's marker route names.
+pub fn change_in_document(configuration: &Value) -> Option<u64> {
     let routes = configuration.get("routes")?.as_array()?;
-    let route = routes.iter().find(|route| route.get("name").and_then(Value::as_str) == Some(MARK))?;
-    change_of_host(route.get("host")?.as_str()?)
+    let route =
+        routes.iter().find(|route| route.get("name").and_then(Value::as_str) == Some(MARKER_ROUTE))?;
+    change_in_host(route.get("host")?.as_str()?)
 }
 
-fn change_of_host(host: &str) -> Option<u64> {
+fn change_in_host(host: &str) -> Option<u64> {
     host.strip_prefix("change-")?.strip_suffix(".example")?.parse().ok()
 }
 
 fn route(name: &str, host: &str, prefix: &str, kind: &str, service: &str) -> Value {
     json!({"name": name, "host": host, "pathPrefix": prefix, "type": kind, "timeoutMs": 6000,
-           "targetLatencyMs": 4000, "priority": 1, "service": service, "maxAttempts": MAX_ATTEMPTS, "affinity": service == LLM})
+           "targetLatencyMs": 4000, "priority": 1, "service": service, "maxAttempts": MAX_ATTEMPTS, "affinity": service == LLM_SERVICE})
 }
 
 fn service(name: &str) -> Value {
@@ -134,7 +135,7 @@
         json!({"name": model_name(number), "weightsMb": models.weights_mb, "loadTimeS": models.load_time_s,
                "adapters": models.adapters, "adapterSizeMb": models.adapter_size_mb})
     };
-    let mut llm = service(LLM);
+    let mut llm = service(LLM_SERVICE);
     llm["runtime"] = json!({
         "slots": models.slots, "kvCapacity": 233_278, "kvBytes": 163_840, "linkMbps": 1_100_000.0, "stride": 5,
         "models": (0..models.count).map(model).collect::<Vec<_>>(),
@@ -163,20 +164,20 @@
     NodeId::from(Ipv4Addr::new(10, 0, 2, number + 1))
 }
 
-/// Where the operator calls from.
+/// The machine of the operator.
 pub fn operator() -> NodeId {
     NodeId::from(Ipv4Addr::new(10, 0, 3, 1))
 }
 
-/// A model server's address as heartbeats give it.
+/// A model server's address, as heartbeats give it.
 pub fn server_address(node: NodeId) -> String {
     SocketAddrV4::new(node.address(), SERVER_PORT).to_string()
 }
 
-/// The machine at a model server's address.
+/// The machine of a model server's address.
 ///
 /// # Panics
-/// The address is not one that a heartbeat gave.
+/// The address is malformed.
 pub fn server_node(address: &str) -> NodeId {
     let address: SocketAddrV4 = address.parse().expect("an address that a heartbeat gave");
     NodeId::from(*address.ip())
--- /dev/null
+++ b/simulation/src/history/crashes.rs
@@ -0,0 +1,102 @@
+//! Hundreds of changes one after the other, while members crash at every step of their work, lose power in the middle of a
+//! write, and have disks that are full, refuse or hang; now and then all are killed.
+
+use shaletrail_protocol::Millis;
+
+use super::{History, Recovery, ACKNOWLEDGED_WITHIN};
+use crate::coordinator::CrashPoint;
+
+/// Number of changes of a history.
+const CHANGES: std::ops::RangeInclusive<u64> = 100..=130;
+/// Number of changes of a long history.
+const LONG_CHANGES: std::ops::RangeInclusive<u64> = 200..=400;
+/// How long a member is down or its disk faulty, in milliseconds.
+const FAULT_DURATION: std::ops::RangeInclusive<Millis> = 5..=1_200;
+/// Latency of a slow disk, in milliseconds.
+const SLOW_DISK: std::ops::RangeInclusive<Millis> = 30..=200;
+/// How long it counts as unavailable beyond that: the time that its log takes to catch up.
+const CATCH_UP_TIME: Millis = 1_500;
+/// How long a change is awaited before the next one, in milliseconds.
+const RESPONSE_WAIT: std::ops::RangeInclusive<Millis> = 1..=60;
+
+impl History {
+    pub(super) fn play_crashes(&mut self) {
+        let count = if self.world().random_bool(0.04) { self.draw(LONG_CHANGES) } else { self.draw(CHANGES) };
+        self.record(format!("a storm of {count} changes"));
+        for _ in 0..count {
+            let change = if self.world().random_bool(0.7) && self.fleet.operator.known_version() > 0 {
+                self.fleet.update()
+            } else {
+                self.fleet.replace()
+            };
+            self.sent_changes.push(change);
+            let pace = self.draw(RESPONSE_WAIT);
+            if !self.await_outcome(change, pace) && self.world().random_bool(0.7) {
+                self.await_outcome(change, ACKNOWLEDGED_WITHIN);
+            }
+            self.run_due_recoveries();
+            if self.world().random_bool(0.1) {
+                self.inject_member_fault();
+            }
+            if self.world().random_bool(0.03) {
+                self.resend_random_change();
+            }
+            if self.world().random_bool(0.1) {
+                self.send_client_request();
+            }
+            if self.world().random_bool(0.008) {
+                self.inject_total_outage();
+            }
+        }
+        self.advance(500);
+    }
+
+    fn inject_member_fault(&mut self) {
+        let Some(node) = self.choose_victim(0.5) else { return };
+        let until = self.fleet.world.now + self.draw(FAULT_DURATION);
+        self.unavailable_until.insert(node, until + CATCH_UP_TIME);
+        let mut restarts = true;
+        match self.draw(0..=9) {
+            0..=2 => {
+                let point = CrashPoint::BeforeAction(self.draw(0..=25) as u32);
+                self.record(format!("{node} ends at {point:?}"));
+                self.fleet.set_crash_point(node, point);
+            }
+            3..=5 => {
+                let point = CrashPoint::AfterPersist(self.draw(0..=5) as u32);
+                self.record(format!("{node} ends at {point:?}"));
+                self.fleet.set_crash_point(node, point);
+            }
+            6 => {
+                self.record(format!("{node} without power"));
+                self.fleet.lose_power(node);
+            }
+            7 => {
+                self.record(format!("{node} without power and disk"));
+                self.fleet.lose_power(node);
+                self.fleet.lose_disk(node);
+            }
+            _ => {
+                restarts = false;
+                self.inject_disk_fault(node, SLOW_DISK);
+            }
+        }
+        if restarts {
+            self.recoveries.push((until, Recovery::Start(node)));
+            return;
+        }
+        self.recoveries.push((until, Recovery::Disk(node)));
+        if self.world().random_bool(0.4) {
+            // The process ends too, while the disk is still faulty.
+            let pause = self.draw(0..=20);
+            self.fleet.run(pause);
+            self.record(format!("{node} killed with its disk in trouble"));
+            if self.world().random_bool(0.5) {
+                self.fleet.kill(node);
+            } else {
+                self.fleet.lose_power(node);
+            }
+            self.recoveries.push((until + 1, Recovery::Start(node)));
+        }
+    }
+}
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -2,43 +2,43 @@
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{Ending, History};
-use crate::coordinator::Coordinator;
+use super::{History, Recovery};
+use crate::coordinator::CoordinatorProcess;
+use crate::fixtures;
 use crate::network::Conditions;
-use crate::site;
 use crate::Fleet;
 
-/// Losses of a history, one after the other.
+/// Number of failures of a history, one after the other.
 const LOSSES: std::ops::RangeInclusive<u64> = 2..=5;
-/// Within which a loss must be repaired.
+/// Within which a failure must be repaired, in milliseconds.
 const REPAIRED_WITHIN: Millis = 15_000;
-/// How long a machine is away.
-const AWAY: std::ops::RangeInclusive<Millis> = 1..=1_500;
-/// From the moment of the repair to the next loss.
-const STRIKES_WITHIN: std::ops::RangeInclusive<Millis> = 0..=4;
-/// How long a coordinator that is told to end goes on.
-const FAREWELL: Millis = 400;
+/// How long a machine is down, in milliseconds.
+const DOWNTIME: std::ops::RangeInclusive<Millis> = 1..=1_500;
+/// Time from the repair to the next failure, in milliseconds.
+const NEXT_LOSS_DELAY: std::ops::RangeInclusive<Millis> = 0..=4;
+/// Time from a coordinator's SIGTERM to its exit, in milliseconds.
+const SHUTDOWN_TIME: Millis = 400;
 
-/// How a machine is lost.
+/// How a coordinator's machine fails.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// Without power for a while.
+    /// Loses power and restarts with its disk intact.
     Power,
-    /// Without power, and back with an empty disk.
+    /// Loses power and restarts with an empty disk.
     Disk,
-    /// Killed and started again.
+    /// Its process is killed and restarted.
     Process,
-    /// Told to end, then gone for good; another one replaces it.
+    /// Shuts down gracefully (SIGTERM) and never returns; a replacement joins.
     Leaving,
-    /// Gone for good without a word; another one replaces it.
+    /// Fails for good without notice; a replacement joins.
     Machine,
-    /// Another one joins first, by seeds that may name this machine only.
+    /// A replacement joins before this machine is removed; its seeds may name this machine only.
     Planned,
-    /// Cut off from all others, with an empty disk when it is back.
+    /// Is partitioned from all other coordinators.
     CutOff,
 }
 
-const LOSSES_KNOWN: [Loss; 9] = [
+const LOSS_WEIGHTS: [Loss; 9] = [
     Loss::Power,
     Loss::Disk,
     Loss::Disk,
@@ -56,17 +56,17 @@
         let mut replaced = false;
         for _ in 0..losses {
             self.await_repair(replaced);
-            // A change that is on its way, or was just acknowledged.
-            let change = self.bring(None);
-            let wait = self.world().chance(0.5);
+            // A change in flight, or one that was just acknowledged.
+            let change = self.submit_change(None);
+            let wait = self.world().random_bool(0.5);
             if let Some(change) = change.filter(|_| wait) {
-                self.await_answer(change, 500);
+                self.await_outcome(change, 500);
                 self.await_repair(replaced);
             }
-            let wait = self.draw(STRIKES_WITHIN);
+            let wait = self.draw(NEXT_LOSS_DELAY);
             self.fleet.run(wait);
-            if self.world().chance(0.2) {
-                self.lose_all_and_disks();
+            if self.world().random_bool(0.2) {
+                self.lose_power_and_disks();
                 replaced = false;
                 continue;
             }
@@ -75,49 +75,49 @@
         self.await_repair(false);
     }
 
-    /// Waits until the cores count themselves as repaired, while changes come. Where all that was lost is to be replaced, until
+    /// Waits under changes until all shards are fully replicated, or, where all failed machines get replacements, until
     /// the replacements vote.
     fn await_repair(&mut self, replaced: bool) {
-        let mut holds: fn(&Fleet) -> bool = if replaced { has_all_voters } else { is_whole };
+        let mut holds: fn(&Fleet) -> bool = if replaced { has_all_voters } else { is_fully_replicated };
         let end = self.fleet.world.now + REPAIRED_WITHIN;
         loop {
             let step = self.draw(20..=250);
             if self.fleet.run_until(step, holds) {
                 return;
             }
-            self.end_what_is_due();
-            if self.fleet.operator.waiting() < 3 {
+            self.run_due_recoveries();
+            if self.fleet.operator.pending_count() < 3 {
                 let coordinators = self.fleet.coordinators();
-                let node = self.pick(&coordinators);
-                self.bring(node);
+                let node = self.choose(&coordinators);
+                self.submit_change(node);
             }
-            if replaced && self.strike_newcomer() {
-                holds = is_whole;
+            if replaced && self.lose_joining_disk() {
+                holds = is_fully_replicated;
             }
             assert!(self.fleet.world.now < end, "not repaired in time\n{}", self.fleet.describe());
         }
     }
 
-    /// A newcomer is lost while the voters are being changed: it may lose what it has as often as it likes, as long as no
-    /// shard has let another go for it. Whether that was done.
-    fn strike_newcomer(&mut self) -> bool {
+    /// A joining coordinator loses its disk while the voters are being changed, which must be harmless as long as no
+    /// shard has removed another voter for it. Whether that was done.
+    fn lose_joining_disk(&mut self) -> bool {
         let newest = self.fleet.coordinators().last().copied();
         let (Some(leader), Some(newest)) = (self.fleet.leader(), newest) else { return false };
         let changing = self.fleet.coordinator(leader).is_some_and(is_changing_voters);
-        let is_newcomer = newest.0 >= site::coordinator(self.fleet.options.coordinators).0;
-        let may_be_lost = changing && is_newcomer && newest != leader && !self.counts_somewhere(newest);
-        let strikes = may_be_lost && self.world().chance(0.3);
-        if strikes {
-            self.tell(format!("{newest} is wiped while it joins"));
+        let is_newcomer = newest.0 >= fixtures::coordinator(self.fleet.options.coordinators).0;
+        let may_be_lost = changing && is_newcomer && newest != leader && !self.is_settled_voter(newest);
+        let loses_disk = may_be_lost && self.world().random_bool(0.3);
+        if loses_disk {
+            self.record(format!("{newest} is wiped while it joins"));
             self.fleet.lose_power(newest);
-            self.fleet.wipe(newest);
+            self.fleet.lose_disk(newest);
             self.fleet.start(newest);
         }
-        strikes
+        loses_disk
     }
 
-    /// Whether a coordinator votes in a shard whose change has settled: its loss counts then, like any other's.
-    fn counts_somewhere(&self, node: NodeId) -> bool {
+    /// Whether a coordinator votes in a shard outside of a joint configuration: its failure counts like any other's then.
+    fn is_settled_voter(&self, node: NodeId) -> bool {
         let coordinators = self.fleet.coordinators();
         let running = coordinators.into_iter().filter_map(|other| self.fleet.coordinator(other));
         running
@@ -129,9 +129,9 @@
             .any(|voters| voters.contains(node) && !voters.is_joint())
     }
 
-    /// All lose power right after a change was acknowledged that some have not heard of, and as many of the others lose their
+    /// All lose power right after a change was acknowledged that some have not received, and as many of the others lose their
     /// disks as may be.
-    fn lose_all_and_disks(&mut self) {
+    fn lose_power_and_disks(&mut self) {
         let Some(leader) = self.fleet.leader() else { return };
         let most = self.fleet.options.hosts_lost as usize;
         let mut others = self.coordinators_but(&[leader]);
@@ -139,30 +139,32 @@
         for node in &late {
             self.world().network.set_special((leader, *node), Conditions { delay: 300..=400, loss: 0.0 });
         }
-        if self.world().chance(0.5) {
-            // The leader's own disk takes longer than that of the node that answers first.
+        if self.world().random_bool(0.5) {
+            // The leader's own sync takes longer than that of the follower that responds first.
             self.fleet.set_disk_speed(leader, 60..=150);
         }
         let change = self.fleet.replace();
-        self.sent.push(change);
-        self.fleet.run_until(300, |fleet| fleet.world.witness.is_acknowledged(change));
-        let wiped: Vec<NodeId> = if self.world().chance(0.3) { vec![leader] } else { others };
-        let wiped = wiped.into_iter().take(most).collect::<Vec<_>>();
-        self.tell(format!("all lose power, {late:?} have not heard of {change}, {wiped:?} lose their disks"));
-        self.fleet.lose_all(true);
-        for node in wiped {
-            self.fleet.wipe(node);
+        self.sent_changes.push(change);
+        self.fleet.run_until(300, |fleet| fleet.world.observer.is_acknowledged(change));
+        let without_disk: Vec<NodeId> = if self.world().random_bool(0.3) { vec![leader] } else { others };
+        let without_disk = without_disk.into_iter().take(most).collect::<Vec<_>>();
+        self.record(format!(
+            "all lose power, {late:?} have not heard of {change}, {without_disk:?} lose their disks"
+        ));
+        self.fleet.stop_all(true);
+        for node in without_disk {
+            self.fleet.lose_disk(node);
         }
         self.world().network.clear_special();
-        let usual = self.fleet.options.disk.clone();
+        let usual = self.fleet.options.disk_latency.clone();
         self.fleet.set_disk_speed(leader, usual);
         let down = self.draw(10..=800);
         self.fleet.run(down);
-        self.fleet.start_missing();
+        self.fleet.start_stopped();
         self.fleet.run(300);
     }
 
-    /// As many machines are lost at once as may be. Whether each of them is to be replaced.
+    /// Fails up to the tolerated number of machines at once; whether each of them gets a replacement.
     fn lose_some(&mut self) -> bool {
         let most = u64::from(self.fleet.options.hosts_lost);
         let count = self.draw(1..=most);
@@ -173,8 +175,8 @@
         }
         let mut all_replaced = true;
         for node in chosen {
-            let loss = self.pick(&LOSSES_KNOWN).unwrap_or(Loss::Power);
-            self.tell(format!("{node} is lost: {loss:?}"));
+            let loss = self.choose(&LOSS_WEIGHTS).unwrap_or(Loss::Power);
+            self.record(format!("{node} is lost: {loss:?}"));
             self.lose(node, loss);
             all_replaced &= matches!(loss, Loss::Leaving | Loss::Machine | Loss::Planned);
             let apart = self.draw(0..=3);
@@ -184,81 +186,81 @@
     }
 
     fn lose(&mut self, node: NodeId, loss: Loss) {
-        let back = self.fleet.world.now + self.draw(AWAY);
+        let back = self.fleet.world.now + self.draw(DOWNTIME);
         match loss {
             Loss::Power => {
                 self.fleet.lose_power(node);
-                self.endings.push((back, Ending::Start(node)));
+                self.recoveries.push((back, Recovery::Start(node)));
             }
             Loss::Disk => {
                 self.fleet.lose_power(node);
-                self.fleet.wipe(node);
-                self.endings.push((back, Ending::Start(node)));
+                self.fleet.lose_disk(node);
+                self.recoveries.push((back, Recovery::Start(node)));
             }
             Loss::Process => {
                 self.fleet.kill(node);
-                self.endings.push((back, Ending::Start(node)));
+                self.recoveries.push((back, Recovery::Start(node)));
             }
             Loss::Leaving => {
                 self.fleet.terminate(node);
-                let wait = self.draw(0..=FAREWELL);
+                let wait = self.draw(0..=SHUTDOWN_TIME);
                 self.fleet.run(wait);
                 self.fleet.remove_coordinator(node);
-                self.endings.push((back, Ending::Successor));
+                self.recoveries.push((back, Recovery::Successor));
             }
             Loss::Machine => {
                 self.fleet.remove_coordinator(node);
-                self.endings.push((back, Ending::Successor));
+                self.recoveries.push((back, Recovery::Successor));
             }
             Loss::Planned => {
-                self.join_by_seeds_of(node);
+                self.join_with_seed(node);
                 let wait = self.draw(0..=1_500);
                 self.fleet.run(wait);
                 self.fleet.terminate(node);
-                let wait = self.draw(0..=FAREWELL);
+                let wait = self.draw(0..=SHUTDOWN_TIME);
                 self.fleet.run(wait);
                 self.fleet.remove_coordinator(node);
             }
             Loss::CutOff => {
-                let cuts: Vec<(NodeId, NodeId)> = self
+                let partitions: Vec<(NodeId, NodeId)> = self
                     .coordinators_but(&[node])
                     .into_iter()
                     .flat_map(|other| [(node, other), (other, node)])
                     .collect();
-                for (from, to) in &cuts {
-                    self.fleet.cut_one_way(*from, *to, true);
+                for (from, to) in &partitions {
+                    self.fleet.partition_one_way(*from, *to, true);
                 }
-                self.endings.push((back, Ending::Join(cuts)));
+                self.recoveries.push((back, Recovery::Join(partitions)));
             }
         }
     }
 
-    /// A machine joins by seeds that name one machine only, or by the usual ones.
-    fn join_by_seeds_of(&mut self, seed: NodeId) {
-        if self.world().chance(0.5) {
+    /// A coordinator joins by seeds that name one machine only, or by the usual ones.
+    fn join_with_seed(&mut self, seed: NodeId) {
+        if self.world().random_bool(0.5) {
             return self.join_successor();
         }
-        let node = site::coordinator(self.coordinators_made);
-        self.coordinators_made += 1;
-        self.tell(format!("{node} joins by {seed}"));
-        self.fleet.join_coordinator_by(node, vec![seed]);
+        let node = fixtures::coordinator(self.coordinators_created);
+        self.coordinators_created += 1;
+        self.record(format!("{node} joins by {seed}"));
+        self.fleet.join_coordinator_with_seeds(node, vec![seed]);
     }
 }
 
-fn is_changing_voters(coordinator: &Coordinator) -> bool {
+fn is_changing_voters(coordinator: &CoordinatorProcess) -> bool {
     let shards = coordinator.core().shards();
     shards.numbers().filter_map(|number| shards.get(number)).any(|shard| shard.replica.is_changing_voters())
 }
 
-/// Whether those that vote are those that serve, in all shards: a replacement has taken its place, whatever it holds.
+/// Whether the voters of all shards are current coordinators, whatever their logs contain.
 pub fn has_all_voters(fleet: &Fleet) -> bool {
     all_shards(fleet, |fleet, number| voters_of(fleet, number).is_some())
 }
 
-/// Whether the cores count all shards as whole: as many voters as wanted, none being changed, each of them counted by its
-/// leader and in possession of all that is committed.
-pub fn is_whole(fleet: &Fleet) -> bool {
-    all_shards(fleet, is_shard_whole)
+/// Whether all shards are fully replicated: as many voters as wanted, none being changed, each of them counted by its
+/// leader and in possession of all committed entries.
+pub fn is_fully_replicated(fleet: &Fleet) -> bool {
+    all_shards(fleet, is_shard_fully_replicated)
 }
 
 fn all_shards(fleet: &Fleet, holds: impl Fn(&Fleet, u32) -> bool) -> bool {
@@ -266,7 +268,7 @@
     any.is_some_and(|any| any.core().shards().numbers().all(|number| holds(fleet, number)))
 }
 
-/// The leader and voters of a shard, where as many vote as are wanted, none is being changed, and all of them run.
+/// The leader and voters of a shard, if there are as many as wanted, none is being changed, and all of them run.
 fn voters_of(fleet: &Fleet, number: u32) -> Option<(NodeId, Vec<NodeId>)> {
     let leader = fleet.leader_of(number)?;
     let replica = &fleet.coordinator(leader)?.core().shards().get(number)?.replica;
@@ -278,7 +280,7 @@
     complete.then_some((leader, voters))
 }
 
-fn is_shard_whole(fleet: &Fleet, number: u32) -> bool {
+fn is_shard_fully_replicated(fleet: &Fleet, number: u32) -> bool {
     let replica_of = |node| Some(&fleet.coordinator(node)?.core().shards().get(number)?.replica);
     let Some((leader, voters)) = voters_of(fleet, number) else { return false };
     let Some(leading) = replica_of(leader) else { return false };
--- /dev/null
+++ b/simulation/src/history/outages.rs
@@ -0,0 +1,181 @@
+//! Trouble in the core, within what may be lost at once.
+
+use std::ops::RangeInclusive;
+
+use shaletrail_protocol::{Millis, NodeId};
+use shaletrail_storage::fault_injection::Faults;
+
+use super::{History, Recovery, SYNC};
+use crate::fixtures;
+use crate::fleet::Fleet;
+use crate::network::Conditions;
+
+/// How often a fault strikes the leader rather than a random coordinator: faults of leaders find more.
+const LEADER_PROBABILITY: f64 = 0.4;
+/// Latency of a slow disk, in milliseconds.
+const SLOW_DISK: RangeInclusive<Millis> = 50..=400;
+
+impl History {
+    /// A coordinator that may fail now, in addition to those that are unavailable.
+    pub(super) fn choose_victim(&mut self, leader_probability: f64) -> Option<NodeId> {
+        let now = self.fleet.world.now;
+        self.unavailable_until.retain(|_, until| *until > now);
+        if self.unavailable_until.len() >= self.fleet.options.hosts_lost as usize {
+            return None;
+        }
+        let unavailable: Vec<NodeId> = self.unavailable_until.keys().copied().collect();
+        let available = self.coordinators_but(&unavailable);
+        self.leader_or_any(&available, leader_probability)
+    }
+
+    pub(super) fn inject_coordinator_fault(&mut self) {
+        let Some(node) = self.choose_victim(LEADER_PROBABILITY) else { return };
+        let until = match self.world().random_range(0..=9) {
+            0 => self.take_down(node, "killed", Fleet::kill),
+            1 => self.take_down(node, "without power", Fleet::lose_power),
+            2 => self.take_down(node, "without power and disk", |fleet, node| {
+                fleet.lose_power(node);
+                fleet.lose_disk(node);
+            }),
+            3 | 4 => {
+                self.record(format!("{node} frozen"));
+                self.fleet.freeze(node);
+                self.schedule_recovery(Recovery::Thaw(node))
+            }
+            5 => {
+                self.inject_disk_fault(node, SLOW_DISK);
+                self.schedule_recovery(Recovery::Disk(node))
+            }
+            6 | 7 => self.isolate(node),
+            8 => self.take_down(node, "told to end", Fleet::terminate),
+            _ => self.replace_machine(node),
+        };
+        self.unavailable_until.insert(node, until + SYNC);
+    }
+
+    pub(super) fn take_down(
+        &mut self,
+        node: NodeId,
+        how: &str,
+        down: impl FnOnce(&mut Fleet, NodeId),
+    ) -> Millis {
+        self.record(format!("{node} {how}"));
+        down(&mut self.fleet, node);
+        self.schedule_recovery(Recovery::Start(node))
+    }
+
+    /// Gives a disk a random fault: a stall, high latency, no space, or failing writes or syncs.
+    pub(super) fn inject_disk_fault(&mut self, node: NodeId, slow: RangeInclusive<Millis>) {
+        let kind = self.draw(0..=4);
+        self.record(format!("{node}'s disk has a fault of kind {kind}"));
+        match kind {
+            0 => self.fleet.set_disk_stalled(node, true),
+            1 => self.fleet.set_disk_speed(node, slow),
+            2 => self.fleet.set_disk_faults(node, Faults { full: true, ..Faults::default() }),
+            3 => self.fleet.set_disk_faults(node, Faults { writes_fail: true, ..Faults::default() }),
+            _ => self.fleet.set_disk_faults(node, Faults { syncs_fail: true, ..Faults::default() }),
+        }
+    }
+
+    fn isolate(&mut self, node: NodeId) -> Millis {
+        let way = self.world().random_range(0..=3);
+        let mut partitions = Vec::new();
+        let mut others: Vec<NodeId> = self.fleet.coordinators();
+        others.retain(|other| *other != node);
+        if way == 3 {
+            // From edges and the operator as well.
+            others.extend(self.fleet.edges());
+            others.push(fixtures::operator());
+        }
+        for other in others {
+            if way != 1 {
+                partitions.push((node, other));
+            }
+            if way != 2 {
+                partitions.push((other, node));
+            }
+        }
+        self.record(format!("{node} cut off, way {way}"));
+        for (from, to) in &partitions {
+            self.fleet.partition_one_way(*from, *to, true);
+        }
+        self.schedule_recovery(Recovery::Join(partitions))
+    }
+
+    fn replace_machine(&mut self, node: NodeId) -> Millis {
+        if self.coordinators_created > 100 {
+            return self.fleet.world.now;
+        }
+        if self.world().random_bool(0.3) {
+            // A planned replacement: the successor joins first.
+            self.join_successor();
+            self.record(format!("{node} removed after its successor had joined"));
+            self.fleet.remove_coordinator(node);
+            return self.fleet.world.now;
+        }
+        self.record(format!("{node} removed for good"));
+        self.fleet.remove_coordinator(node);
+        self.schedule_recovery(Recovery::Successor)
+    }
+
+    pub(super) fn join_successor(&mut self) {
+        let node = fixtures::coordinator(self.coordinators_created);
+        self.coordinators_created += 1;
+        self.record(format!("{node} joins"));
+        self.fleet.join_coordinator(node);
+        let now = self.fleet.world.now;
+        self.unavailable_until.insert(node, now + SYNC);
+        // Settings files name the current coordinators as seeds from now on.
+        let seeds: Vec<NodeId> = self.fleet.coordinators().into_iter().rev().take(3).collect();
+        for node in self.fleet.coordinators().into_iter().chain(self.fleet.edges()) {
+            self.fleet.set_seeds(node, seeds.clone());
+        }
+    }
+
+    /// Waits until a change is acknowledged that reaches one of the coordinators late.
+    fn await_acknowledgement(&mut self) {
+        let coordinators = self.fleet.coordinators();
+        let late = self.choose(&coordinators);
+        for other in coordinators {
+            if let Some(late) = late.filter(|late| *late != other) {
+                self.world().network.set_special((other, late), Conditions { delay: 20..=60, loss: 0.0 });
+            }
+        }
+        let change = self.fleet.replace();
+        self.fleet.run_until(500, |fleet| fleet.world.observer.is_acknowledged(change));
+        self.world().network.clear_special();
+    }
+
+    /// Stops all coordinators and edges, by power or kill; up to the tolerated number of coordinators lose their disks.
+    pub(super) fn inject_total_outage(&mut self) {
+        let now = self.fleet.world.now;
+        self.unavailable_until.retain(|_, until| *until > now);
+        if !self.unavailable_until.is_empty() {
+            return;
+        }
+        if self.world().random_bool(0.5) {
+            self.await_acknowledgement();
+        }
+        let power = self.world().random_bool(0.6);
+        self.record(format!("all lost, power {power}"));
+        self.fleet.stop_all(power);
+        if power && self.world().random_bool(0.4) {
+            let mut without_disk = self.fleet.coordinators();
+            while without_disk.len() > self.fleet.options.hosts_lost as usize {
+                let spared = self.world().random_range(0..=without_disk.len() as u64 - 1) as usize;
+                without_disk.remove(spared);
+            }
+            for node in without_disk {
+                self.record(format!("{node} lost its disk"));
+                self.fleet.lose_disk(node);
+            }
+        }
+        let down = self.world().random_range(10..=2_000);
+        self.fleet.run(down);
+        self.fleet.start_stopped();
+        let back = self.fleet.world.now + 300;
+        for node in self.fleet.coordinators() {
+            self.unavailable_until.insert(node, back + SYNC);
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/history/scenario.rs
@@ -0,0 +1,134 @@
+//! Histories that aim at one point each of what may go wrong on the control side.
+
+use shaletrail_protocol::{Millis, NodeId};
+
+use super::{History, Mix, MAX_PENDING_CALLS};
+use crate::fleet::{Fleet, FleetOptions};
+
+/// Time without faults in which the system must return to service, in milliseconds.
+const RECOVERY_TIME: Millis = 5_000;
+/// Most changes that are kept to be sent again.
+const MAX_SENT_CHANGES: usize = 64;
+
+/// The kind of faults that a history concentrates on. It is printed and parsed by its `strum` name, the name of the
+/// command line of `histories`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter, strum::EnumString)]
+pub enum Scenario {
+    /// Coordinators that are partitioned, for long or for less than a message's delay.
+    #[strum(serialize = "cuts")]
+    Partitions,
+    /// Concurrent operators, lost responses, and changes that are sent again.
+    #[strum(serialize = "races")]
+    Races,
+    /// A further failure right after the repair of the one before.
+    #[strum(serialize = "losses")]
+    Losses,
+    /// Hundreds of changes while members crash at every step of their work and restart.
+    #[strum(serialize = "storms")]
+    Crashes,
+    /// Duplicated, delayed and reordered messages, and callers that restart while a call is in flight.
+    #[strum(serialize = "calls")]
+    MessageDisorder,
+}
+
+impl Scenario {
+    /// Its number, from 1 on; part of the seed of its histories.
+    pub fn number(self) -> u32 {
+        self as u32 + 1
+    }
+}
+
+impl History {
+    /// Plays a history of a scenario and checks it.
+    ///
+    /// # Panics
+    /// An invariant is violated, or the system doesn't return to service.
+    pub fn play_scenario(point: Scenario, seed: u64) -> Fleet {
+        let large = seed % 3 == 2;
+        let options = FleetOptions {
+            coordinators: if large { 5 } else { 3 },
+            hosts_lost: if large { 2 } else { 1 },
+            disk_latency: if seed.is_multiple_of(2) { 0..=2 } else { 3..=15 },
+            seed: seed.wrapping_mul(8).wrapping_add(u64::from(point.number())),
+            ..FleetOptions::default()
+        };
+        let coordinators = options.coordinators;
+        let mut history = History::begin(Fleet::ready(options), Mix::requests_only(), coordinators);
+        match point {
+            Scenario::Partitions => history.play_partitions(),
+            Scenario::Races => history.play_races(),
+            Scenario::Losses => history.play_losses(),
+            Scenario::Crashes => history.play_crashes(),
+            Scenario::MessageDisorder => history.play_disorder(),
+        }
+        history.quiesce(RECOVERY_TIME);
+        history.fleet.check();
+        history.fleet
+    }
+
+    // ---- What histories of several points do -----------------------------------------------------------
+
+    /// Draws a random number from a range.
+    pub(super) fn draw(&mut self, range: std::ops::RangeInclusive<Millis>) -> Millis {
+        self.world().random_range(range)
+    }
+
+    /// The configuration shard's leader with a probability, otherwise one of those given.
+    pub(super) fn leader_or_any(&mut self, among: &[NodeId], leader_share: f64) -> Option<NodeId> {
+        let leader = self.fleet.leader().filter(|leader| among.contains(leader));
+        if leader.is_some() && self.world().random_bool(leader_share) {
+            return leader;
+        }
+        self.choose(among)
+    }
+
+    /// All coordinators but those given.
+    pub(super) fn coordinators_but(&self, not: &[NodeId]) -> Vec<NodeId> {
+        self.fleet.coordinators().into_iter().filter(|node| !not.contains(node)).collect()
+    }
+
+    /// The operator writes and sends a change, first to `first` if that is given; `None` if too many calls are pending.
+    pub(super) fn submit_change(&mut self, first: Option<NodeId>) -> Option<u64> {
+        if self.fleet.operator.pending_count() >= MAX_PENDING_CALLS {
+            return None;
+        }
+        let change = self.fleet.write();
+        self.send_change_to(change, first);
+        if self.sent_changes.len() >= MAX_SENT_CHANGES {
+            self.sent_changes.remove(0);
+        }
+        self.sent_changes.push(change);
+        Some(change)
+    }
+
+    /// The operator sends a change, for the first time or again.
+    pub(super) fn send_change_to(&mut self, change: u64, first: Option<NodeId>) {
+        match first {
+            Some(first) => self.fleet.send_first_to(first, change),
+            None => self.fleet.send(change),
+        }
+    }
+
+    /// Sends an earlier change again, to a random coordinator.
+    pub(super) fn resend_random_change(&mut self) {
+        let sent = self.sent_changes.clone();
+        let coordinators = self.fleet.coordinators();
+        if let (Some(change), Some(node)) = (self.choose(&sent), self.choose(&coordinators)) {
+            if self.fleet.operator.pending_count() < MAX_PENDING_CALLS {
+                self.send_change_to(change, Some(node));
+            }
+        }
+    }
+
+    /// The operator reads the configuration, first from a certain coordinator.
+    pub(super) fn read_at(&mut self, node: NodeId) {
+        if self.fleet.operator.pending_count() < MAX_PENDING_CALLS {
+            self.fleet.operator.read_first_at(&mut self.fleet.world, node);
+        }
+    }
+
+    /// Waits until the operator has the outcome of a change.
+    pub(super) fn await_outcome(&mut self, change: u64, limit: Millis) -> bool {
+        self.fleet.run_until(limit, |fleet| fleet.world.observer.outcome(change).is_some())
+    }
+}
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -28,24 +28,24 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod calls;
-pub mod checks;
+mod clients;
+pub mod contact;
 pub mod coordinator;
 pub mod disk;
 pub mod edge;
+pub mod faults;
+pub mod fixtures;
 pub mod fleet;
 pub mod history;
+pub mod invariants;
 pub mod message;
 pub mod network;
+pub mod observer;
 pub mod operator;
 mod report;
 pub mod requests;
 pub mod server;
-pub mod site;
-pub mod touch;
-pub mod troubles;
-pub mod witness;
 pub mod world;
 
 pub use fleet::{Fleet, FleetOptions};
-pub use witness::Witness;
+pub use observer::Observer;
--- a/simulation/src/message.rs
+++ b/simulation/src/message.rs
@@ -5,24 +5,24 @@
 use shaletrail_protocol::internal::{EdgeIdentity, OperatorCall, OperatorResponse};
 use shaletrail_protocol::ServerId;
 
-/// Names a call and its answer; given by the world, never used twice.
+/// Identifies a call and its response; unique in a world.
 pub type CallNumber = u64;
 
-/// Something on a link.
+/// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// A frame of one coordinator for another.
-    Core(Vec<u8>),
-    /// A frame of an edge that needs no answer.
+    /// An encoded frame between coordinators.
+    Coordinator(Vec<u8>),
+    /// A frame of an edge that gets no response.
     EdgeReport {
         /// The edge.
         edge: EdgeIdentity,
         /// The frame.
         frame: Vec<u8>,
     },
-    /// A datagram of one edge to another.
-    Loads(Vec<u8>),
-    /// Something that is to be answered.
+    /// An encoded load report between edges, one datagram.
+    LoadReport(Vec<u8>),
+    /// A call that expects a response.
     Call {
         /// Its name.
         number: CallNumber,
@@ -30,21 +30,21 @@
         call: Call,
     },
     /// The answer.
-    Answer {
+    Response {
         /// The call's name.
         number: CallNumber,
         /// What is answered.
-        answer: Answer,
+        response: Response,
     },
-    /// The connection of a call has been refused or reset.
-    Refused {
+    /// The connection of a call was refused or reset.
+    ConnectionFailed {
         /// The call's name.
         number: CallNumber,
-        /// Whether the call had been read before.
+        /// Whether the receiver had accepted the call before.
         accepted: bool,
     },
     /// The caller has closed the connection of a call.
-    Closed {
+    Cancelled {
         /// The call's name.
         number: CallNumber,
     },
@@ -60,19 +60,19 @@
         /// The frame.
         frame: Vec<u8>,
     },
-    /// A heartbeat, as JSON.
+    /// A server's heartbeat, as JSON.
     Heartbeat {
         /// The server.
         id: ServerId,
         /// The body.
         body: Vec<u8>,
     },
-    /// A server's farewell.
+    /// A server's deregistration.
     Deregister {
         /// The server.
         id: ServerId,
     },
-    /// A call of the operator.
+    /// The operator changes or reads the configuration.
     Operator(OperatorCall),
     /// An order to a server, as JSON.
     Order {
@@ -86,18 +86,18 @@
         /// `Expected-Instance`.
         expected: ServerId,
     },
-    /// A client's request.
+    /// A client's request that an edge forwards.
     Request(Request),
 }
 
-/// A client's request on its way to a server.
+/// A client's request as an edge sends it to a server.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The client's name for it.
+    /// The client's number of it.
     pub request: u64,
     /// `Expected-Instance`.
     pub expected: ServerId,
-    /// The model; empty where the service has none.
+    /// The model; empty if the request names none.
     pub model: String,
     /// The adapter.
     pub adapter: Option<String>,
@@ -105,18 +105,18 @@
 
 /// What is answered.
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// To a poll, as a frame.
+pub enum Response {
+    /// The response to a poll, as a frame.
     Poll(Vec<u8>),
-    /// To a heartbeat or a farewell: whether it is acknowledged.
+    /// To a heartbeat or a deregistration: whether it is acknowledged.
     Server(bool),
-    /// To the operator.
+    /// The response to a call of the operator.
     Operator(OperatorResponse),
-    /// To an order: its status.
+    /// The status of an order.
     Order(u16),
-    /// To `GET /report`, as JSON.
+    /// The response to `GET /report`, as JSON.
     Report(Vec<u8>),
-    /// To a request: its status, and who answers where it was turned away.
+    /// To a client's request.
     Request {
         /// The status.
         status: u16,
@@ -125,10 +125,10 @@
     },
 }
 
-/// Reads a frame as its receiver does.
+/// Decodes a frame as its receiver does.
 ///
 /// # Panics
-/// What was sent is not what a receiver takes.
+/// The bytes are not a frame of a message `M`.
 pub fn decode<M: bitcode::DecodeOwned>(bytes: &[u8]) -> M {
     let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
     let length = frame::body_length(*prefix).expect("a frame is not too long");
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -12,22 +12,22 @@
 
 use crate::message::Message;
 
-/// How long written bytes wait for the end of a cut before their connection is given up.
+/// How long written bytes wait for a partition to heal before their connection is closed, in milliseconds.
 const UNACKNOWLEDGED: Millis = 1_500;
-/// Between two attempts to send through a cut.
-const AGAIN: Millis = 50;
-/// By how much a lost packet delays what it carried.
+/// Interval of retransmissions through a partition, in milliseconds.
+const IDEMPOTENT_PATH: Millis = 50;
+/// Delay of a lost packet until its retransmission arrives, in milliseconds.
 const RESENT_AFTER: RangeInclusive<Millis> = 200..=400;
 
-/// From one machine to another.
+/// One direction of a link: sender and receiver.
 pub type Direction = (NodeId, NodeId);
 
-/// What links are like.
+/// Delay and loss of a link.
 #[derive(Clone, Debug)]
 pub struct Conditions {
-    /// The time that a message takes, in milliseconds.
+    /// Delay of a message, in milliseconds.
     pub delay: RangeInclusive<Millis>,
-    /// The share of messages that are lost and sent again.
+    /// The probability that a message is lost and retransmitted.
     pub loss: f64,
 }
 
@@ -37,15 +37,15 @@
     }
 }
 
-/// What goes wrong with the order of messages between coordinators: a connection that is made anew may bring a
-/// message a second time, or leave one behind that still comes from the connection before it.
+/// How messages between coordinators are duplicated and reordered: a new connection may bring a
+/// message a second time, or overtake one that still arrives over the connection before it.
 #[derive(Clone, Debug, Default)]
 pub struct Disorder {
-    /// The share of messages that come a second time, later.
+    /// The probability that a message arrives a second time, later.
     pub doubled: f64,
-    /// The share of messages that are overtaken by later ones.
+    /// The probability that a message is overtaken by later ones.
     pub overtaken: f64,
-    /// By how much a message may be late, in milliseconds.
+    /// Upper bound of the additional delay, in milliseconds.
     pub late: Millis,
 }
 
@@ -55,79 +55,79 @@
     message: Message,
 }
 
-/// All links.
+/// The links between all machines.
 #[derive(Default)]
 pub struct Network {
     flights: BTreeMap<Direction, VecDeque<Flight>>,
-    cuts: BTreeSet<Direction>,
+    partitions: BTreeSet<Direction>,
     unpowered: BTreeSet<NodeId>,
     conditions: Conditions,
     special: BTreeMap<Direction, Conditions>,
     disorder: Disorder,
-    /// Messages that are on their way outside of the usual order.
+    /// Duplicated and overtaken messages in flight, which arrive outside of the usual order.
     strays: BTreeMap<Direction, Vec<(Millis, Message)>>,
 }
 
-/// What has come over a link.
+/// The messages that have arrived over a link.
 #[derive(Default)]
 pub struct Arrivals {
-    /// The messages, in order.
+    /// The messages, in order of arrival.
     pub messages: Vec<Message>,
-    /// When to look again, as something is held up.
+    /// When to look again, as a partition delays a message.
     pub again: Option<Millis>,
 }
 
 impl Network {
-    /// Sets what all links are like that have no conditions of their own.
+    /// Sets delay and loss of all links that have no conditions of their own.
     pub fn set_conditions(&mut self, conditions: Conditions) {
         self.conditions = conditions;
     }
 
-    /// Sets what one direction is like.
+    /// Sets delay and loss of one direction.
     pub fn set_special(&mut self, direction: Direction, conditions: Conditions) {
         self.special.insert(direction, conditions);
     }
 
-    /// Takes all conditions of single directions back.
+    /// Removes the conditions of all single directions.
     pub fn clear_special(&mut self) {
         self.special.clear();
     }
 
-    /// Sets what goes wrong with the order of messages between coordinators.
+    /// Sets how messages between coordinators are duplicated and reordered.
     pub fn set_disorder(&mut self, disorder: Disorder) {
         self.disorder = disorder;
     }
 
-    /// Cuts or joins one direction; whether that changed anything.
-    pub fn set_cut(&mut self, direction: Direction, cut: bool) -> bool {
-        if cut {
-            self.cuts.insert(direction)
+    /// Partitions or heals one direction; whether that changed anything.
+    pub fn set_partitioned(&mut self, direction: Direction, partitioned: bool) -> bool {
+        if partitioned {
+            self.partitions.insert(direction)
         } else {
-            self.cuts.remove(&direction)
+            self.partitions.remove(&direction)
         }
     }
 
-    /// Whether one direction is cut.
-    pub fn is_cut(&self, direction: Direction) -> bool {
-        self.cuts.contains(&direction)
+    /// Whether one direction is partitioned.
+    pub fn is_partitioned(&self, direction: Direction) -> bool {
+        self.partitions.contains(&direction)
     }
 
-    /// All directions that are cut.
-    pub fn cuts(&self) -> Vec<Direction> {
-        self.cuts.iter().copied().collect()
+    /// All directions that are partitioned.
+    pub fn partitions(&self) -> Vec<Direction> {
+        self.partitions.iter().copied().collect()
     }
 
-    /// Whether a path leads there and back, whatever runs at its ends.
-    pub fn joins(&self, one: NodeId, other: NodeId) -> bool {
-        !self.is_cut((one, other)) && !self.is_cut((other, one))
+    /// Whether neither direction between two machines is partitioned, whatever runs there.
+    pub fn is_connected(&self, one: NodeId, other: NodeId) -> bool {
+        !self.is_partitioned((one, other)) && !self.is_partitioned((other, one))
     }
 
-    /// Whether a connection comes up, or is refused: the path leads there and back, and there is power.
+    /// Whether a connection is accepted or refused at once: no partition, and the receiver has power.
     pub fn can_connect(&self, from: NodeId, to: NodeId) -> bool {
-        self.joins(from, to) && !self.unpowered.contains(&to)
+        self.is_connected(from, to) && !self.unpowered.contains(&to)
     }
 
-    /// A machine without power says nothing, and what is on its way to it is lost.
+    /// Switches a machine's power. Without power it sends nothing, and what is in flight to it is lost.
     pub fn set_power(&mut self, node: NodeId, powered: bool) {
         if powered {
             self.unpowered.remove(&node);
@@ -137,52 +137,46 @@
         }
     }
 
-    /// Loses all that is on its way to or from a machine.
+    /// Drops all messages in flight to or from a machine.
     pub fn drop_flights(&mut self, node: NodeId) {
         self.flights.retain(|(from, to), _| *from != node && *to != node);
         self.strays.retain(|(from, to), _| *from != node && *to != node);
     }
 
-    /// Loses all that is on its way in one direction.
+    /// Drops all messages in flight in one direction.
     pub fn reset(&mut self, direction: Direction) {
         self.flights.remove(&direction);
     }
 
-    /// Has a message between coordinators come late, outside of the usual order, or a second time. When that
-    /// arrives, and the message if it still goes the usual way.
+    /// Duplicates or delays a message between coordinators by the disorder that is set. Returns when the stray copy
+    /// arrives, and the message if it is still to be sent the usual way.
     pub fn stray(
         &mut self,
         now: Millis,
         direction: Direction,
         message: Message,
-        random: &mut Pcg64,
+        rng: &mut Pcg64,
     ) -> (Option<Millis>, Option<Message>) {
         let Disorder { doubled, overtaken, late } = self.disorder;
-        if doubled + overtaken <= 0.0 || !matches!(message, Message::Core(_)) {
+        if doubled + overtaken <= 0.0 || !matches!(message, Message::Coordinator(_)) {
             return (None, Some(message));
         }
-        let draw: f64 = random.random();
+        let draw: f64 = rng.random();
         if draw >= doubled + overtaken {
             return (None, Some(message));
         }
-        let arrives = now + random.random_range(0..=late);
+        let arrives = now + rng.random_range(0..=late);
         let kept = (draw < doubled).then(|| message.clone());
         self.strays.entry(direction).or_default().push((arrives, message));
         (Some(arrives), kept)
     }
 
-    /// Puts a message on its way; when it arrives.
-    pub fn send(
-        &mut self,
-        now: Millis,
-        direction: Direction,
-        message: Message,
-        random: &mut Pcg64,
-    ) -> Millis {
+    /// Sends a message; returns when it arrives.
+    pub fn send(&mut self, now: Millis, direction: Direction, message: Message, rng: &mut Pcg64) -> Millis {
         let conditions = self.special.get(&direction).unwrap_or(&self.conditions);
-        let mut arrives = now + random.random_range(conditions.delay.clone());
-        if conditions.loss > 0.0 && random.random_bool(conditions.loss) {
-            arrives += random.random_range(RESENT_AFTER);
+        let mut arrives = now + rng.random_range(conditions.delay.clone());
+        if conditions.loss > 0.0 && rng.random_bool(conditions.loss) {
+            arrives += rng.random_range(RESENT_AFTER);
         }
         let queue = self.flights.entry(direction).or_default();
         let arrives = arrives.max(queue.back().map_or(0, |flight| flight.arrives));
@@ -190,25 +184,25 @@
         arrives
     }
 
-    /// Takes what has arrived.
+    /// Removes and returns the messages that have arrived.
     pub fn take(&mut self, now: Millis, direction: Direction) -> Arrivals {
         let mut arrivals = Arrivals::default();
-        let cut = self.cuts.contains(&direction);
+        let partitioned = self.partitions.contains(&direction);
         if let Some(strays) = self.strays.get_mut(&direction) {
             let (due, later) = std::mem::take(strays).into_iter().partition(|(at, _)| *at <= now);
             *strays = later;
             let due: Vec<(Millis, Message)> = due;
-            arrivals.messages.extend(due.into_iter().filter(|_| !cut).map(|(_, message)| message));
+            arrivals.messages.extend(due.into_iter().filter(|_| !partitioned).map(|(_, message)| message));
         }
         let Some(queue) = self.flights.get_mut(&direction) else { return arrivals };
         while let Some(flight) = queue.front_mut().filter(|flight| flight.arrives <= now) {
-            if cut && now.saturating_sub(flight.sent) <= UNACKNOWLEDGED {
-                flight.arrives = now + AGAIN;
+            if partitioned && now.saturating_sub(flight.sent) <= UNACKNOWLEDGED {
+                flight.arrives = now + IDEMPOTENT_PATH;
                 arrivals.again = Some(flight.arrives);
                 break;
             }
             let flight = queue.pop_front();
-            if !cut {
+            if !partitioned {
                 arrivals.messages.extend(flight.map(|flight| flight.message));
             }
         }
--- a/simulation/src/witness.rs
+++ b/simulation/src/observer.rs
@@ -7,11 +7,11 @@
 use shaletrail_protocol::{Incarnation, Millis, NodeId, ServerId};
 
 /// Log lines of coordinators that are kept for messages of failed tests.
-const MOST_NOTES: usize = 4_000;
+const MAX_STATE_CHANGES: usize = 4_000;
 
-/// What a client asks for.
+/// A client's request as it arrives at an edge.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct ClientRequest {
     /// `Host`.
     pub host: String,
     /// The path.
@@ -26,45 +26,45 @@
 
 /// A request, from its client's side and from its servers'.
 #[derive(Clone, Debug)]
-pub struct RequestSeen {
+pub struct ObservedRequest {
     /// When it came.
     pub at: Millis,
     /// Where it came.
     pub edge: NodeId,
     /// What for.
-    pub ask: Ask,
+    pub client_request: ClientRequest,
     /// Whether it may run once only.
-    pub once: bool,
-    /// Sendings by the edge, with the servers.
-    pub sendings: Vec<(Millis, ServerId)>,
+    pub non_idempotent: bool,
+    /// Attempts of the edge, with the servers.
+    pub attempts: Vec<(Millis, ServerId)>,
     /// The version in force there; 0 for none.
     pub version: u64,
     /// Whether the edge was in touch.
-    pub in_touch: bool,
-    /// Sendings that were written to a connection, less those of which the connection was refused.
+    pub has_quorum_contact: bool,
+    /// Attempts that were written to a connection, with the service; those whose connection was refused are taken out.
     pub written: Vec<(Millis, String)>,
-    /// Servers that turned it away, with the status.
-    pub turned_away: Vec<(Millis, ServerId, u16)>,
+    /// Rejections by servers: time, server and status.
+    pub rejections: Vec<(Millis, ServerId, u16)>,
     /// Servers that ran it.
-    pub runs: Vec<(Millis, ServerId)>,
+    pub executions: Vec<(Millis, ServerId)>,
     /// The answer's status.
-    pub answer: Option<(Millis, u16)>,
+    pub response: Option<(Millis, u16)>,
 }
 
 /// Where a request comes.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct EdgeState {
     /// The edge.
     pub edge: NodeId,
     /// The version in force there; 0 for none.
     pub version: u64,
     /// Whether it is in touch.
-    pub in_touch: bool,
+    pub has_quorum_contact: bool,
 }
 
-/// A sending of a request.
+/// An attempt of a request that an edge sent.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct AttemptSent {
     /// When.
     pub at: Millis,
     /// From where.
@@ -76,12 +76,12 @@
     /// The server's service.
     pub service: String,
     /// Whether the edge was in touch.
-    pub in_touch: bool,
+    pub has_quorum_contact: bool,
 }
 
 /// An order as a server saw it.
 #[derive(Clone, Debug)]
-pub struct OrderSeen {
+pub struct ObservedOrder {
     /// When.
     pub at: Millis,
     /// The server.
@@ -89,16 +89,16 @@
     /// The machine that sent it.
     pub from: NodeId,
     /// `leaseHolder`.
-    pub holder: String,
+    pub lease_holder: String,
     /// `fencingToken`.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The answer.
     pub status: u16,
 }
 
 /// A `draining` that was acknowledged.
 #[derive(Clone, Debug)]
-pub struct Drained {
+pub struct AcknowledgedDrain {
     /// When the server had the acknowledgement.
     pub at: Millis,
     /// The server.
@@ -106,17 +106,17 @@
     /// The coordinator that acknowledged.
     pub by: NodeId,
     /// Whether it was in touch.
-    pub in_touch: bool,
+    pub has_quorum_contact: bool,
 }
 
 /// A configuration that came into force at an edge.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct AppliedConfig {
     /// When.
     pub at: Millis,
     /// The edge.
     pub edge: NodeId,
-    /// The start of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// The version.
     pub version: u64,
@@ -140,7 +140,7 @@
 
 /// A change that the operator has sent.
 #[derive(Clone, Debug)]
-pub struct ChangeSent {
+pub struct SentChange {
     /// `Base-Version`.
     pub base: u64,
     /// Its version.
@@ -151,7 +151,7 @@
     pub outcomes: Vec<(Millis, Outcome)>,
 }
 
-impl ChangeSent {
+impl SentChange {
     /// When it was first acknowledged.
     pub fn acknowledged_at(&self) -> Option<Millis> {
         let mut outcomes = self.outcomes.iter();
@@ -161,11 +161,11 @@
 
 /// A change that was refused because another version is current.
 #[derive(Clone, Debug)]
-pub struct Rejection {
+pub struct ConflictResponse {
     /// The change.
     pub change: u64,
     /// When it was first sent in this call.
-    pub begun: Millis,
+    pub started_at: Millis,
     /// When the answer came.
     pub at: Millis,
     /// The version that is said to be current.
@@ -174,11 +174,11 @@
 
 /// A configuration that was read back.
 #[derive(Clone, Debug)]
-pub struct ReadBack {
+pub struct ConfigRead {
     /// The call.
     pub call: u64,
     /// When it was first sent.
-    pub begun: Millis,
+    pub started_at: Millis,
     /// When its answer came.
     pub at: Millis,
     /// The answer.
@@ -187,127 +187,145 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Witness {
+pub struct Observer {
     /// Requests, by the clients' numbers.
-    pub requests: BTreeMap<u64, RequestSeen>,
-    /// Sendings of requests, in order.
-    pub sendings: Vec<Sending>,
+    pub requests: BTreeMap<u64, ObservedRequest>,
+    /// Attempts of all edges, in order.
+    pub attempts: Vec<AttemptSent>,
     /// Orders that servers answered, in order.
-    pub orders: Vec<OrderSeen>,
+    pub orders: Vec<ObservedOrder>,
     /// Moments at which loads from the weight store began, with the service.
-    pub loads: Vec<(Millis, String)>,
+    pub store_loads: Vec<(Millis, String)>,
     /// Orders to load beyond a server's room.
-    pub overflows: Vec<(Millis, ServerId, String)>,
+    pub capacity_violations: Vec<(Millis, ServerId, String)>,
     /// Acknowledgements of `draining`.
-    pub drains: Vec<Drained>,
+    pub acknowledged_drains: Vec<AcknowledgedDrain>,
     /// What had no acknowledgement in time although nothing was wrong.
-    pub unacknowledged: Vec<(Millis, String)>,
+    pub overdue_acknowledgements: Vec<(Millis, String)>,
     /// Configurations in force at edges, in order.
-    pub in_force: Vec<InForce>,
+    pub applied_configs: Vec<AppliedConfig>,
     /// Changes of the operator.
-    pub changes: BTreeMap<u64, ChangeSent>,
+    pub changes: BTreeMap<u64, SentChange>,
     /// Reads of the operator, in order.
-    pub reads: Vec<ReadBack>,
+    pub reads: Vec<ConfigRead>,
     /// Changes that were refused as built on another version, in order.
-    pub refusals: Vec<Rejection>,
+    pub conflicts: Vec<ConflictResponse>,
     /// When each machine was last thawed, or a link of it joined.
-    pub healed: BTreeMap<NodeId, Vec<Millis>>,
+    pub restorations: BTreeMap<NodeId, Vec<Millis>>,
     /// What was done to the fleet, for messages of failed tests.
-    pub story: Vec<(Millis, String)>,
+    pub actions: Vec<(Millis, String)>,
     /// Log lines of coordinators. No check goes by them.
-    pub notes: Vec<(Millis, NodeId, StateChange)>,
+    pub state_changes: Vec<(Millis, NodeId, StateChange)>,
 }
 
-impl Witness {
+impl Observer {
     /// A client asks.
-    pub fn asked(&mut self, at: Millis, number: u64, ask: &Ask, once: bool, place: Place) {
-        let Place { edge, version, in_touch } = place;
-        let seen = RequestSeen {
+    pub fn request_received(
+        &mut self,
+        at: Millis,
+        number: u64,
+        client_request: &ClientRequest,
+        non_idempotent: bool,
+        edge_state: EdgeState,
+    ) {
+        let EdgeState { edge, version, has_quorum_contact } = edge_state;
+        let seen = ObservedRequest {
             at,
             edge,
-            ask: ask.clone(),
-            once,
-            sendings: Vec::new(),
+            client_request: client_request.clone(),
+            non_idempotent,
+            attempts: Vec::new(),
             version,
-            in_touch,
+            has_quorum_contact,
             written: Vec::new(),
-            turned_away: Vec::new(),
-            runs: Vec::new(),
-            answer: None,
+            rejections: Vec::new(),
+            executions: Vec::new(),
+            response: None,
         };
         self.requests.insert(number, seen);
     }
 
     /// A client is answered.
-    pub fn answered(&mut self, at: Millis, number: u64, status: u16) {
+    pub fn request_answered(&mut self, at: Millis, number: u64, status: u16) {
         if let Some(request) = self.requests.get_mut(&number) {
-            request.answer.get_or_insert((at, status));
+            request.response.get_or_insert((at, status));
         }
     }
 
     /// An edge sends a request.
-    pub fn sent(&mut self, sending: Sending) {
-        if let Some(request) = self.requests.get_mut(&sending.request) {
-            request.sendings.push((sending.at, sending.server.clone()));
+    pub fn attempt_sent(&mut self, attempt: AttemptSent) {
+        if let Some(request) = self.requests.get_mut(&attempt.request) {
+            request.attempts.push((attempt.at, attempt.server.clone()));
         }
-        self.sendings.push(sending);
+        self.attempts.push(attempt);
     }
 
     /// A request is written to a server's connection.
-    pub fn written(&mut self, at: Millis, number: u64, service: &str) {
+    pub fn attempt_written(&mut self, at: Millis, number: u64, service: &str) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.written.push((at, service.to_owned()));
         }
     }
 
     /// The connection to which a request was written had been refused.
-    pub fn unwritten(&mut self, number: u64) {
+    pub fn attempt_not_written(&mut self, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.written.pop();
         }
     }
 
-    /// A server turns a request away.
-    pub fn turned_away(&mut self, at: Millis, number: u64, server: &ServerId, status: u16) {
+    /// A server rejects an attempt.
+    pub fn attempt_rejected(&mut self, at: Millis, number: u64, server: &ServerId, status: u16) {
         if let Some(request) = self.requests.get_mut(&number) {
-            request.turned_away.push((at, server.clone(), status));
+            request.rejections.push((at, server.clone(), status));
         }
     }
 
     /// A server runs a request.
-    pub fn ran(&mut self, at: Millis, number: u64, server: &ServerId, _service: &str) {
+    pub fn request_executed(&mut self, at: Millis, number: u64, server: &ServerId, _service: &str) {
         if let Some(request) = self.requests.get_mut(&number) {
-            request.runs.push((at, server.clone()));
+            request.executions.push((at, server.clone()));
         }
     }
 
     /// A server answers an order.
-    pub fn ordered(&mut self, order: OrderSeen) {
+    pub fn order_received(&mut self, order: ObservedOrder) {
         self.orders.push(order);
     }
 
     /// A load from the weight store begins.
-    pub fn loaded(&mut self, at: Millis, service: &str) {
-        self.loads.push((at, service.to_owned()));
+    pub fn load_started(&mut self, at: Millis, service: &str) {
+        self.store_loads.push((at, service.to_owned()));
     }
 
     /// A server is ordered to load beyond its room.
-    pub fn overflowed(&mut self, at: Millis, server: &ServerId, what: String) {
-        self.overflows.push((at, server.clone(), what));
+    pub fn capacity_exceeded(&mut self, at: Millis, server: &ServerId, description: String) {
+        self.capacity_violations.push((at, server.clone(), description));
     }
 
     /// A server has the acknowledgement of its `draining`.
-    pub fn drained(&mut self, at: Millis, server: &ServerId, by: NodeId, in_touch: bool) {
-        self.drains.push(Drained { at, server: server.clone(), by, in_touch });
+    pub fn drain_acknowledged(
+        &mut self,
+        at: Millis,
+        server: &ServerId,
+        by: NodeId,
+        has_quorum_contact: bool,
+    ) {
+        self.acknowledged_drains.push(AcknowledgedDrain {
+            at,
+            server: server.clone(),
+            by,
+            has_quorum_contact,
+        });
     }
 
     /// Something had no acknowledgement in time although nothing was wrong.
-    pub fn not_acknowledged(&mut self, at: Millis, what: String) {
-        self.unacknowledged.push((at, what));
+    pub fn acknowledgement_overdue(&mut self, at: Millis, description: String) {
+        self.overdue_acknowledgements.push((at, description));
     }
 
     /// A configuration comes into force at an edge.
-    pub fn in_force(
+    pub fn config_applied(
         &mut self,
         at: Millis,
         edge: NodeId,
@@ -315,45 +333,45 @@
         version: u64,
         change: Option<u64>,
     ) {
-        self.in_force.push(InForce { at, edge, incarnation, version, change });
+        self.applied_configs.push(AppliedConfig { at, edge, incarnation, version, change });
     }
 
     /// The operator writes a change.
-    pub fn writes(&mut self, change: u64, sent: ChangeSent) {
-        self.changes.insert(change, sent);
+    pub fn change_written(&mut self, change: u64, attempt_sent: SentChange) {
+        self.changes.insert(change, attempt_sent);
     }
 
     /// A change is answered.
-    pub fn judged(&mut self, at: Millis, change: u64, outcome: Outcome) {
+    pub fn change_answered(&mut self, at: Millis, change: u64, outcome: Outcome) {
         if let Some(change) = self.changes.get_mut(&change) {
             change.outcomes.push((at, outcome));
         }
     }
 
     /// A change is refused as built on another version.
-    pub fn refused(&mut self, refusal: Rejection) {
-        self.refusals.push(refusal);
+    pub fn change_conflicted(&mut self, conflict: ConflictResponse) {
+        self.conflicts.push(conflict);
     }
 
     /// A configuration is read back.
-    pub fn read_back(&mut self, read: ReadBack) {
+    pub fn config_read(&mut self, read: ConfigRead) {
         self.reads.push(read);
     }
 
-    /// A machine is thawed, or a link of it joined.
-    pub fn heals(&mut self, at: Millis, node: NodeId) {
-        self.healed.entry(node).or_default().push(at);
+    /// A machine is thawed, or a partition of it heals.
+    pub fn connectivity_restored(&mut self, at: Millis, node: NodeId) {
+        self.restorations.entry(node).or_default().push(at);
     }
 
     /// Something is done to the fleet.
-    pub fn tell(&mut self, at: Millis, what: String) {
-        self.story.push((at, what));
+    pub fn record_action(&mut self, at: Millis, description: String) {
+        self.actions.push((at, description));
     }
 
     /// A coordinator writes a line to its log.
-    pub fn note(&mut self, at: Millis, node: NodeId, note: StateChange) {
-        if self.notes.len() < MOST_NOTES {
-            self.notes.push((at, node, note));
+    pub fn state_changed(&mut self, at: Millis, node: NodeId, change: StateChange) {
+        if self.state_changes.len() < MAX_STATE_CHANGES {
+            self.state_changes.push((at, node, change));
         }
     }
 
@@ -369,7 +387,7 @@
 
     /// The newest version acknowledged before a moment.
     pub fn acknowledged_version(&self, before: Millis) -> u64 {
-        let known = |change: &ChangeSent| change.acknowledged_at().is_some_and(|at| at < before);
+        let known = |change: &SentChange| change.acknowledged_at().is_some_and(|at| at < before);
         self.changes
             .values()
             .filter(|change| known(change))
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -6,79 +6,79 @@
 use shaletrail_protocol::internal::{OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::message::{Answer, Call, CallNumber, Message};
-use crate::site::{self, Models};
-use crate::witness::{ChangeSent, Outcome, ReadBack, Rejection};
+use crate::fixtures::{self, Models};
+use crate::message::{Call, CallNumber, Message, Response};
+use crate::observer::{ConfigRead, ConflictResponse, Outcome, SentChange};
 use crate::world::{Timer, World};
 
-/// Within which an answer must come before another coordinator is called.
-const PATIENCE: Millis = 1_000;
-/// The pause before another coordinator is called, at first.
-const FIRST_PAUSE: Millis = 50;
-/// The longest such pause.
-const LONGEST_PAUSE: Millis = 800;
+/// Time-out of an attempt, after which another coordinator is called, in milliseconds.
+const CALL_TIMEOUT: Millis = 1_000;
+/// Initial backoff before another coordinator is called, in milliseconds.
+const INITIAL_BACKOFF: Millis = 50;
+/// Upper bound of the backoff, in milliseconds.
+const MAX_BACKOFF: Millis = 800;
 
-/// Names a call of the operator, with all its tries.
+/// Identifies a call of the operator with all its attempts.
 pub type OperatorCallId = u64;
 
 #[derive(Clone, Debug)]
 struct Pending {
     call: OperatorCall,
-    /// The change that it brings; `None` for a read.
+    /// The change that it sends; `None` for a read.
     change: Option<u64>,
-    begun: Millis,
-    tries: u32,
-    /// The try that waits for an answer.
-    waits_for: Option<CallNumber>,
-    /// Who is called, instead of anybody.
+    started_at: Millis,
+    attempts: u32,
+    /// The attempt in flight.
+    awaited_call: Option<CallNumber>,
+    /// The only coordinator to call, where it is fixed.
     only: Option<NodeId>,
-    /// Who is called with the first try.
+    /// The coordinator of the first attempt, where it is fixed.
     first: Option<NodeId>,
-    /// Who was called with the last try: the next one goes to another.
+    /// The coordinator of the previous attempt, which the next one avoids.
     last: Option<NodeId>,
 }
 
-/// A change that was sent, or is to be sent again.
+/// A change that was written, with the call that sends it.
 #[derive(Clone, Debug)]
 struct Change {
     call: OperatorCall,
     document: Value,
 }
 
-/// The operator.
+/// The operator, who writes changes and sends them until they are answered.
 pub struct Operator {
     models: Models,
-    /// The newest configuration that the operator knows to be in force.
+    /// The newest configuration that was acknowledged or read.
     known: Value,
     changes: BTreeMap<u64, Change>,
     pending: BTreeMap<OperatorCallId, Pending>,
-    /// The share of answers that are lost on the way.
-    pub lost_answers: f64,
+    /// The probability that a response to the operator is lost.
+    pub response_loss: f64,
 }
 
 impl Operator {
-    /// An operator that has brought nothing yet.
+    /// Creates an operator that has not written a change.
     pub fn new(models: Models) -> Self {
         Operator {
             models,
             known: Value::Null,
             changes: BTreeMap::new(),
             pending: BTreeMap::new(),
-            lost_answers: 0.0,
+            response_loss: 0.0,
         }
     }
 
-    /// The version of the newest configuration that the operator knows to be in force.
+    /// The version of the newest configuration that was acknowledged or read; 0 for none.
     pub fn known_version(&self) -> u64 {
         version_of(&self.known)
     }
 
-    /// Makes a change that replaces the whole configuration, on a base and with a version.
+    /// Creates a change that replaces the complete configuration.
     pub fn write_replacement(&mut self, world: &mut World, base: u64, version: u64) -> u64 {
-        let change = world.number();
-        let document = site::configuration(&self.models, change, version);
+        let change = world.next_id();
+        let document = fixtures::configuration(&self.models, change, version);
         let body = document.to_string().into_bytes();
-        self.keep(
+        self.record_change(
             world,
             change,
             base,
@@ -87,18 +87,18 @@
         )
     }
 
-    /// Makes a change of one item of the configuration that is known.
+    /// Creates a change of one item of the known configuration.
     pub fn write_update(&mut self, world: &mut World, version: u64) -> u64 {
-        let change = world.number();
+        let change = world.next_id();
         let base = self.known_version();
         let mut document = self.known.clone();
         document["version"] = version.into();
         let routes = document["routes"].as_array_mut().expect("a known configuration has routes");
         if let Some(mark) = routes.iter_mut().find(|route| route["name"] == "mark") {
-            *mark = site::mark(change);
+            *mark = fixtures::marker_route(change);
         }
-        let body = site::marking_update(change, version).to_string().into_bytes();
-        self.keep(
+        let body = fixtures::marker_update(change, version).to_string().into_bytes();
+        self.record_change(
             world,
             change,
             base,
@@ -107,7 +107,7 @@
         )
     }
 
-    fn keep(
+    fn record_change(
         &mut self,
         world: &mut World,
         change: u64,
@@ -116,8 +116,8 @@
         document: Value,
     ) -> u64 {
         let sent =
-            ChangeSent { base, version: version_of(&document), document: document.clone(), outcomes: vec![] };
-        world.witness.writes(change, sent);
+            SentChange { base, version: version_of(&document), document: document.clone(), outcomes: vec![] };
+        world.observer.change_written(change, sent);
         self.changes.insert(change, Change { call, document });
         change
     }
@@ -128,29 +128,29 @@
     /// There is no such change.
     pub fn send_change(&mut self, world: &mut World, change: u64, only: Option<NodeId>) -> OperatorCallId {
         let call = self.changes[&change].call.clone();
-        self.begin(world, call, Some(change), only, None)
+        self.start_call(world, call, Some(change), only, None)
     }
 
-    /// Sends a change, for the first time or again; the first try goes to a certain coordinator.
+    /// Sends a change, for the first time or again; the first attempt goes to a certain coordinator.
     ///
     /// # Panics
     /// There is no such change.
     pub fn send_change_first_to(&mut self, world: &mut World, change: u64, first: NodeId) -> OperatorCallId {
         let call = self.changes[&change].call.clone();
-        self.begin(world, call, Some(change), None, Some(first))
+        self.start_call(world, call, Some(change), None, Some(first))
     }
 
-    /// Reads the configuration; the first try goes to a certain coordinator.
+    /// Reads the configuration; the first attempt goes to a certain coordinator.
     pub fn read_first_at(&mut self, world: &mut World, first: NodeId) -> OperatorCallId {
-        self.begin(world, OperatorCall::Read, None, None, Some(first))
+        self.start_call(world, OperatorCall::Read, None, None, Some(first))
     }
 
-    /// Reads the configuration.
+    /// Reads the configuration, from `only` if that is given.
     pub fn read(&mut self, world: &mut World, only: Option<NodeId>) -> OperatorCallId {
-        self.begin(world, OperatorCall::Read, None, only, None)
+        self.start_call(world, OperatorCall::Read, None, only, None)
     }
 
-    fn begin(
+    fn start_call(
         &mut self,
         world: &mut World,
         call: OperatorCall,
@@ -158,111 +158,129 @@
         only: Option<NodeId>,
         first: Option<NodeId>,
     ) -> OperatorCallId {
-        let id = world.number();
-        let pending =
-            Pending { call, change, begun: world.now, tries: 0, waits_for: None, only, first, last: None };
+        let id = world.next_id();
+        let pending = Pending {
+            call,
+            change,
+            started_at: world.now,
+            attempts: 0,
+            awaited_call: None,
+            only,
+            first,
+            last: None,
+        };
         self.pending.insert(id, pending);
-        world.wake(site::operator(), world.now, Timer::OperatorAgain(id));
+        world.wake(fixtures::operator(), world.now, Timer::OperatorRetry(id));
         id
     }
 
-    /// Whether a call still waits for its answer.
-    pub fn waits(&self, id: OperatorCallId) -> bool {
+    /// Whether a call still waits for its response.
+    pub fn is_pending(&self, id: OperatorCallId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Calls that wait for their answer.
-    pub fn waiting(&self) -> usize {
+    /// The number of calls without a response.
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Calls that wait for their answer, with the moments at which they were first sent.
-    pub fn waiting_since(&self) -> impl Iterator<Item = (OperatorCallId, Millis)> + '_ {
-        self.pending.iter().map(|(id, pending)| (*id, pending.begun))
+    /// Calls without a response, with the times at which they were first sent.
+    pub fn pending_since(&self) -> impl Iterator<Item = (OperatorCallId, Millis)> + '_ {
+        self.pending.iter().map(|(id, pending)| (*id, pending.started_at))
     }
 
-    /// Gives all calls up that have no answer yet.
-    pub fn give_up(&mut self) {
+    /// Abandons all calls that have no response yet.
+    pub fn abandon_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// It has been woken. `coordinators` is the list that it goes by.
+    /// Handles a timer that has expired. `coordinators` is the published list of coordinators.
     pub fn wake(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
         match timer {
-            Timer::OperatorAgain(id) => self.send(world, id, coordinators),
-            Timer::OperatorLate(number) => self.try_failed(world, number),
+            Timer::OperatorRetry(id) => self.send(world, id, coordinators),
+            Timer::OperatorTimeout(number) => self.attempt_failed(world, number),
             _ => {}
         }
     }
 
     fn send(&mut self, world: &mut World, id: OperatorCallId, coordinators: &[NodeId]) {
-        let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.waits_for.is_none()) else {
+        let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.awaited_call.is_none()) else {
             return;
         };
         let others: Vec<NodeId> =
             coordinators.iter().copied().filter(|node| Some(*node) != pending.last).collect();
         let candidates = if others.is_empty() { coordinators } else { &others };
         let last_index = (candidates.len() as u64).saturating_sub(1);
-        let index = world.between(0..=last_index) as usize;
+        let index = world.random_range(0..=last_index) as usize;
         let first = pending.first.take();
         let Some(to) = pending.only.or(first).or_else(|| candidates.get(index).copied()) else {
-            return world.wake(site::operator(), world.now + PATIENCE, Timer::OperatorAgain(id));
+            return world.wake(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorRetry(id));
         };
-        let number = world.number();
-        pending.tries += 1;
+        let number = world.next_id();
+        pending.attempts += 1;
         pending.last = Some(to);
-        pending.waits_for = Some(number);
+        pending.awaited_call = Some(number);
         let call = Call::Operator(pending.call.clone());
-        world.send(site::operator(), to, Message::Call { number, call });
-        world.wake(site::operator(), world.now + PATIENCE, Timer::OperatorLate(number));
+        world.send(fixtures::operator(), to, Message::Call { number, call });
+        world.wake(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorTimeout(number));
     }
 
-    fn find(&self, number: CallNumber) -> Option<OperatorCallId> {
+    fn call_awaiting(&self, number: CallNumber) -> Option<OperatorCallId> {
         let mut pending = self.pending.iter();
-        pending.find(|(_, pending)| pending.waits_for == Some(number)).map(|(id, _)| *id)
+        pending.find(|(_, pending)| pending.awaited_call == Some(number)).map(|(id, _)| *id)
     }
 
-    fn try_failed(&mut self, world: &mut World, number: CallNumber) {
-        let Some(id) = self.find(number) else { return };
+    fn attempt_failed(&mut self, world: &mut World, number: CallNumber) {
+        let Some(id) = self.call_awaiting(number) else { return };
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        pending.waits_for = None;
-        let pause = (FIRST_PAUSE << pending.tries.min(6)).min(LONGEST_PAUSE);
-        world.wake(site::operator(), world.now + pause, Timer::OperatorAgain(id));
+        pending.awaited_call = None;
+        let pause = (INITIAL_BACKOFF << pending.attempts.min(6)).min(MAX_BACKOFF);
+        world.wake(fixtures::operator(), world.now + pause, Timer::OperatorRetry(id));
     }
 
-    /// Something has come over a link.
+    /// Handles a message from the network.
     pub fn receive(&mut self, world: &mut World, message: Message) {
         match message {
-            Message::Answer { number, answer: Answer::Operator(answer) } => {
-                self.answered(world, number, answer);
+            Message::Response { number, response: Response::Operator(response) } => {
+                self.handle_response(world, number, response);
             }
-            Message::Refused { number, .. } => self.try_failed(world, number),
+            Message::ConnectionFailed { number, .. } => self.attempt_failed(world, number),
             _ => {}
         }
     }
 
-    fn answered(&mut self, world: &mut World, number: CallNumber, answer: OperatorResponse) {
-        let Some(id) = self.find(number).filter(|_| !world.chance(self.lost_answers)) else { return };
-        if answer == OperatorResponse::Unavailable {
-            return self.try_failed(world, number);
+    fn handle_response(&mut self, world: &mut World, number: CallNumber, response: OperatorResponse) {
+        let Some(id) = self.call_awaiting(number).filter(|_| !world.random_bool(self.response_loss)) else {
+            return;
+        };
+        if response == OperatorResponse::Unavailable {
+            return self.attempt_failed(world, number);
         }
         let Some(pending) = self.pending.remove(&id) else { return };
-        match (pending.change, answer) {
-            (Some(change), answer) => self.change_answered(world, change, pending.begun, answer),
+        match (pending.change, response) {
+            (Some(change), response) => {
+                self.handle_change_response(world, change, pending.started_at, response)
+            }
             (None, OperatorResponse::Done { body }) => {
                 let document: Value = serde_json::from_slice(&body).expect("what is read back is JSON");
                 if version_of(&document) > self.known_version() {
                     self.known = document.clone();
                 }
-                let read = ReadBack { call: id, begun: pending.begun, at: world.now, document };
-                world.witness.read_back(read);
+                let read = ConfigRead { call: id, started_at: pending.started_at, at: world.now, document };
+                world.observer.config_read(read);
             }
-            (None, answer) => panic!("a read is answered with {answer:?}"),
+            (None, response) => panic!("a read is answered with {response:?}"),
         }
     }
 
-    fn change_answered(&mut self, world: &mut World, change: u64, begun: Millis, answer: OperatorResponse) {
-        let outcome = match answer {
+    fn handle_change_response(
+        &mut self,
+        world: &mut World,
+        change: u64,
+        started_at: Millis,
+        response: OperatorResponse,
+    ) {
+        let outcome = match response {
             OperatorResponse::Done { .. } => Outcome::Acknowledged,
             OperatorResponse::Conflict { current_version: current } => Outcome::Conflict { current },
             OperatorResponse::Invalid { .. } | OperatorResponse::Unavailable => Outcome::Invalid,
@@ -274,9 +292,9 @@
             }
         }
         if let Outcome::Conflict { current } = outcome {
-            world.witness.refused(Rejection { change, begun, at: world.now, current });
+            world.observer.change_conflicted(ConflictResponse { change, started_at, at: world.now, current });
         }
-        world.witness.judged(world.now, change, outcome);
+        world.observer.change_answered(world.now, change, outcome);
     }
 }
 
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -4,18 +4,18 @@
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::checks::{violations, Bounds};
+use crate::fixtures;
 use crate::fleet::{
     Fleet, CONVERGENCE, DRAIN, LEASE, ORIGIN_OVERSHOOT, ORIGIN_WINDOW, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW,
 };
-use crate::site;
+use crate::invariants::{violations, InvariantBounds};
 
 impl Fleet {
-    /// The bounds that the rules are checked by.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    /// The bounds of the invariants, from the settings of this fleet.
+    pub fn bounds(&self) -> InvariantBounds {
+        InvariantBounds {
             convergence: CONVERGENCE,
-            attempts: site::MAX_ATTEMPTS,
+            attempts: fixtures::MAX_ATTEMPTS,
             retry_window: RETRY_WINDOW,
             retry_ratio: RETRY_RATIO,
             retry_slack: RETRY_SLACK,
@@ -27,25 +27,30 @@
         }
     }
 
-    /// Checks all rules over what was seen.
+    /// Checks all invariants over the observations.
     ///
     /// # Panics
-    /// One is broken.
+    /// An invariant is violated.
     pub fn check(&self) {
-        let found = violations(&self.world.witness, &self.bounds());
-        let lines: Vec<String> = found.iter().map(ToString::to_string).collect();
-        assert!(found.is_empty(), "{}\n{}", lines.join("\n"), self.describe());
+        let violations = violations(&self.world.observer, &self.bounds());
+        let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
+        assert!(violations.is_empty(), "{}\n{}", lines.join("\n"), self.describe());
     }
 
-    /// What is known of the fleet, for messages of failed tests.
+    /// Describes actions, state changes and the state of all nodes, for messages of failed tests.
     pub fn describe(&self) -> String {
         let mut lines = vec![format!("seed {} at {}", self.options.seed, self.world.now)];
-        let notes = self.world.witness.notes.iter().map(|(at, node, note)| (*at, format!("{node} {note:?}")));
-        let story = self.world.witness.story.iter().map(|(at, what)| (*at, format!("---- {what}")));
-        let mut told: Vec<(Millis, String)> = story.chain(notes).collect();
-        told.sort_by_key(|(at, _)| *at);
-        lines.extend(told.into_iter().map(|(at, what)| format!("  {at} {what}")));
-        for (from, to) in self.world.network.cuts() {
+        let state_changes = self
+            .world
+            .observer
+            .state_changes
+            .iter()
+            .map(|(at, node, change)| (*at, format!("{node} {change:?}")));
+        let actions = self.world.observer.actions.iter().map(|(at, what)| (*at, format!("---- {what}")));
+        let mut entries: Vec<(Millis, String)> = actions.chain(state_changes).collect();
+        entries.sort_by_key(|(at, _)| *at);
+        lines.extend(entries.into_iter().map(|(at, what)| format!("  {at} {what}")));
+        for (from, to) in self.world.network.partitions() {
             lines.push(format!("  cut from {from} to {to}"));
         }
         for node in self.coordinators() {
@@ -53,7 +58,7 @@
         }
         for node in self.edges() {
             let edge = self.edge(node);
-            let known = edge.map(|edge| (edge.view().version, edge.polls()));
+            let known = edge.map(|edge| (edge.view().version, edge.polled_coordinator()));
             lines.push(format!("  {node}: version and coordinator {known:?}"));
         }
         lines.join("\n")
