--- a/simulation/src/requests.rs
+++ b/simulation/src/requests.rs
@@ -9,113 +9,117 @@
 };
 
 use crate::edge::Edge;
+use crate::fixtures::server_node;
 use crate::message::{Call, CallNumber, Message, Request};
-use crate::site::server_node;
-use crate::witness::{Ask, Place, Sending};
+use crate::observer::{AttemptSent, ClientRequest, EdgeState};
 use crate::world::{Timer, World};
 
-/// How long a connection to a server may take to come up, as in the data plane.
+/// Time-out of a connection to a server, as in the data plane, in milliseconds.
 const CONNECT_TIMEOUT: Millis = 300;
-/// No configuration is known yet.
+/// Status of a request while no configuration is known.
 const UNAVAILABLE: u16 = 503;
-/// No route allows the request.
+/// Status of a request that no route matches.
 const NOT_FOUND: u16 = 404;
-/// What a client is taken to see of an answer that breaks off.
-pub const BROKEN_OFF: u16 = 0;
+/// Stands for the status of a response that was aborted.
+pub const ABORTED_STATUS: u16 = 0;
 
-/// A sending that has not ended.
+/// An attempt that has not ended.
 #[derive(Clone, Debug)]
-struct Out {
+struct InFlightAttempt {
     request: RequestId,
     attempt: Attempt,
     server: ServerId,
     service: String,
-    /// Where it went; `None` while no connection comes up.
+    /// The server to which it was written; `None` while it is not connected.
     written_to: Option<NodeId>,
 }
 
-/// What clients ask for.
-struct Open {
-    ask: Ask,
-    /// A failure of a server that may be passed on.
-    held: Option<u16>,
+/// A request without a response.
+struct OpenRequest {
+    client_request: ClientRequest,
+    /// The status of a server's failure that may be forwarded to the client.
+    failure_status: Option<u16>,
 }
 
-/// The requests at an edge.
+/// The clients' requests at an edge and their attempts in flight.
 #[derive(Default)]
 pub struct Requests {
-    open: BTreeMap<RequestId, Open>,
-    out: BTreeMap<CallNumber, Out>,
-    /// Servers to which a connection is kept.
+    open: BTreeMap<RequestId, OpenRequest>,
+    in_flight: BTreeMap<CallNumber, InFlightAttempt>,
+    /// Servers with a pooled connection.
     pooled: BTreeSet<ServerId>,
 }
 
 impl Requests {
-    /// The process ends: its connections to servers are reset.
-    pub(crate) fn close_all(&self, node: NodeId, world: &mut World) {
-        for (number, out) in &self.out {
-            if let Some(server) = out.written_to {
-                world.send(node, server, Message::Closed { number: *number });
+    /// Cancels all attempts in flight, as their connections are reset.
+    pub(crate) fn cancel_all(&self, node: NodeId, world: &mut World) {
+        for (number, in_flight) in &self.in_flight {
+            if let Some(server) = in_flight.written_to {
+                world.send(node, server, Message::Cancelled { number: *number });
             }
         }
     }
 
-    /// Requests without an answer.
+    /// The number of requests without a response.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 }
 
 impl Edge {
-    /// A client's request arrives, read whole.
-    pub fn ask(&mut self, world: &mut World, number: u64, ask: Ask) {
-        let route = self.view().route(&ask.host, &ask.path).cloned();
-        let once = route.as_ref().is_some_and(|route| route.kind == RouteKind::NonIdempotent);
-        let in_touch = world.touch.has_quorum_contact(world.now, self.node(), &world.network);
-        let place = Place { edge: self.node(), version: self.view().version, in_touch };
-        world.witness.asked(world.now, number, &ask, once, place);
+    /// Handles a client's request whose body has been read completely.
+    pub fn handle_client_request(&mut self, world: &mut World, number: u64, client_request: ClientRequest) {
+        let route = self.view().route(&client_request.host, &client_request.path).cloned();
+        let non_idempotent = route.as_ref().is_some_and(|route| route.kind == RouteKind::NonIdempotent);
+        let has_quorum_contact = world.contact.has_quorum_contact(world.now, self.node(), &world.network);
+        let edge_state = EdgeState { edge: self.node(), version: self.view().version, has_quorum_contact };
+        world.observer.request_received(world.now, number, &client_request, non_idempotent, edge_state);
         let Some(route) = route else {
             let status = if self.view().version == 0 { UNAVAILABLE } else { NOT_FOUND };
-            return world.witness.answered(world.now, number, status);
+            return world.observer.request_answered(world.now, number, status);
         };
         let id = RequestId(number);
         let new = NewRequest {
             id,
-            model: ask.model.clone(),
-            adapter: ask.adapter.clone(),
+            model: client_request.model.clone(),
+            adapter: client_request.adapter.clone(),
             tokens: Some((200, 20)),
             prompt: Vec::new(),
-            deadline_ms: ask.deadline_ms.unwrap_or(route.timeout_ms),
+            deadline_ms: client_request.deadline_ms.unwrap_or(route.timeout_ms),
             last_event: None,
             body_bytes: Some(0),
             path_hash: number,
             route,
         };
-        self.requests.open.insert(id, Open { ask, held: None });
-        self.tell(world, Event::Request(new));
+        self.requests.open.insert(id, OpenRequest { client_request, failure_status: None });
+        self.handle_event(world, Event::Request(new));
     }
 
-    pub(crate) fn carry_out(&mut self, world: &mut World, action: Action) {
+    pub(crate) fn execute(&mut self, world: &mut World, action: Action) {
         match action {
             Action::Send { request, attempt, server, address, service, .. } => {
-                let sending = Sending {
+                let sending = AttemptSent {
                     at: world.now,
                     edge: self.node(),
                     request: request.0,
                     server: server.clone(),
                     service: service.clone(),
-                    in_touch: world.touch.has_quorum_contact(world.now, self.node(), &world.network),
+                    has_quorum_contact: world.contact.has_quorum_contact(
+                        world.now,
+                        self.node(),
+                        &world.network,
+                    ),
                 };
-                world.witness.sent(sending);
-                let out = Out { request, attempt, server, service, written_to: None };
-                self.send(world, out, server_node(&address));
+                world.observer.attempt_sent(sending);
+                let in_flight = InFlightAttempt { request, attempt, server, service, written_to: None };
+                self.send(world, in_flight, server_node(&address));
             }
             Action::ForwardFailure(request) => {
-                let held = self.requests.open.get(&request).and_then(|open| open.held);
-                self.finish(world, request, held.expect("a failure that is passed on is held"));
+                let failure_status = self.requests.open.get(&request).and_then(|open| open.failure_status);
+                self.complete(world, request, failure_status.expect("a failure that is passed on is held"));
             }
-            Action::Reject { request, rejection: refusal } => self.finish(world, request, refusal.status),
-            Action::AbortResponse(request) => self.finish(world, request, BROKEN_OFF),
+            Action::Reject { request, rejection } => self.complete(world, request, rejection.status),
+            Action::AbortResponse(request) => self.complete(world, request, ABORTED_STATUS),
             Action::Cancel(request, attempt) => self.cancel(world, request, attempt),
             Action::CloseConnections(server) => {
                 self.requests.pooled.remove(&server);
@@ -123,58 +127,59 @@
         }
     }
 
-    fn send(&mut self, world: &mut World, mut out: Out, address: NodeId) {
+    fn send(&mut self, world: &mut World, mut in_flight: InFlightAttempt, address: NodeId) {
         let node = self.node();
-        let Some(open) = self.requests.open.get_mut(&out.request) else { return };
-        open.held = None;
-        let number = world.number();
+        let Some(open) = self.requests.open.get_mut(&in_flight.request) else { return };
+        open.failure_status = None;
+        let number = world.next_id();
         let connected =
-            self.requests.pooled.contains(&out.server) || world.network.can_connect(node, address);
-        let (request, attempt) = (out.request, out.attempt);
+            self.requests.pooled.contains(&in_flight.server) || world.network.can_connect(node, address);
+        let (request, attempt) = (in_flight.request, in_flight.attempt);
         if !connected {
-            world.wake(node, world.now + CONNECT_TIMEOUT, Timer::RequestUnreachable(number));
-            self.requests.out.insert(number, out);
+            world.wake(node, world.now + CONNECT_TIMEOUT, Timer::ConnectTimeout(number));
+            self.requests.in_flight.insert(number, in_flight);
             return;
         }
-        out.written_to = Some(address);
+        in_flight.written_to = Some(address);
         let call = Call::Request(Request {
             request: request.0,
-            expected: out.server.clone(),
-            model: open.ask.model.clone().unwrap_or_default(),
-            adapter: open.ask.adapter.clone(),
+            expected: in_flight.server.clone(),
+            model: open.client_request.model.clone().unwrap_or_default(),
+            adapter: open.client_request.adapter.clone(),
         });
         world.send(node, address, Message::Call { number, call });
-        world.witness.written(world.now, request.0, &out.service);
-        self.requests.out.insert(number, out);
-        self.tell(world, Event::Written(request, attempt));
+        world.observer.attempt_written(world.now, request.0, &in_flight.service);
+        self.requests.in_flight.insert(number, in_flight);
+        self.handle_event(world, Event::Written(request, attempt));
     }
 
     fn cancel(&mut self, world: &mut World, request: RequestId, attempt: Attempt) {
-        let mut outs = self.requests.out.iter();
-        let found = outs.find(|(_, out)| out.request == request && out.attempt == attempt);
+        let mut attempts = self.requests.in_flight.iter();
+        let found =
+            attempts.find(|(_, in_flight)| in_flight.request == request && in_flight.attempt == attempt);
         let Some(number) = found.map(|(number, _)| *number) else { return };
-        let Some(out) = self.requests.out.remove(&number) else { return };
-        if let Some(server) = out.written_to {
-            world.send(self.node(), server, Message::Closed { number });
+        let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
+        if let Some(server) = in_flight.written_to {
+            world.send(self.node(), server, Message::Cancelled { number });
         }
-        self.requests.pooled.remove(&out.server);
-        let verdict = if out.written_to.is_some() { Verdict::MayHaveRun } else { Verdict::NeverSent };
-        self.end(world, &out, verdict, Ending::Cancelled);
+        self.requests.pooled.remove(&in_flight.server);
+        let verdict = if in_flight.written_to.is_some() { Verdict::MayHaveRun } else { Verdict::NeverSent };
+        self.end_attempt(world, &in_flight, verdict, Ending::Cancelled);
     }
 
     pub(crate) fn request_unreachable(&mut self, world: &mut World, number: CallNumber) {
-        let Some(out) = self.requests.out.remove(&number) else { return };
-        self.end(world, &out, Verdict::NeverSent, Ending::Unreachable);
+        let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
+        self.end_attempt(world, &in_flight, Verdict::NeverSent, Ending::Unreachable);
     }
 
     pub(crate) fn request_refused(&mut self, world: &mut World, number: CallNumber, accepted: bool) {
-        let Some(out) = self.requests.out.remove(&number) else { return };
-        let pooled = self.requests.pooled.remove(&out.server);
+        let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
+        let pooled = self.requests.pooled.remove(&in_flight.server);
         if accepted || pooled {
-            self.end(world, &out, Verdict::MayHaveRun, Ending::ConnectionLost);
+            self.end_attempt(world, &in_flight, Verdict::MayHaveRun, Ending::ConnectionLost);
         } else {
-            world.witness.unwritten(out.request.0);
-            self.end(world, &out, Verdict::NeverSent, Ending::Unreachable);
+            world.observer.attempt_not_written(in_flight.request.0);
+            self.end_attempt(world, &in_flight, Verdict::NeverSent, Ending::Unreachable);
         }
     }
 
@@ -185,38 +190,44 @@
         status: u16,
         instance: ServerId,
     ) {
-        let Some(out) = self.requests.out.remove(&number) else { return };
-        self.requests.pooled.insert(out.server.clone());
+        let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
+        self.requests.pooled.insert(in_flight.server.clone());
         match status {
             200..=299 => {
-                self.tell(world, Event::Head(out.request, out.attempt, None));
-                self.tell(world, Event::First(out.request, out.attempt));
-                self.end(world, &out, Verdict::HasRun, Ending::Served);
-                self.finish(world, out.request, status);
+                self.handle_event(world, Event::Head(in_flight.request, in_flight.attempt, None));
+                self.handle_event(world, Event::First(in_flight.request, in_flight.attempt));
+                self.end_attempt(world, &in_flight, Verdict::HasRun, Ending::Served);
+                self.complete(world, in_flight.request, status);
             }
             421 | 429 | 503 => {
                 let ending = Ending::Rejected { status, instance: Some(instance) };
-                self.end(world, &out, Verdict::SurelyNotRun, ending);
+                self.end_attempt(world, &in_flight, Verdict::SurelyNotRun, ending);
             }
             _ => {
-                if let Some(open) = self.requests.open.get_mut(&out.request) {
-                    open.held = Some(status);
+                if let Some(open) = self.requests.open.get_mut(&in_flight.request) {
+                    open.failure_status = Some(status);
                 }
-                self.end(world, &out, Verdict::HasRun, Ending::Failed { status });
+                self.end_attempt(world, &in_flight, Verdict::HasRun, Ending::Failed { status });
             }
         }
     }
 
-    fn end(&mut self, world: &mut World, out: &Out, verdict: Verdict, ending: Ending) {
+    fn end_attempt(
+        &mut self,
+        world: &mut World,
+        in_flight: &InFlightAttempt,
+        verdict: Verdict,
+        ending: Ending,
+    ) {
         let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
-        self.tell(world, Event::Ended(out.request, out.attempt, outcome));
+        self.handle_event(world, Event::Ended(in_flight.request, in_flight.attempt, outcome));
     }
 
-    /// The client has its answer.
-    fn finish(&mut self, world: &mut World, request: RequestId, status: u16) {
+    /// Completes a request with the status that its client gets.
+    fn complete(&mut self, world: &mut World, request: RequestId, status: u16) {
         if self.requests.open.remove(&request).is_some() {
-            world.witness.answered(world.now, request.0, status);
-            self.tell(world, Event::Finished(request));
+            world.observer.request_answered(world.now, request.0, status);
+            self.handle_event(world, Event::Finished(request));
         }
     }
 }
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -7,200 +7,212 @@
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, Order, ServerState, MAX_HEARTBEAT_BYTES};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
-use crate::message::{Answer, Call, CallNumber, Message, Request};
-use crate::site::{model_name, server_address, Models, LLM};
+use crate::fixtures::{model_name, server_address, Models, LLM_SERVICE};
+use crate::message::{Call, CallNumber, Message, Request, Response};
 use crate::world::{Timer, World};
 
-/// Within which a call must be acknowledged.
-const PATIENCE: Millis = 1_000;
-/// The pause before another coordinator is called, at first.
-const FIRST_PAUSE: Millis = 50;
-/// Until when a server that leaves waits for its acknowledgement.
-const LEAVES_ANYWAY: Millis = 6_000;
-/// How long a server goes on after `drainMs`.
-const STAYS_LONGER: std::ops::RangeInclusive<Millis> = 100..=2_500;
-/// What a request takes.
-const REQUEST_TAKES: std::ops::RangeInclusive<Millis> = 20..=250;
-/// Requests that wait beyond the slots.
-const QUEUE: u32 = 4;
-
-/// Models with their adapters.
-pub type Held = BTreeMap<String, BTreeSet<String>>;
-
-/// What a server is started with.
+/// Time-out of a call to a coordinator, in milliseconds.
+const CALL_TIMEOUT: Millis = 1_000;
+/// Initial backoff before another coordinator is called, in milliseconds.
+const INITIAL_BACKOFF: Millis = 50;
+/// How long a server waits for the acknowledgement of `draining` or of its deregistration, in milliseconds.
+const SHUTDOWN_TIMEOUT: Millis = 6_000;
+/// How long a server stays up after `drainMs`, in milliseconds.
+const POST_DRAIN_TIME: std::ops::RangeInclusive<Millis> = 100..=2_500;
+/// Duration of a request's execution, in milliseconds.
+const REQUEST_DURATION: std::ops::RangeInclusive<Millis> = 20..=250;
+/// Requests that may wait beyond the slots.
+const MAX_QUEUED: u32 = 4;
+
+/// Loaded models with their loaded adapters, by name.
+pub type LoadedModels = BTreeMap<String, BTreeSet<String>>;
+
+/// The settings of a model server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// What the site's servers run.
+    /// The models and the capacity of the servers.
     pub models: Models,
-    /// Between two heartbeats.
+    /// Interval of heartbeats, in milliseconds.
     pub heartbeat: Millis,
-    /// From the acknowledgement of `draining` on, how long it must serve.
+    /// How long it must serve after the acknowledgement of `draining`, in milliseconds.
     pub drain: Millis,
-    /// Models that it holds from its start.
-    pub holds: Vec<usize>,
+    /// Models that are loaded from its start, by number.
+    pub initial_models: Vec<usize>,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningOrder {
     number: u64,
     order: Order,
     from_store: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Serving {
+struct InFlightRequest {
     from: NodeId,
     request: Request,
 }
 
-/// How far a server is on its way out.
+/// How far a server's shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum Lifecycle {
     Ready,
-    /// Says `draining`, not acknowledged yet.
-    Leaving {
+    /// Reports `draining`, not acknowledged yet.
+    Draining {
         since: Millis,
-        gone_at: Option<Millis>,
+        exit_at: Option<Millis>,
     },
     /// `draining` was acknowledged.
-    Drained {
-        gone_at: Option<Millis>,
+    AcknowledgedDrain {
+        exit_at: Option<Millis>,
     },
-    /// Says farewell.
-    Farewell {
+    /// Deregisters.
+    Deregistering {
         since: Millis,
     },
 }
 
-/// A model server's process.
+/// A model server's simulated process.
 pub struct ModelServer {
     node: NodeId,
     id: ServerId,
     options: ServerOptions,
-    held: Held,
-    /// Models that its own disk has, also from before a restart.
-    disk: BTreeSet<String>,
-    running: Option<Running>,
+    loaded: LoadedModels,
+    /// Models on its machine's disk, also from before a restart.
+    disk_models: BTreeSet<String>,
+    current_order: Option<RunningOrder>,
     revision: u64,
     sequence: u64,
-    life: Life,
-    calling: Option<(CallNumber, NodeId)>,
+    lifecycle: Lifecycle,
+    pending_call: Option<(CallNumber, NodeId)>,
     coordinator: Option<NodeId>,
     failures: u32,
-    serving: BTreeMap<CallNumber, Serving>,
-    ended: bool,
+    in_flight: BTreeMap<CallNumber, InFlightRequest>,
+    exited: bool,
 }
 
 impl ModelServer {
-    /// Starts a server; `disk` is what its machine's disk holds.
-    pub fn start(node: NodeId, options: ServerOptions, disk: BTreeSet<String>, world: &mut World) -> Self {
-        let id = format!("i-{:08x}", world.number() << 8 | u64::from(node.0 & 0xff));
-        let held: Held = options.holds.iter().map(|model| (model_name(*model), BTreeSet::new())).collect();
-        let disk = disk.into_iter().chain(held.keys().cloned()).collect();
-        let first = world.between(0..=options.heartbeat);
+    /// Starts a server; `disk_models` are the models on its machine's disk.
+    pub fn start(
+        node: NodeId,
+        options: ServerOptions,
+        disk_models: BTreeSet<String>,
+        world: &mut World,
+    ) -> Self {
+        let id = format!("i-{:08x}", world.next_id() << 8 | u64::from(node.0 & 0xff));
+        let loaded: LoadedModels =
+            options.initial_models.iter().map(|model| (model_name(*model), BTreeSet::new())).collect();
+        let disk_models = disk_models.into_iter().chain(loaded.keys().cloned()).collect();
+        let first = world.random_range(0..=options.heartbeat);
         world.wake(node, world.now + first, Timer::Heartbeat);
         ModelServer {
             node,
             id,
             options,
-            held,
-            disk,
-            running: None,
+            loaded,
+            disk_models,
+            current_order: None,
             revision: 0,
             sequence: 0,
-            life: Life::Ready,
-            calling: None,
+            lifecycle: Lifecycle::Ready,
+            pending_call: None,
             coordinator: None,
             failures: 0,
-            serving: BTreeMap::new(),
-            ended: false,
+            in_flight: BTreeMap::new(),
+            exited: false,
         }
     }
 
-    /// This start of the server.
+    /// The identifier of this incarnation of the server.
     pub fn id(&self) -> &ServerId {
         &self.id
     }
 
-    /// Its service.
+    /// The name of its service.
     pub fn service(&self) -> &str {
         &self.options.service
     }
 
-    /// What it holds.
-    pub fn held(&self) -> &Held {
-        &self.held
+    /// The loaded models and adapters.
+    pub fn loaded(&self) -> &LoadedModels {
+        &self.loaded
     }
 
-    /// What its disk holds.
-    pub fn disk(&self) -> &BTreeSet<String> {
-        &self.disk
+    /// The models on its disk.
+    pub fn disk_models(&self) -> &BTreeSet<String> {
+        &self.disk_models
     }
 
-    /// Whether it has come to its end.
-    pub fn has_ended(&self) -> bool {
-        self.ended
+    /// Whether it has exited.
+    pub fn has_exited(&self) -> bool {
+        self.exited
     }
 
-    /// Whether it leaves, or has said so.
-    pub fn is_leaving(&self) -> bool {
-        self.life != Life::Ready
+    /// Whether it has begun to drain.
+    pub fn is_draining(&self) -> bool {
+        self.lifecycle != Lifecycle::Ready
     }
 
-    /// Since when it says that it leaves, while that is not acknowledged.
-    pub fn leaving_since(&self) -> Option<Millis> {
-        match self.life {
-            Life::Leaving { since, .. } => Some(since),
+    /// Since when it reports `draining`, while that is not acknowledged.
+    pub fn draining_since(&self) -> Option<Millis> {
+        match self.lifecycle {
+            Lifecycle::Draining { since, .. } => Some(since),
             _ => None,
         }
     }
 
-    /// A planned end begins; at short notice it is gone after `remaining`.
-    pub fn leave(&mut self, world: &mut World, remaining: Option<Millis>) {
-        if self.life != Life::Ready {
+    /// Begins to drain; at short notice the server exits after `remaining` milliseconds.
+    pub fn drain(&mut self, world: &mut World, remaining: Option<Millis>) {
+        if self.lifecycle != Lifecycle::Ready {
             return;
         }
-        let gone_at = remaining.map(|remaining| world.now + remaining);
-        self.life = Life::Leaving { since: world.now, gone_at };
-        self.calling = None;
+        let exit_at = remaining.map(|remaining| world.now + remaining);
+        self.lifecycle = Lifecycle::Draining { since: world.now, exit_at };
+        self.pending_call = None;
         world.wake(self.node, world.now, Timer::Heartbeat);
-        world.wake(self.node, gone_at.unwrap_or(world.now + LEAVES_ANYWAY), Timer::ServerEnds);
+        world.wake(self.node, exit_at.unwrap_or(world.now + SHUTDOWN_TIMEOUT), Timer::ServerExit);
     }
 
-    /// The process ends: its connections are reset.
+    /// Ends the process abruptly: its connections are reset.
     pub fn kill(self, world: &mut World) -> BTreeSet<String> {
-        if self.running.as_ref().is_some_and(|running| running.from_store) {
+        if self.current_order.as_ref().is_some_and(|current_order| current_order.from_store) {
             world.loading -= 1;
         }
-        for (number, serving) in &self.serving {
-            world.send(self.node, serving.from, Message::Refused { number: *number, accepted: true });
+        for (number, in_flight) in &self.in_flight {
+            world.send(
+                self.node,
+                in_flight.from,
+                Message::ConnectionFailed { number: *number, accepted: true },
+            );
         }
-        self.disk
+        self.disk_models
     }
 
-    /// Something has come over a link.
+    /// Handles a message from the network.
     pub fn receive(&mut self, world: &mut World, from: NodeId, message: Message) {
         match message {
-            Message::Call { number, call } => self.take_call(world, from, number, call),
-            Message::Answer { number, answer: Answer::Server(taken) } => self.called(world, number, taken),
-            Message::Refused { number, .. } => self.called(world, number, false),
-            Message::Closed { number } => {
-                self.serving.remove(&number);
+            Message::Call { number, call } => self.handle_call(world, from, number, call),
+            Message::Response { number, response: Response::Server(accepted) } => {
+                self.call_completed(world, number, accepted)
+            }
+            Message::ConnectionFailed { number, .. } => self.call_completed(world, number, false),
+            Message::Cancelled { number } => {
+                self.in_flight.remove(&number);
             }
             _ => {}
         }
     }
 
-    /// It has been woken. `coordinators` is the list that it goes by.
+    /// Handles a timer that has expired. `coordinators` is the published list of coordinators.
     pub fn wake(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
         match timer {
-            Timer::Heartbeat if self.calling.is_none() => self.call(world, coordinators),
-            Timer::ServerCallLate(number) => self.called(world, number, false),
-            Timer::OrderDone(number) => self.order_done(world, number),
-            Timer::RequestDone(number) => self.request_done(world, number),
-            Timer::ServerEnds => self.come_to_end(world),
+            Timer::Heartbeat if self.pending_call.is_none() => self.call(world, coordinators),
+            Timer::CoordinatorCallTimeout(number) => self.call_completed(world, number, false),
+            Timer::OrderCompleted(number) => self.complete_order(world, number),
+            Timer::RequestCompleted(number) => self.complete_request(world, number),
+            Timer::ServerExit => self.advance_shutdown(world),
             _ => {}
         }
     }
@@ -208,26 +220,26 @@
     // ---- Heartbeats ------------------------------------------------------------------------------------
 
     fn call(&mut self, world: &mut World, coordinators: &[NodeId]) {
-        let known = self.coordinator.filter(|known| coordinators.contains(known));
-        let Some(coordinator) = known.or_else(|| pick(world, coordinators)) else {
-            return world.wake(self.node, world.now + PATIENCE, Timer::Heartbeat);
+        let preferred = self.coordinator.filter(|preferred| coordinators.contains(preferred));
+        let Some(coordinator) = preferred.or_else(|| choose(world, coordinators)) else {
+            return world.wake(self.node, world.now + CALL_TIMEOUT, Timer::Heartbeat);
         };
         self.coordinator = Some(coordinator);
-        let number = world.number();
-        let call = match self.life {
-            Life::Farewell { .. } => Call::Deregister { id: self.id.clone() },
+        let number = world.next_id();
+        let call = match self.lifecycle {
+            Lifecycle::Deregistering { .. } => Call::Deregister { id: self.id.clone() },
             _ => self.heartbeat(world),
         };
-        self.calling = Some((number, coordinator));
+        self.pending_call = Some((number, coordinator));
         world.send(self.node, coordinator, Message::Call { number, call });
-        world.wake(self.node, world.now + PATIENCE, Timer::ServerCallLate(number));
+        world.wake(self.node, world.now + CALL_TIMEOUT, Timer::CoordinatorCallTimeout(number));
     }
 
     fn heartbeat(&mut self, world: &World) -> Call {
         self.sequence += 1;
-        let leaving = self.life != Life::Ready;
-        let gone_at = match self.life {
-            Life::Leaving { gone_at, .. } | Life::Drained { gone_at } => gone_at,
+        let draining = self.lifecycle != Lifecycle::Ready;
+        let exit_at = match self.lifecycle {
+            Lifecycle::Draining { exit_at, .. } | Lifecycle::AcknowledgedDrain { exit_at } => exit_at,
             _ => None,
         };
         let heartbeat = Heartbeat {
@@ -236,10 +248,10 @@
             zone: "a".to_owned(),
             version: "v1".to_owned(),
             slots: self.options.models.slots,
-            state: if leaving { ServerState::Draining } else { ServerState::Ready },
-            remaining_ms: gone_at.map(|at| at.saturating_sub(world.now) as f64),
+            state: if draining { ServerState::Draining } else { ServerState::Ready },
+            remaining_ms: exit_at.map(|at| at.saturating_sub(world.now) as f64),
             phase: "combined".to_owned(),
-            models: (self.options.service == LLM).then(|| listed(&self.held)),
+            models: (self.options.service == LLM_SERVICE).then(|| to_loaded_models(&self.loaded)),
             sequence: self.sequence,
             ..Heartbeat::default()
         };
@@ -248,102 +260,115 @@
         Call::Heartbeat { id: self.id.clone(), body }
     }
 
-    /// A call has ended.
-    fn called(&mut self, world: &mut World, number: CallNumber, taken: bool) {
-        let Some((_, coordinator)) = self.calling.take_if(|(calling, _)| *calling == number) else { return };
-        if !taken {
+    /// Handles the end of the call to a coordinator.
+    fn call_completed(&mut self, world: &mut World, number: CallNumber, accepted: bool) {
+        let Some((_, coordinator)) = self.pending_call.take_if(|(pending_call, _)| *pending_call == number)
+        else {
+            return;
+        };
+        if !accepted {
             self.coordinator = None;
             self.failures += 1;
-            let pause = FIRST_PAUSE << self.failures.min(4);
+            let pause = INITIAL_BACKOFF << self.failures.min(4);
             return world.wake(self.node, world.now + pause, Timer::Heartbeat);
         }
         self.failures = 0;
-        match self.life {
-            Life::Leaving { gone_at, .. } => {
-                let in_touch = world.touch.has_quorum_contact(world.now, coordinator, &world.network);
-                world.witness.drained(world.now, &self.id, coordinator, in_touch);
-                self.life = Life::Drained { gone_at };
-                if gone_at.is_none() {
-                    let stays = self.options.drain + world.between(STAYS_LONGER);
-                    world.wake(self.node, world.now + stays, Timer::ServerEnds);
+        match self.lifecycle {
+            Lifecycle::Draining { exit_at, .. } => {
+                let has_quorum_contact =
+                    world.contact.has_quorum_contact(world.now, coordinator, &world.network);
+                world.observer.drain_acknowledged(world.now, &self.id, coordinator, has_quorum_contact);
+                self.lifecycle = Lifecycle::AcknowledgedDrain { exit_at };
+                if exit_at.is_none() {
+                    let stays = self.options.drain + world.random_range(POST_DRAIN_TIME);
+                    world.wake(self.node, world.now + stays, Timer::ServerExit);
                 }
             }
-            Life::Farewell { .. } => return self.end(world),
-            Life::Ready | Life::Drained { .. } => {}
+            Lifecycle::Deregistering { .. } => return self.exit(world),
+            Lifecycle::Ready | Lifecycle::AcknowledgedDrain { .. } => {}
         }
         world.wake(self.node, world.now + self.options.heartbeat, Timer::Heartbeat);
     }
 
-    fn come_to_end(&mut self, world: &mut World) {
-        match self.life {
-            Life::Ready => {}
-            Life::Leaving { since, gone_at } => {
-                let over = gone_at.is_some_and(|at| at <= world.now) || since + LEAVES_ANYWAY <= world.now;
+    fn advance_shutdown(&mut self, world: &mut World) {
+        match self.lifecycle {
+            Lifecycle::Ready => {}
+            Lifecycle::Draining { since, exit_at } => {
+                let over = exit_at.is_some_and(|at| at <= world.now) || since + SHUTDOWN_TIMEOUT <= world.now;
                 if over {
-                    self.end(world);
+                    self.exit(world);
                 }
             }
-            Life::Drained { gone_at: Some(at) } if at > world.now => {}
-            Life::Drained { gone_at: Some(_) } => self.end(world),
-            Life::Drained { gone_at: None } => {
-                self.life = Life::Farewell { since: world.now };
-                self.calling = None;
+            Lifecycle::AcknowledgedDrain { exit_at: Some(at) } if at > world.now => {}
+            Lifecycle::AcknowledgedDrain { exit_at: Some(_) } => self.exit(world),
+            Lifecycle::AcknowledgedDrain { exit_at: None } => {
+                self.lifecycle = Lifecycle::Deregistering { since: world.now };
+                self.pending_call = None;
                 world.wake(self.node, world.now, Timer::Heartbeat);
-                world.wake(self.node, world.now + LEAVES_ANYWAY, Timer::ServerEnds);
+                world.wake(self.node, world.now + SHUTDOWN_TIMEOUT, Timer::ServerExit);
             }
-            Life::Farewell { since } => {
-                if since + LEAVES_ANYWAY <= world.now {
-                    self.end(world);
+            Lifecycle::Deregistering { since } => {
+                if since + SHUTDOWN_TIMEOUT <= world.now {
+                    self.exit(world);
                 }
             }
         }
     }
 
-    fn end(&mut self, world: &mut World) {
-        self.ended = true;
-        world.wake(self.node, world.now, Timer::ServerEnds);
+    fn exit(&mut self, world: &mut World) {
+        self.exited = true;
+        world.wake(self.node, world.now, Timer::ServerExit);
     }
 
     // ---- Requests --------------------------------------------------------------------------------------
 
-    fn take_call(&mut self, world: &mut World, from: NodeId, number: CallNumber, call: Call) {
-        let answer = match call {
+    fn handle_call(&mut self, world: &mut World, from: NodeId, number: CallNumber, call: Call) {
+        let response = match call {
             Call::Order { expected, body } => {
                 let order: Order = sonic_rs::from_slice(&body).expect("an order is read");
-                Answer::Order(self.take_order(world, from, &expected, order))
+                Response::Order(self.handle_order(world, from, &expected, order))
             }
             Call::Report { expected } if expected == self.id => {
-                Answer::Report(sonic_rs::to_vec(&self.report()).expect("a report is written"))
+                Response::Report(sonic_rs::to_vec(&self.report()).expect("a report is written"))
             }
-            Call::Report { .. } => Answer::Report(Vec::new()),
-            Call::Request(request) => match self.turns_away(&request) {
+            Call::Report { .. } => Response::Report(Vec::new()),
+            Call::Request(request) => match self.rejection_status(&request) {
                 Some(status) => {
-                    world.witness.turned_away(world.now, request.request, &self.id, status);
-                    Answer::Request { status, instance: self.id.clone() }
+                    world.observer.attempt_rejected(world.now, request.request, &self.id, status);
+                    Response::Request { status, instance: self.id.clone() }
                 }
                 None => {
-                    world.witness.ran(world.now, request.request, &self.id, &self.options.service);
-                    let done = world.now + world.between(REQUEST_TAKES);
-                    world.wake(self.node, done, Timer::RequestDone(number));
-                    self.serving.insert(number, Serving { from, request });
+                    world.observer.request_executed(
+                        world.now,
+                        request.request,
+                        &self.id,
+                        &self.options.service,
+                    );
+                    let done = world.now + world.random_range(REQUEST_DURATION);
+                    world.wake(self.node, done, Timer::RequestCompleted(number));
+                    self.in_flight.insert(number, InFlightRequest { from, request });
                     return;
                 }
             },
             _ => return,
         };
-        world.send(self.node, from, Message::Answer { number, answer });
+        world.send(self.node, from, Message::Response { number, response });
     }
 
-    /// The status with which a request is turned away, if it is not run.
-    fn turns_away(&self, request: &Request) -> Option<u16> {
+    /// The status with which a request is rejected; `None` if it is executed.
+    fn rejection_status(&self, request: &Request) -> Option<u16> {
         if request.expected != self.id {
             return Some(421);
         }
-        if self.options.service == LLM {
-            if self.running.as_ref().is_some_and(|running| concerns(&running.order, request)) {
+        if self.options.service == LLM_SERVICE {
+            if self
+                .current_order
+                .as_ref()
+                .is_some_and(|current_order| order_affects(&current_order.order, request))
+            {
                 return Some(503);
             }
-            let adapters = self.held.get(&request.model);
+            let adapters = self.loaded.get(&request.model);
             let named = |adapters: &BTreeSet<String>| {
                 request.adapter.as_ref().is_none_or(|adapter| adapters.contains(adapter))
             };
@@ -351,33 +376,33 @@
                 return Some(421);
             }
         }
-        (self.serving.len() as u32 >= self.options.models.slots + QUEUE).then_some(503)
+        (self.in_flight.len() as u32 >= self.options.models.slots + MAX_QUEUED).then_some(503)
     }
 
-    fn request_done(&mut self, world: &mut World, number: CallNumber) {
-        if let Some(serving) = self.serving.remove(&number) {
-            let answer = Answer::Request { status: 200, instance: self.id.clone() };
-            world.send(self.node, serving.from, Message::Answer { number, answer });
+    fn complete_request(&mut self, world: &mut World, number: CallNumber) {
+        if let Some(in_flight) = self.in_flight.remove(&number) {
+            let response = Response::Request { status: 200, instance: self.id.clone() };
+            world.send(self.node, in_flight.from, Message::Response { number, response });
         }
     }
 }
 
-/// Whether an order concerns a request.
-fn concerns(order: &Order, request: &Request) -> bool {
+/// Whether an order loads or evicts what a request needs.
+fn order_affects(order: &Order, request: &Request) -> bool {
     order.model == request.model && (order.adapter.is_none() || order.adapter == request.adapter)
 }
 
-fn listed(held: &Held) -> Vec<LoadedModel> {
+fn to_loaded_models(loaded: &LoadedModels) -> Vec<LoadedModel> {
     let entry = |(name, adapters): (&String, &BTreeSet<String>)| LoadedModel {
         name: name.clone(),
         version: 1,
         adapters: adapters.iter().cloned().collect(),
     };
-    held.iter().map(entry).collect()
+    loaded.iter().map(entry).collect()
 }
 
-fn pick(world: &mut World, nodes: &[NodeId]) -> Option<NodeId> {
+fn choose(world: &mut World, nodes: &[NodeId]) -> Option<NodeId> {
     let last = (nodes.len() as u64).checked_sub(1)?;
-    let index = world.between(0..=last) as usize;
+    let index = world.random_range(0..=last) as usize;
     nodes.get(index).copied()
 }
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -5,31 +5,31 @@
 use shaletrail_protocol::external::{Operation, Order, ServerReport};
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{concerns, listed, ModelServer, Running};
-use crate::witness::OrderSeen;
+use super::{order_affects, to_loaded_models, ModelServer, RunningOrder};
+use crate::observer::ObservedOrder;
 use crate::world::{Timer, World};
 
-/// What an adapter takes to come up.
-const ADAPTER_TAKES: std::ops::RangeInclusive<Millis> = 5..=20;
-/// What the unloading of a model takes.
-const EVICTION_TAKES: std::ops::RangeInclusive<Millis> = 0..=300;
-/// Between two looks whether the runs have ended that an unload waits for.
-const UNLOAD_AGAIN: Millis = 10;
-/// The part of its time that a model takes from the server's own disk.
-const FROM_OWN_DISK: f64 = 0.2;
+/// Duration of an adapter's load, in milliseconds.
+const ADAPTER_LOAD_TIME: std::ops::RangeInclusive<Millis> = 5..=20;
+/// Duration of an eviction, in milliseconds.
+const EVICTION_TIME: std::ops::RangeInclusive<Millis> = 0..=300;
+/// Interval at which an eviction checks whether the requests that it waits for have ended, in milliseconds.
+const EVICTION_RETRY_INTERVAL: Millis = 10;
+/// Load time from the server's own disk, as a fraction of that from the weight store.
+const DISK_LOAD_FACTOR: f64 = 0.2;
 
 impl ModelServer {
     pub(super) fn report(&self) -> ServerReport {
         ServerReport {
-            models: listed(&self.held),
-            order_in_flight: self.running.is_some(),
+            models: to_loaded_models(&self.loaded),
+            order_in_flight: self.current_order.is_some(),
             sequence: self.revision,
-            active: self.serving.len() as u64,
+            active: self.in_flight.len() as u64,
             ..ServerReport::default()
         }
     }
 
-    pub(super) fn take_order(
+    pub(super) fn handle_order(
         &mut self,
         world: &mut World,
         from: NodeId,
@@ -39,32 +39,32 @@
         if expected != self.id {
             return 421;
         }
-        let status = self.judge_order(&order);
-        world.witness.ordered(OrderSeen {
+        let status = self.order_status(&order);
+        world.observer.order_received(ObservedOrder {
             at: world.now,
             server: self.id.clone(),
             from,
-            holder: order.lease_holder.clone(),
-            token: order.fencing_token,
+            lease_holder: order.lease_holder.clone(),
+            fencing_token: order.fencing_token,
             status,
         });
         if status == 202 {
-            self.begin_order(world, order);
+            self.start_order(world, order);
         }
         status
     }
 
-    fn judge_order(&self, order: &Order) -> u16 {
+    fn order_status(&self, order: &Order) -> u16 {
         let wrong_revision = order.if_revision.is_some_and(|revision| revision != self.revision);
-        if self.running.is_some() || wrong_revision {
+        if self.current_order.is_some() || wrong_revision {
             return 409;
         }
-        let adapters = self.held.get(&order.model);
-        let has = match &order.adapter {
+        let adapters = self.loaded.get(&order.model);
+        let is_loaded = match &order.adapter {
             None => adapters.is_some(),
             Some(adapter) => adapters.is_some_and(|adapters| adapters.contains(adapter)),
         };
-        if has == (order.operation == Operation::Load) {
+        if is_loaded == (order.operation == Operation::Load) {
             return 200;
         }
         if order.adapter.is_some() && adapters.is_none() {
@@ -73,13 +73,13 @@
         202
     }
 
-    fn begin_order(&mut self, world: &mut World, order: Order) {
+    fn start_order(&mut self, world: &mut World, order: Order) {
         self.revision += 1;
         let loads_model = order.operation == Operation::Load && order.adapter.is_none();
-        let from_store = loads_model && !self.disk.contains(&order.model);
-        let takes = match (order.operation, &order.adapter) {
-            (Operation::Load, Some(_)) => world.between(ADAPTER_TAKES),
-            (Operation::Evict, _) => world.between(EVICTION_TAKES),
+        let from_store = loads_model && !self.disk_models.contains(&order.model);
+        let duration = match (order.operation, &order.adapter) {
+            (Operation::Load, Some(_)) => world.random_range(ADAPTER_LOAD_TIME),
+            (Operation::Evict, _) => world.random_range(EVICTION_TIME),
             (Operation::Load, None) => self.load_time(world, from_store),
         };
         if order.operation == Operation::Load {
@@ -87,53 +87,56 @@
         }
         if from_store {
             world.loading += 1;
-            world.witness.loaded(world.now, &self.options.service);
+            world.observer.load_started(world.now, &self.options.service);
         }
-        let number = world.number();
-        self.running = Some(Running { number, order, from_store });
-        world.wake(self.node, world.now + takes, Timer::OrderDone(number));
+        let number = world.next_id();
+        self.current_order = Some(RunningOrder { number, order, from_store });
+        world.wake(self.node, world.now + duration, Timer::OrderCompleted(number));
     }
 
     fn load_time(&self, world: &World, from_store: bool) -> Millis {
         let models = &self.options.models;
-        let slowed = (f64::from(world.loading + 1) / f64::from(models.loads_at_once())).max(1.0);
-        let part = if from_store { slowed } else { FROM_OWN_DISK };
-        (models.load_time_s * 1_000.0 * part) as Millis
+        let contention = (f64::from(world.loading + 1) / f64::from(models.max_concurrent_loads())).max(1.0);
+        let factor = if from_store { contention } else { DISK_LOAD_FACTOR };
+        (models.load_time_s * 1_000.0 * factor) as Millis
     }
 
-    /// A server that is ordered to load beyond its room falls; the witness remembers it.
+    /// Records an order that loads more than the server's memory or adapter capacity.
     fn check_capacity(&self, world: &mut World, order: &Order) {
-        let mut after = self.held.clone();
+        let mut after = self.loaded.clone();
         after.entry(order.model.clone()).or_default().extend(order.adapter.clone());
         let adapters: usize = after.values().map(BTreeSet::len).sum();
         let models = &self.options.models;
-        let beyond = models.megabytes(after.len(), adapters) > models.server_mb;
-        if beyond || adapters > models.adapter_capacity as usize {
-            world.witness.overflowed(world.now, &self.id, format!("{after:?}"));
+        let exceeds_memory = models.memory_mb(after.len(), adapters) > models.server_mb;
+        if exceeds_memory || adapters > models.adapter_capacity as usize {
+            world.observer.capacity_exceeded(world.now, &self.id, format!("{after:?}"));
         }
     }
 
-    pub(super) fn order_done(&mut self, world: &mut World, number: u64) {
-        let Some(running) = self.running.take_if(|running| running.number == number) else { return };
-        let mut under_way = self.serving.values().map(|serving| &serving.request);
-        if running.order.operation == Operation::Evict
-            && under_way.any(|request| concerns(&running.order, request))
+    pub(super) fn complete_order(&mut self, world: &mut World, number: u64) {
+        let Some(current_order) = self.current_order.take_if(|current_order| current_order.number == number)
+        else {
+            return;
+        };
+        let mut in_flight_requests = self.in_flight.values().map(|in_flight| &in_flight.request);
+        if current_order.order.operation == Operation::Evict
+            && in_flight_requests.any(|request| order_affects(&current_order.order, request))
         {
-            // An unload waits until its runs end.
-            world.wake(self.node, world.now + UNLOAD_AGAIN, Timer::OrderDone(number));
-            self.running = Some(running);
+            // An eviction waits until the requests that use the model have ended.
+            world.wake(self.node, world.now + EVICTION_RETRY_INTERVAL, Timer::OrderCompleted(number));
+            self.current_order = Some(current_order);
             return;
         }
-        let Order { operation, model, adapter, .. } = running.order;
-        if running.from_store {
+        let Order { operation, model, adapter, .. } = current_order.order;
+        if current_order.from_store {
             world.loading -= 1;
-            self.disk.insert(model.clone());
+            self.disk_models.insert(model.clone());
         }
         match (operation, adapter) {
-            (Operation::Load, adapter) => self.held.entry(model).or_default().extend(adapter),
-            (Operation::Evict, None) => drop(self.held.remove(&model)),
+            (Operation::Load, adapter) => self.loaded.entry(model).or_default().extend(adapter),
+            (Operation::Evict, None) => drop(self.loaded.remove(&model)),
             (Operation::Evict, Some(adapter)) => {
-                if let Some(adapters) = self.held.get_mut(&model) {
+                if let Some(adapters) = self.loaded.get_mut(&model) {
                     adapters.remove(&adapter);
                 }
             }
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -8,176 +8,176 @@
 use shaletrail_coordinator::interface::OrderId;
 use shaletrail_protocol::{Millis, NodeId};
 
+use crate::contact::ContactTracker;
 use crate::message::{CallNumber, Message};
 use crate::network::{Direction, Network};
-use crate::touch::Touch;
-use crate::witness::Witness;
+use crate::observer::Observer;
 
-/// Something that a process has asked to be woken for.
+/// A timer of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// A coordinator's tick.
+    /// A tick of a coordinator's core.
     Tick,
-    /// A coordinator's disk has done something.
-    Disk,
-    /// The connection for an order is up, or not.
+    /// A coordinator's disk completes its I/O.
+    DiskIo,
+    /// The connection for an order is established, or has failed.
     OrderConnected(OrderId),
-    /// An order has had no answer in time.
-    OrderLate(OrderId),
-    /// A server's report has not come in time.
-    ReportLate(CallNumber),
-    /// An edge's next step in polling.
-    PollStep,
-    /// All coordinators have failed an edge, and it has paused.
-    PollRound,
-    /// A poll has had no answer in time, or its connection has not come up.
-    PollLate(CallNumber),
-    /// An edge sends what cannot wait.
+    /// An order has had no response in time.
+    OrderTimeout(OrderId),
+    /// A server has not sent its report in time.
+    ReportTimeout(CallNumber),
+    /// An edge starts its next poll.
+    PollNext,
+    /// The backoff of an edge ends for which all coordinators have failed.
+    PollRoundBackoff,
+    /// A poll has had no response in time, or its connection could not be established.
+    PollTimeout(CallNumber),
+    /// An edge sends an urgent report.
     UrgentReport,
-    /// An edge tells the others what it has under way.
-    TellPeers,
-    /// The router's wake-up.
-    Router,
-    /// The connection for a request has not come up.
-    RequestUnreachable(CallNumber),
-    /// A server's next heartbeat.
+    /// An edge gossips its loads to the other edges.
+    LoadGossip,
+    /// The next wake-up that a router has asked for.
+    RouterWake,
+    /// The connection for a request could not be established in time.
+    ConnectTimeout(CallNumber),
+    /// A server sends its next heartbeat.
     Heartbeat,
-    /// A server's call has had no answer in time.
-    ServerCallLate(CallNumber),
-    /// A server has worked on its order.
-    OrderDone(u64),
-    /// A server has an answer to a request.
-    RequestDone(CallNumber),
-    /// A server ends.
-    ServerEnds,
-    /// The operator's call has had no answer in time.
-    OperatorLate(CallNumber),
-    /// The operator sends a call again.
-    OperatorAgain(u64),
+    /// A server's call to a coordinator has had no response in time.
+    CoordinatorCallTimeout(CallNumber),
+    /// A server completes the load or eviction of an order.
+    OrderCompleted(u64),
+    /// A server completes the execution of a request.
+    RequestCompleted(CallNumber),
+    /// A server may exit.
+    ServerExit,
+    /// A call of the operator has had no response in time.
+    OperatorTimeout(CallNumber),
+    /// The operator sends or retries a call.
+    OperatorRetry(u64),
 }
 
-/// Something that is going to happen.
+/// An event at a certain virtual time.
 #[derive(Clone, Debug)]
-pub enum Happening {
-    /// Something may have come over a link.
+pub enum ScheduledEvent {
+    /// A message may have arrived over a link.
     Arrival(Direction),
-    /// A process is woken, if it is still the same start of it.
+    /// A timer expires, if its process is still the same incarnation.
     Timer {
-        /// The machine.
+        /// The machine's address.
         node: NodeId,
-        /// The start of its process.
-        start: u64,
-        /// For what.
+        /// The incarnation of its process.
+        incarnation: u64,
+        /// The timer.
         timer: Timer,
     },
-    /// A machine's process is started.
+    /// The process of a machine starts.
     Start(NodeId),
-    /// A process that was told to end has ended, if it is still the same start of it.
+    /// The graceful shutdown of a process completes, if it is still the same incarnation.
     End {
-        /// The machine.
+        /// The machine's address.
         node: NodeId,
-        /// The start of its process.
-        start: u64,
+        /// The incarnation of its process.
+        incarnation: u64,
     },
 }
 
-/// What all machines share.
+/// The state that all simulated machines share.
 pub struct World {
-    /// The time that is true for everybody, in milliseconds.
+    /// Virtual time, in milliseconds.
     pub now: Millis,
-    /// The links.
+    /// The simulated network.
     pub network: Network,
-    /// What is seen from outside.
-    pub witness: Witness,
-    /// Who is in touch.
-    pub touch: Touch,
-    /// Loads from the weight store under way, over all servers.
+    /// The record of everything that is visible from outside.
+    pub observer: Observer,
+    /// Which machines have quorum contact.
+    pub contact: ContactTracker,
+    /// Loads from the weight store in flight, over all servers.
     pub loading: u32,
-    /// All luck.
-    pub random: Pcg64,
-    schedule: BTreeMap<(Millis, u64), Happening>,
+    /// The only source of randomness of a simulation.
+    pub rng: Pcg64,
+    schedule: BTreeMap<(Millis, u64), ScheduledEvent>,
     scheduled: u64,
-    numbers: u64,
-    starts: BTreeMap<NodeId, u64>,
+    last_id: u64,
+    incarnations: BTreeMap<NodeId, u64>,
 }
 
 impl World {
-    /// A world in which nothing is going to happen.
+    /// Creates a world without scheduled events.
     pub fn new(seed: u64) -> Self {
         World {
             now: 0,
             network: Network::default(),
-            witness: Witness::default(),
-            touch: Touch::default(),
+            observer: Observer::default(),
+            contact: ContactTracker::default(),
             loading: 0,
-            random: Pcg64::seed_from_u64(seed),
+            rng: Pcg64::seed_from_u64(seed),
             schedule: BTreeMap::new(),
             scheduled: 0,
-            numbers: 0,
-            starts: BTreeMap::new(),
+            last_id: 0,
+            incarnations: BTreeMap::new(),
         }
     }
 
-    /// A number that has not been given before.
-    pub fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    /// A new identifier, unique in this world.
+    pub fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// A random number.
-    pub fn between(&mut self, range: RangeInclusive<u64>) -> u64 {
-        self.random.random_range(range)
+    /// Draws a random number from a range.
+    pub fn random_range(&mut self, range: RangeInclusive<u64>) -> u64 {
+        self.rng.random_range(range)
     }
 
-    /// Whether something happens that has this chance.
-    pub fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.random.random_bool(share.min(1.0))
+    /// Draws `true` with this probability; draws nothing where it is 0.
+    pub fn random_bool(&mut self, share: f64) -> bool {
+        share > 0.0 && self.rng.random_bool(share.min(1.0))
     }
 
-    /// Has something happen.
-    pub fn at(&mut self, time: Millis, happening: Happening) {
+    /// Schedules an event; one in the past happens now.
+    pub fn schedule_at(&mut self, time: Millis, event: ScheduledEvent) {
         self.scheduled += 1;
-        self.schedule.insert((time.max(self.now), self.scheduled), happening);
+        self.schedule.insert((time.max(self.now), self.scheduled), event);
     }
 
-    /// Wakes a process, unless it has been started anew by then.
+    /// Sets a timer of a process; it is dropped if the process restarts before it expires.
     pub fn wake(&mut self, node: NodeId, time: Millis, timer: Timer) {
-        let start = self.start_of(node);
-        self.at(time, Happening::Timer { node, start, timer });
+        let incarnation = self.incarnation_of(node);
+        self.schedule_at(time, ScheduledEvent::Timer { node, incarnation, timer });
     }
 
-    /// Puts a message on its way.
+    /// Sends a message over the network.
     pub fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let (late, message) = self.network.stray(self.now, (from, to), message, &mut self.random);
+        let (late, message) = self.network.stray(self.now, (from, to), message, &mut self.rng);
         if let Some(late) = late {
-            self.at(late, Happening::Arrival((from, to)));
+            self.schedule_at(late, ScheduledEvent::Arrival((from, to)));
         }
         let Some(message) = message else { return };
-        let arrives = self.network.send(self.now, (from, to), message, &mut self.random);
-        self.at(arrives, Happening::Arrival((from, to)));
+        let arrives = self.network.send(self.now, (from, to), message, &mut self.rng);
+        self.schedule_at(arrives, ScheduledEvent::Arrival((from, to)));
     }
 
-    /// The number of a process's present start.
-    pub fn start_of(&self, node: NodeId) -> u64 {
-        self.starts.get(&node).copied().unwrap_or_default()
+    /// The number of a machine's current incarnation.
+    pub fn incarnation_of(&self, node: NodeId) -> u64 {
+        self.incarnations.get(&node).copied().unwrap_or_default()
     }
 
-    /// Counts a new start of a process.
-    pub fn begin_start(&mut self, node: NodeId) -> u64 {
-        let start = self.starts.entry(node).or_default();
-        *start += 1;
-        *start
+    /// Begins a new incarnation of a machine's process and returns its number.
+    pub fn begin_incarnation(&mut self, node: NodeId) -> u64 {
+        let incarnation = self.incarnations.entry(node).or_default();
+        *incarnation += 1;
+        *incarnation
     }
 
-    /// Takes out the next thing that happens by a certain time, and brings the clock there.
-    pub fn next(&mut self, until: Millis) -> Option<Happening> {
+    /// Removes the next event that is due by a certain time and advances the clock to it.
+    pub fn pop_due(&mut self, until: Millis) -> Option<ScheduledEvent> {
         let first = self.schedule.first_entry().filter(|first| first.key().0 <= until)?;
         self.now = first.key().0;
         Some(first.remove())
     }
 
-    /// When the next thing happens.
-    pub fn next_at(&self) -> Option<Millis> {
+    /// When the next event is due.
+    pub fn next_event_at(&self) -> Option<Millis> {
         self.schedule.first_key_value().map(|((at, _), _)| *at)
     }
 }
--- a/simulation/tests/common/mod.rs
+++ b/simulation/tests/common/mod.rs
@@ -3,14 +3,14 @@
 
 use shaletrail_coordinator::core::shards::shard_of;
 use shaletrail_protocol::{Millis, NodeId, ServerId};
-use shaletrail_simulation::site::LLM;
+use shaletrail_simulation::fixtures::LLM_SERVICE;
 use shaletrail_simulation::{Fleet, FleetOptions};
 
-/// `drainMs`.
+/// `drainMs`, in milliseconds.
 pub const DRAIN: Millis = 2_000;
-/// `ackTimeoutMs`.
+/// `ackTimeoutMs`, in milliseconds.
 pub const ACKNOWLEDGED_WITHIN: Millis = 4_000;
-/// `convergenceMs`.
+/// `convergenceMs`, in milliseconds.
 pub const CONVERGED_WITHIN: Millis = 2_000;
 
 /// A fleet in service, with a seed.
@@ -18,10 +18,10 @@
     Fleet::ready(FleetOptions { seed, ..FleetOptions::default() })
 }
 
-/// Checks that a change is acknowledged in time, reaches all edges in time, and is read back.
+/// Checks that a change is acknowledged and applied in time, and is read back.
 pub fn assert_in_service(fleet: &mut Fleet) {
     let change = fleet.replace_within(ACKNOWLEDGED_WITHIN);
-    let converged = fleet.run_until(CONVERGED_WITHIN, |fleet| fleet.is_in_force(change));
+    let converged = fleet.run_until(CONVERGED_WITHIN, |fleet| fleet.is_applied_everywhere(change));
     assert!(converged, "{change} is not in force in time\n{}", fleet.describe());
     assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), change, "{}", fleet.describe());
 }
@@ -31,32 +31,32 @@
     fleet.coordinators().into_iter().filter(|other| *other != node).collect()
 }
 
-/// Asks for something plain at each edge every 50 ms.
-pub fn ask_for(fleet: &mut Fleet, duration: Millis) -> Vec<u64> {
+/// Sends a request to the service without models at each edge every 50 ms.
+pub fn send_requests_for(fleet: &mut Fleet, duration: Millis) -> Vec<u64> {
     let end = fleet.world.now + duration;
     let mut requests = Vec::new();
     while fleet.world.now < end {
         for node in fleet.edges() {
-            requests.push(fleet.ask_plain(node));
+            requests.push(fleet.request_web(node));
         }
         fleet.run(50);
     }
     requests
 }
 
-/// Sendings to a server after a moment.
+/// The number of attempts that were sent to a server after a moment.
 pub fn sent_after(fleet: &Fleet, server: &ServerId, after: Millis) -> usize {
-    let sendings = &fleet.world.witness.sendings;
-    sendings.iter().filter(|sending| sending.server == *server && sending.at > after).count()
+    let attempts = &fleet.world.observer.attempts;
+    attempts.iter().filter(|sending| sending.server == *server && sending.at > after).count()
 }
 
-/// The coordinator that holds the orders of the service with models.
-pub fn holder(fleet: &Fleet) -> NodeId {
-    fleet.leader_of(shard_of(LLM)).unwrap_or_else(|| panic!("nobody leads\n{}", fleet.describe()))
+/// The coordinator that holds the order lease of the service with models.
+pub fn lease_holder(fleet: &Fleet) -> NodeId {
+    fleet.leader_of(shard_of(LLM_SERVICE)).unwrap_or_else(|| panic!("nobody leads\n{}", fleet.describe()))
 }
 
-/// How long a request waited until it was last sent.
+/// Time from a request's arrival to its first execution, in milliseconds.
 pub fn sent_within(fleet: &Fleet, request: u64) -> Option<Millis> {
-    let seen = fleet.world.witness.requests.get(&request)?;
-    seen.runs.first().map(|(at, _)| at - seen.at)
+    let seen = fleet.world.observer.requests.get(&request)?;
+    seen.executions.first().map(|(at, _)| at - seen.at)
 }
--- a/simulation/tests/disks.rs
+++ b/simulation/tests/disks.rs
@@ -10,7 +10,7 @@
 const UNSYNCED: Faults = Faults { full: false, writes_fail: false, syncs_fail: true, reads_fail: false };
 
 #[test]
-fn given_a_leader_whose_disk_hangs_when_changes_come_then_another_leads_and_acknowledges() {
+fn stalled_leader_disk_changes_leader() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn given_a_leader_whose_disk_refuses_when_changes_come_then_another_leads_and_acknowledges() {
+fn failing_leader_disk_changes_leader() {
     for seed in SEEDS {
         for faults in [FULL, UNSYNCED] {
             // given
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn given_a_leader_whose_disk_is_slow_when_changes_come_then_they_are_acknowledged() {
+fn slow_leader_disk_acknowledges_in_time() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn given_a_disk_that_hangs_while_the_leader_is_lost_when_it_goes_on_then_nothing_is_lost() {
+fn stalled_follower_recovers_after_leader_loss() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn given_hundreds_of_changes_when_journals_fill_and_all_lose_power_then_the_last_is_read_back() {
+fn full_journals_survive_power_loss_of_all() {
     // given
     let mut fleet = ready(3);
 
@@ -109,12 +109,12 @@
     let mut last = 0;
     for number in 0..400 {
         last = fleet.update();
-        let acknowledged = fleet.run_until(1_000, |fleet| fleet.world.witness.is_acknowledged(last));
+        let acknowledged = fleet.run_until(1_000, |fleet| fleet.world.observer.is_acknowledged(last));
         assert!(acknowledged, "{number}\n{}", fleet.describe());
     }
-    fleet.lose_all(true);
+    fleet.stop_all(true);
     fleet.run(100);
-    fleet.start_missing();
+    fleet.start_stopped();
 
     // then
     assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), last);
--- a/simulation/tests/histories.rs
+++ b/simulation/tests/histories.rs
@@ -2,81 +2,81 @@
 
 use std::ops::Range;
 
-use shaletrail_simulation::history::{History, Mix, Point};
+use shaletrail_simulation::history::{History, Mix, Scenario};
 
-/// Histories of each kind where nothing else is asked for.
-const USUAL: u64 = 30;
-/// How long each lasts before its calm end, in milliseconds.
+/// Histories of each mix unless `SHALETRAIL_SEEDS` says otherwise.
+const DEFAULT_COUNT: u64 = 30;
+/// Duration of each history before its faults are repaired, in milliseconds.
 const DURATION: u64 = 25_000;
 
-fn seeds(usual: u64) -> Range<u64> {
+fn seeds(default: u64) -> Range<u64> {
     let asked = std::env::var("SHALETRAIL_SEEDS").unwrap_or_default();
     let number = |text: &str| text.trim().parse::<u64>().ok();
     match asked.split_once('-') {
-        Some((first, end)) => number(first).unwrap_or(0)..number(end).unwrap_or(usual),
-        None => 0..number(&asked).unwrap_or(usual),
+        Some((first, end)) => number(first).unwrap_or(0)..number(end).unwrap_or(default),
+        None => 0..number(&asked).unwrap_or(default),
     }
 }
 
 fn play_all(mix: Mix) {
-    for seed in seeds(USUAL) {
+    for seed in seeds(DEFAULT_COUNT) {
         // given the seed, when its history is played, then
         History::play(seed, mix, DURATION);
     }
 }
 
 #[test]
-fn given_seeds_of_luck_when_all_kinds_of_trouble_mix_then_the_rules_hold_and_service_comes_back() {
+fn mixed_faults_keep_invariants() {
     play_all(Mix::everything());
 }
 
 #[test]
-fn given_seeds_of_luck_when_the_core_is_in_trouble_and_the_operator_busy_then_the_rules_hold() {
+fn coordinator_faults_keep_invariants() {
     play_all(Mix::core());
 }
 
 #[test]
-fn given_seeds_of_luck_when_servers_come_and_go_and_all_models_are_asked_for_then_the_rules_hold() {
+fn server_churn_keeps_invariants() {
     play_all(Mix::servers());
 }
 
-/// Histories of a point where nothing else is asked for; more of losses, of which each strikes a few moments only.
-fn usual_of(point: Point) -> u64 {
-    if point == Point::Losses {
+/// Histories of a scenario unless `SHALETRAIL_SEEDS` says otherwise; more of losses, each of which tries few moments only.
+fn default_count(scenario: Scenario) -> u64 {
+    if scenario == Scenario::Losses {
         24
     } else {
         8
     }
 }
 
-fn play_point(point: Point) {
-    for seed in seeds(usual_of(point)) {
+fn play_scenario(scenario: Scenario) {
+    for seed in seeds(default_count(scenario)) {
         // given the seed, when its history is played, then
-        History::play_point(point, seed);
+        History::play_scenario(scenario, seed);
     }
 }
 
 #[test]
-fn given_seeds_of_luck_when_coordinators_are_cut_off_then_the_rules_hold() {
-    play_point(Point::Cuts);
+fn partitions_keep_invariants() {
+    play_scenario(Scenario::Partitions);
 }
 
 #[test]
-fn given_seeds_of_luck_when_operators_race_then_the_rules_hold() {
-    play_point(Point::Races);
+fn races_keep_invariants() {
+    play_scenario(Scenario::Races);
 }
 
 #[test]
-fn given_seeds_of_luck_when_machines_are_lost_right_after_a_repair_then_the_rules_hold() {
-    play_point(Point::Losses);
+fn repeated_losses_keep_invariants() {
+    play_scenario(Scenario::Losses);
 }
 
 #[test]
-fn given_seeds_of_luck_when_members_crash_in_a_storm_of_changes_then_the_rules_hold() {
-    play_point(Point::Storms);
+fn crashes_under_load_keep_invariants() {
+    play_scenario(Scenario::Crashes);
 }
 
 #[test]
-fn given_seeds_of_luck_when_messages_and_calls_go_astray_then_the_rules_hold() {
-    play_point(Point::Calls);
+fn message_disorder_keeps_invariants() {
+    play_scenario(Scenario::MessageDisorder);
 }
--- a/simulation/tests/losses.rs
+++ b/simulation/tests/losses.rs
@@ -4,14 +4,14 @@
 
 use common::{assert_in_service, others, ready, ACKNOWLEDGED_WITHIN};
 use shaletrail_simulation::network::Conditions;
-use shaletrail_simulation::{site, Fleet, FleetOptions};
+use shaletrail_simulation::{fixtures, Fleet, FleetOptions};
 
-/// How long a machine that is back counts as lost (`syncS`).
+/// How long a restarted machine still counts as unavailable (`syncS`).
 const SYNC: u64 = 4_000;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
 
 #[test]
-fn given_a_change_just_acknowledged_when_the_leader_loses_power_then_nothing_is_lost() {
+fn acknowledged_change_survives_leader_power_loss() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn given_a_change_just_acknowledged_when_the_leader_loses_its_disk_then_nothing_is_lost_and_it_votes_again() {
+fn acknowledged_change_survives_leader_disk_loss() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -38,7 +38,7 @@
 
         // when
         fleet.lose_power(leader);
-        fleet.wipe(leader);
+        fleet.lose_disk(leader);
         fleet.start(leader);
 
         // then
@@ -55,22 +55,22 @@
 }
 
 #[test]
-fn given_a_change_just_acknowledged_when_all_lose_power_or_are_killed_then_it_is_read_back_and_in_force() {
+fn acknowledged_change_survives_total_outage() {
     for seed in SEEDS {
         for power in [true, false] {
             // given: disks that are slower than links
-            let options = FleetOptions { disk: 15..=40, seed, ..FleetOptions::default() };
+            let options = FleetOptions { disk_latency: 15..=40, seed, ..FleetOptions::default() };
             let mut fleet = Fleet::ready(options);
             let change = fleet.replace_within(1_000);
 
             // when
-            fleet.lose_all(power);
+            fleet.stop_all(power);
             fleet.run(700);
-            fleet.start_missing();
+            fleet.start_stopped();
 
             // then
             assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), change, "{}", fleet.describe());
-            let in_force = fleet.run_until(2_000, |fleet| fleet.is_in_force(change));
+            let in_force = fleet.run_until(2_000, |fleet| fleet.is_applied_everywhere(change));
             assert!(in_force, "{}", fleet.describe());
             assert_in_service(&mut fleet);
             fleet.check();
@@ -79,18 +79,18 @@
 }
 
 #[test]
-fn given_all_lost_power_when_one_of_them_comes_back_with_an_empty_disk_then_nothing_is_lost() {
+fn one_disk_loss_in_total_outage_loses_nothing() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
         let change = fleet.replace_within(1_000);
-        fleet.lose_all(true);
+        fleet.stop_all(true);
         fleet.run(500);
 
         // when
-        let wiped = fleet.coordinators()[(seed % 3) as usize];
-        fleet.wipe(wiped);
-        fleet.start_missing();
+        let without_disk = fleet.coordinators()[(seed % 3) as usize];
+        fleet.lose_disk(without_disk);
+        fleet.start_stopped();
 
         // then
         assert_eq!(fleet.read_within(6_000), change, "{}", fleet.describe());
@@ -101,22 +101,21 @@
 }
 
 #[test]
-fn given_a_change_that_one_voter_has_not_heard_when_all_lose_power_and_another_its_disk_then_it_is_not_lost()
-{
+fn change_unknown_to_one_voter_survives_outage() {
     for seed in 1..=30 {
         // given
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
-        let (late, wiped) = (others(&fleet, leader)[0], others(&fleet, leader)[1]);
+        let (late, without_disk) = (others(&fleet, leader)[0], others(&fleet, leader)[1]);
         fleet.world.network.set_special((leader, late), Conditions { delay: 80..=90, loss: 0.0 });
         let change = fleet.replace_within(1_000);
 
         // when
-        fleet.lose_all(true);
-        fleet.wipe(wiped);
+        fleet.stop_all(true);
+        fleet.lose_disk(without_disk);
         fleet.world.network.clear_special();
         fleet.run(500);
-        fleet.start_missing();
+        fleet.start_stopped();
 
         // then
         assert_eq!(fleet.read_within(6_000), change, "{}", fleet.describe());
@@ -126,7 +125,7 @@
 }
 
 #[test]
-fn given_a_coordinator_removed_for_good_when_another_replaces_it_then_one_more_may_be_lost() {
+fn replacement_restores_fault_tolerance() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -137,13 +136,13 @@
         fleet.run(1_000);
 
         // when
-        let newcomer = site::coordinator(10);
-        fleet.join_coordinator(newcomer);
+        let joining = fixtures::coordinator(10);
+        fleet.join_coordinator(joining);
         fleet.run(SYNC);
 
         // then
         assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), change);
-        let lost = others(&fleet, newcomer)[0];
+        let lost = others(&fleet, joining)[0];
         fleet.lose_power(lost);
         assert_in_service(&mut fleet);
         fleet.check();
@@ -151,13 +150,13 @@
 }
 
 #[test]
-fn given_a_planned_replacement_when_the_new_one_joins_before_the_old_one_goes_then_one_more_may_be_lost() {
+fn planned_replacement_keeps_fault_tolerance() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
-        let newcomer = site::coordinator(10);
-        fleet.join_coordinator(newcomer);
+        let joining = fixtures::coordinator(10);
+        fleet.join_coordinator(joining);
         fleet.run(2_000);
 
         // when
@@ -165,7 +164,7 @@
         fleet.run(SYNC);
 
         // then
-        let lost = others(&fleet, newcomer)[0];
+        let lost = others(&fleet, joining)[0];
         fleet.lose_power(lost);
         assert_in_service(&mut fleet);
         fleet.check();
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn given_replacements_one_after_the_other_when_all_first_coordinators_are_gone_then_the_system_goes_on() {
+fn all_coordinators_can_be_replaced() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -183,12 +182,12 @@
         for (number, old) in first.iter().enumerate() {
             fleet.remove_coordinator(*old);
             fleet.run(500);
-            fleet.join_coordinator(site::coordinator(10 + number as u8));
+            fleet.join_coordinator(fixtures::coordinator(10 + number as u8));
             fleet.run(SYNC);
             assert_in_service(&mut fleet);
         }
 
-        // then: edges that start anew find them by seeds that were exchanged
+        // then: restarted edges find them by the new seeds
         let seeds = fleet.coordinators();
         for edge in fleet.edges() {
             fleet.set_seeds(edge, seeds.clone());
@@ -200,11 +199,11 @@
 }
 
 #[test]
-fn given_edges_whose_seeds_are_all_gone_when_the_seeds_are_exchanged_then_they_find_the_new_ones() {
+fn edges_follow_replaced_seeds() {
     for seed in SEEDS {
         // given
         let mut fleet = Fleet::new(FleetOptions { seed, ..FleetOptions::default() });
-        let nowhere = vec![site::coordinator(100), site::coordinator(101)];
+        let nowhere = vec![fixtures::coordinator(100), fixtures::coordinator(101)];
         for edge in fleet.edges() {
             fleet.set_seeds(edge, nowhere.clone());
         }
@@ -226,8 +225,7 @@
 }
 
 #[test]
-fn given_a_leader_that_is_told_to_end_when_changes_come_then_they_are_acknowledged_without_an_election_s_delay(
-) {
+fn leader_shutdown_needs_no_election_timeout() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
--- a/simulation/tests/operator.rs
+++ b/simulation/tests/operator.rs
@@ -3,31 +3,31 @@
 mod common;
 
 use common::{assert_in_service, ready, ACKNOWLEDGED_WITHIN};
-use shaletrail_simulation::witness::Outcome;
+use shaletrail_simulation::observer::Outcome;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
 
 #[test]
-fn given_answers_that_are_lost_when_changes_are_sent_again_then_each_is_acknowledged_in_the_end() {
+fn lost_responses_are_retried_until_acknowledged() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        fleet.operator.lost_answers = 0.6;
+        fleet.operator.response_loss = 0.6;
 
         // when, then
         for number in 0..8 {
             let change = if number % 2 == 0 { fleet.replace() } else { fleet.update() };
-            let acknowledged = fleet.run_until(60_000, |fleet| fleet.world.witness.is_acknowledged(change));
+            let acknowledged = fleet.run_until(60_000, |fleet| fleet.world.observer.is_acknowledged(change));
             assert!(acknowledged, "{}", fleet.describe());
         }
-        fleet.operator.lost_answers = 0.0;
+        fleet.operator.response_loss = 0.0;
         assert_in_service(&mut fleet);
         fleet.check();
     }
 }
 
 #[test]
-fn given_an_acknowledged_change_when_it_comes_again_anywhere_then_it_is_acknowledged_again() {
+fn duplicate_change_is_acknowledged_again() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -42,13 +42,13 @@
         fleet.lose_power(leader);
         fleet.send(change);
         fleet.run(ACKNOWLEDGED_WITHIN);
-        fleet.lose_all(false);
-        fleet.start_missing();
+        fleet.stop_all(false);
+        fleet.start_stopped();
         fleet.send(change);
         fleet.run(ACKNOWLEDGED_WITHIN);
 
         // then
-        let outcomes = &fleet.world.witness.changes[&change].outcomes;
+        let outcomes = &fleet.world.observer.changes[&change].outcomes;
         assert_eq!(outcomes.len(), 6, "{outcomes:?}\n{}", fleet.describe());
         assert!(outcomes.iter().all(|(_, outcome)| *outcome == Outcome::Acknowledged), "{outcomes:?}");
         fleet.check();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn given_two_changes_on_one_version_when_they_race_then_one_wins_and_the_other_is_refused() {
+fn one_of_two_concurrent_changes_wins() {
     for seed in 1..=20 {
         // given
         let mut fleet = ready(seed);
@@ -68,7 +68,7 @@
         fleet.run(1_500);
 
         // then
-        let outcomes = [fleet.world.witness.outcome(one), fleet.world.witness.outcome(other)];
+        let outcomes = [fleet.world.observer.outcome(one), fleet.world.observer.outcome(other)];
         let count = |wanted: fn(&Outcome) -> bool| {
             outcomes.iter().flatten().filter(|outcome| wanted(outcome)).count()
         };
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn given_eight_calls_at_once_when_they_race_while_the_leader_is_lost_then_one_wins() {
+fn one_of_eight_changes_wins_despite_leader_loss() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -99,9 +99,9 @@
         fleet.run(ACKNOWLEDGED_WITHIN);
 
         // then
-        let acknowledged = changes.iter().filter(|change| fleet.world.witness.is_acknowledged(**change));
+        let acknowledged = changes.iter().filter(|change| fleet.world.observer.is_acknowledged(**change));
         assert_eq!(acknowledged.count(), 1, "{}", fleet.describe());
-        assert_eq!(fleet.operator.waiting(), 0, "{}", fleet.describe());
+        assert_eq!(fleet.operator.pending_count(), 0, "{}", fleet.describe());
         fleet.check();
     }
 }
--- a/simulation/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -4,17 +4,17 @@
 
 use std::collections::BTreeSet;
 
-use common::{holder, ready, sent_within};
-use shaletrail_simulation::site::{self, Models, AGAIN, ONCE};
+use common::{lease_holder, ready, sent_within};
+use shaletrail_simulation::fixtures::{self, Models, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH};
 use shaletrail_simulation::{Fleet, FleetOptions};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
-/// `loadTimeS` of the usual site, in milliseconds.
+/// `loadTimeS` of the default models, in milliseconds.
 const LOAD_TIME: u64 = 600;
-/// Other loads from the weight store, which slow each one.
+/// Concurrent loads from the weight store that slow each one down.
 const CROWDED: u32 = 120;
 
-/// A fleet whose holder has been at work for long enough to know what it may load.
+/// A fleet whose lease holder has led long enough to know its load budget.
 fn settled(seed: u64) -> Fleet {
     let mut fleet = ready(seed);
     fleet.run(10_000);
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn given_a_model_that_nobody_holds_when_it_is_asked_for_then_it_is_loaded_and_the_request_is_served() {
+fn missing_model_is_loaded_on_request() {
     for seed in SEEDS {
         // given
         let mut fleet = settled(seed);
 
         // when
-        let request = fleet.ask_model(fleet.edges()[(seed % 2) as usize], ONCE, 4, None);
+        let request = fleet.request_model(fleet.edges()[(seed % 2) as usize], NON_IDEMPOTENT_PATH, 4, None);
         fleet.run(4_000);
 
         // then
@@ -40,13 +40,14 @@
 }
 
 #[test]
-fn given_an_adapter_that_nobody_holds_when_it_is_asked_for_then_the_request_is_sent_within_300_ms() {
+fn missing_adapter_is_loaded_within_300_ms() {
     for seed in SEEDS {
         // given
         let mut fleet = settled(seed);
 
         // when
-        let request = fleet.ask_model(fleet.edges()[(seed % 2) as usize], ONCE, 1, Some("a3"));
+        let request =
+            fleet.request_model(fleet.edges()[(seed % 2) as usize], NON_IDEMPOTENT_PATH, 1, Some("a3"));
         fleet.run(2_000);
 
         // then
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn given_more_models_than_there_is_room_for_when_all_are_asked_for_then_rates_and_room_are_kept() {
+fn excess_models_respect_rate_and_capacity() {
     for seed in SEEDS {
         // given
         let mut fleet = settled(seed);
@@ -69,7 +70,7 @@
         for round in 0..200 {
             let model = (round * 7 + round / 13) % 6;
             let adapter = (round % 3 == 0).then(|| format!("a{}", 1 + round % 9));
-            requests.push(fleet.ask_model(edges[round % 2], AGAIN, model, adapter.as_deref()));
+            requests.push(fleet.request_model(edges[round % 2], IDEMPOTENT_PATH, model, adapter.as_deref()));
             fleet.run(100);
         }
         fleet.run(7_000);
@@ -87,16 +88,16 @@
 }
 
 #[test]
-fn given_a_holder_that_is_lost_when_another_takes_over_then_the_lease_lies_between_and_loads_go_on() {
+fn loads_continue_after_lease_holder_loss() {
     for seed in SEEDS {
         // given: all orders go to one server
-        let options = FleetOptions { holds: vec![vec![0, 1]], seed, ..FleetOptions::default() };
+        let options = FleetOptions { initial_models: vec![vec![0, 1]], seed, ..FleetOptions::default() };
         let mut fleet = Fleet::ready(options);
         fleet.run(10_000);
         let edge = fleet.edges()[0];
-        fleet.ask_model(edge, ONCE, 4, None);
+        fleet.request_model(edge, NON_IDEMPOTENT_PATH, 4, None);
         fleet.run(1_000);
-        let first = holder(&fleet);
+        let first = lease_holder(&fleet);
 
         // when
         match seed % 3 {
@@ -106,7 +107,7 @@
         }
         let mut requests = Vec::new();
         for _ in 0..40 {
-            requests.push(fleet.ask_model(edge, AGAIN, 5, None));
+            requests.push(fleet.request_model(edge, IDEMPOTENT_PATH, 5, None));
             fleet.run(250);
         }
         fleet.thaw(first);
@@ -114,7 +115,7 @@
 
         // then
         let holders: BTreeSet<&str> =
-            fleet.world.witness.orders.iter().map(|order| order.holder.as_str()).collect();
+            fleet.world.observer.orders.iter().map(|order| order.lease_holder.as_str()).collect();
         assert!(holders.len() >= 2, "{holders:?}\n{}", fleet.describe());
         let last = *requests.last().expect("requests were made");
         assert_eq!(fleet.status(last), Some(200), "{}", fleet.describe());
@@ -123,62 +124,62 @@
 }
 
 #[test]
-fn given_a_server_that_restarts_when_it_is_back_with_its_disk_then_it_holds_models_again_without_the_store() {
+fn restarted_server_reloads_from_disk() {
     for seed in SEEDS {
         // given
         let mut fleet = settled(seed);
-        let node = site::server(0);
-        let loads = fleet.world.witness.loads.len();
+        let node = fixtures::server(0);
+        let loads = fleet.world.observer.store_loads.len();
         fleet.crash_server(node);
         fleet.run(500);
 
         // when
-        fleet.start_server(node, site::LLM, Vec::new());
+        fleet.start_server(node, fixtures::LLM_SERVICE, Vec::new());
         for _ in 0..80 {
             for edge in fleet.edges() {
-                fleet.ask_model(edge, AGAIN, 1, None);
+                fleet.request_model(edge, IDEMPOTENT_PATH, 1, None);
             }
             fleet.run(100);
         }
 
         // then
-        let holds = fleet
+        let initial_models = fleet
             .servers()
             .iter()
             .filter_map(|node| fleet.server(*node))
-            .any(|server| server.held().contains_key("m1"));
-        assert!(holds, "{}", fleet.describe());
-        let from_store = fleet.world.witness.loads.len() - loads;
+            .any(|server| server.loaded().contains_key("m1"));
+        assert!(initial_models, "{}", fleet.describe());
+        let from_store = fleet.world.observer.store_loads.len() - loads;
         assert!(from_store <= 2, "{from_store} loads from the store");
         fleet.check();
     }
 }
 
 #[test]
-fn given_many_models_and_a_slow_store_when_all_are_asked_for_then_its_rate_is_kept_over_a_change_of_holder_too(
-) {
+fn load_rate_holds_across_lease_holders() {
     for seed in SEEDS {
         // given
         let models = Models { count: 16, load_per_s: 0.6, ..Models::default() };
-        let holds = vec![vec![0, 1], vec![2, 3], vec![4], vec![5]];
-        let mut fleet = Fleet::ready(FleetOptions { models, holds, seed, ..FleetOptions::default() });
+        let initial_models = vec![vec![0, 1], vec![2, 3], vec![4], vec![5]];
+        let mut fleet =
+            Fleet::ready(FleetOptions { models, initial_models, seed, ..FleetOptions::default() });
         let edges = fleet.edges();
 
         // when
         for round in 0..400 {
-            fleet.ask_model(edges[round % 2], AGAIN, round * 5 % 16, None);
+            fleet.request_model(edges[round % 2], IDEMPOTENT_PATH, round * 5 % 16, None);
             fleet.run(60);
             if round == 200 {
-                let first = holder(&fleet);
+                let first = lease_holder(&fleet);
                 fleet.lose_power(first);
             }
         }
 
         // then
         assert!(
-            fleet.world.witness.loads.len() >= 8,
+            fleet.world.observer.store_loads.len() >= 8,
             "{:?}\n{}",
-            fleet.world.witness.loads,
+            fleet.world.observer.store_loads,
             fleet.describe()
         );
         fleet.check();
@@ -186,29 +187,29 @@
 }
 
 #[test]
-fn given_a_load_that_outlasts_a_change_of_holder_when_it_has_just_ended_then_its_room_is_not_given_away() {
+fn load_outlasting_lease_holder_keeps_capacity() {
     for seed in SEEDS {
-        // given: a server with room for one more model loads it while the store is crowded, and the holder is lost
+        // given: a server with memory for one more model loads it from an overloaded store, and the lease holder fails
         let mut fleet =
-            Fleet::ready(FleetOptions { holds: vec![vec![0, 1]], seed, ..FleetOptions::default() });
+            Fleet::ready(FleetOptions { initial_models: vec![vec![0, 1]], seed, ..FleetOptions::default() });
         fleet.run(10_000);
         fleet.world.loading = CROWDED;
         let edge = fleet.edges()[0];
-        fleet.ask_model(edge, ONCE, 4, None);
-        let begun = fleet.run_until(2_000, |fleet| !fleet.world.witness.loads.is_empty());
+        fleet.request_model(edge, NON_IDEMPOTENT_PATH, 4, None);
+        let begun = fleet.run_until(2_000, |fleet| !fleet.world.observer.store_loads.is_empty());
         assert!(begun, "{}", fleet.describe());
-        let first = holder(&fleet);
+        let first = lease_holder(&fleet);
         fleet.lose_power(first);
 
-        // when: another model is asked for before a heartbeat tells of the load's end
-        let server = site::server(0);
+        // when: another model is requested before a heartbeat reports the end of the load
+        let server = fixtures::server(0);
         let ends =
-            |fleet: &Fleet| fleet.server(server).is_some_and(|server| server.held().contains_key("m4"));
+            |fleet: &Fleet| fleet.server(server).is_some_and(|server| server.loaded().contains_key("m4"));
         assert!(fleet.run_until(120_000, ends), "{}", fleet.describe());
         fleet.world.loading = 0;
         let mut requests = Vec::new();
         for _ in 0..40 {
-            requests.push(fleet.ask_model(edge, AGAIN, 5, None));
+            requests.push(fleet.request_model(edge, IDEMPOTENT_PATH, 5, None));
             fleet.run(200);
         }
         fleet.run(2_000);
--- a/simulation/tests/cuts.rs
+++ b/simulation/tests/partitions.rs
@@ -2,30 +2,30 @@
 
 mod common;
 
-use common::{ask_for, assert_in_service, others, ready, sent_after, ACKNOWLEDGED_WITHIN, DRAIN};
+use common::{assert_in_service, others, ready, send_requests_for, sent_after, ACKNOWLEDGED_WITHIN, DRAIN};
 use shaletrail_protocol::NodeId;
-use shaletrail_simulation::{site, Fleet};
+use shaletrail_simulation::{fixtures, Fleet};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
 
-/// Cuts one coordinator from the others: both ways, or one way only.
-fn cut_off(fleet: &mut Fleet, node: NodeId, way: u64, cut: bool) {
+/// Partitions one coordinator from the others, or heals that: in both directions, or in one only.
+fn isolate(fleet: &mut Fleet, node: NodeId, way: u64, partitioned: bool) {
     for other in others(fleet, node) {
         match way {
-            0 => fleet.cut(node, other, cut),
-            1 => fleet.cut_one_way(node, other, cut),
-            _ => fleet.cut_one_way(other, node, cut),
+            0 => fleet.partition(node, other, partitioned),
+            1 => fleet.partition_one_way(node, other, partitioned),
+            _ => fleet.partition_one_way(other, node, partitioned),
         }
     }
 }
 
 #[test]
-fn given_a_leader_cut_off_when_changes_reach_either_side_then_only_the_majority_acknowledges() {
+fn only_majority_side_acknowledges() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
-        cut_off(&mut fleet, leader, seed % 3, true);
+        isolate(&mut fleet, leader, seed % 3, true);
 
         // when: each side gets a change on the same base
         let (here, there) = (fleet.write(), fleet.write());
@@ -34,19 +34,19 @@
         let other = others(&fleet, leader)[0];
         fleet.send_to(other, there);
 
-        // then: what the cut one could still send may have come into force, unacknowledged
+        // then: what the isolated leader could still send may have been applied, unacknowledged
         let answered =
-            fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.witness.outcome(there).is_some());
+            fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.observer.outcome(there).is_some());
         assert!(answered, "{}", fleet.describe());
-        assert!(!fleet.world.witness.is_acknowledged(here), "{}", fleet.describe());
+        assert!(!fleet.world.observer.is_acknowledged(here), "{}", fleet.describe());
         let sends = seed % 3 == 2;
-        let won = if fleet.world.witness.is_acknowledged(there) { there } else { here };
+        let won = if fleet.world.observer.is_acknowledged(there) { there } else { here };
         assert!(won == there || sends, "{}", fleet.describe());
-        let in_force = fleet.run_until(2_000, |fleet| fleet.is_in_force(won));
+        let in_force = fleet.run_until(2_000, |fleet| fleet.is_applied_everywhere(won));
         assert!(in_force, "edges stay with the minority\n{}", fleet.describe());
 
-        // and once they are joined
-        cut_off(&mut fleet, leader, seed % 3, false);
+        // then: the former leader catches up once the partition heals
+        isolate(&mut fleet, leader, seed % 3, false);
         fleet.run(2_000);
         assert_in_service(&mut fleet);
         fleet.check();
@@ -54,22 +54,23 @@
 }
 
 #[test]
-fn given_a_coordinator_cut_off_when_a_server_drains_on_either_side_then_all_edges_obey() {
+fn drain_is_obeyed_across_partition() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        let cut = fleet.coordinators()[(seed % 3) as usize];
-        cut_off(&mut fleet, cut, seed / 3 % 3, true);
-        ask_for(&mut fleet, 4_000);
+        let partitioned = fleet.coordinators()[(seed % 3) as usize];
+        isolate(&mut fleet, partitioned, seed / 3 % 3, true);
+        send_requests_for(&mut fleet, 4_000);
 
         // when
-        let node = site::server(3);
+        let node = fixtures::server(3);
         let server = fleet.server(node).expect("it runs").id().clone();
         fleet.drain_server(node, None);
-        ask_for(&mut fleet, 5_000);
+        send_requests_for(&mut fleet, 5_000);
 
         // then
-        let drained = fleet.world.witness.drains.iter().find(|drained| drained.server == server);
+        let drained =
+            fleet.world.observer.acknowledged_drains.iter().find(|drained| drained.server == server);
         let acknowledged = drained.unwrap_or_else(|| panic!("not acknowledged\n{}", fleet.describe())).at;
         assert_eq!(sent_after(&fleet, &server, acknowledged + DRAIN), 0, "{}", fleet.describe());
         fleet.check();
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn given_a_frozen_leader_when_it_is_thawed_then_it_neither_acknowledges_nor_serves_old_reads() {
+fn thawed_leader_serves_no_stale_read() {
     for seed in 1..=20 {
         // given
         let mut fleet = ready(seed);
@@ -88,10 +89,10 @@
         let other = others(&fleet, leader)[0];
         fleet.send_to(other, new);
         let acknowledged =
-            fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.witness.is_acknowledged(new));
+            fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.observer.is_acknowledged(new));
         assert!(acknowledged, "{}", fleet.describe());
 
-        // when: reads wait at the frozen one, and more come right after
+        // when: reads arrive at the frozen leader, and more right after the thaw
         fleet.operator.read(&mut fleet.world, Some(leader));
         fleet.run(30);
         fleet.thaw(leader);
@@ -99,14 +100,14 @@
         fleet.run(6_000);
 
         // then
-        assert!(!fleet.world.witness.is_acknowledged(old), "{}", fleet.describe());
+        assert!(!fleet.world.observer.is_acknowledged(old), "{}", fleet.describe());
         assert_in_service(&mut fleet);
         fleet.check();
     }
 }
 
 #[test]
-fn given_a_leader_that_freezes_again_and_again_when_changes_come_then_they_are_acknowledged_in_between() {
+fn repeated_leader_freezes_keep_service() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -128,28 +129,27 @@
 }
 
 #[test]
-fn given_an_edge_that_reaches_one_coordinator_only_when_that_is_cut_off_then_it_keeps_serving_what_it_knows()
-{
+fn edge_behind_isolated_coordinator_keeps_serving() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
         let edge = fleet.edges()[0];
-        let cut = fleet.coordinators()[(seed % 3) as usize];
-        for other in others(&fleet, cut) {
-            fleet.cut(edge, other, true);
+        let partitioned = fleet.coordinators()[(seed % 3) as usize];
+        for other in others(&fleet, partitioned) {
+            fleet.partition(edge, other, true);
         }
-        cut_off(&mut fleet, cut, 0, true);
+        isolate(&mut fleet, partitioned, 0, true);
         fleet.run(3_000);
 
         // when
-        let requests = ask_for(&mut fleet, 1_000);
+        let requests = send_requests_for(&mut fleet, 1_000);
         fleet.run(1_000);
 
         // then
         for request in requests {
             assert_eq!(fleet.status(request), Some(200), "{}", fleet.describe());
         }
-        fleet.join_all();
+        fleet.heal_partitions();
         fleet.run(2_000);
         assert_in_service(&mut fleet);
         fleet.check();
@@ -157,14 +157,13 @@
 }
 
 #[test]
-fn given_a_leader_cut_off_when_reads_come_to_it_all_the_while_then_none_is_older_than_what_was_acknowledged()
-{
+fn isolated_leader_serves_no_stale_read() {
     for seed in 1..=12 {
         // given
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
         let other = others(&fleet, leader)[0];
-        cut_off(&mut fleet, leader, seed % 3, true);
+        isolate(&mut fleet, leader, seed % 3, true);
         let change = fleet.write();
         fleet.send_to(other, change);
 
@@ -173,12 +172,12 @@
             fleet.operator.read(&mut fleet.world, Some(leader));
             fleet.run(20);
         }
-        cut_off(&mut fleet, leader, seed % 3, false);
+        isolate(&mut fleet, leader, seed % 3, false);
         fleet.run(3_000);
 
         // then
-        assert!(fleet.world.witness.is_acknowledged(change), "{}", fleet.describe());
-        assert!(!fleet.world.witness.reads.is_empty());
+        assert!(fleet.world.observer.is_acknowledged(change), "{}", fleet.describe());
+        assert!(!fleet.world.observer.reads.is_empty());
         assert_in_service(&mut fleet);
         fleet.check();
     }
--- a/simulation/tests/points.rs
+++ b/simulation/tests/scenarios.rs
@@ -2,28 +2,28 @@
 
 mod common;
 
-use common::{assert_in_service, holder, others, ready, ACKNOWLEDGED_WITHIN};
+use common::{assert_in_service, lease_holder, others, ready, ACKNOWLEDGED_WITHIN};
 use shaletrail_protocol::NodeId;
-use shaletrail_simulation::history::{has_all_voters, is_whole};
+use shaletrail_simulation::history::{has_all_voters, is_fully_replicated};
 use shaletrail_simulation::network::Conditions;
-use shaletrail_simulation::witness::Outcome;
-use shaletrail_simulation::{site, Fleet, FleetOptions};
+use shaletrail_simulation::observer::Outcome;
+use shaletrail_simulation::{fixtures, Fleet, FleetOptions};
 
-/// How long a repair may take.
+/// Within which a failure must be repaired, in milliseconds.
 const REPAIRED_WITHIN: u64 = 15_000;
 
-fn cut_off(fleet: &mut Fleet, node: NodeId, cut: bool) {
+fn isolate(fleet: &mut Fleet, node: NodeId, partitioned: bool) {
     for other in others(fleet, node) {
-        fleet.cut(node, other, cut);
+        fleet.partition(node, other, partitioned);
     }
 }
 
-/// What the operator was told of a change.
+/// The operator's outcomes of a change, in order.
 fn outcomes(fleet: &Fleet, change: u64) -> Vec<Outcome> {
-    fleet.world.witness.changes[&change].outcomes.iter().map(|(_, outcome)| *outcome).collect()
+    fleet.world.observer.changes[&change].outcomes.iter().map(|(_, outcome)| *outcome).collect()
 }
 
-/// Three coordinators of which one may be lost, and five of which two may.
+/// Three coordinators that tolerate one failure, and five that tolerate two.
 fn sizes(seed: u64) -> [FleetOptions; 2] {
     let three = FleetOptions { seed, ..FleetOptions::default() };
     let five = FleetOptions { coordinators: 5, hosts_lost: 2, ..three.clone() };
@@ -31,20 +31,20 @@
 }
 
 #[test]
-fn given_a_leader_cut_off_for_twenty_seconds_when_all_reach_it_then_it_informs_confirms_and_refuses_nobody() {
+fn leader_isolated_for_20_s_answers_nobody() {
     for options in sizes(1) {
         // given
         let mut fleet = Fleet::ready(options);
         let old = fleet.replace_within(ACKNOWLEDGED_WITHIN);
         let leader = fleet.await_leader();
         let (edge, rest) = (fleet.edges()[0], others(&fleet, leader));
-        cut_off(&mut fleet, leader, true);
+        isolate(&mut fleet, leader, true);
         let (here, there) = (fleet.write(), fleet.write());
         fleet.send_to(rest[0], there);
-        assert!(fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.witness.is_acknowledged(there)));
+        assert!(fleet.run_until(ACKNOWLEDGED_WITHIN, |fleet| fleet.world.observer.is_acknowledged(there)));
 
-        // when: an edge starts that reaches the cut-off one only, and the operator calls that one all the while
-        rest.iter().for_each(|other| fleet.cut(edge, *other, true));
+        // when: an edge restarts that reaches the isolated leader only, and the operator keeps calling that leader
+        rest.iter().for_each(|other| fleet.partition(edge, *other, true));
         fleet.run(1_000);
         fleet.kill(edge);
         fleet.start(edge);
@@ -53,18 +53,22 @@
         let mut requests = Vec::new();
         for _ in 0..40 {
             fleet.run(500);
-            requests.push(fleet.ask_plain(edge));
+            requests.push(fleet.request_web(edge));
         }
 
         // then
         assert_eq!(outcomes(&fleet, here), vec![], "{}", fleet.describe());
-        assert!(fleet.operator.waits(read), "a cut-off coordinator answers a read\n{}", fleet.describe());
+        assert!(
+            fleet.operator.is_pending(read),
+            "a cut-off coordinator answers a read\n{}",
+            fleet.describe()
+        );
         for request in requests {
             assert_eq!(fleet.status(request), Some(503), "by the routes of {old}\n{}", fleet.describe());
         }
 
-        // and once they are joined
-        fleet.join_all();
+        // then: the former leader catches up once the partition heals
+        fleet.heal_partitions();
         fleet.run(3_000);
         assert_eq!(
             outcomes(&fleet, here),
@@ -76,35 +80,35 @@
 }
 
 #[test]
-fn given_a_holder_of_orders_that_a_majority_hears_when_one_voter_does_not_then_nobody_takes_its_turn() {
+fn lease_holder_with_majority_is_not_replaced() {
     for seed in 1..=6 {
         for options in sizes(seed) {
             // given
             let mut fleet = Fleet::ready(options);
-            let first = holder(&fleet);
+            let first = lease_holder(&fleet);
             let (one, rest) = {
                 let others = others(&fleet, first);
                 (others[0], others[1..].to_vec())
             };
-            fleet.cut(first, one, true);
+            fleet.partition(first, one, true);
 
-            // when: should another one lead, the holder does not hear of that, and orders are wanted all the time
+            // when: orders are needed all the time; should another node lead, the lease holder would not learn of that
             let mut replaced = false;
             for _ in 0..200 {
-                replaced |= holder(&fleet) != first;
+                replaced |= lease_holder(&fleet) != first;
                 if replaced {
-                    rest.iter().for_each(|other| fleet.cut_one_way(*other, first, true));
+                    rest.iter().for_each(|other| fleet.partition_one_way(*other, first, true));
                 }
                 for edge in fleet.edges() {
                     let adapter = format!("a{}", 1 + fleet.world.now / 40 % 9);
-                    fleet.ask_model(edge, site::AGAIN, 0, Some(&adapter));
+                    fleet.request_model(edge, fixtures::IDEMPOTENT_PATH, 0, Some(&adapter));
                 }
                 fleet.run(40);
             }
 
             // then
             assert!(!replaced, "{first} is replaced though a majority hears it\n{}", fleet.describe());
-            fleet.join_all();
+            fleet.heal_partitions();
             fleet.run(3_000);
             assert_in_service(&mut fleet);
             fleet.check();
@@ -113,30 +117,30 @@
 }
 
 #[test]
-fn given_two_operators_on_one_version_when_answers_are_lost_and_leaders_change_then_one_wins_for_good() {
+fn concurrent_change_outcome_is_final() {
     for seed in 1..=4 {
         for options in sizes(seed) {
-            // given: two changes at two nodes at once, of which no answer arrives
+            // given: two concurrent changes at two nodes, whose responses are all lost
             let mut fleet = Fleet::ready(options);
             let leader = fleet.await_leader();
             let rest = others(&fleet, leader);
             let (one, other) = (fleet.write(), fleet.write());
-            fleet.operator.lost_answers = 1.0;
+            fleet.operator.response_loss = 1.0;
             fleet.send_first_to(rest[0], one);
             fleet.send_first_to(rest[1], other);
             fleet.run(30);
 
-            // when: they come again while the leader is lost
+            // when: the operator retries while the leader has no power
             fleet.lose_power(leader);
             fleet.run(1_500);
-            fleet.operator.lost_answers = 0.0;
+            fleet.operator.response_loss = 0.0;
             fleet.run(ACKNOWLEDGED_WITHIN);
 
             // then
             let won = |fleet: &Fleet, change: u64| outcomes(fleet, change).contains(&Outcome::Acknowledged);
             assert!(won(&fleet, one) != won(&fleet, other), "{}", fleet.describe());
 
-            // and after many other changes, another leader, and at every node
+            // then: the outcome stays after many changes and a new leader, at every node
             let (winner, loser) = if won(&fleet, one) { (one, other) } else { (other, one) };
             fleet.start(leader);
             for _ in 0..60 {
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn given_a_replacement_that_the_cores_count_as_done_when_the_next_is_lost_at_once_then_nothing_is_lost() {
+fn loss_right_after_replacement_loses_nothing() {
     for seed in 1..=4 {
         for options in sizes(seed) {
             // given
@@ -169,19 +173,19 @@
                 let change = fleet.replace_within(ACKNOWLEDGED_WITHIN);
                 let leader = fleet.await_leader();
                 fleet.remove_coordinator(leader);
-                fleet.join_coordinator(site::coordinator(10 + number));
+                fleet.join_coordinator(fixtures::coordinator(10 + number));
                 assert!(fleet.run_until(REPAIRED_WITHIN, has_all_voters), "{}", fleet.describe());
 
-                // when: another one loses all that it has, in that moment
+                // when: the leader loses power and disk at that moment
                 let lost = fleet.await_leader();
                 fleet.lose_power(lost);
-                fleet.wipe(lost);
+                fleet.lose_disk(lost);
 
                 // then
                 assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), change, "{}", fleet.describe());
                 assert_in_service(&mut fleet);
                 fleet.start(lost);
-                assert!(fleet.run_until(REPAIRED_WITHIN, is_whole), "{}", fleet.describe());
+                assert!(fleet.run_until(REPAIRED_WITHIN, is_fully_replicated), "{}", fleet.describe());
             }
             fleet.check();
         }
@@ -189,10 +193,9 @@
 }
 
 #[test]
-fn given_hundreds_of_changes_when_a_member_that_missed_them_is_back_then_it_catches_up_and_leads_with_the_newest(
-) {
+fn returning_member_catches_up_and_leads() {
     for options in sizes(2) {
-        // given: a member is away for hundreds of changes, and comes back while more are made
+        // given: a member is down for hundreds of changes, and restarts while more are made
         let mut fleet = Fleet::ready(options);
         let leader = fleet.await_leader();
         let away = others(&fleet, leader)[0];
@@ -205,8 +208,8 @@
             fleet.replace_within(ACKNOWLEDGED_WITHIN);
         }
 
-        // when: leaders are killed, one after the other, until it leads
-        assert!(fleet.run_until(REPAIRED_WITHIN, is_whole), "{}", fleet.describe());
+        // when: leaders are killed one after the other until it leads
+        assert!(fleet.run_until(REPAIRED_WITHIN, is_fully_replicated), "{}", fleet.describe());
         let newest = fleet.replace_within(ACKNOWLEDGED_WITHIN);
         for _ in 0..20 {
             let leader = fleet.await_leader();
@@ -216,7 +219,7 @@
             fleet.kill(leader);
             fleet.run(1_000);
             fleet.start(leader);
-            assert!(fleet.run_until(REPAIRED_WITHIN, is_whole), "{}", fleet.describe());
+            assert!(fleet.run_until(REPAIRED_WITHIN, is_fully_replicated), "{}", fleet.describe());
         }
 
         // then
@@ -228,10 +231,9 @@
 }
 
 #[test]
-fn given_a_coordinator_that_starts_again_when_the_answer_to_its_former_call_is_late_then_no_other_caller_gets_it(
-) {
+fn late_response_reaches_no_other_caller() {
     for seed in 1..=8 {
-        // given: a coordinator whose first call is out at the leader, whose answers are late
+        // given: a coordinator whose first call is in flight at the leader, whose responses are delayed
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
         let asker = others(&fleet, leader)[0];
@@ -243,7 +245,7 @@
         fleet.send_first_to(asker, change);
         fleet.run(20);
 
-        // when: it starts again, and its first call is another one
+        // when: it restarts, and its first call is another one
         fleet.restart(asker);
         let call = if seed % 2 == 0 {
             fleet.operator.read(&mut fleet.world, Some(asker))
@@ -255,10 +257,10 @@
         fleet.run(ACKNOWLEDGED_WITHIN);
 
         // then
-        assert!(fleet.world.witness.is_acknowledged(change), "{}", fleet.describe());
+        assert!(fleet.world.observer.is_acknowledged(change), "{}", fleet.describe());
         if seed % 2 == 0 {
-            let read = fleet.world.witness.reads.iter().find(|read| read.call == call).expect("an answer");
-            assert_eq!(site::marked(&read.document), Some(change), "{}", fleet.describe());
+            let read = fleet.world.observer.reads.iter().find(|read| read.call == call).expect("an answer");
+            assert_eq!(fixtures::change_in_document(&read.document), Some(change), "{}", fleet.describe());
         } else {
             let refused = outcomes(&fleet, call);
             assert!(matches!(refused[..], [Outcome::Conflict { .. }]), "{refused:?}\n{}", fleet.describe());
@@ -268,11 +270,10 @@
 }
 
 #[test]
-fn given_a_change_that_one_of_two_has_not_synced_when_all_lose_power_and_the_other_its_disk_then_nothing_is_lost(
-) {
+fn unsynced_change_is_not_acknowledged() {
     for seed in 1..=4 {
         for leader_syncs in [false, true] {
-            // given: a change that the third hears late, and a disk that hangs
+            // given: a change that reaches the third voter late, and a stalled disk
             let mut fleet = ready(seed);
             let leader = fleet.await_leader();
             let (near, late) = (others(&fleet, leader)[0], others(&fleet, leader)[1]);
@@ -280,18 +281,18 @@
             fleet.world.network.set_special((leader, late), Conditions { delay: 400..=400, loss: 0.0 });
             fleet.set_disk_stalled(hanging, true);
             let change = fleet.replace();
-            fleet.run_until(300, |fleet| fleet.world.witness.is_acknowledged(change));
+            fleet.run_until(300, |fleet| fleet.world.observer.is_acknowledged(change));
 
             // when
-            fleet.lose_all(true);
+            fleet.stop_all(true);
             fleet.set_disk_stalled(hanging, false);
-            fleet.wipe(other);
+            fleet.lose_disk(other);
             fleet.world.network.clear_special();
             fleet.run(500);
-            fleet.start_missing();
+            fleet.start_stopped();
 
             // then
-            let answered = fleet.run_until(6_000, |fleet| fleet.world.witness.outcome(change).is_some());
+            let answered = fleet.run_until(6_000, |fleet| fleet.world.observer.outcome(change).is_some());
             assert!(answered, "{}", fleet.describe());
             assert_eq!(fleet.read_within(ACKNOWLEDGED_WITHIN), change, "{}", fleet.describe());
             assert_in_service(&mut fleet);
@@ -301,10 +302,9 @@
 }
 
 #[test]
-fn given_a_leader_lost_as_it_acknowledges_when_the_next_one_is_read_from_its_first_moment_on_then_no_read_is_old(
-) {
+fn new_leader_serves_no_stale_read() {
     for seed in 1..=8 {
-        // given: a change that the others hold, and do not know to be committed
+        // given: a change that the followers have stored and don't know to be committed
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
         let rest = others(&fleet, leader);
@@ -314,7 +314,7 @@
         fleet.replace_within(ACKNOWLEDGED_WITHIN);
         fleet.lose_power(leader);
 
-        // when: the next one's first entry takes long to be safe
+        // when: the new leader's first entry takes long to be synced
         for other in &rest {
             fleet.set_disk_speed(*other, 100..=120);
         }
@@ -328,7 +328,7 @@
         fleet.run(1_500);
 
         // then
-        assert!(!fleet.world.witness.reads.is_empty(), "{}", fleet.describe());
+        assert!(!fleet.world.observer.reads.is_empty(), "{}", fleet.describe());
         fleet.check();
     }
 }
--- a/simulation/tests/servers.rs
+++ b/simulation/tests/servers.rs
@@ -2,23 +2,23 @@
 
 mod common;
 
-use common::{ask_for, ready, sent_after, DRAIN};
-use shaletrail_simulation::site::{AGAIN, ONCE};
-use shaletrail_simulation::{site, Fleet};
+use common::{ready, send_requests_for, sent_after, DRAIN};
+use shaletrail_simulation::fixtures::{IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH};
+use shaletrail_simulation::{fixtures, Fleet};
 
-/// An edge has its part of the slack for repeats once its first `retryWindowS` is over.
+/// An edge has its share of the retry budget once its first `retryWindowS` is over, in milliseconds.
 const SECOND_WINDOW: u64 = 10_500;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
 
 fn assert_all_served(fleet: &Fleet, requests: &[u64]) {
     for request in requests {
-        let seen = fleet.world.witness.requests.get(request);
+        let seen = fleet.world.observer.requests.get(request);
         assert_eq!(fleet.status(*request), Some(200), "{seen:?}\n{}", fleet.describe());
     }
 }
 
 #[test]
-fn given_all_coordinators_restarted_at_once_when_they_are_young_then_no_server_is_taken_for_gone() {
+fn servers_survive_restart_of_all_coordinators() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
@@ -27,29 +27,29 @@
         for node in fleet.coordinators() {
             fleet.restart(node);
         }
-        let requests = ask_for(&mut fleet, 6_000);
+        let requests = send_requests_for(&mut fleet, 6_000);
         fleet.run(1_000);
 
         // then
         assert_all_served(&fleet, &requests);
-        let turned_away =
-            fleet.world.witness.requests.values().filter(|request| !request.turned_away.is_empty());
-        assert_eq!(turned_away.count(), 0);
+        let rejections =
+            fleet.world.observer.requests.values().filter(|request| !request.rejections.is_empty());
+        assert_eq!(rejections.count(), 0);
         fleet.check();
     }
 }
 
 #[test]
-fn given_one_coordinator_restarted_when_an_edge_asks_it_first_then_no_server_is_taken_for_gone() {
+fn servers_survive_restart_of_polled_coordinator() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
         let edge = fleet.edges()[0];
-        let polled = fleet.edge(edge).and_then(|edge| edge.polls()).expect("it polls");
+        let polled = fleet.edge(edge).and_then(|edge| edge.polled_coordinator()).expect("it polls");
 
         // when
         fleet.restart(polled);
-        let requests = ask_for(&mut fleet, 5_000);
+        let requests = send_requests_for(&mut fleet, 5_000);
         fleet.run(1_000);
 
         // then
@@ -59,20 +59,20 @@
 }
 
 #[test]
-fn given_a_server_that_leaves_when_that_is_acknowledged_then_nobody_sends_there_and_all_are_served() {
+fn drained_server_gets_no_requests() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        let node = site::server(2);
+        let node = fixtures::server(2);
         let server = fleet.server(node).expect("it runs").id().clone();
 
         // when
         fleet.drain_server(node, None);
-        let requests = ask_for(&mut fleet, 8_000);
+        let requests = send_requests_for(&mut fleet, 8_000);
         fleet.run(1_000);
 
         // then
-        let acknowledged = fleet.world.witness.drains[0].at;
+        let acknowledged = fleet.world.observer.acknowledged_drains[0].at;
         assert_eq!(sent_after(&fleet, &server, acknowledged + DRAIN), 0);
         assert!(fleet.server(node).is_none(), "it has ended");
         assert_all_served(&fleet, &requests);
@@ -81,20 +81,21 @@
 }
 
 #[test]
-fn given_a_draining_just_acknowledged_when_its_coordinator_loses_power_then_all_edges_obey() {
+fn acknowledged_drain_survives_power_loss() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        let node = site::server(2);
+        let node = fixtures::server(2);
         let server = fleet.server(node).expect("it runs").id().clone();
         fleet.drain_server(node, None);
-        let acknowledged = fleet.run_until(3_000, |fleet| !fleet.world.witness.drains.is_empty());
+        let acknowledged =
+            fleet.run_until(3_000, |fleet| !fleet.world.observer.acknowledged_drains.is_empty());
         assert!(acknowledged, "{}", fleet.describe());
 
         // when
-        let drained = fleet.world.witness.drains[0].clone();
+        let drained = fleet.world.observer.acknowledged_drains[0].clone();
         fleet.lose_power(drained.by);
-        let requests = ask_for(&mut fleet, 6_000);
+        let requests = send_requests_for(&mut fleet, 6_000);
         fleet.run(1_000);
 
         // then
@@ -105,21 +106,21 @@
 }
 
 #[test]
-fn given_a_server_at_short_notice_when_it_says_so_then_requests_go_elsewhere() {
+fn short_notice_drain_diverts_requests() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        let node = site::server(2);
+        let node = fixtures::server(2);
         let server = fleet.server(node).expect("it runs").id().clone();
 
         // when
         fleet.drain_server(node, Some(2_500));
-        let requests = ask_for(&mut fleet, 4_000);
+        let requests = send_requests_for(&mut fleet, 4_000);
         fleet.run(1_000);
 
         // then
         assert!(fleet.server(node).is_none(), "it is gone");
-        let acknowledged = fleet.world.witness.drains[0].at;
+        let acknowledged = fleet.world.observer.acknowledged_drains[0].at;
         assert_eq!(sent_after(&fleet, &server, acknowledged + DRAIN), 0);
         assert_all_served(&fleet, &requests);
         fleet.check();
@@ -127,23 +128,24 @@
 }
 
 #[test]
-fn given_a_crashed_server_when_its_address_goes_to_another_service_then_no_request_runs_there() {
+fn reused_address_executes_no_old_request() {
     for seed in SEEDS {
-        // given: edges that have been at work for long enough to repeat requests
+        // given: edges with a filled retry budget
         let mut fleet = ready(seed);
-        ask_for(&mut fleet, SECOND_WINDOW);
-        let node = site::server(2);
+        send_requests_for(&mut fleet, SECOND_WINDOW);
+        let node = fixtures::server(2);
         fleet.crash_server(node);
         fleet.run(2_000);
 
         // when
-        let another = fleet.start_server(node, site::LLM, vec![3]);
-        let requests = ask_for(&mut fleet, 6_000);
+        let another = fleet.start_server(node, fixtures::LLM_SERVICE, vec![3]);
+        let requests = send_requests_for(&mut fleet, 6_000);
         fleet.run(1_000);
 
         // then
-        let seen = requests.iter().filter_map(|request| fleet.world.witness.requests.get(request));
-        let ran_there = seen.filter(|request| request.runs.iter().any(|(_, server)| *server == another));
+        let seen = requests.iter().filter_map(|request| fleet.world.observer.requests.get(request));
+        let ran_there =
+            seen.filter(|request| request.executions.iter().any(|(_, server)| *server == another));
         assert_eq!(ran_there.count(), 0);
         assert_all_served(&fleet, &requests);
         fleet.check();
@@ -151,17 +153,17 @@
 }
 
 #[test]
-fn given_a_crashed_server_when_it_is_silent_for_long_then_it_is_known_as_silent_and_back_once_it_restarts() {
+fn restarted_server_gets_requests_again() {
     for seed in SEEDS {
         // given
         let mut fleet = ready(seed);
-        let node = site::server(2);
+        let node = fixtures::server(2);
         fleet.crash_server(node);
 
         // when
-        let requests = ask_for(&mut fleet, 8_000);
-        let server = fleet.start_server(node, site::WEB, Vec::new());
-        let more = ask_for(&mut fleet, 4_000);
+        let requests = send_requests_for(&mut fleet, 8_000);
+        let server = fleet.start_server(node, fixtures::WEB_SERVICE, Vec::new());
+        let more = send_requests_for(&mut fleet, 4_000);
         fleet.run(1_000);
 
         // then
@@ -173,21 +175,23 @@
 }
 
 #[test]
-fn given_requests_under_way_when_their_server_crashes_then_only_those_that_may_be_repeated_run_again() {
+fn server_crash_retries_only_idempotent_requests() {
     for seed in SEEDS {
-        // given: edges that have been at work for long enough to repeat requests
+        // given: edges with a filled retry budget
         let mut fleet = ready(seed);
-        ask_for(&mut fleet, SECOND_WINDOW);
+        send_requests_for(&mut fleet, SECOND_WINDOW);
         let edge = fleet.edges()[0];
         let requests: Vec<(bool, u64)> = (0..6)
-            .map(|number| (number % 2 == 0, if number % 2 == 0 { AGAIN } else { ONCE }))
-            .map(|(again, path)| (again, fleet.ask_model(edge, path, 0, None)))
+            .map(|number| {
+                (number % 2 == 0, if number % 2 == 0 { IDEMPOTENT_PATH } else { NON_IDEMPOTENT_PATH })
+            })
+            .map(|(again, path)| (again, fleet.request_model(edge, path, 0, None)))
             .collect();
         fleet.run(10);
 
         // when
-        let seen = |fleet: &Fleet, request: u64| fleet.world.witness.requests[&request].clone();
-        let crashed = seen(&fleet, requests[0].1).sendings[0].1.clone();
+        let seen = |fleet: &Fleet, request: u64| fleet.world.observer.requests[&request].clone();
+        let crashed = seen(&fleet, requests[0].1).attempts[0].1.clone();
         let node = fleet
             .servers()
             .into_iter()
@@ -198,7 +202,7 @@
         // then
         for (again, request) in requests {
             let seen = seen(&fleet, request);
-            let hit = seen.sendings[0].1 == crashed;
+            let hit = seen.attempts[0].1 == crashed;
             let status = fleet.status(request);
             match (again, hit) {
                 (false, true) => {
@@ -206,7 +210,7 @@
                 }
                 _ => assert_eq!(status, Some(200), "{seen:?}"),
             }
-            assert!(again || seen.runs.len() == 1, "{seen:?}");
+            assert!(again || seen.executions.len() == 1, "{seen:?}");
         }
         fleet.check();
     }
--- a/simulation/tests/start.rs
+++ b/simulation/tests/start.rs
@@ -6,7 +6,7 @@
 use shaletrail_simulation::{Fleet, FleetOptions};
 
 #[test]
-fn given_three_seeds_when_they_start_in_any_order_then_one_group_takes_the_configuration_to_all_edges() {
+fn three_seeds_bootstrap_one_group() {
     for seed in 1..=12 {
         // given, when
         let mut fleet = common::ready(seed);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn given_five_coordinators_and_three_seeds_when_they_start_in_any_order_then_all_vote_in_one_group() {
+fn five_coordinators_bootstrap_one_group() {
     for seed in 1..=8 {
         // given
         let options = FleetOptions { coordinators: 5, hosts_lost: 2, seed, ..FleetOptions::default() };
@@ -26,7 +26,7 @@
         // when
         let mut fleet = Fleet::ready(options);
 
-        // then: any two may be lost
+        // then: any two may fail
         assert_in_service(&mut fleet);
         fleet.run(4_000);
         let leader = fleet.await_leader();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn given_one_seed_that_starts_late_when_the_others_are_up_then_they_serve_and_it_joins_them() {
+fn late_seed_joins_running_group() {
     for seed in 1..=6 {
         // given
         let mut fleet = Fleet::new(FleetOptions { seed, ..FleetOptions::default() });
@@ -53,7 +53,7 @@
         fleet.start(late);
         fleet.run(4_000);
 
-        // then: it stands in for another
+        // then: it replaces another coordinator
         let lost = common::others(&fleet, late)[0];
         fleet.lose_power(lost);
         assert_in_service(&mut fleet);
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn given_one_seed_of_luck_when_a_history_is_played_twice_then_both_are_the_same() {
+fn same_seed_gives_same_history() {
     let play = || {
         let mut fleet = common::ready(7);
-        common::ask_for(&mut fleet, 2_000);
+        common::send_requests_for(&mut fleet, 2_000);
         let leader = fleet.await_leader();
         fleet.lose_power(leader);
         assert_in_service(&mut fleet);
