--- a/simulation/src/contact.rs
+++ b/simulation/src/contact.rs
@@ -1,4 +1,4 @@
-//! Which machines are in touch, as the rules define it: only for them do bounds of time hold.
+//! Which machines have quorum contact, as the rules of the system define it: time limits hold for them only.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,22 +12,24 @@
 /// When each machine last had a fault, and which coordinators run.
 #[derive(Debug, Default)]
 pub struct ContactTracker {
-    core: BTreeSet<NodeId>,
+    coordinators: BTreeSet<NodeId>,
     /// Coordinators whose processes run.
     running: BTreeSet<NodeId>,
     /// Coordinators whose disks are slow at present.
     slow: BTreeSet<NodeId>,
-    core_trouble: Option<Millis>,
-    trouble: BTreeMap<NodeId, Millis>,
+    /// When a coordinator, or a link between two of them, last had a fault.
+    last_core_fault: Option<Millis>,
+    /// When each machine last had a fault or a repair.
+    last_faults: BTreeMap<NodeId, Millis>,
 }
 
 impl ContactTracker {
     /// A machine becomes a coordinator, or is removed as one.
-    pub fn set_core(&mut self, node: NodeId, belongs: bool) {
-        if belongs {
-            self.core.insert(node);
+    pub fn set_coordinator(&mut self, node: NodeId, is_coordinator: bool) {
+        if is_coordinator {
+            self.coordinators.insert(node);
         } else {
-            self.core.remove(&node);
+            self.coordinators.remove(&node);
             self.running.remove(&node);
             self.slow.remove(&node);
         }
@@ -35,14 +37,14 @@
 
     /// A process starts or ends.
     pub fn set_running(&mut self, now: Millis, node: NodeId, runs: bool) {
-        if self.core.contains(&node) {
+        if self.coordinators.contains(&node) {
             if runs {
                 self.running.insert(node);
             } else {
                 self.running.remove(&node);
             }
         }
-        self.disturb(now, node);
+        self.record_fault(now, node);
     }
 
     /// A coordinator's disk becomes slow, or fast again.
@@ -52,56 +54,57 @@
         } else {
             self.slow.remove(&node);
         }
-        self.disturb(now, node);
+        self.record_fault(now, node);
     }
 
     /// Records a fault or a repair of a machine.
-    pub fn disturb(&mut self, now: Millis, node: NodeId) {
-        self.trouble.insert(node, now);
-        if self.core.contains(&node) {
-            self.core_trouble = Some(now);
+    pub fn record_fault(&mut self, now: Millis, node: NodeId) {
+        self.last_faults.insert(node, now);
+        if self.coordinators.contains(&node) {
+            self.last_core_fault = Some(now);
         }
     }
 
     /// A link was partitioned or healed.
-    pub fn disturb_link(&mut self, now: Millis, one: NodeId, other: NodeId) {
-        let both = self.core.contains(&one) && self.core.contains(&other);
+    pub fn record_link_fault(&mut self, now: Millis, one: NodeId, other: NodeId) {
+        let between_coordinators = self.coordinators.contains(&one) && self.coordinators.contains(&other);
         for node in [one, other] {
-            self.trouble.insert(node, now);
+            self.last_faults.insert(node, now);
         }
-        if both {
-            self.core_trouble = Some(now);
+        if between_coordinators {
+            self.last_core_fault = Some(now);
         }
     }
 
     /// Whether a majority of coordinators is connected and none had a fault within the contact period.
     pub fn is_stable(&self, now: Millis, network: &Network) -> bool {
-        let calm = self.core_trouble.is_none_or(|at| at + CONTACT_PERIOD <= now);
-        calm && self.slow.is_empty() && !self.majority(network).is_empty()
+        let fault_free = self.last_core_fault.is_none_or(|at| at + CONTACT_PERIOD <= now);
+        fault_free && self.slow.is_empty() && !self.majority(network).is_empty()
     }
 
     /// Whether there is no fault anywhere, and was none within the contact period.
-    pub fn is_calm(&self, now: Millis, network: &Network) -> bool {
-        let calm = self.trouble.values().all(|at| at + CONTACT_PERIOD <= now);
-        calm && network.partitions().is_empty() && self.is_stable(now, network)
+    pub fn is_fault_free(&self, now: Millis, network: &Network) -> bool {
+        let fault_free = self.last_faults.values().all(|at| at + CONTACT_PERIOD <= now);
+        fault_free && network.partitions().is_empty() && self.is_stable(now, network)
     }
 
     /// Whether a machine has quorum contact.
     pub fn has_quorum_contact(&self, now: Millis, node: NodeId, network: &Network) -> bool {
-        let calm = self.trouble.get(&node).is_none_or(|at| at + CONTACT_PERIOD <= now);
+        let fault_free = self.last_faults.get(&node).is_none_or(|at| at + CONTACT_PERIOD <= now);
         let majority = self.majority(network);
-        calm && self.is_stable(now, network)
+        fault_free
+            && self.is_stable(now, network)
             && majority.iter().all(|other| *other == node || network.is_connected(node, *other))
-            && (!self.core.contains(&node) || majority.contains(&node))
+            && (!self.coordinators.contains(&node) || majority.contains(&node))
     }
 
     /// Running coordinators that reach more than half of all coordinators.
     fn majority(&self, network: &Network) -> Vec<NodeId> {
-        let reaches = |node: &&NodeId| {
+        let reaches_majority = |node: &&NodeId| {
             let reached =
                 self.running.iter().filter(|other| *other == *node || network.is_connected(**node, **other));
-            reached.count() * 2 > self.core.len()
+            reached.count() * 2 > self.coordinators.len()
         };
-        self.running.iter().filter(reaches).copied().collect()
+        self.running.iter().filter(reaches_majority).copied().collect()
     }
 }
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator's process: the production core, with its actions carried out as the driver does.
+//! A coordinator's simulated process: the production core, whose actions are executed as the driver does.
 
 use std::collections::BTreeMap;
 
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! A coordinator's journal on a disk in memory, which may be slow, stall, fill up or lose power.
 //!
-//! Stands in for the journal's thread: appends are made safe in batches, a failed one is tried again, and a full
-//! ring waits for a checkpoint.
+//! [`JournalWriter`] stands in for the driver's journal thread: appends are synced in batches, failed ones are retried with
+//! backoff, and a full ring waits for a checkpoint.
 
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -1,4 +1,6 @@
-//! An edge's process: the production router, and polls of coordinators as the production poller makes them.
+//! An edge's simulated process: the production router, and polls of coordinators as the production poller makes them.
+
+mod requests;
 
 use std::sync::Arc;
 
@@ -17,9 +19,9 @@
 use shaletrail_routing::interface::Event;
 use shaletrail_routing::{Options, Router};
 
+use self::requests::Requests;
 use crate::fixtures;
 use crate::message::{decode, Call, CallNumber, Message, Response};
-use crate::requests::Requests;
 use crate::world::{Timer, World};
 
 /// Time-out of a connection to a coordinator, as in the poller, in milliseconds.
@@ -50,7 +52,7 @@
 pub struct Edge {
     identity: EdgeIdentity,
     pub(crate) router: Router,
-    pub(crate) requests: Requests,
+    requests: Requests,
     view: Arc<View>,
     started: Millis,
     poll_timeouts: PollTimeouts,
--- a/simulation/src/requests.rs
+++ b/simulation/src/edge/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of an edge's clients: from the router's actions to servers and back.
+//! Clients' requests at an edge: the router's actions become attempts at servers, and their results the router's events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
     Action, Attempt, Ending, Event, NewRequest, Outcome, RequestId, Verdict,
 };
 
-use crate::edge::Edge;
+use super::Edge;
 use crate::fixtures::server_node;
 use crate::message::{Call, CallNumber, Message, Request};
 use crate::observer::{AttemptSent, ClientRequest, EdgeState};
@@ -21,7 +21,7 @@
 /// Status of a request that no route matches.
 const NOT_FOUND: u16 = 404;
 /// Stands for the status of a response that was aborted.
-pub const ABORTED_STATUS: u16 = 0;
+const ABORTED_STATUS: u16 = 0;
 
 /// An attempt that has not ended.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
 
 /// The clients' requests at an edge and their attempts in flight.
 #[derive(Default)]
-pub struct Requests {
+pub(super) struct Requests {
     open: BTreeMap<RequestId, OpenRequest>,
     in_flight: BTreeMap<CallNumber, InFlightAttempt>,
     /// Servers with a pooled connection.
@@ -59,11 +59,6 @@
             }
         }
     }
-
-    /// The number of requests without a response.
-    pub fn open(&self) -> usize {
-        self.open.len()
-    }
 }
 
 impl Edge {
--- a/simulation/src/fixtures.rs
+++ b/simulation/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Configurations to test with: one service with models, one without, and a mark that shows which change is in force.
+//! Configurations to test with: one service with models, one without, and a marker route that names the change of a configuration; and the addresses of all machines.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -21,7 +21,7 @@
 /// `maxAttempts` of all routes.
 pub const MAX_ATTEMPTS: usize = 2;
 /// Name of the route whose host names the change of the configuration.
-const MARKER_ROUTE: &str = "mark";
+pub const MARKER_ROUTE: &str = "mark";
 
 /// The port of model servers.
 const SERVER_PORT: u16 = 8_080;
@@ -182,3 +182,8 @@
     let address: SocketAddrV4 = address.parse().expect("an address that a heartbeat gave");
     NodeId::from(*address.ip())
 }
+
+/// The version of a configuration; 0 for none.
+pub fn version_of(document: &Value) -> u64 {
+    document.get("version").and_then(Value::as_u64).unwrap_or_default()
+}
--- a/simulation/src/fleet.rs
+++ b/simulation/src/fleet.rs
@@ -1,4 +1,13 @@
-//! The machines of a system, and the passing of time.
+//! The machines of a system: coordinators, edges and model servers, started from one set of options.
+//!
+//! The other parts of [`Fleet`] are the event loop, membership, the operator's and clients' calls, faults, and the report of
+//! a failed test.
+
+mod clients;
+mod event_loop;
+mod faults;
+mod membership;
+mod report;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -10,15 +19,13 @@
 use crate::disk::MachineDisk;
 use crate::edge::Edge;
 use crate::fixtures::{self, Models};
-use crate::message::{Call, Message};
+use crate::message::Message;
 use crate::operator::Operator;
 use crate::server::{ModelServer, ServerOptions};
 use crate::world::{ScheduledEvent, Timer, World};
 
 /// Number of seeds in a settings file.
 const SEEDS: usize = 3;
-/// Lag of the published list of coordinators (`seedLagS`), in milliseconds.
-const SEED_LAG: Millis = 3_000;
 /// Interval of attempts to open a journal, as in the driver, in milliseconds.
 const OPEN_AGAIN: Millis = 100;
 /// `convergenceMs`, in milliseconds.
@@ -148,7 +155,7 @@
     /// Starts a fleet and waits until all edges have applied a first configuration and know all servers.
     ///
     /// # Panics
-    /// It doesn't come to that within ten seconds.
+    /// The edges don't get there within the time limits.
     pub fn ready(options: FleetOptions) -> Self {
         let mut fleet = Fleet::new(options);
         fleet.start_all();
@@ -190,7 +197,7 @@
     pub(crate) fn add_coordinator(&mut self, node: NodeId) {
         let seed = self.options.seed.wrapping_mul(31).wrapping_add(u64::from(node.0));
         self.disks.insert(node, MachineDisk::new(seed, self.options.disk_latency.clone()));
-        self.world.contact.set_core(node, true);
+        self.world.contact.set_coordinator(node, true);
     }
 
     /// Starts a model server at a machine.
@@ -253,259 +260,4 @@
         );
         text.parse().expect("the settings are read")
     }
-
-    // ---- Time ------------------------------------------------------------------------------------------
-
-    /// Advances virtual time by a duration, in milliseconds.
-    pub fn run(&mut self, duration: Millis) {
-        self.run_to(self.world.now + duration);
-    }
-
-    fn run_to(&mut self, end: Millis) {
-        while let Some(event) = self.world.pop_due(end) {
-            self.handle_event(event);
-        }
-        self.world.now = end;
-    }
-
-    /// Advances virtual time until a condition holds; false if it doesn't within `limit`, in milliseconds.
-    pub fn run_until(&mut self, limit: Millis, initial_models: impl Fn(&Fleet) -> bool) -> bool {
-        let end = self.world.now + limit;
-        while !initial_models(self) {
-            let Some(next) = self.world.next_event_at().filter(|next| *next <= end) else {
-                self.world.now = end;
-                return initial_models(self);
-            };
-            self.run_to(next);
-        }
-        true
-    }
-
-    fn handle_event(&mut self, event: ScheduledEvent) {
-        match event {
-            ScheduledEvent::Arrival((from, to)) => {
-                let arrivals = self.world.network.take(self.world.now, (from, to));
-                for message in arrivals.messages {
-                    self.deliver(from, to, message);
-                }
-                if let Some(again) = arrivals.again {
-                    self.world.schedule_at(again, ScheduledEvent::Arrival((from, to)));
-                }
-            }
-            ScheduledEvent::Timer { node, incarnation, timer } => {
-                if self.world.incarnation_of(node) == incarnation {
-                    self.wake(node, timer);
-                }
-            }
-            ScheduledEvent::Start(node) => self.start(node),
-            ScheduledEvent::End { node, incarnation } => {
-                if self.world.incarnation_of(node) == incarnation {
-                    self.kill(node);
-                }
-            }
-        }
-    }
-
-    fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
-        if to == fixtures::operator() {
-            return self.operator.receive(&mut self.world, message);
-        }
-        let machine = self.machines.entry(to).or_default();
-        if let Some(deferred) = &mut machine.frozen {
-            return deferred.push(Deferred::Message(from, message));
-        }
-        match &mut machine.process {
-            Some(Process::Coordinator(coordinator)) => {
-                if let Some(disk) = self.disks.get(&to) {
-                    coordinator.receive(&mut self.world, disk, from, message);
-                }
-                self.reap_crashed_coordinator(to);
-            }
-            Some(Process::Edge(edge)) => edge.receive(&mut self.world, message),
-            Some(Process::Server(server)) => {
-                server.receive(&mut self.world, from, message);
-                self.reap_exited_server(to);
-            }
-            None => {
-                if let Message::Call { number, call } = message {
-                    // A poll's connection existed before and is reset; other connections are refused.
-                    let accepted = matches!(call, Call::Poll { .. });
-                    self.world.send(to, from, Message::ConnectionFailed { number, accepted });
-                }
-            }
-        }
-    }
-
-    fn wake(&mut self, node: NodeId, timer: Timer) {
-        if node == fixtures::operator() {
-            let list = self.published_coordinators();
-            return self.operator.wake(&mut self.world, timer, &list);
-        }
-        let Some(machine) = self.machines.get_mut(&node) else { return };
-        if let Some(deferred) = &mut machine.frozen {
-            return deferred.push(Deferred::Timer(timer));
-        }
-        match &mut machine.process {
-            Some(Process::Coordinator(coordinator)) => {
-                if let Some(disk) = self.disks.get(&node) {
-                    coordinator.wake(&mut self.world, disk, timer);
-                }
-                self.reap_crashed_coordinator(node);
-            }
-            Some(Process::Edge(edge)) => {
-                let seeds = self.seeds.get(&node).map(Vec::as_slice).unwrap_or_default();
-                edge.wake(&mut self.world, timer, seeds);
-            }
-            Some(Process::Server(_)) => self.wake_server(node, timer),
-            None => {}
-        }
-    }
-
-    fn wake_server(&mut self, node: NodeId, timer: Timer) {
-        let list = self.published_coordinators();
-        if let Some(Machine { process: Some(Process::Server(server)), .. }) = self.machines.get_mut(&node) {
-            server.wake(&mut self.world, timer, &list);
-        }
-        self.reap_exited_server(node);
-    }
-
-    /// A process that has come to its crash point is killed, or its machine loses power.
-    fn reap_crashed_coordinator(&mut self, node: NodeId) {
-        if !self.coordinator(node).is_some_and(CoordinatorProcess::has_crashed) {
-            return;
-        }
-        if self.world.random_bool(0.5) {
-            self.kill(node);
-        } else {
-            self.lose_power(node);
-        }
-    }
-
-    fn reap_exited_server(&mut self, node: NodeId) {
-        if self.server(node).is_some_and(ModelServer::has_exited) {
-            self.crash_server(node);
-        }
-    }
-
-    /// Defers all events of a machine's process from now on.
-    pub(crate) fn begin_freeze(&mut self, node: NodeId) {
-        if let Some(machine) = self.machines.get_mut(&node).filter(|machine| machine.process.is_some()) {
-            machine.frozen.get_or_insert_default();
-        }
-    }
-
-    /// Delivers the deferred events to the process.
-    pub(crate) fn end_freeze(&mut self, node: NodeId) {
-        let frozen = self.machines.get_mut(&node).and_then(|machine| machine.frozen.take());
-        let mut deferred = frozen.unwrap_or_default();
-        // The order in which a thawed process sees its sockets and timers is not defined.
-        match self.world.random_range(0..=2) {
-            0 => {}
-            1 => deferred.sort_by_key(|deferred| matches!(deferred, Deferred::Timer(_))),
-            _ => deferred
-                .sort_by_key(|deferred| !matches!(deferred, Deferred::Message(_, Message::Call { .. }))),
-        }
-        for deferred in deferred {
-            match deferred {
-                Deferred::Message(from, message) => self.deliver(from, node, message),
-                Deferred::Timer(timer) => self.wake(node, timer),
-            }
-        }
-    }
-
-    // ---- Lists -----------------------------------------------------------------------------------------
-
-    /// The list of coordinators that the operator and servers see, which lags behind by `seedLagS`.
-    pub fn published_coordinators(&self) -> Vec<NodeId> {
-        let then = self.world.now.saturating_sub(SEED_LAG);
-        let known = self
-            .published_lists
-            .iter()
-            .rev()
-            .find(|(since, _)| *since <= then)
-            .or(self.published_lists.first());
-        known.map(|(_, nodes)| nodes.clone()).unwrap_or_default()
-    }
-
-    /// The current coordinators, whether they run or not.
-    pub fn coordinators(&self) -> Vec<NodeId> {
-        self.published_lists.last().map(|(_, nodes)| nodes.clone()).unwrap_or_default()
-    }
-
-    pub(crate) fn set_coordinators(&mut self, nodes: Vec<NodeId>) {
-        self.published_lists.push((self.world.now, nodes));
-    }
-
-    /// The edges.
-    pub fn edges(&self) -> Vec<NodeId> {
-        (0..self.options.edges).map(fixtures::edge).collect()
-    }
-
-    /// The machines on which model servers run.
-    pub fn servers(&self) -> Vec<NodeId> {
-        let runs = |(_, machine): &(&NodeId, &Machine)| matches!(machine.process, Some(Process::Server(_)));
-        self.machines.iter().filter(runs).map(|(node, _)| *node).collect()
-    }
-
-    /// Whether a process runs at a machine; a frozen one does.
-    pub fn is_running(&self, node: NodeId) -> bool {
-        self.machines.get(&node).is_some_and(|machine| machine.process.is_some())
-    }
-
-    /// Whether the process at a machine is frozen.
-    pub fn is_frozen(&self, node: NodeId) -> bool {
-        self.machines.get(&node).is_some_and(|machine| machine.frozen.is_some())
-    }
-
-    /// The coordinator at a machine, if one runs there.
-    pub fn coordinator(&self, node: NodeId) -> Option<&CoordinatorProcess> {
-        match self.machines.get(&node)?.process.as_ref()? {
-            Process::Coordinator(coordinator) => Some(coordinator),
-            _ => None,
-        }
-    }
-
-    /// The edge at a machine, if one runs there.
-    pub fn edge(&self, node: NodeId) -> Option<&Edge> {
-        match self.machines.get(&node)?.process.as_ref()? {
-            Process::Edge(edge) => Some(edge),
-            _ => None,
-        }
-    }
-
-    /// The model server at a machine, if one runs there.
-    pub fn server(&self, node: NodeId) -> Option<&ModelServer> {
-        match self.machines.get(&node)?.process.as_ref()? {
-            Process::Server(server) => Some(server),
-            _ => None,
-        }
-    }
-
-    /// Replaces the seeds in a machine's settings file.
-    pub fn set_seeds(&mut self, node: NodeId, seeds: Vec<NodeId>) {
-        self.seeds.insert(node, seeds);
-    }
-
-    /// The machine whose process leads the shard of the configuration, as it sees that itself.
-    pub fn leader(&self) -> Option<NodeId> {
-        self.leader_of(0)
-    }
-
-    /// The machine whose process leads a shard, as it sees that itself: the one with the newest term.
-    pub fn leader_of(&self, shard: u32) -> Option<NodeId> {
-        let leads = |node: &NodeId| {
-            let replica = &self.coordinator(*node)?.core().shards().get(shard)?.replica;
-            replica.is_leader().then(|| (replica.term(), *node))
-        };
-        self.coordinators().iter().filter_map(leads).max().map(|(_, node)| node)
-    }
-
-    /// Waits for a leader of the configuration's shard.
-    ///
-    /// # Panics
-    /// There is none within six seconds.
-    pub fn await_leader(&mut self) -> NodeId {
-        assert!(self.run_until(6_000, |fleet| fleet.leader().is_some()), "no leader\n{}", self.describe());
-        self.leader().expect("a leader")
-    }
 }
--- a/simulation/src/clients.rs
+++ b/simulation/src/fleet/clients.rs
@@ -1,10 +1,10 @@
-//! What the operator and clients do at a fleet.
+//! The calls of the operator and the requests of clients.
 
 use shaletrail_protocol::{Millis, NodeId};
 
+use super::{Fleet, Machine, Process};
 use crate::edge::Edge;
 use crate::fixtures;
-use crate::fleet::{Fleet, Machine, Process};
 use crate::observer::ClientRequest;
 
 impl Fleet {
--- a/simulation/src/faults.rs
+++ b/simulation/src/fleet/faults.rs
@@ -1,12 +1,12 @@
-//! What goes wrong with machines, disks and links.
+//! Fault injection: processes, machines, disks and links, and the repairs of them.
 
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_storage::fault_injection::Faults;
 
+use super::{Fleet, Machine, Process};
 use crate::coordinator::CrashPoint;
 use crate::disk::MachineDisk;
 use crate::fixtures;
-use crate::fleet::{Fleet, Machine, Process};
 use crate::world::ScheduledEvent;
 
 /// Time from a coordinator's SIGTERM to its exit, as in the driver, in milliseconds.
@@ -40,7 +40,7 @@
             }
             _ => return,
         };
-        self.world.contact.disturb(self.world.now, node);
+        self.world.contact.record_fault(self.world.now, node);
         let incarnation = self.world.incarnation_of(node);
         self.world.schedule_at(self.world.now + shutdown_time, ScheduledEvent::End { node, incarnation });
     }
@@ -91,13 +91,13 @@
     /// Freezes a process: it handles no event, while its clock goes on.
     pub fn freeze(&mut self, node: NodeId) {
         self.begin_freeze(node);
-        self.world.contact.disturb(self.world.now, node);
+        self.world.contact.record_fault(self.world.now, node);
     }
 
     /// Thaws a frozen process, which then handles all deferred events.
     pub fn thaw(&mut self, node: NodeId) {
         if self.is_frozen(node) {
-            self.world.contact.disturb(self.world.now, node);
+            self.world.contact.record_fault(self.world.now, node);
             self.world.observer.connectivity_restored(self.world.now, node);
             self.end_freeze(node);
         }
@@ -107,7 +107,7 @@
     pub fn remove_coordinator(&mut self, node: NodeId) {
         self.lose_power(node);
         self.world.network.set_power(node, false);
-        self.world.contact.set_core(node, false);
+        self.world.contact.set_coordinator(node, false);
         let rest = self.coordinators().into_iter().filter(|other| *other != node).collect();
         self.set_coordinators(rest);
     }
@@ -151,7 +151,7 @@
             return;
         }
         let now = self.world.now;
-        self.world.contact.disturb_link(now, from, to);
+        self.world.contact.record_link_fault(now, from, to);
         if !partitioned {
             self.world.observer.connectivity_restored(now, from);
             self.world.observer.connectivity_restored(now, to);
--- a/simulation/src/report.rs
+++ b/simulation/src/fleet/report.rs
@@ -1,13 +1,13 @@
-//! Whether the rules hold, and what a fleet looks like where they don't.
+//! Checks the invariants of a fleet, and describes it for the message of a failed test.
 
 use std::net::Ipv4Addr;
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::fixtures;
-use crate::fleet::{
+use super::{
     Fleet, CONVERGENCE, DRAIN, LEASE, ORIGIN_OVERSHOOT, ORIGIN_WINDOW, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW,
 };
+use crate::fixtures;
 use crate::invariants::{violations, InvariantBounds};
 
 impl Fleet {
@@ -51,7 +51,7 @@
         entries.sort_by_key(|(at, _)| *at);
         lines.extend(entries.into_iter().map(|(at, what)| format!("  {at} {what}")));
         for (from, to) in self.world.network.partitions() {
-            lines.push(format!("  cut from {from} to {to}"));
+            lines.push(format!("  partition from {from} to {to}"));
         }
         for node in self.coordinators() {
             lines.push(format!("  {node}: {}", self.describe_coordinator(node)));
@@ -78,7 +78,7 @@
             )
         });
         format!(
-            "version {} in touch {} frozen {}, {}",
+            "version {} quorum contact {} frozen {}, {}",
             core.configuration_version(),
             core.has_quorum_contact(),
             self.is_frozen(node),
--- a/simulation/src/history/crashes.rs
+++ b/simulation/src/history/crashes.rs
@@ -1,5 +1,5 @@
 //! Hundreds of changes one after the other, while members crash at every step of their work, lose power in the middle of a
-//! write, and have disks that are full, refuse or hang; now and then all are killed.
+//! write, and have disks that are full, fail or stall; now and then all are killed.
 
 use shaletrail_protocol::Millis;
 
@@ -90,7 +90,7 @@
             // The process ends too, while the disk is still faulty.
             let pause = self.draw(0..=20);
             self.fleet.run(pause);
-            self.record(format!("{node} killed with its disk in trouble"));
+            self.record(format!("{node} killed with a faulty disk"));
             if self.world().random_bool(0.5) {
                 self.fleet.kill(node);
             } else {
--- a/simulation/src/history/disorder.rs
+++ b/simulation/src/history/disorder.rs
@@ -1,5 +1,5 @@
-//! Messages between coordinators that come twice, late or out of order, links that are reset, answers that are lost or
-//! late, callers that start again while their call is out, and orders that are late at their servers.
+//! Duplicated, delayed and reordered messages between coordinators, reset links, lost or delayed responses, callers that
+//! restart while a call is in flight, and orders that reach their servers late.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -74,7 +74,7 @@
         if !lost || !self.fleet.is_running(caller) {
             return;
         }
-        self.record(format!("{caller} starts again while its calls are out"));
+        self.record(format!("{caller} restarts with calls in flight"));
         // The leader's responses are delayed.
         let longest = self.draw(3..=400);
         self.links_nominal = false;
@@ -121,7 +121,7 @@
         let late = self.draw(MESSAGE_DELAY);
         let (doubled, overtaken) = if self.world().random_bool(0.5) { (0.15, 0.05) } else { (0.05, 0.15) };
         self.record(format!(
-            "messages come twice ({doubled}) or out of order ({overtaken}), up to {late} ms late"
+            "messages are duplicated ({doubled}) or reordered ({overtaken}), up to {late} ms late"
         ));
         self.links_nominal = false;
         self.world().network.set_disorder(Disorder { doubled, overtaken, late });
@@ -145,12 +145,12 @@
     fn delay_polls(&mut self) {
         let edges = self.fleet.edges();
         let Some(edge) = self.choose(&edges) else { return };
-        self.record(format!("answers to polls of {edge} are late"));
+        self.record(format!("responses to polls of {edge} are delayed"));
         self.links_nominal = false;
         for node in self.fleet.coordinators() {
             self.world().network.set_special((node, edge), Conditions { delay: 1..=POLL_DELAY, loss: 0.0 });
         }
-        self.fleet.world.contact.disturb(self.fleet.world.now, edge);
+        self.fleet.world.contact.record_fault(self.fleet.world.now, edge);
         let until = self.fleet.world.now + self.draw(50..=2_500);
         self.recoveries.push((until, Recovery::Links));
     }
@@ -163,7 +163,7 @@
         self.request_models();
         let pause = self.draw(0..=300);
         self.fleet.run(pause);
-        self.record(format!("server {node} starts again at its address"));
+        self.record(format!("server {node} restarts at its address"));
         self.fleet.crash_server(node);
         let pause = self.draw(0..=30);
         self.fleet.run(pause);
@@ -188,7 +188,7 @@
         let orders = self.fleet.world.observer.orders.len();
         self.request_models();
         self.fleet.run_until(600, |fleet| fleet.world.observer.orders.len() > orders);
-        self.record(format!("{lease_holder}, the holder of orders, is lost"));
+        self.record(format!("{lease_holder}, the order lease holder, fails"));
         let until = self.fleet.world.now + self.draw(50..=5_000);
         match self.draw(0..=3) {
             0 => {
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -1,4 +1,4 @@
-//! A further loss within a message's delay of the moment at which the cores count the one before as repaired.
+//! Repeated failures: each strikes within a message's delay of the moment at which the one before counts as repaired.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -35,7 +35,7 @@
     /// A replacement joins before this machine is removed; its seeds may name this machine only.
     Planned,
     /// Is partitioned from all other coordinators.
-    CutOff,
+    Partition,
 }
 
 const LOSS_WEIGHTS: [Loss; 9] = [
@@ -47,7 +47,7 @@
     Loss::Machine,
     Loss::Machine,
     Loss::Planned,
-    Loss::CutOff,
+    Loss::Partition,
 ];
 
 impl History {
@@ -104,11 +104,11 @@
         let newest = self.fleet.coordinators().last().copied();
         let (Some(leader), Some(newest)) = (self.fleet.leader(), newest) else { return false };
         let changing = self.fleet.coordinator(leader).is_some_and(is_changing_voters);
-        let is_newcomer = newest.0 >= fixtures::coordinator(self.fleet.options.coordinators).0;
-        let may_be_lost = changing && is_newcomer && newest != leader && !self.is_settled_voter(newest);
-        let loses_disk = may_be_lost && self.world().random_bool(0.3);
+        let is_joining = newest.0 >= fixtures::coordinator(self.fleet.options.coordinators).0;
+        let may_lose_disk = changing && is_joining && newest != leader && !self.is_settled_voter(newest);
+        let loses_disk = may_lose_disk && self.world().random_bool(0.3);
         if loses_disk {
-            self.record(format!("{newest} is wiped while it joins"));
+            self.record(format!("{newest} loses its disk while it joins"));
             self.fleet.lose_power(newest);
             self.fleet.lose_disk(newest);
             self.fleet.start(newest);
@@ -149,7 +149,7 @@
         let without_disk: Vec<NodeId> = if self.world().random_bool(0.3) { vec![leader] } else { others };
         let without_disk = without_disk.into_iter().take(most).collect::<Vec<_>>();
         self.record(format!(
-            "all lose power, {late:?} have not heard of {change}, {without_disk:?} lose their disks"
+            "all lose power, {late:?} have not received {change}, {without_disk:?} lose their disks"
         ));
         self.fleet.stop_all(true);
         for node in without_disk {
@@ -176,7 +176,7 @@
         let mut all_replaced = true;
         for node in chosen {
             let loss = self.choose(&LOSS_WEIGHTS).unwrap_or(Loss::Power);
-            self.record(format!("{node} is lost: {loss:?}"));
+            self.record(format!("{node} fails: {loss:?}"));
             self.lose(node, loss);
             all_replaced &= matches!(loss, Loss::Leaving | Loss::Machine | Loss::Planned);
             let apart = self.draw(0..=3);
@@ -221,7 +221,7 @@
                 self.fleet.run(wait);
                 self.fleet.remove_coordinator(node);
             }
-            Loss::CutOff => {
+            Loss::Partition => {
                 let partitions: Vec<(NodeId, NodeId)> = self
                     .coordinators_but(&[node])
                     .into_iter()
--- a/simulation/src/history/outages.rs
+++ b/simulation/src/history/outages.rs
@@ -1,4 +1,4 @@
-//! Trouble in the core, within what may be lost at once.
+//! Faults of coordinators, within the number of failures that the system tolerates at once.
 
 use std::ops::RangeInclusive;
 
@@ -47,7 +47,7 @@
                 self.schedule_recovery(Recovery::Disk(node))
             }
             6 | 7 => self.isolate(node),
-            8 => self.take_down(node, "told to end", Fleet::terminate),
+            8 => self.take_down(node, "shuts down", Fleet::terminate),
             _ => self.replace_machine(node),
         };
         self.unavailable_until.insert(node, until + SYNC);
@@ -95,7 +95,7 @@
                 partitions.push((other, node));
             }
         }
-        self.record(format!("{node} cut off, way {way}"));
+        self.record(format!("{node} isolated, way {way}"));
         for (from, to) in &partitions {
             self.fleet.partition_one_way(*from, *to, true);
         }
@@ -157,7 +157,7 @@
             self.await_acknowledgement();
         }
         let power = self.world().random_bool(0.6);
-        self.record(format!("all lost, power {power}"));
+        self.record(format!("all stopped, power {power}"));
         self.fleet.stop_all(power);
         if power && self.world().random_bool(0.4) {
             let mut without_disk = self.fleet.coordinators();
--- a/simulation/src/history/partitions.rs
+++ b/simulation/src/history/partitions.rs
@@ -1,5 +1,5 @@
-//! One coordinator is cut off: from voters, edges, the operator, in both directions or one, for long or for less than
-//! a message takes, while the operator, servers and edges reach either side.
+//! Partitions of one or two coordinators from voters, edges or the operator, in both directions or one, for long or for less
+//! than a message's delay, while the operator, servers and edges reach either side.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -55,14 +55,14 @@
     fn begin_leadership_transfer(&mut self, node: NodeId) {
         match self.draw(0..=2) {
             0 => {
-                self.record(format!("{node}'s disk hangs"));
+                self.record(format!("{node}'s disk stalls"));
                 self.fleet.set_disk_stalled(node, true);
                 self.schedule_recovery(Recovery::Disk(node));
                 let wait = self.draw(380..=520);
                 self.fleet.run(wait);
             }
             1 => {
-                self.take_down(node, "told to end", Fleet::terminate);
+                self.take_down(node, "shuts down", Fleet::terminate);
                 let wait = self.draw(0..=6);
                 self.fleet.run(wait);
             }
@@ -97,7 +97,7 @@
             others.remove(kept);
         }
         let apart = isolated.len() > 1 && self.world().random_bool(0.3);
-        self.record(format!("cut off: {isolated:?}, from {others:?}, way {way}, from each other {apart}"));
+        self.record(format!("isolated: {isolated:?}, from {others:?}, way {way}, from each other {apart}"));
         let mut partitions = Vec::new();
         for node in isolated {
             let own: Vec<NodeId> = if apart { isolated.to_vec() } else { Vec::new() };
@@ -161,7 +161,7 @@
             let pause = self.draw(DISTURBANCE_INTERVAL).min(end.saturating_sub(self.fleet.world.now));
             self.advance(pause);
         }
-        self.record(format!("joined again: {isolated:?}"));
+        self.record(format!("partition heals: {isolated:?}"));
         if self.world().random_bool(0.3) {
             // The links heal one by one.
             for (from, to) in &partitions {
@@ -185,7 +185,7 @@
         let Some(lease_holder) = self.fleet.leader_of(shard) else { return };
         let others = self.coordinators_but(&[lease_holder]);
         let Some(one) = self.choose(&others) else { return };
-        self.record(format!("{lease_holder}, the holder of orders, is cut off from {one}"));
+        self.record(format!("{lease_holder}, the order lease holder, is partitioned from {one}"));
         let mut partitions = vec![(lease_holder, one), (one, lease_holder)];
         self.set_partitions(&partitions, true);
         let duration = self.draw(800..=3_000);
@@ -195,7 +195,7 @@
         while self.fleet.world.now < end && !self.fleet.run_until(30, replaced) {
             self.request_adapters();
         }
-        self.record(format!("{lease_holder} hears nobody any more"));
+        self.record(format!("{lease_holder} receives nothing any more"));
         let rest: Vec<Direction> = others.iter().map(|other| (*other, lease_holder)).collect();
         self.set_partitions(&rest, true);
         partitions.extend(rest);
@@ -205,7 +205,7 @@
             self.request_adapters();
             self.advance(30);
         }
-        self.record(format!("{lease_holder} is joined again"));
+        self.record(format!("the partition of {lease_holder} heals"));
         self.set_partitions(&partitions, false);
         let after = self.draw(300..=SYNC);
         self.advance(after);
@@ -216,7 +216,7 @@
         let Some(former) = self.fleet.leader() else { return };
         let others = self.coordinators_but(&[former]);
         let freezes = self.world().random_bool(0.4);
-        self.record(format!("{former} leads and is cut off, or frozen: {freezes}"));
+        self.record(format!("{former} leads and is isolated, or frozen: {freezes}"));
         let partitions: Vec<Direction> =
             others.iter().flat_map(|other| [(former, *other), (*other, former)]).collect();
         if freezes {
@@ -307,7 +307,7 @@
     fn restart_edge(&mut self, node: NodeId, only: bool) {
         let edges = self.fleet.edges();
         let Some(edge) = self.choose(&edges) else { return };
-        self.record(format!("edge {edge} starts anew, reaches {node} only: {only}"));
+        self.record(format!("edge {edge} restarts, reaches {node} only: {only}"));
         if only {
             let others = self.coordinators_but(&[node]);
             let partitions: Vec<Direction> =
--- a/simulation/src/history/races.rs
+++ b/simulation/src/history/races.rs
@@ -1,5 +1,5 @@
-//! Several operators at once: changes on one version, the same change from two, answers that are lost, changes that come
-//! again at once or after many others, to nodes that lag, are cut off or lead no more.
+//! Concurrent operators: changes on one base version, one change from two operators, lost responses, and retries at once or
+//! after many other changes, to nodes that lag, are isolated or lead no more.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -93,7 +93,7 @@
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
         if self.unavailable_until.is_empty() {
-            self.record(format!("{leader}'s disk hangs"));
+            self.record(format!("{leader}'s disk stalls"));
             self.fleet.set_disk_stalled(leader, true);
             let until = self.schedule_recovery(Recovery::Disk(leader));
             self.unavailable_until.insert(leader, until + SYNC);
--- a/simulation/src/history/scenario.rs
+++ b/simulation/src/history/scenario.rs
@@ -1,4 +1,4 @@
-//! Histories that aim at one point each of what may go wrong on the control side.
+//! Scenarios: histories that concentrate on one kind of faults each, and what these histories have in common.
 
 use shaletrail_protocol::{Millis, NodeId};
 
--- /dev/null
+++ b/simulation/src/invariants/configuration.rs
@@ -0,0 +1,140 @@
+//! Invariants of configuration changes: their outcomes, reads of them, and the versions that edges apply.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde_json::Value;
+use shaletrail_protocol::{Incarnation, Millis, NodeId};
+
+use super::{InvariantBounds, Violation, RESTORATION_GRACE};
+use crate::fixtures::{self, version_of};
+use crate::observer::{Observer, Outcome, SentChange};
+
+/// How long a response may be in flight beyond `convergenceMs`, in milliseconds: a partitioned link delays it.
+const MAX_DELIVERY_DELAY: Millis = 1_000;
+
+/// Checks the outcomes of changes, and reads against them.
+pub(super) fn check_changes_and_reads(observer: &Observer) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut acknowledged: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+    for (number, change) in &observer.changes {
+        if change.acknowledged_at().is_some() {
+            acknowledged.entry(change.base).or_default().push(*number);
+        }
+        let refused = change.outcomes.iter().any(|(_, outcome)| *outcome != Outcome::Acknowledged);
+        let in_force = observer.applied_configs.iter().any(|seen| seen.change == Some(*number));
+        let read =
+            observer.reads.iter().any(|read| fixtures::change_in_document(&read.document) == Some(*number));
+        if refused && (change.acknowledged_at().is_some() || in_force || read) {
+            violations.push(Violation::RejectedAfterAcceptance { change: *number });
+        } else if change.outcomes.iter().any(|(_, outcome)| *outcome == Outcome::Invalid) {
+            violations.push(Violation::ValidChangeRejected { change: *number });
+        }
+    }
+    let twice = acknowledged.into_iter().filter(|(_, changes)| changes.len() > 1);
+    violations.extend(twice.map(|(base, changes)| Violation::ConflictingAcknowledgements { base, changes }));
+    for read in &observer.reads {
+        let (version, known) = (version_of(&read.document), observer.acknowledged_version(read.started_at));
+        if version < known {
+            violations.push(Violation::StaleRead {
+                started_at: read.started_at,
+                read: version,
+                acknowledged: known,
+            });
+        }
+        let sent =
+            fixtures::change_in_document(&read.document).and_then(|change| observer.changes.get(&change));
+        if version > 0 && sent.is_none_or(|sent| !is_equivalent(&sent.document, &read.document)) {
+            violations.push(Violation::ReadDiffersFromWrite { version });
+        }
+    }
+    violations
+}
+
+/// Checks that conflict responses name a version that can be current.
+pub(super) fn check_conflict_responses(observer: &Observer) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for conflict in &observer.conflicts {
+        let Some(change) = observer.changes.get(&conflict.change) else { continue };
+        let read = observer.reads.iter().filter(|read| read.at < conflict.started_at);
+        let read = read.map(|read| version_of(&read.document)).max().unwrap_or_default();
+        let known = observer.acknowledged_version(conflict.started_at).max(read);
+        if conflict.current == change.base || conflict.current < known {
+            violations.push(Violation::FalseConflict {
+                change: conflict.change,
+                base: change.base,
+                current: conflict.current,
+                known,
+            });
+        }
+    }
+    violations
+}
+
+/// Each change names the version that it was built on: none that was acknowledged may lie between the two.
+pub(super) fn check_lost_changes(observer: &Observer) -> Vec<Violation> {
+    let acknowledged: BTreeMap<u64, u64> = observer
+        .changes
+        .iter()
+        .filter(|(_, change)| change.acknowledged_at().is_some())
+        .map(|(number, change)| (change.version, *number))
+        .collect();
+    let in_force = observer.applied_configs.iter().filter_map(|seen| seen.change);
+    let read = observer.reads.iter().filter_map(|read| fixtures::change_in_document(&read.document));
+    let taken: BTreeSet<u64> = acknowledged.values().copied().chain(in_force).chain(read).collect();
+    let mut violations = Vec::new();
+    for later in taken {
+        let Some(SentChange { base, version, .. }) = observer.changes.get(&later) else { continue };
+        if base + 1 < *version {
+            // Two acknowledged changes on one base are reported as conflicting.
+            let of_one_base = |other: &u64| {
+                acknowledged.get(version) == Some(&later) && observer.changes[other].base == *base
+            };
+            let between = acknowledged.range(base + 1..*version).filter(|(_, change)| !of_one_base(change));
+            violations.extend(between.map(|(_, change)| Violation::LostChange { change: *change, later }));
+        }
+    }
+    violations
+}
+
+/// Whether two configurations have the same items, in whichever order.
+fn is_equivalent(one: &Value, other: &Value) -> bool {
+    let sorted = |document: &Value| {
+        let mut document = document.clone();
+        for list in ["routes", "services"] {
+            if let Some(items) = document.get_mut(list).and_then(Value::as_array_mut) {
+                items.sort_by_key(|item| item["name"].to_string());
+            }
+        }
+        document
+    };
+    sorted(one) == sorted(other)
+}
+
+/// Checks the versions that edges applied: order, identity and age.
+pub(super) fn check_applied_configs(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut newest: BTreeMap<(NodeId, u64), u64> = BTreeMap::new();
+    let mut versions: BTreeMap<u64, Option<u64>> = BTreeMap::new();
+    for seen in &observer.applied_configs {
+        let Incarnation(incarnation) = seen.incarnation;
+        let before = newest.insert((seen.edge, incarnation), seen.version).unwrap_or_default();
+        if seen.version <= before {
+            violations.push(Violation::VersionRegression { edge: seen.edge, from: before, to: seen.version });
+        }
+        let long_ago = seen.at.saturating_sub(bounds.convergence + MAX_DELIVERY_DELAY);
+        let acknowledged = observer.acknowledged_version(long_ago);
+        let restored = observer.restorations.get(&seen.edge).is_some_and(|moments| {
+            moments.iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&seen.at))
+        });
+        if seen.version < acknowledged && !restored {
+            let (edge, version) = (seen.edge, seen.version);
+            violations.push(Violation::SupersededConfigApplied { edge, version, acknowledged });
+        }
+        let change = versions.entry(seen.version).or_insert(seen.change);
+        let sent = seen.change.and_then(|change| observer.changes.get(&change));
+        if *change != seen.change || sent.is_none_or(|sent| sent.version != seen.version) {
+            violations.push(Violation::DivergentVersion { version: seen.version });
+        }
+    }
+    violations
+}
--- /dev/null
+++ b/simulation/src/invariants/orders.rs
@@ -0,0 +1,53 @@
+//! Invariants of orders to model servers: one lease holder at a time, load rate and capacity.
+
+use std::collections::BTreeMap;
+
+use shaletrail_protocol::{Millis, ServerId};
+
+use super::{InvariantBounds, Violation, RESTORATION_GRACE};
+use crate::observer::{ObservedOrder, Observer};
+
+/// Loads allowed in a window beyond the rate limit of the weight store.
+const LOAD_RATE_SLACK: f64 = 3.0;
+
+/// Checks fencing tokens and the time between orders of different lease holders, server by server.
+pub(super) fn check_orders(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut last: BTreeMap<&ServerId, &ObservedOrder> = BTreeMap::new();
+    let restored = |order: &ObservedOrder| {
+        let moments = observer.restorations.get(&order.from).into_iter().flatten();
+        moments.into_iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&order.at))
+    };
+    for order in observer.orders.iter().filter(|order| !restored(order)) {
+        let Some(before) = last.insert(&order.server, order) else { continue };
+        let different_holder = before.lease_holder != order.lease_holder || before.from != order.from;
+        if order.fencing_token < before.fencing_token
+            || (different_holder && order.fencing_token == before.fencing_token)
+        {
+            violations
+                .push(Violation::FencingTokenRegression { before: before.clone(), after: order.clone() });
+        }
+        if different_holder && order.at - before.at < bounds.lease {
+            violations.push(Violation::LeaseOverlap { before: before.clone(), after: order.clone() });
+        }
+    }
+    violations
+}
+
+/// Checks the load rate of the weight store and the capacity of servers.
+pub(super) fn check_loads(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let window_s = bounds.origin_window as f64 / 1_000.0;
+    let allowed = bounds.load_per_s * window_s * bounds.origin_overshoot + LOAD_RATE_SLACK;
+    for (at, _) in &observer.store_loads {
+        let in_window = |other: &&(Millis, String)| other.0 <= *at && other.0 + bounds.origin_window > *at;
+        let count = observer.store_loads.iter().filter(in_window).count();
+        if count as f64 > allowed {
+            violations.push(Violation::LoadRateExceeded { at: *at, loads: count });
+        }
+    }
+    violations.extend(observer.capacity_violations.iter().map(|(at, server, description)| {
+        Violation::CapacityExceeded { at: *at, server: server.clone(), description: description.clone() }
+    }));
+    violations
+}
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,39 +1,35 @@
-//! The whole system in memory, for tests: the production decisions of coordinators and edges, with virtual time,
-//! seeded luck, and model servers, an operator and clients that behave as the operators' protocol says.
+//! The whole system in memory, for tests: the production state machines of coordinators and edges over a simulated network,
+//! simulated disks and model servers, with virtual time and fault injection.
 //!
-//! A [`Fleet`] runs as many machines as a test wants. Nothing in it sleeps or reads a clock; the same seed gives the
-//! same history. What operator, servers and clients see is written down by a [`Witness`], and [`checks`] go by that
-//! alone, never by the state of the decisions under test.
+//! A [`Fleet`] runs as many machines as a test wants. Nothing in it sleeps or reads a clock, and all randomness comes from
+//! one seeded generator, so that the same seed gives the same history. What the operator, servers and clients see is
+//! recorded by an [`Observer`]; the [`invariants`] are checked over that record alone, never over the state of the system
+//! under test.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`fleet`] | the machines, and the passing of time |
-//! | `calls` | what the operator and clients do at a fleet |
-//! | `report` | whether the rules hold, and what a fleet looks like where they don't |
-//! | [`troubles`] | what goes wrong: crashes, losses of power, freezes, cuts, disks |
-//! | [`world`] | clock, schedule, luck and network that all machines share |
-//! | [`network`] | links: delay, loss, cuts |
-//! | [`message`] | what travels on links |
+//! | [`fleet`] | the machines: event loop, membership, faults, calls of operator and clients, reports of failed tests |
+//! | [`world`] | what all machines share: clock, scheduled events, random number generator, network, observer |
+//! | [`network`] | links: delay, loss, partitions, disorder |
+//! | [`message`] | the messages on links |
+//! | [`contact`] | which machines have quorum contact |
 //! | [`coordinator`] | a coordinator's process around the production core |
-//! | [`disk`] | its journal on a disk in memory |
-//! | [`edge`] | an edge's process: polls around the production router |
-//! | [`requests`] | the requests of an edge's clients |
+//! | [`disk`] | a coordinator's journal on a disk in memory |
+//! | [`edge`] | an edge's process around the production router: polls, reports and clients' requests |
 //! | [`server`] | a model server |
 //! | [`operator`] | the operator's calls |
-//! | [`site`] | configurations to test with |
-//! | [`witness`] | what was seen from outside |
-//! | [`checks`] | the rules, over what was seen |
-//! | [`history`] | random histories |
+//! | [`fixtures`] | configurations and addresses |
+//! | [`observer`] | the record of what is visible from outside |
+//! | [`invariants`] | the invariants over that record |
+//! | [`history`] | random histories of faults |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod clients;
 pub mod contact;
 pub mod coordinator;
 pub mod disk;
 pub mod edge;
-pub mod faults;
 pub mod fixtures;
 pub mod fleet;
 pub mod history;
@@ -42,8 +38,6 @@
 pub mod network;
 pub mod observer;
 pub mod operator;
-mod report;
-pub mod requests;
 pub mod server;
 pub mod world;
 
--- a/simulation/src/message.rs
+++ b/simulation/src/message.rs
@@ -1,5 +1,5 @@
-//! What travels on the links. All that crosses a machine's border is encoded as in production and decoded by the
-//! receiver, so that nothing passes that could not be sent.
+//! The messages between machines. Their contents are encoded as in production and decoded by the receiver, so that no
+//! message can be simulated that could not be sent.
 
 use shaletrail_protocol::frame::{self, PREFIX_BYTES};
 use shaletrail_protocol::internal::{EdgeIdentity, OperatorCall, OperatorResponse};
@@ -15,75 +15,75 @@
     Coordinator(Vec<u8>),
     /// A frame of an edge that gets no response.
     EdgeReport {
-        /// The edge.
+        /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The frame.
+        /// The encoded request.
         frame: Vec<u8>,
     },
     /// An encoded load report between edges, one datagram.
     LoadReport(Vec<u8>),
     /// A call that expects a response.
     Call {
-        /// Its name.
+        /// The number of the call.
         number: CallNumber,
-        /// What is asked.
+        /// The call itself.
         call: Call,
     },
-    /// The answer.
+    /// The response to a call.
     Response {
-        /// The call's name.
+        /// The number of the call.
         number: CallNumber,
-        /// What is answered.
+        /// The response itself.
         response: Response,
     },
     /// The connection of a call was refused or reset.
     ConnectionFailed {
-        /// The call's name.
+        /// The number of the call.
         number: CallNumber,
         /// Whether the receiver had accepted the call before.
         accepted: bool,
     },
     /// The caller has closed the connection of a call.
     Cancelled {
-        /// The call's name.
+        /// The number of the call.
         number: CallNumber,
     },
 }
 
-/// What is asked.
+/// The calls between machines.
 #[derive(Clone, Debug)]
 pub enum Call {
     /// A poll of an edge, as a frame.
     Poll {
-        /// The edge.
+        /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The frame.
+        /// The encoded request.
         frame: Vec<u8>,
     },
     /// A server's heartbeat, as JSON.
     Heartbeat {
-        /// The server.
+        /// The identifier of the sending server.
         id: ServerId,
-        /// The body.
+        /// The JSON body.
         body: Vec<u8>,
     },
     /// A server's deregistration.
     Deregister {
-        /// The server.
+        /// The identifier of the sending server.
         id: ServerId,
     },
     /// The operator changes or reads the configuration.
     Operator(OperatorCall),
     /// An order to a server, as JSON.
     Order {
-        /// `Expected-Instance`.
+        /// The `Expected-Instance` header: the server that the call is meant for.
         expected: ServerId,
-        /// The body.
+        /// The JSON body.
         body: Vec<u8>,
     },
-    /// `GET /report`.
+    /// A call of `GET /report` at a server.
     Report {
-        /// `Expected-Instance`.
+        /// The `Expected-Instance` header: the server that the call is meant for.
         expected: ServerId,
     },
     /// A client's request that an edge forwards.
@@ -95,15 +95,15 @@
 pub struct Request {
     /// The client's number of it.
     pub request: u64,
-    /// `Expected-Instance`.
+    /// The `Expected-Instance` header: the server that the request is meant for.
     pub expected: ServerId,
     /// The model; empty if the request names none.
     pub model: String,
-    /// The adapter.
+    /// The adapter, if the request names one.
     pub adapter: Option<String>,
 }
 
-/// What is answered.
+/// The responses to calls.
 #[derive(Clone, Debug)]
 pub enum Response {
     /// The response to a poll, as a frame.
@@ -118,9 +118,9 @@
     Report(Vec<u8>),
     /// To a client's request.
     Request {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// `Instance-Id`.
+        /// The `Instance-Id` header: the server that answered.
         instance: ServerId,
     },
 }
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -1,7 +1,7 @@
-//! Links between machines: delay, loss and cuts, each direction of a pair on its own.
+//! Links between machines: delay, loss and partitions, each direction of a pair on its own.
 //!
-//! As over TCP, what one machine sends another arrives in order. A lost packet is sent again, so that it delays
-//! what comes after it. What a cut holds up arrives if the cut ends soon, and is lost otherwise.
+//! As over TCP, messages from one machine to another arrive in order. A lost packet is retransmitted and delays the messages
+//! behind it. Messages that a partition delays arrive if it heals soon, and are lost otherwise.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::RangeInclusive;
--- a/simulation/src/observer.rs
+++ b/simulation/src/observer.rs
@@ -1,191 +1,21 @@
-//! What operator, servers and clients have seen.
+//! The record of what operator, servers and clients see of the system. Invariants are checked over it.
+
+mod observations;
+
+pub use observations::{
+    AcknowledgedDrain, AppliedConfig, AttemptSent, ClientRequest, ConfigRead, ConflictResponse, EdgeState,
+    ObservedOrder, ObservedRequest, Outcome, SentChange,
+};
 
 use std::collections::BTreeMap;
 
-use serde_json::Value;
 use shaletrail_coordinator::interface::StateChange;
 use shaletrail_protocol::{Incarnation, Millis, NodeId, ServerId};
 
-/// Log lines of coordinators that are kept for messages of failed tests.
+/// Most log lines of coordinators that are kept for messages of failed tests.
 const MAX_STATE_CHANGES: usize = 4_000;
 
-/// A client's request as it arrives at an edge.
-#[derive(Clone, Debug, Default)]
-pub struct ClientRequest {
-    /// `Host`.
-    pub host: String,
-    /// The path.
-    pub path: String,
-    /// `Model` before the slash.
-    pub model: Option<String>,
-    /// `Model` after the slash.
-    pub adapter: Option<String>,
-    /// `Deadline-Ms`.
-    pub deadline_ms: Option<Millis>,
-}
-
-/// A request, from its client's side and from its servers'.
-#[derive(Clone, Debug)]
-pub struct ObservedRequest {
-    /// When it came.
-    pub at: Millis,
-    /// Where it came.
-    pub edge: NodeId,
-    /// What for.
-    pub client_request: ClientRequest,
-    /// Whether it may run once only.
-    pub non_idempotent: bool,
-    /// Attempts of the edge, with the servers.
-    pub attempts: Vec<(Millis, ServerId)>,
-    /// The version in force there; 0 for none.
-    pub version: u64,
-    /// Whether the edge was in touch.
-    pub has_quorum_contact: bool,
-    /// Attempts that were written to a connection, with the service; those whose connection was refused are taken out.
-    pub written: Vec<(Millis, String)>,
-    /// Rejections by servers: time, server and status.
-    pub rejections: Vec<(Millis, ServerId, u16)>,
-    /// Servers that ran it.
-    pub executions: Vec<(Millis, ServerId)>,
-    /// The answer's status.
-    pub response: Option<(Millis, u16)>,
-}
-
-/// Where a request comes.
-#[derive(Clone, Copy, Debug)]
-pub struct EdgeState {
-    /// The edge.
-    pub edge: NodeId,
-    /// The version in force there; 0 for none.
-    pub version: u64,
-    /// Whether it is in touch.
-    pub has_quorum_contact: bool,
-}
-
-/// An attempt of a request that an edge sent.
-#[derive(Clone, Debug)]
-pub struct AttemptSent {
-    /// When.
-    pub at: Millis,
-    /// From where.
-    pub edge: NodeId,
-    /// The request.
-    pub request: u64,
-    /// Where to.
-    pub server: ServerId,
-    /// The server's service.
-    pub service: String,
-    /// Whether the edge was in touch.
-    pub has_quorum_contact: bool,
-}
-
-/// An order as a server saw it.
-#[derive(Clone, Debug)]
-pub struct ObservedOrder {
-    /// When.
-    pub at: Millis,
-    /// The server.
-    pub server: ServerId,
-    /// The machine that sent it.
-    pub from: NodeId,
-    /// `leaseHolder`.
-    pub lease_holder: String,
-    /// `fencingToken`.
-    pub fencing_token: u64,
-    /// The answer.
-    pub status: u16,
-}
-
-/// A `draining` that was acknowledged.
-#[derive(Clone, Debug)]
-pub struct AcknowledgedDrain {
-    /// When the server had the acknowledgement.
-    pub at: Millis,
-    /// The server.
-    pub server: ServerId,
-    /// The coordinator that acknowledged.
-    pub by: NodeId,
-    /// Whether it was in touch.
-    pub has_quorum_contact: bool,
-}
-
-/// A configuration that came into force at an edge.
-#[derive(Clone, Debug)]
-pub struct AppliedConfig {
-    /// When.
-    pub at: Millis,
-    /// The edge.
-    pub edge: NodeId,
-    /// The incarnation of its process.
-    pub incarnation: Incarnation,
-    /// The version.
-    pub version: u64,
-    /// The change that made it.
-    pub change: Option<u64>,
-}
-
-/// How a call of the operator ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum Outcome {
-    /// 200.
-    Acknowledged,
-    /// 412.
-    Conflict {
-        /// The version that is said to be current.
-        current: u64,
-    },
-    /// 400.
-    Invalid,
-}
-
-/// A change that the operator has sent.
-#[derive(Clone, Debug)]
-pub struct SentChange {
-    /// `Base-Version`.
-    pub base: u64,
-    /// Its version.
-    pub version: u64,
-    /// What the configuration is with it.
-    pub document: Value,
-    /// Its answers.
-    pub outcomes: Vec<(Millis, Outcome)>,
-}
-
-impl SentChange {
-    /// When it was first acknowledged.
-    pub fn acknowledged_at(&self) -> Option<Millis> {
-        let mut outcomes = self.outcomes.iter();
-        outcomes.find(|(_, outcome)| *outcome == Outcome::Acknowledged).map(|(at, _)| *at)
-    }
-}
-
-/// A change that was refused because another version is current.
-#[derive(Clone, Debug)]
-pub struct ConflictResponse {
-    /// The change.
-    pub change: u64,
-    /// When it was first sent in this call.
-    pub started_at: Millis,
-    /// When the answer came.
-    pub at: Millis,
-    /// The version that is said to be current.
-    pub current: u64,
-}
-
-/// A configuration that was read back.
-#[derive(Clone, Debug)]
-pub struct ConfigRead {
-    /// The call.
-    pub call: u64,
-    /// When it was first sent.
-    pub started_at: Millis,
-    /// When its answer came.
-    pub at: Millis,
-    /// The answer.
-    pub document: Value,
-}
-
-/// All that was seen.
+/// Everything that was visible to the operator, servers and clients. Times are virtual time in milliseconds.
 #[derive(Debug, Default)]
 pub struct Observer {
     /// Requests, by the clients' numbers.
@@ -194,32 +24,32 @@
     pub attempts: Vec<AttemptSent>,
     /// Orders that servers answered, in order.
     pub orders: Vec<ObservedOrder>,
-    /// Moments at which loads from the weight store began, with the service.
+    /// Starts of loads from the weight store: time and service.
     pub store_loads: Vec<(Millis, String)>,
-    /// Orders to load beyond a server's room.
+    /// Orders that load more than a server's capacity: time, server and what it would have loaded.
     pub capacity_violations: Vec<(Millis, ServerId, String)>,
-    /// Acknowledgements of `draining`.
+    /// Acknowledged reports of `draining`, in order.
     pub acknowledged_drains: Vec<AcknowledgedDrain>,
-    /// What had no acknowledgement in time although nothing was wrong.
+    /// Calls and drainings without an acknowledgement in time although there was no fault.
     pub overdue_acknowledgements: Vec<(Millis, String)>,
-    /// Configurations in force at edges, in order.
+    /// Configurations that edges applied, in order.
     pub applied_configs: Vec<AppliedConfig>,
-    /// Changes of the operator.
+    /// Changes of the operator, by number.
     pub changes: BTreeMap<u64, SentChange>,
     /// Reads of the operator, in order.
     pub reads: Vec<ConfigRead>,
-    /// Changes that were refused as built on another version, in order.
+    /// Changes that were rejected because another version is current, in order.
     pub conflicts: Vec<ConflictResponse>,
-    /// When each machine was last thawed, or a link of it joined.
+    /// When each machine was thawed or a partition of it healed.
     pub restorations: BTreeMap<NodeId, Vec<Millis>>,
-    /// What was done to the fleet, for messages of failed tests.
+    /// Faults and repairs, for messages of failed tests.
     pub actions: Vec<(Millis, String)>,
-    /// Log lines of coordinators. No check goes by them.
+    /// Log lines of coordinators. No invariant depends on them.
     pub state_changes: Vec<(Millis, NodeId, StateChange)>,
 }
 
 impl Observer {
-    /// A client asks.
+    /// A request arrives at an edge.
     pub fn request_received(
         &mut self,
         at: Millis,
@@ -245,14 +75,14 @@
         self.requests.insert(number, seen);
     }
 
-    /// A client is answered.
+    /// A client receives its response.
     pub fn request_answered(&mut self, at: Millis, number: u64, status: u16) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.response.get_or_insert((at, status));
         }
     }
 
-    /// An edge sends a request.
+    /// An edge sends an attempt of a request.
     pub fn attempt_sent(&mut self, attempt: AttemptSent) {
         if let Some(request) = self.requests.get_mut(&attempt.request) {
             request.attempts.push((attempt.at, attempt.server.clone()));
@@ -341,7 +171,7 @@
         self.changes.insert(change, attempt_sent);
     }
 
-    /// A change is answered.
+    /// The operator receives the outcome of a change.
     pub fn change_answered(&mut self, at: Millis, change: u64, outcome: Outcome) {
         if let Some(change) = self.changes.get_mut(&change) {
             change.outcomes.push((at, outcome));
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends changes until they are answered, to whichever coordinator its list names, and reads back.
+//! The operator: it sends changes and reads to random coordinators of the published list until they are answered.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use shaletrail_protocol::internal::{OperatorCall, OperatorResponse};
 use shaletrail_protocol::{Millis, NodeId};
 
-use crate::fixtures::{self, Models};
+use crate::fixtures::{self, version_of, Models};
 use crate::message::{Call, CallNumber, Message, Response};
 use crate::observer::{ConfigRead, ConflictResponse, Outcome, SentChange};
 use crate::world::{Timer, World};
@@ -94,7 +94,7 @@
         let mut document = self.known.clone();
         document["version"] = version.into();
         let routes = document["routes"].as_array_mut().expect("a known configuration has routes");
-        if let Some(mark) = routes.iter_mut().find(|route| route["name"] == "mark") {
+        if let Some(mark) = routes.iter_mut().find(|route| route["name"] == fixtures::MARKER_ROUTE) {
             *mark = fixtures::marker_route(change);
         }
         let body = fixtures::marker_update(change, version).to_string().into_bytes();
@@ -297,8 +297,3 @@
         world.observer.change_answered(world.now, change, outcome);
     }
 }
-
-/// The version of a configuration; 0 for none.
-pub fn version_of(document: &Value) -> u64 {
-    document.get("version").and_then(Value::as_u64).unwrap_or_default()
-}
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A model server, as the operators' protocol describes it.
+//! A model server, as the operators' protocol describes it: heartbeats, draining, requests and orders.
 
 mod orders;
 
@@ -65,7 +65,7 @@
         exit_at: Option<Millis>,
     },
     /// `draining` was acknowledged.
-    AcknowledgedDrain {
+    Drained {
         exit_at: Option<Millis>,
     },
     /// Deregisters.
@@ -239,7 +239,7 @@
         self.sequence += 1;
         let draining = self.lifecycle != Lifecycle::Ready;
         let exit_at = match self.lifecycle {
-            Lifecycle::Draining { exit_at, .. } | Lifecycle::AcknowledgedDrain { exit_at } => exit_at,
+            Lifecycle::Draining { exit_at, .. } | Lifecycle::Drained { exit_at } => exit_at,
             _ => None,
         };
         let heartbeat = Heartbeat {
@@ -278,14 +278,14 @@
                 let has_quorum_contact =
                     world.contact.has_quorum_contact(world.now, coordinator, &world.network);
                 world.observer.drain_acknowledged(world.now, &self.id, coordinator, has_quorum_contact);
-                self.lifecycle = Lifecycle::AcknowledgedDrain { exit_at };
+                self.lifecycle = Lifecycle::Drained { exit_at };
                 if exit_at.is_none() {
                     let stays = self.options.drain + world.random_range(POST_DRAIN_TIME);
                     world.wake(self.node, world.now + stays, Timer::ServerExit);
                 }
             }
             Lifecycle::Deregistering { .. } => return self.exit(world),
-            Lifecycle::Ready | Lifecycle::AcknowledgedDrain { .. } => {}
+            Lifecycle::Ready | Lifecycle::Drained { .. } => {}
         }
         world.wake(self.node, world.now + self.options.heartbeat, Timer::Heartbeat);
     }
@@ -299,9 +299,9 @@
                     self.exit(world);
                 }
             }
-            Lifecycle::AcknowledgedDrain { exit_at: Some(at) } if at > world.now => {}
-            Lifecycle::AcknowledgedDrain { exit_at: Some(_) } => self.exit(world),
-            Lifecycle::AcknowledgedDrain { exit_at: None } => {
+            Lifecycle::Drained { exit_at: Some(at) } if at > world.now => {}
+            Lifecycle::Drained { exit_at: Some(_) } => self.exit(world),
+            Lifecycle::Drained { exit_at: None } => {
                 self.lifecycle = Lifecycle::Deregistering { since: world.now };
                 self.pending_call = None;
                 world.wake(self.node, world.now, Timer::Heartbeat);
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -1,4 +1,4 @@
-//! How a model server takes orders.
+//! How a model server answers orders and loads or evicts models and adapters.
 
 use std::collections::BTreeSet;
 
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! What all machines share: the clock, what is going to happen, luck, the network and the witness.
+//! What all machines share: virtual time, scheduled events, the random number generator, the network and the observer.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
--- a/simulation/tests/common/mod.rs
+++ b/simulation/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the stories share.
+//! Helpers that the tests share.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use shaletrail_coordinator::core::shards::shard_of;
--- a/simulation/tests/disks.rs
+++ b/simulation/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Disks are slow, hang, or are full.
+//! Coordinators with slow, stalled, full and failing disks.
 
 mod common;
 
--- a/simulation/tests/invariants.rs
+++ b/simulation/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks notice what they are there for: each rule is broken once in a made-up history.
+//! Each invariant is violated once by a constructed history, and reported.
 
 use serde_json::Value;
 use shaletrail_protocol::{Incarnation, NodeId};
--- a/simulation/tests/losses.rs
+++ b/simulation/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Machines of the core are lost, replaced and exchanged.
+//! Coordinators lose power or disk, and are replaced.
 
 mod common;
 
--- a/simulation/tests/operator.rs
+++ b/simulation/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's calls are lost, repeated and race each other.
+//! Lost, repeated and concurrent calls of the operator.
 
 mod common;
 
--- a/simulation/tests/order_leases.rs
+++ b/simulation/tests/order_leases.rs
@@ -1,4 +1,4 @@
-//! Holders of orders that follow one another, on the way from a plan to a server.
+//! Successive order lease holders: no order of the former one may be sent after its lease.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const MODELS: usize = 6;
 
 /// A fleet with one server that has models, which gets all orders, and a lease holder that has led for a while.
-fn settled(seed: u64) -> Fleet {
+fn ready_with_budget(seed: u64) -> Fleet {
     let options = FleetOptions { initial_models: vec![vec![0, 1]], seed, ..FleetOptions::default() };
     let mut fleet = Fleet::ready(options);
     fleet.run(10_000);
@@ -59,7 +59,7 @@
 fn thawed_lease_holder_sends_no_order() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let first = lease_holder(&fleet);
         assert!(order_is_on_its_way(&mut fleet, first), "{}", fleet.describe());
 
@@ -80,7 +80,7 @@
 fn stopping_lease_holder_sends_no_order() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let first = lease_holder(&fleet);
         assert!(order_is_on_its_way(&mut fleet, first), "{}", fleet.describe());
         let before = orders_from(&fleet, first);
@@ -99,7 +99,7 @@
 fn delayed_orders_keep_lease_apart() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let first = lease_holder(&fleet);
         let slow = Conditions { delay: 500..=500, loss: 0.0 };
         fleet.world.network.set_special((first, fixtures::server(0)), slow);
@@ -119,7 +119,7 @@
 fn reelected_lease_holder_waits_again() {
     for seed in SEEDS {
         // given: the first lease holder has just sent orders, and another one has acquired the lease
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let first = lease_holder(&fleet);
         press(&mut fleet, 2_000);
         fleet.lose_power(first);
--- a/simulation/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Models and adapters come where they are asked for, by the orders of one holder at a time.
+//! Models and adapters are loaded on request, by the orders of one lease holder at a time.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const CROWDED: u32 = 120;
 
 /// A fleet whose lease holder has led long enough to know its load budget.
-fn settled(seed: u64) -> Fleet {
+fn ready_with_budget(seed: u64) -> Fleet {
     let mut fleet = ready(seed);
     fleet.run(10_000);
     fleet
@@ -25,7 +25,7 @@
 fn missing_model_is_loaded_on_request() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
 
         // when
         let request = fleet.request_model(fleet.edges()[(seed % 2) as usize], NON_IDEMPOTENT_PATH, 4, None);
@@ -43,7 +43,7 @@
 fn missing_adapter_is_loaded_within_300_ms() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
 
         // when
         let request =
@@ -62,7 +62,7 @@
 fn excess_models_respect_rate_and_capacity() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let edges = fleet.edges();
 
         // when
@@ -127,7 +127,7 @@
 fn restarted_server_reloads_from_disk() {
     for seed in SEEDS {
         // given
-        let mut fleet = settled(seed);
+        let mut fleet = ready_with_budget(seed);
         let node = fixtures::server(0);
         let loads = fleet.world.observer.store_loads.len();
         fleet.crash_server(node);
--- a/simulation/tests/partitions.rs
+++ b/simulation/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Machines are cut off from each other, or frozen.
+//! Partitioned and frozen machines.
 
 mod common;
 
--- a/simulation/tests/scenarios.rs
+++ b/simulation/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One story for each of the points that the control side must never fail in.
+//! One fixed test for each scenario of the random histories, with three and five coordinators.
 
 mod common;
 
@@ -60,7 +60,7 @@
         assert_eq!(outcomes(&fleet, here), vec![], "{}", fleet.describe());
         assert!(
             fleet.operator.is_pending(read),
-            "a cut-off coordinator answers a read\n{}",
+            "an isolated coordinator answers a read\n{}",
             fleet.describe()
         );
         for request in requests {
--- a/simulation/tests/servers.rs
+++ b/simulation/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Model servers come, drain, fall silent and make room for others.
+//! Model servers that start, drain, crash and are replaced at their address.
 
 mod common;
 
@@ -119,7 +119,7 @@
         fleet.run(1_000);
 
         // then
-        assert!(fleet.server(node).is_none(), "it is gone");
+        assert!(fleet.server(node).is_none(), "it has exited");
         let acknowledged = fleet.world.observer.acknowledged_drains[0].at;
         assert_eq!(sent_after(&fleet, &server, acknowledged + DRAIN), 0);
         assert_all_served(&fleet, &requests);
--- a/simulation/tests/start.rs
+++ b/simulation/tests/start.rs
@@ -1,4 +1,4 @@
-//! How a system comes up for the first time.
+//! The first start of a system.
 
 mod common;
 
