--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -33,7 +33,7 @@
 /// How long an urgent report waits so that others can be batched with it, as in the poller, in milliseconds.
 const URGENT_DELAY: Millis = 5;
 /// Backoff after all coordinators have failed, as in the poller, in milliseconds.
-const ROUND_BACKOFF: std::ops::RangeInclusive<u64> = 100..=300;
+const POLL_BACKOFF: std::ops::RangeInclusive<u64> = 100..=300;
 
 /// Interval of load reports to the other edges, as in the data plane, in milliseconds.
 const LOAD_GOSSIP_INTERVAL: Millis = 100;
@@ -184,7 +184,7 @@
     pub fn wake(&mut self, world: &mut World, timer: Timer, seeds: &[NodeId]) {
         match timer {
             Timer::PollNext if self.in_flight_poll.is_none() => self.poll(world),
-            Timer::PollRoundBackoff if self.in_flight_poll.is_none() => {
+            Timer::PollBackoff if self.in_flight_poll.is_none() => {
                 self.coordinators.set_seeds(seeds.to_vec());
                 self.coordinators.begin_round();
                 self.poll(world);
@@ -253,8 +253,8 @@
 
     fn poll(&mut self, world: &mut World) {
         let Some(coordinator) = self.coordinators.choose() else {
-            let pause = world.random_range(ROUND_BACKOFF);
-            return world.wake(self.node(), world.now + pause, Timer::PollRoundBackoff);
+            let pause = world.random_range(POLL_BACKOFF);
+            return world.wake(self.node(), world.now + pause, Timer::PollBackoff);
         };
         self.collect_report(world);
         let number = world.next_id();
@@ -343,8 +343,8 @@
             return;
         };
         self.urgent_report_pending = false;
-        let (demand, seen) = self.router.take_report(self.clock(world));
-        self.server_outcomes.extend(seen);
+        let (demand, server_outcomes) = self.router.take_report(self.clock(world));
+        self.server_outcomes.extend(server_outcomes);
         let frame = frame::encode(&EdgeRequest::Report { demand });
         world.send(
             self.node(),
--- a/simulation/src/fleet/event_loop.rs
+++ b/simulation/src/fleet/event_loop.rs
@@ -42,8 +42,8 @@
                 for message in arrivals.messages {
                     self.deliver(from, to, message);
                 }
-                if let Some(again) = arrivals.again {
-                    self.world.schedule_at(again, ScheduledEvent::Arrival((from, to)));
+                if let Some(retry_at) = arrivals.retry_at {
+                    self.world.schedule_at(retry_at, ScheduledEvent::Arrival((from, to)));
                 }
             }
             ScheduledEvent::Timer { node, incarnation, timer } => {
@@ -92,8 +92,8 @@
 
     fn wake(&mut self, node: NodeId, timer: Timer) {
         if node == fixtures::operator() {
-            let list = self.published_coordinators();
-            return self.operator.wake(&mut self.world, timer, &list);
+            let coordinators = self.published_coordinators();
+            return self.operator.wake(&mut self.world, timer, &coordinators);
         }
         let Some(machine) = self.machines.get_mut(&node) else { return };
         if let Some(deferred) = &mut machine.frozen {
@@ -116,9 +116,9 @@
     }
 
     fn wake_server(&mut self, node: NodeId, timer: Timer) {
-        let list = self.published_coordinators();
+        let coordinators = self.published_coordinators();
         if let Some(Machine { process: Some(Process::Server(server)), .. }) = self.machines.get_mut(&node) {
-            server.wake(&mut self.world, timer, &list);
+            server.wake(&mut self.world, timer, &coordinators);
         }
         self.reap_exited_server(node);
     }
--- a/simulation/src/fleet/faults.rs
+++ b/simulation/src/fleet/faults.rs
@@ -108,8 +108,8 @@
         self.lose_power(node);
         self.world.network.set_power(node, false);
         self.world.contact.set_coordinator(node, false);
-        let rest = self.coordinators().into_iter().filter(|other| *other != node).collect();
-        self.set_coordinators(rest);
+        let remaining = self.coordinators().into_iter().filter(|other| *other != node).collect();
+        self.set_coordinators(remaining);
     }
 
     /// Adds a coordinator with a new address and an empty disk. Its seeds are three of the current coordinators.
@@ -237,7 +237,7 @@
     /// Repairs all faults: links, disks, freezes and stopped processes.
     pub fn repair_all(&mut self) {
         self.heal_partitions();
-        self.world.network.clear_special();
+        self.world.network.clear_link_conditions();
         for node in self.coordinators() {
             self.set_disk_faults(node, Faults::default());
             self.set_disk_stalled(node, false);
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -138,14 +138,14 @@
             && self.fleet.world.contact.is_fault_free(now, &self.fleet.world.network);
         self.fault_free_since = if calm { self.fault_free_since.or(Some(now)) } else { None };
         let Some(fault_free_since) = self.fault_free_since else { return };
-        let late = |since: Millis| since.max(fault_free_since) + ACKNOWLEDGED_WITHIN < now;
-        let calls = self.fleet.operator.pending_since().filter(|(_, since)| late(*since));
-        let mut what: Vec<String> = calls.map(|(call, _)| format!("call {call}")).collect();
+        let is_overdue = |since: Millis| since.max(fault_free_since) + ACKNOWLEDGED_WITHIN < now;
+        let calls = self.fleet.operator.pending_since().filter(|(_, since)| is_overdue(*since));
+        let mut descriptions: Vec<String> = calls.map(|(call, _)| format!("call {call}")).collect();
         let servers = self.fleet.servers().into_iter().filter_map(|node| self.fleet.server(node));
-        let draining = servers.filter(|server| server.draining_since().is_some_and(late));
-        what.extend(draining.map(|server| format!("draining of {}", server.id())));
-        for what in what {
-            self.fleet.world.observer.acknowledgement_overdue(now, what);
+        let draining = servers.filter(|server| server.draining_since().is_some_and(is_overdue));
+        descriptions.extend(draining.map(|server| format!("draining of {}", server.id())));
+        for descriptions in descriptions {
+            self.fleet.world.observer.acknowledgement_overdue(now, descriptions);
         }
     }
 
@@ -153,9 +153,9 @@
         &mut self.fleet.world
     }
 
-    fn record(&mut self, what: String) {
+    fn record(&mut self, descriptions: String) {
         let now = self.fleet.world.now;
-        self.fleet.world.observer.record_action(now, what);
+        self.fleet.world.observer.record_action(now, descriptions);
     }
 
     fn choose<T: Clone>(&mut self, from: &[T]) -> Option<T> {
--- a/simulation/src/history/crashes.rs
+++ b/simulation/src/history/crashes.rs
@@ -30,8 +30,8 @@
                 self.fleet.replace()
             };
             self.sent_changes.push(change);
-            let pace = self.draw(RESPONSE_WAIT);
-            if !self.await_outcome(change, pace) && self.world().random_bool(0.7) {
+            let response_wait = self.draw(RESPONSE_WAIT);
+            if !self.await_outcome(change, response_wait) && self.world().random_bool(0.7) {
                 self.await_outcome(change, ACKNOWLEDGED_WITHIN);
             }
             self.run_due_recoveries();
--- a/simulation/src/history/disorder.rs
+++ b/simulation/src/history/disorder.rs
@@ -78,7 +78,9 @@
         // The leader's responses are delayed.
         let longest = self.draw(3..=400);
         self.links_nominal = false;
-        self.world().network.set_special((leader, caller), Conditions { delay: 1..=longest, loss: 0.0 });
+        self.world()
+            .network
+            .set_link_conditions((leader, caller), Conditions { delay: 1..=longest, loss: 0.0 });
         self.recoveries.push((now + 800, Recovery::Links));
         let (again, calls) = (self.world().random_bool(0.5), self.draw(1..=2));
         if again {
@@ -118,15 +120,16 @@
 
     /// Duplicates and reorders messages between coordinators for a while.
     fn begin_disorder(&mut self) {
-        let late = self.draw(MESSAGE_DELAY);
-        let (doubled, overtaken) = if self.world().random_bool(0.5) { (0.15, 0.05) } else { (0.05, 0.15) };
+        let max_delay = self.draw(MESSAGE_DELAY);
+        let (duplicate_probability, reorder_probability) =
+            if self.world().random_bool(0.5) { (0.15, 0.05) } else { (0.05, 0.15) };
         self.record(format!(
-            "messages are duplicated ({doubled}) or reordered ({overtaken}), up to {late} ms late"
+            "messages are duplicated ({duplicate_probability}) or reordered ({reorder_probability}), up to {max_delay} ms late"
         ));
         self.links_nominal = false;
-        self.world().network.set_disorder(Disorder { doubled, overtaken, late });
+        self.world().network.set_disorder(Disorder { duplicate_probability, reorder_probability, max_delay });
         let until = self.schedule_recovery(Recovery::Disorder);
-        self.recoveries.push((until + late, Recovery::Links));
+        self.recoveries.push((until + max_delay, Recovery::Links));
     }
 
     /// Resets random links between coordinators: what is in flight is lost.
@@ -148,7 +151,9 @@
         self.record(format!("responses to polls of {edge} are delayed"));
         self.links_nominal = false;
         for node in self.fleet.coordinators() {
-            self.world().network.set_special((node, edge), Conditions { delay: 1..=POLL_DELAY, loss: 0.0 });
+            self.world()
+                .network
+                .set_link_conditions((node, edge), Conditions { delay: 1..=POLL_DELAY, loss: 0.0 });
         }
         self.fleet.world.contact.record_fault(self.fleet.world.now, edge);
         let until = self.fleet.world.now + self.draw(50..=2_500);
@@ -180,9 +185,10 @@
         let Some(lease_holder) = lease_holder else { return };
         self.links_nominal = false;
         for server in self.fleet.servers() {
-            self.world()
-                .network
-                .set_special((lease_holder, server), Conditions { delay: 1..=ORDER_DELAY, loss: 0.0 });
+            self.world().network.set_link_conditions(
+                (lease_holder, server),
+                Conditions { delay: 1..=ORDER_DELAY, loss: 0.0 },
+            );
         }
         self.recoveries.push((now + 6_000, Recovery::Links));
         let orders = self.fleet.world.observer.orders.len();
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -105,7 +105,8 @@
         let (Some(leader), Some(newest)) = (self.fleet.leader(), newest) else { return false };
         let changing = self.fleet.coordinator(leader).is_some_and(is_changing_voters);
         let is_joining = newest.0 >= fixtures::coordinator(self.fleet.options.coordinators).0;
-        let may_lose_disk = changing && is_joining && newest != leader && !self.is_settled_voter(newest);
+        let may_lose_disk =
+            changing && is_joining && newest != leader && !self.is_voter_outside_joint(newest);
         let loses_disk = may_lose_disk && self.world().random_bool(0.3);
         if loses_disk {
             self.record(format!("{newest} loses its disk while it joins"));
@@ -117,7 +118,7 @@
     }
 
     /// Whether a coordinator votes in a shard outside of a joint configuration: its failure counts like any other's then.
-    fn is_settled_voter(&self, node: NodeId) -> bool {
+    fn is_voter_outside_joint(&self, node: NodeId) -> bool {
         let coordinators = self.fleet.coordinators();
         let running = coordinators.into_iter().filter_map(|other| self.fleet.coordinator(other));
         running
@@ -133,11 +134,13 @@
     /// disks as may be.
     fn lose_power_and_disks(&mut self) {
         let Some(leader) = self.fleet.leader() else { return };
-        let most = self.fleet.options.hosts_lost as usize;
+        let max_failures = self.fleet.options.hosts_lost as usize;
         let mut others = self.coordinators_but(&[leader]);
-        let late = others.split_off(others.len().saturating_sub(most));
-        for node in &late {
-            self.world().network.set_special((leader, *node), Conditions { delay: 300..=400, loss: 0.0 });
+        let delayed = others.split_off(others.len().saturating_sub(max_failures));
+        for node in &delayed {
+            self.world()
+                .network
+                .set_link_conditions((leader, *node), Conditions { delay: 300..=400, loss: 0.0 });
         }
         if self.world().random_bool(0.5) {
             // The leader's own sync takes longer than that of the follower that responds first.
@@ -147,15 +150,15 @@
         self.sent_changes.push(change);
         self.fleet.run_until(300, |fleet| fleet.world.observer.is_acknowledged(change));
         let without_disk: Vec<NodeId> = if self.world().random_bool(0.3) { vec![leader] } else { others };
-        let without_disk = without_disk.into_iter().take(most).collect::<Vec<_>>();
+        let without_disk = without_disk.into_iter().take(max_failures).collect::<Vec<_>>();
         self.record(format!(
-            "all lose power, {late:?} have not received {change}, {without_disk:?} lose their disks"
+            "all lose power, {delayed:?} have not received {change}, {without_disk:?} lose their disks"
         ));
         self.fleet.stop_all(true);
         for node in without_disk {
             self.fleet.lose_disk(node);
         }
-        self.world().network.clear_special();
+        self.world().network.clear_link_conditions();
         let usual = self.fleet.options.disk_latency.clone();
         self.fleet.set_disk_speed(leader, usual);
         let down = self.draw(10..=800);
@@ -166,8 +169,8 @@
 
     /// Fails up to the tolerated number of machines at once; whether each of them gets a replacement.
     fn lose_some(&mut self) -> bool {
-        let most = u64::from(self.fleet.options.hosts_lost);
-        let count = self.draw(1..=most);
+        let max_failures = u64::from(self.fleet.options.hosts_lost);
+        let count = self.draw(1..=max_failures);
         let mut chosen = Vec::new();
         for _ in 0..count {
             let left = self.coordinators_but(&chosen);
@@ -179,38 +182,38 @@
             self.record(format!("{node} fails: {loss:?}"));
             self.lose(node, loss);
             all_replaced &= matches!(loss, Loss::Leaving | Loss::Machine | Loss::Planned);
-            let apart = self.draw(0..=3);
-            self.fleet.run(apart);
+            let pause = self.draw(0..=3);
+            self.fleet.run(pause);
         }
         all_replaced
     }
 
     fn lose(&mut self, node: NodeId, loss: Loss) {
-        let back = self.fleet.world.now + self.draw(DOWNTIME);
+        let restart_at = self.fleet.world.now + self.draw(DOWNTIME);
         match loss {
             Loss::Power => {
                 self.fleet.lose_power(node);
-                self.recoveries.push((back, Recovery::Start(node)));
+                self.recoveries.push((restart_at, Recovery::Start(node)));
             }
             Loss::Disk => {
                 self.fleet.lose_power(node);
                 self.fleet.lose_disk(node);
-                self.recoveries.push((back, Recovery::Start(node)));
+                self.recoveries.push((restart_at, Recovery::Start(node)));
             }
             Loss::Process => {
                 self.fleet.kill(node);
-                self.recoveries.push((back, Recovery::Start(node)));
+                self.recoveries.push((restart_at, Recovery::Start(node)));
             }
             Loss::Leaving => {
                 self.fleet.terminate(node);
                 let wait = self.draw(0..=SHUTDOWN_TIME);
                 self.fleet.run(wait);
                 self.fleet.remove_coordinator(node);
-                self.recoveries.push((back, Recovery::Successor));
+                self.recoveries.push((restart_at, Recovery::Successor));
             }
             Loss::Machine => {
                 self.fleet.remove_coordinator(node);
-                self.recoveries.push((back, Recovery::Successor));
+                self.recoveries.push((restart_at, Recovery::Successor));
             }
             Loss::Planned => {
                 self.join_with_seed(node);
@@ -230,7 +233,7 @@
                 for (from, to) in &partitions {
                     self.fleet.partition_one_way(*from, *to, true);
                 }
-                self.recoveries.push((back, Recovery::Join(partitions)));
+                self.recoveries.push((restart_at, Recovery::Join(partitions)));
             }
         }
     }
@@ -274,9 +277,10 @@
     let replica = &fleet.coordinator(leader)?.core().shards().get(number)?.replica;
     let voters: Vec<NodeId> = replica.voters().members().collect();
     let serving = fleet.coordinators();
-    let wanted = 2 * fleet.options.hosts_lost as usize + 1;
+    let desired_voters = 2 * fleet.options.hosts_lost as usize + 1;
     let serves = |node: &NodeId| serving.contains(node) && fleet.is_running(*node) && !fleet.is_frozen(*node);
-    let complete = !replica.is_changing_voters() && voters.len() == wanted && voters.iter().all(serves);
+    let complete =
+        !replica.is_changing_voters() && voters.len() == desired_voters && voters.iter().all(serves);
     complete.then_some((leader, voters))
 }
 
--- a/simulation/src/history/outages.rs
+++ b/simulation/src/history/outages.rs
@@ -135,15 +135,17 @@
     /// Waits until a change is acknowledged that reaches one of the coordinators late.
     fn await_acknowledgement(&mut self) {
         let coordinators = self.fleet.coordinators();
-        let late = self.choose(&coordinators);
+        let delayed = self.choose(&coordinators);
         for other in coordinators {
-            if let Some(late) = late.filter(|late| *late != other) {
-                self.world().network.set_special((other, late), Conditions { delay: 20..=60, loss: 0.0 });
+            if let Some(delayed) = delayed.filter(|delayed| *delayed != other) {
+                self.world()
+                    .network
+                    .set_link_conditions((other, delayed), Conditions { delay: 20..=60, loss: 0.0 });
             }
         }
         let change = self.fleet.replace();
         self.fleet.run_until(500, |fleet| fleet.world.observer.is_acknowledged(change));
-        self.world().network.clear_special();
+        self.world().network.clear_link_conditions();
     }
 
     /// Stops all coordinators and edges, by power or kill; up to the tolerated number of coordinators lose their disks.
@@ -162,8 +164,8 @@
         if power && self.world().random_bool(0.4) {
             let mut without_disk = self.fleet.coordinators();
             while without_disk.len() > self.fleet.options.hosts_lost as usize {
-                let spared = self.world().random_range(0..=without_disk.len() as u64 - 1) as usize;
-                without_disk.remove(spared);
+                let kept_index = self.world().random_range(0..=without_disk.len() as u64 - 1) as usize;
+                without_disk.remove(kept_index);
             }
             for node in without_disk {
                 self.record(format!("{node} lost its disk"));
@@ -173,9 +175,9 @@
         let down = self.world().random_range(10..=2_000);
         self.fleet.run(down);
         self.fleet.start_stopped();
-        let back = self.fleet.world.now + 300;
+        let restarted_at = self.fleet.world.now + 300;
         for node in self.fleet.coordinators() {
-            self.unavailable_until.insert(node, back + SYNC);
+            self.unavailable_until.insert(node, restarted_at + SYNC);
         }
     }
 }
--- a/simulation/src/history/partitions.rs
+++ b/simulation/src/history/partitions.rs
@@ -79,7 +79,7 @@
 
     /// Draws the directions of a partition between some coordinators and others.
     fn draw_partitions(&mut self, isolated: &[NodeId]) -> Vec<Direction> {
-        let way = self.draw(0..=2);
+        let direction = self.draw(0..=2);
         let from = self.draw(0..=5);
         let mut others = match from {
             // From voters; from voters and edges; from edges; from all; from all and model servers.
@@ -93,19 +93,21 @@
         }
         if self.world().random_bool(0.2) && others.len() > 1 {
             // All of them but one.
-            let kept = self.draw(0..=others.len() as u64 - 1) as usize;
-            others.remove(kept);
+            let reachable_index = self.draw(0..=others.len() as u64 - 1) as usize;
+            others.remove(reachable_index);
         }
-        let apart = isolated.len() > 1 && self.world().random_bool(0.3);
-        self.record(format!("isolated: {isolated:?}, from {others:?}, way {way}, from each other {apart}"));
+        let from_each_other = isolated.len() > 1 && self.world().random_bool(0.3);
+        self.record(format!(
+            "isolated: {isolated:?}, from {others:?}, way {direction}, from each other {from_each_other}"
+        ));
         let mut partitions = Vec::new();
         for node in isolated {
-            let own: Vec<NodeId> = if apart { isolated.to_vec() } else { Vec::new() };
-            for other in others.iter().chain(&own).filter(|other| *other != node) {
-                if way != 1 {
+            let peers: Vec<NodeId> = if from_each_other { isolated.to_vec() } else { Vec::new() };
+            for other in others.iter().chain(&peers).filter(|other| *other != node) {
+                if direction != 1 {
                     partitions.push((*node, *other));
                 }
-                if way != 2 {
+                if direction != 2 {
                     partitions.push((*other, *node));
                 }
             }
@@ -184,9 +186,9 @@
         let shard = self.draw(1..=2) as u32;
         let Some(lease_holder) = self.fleet.leader_of(shard) else { return };
         let others = self.coordinators_but(&[lease_holder]);
-        let Some(one) = self.choose(&others) else { return };
-        self.record(format!("{lease_holder}, the order lease holder, is partitioned from {one}"));
-        let mut partitions = vec![(lease_holder, one), (one, lease_holder)];
+        let Some(voter) = self.choose(&others) else { return };
+        self.record(format!("{lease_holder}, the order lease holder, is partitioned from {voter}"));
+        let mut partitions = vec![(lease_holder, voter), (voter, lease_holder)];
         self.set_partitions(&partitions, true);
         let duration = self.draw(800..=3_000);
         let end = self.fleet.world.now + duration;
@@ -261,10 +263,10 @@
         let others = self.coordinators_but(&[node]);
         let Some(other) = self.choose(&others) else { return };
         if self.world().random_bool(0.5) {
-            let (one, two) = (self.fleet.write(), self.fleet.write());
-            self.sent_changes.extend([one, two]);
-            self.send_change_to(one, Some(node));
-            self.send_change_to(two, Some(other));
+            let (voter, second) = (self.fleet.write(), self.fleet.write());
+            self.sent_changes.extend([voter, second]);
+            self.send_change_to(voter, Some(node));
+            self.send_change_to(second, Some(other));
         }
         self.read_at(node);
         self.read_at(other);
--- a/simulation/src/history/races.rs
+++ b/simulation/src/history/races.rs
@@ -44,15 +44,15 @@
         let lost = [0.0, 0.4, 0.9];
         self.fleet.operator.response_loss = self.choose(&lost).unwrap_or_default();
         self.fault_free_since = None;
-        let one = self.fleet.write();
-        let other = if self.world().random_bool(0.25) { one } else { self.fleet.write() };
-        let third = if self.world().random_bool(0.3) { self.fleet.write() } else { other };
-        self.sent_changes.extend([one, other, third]);
+        let first = self.fleet.write();
+        let second = if self.world().random_bool(0.25) { first } else { self.fleet.write() };
+        let third = if self.world().random_bool(0.3) { self.fleet.write() } else { second };
+        self.sent_changes.extend([first, second, third]);
         let before = self.world().random_bool(0.4);
         if before {
             self.disturb_leader();
         }
-        for change in [one, other, third] {
+        for change in [first, second, third] {
             let coordinators = self.fleet.coordinators();
             let node = self.leader_or_any(&coordinators, 0.3);
             self.send_change_to(change, node);
@@ -66,13 +66,13 @@
             self.disturb_leader();
         }
         let limit = self.draw(50..=2_000);
-        self.await_outcome(one, limit);
-        self.await_outcome(other, limit);
+        self.await_outcome(first, limit);
+        self.await_outcome(second, limit);
         if self.world().random_bool(0.5) {
             // A retry after a lost response: the first call may still be in flight.
             let coordinators = self.fleet.coordinators();
             let node = self.choose(&coordinators);
-            self.send_change_to(one, node);
+            self.send_change_to(first, node);
         }
     }
 
@@ -107,9 +107,9 @@
         self.unavailable_until.retain(|_, until| *until > now);
         let Some(leader) = self.fleet.leader().filter(|_| self.unavailable_until.is_empty()) else { return };
         let others = self.coordinators_but(&[leader]);
-        let Some(late) = self.choose(&others) else { return };
+        let Some(delayed) = self.choose(&others) else { return };
         self.links_nominal = false;
-        self.world().network.set_special((leader, late), Conditions { delay: 30..=60, loss: 0.0 });
+        self.world().network.set_link_conditions((leader, delayed), Conditions { delay: 30..=60, loss: 0.0 });
         self.recoveries.push((now + 200, Recovery::Links));
         let change = self.fleet.replace();
         self.sent_changes.push(change);
@@ -131,14 +131,14 @@
             3 => {
                 // A follower that lags behind.
                 let others = self.coordinators_but(&[leader]);
-                if let Some(late) = self.choose(&others) {
-                    self.delay_links(leader, &[late]);
+                if let Some(delayed) = self.choose(&others) {
+                    self.delay_links(leader, &[delayed]);
                 }
             }
             _ => {
                 self.record(format!("links from {leader} are reset"));
-                for other in coordinators {
-                    self.fleet.reset_link(leader, other);
+                for second in coordinators {
+                    self.fleet.reset_link(leader, second);
                 }
             }
         }
@@ -148,8 +148,10 @@
         let longest = self.draw(20..=400);
         self.record(format!("links from {from} to {to:?} take up to {longest} ms"));
         self.links_nominal = false;
-        for other in to.iter().filter(|other| **other != from) {
-            self.world().network.set_special((from, *other), Conditions { delay: 10..=longest, loss: 0.0 });
+        for second in to.iter().filter(|second| **second != from) {
+            self.world()
+                .network
+                .set_link_conditions((from, *second), Conditions { delay: 10..=longest, loss: 0.0 });
         }
         let until = self.fleet.world.now + self.draw(50..=1_500);
         self.recoveries.push((until, Recovery::Links));
--- a/simulation/src/history/recovery.rs
+++ b/simulation/src/history/recovery.rs
@@ -66,7 +66,7 @@
                 self.links_nominal = true;
                 self.fault_free_since = None;
                 self.world().network.set_conditions(Conditions::default());
-                self.world().network.clear_special();
+                self.world().network.clear_link_conditions();
             }
             Recovery::Disorder => self.world().network.set_disorder(Disorder::default()),
         }
--- a/simulation/src/history/servers.rs
+++ b/simulation/src/history/servers.rs
@@ -15,12 +15,12 @@
         let running = self.fleet.servers();
         let Some(node) = self.choose(&running) else { return };
         let service = self.fleet.server(node).map(|server| server.service().to_owned()).unwrap_or_default();
-        let stay = |other: &&NodeId| {
+        let stays_in_service = |other: &&NodeId| {
             let server = self.fleet.server(**other);
             **other != node
                 && server.is_some_and(|server| server.service() == service && !server.is_draining())
         };
-        if running.iter().filter(stay).count() < 2 {
+        if running.iter().filter(stays_in_service).count() < 2 {
             return self.schedule_server_start();
         }
         match self.world().random_range(0..=3) {
--- a/simulation/src/history/traffic.rs
+++ b/simulation/src/history/traffic.rs
@@ -21,9 +21,9 @@
                 self.fleet.update();
             }
             3 => {
-                let (one, other) = (self.fleet.write(), self.fleet.write());
-                self.fleet.send(one);
-                self.fleet.send(other);
+                let (first, second) = (self.fleet.write(), self.fleet.write());
+                self.fleet.send(first);
+                self.fleet.send(second);
             }
             4 => {
                 self.fleet.operator.read(&mut self.fleet.world, None);
--- a/simulation/src/invariants.rs
+++ b/simulation/src/invariants.rs
@@ -46,7 +46,7 @@
     violations.extend(configuration::check_conflict_responses(observer));
     violations.extend(configuration::check_lost_changes(observer));
     violations.extend(configuration::check_applied_configs(observer, bounds));
-    violations.extend(requests::check_drains(observer, bounds));
+    violations.extend(requests::check_drained_servers(observer, bounds));
     violations.extend(requests::check_requests(observer, bounds));
     violations.extend(requests::check_retries(observer, bounds));
     let overdue = observer.overdue_acknowledgements.iter().cloned();
--- a/simulation/src/invariants/configuration.rs
+++ b/simulation/src/invariants/configuration.rs
@@ -21,17 +21,19 @@
             acknowledged.entry(change.base).or_default().push(*number);
         }
         let refused = change.outcomes.iter().any(|(_, outcome)| *outcome != Outcome::Acknowledged);
-        let in_force = observer.applied_configs.iter().any(|seen| seen.change == Some(*number));
+        let applied_somewhere =
+            observer.applied_configs.iter().any(|applied| applied.change == Some(*number));
         let read =
             observer.reads.iter().any(|read| fixtures::change_in_document(&read.document) == Some(*number));
-        if refused && (change.acknowledged_at().is_some() || in_force || read) {
+        if refused && (change.acknowledged_at().is_some() || applied_somewhere || read) {
             violations.push(Violation::RejectedAfterAcceptance { change: *number });
         } else if change.outcomes.iter().any(|(_, outcome)| *outcome == Outcome::Invalid) {
             violations.push(Violation::ValidChangeRejected { change: *number });
         }
     }
-    let twice = acknowledged.into_iter().filter(|(_, changes)| changes.len() > 1);
-    violations.extend(twice.map(|(base, changes)| Violation::ConflictingAcknowledgements { base, changes }));
+    let conflicting = acknowledged.into_iter().filter(|(_, changes)| changes.len() > 1);
+    violations
+        .extend(conflicting.map(|(base, changes)| Violation::ConflictingAcknowledgements { base, changes }));
     for read in &observer.reads {
         let (version, known) = (version_of(&read.document), observer.acknowledged_version(read.started_at));
         if version < known {
@@ -78,16 +80,17 @@
         .filter(|(_, change)| change.acknowledged_at().is_some())
         .map(|(number, change)| (change.version, *number))
         .collect();
-    let in_force = observer.applied_configs.iter().filter_map(|seen| seen.change);
+    let applied_somewhere = observer.applied_configs.iter().filter_map(|applied| applied.change);
     let read = observer.reads.iter().filter_map(|read| fixtures::change_in_document(&read.document));
-    let taken: BTreeSet<u64> = acknowledged.values().copied().chain(in_force).chain(read).collect();
+    let accepted: BTreeSet<u64> =
+        acknowledged.values().copied().chain(applied_somewhere).chain(read).collect();
     let mut violations = Vec::new();
-    for later in taken {
+    for later in accepted {
         let Some(SentChange { base, version, .. }) = observer.changes.get(&later) else { continue };
         if base + 1 < *version {
             // Two acknowledged changes on one base are reported as conflicting.
-            let of_one_base = |other: &u64| {
-                acknowledged.get(version) == Some(&later) && observer.changes[other].base == *base
+            let of_one_base = |right: &u64| {
+                acknowledged.get(version) == Some(&later) && observer.changes[right].base == *base
             };
             let between = acknowledged.range(base + 1..*version).filter(|(_, change)| !of_one_base(change));
             violations.extend(between.map(|(_, change)| Violation::LostChange { change: *change, later }));
@@ -97,8 +100,8 @@
 }
 
 /// Whether two configurations have the same items, in whichever order.
-fn is_equivalent(one: &Value, other: &Value) -> bool {
-    let sorted = |document: &Value| {
+fn is_equivalent(left: &Value, right: &Value) -> bool {
+    let normalized = |document: &Value| {
         let mut document = document.clone();
         for list in ["routes", "services"] {
             if let Some(items) = document.get_mut(list).and_then(Value::as_array_mut) {
@@ -107,7 +110,7 @@
         }
         document
     };
-    sorted(one) == sorted(other)
+    normalized(left) == normalized(right)
 }
 
 /// Checks the versions that edges applied: order, identity and age.
@@ -115,25 +118,29 @@
     let mut violations = Vec::new();
     let mut newest: BTreeMap<(NodeId, u64), u64> = BTreeMap::new();
     let mut versions: BTreeMap<u64, Option<u64>> = BTreeMap::new();
-    for seen in &observer.applied_configs {
-        let Incarnation(incarnation) = seen.incarnation;
-        let before = newest.insert((seen.edge, incarnation), seen.version).unwrap_or_default();
-        if seen.version <= before {
-            violations.push(Violation::VersionRegression { edge: seen.edge, from: before, to: seen.version });
+    for applied in &observer.applied_configs {
+        let Incarnation(incarnation) = applied.incarnation;
+        let before = newest.insert((applied.edge, incarnation), applied.version).unwrap_or_default();
+        if applied.version <= before {
+            violations.push(Violation::VersionRegression {
+                edge: applied.edge,
+                from: before,
+                to: applied.version,
+            });
         }
-        let long_ago = seen.at.saturating_sub(bounds.convergence + MAX_DELIVERY_DELAY);
+        let long_ago = applied.at.saturating_sub(bounds.convergence + MAX_DELIVERY_DELAY);
         let acknowledged = observer.acknowledged_version(long_ago);
-        let restored = observer.restorations.get(&seen.edge).is_some_and(|moments| {
-            moments.iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&seen.at))
+        let restored = observer.restorations.get(&applied.edge).is_some_and(|moments| {
+            moments.iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&applied.at))
         });
-        if seen.version < acknowledged && !restored {
-            let (edge, version) = (seen.edge, seen.version);
+        if applied.version < acknowledged && !restored {
+            let (edge, version) = (applied.edge, applied.version);
             violations.push(Violation::SupersededConfigApplied { edge, version, acknowledged });
         }
-        let change = versions.entry(seen.version).or_insert(seen.change);
-        let sent = seen.change.and_then(|change| observer.changes.get(&change));
-        if *change != seen.change || sent.is_none_or(|sent| sent.version != seen.version) {
-            violations.push(Violation::DivergentVersion { version: seen.version });
+        let change = versions.entry(applied.version).or_insert(applied.change);
+        let sent = applied.change.and_then(|change| observer.changes.get(&change));
+        if *change != applied.change || sent.is_none_or(|sent| sent.version != applied.version) {
+            violations.push(Violation::DivergentVersion { version: applied.version });
         }
     }
     violations
--- a/simulation/src/invariants/orders.rs
+++ b/simulation/src/invariants/orders.rs
@@ -15,19 +15,19 @@
     let mut violations = Vec::new();
     let mut last: BTreeMap<&ServerId, &ObservedOrder> = BTreeMap::new();
     let restored = |order: &ObservedOrder| {
-        let moments = observer.restorations.get(&order.from).into_iter().flatten();
-        moments.into_iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&order.at))
+        let restorations = observer.restorations.get(&order.from).into_iter().flatten();
+        restorations.into_iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&order.at))
     };
     for order in observer.orders.iter().filter(|order| !restored(order)) {
         let Some(before) = last.insert(&order.server, order) else { continue };
-        let different_holder = before.lease_holder != order.lease_holder || before.from != order.from;
+        let lease_holder_changed = before.lease_holder != order.lease_holder || before.from != order.from;
         if order.fencing_token < before.fencing_token
-            || (different_holder && order.fencing_token == before.fencing_token)
+            || (lease_holder_changed && order.fencing_token == before.fencing_token)
         {
             violations
                 .push(Violation::FencingTokenRegression { before: before.clone(), after: order.clone() });
         }
-        if different_holder && order.at - before.at < bounds.lease {
+        if lease_holder_changed && order.at - before.at < bounds.lease {
             violations.push(Violation::LeaseOverlap { before: before.clone(), after: order.clone() });
         }
     }
--- a/simulation/src/invariants/requests.rs
+++ b/simulation/src/invariants/requests.rs
@@ -9,14 +9,14 @@
 use crate::observer::{AttemptSent, ClientRequest, ObservedRequest, Observer};
 
 /// Checks that drained servers get no requests from edges with quorum contact.
-pub(super) fn check_drains(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
+pub(super) fn check_drained_servers(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     for drained in observer.acknowledged_drains.iter().filter(|drained| drained.has_quorum_contact) {
-        let late = observer.attempts.iter().filter(|attempt| {
-            let late = attempt.has_quorum_contact && attempt.at > drained.at + bounds.drain;
-            late && attempt.server == drained.server && reached_server(observer, attempt)
+        let late_attempts = observer.attempts.iter().filter(|attempt| {
+            let late_attempts = attempt.has_quorum_contact && attempt.at > drained.at + bounds.drain;
+            late_attempts && attempt.server == drained.server && reached_server(observer, attempt)
         });
-        violations.extend(late.map(|attempt| Violation::SentToDraining {
+        violations.extend(late_attempts.map(|attempt| Violation::SentToDraining {
             server: drained.server.clone(),
             acknowledged: drained.at,
             sent: attempt.at,
@@ -44,8 +44,8 @@
             violations.push(Violation::ExecutedTwice { request: *number });
         }
         // All attempts but one must have been rejected, or not have been written.
-        let unclear = request.written.len().saturating_sub(request.rejections.len());
-        if request.non_idempotent && unclear > 1 {
+        let possibly_executed = request.written.len().saturating_sub(request.rejections.len());
+        if request.non_idempotent && possibly_executed > 1 {
             violations.push(Violation::UnsafeRetry { request: *number });
         }
         let acknowledged = observer.acknowledged_version(request.at.saturating_sub(bounds.convergence));
@@ -60,8 +60,8 @@
         if let Some((_, status @ (300..=407 | 409..=420 | 422..=428 | 430..=499))) = request.response {
             violations.push(Violation::RequestDenied { request: *number, status });
         }
-        let promised = matches!(request.response, Some((_, 408 | 421 | 429 | 503)));
-        if promised && request.non_idempotent && !request.executions.is_empty() {
+        let promises_no_execution = matches!(request.response, Some((_, 408 | 421 | 429 | 503)));
+        if promises_no_execution && request.non_idempotent && !request.executions.is_empty() {
             violations.push(Violation::ExecutedAfterRejection { request: *number });
         }
     }
@@ -100,9 +100,9 @@
             let count = retries.iter().filter(|at| in_window(at, *end)).count();
             let windows =
                 [0, bounds.retry_window / 2, bounds.retry_window].map(|back| end.saturating_sub(back));
-            let most = windows.map(|end| requests.iter().filter(|at| in_window(at, end)).count());
-            let most = most.into_iter().max().unwrap_or_default();
-            let allowed = bounds.retry_ratio * most as f64 + bounds.retry_slack;
+            let max_requests = windows.map(|end| requests.iter().filter(|at| in_window(at, end)).count());
+            let max_requests = max_requests.into_iter().max().unwrap_or_default();
+            let allowed = bounds.retry_ratio * max_requests as f64 + bounds.retry_slack;
             if count as f64 > allowed {
                 violations.push(Violation::RetryBudgetExceeded {
                     service: service.to_owned(),
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -13,11 +13,11 @@
 use crate::message::Message;
 
 /// How long written bytes wait for a partition to heal before their connection is closed, in milliseconds.
-const UNACKNOWLEDGED: Millis = 1_500;
+const CONNECTION_TIMEOUT: Millis = 1_500;
 /// Interval of retransmissions through a partition, in milliseconds.
-const IDEMPOTENT_PATH: Millis = 50;
+const RETRANSMIT_INTERVAL: Millis = 50;
 /// Delay of a lost packet until its retransmission arrives, in milliseconds.
-const RESENT_AFTER: RangeInclusive<Millis> = 200..=400;
+const RETRANSMIT_DELAY: RangeInclusive<Millis> = 200..=400;
 
 /// One direction of a link: sender and receiver.
 pub type Direction = (NodeId, NodeId);
@@ -42,14 +42,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disorder {
     /// The probability that a message arrives a second time, later.
-    pub doubled: f64,
+    pub duplicate_probability: f64,
     /// The probability that a message is overtaken by later ones.
-    pub overtaken: f64,
+    pub reorder_probability: f64,
     /// Upper bound of the additional delay, in milliseconds.
-    pub late: Millis,
+    pub max_delay: Millis,
 }
 
-struct Flight {
+struct InFlightMessage {
     sent: Millis,
     arrives: Millis,
     message: Message,
@@ -58,11 +58,11 @@
 /// The links between all machines.
 #[derive(Default)]
 pub struct Network {
-    flights: BTreeMap<Direction, VecDeque<Flight>>,
+    in_flight: BTreeMap<Direction, VecDeque<InFlightMessage>>,
     partitions: BTreeSet<Direction>,
     unpowered: BTreeSet<NodeId>,
     conditions: Conditions,
-    special: BTreeMap<Direction, Conditions>,
+    link_conditions: BTreeMap<Direction, Conditions>,
     disorder: Disorder,
     /// Duplicated and overtaken messages in flight, which arrive outside of the usual order.
     strays: BTreeMap<Direction, Vec<(Millis, Message)>>,
@@ -74,7 +74,7 @@
     /// The messages, in order of arrival.
     pub messages: Vec<Message>,
     /// When to look again, as a partition delays a message.
-    pub again: Option<Millis>,
+    pub retry_at: Option<Millis>,
 }
 
 impl Network {
@@ -84,13 +84,13 @@
     }
 
     /// Sets delay and loss of one direction.
-    pub fn set_special(&mut self, direction: Direction, conditions: Conditions) {
-        self.special.insert(direction, conditions);
+    pub fn set_link_conditions(&mut self, direction: Direction, conditions: Conditions) {
+        self.link_conditions.insert(direction, conditions);
     }
 
     /// Removes the conditions of all single directions.
-    pub fn clear_special(&mut self) {
-        self.special.clear();
+    pub fn clear_link_conditions(&mut self) {
+        self.link_conditions.clear();
     }
 
     /// Sets how messages between coordinators are duplicated and reordered.
@@ -133,54 +133,54 @@
             self.unpowered.remove(&node);
         } else {
             self.unpowered.insert(node);
-            self.drop_flights(node);
+            self.drop_in_flight(node);
         }
     }
 
     /// Drops all messages in flight to or from a machine.
-    pub fn drop_flights(&mut self, node: NodeId) {
-        self.flights.retain(|(from, to), _| *from != node && *to != node);
+    pub fn drop_in_flight(&mut self, node: NodeId) {
+        self.in_flight.retain(|(from, to), _| *from != node && *to != node);
         self.strays.retain(|(from, to), _| *from != node && *to != node);
     }
 
     /// Drops all messages in flight in one direction.
     pub fn reset(&mut self, direction: Direction) {
-        self.flights.remove(&direction);
+        self.in_flight.remove(&direction);
     }
 
     /// Duplicates or delays a message between coordinators by the disorder that is set. Returns when the stray copy
     /// arrives, and the message if it is still to be sent the usual way.
-    pub fn stray(
+    pub fn apply_disorder(
         &mut self,
         now: Millis,
         direction: Direction,
         message: Message,
         rng: &mut Pcg64,
     ) -> (Option<Millis>, Option<Message>) {
-        let Disorder { doubled, overtaken, late } = self.disorder;
-        if doubled + overtaken <= 0.0 || !matches!(message, Message::Coordinator(_)) {
+        let Disorder { duplicate_probability, reorder_probability, max_delay } = self.disorder;
+        if duplicate_probability + reorder_probability <= 0.0 || !matches!(message, Message::Coordinator(_)) {
             return (None, Some(message));
         }
         let draw: f64 = rng.random();
-        if draw >= doubled + overtaken {
+        if draw >= duplicate_probability + reorder_probability {
             return (None, Some(message));
         }
-        let arrives = now + rng.random_range(0..=late);
-        let kept = (draw < doubled).then(|| message.clone());
+        let arrives = now + rng.random_range(0..=max_delay);
+        let remaining = (draw < duplicate_probability).then(|| message.clone());
         self.strays.entry(direction).or_default().push((arrives, message));
-        (Some(arrives), kept)
+        (Some(arrives), remaining)
     }
 
     /// Sends a message; returns when it arrives.
     pub fn send(&mut self, now: Millis, direction: Direction, message: Message, rng: &mut Pcg64) -> Millis {
-        let conditions = self.special.get(&direction).unwrap_or(&self.conditions);
+        let conditions = self.link_conditions.get(&direction).unwrap_or(&self.conditions);
         let mut arrives = now + rng.random_range(conditions.delay.clone());
         if conditions.loss > 0.0 && rng.random_bool(conditions.loss) {
-            arrives += rng.random_range(RESENT_AFTER);
+            arrives += rng.random_range(RETRANSMIT_DELAY);
         }
-        let queue = self.flights.entry(direction).or_default();
+        let queue = self.in_flight.entry(direction).or_default();
         let arrives = arrives.max(queue.back().map_or(0, |flight| flight.arrives));
-        queue.push_back(Flight { sent: now, arrives, message });
+        queue.push_back(InFlightMessage { sent: now, arrives, message });
         arrives
     }
 
@@ -194,11 +194,11 @@
             let due: Vec<(Millis, Message)> = due;
             arrivals.messages.extend(due.into_iter().filter(|_| !partitioned).map(|(_, message)| message));
         }
-        let Some(queue) = self.flights.get_mut(&direction) else { return arrivals };
+        let Some(queue) = self.in_flight.get_mut(&direction) else { return arrivals };
         while let Some(flight) = queue.front_mut().filter(|flight| flight.arrives <= now) {
-            if partitioned && now.saturating_sub(flight.sent) <= UNACKNOWLEDGED {
-                flight.arrives = now + IDEMPOTENT_PATH;
-                arrivals.again = Some(flight.arrives);
+            if partitioned && now.saturating_sub(flight.sent) <= CONNECTION_TIMEOUT {
+                flight.arrives = now + RETRANSMIT_INTERVAL;
+                arrivals.retry_at = Some(flight.arrives);
                 break;
             }
             let flight = queue.pop_front();
--- a/simulation/src/observer.rs
+++ b/simulation/src/observer.rs
@@ -59,7 +59,7 @@
         edge_state: EdgeState,
     ) {
         let EdgeState { edge, version, has_quorum_contact } = edge_state;
-        let seen = ObservedRequest {
+        let observed = ObservedRequest {
             at,
             edge,
             client_request: client_request.clone(),
@@ -72,7 +72,7 @@
             executions: Vec::new(),
             response: None,
         };
-        self.requests.insert(number, seen);
+        self.requests.insert(number, observed);
     }
 
     /// A client receives its response.
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -29,7 +29,7 @@
     /// An edge starts its next poll.
     PollNext,
     /// The backoff of an edge ends for which all coordinators have failed.
-    PollRoundBackoff,
+    PollBackoff,
     /// A poll has had no response in time, or its connection could not be established.
     PollTimeout(CallNumber),
     /// An edge sends an urgent report.
@@ -148,9 +148,10 @@
 
     /// Sends a message over the network.
     pub fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let (late, message) = self.network.stray(self.now, (from, to), message, &mut self.rng);
-        if let Some(late) = late {
-            self.schedule_at(late, ScheduledEvent::Arrival((from, to)));
+        let (stray_arrival, message) =
+            self.network.apply_disorder(self.now, (from, to), message, &mut self.rng);
+        if let Some(arrives) = stray_arrival {
+            self.schedule_at(arrives, ScheduledEvent::Arrival((from, to)));
         }
         let Some(message) = message else { return };
         let arrives = self.network.send(self.now, (from, to), message, &mut self.rng);
@@ -170,8 +171,8 @@
     }
 
     /// Removes the next event that is due by a certain time and advances the clock to it.
-    pub fn pop_due(&mut self, until: Millis) -> Option<ScheduledEvent> {
-        let first = self.schedule.first_entry().filter(|first| first.key().0 <= until)?;
+    pub fn pop_due(&mut self, deadline: Millis) -> Option<ScheduledEvent> {
+        let first = self.schedule.first_entry().filter(|first| first.key().0 <= deadline)?;
         self.now = first.key().0;
         Some(first.remove())
     }
--- a/simulation/tests/common/mod.rs
+++ b/simulation/tests/common/mod.rs
@@ -51,12 +51,12 @@
 }
 
 /// The coordinator that holds the order lease of the service with models.
-pub fn lease_holder(fleet: &Fleet) -> NodeId {
+pub fn order_lease_holder(fleet: &Fleet) -> NodeId {
     fleet.leader_of(shard_of(LLM_SERVICE)).unwrap_or_else(|| panic!("nobody leads\n{}", fleet.describe()))
 }
 
 /// Time from a request's arrival to its first execution, in milliseconds.
-pub fn sent_within(fleet: &Fleet, request: u64) -> Option<Millis> {
-    let seen = fleet.world.observer.requests.get(&request)?;
-    seen.executions.first().map(|(at, _)| at - seen.at)
+pub fn time_to_execution(fleet: &Fleet, request: u64) -> Option<Millis> {
+    let observed = fleet.world.observer.requests.get(&request)?;
+    observed.executions.first().map(|(at, _)| at - observed.at)
 }
--- a/simulation/tests/histories.rs
+++ b/simulation/tests/histories.rs
@@ -10,11 +10,11 @@
 const DURATION: u64 = 25_000;
 
 fn seeds(default: u64) -> Range<u64> {
-    let asked = std::env::var("SHALETRAIL_SEEDS").unwrap_or_default();
+    let requested = std::env::var("SHALETRAIL_SEEDS").unwrap_or_default();
     let number = |text: &str| text.trim().parse::<u64>().ok();
-    match asked.split_once('-') {
+    match requested.split_once('-') {
         Some((first, end)) => number(first).unwrap_or(0)..number(end).unwrap_or(default),
-        None => 0..number(&asked).unwrap_or(default),
+        None => 0..number(&requested).unwrap_or(default),
     }
 }
 
--- a/simulation/tests/invariants.rs
+++ b/simulation/tests/invariants.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn found(observer: &Observer) -> Vec<Violation> {
+fn violations_of(observer: &Observer) -> Vec<Violation> {
     violations(observer, &bounds())
 }
 
@@ -75,14 +75,14 @@
 }
 
 /// An edge with quorum contact that has applied a version.
-fn place(version: u64) -> EdgeState {
+fn edge_state(version: u64) -> EdgeState {
     EdgeState { edge: EDGE, version, has_quorum_contact: true }
 }
 
 /// An observer of one request that is not idempotent.
 fn with_request() -> Observer {
     let mut observer = Observer::default();
-    observer.request_received(0, 1, &ClientRequest::default(), true, place(0));
+    observer.request_received(0, 1, &ClientRequest::default(), true, edge_state(0));
     observer
 }
 
@@ -92,7 +92,7 @@
     write(&mut observer, 2, 0, 2, Outcome::Conflict { current: 2 });
     read(&mut observer, 1_500, document(1, 2));
     observer.config_applied(1_200, EDGE, Incarnation(1), 2, Some(1));
-    observer.request_received(0, 1, &ClientRequest::default(), true, place(0));
+    observer.request_received(0, 1, &ClientRequest::default(), true, edge_state(0));
     observer.attempt_written(5, 1, fixtures::WEB_SERVICE);
     observer.attempt_rejected(10, 1, &"t".into(), 421);
     observer.attempt_written(5, 1, fixtures::WEB_SERVICE);
@@ -103,7 +103,7 @@
     observer.attempt_sent(sending(5_000, false));
     observer.order_received(order(0, "a", 1));
     observer.order_received(order(3_000, "b", 2));
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut observer = with_change(1, 0, 2, Outcome::Acknowledged);
     write(&mut observer, 2, 0, 3, Outcome::Acknowledged);
     assert_eq!(
-        found(&observer),
+        violations_of(&observer),
         vec![Violation::ConflictingAcknowledgements { base: 0, changes: vec![1, 2] }]
     );
 }
@@ -122,21 +122,21 @@
 
     let mut acknowledged = with_change(1, 0, 2, Outcome::Acknowledged);
     acknowledged.change_answered(2_000, 1, Outcome::Conflict { current: 5 });
-    assert_eq!(found(&acknowledged), refused);
+    assert_eq!(violations_of(&acknowledged), refused);
 
     let mut in_force = with_change(1, 0, 2, Outcome::Conflict { current: 5 });
     in_force.config_applied(2_000, EDGE, Incarnation(1), 2, Some(1));
-    assert_eq!(found(&in_force), refused);
+    assert_eq!(violations_of(&in_force), refused);
 
-    let mut read_back = with_change(1, 0, 2, Outcome::Invalid);
-    read(&mut read_back, 2_000, document(1, 2));
-    assert_eq!(found(&read_back), refused);
+    let mut changed_read = with_change(1, 0, 2, Outcome::Invalid);
+    read(&mut changed_read, 2_000, document(1, 2));
+    assert_eq!(violations_of(&changed_read), refused);
 }
 
 #[test]
 fn detects_rejected_valid_change() {
     let observer = with_change(1, 0, 2, Outcome::Invalid);
-    assert_eq!(found(&observer), vec![Violation::ValidChangeRejected { change: 1 }]);
+    assert_eq!(violations_of(&observer), vec![Violation::ValidChangeRejected { change: 1 }]);
 }
 
 #[test]
@@ -145,7 +145,7 @@
         let mut observer = with_change(1, 0, 7, Outcome::Acknowledged);
         write(&mut observer, 2, 5, 8, Outcome::Conflict { current });
         observer.change_conflicted(ConflictResponse { change: 2, started_at: 1_001, at: 1_010, current });
-        found(&observer)
+        violations_of(&observer)
     };
     let of = |current| vec![Violation::FalseConflict { change: 2, base: 5, current, known: 7 }];
     assert_eq!(refused(5), of(5));
@@ -159,17 +159,17 @@
     read(&mut read_before, 500, document(1, 7));
     read_before.change_conflicted(ConflictResponse { change: 2, started_at: 900, at: 1_000, current: 3 });
     let known = vec![Violation::FalseConflict { change: 2, base: 1, current: 3, known: 7 }];
-    assert_eq!(found(&read_before), known);
+    assert_eq!(violations_of(&read_before), known);
 }
 
 #[test]
 fn detects_lost_change() {
     let mut observer = with_change(1, 0, 3, Outcome::Acknowledged);
     write(&mut observer, 2, 3, 4, Outcome::Acknowledged);
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
     write(&mut observer, 3, 2, 5, Outcome::Acknowledged);
     let lost = |change| Violation::LostChange { change, later: 3 };
-    assert_eq!(found(&observer), vec![lost(1), lost(2)]);
+    assert_eq!(violations_of(&observer), vec![lost(1), lost(2)]);
 }
 
 #[test]
@@ -181,16 +181,16 @@
         observer.config_applied(at, EDGE, Incarnation(7), 2, Some(1));
         observer
     };
-    assert_eq!(found(&started_at(4_000)), vec![]);
+    assert_eq!(violations_of(&started_at(4_000)), vec![]);
 
     // when, then
     let old = Violation::SupersededConfigApplied { edge: EDGE, version: 2, acknowledged: 4 };
-    assert_eq!(found(&started_at(4_001)), vec![old]);
+    assert_eq!(violations_of(&started_at(4_001)), vec![old]);
 
     // then: an edge that was frozen with the response in its socket is excused
     let mut thawed = started_at(4_001);
     thawed.connectivity_restored(4_000, EDGE);
-    assert_eq!(found(&thawed), vec![]);
+    assert_eq!(violations_of(&thawed), vec![]);
 }
 
 #[test]
@@ -198,17 +198,23 @@
     let mut old = with_change(1, 0, 2, Outcome::Acknowledged);
     write(&mut old, 2, 2, 4, Outcome::Acknowledged);
     read(&mut old, 1_001, document(1, 2));
-    assert_eq!(found(&old), vec![Violation::StaleRead { started_at: 1_001, read: 2, acknowledged: 4 }]);
+    assert_eq!(
+        violations_of(&old),
+        vec![Violation::StaleRead { started_at: 1_001, read: 2, acknowledged: 4 }]
+    );
 
     let mut nothing = with_change(1, 0, 2, Outcome::Acknowledged);
     read(&mut nothing, 1_001, Value::Null);
-    assert_eq!(found(&nothing), vec![Violation::StaleRead { started_at: 1_001, read: 0, acknowledged: 2 }]);
+    assert_eq!(
+        violations_of(&nothing),
+        vec![Violation::StaleRead { started_at: 1_001, read: 0, acknowledged: 2 }]
+    );
 
     let mut other = with_change(1, 0, 2, Outcome::Acknowledged);
     let mut changed = document(1, 2);
     changed["limits"]["idleTimeoutMs"] = 1.into();
     read(&mut other, 1_001, changed);
-    assert_eq!(found(&other), vec![Violation::ReadDiffersFromWrite { version: 2 }]);
+    assert_eq!(violations_of(&other), vec![Violation::ReadDiffersFromWrite { version: 2 }]);
 }
 
 #[test]
@@ -217,12 +223,12 @@
     write(&mut back, 2, 2, 4, Outcome::Acknowledged);
     back.config_applied(1_000, EDGE, Incarnation(1), 4, Some(2));
     back.config_applied(1_100, EDGE, Incarnation(1), 2, Some(1));
-    assert_eq!(found(&back), vec![Violation::VersionRegression { edge: EDGE, from: 4, to: 2 }]);
+    assert_eq!(violations_of(&back), vec![Violation::VersionRegression { edge: EDGE, from: 4, to: 2 }]);
 
     let mut differ = with_change(1, 0, 2, Outcome::Acknowledged);
     differ.config_applied(1_000, EDGE, Incarnation(1), 2, Some(1));
     differ.config_applied(1_100, NodeId(9), Incarnation(2), 2, None);
-    assert_eq!(found(&differ), vec![Violation::DivergentVersion { version: 2 }]);
+    assert_eq!(violations_of(&differ), vec![Violation::DivergentVersion { version: 2 }]);
 }
 
 #[test]
@@ -231,16 +237,16 @@
     let mut observer = with_request();
     observer.drain_acknowledged(0, &"s".into(), CORE, true);
     observer.attempt_sent(sending(2_001, true));
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
     observer.attempt_rejected(2_002, 1, &"s".into(), 421);
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
 
     // when
     observer.request_executed(2_003, 1, &"s".into(), fixtures::WEB_SERVICE);
 
     // then
     let late = Violation::SentToDraining { server: "s".into(), acknowledged: 0, sent: 2_001, edge: EDGE };
-    assert_eq!(found(&observer), vec![late]);
+    assert_eq!(violations_of(&observer), vec![late]);
 }
 
 #[test]
@@ -248,25 +254,25 @@
     let mut again = with_request();
     again.attempt_written(5, 1, fixtures::WEB_SERVICE);
     again.attempt_written(5, 1, fixtures::WEB_SERVICE);
-    assert_eq!(found(&again), vec![Violation::UnsafeRetry { request: 1 }]);
+    assert_eq!(violations_of(&again), vec![Violation::UnsafeRetry { request: 1 }]);
 
     let mut refused = with_request();
     refused.attempt_written(5, 1, fixtures::WEB_SERVICE);
     refused.attempt_not_written(1);
     refused.attempt_written(5, 1, fixtures::WEB_SERVICE);
-    assert_eq!(found(&refused), vec![]);
+    assert_eq!(violations_of(&refused), vec![]);
 
     let mut twice = with_request();
     twice.attempt_written(5, 1, fixtures::WEB_SERVICE);
     twice.request_executed(10, 1, &"s".into(), fixtures::WEB_SERVICE);
     twice.request_executed(20, 1, &"t".into(), fixtures::WEB_SERVICE);
-    assert_eq!(found(&twice), vec![Violation::ExecutedTwice { request: 1 }]);
+    assert_eq!(violations_of(&twice), vec![Violation::ExecutedTwice { request: 1 }]);
 
     let mut promised = with_request();
     promised.attempt_written(5, 1, fixtures::WEB_SERVICE);
     promised.request_answered(10, 1, 503);
     promised.request_executed(20, 1, &"s".into(), fixtures::WEB_SERVICE);
-    assert_eq!(found(&promised), vec![Violation::ExecutedAfterRejection { request: 1 }]);
+    assert_eq!(violations_of(&promised), vec![Violation::ExecutedAfterRejection { request: 1 }]);
 }
 
 #[test]
@@ -275,7 +281,7 @@
         let mut observer = Observer::default();
         observer.order_received(before);
         observer.order_received(after);
-        found(&observer)
+        violations_of(&observer)
     };
     let (before, after) = (order(0, "a", 2), order(9_000, "b", 1));
     assert_eq!(
@@ -297,7 +303,7 @@
     let mut observer = Observer::default();
     observer.order_received(before.clone());
     observer.order_received(after.clone());
-    assert_eq!(found(&observer), vec![Violation::LeaseOverlap { before, after }]);
+    assert_eq!(violations_of(&observer), vec![Violation::LeaseOverlap { before, after }]);
 }
 
 #[test]
@@ -306,9 +312,9 @@
     observer.order_received(order(0, "a", 2));
     observer.connectivity_restored(2_000, CORE);
     observer.order_received(order(2_300, "b", 3));
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
     observer.order_received(order(2_301, "b", 3));
-    assert_eq!(found(&observer).len(), 1);
+    assert_eq!(violations_of(&observer).len(), 1);
 }
 
 #[test]
@@ -318,12 +324,12 @@
     for number in 0..11 {
         observer.load_started(number * 100, fixtures::LLM_SERVICE);
     }
-    assert_eq!(found(&observer), vec![Violation::LoadRateExceeded { at: 1_000, loads: 11 }]);
+    assert_eq!(violations_of(&observer), vec![Violation::LoadRateExceeded { at: 1_000, loads: 11 }]);
 
     let mut observer = Observer::default();
     observer.capacity_exceeded(5, &"s".into(), "all".into());
     assert_eq!(
-        found(&observer),
+        violations_of(&observer),
         vec![Violation::CapacityExceeded { at: 5, server: "s".into(), description: "all".into() }]
     );
 }
@@ -332,23 +338,23 @@
 fn detects_stale_config_with_quorum_contact() {
     // given: acknowledged at 1000
     let mut observer = with_change(1, 0, 2, Outcome::Acknowledged);
-    observer.request_received(3_000, 1, &ClientRequest::default(), true, place(0));
-    assert_eq!(found(&observer), vec![]);
+    observer.request_received(3_000, 1, &ClientRequest::default(), true, edge_state(0));
+    assert_eq!(violations_of(&observer), vec![]);
     observer.request_received(
         3_001,
         2,
         &ClientRequest::default(),
         true,
-        EdgeState { has_quorum_contact: false, ..place(0) },
+        EdgeState { has_quorum_contact: false, ..edge_state(0) },
     );
-    assert_eq!(found(&observer), vec![]);
+    assert_eq!(violations_of(&observer), vec![]);
 
     // when
-    observer.request_received(3_001, 3, &ClientRequest::default(), true, place(0));
+    observer.request_received(3_001, 3, &ClientRequest::default(), true, edge_state(0));
 
     // then
     assert_eq!(
-        found(&observer),
+        violations_of(&observer),
         vec![Violation::StaleConfigInUse { request: 3, version: 0, acknowledged: 2 }]
     );
 }
@@ -357,14 +363,14 @@
 fn detects_denied_request_and_too_many_servers() {
     let mut denied = with_request();
     denied.request_answered(10, 1, 404);
-    assert_eq!(found(&denied), vec![Violation::RequestDenied { request: 1, status: 404 }]);
+    assert_eq!(violations_of(&denied), vec![Violation::RequestDenied { request: 1, status: 404 }]);
 
     let mut many = Observer::default();
-    many.request_received(0, 1, &ClientRequest::default(), false, place(0));
+    many.request_received(0, 1, &ClientRequest::default(), false, edge_state(0));
     for server in ["s", "t", "u"] {
         many.request_executed(10, 1, &server.into(), fixtures::WEB_SERVICE);
     }
-    assert_eq!(found(&many), vec![Violation::TooManyServers { request: 1 }]);
+    assert_eq!(violations_of(&many), vec![Violation::TooManyServers { request: 1 }]);
 }
 
 #[test]
@@ -373,7 +379,7 @@
     let repeated = |apart: u64| {
         let mut observer = Observer::default();
         for number in 0..10 {
-            observer.request_received(0, number, &ClientRequest::default(), false, place(0));
+            observer.request_received(0, number, &ClientRequest::default(), false, edge_state(0));
             observer.attempt_written(0, number, fixtures::WEB_SERVICE);
         }
         for number in 1..=4 {
@@ -389,8 +395,8 @@
         retries: 4,
         allowed: 3.0,
     };
-    assert_eq!(found(&repeated(100)), vec![too_many]);
-    assert_eq!(found(&repeated(4_000)), vec![]);
+    assert_eq!(violations_of(&repeated(100)), vec![too_many]);
+    assert_eq!(violations_of(&repeated(4_000)), vec![]);
 }
 
 #[test]
@@ -399,7 +405,7 @@
     let refused = |number: u64, model: Option<String>| {
         let mut observer = Observer::default();
         for request in 0..10 {
-            observer.request_received(0, request, &ClientRequest::default(), false, place(0));
+            observer.request_received(0, request, &ClientRequest::default(), false, edge_state(0));
             observer.attempt_written(0, request, fixtures::WEB_SERVICE);
         }
         for repeat in 1..=4 {
@@ -411,15 +417,15 @@
                 model: model.clone(),
                 ..ClientRequest::default()
             };
-            observer.request_received(0, request, &ask, false, place(0));
+            observer.request_received(0, request, &ask, false, edge_state(0));
         }
         observer
     };
 
     // when, then: one in ten and two more are allowed
-    assert_eq!(found(&refused(10, None)), vec![]);
-    assert_ne!(found(&refused(9, None)), vec![]);
-    assert_ne!(found(&refused(10, Some(fixtures::model_name(0)))), vec![]);
+    assert_eq!(violations_of(&refused(10, None)), vec![]);
+    assert_ne!(violations_of(&refused(9, None)), vec![]);
+    assert_ne!(violations_of(&refused(10, Some(fixtures::model_name(0)))), vec![]);
 }
 
 #[test]
@@ -427,7 +433,7 @@
     let mut observer = Observer::default();
     observer.acknowledgement_overdue(9, "call 1".into());
     assert_eq!(
-        found(&observer),
+        violations_of(&observer),
         vec![Violation::AcknowledgementOverdue { at: 9, description: "call 1".into() }]
     );
 }
--- a/simulation/tests/losses.rs
+++ b/simulation/tests/losses.rs
@@ -107,13 +107,13 @@
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
         let (late, without_disk) = (others(&fleet, leader)[0], others(&fleet, leader)[1]);
-        fleet.world.network.set_special((leader, late), Conditions { delay: 80..=90, loss: 0.0 });
+        fleet.world.network.set_link_conditions((leader, late), Conditions { delay: 80..=90, loss: 0.0 });
         let change = fleet.replace_within(1_000);
 
         // when
         fleet.stop_all(true);
         fleet.lose_disk(without_disk);
-        fleet.world.network.clear_special();
+        fleet.world.network.clear_link_conditions();
         fleet.run(500);
         fleet.start_stopped();
 
--- a/simulation/tests/order_leases.rs
+++ b/simulation/tests/order_leases.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::lease_holder;
+use common::order_lease_holder;
 use shaletrail_coordinator::core::shards::shard_of;
 use shaletrail_coordinator::interface::StateChange;
 use shaletrail_protocol::{Millis, NodeId};
@@ -23,7 +23,7 @@
 }
 
 /// Requests changing adapters of loaded models, so that there are orders to send all the time.
-fn press(fleet: &mut Fleet, duration: Millis) {
+fn request_continuously(fleet: &mut Fleet, duration: Millis) {
     let edge = fleet.edges()[0];
     let end = fleet.world.now + duration;
     while fleet.world.now < end {
@@ -38,7 +38,7 @@
 }
 
 /// Sends requests until a lease holder opens a connection for an order; false if it never does.
-fn order_is_on_its_way(fleet: &mut Fleet, node: NodeId) -> bool {
+fn await_order_connection(fleet: &mut Fleet, node: NodeId) -> bool {
     let edge = fleet.edges()[0];
     for number in 0..200 {
         let adapter = format!("a{}", 1 + number % 9);
@@ -60,8 +60,8 @@
     for seed in SEEDS {
         // given
         let mut fleet = ready_with_budget(seed);
-        let first = lease_holder(&fleet);
-        assert!(order_is_on_its_way(&mut fleet, first), "{}", fleet.describe());
+        let first = order_lease_holder(&fleet);
+        assert!(await_order_connection(&mut fleet, first), "{}", fleet.describe());
 
         // when
         fleet.freeze(first);
@@ -81,8 +81,8 @@
     for seed in SEEDS {
         // given
         let mut fleet = ready_with_budget(seed);
-        let first = lease_holder(&fleet);
-        assert!(order_is_on_its_way(&mut fleet, first), "{}", fleet.describe());
+        let first = order_lease_holder(&fleet);
+        assert!(await_order_connection(&mut fleet, first), "{}", fleet.describe());
         let before = orders_from(&fleet, first);
 
         // when
@@ -100,14 +100,14 @@
     for seed in SEEDS {
         // given
         let mut fleet = ready_with_budget(seed);
-        let first = lease_holder(&fleet);
+        let first = order_lease_holder(&fleet);
         let slow = Conditions { delay: 500..=500, loss: 0.0 };
-        fleet.world.network.set_special((first, fixtures::server(0)), slow);
-        press(&mut fleet, 3_000);
+        fleet.world.network.set_link_conditions((first, fixtures::server(0)), slow);
+        request_continuously(&mut fleet, 3_000);
 
         // when
         fleet.terminate(first);
-        press(&mut fleet, 8_000);
+        request_continuously(&mut fleet, 8_000);
 
         // then
         assert!(fleet.world.observer.orders.iter().any(|order| order.from != first), "{}", fleet.describe());
@@ -120,17 +120,17 @@
     for seed in SEEDS {
         // given: the first lease holder has just sent orders, and another one has acquired the lease
         let mut fleet = ready_with_budget(seed);
-        let first = lease_holder(&fleet);
-        press(&mut fleet, 2_000);
+        let first = order_lease_holder(&fleet);
+        request_continuously(&mut fleet, 2_000);
         fleet.lose_power(first);
-        let followed = |fleet: &Fleet| holds(fleet).is_some_and(|node| node != first);
-        assert!(fleet.run_until(5_000, followed), "{}", fleet.describe());
-        let second = holds(&fleet).expect("a holder");
+        let has_successor = |fleet: &Fleet| current_lease_holder(fleet).is_some_and(|node| node != first);
+        assert!(fleet.run_until(5_000, has_successor), "{}", fleet.describe());
+        let second = current_lease_holder(&fleet).expect("a holder");
 
         // when
         fleet.kill(second);
         fleet.start(second);
-        press(&mut fleet, 9_000);
+        request_continuously(&mut fleet, 9_000);
 
         // then
         let later = fleet.world.observer.orders.iter().filter(|order| order.from != first).count();
@@ -140,7 +140,7 @@
 }
 
 /// The node that acquired the order lease last, if it still leads.
-fn holds(fleet: &Fleet) -> Option<NodeId> {
+fn current_lease_holder(fleet: &Fleet) -> Option<NodeId> {
     let shard = shard_of(fixtures::LLM_SERVICE);
     let leader = fleet.leader_of(shard)?;
     let notes = fleet.world.observer.state_changes.iter().rev();
--- a/simulation/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use common::{lease_holder, ready, sent_within};
+use common::{order_lease_holder, ready, time_to_execution};
 use shaletrail_simulation::fixtures::{self, Models, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH};
 use shaletrail_simulation::{Fleet, FleetOptions};
 
@@ -32,7 +32,7 @@
         fleet.run(4_000);
 
         // then
-        let waited = sent_within(&fleet, request);
+        let waited = time_to_execution(&fleet, request);
         assert!(waited.is_some_and(|waited| waited <= LOAD_TIME + 1_000), "{waited:?}\n{}", fleet.describe());
         assert_eq!(fleet.status(request), Some(200));
         fleet.check();
@@ -51,7 +51,7 @@
         fleet.run(2_000);
 
         // then
-        let waited = sent_within(&fleet, request);
+        let waited = time_to_execution(&fleet, request);
         assert!(waited.is_some_and(|waited| waited <= 300), "{waited:?}\n{}", fleet.describe());
         assert_eq!(fleet.status(request), Some(200));
         fleet.check();
@@ -97,7 +97,7 @@
         let edge = fleet.edges()[0];
         fleet.request_model(edge, NON_IDEMPOTENT_PATH, 4, None);
         fleet.run(1_000);
-        let first = lease_holder(&fleet);
+        let first = order_lease_holder(&fleet);
 
         // when
         match seed % 3 {
@@ -170,7 +170,7 @@
             fleet.request_model(edges[round % 2], IDEMPOTENT_PATH, round * 5 % 16, None);
             fleet.run(60);
             if round == 200 {
-                let first = lease_holder(&fleet);
+                let first = order_lease_holder(&fleet);
                 fleet.lose_power(first);
             }
         }
@@ -198,7 +198,7 @@
         fleet.request_model(edge, NON_IDEMPOTENT_PATH, 4, None);
         let begun = fleet.run_until(2_000, |fleet| !fleet.world.observer.store_loads.is_empty());
         assert!(begun, "{}", fleet.describe());
-        let first = lease_holder(&fleet);
+        let first = order_lease_holder(&fleet);
         fleet.lose_power(first);
 
         // when: another model is requested before a heartbeat reports the end of the load
--- a/simulation/tests/scenarios.rs
+++ b/simulation/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{assert_in_service, lease_holder, others, ready, ACKNOWLEDGED_WITHIN};
+use common::{assert_in_service, order_lease_holder, others, ready, ACKNOWLEDGED_WITHIN};
 use shaletrail_protocol::NodeId;
 use shaletrail_simulation::history::{has_all_voters, is_fully_replicated};
 use shaletrail_simulation::network::Conditions;
@@ -24,7 +24,7 @@
 }
 
 /// Three coordinators that tolerate one failure, and five that tolerate two.
-fn sizes(seed: u64) -> [FleetOptions; 2] {
+fn fleet_sizes(seed: u64) -> [FleetOptions; 2] {
     let three = FleetOptions { seed, ..FleetOptions::default() };
     let five = FleetOptions { coordinators: 5, hosts_lost: 2, ..three.clone() };
     [three, five]
@@ -32,7 +32,7 @@
 
 #[test]
 fn leader_isolated_for_20_s_answers_nobody() {
-    for options in sizes(1) {
+    for options in fleet_sizes(1) {
         // given
         let mut fleet = Fleet::ready(options);
         let old = fleet.replace_within(ACKNOWLEDGED_WITHIN);
@@ -82,10 +82,10 @@
 #[test]
 fn lease_holder_with_majority_is_not_replaced() {
     for seed in 1..=6 {
-        for options in sizes(seed) {
+        for options in fleet_sizes(seed) {
             // given
             let mut fleet = Fleet::ready(options);
-            let first = lease_holder(&fleet);
+            let first = order_lease_holder(&fleet);
             let (one, rest) = {
                 let others = others(&fleet, first);
                 (others[0], others[1..].to_vec())
@@ -95,7 +95,7 @@
             // when: orders are needed all the time; should another node lead, the lease holder would not learn of that
             let mut replaced = false;
             for _ in 0..200 {
-                replaced |= lease_holder(&fleet) != first;
+                replaced |= order_lease_holder(&fleet) != first;
                 if replaced {
                     rest.iter().for_each(|other| fleet.partition_one_way(*other, first, true));
                 }
@@ -119,7 +119,7 @@
 #[test]
 fn concurrent_change_outcome_is_final() {
     for seed in 1..=4 {
-        for options in sizes(seed) {
+        for options in fleet_sizes(seed) {
             // given: two concurrent changes at two nodes, whose responses are all lost
             let mut fleet = Fleet::ready(options);
             let leader = fleet.await_leader();
@@ -166,7 +166,7 @@
 #[test]
 fn loss_right_after_replacement_loses_nothing() {
     for seed in 1..=4 {
-        for options in sizes(seed) {
+        for options in fleet_sizes(seed) {
             // given
             let mut fleet = Fleet::ready(options);
             for number in 0..3 {
@@ -194,7 +194,7 @@
 
 #[test]
 fn returning_member_catches_up_and_leads() {
-    for options in sizes(2) {
+    for options in fleet_sizes(2) {
         // given: a member is down for hundreds of changes, and restarts while more are made
         let mut fleet = Fleet::ready(options);
         let leader = fleet.await_leader();
@@ -236,22 +236,22 @@
         // given: a coordinator whose first call is in flight at the leader, whose responses are delayed
         let mut fleet = ready(seed);
         let leader = fleet.await_leader();
-        let asker = others(&fleet, leader)[0];
-        fleet.restart(asker);
+        let caller = others(&fleet, leader)[0];
+        fleet.restart(caller);
         fleet.run(1_000);
         let late = Conditions { delay: 200..=200, loss: 0.0 };
-        fleet.world.network.set_special((leader, asker), late);
+        fleet.world.network.set_link_conditions((leader, caller), late);
         let change = fleet.write();
-        fleet.send_first_to(asker, change);
+        fleet.send_first_to(caller, change);
         fleet.run(20);
 
         // when: it restarts, and its first call is another one
-        fleet.restart(asker);
+        fleet.restart(caller);
         let call = if seed % 2 == 0 {
-            fleet.operator.read(&mut fleet.world, Some(asker))
+            fleet.operator.read(&mut fleet.world, Some(caller))
         } else {
             let other = fleet.write();
-            fleet.send_to(asker, other);
+            fleet.send_to(caller, other);
             other
         };
         fleet.run(ACKNOWLEDGED_WITHIN);
@@ -278,7 +278,10 @@
             let leader = fleet.await_leader();
             let (near, late) = (others(&fleet, leader)[0], others(&fleet, leader)[1]);
             let (hanging, other) = if leader_syncs { (near, leader) } else { (leader, near) };
-            fleet.world.network.set_special((leader, late), Conditions { delay: 400..=400, loss: 0.0 });
+            fleet
+                .world
+                .network
+                .set_link_conditions((leader, late), Conditions { delay: 400..=400, loss: 0.0 });
             fleet.set_disk_stalled(hanging, true);
             let change = fleet.replace();
             fleet.run_until(300, |fleet| fleet.world.observer.is_acknowledged(change));
@@ -287,7 +290,7 @@
             fleet.stop_all(true);
             fleet.set_disk_stalled(hanging, false);
             fleet.lose_disk(other);
-            fleet.world.network.clear_special();
+            fleet.world.network.clear_link_conditions();
             fleet.run(500);
             fleet.start_stopped();
 
@@ -309,7 +312,10 @@
         let leader = fleet.await_leader();
         let rest = others(&fleet, leader);
         for other in &rest {
-            fleet.world.network.set_special((leader, *other), Conditions { delay: 10..=10, loss: 0.0 });
+            fleet
+                .world
+                .network
+                .set_link_conditions((leader, *other), Conditions { delay: 10..=10, loss: 0.0 });
         }
         fleet.replace_within(ACKNOWLEDGED_WITHIN);
         fleet.lose_power(leader);
