--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -144,8 +144,8 @@
         let servers = self.fleet.servers().into_iter().filter_map(|node| self.fleet.server(node));
         let draining = servers.filter(|server| server.draining_since().is_some_and(is_overdue));
         descriptions.extend(draining.map(|server| format!("draining of {}", server.id())));
-        for descriptions in descriptions {
-            self.fleet.world.observer.acknowledgement_overdue(now, descriptions);
+        for description in descriptions {
+            self.fleet.world.observer.acknowledgement_overdue(now, description);
         }
     }
 
@@ -153,9 +153,9 @@
         &mut self.fleet.world
     }
 
-    fn record(&mut self, descriptions: String) {
+    fn record(&mut self, action: String) {
         let now = self.fleet.world.now;
-        self.fleet.world.observer.record_action(now, descriptions);
+        self.fleet.world.observer.record_action(now, action);
     }
 
     fn choose<T: Clone>(&mut self, from: &[T]) -> Option<T> {
--- a/simulation/src/history/partitions.rs
+++ b/simulation/src/history/partitions.rs
@@ -263,9 +263,9 @@
         let others = self.coordinators_but(&[node]);
         let Some(other) = self.choose(&others) else { return };
         if self.world().random_bool(0.5) {
-            let (voter, second) = (self.fleet.write(), self.fleet.write());
-            self.sent_changes.extend([voter, second]);
-            self.send_change_to(voter, Some(node));
+            let (first, second) = (self.fleet.write(), self.fleet.write());
+            self.sent_changes.extend([first, second]);
+            self.send_change_to(first, Some(node));
             self.send_change_to(second, Some(other));
         }
         self.read_at(node);
--- a/simulation/src/history/races.rs
+++ b/simulation/src/history/races.rs
@@ -137,8 +137,8 @@
             }
             _ => {
                 self.record(format!("links from {leader} are reset"));
-                for second in coordinators {
-                    self.fleet.reset_link(leader, second);
+                for other in coordinators {
+                    self.fleet.reset_link(leader, other);
                 }
             }
         }
@@ -148,10 +148,10 @@
         let longest = self.draw(20..=400);
         self.record(format!("links from {from} to {to:?} take up to {longest} ms"));
         self.links_nominal = false;
-        for second in to.iter().filter(|second| **second != from) {
+        for other in to.iter().filter(|other| **other != from) {
             self.world()
                 .network
-                .set_link_conditions((from, *second), Conditions { delay: 10..=longest, loss: 0.0 });
+                .set_link_conditions((from, *other), Conditions { delay: 10..=longest, loss: 0.0 });
         }
         let until = self.fleet.world.now + self.draw(50..=1_500);
         self.recoveries.push((until, Recovery::Links));
--- a/simulation/src/invariants/configuration.rs
+++ b/simulation/src/invariants/configuration.rs
@@ -89,8 +89,8 @@
         let Some(SentChange { base, version, .. }) = observer.changes.get(&later) else { continue };
         if base + 1 < *version {
             // Two acknowledged changes on one base are reported as conflicting.
-            let of_one_base = |right: &u64| {
-                acknowledged.get(version) == Some(&later) && observer.changes[right].base == *base
+            let of_one_base = |other: &u64| {
+                acknowledged.get(version) == Some(&later) && observer.changes[other].base == *base
             };
             let between = acknowledged.range(base + 1..*version).filter(|(_, change)| !of_one_base(change));
             violations.extend(between.map(|(_, change)| Violation::LostChange { change: *change, later }));
--- a/simulation/src/invariants/requests.rs
+++ b/simulation/src/invariants/requests.rs
@@ -13,8 +13,8 @@
     let mut violations = Vec::new();
     for drained in observer.acknowledged_drains.iter().filter(|drained| drained.has_quorum_contact) {
         let late_attempts = observer.attempts.iter().filter(|attempt| {
-            let late_attempts = attempt.has_quorum_contact && attempt.at > drained.at + bounds.drain;
-            late_attempts && attempt.server == drained.server && reached_server(observer, attempt)
+            let is_late = attempt.has_quorum_contact && attempt.at > drained.at + bounds.drain;
+            is_late && attempt.server == drained.server && reached_server(observer, attempt)
         });
         violations.extend(late_attempts.map(|attempt| Violation::SentToDraining {
             server: drained.server.clone(),
--- a/simulation/tests/invariants.rs
+++ b/simulation/tests/invariants.rs
@@ -128,9 +128,9 @@
     in_force.config_applied(2_000, EDGE, Incarnation(1), 2, Some(1));
     assert_eq!(violations_of(&in_force), refused);
 
-    let mut changed_read = with_change(1, 0, 2, Outcome::Invalid);
-    read(&mut changed_read, 2_000, document(1, 2));
-    assert_eq!(violations_of(&changed_read), refused);
+    let mut read_afterwards = with_change(1, 0, 2, Outcome::Invalid);
+    read(&mut read_afterwards, 2_000, document(1, 2));
+    assert_eq!(violations_of(&read_afterwards), refused);
 }
 
 #[test]
