--- a/simulation/src/message.rs
+++ b/simulation/src/message.rs
@@ -1,134 +1,134 @@
-//! What travels on the links. All that crosses a machine's border is encoded as in production and decoded by the
-//! receiver, so that nothing passes that could not be sent.
+//! The messages between machines. Their contents are encoded as in production and decoded by the receiver, so that no
+//! message can be simulated that could not be sent.
 
 use shaletrail_protocol::frame::{self, PREFIX_BYTES};
 use shaletrail_protocol::internal::{EdgeIdentity, OperatorCall, OperatorResponse};
 use shaletrail_protocol::ServerId;
 
-/// Names a call and its answer; given by the world, never used twice.
+/// Identifies a call and its response; unique in a world.
 pub type CallNumber = u64;
 
-/// Something on a link.
+/// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// A frame of one coordinator for another.
-    Core(Vec<u8>),
-    /// A frame of an edge that needs no answer.
+    /// An encoded frame between coordinators.
+    Coordinator(Vec<u8>),
+    /// A frame of an edge that gets no response.
     EdgeReport {
-        /// The edge.
+        /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The frame.
+        /// The encoded request.
         frame: Vec<u8>,
     },
-    /// A datagram of one edge to another.
-    Loads(Vec<u8>),
-    /// Something that is to be answered.
+    /// An encoded load report between edges, one datagram.
+    LoadReport(Vec<u8>),
+    /// A call that expects a response.
     Call {
-        /// Its name.
+        /// The number of the call.
         number: CallNumber,
-        /// What is asked.
+        /// The call itself.
         call: Call,
     },
-    /// The answer.
-    Answer {
-        /// The call's name.
+    /// The response to a call.
+    Response {
+        /// The number of the call.
         number: CallNumber,
-        /// What is answered.
-        answer: Answer,
+        /// The response itself.
+        response: Response,
     },
-    /// The connection of a call has been refused or reset.
-    Refused {
-        /// The call's name.
+    /// The connection of a call was refused or reset.
+    ConnectionFailed {
+        /// The number of the call.
         number: CallNumber,
-        /// Whether the call had been read before.
+        /// Whether the receiver had accepted the call before.
         accepted: bool,
     },
     /// The caller has closed the connection of a call.
-    Closed {
-        /// The call's name.
+    Cancelled {
+        /// The number of the call.
         number: CallNumber,
     },
 }
 
-/// What is asked.
+/// The calls between machines.
 #[derive(Clone, Debug)]
 pub enum Call {
     /// A poll of an edge, as a frame.
     Poll {
-        /// The edge.
+        /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The frame.
+        /// The encoded request.
         frame: Vec<u8>,
     },
-    /// A heartbeat, as JSON.
+    /// A server's heartbeat, as JSON.
     Heartbeat {
-        /// The server.
+        /// The identifier of the sending server.
         id: ServerId,
-        /// The body.
+        /// The JSON body.
         body: Vec<u8>,
     },
-    /// A server's farewell.
+    /// A server's deregistration.
     Deregister {
-        /// The server.
+        /// The identifier of the sending server.
         id: ServerId,
     },
-    /// A call of the operator.
+    /// The operator changes or reads the configuration.
     Operator(OperatorCall),
     /// An order to a server, as JSON.
     Order {
-        /// `Expected-Instance`.
+        /// The `Expected-Instance` header: the server that the call is meant for.
         expected: ServerId,
-        /// The body.
+        /// The JSON body.
         body: Vec<u8>,
     },
-    /// `GET /report`.
+    /// A call of `GET /report` at a server.
     Report {
-        /// `Expected-Instance`.
+        /// The `Expected-Instance` header: the server that the call is meant for.
         expected: ServerId,
     },
-    /// A client's request.
+    /// A client's request that an edge forwards.
     Request(Request),
 }
 
-/// A client's request on its way to a server.
+/// A client's request as an edge sends it to a server.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The client's name for it.
+    /// The client's number of it.
     pub request: u64,
-    /// `Expected-Instance`.
+    /// The `Expected-Instance` header: the server that the request is meant for.
     pub expected: ServerId,
-    /// The model; empty where the service has none.
+    /// The model; empty if the request names none.
     pub model: String,
-    /// The adapter.
+    /// The adapter, if the request names one.
     pub adapter: Option<String>,
 }
 
-/// What is answered.
+/// The responses to calls.
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// To a poll, as a frame.
+pub enum Response {
+    /// The response to a poll, as a frame.
     Poll(Vec<u8>),
-    /// To a heartbeat or a farewell: whether it is acknowledged.
+    /// To a heartbeat or a deregistration: whether it is acknowledged.
     Server(bool),
-    /// To the operator.
+    /// The response to a call of the operator.
     Operator(OperatorResponse),
-    /// To an order: its status.
+    /// The status of an order.
     Order(u16),
-    /// To `GET /report`, as JSON.
+    /// The response to `GET /report`, as JSON.
     Report(Vec<u8>),
-    /// To a request: its status, and who answers where it was turned away.
+    /// To a client's request.
     Request {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// `Instance-Id`.
+        /// The `Instance-Id` header: the server that answered.
         instance: ServerId,
     },
 }
 
-/// Reads a frame as its receiver does.
+/// Decodes a frame as its receiver does.
 ///
 /// # Panics
-/// What was sent is not what a receiver takes.
+/// The bytes are not a frame of a message `M`.
 pub fn decode<M: bitcode::DecodeOwned>(bytes: &[u8]) -> M {
     let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
     let length = frame::body_length(*prefix).expect("a frame is not too long");
