--- a/model-checker/src/explorer.rs
+++ b/model-checker/src/explorer.rs
@@ -1,172 +1,193 @@
-//! Breadth-first search over all states within a depth.
+//! Breadth-first exploration of all states that are reachable from an initial state.
 
+use std::collections::hash_map::Entry;
 use std::collections::HashMap;
+use std::fmt;
 use std::time::{Duration, Instant};
 
-use crate::machine::Memo;
-use crate::scenes::Scene;
-use crate::world::{Step, World};
+use crate::cluster_state::ClusterState;
+use crate::fingerprint::Fingerprint;
+use crate::invariants::InvariantViolation;
+use crate::scenario::Scenario;
+use crate::transition::Transition;
+use crate::transition_cache::TransitionCache;
 
-/// How far to go.
+/// Where an exploration ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Steps on one path.
+    /// The most transitions on one path.
     pub depth: usize,
-    /// The search ends before a depth that would lead beyond so many states.
+    /// The most states: the exploration ends before a depth that would have more.
     pub states: usize,
 }
 
-/// What a search has found.
+/// What an exploration visited and found.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The scene's name.
-    pub scene: &'static str,
-    /// Different states.
+    /// The scenario's name.
+    pub scenario: &'static str,
+    /// Distinct states.
     pub states: usize,
-    /// Steps taken between them.
+    /// Transitions between them.
     pub transitions: usize,
     /// The depth to which all states were visited.
     pub depth: usize,
-    /// Whether there was nothing left to explore.
+    /// Whether the frontier was empty at the end.
     pub exhausted: bool,
-    /// The first thing found broken.
+    /// The first violation.
     pub violation: Option<Violation>,
     /// How long it took.
     pub elapsed: Duration,
 }
 
-/// A path on which something breaks.
+/// A path to a state in which an invariant does not hold.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// What breaks.
-    pub broken: String,
-    /// The steps that lead there, the last of which breaks it.
+    /// The invariant, and what contradicts it.
+    pub cause: InvariantViolation,
+    /// The initial state, the transitions, of which the last one violates the invariant, and the state before that.
     pub path: Vec<String>,
 }
 
-/// How a state was first reached: from which, and by which of its steps.
+/// The transition by which a state was first reached.
 #[derive(Clone, Copy)]
-struct Reached {
-    from: u64,
-    step: u16,
+struct Predecessor {
+    state: Fingerprint,
+    /// The transition's position in [`ClusterState::transitions`] of the predecessor.
+    transition: u16,
 }
 
-/// Visits all states from a start of a scene within the limits.
-pub fn explore(scene: &Scene, start: World, limits: Limits) -> Report {
-    let begin = Instant::now();
-    let mut search = Search::from(&start);
-    let mut frontier = vec![start.clone()];
+/// Visits all states from a scenario's initial state within the limits.
+pub fn explore(scenario: &Scenario, initial_state: ClusterState, limits: Limits) -> Report {
+    let started_at = Instant::now();
+    let mut exploration = Exploration::from(&initial_state);
+    let mut frontier = vec![initial_state.clone()];
     let mut violation = None;
     let mut depth = 0;
     while violation.is_none() && !frontier.is_empty() && depth < limits.depth {
-        match search.next_layer(&frontier, limits.states) {
-            Layer::Whole(next) => frontier = next,
-            Layer::TooLarge => break,
-            Layer::Broken { from, step, broken } => {
-                violation = Some(Violation { broken, path: search.path(&start, from, step) });
-                continue;
+        match exploration.expand(&frontier, limits.states) {
+            Expansion::Frontier(next) => {
+                frontier = next;
+                depth += 1;
+            }
+            Expansion::StateLimitReached => break,
+            Expansion::Violated { state, transition, cause } => {
+                violation =
+                    Some(Violation { cause, path: exploration.path(&initial_state, state, &transition) });
             }
         }
-        depth += 1;
     }
     Report {
-        scene: scene.name,
-        states: search.reached.len(),
-        transitions: search.transitions,
+        scenario: scenario.name,
+        states: exploration.visited.len(),
+        transitions: exploration.transitions,
         depth,
         exhausted: frontier.is_empty(),
         violation,
-        elapsed: begin.elapsed(),
+        elapsed: started_at.elapsed(),
     }
 }
 
-struct Search {
-    memo: Memo,
-    reached: HashMap<u64, Reached>,
+struct Exploration {
+    cache: TransitionCache,
+    /// Visited states; the initial one is its own predecessor.
+    visited: HashMap<Fingerprint, Predecessor>,
     transitions: usize,
 }
 
-/// The states one step further.
-enum Layer {
-    Whole(Vec<World>),
-    TooLarge,
-    Broken { from: u64, step: Step, broken: String },
+/// What lies one transition beyond a frontier.
+enum Expansion {
+    /// States that were not visited before.
+    Frontier(Vec<ClusterState>),
+    /// More states than the limit allows.
+    StateLimitReached,
+    /// A transition that violates an invariant, and the state that it starts from.
+    Violated { state: Fingerprint, transition: Transition, cause: InvariantViolation },
 }
 
-impl Search {
-    fn from(start: &World) -> Search {
-        let hash = start.hash();
-        let reached = HashMap::from([(hash, Reached { from: hash, step: 0 })]);
-        Search { memo: Memo::default(), reached, transitions: 0 }
+impl Exploration {
+    fn from(initial_state: &ClusterState) -> Exploration {
+        let state = initial_state.fingerprint();
+        let visited = HashMap::from([(state, Predecessor { state, transition: 0 })]);
+        Exploration { cache: TransitionCache::default(), visited, transitions: 0 }
     }
 
-    fn next_layer(&mut self, frontier: &[World], most_states: usize) -> Layer {
-        let mut next = Vec::new();
-        for world in frontier {
-            let from = world.hash();
-            for (number, step) in world.steps().into_iter().enumerate() {
-                let Some(taken) = world.take(&step, &mut self.memo) else { continue };
+    fn expand(&mut self, frontier: &[ClusterState], max_states: usize) -> Expansion {
+        let mut next_frontier = Vec::new();
+        for state in frontier {
+            let fingerprint = state.fingerprint();
+            for (position, transition) in state.transitions().into_iter().enumerate() {
+                let Some(result) = state.apply(&transition, &mut self.cache) else { continue };
                 self.transitions += 1;
-                let after = match taken {
-                    Ok(after) => after,
-                    Err(broken) => return Layer::Broken { from, step, broken },
+                let next = match result {
+                    Ok(next) => next,
+                    Err(cause) => return Expansion::Violated { state: fingerprint, transition, cause },
                 };
-                let reached = Reached { from, step: number as u16 };
-                if self.reached.len() >= most_states {
-                    return Layer::TooLarge;
+                if self.visited.len() >= max_states {
+                    return Expansion::StateLimitReached;
                 }
-                if let std::collections::hash_map::Entry::Vacant(place) = self.reached.entry(after.hash()) {
-                    place.insert(reached);
-                    next.push(after);
+                if let Entry::Vacant(entry) = self.visited.entry(next.fingerprint()) {
+                    entry.insert(Predecessor { state: fingerprint, transition: position as u16 });
+                    next_frontier.push(next);
                 }
             }
         }
-        Layer::Whole(next)
+        Expansion::Frontier(next_frontier)
     }
 
-    /// The steps from the start to a state and one more, in words.
-    fn path(&mut self, start: &World, last: u64, last_step: Step) -> Vec<String> {
-        let first = start.hash();
-        let mut numbers = Vec::new();
-        let mut hash = last;
-        while hash != first {
-            let reached = self.reached[&hash];
-            numbers.push(reached.step);
-            hash = reached.from;
-        }
-        let mut world = start.clone();
-        let mut path = vec![world.to_string()];
-        for number in numbers.into_iter().rev() {
-            let step = world.steps().swap_remove(usize::from(number));
-            path.push(world.describe(&step));
-            let after = world.take(&step, &mut self.memo).expect("the step was taken before");
-            world = after.expect("nothing broke at this step before");
+    /// The path from the initial state to a visited state and one transition further, a line each.
+    fn path(
+        &mut self,
+        initial_state: &ClusterState,
+        last_state: Fingerprint,
+        last_transition: &Transition,
+    ) -> Vec<String> {
+        let mut state = initial_state.clone();
+        let mut path = vec![state.to_string()];
+        for position in self.transitions_to(initial_state.fingerprint(), last_state) {
+            let transition = state.transitions().swap_remove(usize::from(position));
+            path.push(state.describe(&transition));
+            let next = state.apply(&transition, &mut self.cache).expect("the transition was applied before");
+            state = next.expect("the transition violated nothing before");
         }
-        path.push(world.describe(&last_step));
-        path.push(world.to_string());
+        path.push(state.describe(last_transition));
+        path.push(state.to_string());
         path
     }
+
+    /// The positions of the transitions between two states, the first one first.
+    fn transitions_to(&self, initial_state: Fingerprint, last_state: Fingerprint) -> Vec<u16> {
+        let mut positions = Vec::new();
+        let mut state = last_state;
+        while state != initial_state {
+            let predecessor = self.visited[&state];
+            positions.push(predecessor.transition);
+            state = predecessor.state;
+        }
+        positions.reverse();
+        positions
+    }
 }
 
-impl std::fmt::Display for Violation {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        writeln!(formatter, "{}", self.broken)?;
+impl fmt::Display for Violation {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(formatter, "{}", self.cause)?;
         self.path.iter().enumerate().try_for_each(|(number, line)| writeln!(formatter, "{number:3} {line}"))
     }
 }
 
-impl std::fmt::Display for Report {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for Report {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
             "{}: {} states, {} transitions, depth {}{}, {:.1} s{}",
-            self.scene,
+            self.scenario,
             self.states,
             self.transitions,
             self.depth,
-            if self.exhausted { " (nothing left)" } else { "" },
+            if self.exhausted { " (exhausted)" } else { "" },
             self.elapsed.as_secs_f64(),
-            if self.violation.is_some() { ", broken one step further" } else { "" },
+            if self.violation.is_some() { ", violation one transition further" } else { "" },
         )
     }
 }
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -1,25 +1,41 @@
-//! Explores a small group of replicas exhaustively: every order of events within stated bounds.
+//! Explores a small Raft group exhaustively: every interleaving of events within stated bounds.
 //!
-//! What is explored is the production code: `shaletrail_consensus::Replica`, the configuration's judgement
-//! (`shaletrail_configuration::ConfigState`) and the turns of holders of orders
-//! (`shaletrail_coordinator::core::{lease_state, orders}`). Nothing of the protocol is written again here.
+//! What is explored is the production code: `shaletrail_consensus::Replica`, the evaluation of configuration changes
+//! (`shaletrail_configuration::ConfigState`) and the lease of orders (`shaletrail_coordinator::core::{lease_state,
+//! orders}`). Nothing of the protocol is written again here.
 //!
-//! A [`World`] is three voters, a spare, their disks and all messages under way. A [`Scene`] is a start close
-//! to a danger, and a [`Budget`] of faults. [`explore`] takes all [`Step`]s from there, breadth first, and drops
-//! states that it has seen. After each step the [`Judge`] checks what must hold; what doesn't is reported with the
-//! shortest path that leads to it.
+//! A [`ClusterState`] is three voters, a learner, their disks and all messages in flight. A [`Scenario`] is an initial
+//! state close to a danger, with a [`FaultBudget`]. [`explore`] applies all [`Transition`]s from there, breadth first, and
+//! skips states that it has visited. After each transition the [`InvariantChecker`] checks what must hold; a violation is
+//! reported with the shortest path to it.
 //!
-//! A message that is lost is one that is never delivered, and a process that is frozen is one that nothing is
-//! delivered to: neither needs a step of its own.
+//! A lost message is one that is never delivered, and a frozen process is one to which nothing is delivered: neither
+//! needs a transition of its own.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod cluster_state;
+mod config_changes;
+mod disk;
 mod explorer;
 mod fingerprint;
-mod judge;
-mod machine;
-mod scenes;
-mod world;
+mod group_options;
+mod input;
+mod invariants;
+mod node;
+mod observation;
+mod order_leadership;
+mod scenario;
+mod scenario_builder;
+mod scenarios;
+mod state_machine;
+mod transition;
+mod transition_cache;
 
+pub use cluster_state::ClusterState;
 pub use explorer::{explore, Limits, Report, Violation};
-pub use judge::Judge;
-pub use scenes::{scenes, Scene};
-pub use world::{Budget, Step, World};
+pub use invariants::{Invariant, InvariantChecker, InvariantViolation};
+pub use scenario::Scenario;
+pub use scenarios::SCENARIOS;
+pub use transition::{FaultBudget, Transition};
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -1,76 +1,100 @@
-//! Explores scenes from the command line:
-//! `shaletrail-model-checker [--few-faults] [--depth N] [--states N] [--threads N] [SCENE ...]`.
+//! Explores scenarios from the command line:
+//! `shaletrail-model-checker [--few-faults] [--depth N] [--states N] [--threads N] [SCENARIO ...]`.
 //!
-//! Without `--few-faults` one more fault of each kind is allowed than in the tests. Each scene goes on to the depth whose
-//! states would be more than `--states` in all; two million take about a minute and 1 GB.
+//! Without `--few-faults` one more fault of each kind is allowed than in the tests. Each scenario is explored to the depth
+//! whose states would be more than `--states` in all; two million take about a minute and 1 GB.
 
 use std::process::ExitCode;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
 
-use shaletrail_model_checker::{explore, scenes, Limits, Scene};
+use shaletrail_model_checker::{explore, Limits, Scenario, SCENARIOS};
 
-/// What is asked for.
-struct Request {
+/// States of one scenario, where nothing else is asked for.
+const DEFAULT_MAX_STATES: usize = 2_000_000;
+/// Scenarios explored at once, where nothing else is asked for.
+const DEFAULT_THREADS: usize = 2;
+
+/// The command line.
+struct Arguments {
     limits: Limits,
     threads: usize,
     few_faults: bool,
-    names: Vec<String>,
+    /// Names of scenarios; none stands for all.
+    scenarios: Vec<String>,
 }
 
-impl Request {
-    fn read(arguments: impl Iterator<Item = String>) -> Option<Request> {
-        let limits = Limits { depth: usize::MAX, states: 2_000_000 };
-        let mut request = Request { limits, threads: 2, few_faults: false, names: Vec::new() };
-        let mut arguments = arguments;
+impl Arguments {
+    /// `None` if the arguments are not valid.
+    fn parse(mut arguments: impl Iterator<Item = String>) -> Option<Arguments> {
+        let limits = Limits { depth: usize::MAX, states: DEFAULT_MAX_STATES };
+        let mut parsed =
+            Arguments { limits, threads: DEFAULT_THREADS, few_faults: false, scenarios: Vec::new() };
         while let Some(argument) = arguments.next() {
             match argument.as_str() {
-                "--depth" => request.limits.depth = arguments.next()?.parse().ok()?,
-                "--states" => request.limits.states = arguments.next()?.parse().ok()?,
-                "--threads" => request.threads = arguments.next()?.parse().ok()?,
-                "--few-faults" => request.few_faults = true,
-                name if name.starts_with('-') => return None,
-                name => request.names.push(name.to_owned()),
+                "--depth" => parsed.limits.depth = arguments.next()?.parse().ok()?,
+                "--states" => parsed.limits.states = arguments.next()?.parse().ok()?,
+                "--threads" => parsed.threads = arguments.next()?.parse().ok()?,
+                "--few-faults" => parsed.few_faults = true,
+                option if option.starts_with('-') => return None,
+                scenario => parsed.scenarios.push(scenario.to_owned()),
             }
         }
-        Some(request)
+        Some(parsed)
+    }
+
+    fn selects(&self, scenario: &Scenario) -> bool {
+        self.scenarios.is_empty() || self.scenarios.iter().any(|name| name == scenario.name)
     }
 }
 
 fn main() -> ExitCode {
-    let Some(request) = Request::read(std::env::args().skip(1)) else {
+    let Some(arguments) = Arguments::parse(std::env::args().skip(1)) else {
         eprintln!(
-            "usage: shaletrail-model-checker [--depth N] [--states N] [--threads N] [--few-faults] [SCENE ...]"
+            "usage: shaletrail-model-checker [--depth N] [--states N] [--threads N] [--few-faults] [SCENARIO ...]"
         );
         return ExitCode::FAILURE;
     };
-    let wanted =
-        |scene: &Scene| request.names.is_empty() || request.names.iter().any(|name| name == scene.name);
-    let waiting: Mutex<Vec<Scene>> = Mutex::new(scenes().into_iter().filter(wanted).rev().collect());
-    let broken = Mutex::new(false);
+    if explore_all(&arguments) {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// Explores the selected scenarios; whether all invariants hold.
+fn explore_all(arguments: &Arguments) -> bool {
+    let selected = SCENARIOS.into_iter().filter(|scenario| arguments.selects(scenario));
+    let queue: Mutex<Vec<Scenario>> = Mutex::new(selected.rev().collect());
+    let all_hold = AtomicBool::new(true);
     std::thread::scope(|scope| {
-        for _ in 0..request.threads {
+        for _ in 0..arguments.threads {
             scope.spawn(|| {
-                while let Some(scene) = next(&waiting) {
-                    let start =
-                        if request.few_faults { scene.start() } else { scene.start_with_more_faults() };
-                    let report = explore(&scene, start, request.limits);
-                    println!("{report}");
-                    if let Some(violation) = report.violation {
-                        println!("{violation}");
-                        *broken.lock().expect("no holder of it panics") = true;
+                while let Some(scenario) = next(&queue) {
+                    if !explore_one(&scenario, arguments) {
+                        all_hold.store(false, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    let is_broken = *broken.lock().expect("no holder of it panics");
-    if is_broken {
-        ExitCode::FAILURE
+    all_hold.into_inner()
+}
+
+fn explore_one(scenario: &Scenario, arguments: &Arguments) -> bool {
+    let initial_state = if arguments.few_faults {
+        scenario.initial_state()
     } else {
-        ExitCode::SUCCESS
+        scenario.initial_state_with_more_faults()
+    };
+    let report = explore(scenario, initial_state, arguments.limits);
+    println!("{report}");
+    if let Some(violation) = &report.violation {
+        println!("{violation}");
     }
+    report.violation.is_none()
 }
 
-fn next(waiting: &Mutex<Vec<Scene>>) -> Option<Scene> {
-    waiting.lock().expect("no holder of it panics").pop()
+fn next(queue: &Mutex<Vec<Scenario>>) -> Option<Scenario> {
+    queue.lock().expect("no thread panics while it holds the lock").pop()
 }
--- /dev/null
+++ b/model-checker/src/order_leadership.rs
@@ -0,0 +1,73 @@
+//! A leadership of a node, and the lease of orders that goes with it in a service shard.
+
+use std::time::Duration;
+
+use shaletrail_consensus::Term;
+use shaletrail_coordinator::core::lease_state::LeaseEpoch;
+use shaletrail_coordinator::core::orders::OrderLeases;
+use shaletrail_coordinator::interface::CoordinatorOptions;
+use shaletrail_protocol::{Incarnation, Millis, NodeId};
+
+use crate::group_options::ORDER_LEASE_MS;
+
+/// The service shard of the group, as the coordinator numbers it.
+const SERVICE_SHARD: u32 = 1;
+
+/// A leadership of this node.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Leadership {
+    /// The term that it leads.
+    pub term: Term,
+    /// When it was elected.
+    pub since: Millis,
+    /// When it may send its first order; `None` before its epoch of the lease of orders has begun.
+    pub orders_from: Option<Millis>,
+    /// Whether an entry must still record that it has waited for the lease of another holder to expire.
+    pub must_record_wait: bool,
+}
+
+impl Leadership {
+    /// A leadership that has just begun.
+    pub fn new(term: Term, since: Millis) -> Leadership {
+        Leadership { term, since, orders_from: None, must_record_wait: false }
+    }
+
+    /// Begins an epoch of the lease of orders; when orders may be sent, where the coordinator allows it.
+    pub fn begin_epoch(
+        &mut self,
+        now: Millis,
+        node: NodeId,
+        epoch: LeaseEpoch,
+        leads: bool,
+    ) -> Option<Millis> {
+        let mut order_leases = OrderLeases::new(&coordinator_options(node));
+        order_leases.on_elected(self.since, SERVICE_SHARD, self.term);
+        let holds_epoch = leads && self.term == epoch.holder.fencing_token;
+        order_leases.on_epoch_started(now, SERVICE_SHARD, epoch, holds_epoch);
+        let orders_from = order_leases.wait_until(SERVICE_SHARD)?;
+        self.orders_from = Some(orders_from);
+        self.must_record_wait = epoch.must_wait;
+        Some(orders_from)
+    }
+
+    /// Whether the wait for another holder's lease is over and not recorded yet.
+    pub fn wait_completed(&self, now: Millis) -> bool {
+        self.must_record_wait && self.orders_from.is_some_and(|orders_from| orders_from <= now)
+    }
+}
+
+fn coordinator_options(node: NodeId) -> CoordinatorOptions {
+    CoordinatorOptions {
+        node,
+        node_name: format!("node-{}", node.0),
+        incarnation: Incarnation(1),
+        seeds: Vec::new(),
+        bootstrap: false,
+        hosts_lost: 1,
+        heartbeat_interval: Duration::from_secs(1),
+        order_lease: Duration::from_millis(ORDER_LEASE_MS),
+        retry_window: Duration::from_secs(10),
+        placement: shaletrail_placement::Options::default(),
+        seed: 1,
+    }
+}
