--- a/model-checker/src/explorer.rs
+++ b/model-checker/src/explorer.rs
@@ -26,9 +26,9 @@
 pub struct Report {
     /// The scenario's name.
     pub scenario: &'static str,
-    /// Distinct states.
+    /// The number of distinct states, by their fingerprints.
     pub states: usize,
-    /// Transitions between them.
+    /// The number of transitions between them.
     pub transitions: usize,
     /// The depth to which all states were visited.
     pub depth: usize,
--- a/model-checker/src/invariants.rs
+++ b/model-checker/src/invariants.rs
@@ -42,9 +42,9 @@
 /// An invariant that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolation {
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// What contradicts it.
+    /// The observation that contradicts it, in words.
     pub details: String,
 }
 
--- a/model-checker/src/observation.rs
+++ b/model-checker/src/observation.rs
@@ -38,7 +38,7 @@
     EvaluatedChange {
         /// The entry of the change.
         index: Index,
-        /// The change.
+        /// The change that was evaluated.
         change: ChangeId,
         /// What came of it.
         outcome: EvaluatedOutcome,
@@ -47,14 +47,14 @@
     RespondedToChange {
         /// The entry of the change.
         index: Index,
-        /// The change.
+        /// The change that was proposed.
         change: ChangeId,
         /// Whether the response acknowledges the change; otherwise it rejects it.
         acknowledged: bool,
     },
     /// It served a read from its state.
     ServedRead {
-        /// The read.
+        /// The id of the read.
         token: u64,
         /// The last entry applied to that state.
         index: Index,
--- a/model-checker/src/scenarios.rs
+++ b/model-checker/src/scenarios.rs
@@ -21,7 +21,7 @@
 const PROPOSE_SKIPPING: u8 = 1 << config_changes::SKIPPING;
 const PROPOSE_SUCCESSOR: u8 = 1 << config_changes::SUCCESSOR;
 
-/// All scenarios.
+/// All scenarios, in the order in which they are explored.
 pub const SCENARIOS: [Scenario; 18] = [
     Scenario {
         name: "follower_crash_before_sync",
--- a/model-checker/src/state_machine.rs
+++ b/model-checker/src/state_machine.rs
@@ -9,9 +9,9 @@
 /// The production state machine of a shard.
 #[derive(Clone, Debug)]
 pub(crate) enum StateMachine {
-    /// The configuration.
+    /// The configuration, which operators change.
     Configuration(Box<ConfigState>),
-    /// The lease of orders.
+    /// The lease of orders of a service shard.
     OrderLease(LeaseState),
 }
 
--- a/model-checker/src/transition.rs
+++ b/model-checker/src/transition.rs
@@ -31,7 +31,7 @@
     pub proposals: u8,
 }
 
-/// A transition.
+/// A transition from one state of the group to the next.
 #[derive(Clone, Debug)]
 pub enum Transition {
     /// A message arrives, by its position among those in flight.
@@ -59,7 +59,7 @@
     ChangeVoters(NodeId),
     /// An operator proposes a change to a leader.
     Propose {
-        /// The leader.
+        /// The leader that gets the proposal.
         node: NodeId,
         /// The change, by its bit in [`FaultBudget::proposals`].
         change: ChangeId,
