--- a/capacity-emulator/src/growth.rs
+++ b/capacity-emulator/src/growth.rs
@@ -1,139 +1,151 @@
-//! Figures of several runs, and the powers by which they grow.
+//! Metrics of runs at several sizes, and the exponents by which they grow.
 
-use crate::ledger::Kind;
-use crate::measure::{Measurement, Phase};
+use crate::activity::Activity;
+use crate::measurement::{Measurement, Phase};
+use crate::usage::Traffic;
 
-/// A figure of a run that should be known at other sizes.
+/// A metric of a run whose growth with the size of the fleet matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Figure {
-    /// Bytes a second that an edge takes for control, loads of other edges left out (mean).
+pub enum Metric {
+    /// Bytes a second that an edge receives for the control plane, load datagrams left out (mean).
     EdgeBytesIn,
-    /// Bytes a second that an edge sends for control, loads left out (mean).
+    /// Bytes a second that an edge sends for the control plane, load datagrams left out (mean).
     EdgeBytesOut,
-    /// Messages a second in and out of an edge for control, loads left out (mean).
+    /// Messages a second in and out of an edge for the control plane, load datagrams left out (mean).
     EdgeMessages,
-    /// Bytes a second in and out of an edge by which edges tell each other their loads (mean).
+    /// Bytes a second of load datagrams in and out of an edge (mean).
     EdgeLoadBytes,
-    /// Processor time of an edge for control, in milliseconds a second (mean).
+    /// Processor time of an edge for the control plane, in milliseconds a second (mean).
     EdgeControlTime,
     /// Processor time of an edge for its clients' requests, in microseconds a request.
     EdgeRequestTime,
-    /// Bytes a second that a coordinator takes (mean).
-    CoreBytesIn,
+    /// Bytes a second that a coordinator receives (mean).
+    CoordinatorBytesIn,
     /// Bytes a second that a coordinator sends (mean).
-    CoreBytesOut,
+    CoordinatorBytesOut,
     /// Messages a second in and out of a coordinator (mean).
-    CoreMessages,
+    CoordinatorMessages,
     /// Processor time of a coordinator, in milliseconds a second (mean).
-    CoreTime,
-    /// The same of the busiest one.
-    BusiestCoreTime,
-    /// Bytes a second to the disk of a coordinator (mean).
+    CoordinatorTime,
+    /// Processor time of the busiest coordinator, in milliseconds a second.
+    BusiestCoordinatorTime,
+    /// Bytes a second that a coordinator writes to its journal (mean).
     DiskBytes,
-    /// Syncs a second of a coordinator's disk (mean).
+    /// Syncs a second of a coordinator's journal (mean).
     Syncs,
-    /// Bytes in memory of an edge: router and configuration.
+    /// Allocated bytes of an edge: router and configuration.
     EdgeMemory,
-    /// Bytes in memory of a coordinator that leads nothing (mean).
-    CoreMemory,
-    /// Bytes in memory of the largest coordinator.
-    LargestCoreMemory,
-    /// Bytes that the busiest coordinator sent in the two seconds of a herd.
+    /// Allocated bytes of a coordinator that leads no shard (mean).
+    CoordinatorMemory,
+    /// Allocated bytes of the largest coordinator.
+    LargestCoordinatorMemory,
+    /// Bytes that the busiest coordinator sent in the phase with the thundering herd.
     HerdBytes,
 }
 
-impl Figure {
-    /// Its value in a run, if that came so far and counted it.
+impl Metric {
+    /// The metric's value in a run; `None` if the run ended before or did not measure it.
     pub fn of(self, measurement: &Measurement) -> Option<f64> {
         let memory = measurement.memory.as_ref();
         match self {
-            Figure::EdgeMemory => memory.map(|memory| (memory.router + memory.view) as f64),
-            Figure::CoreMemory => memory.map(|memory| memory.core as f64),
-            Figure::LargestCoreMemory => memory.map(|memory| memory.largest_core as f64),
-            Figure::HerdBytes => {
+            Metric::EdgeMemory => memory.map(|memory| (memory.router + memory.view) as f64),
+            Metric::CoordinatorMemory => memory.map(|memory| memory.coordinator as f64),
+            Metric::LargestCoordinatorMemory => memory.map(|memory| memory.largest_coordinator as f64),
+            Metric::HerdBytes => {
                 let herd = measurement.phases.get(1)?;
-                herd.cores.iter().map(|core| core.all_sent().bytes as f64).max_by(f64::total_cmp)
+                herd.coordinators
+                    .iter()
+                    .map(|coordinator| coordinator.all_sent().bytes as f64)
+                    .max_by(f64::total_cmp)
             }
             _ => self.of_steady(measurement.phases.first()?),
         }
     }
 
     fn of_steady(self, phase: &Phase) -> Option<f64> {
-        let (edges, cores) = (phase.all_edges(), phase.all_cores());
+        let (edges, coordinators) = (phase.all_edges(), phase.all_coordinators());
         let edge_seconds = phase.seconds * phase.edges.len() as f64;
-        let core_seconds = phase.seconds * phase.cores.len() as f64;
-        let loads = |tally: Option<&crate::ledger::Tally>| tally.copied().unwrap_or_default();
-        let (loads_in, loads_out) =
-            (loads(edges.received.get(&Kind::Loads)), loads(edges.sent.get(&Kind::Loads)));
+        let coordinator_seconds = phase.seconds * phase.coordinators.len() as f64;
+        let loads = |traffic: Option<&Traffic>| traffic.copied().unwrap_or_default();
+        let (loads_in, loads_out) = (
+            loads(edges.received.get(&Activity::LoadDatagram)),
+            loads(edges.sent.get(&Activity::LoadDatagram)),
+        );
         let (edge_in, edge_out) = (edges.all_received(), edges.all_sent());
-        let (core_in, core_out) = (cores.all_received(), cores.all_sent());
-        let time = |kind| edges.work.get(&kind).map(|work| work.time.as_secs_f64()).unwrap_or_default();
+        let (coordinator_in, coordinator_out) = (coordinators.all_received(), coordinators.all_sent());
+        let time = |activity| edges.cpu.get(&activity).map(|cpu| cpu.time.as_secs_f64()).unwrap_or_default();
         let value = match self {
-            Figure::EdgeBytesIn => (edge_in.bytes - loads_in.bytes) as f64 / edge_seconds,
-            Figure::EdgeBytesOut => (edge_out.bytes - loads_out.bytes) as f64 / edge_seconds,
-            Figure::EdgeMessages => {
+            Metric::EdgeBytesIn => (edge_in.bytes - loads_in.bytes) as f64 / edge_seconds,
+            Metric::EdgeBytesOut => (edge_out.bytes - loads_out.bytes) as f64 / edge_seconds,
+            Metric::EdgeMessages => {
                 let others = edge_in.messages + edge_out.messages - loads_in.messages - loads_out.messages;
                 others as f64 / edge_seconds
             }
-            Figure::EdgeLoadBytes => (loads_in.bytes + loads_out.bytes) as f64 / edge_seconds,
-            Figure::EdgeControlTime => edges.control_time().as_secs_f64() * 1e3 / edge_seconds,
-            Figure::EdgeRequestTime => time(Kind::Request) * 1e6 / phase.requests.max(1) as f64,
-            Figure::CoreBytesIn => core_in.bytes as f64 / core_seconds,
-            Figure::CoreBytesOut => core_out.bytes as f64 / core_seconds,
-            Figure::CoreMessages => (core_in.messages + core_out.messages) as f64 / core_seconds,
-            Figure::CoreTime => cores.control_time().as_secs_f64() * 1e3 / core_seconds,
-            Figure::BusiestCoreTime => {
-                let times = phase.cores.iter().map(|core| core.control_time().as_secs_f64());
-                times.fold(0.0, f64::max) * 1e3 / phase.seconds
+            Metric::EdgeLoadBytes => (loads_in.bytes + loads_out.bytes) as f64 / edge_seconds,
+            Metric::EdgeControlTime => edges.control_time().as_secs_f64() * 1e3 / edge_seconds,
+            Metric::EdgeRequestTime => time(Activity::ClientRequest) * 1e6 / phase.requests.max(1) as f64,
+            Metric::CoordinatorBytesIn => coordinator_in.bytes as f64 / coordinator_seconds,
+            Metric::CoordinatorBytesOut => coordinator_out.bytes as f64 / coordinator_seconds,
+            Metric::CoordinatorMessages => {
+                (coordinator_in.messages + coordinator_out.messages) as f64 / coordinator_seconds
             }
-            Figure::DiskBytes => cores.disk.bytes as f64 / core_seconds,
-            Figure::Syncs => cores.disk.syncs as f64 / core_seconds,
-            Figure::EdgeMemory | Figure::CoreMemory | Figure::LargestCoreMemory | Figure::HerdBytes => {
-                return None
+            Metric::CoordinatorTime => coordinators.control_time().as_secs_f64() * 1e3 / coordinator_seconds,
+            Metric::BusiestCoordinatorTime => {
+                let times =
+                    phase.coordinators.iter().map(|coordinator| coordinator.control_time().as_secs_f64());
+                times.fold(0.0, f64::max) * 1e3 / phase.seconds
             }
+            Metric::DiskBytes => coordinators.journal.bytes as f64 / coordinator_seconds,
+            Metric::Syncs => coordinators.journal.syncs as f64 / coordinator_seconds,
+            Metric::EdgeMemory
+            | Metric::CoordinatorMemory
+            | Metric::LargestCoordinatorMemory
+            | Metric::HerdBytes => return None,
         };
         Some(value)
     }
 }
 
-/// The power by which a figure grows from one size to another: 1 where it grows as the size does.
-pub fn power(sizes: (f64, f64), figures: (f64, f64)) -> Option<f64> {
-    let known = sizes.0 > 0.0 && sizes.1 > sizes.0 && figures.0 > 0.0 && figures.1 > 0.0;
-    known.then(|| (figures.1 / figures.0).ln() / (sizes.1 / sizes.0).ln())
+/// The exponent by which a value grows from one size to another: 1 if it grows in proportion to the size. `None` unless all
+/// four are positive and the second size is the larger one.
+pub fn growth_exponent(sizes: (f64, f64), values: (f64, f64)) -> Option<f64> {
+    let has_exponent = sizes.0 > 0.0 && sizes.1 > sizes.0 && values.0 > 0.0 && values.1 > 0.0;
+    has_exponent.then(|| (values.1 / values.0).ln() / (sizes.1 / sizes.0).ln())
 }
 
-/// How fast a figure may grow: powers of the number of edges, of servers, and of both together.
+/// How fast a metric may grow: exponents of the number of edges, of servers, and of both together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grows {
-    /// With edges, servers as they were.
+pub struct GrowthExponents {
+    /// With the number of edges, at the same number of servers.
     pub with_edges: f64,
-    /// With servers, edges as they were.
+    /// With the number of servers, at the same number of edges.
     pub with_servers: f64,
-    /// With both in step.
+    /// With both numbers, in proportion.
     pub with_both: f64,
 }
 
-/// What docs/CAPACITY.md states on a figure; `None` for times, which no test holds, and memory.
-pub fn stated(figure: Figure) -> Option<Grows> {
-    let grows = |with_edges, with_servers, with_both| Some(Grows { with_edges, with_servers, with_both });
-    match figure {
-        Figure::EdgeBytesIn => grows(0.0, 1.0, 1.0),
-        Figure::EdgeBytesOut => grows(0.0, 0.5, 0.5),
-        Figure::EdgeMessages => grows(0.0, 1.0, 1.0),
-        Figure::EdgeLoadBytes => grows(1.0, 0.0, 1.0),
-        Figure::CoreBytesIn => grows(1.0, 1.0, 1.0),
-        Figure::CoreBytesOut => grows(1.0, 1.0, 1.25),
-        Figure::CoreMessages => grows(0.5, 0.5, 1.0),
-        Figure::DiskBytes => grows(0.0, 1.0, 1.0),
-        Figure::Syncs => grows(0.0, 0.5, 0.5),
-        Figure::HerdBytes => grows(1.0, 1.0, 2.0),
-        Figure::EdgeControlTime
-        | Figure::EdgeRequestTime
-        | Figure::CoreTime
-        | Figure::BusiestCoreTime
-        | Figure::EdgeMemory
-        | Figure::CoreMemory
-        | Figure::LargestCoreMemory => None,
+/// The exponents that `docs/CAPACITY.md` states for a metric; `None` for times and memory, which no test checks.
+pub fn stated_exponents(metric: Metric) -> Option<GrowthExponents> {
+    let exponents =
+        |with_edges, with_servers, with_both| Some(GrowthExponents { with_edges, with_servers, with_both });
+    match metric {
+        Metric::EdgeBytesIn => exponents(0.0, 1.0, 1.0),
+        Metric::EdgeBytesOut => exponents(0.0, 0.5, 0.5),
+        Metric::EdgeMessages => exponents(0.0, 1.0, 1.0),
+        Metric::EdgeLoadBytes => exponents(1.0, 0.0, 1.0),
+        Metric::CoordinatorBytesIn => exponents(1.0, 1.0, 1.0),
+        Metric::CoordinatorBytesOut => exponents(1.0, 1.0, 1.25),
+        Metric::CoordinatorMessages => exponents(0.5, 0.5, 1.0),
+        Metric::DiskBytes => exponents(0.0, 1.0, 1.0),
+        Metric::Syncs => exponents(0.0, 0.5, 0.5),
+        Metric::HerdBytes => exponents(1.0, 1.0, 2.0),
+        Metric::EdgeControlTime
+        | Metric::EdgeRequestTime
+        | Metric::CoordinatorTime
+        | Metric::BusiestCoordinatorTime
+        | Metric::EdgeMemory
+        | Metric::CoordinatorMemory
+        | Metric::LargestCoordinatorMemory => None,
     }
 }
--- a/capacity-emulator/tests/fleet.rs
+++ b/capacity-emulator/tests/fleet.rs
@@ -1,136 +1,143 @@
-//! A hollow fleet does what a real one does, as far as its figures rest on that.
+//! An emulated fleet behaves like a real one, as far as its measurements depend on that.
 
 mod common;
 
 use common::small;
-use shaletrail_capacity_emulator::ledger::Kind;
-use shaletrail_capacity_emulator::site::{first_contents, Popularity, MODELS_A_SERVER};
-use shaletrail_capacity_emulator::{measure, Fleet, Options};
+use shaletrail_capacity_emulator::activity::Activity;
+use shaletrail_capacity_emulator::initial_models::{initial_models, MODELS_PER_SERVER};
+use shaletrail_capacity_emulator::popularity::Popularity;
+use shaletrail_capacity_emulator::{measurement, Fleet, Options};
 
 #[test]
-fn given_a_first_start_when_seconds_have_passed_then_edges_serve_and_coordinators_know_all_servers() {
-    // Given
+fn a_started_fleet_serves_requests_and_knows_all_servers() {
+    // given
     let mut fleet = Fleet::new(small(6, 30));
-    // When
+    // when
     assert!(fleet.run_until(6_000, None));
-    // Then
+    // then
     assert!(fleet.is_complete());
     assert!((0..3).all(|shard| fleet.leader_of(shard).is_some()), "each shard has a leader");
-    let (asked, served) = fleet
+    let (received, served) = fleet
         .edges
         .iter()
         .map(|edge| &edge.requests)
-        .fold((0, 0), |(asked, served), edge| (asked + edge.asked, served + edge.served));
-    assert!(asked > 200, "{asked} requests");
-    assert!(served * 10 >= asked * 9, "{served} of {asked} requests are served");
+        .fold((0, 0), |(received, served), edge| (received + edge.received, served + edge.served));
+    assert!(received > 200, "{received} requests");
+    assert!(served * 10 >= received * 9, "{served} of {received} requests are served");
 }
 
 #[test]
-fn given_one_seed_when_a_fleet_runs_twice_then_all_counts_are_equal() {
-    // Given
+fn equal_seeds_give_equal_counts() {
+    // given
     let counts = || {
         let mut fleet = Fleet::new(small(6, 30));
-        // When
+        // when
         assert!(fleet.run_until(5_000, None));
-        let cores = fleet.cores.iter().map(|core| (core.ledger.sent.clone(), core.ledger.received.clone()));
-        let edges = fleet.edges.iter().map(|edge| (edge.ledger.sent.clone(), edge.ledger.received.clone()));
-        cores.chain(edges).collect::<Vec<_>>()
+        let coordinators = fleet
+            .coordinators
+            .iter()
+            .map(|coordinator| (coordinator.usage.sent.clone(), coordinator.usage.received.clone()));
+        let edges = fleet.edges.iter().map(|edge| (edge.usage.sent.clone(), edge.usage.received.clone()));
+        coordinators.chain(edges).collect::<Vec<_>>()
     };
-    // Then
+    // then
     assert_eq!(counts(), counts());
 }
 
 #[test]
-fn given_links_that_lose_nothing_when_all_has_arrived_then_as_much_came_as_was_sent() {
-    // Given
+fn every_sent_message_is_received() {
+    // given
     let mut fleet = Fleet::new(small(6, 30));
     assert!(fleet.run_until(4_000, None));
-    // When
-    fleet.clear_ledgers();
+    // when
+    fleet.reset_usage();
     assert!(fleet.run_until(8_000, None));
-    // Then
+    // then
     let mut sent = 0;
     let mut received = 0;
-    for core in &fleet.cores {
-        sent += core.ledger.sent.get(&Kind::Demand).map_or(0, |tally| tally.messages);
-        received += core.ledger.received.get(&Kind::Demand).map_or(0, |tally| tally.messages);
+    for coordinator in &fleet.coordinators {
+        sent += coordinator.usage.sent.get(&Activity::Demand).map_or(0, |traffic| traffic.messages);
+        received += coordinator.usage.received.get(&Activity::Demand).map_or(0, |traffic| traffic.messages);
     }
-    // Both windows cut off what is on its way: one message a pair of coordinators.
+    // Messages in flight at both ends of the interval are counted once: one for each pair of coordinators.
     let pairs = 5 * 4;
     assert!(sent > 0 && sent.abs_diff(received) <= pairs, "{sent} sent, {received} received");
 }
 
 #[test]
-fn given_changes_by_the_operator_when_time_passes_then_they_are_in_force_at_all_edges() {
-    // Given
+fn operator_changes_reach_all_edges() {
+    // given
     let mut fleet = Fleet::new(Options { change_rate: 5.0, ..small(6, 30) });
-    // When
+    // when
     assert!(fleet.run_until(8_000, None));
-    // Then
-    let acknowledged = fleet.world.operator_version();
+    // then
+    let acknowledged = fleet.environment.acknowledged_version();
     assert!(acknowledged > 10, "{acknowledged} changes");
     let behind = fleet.edges.iter().filter(|edge| edge.version() + 1 < acknowledged).count();
     assert_eq!(behind, 0);
 }
 
 #[test]
-fn given_requests_for_what_is_idle_when_time_passes_then_servers_are_ordered_to_load_it() {
-    // Given
-    let mut fleet = Fleet::new(Options { cold_rate: 2.0, ..small(6, 30) });
+fn requests_for_idle_models_lead_to_loads() {
+    // given
+    let mut fleet = Fleet::new(Options { idle_model_rate: 2.0, ..small(6, 30) });
     assert!(fleet.run_until(6_000, None));
-    let before = fleet.world.loads;
-    // When
+    let before = fleet.environment.completed_loads;
+    // when
     assert!(fleet.run_until(14_000, None));
-    // Then
-    let loads = fleet.world.loads - before;
+    // then
+    let loads = fleet.environment.completed_loads - before;
     assert!((2..=64).contains(&loads), "{loads} loads for about 16 cold requests");
 }
 
 #[test]
-fn given_a_steady_fleet_when_a_zone_of_edges_and_a_leader_start_anew_then_all_is_back() {
-    // Given a run through all phases
-    let measurement = measure::run(small(24, 48), None);
-    // Then
-    assert!(!measurement.given_up);
+fn fleet_recovers_from_restarts_of_edges_and_leader() {
+    // when a run goes through all phases
+    let measurement = measurement::run(small(24, 48), None);
+    // then
+    assert!(!measurement.timed_out);
     assert_eq!(measurement.phases.len(), 3);
     let recovery = measurement.recovery;
     assert!(recovery.first_start.is_some(), "{recovery:?}");
     assert!(recovery.herd.is_some(), "{recovery:?}");
-    assert!(recovery.edges_moved.is_some(), "{recovery:?}");
+    assert!(recovery.edges_reconnected.is_some(), "{recovery:?}");
     assert!(recovery.configuration.is_some(), "{recovery:?}");
     assert!(recovery.directory.is_some(), "{recovery:?}");
-    // And the herd was told everything anew.
-    let herd = measurement.phases[1].all_cores();
-    assert!(herd.sent.get(&Kind::ReplyWhole).is_some_and(|tally| tally.messages >= 2));
+    // and the herd got complete responses
+    let herd = measurement.phases[1].all_coordinators();
+    assert!(herd.sent.get(&Activity::FullResponse).is_some_and(|traffic| traffic.messages >= 2));
 }
 
 #[test]
-fn given_edges_without_routers_when_they_poll_then_coordinators_see_the_demand_of_one_that_has_one() {
-    // Given
-    let polls = |full_edges| {
-        let mut fleet = Fleet::new(Options { full_edges, cold_rate: 0.0, ..small(12, 30) });
+fn edges_without_routers_report_like_those_with_one() {
+    // given
+    let polls = |routing_edges| {
+        let mut fleet = Fleet::new(Options { routing_edges, idle_model_rate: 0.0, ..small(12, 30) });
         assert!(fleet.run_until(4_000, None));
-        fleet.clear_ledgers();
-        // When
+        fleet.reset_usage();
+        // when
         assert!(fleet.run_until(8_000, None));
-        let received = fleet.cores.iter().filter_map(|core| core.ledger.received.get(&Kind::Poll));
-        received.map(|tally| tally.bytes).sum::<u64>() as f64
+        let received = fleet
+            .coordinators
+            .iter()
+            .filter_map(|coordinator| coordinator.usage.received.get(&Activity::Poll));
+        received.map(|traffic| traffic.bytes).sum::<u64>() as f64
     };
-    // Then
+    // then
     let (all, few) = (polls(12), polls(4));
     assert!((0.8..1.25).contains(&(few / all)), "{few} bytes of polls instead of {all}");
 }
 
 #[test]
-fn given_more_places_than_models_when_contents_are_drawn_then_each_model_is_somewhere_and_none_twice() {
-    // Given
+fn initial_models_cover_all_models_without_duplicates() {
+    // given
     let options = small(1, 60);
-    // When
-    let contents = first_contents(&options);
-    // Then
-    assert!(contents.iter().all(|held| held.len() <= MODELS_A_SERVER));
+    // when
+    let models_by_server = initial_models(&options);
+    // then
+    assert!(models_by_server.iter().all(|held| held.len() <= MODELS_PER_SERVER));
     let mut named = std::collections::BTreeSet::new();
-    for held in &contents {
+    for held in &models_by_server {
         let names: std::collections::BTreeSet<&String> = held.iter().map(|model| &model.name).collect();
         assert_eq!(names.len(), held.len());
         named.extend(names);
@@ -139,12 +146,12 @@
 }
 
 #[test]
-fn given_a_popularity_when_parts_are_picked_then_the_first_is_picked_most_and_the_last_can_be() {
-    // Given
+fn popularity_falls_with_rank() {
+    // given
     let popularity = Popularity::of(10);
-    // When
+    // when
     let picked: Vec<usize> = (0..1_000).map(|part| popularity.pick(f64::from(part) / 1_000.0)).collect();
-    // Then
+    // then
     let count = |rank: usize| picked.iter().filter(|picked| **picked == rank).count();
     assert!((0..9).all(|rank| count(rank) >= count(rank + 1)));
     assert!(count(9) > 0);
