--- a/capacity-emulator/src/coordinator_node.rs
+++ b/capacity-emulator/src/coordinator_node.rs
@@ -264,7 +264,7 @@
     }
 
     /// The number of polls that await a response here.
-    pub fn pending_polls(&self) -> usize {
+    fn pending_polls(&self) -> usize {
         self.pending_calls.values().filter(|caller| matches!(caller, Caller::Edge { .. })).count()
     }
 
--- a/capacity-emulator/src/fleet.rs
+++ b/capacity-emulator/src/fleet.rs
@@ -7,7 +7,6 @@
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::Millis;
 
-use crate::activity::Activity;
 use crate::coordinator_node::CoordinatorNode;
 use crate::deployment;
 use crate::edge_node::EdgeNode;
@@ -58,14 +57,12 @@
         for edge in &mut self.edges {
             edge.start(&mut self.environment);
         }
-        let heartbeat = self.environment.options.heartbeat_ms;
+        let interval = self.environment.options.heartbeat_ms;
         for server in 0..self.environment.servers.len() {
-            let first = FIRST_HEARTBEAT_DELAY_MS + self.environment.scheduler.rng.random_range(0..heartbeat);
-            self.environment
-                .scheduler
-                .schedule_after(first, ScheduledEvent::Server(server, ServerEvent::Heartbeat));
+            let first = FIRST_HEARTBEAT_DELAY_MS + self.environment.scheduler.rng.random_range(0..interval);
+            self.schedule(first, ScheduledEvent::Server(server, ServerEvent::Heartbeat));
         }
-        self.environment.scheduler.schedule_after(FIRST_CONFIG_DELAY_MS, ScheduledEvent::OperatorChange);
+        self.schedule(FIRST_CONFIG_DELAY_MS, ScheduledEvent::OperatorChange);
         self.schedule_server_restart();
     }
 
@@ -81,6 +78,10 @@
         true
     }
 
+    fn schedule(&mut self, delay: Millis, event: ScheduledEvent) {
+        self.environment.scheduler.schedule_after(delay, event);
+    }
+
     fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Coordinator(index, incarnation, event) => {
@@ -104,7 +105,7 @@
     }
 
     /// Restarts a server's machine. Requests in flight there get no response.
-    pub fn restart_server(&mut self, index: usize) {
+    fn restart_server(&mut self, index: usize) {
         self.environment.servers[index].restart();
         // The heartbeat that is scheduled comes while the machine is down, and is put off until it is up again.
         self.restarting_servers.insert(index, self.environment.scheduler.now + SERVER_DOWNTIME_MS);
@@ -112,8 +113,8 @@
 
     fn schedule_server_restart(&mut self) {
         let rate = RESTARTS_PER_SERVER * self.environment.options.servers as f64;
-        if let Some(pause) = self.environment.scheduler.sample_interval(rate) {
-            self.environment.scheduler.schedule_after(pause, ScheduledEvent::ServerRestart);
+        if let Some(interval) = self.environment.scheduler.sample_interval(rate) {
+            self.schedule(interval, ScheduledEvent::ServerRestart);
         }
     }
 
@@ -123,9 +124,7 @@
             ServerEvent::Order { coordinator, incarnation, order, expected, body } => {
                 let (outcome, duration) = self.environment.servers[index].on_order(&expected, *body);
                 if let Some(duration) = duration {
-                    self.environment
-                        .scheduler
-                        .schedule_after(duration, ScheduledEvent::Server(index, ServerEvent::OrderCompleted));
+                    self.schedule(duration, ScheduledEvent::Server(index, ServerEvent::OrderCompleted));
                 }
                 let event = CoordinatorEvent::OrderCompleted(order, outcome);
                 self.respond_to_coordinator(index, coordinator, incarnation, event);
@@ -155,40 +154,28 @@
         event: CoordinatorEvent,
     ) {
         let delay = latency(zone_of(server), zone_of(coordinator));
-        self.environment
-            .scheduler
-            .schedule_after(delay, ScheduledEvent::Coordinator(coordinator, incarnation, event));
+        self.schedule(delay, ScheduledEvent::Coordinator(coordinator, incarnation, event));
     }
 
     fn heartbeat(&mut self, index: usize) {
         let now = self.environment.scheduler.now;
-        if let Some(back) = self.restarting_servers.get(&index).copied().filter(|back| *back > now) {
-            return self
-                .environment
-                .scheduler
-                .schedule_after(back - now, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
+        if let Some(up_at) = self.restarting_servers.get(&index).copied().filter(|up_at| *up_at > now) {
+            return self.schedule(up_at - now, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
         }
         self.restarting_servers.remove(&index);
         let coordinator = self.environment.servers[index].coordinator;
         let Some(incarnation) = self.environment.running_coordinator(coordinator) else {
             let next = self.environment.scheduler.rng.random_range(0..self.environment.options.coordinators);
             self.environment.servers[index].coordinator = next;
-            return self
-                .environment
-                .scheduler
-                .schedule_after(HEARTBEAT_RETRY_MS, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
+            return self.schedule(HEARTBEAT_RETRY_MS, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
         };
         let server = &mut self.environment.servers[index];
         let event =
             CoordinatorEvent::Heartbeat { server: index, id: server.id.clone(), body: server.heartbeat() };
         let delay = latency(zone_of(index), zone_of(coordinator));
-        self.environment
-            .scheduler
-            .schedule_after(delay, ScheduledEvent::Coordinator(coordinator, incarnation, event));
-        let heartbeat = self.environment.options.heartbeat_ms;
-        self.environment
-            .scheduler
-            .schedule_after(heartbeat, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
+        self.schedule(delay, ScheduledEvent::Coordinator(coordinator, incarnation, event));
+        let interval = self.environment.options.heartbeat_ms;
+        self.schedule(interval, ScheduledEvent::Server(index, ServerEvent::Heartbeat));
     }
 
     fn send_operator_change(&mut self) {
@@ -205,14 +192,11 @@
             .filter(|coordinator| self.environment.running_coordinator(*coordinator).is_some())
             .collect();
         let Some(coordinator) = running.get(version as usize % running.len().max(1)).copied() else {
-            return self
-                .environment
-                .scheduler
-                .schedule_after(OPERATOR_RETRY_MS, ScheduledEvent::OperatorChange);
+            return self.schedule(OPERATOR_RETRY_MS, ScheduledEvent::OperatorChange);
         };
         let incarnation = self.environment.running_coordinator(coordinator).unwrap_or_default();
         let body = body.to_string().into_bytes();
-        self.environment.scheduler.schedule_after(
+        self.schedule(
             1,
             ScheduledEvent::Coordinator(coordinator, incarnation, CoordinatorEvent::OperatorChange(body)),
         );
@@ -281,14 +265,4 @@
         let Some(coordinator) = self.coordinators[coordinator].coordinator() else { return 0 };
         coordinator.directory().records().filter(|record| record.presence == Presence::Ready).count()
     }
-
-    /// Bytes of one activity that all nodes sent.
-    pub fn bytes_sent(&self, activity: Activity) -> u64 {
-        let usages = self
-            .coordinators
-            .iter()
-            .map(|coordinator| &coordinator.usage)
-            .chain(self.edges.iter().map(|edge| &edge.usage));
-        usages.filter_map(|usage| usage.sent.get(&activity)).map(|traffic| traffic.bytes).sum()
-    }
 }
--- a/capacity-emulator/src/measurement.rs
+++ b/capacity-emulator/src/measurement.rs
@@ -12,7 +12,7 @@
 use crate::usage::ResourceUsage;
 
 /// Virtual time from the first start to the steady phase.
-pub const WARM_UP_MS: Millis = 6_000;
+const WARM_UP_MS: Millis = 6_000;
 /// Virtual time of the phase with the thundering herd.
 const HERD_PHASE_MS: Millis = 2_000;
 /// The zone whose edges restart at once.
--- a/capacity-emulator/tests/fleet.rs
+++ b/capacity-emulator/tests/fleet.rs
@@ -87,7 +87,7 @@
     assert!(fleet.run_until(14_000, None));
     // then
     let loads = fleet.environment.completed_loads - before;
-    assert!((2..=64).contains(&loads), "{loads} loads for about 16 cold requests");
+    assert!((2..=64).contains(&loads), "{loads} loads for about 16 requests for idle models");
 }
 
 #[test]
@@ -135,11 +135,11 @@
     // when
     let models_by_server = initial_models(&options);
     // then
-    assert!(models_by_server.iter().all(|held| held.len() <= MODELS_PER_SERVER));
+    assert!(models_by_server.iter().all(|models| models.len() <= MODELS_PER_SERVER));
     let mut named = std::collections::BTreeSet::new();
-    for held in &models_by_server {
-        let names: std::collections::BTreeSet<&String> = held.iter().map(|model| &model.name).collect();
-        assert_eq!(names.len(), held.len());
+    for models in &models_by_server {
+        let names: std::collections::BTreeSet<&String> = models.iter().map(|model| &model.name).collect();
+        assert_eq!(names.len(), models.len());
         named.extend(names);
     }
     assert_eq!(named.len(), options.models);
--- a/capacity-emulator/tests/growth.rs
+++ b/capacity-emulator/tests/growth.rs
@@ -29,7 +29,10 @@
         let allowed = exponent(stated) + SLACK;
         let measured = growth_exponent((1.0, SIZE_RATIO), (smaller_value, larger_value));
         if measured.is_some_and(|measured| measured > allowed) {
-            exceeded.push(format!("{metric}: {smaller_value:.1} to {larger_value:.1}, exponent {measured:.2?} over {allowed:.2}"));
+            exceeded.push(format!(
+                "{metric}: {smaller_value:.1} to {larger_value:.1}, \
+                 exponent {measured:.2?} over {allowed:.2}"
+            ));
         }
     }
     assert!(exceeded.is_empty(), "{}", exceeded.join("\n"));
