--- a/dataplane/src/pool.rs
+++ b/dataplane/src/pool.rs
@@ -65,15 +65,17 @@
 }
 
 impl Pool {
-    /// An empty pool.
-    pub fn new(limits: PoolLimits, clock: Clock) -> Rc<Self> {
-        Rc::new(Pool {
-            limits,
-            clock,
-            servers: RefCell::default(),
-            open: Rc::default(),
-            next_id: Cell::new(0),
-        })
+    /// An empty pool, and the start of the clock that it goes by. The clock starts after the map has drawn its seeds,
+    /// so that the system calls for them do not count as time of the process.
+    pub fn new(limits: PoolLimits) -> Rc<Self> {
+        let servers = RefCell::default();
+        let clock = Clock::start();
+        Rc::new(Pool { limits, clock, servers, open: Rc::default(), next_id: Cell::new(0) })
+    }
+
+    /// The clock of the process.
+    pub fn clock(&self) -> Clock {
+        self.clock
     }
 
     /// Checks out a connection to a server: an idle one that is not excluded, or a new one.
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -49,11 +49,12 @@
 impl State {
     /// The state of a process that knows no configuration yet.
     pub fn new(settings: &Settings, router: Router, limits: PoolLimits, log: slog::Logger) -> Rc<State> {
-        let clock = Clock::start();
+        let pool = Pool::new(limits);
+        let clock = pool.clock();
         Rc::new(State {
             clock,
             log,
-            pool: Pool::new(limits, clock),
+            pool,
             mailboxes: Mailboxes::default(),
             body_memory: BodyMemory::new((settings.limits.memory_mb << 20) / BODY_MEMORY_DIVISOR),
             report_ready: Notify::new(),
