--- a/cluster/src/membership/gossip.rs
+++ b/cluster/src/membership/gossip.rs
@@ -13,18 +13,18 @@
             return;
         }
         match message {
-            MembershipMessage::Ping { sequence_number: number, members } => {
+            MembershipMessage::Ping { sequence_number, members } => {
                 let state_before = self.table.state(from);
                 self.merge_records(now, from, &members);
                 if state_before != Some(MemberState::Alive) {
                     self.expedite_ping(now, from);
                 }
                 let members = self.records_for(now, from, state_before.is_none());
-                self.sends.push(from, MembershipMessage::Ack { sequence_number: number, members });
+                self.sends.push(from, MembershipMessage::Ack { sequence_number, members });
             }
-            MembershipMessage::Ack { sequence_number: number, members } => {
+            MembershipMessage::Ack { sequence_number, members } => {
                 if let Some(probe) = self.probes.get_mut(&from) {
-                    probe.record_pong(number);
+                    probe.record_pong(sequence_number);
                 }
                 self.merge_records(now, from, &members);
             }
@@ -41,13 +41,13 @@
 
     pub(super) fn ping(&mut self, now: Millis, node: NodeId) {
         self.last_ping_number += 1;
-        let number = self.last_ping_number;
+        let sequence_number = self.last_ping_number;
         let is_live = matches!(self.table.state(node), Some(MemberState::Alive | MemberState::Suspect));
         if let Some(probe) = self.probes.get_mut(&node) {
-            probe.record_ping(now, number, !is_live, &self.options);
+            probe.record_ping(now, sequence_number, !is_live, &self.options);
         }
         let members = self.records_for(now, node, false);
-        self.sends.push(node, MembershipMessage::Ping { sequence_number: number, members });
+        self.sends.push(node, MembershipMessage::Ping { sequence_number, members });
     }
 
     /// Pings a node at the next tick, if it is a ping target at all.
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -220,7 +220,7 @@
     LogStateChange(StateChange),
 }
 
-/// A change of state that is logged under the name of its variant.
+/// A change of state that the driver logs, each variant with a text of its own (`driver/host/log.rs`).
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 pub enum StateChange {
     /// This node has become the leader of a shard.
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -84,14 +84,14 @@
         models: Some(vec![held("large", 32, "legal")]),
         sequence: 34,
     };
-    let note = PlacementOverlay {
+    let overlay = PlacementOverlay {
         fencing_token: 41,
         revision: 42,
         added: vec![held("tiny", 43, "poems")],
         evicting: vec![held("huge", 44, "prose")],
     };
     directory.heartbeat(1_100, "server-9", heartbeat.clone());
-    directory.set_placement_overlay(1_200, "server-9", note.clone());
+    directory.set_placement_overlay(1_200, "server-9", overlay.clone());
 
     // when
     let mut writer = DirectorySnapshotWriter::default();
@@ -103,8 +103,7 @@
     assert_eq!(writer.live_record(), Some((STREAM, bytes.clone())));
     let mut journal =
         vec![StoredRecord { stream: 0, bytes: vec![1] }, StoredRecord { stream: STREAM, bytes }];
-    let record =
-        ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, overlay: note };
+    let record = ServerRecord { id: "server-9".to_owned(), heartbeat, presence: Presence::Draining, overlay };
     assert_eq!(DirectorySnapshotWriter::restore_from(&mut journal), [record]);
     assert_eq!(journal, [StoredRecord { stream: 0, bytes: vec![1] }]);
 }
