--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way through the node. Short ones are kept whole, so that they can be sent or had again; longer
-//! ones are passed on piece by piece, no faster than the other side takes them.
+//! Request and response bodies. Short bodies are buffered whole, so that an attempt can be repeated; longer
+//! ones are streamed no faster than the receiver accepts them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,80 +15,88 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest body that is kept whole.
-const SHORT: usize = 64 << 10;
-/// Longest body of a request.
-const LONGEST: u64 = 32 << 20;
-/// A sender may be slower than bytes at `LEAST_RATE` come by some grace altogether. Clients send 64 kB a second, in
-/// pieces, and by their own clocks, so a quarter less is asked for.
-const LEAST_RATE: f64 = 48_000.0;
-/// An answer of unknown length that is not whole so long after its head may be a long one, whose begin counts.
-const HOLD: Duration = Duration::from_millis(50);
-
-/// Why a body is not had whole.
+/// Longest body that is buffered whole.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
+const MAX_REQUEST_BODY_BYTES: u64 = 32 << 20;
+/// Minimum average rate of a request body; the grace period is allowed on top of it. Clients send 64 kB/s in
+/// pieces and measured by their own clocks, so the limit is a quarter below that.
+const MIN_UPLOAD_BYTES_PER_S: f64 = 48_000.0;
+/// A response of unknown length is buffered for this long after its head; if it is still incomplete, it is
+/// streamed.
+const RESPONSE_BUFFER_TIME: Duration = Duration::from_millis(50);
+
+/// Why a body could not be read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    Slow,
+pub enum BodyError {
+    TooSlow,
     TooLong,
-    Broken,
+    Truncated,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Fault::Slow => "sent too slowly",
-            Fault::TooLong => "too long",
-            Fault::Broken => "broken off",
+            BodyError::TooSlow => "body sent too slowly",
+            BodyError::TooLong => "body exceeds the size limit",
+            BodyError::Truncated => "body ended early",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for BodyError {}
 
-// ---- From clients -----------------------------------------------------------------------------------------
+// ---- Request bodies ----------------------------------------------------------------------------------------
 
-/// A client's body as it comes, held to a length and a rate. Only time spent waiting for the client counts.
-struct Source {
+/// Reads a client's body within a size limit and a minimum rate. Only time spent waiting for the client
+/// counts against the rate.
+struct RequestReader {
     body: Incoming,
-    read: u64,
-    waited: Duration,
+    bytes_read: u64,
+    time_waited: Duration,
     grace: Duration,
 }
 
-impl Source {
+impl RequestReader {
     fn new(body: Incoming, grace: Duration) -> Self {
-        Source { body, read: 0, waited: Duration::ZERO, grace }
+        RequestReader { body, bytes_read: 0, time_waited: Duration::ZERO, grace }
     }
 
-    /// The next piece; trailers say nothing that goes on.
-    async fn piece(&mut self) -> Option<Result<Bytes, Fault>> {
+    /// Returns the next data chunk, or `None` at the end of the body. Trailers are dropped.
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
-            let may_wait = self.grace + Duration::from_secs_f64(self.read as f64 / LEAST_RATE);
-            let asked = Instant::now();
-            let Ok(frame) = timeout(may_wait.saturating_sub(self.waited), self.body.frame()).await else {
-                return Some(Err(Fault::Slow));
+            let time_allowed =
+                self.grace + Duration::from_secs_f64(self.bytes_read as f64 / MIN_UPLOAD_BYTES_PER_S);
+            let started = Instant::now();
+            let Ok(frame) = timeout(time_allowed.saturating_sub(self.time_waited), self.body.frame()).await
+            else {
+                return Some(Err(BodyError::TooSlow));
             };
-            self.waited += asked.elapsed();
+            self.time_waited += started.elapsed();
             match frame?.map(Frame::into_data) {
-                Err(_) => return Some(Err(Fault::Broken)),
+                Err(_) => return Some(Err(BodyError::Truncated)),
                 Ok(Err(_)) => {}
-                Ok(Ok(piece)) => {
-                    self.read += piece.len() as u64;
-                    return Some(if self.read <= LONGEST { Ok(piece) } else { Err(Fault::TooLong) });
+                Ok(Ok(chunk)) => {
+                    self.bytes_read += chunk.len() as u64;
+                    return Some(if self.bytes_read <= MAX_REQUEST_BODY_BYTES {
+                        Ok(chunk)
+                    } else {
+                        Err(BodyError::TooLong)
+                    });
                 }
             }
         }
     }
 
-    /// Passes on what comes, one piece at a time. Once nobody takes it any more the rest is read and dropped: a
-    /// client hears its answer when it has sent all, or has stopped to listen for it.
-    async fn pump(mut self, to: mpsc::Sender<Result<Bytes, Fault>>) {
+    /// Forwards the chunks one at a time. Once the receiver is gone, the rest of the body is read and
+    /// dropped, because a client reads its answer only after it has sent the whole body or has stopped
+    /// waiting.
+    async fn forward(mut self, sender: mpsc::Sender<Result<Bytes, BodyError>>) {
         loop {
-            let place = to.reserve().await;
-            let Some(piece) = self.piece().await else { return };
-            let failed = piece.is_err();
-            if let Ok(place) = place {
-                place.send(piece);
+            let permit = sender.reserve().await;
+            let Some(chunk) = self.next_chunk().await else { return };
+            let failed = chunk.is_err();
+            if let Ok(permit) = permit {
+                permit.send(chunk);
             }
             if failed {
                 return;
@@ -97,310 +105,336 @@
     }
 }
 
-/// A request's body.
-pub enum Content {
-    Short(Bytes),
-    Long(Rc<Long>),
+pub enum RequestBody {
+    Buffered(Bytes),
+    Streamed(Rc<StreamedBody>),
 }
 
-/// A body that is too long to be kept: its begin, and what goes on coming.
-pub struct Long {
-    begin: Bytes,
-    rest: RefCell<mpsc::Receiver<Result<Bytes, Fault>>>,
-    /// Its whole length, if stated.
-    length: Option<u64>,
+/// A body that is too long to be buffered: its first bytes, and a channel with the rest.
+pub struct StreamedBody {
+    prefix: Bytes,
+    remaining: RefCell<mpsc::Receiver<Result<Bytes, BodyError>>>,
+    /// Total length in bytes, if the client stated it.
+    content_length: Option<u64>,
     grace: Duration,
-    spent: Cell<bool>,
+    consumed: Cell<bool>,
     failed: Cell<bool>,
-    /// The request has its answer.
-    over: Cell<bool>,
-    on_news: RefCell<Option<OnNews>>,
+    /// The request has been answered.
+    answered: Cell<bool>,
+    event_handler: RefCell<Option<EventHandler>>,
 }
 
-type OnNews = Box<dyn Fn(News)>;
+type EventHandler = Box<dyn Fn(BodyEvent)>;
 
-/// What becomes of a long body.
+/// Progress of a streamed body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    /// Something of it has been passed on that is not kept.
-    Spent,
-    /// Its last byte has come.
+pub enum BodyEvent {
+    /// Bytes that are not buffered have been sent, so the request can no longer be repeated.
+    Consumed,
+    /// The last byte has been received.
     Received,
 }
 
-impl Content {
-    /// Reads a short body whole, a longer one until that shows.
-    pub async fn read(body: Incoming, grace: Duration) -> Result<Content, Fault> {
-        let length = body.size_hint().exact();
-        if body.size_hint().lower() > LONGEST {
-            return Err(Fault::TooLong);
+impl RequestBody {
+    /// Buffers a short body whole. Returns a longer one as a stream as soon as its length is known to exceed
+    /// the limit.
+    pub async fn read(body: Incoming, grace: Duration) -> Result<RequestBody, BodyError> {
+        let content_length = body.size_hint().exact();
+        if body.size_hint().lower() > MAX_REQUEST_BODY_BYTES {
+            return Err(BodyError::TooLong);
         }
-        let long = length.is_some_and(|length| length > SHORT as u64);
-        let (mut source, mut pieces, mut total) = (Source::new(body, grace), Pieces::default(), 0);
-        while let Some(piece) = source.piece().await {
-            let piece = piece?;
-            total += piece.len();
-            pieces.0.push_back(piece);
-            if total > SHORT || long {
-                let (to, rest) = mpsc::channel(1);
-                spawn_local(source.pump(to));
-                let long = Long {
-                    begin: pieces.joined(),
-                    rest: RefCell::new(rest),
-                    length,
+        let streamed =
+            content_length.is_some_and(|content_length| content_length > MAX_BUFFERED_BYTES as u64);
+        let (mut reader, mut chunks, mut total) = (RequestReader::new(body, grace), Chunks::default(), 0);
+        while let Some(chunk) = reader.next_chunk().await {
+            let chunk = chunk?;
+            total += chunk.len();
+            chunks.0.push_back(chunk);
+            if total > MAX_BUFFERED_BYTES || streamed {
+                let (sender, remaining) = mpsc::channel(1);
+                spawn_local(reader.forward(sender));
+                let streamed = StreamedBody {
+                    prefix: chunks.concatenated(),
+                    remaining: RefCell::new(remaining),
+                    content_length,
                     grace,
-                    spent: Cell::default(),
+                    consumed: Cell::default(),
                     failed: Cell::default(),
-                    over: Cell::default(),
-                    on_news: RefCell::default(),
+                    answered: Cell::default(),
+                    event_handler: RefCell::default(),
                 };
-                return Ok(Content::Long(Rc::new(long)));
+                return Ok(RequestBody::Streamed(Rc::new(streamed)));
             }
         }
-        Ok(Content::Short(pieces.joined()))
+        Ok(RequestBody::Buffered(chunks.concatenated()))
     }
 
-    pub fn long(&self) -> Option<&Rc<Long>> {
+    pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
-            Content::Short(_) => None,
-            Content::Long(long) => Some(long),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(streamed) => Some(streamed),
         }
     }
 
-    /// It can't be sent again.
-    pub fn spent(&self) -> bool {
-        self.long().is_some_and(|long| long.spent.get())
+    /// Returns whether the body can no longer be sent again.
+    pub fn consumed(&self) -> bool {
+        self.streamed().is_some_and(|streamed| streamed.consumed.get())
     }
 
-    /// Its client has not sent it as it should.
+    /// Returns whether the client broke the body off, sent it too slowly or sent too much.
     pub fn failed(&self) -> bool {
-        self.long().is_some_and(|long| long.failed.get())
+        self.streamed().is_some_and(|streamed| streamed.failed.get())
     }
 }
 
-impl Long {
-    /// Longest time that the rest may take to come.
-    pub fn may_take(&self) -> Duration {
-        let rest = self.length.unwrap_or(LONGEST).saturating_sub(self.begin.len() as u64);
-        self.grace + Duration::from_secs_f64(rest as f64 / LEAST_RATE)
+impl StreamedBody {
+    /// Longest time in which the rest of the body may arrive.
+    pub fn max_remaining_time(&self) -> Duration {
+        let remaining =
+            self.content_length.unwrap_or(MAX_REQUEST_BODY_BYTES).saturating_sub(self.prefix.len() as u64);
+        self.grace + Duration::from_secs_f64(remaining as f64 / MIN_UPLOAD_BYTES_PER_S)
     }
 
-    pub fn on_news(&self, tell: impl Fn(News) + 'static) {
-        self.on_news.replace(Some(Box::new(tell)));
+    pub fn on_event(&self, handler: impl Fn(BodyEvent) + 'static) {
+        self.event_handler.replace(Some(Box::new(handler)));
     }
 
-    fn news(&self, news: News) {
-        if let Some(tell) = &*self.on_news.borrow() {
-            tell(news);
+    fn emit(&self, event: BodyEvent) {
+        if let Some(handler) = &*self.event_handler.borrow() {
+            handler(event);
         }
     }
 
-    /// The request has its answer: nothing more of it goes on, nor is anything more told.
-    pub fn end(&self) {
-        self.over.set(true);
-        self.on_news.replace(None);
-        self.rest.borrow_mut().close();
+    /// Stops the stream after the request has been answered: no more data is forwarded and no more events
+    /// are emitted.
+    pub fn close(&self) {
+        self.answered.set(true);
+        self.event_handler.replace(None);
+        self.remaining.borrow_mut().close();
     }
 }
 
-/// A request's body on its way to a server.
+/// A request body as sent to a server.
 pub struct Upload {
-    begin: Option<Bytes>,
-    rest: Option<Rc<Long>>,
-    /// How much of the whole is still to go, if that is known.
-    left: Option<u64>,
-    /// Its end has been handed over.
-    handed: Rc<Cell<bool>>,
+    prefix: Option<Bytes>,
+    remaining: Option<Rc<StreamedBody>>,
+    /// Bytes still to be sent, if the length is known.
+    remaining_bytes: Option<u64>,
+    /// Set once hyper has taken the last byte.
+    body_taken: Rc<Cell<bool>>,
 }
 
 impl Upload {
-    pub fn new(content: &Content, handed: Rc<Cell<bool>>) -> Self {
-        let (begin, rest, left) = match content {
-            Content::Short(all) => (all.clone(), None, Some(all.len() as u64)),
-            Content::Long(long) => (long.begin.clone(), Some(Rc::clone(long)), long.length),
+    pub fn new(content: &RequestBody, body_taken: Rc<Cell<bool>>) -> Self {
+        let (prefix, remaining, remaining_bytes) = match content {
+            RequestBody::Buffered(all) => (all.clone(), None, Some(all.len() as u64)),
+            RequestBody::Streamed(streamed) => {
+                (streamed.prefix.clone(), Some(Rc::clone(streamed)), streamed.content_length)
+            }
         };
-        handed.set(rest.is_none());
-        Upload { begin: Some(begin).filter(|begin| !begin.is_empty()), rest, left, handed }
+        body_taken.set(remaining.is_none());
+        Upload {
+            prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
+            remaining,
+            remaining_bytes,
+            body_taken,
+        }
     }
 
-    fn hand(&mut self, piece: &Bytes) {
-        self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
-        if self.left == Some(0) {
-            self.end();
+    fn record_chunk(&mut self, chunk: &Bytes) {
+        self.remaining_bytes =
+            self.remaining_bytes.map(|remaining_bytes| remaining_bytes.saturating_sub(chunk.len() as u64));
+        if self.remaining_bytes == Some(0) {
+            self.mark_body_taken();
         }
     }
 
-    fn end(&mut self) {
-        if let (false, Some(rest)) = (self.handed.replace(true), &self.rest) {
-            rest.news(News::Received);
+    fn mark_body_taken(&mut self) {
+        if let (false, Some(remaining)) = (self.body_taken.replace(true), &self.remaining) {
+            remaining.emit(BodyEvent::Received);
         }
     }
 }
 
 impl Body for Upload {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
-        if let Some(begin) = self.begin.take() {
-            self.hand(&begin);
-            return Poll::Ready(Some(Ok(Frame::data(begin))));
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(prefix) = self.prefix.take() {
+            self.record_chunk(&prefix);
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
-        let Some(long) = self.rest.clone().filter(|_| !self.is_end_stream()) else {
+        let Some(streamed) = self.remaining.clone().filter(|_| !self.is_end_stream()) else {
             return Poll::Ready(None);
         };
-        let piece = ready!(long.rest.borrow_mut().poll_recv(cx));
-        Poll::Ready(match piece {
-            Some(Ok(piece)) => {
-                if !long.spent.replace(true) {
-                    long.news(News::Spent);
+        let chunk = ready!(streamed.remaining.borrow_mut().poll_recv(cx));
+        Poll::Ready(match chunk {
+            Some(Ok(chunk)) => {
+                if !streamed.consumed.replace(true) {
+                    streamed.emit(BodyEvent::Consumed);
                 }
-                self.hand(&piece);
-                Some(Ok(Frame::data(piece)))
+                self.record_chunk(&chunk);
+                Some(Ok(Frame::data(chunk)))
             }
-            Some(Err(fault)) => {
-                long.failed.set(true);
-                Some(Err(fault))
+            Some(Err(error)) => {
+                streamed.failed.set(true);
+                Some(Err(error))
             }
-            // Its server must not take the begin for the whole.
-            None if long.over.get() => Some(Err(Fault::Broken)),
+            // Without an error the server would take the truncated body for a complete one.
+            None if streamed.answered.get() => Some(Err(BodyError::Truncated)),
             None => {
-                self.end();
+                self.mark_body_taken();
                 None
             }
         })
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begin.is_none() && self.handed.get()
+        self.prefix.is_none() && self.body_taken.get()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::new, SizeHint::with_exact)
+        self.remaining_bytes.map_or_else(SizeHint::new, SizeHint::with_exact)
     }
 }
 
-// ---- From servers -----------------------------------------------------------------------------------------
+// ---- Response bodies ---------------------------------------------------------------------------------------
 
 #[derive(Default)]
-struct Pieces(VecDeque<Bytes>);
+struct Chunks(VecDeque<Bytes>);
 
-impl Pieces {
-    fn joined(mut self) -> Bytes {
+impl Chunks {
+    fn concatenated(mut self) -> Bytes {
         if self.0.len() < 2 {
             return self.0.pop_front().unwrap_or_default();
         }
-        let mut joined = BytesMut::with_capacity(self.0.iter().map(Bytes::len).sum());
-        self.0.iter().for_each(|piece| joined.extend_from_slice(piece));
-        joined.freeze()
+        let mut concatenated = BytesMut::with_capacity(self.0.iter().map(Bytes::len).sum());
+        self.0.iter().for_each(|chunk| concatenated.extend_from_slice(chunk));
+        concatenated.freeze()
     }
 }
 
-/// A server's answer.
+/// A server's response body.
 pub enum Download {
-    Whole(Bytes),
-    /// Its begin has come, and it is a long one or comes slowly. The receiver hears how it ended: `true` if it was
-    /// passed on whole, `false` if it broke off, an error if nobody wanted the rest.
-    Begun(Passing, oneshot::Receiver<bool>),
+    Buffered(Bytes),
+    /// The response is long or arrives slowly, and its first bytes have been read. The receiver yields
+    /// `true` once all of it has been forwarded, `false` if the server broke it off, and an error if the
+    /// client did not want the rest.
+    Streamed(StreamedReply, oneshot::Receiver<bool>),
 }
 
 impl Download {
-    /// It is long, or does not say how long it is.
+    /// Returns whether the body is long or of unknown length.
     pub fn may_be_long(body: &Incoming) -> bool {
-        body.size_hint().exact().is_none_or(|length| length > SHORT as u64)
+        body.size_hint().exact().is_none_or(|content_length| content_length > MAX_BUFFERED_BYTES as u64)
     }
 
-    /// `None` if it breaks off before it is whole or passed on.
+    /// Returns `None` if the body breaks off before it is complete or streaming has begun.
     pub async fn read(mut body: Incoming) -> Option<Download> {
-        let (length, long) = (body.size_hint().exact(), Download::may_be_long(&body));
-        let hold = if length.is_some() { Duration::ZERO } else { HOLD };
-        let mut held = pin!(sleep(hold));
-        let (mut pieces, mut total) = (Pieces::default(), 0);
-        while !long || total <= SHORT {
+        let (content_length, may_be_long) = (body.size_hint().exact(), Download::may_be_long(&body));
+        let buffer_time = if content_length.is_some() { Duration::ZERO } else { RESPONSE_BUFFER_TIME };
+        let mut buffering_over = pin!(sleep(buffer_time));
+        let (mut chunks, mut total) = (Chunks::default(), 0);
+        while !may_be_long || total <= MAX_BUFFERED_BYTES {
             let frame = tokio::select! {
                 biased;
                 frame = body.frame() => frame,
-                () = held.as_mut(), if long => break,
+                () = buffering_over.as_mut(), if may_be_long => break,
             };
             match frame.map(|frame| frame.map(Frame::into_data)) {
-                None => return Some(Download::Whole(pieces.joined())),
+                None => return Some(Download::Buffered(chunks.concatenated())),
                 Some(Err(_)) => return None,
                 Some(Ok(Err(_))) => {}
-                Some(Ok(Ok(piece))) => {
-                    total += piece.len();
-                    pieces.0.push_back(piece);
+                Some(Ok(Ok(chunk))) => {
+                    total += chunk.len();
+                    chunks.0.push_back(chunk);
                 }
             }
         }
-        let (over, ended) = oneshot::channel();
-        let left = length.map(|length| length.saturating_sub(total as u64));
-        Some(Download::Begun(Passing { begin: pieces.0, rest: body, length, left, over: Some(over) }, ended))
+        let (completion, completed) = oneshot::channel();
+        let remaining_bytes =
+            content_length.map(|content_length| content_length.saturating_sub(total as u64));
+        Some(Download::Streamed(
+            StreamedReply {
+                prefix: chunks.0,
+                remaining: body,
+                content_length,
+                remaining_bytes,
+                completion: Some(completion),
+            },
+            completed,
+        ))
     }
 }
 
-/// An answer that is passed on as it comes.
-pub struct Passing {
-    begin: VecDeque<Bytes>,
-    rest: Incoming,
-    length: Option<u64>,
-    /// How much of the rest is still to come, if that is known.
-    left: Option<u64>,
-    over: Option<oneshot::Sender<bool>>,
+/// A response body that is forwarded as it arrives.
+pub struct StreamedReply {
+    prefix: VecDeque<Bytes>,
+    remaining: Incoming,
+    content_length: Option<u64>,
+    /// Bytes still to be received, if the length is known.
+    remaining_bytes: Option<u64>,
+    completion: Option<oneshot::Sender<bool>>,
 }
 
-impl Passing {
-    fn over(&mut self, whole: bool) {
-        if let Some(over) = self.over.take() {
-            // Nobody listens any more where the node is ending.
-            let _ = over.send(whole);
+impl StreamedReply {
+    fn report_completion(&mut self, complete: bool) {
+        if let Some(completion) = self.completion.take() {
+            // The receiver is gone when the node is shutting down.
+            let _ = completion.send(complete);
         }
     }
 }
 
-impl Body for Passing {
+impl Body for StreamedReply {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
-        if let Some(piece) = self.begin.pop_front() {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(chunk) = self.prefix.pop_front() {
             if self.is_end_stream() {
-                self.over(true);
+                self.report_completion(true);
             }
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         loop {
-            match ready!(Pin::new(&mut self.rest).poll_frame(cx)).map(|frame| frame.map(Frame::into_data)) {
+            match ready!(Pin::new(&mut self.remaining).poll_frame(cx))
+                .map(|frame| frame.map(Frame::into_data))
+            {
                 None => {
-                    self.over(true);
+                    self.report_completion(true);
                     return Poll::Ready(None);
                 }
                 Some(Err(_)) => {
-                    self.over(false);
-                    return Poll::Ready(Some(Err(Fault::Broken)));
+                    self.report_completion(false);
+                    return Poll::Ready(Some(Err(BodyError::Truncated)));
                 }
                 Some(Ok(Err(_))) => {}
-                Some(Ok(Ok(piece))) => {
-                    self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
+                Some(Ok(Ok(chunk))) => {
+                    self.remaining_bytes = self
+                        .remaining_bytes
+                        .map(|remaining_bytes| remaining_bytes.saturating_sub(chunk.len() as u64));
                     if self.is_end_stream() {
-                        self.over(true);
+                        self.report_completion(true);
                     }
-                    return Poll::Ready(Some(Ok(Frame::data(piece))));
+                    return Poll::Ready(Some(Ok(Frame::data(chunk))));
                 }
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begin.is_empty() && self.left == Some(0)
+        self.prefix.is_empty() && self.remaining_bytes == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::new, SizeHint::with_exact)
+        self.content_length.map_or_else(SizeHint::new, SizeHint::with_exact)
     }
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at its start: a few environment variables and a JSON file.
+//! The node's configuration: a few environment variables and a JSON file.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,29 +9,33 @@
 use shaletrail_policy::{RosterEntry, Seconds, ServerId, ServerState, Settings};
 use shaletrail_registry_protocol::State;
 
-/// Descriptors kept for all but clients and upstreams: standard streams, the reactor, signals, the listener,
-/// peers, discovery.
+/// File descriptors reserved for everything but clients and upstreams: standard streams, the reactor,
+/// signals, the listener, peers, discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Callers at the operators' door at once. More come only where some hold connections without calling.
-pub const MOST_CALLERS: usize = 12;
-/// The same for the operators' door: its listener, its callers and one that waits to be let in.
-const DOOR_SOCKETS: usize = MOST_CALLERS + 2;
-/// Clients' requests take a third of all descriptors at the most by the terms; a few more are let in to be told no.
-const CLIENT_PART: usize = 3;
-const SPARE_CLIENTS: usize = 16;
-/// Held to be allowed where the configuration names no limit.
+/// Largest number of simultaneous operator connections. More come only if some callers hold connections open
+/// without sending a request.
+pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
+/// Descriptors reserved for the operator API: its listener, its connections and one connection that waits
+/// for a free place.
+const OPERATOR_SOCKETS: usize = MAX_OPERATOR_CONNECTIONS + 2;
+/// By the service contract, concurrent client requests use at most a third of all descriptors. A few more
+/// connections are accepted so that excess clients get a refusal.
+const CLIENT_SOCKET_DIVISOR: usize = 3;
+const EXTRA_CLIENT_SOCKETS: usize = 16;
+/// Assumed when the configuration states no limit.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Fewer can't carry a few clients and a few upstreams.
-const LEAST_SOCKETS: usize = 64;
+/// Fewer descriptors can't serve a few clients and a few upstreams.
+const MIN_SOCKETS: usize = 64;
 
-/// Descriptors that both processes together may use for connections, and how many of them clients may need.
+/// Descriptors that the two processes of a node may use together for connections, and how many of them are
+/// reserved for clients.
 #[derive(Clone, Copy)]
-pub struct Shared {
+pub struct SharedSockets {
     pub total: usize,
-    pub for_clients: usize,
+    pub client_reserve: usize,
 }
 
-/// Why a configuration can't be used.
+/// An invalid configuration, with the reason.
 #[derive(Debug)]
 pub struct ConfigError(String);
 
@@ -43,137 +47,144 @@
 
 impl std::error::Error for ConfigError {}
 
-fn wrong(what: impl fmt::Display) -> ConfigError {
+fn config_error(what: impl fmt::Display) -> ConfigError {
     ConfigError(what.to_string())
 }
 
-/// All that the node is told.
+/// The node's complete configuration.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where the list is: discovery, and others that hold the same one.
+    /// Addresses that serve the same server list: discovery, then its alternatives.
     pub discovery: Vec<SocketAddr>,
     pub seed: u64,
-    /// Connections that upstreams may hold, and clients.
+    /// Largest number of connections to upstreams.
     pub upstream_sockets: usize,
     pub client_sockets: usize,
-    /// The same for both together while two processes of the node run.
-    pub shared_sockets: Shared,
-    /// The descriptor of the clients' listener, where the platform holds that.
-    pub socket: Option<String>,
-    /// The operators' door, where there is one.
-    pub ops: Option<SocketAddr>,
-    /// Where the node's processes keep what outlives one of them.
-    pub folder: Option<PathBuf>,
+    /// The limits for both processes together while two processes of the node run.
+    pub shared_sockets: SharedSockets,
+    /// Descriptor of an inherited client listener, if the platform holds the listening socket.
+    pub listener_fd: Option<String>,
+    /// Listen address of the operator API, if there is one.
+    pub operator_listen: Option<SocketAddr>,
+    /// Directory for state that outlives a process.
+    pub state_dir: Option<PathBuf>,
     pub peer_listen: Option<SocketAddr>,
-    /// By node number.
+    /// Peer addresses, indexed by node number.
     pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
-    pub known: Option<List>,
+    pub peer_broadcast: Option<SocketAddr>,
+    pub initial_list: Option<ServerList>,
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the environment and the file that `LB_CONFIG` names.
+    /// Reads the environment and the file that `LB_CONFIG` names. Environment variables take precedence.
     pub fn load() -> Result<Self, ConfigError> {
         let var = |name| std::env::var(name).ok();
-        let json = file()?;
-        let may_tell = |name: &str, variable| match (var(variable), &json[name]) {
+        let json = read_config_file()?;
+        let optional = |name: &str, variable| match (var(variable), &json[name]) {
             (None, Value::Null) => None,
             (None, value) => Some(value.as_str().unwrap_or_default().to_owned()),
             (variable, _) => variable,
         };
-        let told = |name: &str, variable| {
-            may_tell(name, variable).ok_or_else(|| wrong(format!("{name} is missing")))
+        let required = |name: &str, variable| {
+            optional(name, variable).ok_or_else(|| config_error(format!("{name} is missing")))
         };
-        let ops = may_tell("ops", "LB_OPS").map(|text| address("ops", &text)).transpose()?;
-        let settings = shaletrail_balancer_settings::parse(&json["settings"]).map_err(wrong)?;
-        let listed = |name: &str| match &json[name] {
+        let operator_listen =
+            optional("ops", "LB_OPS").map(|text| parse_address("ops", &text)).transpose()?;
+        let settings = shaletrail_balancer_settings::parse(&json["settings"]).map_err(config_error)?;
+        let optional_address = |name: &str| match &json[name] {
             Value::Null => Ok(None),
-            value => address(name, value.as_str().unwrap_or_default()).map(Some),
+            value => parse_address(name, value.as_str().unwrap_or_default()).map(Some),
         };
         let peers = json["peers"].as_array().map_or(&[][..], Vec::as_slice);
         let sockets = match &json["limits"]["sockets"] {
             Value::Null => DEFAULT_SOCKETS,
             value => {
-                value.as_u64().map(|n| n.min(1 << 20) as usize).filter(|&n| n >= LEAST_SOCKETS).ok_or_else(
-                    || wrong(format!("limits.sockets: {LEAST_SOCKETS} or more expected, got {value}")),
+                value.as_u64().map(|n| n.min(1 << 20) as usize).filter(|&n| n >= MIN_SOCKETS).ok_or_else(
+                    || config_error(format!("limits.sockets: expected at least {MIN_SOCKETS}, got {value}")),
                 )?
             }
         };
-        let reserved = RESERVED_SOCKETS + if ops.is_some() { DOOR_SOCKETS } else { 0 };
+        let reserved = RESERVED_SOCKETS + if operator_listen.is_some() { OPERATOR_SOCKETS } else { 0 };
         let upstream_sockets = (sockets - reserved) / 2;
-        let known = match &json["known"] {
+        let initial_list = match &json["known"] {
             Value::Null => None,
             value => {
                 let list: Result<shaletrail_registry_protocol::List, _> =
                     serde_json::from_value(value.clone());
-                Some(list.map_err(|e| wrong(format!("known: a list of servers expected: {e}")))?.into())
+                Some(
+                    list.map_err(|e| config_error(format!("known: expected a list of servers: {e}")))?.into(),
+                )
             }
         };
         let seed = json["seed"].as_str().unwrap_or("0");
         Ok(Config {
-            name: told("name", "LB_NAME")?,
-            listen: address("listen", &told("listen", "LB_LISTEN")?)?,
-            discovery: endpoints(&json, &told("discovery", "LB_DISCOVERY")?)?,
-            seed: u64::from_str_radix(seed, 16).map_err(|e| wrong(format!("seed: {e}")))?,
+            name: required("name", "LB_NAME")?,
+            listen: parse_address("listen", &required("listen", "LB_LISTEN")?)?,
+            discovery: endpoints(&json, &required("discovery", "LB_DISCOVERY")?)?,
+            seed: u64::from_str_radix(seed, 16).map_err(|e| config_error(format!("seed: {e}")))?,
             upstream_sockets,
             client_sockets: sockets - reserved - upstream_sockets,
-            shared_sockets: Shared {
+            shared_sockets: SharedSockets {
                 total: sockets.saturating_sub(2 * reserved),
-                for_clients: sockets / CLIENT_PART + SPARE_CLIENTS,
+                client_reserve: sockets / CLIENT_SOCKET_DIVISOR + EXTRA_CLIENT_SOCKETS,
             },
-            socket: var("LB_SOCKET_FD"),
-            ops,
-            folder: var("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from),
-            peer_listen: listed("peer_listen")?,
+            listener_fd: var("LB_SOCKET_FD"),
+            operator_listen,
+            state_dir: var("TMPDIR").filter(|state_dir| !state_dir.is_empty()).map(PathBuf::from),
+            peer_listen: optional_address("peer_listen")?,
             peers: peers
                 .iter()
-                .map(|peer| address("peers", peer.as_str().unwrap_or_default()))
+                .map(|peer| parse_address("peers", peer.as_str().unwrap_or_default()))
                 .collect::<Result<_, _>>()?,
-            peers_all: listed("peers_all")?,
-            known,
+            peer_broadcast: optional_address("peers_all")?,
+            initial_list,
             settings,
         })
     }
 }
 
-/// What the file that `LB_CONFIG` names holds now.
-fn file() -> Result<Value, ConfigError> {
-    let path = std::env::var("LB_CONFIG").map_err(|_| wrong("LB_CONFIG is not set"))?;
-    let text = std::fs::read_to_string(&path).map_err(|e| wrong(format!("{path}: {e}")))?;
-    serde_json::from_str(&text).map_err(|e| wrong(format!("{path}: {e}")))
+/// Reads the file that `LB_CONFIG` names.
+fn read_config_file() -> Result<Value, ConfigError> {
+    let path = std::env::var("LB_CONFIG").map_err(|_| config_error("LB_CONFIG is not set"))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| config_error(format!("{path}: {e}")))?;
+    serde_json::from_str(&text).map_err(|e| config_error(format!("{path}: {e}")))
 }
 
-/// Where discovery is by a file that has been replaced; the environment only knows where it was at the start.
-pub fn replaced_discovery() -> Result<Vec<SocketAddr>, ConfigError> {
-    let json = file()?;
+/// Rereads the discovery addresses from the file. The environment is ignored, as it holds the address of the
+/// start.
+pub fn reload_discovery() -> Result<Vec<SocketAddr>, ConfigError> {
+    let json = read_config_file()?;
     endpoints(&json, json["discovery"].as_str().unwrap_or_default())
 }
 
-/// Where the list is followed: at `discovery`, and at `discovery_also` where the file has that.
+/// Returns `discovery` followed by the addresses of `discovery_also`, if the file has that.
 fn endpoints(json: &Value, discovery: &str) -> Result<Vec<SocketAddr>, ConfigError> {
-    let mut endpoints = vec![address("discovery", discovery)?];
+    let mut endpoints = vec![parse_address("discovery", discovery)?];
     match &json["discovery_also"] {
         Value::Null => {}
-        Value::Array(also) => {
-            for addr in also {
-                endpoints.push(address("discovery_also", addr.as_str().unwrap_or_default())?);
+        Value::Array(addresses) => {
+            for addr in addresses {
+                endpoints.push(parse_address("discovery_also", addr.as_str().unwrap_or_default())?);
             }
         }
-        other => return Err(wrong(format!("discovery_also: a list of addresses expected, got {other}"))),
+        other => {
+            return Err(config_error(format!("discovery_also: expected a list of addresses, got {other}")))
+        }
     }
     Ok(endpoints)
 }
 
-fn address(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| wrong(format!("{name}: an address with a port expected, got `{text}`")))
+fn parse_address(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse()
+        .map_err(|_| config_error(format!("{name}: expected an IP address with a port, got `{text}`")))
 }
 
-/// The module's clock: Unix seconds at the node's start, and from then on monotonic.
+/// The balancer's clock: Unix seconds at the node's start, monotonic from then on.
 ///
-/// The start of servers is told in Unix time. One fixed relation between the two clocks makes an unchanged
-/// start time stay unchanged for the module, which takes a later one for a new process.
+/// Server start times are stated in Unix time. As the offset between the two clocks is fixed, an unchanged
+/// start time stays unchanged for the balancer, which takes a later start time for a restarted server.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -181,7 +192,7 @@
 }
 
 impl Clock {
-    // The start of servers is told in Unix time; from here on the clock is monotonic.
+    // Reads the wall clock once, because server start times are stated in Unix time.
     #[allow(clippy::disallowed_methods)]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
@@ -193,41 +204,41 @@
     }
 }
 
-/// A list of servers in discovery's form.
+/// A server list, or an update of one, as received from discovery.
 #[derive(Debug)]
-pub struct List {
+pub struct ServerList {
     pub version: u64,
-    /// The whole list, or the changed entries only.
+    /// Whether `servers` is the whole list; otherwise it holds the changed entries only.
     pub full: bool,
     /// Each entry with the address at which this node reaches the server.
     pub servers: Vec<(RosterEntry, SocketAddr)>,
 }
 
-impl From<shaletrail_registry_protocol::List> for List {
+impl From<shaletrail_registry_protocol::List> for ServerList {
     fn from(list: shaletrail_registry_protocol::List) -> Self {
-        List {
+        ServerList {
             version: list.version,
             full: list.full,
-            servers: list.servers.into_iter().map(entry).collect(),
+            servers: list.servers.into_iter().map(roster_entry).collect(),
         }
     }
 }
 
-fn entry(entry: shaletrail_registry_protocol::Entry) -> (RosterEntry, SocketAddr) {
-    let addr = entry.addr;
+fn roster_entry(roster_entry: shaletrail_registry_protocol::Entry) -> (RosterEntry, SocketAddr) {
+    let addr = roster_entry.addr;
     let roster = RosterEntry {
-        server: ServerId(entry.id.into()),
-        state: match entry.state {
+        server: ServerId(roster_entry.id.into()),
+        state: match roster_entry.state {
             State::Active => ServerState::Ready,
             State::Left => ServerState::Gone,
             State::Leaving => ServerState::Draining,
         },
-        zone: entry.zone,
-        weight: entry.weight,
-        kind: entry.kind,
-        // Unix time on the clock that `Clock` starts from; 0 is long ago.
-        started: (entry.started_ms > 0).then_some(entry.started_ms as f64 / 1000.0),
-        cell: entry.cell,
+        zone: roster_entry.zone,
+        weight: roster_entry.weight,
+        kind: roster_entry.kind,
+        // Unix time, as `Clock` uses it; 0 means unknown or long ago.
+        started: (roster_entry.started_ms > 0).then_some(roster_entry.started_ms as f64 / 1000.0),
+        cell: roster_entry.cell,
     };
     (roster, addr)
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of servers: followed by the list service's client wherever discovery is, and told to the host.
+//! Follows the server list with the registry client and reports it to the host.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,88 +10,97 @@
 use shaletrail_registry_client::follow::Retry;
 use tokio::sync::Notify;
 
-use crate::config::List;
-use crate::handle::{Handle, Heard};
+use crate::config::ServerList;
+use crate::handle::{HostEvent, HostHandle};
 
-/// A pushed list that is out of reach is asked for again so often within the grace for drains, and no more often than
-/// this: most of the grace has to do for the answer.
-const RETRIES_IN_GRACE: f64 = 4.0;
-const LEAST_RETRY: Seconds = 0.02;
-const LONGEST_RETRY: Seconds = 0.25;
+/// If a pushed list can't be reached, the call is retried this many times within the grace period for
+/// drains, as most of that period must remain for the answer. The interval is bounded below and above.
+const RETRIES_PER_DRAIN_GRACE: f64 = 4.0;
+const MIN_RETRY_INTERVAL_S: Seconds = 0.02;
+const MAX_RETRY_INTERVAL_S: Seconds = 0.25;
 
 fn retry_within(drain_grace: Seconds) -> Duration {
-    Duration::from_secs_f64((drain_grace / RETRIES_IN_GRACE).clamp(LEAST_RETRY, LONGEST_RETRY))
+    Duration::from_secs_f64(
+        (drain_grace / RETRIES_PER_DRAIN_GRACE).clamp(MIN_RETRY_INTERVAL_S, MAX_RETRY_INTERVAL_S),
+    )
 }
 
-/// What the follower is to do next.
+/// Pending commands to the follower.
 #[derive(Default)]
-struct Orders {
+struct Commands {
     start: Cell<bool>,
-    moved: Cell<bool>,
+    endpoints_changed: Cell<bool>,
 }
 
 pub struct Discovery {
     endpoints: RefCell<Vec<SocketAddr>>,
-    orders: Orders,
-    ordered: Notify,
-    handle: Handle,
+    commands: Commands,
+    command_added: Notify,
+    handle: HostHandle,
 }
 
 impl Discovery {
-    pub fn new(endpoints: Vec<SocketAddr>, handle: Handle) -> Rc<Self> {
-        let ordered = Notify::new();
-        Rc::new(Discovery { endpoints: RefCell::new(endpoints), orders: Orders::default(), ordered, handle })
+    pub fn new(endpoints: Vec<SocketAddr>, handle: HostHandle) -> Rc<Self> {
+        let command_added = Notify::new();
+        Rc::new(Discovery {
+            endpoints: RefCell::new(endpoints),
+            commands: Commands::default(),
+            command_added,
+            handle,
+        })
     }
 
-    /// Discovery is somewhere else from now on: a watch that is on goes on there, with the whole list first.
+    /// Changes the addresses of discovery. A watch in progress continues at the new addresses, starting with
+    /// the whole list.
     pub fn move_to(&self, endpoints: Vec<SocketAddr>) {
         if *self.endpoints.borrow() != endpoints {
             self.endpoints.replace(endpoints);
-            self.orders.moved.set(true);
-            self.ordered.notify_one();
+            self.commands.endpoints_changed.set(true);
+            self.command_added.notify_one();
         }
     }
 
-    /// Watches for changes from now on. Where a watch has broken, it begins again.
+    /// Starts watching for changes. A broken watch is reopened.
     pub fn subscribe(&self) {
-        self.orders.start.set(true);
-        self.ordered.notify_one();
+        self.commands.start.set(true);
+        self.command_added.notify_one();
     }
 
-    /// Follows the list for as long as the node runs: from now on and come what may where it is pushed, so that the
-    /// node has what there is within the grace for drains, else when the module says so.
-    pub async fn follow(self: Rc<Self>, held: Option<u64>, seed: u64, settings: Settings) {
+    /// Follows the list for as long as the node runs. A pushed list is watched from the start and after
+    /// every failure, so that the node sees each change within the grace period for drains; otherwise the
+    /// balancer decides when to start.
+    pub async fn follow(self: Rc<Self>, held_version: Option<u64>, seed: u64, settings: Settings) {
         let retry = match settings.membership {
             Membership::Pushed => Retry::Within(retry_within(settings.guarantees.drain_grace)),
-            // When to try again once nobody answers is the module's decision.
+            // The balancer decides when to retry after all addresses have failed.
             Membership::OnRequest => Retry::OnStart,
         };
-        let mut following = Following::new(self.endpoints.borrow().clone(), held, retry, seed);
+        let mut following = Following::new(self.endpoints.borrow().clone(), held_version, retry, seed);
         if settings.membership == Membership::Pushed {
             following.start();
         }
         loop {
             tokio::select! {
-                () = self.ordered.notified() => {
-                    if self.orders.moved.take() {
+                () = self.command_added.notified() => {
+                    if self.commands.endpoints_changed.take() {
                         following.move_to(self.endpoints.borrow().clone());
                     }
-                    if self.orders.start.take() {
+                    if self.commands.start.take() {
                         following.start();
                     }
                 }
-                news = following.next() => self.tell(news),
+                news = following.next() => self.report(news),
             }
         }
     }
 
-    fn tell(&self, news: News) {
+    fn report(&self, news: News) {
         match news {
-            News::List(list) => self.handle.tell(Heard::List(List::from(list))),
-            News::Older(what) => eprintln!("discovery: {what}"),
-            News::Failed(what) => {
-                eprintln!("discovery: {what}");
-                self.handle.tell(Heard::ListFailed);
+            News::List(list) => self.handle.send(HostEvent::List(ServerList::from(list))),
+            News::Older(reason) => eprintln!("discovery: {reason}"),
+            News::Failed(reason) => {
+                eprintln!("discovery: {reason}");
+                self.handle.send(HostEvent::ListFailed);
             }
         }
     }
--- a/node/src/handle.rs
+++ b/node/src/handle.rs
@@ -1,36 +1,37 @@
-//! How the parts below the host tell it what they hear: they know this handle, not the host.
+//! Lets the network tasks report events to the host without depending on it.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
 
-use crate::config::List;
+use crate::config::ServerList;
 
-/// What a part has heard.
-pub enum Heard {
-    /// A list that discovery told.
-    List(List),
+/// An event from discovery or from another node.
+pub enum HostEvent {
+    /// A new server list or an update of it.
+    List(ServerList),
     /// A call to discovery failed, or the watch broke.
     ListFailed,
-    /// What another node of the tier, by its number, says.
-    Peer { from: u32, bytes: Vec<u8> },
+    /// A message from the node with the number `from`.
+    PeerMessage { from: u32, bytes: Vec<u8> },
 }
 
-type Ear = Box<dyn Fn(Heard)>;
+type EventHandler = Box<dyn Fn(HostEvent)>;
 
-/// Clones tell the same host.
+/// Clones report to the same host.
 #[derive(Clone, Default)]
-pub struct Handle(Rc<OnceCell<Ear>>);
+pub struct HostHandle(Rc<OnceCell<EventHandler>>);
 
-impl Handle {
-    /// Once, before anything is heard.
-    pub fn lead_to(&self, ear: impl Fn(Heard) + 'static) {
-        let set = self.0.set(Box::new(ear));
-        debug_assert!(set.is_ok(), "a handle leads to one host");
+impl HostHandle {
+    /// Sets the receiver of all events. Called once, before the first event; earlier events would be
+    /// dropped.
+    pub fn set_handler(&self, handler: impl Fn(HostEvent) + 'static) {
+        let set = self.0.set(Box::new(handler));
+        debug_assert!(set.is_ok(), "the handler is set once");
     }
 
-    pub fn tell(&self, heard: Heard) {
-        if let Some(ear) = self.0.get() {
-            ear(heard);
+    pub fn send(&self, event: HostEvent) {
+        if let Some(handler) = self.0.get() {
+            handler(event);
         }
     }
 }
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -1,7 +1,7 @@
-//! Owns the one balancer: turns what happens on sockets into its events and carries out its actions.
+//! Owns the balancer: turns socket activity into its events and executes its actions.
 //!
-//! Everything runs on one thread. A call into the module never awaits, and carrying out its actions never calls
-//! the module again: what follows from an action happens in a task of its own.
+//! Everything runs on one thread. A call into the balancer never awaits, and executing its actions never
+//! calls it again: whatever follows from an action happens in a separate task.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,35 +17,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-use crate::body::{Long, News};
-use crate::byhand::{ByHand, Change};
-use crate::config::{Clock, Config, List};
+use crate::body::{BodyEvent, StreamedBody};
+use crate::config::{Clock, Config, ServerList};
+use crate::disabled_servers::{DisabledChange, DisabledServers};
 use crate::discovery::Discovery;
-use crate::figures::{End, Figures, Taken};
-use crate::handle::Heard;
+use crate::handle::HostEvent;
+use crate::metrics::{ActiveRequest, Metrics, RequestEnd};
 use crate::peers::Peers;
-use crate::upstream::{Answered, Answering, Ended, Payload, Reply, Sent, Upstreams};
+use crate::upstream::{AttemptEnd, Payload, Reply, ReplyBody, ReplyHead, Upstreams, WriteState};
 
-/// Far longer than the head of a long answer is held back for its begin.
-const BEGIN: Duration = Duration::from_secs(10);
+/// After the head of a long response, its first data must arrive within this time. It is far longer than the
+/// time for which responses are buffered.
+const FIRST_DATA_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the file of servers out by hand is looked at: often against the grace in which sends to a server that
-/// is out must end.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often the file of disabled servers is checked for changes. This is short compared with the grace
+/// period in which requests to a disabled server must end.
+const DISABLED_FILE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The final answer to a request.
 pub enum Answer {
     Served(Reply),
     Refused(Option<Seconds>),
     Failed,
-    /// The host's own answer where the module gave none.
-    Overdue,
+    /// The deadline passed without an answer from the balancer.
+    DeadlineExceeded,
 }
 
-/// A client's request as the module is told of it.
-pub struct Arrival {
-    pub taken: Taken,
-    pub left: Duration,
+/// A client's request as submitted to the balancer.
+pub struct IncomingRequest {
+    pub active_request: ActiveRequest,
+    pub time_left: Duration,
     pub class: Option<ClassId>,
     pub tenant: Option<TenantId>,
     pub key: Key,
@@ -54,8 +55,8 @@
     pub payload: Payload,
 }
 
-/// A request without its final answer yet.
-struct Open {
+/// A request that has no final answer yet.
+struct OpenRequest {
     payload: Rc<Payload>,
     answer: oneshot::Sender<Answer>,
     attempts: u32,
@@ -66,16 +67,16 @@
     clock: Clock,
     balancer: RefCell<Balancer>,
     next_id: Cell<u64>,
-    open: RefCell<HashMap<RequestId, Open>>,
-    /// Attempts that are out, and what calls each off. They may outlive their request.
+    open: RefCell<HashMap<RequestId, OpenRequest>>,
+    /// Attempts in flight, each with the sender that cancels it. An attempt may outlive its request.
     attempts: RefCell<HashMap<(RequestId, u32), oneshot::Sender<()>>>,
     upstreams: Rc<Upstreams>,
-    by_hand: Rc<ByHand>,
-    /// How long a call back is kept in mind: as long as a cold server warms up.
-    ramp: Seconds,
+    disabled_servers: Rc<DisabledServers>,
+    /// How long the time at which a server was enabled again is kept: as long as a cold server warms up.
+    enabled_at_retention: Seconds,
     discovery: Rc<Discovery>,
     peers: Option<Rc<Peers>>,
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
 impl Host {
@@ -85,11 +86,15 @@
         peers: Option<Rc<Peers>>,
     ) -> Result<Rc<Self>, Box<dyn std::error::Error>> {
         let classes = config.settings.classes.iter().map(|class| class.name.clone());
-        let figures = Rc::new(Figures::new(classes));
-        let calls = Rc::clone(&figures.backend_calls);
-        let by_hand = Rc::new(ByHand::new(config.folder.as_deref()));
-        let upstreams =
-            Upstreams::start(&config.settings.limits, config.upstream_sockets, calls, Rc::clone(&by_hand));
+        let metrics = Rc::new(Metrics::new(classes));
+        let calls = Rc::clone(&metrics.backend_calls);
+        let disabled_servers = Rc::new(DisabledServers::new(config.state_dir.as_deref()));
+        let upstreams = Upstreams::start(
+            &config.settings.limits,
+            config.upstream_sockets,
+            calls,
+            Rc::clone(&disabled_servers),
+        );
         let host = Rc::new(Host {
             clock: Clock::start(),
             balancer: RefCell::new(Balancer::new(config.settings.clone(), config.seed)?),
@@ -97,16 +102,16 @@
             open: RefCell::default(),
             attempts: RefCell::default(),
             upstreams,
-            by_hand,
-            ramp: config.settings.guarantees.ramp,
+            disabled_servers,
+            enabled_at_retention: config.settings.guarantees.ramp,
             discovery,
             peers,
-            figures,
+            metrics,
         });
-        // The module starts with its first event, so there is one even where nothing is known.
-        let known = config.known.as_ref().map_or(&[][..], |list| &list.servers);
-        host.on_list(List { version: 0, full: true, servers: known.to_vec() }, true);
-        host.look_by_hand();
+        // The balancer starts with its first event, so it gets one even if no server is known.
+        let initial_servers = config.initial_list.as_ref().map_or(&[][..], |list| &list.servers);
+        host.on_list(ServerList { version: 0, full: true, servers: initial_servers.to_vec() }, true);
+        host.reload_disabled_servers();
         Ok(host)
     }
 
@@ -114,28 +119,28 @@
         &self.upstreams
     }
 
-    /// Some server can be asked.
+    /// Returns whether at least one server accepts requests.
     pub fn ready(&self) -> bool {
         self.upstreams.any_ready()
     }
 
-    /// The module's view of its list.
+    /// Number of listed and of avoided servers, as the balancer sees them.
     pub fn listed(&self) -> Listed {
         self.balancer.borrow().listed()
     }
 
-    /// Tells the module of an event and carries out its answer.
-    pub fn tell(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the balancer and executes the resulting actions.
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => self.launch(request, server, timeout),
+            Action::Send { request, server, timeout } => self.start_attempt(request, server, timeout),
             Action::Cancel { request, attempt } => {
                 if let Some(cancel) = self.attempts.borrow_mut().remove(&(request, attempt.0)) {
                     let _ = cancel.send(());
@@ -148,7 +153,7 @@
             Action::CloseIdle(server) => self.upstreams.close_idle(&server),
             Action::Tell(bytes) => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(&bytes);
+                    peers.send(&bytes);
                 }
             }
             Action::Subscribe => self.discovery.subscribe(),
@@ -160,7 +165,7 @@
         let host = Rc::clone(self);
         spawn_local(async move {
             sleep(duration(after)).await;
-            host.tell(Event::Timer(token));
+            host.handle_event(Event::Timer(token));
         });
     }
 
@@ -168,130 +173,146 @@
         let host = Rc::clone(self);
         spawn_local(async move {
             let status = host.upstreams.probe(&server).await;
-            host.tell(Event::Probed { server, status });
+            host.handle_event(Event::Probed { server, status });
         });
     }
 
     // ---- Servers --------------------------------------------------------------------------------------
 
-    /// A list has come. Addresses and drains count at once, before the module acts on them.
-    fn on_list(self: &Rc<Self>, list: List, cached: bool) {
+    /// Applies a server list. Addresses and draining states take effect before the balancer acts on them.
+    fn on_list(self: &Rc<Self>, list: ServerList, cached: bool) {
         self.upstreams.update(&list);
         let entries = list.servers.into_iter().map(|(entry, _)| entry).collect();
-        self.tell(Event::Roster(match (list.full, cached) {
+        self.handle_event(Event::Roster(match (list.full, cached) {
             (_, true) => RosterNews::Cached(entries),
             (true, false) => RosterNews::Full(entries),
             (false, false) => RosterNews::Delta(entries),
         }));
     }
 
-    /// Takes what the parts below have heard.
-    pub fn hear(self: &Rc<Self>, heard: Heard) {
-        match heard {
-            Heard::List(list) => self.on_list(list, false),
-            Heard::ListFailed => self.tell(Event::Roster(RosterNews::Failed)),
-            Heard::Peer { from, bytes } => self.tell(Event::Message { from, bytes }),
+    /// Handles an event from discovery or from another node.
+    pub fn on_event(self: &Rc<Self>, event: HostEvent) {
+        match event {
+            HostEvent::List(list) => self.on_list(list, false),
+            HostEvent::ListFailed => self.handle_event(Event::Roster(RosterNews::Failed)),
+            HostEvent::PeerMessage { from, bytes } => self.handle_event(Event::Message { from, bytes }),
         }
     }
 
-    /// Takes a cache server out or calls it back. `None` if nobody has that name.
-    pub fn set_by_hand(self: &Rc<Self>, server: &ServerId, out: bool) -> Option<std::io::Result<()>> {
-        if !self.by_hand.is_out(server) && !self.balancer.borrow().lists(server) {
+    /// Disables or enables a cache server. Returns `None` if no server has that name, otherwise whether the
+    /// state was written to the file.
+    pub fn set_disabled(self: &Rc<Self>, server: &ServerId, disabled: bool) -> Option<std::io::Result<()>> {
+        if !self.disabled_servers.is_disabled(server) && !self.balancer.borrow().lists(server) {
             return None;
         }
-        let changed = self.by_hand.set(server, out, self.clock.now(), self.ramp);
-        self.tell_by_hand(changed.0);
-        Some(changed.1)
+        let result =
+            self.disabled_servers.set_disabled(server, disabled, self.clock.now(), self.enabled_at_retention);
+        self.apply_disabled_changes(result.0);
+        Some(result.1)
     }
 
-    /// Another process of this node may have been told.
-    fn look_by_hand(self: &Rc<Self>) {
-        self.tell_by_hand(self.by_hand.follow());
+    /// Applies changes that another process of this node has written.
+    fn reload_disabled_servers(self: &Rc<Self>) {
+        self.apply_disabled_changes(self.disabled_servers.reload());
     }
 
-    /// Follows what the node's other process may be told.
-    pub async fn follow_by_hand(self: Rc<Self>) {
+    /// Polls for changes by the node's other process.
+    pub async fn watch_disabled_servers(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
-            self.look_by_hand();
+            sleep(DISABLED_FILE_POLL_INTERVAL).await;
+            self.reload_disabled_servers();
         }
     }
 
-    /// The host sends nothing to a server that is out from the same moment on.
-    fn tell_by_hand(self: &Rc<Self>, changes: Vec<Change>) {
-        for Change { server, back } in changes {
-            eprintln!("{} {}", server.0, if back.is_some() { "called back" } else { "out by hand" });
-            self.tell(Event::ByHand { server, back });
+    /// Passes the changes to the balancer. Upstreams refuse to send to a server from the moment it is
+    /// disabled.
+    fn apply_disabled_changes(self: &Rc<Self>, changes: Vec<DisabledChange>) {
+        for DisabledChange { server, enabled_at } in changes {
+            eprintln!(
+                "{} {}",
+                server.0,
+                if enabled_at.is_some() { "enabled by an operator" } else { "disabled by an operator" }
+            );
+            self.handle_event(Event::ByHand { server, back: enabled_at });
         }
     }
 
     // ---- Requests -------------------------------------------------------------------------------------
 
-    /// Takes a request. The ticket brings its one final answer.
-    pub fn take(self: &Rc<Self>, arrival: Arrival) -> Ticket {
+    /// Submits a request. The returned value yields its one final answer.
+    pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> PendingAnswer {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
-        let (answer, answered) = oneshot::channel();
-        let payload = Rc::new(arrival.payload);
-        // Of a long body only a bound is known until it has come.
-        let coming = payload.content.long().inspect(|long| self.follow_body(id, long, arrival.left));
-        let left = arrival.left + coming.map_or(Duration::ZERO, |long| long.may_take());
-        let coming = coming.is_some();
-        let (deadline, until) = watch::channel(Instant::now() + left);
-        self.open.borrow_mut().insert(id, Open { payload, answer, attempts: 0, deadline });
-        let ticket = Ticket { id, host: Rc::clone(self), answered, until, taken: Some(arrival.taken) };
-        self.tell(Event::Request(NewRequest {
+        let (answer, answer_receiver) = oneshot::channel();
+        let payload = Rc::new(incoming.payload);
+        // Until a streamed body has arrived, only an upper bound of the time left is known.
+        let streamed_body =
+            payload.content.streamed().inspect(|body| self.follow_body(id, body, incoming.time_left));
+        let left =
+            incoming.time_left + streamed_body.map_or(Duration::ZERO, |body| body.max_remaining_time());
+        let streamed_body = streamed_body.is_some();
+        let (deadline, deadline_changes) = watch::channel(Instant::now() + left);
+        self.open.borrow_mut().insert(id, OpenRequest { payload, answer, attempts: 0, deadline });
+        let pending = PendingAnswer {
+            id,
+            host: Rc::clone(self),
+            answer_receiver,
+            deadline_changes,
+            active_request: Some(incoming.active_request),
+        };
+        self.handle_event(Event::Request(NewRequest {
             id,
             left: left.as_secs_f64(),
-            class: arrival.class,
-            tenant: arrival.tenant,
-            key: Some(arrival.key),
-            write: arrival.write,
-            work: arrival.work,
-            coming,
+            class: incoming.class,
+            tenant: incoming.tenant,
+            key: Some(incoming.key),
+            write: incoming.write,
+            work: incoming.work,
+            coming: streamed_body,
         }));
-        ticket
+        pending
     }
 
-    /// Tells the module what becomes of a long body.
-    fn follow_body(self: &Rc<Self>, request: RequestId, body: &Long, left: Duration) {
+    /// Reports the progress of a streamed body to the balancer.
+    fn follow_body(self: &Rc<Self>, request: RequestId, body: &StreamedBody, left: Duration) {
         let host = Rc::clone(self);
-        body.on_news(move |news| match news {
-            News::Spent => host.tell(Event::Spent(request)),
-            News::Received => {
+        body.on_event(move |event| match event {
+            BodyEvent::Consumed => host.handle_event(Event::Spent(request)),
+            BodyEvent::Received => {
                 host.move_deadline(request, Instant::now() + left);
-                host.tell(Event::Received { request, left: left.as_secs_f64() });
+                host.handle_event(Event::Received { request, left: left.as_secs_f64() });
             }
         });
     }
 
     fn answer(&self, request: RequestId, answer: Answer) {
         if let Some(open) = self.open.borrow_mut().remove(&request) {
-            // A client that has left hears nothing; its ticket tells the module.
+            // If the client has disconnected, nobody receives this; dropping the `PendingAnswer` informs the
+            // balancer.
             let _ = open.answer.send(answer);
         }
     }
 
-    /// Returns the deadline until now, if the request is open.
+    /// Changes a request's deadline. Returns the previous one, or `None` if the request has been answered.
     fn move_deadline(&self, request: RequestId, to: Instant) -> Option<Instant> {
         self.open.borrow().get(&request).map(|open| open.deadline.send_replace(to))
     }
 
-    /// Nobody waits for this request any more, if it was still open.
+    /// Withdraws a request that has no answer yet, as its client has disconnected.
     fn withdraw(self: &Rc<Self>, request: RequestId) {
         let open = self.open.borrow_mut().remove(&request);
         if open.is_some() {
-            self.tell(Event::Withdrawn(request));
+            self.handle_event(Event::Withdrawn(request));
         }
     }
 
     // ---- Attempts -------------------------------------------------------------------------------------
 
-    fn launch(self: &Rc<Self>, request: RequestId, server: ServerId, timeout: Option<Seconds>) {
+    fn start_attempt(self: &Rc<Self>, request: RequestId, server: ServerId, timeout: Option<Seconds>) {
         let mut requests = self.open.borrow_mut();
-        // The module ends what the host has ended before it sends anything more.
+        // The balancer learns of every answered request before it sends another attempt.
         let Some(open) = requests.get_mut(&request) else {
-            debug_assert!(false, "an attempt for a request that is over");
+            debug_assert!(false, "an attempt for a request that has been answered");
             return;
         };
         let number = open.attempts;
@@ -305,8 +326,8 @@
             host: Rc::clone(self),
             request,
             number,
-            launched: Instant::now(),
-            sent: Sent::default(),
+            started_at: Instant::now(),
+            write_state: WriteState::default(),
             reported: false,
         };
         spawn_local(async move {
@@ -319,87 +340,88 @@
             };
             let mut stop = std::pin::pin!(stop);
             let open = || attempt.host.open.borrow().contains_key(&request);
-            let answering = tokio::select! {
+            let reply_head = tokio::select! {
                 biased;
-                answering = upstreams.exchange(&server, &payload, wait, &attempt.sent, open) => answering,
+                reply_head = upstreams.exchange(&server, &payload, wait, &attempt.write_state, open) => reply_head,
                 (written, unwritten) = stop.as_mut() => Err(attempt.stopped(written, unwritten)),
             };
-            let ended = match answering {
+            let ended = match reply_head {
                 Err(ended) => ended,
-                Ok(answering) if answering.may_be_long() => {
-                    attempt.pass_on(&server, &payload.id, answering).await
+                Ok(reply_head) if reply_head.may_be_long() => {
+                    attempt.stream_reply(&server, &payload.id, reply_head).await
                 }
-                Ok(answering) => tokio::select! {
+                Ok(reply_head) => tokio::select! {
                     biased;
-                    ended = upstreams.read(&server, answering) => ended,
+                    ended = upstreams.read(&server, reply_head) => ended,
                     (written, unwritten) = stop => attempt.stopped(written, unwritten),
                 },
             };
-            attempt.end(ended);
+            attempt.finish(ended);
         });
     }
 
-    fn on_ended(self: &Rc<Self>, attempt: &Attempt, ended: Ended) {
+    fn on_attempt_end(self: &Rc<Self>, attempt: &Attempt, ended: AttemptEnd) {
         self.attempts.borrow_mut().remove(&(attempt.request, attempt.number));
         let status = ended.status;
         if let Some(reply) = ended.reply {
             self.answer(attempt.request, Answer::Served(reply));
         }
         let finished = !self.open.borrow().contains_key(&attempt.request);
-        self.tell(Event::Outcome(Outcome {
+        self.handle_event(Event::Outcome(Outcome {
             request: attempt.request,
             attempt: AttemptId(attempt.number),
             status,
-            elapsed: attempt.launched.elapsed().as_secs_f64(),
+            elapsed: attempt.started_at.elapsed().as_secs_f64(),
             finished,
             note: ended.note,
         }));
     }
 }
 
-/// An attempt that is out. It reports exactly one outcome, also when its task panics.
+/// An attempt in flight. It reports exactly one outcome, even if its task panics.
 struct Attempt {
     host: Rc<Host>,
     request: RequestId,
     number: u32,
-    launched: Instant,
-    sent: Sent,
+    started_at: Instant,
+    write_state: WriteState,
     reported: bool,
 }
 
 impl Attempt {
-    /// The node has stopped waiting. What was not written whole can't have run.
-    fn stopped(&self, written: Status, unwritten: Status) -> Ended {
-        Ended::without_reply(if self.sent.whole() { written } else { unwritten })
+    /// Returns the result of an attempt that was stopped. A request that was not written completely can't
+    /// have run.
+    fn stopped(&self, written: Status, unwritten: Status) -> AttemptEnd {
+        AttemptEnd::without_reply(if self.write_state.is_complete() { written } else { unwritten })
     }
 
-    /// From the head of a long answer on, no timer cuts it, and with the first byte that goes on the client has its
-    /// final answer.
-    async fn pass_on(&self, server: &ServerId, id: &HeaderValue, answering: Answering) -> Ended {
-        let (request, attempt, note) = (self.request, AttemptId(self.number), answering.note());
-        self.host.tell(Event::StreamStarted { request, attempt, note });
-        let deadline = self.host.move_deadline(request, Instant::now() + BEGIN);
-        let mut ended = self.host.upstreams.read(server, answering).await;
+    /// Streams a long response. From its head on no timer cuts it off; its first forwarded byte is the
+    /// client's final answer.
+    async fn stream_reply(&self, server: &ServerId, id: &HeaderValue, reply_head: ReplyHead) -> AttemptEnd {
+        let (request, attempt, note) = (self.request, AttemptId(self.number), reply_head.note());
+        self.host.handle_event(Event::StreamStarted { request, attempt, note });
+        let deadline = self.host.move_deadline(request, Instant::now() + FIRST_DATA_TIMEOUT);
+        let mut ended = self.host.upstreams.read(server, reply_head).await;
         if let (None, Some(deadline)) = (&ended.reply, deadline) {
-            // It broke off unseen, and may be had elsewhere if there is time.
+            // The client has seen nothing of the response, so another attempt is possible if there is time.
             self.host.move_deadline(request, deadline);
         }
-        if let Some(rest) = ended.rest.take() {
+        if let Some(remainder) = ended.remainder.take() {
             if let Some(reply) = ended.reply.take() {
                 self.host.answer(request, Answer::Served(reply));
             }
-            ended.status = self.host.upstreams.finish(server, rest).await;
+            ended.status = self.host.upstreams.finish(server, remainder).await;
             if ended.status == Status::Broken {
-                eprintln!("{} broke off a long answer to request {:?}", server.0, id);
+                eprintln!("server {} broke off a streamed response to request {:?}", server.0, id);
             }
         }
         ended
     }
 
-    fn end(mut self, ended: Ended) {
+    fn finish(mut self, ended: AttemptEnd) {
         self.reported = true;
         let host = Rc::clone(&self.host);
-        host.on_ended(&self, ended);
+        host.on_attempt_end(&self, ended);
     }
 }
 
@@ -407,54 +429,56 @@
     fn drop(&mut self) {
         if !self.reported {
             let host = Rc::clone(&self.host);
-            host.on_ended(self, self.stopped(Status::Broken, Status::Void));
+            host.on_attempt_end(self, self.stopped(Status::Broken, Status::Void));
         }
     }
 }
 
-/// A client's claim to one final answer. Dropped before that, the client has gone away.
-pub struct Ticket {
+/// Waits for the final answer to one request. If it is dropped earlier, the client has disconnected and the
+/// request is withdrawn.
+pub struct PendingAnswer {
     id: RequestId,
     host: Rc<Host>,
-    answered: oneshot::Receiver<Answer>,
-    until: watch::Receiver<Instant>,
-    taken: Option<Taken>,
+    answer_receiver: oneshot::Receiver<Answer>,
+    deadline_changes: watch::Receiver<Instant>,
+    active_request: Option<ActiveRequest>,
 }
 
-impl Ticket {
-    /// Waits for the module's answer, but not past the deadline: a silent module must not lose a request. What has
-    /// not ended with its answer ends with the last byte of that.
-    pub async fn answer(mut self) -> (Answer, Option<Taken>) {
+impl PendingAnswer {
+    /// Waits for the balancer's answer, but not past the deadline, so that a request is answered even if the
+    /// balancer stays silent. For a streamed reply, the metrics entry is returned and ends with the last
+    /// byte.
+    pub async fn answer(mut self) -> (Answer, Option<ActiveRequest>) {
         let answer = loop {
-            let until = *self.until.borrow_and_update();
+            let deadline = *self.deadline_changes.borrow_and_update();
             tokio::select! {
-                answer = &mut self.answered => break answer.unwrap_or(Answer::Failed),
-                () = sleep_until(until.into()) => break Answer::Overdue,
-                // No sender is left once there is an answer.
-                Ok(()) = self.until.changed() => {}
+                answer = &mut self.answer_receiver => break answer.unwrap_or(Answer::Failed),
+                () = sleep_until(deadline.into()) => break Answer::DeadlineExceeded,
+                // Fails once there is an answer, as the sender is gone.
+                Ok(()) = self.deadline_changes.changed() => {}
             }
         };
-        let taken = self.taken.take();
+        let active_request = self.active_request.take();
         let end = match &answer {
-            Answer::Served(Reply { body: Answered::Passing(_), .. }) => return (answer, taken),
-            Answer::Served(_) => End::Success,
-            Answer::Refused(_) => End::Busy,
-            Answer::Failed | Answer::Overdue => End::Failure,
+            Answer::Served(Reply { body: ReplyBody::Streamed(_), .. }) => return (answer, active_request),
+            Answer::Served(_) => RequestEnd::Success,
+            Answer::Refused(_) => RequestEnd::Busy,
+            Answer::Failed | Answer::DeadlineExceeded => RequestEnd::Failure,
         };
-        if let Some(taken) = taken {
-            taken.end(end);
+        if let Some(active_request) = active_request {
+            active_request.finish(end);
         }
         (answer, None)
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         self.host.withdraw(self.id);
     }
 }
 
-/// What the module gives as a time; never a panic on odd ones.
+/// Converts a time from the balancer. Negative, infinite or too large values don't panic.
 fn duration(seconds: Seconds) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
 }
--- a/node/src/lifecycle.rs
+++ b/node/src/lifecycle.rs
@@ -1,22 +1,22 @@
-//! What the node is about: one state that readiness, the acceptor and every connection go by.
+//! The node's state, which decides about readiness, accepting and the closing of connections.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// In a drain, and where another process goes on in this one's place, connections between requests are closed so
-/// long after the begin: until then their clients go on using them, and each answer asks for the close. The front
-/// sends a node that drains new ones for some 0.3 s, and a process that is followed is killed after 2.7 s at the
-/// latest, or after the longest deadline and 0.7 s.
-const LATE: Duration = Duration::from_millis(600);
+/// When draining, or stopping with a successor process, idle connections are closed after this delay: until
+/// then clients keep using them, and each answer asks for the close. The load balancer in front keeps
+/// sending new connections to a draining node for about 0.3 s; a process with a successor is killed 2.7 s
+/// after the signal, or 0.7 s after the longest deadline.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Serving,
-    /// Takes what comes, keeps no connection, and may go back to serving.
+    /// Accepts requests but keeps no connection open; may return to serving.
     Draining,
-    /// Ends once all that it took is answered.
+    /// Exits once every accepted request has been answered.
     Stopping,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A state, and when connections between requests are to be closed.
+/// The state, and the time from which idle connections are closed.
 type Phase = (State, Instant);
 
 pub struct Lifecycle(watch::Sender<Phase>);
@@ -44,21 +44,22 @@
         self.0.borrow().0
     }
 
-    /// False where the node is stopping: that can't be taken back.
+    /// Returns false if the node is stopping, which can't be reverted.
     pub fn drain(&self) -> bool {
-        self.change(State::Draining, Instant::now() + LATE)
+        self.change(State::Draining, Instant::now() + IDLE_CLOSE_DELAY)
     }
 
     pub fn resume(&self) -> bool {
         self.change(State::Serving, Instant::now())
     }
 
-    pub fn stop(&self, followed: bool) {
-        let late = if followed { LATE } else { Duration::ZERO };
-        self.change(State::Stopping, Instant::now() + late);
+    pub fn stop(&self, has_successor: bool) {
+        let delay = if has_successor { IDLE_CLOSE_DELAY } else { Duration::ZERO };
+        self.change(State::Stopping, Instant::now() + delay);
     }
 
-    /// Saying the same twice changes nothing, so a second drain does not put off the first one's end.
+    /// Setting the current state again changes nothing, so a second drain does not postpone the close of
+    /// idle connections.
     fn change(&self, to: State, close_from: Instant) -> bool {
         let changed = self.0.send_if_modified(|phase| {
             let changes = phase.0 != to && phase.0 != State::Stopping;
@@ -68,18 +69,18 @@
             changes
         });
         if changed {
-            eprintln!("now {}", to.name());
+            eprintln!("state changed to {}", to.name());
         }
         self.state() == to
     }
 
     pub async fn stopped(&self) {
-        // The sender is at hand, so that there is no error.
+        // Can't fail, as `self` holds the sender.
         let _ = self.0.subscribe().wait_for(|(state, _)| *state == State::Stopping).await;
     }
 
-    /// Waits until connections between requests are to be closed.
-    pub async fn closes_idle(&self) {
+    /// Waits until idle connections are to be closed.
+    pub async fn wait_for_idle_close(&self) {
         let mut phase = self.0.subscribe();
         loop {
             let (state, close_from) = *phase.borrow_and_update();
@@ -100,9 +101,9 @@
     use super::*;
 
     #[test]
-    fn a_drain_ends_with_a_resume_and_a_stop_never() {
+    fn a_drain_can_be_resumed_but_a_stop_cannot() {
         let lifecycle = Lifecycle::new();
-        assert!(lifecycle.resume(), "nothing to take back");
+        assert!(lifecycle.resume(), "serving already");
         assert!(lifecycle.drain() && lifecycle.drain());
         assert_eq!(lifecycle.state(), State::Draining);
         assert!(lifecycle.resume());
@@ -114,22 +115,22 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn idle_connections_outlive_the_begin_of_a_drain_but_not_a_stop() {
+    async fn idle_connections_are_closed_after_a_delay_in_a_drain_and_at_once_in_a_stop() {
         let lifecycle = Lifecycle::new();
         let began = Instant::now();
         lifecycle.drain();
-        lifecycle.closes_idle().await;
-        assert_eq!(began.elapsed(), LATE);
+        lifecycle.wait_for_idle_close().await;
+        assert_eq!(began.elapsed(), IDLE_CLOSE_DELAY);
         lifecycle.resume();
-        assert!(tokio::time::timeout(LATE * 10, lifecycle.closes_idle()).await.is_err());
+        assert!(tokio::time::timeout(IDLE_CLOSE_DELAY * 10, lifecycle.wait_for_idle_close()).await.is_err());
         lifecycle.drain();
         lifecycle.stop(false);
         let stopped = Instant::now();
-        lifecycle.closes_idle().await;
+        lifecycle.wait_for_idle_close().await;
         assert_eq!(stopped.elapsed(), Duration::ZERO);
         let lifecycle = Lifecycle::new();
         lifecycle.stop(true);
-        lifecycle.closes_idle().await;
-        assert_eq!(stopped.elapsed(), LATE, "where another process follows, late");
+        lifecycle.wait_for_idle_close().await;
+        assert_eq!(stopped.elapsed(), IDLE_CLOSE_DELAY, "delayed if there is a successor");
     }
 }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes. They may be lost, so nobody waits for one.
+//! UDP messages between nodes. Delivery is not guaranteed, so no code waits for one.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,95 +10,94 @@
 use tokio::time::sleep;
 
 use crate::config::Config;
-use crate::handle::{Handle, Heard};
+use crate::handle::{HostEvent, HostHandle};
 use crate::lifecycle::Lifecycle;
 
-/// Longest message that nodes may send.
-const LONGEST: usize = 256;
-/// Pause before the address is tried again that an older process of this node has not let go yet.
-const TAKEN_PAUSE: Duration = Duration::from_millis(50);
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Interval for retrying to bind the address while an older process of this node still holds it.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 pub struct Peers {
-    /// `None` while another process of this node has the address: messages may be lost at any time.
+    /// `None` while another process of this node holds the address; messages are lost during that time.
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    own: SocketAddr,
-    /// Processes follow one another here, so the address is let go at a stop.
-    handed_on: bool,
-    /// By node number, this node among them.
+    own_addr: SocketAddr,
+    /// Another process may succeed this one, so the address is released when this one stops.
+    releases_on_stop: bool,
+    /// Indexed by node number, including this node.
     peers: Vec<SocketAddr>,
-    /// What reaches every node at once, where there is such an address.
-    all: Option<SocketAddr>,
+    /// An address that reaches every node at once, if there is one.
+    broadcast_addr: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// `None` where the deployment lets nodes not talk.
+    /// Returns `None` if messages between nodes are disabled.
     pub async fn bind(config: &Config) -> io::Result<Option<Self>> {
         let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peers) else {
             return Ok(None);
         };
         let socket = match UdpSocket::bind(listen).await {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && config.socket.is_some() => None,
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && config.listener_fd.is_some() => None,
             bound => Some(Rc::new(bound?)),
         };
-        let own = socket.as_ref().map_or(Ok(listen), |socket| socket.local_addr())?;
+        let own_addr = socket.as_ref().map_or(Ok(listen), |socket| socket.local_addr())?;
         Ok(Some(Peers {
             socket: RefCell::new(socket),
-            own,
-            handed_on: config.socket.is_some(),
+            own_addr,
+            releases_on_stop: config.listener_fd.is_some(),
             peers: config.peers.clone(),
-            all: config.peers_all,
+            broadcast_addr: config.peer_broadcast,
         }))
     }
 
-    /// Sends to all nodes. What the socket does not take at once is lost, as it may be on the way.
-    pub fn tell(&self, bytes: &[u8]) {
-        if bytes.len() > LONGEST {
+    /// Sends to all other nodes. A message that the socket does not accept at once is lost.
+    pub fn send(&self, bytes: &[u8]) {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return;
         }
         let Some(socket) = self.socket.borrow().clone() else { return };
-        let each = if self.all.is_some() { &[][..] } else { &self.peers };
-        for addr in self.all.iter().chain(each).filter(|addr| **addr != self.own) {
+        let unicast_addrs = if self.broadcast_addr.is_some() { &[][..] } else { &self.peers };
+        for addr in self.broadcast_addr.iter().chain(unicast_addrs).filter(|addr| **addr != self.own_addr) {
             let _ = socket.try_send_to(bytes, *addr);
         }
     }
 
-    /// Hands on what other nodes send, until the address is another process's.
-    pub async fn serve(&self, handle: &Handle, lifecycle: &Lifecycle) {
+    /// Reports messages of other nodes until the address is released for another process.
+    pub async fn serve(&self, handle: &HostHandle, lifecycle: &Lifecycle) {
         tokio::select! {
             () = self.listen(handle) => {}
-            () = lifecycle.stopped(), if self.handed_on => {}
+            () = lifecycle.stopped(), if self.releases_on_stop => {}
         }
         self.socket.take();
     }
 
-    /// Drops what comes from elsewhere or is too long.
-    async fn listen(&self, handle: &Handle) {
-        let socket = self.bound().await;
-        let mut buffer = [0; LONGEST + 1];
+    /// Messages from unknown senders and oversized ones are dropped.
+    async fn listen(&self, handle: &HostHandle) {
+        let socket = self.bound_socket().await;
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
-            // An error here reports an earlier send that reached nobody.
+            // An error here belongs to an earlier send that could not be delivered.
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            // An own message that comes back must not pass for a second node's finding.
-            if sender == self.own {
+            // A message of this node's own that is looped back must not count as another node's observation.
+            if sender == self.own_addr {
                 continue;
             }
             let Some(from) = self.peers.iter().position(|peer| *peer == sender) else { continue };
-            if length <= LONGEST {
-                handle.tell(Heard::Peer { from: from as u32, bytes: buffer[..length].to_vec() });
+            if length <= MAX_MESSAGE_BYTES {
+                handle.send(HostEvent::PeerMessage { from: from as u32, bytes: buffer[..length].to_vec() });
             }
         }
     }
 
-    async fn bound(&self) -> Rc<UdpSocket> {
+    async fn bound_socket(&self) -> Rc<UdpSocket> {
         loop {
             if let Some(socket) = self.socket.borrow().clone() {
                 return socket;
             }
-            sleep(TAKEN_PAUSE).await;
-            if let Ok(socket) = UdpSocket::bind(self.own).await {
+            sleep(BIND_RETRY_INTERVAL).await;
+            if let Ok(socket) = UdpSocket::bind(self.own_addr).await {
                 self.socket.replace(Some(Rc::new(socket)));
             }
         }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -1,4 +1,4 @@
-//! The client side: accepts connections, reads requests, writes the final answers.
+//! The client side: accepts connections, reads requests and writes the answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,162 +26,174 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-use crate::body::{Content, Fault, Long};
+use crate::body::{BodyError, RequestBody, StreamedBody};
 use crate::config::Config;
-use crate::figures::{End, Taken};
-use crate::host::{Answer, Arrival, Host, Ticket};
+use crate::host::{Answer, Host, IncomingRequest, PendingAnswer};
 use crate::lifecycle::{Lifecycle, State};
-use crate::upstream::{Answered, Payload, DEADLINE_MS, IDEMPOTENCY_KEY, REQUEST_ID};
+use crate::metrics::{ActiveRequest, RequestEnd};
+use crate::upstream::{Payload, ReplyBody, DEADLINE_MS, IDEMPOTENCY_KEY, REQUEST_ID};
 
 const CLASS: HeaderName = HeaderName::from_static("x-class");
 const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 const COST_HINT: HeaderName = HeaderName::from_static("x-cost-hint");
 
-/// What a request may have spent on its way here, in the kernel and in this node's queue, since the client's
-/// clock started; and what its answer needs back. Of a client that waits for less than most, a part of its time
-/// only: otherwise it would be given up while its answer could still be of use.
-const TRANSIT: Duration = Duration::from_millis(10);
-const TRANSIT_PART: u32 = 20;
-/// A connection that idles is closed no sooner than after 2 s by the terms, and a client may take 2 s for a head.
-const HEAD_TIME: Duration = Duration::from_millis(2200);
-/// Who sends nothing, or a first head that never ends, is owed a close within 3 s of connecting.
-const FIRST_HEAD_TIME: Duration = Duration::from_millis(2800);
-/// A body may pause for so long altogether beyond what its least rate allows: clients write small ones in pieces. On
-/// a new connection the 3 s bind it too, but a body whose head took most of them gets the least.
+/// Time allowed for a request's way here, including kernel and node queues, since the client's clock
+/// started, and for the way back of the answer. For a client with a short wait it is only a fraction of the
+/// wait; otherwise requests would be given up that could still be answered in time.
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(10);
+const TRANSIT_DIVISOR: u32 = 20;
+/// By the service contract an idle connection stays open for at least 2 s, and a client may take 2 s to send
+/// a head.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// A client that sends nothing, or never completes its first head, must be disconnected within 3 s of
+/// connecting.
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
+/// Total time by which a body may fall behind the minimum rate, as clients write small bodies in pieces. The
+/// first body on a connection only gets what its head has left of the 3 s, but at least `MIN_BODY_GRACE`.
 const BODY_GRACE: Duration = Duration::from_millis(2000);
-const LEAST_GRACE: Duration = Duration::from_millis(500);
-/// Clients take seconds to read a long answer, and servers to go on with one; one of which nothing moves for so long
-/// is given up.
-const STALL: Duration = Duration::from_secs(30);
-/// How often a connection is looked at, as its state may have changed meanwhile.
-const LOOK: Duration = Duration::from_millis(400);
-const LONGEST_HEAD: usize = 32 << 10;
-/// Most that is read ahead, in pieces, while a request waits, to see whether its client is still there. Clients that
-/// sent much at once and left had up to 35 kB behind a request in plays.
-const MOST_AHEAD: usize = 2 * LONGEST_HEAD;
-const PIECE: usize = 8 << 10;
-/// Behind more than that, how often the kernel is asked: by the terms nothing is sent on 0.3 s after the end.
-const LOOK_BEHIND: Duration = Duration::from_millis(50);
-/// Longest wait that is believed of a client.
-const LONGEST_WAIT: u64 = 3_600_000;
-/// After the signal to stop, new connections go on coming for up to 0.4 s.
-const STILL_ACCEPTING: Duration = Duration::from_millis(600);
-/// Pause when no descriptor is left for a connection, or nobody yet to send to.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-
-/// Client connections: how many are open, and which are idle, the longest first.
-pub struct Clients {
-    most: Cell<usize>,
+const MIN_BODY_GRACE: Duration = Duration::from_millis(500);
+/// Clients may take seconds to read a long response, and servers to continue one. A response without any
+/// progress for this long is abandoned.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often the time-out of a connection is checked again, as its state may have changed.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Limits what is read ahead, in chunks, while a request waits, in order to detect that its client has
+/// disconnected. In test runs, clients that sent several requests at once and disconnected left up to 35 kB
+/// behind the current request.
+const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_HEAD_BYTES;
+const READ_CHUNK_BYTES: usize = 8 << 10;
+/// Interval for polling the kernel for a disconnect once the read-ahead limit is reached. By the service
+/// contract no attempt is sent later than 0.3 s after the client's disconnect.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest wait that a client may state.
+const MAX_CLIENT_WAIT_MS: u64 = 3_600_000;
+/// After the stop signal, new connections may arrive for up to 0.4 s.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(600);
+/// Delay after a failed accept, for example because no descriptor is free, and interval of the wait for a
+/// first server.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// All client connections: how many are open, and which of them are idle, the longest idle first.
+pub struct ClientConnections {
+    limit: Cell<usize>,
     open: Cell<usize>,
-    next: Cell<u64>,
-    idle: RefCell<BTreeMap<u64, Rc<Client>>>,
-    /// One has left, or may give way.
+    next_idle_seq: Cell<u64>,
+    idle: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// Signalled when a connection has closed or may be closed to make room.
     changed: Notify,
 }
 
-/// One client connection, counted until it is dropped.
-struct Client {
-    clients: Rc<Clients>,
-    /// Its place among the idle ones while it is idle.
-    place: Cell<Option<u64>>,
-    /// Asks it to close.
-    close: Notify,
-    /// Its first request has come.
-    begun: watch::Sender<bool>,
-    came: Instant,
-    /// When a byte last came or went, or an answer ended.
-    moved: Cell<Instant>,
-    /// When the head began to come that is not whole yet.
-    head: Cell<Option<Instant>>,
-    /// An answer is on its way out.
-    answering: Cell<bool>,
-    /// Its place is another's.
-    gives_way: Cell<bool>,
-    /// Something that was begun to be written has not all gone out yet.
-    unsent: Cell<bool>,
-    /// An answer has broken off, and its client has to see that it is not whole.
-    broken: Cell<bool>,
+/// One client connection.
+struct ClientConnection {
+    clients: Rc<ClientConnections>,
+    /// Key in `ClientConnections::idle` while the connection is idle.
+    idle_seq: Cell<Option<u64>>,
+    /// Asks the connection's task to close it.
+    close_requested: Notify,
+    /// Whether the first request has arrived.
+    first_request_seen: watch::Sender<bool>,
+    accepted_at: Instant,
+    /// When a byte was last read or written, or an answer ended.
+    last_activity: Cell<Instant>,
+    /// When the first byte of an incomplete head arrived.
+    head_started: Cell<Option<Instant>>,
+    /// An answer is being sent.
+    sending_answer: Cell<bool>,
+    /// The connection is to be closed to make room for another.
+    evicted: Cell<bool>,
+    /// Data of a write has not been flushed yet.
+    has_unsent_data: Cell<bool>,
+    /// A response broke off, which the client must be able to detect.
+    answer_truncated: Cell<bool>,
 }
 
-impl Client {
-    fn idle(self: &Rc<Self>) {
-        let place = self.clients.next.replace(self.clients.next.get() + 1);
-        self.place.set(Some(place));
-        self.clients.idle.borrow_mut().insert(place, Rc::clone(self));
-        self.answering.set(false);
-        self.moved.set(Instant::now());
+impl ClientConnection {
+    fn set_idle(self: &Rc<Self>) {
+        let idle_seq = self.clients.next_idle_seq.replace(self.clients.next_idle_seq.get() + 1);
+        self.idle_seq.set(Some(idle_seq));
+        self.clients.idle.borrow_mut().insert(idle_seq, Rc::clone(self));
+        self.sending_answer.set(false);
+        self.last_activity.set(Instant::now());
     }
 
-    fn busy(self: &Rc<Self>) -> Busy {
-        self.head.set(None);
+    fn set_busy(self: &Rc<Self>) -> BusyGuard {
+        self.head_started.set(None);
         self.leave_idle();
-        Busy(Rc::clone(self))
+        BusyGuard(Rc::clone(self))
     }
 
     fn leave_idle(&self) {
-        if let Some(place) = self.place.take() {
-            self.clients.idle.borrow_mut().remove(&place);
+        if let Some(idle_seq) = self.idle_seq.take() {
+            self.clients.idle.borrow_mut().remove(&idle_seq);
         }
     }
 
     fn is_idle(&self) -> bool {
-        self.place.get().is_some()
+        self.idle_seq.get().is_some()
     }
 
-    fn on_moved(&self, read: bool) {
+    fn on_activity(&self, read: bool) {
         let now = Instant::now();
-        self.moved.set(now);
-        if read && self.is_idle() && self.head.get().is_none() {
-            self.head.set(Some(now));
+        self.last_activity.set(now);
+        if read && self.is_idle() && self.head_started.get().is_none() {
+            self.head_started.set(Some(now));
         }
     }
 
-    /// When it is to be given up, as things stand; `None` while it waits for its answer, which has a time of its own.
-    fn due(&self) -> Option<Instant> {
-        // An answer that hyper holds whole is still the client's to read.
-        if !self.is_idle() || self.unsent.get() {
-            return (self.answering.get() || self.unsent.get()).then(|| self.moved.get() + STALL);
+    /// When the connection times out in its present state; `None` while a request waits for its answer,
+    /// which has its own deadline.
+    fn expires_at(&self) -> Option<Instant> {
+        // hyper may hold all of a response while the client is still reading it.
+        if !self.is_idle() || self.has_unsent_data.get() {
+            return (self.sending_answer.get() || self.has_unsent_data.get())
+                .then(|| self.last_activity.get() + STALL_TIMEOUT);
         }
-        let due = self.head.get().unwrap_or(self.moved.get()) + HEAD_TIME;
-        Some(if *self.begun.borrow() { due } else { due.min(self.came + FIRST_HEAD_TIME) })
+        let expires_at = self.head_started.get().unwrap_or(self.last_activity.get()) + HEAD_TIMEOUT;
+        Some(if *self.first_request_seen.borrow() {
+            expires_at
+        } else {
+            expires_at.min(self.accepted_at + FIRST_HEAD_TIMEOUT)
+        })
     }
 
-    /// How long the body of the request that has just begun may pause.
-    fn grace(&self) -> Duration {
-        let first = !self.begun.send_replace(true);
-        let left = FIRST_HEAD_TIME.saturating_sub(self.came.elapsed());
+    /// Marks the first request as seen and returns how long the body of the new request may pause.
+    fn begin_request(&self) -> Duration {
+        let first = !self.first_request_seen.send_replace(true);
+        let left = FIRST_HEAD_TIMEOUT.saturating_sub(self.accepted_at.elapsed());
         if first {
-            left.clamp(LEAST_GRACE, BODY_GRACE)
+            left.clamp(MIN_BODY_GRACE, BODY_GRACE)
         } else {
             BODY_GRACE
         }
     }
 
-    fn is_overdue(&self) -> bool {
-        self.due().is_some_and(|due| due <= Instant::now())
+    fn is_expired(&self) -> bool {
+        self.expires_at().is_some_and(|expires_at| expires_at <= Instant::now())
     }
 
-    async fn overdue(&self) {
-        while !self.is_overdue() {
-            let look = Instant::now() + LOOK;
-            sleep_until(self.due().map_or(look, |due| due.min(look)).into()).await;
+    async fn expired(&self) {
+        while !self.is_expired() {
+            let next_check = Instant::now() + TIMEOUT_CHECK_INTERVAL;
+            sleep_until(self.expires_at().map_or(next_check, |expires_at| expires_at.min(next_check)).into())
+                .await;
         }
     }
 }
 
-/// A request that has come and not been answered to its last byte.
-struct Busy(Rc<Client>);
+/// Marks the connection as busy from the arrival of a request to the last byte of its answer.
+struct BusyGuard(Rc<ClientConnection>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.0.idle();
+        self.0.set_idle();
     }
 }
 
-/// The connection's end of a client: it leaves with its task.
-struct Joined(Rc<Client>);
+/// Counts a connection as open until its task ends.
+struct ConnectionGuard(Rc<ClientConnection>);
 
-impl Drop for Joined {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let clients = &self.0.clients;
         self.0.leave_idle();
@@ -190,29 +202,31 @@
     }
 }
 
-/// A client's stream, and what was read of it ahead of hyper while a request waited.
-struct Stream {
+/// A client's TCP stream, and the bytes read from it ahead of hyper while a request waited.
+struct ClientStream {
     tcp: TcpStream,
-    ahead: RefCell<BytesMut>,
+    read_ahead: RefCell<BytesMut>,
 }
 
-impl Stream {
-    /// Ends once the client has left. Only while a request waits for its answer: hyper looks for that as well, but
-    /// neither past bytes that lie behind the request, nor past those of its body that nobody takes yet.
-    async fn left(&self) {
+impl ClientStream {
+    /// Waits until the client disconnects. Used only while a request waits for its answer. hyper detects a
+    /// disconnect too, but not behind unread bytes that follow the request, nor behind body bytes that
+    /// nobody reads yet.
+    async fn disconnected(&self) {
         loop {
             let Ok(ready) = self.tcp.ready(Interest::READABLE).await else { return };
-            // Where the kernel has the end already, it shows at once; elsewhere it has to be read up to.
+            // A close that the kernel has already received shows at once; otherwise the data before it has
+            // to be read.
             if ready.is_read_closed() {
                 return;
             }
-            if self.ahead.borrow().len() >= MOST_AHEAD {
-                sleep(LOOK_BEHIND).await;
+            if self.read_ahead.borrow().len() >= MAX_READ_AHEAD_BYTES {
+                sleep(DISCONNECT_POLL_INTERVAL).await;
                 continue;
             }
-            let mut ahead = self.ahead.borrow_mut();
-            ahead.reserve(PIECE);
-            match self.tcp.try_read_buf(&mut *ahead) {
+            let mut read_ahead = self.read_ahead.borrow_mut();
+            read_ahead.reserve(READ_CHUNK_BYTES);
+            match self.tcp.try_read_buf(&mut *read_ahead) {
                 Ok(1..) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Ok(0) | Err(_) => return,
@@ -220,48 +234,49 @@
         }
     }
 
-    /// Takes in what has come, also where the reactor has not told of it yet. False where there is nothing.
-    fn take_in(&self) -> bool {
-        let mut piece = [0; PIECE];
-        let read = (&*SockRef::from(&self.tcp)).read(&mut piece).unwrap_or(0);
-        self.ahead.borrow_mut().extend_from_slice(&piece[..read]);
+    /// Reads data that has arrived, even if the reactor has not reported it yet. Returns false if there is
+    /// none.
+    fn read_pending(&self) -> bool {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let read = (&*SockRef::from(&self.tcp)).read(&mut chunk).unwrap_or(0);
+        self.read_ahead.borrow_mut().extend_from_slice(&chunk[..read]);
         read > 0
     }
 }
 
-/// The client has left, and its connection is of no more use.
+/// The client has disconnected, so its connection is closed.
 #[derive(Debug)]
-struct Left;
+struct ClientDisconnected;
 
-impl std::fmt::Display for Left {
+impl std::fmt::Display for ClientDisconnected {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the client has left")
+        f.write_str("client closed the connection")
     }
 }
 
-impl std::error::Error for Left {}
+impl std::error::Error for ClientDisconnected {}
 
-/// A client's socket. It notes when something moves, and ends with a reset if its answer has broken off.
+/// A client's socket. It records activity, and is reset on drop if a response broke off.
 struct Socket {
-    stream: Rc<Stream>,
-    client: Rc<Client>,
+    stream: Rc<ClientStream>,
+    client: Rc<ClientConnection>,
 }
 
 impl Socket {
-    /// Tries to write once the stream takes something.
+    /// Writes once the stream is writable.
     fn write(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> std::io::Result<usize>,
     ) -> Poll<std::io::Result<usize>> {
-        self.client.unsent.set(true);
+        self.client.has_unsent_data.set(true);
         loop {
             ready!(self.stream.tcp.poll_write_ready(cx))?;
             match write(&self.stream.tcp) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 result => {
                     if matches!(result, Ok(1..)) {
-                        self.client.on_moved(false);
+                        self.client.on_activity(false);
                     }
                     return Poll::Ready(result);
                 }
@@ -272,8 +287,9 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.client.broken.get() {
-            // Without it an answer that ends with its connection would look whole.
+        if self.client.answer_truncated.get() {
+            // Without the reset a truncated response that is delimited by the end of the connection would
+            // look complete.
             let _ = self.stream.tcp.set_zero_linger();
         }
     }
@@ -285,8 +301,8 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let mut ahead = self.stream.ahead.borrow_mut();
-        let read = if ahead.is_empty() {
+        let mut read_ahead = self.stream.read_ahead.borrow_mut();
+        let read = if read_ahead.is_empty() {
             loop {
                 ready!(self.stream.tcp.poll_read_ready(cx))?;
                 match self.stream.tcp.try_read_buf(buf) {
@@ -295,13 +311,13 @@
                 }
             }
         } else {
-            let most = buf.remaining().min(ahead.len());
-            let first = ahead.split_to(most);
+            let limit = buf.remaining().min(read_ahead.len());
+            let first = read_ahead.split_to(limit);
             buf.put_slice(&first);
             first.len()
         };
         if read > 0 {
-            self.client.on_moved(true);
+            self.client.on_activity(true);
         }
         Poll::Ready(Ok(()))
     }
@@ -324,9 +340,9 @@
         true
     }
 
-    /// hyper flushes once all that it holds is written.
+    /// hyper flushes once it has written all that it holds.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        self.client.unsent.set(false);
+        self.client.has_unsent_data.set(false);
         Poll::Ready(Ok(()))
     }
 
@@ -335,176 +351,182 @@
     }
 }
 
-/// What goes out to a client.
-struct Outgoing {
-    body: Answered,
-    /// The request, if it ends with the last byte.
-    taken: Option<Taken>,
-    busy: Option<Busy>,
+/// The body of a response to a client.
+struct ResponseBody {
+    body: ReplyBody,
+    /// The metrics entry of a streamed response, which ends with its last byte.
+    active_request: Option<ActiveRequest>,
+    busy_guard: Option<BusyGuard>,
 }
 
-impl Body for Outgoing {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
-        let passing = match &mut self.body {
-            Answered::Whole(body) => {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let streamed = match &mut self.body {
+            ReplyBody::Buffered(body) => {
                 let body = std::mem::take(body);
                 return Poll::Ready((!body.is_empty()).then(|| Ok(Frame::data(body))));
             }
-            Answered::Passing(passing) => passing,
+            ReplyBody::Streamed(streamed) => streamed,
         };
-        let frame = ready!(Pin::new(&mut *passing).poll_frame(cx));
-        let ends = frame.is_none() || passing.is_end_stream();
-        let broken = matches!(frame, Some(Err(_)));
-        if let Some(taken) = self.taken.take_if(|_| ends || broken) {
-            taken.end(if broken { End::Failure } else { End::Success });
+        let frame = ready!(Pin::new(&mut *streamed).poll_frame(cx));
+        let complete = frame.is_none() || streamed.is_end_stream();
+        let answer_truncated = matches!(frame, Some(Err(_)));
+        if let Some(active_request) = self.active_request.take_if(|_| complete || answer_truncated) {
+            active_request.finish(if answer_truncated { RequestEnd::Failure } else { RequestEnd::Success });
         }
-        if let Some(busy) = self.busy.as_ref().filter(|_| broken) {
-            busy.0.broken.set(true);
+        if let Some(busy_guard) = self.busy_guard.as_ref().filter(|_| answer_truncated) {
+            busy_guard.0.answer_truncated.set(true);
         }
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            Answered::Whole(body) => body.is_empty(),
-            Answered::Passing(passing) => passing.is_end_stream(),
+            ReplyBody::Buffered(body) => body.is_empty(),
+            ReplyBody::Streamed(streamed) => streamed.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            Answered::Whole(body) => SizeHint::with_exact(body.len() as u64),
-            Answered::Passing(passing) => passing.size_hint(),
+            ReplyBody::Buffered(body) => SizeHint::with_exact(body.len() as u64),
+            ReplyBody::Streamed(streamed) => streamed.size_hint(),
         }
     }
 }
 
-impl Clients {
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Clients {
-            most: Cell::new(most),
+impl ClientConnections {
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(ClientConnections {
+            limit: Cell::new(limit),
             open: Cell::default(),
-            next: Cell::default(),
+            next_idle_seq: Cell::default(),
             idle: RefCell::default(),
             changed: Notify::new(),
         })
     }
 
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn limit(&self) -> usize {
+        self.limit.get()
     }
 
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Sets how many may be open from now on. What is open beyond that stays.
-    pub fn bound(&self, most: usize) {
-        if self.most.replace(most) < most {
+    /// Sets how many connections may be open from now on. Open connections beyond the limit stay open.
+    pub fn set_limit(&self, limit: usize) {
+        if self.limit.replace(limit) < limit {
             self.changed.notify_waiters();
         }
     }
 
-    fn join(self: &Rc<Self>) -> Joined {
+    fn register(self: &Rc<Self>) -> ConnectionGuard {
         self.open.set(self.open.get() + 1);
         let now = Instant::now();
-        let client = Rc::new(Client {
+        let client = Rc::new(ClientConnection {
             clients: Rc::clone(self),
-            place: Cell::default(),
-            close: Notify::new(),
-            begun: watch::Sender::new(false),
-            came: now,
-            moved: Cell::new(now),
-            head: Cell::default(),
-            answering: Cell::default(),
-            gives_way: Cell::default(),
-            unsent: Cell::default(),
-            broken: Cell::default(),
+            idle_seq: Cell::default(),
+            close_requested: Notify::new(),
+            first_request_seen: watch::Sender::new(false),
+            accepted_at: now,
+            last_activity: Cell::new(now),
+            head_started: Cell::default(),
+            sending_answer: Cell::default(),
+            evicted: Cell::default(),
+            has_unsent_data: Cell::default(),
+            answer_truncated: Cell::default(),
         });
-        client.idle();
-        Joined(client)
+        client.set_idle();
+        ConnectionGuard(client)
     }
 
-    /// Waits until one more connection fits. One that idles gives way, so that clients which keep many can't
-    /// shut out the others; if there is none, one that is not done with its head. Who turns out to have sent a request
-    /// stays for its answer, and another one is asked.
-    async fn room(&self) {
-        while self.open.get() >= self.most.get() {
+    /// Waits until one more connection fits. An idle connection is closed to make room, so that clients
+    /// which keep many can't shut out others; if there is none, the one that has waited longest for the rest
+    /// of its head. A connection on which a request turns out to have arrived stays open for the answer, and
+    /// another one is chosen.
+    async fn make_room(&self) {
+        while self.open.get() >= self.limit.get() {
             let changed = self.changed.notified();
             let idle = || self.idle.borrow();
-            let place =
-                idle().iter().find(|(_, client)| client.head.get().is_none()).map(|(place, _)| *place);
-            let place = place.or_else(|| idle().keys().next().copied());
-            if let Some(client) = place.and_then(|place| self.idle.borrow_mut().remove(&place)) {
-                client.gives_way.set(true);
-                client.close.notify_one();
+            let idle_seq = idle()
+                .iter()
+                .find(|(_, client)| client.head_started.get().is_none())
+                .map(|(idle_seq, _)| *idle_seq);
+            let idle_seq = idle_seq.or_else(|| idle().keys().next().copied());
+            if let Some(client) = idle_seq.and_then(|idle_seq| self.idle.borrow_mut().remove(&idle_seq)) {
+                client.evicted.set(true);
+                client.close_requested.notify_one();
             }
             changed.await;
         }
     }
 
-    async fn none_left(&self) {
+    async fn all_closed(&self) {
         while self.open.get() > 0 {
             self.changed.notified().await;
         }
     }
 }
 
-/// What requests are read with.
-struct Reader {
+/// What a request needs for being read and answered.
+struct RequestHandler {
     host: Rc<Host>,
     names: Names,
     settings: Settings,
     lifecycle: Rc<Lifecycle>,
 }
 
-/// Serves clients until told to stop and all that was taken is answered.
+/// Serves clients until the node stops and every accepted request has been answered.
 pub async fn serve(
     listener: TcpListener,
     host: Rc<Host>,
-    clients: Rc<Clients>,
+    clients: Rc<ClientConnections>,
     config: &Config,
     lifecycle: Rc<Lifecycle>,
 ) {
     let settings = config.settings.clone();
     let names = Names::of(&settings);
-    let reader = Rc::new(Reader { host, names, settings, lifecycle: Rc::clone(&lifecycle) });
-    // A queue that is shared with another process is left to it until there are servers to ask, and at a stop.
-    let shared = config.socket.is_some();
+    let handler = Rc::new(RequestHandler { host, names, settings, lifecycle: Rc::clone(&lifecycle) });
+    // Connections in an inherited listener's queue are left to the other process until this one has servers,
+    // and again once it stops.
+    let inherited = config.listener_fd.is_some();
     let stopped = async {
         lifecycle.stopped().await;
-        if !shared {
-            sleep(STILL_ACCEPTING).await;
+        if !inherited {
+            sleep(ACCEPT_AFTER_STOP).await;
         }
     };
     let mut stopped = std::pin::pin!(stopped);
-    let others = async {
-        while shared && !reader.host.ready() {
-            sleep(ACCEPT_PAUSE).await;
+    let until_ready = async {
+        while inherited && !handler.host.ready() {
+            sleep(RETRY_DELAY).await;
         }
     };
     tokio::select! {
-        () = others => accept(&listener, &reader, &clients, stopped).await,
+        () = until_ready => accept(&listener, &handler, &clients, stopped).await,
         () = stopped.as_mut() => {}
     }
-    if !shared {
-        take_queued(listener, &reader, &clients).await;
+    if !inherited {
+        accept_queued(listener, &handler, &clients).await;
     }
-    // Open connections are answering; silent ones are given up in time, and long answers are not cut off.
-    clients.none_left().await;
+    // The remaining connections are being answered. Inactive ones time out, and long responses are not cut
+    // off.
+    clients.all_closed().await;
 }
 
-/// Takes connections until told to stop. At the limit room is made for one that has come; it is not dropped again.
+/// Accepts connections until the node stops. At the limit an accepted connection waits until another one is
+/// closed; it is not dropped.
 async fn accept(
     listener: &TcpListener,
-    reader: &Rc<Reader>,
-    clients: &Rc<Clients>,
+    handler: &Rc<RequestHandler>,
+    clients: &Rc<ClientConnections>,
     mut stopped: Pin<&mut impl Future<Output = ()>>,
 ) {
     loop {
@@ -513,14 +535,15 @@
             () = stopped.as_mut() => return,
         };
         match accepted {
-            Ok((stream, _)) => attend(stream, reader, clients).await,
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => admit(stream, handler, clients).await,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Takes what the kernel has accepted: its requests count as taken, and would be reset with the listener.
-async fn take_queued(listener: TcpListener, reader: &Rc<Reader>, clients: &Rc<Clients>) {
+/// Serves the connections that are still in the kernel's queue. Their requests count as accepted and would
+/// be reset with the listener.
+async fn accept_queued(listener: TcpListener, handler: &Rc<RequestHandler>, clients: &Rc<ClientConnections>) {
     let Ok(listener) = listener.into_std() else { return };
     loop {
         let accepted = listener.accept().and_then(|(stream, _)| {
@@ -528,184 +551,188 @@
             TcpStream::from_std(stream)
         });
         match accepted {
-            Ok(stream) => attend(stream, reader, clients).await,
+            Ok(stream) => admit(stream, handler, clients).await,
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn attend(stream: TcpStream, reader: &Rc<Reader>, clients: &Rc<Clients>) {
-    clients.room().await;
-    spawn_local(connection(stream, Rc::clone(reader), clients.join()));
+async fn admit(stream: TcpStream, handler: &Rc<RequestHandler>, clients: &Rc<ClientConnections>) {
+    clients.make_room().await;
+    spawn_local(serve_connection(stream, Rc::clone(handler), clients.register()));
 }
 
-async fn connection(stream: TcpStream, reader: Rc<Reader>, joined: Joined) {
-    // Without it a small answer may wait for the client's acknowledgement of the one before.
+async fn serve_connection(stream: TcpStream, handler: Rc<RequestHandler>, guard: ConnectionGuard) {
+    // Otherwise Nagle's algorithm may delay a small response until the client acknowledges the one before.
     let _ = stream.set_nodelay(true);
-    let client = &joined.0;
-    let stream = Rc::new(Stream { tcp: stream, ahead: RefCell::default() });
+    let client = &guard.0;
+    let stream = Rc::new(ClientStream { tcp: stream, read_ahead: RefCell::default() });
     let service = service_fn(|request| {
-        let (busy, grace) = (client.busy(), client.grace());
-        let (reader, client, stream) = (&reader, client, &stream);
+        let (busy_guard, grace) = (client.set_busy(), client.begin_request());
+        let (handler, client, stream) = (&handler, client, &stream);
         async move {
-            let mut response = reader.respond(request, grace, stream).await?;
-            if reader.lifecycle.state() != State::Serving || client.gives_way.get() {
+            let mut response = handler.respond(request, grace, stream).await?;
+            if handler.lifecycle.state() != State::Serving || client.evicted.get() {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            client.answering.set(true);
-            response.body_mut().busy = Some(busy);
-            Ok::<_, Left>(response)
+            client.sending_answer.set(true);
+            response.body_mut().busy_guard = Some(busy_guard);
+            Ok::<_, ClientDisconnected>(response)
         }
     });
     let socket = Socket { stream: Rc::clone(&stream), client: Rc::clone(client) };
     let mut serving = std::pin::pin!(http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(LONGEST_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service));
-    // hyper would close a new connection at once, and with it a request that is on its way: what the node still
-    // accepts while it drains or stops gets its first answer.
-    let mut wound_up = std::pin::pin!(async {
-        reader.lifecycle.closes_idle().await;
-        // The sender is at hand, so that there is no error.
-        let _ = client.begun.subscribe().wait_for(|begun| *begun).await;
+    // hyper would close a new connection at once and lose a request in transit. A connection accepted during
+    // a drain or stop therefore stays open until its first request.
+    let mut shutdown_due = std::pin::pin!(async {
+        handler.lifecycle.wait_for_idle_close().await;
+        // Can't fail, as `client` holds the sender.
+        let _ =
+            client.first_request_seen.subscribe().wait_for(|first_request_seen| *first_request_seen).await;
     });
-    let mut winding_up = false;
+    let mut shutdown_started = false;
     loop {
-        let overdue = tokio::select! {
-            // An error is the client's, who has gone or could not be understood and has been told so.
+        let expired = tokio::select! {
+            // An error means that the client disconnected or sent an invalid request, which hyper has
+            // answered.
             _ = serving.as_mut() => return,
-            () = client.overdue() => true,
-            () = client.close.notified() => false,
-            () = wound_up.as_mut(), if !winding_up => {
-                winding_up = true;
+            () = client.expired() => true,
+            () = client.close_requested.notified() => false,
+            () = shutdown_due.as_mut(), if !shutdown_started => {
+                shutdown_started = true;
                 false
             }
         };
-        // What has come in this very moment is read before the connection is given up.
-        let knew_head = client.head.get().is_some();
-        if client.is_idle() && stream.take_in() {
+        // Data that has just arrived is read before the connection is closed.
+        let head_had_started = client.head_started.get().is_some();
+        if client.is_idle() && stream.read_pending() {
             let read = poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx))).await;
             if read.is_ready() {
                 return;
             }
         }
-        if overdue {
-            if !client.is_overdue() {
+        if expired {
+            if !client.is_expired() {
                 continue;
             }
-            if !client.is_idle() || client.unsent.get() {
-                eprintln!("gave up a client that takes nothing of its answer");
+            if !client.is_idle() || client.has_unsent_data.get() {
+                eprintln!("closed a client connection: the client stopped reading its response");
             }
             return;
         }
-        // hyper would drop a head that has come in part. Its answer asks for the close where that is still wanted.
-        match client.head.get() {
-            Some(_) if client.gives_way.get() && knew_head => return,
+        // hyper would drop an incomplete head, so the connection stays open for it. The answer to that
+        // request asks for the close if it is still wanted.
+        match client.head_started.get() {
+            Some(_) if client.evicted.get() && head_had_started => return,
             Some(_) => client.clients.changed.notify_waiters(),
             None => break,
         }
     }
-    // Closes at once between requests, else with the answer.
+    // Closes an idle connection at once, a busy one after its answer.
     serving.as_mut().graceful_shutdown();
     if !client.is_idle() {
         client.clients.changed.notify_waiters();
     }
     tokio::select! {
         _ = serving => {}
-        () = client.overdue() => {}
+        () = client.expired() => {}
     }
 }
 
-/// A request that is not taken, and why.
+/// A request that is refused with this status.
 struct Rejected(StatusCode);
 
-impl Reader {
+impl RequestHandler {
     async fn respond(
         &self,
         request: Request<Incoming>,
         grace: Duration,
-        stream: &Stream,
-    ) -> Result<Response<Outgoing>, Left> {
+        stream: &ClientStream,
+    ) -> Result<Response<ResponseBody>, ClientDisconnected> {
         if request.uri().path() == "/health/ready" {
             let ready = self.host.ready() && self.lifecycle.state() == State::Serving;
-            return Ok(plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+            return Ok(empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
         }
-        Ok(match self.read(request, grace).await {
-            Ok((ticket, None)) => {
-                // Dropped with its client gone, the ticket is withdrawn.
-                let (answer, taken) = tokio::select! {
+        Ok(match self.accept_request(request, grace).await {
+            Ok((pending, None)) => {
+                // If the client disconnects first, the request is dropped and thereby withdrawn.
+                let (answer, active_request) = tokio::select! {
                     biased;
-                    answered = ticket.answer() => answered,
-                    () = stream.left() => return Err(Left),
+                    answered = pending.answer() => answered,
+                    () = stream.disconnected() => return Err(ClientDisconnected),
                 };
-                response(answer, taken)
+                response(answer, active_request)
             }
-            Ok((ticket, Some(long))) => {
+            Ok((pending, Some(streamed_body))) => {
                 let answered = tokio::select! {
                     biased;
-                    answered = ticket.answer() => Some(answered),
-                    () = stream.left() => None,
+                    answered = pending.answer() => Some(answered),
+                    () = stream.disconnected() => None,
                 };
-                let Some((answer, taken)) = answered else {
-                    // An attempt that is out may not be called off everywhere, and gets what has come of the body.
-                    let body = Rc::downgrade(&long);
-                    drop(long);
+                let Some((answer, active_request)) = answered else {
+                    // An attempt in flight may not be cancellable; it still gets the part of the body that
+                    // has arrived.
+                    let body = Rc::downgrade(&streamed_body);
+                    drop(streamed_body);
                     while body.strong_count() > 0 {
-                        sleep(LOOK_BEHIND).await;
+                        sleep(DISCONNECT_POLL_INTERVAL).await;
                     }
-                    return Err(Left);
+                    return Err(ClientDisconnected);
                 };
-                long.end();
-                response(answer, taken)
+                streamed_body.close();
+                response(answer, active_request)
             }
-            Err(Rejected(status)) => plain(status),
+            Err(Rejected(status)) => empty_response(status),
         })
     }
 
-    /// Takes a request, and if its body is a long one says where that still comes from.
-    async fn read(
+    /// Reads and submits a request. A streamed body is returned too, as it is still arriving.
+    async fn accept_request(
         &self,
         request: Request<Incoming>,
         grace: Duration,
-    ) -> Result<(Ticket, Option<Rc<Long>>), Rejected> {
+    ) -> Result<(PendingAnswer, Option<Rc<StreamedBody>>), Rejected> {
         let (head, body) = request.into_parts();
         let (first, key) = split_path(head.uri.path()).ok_or(Rejected(StatusCode::NOT_FOUND))?;
-        let named = self.names.class(first).ok_or(Rejected(StatusCode::NOT_FOUND))?;
+        let path_class = self.names.class(first).ok_or(Rejected(StatusCode::NOT_FOUND))?;
         let write = match head.method {
             Method::GET => false,
             Method::PUT => true,
             _ => return Err(Rejected(StatusCode::METHOD_NOT_ALLOWED)),
         };
-        let class = match text(&head.headers, &CLASS)? {
+        let class = match header_text(&head.headers, &CLASS)? {
             Some(name) => self.names.class(name),
-            None => Some(named),
+            None => Some(path_class),
         };
-        // Servers answer nothing without an id, so the request can't be served.
+        // Servers refuse requests without an id, so the request can't be served.
         let id = head.headers.get(REQUEST_ID).filter(|id| !id.is_empty()).cloned();
         let id = id.ok_or(Rejected(StatusCode::BAD_REQUEST))?;
-        let tenant = text(&head.headers, &TENANT)?.and_then(|name| self.names.tenant(name));
-        let wait = match number(&head.headers, &DEADLINE_MS)? {
-            Some(ms) => Duration::from_millis(ms.min(LONGEST_WAIT)),
+        let tenant = header_text(&head.headers, &TENANT)?.and_then(|name| self.names.tenant(name));
+        let wait = match header_number(&head.headers, &DEADLINE_MS)? {
+            Some(ms) => Duration::from_millis(ms.min(MAX_CLIENT_WAIT_MS)),
             None => Duration::from_secs_f64(self.default_wait(class.map(|class| class.0))),
         };
-        let work = number(&head.headers, &COST_HINT)?.map(|us| us as Seconds / 1e6);
-        // Any other coding would go on without its name.
-        let coded = |value: &HeaderValue| !value.as_bytes().eq_ignore_ascii_case(b"chunked");
-        if head.headers.get_all(header::TRANSFER_ENCODING).iter().any(coded) {
+        let work = header_number(&head.headers, &COST_HINT)?.map(|us| us as Seconds / 1e6);
+        // Any other coding would be forwarded without its name.
+        let is_other_coding = |value: &HeaderValue| !value.as_bytes().eq_ignore_ascii_case(b"chunked");
+        if head.headers.get_all(header::TRANSFER_ENCODING).iter().any(is_other_coding) {
             return Err(Rejected(StatusCode::NOT_IMPLEMENTED));
         }
-        let content = Content::read(body, grace).await.map_err(|fault| {
-            Rejected(match fault {
-                Fault::Slow => StatusCode::REQUEST_TIMEOUT,
-                Fault::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-                Fault::Broken => StatusCode::BAD_REQUEST,
+        let content = RequestBody::read(body, grace).await.map_err(|error| {
+            Rejected(match error {
+                BodyError::TooSlow => StatusCode::REQUEST_TIMEOUT,
+                BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+                BodyError::Truncated => StatusCode::BAD_REQUEST,
             })
         })?;
-        // The client's time runs from its last byte, which has just come unless the body is a long one.
-        let left = left_here(wait);
-        let long = content.long().cloned();
-        // Servers are sent the path alone, whatever form the target had.
+        // The client's wait starts with its last byte, which has just arrived unless the body is streamed.
+        let time_left = time_left_here(wait);
+        let streamed_body = content.streamed().cloned();
+        // Servers are sent only path and query, even if the request target is in absolute form.
         let uri = head.uri.path_and_query().cloned().map_or(head.uri, Uri::from);
         let payload = Payload {
             method: head.method,
@@ -713,13 +740,25 @@
             id,
             idempotency_key: head.headers.get(IDEMPOTENCY_KEY).cloned(),
             content,
-            wait: left,
+            wait: time_left,
         };
-        let taken = self.host.figures.take(named);
-        Ok((self.host.take(Arrival { taken, left, class, tenant, key, write, work, payload }), long))
-    }
-
-    /// For clients that don't say how long they wait; of an unknown class, the shortest.
+        let active_request = self.host.metrics.begin_request(path_class);
+        Ok((
+            self.host.submit(IncomingRequest {
+                active_request,
+                time_left,
+                class,
+                tenant,
+                key,
+                write,
+                work,
+                payload,
+            }),
+            streamed_body,
+        ))
+    }
+
+    /// Wait of clients that state none: that of the class, or the shortest of all for an unknown class.
     fn default_wait(&self, class: Option<usize>) -> Seconds {
         let classes = &self.settings.classes;
         let shortest = || classes.iter().map(|class| class.deadline).fold(f64::MAX, f64::min);
@@ -727,55 +766,61 @@
     }
 }
 
-/// What this node has of the time that a client waits.
-fn left_here(wait: Duration) -> Duration {
-    wait.saturating_sub(TRANSIT.min(wait / TRANSIT_PART))
+/// The part of the client's wait that this node may use.
+fn time_left_here(wait: Duration) -> Duration {
+    wait.saturating_sub(TRANSIT_ALLOWANCE.min(wait / TRANSIT_DIVISOR))
 }
 
-/// The first part of a path, which names the class, and a number for the last, which is what it is about.
+/// Splits a path into its first segment, which names the class, and a hash of its last one, which is the
+/// key.
 fn split_path(path: &str) -> Option<(&str, Key)> {
     let (first, rest) = path.strip_prefix('/')?.split_once('/')?;
     let key = rest.rsplit('/').next().filter(|key| !key.is_empty())?;
-    // FNV-1a: the same at every node and in every version, which the standard hashers don't promise.
+    // FNV-1a gives the same hash at every node and in every version, which the standard hashers don't
+    // guarantee.
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     Some((first, Key(key.bytes().fold(0xcbf2_9ce4_8422_2325, hash))))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejected> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejected> {
     headers.get(name).map(|v| v.to_str().map_err(|_| Rejected(StatusCode::BAD_REQUEST))).transpose()
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Rejected> {
-    let text = text(headers, name)?;
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Rejected> {
+    let text = header_text(headers, name)?;
     text.map(|v| v.parse().map_err(|_| Rejected(StatusCode::BAD_REQUEST))).transpose()
 }
 
-fn plain(status: StatusCode) -> Response<Outgoing> {
-    let mut response =
-        Response::new(Outgoing { body: Answered::Whole(Bytes::new()), taken: None, busy: None });
+fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody {
+        body: ReplyBody::Buffered(Bytes::new()),
+        active_request: None,
+        busy_guard: None,
+    });
     *response.status_mut() = status;
     response
 }
 
-fn response(answer: Answer, taken: Option<Taken>) -> Response<Outgoing> {
+fn response(answer: Answer, active_request: Option<ActiveRequest>) -> Response<ResponseBody> {
     match answer {
         Answer::Served(reply) => {
-            let mut response = Response::new(Outgoing { body: reply.body, taken, busy: None });
+            let mut response =
+                Response::new(ResponseBody { body: reply.body, active_request, busy_guard: None });
             if let Some(kind) = reply.content_type {
                 response.headers_mut().insert(header::CONTENT_TYPE, kind);
             }
             response
         }
         Answer::Refused(retry_after) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+            let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
             let advice = retry_after.and_then(|s| HeaderValue::from_str(&format!("{s:.3}")).ok());
             if let Some(advice) = advice {
                 response.headers_mut().insert(header::RETRY_AFTER, advice);
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
-        Answer::Overdue => plain(StatusCode::GATEWAY_TIMEOUT),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
+        Answer::DeadlineExceeded => empty_response(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
@@ -784,50 +829,55 @@
     use super::*;
     use tokio::time::timeout;
 
-    /// A client that pauses while it reads lost the end of its answer: hyper had taken all of it over, so that the
-    /// connection passed for an idle one.
+    /// A client that paused while reading lost the end of its response: hyper had accepted all of it, so the
+    /// connection was taken for an idle one.
     #[test]
     fn a_connection_is_not_idle_while_its_last_answer_is_unsent() {
-        let clients = Clients::new(1);
-        let joined = clients.join();
-        let client = &joined.0;
-        let time = |client: &Client| client.due().map(|due| due - client.moved.get());
-        assert_eq!(time(client), Some(HEAD_TIME));
-        assert!(client.grace() > BODY_GRACE / 2 && client.grace() == BODY_GRACE);
-        let busy = client.busy();
+        let clients = ClientConnections::new(1);
+        let guard = clients.register();
+        let client = &guard.0;
+        let time = |client: &ClientConnection| {
+            client.expires_at().map(|expires_at| expires_at - client.last_activity.get())
+        };
+        assert_eq!(time(client), Some(HEAD_TIMEOUT));
+        assert!(client.begin_request() > BODY_GRACE / 2 && client.begin_request() == BODY_GRACE);
+        let busy_guard = client.set_busy();
         assert_eq!(time(client), None, "waits for its answer");
-        client.answering.set(true);
-        client.unsent.set(true);
-        assert_eq!(time(client), Some(STALL));
-        drop(busy);
-        assert_eq!(time(client), Some(STALL));
-        client.unsent.set(false);
-        assert_eq!(time(client), Some(HEAD_TIME));
+        client.sending_answer.set(true);
+        client.has_unsent_data.set(true);
+        assert_eq!(time(client), Some(STALL_TIMEOUT));
+        drop(busy_guard);
+        assert_eq!(time(client), Some(STALL_TIMEOUT));
+        client.has_unsent_data.set(false);
+        assert_eq!(time(client), Some(HEAD_TIMEOUT));
     }
 
     #[tokio::test]
-    async fn who_only_idles_gives_way_first_and_then_who_is_not_done_with_its_head() {
-        let clients = Clients::new(3);
-        let joined = [(); 3].map(|()| clients.join());
-        let [first, second, third] = joined.each_ref().map(|joined| &joined.0);
-        first.on_moved(true);
-        let busy = third.busy();
-        for (gives_way, rest) in
-            [([false, true, false], 2), ([true, true, false], 1), ([true, true, false], 1)]
+    async fn idle_connections_are_closed_first_and_then_those_with_an_incomplete_head() {
+        let clients = ClientConnections::new(3);
+        let guard = [(); 3].map(|()| clients.register());
+        let [first, second, third] = guard.each_ref().map(|guard| &guard.0);
+        first.on_activity(true);
+        let busy_guard = third.set_busy();
+        for (evicted, rest) in [([false, true, false], 2), ([true, true, false], 1), ([true, true, false], 1)]
         {
-            assert!(timeout(Duration::ZERO, clients.room()).await.is_err(), "nobody has left yet");
-            assert_eq!([first, second, third].map(|client| client.gives_way.get()), gives_way);
+            assert!(
+                timeout(Duration::ZERO, clients.make_room()).await.is_err(),
+                "no connection has closed yet"
+            );
+            assert_eq!([first, second, third].map(|client| client.evicted.get()), evicted);
             assert_eq!(clients.idle.borrow().len() + 1, rest);
         }
-        drop(busy);
-        drop(joined);
-        clients.room().await;
+        drop(busy_guard);
+        drop(guard);
+        clients.make_room().await;
     }
 
-    /// Ten milliseconds of forty were a quarter of what such clients wait, and half of their answers came then.
+    /// An allowance of 10 ms is a quarter of a 40 ms wait; half of the answers to such clients arrived in
+    /// that last quarter.
     #[test]
-    fn transit_takes_a_small_part_of_a_short_wait() {
-        let left = |ms| left_here(Duration::from_millis(ms)).as_millis();
+    fn the_transit_allowance_is_a_small_part_of_a_short_wait() {
+        let left = |ms| time_left_here(Duration::from_millis(ms)).as_millis();
         assert_eq!([0, 40, 200, 2000].map(left), [0, 38, 190, 1990]);
     }
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to cache servers and the origin: one request at a time on each, kept while idle, the most
-//! recently used taken first. Nothing is opened or sent unless an attempt needs it.
+//! Connections to cache servers and the origin. Each carries one request at a time and is kept while idle;
+//! the most recently used one is reused first. A connection is opened only when an attempt needs it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,54 +22,57 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-use crate::body::{Content, Download, Passing, Upload};
-use crate::byhand::ByHand;
-use crate::config::List;
-use crate::figures::add_one;
+use crate::body::{Download, RequestBody, StreamedReply, Upload};
+use crate::config::ServerList;
+use crate::disabled_servers::DisabledServers;
+use crate::metrics::increment;
 
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-const CACHE: HeaderName = HeaderName::from_static("x-cache");
-
-/// What is held of a message at most while the other side does not take it, in each direction.
-const BUFFER: usize = 16 << 10;
-/// Connections are closed after this part of the time at which servers close them: a request that crosses
-/// the server's close ends as a reset.
-const IDLE_PART: f64 = 0.8;
-/// The same where servers state no time.
-const DEFAULT_IDLE: Duration = Duration::from_secs(10);
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
-/// A connection whose answer has been read whole is free at once; one that is not is of no further use.
-const SETTLE: Duration = Duration::from_millis(5);
-/// A server may say more some milliseconds after its answer, up to 4 in plays. On a connection that is used again by
-/// then, it would pass for the answer to another request; on one that rests it ends the connection.
-const REST: Duration = Duration::from_millis(6);
-/// Beside one that rests, another is taken if it was used within this time. One that has lain idle for longer may have
-/// been dropped unseen, which the module would hold against a server that has just answered.
-const LATELY: Duration = Duration::from_millis(100);
-/// For a probe, and for a connect where the settings state no time.
-const PROBE_TIME: Duration = Duration::from_millis(500);
-
-/// A client's request as it goes on to servers.
+const CACHE_STATUS: HeaderName = HeaderName::from_static("x-cache");
+
+/// Buffer limit for each direction of a connection while the receiver does not read.
+const MAX_BUFFER_BYTES: usize = 16 << 10;
+/// Idle connections are closed after this fraction of the servers' idle time-out: a request that crosses the
+/// server's close fails with a reset.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Used if the settings state no idle time-out of the servers.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often expired idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection is ready for reuse at once after its response has been read; one that is not ready within
+/// this time is closed.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
+/// Delay before a connection is used again. A faulty server may send a second response some milliseconds
+/// after the first, up to 4 ms in test runs. On a reused connection it would be taken for the response to
+/// another request; on an idle one it makes hyper close the connection.
+const REUSE_DELAY: Duration = Duration::from_millis(6);
+/// While the newest connection waits for its reuse delay, another is used only if it was used within this
+/// time. One that has been idle for longer may have been closed unnoticed, and the balancer would count that
+/// as a failure of a server that has just answered.
+const RECENT_USE: Duration = Duration::from_millis(100);
+/// Time-out of a probe, and of a connect if the settings state none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A client's request as it is sent to servers.
 pub struct Payload {
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     pub id: HeaderValue,
     pub idempotency_key: Option<HeaderValue>,
-    pub content: Content,
-    /// How long the client waits from the last byte of a long body on.
+    pub content: RequestBody,
+    /// How long the client waits after the last byte of a streamed body.
     pub wait: Duration,
 }
 
 impl Payload {
-    fn request(&self, host: SocketAddr, wait: Duration, handed: &Rc<Cell<bool>>) -> Request<Upload> {
-        let mut request = Request::new(Upload::new(&self.content, Rc::clone(handed)));
-        // While a body is on its way its client's time does not run.
-        let wait = self.content.long().map_or(wait, |_| self.wait);
+    fn request(&self, host: SocketAddr, wait: Duration, body_taken: &Rc<Cell<bool>>) -> Request<Upload> {
+        let mut request = Request::new(Upload::new(&self.content, Rc::clone(body_taken)));
+        // The client's wait does not start before the whole body has arrived.
+        let wait = self.content.streamed().map_or(wait, |_| self.wait);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
@@ -87,62 +90,63 @@
     HeaderValue::from_str(&addr.to_string()).unwrap_or(HeaderValue::from_static("localhost"))
 }
 
-/// An answer of a server.
+/// A successful response of a server.
 pub struct Reply {
     pub content_type: Option<HeaderValue>,
-    pub body: Answered,
+    pub body: ReplyBody,
 }
 
-/// Its body.
-pub enum Answered {
-    Whole(Bytes),
-    Passing(Passing),
+/// The body of a `Reply`.
+pub enum ReplyBody {
+    Buffered(Bytes),
+    Streamed(StreamedReply),
 }
 
-/// How an attempt ended.
-pub struct Ended {
+/// The result of an attempt.
+pub struct AttemptEnd {
     pub status: Status,
     pub note: Option<CacheNote>,
-    /// Only with a success.
+    /// Present only if the attempt succeeded.
     pub reply: Option<Reply>,
-    /// The reply has only begun, and goes on here.
-    pub rest: Option<Rest>,
+    /// The rest of a streamed reply.
+    pub remainder: Option<ReplyRemainder>,
 }
 
-impl Ended {
+impl AttemptEnd {
     pub fn without_reply(status: Status) -> Self {
-        Ended { status, note: None, reply: None, rest: None }
+        AttemptEnd { status, note: None, reply: None, remainder: None }
     }
 }
 
-/// An answer of which the head has come.
-pub struct Answering {
+/// A response whose head has arrived.
+pub struct ReplyHead {
     connection: Connection,
     response: Response<Incoming>,
 }
 
-impl Answering {
+impl ReplyHead {
     fn status(&self) -> Status {
-        status_of(self.response.status(), self.response.headers())
+        reply_status(self.response.status(), self.response.headers())
     }
 
     pub fn note(&self) -> Option<CacheNote> {
-        note_of(self.response.headers())
+        cache_note(self.response.headers())
     }
 
-    /// It serves the request and is long, or may be: then its begin is what counts.
+    /// Returns whether the response is a success that is long or of unknown length, and may have to be
+    /// streamed.
     pub fn may_be_long(&self) -> bool {
         self.status() == Status::Success && Download::may_be_long(self.response.body())
     }
 }
 
-/// The rest of an answer that is passed on as it comes.
-pub struct Rest {
+/// A streamed reply that is still being forwarded.
+pub struct ReplyRemainder {
     connection: Connection,
-    over: oneshot::Receiver<bool>,
+    completion: oneshot::Receiver<bool>,
 }
 
-/// How far the request last begun on a connection has been written.
+/// How much of the current request has been written to a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Written {
     Nothing,
@@ -150,39 +154,39 @@
     Whole,
 }
 
-/// What is known of the request last begun on a connection.
-struct Progress {
+/// Write progress of the current request on a connection.
+struct WriteProgress {
     written: Cell<Written>,
-    /// The end of its body is among what was written.
-    handed: Rc<Cell<bool>>,
+    /// Set once hyper has taken the last byte of the body.
+    body_taken: Rc<Cell<bool>>,
 }
 
-/// Tells of an attempt, also one that is dropped on the way, whether its request was written whole.
+/// Tells whether an attempt's request was written completely, even if the attempt was dropped on the way.
 #[derive(Default)]
-pub struct Sent(RefCell<Option<Rc<Progress>>>);
+pub struct WriteState(RefCell<Option<Rc<WriteProgress>>>);
 
-impl Sent {
-    fn begin(&self, progress: &Rc<Progress>) {
+impl WriteState {
+    fn track(&self, progress: &Rc<WriteProgress>) {
         progress.written.set(Written::Nothing);
         self.0.replace(Some(Rc::clone(progress)));
     }
 
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.written.get() == Written::Whole)
     }
 }
 
-/// A socket that notes how far requests are written, and counts as open until it is dropped.
-struct Socket {
+/// A socket that records the write progress of requests. It counts as open until it is dropped.
+struct UpstreamSocket {
     stream: TokioIo<TcpStream>,
-    progress: Rc<Progress>,
-    /// How many requests have been written whole.
+    progress: Rc<WriteProgress>,
+    /// Number of requests written completely.
     calls: Rc<Cell<u64>>,
-    _open: OpenSocket,
+    _open_socket: OpenSocket,
 }
 
-impl Socket {
-    fn note(&self, result: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
+impl UpstreamSocket {
+    fn record_write(&self, result: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
         if matches!(result, Poll::Ready(Ok(1..))) {
             self.progress.written.set(Written::Partly);
         }
@@ -190,7 +194,7 @@
     }
 }
 
-impl Read for Socket {
+impl Read for UpstreamSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -200,14 +204,14 @@
     }
 }
 
-impl Write for Socket {
+impl Write for UpstreamSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note(result)
+        self.record_write(result)
     }
 
     fn poll_write_vectored(
@@ -216,20 +220,20 @@
         bufs: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note(result)
+        self.record_write(result)
     }
 
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
 
-    /// hyper flushes once all that it holds of a request is written.
+    /// hyper flushes once it has written all that it holds of a request.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         let result = Pin::new(&mut self.stream).poll_flush(cx);
-        let Progress { written, handed } = &*self.progress;
-        if matches!(result, Poll::Ready(Ok(()))) && written.get() == Written::Partly && handed.get() {
+        let WriteProgress { written, body_taken } = &*self.progress;
+        if matches!(result, Poll::Ready(Ok(()))) && written.get() == Written::Partly && body_taken.get() {
             written.set(Written::Whole);
-            add_one(&self.calls);
+            increment(&self.calls);
         }
         result
     }
@@ -239,7 +243,7 @@
     }
 }
 
-/// One of the sockets that upstreams may hold.
+/// One of the sockets that upstreams may hold; counted until it is dropped.
 struct OpenSocket(Rc<Cell<usize>>);
 
 impl Drop for OpenSocket {
@@ -248,11 +252,11 @@
     }
 }
 
-/// An open connection. Dropping it closes it, whatever is out on it.
+/// An open connection. Dropping it closes it, even with a request in flight.
 struct Connection {
     addr: SocketAddr,
     sender: http1::SendRequest<Upload>,
-    progress: Rc<Progress>,
+    progress: Rc<WriteProgress>,
     driver: JoinHandle<()>,
     idle_since: Instant,
 }
@@ -263,66 +267,75 @@
     }
 }
 
-/// A server as last listed, and this node's idle connections to it, the last used at the end.
+/// A server as last listed, with this node's idle connections to it, the most recently used last.
 struct Upstream {
     addr: SocketAddr,
     ready: bool,
     idle: Vec<Connection>,
 }
 
-/// What there is of idle connections to a server.
+/// Whether an idle connection to a server can be used.
 enum Idle {
     Nothing,
-    /// The one used last has to rest for so long.
-    Resting(Duration),
+    /// None can be used yet; the most recently used one can be after this time.
+    ReusableIn(Duration),
     Ready(Connection),
 }
 
 pub struct Upstreams {
     servers: RefCell<HashMap<ServerId, Upstream>>,
     open: Rc<Cell<usize>>,
-    most_open: Cell<usize>,
+    limit: Cell<usize>,
     connect_timeout: Duration,
-    idle_time: Duration,
-    /// How many attempts have been written whole.
+    idle_timeout: Duration,
+    /// Number of attempts whose request was written completely.
     calls: Rc<Cell<u64>>,
-    by_hand: Rc<ByHand>,
+    disabled_servers: Rc<DisabledServers>,
 }
 
 impl Upstreams {
-    pub fn start(limits: &Limits, most_open: usize, calls: Rc<Cell<u64>>, by_hand: Rc<ByHand>) -> Rc<Self> {
-        let stated = |seconds: f64| Duration::try_from_secs_f64(seconds).ok().filter(|time| !time.is_zero());
+    pub fn start(
+        limits: &Limits,
+        limit: usize,
+        calls: Rc<Cell<u64>>,
+        disabled_servers: Rc<DisabledServers>,
+    ) -> Rc<Self> {
+        let positive_duration =
+            |seconds: f64| Duration::try_from_secs_f64(seconds).ok().filter(|time| !time.is_zero());
         let upstreams = Rc::new(Upstreams {
             servers: RefCell::default(),
             calls,
-            by_hand,
+            disabled_servers,
             open: Rc::default(),
-            most_open: Cell::new(most_open),
-            connect_timeout: stated(limits.connect_timeout).unwrap_or(PROBE_TIME),
-            idle_time: stated(limits.idle_close * IDLE_PART).unwrap_or(DEFAULT_IDLE),
+            limit: Cell::new(limit),
+            connect_timeout: positive_duration(limits.connect_timeout).unwrap_or(DEFAULT_TIMEOUT),
+            idle_timeout: positive_duration(limits.idle_close * IDLE_TIMEOUT_FRACTION)
+                .unwrap_or(DEFAULT_IDLE_TIMEOUT),
         });
         spawn_local(sweep(Rc::downgrade(&upstreams)));
         upstreams
     }
 
-    pub fn most(&self) -> usize {
-        self.most_open.get()
+    pub fn limit(&self) -> usize {
+        self.limit.get()
     }
 
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Sets how many connections may be open from now on. Beyond that idle ones are closed, those in use stay.
-    pub fn bound(&self, most: usize) {
-        self.most_open.set(most);
-        for _ in most..self.open.get() {
-            self.close_idlest();
+    /// Sets how many connections may be open from now on. Idle connections beyond the limit are closed, busy
+    /// ones stay open.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
+        for _ in limit..self.open.get() {
+            self.close_longest_idle();
         }
     }
 
-    /// Takes the servers' addresses and states from a list. What is idle where nothing new may go is closed.
-    pub fn update(&self, list: &List) {
+    /// Applies a list's addresses and states. Idle connections to servers that accept no new requests are
+    /// closed.
+    pub fn update(&self, list: &ServerList) {
         let mut servers = self.servers.borrow_mut();
         if list.full {
             servers.retain(|id, _| list.servers.iter().any(|(entry, _)| entry.server == *id));
@@ -353,67 +366,68 @@
         }
     }
 
-    /// Where a server that may be sent to is reached.
-    fn addr(&self, server: &ServerId) -> Option<SocketAddr> {
+    /// Address of a server, if requests may be sent to it.
+    fn usable_addr(&self, server: &ServerId) -> Option<SocketAddr> {
         let servers = self.servers.borrow();
         let found = servers.get(server).filter(|server| server.ready).map(|server| server.addr);
-        found.filter(|_| !self.by_hand.is_out(server))
+        found.filter(|_| !self.disabled_servers.is_disabled(server))
     }
 
-    /// Makes one attempt, up to the head of its answer. The caller bounds its time, and ends it by dropping the
-    /// future. Nothing is sent for a request that is not open any more: that is no cancelling, which may not be
-    /// allowed.
+    /// Makes one attempt, up to the head of its response. The caller bounds its time, and ends it by
+    /// dropping the future. Nothing is sent for a request that is no longer open; this is allowed even where
+    /// attempts in flight must not be cancelled.
     pub async fn exchange(
         &self,
         server: &ServerId,
         payload: &Payload,
         wait: Duration,
-        sent: &Sent,
-        open: impl Fn() -> bool,
-    ) -> Result<Answering, Ended> {
+        write_state: &WriteState,
+        is_open: impl Fn() -> bool,
+    ) -> Result<ReplyHead, AttemptEnd> {
         let started = Instant::now();
         loop {
             let (mut connection, reused) = match self.take_idle(server) {
                 Idle::Ready(connection) => (connection, true),
-                Idle::Resting(left) => {
+                Idle::ReusableIn(left) => {
                     tokio::time::sleep(left).await;
                     continue;
                 }
                 Idle::Nothing => match self.connect(server, &self.calls).await {
                     Ok(connection) => (connection, false),
-                    Err(status) => return Err(Ended::without_reply(status)),
+                    Err(status) => return Err(AttemptEnd::without_reply(status)),
                 },
             };
-            // The server may have begun to drain during the connect: then nothing new goes to it, and the
-            // module hears what the server itself would have said.
-            if self.addr(server) != Some(connection.addr) {
-                return Err(Ended::without_reply(Status::Overloaded));
+            // The server may have started to drain or been disabled during the connect. Nothing is sent to
+            // it then, and the balancer gets the status with which a draining server would have answered.
+            if self.usable_addr(server) != Some(connection.addr) {
+                return Err(AttemptEnd::without_reply(Status::Overloaded));
             }
-            if !open() {
-                return Err(Ended::without_reply(Status::Void));
+            if !is_open() {
+                return Err(AttemptEnd::without_reply(Status::Void));
             }
-            sent.begin(&connection.progress);
+            write_state.track(&connection.progress);
             let left = wait.saturating_sub(started.elapsed());
-            let request = payload.request(connection.addr, left, &connection.progress.handed);
+            let request = payload.request(connection.addr, left, &connection.progress.body_taken);
             match connection.sender.try_send_request(request).await {
-                Ok(response) => return Ok(Answering { connection, response }),
-                // The client has failed, not the server.
-                Err(_) if payload.content.failed() => return Err(Ended::without_reply(Status::Void)),
-                // The server had closed an idle connection: it has not failed, and has seen no request.
-                Err(_) if reused && !sent.whole() && !payload.content.spent() => continue,
-                Err(_) if sent.whole() => return Err(Ended::without_reply(Status::Broken)),
-                Err(_) => return Err(Ended::without_reply(Status::Unreachable)),
+                Ok(response) => return Ok(ReplyHead { connection, response }),
+                // The client's body failed, not the server.
+                Err(_) if payload.content.failed() => return Err(AttemptEnd::without_reply(Status::Void)),
+                // The server had closed an idle connection. That is no failure, and the server has not seen
+                // the request.
+                Err(_) if reused && !write_state.is_complete() && !payload.content.consumed() => continue,
+                Err(_) if write_state.is_complete() => return Err(AttemptEnd::without_reply(Status::Broken)),
+                Err(_) => return Err(AttemptEnd::without_reply(Status::Unreachable)),
             }
         }
     }
 
-    /// Health-checks a server on a connection of its own.
+    /// Health-checks a server on a new connection.
     pub async fn probe(&self, server: &ServerId) -> Status {
         let probe = async {
-            // A probe is no attempt, so it has a count of its own.
+            // A probe does not count as an attempt.
             let mut connection = self.connect(server, &Rc::default()).await?;
-            let nothing = Content::Short(Bytes::new());
-            let mut request = Request::new(Upload::new(&nothing, Rc::clone(&connection.progress.handed)));
+            let nothing = RequestBody::Buffered(Bytes::new());
+            let mut request = Request::new(Upload::new(&nothing, Rc::clone(&connection.progress.body_taken)));
             *request.uri_mut() = Uri::from_static("/health/live");
             request.headers_mut().insert(header::HOST, host_value(connection.addr));
             let response = connection.sender.send_request(request).await;
@@ -423,7 +437,7 @@
                 Err(_) => Ok(Status::Broken),
             }
         };
-        let status = tokio::time::timeout(PROBE_TIME, probe).await;
+        let status = tokio::time::timeout(DEFAULT_TIMEOUT, probe).await;
         status.map_or(Status::TimedOut, |status| status.unwrap_or_else(|failed| failed))
     }
 
@@ -431,39 +445,44 @@
         let mut servers = self.servers.borrow_mut();
         let Some(Upstream { idle, .. }) = servers.get_mut(server) else { return Idle::Nothing };
         idle.retain(|connection| {
-            !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_time
+            !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
         });
         let Some(last) = idle.last() else { return Idle::Nothing };
-        let left = REST.saturating_sub(last.idle_since.elapsed());
-        let rested = idle.partition_point(|connection| connection.idle_since.elapsed() >= REST);
-        match rested.checked_sub(1) {
-            Some(place) if left.is_zero() || idle[place].idle_since.elapsed() < LATELY => {
-                Idle::Ready(idle.remove(place))
+        let left = REUSE_DELAY.saturating_sub(last.idle_since.elapsed());
+        let reusable = idle.partition_point(|connection| connection.idle_since.elapsed() >= REUSE_DELAY);
+        match reusable.checked_sub(1) {
+            Some(index) if left.is_zero() || idle[index].idle_since.elapsed() < RECENT_USE => {
+                Idle::Ready(idle.remove(index))
             }
-            _ => Idle::Resting(left),
+            _ => Idle::ReusableIn(left),
         }
     }
 
     async fn connect(&self, server: &ServerId, calls: &Rc<Cell<u64>>) -> Result<Connection, Status> {
-        let addr = self.addr(server).ok_or(Status::Overloaded)?;
-        // No socket left is this node's want, not the server's: nothing was sent.
+        let addr = self.usable_addr(server).ok_or(Status::Overloaded)?;
+        // Running out of sockets is this node's fault, not the server's, and nothing was sent.
         let open = self.claim_socket().ok_or(Status::Void)?;
         let connecting = async {
             let stream = TcpStream::connect(addr).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let progress = Rc::new(Progress { written: Cell::new(Written::Nothing), handed: Rc::default() });
+            let progress =
+                Rc::new(WriteProgress { written: Cell::new(Written::Nothing), body_taken: Rc::default() });
             let calls = Rc::clone(calls);
-            let socket =
-                Socket { stream: TokioIo::new(stream), progress: Rc::clone(&progress), calls, _open: open };
+            let socket = UpstreamSocket {
+                stream: TokioIo::new(stream),
+                progress: Rc::clone(&progress),
+                calls,
+                _open_socket: open,
+            };
             let (sender, driving) = http1::Builder::new()
-                .max_buf_size(BUFFER)
+                .max_buf_size(MAX_BUFFER_BYTES)
                 .allow_obsolete_multiline_headers_in_responses(true)
                 .allow_spaces_after_header_name_in_responses(true)
                 .handshake(socket)
                 .await
                 .ok()?;
             let driver = spawn_local(async move {
-                // How it ended shows in the answers of `sender`.
+                // Errors also surface in the results of `sender`.
                 let _ = driving.await;
             });
             Some(Connection { addr, sender, progress, driver, idle_since: Instant::now() })
@@ -472,53 +491,58 @@
         connection.ok().flatten().ok_or(Status::Unreachable)
     }
 
-    /// Counts one more socket; at the limit the connection that has been idle longest makes room.
+    /// Counts one more socket. At the limit the connection that has been idle longest is closed first; if
+    /// none is idle, returns `None`.
     fn claim_socket(&self) -> Option<OpenSocket> {
-        if self.open.get() >= self.most_open.get() && !self.close_idlest() {
+        if self.open.get() >= self.limit.get() && !self.close_longest_idle() {
             return None;
         }
         self.open.set(self.open.get() + 1);
         Some(OpenSocket(Rc::clone(&self.open)))
     }
 
-    /// False where none is idle.
-    fn close_idlest(&self) -> bool {
+    /// Returns false if no connection is idle.
+    fn close_longest_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
-        let idlest = servers.values_mut().filter(|server| !server.idle.is_empty());
-        idlest.min_by_key(|server| server.idle[0].idle_since).map(|server| server.idle.remove(0)).is_some()
+        let candidates = servers.values_mut().filter(|server| !server.idle.is_empty());
+        candidates
+            .min_by_key(|server| server.idle[0].idle_since)
+            .map(|server| server.idle.remove(0))
+            .is_some()
     }
 
-    /// Reads an answer whole, or the begin of a long one, says what it means and keeps its connection if that can
-    /// go on.
-    pub async fn read(&self, server: &ServerId, answering: Answering) -> Ended {
-        let Answering { connection, response } = answering;
+    /// Buffers a response or starts to stream a long one. Returns what it means, and keeps its connection if
+    /// that can be reused.
+    pub async fn read(&self, server: &ServerId, reply_head: ReplyHead) -> AttemptEnd {
+        let ReplyHead { connection, response } = reply_head;
         let (head, body) = response.into_parts();
         let Some(body) = Download::read(body).await else {
-            return Ended::without_reply(Status::Broken);
+            return AttemptEnd::without_reply(Status::Broken);
         };
-        let status = status_of(head.status, &head.headers);
-        let note = note_of(&head.headers);
+        let status = reply_status(head.status, &head.headers);
+        let note = cache_note(&head.headers);
         let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
         let reply = |body| (status == Status::Success).then_some(Reply { content_type, body });
         match body {
-            Download::Whole(body) => {
-                // Before the outcome is told, as the module may answer it with the next attempt.
-                self.keep(server, connection).await;
-                Ended { status, note, reply: reply(Answered::Whole(body)), rest: None }
+            Download::Buffered(body) => {
+                // Done before the outcome is reported, as the balancer may respond with another attempt.
+                self.keep_idle(server, connection).await;
+                AttemptEnd { status, note, reply: reply(ReplyBody::Buffered(body)), remainder: None }
             }
-            Download::Begun(body, over) => {
-                // What a long refusal or error goes on to say is of no use, and its connection ends with it.
-                let rest = (status == Status::Success).then_some(Rest { connection, over });
-                Ended { status, note, reply: reply(Answered::Passing(body)), rest }
+            Download::Streamed(body, completion) => {
+                // The rest of a long refusal or error is not needed, and its connection is closed.
+                let remainder =
+                    (status == Status::Success).then_some(ReplyRemainder { connection, completion });
+                AttemptEnd { status, note, reply: reply(ReplyBody::Streamed(body)), remainder }
             }
         }
     }
 
-    /// Waits for the end of an answer that is passed on.
-    pub async fn finish(&self, server: &ServerId, rest: Rest) -> Status {
-        match rest.over.await {
+    /// Waits for the end of a streamed reply.
+    pub async fn finish(&self, server: &ServerId, remainder: ReplyRemainder) -> Status {
+        match remainder.completion.await {
             Ok(true) => {
-                self.keep(server, rest.connection).await;
+                self.keep_idle(server, remainder.connection).await;
                 Status::Success
             }
             Ok(false) => Status::Broken,
@@ -526,35 +550,35 @@
         }
     }
 
-    async fn keep(&self, id: &ServerId, mut connection: Connection) {
-        let free = tokio::time::timeout(SETTLE, connection.sender.ready()).await;
-        if !matches!(free, Ok(Ok(()))) {
+    async fn keep_idle(&self, id: &ServerId, mut connection: Connection) {
+        let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
+        if !matches!(ready, Ok(Ok(()))) {
             return;
         }
         connection.idle_since = Instant::now();
         let mut servers = self.servers.borrow_mut();
         let kept = servers.get_mut(id).filter(|server| server.ready && server.addr == connection.addr);
-        if let Some(server) = kept.filter(|_| !self.by_hand.is_out(id)) {
+        if let Some(server) = kept.filter(|_| !self.disabled_servers.is_disabled(id)) {
             server.idle.push(connection);
         }
     }
 }
 
-/// Closes connections before their servers do, for as long as there are upstreams.
+/// Closes idle connections before their servers do, for as long as the `Upstreams` exist.
 async fn sweep(upstreams: Weak<Upstreams>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let Some(upstreams) = upstreams.upgrade() else { return };
         for server in upstreams.servers.borrow_mut().values_mut() {
             server.idle.retain(|connection| {
                 !connection.sender.is_closed()
-                    && connection.idle_since.elapsed() + SWEEP < upstreams.idle_time
+                    && connection.idle_since.elapsed() + SWEEP_INTERVAL < upstreams.idle_timeout
             });
         }
     }
 }
 
-fn status_of(status: StatusCode, headers: &HeaderMap) -> Status {
+fn reply_status(status: StatusCode, headers: &HeaderMap) -> Status {
     let not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Status::Success,
@@ -564,8 +588,8 @@
     }
 }
 
-fn note_of(headers: &HeaderMap) -> Option<CacheNote> {
-    match headers.get(CACHE)?.as_bytes() {
+fn cache_note(headers: &HeaderMap) -> Option<CacheNote> {
+    match headers.get(CACHE_STATUS)?.as_bytes() {
         b"hit" => Some(CacheNote::Hit),
         b"miss" => Some(CacheNote::Miss),
         b"pending" => Some(CacheNote::MissFetching),
@@ -581,10 +605,10 @@
     use tokio::net::TcpListener;
     use tokio::task::LocalSet;
 
-    fn list(addr: SocketAddr, state: ServerState) -> List {
+    fn list(addr: SocketAddr, state: ServerState) -> ServerList {
         let server = ServerId("s-1".into());
         let entry = RosterEntry { server, state, ..RosterEntry::default() };
-        List { version: 1, full: true, servers: vec![(entry, addr)] }
+        ServerList { version: 1, full: true, servers: vec![(entry, addr)] }
     }
 
     fn payload(body: &str) -> Payload {
@@ -593,7 +617,7 @@
             uri: Uri::from_static("/read/a"),
             id: HeaderValue::from_static("1"),
             idempotency_key: None,
-            content: Content::Short(Bytes::from(body.to_owned())),
+            content: RequestBody::Buffered(Bytes::from(body.to_owned())),
             wait: WAIT,
         }
     }
@@ -604,13 +628,18 @@
         Limits { connect_timeout: 30.0, ..Limits::default() }
     }
 
-    fn start(most_open: usize) -> Rc<Upstreams> {
-        Upstreams::start(&limits(), most_open, Rc::default(), Rc::new(ByHand::new(None)))
+    fn start(limit: usize) -> Rc<Upstreams> {
+        Upstreams::start(&limits(), limit, Rc::default(), Rc::new(DisabledServers::new(None)))
     }
 
-    async fn exchange(upstreams: &Upstreams, server: &ServerId, payload: &Payload, sent: &Sent) -> Ended {
-        match upstreams.exchange(server, payload, WAIT, sent, || true).await {
-            Ok(answering) => upstreams.read(server, answering).await,
+    async fn exchange(
+        upstreams: &Upstreams,
+        server: &ServerId,
+        payload: &Payload,
+        write_state: &WriteState,
+    ) -> AttemptEnd {
+        match upstreams.exchange(server, payload, WAIT, write_state, || true).await {
+            Ok(reply_head) => upstreams.read(server, reply_head).await,
             Err(ended) => ended,
         }
     }
@@ -624,19 +653,19 @@
     }
 
     #[test]
-    fn nothing_that_waits_for_a_connect_goes_to_a_server_that_drains_meanwhile() {
+    fn a_request_is_not_sent_if_its_server_starts_draining_during_the_connect() {
         on_loopback(|listener| async move {
             let addr = listener.local_addr().unwrap();
             let upstreams = start(8);
             upstreams.update(&list(addr, ServerState::Ready));
-            let (server, payload, sent) = (ServerId("s-1".into()), payload(""), Sent::default());
+            let (server, payload, write_state) = (ServerId("s-1".into()), payload(""), WriteState::default());
             let (ended, ()) = tokio::join! {
                 biased;
-                exchange(&upstreams, &server, &payload, &sent),
-                // Polled while the connect is under way.
+                exchange(&upstreams, &server, &payload, &write_state),
+                // Polled while the connection is being established.
                 async { upstreams.update(&list(addr, ServerState::Draining)) },
             };
-            assert_eq!((ended.status, sent.whole()), (Status::Overloaded, false));
+            assert_eq!((ended.status, write_state.is_complete()), (Status::Overloaded, false));
             let mut seen = Vec::new();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_to_end(&mut seen).await.unwrap();
@@ -645,21 +674,21 @@
     }
 
     #[test]
-    fn nothing_that_waits_for_a_connect_is_sent_once_its_request_is_over() {
+    fn a_request_is_not_sent_if_it_ends_during_the_connect() {
         on_loopback(|listener| async move {
             let addr = listener.local_addr().unwrap();
             let upstreams = start(8);
             upstreams.update(&list(addr, ServerState::Ready));
-            let (server, payload, sent) = (ServerId("s-1".into()), payload(""), Sent::default());
+            let (server, payload, write_state) = (ServerId("s-1".into()), payload(""), WriteState::default());
             let open = Cell::new(true);
-            let (answering, ()) = tokio::join! {
+            let (reply_head, ()) = tokio::join! {
                 biased;
-                upstreams.exchange(&server, &payload, WAIT, &sent, || open.get()),
-                // Polled while the connect is under way.
+                upstreams.exchange(&server, &payload, WAIT, &write_state, || open.get()),
+                // Polled while the connection is being established.
                 async { open.set(false) },
             };
-            let status = answering.err().map(|ended| ended.status);
-            assert_eq!((status, sent.whole()), (Some(Status::Void), false));
+            let status = reply_head.err().map(|ended| ended.status);
+            assert_eq!((status, write_state.is_complete()), (Some(Status::Void), false));
             let mut seen = Vec::new();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_to_end(&mut seen).await.unwrap();
@@ -668,46 +697,48 @@
     }
 
     #[test]
-    fn nothing_that_waits_for_a_connect_goes_to_a_server_that_is_taken_out_meanwhile() {
+    fn a_request_is_not_sent_if_its_server_is_disabled_during_the_connect() {
         on_loopback(|listener| async move {
             let addr = listener.local_addr().unwrap();
-            let by_hand = Rc::new(ByHand::new(None));
-            let upstreams = Upstreams::start(&limits(), 8, Rc::default(), Rc::clone(&by_hand));
+            let disabled_servers = Rc::new(DisabledServers::new(None));
+            let upstreams = Upstreams::start(&limits(), 8, Rc::default(), Rc::clone(&disabled_servers));
             upstreams.update(&list(addr, ServerState::Ready));
-            let (server, payload, sent) = (ServerId("s-1".into()), payload(""), Sent::default());
+            let (server, payload, write_state) = (ServerId("s-1".into()), payload(""), WriteState::default());
             let (ended, ()) = tokio::join! {
                 biased;
-                exchange(&upstreams, &server, &payload, &sent),
-                async { drop(by_hand.set(&server, true, 1.0, 60.0)) },
+                exchange(&upstreams, &server, &payload, &write_state),
+                async { drop(disabled_servers.set_disabled(&server, true, 1.0, 60.0)) },
             };
-            assert_eq!((ended.status, sent.whole()), (Status::Overloaded, false));
-            // No list brings it back.
+            assert_eq!((ended.status, write_state.is_complete()), (Status::Overloaded, false));
+            // A list update does not enable the server again.
             upstreams.update(&list(addr, ServerState::Ready));
-            let ended = exchange(&upstreams, &server, &payload, &sent).await;
-            assert_eq!((ended.status, sent.whole()), (Status::Overloaded, false));
+            let ended = exchange(&upstreams, &server, &payload, &write_state).await;
+            assert_eq!((ended.status, write_state.is_complete()), (Status::Overloaded, false));
         });
     }
 
     #[test]
-    fn a_request_is_known_to_be_written_whole_once_its_last_byte_is() {
+    fn a_request_counts_as_written_once_its_last_byte_is() {
         on_loopback(|listener| async move {
             let upstreams = start(8);
             upstreams.update(&list(listener.local_addr().unwrap(), ServerState::Ready));
-            let (server, payload, sent) = (ServerId("s-1".into()), payload("body"), Sent::default());
+            let (server, payload, write_state) =
+                (ServerId("s-1".into()), payload("body"), WriteState::default());
             let answered = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let mut seen = Vec::new();
                 while !seen.ends_with(b"body") {
                     assert!(stream.read_buf(&mut seen).await.unwrap() > 0);
                 }
-                // Closed unanswered: it may have run.
+                // Closed without a response: the request may have run.
             };
-            let (ended, ()) = tokio::join!(exchange(&upstreams, &server, &payload, &sent), answered);
-            assert_eq!((ended.status, sent.whole()), (Status::Broken, true));
+            let (ended, ()) = tokio::join!(exchange(&upstreams, &server, &payload, &write_state), answered);
+            assert_eq!((ended.status, write_state.is_complete()), (Status::Broken, true));
         });
     }
 
-    /// The server's second answer is held back until the next request is on its way. Time stands still meanwhile.
+    /// The server's second response is held back until the next request has been started. Tokio's clock is
+    /// paused meanwhile, so the reuse delay is what separates the two.
     #[test]
     fn a_second_answer_is_not_taken_for_the_answer_to_another_request() {
         on_loopback(|listener| async move {
@@ -728,9 +759,9 @@
                 std::future::pending().await
             };
             let ask = || async {
-                let ended = exchange(&upstreams, &server, &payload, &Sent::default()).await;
+                let ended = exchange(&upstreams, &server, &payload, &WriteState::default()).await;
                 match ended.reply.map(|reply| reply.body) {
-                    Some(Answered::Whole(body)) => body,
+                    Some(ReplyBody::Buffered(body)) => body,
                     _ => panic!("no answer: {:?}", ended.status),
                 }
             };
@@ -748,7 +779,7 @@
     }
 
     #[test]
-    fn at_the_limit_the_idlest_connection_makes_room_and_none_is_opened_beyond() {
+    fn at_the_limit_the_longest_idle_connection_is_closed_and_no_other_is_opened() {
         on_loopback(|listener| async move {
             let addr = listener.local_addr().unwrap();
             let upstreams = start(1);
@@ -761,10 +792,10 @@
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
                 stream
             };
-            let (sent, other) = (Sent::default(), Sent::default());
+            let (write_state, other) = (WriteState::default(), WriteState::default());
             let (ended, beyond, mut stream) = tokio::join! {
                 biased;
-                exchange(&upstreams, &server, &payload, &sent),
+                exchange(&upstreams, &server, &payload, &write_state),
                 exchange(&upstreams, &server, &payload, &other),
                 serve,
             };
@@ -776,7 +807,7 @@
     }
 
     #[test]
-    fn answers_are_told_as_the_protocol_has_them() {
+    fn replies_are_mapped_to_statuses_and_cache_notes() {
         let mut not_run = HeaderMap::new();
         not_run.insert(NOT_RUN, HeaderValue::from_static("1"));
         let none = HeaderMap::new();
@@ -789,7 +820,7 @@
             (503, &not_run, Status::Overloaded),
             (504, &not_run, Status::Overloaded),
         ] {
-            assert_eq!(status_of(StatusCode::from_u16(status).unwrap(), headers), told, "{status}");
+            assert_eq!(reply_status(StatusCode::from_u16(status).unwrap(), headers), told, "{status}");
         }
         for (word, note) in [
             ("hit", Some(CacheNote::Hit)),
@@ -797,8 +828,8 @@
             ("pending", Some(CacheNote::MissFetching)),
             ("odd", None),
         ] {
-            let headers = HeaderMap::from_iter([(CACHE, HeaderValue::from_static(word))]);
-            assert_eq!(note_of(&headers), note);
+            let headers = HeaderMap::from_iter([(CACHE_STATUS, HeaderValue::from_static(word))]);
+            assert_eq!(cache_note(&headers), note);
         }
     }
 }
