--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -229,7 +229,7 @@
     fn apply_disabled_changes(self: &Rc<Self>, changes: Vec<DisabledChange>) {
         for DisabledChange { server, enabled_at } in changes {
             eprintln!(
-                "{} {}",
+                "cache server {} {}",
                 server.0,
                 if enabled_at.is_some() { "enabled by an operator" } else { "disabled by an operator" }
             );
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -738,7 +738,7 @@
     }
 
     /// The server's second response is held back until the next request has been started. Tokio's clock is
-    /// paused meanwhile, so the reuse delay is what separates the two.
+    /// paused meanwhile.
     #[test]
     fn a_second_answer_is_not_taken_for_the_answer_to_another_request() {
         on_loopback(|listener| async move {
@@ -811,7 +811,7 @@
         let mut not_run = HeaderMap::new();
         not_run.insert(NOT_RUN, HeaderValue::from_static("1"));
         let none = HeaderMap::new();
-        for (status, headers, told) in [
+        for (status, headers, expected) in [
             (200, &none, Status::Success),
             (404, &none, Status::Absent),
             (500, &none, Status::Error),
@@ -820,7 +820,7 @@
             (503, &not_run, Status::Overloaded),
             (504, &not_run, Status::Overloaded),
         ] {
-            assert_eq!(reply_status(StatusCode::from_u16(status).unwrap(), headers), told, "{status}");
+            assert_eq!(reply_status(StatusCode::from_u16(status).unwrap(), headers), expected, "{status}");
         }
         for (word, note) in [
             ("hit", Some(CacheNote::Hit)),
--- a/node/tests/bodies.rs
+++ b/node/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Long and slow messages in all their forms, both ways through the node.
+//! Long and slow request and response bodies in every framing.
 
 mod common;
 
@@ -15,39 +15,39 @@
 
 const MB: usize = 1 << 20;
 
-// ---- Servers and clients that write what a test says --------------------------------------------------------
+// ---- Raw servers and clients ------------------------------------------------------------------------------
 
-/// A server that hands each of its connections to a test.
-struct Raw {
+/// A server that hands each accepted connection to the test.
+struct RawServer {
     addr: SocketAddr,
-    taken: Receiver<TcpStream>,
+    accepted: Receiver<TcpStream>,
 }
 
-impl Raw {
-    fn start() -> Raw {
+impl RawServer {
+    fn start() -> RawServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (take, taken): (Sender<TcpStream>, _) = channel();
+        let (sender, accepted): (Sender<TcpStream>, _) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                if take.send(stream).is_err() {
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+                if sender.send(stream).is_err() {
                     return;
                 }
             }
         });
-        Raw { addr, taken }
+        RawServer { addr, accepted }
     }
 
-    /// A connection on which a whole head has come, and what came with it.
+    /// Accepts a connection and reads one request head from it.
     fn request(&self) -> (TcpStream, String) {
-        let mut stream = self.taken.recv_timeout(PATIENCE).expect("a connection at the server");
+        let mut stream = self.accepted.recv_timeout(TEST_TIMEOUT).expect("a connection at the server");
         let head = head(&mut stream);
         (stream, head)
     }
 }
 
-/// Reads up to the end of a head and no further.
+/// Reads up to the end of a head and not a byte further.
 fn head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -60,7 +60,7 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
@@ -72,8 +72,9 @@
     format!("PUT /order/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 6000\r\n{headers}\r\n")
 }
 
-/// All up to the end of the connection, and whether that was a proper one.
-fn to_end(stream: &mut TcpStream) -> (Vec<u8>, bool) {
+/// Reads to the end of the connection. Returns the data, and whether it ended with a close and not with a
+/// reset.
+fn read_to_close(stream: &mut TcpStream) -> (Vec<u8>, bool) {
     let (mut all, mut buffer) = (Vec::new(), vec![0; 64 << 10]);
     loop {
         match stream.read(&mut buffer) {
@@ -85,7 +86,7 @@
     }
 }
 
-/// A body that shows if pieces are lost, doubled or swapped.
+/// A body whose content shows lost, duplicated or swapped parts.
 fn body(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n / 251 + n % 251) as u8).collect()
 }
@@ -93,7 +94,7 @@
 fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let mut out = Vec::new();
     for (n, chunk) in body.chunks(size).enumerate() {
-        // hyper takes 16 KiB of extensions in a body.
+        // hyper accepts at most 16 KiB of chunk extensions in a body.
         let extension = if n % 10 == 0 { ";name=value" } else { "" };
         out.extend(format!("{:x}{extension}\r\n", chunk.len()).bytes());
         out.extend(chunk);
@@ -130,31 +131,31 @@
     (Node::start(&config), discovery)
 }
 
-fn with_cache(cache: &Raw) -> (Node, Discovery) {
+fn start_with_cache(cache: &RawServer) -> (Node, Discovery) {
     start(&[entry("s-1", cache.addr, "active")])
 }
 
-fn with_origin(origin: &Raw) -> (Node, Discovery) {
-    start(&[entry("s-1", refusing(), "active"), entry("origin", origin.addr, "active")])
+fn start_with_origin(origin: &RawServer) -> (Node, Discovery) {
+    start(&[entry("s-1", refusing_addr(), "active"), entry("origin", origin.addr, "active")])
 }
 
-fn figures(node: &Node) -> Value {
-    serde_json::from_str(&node.call("GET", "/-/metrics").body).unwrap()
+fn metrics(node: &Node) -> Value {
+    serde_json::from_str(&node.operator_call("GET", "/-/metrics").body).unwrap()
 }
 
-/// Resident memory of this test's node, in bytes.
-fn memory(node: &Node) -> usize {
+/// Peak resident memory of the node, in bytes.
+fn peak_memory(node: &Node) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.id())).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() << 10
 }
 
-// ---- Answers --------------------------------------------------------------------------------------------
+// ---- Responses ------------------------------------------------------------------------------------------
 
 #[test]
-fn long_answers_come_unchanged_in_every_framing() {
-    let (cache, long) = (Raw::start(), body(5 * MB));
-    let (node, _discovery) = with_cache(&cache);
+fn long_responses_arrive_unchanged_in_every_framing() {
+    let (cache, long) = (RawServer::start(), body(5 * MB));
+    let (node, _discovery) = start_with_cache(&cache);
     let framings: [(&str, Vec<u8>); 3] = [
         (&format!("Content-Length: {}\r\n", long.len()), long.clone()),
         ("Transfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n", chunked(&long, 1000)),
@@ -172,7 +173,7 @@
                 server.write_all(answer.as_bytes()).unwrap();
                 server.write_all(&framed).unwrap();
             });
-            let (all, _) = to_end(&mut client);
+            let (all, _) = read_to_close(&mut client);
             writer.join().unwrap();
             let (head, rest) = split(&all);
             assert!(head.starts_with("http/1.") && head.contains(" 200 "), "{head}");
@@ -181,25 +182,25 @@
             assert!(got == long, "{headers} {version}: {} bytes", got.len());
         }
     }
-    assert_eq!(figures(&node)["success"]["read"], 6);
+    assert_eq!(metrics(&node)["success"]["read"], 6);
 }
 
 #[test]
-fn a_long_answer_begins_at_once_and_no_timer_cuts_it() {
-    let cache = Raw::start();
-    let (node, _discovery) = with_cache(&cache);
+fn a_long_response_is_streamed_at_once_and_not_timed_out() {
+    let cache = RawServer::start();
+    let (node, _discovery) = start_with_cache(&cache);
     for headers in ["Content-Length: 200000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let mut client = connect(&node);
         client.write_all(get("/read/a", "1.1", "").as_bytes()).unwrap();
         let (mut server, _) = cache.request();
         server.write_all(format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes()).unwrap();
         let is_chunked = headers.starts_with('T');
-        let piece = |server: &mut TcpStream, text: &str| {
+        let write_part = |server: &mut TcpStream, text: &str| {
             let framed = if is_chunked { format!("{:x}\r\n{text}\r\n", text.len()) } else { text.into() };
             server.write_all(framed.as_bytes()).unwrap();
         };
-        piece(&mut server, "first");
-        // The client sees it though no more comes for now.
+        write_part(&mut server, "first");
+        // The client receives this part before more arrives.
         head(&mut client);
         let mut begin = [0; 5];
         if is_chunked {
@@ -207,34 +208,34 @@
         }
         client.read_exact(&mut begin).unwrap();
         assert_eq!(&begin, b"first");
-        assert_eq!(figures(&node)["inflight"], 1);
-        // Past the client's own time, which was for the begin.
+        assert_eq!(metrics(&node)["inflight"], 1);
+        // Longer than the client's deadline, which only bounds the start of the response.
         thread::sleep(Duration::from_millis(2500));
         let rest = "x".repeat(200_000 - 5);
-        piece(&mut server, &rest);
+        write_part(&mut server, &rest);
         if is_chunked {
             server.write_all(b"0\r\n\r\n").unwrap();
         }
         let mut got = Vec::new();
-        // To its very end: who leaves before that has not been served.
+        // Reads the very last byte, because a client that disconnects before it is not counted as served.
         let whole =
             |got: &[u8]| if is_chunked { got.ends_with(b"0\r\n\r\n") } else { got.len() == rest.len() };
         while !whole(&got) {
             let mut buffer = vec![0; 8 << 10];
             let n = client.read(&mut buffer).unwrap();
-            assert!(n > 0, "cut off");
+            assert!(n > 0, "connection closed early");
             got.extend_from_slice(&buffer[..n]);
         }
         assert_eq!(got.iter().filter(|byte| **byte == b'x').count(), rest.len());
     }
-    wait_until("both have ended", || (figures(&node)["inflight"] == 0).then_some(()));
-    assert_eq!(figures(&node)["success"]["read"], 2);
+    wait_until("both requests have ended", || (metrics(&node)["inflight"] == 0).then_some(()));
+    assert_eq!(metrics(&node)["success"]["read"], 2);
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_shows_in_every_framing() {
-    let cache = Raw::start();
-    let (node, _discovery) = with_cache(&cache);
+fn a_truncated_long_response_is_detectable_in_every_framing() {
+    let cache = RawServer::start();
+    let (node, _discovery) = start_with_cache(&cache);
     let cases = [
         ("Content-Length: 200000\r\n", "1.1"),
         ("Content-Length: 200000\r\n", "1.0"),
@@ -249,20 +250,20 @@
         let half = if headers.starts_with('T') { format!("{:x}\r\n{half}\r\n", half.len()) } else { half };
         server.write_all(format!("HTTP/1.1 200 OK\r\n{headers}\r\n{half}").as_bytes()).unwrap();
         drop(server);
-        let (all, proper) = to_end(&mut client);
+        let (all, closed_cleanly) = read_to_close(&mut client);
         let short = !all.is_empty() && {
             let (head, rest) = split(&all);
             (head.contains("content-length: 200000") && rest.len() < 200_000)
                 || (head.contains("chunked") && unchunked(rest).is_none())
         };
-        assert!(!proper || short, "{headers} {version} looks whole");
+        assert!(!closed_cleanly || short, "{headers} {version}: looks complete");
     }
-    assert_eq!(figures(&node)["failure"]["read"], 4);
-    assert_eq!(figures(&node)["success"]["read"], 0);
+    assert_eq!(metrics(&node)["failure"]["read"], 4);
+    assert_eq!(metrics(&node)["success"]["read"], 0);
 }
 
 #[test]
-fn a_short_answer_of_unknown_length_that_breaks_off_at_once_is_had_elsewhere() {
+fn a_truncated_short_response_of_unknown_length_is_retried() {
     let asked = Arc::new(AtomicU64::new(0));
     let servers = ["s-1", "s-2"].map(|id| {
         let asked = Arc::clone(&asked);
@@ -277,9 +278,9 @@
 }
 
 #[test]
-fn heads_split_at_any_byte_and_odd_forms_of_answers_are_read() {
-    let cache = Raw::start();
-    let (node, _discovery) = with_cache(&cache);
+fn heads_split_at_every_byte_and_unusual_response_heads_are_accepted() {
+    let cache = RawServer::start();
+    let (node, _discovery) = start_with_cache(&cache);
     let answer = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 Fine\r\nX-Folded: a\r\n b\r\nx-cache : hit\r\n\
                   cONTENT-lENGTH: 5\r\n\r\nvalue";
     let mut client = connect(&node);
@@ -290,16 +291,16 @@
     for byte in answer.bytes() {
         server.write_all(&[byte]).unwrap();
     }
-    let (all, _) = to_end(&mut client);
+    let (all, _) = read_to_close(&mut client);
     let (head, body) = split(&all);
     assert!(head.starts_with("http/1.1 200"), "{head}");
     assert_eq!(body, b"value");
 }
 
 #[test]
-fn targets_in_absolute_form_go_on_as_paths() {
-    let cache = Raw::start();
-    let (node, _discovery) = with_cache(&cache);
+fn targets_in_absolute_form_are_forwarded_as_paths() {
+    let cache = RawServer::start();
+    let (node, _discovery) = start_with_cache(&cache);
     let mut client = connect(&node);
     client.write_all(get("http://backend.local:80/read/a?x=%20y", "1.1", "").as_bytes()).unwrap();
     let (mut server, head) = cache.request();
@@ -309,9 +310,9 @@
 }
 
 #[test]
-fn many_long_answers_to_readers_that_stop_do_not_fill_memory_nor_hold_up_others() {
+fn many_long_responses_to_stalled_readers_use_bounded_memory_and_do_not_block_others() {
     let cache = Server::start(|request| match request.path() {
-        "/read/long" => Reply::Keep(answer("200 OK", "X-Cache: hit\r\n", &"x".repeat(16 * MB))),
+        "/read/long" => Reply::KeepAlive(response_text("200 OK", "X-Cache: hit\r\n", &"x".repeat(16 * MB))),
         _ => hit("short"),
     });
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
@@ -324,25 +325,25 @@
         })
         .collect();
     assert_eq!(node.get("/read/short").status(), 200);
-    assert!(memory(&node) < 48 * MB, "{} MB for 480 MB of answers", memory(&node) / MB);
+    assert!(peak_memory(&node) < 48 * MB, "{} MB for 480 MB of responses", peak_memory(&node) / MB);
     for mut reader in readers.into_iter().take(3) {
         let mut left = 16 * MB;
         let mut buffer = vec![0; 256 << 10];
         while left > 0 {
             let n = reader.read(&mut buffer).unwrap();
-            assert!(n > 0, "cut off with {left} bytes to come");
+            assert!(n > 0, "connection closed with {left} bytes missing");
             left -= n;
         }
     }
-    assert!(memory(&node) < 48 * MB);
+    assert!(peak_memory(&node) < 48 * MB);
 }
 
 // ---- Requests -------------------------------------------------------------------------------------------
 
 #[test]
 fn long_bodies_reach_the_origin_unchanged_in_every_framing() {
-    let (origin, long) = (Raw::start(), body(5 * MB));
-    let (node, _discovery) = with_origin(&origin);
+    let (origin, long) = (RawServer::start(), body(5 * MB));
+    let (node, _discovery) = start_with_origin(&origin);
     let framings = [
         (format!("Content-Length: {}\r\n", long.len()), long.clone()),
         ("Transfer-Encoding: chunked\r\n".into(), chunked(&long, 1000)),
@@ -363,7 +364,7 @@
         let whole = |got: &[u8]| if head.contains("chunked") { unchunked(got) } else { Some(got.to_vec()) };
         while whole(&got).is_none_or(|got| got.len() < long.len()) {
             let n = server.read(&mut buffer).unwrap();
-            assert!(n > 0, "cut off");
+            assert!(n > 0, "connection closed early");
             got.extend_from_slice(&buffer[..n]);
         }
         writer.join().unwrap();
@@ -371,14 +372,14 @@
         server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
         assert!(self::head(&mut client).starts_with("HTTP/1.1 200"), "{headers}");
     }
-    assert_eq!(figures(&node)["success"]["order"], 3);
-    assert_eq!(figures(&node)["backend_calls"], 3);
+    assert_eq!(metrics(&node)["success"]["order"], 3);
+    assert_eq!(metrics(&node)["backend_calls"], 3);
 }
 
 #[test]
-fn a_long_body_in_the_making_is_passed_on_and_its_client_may_take_its_time() {
-    let origin = Raw::start();
-    let (node, _discovery) = with_origin(&origin);
+fn a_long_body_is_forwarded_as_it_arrives_and_the_deadline_starts_at_its_end() {
+    let origin = RawServer::start();
+    let (node, _discovery) = start_with_origin(&origin);
     let mut client = connect(&node);
     let headers = "X-Deadline-Ms: 900\r\nContent-Length: 200000\r\n";
     let request = format!("PUT /order/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\n{headers}\r\n");
@@ -386,14 +387,15 @@
     client.write_all(&[b'x'; 100_000]).unwrap();
     let (mut server, _) = origin.request();
     server.read_exact(&mut [0; 100_000]).unwrap();
-    // More than the client's own time, which runs from its last byte; well within the least rate.
+    // Longer than the client's deadline, which starts at its last byte; well within the minimum rate.
     thread::sleep(Duration::from_millis(1200));
-    assert_eq!(figures(&node)["backend_calls"], 0, "not written whole");
+    assert_eq!(metrics(&node)["backend_calls"], 0, "not written completely");
     client.write_all(&[b'x'; 100_000]).unwrap();
     server.read_exact(&mut [0; 100_000]).unwrap();
     server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
     assert!(head(&mut client).starts_with("HTTP/1.1 200"));
-    // A silent origin is given up at the client's time from there on.
+    // With a silent origin the request fails once the client's deadline, measured from the last byte, has
+    // passed.
     client.read_exact(&mut [0; 2]).unwrap();
     client.write_all(request.as_bytes()).unwrap();
     client.write_all(&[b'x'; 200_000]).unwrap();
@@ -403,31 +405,32 @@
 
 #[test]
 fn a_long_body_is_never_sent_twice() {
-    let origins = [Raw::start(), Raw::start()];
+    let origins = [RawServer::start(), RawServer::start()];
     let known: Vec<_> = origins.iter().map(|origin| entry("origin", origin.addr, "active")).collect();
     let mut second = known[1].clone();
     second["id"] = json!("origin-2");
     let (node, _discovery) = start(&[known[0].clone(), second]);
-    // Broken off in the middle, it can't have run; after its last byte it may have.
+    // If the server closes in the middle of the body, the request can't have run; after the last byte it may
+    // have.
     for (read, status) in [(100_000, "503"), (200_000, "502")] {
         let mut client = connect(&node);
         client.write_all(put("Content-Length: 200000\r\n").as_bytes()).unwrap();
         client.write_all(&vec![b'x'; read]).unwrap();
         let mut server = wait_until("an origin is asked", || {
-            origins.iter().find_map(|origin| origin.taken.try_recv().ok())
+            origins.iter().find_map(|origin| origin.accepted.try_recv().ok())
         });
         head(&mut server);
         server.read_exact(&mut vec![0; read]).unwrap();
         drop(server);
         let answer = head(&mut client);
         assert!(answer.contains(status), "{read} bytes: {answer}");
-        assert!(origins.iter().all(|origin| origin.taken.try_recv().is_err()), "sent again");
+        assert!(origins.iter().all(|origin| origin.accepted.try_recv().is_err()), "sent again");
     }
 }
 
 #[test]
-fn senders_slower_than_the_least_rate_are_told_in_time_and_harm_nobody() {
-    let origin = Raw::start();
+fn senders_below_the_minimum_rate_are_refused_in_time_without_harm_to_others() {
+    let origin = RawServer::start();
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) =
         start(&[entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")]);
@@ -446,19 +449,19 @@
     });
     assert_eq!(node.get("/read/a").status(), 200);
     for client in &mut clients {
-        let (told, _) = to_end(client);
-        let status = String::from_utf8_lossy(&told);
+        let (response, _) = read_to_close(client);
+        let status = String::from_utf8_lossy(&response);
         assert!(
-            told.is_empty() || status.starts_with("HTTP/1.1 4") || status.starts_with("HTTP/1.1 5"),
+            response.is_empty() || status.starts_with("HTTP/1.1 4") || status.starts_with("HTTP/1.1 5"),
             "{status}"
         );
     }
-    assert!(began.elapsed() < PATIENCE / 2, "{:?}", began.elapsed());
-    // The origin is not blamed for what clients do.
+    assert!(began.elapsed() < TEST_TIMEOUT / 2, "{:?}", began.elapsed());
+    // Slow clients don't count as failures of the origin.
     let mut client = node.client();
     client.send("PUT", "/store/a", "X-Deadline-Ms: 8000\r\n", "short");
     wait_until("the origin is asked", || {
-        let mut server = origin.taken.recv_timeout(PATIENCE).ok()?;
+        let mut server = origin.accepted.recv_timeout(TEST_TIMEOUT).ok()?;
         server.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         let mut all = vec![0; 4096];
         let n = server.read(&mut all).ok()?;
@@ -472,7 +475,7 @@
 }
 
 #[test]
-fn a_short_body_may_come_in_pieces_over_a_second() {
+fn a_short_body_may_arrive_in_pieces_over_more_than_a_second() {
     let origin = Server::start(|_| hit("stored"));
     let (node, _discovery) = start(&[entry("origin", origin.addr, "active")]);
     let mut client = connect(&node);
@@ -488,8 +491,8 @@
 }
 
 #[test]
-fn bodies_beyond_the_longest_and_other_codings_are_refused_at_once() {
-    let (node, _discovery) = start(&[entry("s-1", refusing(), "active")]);
+fn oversized_bodies_and_unsupported_codings_are_refused_at_once() {
+    let (node, _discovery) = start(&[entry("s-1", refusing_addr(), "active")]);
     let cases = [
         ("Content-Length: 33554433\r\n", "413"),
         ("Transfer-Encoding: gzip, chunked\r\n", "501"),
@@ -503,8 +506,8 @@
 }
 
 #[test]
-fn a_client_that_leaves_a_long_exchange_ends_it() {
-    let (cache, origin) = (Raw::start(), Raw::start());
+fn a_client_disconnect_ends_a_long_transfer() {
+    let (cache, origin) = (RawServer::start(), RawServer::start());
     let (node, _discovery) =
         start(&[entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")]);
     let mut reader = connect(&node);
@@ -514,28 +517,28 @@
     head(&mut reader);
     reader.shutdown(Shutdown::Both).unwrap();
     drop(reader);
-    let (_, _) = to_end(&mut server);
+    let (_, _) = read_to_close(&mut server);
     let mut writer = connect(&node);
     writer.write_all(put("Content-Length: 30000000\r\n").as_bytes()).unwrap();
     writer.write_all(&[b'x'; 100_000]).unwrap();
     let (mut server, _) = origin.request();
     drop(writer);
-    to_end(&mut server);
-    wait_until("nothing is in flight", || (figures(&node)["inflight"] == 0).then_some(()));
-    assert_eq!(figures(&node)["success"]["order"], 0);
+    read_to_close(&mut server);
+    wait_until("nothing is in flight", || (metrics(&node)["inflight"] == 0).then_some(()));
+    assert_eq!(metrics(&node)["success"]["order"], 0);
 }
 
 // ---- Slow heads -----------------------------------------------------------------------------------------
 
 #[test]
-fn a_kept_connection_has_its_time_for_a_head_from_its_first_byte() {
+fn the_head_timeout_of_an_idle_connection_starts_at_the_first_byte() {
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
     assert_eq!(client.get("/read/a", "").status(), 200);
     let request = get("/read/a", "1.1", "");
     let (begin, end) = request.split_at(20);
-    // Idle for nearly as long as it may be, and then slow with its head: both are a client's right.
+    // Idle for almost the longest allowed time, and then slow with its head: a client may do both.
     thread::sleep(Duration::from_millis(1500));
     client.write(begin);
     thread::sleep(Duration::from_millis(1500));
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The node's program as a child, and plain sockets on loopback round it: servers and discovery that do as a
-//! test says, and clients. Tests wait on events, within `PATIENCE`.
+//! Runs the node's program as a child process, with scripted servers, scripted discovery and plain clients
+//! on loopback sockets. Tests wait for events, for at most `TEST_TIMEOUT`.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -14,12 +14,12 @@
 
 use serde_json::{json, Value};
 
-/// Longest wait for anything; a machine under load must not fail a test.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time-out of every wait. It is long, so that a loaded machine does not fail a test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 // ---- Messages -------------------------------------------------------------------------------------------
 
-/// A request or an answer as it came.
+/// A request or a response as received.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Request or status line.
@@ -29,7 +29,7 @@
 }
 
 impl Message {
-    /// `None` where the connection ends first.
+    /// Returns `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut line = String::new();
@@ -64,30 +64,31 @@
     }
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub fn response_text(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 pub fn hit(body: &str) -> Reply {
-    Reply::Keep(answer("200 OK", "X-Cache: hit\r\n", body))
+    Reply::KeepAlive(response_text("200 OK", "X-Cache: hit\r\n", body))
 }
 
 pub fn miss() -> Reply {
-    Reply::Keep(answer("404 Not Found", "X-Cache: miss\r\n", ""))
+    Reply::KeepAlive(response_text("404 Not Found", "X-Cache: miss\r\n", ""))
 }
 
 // ---- Servers --------------------------------------------------------------------------------------------
 
-/// What a server does with a request.
+/// What a scripted server does with a request.
 pub enum Reply {
-    Keep(String),
-    /// Writes this much and closes.
+    KeepAlive(String),
+    /// Writes this text and closes the connection.
     Close(String),
-    /// Says nothing for as long as the connection is open.
-    Silence,
+    /// Sends no response.
+    NoResponse,
 }
 
-/// A server whose answers a test gives; requests and ended connections come out of the channels.
+/// A server whose responses the test scripts. Requests and the ends of connections are reported through
+/// channels.
 pub struct Server {
     pub addr: SocketAddr,
     pub requests: Receiver<Message>,
@@ -104,7 +105,7 @@
             for stream in listener.incoming().flatten() {
                 let (reply, seen, end) = (Arc::clone(&reply), seen.clone(), end.clone());
                 thread::spawn(move || {
-                    attend(stream, &*reply, &seen);
+                    serve_connection(stream, &*reply, &seen);
                     let _ = end.send(());
                 });
             }
@@ -112,8 +113,9 @@
         Server { addr, requests, ended }
     }
 
-    /// One that holds some answers, each until it is let go.
-    pub fn gated(
+    /// A server that holds back some responses, one for each message that it then gets from the returned
+    /// sender.
+    pub fn with_gate(
         holds: impl Fn(&Message) -> bool + Send + Sync + 'static,
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> (Server, Sender<()>) {
@@ -128,27 +130,28 @@
         (server, release)
     }
 
-    pub fn next(&self) -> Message {
-        self.requests.recv_timeout(PATIENCE).expect("a request at the server")
+    pub fn next_request(&self) -> Message {
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request at the server")
     }
 }
 
-fn attend(mut stream: TcpStream, reply: &dyn Fn(&Message) -> Reply, seen: &Sender<Message>) {
+fn serve_connection(mut stream: TcpStream, reply: &dyn Fn(&Message) -> Reply, seen: &Sender<Message>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = Message::read(&mut reader) {
         let _ = seen.send(request.clone());
         let reply = reply(&request);
         let text = match &reply {
-            Reply::Keep(text) | Reply::Close(text) => text.as_str(),
-            Reply::Silence => "",
+            Reply::KeepAlive(text) | Reply::Close(text) => text.as_str(),
+            Reply::NoResponse => "",
         };
         if stream.write_all(text.as_bytes()).is_err() {
             return;
         }
         if matches!(reply, Reply::Close(_)) {
-            // The end counts once the node has seen it: on a busy machine it may come after what is sent later.
+            // Waits until the node has seen the close: on a busy machine it might otherwise arrive after
+            // data that the test sends later.
             let _ = stream.shutdown(Shutdown::Write);
-            let _ = stream.set_read_timeout(Some(PATIENCE));
+            let _ = stream.set_read_timeout(Some(TEST_TIMEOUT));
             let _ = std::io::copy(&mut reader, &mut std::io::sink());
             return;
         }
@@ -156,13 +159,13 @@
 }
 
 /// An address at which connections are refused.
-pub fn refusing() -> SocketAddr {
+pub fn refusing_addr() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 // ---- Discovery ------------------------------------------------------------------------------------------
 
-/// An entry of the list.
+/// An entry of a server list.
 pub fn entry(id: &str, addr: SocketAddr, state: &str) -> Value {
     let kind = if id == "origin" { "origin" } else { "box" };
     json!({"id": id, "addr": addr.to_string(), "zone": "here", "kind": kind, "cell": 0, "state": state,
@@ -173,7 +176,8 @@
     json!({"version": version, "full": full, "servers": servers})
 }
 
-/// Discovery: a watch waits until something newer is published, which goes out as it is.
+/// Scripted discovery. A watch waits until a newer version is published, and gets the published text
+/// unchanged.
 pub struct Discovery {
     pub server: Server,
     newest: Arc<(Mutex<(u64, String)>, Condvar)>,
@@ -182,13 +186,13 @@
 impl Discovery {
     pub fn start() -> Discovery {
         let newest = Arc::new((Mutex::new((0, String::new())), Condvar::new()));
-        let told = Arc::clone(&newest);
+        let shared = Arc::clone(&newest);
         let server = Server::start(move |request| {
             let query = |name: &str| {
                 let (_, query) = request.path().split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok())
             };
-            let (lock, published) = &*told;
+            let (lock, published) = &*shared;
             let (from, hold) = (query("from="), query("hold_ms=").unwrap_or(0));
             let older = |newest: &mut (u64, String)| from.is_some_and(|from| newest.0 <= from);
             let newest = lock.lock().unwrap();
@@ -196,26 +200,27 @@
             let (newest, late) = published.wait_timeout_while(newest, hold, older).unwrap();
             let unchanged = list(from.unwrap_or(0), false, &[]).to_string();
             let body = if late.timed_out() { unchanged } else { newest.1.clone() };
-            Reply::Keep(answer("200 OK", "", &body))
+            Reply::KeepAlive(response_text("200 OK", "", &body))
         });
         Discovery { server, newest }
     }
 
-    /// `body` is what watches from before `version` are answered.
+    /// Publishes `body` as the response to watches from versions below `version`.
     pub fn publish(&self, version: u64, body: &str) {
         *self.newest.0.lock().unwrap() = (version, body.to_owned());
         self.newest.1.notify_all();
     }
 
-    /// Waits for a call that shows that this version has been read.
-    pub fn heard(&self, version: u64) {
-        while !self.server.next().path().contains(&format!("from={version}&")) {}
+    /// Waits for a call that proves that the node has read this version.
+    pub fn wait_until_read(&self, version: u64) {
+        while !self.server.next_request().path().contains(&format!("from={version}&")) {}
     }
 }
 
 // ---- The node -------------------------------------------------------------------------------------------
 
-/// A node's settings: reads are safe, stores keyed, orders unsafe; misses go to the origin.
+/// Settings of a node: reads are safe, stores are idempotent with a key, orders are unsafe; misses go to the
+/// origin.
 pub fn settings() -> Value {
     let grade = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "all", "key-ttl-s": 5.0, "target-s": 4.0,
@@ -234,14 +239,14 @@
     })
 }
 
-/// A configuration whose node starts from this list.
+/// A configuration with this initial server list.
 pub fn config(discovery: SocketAddr, known: &[Value]) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": list(1, true, known), "settings": settings()})
 }
 
-/// Writes a file of its own, which goes when it is dropped.
+/// A temporary file, removed on drop.
 pub struct ConfigFile(pub PathBuf);
 
 impl ConfigFile {
@@ -260,19 +265,19 @@
     }
 }
 
-/// A folder of its own, which goes when it is dropped.
-pub struct Folder(pub PathBuf);
+/// A temporary directory, removed on drop.
+pub struct TempDir(pub PathBuf);
 
-impl Folder {
-    pub fn new() -> Folder {
+impl TempDir {
+    pub fn new() -> TempDir {
         let file = ConfigFile::new("");
         let path = file.0.with_extension("d");
         std::fs::create_dir_all(&path).expect("a temporary folder");
-        Folder(path)
+        TempDir(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -287,58 +292,58 @@
 /// A running node.
 pub struct Node {
     pub addr: SocketAddr,
-    /// The operators' door, if the configuration names one.
-    pub door: Option<SocketAddr>,
+    /// The address of the operator API, if the configuration has one.
+    pub operator_addr: Option<SocketAddr>,
     child: Child,
     config: ConfigFile,
 }
 
 impl Node {
-    /// Starts it and waits until it listens.
+    /// Starts a node and waits until it listens.
     pub fn start(config: &Value) -> Node {
         Node::start_with(config, |command| command)
     }
 
-    /// The same with more in its environment.
+    /// Like `start`, with additions to the command, such as environment variables.
     pub fn start_with(config: &Value, more: impl FnOnce(&mut Command) -> &mut Command) -> Node {
-        let has_door = config["ops"].is_string();
+        let has_operator_addr = config["ops"].is_string();
         let config = ConfigFile::new(&config.to_string());
         let mut child = more(&mut command(&config)).spawn().expect("the node starts");
-        let mut said = BufReader::new(child.stdout.take().unwrap());
+        let mut stdout = BufReader::new(child.stdout.take().unwrap());
         let mut address = || {
             let mut line = String::new();
-            said.read_line(&mut line).unwrap();
+            stdout.read_line(&mut line).unwrap();
             let addr = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
-            addr.expect("the address it listens on")
+            addr.expect("the address that the node listens on")
         };
-        let door = has_door.then(&mut address);
-        Node { addr: address(), door, child, config }
+        let operator_addr = has_operator_addr.then(&mut address);
+        Node { addr: address(), operator_addr, child, config }
     }
 
     pub fn client(&self) -> Client {
         Client::connect(self.addr)
     }
 
-    /// A connection to the operators' door.
+    /// Connects to the operator API.
     pub fn operator(&self) -> Client {
-        Client::connect(self.door.expect("a door"))
+        Client::connect(self.operator_addr.expect("an operator address"))
     }
 
-    /// One call at the operators' door.
-    pub fn call(&self, method: &str, path: &str) -> Message {
+    /// Makes one call to the operator API.
+    pub fn operator_call(&self, method: &str, path: &str) -> Message {
         let mut operator = self.operator();
         operator.write(&format!("{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n"));
         let answer = operator.read().expect("an answer");
-        assert!(operator.read().is_none(), "one call to a connection");
+        assert!(operator.read().is_none(), "only one call per connection");
         answer
     }
 
-    /// One request on a new connection.
+    /// Sends one read on a new connection.
     pub fn get(&self, path: &str) -> Message {
         self.client().get(path, "X-Deadline-Ms: 6000\r\n")
     }
 
-    /// Its process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -347,13 +352,13 @@
         self.signal("-TERM");
     }
 
-    /// Replaces its configuration file and tells it so.
+    /// Replaces the configuration file and sends a hang-up signal.
     pub fn reconfigure(&self, text: &str) {
         self.rewrite(text);
         self.signal("-HUP");
     }
 
-    /// Replaces its configuration file.
+    /// Replaces the configuration file without a signal.
     pub fn rewrite(&self, text: &str) {
         std::fs::write(&self.config.0, text).expect("the file can be replaced");
     }
@@ -363,13 +368,15 @@
         assert!(killed.expect("kill runs").success());
     }
 
-    /// Runs this while the node stands still, and lets it go on: for the node all of it comes at once.
-    pub fn standing_still<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
+    /// Stops the node's process, runs `meanwhile` and continues the process, so that the node sees
+    /// everything that happened at once.
+    pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
-        let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.id())).expect("it lives");
-        // Its state is behind its name, which is in brackets.
+        let stat =
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.id())).expect("the node is running");
+        // The state follows the process name, which is in parentheses.
         let stopped = || stat().rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('T'));
-        wait_until("the node stands still", || stopped().then_some(()));
+        wait_until("the node is stopped", || stopped().then_some(()));
         let result = meanwhile();
         self.signal("-CONT");
         result
@@ -387,36 +394,36 @@
     }
 }
 
-/// Asks again and again until there is a result.
-pub fn wait_until<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until there is a result.
+pub fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(result) = ask() {
+        if let Some(result) = poll() {
             return result;
         }
-        assert!(Instant::now() < end, "{what}: not in time");
+        assert!(Instant::now() < end, "timed out: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
     pub fn connect(addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(addr).expect("somebody accepts");
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = TcpStream::connect(addr).expect("the connection is accepted");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream) }
     }
 
     pub fn write(&mut self, text: &str) {
-        // The node may have closed already; what it has said still shows.
+        // The node may have closed the connection already; its response can still be read.
         let _ = self.reader.get_mut().write_all(text.as_bytes());
     }
 
-    /// The next answer; `None` where the node closes instead.
+    /// Returns the next response, or `None` if the node closes the connection.
     pub fn read(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
--- a/node/tests/node.rs
+++ b/node/tests/node.rs
@@ -1,4 +1,5 @@
-//! The node's program over loopback sockets: one test for each thing that a real network can do to it.
+//! The node's program over loopback sockets: forwarding, connection reuse, failures, discovery, invalid
+//! input, start and stop.
 
 mod common;
 
@@ -15,15 +16,15 @@
     (Node::start(&config(discovery.server.addr, known)), discovery)
 }
 
-// ---- Passing on -----------------------------------------------------------------------------------------
+// ---- Forwarding -----------------------------------------------------------------------------------------
 
 #[test]
-fn a_hit_is_served_unchanged_and_the_request_goes_on_as_it_came() {
+fn a_hit_and_its_request_are_forwarded_unchanged() {
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let answer = node.client().get("/read/7f3a?lang=pl", "X-Tenant: acme\r\nX-Deadline-Ms: 6000\r\n");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "value"));
-    let request = cache.next();
+    let request = cache.next_request();
     assert_eq!(request.first, "GET /read/7f3a?lang=pl HTTP/1.1");
     assert_eq!(request.header("x-request-id"), Some("9b1f03aa5c7e2d41"));
     let wait: u64 = request.header("x-deadline-ms").unwrap().parse().unwrap();
@@ -31,24 +32,24 @@
 }
 
 #[test]
-fn a_miss_goes_to_the_origin_and_a_write_straight_there() {
+fn misses_and_writes_go_to_the_origin() {
     let (cache, origin) = (Server::start(|_| miss()), Server::start(|_| hit("from origin")));
     let (node, _discovery) =
         start(&[entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")]);
     assert_eq!(node.get("/read/a").body, "from origin");
-    assert_eq!(cache.next().path(), "/read/a");
-    assert_eq!(origin.next().path(), "/read/a");
+    assert_eq!(cache.next_request().path(), "/read/a");
+    assert_eq!(origin.next_request().path(), "/read/a");
     let mut client = node.client();
     client.send("PUT", "/store/b", "Idempotency-Key: k1\r\n", "new value");
     assert_eq!(client.read().unwrap().status(), 200);
-    let write = origin.next();
+    let write = origin.next_request();
     assert_eq!((write.first.as_str(), write.body.as_str()), ("PUT /store/b HTTP/1.1", "new value"));
     assert_eq!(write.header("idempotency-key"), Some("k1"));
-    assert!(cache.requests.try_recv().is_err(), "a write at a cache");
+    assert!(cache.requests.try_recv().is_err(), "a write was sent to a cache");
 }
 
 #[test]
-fn homes_go_by_the_ids_of_servers_not_by_where_a_node_reaches_them() {
+fn key_placement_depends_on_server_ids_not_addresses() {
     let homes = || {
         let servers: Vec<_> =
             ["s-1", "s-2", "s-3", "s-4"].map(|id| (id, Server::start(move |_| hit(id)))).into();
@@ -58,85 +59,86 @@
     };
     let seen = homes();
     assert_eq!(seen, homes());
-    assert!(seen.iter().any(|home| *home != seen[0]), "all keys at one home");
+    assert!(seen.iter().any(|home| *home != seen[0]), "all keys have the same home server");
 }
 
 // ---- Connections ----------------------------------------------------------------------------------------
 
 #[test]
-fn connections_are_kept_and_one_that_its_server_closed_is_no_failure() {
-    // One attempt for a request, so that a failure could not be hidden by another try.
+fn connections_are_reused_and_a_close_by_the_server_is_no_failure() {
+    // Only one attempt per request, so that a retry can't hide a failure.
     let cache = Server::start(|request| match request.path() {
-        // Says nothing of closing, as a server that has waited long enough.
-        "/read/last" => Reply::Close(answer("200 OK", "", "closed")),
+        // Closes without announcing it, as a server does after its idle time-out.
+        "/read/last" => Reply::Close(response_text("200 OK", "", "closed")),
         _ => hit("kept"),
     });
-    let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
+    let mut config = config(refusing_addr(), &[entry("s-1", cache.addr, "active")]);
     config["settings"]["limits"]["max-attempts"] = json!(1);
     let node = Node::start(&config);
     assert_eq!(node.get("/read/a").status(), 200);
     assert_eq!(node.get("/read/last").status(), 200);
-    cache.ended.recv_timeout(PATIENCE).expect("the first connection carried both requests");
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("the first connection carried both requests");
     assert_eq!(node.get("/read/b").status(), 200);
 }
 
 #[test]
 fn idle_connections_are_closed_before_the_server_would() {
     let cache = Server::start(|_| hit("value"));
-    let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
+    let mut config = config(refusing_addr(), &[entry("s-1", cache.addr, "active")]);
     config["settings"]["limits"]["idle-close-s"] = json!(3.0);
     let node = Node::start(&config);
     assert_eq!(node.get("/read/a").status(), 200);
     let idle = Instant::now();
-    cache.ended.recv_timeout(PATIENCE).expect("the node closes it");
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("the node closes it");
     assert!(idle.elapsed() < Duration::from_secs(3), "{:?}", idle.elapsed());
 }
 
 #[test]
-fn a_client_that_goes_away_ends_its_attempt() {
-    let cache = Server::start(|_| Reply::Silence);
+fn a_client_disconnect_ends_its_attempt() {
+    let cache = Server::start(|_| Reply::NoResponse);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
     client.send("GET", "/read/a", "X-Deadline-Ms: 100000\r\n", "");
-    cache.next();
+    cache.next_request();
     drop(client);
-    cache.ended.recv_timeout(PATIENCE).expect("the attempt's connection is closed");
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
 }
 
-/// hyper looks for the end of a connection only while nothing lies unread on it.
+/// hyper notices a disconnect only while the connection has no unread data.
 #[test]
-fn a_client_that_goes_away_behind_bytes_of_another_request_ends_its_attempt() {
+fn a_client_disconnect_behind_pipelined_data_ends_its_attempt() {
     let ahead = "GET /read/b HTTP/1.1\r\nHost: a\r\nX-Request-Id: 2\r\n\r\n";
-    // Read with the request, read after it, more than hyper reads ahead of it, and more than fits a head.
-    for (with, after) in [
+    // Pipelined data that is read with the request, read after it, longer than hyper's read-ahead, and
+    // longer than a head may be.
+    for (with, later_data) in [
         (ahead, ""),
         ("", ahead),
         ("", &ahead.repeat(90)),
         ("", &ahead.repeat(1600)),
         ("GET /re", "ad/b HTTP/1.1\r\n"),
     ] {
-        let cache = Server::start(|_| Reply::Silence);
+        let cache = Server::start(|_| Reply::NoResponse);
         let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
         let mut client = node.client();
         let first = "GET /read/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 100000\r\n\r\n";
         client.write(&format!("{first}{with}"));
-        assert_eq!(cache.next().path(), "/read/a");
-        client.write(after);
+        assert_eq!(cache.next_request().path(), "/read/a");
+        client.write(later_data);
         drop(client);
-        cache.ended.recv_timeout(PATIENCE).expect("the attempt's connection is closed");
-        assert!(cache.requests.try_recv().is_err(), "the one behind it went on");
+        cache.ended.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
+        assert!(cache.requests.try_recv().is_err(), "the pipelined request was forwarded");
     }
 }
 
-/// What was read ahead while a request waited is not lost, nor put in another place.
+/// Data that was read ahead while a request waited must be neither lost nor reordered.
 #[test]
-fn requests_that_came_at_once_are_answered_one_after_the_other() {
+fn pipelined_requests_are_answered_in_order() {
     let (cache, release) =
-        Server::gated(|request| request.path() == "/read/0", |request| hit(request.path()));
+        Server::with_gate(|request| request.path() == "/read/0", |request| hit(request.path()));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
     client.send("GET", "/read/0", "X-Deadline-Ms: 20000\r\n", "");
-    cache.next();
+    cache.next_request();
     for key in 1..300 {
         client.send("GET", &format!("/read/{key}"), "X-Deadline-Ms: 20000\r\n", "");
     }
@@ -148,9 +150,9 @@
 
 // ---- Outcomes -------------------------------------------------------------------------------------------
 
-/// Two servers of which the first one asked does as given and the other serves; returns the client's answer
-/// and how many requests came to both.
-fn after(
+/// Starts servers of which the first one asked responds as given and the others serve. Returns the client's
+/// response and the number of requests that reached all servers.
+fn send_to_failing_server(
     first: impl Fn() -> Reply + Send + Sync + 'static,
     method: &str,
     path: &str,
@@ -179,53 +181,54 @@
 }
 
 #[test]
-fn an_unsafe_request_is_tried_again_only_when_it_never_ran() {
-    let turned_away = || Reply::Keep(answer("503 Service Unavailable", "X-Not-Run: 1\r\n", ""));
-    let (answer, tries) = after(turned_away, "GET", "/order/a", "");
+fn an_unsafe_request_is_retried_only_if_it_did_not_run() {
+    let not_run = || Reply::KeepAlive(response_text("503 Service Unavailable", "X-Not-Run: 1\r\n", ""));
+    let (answer, tries) = send_to_failing_server(not_run, "GET", "/order/a", "");
     assert_eq!((answer.status(), tries), (200, 2));
-    // Written whole, then reset: it may have run, so the client hears of a failure, not of a refusal.
-    let (answer, tries) = after(|| Reply::Close(String::new()), "GET", "/order/a", "");
+    // Written completely, then closed: the request may have run, so the client gets a failure and not a
+    // refusal.
+    let (answer, tries) = send_to_failing_server(|| Reply::Close(String::new()), "GET", "/order/a", "");
     assert_eq!((answer.status(), tries), (502, 1));
-    let failed = || Reply::Keep(common::answer("500 Internal Server Error", "", ""));
-    let (answer, tries) = after(failed, "PUT", "/order/a", "body");
+    let failed = || Reply::KeepAlive(common::response_text("500 Internal Server Error", "", ""));
+    let (answer, tries) = send_to_failing_server(failed, "PUT", "/order/a", "body");
     assert_eq!((answer.status(), tries), (502, 1));
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_not_passed_on() {
+fn a_truncated_response_is_not_forwarded() {
     let half = || Reply::Close("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".into());
-    let (answer, tries) = after(half, "GET", "/read/a", "");
+    let (answer, tries) = send_to_failing_server(half, "GET", "/read/a", "");
     assert_eq!((answer.status(), answer.body.as_str(), tries), (200, "second", 2));
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn a_refused_connection_counts_as_not_run() {
     let origin = Server::start(|_| hit("value"));
     let (node, _discovery) =
-        start(&[entry("s-1", refusing(), "active"), entry("origin", origin.addr, "active")]);
-    // Unsafe requests go on only if the first attempt is known not to have run; nobody else has the key, so
-    // the refusal must say that a repeat is harmless.
+        start(&[entry("s-1", refusing_addr(), "active"), entry("origin", origin.addr, "active")]);
+    // An unsafe request is retried only if the first attempt is known not to have run. No other server has
+    // the key, so the client must get a refusal, which says that a repeat is harmless.
     assert_eq!(node.get("/order/a").status(), 503);
 }
 
 #[test]
-fn a_silent_server_loses_no_request() {
-    let cache = Server::start(|_| Reply::Silence);
+fn a_request_to_a_silent_server_is_answered() {
+    let cache = Server::start(|_| Reply::NoResponse);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let asked = Instant::now();
     let answer = node.client().get("/order/a", "X-Deadline-Ms: 700\r\n");
     assert_eq!(answer.status(), 502);
-    assert!(asked.elapsed() < PATIENCE);
-    cache.ended.recv_timeout(PATIENCE).expect("a time-out closes its connection");
+    assert!(asked.elapsed() < TEST_TIMEOUT);
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("a time-out closes its connection");
 }
 
 #[test]
-fn a_request_given_up_is_refused_with_advice_and_not_held_back() {
-    let (node, _discovery) = start(&[entry("s-1", refusing(), "leaving")]);
+fn a_request_without_servers_is_refused_at_once_with_retry_advice() {
+    let (node, _discovery) = start(&[entry("s-1", refusing_addr(), "leaving")]);
     let asked = Instant::now();
     let answer = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
     assert_eq!(answer.status(), 503);
-    assert!(asked.elapsed() < PATIENCE);
+    assert!(asked.elapsed() < TEST_TIMEOUT);
     let advice: f64 = answer.header("retry-after").expect("advice").parse().unwrap();
     assert!(advice > 0.0 && advice <= 0.75, "{advice}");
 }
@@ -240,128 +243,141 @@
     config["known"] = Value::Null;
     let node = Node::start(&config);
     assert_eq!(node.get("/health/ready").status(), 503);
-    assert_eq!(discovery.server.next().path(), "/registry/instances");
+    assert_eq!(discovery.server.next_request().path(), "/registry/instances");
     discovery.publish(2, &list(2, true, &[entry("s-1", old.addr, "active")]).to_string());
     wait_until("ready", || (node.get("/health/ready").status() == 200).then_some(()));
     assert_eq!(node.get("/read/a").body, "old");
-    // The same server at another address: its kept connection is of no more use.
+    // The server moves to another address, so its idle connection must not be used any more.
     discovery.publish(3, &list(3, false, &[entry("s-1", new.addr, "active")]).to_string());
-    discovery.heard(3);
+    discovery.wait_until_read(3);
     assert_eq!(node.get("/read/a").body, "new");
     discovery.publish(4, &list(4, false, &[entry("s-1", new.addr, "left")]).to_string());
-    discovery.heard(4);
+    discovery.wait_until_read(4);
     assert_eq!(node.get("/health/ready").status(), 503);
     assert_eq!(node.get("/read/a").status(), 503);
 }
 
-/// Seen on days with pushed lists: nobody ever opened a watch there, and a leaving server was sent to for ever.
+/// Guards against a node that never opened a watch for pushed lists and so kept sending to a server that had
+/// left.
 #[test]
 fn a_pushed_list_is_followed_from_the_start_and_after_each_failure() {
     let (old, new) = (Server::start(|_| hit("old")), Server::start(|_| hit("new")));
     let discovery = Discovery::start();
     let mut config = config(discovery.server.addr, &[entry("s-1", old.addr, "active")]);
     config["settings"]["membership-mode"] = json!("pushed");
-    // What is known at the start may be old.
+    // The initial list may be outdated.
     discovery.publish(2, &list(2, true, &[entry("s-2", new.addr, "active")]).to_string());
     let node = Node::start(&config);
-    assert!(discovery.server.next().path().contains("from=1&"), "asked unasked");
-    discovery.heard(2);
+    assert!(
+        discovery.server.next_request().path().contains("from=1&"),
+        "the node watches without being asked to"
+    );
+    discovery.wait_until_read(2);
     assert_eq!(node.get("/read/a").body, "new");
-    // The watch breaks, and the call after it.
+    // The watch fails, and so does the next call.
     for _ in 0..2 {
-        discovery.publish(3, "rotten");
+        discovery.publish(3, "invalid");
         while discovery.server.requests.try_recv().is_ok() {}
-        discovery.server.next();
+        discovery.server.next_request();
     }
     discovery.publish(3, &list(3, true, &[entry("s-1", old.addr, "active")]).to_string());
-    discovery.heard(3);
+    discovery.wait_until_read(3);
     assert_eq!(node.get("/read/a").body, "old");
 }
 
 #[test]
-fn a_rotten_list_is_a_failed_call_and_the_old_list_stands() {
+fn an_invalid_list_counts_as_a_failed_call_and_changes_nothing() {
     let cache = Server::start(|_| hit("value"));
     let (node, discovery) = start(&[entry("s-1", cache.addr, "active")]);
-    for rotten in
+    for invalid in
         ["{\"version\":2,\"full\":tr", "[]", "{\"version\":2,\"full\":true,\"servers\":[{\"id\":7}]}"]
     {
-        discovery.publish(2, rotten);
+        discovery.publish(2, invalid);
         while discovery.server.requests.try_recv().is_ok() {}
-        // The first call may still be the watch that was on; later ones ask whether version 1 is known at all.
-        let asked = discovery.server.next();
+        // The first call may still belong to the watch in progress; later ones ask whether version 1 is
+        // known at all.
+        let asked = discovery.server.next_request();
         assert!(["from=1&", "from=0&"].iter().any(|from| asked.path().contains(from)), "{}", asked.path());
         assert_eq!(node.get("/read/a").status(), 200);
     }
     discovery.publish(2, &list(2, true, &[]).to_string());
-    discovery.heard(2);
+    discovery.wait_until_read(2);
     assert_eq!(node.get("/health/ready").status(), 503);
 }
 
-/// Each answer that is no news leaves the list that stands, costs one line, and the watch is opened anew. The next answer
-/// is held back until that line was seen.
+/// Each unusable response leaves the current list in place, is logged with one line, and the watch is
+/// reopened. The next response is held back until that line has been logged.
 #[test]
-fn each_answer_that_is_no_list_or_an_older_one_is_said_once_and_the_next_one_counts() {
+fn each_invalid_or_older_list_is_logged_once_and_the_next_valid_one_applies() {
     let (old, new) = (Server::start(|_| hit("old")), Server::start(|_| hit("new")));
-    let (say, answers) = std::sync::mpsc::channel::<Reply>();
+    let (script, answers) = std::sync::mpsc::channel::<Reply>();
     let answers = std::sync::Mutex::new(answers);
-    let discovery = Server::start(move |_| answers.lock().unwrap().recv().unwrap_or(Reply::Silence));
-    let folder = Folder::new();
-    let log = folder.0.join("log");
+    let discovery = Server::start(move |_| answers.lock().unwrap().recv().unwrap_or(Reply::NoResponse));
+    let dir = TempDir::new();
+    let log = dir.0.join("log");
     let config = config(discovery.addr, &[entry("s-1", old.addr, "active")]);
     let node = Node::start_with(&config, |command| command.stderr(std::fs::File::create(&log).unwrap()));
-    let said = || -> Vec<String> {
+    let log_lines = || -> Vec<String> {
         let text = std::fs::read_to_string(&log).unwrap();
         text.lines().filter(|line| line.starts_with("discovery: ")).map(str::to_owned).collect()
     };
-    let keep = |status: &str, body: &str| Reply::Keep(answer(status, "", body));
+    let respond = |status: &str, body: &str| Reply::KeepAlive(response_text(status, "", body));
     let whole = list(2, true, &[entry("s-2", new.addr, "active")]);
     let half =
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{\"version\":2,", whole.to_string().len());
     for (count, (reply, what)) in [
-        (keep("200 OK", "nonsense"), "what is no list"),
+        (respond("200 OK", "nonsense"), "what is no list"),
         (Reply::Close(half), "broke off"),
-        (keep("503 Service Unavailable", ""), "503"),
-        (keep("200 OK", &list(0, false, &[]).to_string()), "older list, version 0"),
+        (respond("503 Service Unavailable", ""), "503"),
+        (respond("200 OK", &list(0, false, &[]).to_string()), "older list, version 0"),
     ]
     .into_iter()
     .enumerate()
     {
-        discovery.next();
-        say.send(reply).unwrap();
-        wait_until("its line", || (said().len() > count).then_some(()));
-        assert!(said().len() == count + 1 && said()[count].contains(what), "{what}: {:?}", said());
+        discovery.next_request();
+        script.send(reply).unwrap();
+        wait_until("the log line", || (log_lines().len() > count).then_some(()));
+        assert!(
+            log_lines().len() == count + 1 && log_lines()[count].contains(what),
+            "{what}: {:?}",
+            log_lines()
+        );
         assert_eq!(node.get("/read/a").body, "old", "{what}");
     }
     let indented = serde_json::to_string_pretty(&whole).unwrap();
-    say.send(keep("200 OK", &indented)).unwrap();
+    script.send(respond("200 OK", &indented)).unwrap();
     wait_until("the new list", || (node.get("/read/a").body == "new").then_some(()));
-    assert_eq!(said().len(), 4, "{:?}", said());
+    assert_eq!(log_lines().len(), 4, "{:?}", log_lines());
 }
 
-/// The default for the signal is to end the process.
+/// Without a handler the signal would end the process.
 #[test]
-fn on_sighup_the_node_follows_discovery_to_where_the_file_says() {
+fn on_sighup_the_node_follows_discovery_to_the_address_in_the_file() {
     let (old, new) = (Server::start(|_| hit("old")), Server::start(|_| hit("new")));
     let (node, before) = start(&[entry("s-1", old.addr, "active")]);
-    before.server.next();
+    before.server.next_request();
     node.reconfigure("{");
-    assert_eq!(node.get("/read/a").body, "old", "a file that makes no sense changes nothing");
-    let after = Discovery::start();
-    // Its versions need not go on from the old one's.
-    after.publish(0, &list(0, true, &[entry("s-2", new.addr, "active")]).to_string());
-    node.reconfigure(&config(after.server.addr, &[]).to_string());
-    assert_eq!(after.server.next().path(), "/registry/instances", "the whole list comes first");
-    after.heard(0);
+    assert_eq!(node.get("/read/a").body, "old", "an invalid file changes nothing");
+    let send_to_failing_server = Discovery::start();
+    // The versions at the new address need not continue those of the old one.
+    send_to_failing_server.publish(0, &list(0, true, &[entry("s-2", new.addr, "active")]).to_string());
+    node.reconfigure(&config(send_to_failing_server.server.addr, &[]).to_string());
+    assert_eq!(
+        send_to_failing_server.server.next_request().path(),
+        "/registry/instances",
+        "the whole list comes first"
+    );
+    send_to_failing_server.wait_until_read(0);
     assert_eq!(node.get("/read/a").body, "new");
-    after.publish(1, &list(1, false, &[entry("s-2", old.addr, "active")]).to_string());
-    after.heard(1);
-    assert_eq!(node.get("/read/a").body, "old", "and changes there are followed");
+    send_to_failing_server.publish(1, &list(1, false, &[entry("s-2", old.addr, "active")]).to_string());
+    send_to_failing_server.wait_until_read(1);
+    assert_eq!(node.get("/read/a").body, "old", "changes at the new address are followed");
 }
 
 // ---- Bad input ------------------------------------------------------------------------------------------
 
 #[test]
-fn what_makes_no_sense_is_answered_and_harms_nobody() {
+fn invalid_requests_are_answered_without_harm_to_others() {
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let status = |text: &str| {
@@ -381,12 +397,12 @@
     assert_eq!(status(&format!("DELETE /read/a HTTP/1.1\r\nHost: a\r\n{id}\r\n")), Some(405));
     let long = format!("PUT /store/a HTTP/1.1\r\nHost: a\r\n{id}Content-Length: 40000000\r\n\r\n");
     assert_eq!(status(&long), Some(413));
-    assert!(cache.requests.try_recv().is_err(), "one of these went on to a server");
-    // Odd, but to be served.
+    assert!(cache.requests.try_recv().is_err(), "an invalid request was forwarded to a server");
+    // Unusual, but valid.
     for headers in ["X-Class: odd\r\nX-Tenant: nobody\r\n", "X-Deadline-Ms: 18446744073709551615\r\n", ""] {
         assert_eq!(status(&with("/read/a", &format!("{id}{headers}"))), Some(200), "{headers}");
     }
-    // No time at all is left: refused or failed, but answered.
+    // No time is left: the request is refused or fails, but is answered.
     assert!(status(&with("/read/a", &format!("{id}X-Deadline-Ms: 0\r\n"))).is_some_and(|s| s >= 500));
     let mut half = node.client();
     half.write("GET /read/a HT");
@@ -394,18 +410,19 @@
 }
 
 #[test]
-fn a_half_sent_body_is_given_up_in_time() {
-    let (node, _discovery) = start(&[entry("s-1", refusing(), "active")]);
+fn an_incomplete_body_times_out() {
+    let (node, _discovery) = start(&[entry("s-1", refusing_addr(), "active")]);
     let mut client = node.client();
     client.write("PUT /store/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 300\r\nContent-Length: 9\r\n\r\nhalf");
     assert_eq!(client.read().map(|answer| answer.status()), Some(408));
 }
 
-/// A peer that sends nothing, or half of something, held its connection for 30 s, or for as long as it said itself
-/// that it would wait. The limit here is far above the 3 s that such a peer is owed, and far below those.
+/// Guards against clients that send nothing or an incomplete request and hold their connection for 30 s, or
+/// for as long as their own deadline. Such a client must be disconnected within 3 s; the limit here is far
+/// above that and far below 30 s.
 #[test]
-fn peers_that_never_finish_a_request_are_not_waited_for() {
-    let (node, _discovery) = start(&[entry("s-1", refusing(), "active")]);
+fn clients_that_never_finish_a_request_are_disconnected() {
+    let (node, _discovery) = start(&[entry("s-1", refusing_addr(), "active")]);
     let began = Instant::now();
     let head = "PUT /store/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 60000\r\n";
     let peers = ["", "GET /read/a HT", head, &format!("{head}Content-Length: 9\r\n\r\nhalf")];
@@ -415,55 +432,55 @@
     }
     for (client, text) in clients.iter_mut().zip(peers) {
         let status = client.read().map(|answer| answer.status());
-        assert!(status.is_none_or(|status| status == 408), "{text:?} is told {status:?}");
+        assert!(status.is_none_or(|status| status == 408), "{text:?} got {status:?}");
     }
-    assert!(began.elapsed() < PATIENCE / 2, "{:?}", began.elapsed());
+    assert!(began.elapsed() < TEST_TIMEOUT / 2, "{:?}", began.elapsed());
 }
 
 #[test]
-fn garbage_datagrams_are_dropped() {
+fn invalid_datagrams_are_dropped() {
     let cache = Server::start(|_| hit("value"));
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    // A free port, found by taking it.
+    // Finds a free port by binding and releasing it.
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
+    let mut config = config(refusing_addr(), &[entry("s-1", cache.addr, "active")]);
     config["peer_listen"] = json!(own.to_string());
     config["peers"] = json!([own.to_string(), peer.local_addr().unwrap().to_string()]);
     let node = Node::start(&config);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    for garbage in [&b""[..], b"\xff\xfe", &[7; 256], &[7; 300]] {
-        peer.send_to(garbage, own).unwrap();
-        stranger.send_to(garbage, own).unwrap();
+    for datagram in [&b""[..], b"\xff\xfe", &[7; 256], &[7; 300]] {
+        peer.send_to(datagram, own).unwrap();
+        stranger.send_to(datagram, own).unwrap();
     }
     assert_eq!(node.get("/read/a").status(), 200);
 }
 
 #[test]
-fn a_broken_configuration_ends_the_node_with_one_line() {
-    let mut without_classes = config(refusing(), &[]);
+fn an_invalid_configuration_fails_the_start_with_one_line() {
+    let mut without_classes = config(refusing_addr(), &[]);
     without_classes["settings"]["grades"] = json!([]);
-    let mut bad_address = config(refusing(), &[]);
+    let mut bad_address = config(refusing_addr(), &[]);
     bad_address["listen"] = json!("somewhere");
     for text in ["", "{", "{}", &without_classes.to_string(), &bad_address.to_string()] {
         let output = command(&ConfigFile::new(text)).output().unwrap();
         assert!(!output.status.success(), "{text}");
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let log_lines = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(log_lines.lines().count(), 1, "{log_lines}");
     }
 }
 
 // ---- Start and stop -------------------------------------------------------------------------------------
 
 #[test]
-fn on_sigterm_the_node_answers_all_it_took_and_what_still_comes_then_exits() {
-    let (cache, release) = Server::gated(|request| request.path() == "/read/slow", |_| hit("value"));
+fn on_sigterm_the_node_answers_accepted_and_late_requests_then_exits() {
+    let (cache, release) = Server::with_gate(|request| request.path() == "/read/slow", |_| hit("value"));
     let (mut node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
-    // The fresh one is accepted before the others and has sent nothing yet when the signal comes.
+    // The fresh connection is accepted before the others and has sent nothing yet when the signal arrives.
     let (mut fresh, mut idle, mut slow) = (node.client(), node.client(), node.client());
     assert_eq!(idle.get("/read/a", "").header("connection"), None);
-    cache.next();
+    cache.next_request();
     slow.send("GET", "/read/slow", "X-Deadline-Ms: 8000\r\n", "");
-    cache.next();
+    cache.next_request();
     node.terminate();
     assert!(idle.read().is_none(), "an idle connection is closed");
     for late in [&mut fresh, &mut node.client()] {
@@ -471,15 +488,16 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     release.send(()).unwrap();
-    let answer = slow.read().expect("what was taken is answered");
+    let answer = slow.read().expect("an accepted request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(node.exit().code(), Some(0));
-    assert!(TcpListener::bind(node.addr).is_ok(), "nobody listens there any more");
+    assert!(TcpListener::bind(node.addr).is_ok(), "the node has released its address");
 }
 
-/// Measured before: a node at 51 whose discovery came back at 2 and held its calls followed nothing for 25 s.
+/// Guards against a node that ignored a restarted discovery with lower versions: a node at version 51
+/// followed nothing for 25 s, because discovery came back at version 2 and held its calls.
 #[test]
-fn a_discovery_that_comes_back_with_lower_versions_is_followed_again() {
+fn a_restarted_discovery_with_lower_versions_is_followed_again() {
     let (old, new) = (Server::start(|_| hit("old")), Server::start(|_| hit("new")));
     let (was, is) = (old.addr, new.addr);
     let restarted = Arc::new(AtomicBool::new(false));
@@ -493,18 +511,18 @@
         let (version, addr) = if back.load(Ordering::Relaxed) { (2, is) } else { (51, was) };
         if from.is_none_or(|from| from < version) {
             let whole = list(version, true, &[entry("s-1", addr, "active")]);
-            return Reply::Keep(answer("200 OK", "", &whole.to_string()));
+            return Reply::KeepAlive(response_text("200 OK", "", &whole.to_string()));
         }
         if !back.load(Ordering::Relaxed) {
-            // The end of the old one ends its watches.
+            // The end of the old discovery ends its watches.
             while !back.load(Ordering::Relaxed) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             return Reply::Close(String::new());
         }
-        // Holds calls from versions that it has not got to, and then says that nothing changed.
+        // The new discovery holds calls from versions that it has not reached, and then reports no change.
         std::thread::sleep(Duration::from_millis(hold));
-        Reply::Keep(answer("200 OK", "", &list(from.unwrap_or(0), false, &[]).to_string()))
+        Reply::KeepAlive(response_text("200 OK", "", &list(from.unwrap_or(0), false, &[]).to_string()))
     });
     let mut config = config(discovery.addr, &[]);
     config["known"] = Value::Null;
