--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -217,7 +217,7 @@
 /// A request body as sent to a server.
 pub struct Upload {
     prefix: Option<Bytes>,
-    remaining: Option<Rc<StreamedBody>>,
+    stream: Option<Rc<StreamedBody>>,
     /// Bytes still to be sent, if the length is known.
     remaining_bytes: Option<u64>,
     /// Set once hyper has taken the last byte.
@@ -226,16 +226,16 @@
 
 impl Upload {
     pub fn new(content: &RequestBody, body_taken: Rc<Cell<bool>>) -> Self {
-        let (prefix, remaining, remaining_bytes) = match content {
+        let (prefix, stream, remaining_bytes) = match content {
             RequestBody::Buffered(all) => (all.clone(), None, Some(all.len() as u64)),
             RequestBody::Streamed(streamed) => {
                 (streamed.prefix.clone(), Some(Rc::clone(streamed)), streamed.content_length)
             }
         };
-        body_taken.set(remaining.is_none());
+        body_taken.set(stream.is_none());
         Upload {
             prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
-            remaining,
+            stream,
             remaining_bytes,
             body_taken,
         }
@@ -250,8 +250,8 @@
     }
 
     fn mark_body_taken(&mut self) {
-        if let (false, Some(remaining)) = (self.body_taken.replace(true), &self.remaining) {
-            remaining.emit(BodyEvent::Received);
+        if let (false, Some(stream)) = (self.body_taken.replace(true), &self.stream) {
+            stream.emit(BodyEvent::Received);
         }
     }
 }
@@ -268,7 +268,7 @@
             self.record_chunk(&prefix);
             return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
-        let Some(streamed) = self.remaining.clone().filter(|_| !self.is_end_stream()) else {
+        let Some(streamed) = self.stream.clone().filter(|_| !self.is_end_stream()) else {
             return Poll::Ready(None);
         };
         let chunk = ready!(streamed.remaining.borrow_mut().poll_recv(cx));
--- a/node/tests/node.rs
+++ b/node/tests/node.rs
@@ -358,19 +358,15 @@
     before.server.next_request();
     node.reconfigure("{");
     assert_eq!(node.get("/read/a").body, "old", "an invalid file changes nothing");
-    let send_to_failing_server = Discovery::start();
+    let after = Discovery::start();
     // The versions at the new address need not continue those of the old one.
-    send_to_failing_server.publish(0, &list(0, true, &[entry("s-2", new.addr, "active")]).to_string());
-    node.reconfigure(&config(send_to_failing_server.server.addr, &[]).to_string());
-    assert_eq!(
-        send_to_failing_server.server.next_request().path(),
-        "/registry/instances",
-        "the whole list comes first"
-    );
-    send_to_failing_server.wait_until_read(0);
+    after.publish(0, &list(0, true, &[entry("s-2", new.addr, "active")]).to_string());
+    node.reconfigure(&config(after.server.addr, &[]).to_string());
+    assert_eq!(after.server.next_request().path(), "/registry/instances", "the whole list comes first");
+    after.wait_until_read(0);
     assert_eq!(node.get("/read/a").body, "new");
-    send_to_failing_server.publish(1, &list(1, false, &[entry("s-2", old.addr, "active")]).to_string());
-    send_to_failing_server.wait_until_read(1);
+    after.publish(1, &list(1, false, &[entry("s-2", old.addr, "active")]).to_string());
+    after.wait_until_read(1);
     assert_eq!(node.get("/read/a").body, "old", "changes at the new address are followed");
 }
 
@@ -464,8 +460,8 @@
     for text in ["", "{", "{}", &without_classes.to_string(), &bad_address.to_string()] {
         let output = command(&ConfigFile::new(text)).output().unwrap();
         assert!(!output.status.success(), "{text}");
-        let log_lines = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(log_lines.lines().count(), 1, "{log_lines}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
 
--- a/node/tests/operator_api.rs
+++ b/node/tests/operator_api.rs
@@ -100,10 +100,10 @@
         config["ops"] = ops;
         let output = command(&ConfigFile::new(&config.to_string())).output().unwrap();
         assert!(!output.status.success());
-        let log_lines = String::from_utf8(output.stderr).unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
-            log_lines.lines().count() == 1 && log_lines.contains("operators") || log_lines.contains("ops"),
-            "{log_lines}"
+            stderr.lines().count() == 1 && stderr.contains("operators") || stderr.contains("ops"),
+            "{stderr}"
         );
     }
 }
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -156,7 +156,7 @@
         let file = ConfigFile::new(&config.to_string());
         let output = command(&file).stdin(input).env("LB_SOCKET_FD", number).output().unwrap();
         assert!(!output.status.success(), "{number}");
-        let log_lines = String::from_utf8(output.stderr).unwrap();
-        assert!(log_lines.lines().count() == 1 && log_lines.contains("descriptor"), "{number}: {log_lines}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(stderr.lines().count() == 1 && stderr.contains("descriptor"), "{number}: {stderr}");
     }
 }
