--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -119,7 +119,6 @@
     grace: Duration,
     consumed: Cell<bool>,
     failed: Cell<bool>,
-    /// The request has been answered.
     answered: Cell<bool>,
     event_handler: RefCell<Option<EventHandler>>,
 }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -84,7 +84,6 @@
     changed: Notify,
 }
 
-/// One client connection.
 struct ClientConnection {
     clients: Rc<ClientConnections>,
     /// Key in `ClientConnections::idle` while the connection is idle.
@@ -98,7 +97,6 @@
     last_activity: Cell<Instant>,
     /// When the first byte of an incomplete head arrived.
     head_started: Cell<Option<Instant>>,
-    /// An answer is being sent.
     sending_answer: Cell<bool>,
     /// The connection is to be closed to make room for another.
     evicted: Cell<bool>,
