--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -37,7 +37,7 @@
         if self.is_unknown_model(&request.target) {
             return self.reject(now, request, RejectReason::NoModel, actions);
         }
-        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+        if let Some(demand) = self.demand.entry(&request.target, &self.options) {
             record_arrival(demand, request.incoming.tokens, request.incoming.route.priority);
         }
         self.dispatch(now, request, Fallback::Queue, actions);
--- a/routing/src/advertisement.rs
+++ b/routing/src/advertisement.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::Millis;
 
-use crate::load_table::{RemoteLoad, REFRESH_INTERVAL};
+use crate::load_table::{RemoteLoad, REFRESH_INTERVAL_MS};
 
 /// Loads in one update at most, since a relay's updates must stay a small part of its link. The most urgent go first.
 const MAX_LOADS_PER_UPDATE: usize = 256;
@@ -17,18 +17,18 @@
     /// The advertised load.
     pub load: EdgeServerLoad,
     /// When it was advertised.
-    pub at: Millis,
+    pub advertised_at: Millis,
 }
 
 impl Advertisement {
     /// No load, which is what other edges assume of a server that was never advertised.
     pub fn idle(server: u64) -> Self {
-        Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, at: 0 }
+        Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, advertised_at: 0 }
     }
 
     /// Whether `load` must be advertised again before it expires at the other edges.
     pub fn needs_refresh(&self, now: Millis, load: &EdgeServerLoad) -> bool {
-        !is_idle(load) && self.at + REFRESH_INTERVAL <= now
+        !is_idle(load) && self.advertised_at + REFRESH_INTERVAL_MS <= now
     }
 }
 
@@ -44,7 +44,7 @@
         &mut self,
         now: Millis,
         servers: impl Iterator<Item = u64>,
-        sum_at: impl Fn(u64) -> RemoteLoad,
+        load_of: impl Fn(u64) -> RemoteLoad,
     ) -> Vec<EdgeServerLoad> {
         let mut servers: Vec<u64> = servers.chain(self.advertised.keys().copied()).collect();
         servers.sort_unstable();
@@ -52,7 +52,7 @@
         let mut changes: Vec<(Reverse<u32>, EdgeServerLoad)> = servers
             .into_iter()
             .filter_map(|server| {
-                let load = sum_at(server).to_edge_load(server);
+                let load = load_of(server).to_edge_load(server);
                 Some((Reverse(self.urgency(now, &load)?), load))
             })
             .collect();
@@ -79,7 +79,7 @@
         if is_idle(load) {
             self.advertised.remove(&load.server);
         } else {
-            self.advertised.insert(load.server, Advertisement { load: *load, at: now });
+            self.advertised.insert(load.server, Advertisement { load: *load, advertised_at: now });
         }
     }
 }
--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -22,7 +22,7 @@
 
 impl ResponsePart {
     /// Marks that the attempt has a response.
-    fn of(in_flight: &mut InFlight) -> Self {
+    fn mark_received(in_flight: &mut InFlight) -> Self {
         let is_first = !std::mem::replace(&mut in_flight.has_response, true);
         let InFlight { server, sent_at, prefill, .. } = *in_flight;
         ResponsePart { server, sent_at, prefill, is_first }
@@ -30,11 +30,17 @@
 }
 
 impl Router {
-    pub(crate) fn on_head(&mut self, now: Millis, id: RequestId, attempt: Attempt, load: Option<ServerLoad>) {
+    pub(crate) fn on_response_head(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: Attempt,
+        load: Option<ServerLoad>,
+    ) {
         let Some((request, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         request.response_started = true;
         request.verdict = Verdict::HasRun;
-        let response = ResponsePart::of(in_flight);
+        let response = ResponsePart::mark_received(in_flight);
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
             if let Some(load) = load {
@@ -43,17 +49,17 @@
         }
     }
 
-    pub(crate) fn on_first(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
+    pub(crate) fn on_first_event(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
         let Some((_, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         let (response_check_at, timeout_at) = (in_flight.response_check_at.take(), in_flight.timeout_at);
-        let response = ResponsePart::of(in_flight);
+        let response = ResponsePart::mark_received(in_flight);
         if let Some(response_check_at) = response_check_at.filter(|at| *at < timeout_at) {
             self.timers.remove(&(response_check_at, id));
             self.timers.insert((timeout_at, id));
         }
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
-            server.health.responded();
+            server.health.readmit();
         }
     }
 
@@ -67,7 +73,7 @@
     }
 
     /// A stalled stream moves to another server if it may be resumed.
-    pub(crate) fn on_stalled(
+    pub(crate) fn on_stream_stalled(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -75,11 +81,11 @@
         actions: &mut Vec<Action>,
     ) {
         if self.in_flight_attempt(id, attempt).is_some_and(|(request, _)| request.response_started) {
-            self.cancel(now, id, actions);
+            self.cancel_for_retry(now, id, actions);
         }
     }
 
-    pub(crate) fn on_ended(
+    pub(crate) fn on_attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -94,11 +100,11 @@
         let service = request.target.service.clone();
         self.record_outcome(now, &mut request, &in_flight, &outcome, actions);
         self.continue_after_attempt(now, request, outcome, actions);
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
         self.drain_queue(now, &service, actions);
     }
 
-    pub(crate) fn on_finished(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn on_request_finished(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((request, phase)) = self.remove_request(id) else { return };
         if let Phase::InFlight(in_flight) = phase {
             self.release_server(&request, &in_flight);
@@ -108,7 +114,7 @@
         let service = request.target.service.clone();
         self.counters.client_left += 1;
         self.counters.open -= 1;
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
         self.drain_queue(now, &service, actions);
     }
 
--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -10,12 +10,12 @@
 use crate::router::Router;
 
 /// Status (421) of a server that is not the named instance, or does not have the model loaded.
-const MISDIRECTED: u16 = 421;
+const STATUS_MISDIRECTED_REQUEST: u16 = 421;
 /// Attempts of a request below which a stale connection is retried at the same server.
-const MAX_STALE_ATTEMPTS: u32 = 3;
+const MAX_STALE_CONNECTION_ATTEMPTS: u32 = 3;
 
 /// A rejection by a server.
-struct Rejected<'a> {
+struct ServerRejection<'a> {
     status: u16,
     /// The instance that answered.
     instance: Option<&'a str>,
@@ -35,7 +35,7 @@
         self.record_server_load(now, in_flight, outcome);
         match &outcome.ending {
             Ending::Rejected { status, instance } => {
-                let rejection = Rejected { status: *status, instance: instance.as_deref() };
+                let rejection = ServerRejection { status: *status, instance: instance.as_deref() };
                 self.record_rejection(now, request, in_flight, outcome, rejection, actions);
             }
             _ if in_flight.cancelled => {}
@@ -52,15 +52,15 @@
     ) {
         let pool = self.pools.get_mut(&request.target.service);
         if outcome.verdict == Verdict::NeverSent {
-            request.arrivals = request.arrivals.saturating_sub(1);
+            request.delivered_attempts = request.delivered_attempts.saturating_sub(1);
             if in_flight.is_first_visit {
-                request.visited.retain(|visited| *visited != in_flight.server);
+                request.visited_servers.retain(|server| *server != in_flight.server);
             }
             if in_flight.is_retry {
                 pool.into_iter().for_each(|pool| pool.budget.refund(now));
             }
-            if outcome.ending == Ending::StaleConnection && request.attempts < MAX_STALE_ATTEMPTS {
-                request.tried.retain(|tried| *tried != in_flight.server);
+            if outcome.ending == Ending::StaleConnection && request.attempts < MAX_STALE_CONNECTION_ATTEMPTS {
+                request.tried_servers.retain(|server| *server != in_flight.server);
             }
             return;
         }
@@ -91,19 +91,19 @@
         request: &Request,
         in_flight: &InFlight,
         outcome: &Outcome,
-        rejection: Rejected<'_>,
+        rejection: ServerRejection<'_>,
         actions: &mut Vec<Action>,
     ) {
         let full_ms = self.rejection_backoff(&request.target.service, outcome.retry_after_ms);
         let Some(server) = self.servers.get_mut(in_flight.server) else { return };
-        server.health.responded();
-        if rejection.status == MISDIRECTED
+        server.health.readmit();
+        if rejection.status == STATUS_MISDIRECTED_REQUEST
             && rejection.instance.is_some_and(|instance| instance != server.record.id)
         {
             server.mark_displaced();
             server.outcomes.unreachable += 1;
             self.close_connections(in_flight.server, actions);
-        } else if rejection.status == MISDIRECTED {
+        } else if rejection.status == STATUS_MISDIRECTED_REQUEST {
             server.record_missing_model(&request.target, now + self.options.missing_model_ttl_ms);
         } else if outcome.load.is_some_and(|load| load.waiting == 0 && load.running < load.slots) {
             // It has free slots, so it rejected the model, which an order is loading or evicting.
@@ -116,23 +116,28 @@
 
     /// How long a server that rejected a request counts as full, in milliseconds: shorter where requests are short.
     fn rejection_backoff(&mut self, service: &str, retry_after_ms: Option<Millis>) -> Millis {
-        let longest = self.options.max_full_ttl_ms;
-        let usual =
-            self.pools.get(service).map_or(longest, |pool| pool.mean_latency_ms()).clamp(1, longest.max(1));
-        let shortest = self.options.min_full_ttl_ms.min(usual);
-        retry_after_ms.unwrap_or_else(|| self.random.random_range(shortest..=usual)).clamp(shortest, usual)
+        let max_backoff = self.options.max_full_ttl_ms;
+        let capped_mean_latency = self
+            .pools
+            .get(service)
+            .map_or(max_backoff, |pool| pool.mean_latency_ms())
+            .clamp(1, max_backoff.max(1));
+        let min_backoff = self.options.min_full_ttl_ms.min(capped_mean_latency);
+        retry_after_ms
+            .unwrap_or_else(|| self.random.random_range(min_backoff..=capped_mean_latency))
+            .clamp(min_backoff, capped_mean_latency)
     }
 
     fn record_health(&mut self, now: Millis, in_flight: &InFlight, ending: &Ending) {
         let Some(server) = self.servers.get_mut(in_flight.server) else { return };
-        let kind_of_failure = match ending {
+        let failure_kind = match ending {
             Ending::Served => {
                 server.outcomes.succeeded += 1;
                 return server.health.record_success();
             }
             Ending::Failed { status } if *status < 500 => return server.health.record_success(),
             Ending::StaleConnection | Ending::Cancelled | Ending::Rejected { .. } => {
-                return server.health.probe_inconclusive()
+                return server.health.record_inconclusive_attempt()
             }
             Ending::Unreachable => {
                 server.outcomes.unreachable += 1;
@@ -143,10 +148,10 @@
             | Ending::MalformedResponse
             | Ending::Truncated { .. } => {
                 server.outcomes.failed += 1;
-                FailureKind::Failure
+                FailureKind::FailedAttempt
             }
         };
-        server.health.record_failure(now, kind_of_failure, &self.options, &mut self.random);
+        server.health.record_failure(now, failure_kind, &self.options, &mut self.random);
     }
 
     /// Records that the client left while an attempt was in flight: a time-out of the server if the client waited for
@@ -157,7 +162,7 @@
         {
             self.record_response_timeout(now, in_flight);
         } else if let Some(server) = self.servers.get_mut(in_flight.server) {
-            server.health.probe_inconclusive();
+            server.health.record_inconclusive_attempt();
         }
     }
 
@@ -168,9 +173,9 @@
             return;
         }
         if server.last_response_at > in_flight.sent_at {
-            return server.health.probe_inconclusive();
+            return server.health.record_inconclusive_attempt();
         }
         server.outcomes.failed += 1;
-        server.health.record_failure(now, FailureKind::Failure, &self.options, &mut self.random);
+        server.health.record_failure(now, FailureKind::FailedAttempt, &self.options, &mut self.random);
     }
 }
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -24,22 +24,22 @@
     /// Takes an attempt out of the counts of its server, pool and demand.
     pub(crate) fn release_server(&mut self, request: &Request, in_flight: &InFlight) {
         if let Some(server) = self.servers.get_mut(in_flight.server) {
-            server.open = server.open.saturating_sub(1);
+            server.open_requests = server.open_requests.saturating_sub(1);
             if !in_flight.has_response {
                 self.has_urgent_load |=
                     server.local_load.record_response(in_flight.sent_at, in_flight.prefill);
             }
         }
         if let Some(pool) = self.pools.get_mut(&request.target.service) {
-            pool.open = pool.open.saturating_sub(1);
+            pool.open_requests = pool.open_requests.saturating_sub(1);
         }
-        if let Some(demand) = self.demand.known(&request.target) {
+        if let Some(demand) = self.demand.get_mut(&request.target) {
             demand.in_flight = demand.in_flight.saturating_sub(1);
         }
     }
 
     /// Ends a request whose deadline has passed with an attempt in flight.
-    pub(crate) fn expire(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn expire_request(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, in_flight)) = self.take_in_flight(id) else { return };
         self.record_response_timeout(now, &in_flight);
         actions.push(Action::Cancel(id, in_flight.attempt));
@@ -66,23 +66,23 @@
         let is_unresponsive =
             self.servers.get(server).is_none_or(|server| server.last_response_at <= sent_at);
         if is_unresponsive && !cancelled {
-            self.cancel(now, id, actions);
+            self.cancel_for_retry(now, id, actions);
         }
     }
 
     /// Cancels an attempt in order to retry at another server, if a retry is allowed and a server available.
-    pub(crate) fn cancel(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn cancel_for_retry(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, phase)) = self.remove_request(id) else { return };
         let Phase::InFlight(mut in_flight) = phase else { return self.insert_request(request, phase) };
         // The attempt may have run by now.
         let verdict = request.verdict;
         request.verdict = verdict.max(Verdict::MayHaveRun);
-        let can_move = !in_flight.cancelled
+        let can_retry = !in_flight.cancelled
             && now < request.deadline_at
             && self.retry_denied(now, &request).is_none()
             && self.select_server(now, &request).is_ok();
         request.verdict = verdict;
-        if can_move {
+        if can_retry {
             in_flight.cancelled = true;
             self.record_response_timeout(now, &in_flight);
             actions.push(Action::Cancel(id, in_flight.attempt));
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -17,13 +17,13 @@
 use crate::Options;
 
 /// What a request asks of the balancer.
-pub(crate) struct Selection<'a> {
+pub(crate) struct SelectionCriteria<'a> {
     /// The request's key on the ring.
     pub key: Key,
     /// The service, model and adapter.
     pub target: &'a Target,
     /// Servers that are excluded, as attempts were sent there.
-    pub tried: &'a [ServerHandle],
+    pub tried_servers: &'a [ServerHandle],
     /// The only servers allowed, once the request has visited as many as its route allows.
     pub restricted_to: Option<&'a [ServerHandle]>,
     /// Connections to one server that this edge may open.
@@ -86,21 +86,21 @@
     pool: &ServerPool,
     servers: &ServerTable,
     load_gossip: &LoadGossip,
-    selection: &Selection<'_>,
+    criteria: &SelectionCriteria<'_>,
     now: Millis,
     options: &Options,
 ) -> Result<SelectedServer, Unavailable> {
     let load_ttl = pool
         .mean_latency_ms()
         .clamp(options.min_load_ttl_ms, options.max_load_ttl_ms.max(options.min_load_ttl_ms));
-    Balancer { pool, servers, load_gossip, selection, now, load_ttl, options }.select()
+    Balancer { pool, servers, load_gossip, criteria, now, load_ttl, options }.select()
 }
 
 struct Balancer<'a> {
     pool: &'a ServerPool,
     servers: &'a ServerTable,
     load_gossip: &'a LoadGossip,
-    selection: &'a Selection<'a>,
+    criteria: &'a SelectionCriteria<'a>,
     now: Millis,
     /// How long a load that a response reported counts, in milliseconds.
     load_ttl: Millis,
@@ -118,7 +118,7 @@
     /// Prompt tokens whose prefill is pending.
     prefill_tokens: u64,
     /// Requests in flight.
-    open: u32,
+    open_requests: u32,
 }
 
 /// The servers of a pool, classified for one request.
@@ -169,10 +169,10 @@
             if is_ready && !admits {
                 candidates.ejected.push((std::cmp::Reverse(server.health.failures()), handle));
             }
-            let allowed = self.selection.restricted_to.is_none_or(|only| only.contains(&handle));
+            let allowed = self.criteria.restricted_to.is_none_or(|only| only.contains(&handle));
             let can_serve = allowed
-                && server.has_loaded(self.selection.target, self.now)
-                && !self.selection.tried.contains(&handle);
+                && server.has_loaded(self.criteria.target, self.now)
+                && !self.criteria.tried_servers.contains(&handle);
             match is_ready {
                 true if can_serve => candidates.eligible.push((handle, server)),
                 false if can_serve && admits => candidates.timed_out.push((handle, server)),
@@ -190,17 +190,18 @@
     /// The first in the key's sequence that is below the cap, not known to be full and lightly loaded; where none is
     /// lightly loaded, the one below the cap with the least total load.
     fn first_below_cap(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
-        let cap = cap(self.pool.open + 1, eligible.len() as u32, self.options);
-        let is_below_cap = |server: &Server| server.open < cap && self.capacity(server) == Capacity::Free;
+        let cap = cap(self.pool.open_requests + 1, eligible.len() as u32, self.options);
+        let is_below_cap =
+            |server: &Server| server.open_requests < cap && self.capacity(server) == Capacity::Free;
         let below_cap: Vec<(ServerHandle, &Server)> =
             eligible.iter().filter(|(_, server)| is_below_cap(server)).copied().collect();
         if let [(only, _)] = below_cap.as_slice() {
             return Some(SelectedServer { server: *only, over_cap: false, is_home: eligible.len() == 1 });
         }
-        if self.selection.unshared_prefill_tokens >= self.options.long_prompt_tokens {
+        if self.criteria.unshared_prefill_tokens >= self.options.long_prompt_tokens {
             return self.select_for_long_prompt(&below_cap);
         }
-        let mut sequence = self.pool.slot_array.sequence(self.selection.key).copied();
+        let mut sequence = self.pool.slot_array.sequence(self.criteria.key).copied();
         let mut home = None;
         let lightly_loaded = sequence.find(|owner| {
             if home.is_none() && eligible.iter().any(|(handle, _)| handle == owner) {
@@ -220,12 +221,11 @@
 
     /// For a prompt so long that its prefill stalls all streams of its server: the server with the fewest of them.
     fn select_for_long_prompt(&self, below_cap: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
-        let sequence: Vec<ServerHandle> =
-            self.pool.slot_array.sequence(self.selection.key).copied().collect();
+        let sequence: Vec<ServerHandle> = self.pool.slot_array.sequence(self.criteria.key).copied().collect();
         let position = |handle: &ServerHandle| sequence.iter().position(|owner| owner == handle);
         let rank = |(handle, server): &&(ServerHandle, &Server)| {
             let load = self.total_load(server);
-            (!self.is_light(&load), load.open, load.prefill_tokens, position(handle))
+            (!self.has_light_load(&load), load.open_requests, load.prefill_tokens, position(handle))
         };
         let (server, _) = below_cap.iter().min_by_key(rank)?;
         Some(SelectedServer { server: *server, over_cap: false, is_home: sequence.first() == Some(server) })
@@ -233,10 +233,10 @@
 
     /// Whether the server responds and has little prefill pending, as far as the edges know.
     fn is_lightly_loaded(&self, server: &Server) -> bool {
-        self.is_light(&self.total_load(server))
+        self.has_light_load(&self.total_load(server))
     }
 
-    fn is_light(&self, load: &TotalLoad) -> bool {
+    fn has_light_load(&self, load: &TotalLoad) -> bool {
         !load.is_unresponsive && load.prefill_tokens <= self.options.max_pending_prefill_tokens
     }
 
@@ -247,7 +247,7 @@
         TotalLoad {
             is_unresponsive,
             prefill_tokens: server.local_load.prefill_tokens + remote.prefill_tokens,
-            open: server.open + remote.open,
+            open_requests: server.open_requests + remote.open_requests,
         }
     }
 
@@ -255,14 +255,15 @@
     fn least_loaded(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let load =
             |server: &Server| f64::from(server.occupied(self.load_valid_since())) / f64::from(server.slots());
-        let open = eligible.iter().map(|(handle, server)| (self.capacity(server), load(server), *handle));
-        let open = open.filter(|(capacity, _, _)| *capacity != Capacity::Full);
-        let least = open.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
+        let candidates =
+            eligible.iter().map(|(handle, server)| (self.capacity(server), load(server), *handle));
+        let candidates = candidates.filter(|(capacity, _, _)| *capacity != Capacity::Full);
+        let least = candidates.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         least.map(|(_, _, server)| SelectedServer { server, over_cap: true, is_home: false })
     }
 
     fn capacity(&self, server: &Server) -> Capacity {
-        if server.open >= self.selection.max_connections {
+        if server.open_requests >= self.criteria.max_connections {
             return Capacity::Full;
         }
         server.capacity(self.now, self.load_valid_since(), self.options)
@@ -275,14 +276,15 @@
 
     fn unavailable(&self, eligible: &[Candidate<'_>]) -> Unavailable {
         if !eligible.is_empty() {
-            let until = |(_, server): &(ServerHandle, &Server)| server.full_until(self.now, self.load_ttl);
-            return Unavailable::Full { retry_at: eligible.iter().filter_map(until).min() };
+            let available_at =
+                |(_, server): &(ServerHandle, &Server)| server.full_until(self.now, self.load_ttl);
+            return Unavailable::Full { retry_at: eligible.iter().filter_map(available_at).min() };
         }
         let usable = self.members().filter(|(_, server)| server.availability() != Availability::Draining);
-        let until = |(_, server): (ServerHandle, &Server)| {
+        let available_at = |(_, server): (ServerHandle, &Server)| {
             let retry_at = server.health.probe_at().filter(|at| *at > self.now);
-            retry_at.into_iter().chain(server.missing_until(self.selection.target, self.now)).min()
+            retry_at.into_iter().chain(server.missing_until(self.criteria.target, self.now)).min()
         };
-        Unavailable::NoReplica { retry_at: usable.filter_map(until).min() }
+        Unavailable::NoReplica { retry_at: usable.filter_map(available_at).min() }
     }
 }
--- a/routing/src/discovery.rs
+++ b/routing/src/discovery.rs
@@ -14,10 +14,16 @@
 use crate::server_table::MergeOutcome;
 
 impl Router {
-    pub(crate) fn on_view(&mut self, now: Millis, view: Arc<View>, actions: &mut Vec<Action>) {
+    pub(crate) fn on_configuration_updated(
+        &mut self,
+        now: Millis,
+        view: Arc<View>,
+        actions: &mut Vec<Action>,
+    ) {
         let options = &self.options;
-        self.pools
-            .retain(|name, pool| !pool.members.is_empty() || pool.open > 0 || view.service(name).is_some());
+        self.pools.retain(|name, pool| {
+            !pool.members.is_empty() || pool.open_requests > 0 || view.service(name).is_some()
+        });
         for service in view.services() {
             self.pools.entry(service.name.clone()).or_insert_with(|| ServerPool::new(options));
         }
@@ -25,7 +31,7 @@
         self.drain_queues(now, actions);
     }
 
-    pub(crate) fn on_servers(
+    pub(crate) fn on_servers_updated(
         &mut self,
         now: Millis,
         records: Vec<ServerRecord>,
@@ -51,7 +57,7 @@
             }
         }
         self.update_slots(&changed_servers);
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
         self.drain_queues(now, actions);
     }
 
@@ -85,13 +91,13 @@
 
     /// Has the driver close its connections to a server, once.
     pub(crate) fn close_connections(&mut self, handle: ServerHandle, actions: &mut Vec<Action>) {
-        if let Some(id) = self.servers.get_mut(handle).and_then(|server| server.close_connections()) {
+        if let Some(id) = self.servers.get_mut(handle).and_then(|server| server.mark_connections_closed()) {
             actions.push(Action::CloseConnections(id));
         }
     }
 
-    pub(crate) fn drop_servers(&mut self, now: Millis) {
-        for (handle, service) in self.servers.drop_unlisted(now, &self.options) {
+    pub(crate) fn drop_departed_servers(&mut self, now: Millis) {
+        for (handle, service) in self.servers.drop_departed(now, &self.options) {
             if let Some(pool) = self.pools.get_mut(&service) {
                 pool.remove(handle);
             }
--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -4,7 +4,7 @@
 
 use shaletrail_protocol::{Millis, ServerId};
 
-use crate::balance::{select, SelectedServer, Selection, Unavailable};
+use crate::balance::{select, SelectedServer, SelectionCriteria, Unavailable};
 use crate::interface::{Action, Attempt, RejectReason};
 use crate::request::{InFlight, Phase, Request};
 use crate::retry_budget::SlackShare;
@@ -16,7 +16,7 @@
 /// The highest value of `Priority`.
 const MAX_PRIORITY: u8 = 9;
 /// The shortest `Deadline-Ms`.
-const MIN_DEADLINE: Millis = 1;
+const MIN_DEADLINE_MS: Millis = 1;
 
 /// What becomes of a request for which no attempt can be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,12 +79,12 @@
         if request.attempts >= self.options.max_attempts_per_request {
             return Some(RejectReason::NoServer);
         }
-        if request.arrivals == 0 {
+        if request.delivered_attempts == 0 {
             return None;
         }
         // A server that has surely not run the request may be retried without counting as another server.
         let may_reuse_server = request.surely_not_run()
-            && request.arrivals < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
+            && request.delivered_attempts < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
         let may_retry = (self.may_use_another_server(request) || may_reuse_server)
             && self.has_retry_budget(now, &request.target);
         (!may_retry).then(|| request.exhausted_reason())
@@ -92,12 +92,12 @@
 
     /// This edge's share of the slack of retry budgets.
     fn slack_share(&self) -> SlackShare {
-        SlackShare { edges: self.edges, until: self.budget_share_until }
+        SlackShare { edge_count: self.edge_count, expires_at: self.budget_share_until }
     }
 
     /// Whether the request may visit one more server.
     fn may_use_another_server(&self, request: &Request) -> bool {
-        (request.visited.len() as u32) < request.incoming.route.max_attempts
+        (request.visited_servers.len() as u32) < request.incoming.route.max_attempts
     }
 
     fn has_retry_budget(&mut self, now: Millis, target: &Target) -> bool {
@@ -114,26 +114,27 @@
     ) -> Result<SelectedServer, Unavailable> {
         let Some(pool) = self.pools.get(&request.target.service) else { return Err(Unavailable::NoServer) };
         let max_connections = self.max_connections_per_server(&request.target.service);
-        let restricted_to = (!self.may_use_another_server(request)).then_some(request.visited.as_slice());
-        let selection = Selection {
+        let restricted_to =
+            (!self.may_use_another_server(request)).then_some(request.visited_servers.as_slice());
+        let criteria = SelectionCriteria {
             key: request.key,
             target: &request.target,
-            tried: &request.tried,
+            tried_servers: &request.tried_servers,
             restricted_to,
             max_connections,
             unshared_prefill_tokens: request.prefill_tokens(true),
         };
-        select(pool, &self.servers, &self.load_gossip, &selection, now, &self.options)
+        select(pool, &self.servers, &self.load_gossip, &criteria, now, &self.options)
     }
 
     /// Connections to one server of a service that this edge may open.
     fn max_connections_per_server(&self, service: &str) -> u32 {
         let total =
             self.view.as_ref().and_then(|view| view.service(service)).map_or(0, |s| s.max_connections);
-        if total == 0 || self.edges == 0 {
+        if total == 0 || self.edge_count == 0 {
             return u32::MAX;
         }
-        (total / self.edges).max(1)
+        (total / self.edge_count).max(1)
     }
 
     /// Counts an attempt at its server, pool and demand, and withdraws a retry from the budget. Returns the server's id
@@ -148,16 +149,16 @@
         let share = self.slack_share();
         let server = self.servers.get_mut(selected.server)?;
         self.has_urgent_load |= server.local_load.record_sent(now, prefill);
-        server.open += 1;
+        server.open_requests += 1;
         server.health.record_sent();
         let (id, address) = (server.record.id.clone(), server.record.heartbeat.address.clone());
         if let Some(pool) = self.pools.get_mut(&request.target.service) {
-            pool.open += 1;
-            if request.arrivals > 0 {
+            pool.open_requests += 1;
+            if request.delivered_attempts > 0 {
                 pool.budget.withdraw(now, share, &self.options);
             }
         }
-        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+        if let Some(demand) = self.demand.entry(&request.target, &self.options) {
             demand.in_flight += 1;
             demand.over_capacity += u32::from(selected.over_cap);
         }
@@ -174,18 +175,18 @@
         selected: SelectedServer,
         actions: &mut Vec<Action>,
     ) {
-        let is_retry = request.arrivals > 0;
+        let is_retry = request.delivered_attempts > 0;
         let prefill = request.prefill_tokens(selected.is_home);
         let Some((server, address)) = self.record_sent(now, &request, selected, prefill) else {
             return self.reject(now, request, RejectReason::NoServer, actions);
         };
         let attempt = Attempt(request.attempts);
         request.attempts += 1;
-        request.arrivals += 1;
-        request.tried.push(selected.server);
-        let is_first_visit = !request.visited.contains(&selected.server);
+        request.delivered_attempts += 1;
+        request.tried_servers.push(selected.server);
+        let is_first_visit = !request.visited_servers.contains(&selected.server);
         if is_first_visit {
-            request.visited.push(selected.server);
+            request.visited_servers.push(selected.server);
         }
         let remaining_ms =
             request.deadline_at.saturating_sub(now).saturating_sub(self.options.response_margin_ms);
@@ -195,7 +196,7 @@
             server,
             address,
             service: request.target.service.clone(),
-            deadline_ms: remaining_ms.max(MIN_DEADLINE),
+            deadline_ms: remaining_ms.max(MIN_DEADLINE_MS),
             priority: request.incoming.route.priority.min(MAX_PRIORITY),
             resume_after: request.last_event.filter(|_| request.response_started),
         });
--- a/routing/src/failure_accrual.rs
+++ b/routing/src/failure_accrual.rs
@@ -12,7 +12,7 @@
     /// No connection came up: ejects the server by itself.
     Unreachable,
     /// The server failed an attempt: ejects it after [`Options::eject_after_failures`] in a row.
-    Failure,
+    FailedAttempt,
 }
 
 /// Consecutive failures of one server, and its ejection.
@@ -26,7 +26,7 @@
 struct Ejection {
     until: Millis,
     backoff: Millis,
-    probing: bool,
+    probe_in_flight: bool,
 }
 
 impl FailureAccrual {
@@ -36,7 +36,7 @@
     }
 
     /// Records a sign of life, which ends the ejection while the failures still count.
-    pub fn responded(&mut self) {
+    pub fn readmit(&mut self) {
         self.ejection = None;
     }
 
@@ -52,7 +52,7 @@
         let backoff = match &mut self.ejection {
             // Attempts that were in flight at the ejection say nothing new.
             Some(ejection) if now < ejection.until => {
-                ejection.probing = false;
+                ejection.probe_in_flight = false;
                 return;
             }
             Some(ejection) => (ejection.backoff * 2).min(options.max_backoff_ms),
@@ -62,31 +62,31 @@
             None => return,
         };
         let jitter = random.random_range(0..=backoff / 4);
-        self.ejection = Some(Ejection { until: now + backoff + jitter, backoff, probing: false });
+        self.ejection = Some(Ejection { until: now + backoff + jitter, backoff, probe_in_flight: false });
     }
 
     /// Records a request sent to the server: the probe, if it is ejected.
     pub fn record_sent(&mut self) {
         if let Some(ejection) = &mut self.ejection {
-            ejection.probing = true;
+            ejection.probe_in_flight = true;
         }
     }
 
     /// Records the end of an attempt that shows neither success nor failure.
-    pub fn probe_inconclusive(&mut self) {
+    pub fn record_inconclusive_attempt(&mut self) {
         if let Some(ejection) = &mut self.ejection {
-            ejection.probing = false;
+            ejection.probe_in_flight = false;
         }
     }
 
     /// Whether the server may get a request: it is not ejected, or due for a probe.
     pub fn admits(&self, now: Millis) -> bool {
-        self.ejection.as_ref().is_none_or(|ejection| now >= ejection.until && !ejection.probing)
+        self.ejection.as_ref().is_none_or(|ejection| now >= ejection.until && !ejection.probe_in_flight)
     }
 
     /// When an ejected server may be probed, unless a probe is in flight.
     pub fn probe_at(&self) -> Option<Millis> {
-        self.ejection.as_ref().filter(|ejection| !ejection.probing).map(|ejection| ejection.until)
+        self.ejection.as_ref().filter(|ejection| !ejection.probe_in_flight).map(|ejection| ejection.until)
     }
 
     /// Failures since the last success, which rank ejected servers.
--- a/routing/src/gossip_topology.rs
+++ b/routing/src/gossip_topology.rs
@@ -1,6 +1,6 @@
 //! The topology of the exchange of loads: which edge sends its updates to which others.
 //!
-//! Up to [`MESH_EDGES`] edges form a full mesh. Beyond that the work would grow with the square of their number, so
+//! Up to [`MAX_MESH_EDGES`] edges form a full mesh. Beyond that the work would grow with the square of their number, so
 //! edges form about √n groups of √n: each sends to the relay of its group, relays send each other the sums of their
 //! groups, and each sends its group the sum of all. Groups are runs of the edges in the order of their addresses, which
 //! keeps edges of one zone together where zones are address ranges. All nodes compute the same groups from one list;
@@ -12,7 +12,7 @@
 use shaletrail_ring::mix;
 
 /// Edges in a full mesh at most.
-const MESH_EDGES: usize = 128;
+const MAX_MESH_EDGES: usize = 128;
 
 /// The place of this edge in the topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,11 +44,11 @@
 
 impl GossipTopology {
     /// The place of `own` among the edges at work.
-    pub fn of(own: NodeId, edges: &[NodeId]) -> GossipTopology {
+    pub fn for_edge(own: NodeId, edges: &[NodeId]) -> GossipTopology {
         let mut edges = edges.to_vec();
         edges.sort_unstable();
         edges.dedup();
-        if edges.len() <= MESH_EDGES {
+        if edges.len() <= MAX_MESH_EDGES {
             return GossipTopology::Mesh { others: without(&edges, own) };
         }
         let group_size = edges.len().isqrt();
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -20,7 +20,7 @@
 //! | `balance` | the server of a request: RJ-CH sequence, cap, known load |
 //! | `server`, `server_table`, `server_pool` | one server; all servers; the servers of one service |
 //! | `failure_accrual` | consecutive failures, ejection with backoff, probes |
-//! | `retry_budget`, `sliding_count` | this edge's part of the retries allowed |
+//! | `retry_budget`, `sliding_window_counter` | this edge's part of the retries allowed |
 //! | `local_load`, `load_gossip`, `load_table`, `advertisement`, `gossip_topology` | requests in flight at servers, exchanged among edges |
 //! | `report`, `counters` | demand and outcomes for the coordinators; counts of requests |
 
@@ -51,7 +51,7 @@
 mod server;
 mod server_pool;
 mod server_table;
-mod sliding_count;
+mod sliding_window_counter;
 mod target;
 mod timers;
 
--- a/routing/src/load_gossip.rs
+++ b/routing/src/load_gossip.rs
@@ -15,9 +15,9 @@
 use crate::load_table::{LoadTable, RemoteLoad};
 
 /// Interval of a relay's updates to the other relays, in milliseconds.
-const GROUP_INTERVAL: Millis = 100;
+const GROUP_UPDATE_INTERVAL_MS: Millis = 100;
 /// Interval of a relay's updates to its group, in milliseconds.
-const FLEET_INTERVAL: Millis = 200;
+const FLEET_UPDATE_INTERVAL_MS: Millis = 200;
 
 /// The loads received from other edges.
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
 }
 
 impl ReceivedLoads {
-    fn at(&self, server: u64) -> RemoteLoad {
-        self.per_edge.at(server).saturating_add(self.aggregated.at(server))
+    fn load_of(&self, server: u64) -> RemoteLoad {
+        self.per_edge.load_of(server).saturating_add(self.aggregated.load_of(server))
     }
 
     fn servers(&self) -> impl Iterator<Item = u64> + '_ {
@@ -58,7 +58,7 @@
 impl LoadGossip {
     /// Sets the edges at work; received loads are dropped where they would no longer come from the same sources.
     pub fn set_edges(&mut self, own: NodeId, edges: &[NodeId]) {
-        let topology = GossipTopology::of(own, edges);
+        let topology = GossipTopology::for_edge(own, edges);
         if !topology.has_same_sources_as(&self.topology) {
             *self = LoadGossip::default();
         }
@@ -86,7 +86,7 @@
     /// The other edges' load at a server. `advertised` is this edge's own advertisement, which a relay's aggregate
     /// contains.
     pub fn remote_load(&self, advertised: &EdgeServerLoad) -> RemoteLoad {
-        let all = self.received.at(advertised.server);
+        let all = self.received.load_of(advertised.server);
         match self.topology {
             GossipTopology::Mesh { .. } => all,
             GossipTopology::Member { .. } | GossipTopology::Relay { .. } => all.excluding(advertised),
@@ -120,21 +120,21 @@
     }
 
     fn take_group_updates(&mut self, now: Millis) -> Vec<EdgeServerLoad> {
-        if now < self.last_group_update_at + GROUP_INTERVAL {
+        if now < self.last_group_update_at + GROUP_UPDATE_INTERVAL_MS {
             return Vec::new();
         }
         self.last_group_update_at = now;
         self.received.expire(now);
         let per_edge = &self.received.per_edge;
-        self.group_advertised.take_changes(now, per_edge.servers(), |server| per_edge.at(server))
+        self.group_advertised.take_changes(now, per_edge.servers(), |server| per_edge.load_of(server))
     }
 
     fn take_fleet_updates(&mut self, now: Millis) -> Vec<EdgeServerLoad> {
-        if now < self.last_fleet_update_at + FLEET_INTERVAL {
+        if now < self.last_fleet_update_at + FLEET_UPDATE_INTERVAL_MS {
             return Vec::new();
         }
         self.last_fleet_update_at = now;
         let received = &self.received;
-        self.fleet_advertised.take_changes(now, received.servers(), |server| received.at(server))
+        self.fleet_advertised.take_changes(now, received.servers(), |server| received.load_of(server))
     }
 }
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -9,9 +9,9 @@
 use shaletrail_protocol::{Millis, NodeId};
 
 /// How long a received load counts, in milliseconds.
-const LOAD_TTL: Millis = 1_500;
-/// After how long a load other than zero is advertised again, in milliseconds; well below [`LOAD_TTL`].
-pub(crate) const REFRESH_INTERVAL: Millis = 500;
+const LOAD_TTL_MS: Millis = 1_500;
+/// After how long a load other than zero is advertised again, in milliseconds; well below [`LOAD_TTL_MS`].
+pub(crate) const REFRESH_INTERVAL_MS: Millis = 500;
 /// Edges of which loads are kept.
 const MAX_EDGES: usize = 256;
 /// Servers of which one edge's loads are kept.
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RemoteLoad {
     /// Requests in flight.
-    pub open: u32,
+    pub open_requests: u32,
     /// Prompt tokens of those whose response has not begun.
     pub prefill_tokens: u64,
     /// Edges to which the server is unresponsive.
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedLoad {
     load: EdgeServerLoad,
-    until: Millis,
+    expires_at: Millis,
 }
 
 /// Received loads, by edge and in sum.
@@ -54,18 +54,18 @@
             if servers.len() >= MAX_SERVERS_PER_EDGE && !servers.contains_key(&load.server) {
                 continue;
             }
-            let received = ReceivedLoad { load, until: now + LOAD_TTL };
+            let received = ReceivedLoad { load, expires_at: now + LOAD_TTL_MS };
             let previous =
                 servers.insert(load.server, received).map(|received| received.load).unwrap_or_default();
             let sum = self.sums.entry(load.server).or_default();
             subtract(sum, &previous);
             add(sum, &load);
         }
-        self.next_expiry = self.next_expiry.min(now + LOAD_TTL);
+        self.next_expiry = self.next_expiry.min(now + LOAD_TTL_MS);
     }
 
     /// The sum of the edges' loads at a server.
-    pub fn at(&self, server: u64) -> RemoteLoad {
+    pub fn load_of(&self, server: u64) -> RemoteLoad {
         self.sums.get(&server).copied().unwrap_or_default()
     }
 
@@ -82,7 +82,7 @@
         let sums = &mut self.sums;
         for servers in self.edges.values_mut() {
             servers.retain(|server, received| {
-                let is_valid = received.until > now;
+                let is_valid = received.expires_at > now;
                 if !is_valid {
                     if let Some(sum) = sums.get_mut(server) {
                         subtract(sum, &received.load);
@@ -93,7 +93,7 @@
         }
         self.edges.retain(|_, servers| !servers.is_empty());
         self.sums.retain(|_, sum| *sum != RemoteLoad::default());
-        self.next_expiry = now + LOAD_TTL / 2;
+        self.next_expiry = now + LOAD_TTL_MS / 2;
     }
 }
 
@@ -101,7 +101,7 @@
     /// The sum of both.
     pub fn saturating_add(self, other: RemoteLoad) -> RemoteLoad {
         RemoteLoad {
-            open: self.open.saturating_add(other.open),
+            open_requests: self.open_requests.saturating_add(other.open_requests),
             prefill_tokens: self.prefill_tokens.saturating_add(other.prefill_tokens),
             unresponsive_edges: self.unresponsive_edges.saturating_add(other.unresponsive_edges),
         }
@@ -117,7 +117,7 @@
     pub fn to_edge_load(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
             server,
-            in_flight: u16::try_from(self.open).unwrap_or(u16::MAX),
+            in_flight: u16::try_from(self.open_requests).unwrap_or(u16::MAX),
             prefill_tokens: u32::try_from(self.prefill_tokens).unwrap_or(u32::MAX),
             unresponsive: self.unresponsive_edges > 0,
         }
@@ -125,13 +125,13 @@
 }
 
 fn add(sum: &mut RemoteLoad, load: &EdgeServerLoad) {
-    sum.open += u32::from(load.in_flight);
+    sum.open_requests += u32::from(load.in_flight);
     sum.prefill_tokens += u64::from(load.prefill_tokens);
     sum.unresponsive_edges += u32::from(load.unresponsive);
 }
 
 fn subtract(sum: &mut RemoteLoad, load: &EdgeServerLoad) {
-    sum.open = sum.open.saturating_sub(u32::from(load.in_flight));
+    sum.open_requests = sum.open_requests.saturating_sub(u32::from(load.in_flight));
     sum.prefill_tokens = sum.prefill_tokens.saturating_sub(u64::from(load.prefill_tokens));
     sum.unresponsive_edges = sum.unresponsive_edges.saturating_sub(u32::from(load.unresponsive));
 }
--- a/routing/src/local_load.rs
+++ b/routing/src/local_load.rs
@@ -60,11 +60,11 @@
     pub fn take_changed_load(
         &mut self,
         now: Millis,
-        open: u32,
+        open_requests: u32,
         is_unresponsive: bool,
     ) -> Option<EdgeServerLoad> {
         let load = RemoteLoad {
-            open,
+            open_requests,
             prefill_tokens: self.prefill_tokens,
             unresponsive_edges: u32::from(is_unresponsive),
         }
@@ -72,7 +72,7 @@
         if load == self.advertised.load && !self.advertised.needs_refresh(now, &load) {
             return None;
         }
-        self.advertised = Advertisement { load, at: now };
+        self.advertised = Advertisement { load, advertised_at: now };
         Some(load)
     }
 }
--- a/routing/src/options.rs
+++ b/routing/src/options.rs
@@ -30,7 +30,7 @@
     /// The fraction of its time that a request is queued for a model to load.
     pub model_wait_fraction: f64,
     /// The fraction of the client's patience that a stream is queued for a model to load.
-    pub patience_fraction: f64,
+    pub client_timeout_fraction: f64,
     /// The fraction of its latency target that a request is queued while every server is full.
     pub capacity_wait_fraction: f64,
     /// Attempts of one request at most, including those that reach no server.
@@ -96,7 +96,7 @@
             max_open: 4096,
             max_queued: 512,
             model_wait_fraction: 0.45,
-            patience_fraction: 0.6,
+            client_timeout_fraction: 0.6,
             capacity_wait_fraction: 0.25,
             max_attempts_per_request: 16,
             response_margin_ms: 5,
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -23,8 +23,8 @@
         unavailable: Unavailable,
         actions: &mut Vec<Action>,
     ) {
-        let unavailable = self.allow_same_servers(now, &mut request, unavailable);
-        let reason = match request.arrivals {
+        let unavailable = self.allow_retry_at_same_servers(now, &mut request, unavailable);
+        let reason = match request.delivered_attempts {
             0 => reject_reason(unavailable, &request.target),
             _ => request.exhausted_reason(),
         };
@@ -37,7 +37,7 @@
         }
         let key = QueueKey::of(&request);
         if self.queue.len() >= self.options.max_queued {
-            match self.queue.lowest_priority().filter(|last| key < *last) {
+            match self.queue.least_urgent().filter(|last| key < *last) {
                 Some(last) => self.evict_from_queue(now, last, actions),
                 None => return self.reject(now, request, RejectReason::Overloaded, actions),
             }
@@ -47,7 +47,7 @@
             self.retry_queue_by(&request.target.service, request.not_before);
         }
         self.has_urgent_demand |= reason == RejectReason::NoModel;
-        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+        if let Some(demand) = self.demand.entry(&request.target, &self.options) {
             demand.queued += 1;
             demand.over_capacity += u32::from(reason == RejectReason::Full);
         }
@@ -57,16 +57,16 @@
     }
 
     /// Allows servers that have surely not run the request again, after a delay.
-    fn allow_same_servers(
+    fn allow_retry_at_same_servers(
         &self,
         now: Millis,
         request: &mut Request,
         unavailable: Unavailable,
     ) -> Unavailable {
-        if request.tried.is_empty() || !request.surely_not_run() {
+        if request.tried_servers.is_empty() || !request.surely_not_run() {
             return unavailable;
         }
-        request.tried.clear();
+        request.tried_servers.clear();
         request.not_before =
             now + self.options.same_server_retry_delay_ms.max(request.retry_after_ms.unwrap_or(0));
         match self.select_server(now, request) {
@@ -122,11 +122,11 @@
             if unavailable_targets.contains(&request.target) {
                 continue;
             }
-            let (target, is_first_attempt) = (Arc::clone(&request.target), request.tried.is_empty());
+            let (target, is_first_attempt) = (Arc::clone(&request.target), request.tried_servers.is_empty());
             match self.select_server(now, request) {
                 Ok(_) => self.dispatch_queued(now, key, actions),
                 Err(unavailable) => {
-                    self.keep_queued(key, unavailable);
+                    self.update_queued(key, unavailable);
                     if is_first_attempt {
                         unavailable_targets.insert(target);
                     }
@@ -148,7 +148,7 @@
     }
 
     /// Keeps a request queued, with the newest reason and never for a shorter time.
-    fn keep_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
+    fn update_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
         let Some((request, Phase::Queued(queued))) = self.requests.get(&key.id) else { return };
         let (target, previous_until) = (Arc::clone(&request.target), queued.until);
         let until = self.queue_deadline(request, unavailable).max(previous_until);
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -10,7 +10,7 @@
 use crate::Options;
 
 /// Output tokens count this many times as much as those of a prompt.
-const OUTPUT_WEIGHT: u64 = 10;
+const OUTPUT_TOKEN_WEIGHT: u64 = 10;
 
 /// Demand since the last report.
 #[derive(Debug, Default)]
@@ -18,22 +18,22 @@
 
 impl DemandTable {
     /// The demand for a target; `None` where the table is full.
-    pub fn of(&mut self, target: &Arc<Target>, options: &Options) -> Option<&mut Demand> {
+    pub fn entry(&mut self, target: &Arc<Target>, options: &Options) -> Option<&mut Demand> {
         if self.0.len() >= options.max_demand_entries && !self.0.contains_key(target) {
             return None;
         }
-        let none_yet = || Demand {
+        let new_entry = || Demand {
             service: target.service.clone(),
             model: target.model.clone(),
             adapter: target.adapter.clone(),
             priority: u8::MAX,
             ..Demand::default()
         };
-        Some(self.0.entry(Arc::clone(target)).or_insert_with(none_yet))
+        Some(self.0.entry(Arc::clone(target)).or_insert_with(new_entry))
     }
 
     /// The demand for a target, if any has been counted.
-    pub fn known(&mut self, target: &Target) -> Option<&mut Demand> {
+    pub fn get_mut(&mut self, target: &Target) -> Option<&mut Demand> {
         self.0.get_mut(target)
     }
 
@@ -55,8 +55,9 @@
 pub(crate) fn record_arrival(demand: &mut Demand, tokens: Option<(u32, u32)>, priority: u8) {
     let (prompt, output) = tokens.unwrap_or_default();
     demand.arrived = demand.arrived.saturating_add(1);
-    let weighed = u64::from(prompt).saturating_add(u64::from(output).saturating_mul(OUTPUT_WEIGHT));
-    demand.tokens = demand.tokens.saturating_add(weighed);
+    let weighted_tokens =
+        u64::from(prompt).saturating_add(u64::from(output).saturating_mul(OUTPUT_TOKEN_WEIGHT));
+    demand.tokens = demand.tokens.saturating_add(weighted_tokens);
     demand.priority = demand.priority.min(priority);
 }
 
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -12,11 +12,11 @@
 use crate::Options;
 
 /// Clients abandon a stream after the longest of: this time without an event, in milliseconds, ...
-const MIN_CLIENT_PATIENCE: Millis = 2_000;
+const MIN_CLIENT_STREAM_TIMEOUT_MS: Millis = 2_000;
 /// ... this multiple of the latency target, ...
-const PATIENCE_PER_LATENCY_TARGET: Millis = 4;
+const LATENCY_TARGETS_PER_CLIENT_TIMEOUT: Millis = 4;
 /// ... and this multiple of the target for the gap between events.
-const PATIENCE_PER_EVENT_GAP: Millis = 8;
+const EVENT_GAPS_PER_CLIENT_TIMEOUT: Millis = 8;
 
 /// A request without a final action yet.
 #[derive(Debug)]
@@ -36,11 +36,11 @@
     /// Attempts, including those that reached no server.
     pub attempts: u32,
     /// Attempts that reached a server, or may have; the one in flight counts.
-    pub arrivals: u32,
+    pub delivered_attempts: u32,
     /// Servers that it was sent to, which the balancer excludes.
-    pub tried: Vec<ServerHandle>,
+    pub tried_servers: Vec<ServerHandle>,
     /// Servers that it reached, or may have, each once.
-    pub visited: Vec<ServerHandle>,
+    pub visited_servers: Vec<ServerHandle>,
     /// While it is queued: when the servers that it was sent to may be retried.
     pub not_before: Millis,
     /// The client has the head of a server's response.
@@ -53,18 +53,18 @@
 
 impl Request {
     pub fn new(incoming: NewRequest, target: Arc<Target>, key: Key, now: Millis) -> Self {
-        let time = incoming.deadline_ms.min(incoming.route.timeout_ms);
+        let timeout_ms = incoming.deadline_ms.min(incoming.route.timeout_ms);
         Request {
             incoming,
             target,
             key,
             arrived_at: now,
-            deadline_at: now.saturating_add(time),
+            deadline_at: now.saturating_add(timeout_ms),
             verdict: Verdict::NeverSent,
             attempts: 0,
-            arrivals: 0,
-            tried: Vec::new(),
-            visited: Vec::new(),
+            delivered_attempts: 0,
+            tried_servers: Vec::new(),
+            visited_servers: Vec::new(),
             not_before: 0,
             response_started: false,
             last_event: None,
@@ -117,23 +117,23 @@
 
     /// Until when it may be queued for a model to load: a fraction of its time, and of the client's patience.
     pub fn model_wait_until(&self, options: &Options) -> Millis {
-        let time = self.deadline_at - self.arrived_at;
-        let wait = (time as f64 * options.model_wait_fraction) as Millis;
-        let patience = self
-            .client_patience()
-            .map_or(Millis::MAX, |patience| (patience as f64 * options.patience_fraction) as Millis);
-        self.arrived_at + wait.min(patience)
+        let total_time = self.deadline_at - self.arrived_at;
+        let wait = (total_time as f64 * options.model_wait_fraction) as Millis;
+        let client_timeout = self.client_stream_timeout().map_or(Millis::MAX, |client_timeout| {
+            (client_timeout as f64 * options.client_timeout_fraction) as Millis
+        });
+        self.arrived_at + wait.min(client_timeout)
     }
 
     /// How long clients wait for a stream's next event, in milliseconds.
-    fn client_patience(&self) -> Option<Millis> {
+    fn client_stream_timeout(&self) -> Option<Millis> {
         let RouteKind::Streaming { gap_target_ms, .. } = self.incoming.route.kind else { return None };
         let by_latency_target =
-            self.incoming.route.target_latency_ms.saturating_mul(PATIENCE_PER_LATENCY_TARGET);
+            self.incoming.route.target_latency_ms.saturating_mul(LATENCY_TARGETS_PER_CLIENT_TIMEOUT);
         Some(
-            MIN_CLIENT_PATIENCE
+            MIN_CLIENT_STREAM_TIMEOUT_MS
                 .max(by_latency_target)
-                .max(gap_target_ms.saturating_mul(PATIENCE_PER_EVENT_GAP)),
+                .max(gap_target_ms.saturating_mul(EVENT_GAPS_PER_CLIENT_TIMEOUT)),
         )
     }
 
@@ -155,7 +155,7 @@
 
 impl Phase {
     /// When its timer is due.
-    pub fn next_at(&self) -> Millis {
+    pub fn timer_at(&self) -> Millis {
         match self {
             Phase::Queued(queued) => queued.until,
             Phase::InFlight(in_flight) => {
--- a/routing/src/request_queue.rs
+++ b/routing/src/request_queue.rs
@@ -80,7 +80,7 @@
     }
 
     /// The least urgent request of all services.
-    pub fn lowest_priority(&self) -> Option<QueueKey> {
+    pub fn least_urgent(&self) -> Option<QueueKey> {
         self.by_service.values().filter_map(|keys| keys.last()).max().copied()
     }
 }
--- a/routing/src/responses.rs
+++ b/routing/src/responses.rs
@@ -37,7 +37,7 @@
         reason: RejectReason,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(demand) = self.demand.known(&request.target) {
+        if let Some(demand) = self.demand.get_mut(&request.target) {
             demand.over_capacity += 1;
         }
         let has_not_run = request.surely_not_run();
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -7,39 +7,39 @@
 
 use shaletrail_protocol::Millis;
 
-use crate::sliding_count::SlidingCount;
+use crate::sliding_window_counter::SlidingWindowCounter;
 use crate::Options;
 
 /// This edge's part of the slack.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlackShare {
     /// The edges among which the slack is divided; 0 where that is not known.
-    pub edges: u32,
+    pub edge_count: u32,
     /// When the part ends; `None` before the first poll was answered.
-    pub until: Option<Millis>,
+    pub expires_at: Option<Millis>,
 }
 
 impl SlackShare {
-    fn of_slack(self, now: Millis, options: &Options) -> f64 {
-        let is_over = self.until.is_some_and(|until| now >= until);
-        if is_over || now < options.slack_available_from_ms {
+    fn slack(self, now: Millis, options: &Options) -> f64 {
+        let is_expired = self.expires_at.is_some_and(|expires_at| now >= expires_at);
+        if is_expired || now < options.slack_available_from_ms {
             return 0.0;
         }
-        let edges = if self.edges == 0 { options.assumed_edges } else { self.edges };
-        options.retry_slack / f64::from(edges.max(1))
+        let edge_count = if self.edge_count == 0 { options.assumed_edges } else { self.edge_count };
+        options.retry_slack / f64::from(edge_count.max(1))
     }
 }
 
 /// Requests and retries of one service at this edge.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
-    requests: SlidingCount,
-    retries: SlidingCount,
+    requests: SlidingWindowCounter,
+    retries: SlidingWindowCounter,
 }
 
 impl RetryBudget {
     pub fn new(options: &Options) -> Self {
-        let count = SlidingCount::over(options.retry_window_ms);
+        let count = SlidingWindowCounter::with_window(options.retry_window_ms);
         RetryBudget { requests: count.clone(), retries: count }
     }
 
@@ -59,7 +59,7 @@
 
     /// Whether a retry is left.
     pub fn has_balance(&mut self, now: Millis, share: SlackShare, options: &Options) -> bool {
-        let slack = share.of_slack(now, options);
+        let slack = share.slack(now, options);
         let allowance = options.retry_ratio * f64::from(self.requests.lower_bound(now)) + slack;
         f64::from(self.retries.upper_bound(now)) + 1.0 <= allowance * options.budget_fraction
     }
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -24,7 +24,7 @@
     pub(crate) options: Options,
     pub(crate) random: Pcg64Mcg,
     pub(crate) view: Option<Arc<View>>,
-    pub(crate) edges: u32,
+    pub(crate) edge_count: u32,
     /// Until when this edge's share of the retry budget's slack holds; `None` before the first poll was answered.
     pub(crate) budget_share_until: Option<Millis>,
     pub(crate) shutting_down: bool,
@@ -50,7 +50,7 @@
             options,
             random: Pcg64Mcg::seed_from_u64(seed),
             view: None,
-            edges: 0,
+            edge_count: 0,
             budget_share_until: None,
             shutting_down: false,
             servers: ServerTable::default(),
@@ -69,9 +69,11 @@
     /// Takes an event; what is to be done is added to `actions`, in order. `now` never goes back.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::ConfigurationUpdated(view) => self.on_view(now, view, actions),
-            Event::ServersUpdated { records, complete } => self.on_servers(now, records, complete, actions),
-            Event::EdgeCountUpdated(edges) => self.edges = edges,
+            Event::ConfigurationUpdated(view) => self.on_configuration_updated(now, view, actions),
+            Event::ServersUpdated { records, complete } => {
+                self.on_servers_updated(now, records, complete, actions)
+            }
+            Event::EdgeCountUpdated(edge_count) => self.edge_count = edge_count,
             Event::BudgetShareRenewed { polled_at } => {
                 let until = polled_at + self.options.retry_window_ms;
                 self.budget_share_until = Some(self.budget_share_until.unwrap_or(until).max(until));
@@ -80,11 +82,13 @@
             Event::PeerLoads { edge, scope, loads } => self.load_gossip.receive(now, edge, scope, loads),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::RequestWritten(..) => {}
-            Event::ResponseHead(id, attempt, load) => self.on_head(now, id, attempt, load),
-            Event::FirstEvent(id, attempt) => self.on_first(now, id, attempt),
-            Event::StreamStalled(id, attempt) => self.on_stalled(now, id, attempt, actions),
-            Event::AttemptEnded(id, attempt, outcome) => self.on_ended(now, id, attempt, outcome, actions),
-            Event::RequestFinished(id) => self.on_finished(now, id, actions),
+            Event::ResponseHead(id, attempt, load) => self.on_response_head(now, id, attempt, load),
+            Event::FirstEvent(id, attempt) => self.on_first_event(now, id, attempt),
+            Event::StreamStalled(id, attempt) => self.on_stream_stalled(now, id, attempt, actions),
+            Event::AttemptEnded(id, attempt, outcome) => {
+                self.on_attempt_ended(now, id, attempt, outcome, actions)
+            }
+            Event::RequestFinished(id) => self.on_request_finished(now, id, actions),
             Event::ShutdownRequested => self.on_shutdown_requested(now, actions),
             Event::Tick => self.on_tick(now, actions),
         }
@@ -94,7 +98,7 @@
     pub fn next_wake(&self) -> NextWake {
         let timer = self.timers.first().map(|(at, _)| *at);
         let queue_retry = self.pools.values().filter_map(|pool| pool.queue_retry_at).min();
-        [timer, queue_retry, self.servers.next_drop(&self.options)].into_iter().flatten().min()
+        [timer, queue_retry, self.servers.next_drop_at(&self.options)].into_iter().flatten().min()
     }
 
     /// Takes demand and the outcomes of attempts since the last report.
@@ -109,7 +113,7 @@
         let options = &self.options;
         let own = self.servers.iter_mut().filter_map(|server| {
             let is_unresponsive = server.is_unresponsive(now, options);
-            server.local_load.take_changed_load(now, server.open, is_unresponsive)
+            server.local_load.take_changed_load(now, server.open_requests, is_unresponsive)
         });
         let own = own.collect();
         let mut updates = self.load_gossip.take_updates(now, own);
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -30,17 +30,17 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
-    at: Millis,
+    reported_at: Millis,
     load: ServerLoad,
     /// Requests of this edge that were in flight there at the time.
-    open: u32,
+    open_requests: u32,
 }
 
 #[derive(Clone, Debug)]
 struct MissingModel {
     model: String,
     adapter: Option<String>,
-    until: Millis,
+    expires_at: Millis,
 }
 
 /// A server and what this edge has observed of it.
@@ -49,7 +49,7 @@
     /// The newest record.
     pub record: ServerRecord,
     /// Requests of this edge that are open there.
-    pub open: u32,
+    pub open_requests: u32,
     /// Outlier detection.
     pub health: FailureAccrual,
     /// The load of this edge there, for the exchange among edges.
@@ -77,7 +77,7 @@
         Server {
             local_load: LocalLoad::new(&record.id),
             record,
-            open: 0,
+            open_requests: 0,
             health: FailureAccrual::default(),
             last_response_at: 0,
             outcomes,
@@ -119,7 +119,7 @@
             self.missing_models.remove(0);
         }
         let (model, adapter) = (target.model.clone(), target.adapter.clone());
-        self.missing_models.push(MissingModel { model, adapter, until });
+        self.missing_models.push(MissingModel { model, adapter, expires_at: until });
     }
 
     fn is_missing(&self, target: &Target, now: Millis) -> bool {
@@ -128,10 +128,10 @@
 
     /// Until when the model or adapter counts as missing.
     pub fn missing_until(&self, target: &Target, now: Millis) -> Option<Millis> {
-        let same = |missing: &&MissingModel| {
-            missing.until > now && missing.model == target.model && missing.adapter == target.adapter
+        let is_same_target = |missing: &&MissingModel| {
+            missing.expires_at > now && missing.model == target.model && missing.adapter == target.adapter
         };
-        self.missing_models.iter().filter(same).map(|missing| missing.until).max()
+        self.missing_models.iter().filter(is_same_target).map(|missing| missing.expires_at).max()
     }
 
     /// Another instance answered at its address: it is unavailable until a newer heartbeat.
@@ -140,14 +140,14 @@
     }
 
     /// Marks its connections as closed. Returns its id the first time.
-    pub fn close_connections(&mut self) -> Option<ServerId> {
+    pub fn mark_connections_closed(&mut self) -> Option<ServerId> {
         let already_closed = std::mem::replace(&mut self.connections_closed, true);
         (!already_closed).then(|| self.record.id.clone())
     }
 
     /// Records the load that a response reported.
     pub fn record_load(&mut self, now: Millis, load: ServerLoad) {
-        self.load = Some(ReportedLoad { at: now, load, open: self.open });
+        self.load = Some(ReportedLoad { reported_at: now, load, open_requests: self.open_requests });
     }
 
     /// Records that it rejected a request for lack of capacity.
@@ -164,7 +164,7 @@
 
     /// Its slots, as a response reported them or else its heartbeat.
     pub fn slots(&self) -> u32 {
-        let reported = self.load.map(|seen| seen.load.slots).filter(|slots| *slots > 0);
+        let reported = self.load.map(|report| report.load.slots).filter(|slots| *slots > 0);
         reported.unwrap_or(self.record.heartbeat.slots).max(1)
     }
 
@@ -175,17 +175,17 @@
 
     /// Requests that are there as far as is known: those of this edge, and the load reported since `since`.
     pub fn occupied(&self, since: Millis) -> u32 {
-        let reported = self.reported_load(since).map(|seen| {
-            let there = seen.load.running.saturating_add(seen.load.waiting);
-            there.saturating_add(self.open).saturating_sub(seen.open)
+        let reported = self.reported_load(since).map(|report| {
+            let occupied_at_report = report.load.running.saturating_add(report.load.waiting);
+            occupied_at_report.saturating_add(self.open_requests).saturating_sub(report.open_requests)
         });
-        reported.unwrap_or(0).max(self.open)
+        reported.unwrap_or(0).max(self.open_requests)
     }
 
     /// Its capacity, as far as is known.
     pub fn capacity(&self, now: Millis, since: Millis, options: &Options) -> Capacity {
         let (slots, occupied) = (self.slots(), self.occupied(since));
-        let waiting = self.reported_load(since).map_or(0, |seen| seen.load.waiting);
+        let waiting = self.reported_load(since).map_or(0, |report| report.load.waiting);
         let queue = (f64::from(slots) * options.server_queue_fraction).ceil() as u32;
         if now < self.full_until || waiting > queue || occupied >= slots.saturating_add(queue) {
             Capacity::Full
@@ -198,12 +198,12 @@
 
     /// When it may have capacity without any further event. A reported load counts for `load_ttl` milliseconds.
     pub fn full_until(&self, now: Millis, load_ttl: Millis) -> Option<Millis> {
-        let load_until = self.load.map(|seen| seen.at + load_ttl);
+        let load_until = self.load.map(|report| report.reported_at + load_ttl);
         [Some(self.full_until), load_until].into_iter().flatten().filter(|until| *until > now).min()
     }
 
     fn reported_load(&self, since: Millis) -> Option<&ReportedLoad> {
-        self.load.as_ref().filter(|seen| seen.at >= since)
+        self.load.as_ref().filter(|report| report.reported_at >= since)
     }
 }
 
--- a/routing/src/server_pool.rs
+++ b/routing/src/server_pool.rs
@@ -5,13 +5,13 @@
 
 use crate::retry_budget::RetryBudget;
 use crate::server::ServerHandle;
-use crate::sliding_count::SlidingCount;
+use crate::sliding_window_counter::SlidingWindowCounter;
 use crate::Options;
 
 /// The window over which completions are counted, in milliseconds.
-const DRAIN_WINDOW: Millis = 2000;
+const COMPLETION_WINDOW_MS: Millis = 2000;
 /// The mean latency that is assumed at first, in milliseconds.
-const INITIAL_LATENCY_MS: f64 = 300.0;
+const INITIAL_MEAN_LATENCY_MS: f64 = 300.0;
 /// The weight of the newest attempt in the moving average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.125;
 
@@ -34,12 +34,12 @@
     /// The ring slots of the ready servers.
     pub slot_array: SlotArray<ServerHandle>,
     /// Requests of this edge in flight at its servers.
-    pub open: u32,
+    pub open_requests: u32,
     /// The retries that are left.
     pub budget: RetryBudget,
     /// When queued requests may find a server without any further event.
     pub queue_retry_at: Option<Millis>,
-    completions: SlidingCount,
+    completions: SlidingWindowCounter,
     mean_latency_ms: f64,
 }
 
@@ -48,11 +48,11 @@
         ServerPool {
             members: Vec::new(),
             slot_array: SlotArray::default(),
-            open: 0,
+            open_requests: 0,
             budget: RetryBudget::new(options),
             queue_retry_at: None,
-            completions: SlidingCount::over(DRAIN_WINDOW),
-            mean_latency_ms: INITIAL_LATENCY_MS,
+            completions: SlidingWindowCounter::with_window(COMPLETION_WINDOW_MS),
+            mean_latency_ms: INITIAL_MEAN_LATENCY_MS,
         }
     }
 
@@ -64,9 +64,9 @@
     /// Updates the ring slots of servers that became ready or ceased to be. Successive servers at one address have the
     /// same slots.
     pub fn update_slots(&mut self, changed: &[ReadinessChange]) {
-        let size = |ready: bool| if ready { 1.0 } else { 0.0 };
+        let weight = |ready: bool| if ready { 1.0 } else { 0.0 };
         let points: Vec<_> =
-            changed.iter().map(|c| (c.server, hash_of_name(&c.address), size(c.ready))).collect();
+            changed.iter().map(|c| (c.server, hash_of_name(&c.address), weight(c.ready))).collect();
         self.slot_array.update(&points);
     }
 
@@ -89,7 +89,7 @@
 
     /// The mean time between two completed responses at this edge, in milliseconds.
     pub fn drain_interval(&mut self, now: Millis) -> Millis {
-        DRAIN_WINDOW / Millis::from(self.completions.upper_bound(now).max(1))
+        COMPLETION_WINDOW_MS / Millis::from(self.completions.upper_bound(now).max(1))
     }
 
     /// Schedules the queue's next retry at this time, or earlier where one is already scheduled.
--- a/routing/src/server_table.rs
+++ b/routing/src/server_table.rs
@@ -45,7 +45,7 @@
     departing: BTreeSet<ServerHandle>,
     retired: BTreeSet<ServerId>,
     retired_order: VecDeque<ServerId>,
-    next: u32,
+    next_handle: u32,
 }
 
 impl ServerTable {
@@ -94,9 +94,9 @@
             self.departing.insert(handle);
             return MergeOutcome::Draining(handle);
         }
-        let moved = known.heartbeat.service != record.heartbeat.service;
+        let changed_service = known.heartbeat.service != record.heartbeat.service;
         let has_newer_overlay = record.overlay.is_later_than(&known.overlay);
-        if moved || (record.heartbeat.sequence < known.heartbeat.sequence && !has_newer_overlay) {
+        if changed_service || (record.heartbeat.sequence < known.heartbeat.sequence && !has_newer_overlay) {
             return MergeOutcome::Ignored;
         }
         let record = merge_records(known, record);
@@ -117,15 +117,15 @@
         if self.by_handle.len() >= options.max_servers {
             return MergeOutcome::Ignored;
         }
-        let handle = ServerHandle(self.next);
-        self.next = self.next.wrapping_add(1);
+        let handle = ServerHandle(self.next_handle);
+        self.next_handle = self.next_handle.wrapping_add(1);
         self.by_id.insert(record.id.clone(), handle);
         self.by_handle.insert(handle, Server::new(record));
         MergeOutcome::Added(handle)
     }
 
     /// Marks and returns the servers that a complete directory does not list; they are dropped by
-    /// [`ServerTable::drop_unlisted`].
+    /// [`ServerTable::drop_departed`].
     pub fn mark_unlisted(&mut self, now: Millis, listed: &BTreeSet<&ServerId>) -> Vec<ServerHandle> {
         let mut unlisted = Vec::new();
         for (handle, server) in &mut self.by_handle {
@@ -139,21 +139,21 @@
     }
 
     /// Drops servers that are draining, and those unlisted for long, once no request is in flight there.
-    pub fn drop_unlisted(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
-        let over = |server: &Server| {
+    pub fn drop_departed(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
+        let may_drop = |server: &Server| {
             let unlisted = server.unlisted_since.is_some_and(|since| now >= since + options.unlisted_ttl_ms);
-            server.open == 0 && (is_draining(&server.record) || unlisted)
+            server.open_requests == 0 && (is_draining(&server.record) || unlisted)
         };
         let departing = self.departing.iter().copied();
         let handles: Vec<_> =
-            departing.filter(|handle| self.by_handle.get(handle).is_some_and(over)).collect();
+            departing.filter(|handle| self.by_handle.get(handle).is_some_and(may_drop)).collect();
         handles.into_iter().filter_map(|handle| Some((handle, self.remove(handle)?))).collect()
     }
 
     /// When the next unlisted server is due to be dropped.
-    pub fn next_drop(&self, options: &Options) -> Option<Millis> {
+    pub fn next_drop_at(&self, options: &Options) -> Option<Millis> {
         let departing = self.departing.iter().filter_map(|handle| self.by_handle.get(handle));
-        let idle = departing.filter(|server| server.open == 0 && !is_draining(&server.record));
+        let idle = departing.filter(|server| server.open_requests == 0 && !is_draining(&server.record));
         idle.filter_map(|server| server.unlisted_since).map(|since| since + options.unlisted_ttl_ms).min()
     }
 
--- a/routing/src/sliding_count.rs
+++ b/routing/src/sliding_window_counter.rs
@@ -7,41 +7,41 @@
 /// Counts what happened in the last window, in buckets of a part of it. The oldest bucket lies in the window in
 /// part only, so that a count has a lower and an upper bound.
 #[derive(Clone, Debug)]
-pub(crate) struct SlidingCount {
-    width: Millis,
+pub(crate) struct SlidingWindowCounter {
+    bucket_width_ms: Millis,
     counts: [u32; BUCKETS],
-    newest: u64,
-    sum: u32,
+    newest_bucket: u64,
+    total: u32,
 }
 
-impl SlidingCount {
+impl SlidingWindowCounter {
     /// Counts over a window of this many milliseconds.
-    pub fn over(window: Millis) -> Self {
-        SlidingCount {
-            width: window.div_ceil(BUCKETS as Millis - 1).max(1),
+    pub fn with_window(window_ms: Millis) -> Self {
+        SlidingWindowCounter {
+            bucket_width_ms: window_ms.div_ceil(BUCKETS as Millis - 1).max(1),
             counts: [0; BUCKETS],
-            newest: 0,
-            sum: 0,
+            newest_bucket: 0,
+            total: 0,
         }
     }
 
     /// Adds one at this time.
     pub fn add(&mut self, now: Millis) {
         self.advance(now);
-        let newest = (self.newest % BUCKETS as u64) as usize;
-        self.counts[newest] = self.counts[newest].saturating_add(1);
-        self.sum = self.sum.saturating_add(1);
+        let index = (self.newest_bucket % BUCKETS as u64) as usize;
+        self.counts[index] = self.counts[index].saturating_add(1);
+        self.total = self.total.saturating_add(1);
     }
 
     /// Removes one from the newest bucket that is not empty.
     pub fn remove(&mut self, now: Millis) {
         self.advance(now);
         let buckets =
-            (0..BUCKETS as u64).map(|age| ((self.newest.wrapping_sub(age)) % BUCKETS as u64) as usize);
+            (0..BUCKETS as u64).map(|age| ((self.newest_bucket.wrapping_sub(age)) % BUCKETS as u64) as usize);
         for bucket in buckets {
             if self.counts[bucket] > 0 {
                 self.counts[bucket] -= 1;
-                self.sum -= 1;
+                self.total -= 1;
                 return;
             }
         }
@@ -50,25 +50,25 @@
     /// The lower bound of the count in the window.
     pub fn lower_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
-        self.sum - self.counts[((self.newest + 1) % BUCKETS as u64) as usize]
+        self.total - self.counts[((self.newest_bucket + 1) % BUCKETS as u64) as usize]
     }
 
     /// The upper bound of the count in the window.
     pub fn upper_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
-        self.sum
+        self.total
     }
 
     fn advance(&mut self, now: Millis) {
-        let bucket = now / self.width;
-        while self.newest < bucket {
-            if self.sum == 0 {
-                self.newest = bucket;
+        let bucket = now / self.bucket_width_ms;
+        while self.newest_bucket < bucket {
+            if self.total == 0 {
+                self.newest_bucket = bucket;
                 return;
             }
-            self.newest += 1;
-            let oldest = (self.newest % BUCKETS as u64) as usize;
-            self.sum -= std::mem::take(&mut self.counts[oldest]);
+            self.newest_bucket += 1;
+            let oldest = (self.newest_bucket % BUCKETS as u64) as usize;
+            self.total -= std::mem::take(&mut self.counts[oldest]);
         }
     }
 }
--- a/routing/src/timers.rs
+++ b/routing/src/timers.rs
@@ -9,9 +9,9 @@
 
 impl Router {
     pub(crate) fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let due = |pool: &ServerPool| pool.queue_retry_at.is_some_and(|at| at <= now);
+        let is_due = |pool: &ServerPool| pool.queue_retry_at.is_some_and(|at| at <= now);
         let services: Vec<String> =
-            self.pools.iter().filter(|(_, pool)| due(pool)).map(|(name, _)| name.clone()).collect();
+            self.pools.iter().filter(|(_, pool)| is_due(pool)).map(|(name, _)| name.clone()).collect();
         for service in services {
             self.drain_queue(now, &service, actions);
         }
@@ -19,7 +19,7 @@
             self.on_timer(now, id, actions);
         }
         self.load_gossip.expire(now);
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
     }
 
     fn on_timer(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
@@ -27,12 +27,17 @@
             Some((_, Phase::Queued(queued))) => {
                 let reason = queued.reason;
                 if let Some((request, _)) = self.remove_request(id) {
-                    let late = now >= request.deadline_at;
-                    self.reject(now, request, if late { RejectReason::TooLate } else { reason }, actions);
+                    let deadline_passed = now >= request.deadline_at;
+                    self.reject(
+                        now,
+                        request,
+                        if deadline_passed { RejectReason::TooLate } else { reason },
+                        actions,
+                    );
                 }
             }
             Some((_, Phase::InFlight(in_flight))) if now >= in_flight.timeout_at => {
-                self.expire(now, id, actions)
+                self.expire_request(now, id, actions)
             }
             Some((_, Phase::InFlight(_))) => self.check_response_timeout(now, id, actions),
             None => self.timers.retain(|(_, timer)| *timer != id),
@@ -42,9 +47,9 @@
     pub(crate) fn on_shutdown_requested(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.shutting_down = true;
         for key in self.queue.all() {
-            let waits_long =
+            let ends_at_shutdown =
                 |phase: &Phase| matches!(phase, Phase::Queued(queued) if queued.reason != RejectReason::Full);
-            if self.requests.get(&key.id).is_some_and(|(_, phase)| waits_long(phase)) {
+            if self.requests.get(&key.id).is_some_and(|(_, phase)| ends_at_shutdown(phase)) {
                 if let Some((request, _)) = self.remove_request(key.id) {
                     self.reject(now, request, RejectReason::Stopping, actions);
                 }
