--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -1,4 +1,5 @@
-//! A new request: the service that its route leads to, and the checks before it is dispatched.
+//! Admission of new requests: selects the service by the route and checks the request before it is
+//! dispatched.
 
 use std::sync::Arc;
 
@@ -43,7 +44,8 @@
         self.dispatch(now, request, Fallback::Queue, actions);
     }
 
-    /// Picks a service of the route's traffic split by weight, among those with a ready server if there is one.
+    /// Picks a service of the route's traffic split at random, by weight. Services without a ready server are
+    /// left out, unless none has one.
     fn pick_service(&mut self, route: &Route) -> String {
         let has_ready = |service: &str| {
             self.servers_of(service).any(|server| server.availability() == Availability::Ready)
@@ -64,7 +66,7 @@
         candidates.last().map(|part| part.service.clone()).unwrap_or_default()
     }
 
-    /// Whether a model is neither in the configuration nor on any server.
+    /// Whether the request's model or adapter is neither configured nor loaded on any server.
     fn is_unknown_model(&self, target: &Target) -> bool {
         if target.model.is_empty() {
             return false;
@@ -87,7 +89,6 @@
         self.servers_of(&target.service).any(|server| server.has_loaded(target, Millis::MAX))
     }
 
-    /// The servers in a service's pool.
     fn servers_of(&self, service: &str) -> impl Iterator<Item = &Server> {
         let members = self.pools.get(service).map(|pool| pool.members.as_slice()).unwrap_or_default();
         members.iter().filter_map(|handle| self.servers.get(*handle))
--- a/routing/src/advertisement.rs
+++ b/routing/src/advertisement.rs
@@ -1,4 +1,5 @@
-//! The loads that this edge advertised last, so that an update carries only those that changed or need a refresh.
+//! The loads that this edge last advertised to other edges. They are kept so that an update contains only the
+//! loads that changed or are about to expire.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -8,38 +9,39 @@
 
 use crate::load_table::{RemoteLoad, REFRESH_INTERVAL_MS};
 
-/// Loads in one update at most, since a relay's updates must stay a small part of its link. The most urgent go first.
+/// Maximum number of loads in one update, so that a relay's updates use only a small part of its link's
+/// bandwidth. The most urgent loads go first.
 const MAX_LOADS_PER_UPDATE: usize = 256;
 
-/// The load that was advertised last of one server.
+/// The last advertised load of one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Advertisement {
-    /// The advertised load.
     pub load: EdgeServerLoad,
-    /// When it was advertised.
     pub advertised_at: Millis,
 }
 
 impl Advertisement {
-    /// No load, which is what other edges assume of a server that was never advertised.
+    /// A load of zero, which other edges assume for a server that was never advertised.
     pub fn idle(server: u64) -> Self {
         Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, advertised_at: 0 }
     }
 
-    /// Whether `load` must be advertised again before it expires at the other edges.
+    /// Whether `load`, although unchanged, must be advertised again because it would otherwise expire at the
+    /// other edges.
     pub fn needs_refresh(&self, now: Millis, load: &EdgeServerLoad) -> bool {
         !is_idle(load) && self.advertised_at + REFRESH_INTERVAL_MS <= now
     }
 }
 
-/// The aggregated loads that a relay advertised last, by server.
+/// The aggregated loads that a relay last advertised, by server.
 #[derive(Debug, Default)]
 pub(crate) struct AdvertisedLoads {
     advertised: HashMap<u64, Advertisement>,
 }
 
 impl AdvertisedLoads {
-    /// Takes the loads that differ from those advertised, or need a refresh. `servers` are those with any load.
+    /// Returns the loads that changed since they were advertised or need a refresh, and records them as
+    /// advertised. `servers` are all servers with a load other than zero.
     pub fn take_changes(
         &mut self,
         now: Millis,
@@ -64,8 +66,8 @@
         changes.into_iter().map(|(_, load)| load).collect()
     }
 
-    /// How urgent an advertisement is: the change in prompt tokens, or the maximum where the former one is about to
-    /// expire. `None` where nothing needs to be advertised.
+    /// The urgency of advertising a load: the change in pending prompt tokens, or `u32::MAX` if the last
+    /// advertisement is about to expire. `None` if the load need not be advertised.
     fn urgency(&self, now: Millis, load: &EdgeServerLoad) -> Option<u32> {
         let advertised = self.advertised.get(&load.server).copied();
         let advertised = advertised.unwrap_or(Advertisement::idle(load.server));
--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -1,5 +1,5 @@
-//! What the driver reports of attempts: the response's head and first event, a stalled stream, the end, the client's
-//! departure.
+//! Handlers for the events that the driver reports about attempts: response head, first event, stalled
+//! stream, end of the attempt, and end of the request.
 
 use shaletrail_protocol::Millis;
 
@@ -9,19 +9,18 @@
 use crate::router::Router;
 use crate::server::ServerHandle;
 
-/// A part of a response that arrived for an attempt in flight.
+/// The first or a later part of the response to an attempt in flight.
 struct ResponsePart {
     server: ServerHandle,
-    /// When the attempt was sent.
     sent_at: Millis,
-    /// Prompt tokens that the server had to prefill.
+    /// Estimated number of prompt tokens that the server had to prefill.
     prefill: u32,
-    /// Whether nothing of the response had arrived before.
+    /// Whether this is the first part of the response.
     is_first: bool,
 }
 
 impl ResponsePart {
-    /// Marks that the attempt has a response.
+    /// Marks the attempt as having a response, and returns what is needed to record this at the server.
     fn mark_received(in_flight: &mut InFlight) -> Self {
         let is_first = !std::mem::replace(&mut in_flight.has_response, true);
         let InFlight { server, sent_at, prefill, .. } = *in_flight;
@@ -63,7 +62,8 @@
         }
     }
 
-    /// Records a sign of life of a server, and that the request no longer waits for its prefill.
+    /// Records that the server responded. With the first part of a response, the request's prompt tokens no
+    /// longer count as pending prefill.
     fn record_response(&mut self, now: Millis, response: &ResponsePart) {
         let Some(server) = self.servers.get_mut(response.server) else { return };
         server.last_response_at = now;
@@ -72,7 +72,8 @@
         }
     }
 
-    /// A stalled stream moves to another server if it may be resumed.
+    /// Cancels the attempt of a stalled stream in order to resume the stream at another server, if a retry is
+    /// allowed. A stall before the response head is ignored.
     pub(crate) fn on_stream_stalled(
         &mut self,
         now: Millis,
@@ -118,7 +119,8 @@
         self.drain_queue(now, &service, actions);
     }
 
-    /// Completes, retries, forwards or aborts a request whose attempt has ended.
+    /// Decides how a request continues after the end of an attempt: it is completed, retried, answered with
+    /// the failed response, or aborted.
     fn continue_after_attempt(
         &mut self,
         now: Millis,
--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt says: of the request (its verdict), of the server (load, capacity, failures) and of the
-//! retry budget.
+//! Evaluation of an attempt's outcome: it updates the request's verdict, the server's load, capacity and
+//! failures, and the retry budget.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
@@ -9,20 +9,21 @@
 use crate::request::{InFlight, Request};
 use crate::router::Router;
 
-/// Status (421) of a server that is not the named instance, or does not have the model loaded.
+/// 421 Misdirected Request: the server is not the expected instance, or does not have the model loaded.
 const STATUS_MISDIRECTED_REQUEST: u16 = 421;
-/// Attempts of a request below which a stale connection is retried at the same server.
+/// After a stale connection, the same server may be tried again while the request has made fewer attempts
+/// than this.
 const MAX_STALE_CONNECTION_ATTEMPTS: u32 = 3;
 
-/// A rejection by a server.
+/// A rejection of an attempt by a server.
 struct ServerRejection<'a> {
     status: u16,
-    /// The instance that answered.
+    /// Id of the instance that responded, if the response contains it.
     instance: Option<&'a str>,
 }
 
 impl Router {
-    /// Records what the end of an attempt says of the request and of the server.
+    /// Updates the request's verdict, the server's state and the retry budget after the end of an attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Millis,
@@ -106,7 +107,8 @@
         } else if rejection.status == STATUS_MISDIRECTED_REQUEST {
             server.record_missing_model(&request.target, now + self.options.missing_model_ttl_ms);
         } else if outcome.load.is_some_and(|load| load.waiting == 0 && load.running < load.slots) {
-            // It has free slots, so it rejected the model, which an order is loading or evicting.
+            // The server has free slots, so the rejection concerns the model, which is being loaded or
+            // evicted.
             server.record_missing_model(&request.target, now + full_ms);
             server.record_full_without_models(now + full_ms);
         } else {
@@ -114,7 +116,8 @@
         }
     }
 
-    /// How long a server that rejected a request counts as full, in milliseconds: shorter where requests are short.
+    /// How long a server that rejected a request counts as full, in milliseconds. It is at most the mean
+    /// latency of the service, since slots become free sooner where requests are short.
     fn rejection_backoff(&mut self, service: &str, retry_after_ms: Option<Millis>) -> Millis {
         let max_backoff = self.options.max_full_ttl_ms;
         let capped_mean_latency = self
@@ -154,8 +157,9 @@
         server.health.record_failure(now, failure_kind, &self.options, &mut self.random);
     }
 
-    /// Records that the client left while an attempt was in flight: a time-out of the server if the client waited for
-    /// long without a response.
+    /// Records that the client left while an attempt was in flight. This counts as a response time-out of the
+    /// server if the attempt had no response for at least
+    /// [`Options::min_response_timeout_ms`](crate::Options::min_response_timeout_ms).
     pub(crate) fn record_client_departure(&mut self, now: Millis, in_flight: &InFlight) {
         if now.saturating_sub(in_flight.sent_at) >= self.options.min_response_timeout_ms
             && !in_flight.has_response
@@ -166,7 +170,8 @@
         }
     }
 
-    /// Records an attempt without a response: a failure of the server unless it has responded to any request since.
+    /// Records a response time-out. It counts as a failure of the server unless the server has responded to
+    /// any request since the attempt was sent.
     pub(crate) fn record_response_timeout(&mut self, now: Millis, in_flight: &InFlight) {
         let Some(server) = self.servers.get_mut(in_flight.server) else { return };
         if in_flight.cancelled {
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: their release, time-out and cancellation.
+//! Release, time-out and cancellation of attempts in flight.
 
 use shaletrail_protocol::Millis;
 
@@ -7,7 +7,8 @@
 use crate::router::Router;
 
 impl Router {
-    /// Removes a request whose attempt is over from the table, and releases its server.
+    /// Removes a request with an attempt in flight from the request table and releases its server. `None` if
+    /// the request is unknown or queued.
     pub(crate) fn take_in_flight(&mut self, id: RequestId) -> Option<(Request, InFlight)> {
         match self.remove_request(id)? {
             (request, Phase::InFlight(in_flight)) => {
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Takes an attempt out of the counts of its server, pool and demand.
+    /// Subtracts an attempt from the counts of requests in flight of its server, pool and demand entry.
     pub(crate) fn release_server(&mut self, request: &Request, in_flight: &InFlight) {
         if let Some(server) = self.servers.get_mut(in_flight.server) {
             server.open_requests = server.open_requests.saturating_sub(1);
@@ -38,12 +39,12 @@
         }
     }
 
-    /// Ends a request whose deadline has passed with an attempt in flight.
+    /// Ends a request whose deadline passed while an attempt was in flight.
     pub(crate) fn expire_request(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, in_flight)) = self.take_in_flight(id) else { return };
         self.record_response_timeout(now, &in_flight);
         actions.push(Action::Cancel(id, in_flight.attempt));
-        // The cancelled attempt may have run, whatever the verdicts of earlier ones.
+        // The server may have run the cancelled attempt, even if no earlier attempt has run.
         request.verdict = request.verdict.max(Verdict::MayHaveRun);
         if request.response_started {
             self.abort_response(request, actions);
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Cancels an attempt without a response for long, if its server has not responded to other requests either.
+    /// Handles the response time-out of an attempt: it is cancelled for a retry if its server has not
+    /// responded to any request since the attempt was sent. Otherwise the check is repeated later.
     pub(crate) fn check_response_timeout(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((request, Phase::InFlight(in_flight))) = self.requests.get_mut(&id) else { return };
         let Some(previous_check_at) = in_flight.response_check_at else { return };
@@ -70,11 +72,13 @@
         }
     }
 
-    /// Cancels an attempt in order to retry at another server, if a retry is allowed and a server available.
+    /// Cancels an attempt in order to retry at another server, if a retry is allowed and another server is
+    /// available.
     pub(crate) fn cancel_for_retry(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((mut request, phase)) = self.remove_request(id) else { return };
         let Phase::InFlight(mut in_flight) = phase else { return self.insert_request(request, phase) };
-        // The attempt may have run by now.
+        // Whether a retry is allowed is decided as if the attempt had ended: the server may have run it by
+        // now.
         let verdict = request.verdict;
         request.verdict = verdict.max(Verdict::MayHaveRun);
         let can_retry = !in_flight.cancelled
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -1,9 +1,11 @@
-//! The choice of a request's server.
+//! Selection of the server for a request, by random-jump consistent hashing with bounded loads (RJ-CH; see
+//! `shaletrail_ring`).
 //!
-//! A key goes to the owner of its home slot h(key, 0) if that server can serve it and is below the cap
-//! C = ⌈(1 + ε)·n/k⌉, where n counts the requests that this edge has open at the service, the new one included,
-//! and k the ready servers that can serve the key. Overflow follows h(key, 1), h(key, 2) and so on. Where all are
-//! at the cap, the one with the fewest requests for its slots takes it, unless all are known to be full.
+//! A key's home slot is h(key, 0). The request goes to the owner of that slot if the server can serve the key
+//! and is below the cap C = ⌈(1 + ε)·n/k⌉. Here n is the number of requests that this edge has open at the
+//! service, including the new one, and k is the number of ready servers that can serve the key. Otherwise the
+//! owners of h(key, 1), h(key, 2) and so on are tried in this order. If all servers are at the cap, the
+//! server with the fewest requests per slot is selected, unless all are known to be full.
 
 use shaletrail_protocol::Millis;
 use shaletrail_ring::{mix, Key};
@@ -16,72 +18,68 @@
 use crate::target::Target;
 use crate::Options;
 
-/// What a request asks of the balancer.
+/// The properties of a request by which its server is selected.
 pub(crate) struct SelectionCriteria<'a> {
-    /// The request's key on the ring.
     pub key: Key,
-    /// The service, model and adapter.
     pub target: &'a Target,
-    /// Servers that are excluded, as attempts were sent there.
+    /// Servers that are excluded because an attempt was already sent to them.
     pub tried_servers: &'a [ServerHandle],
-    /// The only servers allowed, once the request has visited as many as its route allows.
+    /// The only servers allowed. Set once the request has reached as many servers as its route allows.
     pub restricted_to: Option<&'a [ServerHandle]>,
-    /// Connections to one server that this edge may open.
+    /// Maximum number of connections of this edge to one server.
     pub max_connections: u32,
-    /// Prompt tokens that must be prefilled even where the shared prefix is cached.
+    /// Number of prompt tokens that must be prefilled even if the shared prefix is cached.
     pub unshared_prefill_tokens: u32,
 }
 
-/// The server that was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SelectedServer {
-    /// The server.
     pub server: ServerHandle,
-    /// Whether every eligible server was at the cap.
+    /// Whether no eligible server was below the cap.
     pub over_cap: bool,
-    /// Whether it is the first eligible server in the key's sequence, which has likely cached the prefix that the
-    /// key's requests share.
+    /// Whether this is the first eligible server in the key's sequence. That server has likely cached the
+    /// prompt prefix that the key's requests share.
     pub is_home: bool,
 }
 
 /// Why no server was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unavailable {
-    /// The service has no server that takes requests.
+    /// The service has no server, or all of its servers are draining.
     NoServer,
-    /// No server that may be used has the model loaded.
+    /// No server that the request may use has the model loaded.
     NoReplica {
-        /// When one may be used without any further event.
+        /// When a server may become usable without a further event; `None` if only an event can change that.
         retry_at: Option<Millis>,
     },
     /// All eligible servers are known to be full.
     Full {
-        /// When one may have capacity without any further event.
+        /// When a server may have capacity without a further event; `None` if only an event can change that.
         retry_at: Option<Millis>,
     },
 }
 
-/// The key that a request is balanced by: the model, with its adapter, or the path where there is no model. Parts of
-/// the prompt that other requests share belong to it: a server that has them in its prefix cache skips their prefill, and
-/// the subjects of a busy model spread over its replicas.
+/// The key by which a request is assigned to a server: the model with its adapter, or the path if there is no
+/// model. The key also covers the shared parts of the prompt. Requests with the same prefix then go to the
+/// same server, which skips the prefill of parts in its prefix cache, and the different prefixes of a busy
+/// model are spread over its replicas.
 pub(crate) fn request_key(request: &NewRequest, target: &Target) -> Key {
     let key = match &target.adapter {
         _ if target.model.is_empty() => return Key(request.path_hash),
         None => Key::of(&target.model),
         Some(adapter) => Key::of_parts(&[&target.model, adapter]),
     };
-    // The last part is the request's own, or its session's.
+    // The last part of the prompt is specific to the request or its session, so it is not shared.
     let shared = request.prompt.split_last().map_or(&[][..], |(_, shared)| shared);
     shared.iter().fold(key, |key, (part, _)| Key(mix(key.0 ^ mix(*part))))
 }
 
-/// C = ⌈(1 + ε)·n/k⌉, and never below the floor.
+/// The cap C = ⌈(1 + ε)·n/k⌉ on open requests per server, but at least `min_cap`.
 pub(crate) fn cap(open_requests: u32, eligible: u32, options: &Options) -> u32 {
     let share = (1.0 + options.epsilon) * f64::from(open_requests) / f64::from(eligible.max(1));
     (share.ceil() as u32).max(options.min_cap)
 }
 
-/// Selects a server of a pool.
 pub(crate) fn select(
     pool: &ServerPool,
     servers: &ServerTable,
@@ -102,37 +100,37 @@
     load_gossip: &'a LoadGossip,
     criteria: &'a SelectionCriteria<'a>,
     now: Millis,
-    /// How long a load that a response reported counts, in milliseconds.
+    /// How long a load reported in a response stays valid, in milliseconds.
     load_ttl: Millis,
     options: &'a Options,
 }
 
-/// A server that can serve a key.
+/// A server of the pool with its handle.
 type Candidate<'a> = (ServerHandle, &'a Server);
 
-/// The load of one server over all edges, in the order in which servers are compared: the least is preferred.
+/// The load that all edges together have put on one server. Loads are compared by the fields in this order;
+/// the lowest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TotalLoad {
-    /// It does not respond to this edge or another.
+    /// Whether the server is unresponsive to this edge or to another edge.
     is_unresponsive: bool,
-    /// Prompt tokens whose prefill is pending.
+    /// Number of prompt tokens whose prefill is pending.
     prefill_tokens: u64,
-    /// Requests in flight.
     open_requests: u32,
 }
 
 /// The servers of a pool, classified for one request.
 #[derive(Default)]
 struct Candidates<'a> {
-    /// Servers that are not draining.
+    /// Number of servers that are not draining.
     usable: usize,
-    /// Of those, the ready ones.
+    /// Number of usable servers that are ready.
     ready: usize,
-    /// Ready servers that outlier detection ejects, those with the most failures first once sorted.
+    /// Ready servers ejected by outlier detection, sorted by descending number of failures.
     ejected: Vec<(std::cmp::Reverse<u32>, ServerHandle)>,
     /// Ready servers that can serve the key.
     eligible: Vec<Candidate<'a>>,
-    /// Timed-out servers that could serve it.
+    /// Timed-out servers that could serve the key.
     timed_out: Vec<Candidate<'a>>,
 }
 
@@ -149,12 +147,13 @@
         }
         let eligible = candidates.eligible;
         let selected = self.first_below_cap(&eligible).or_else(|| self.least_loaded(&eligible));
-        // A timed-out server only where no other can serve the key at all.
+        // A timed-out server is used only if no ready server can serve the key at all.
         let timed_out = if eligible.is_empty() { candidates.timed_out } else { Vec::new() };
         selected.or_else(|| self.least_loaded(&timed_out)).ok_or_else(|| self.unavailable(&eligible))
     }
 
-    /// Classifies all members. At most half of the ready ones are ejected: those with the most failures.
+    /// Classifies the servers of the pool. At most half of the ready servers count as ejected: those with the
+    /// most failures.
     fn candidates(&self) -> Candidates<'a> {
         let mut candidates = Candidates::default();
         for (handle, server) in self.members() {
@@ -187,8 +186,8 @@
         candidates
     }
 
-    /// The first in the key's sequence that is below the cap, not known to be full and lightly loaded; where none is
-    /// lightly loaded, the one below the cap with the least total load.
+    /// The first server in the key's sequence that is below the cap, has a free slot as far as is known, and
+    /// is lightly loaded. If none is lightly loaded, the server below the cap with the lowest total load.
     fn first_below_cap(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let cap = cap(self.pool.open_requests + 1, eligible.len() as u32, self.options);
         let is_below_cap =
@@ -219,7 +218,8 @@
         Some(SelectedServer { server, over_cap: false, is_home: home == Some(server) })
     }
 
-    /// For a prompt so long that its prefill stalls all streams of its server: the server with the fewest of them.
+    /// Selects the lightly loaded server with the fewest open requests, for a prompt so long that its prefill
+    /// stalls the other streams of the server.
     fn select_for_long_prompt(&self, below_cap: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let sequence: Vec<ServerHandle> = self.pool.slot_array.sequence(self.criteria.key).copied().collect();
         let position = |handle: &ServerHandle| sequence.iter().position(|owner| owner == handle);
@@ -231,7 +231,7 @@
         Some(SelectedServer { server: *server, over_cap: false, is_home: sequence.first() == Some(server) })
     }
 
-    /// Whether the server responds and has little prefill pending, as far as the edges know.
+    /// Whether the server is responsive and has little pending prefill, as far as the edges know.
     fn is_lightly_loaded(&self, server: &Server) -> bool {
         self.has_light_load(&self.total_load(server))
     }
@@ -240,7 +240,7 @@
         !load.is_unresponsive && load.prefill_tokens <= self.options.max_pending_prefill_tokens
     }
 
-    /// The load that all edges know of.
+    /// The server's load over all edges, as far as this edge knows.
     fn total_load(&self, server: &Server) -> TotalLoad {
         let remote = self.load_gossip.remote_load(server.local_load.advertised());
         let is_unresponsive = remote.unresponsive_edges > 0 || server.is_unresponsive(self.now, self.options);
@@ -251,7 +251,8 @@
         }
     }
 
-    /// The one with the fewest requests for its slots, of those with a free slot or else room in their queue.
+    /// The server with the fewest requests per slot among those with a free slot, or else among those with
+    /// room in their queue.
     fn least_loaded(&self, eligible: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let load =
             |server: &Server| f64::from(server.occupied(self.load_valid_since())) / f64::from(server.slots());
@@ -269,7 +270,7 @@
         server.capacity(self.now, self.load_valid_since(), self.options)
     }
 
-    /// Loads that were reported before this time no longer count.
+    /// Loads reported before this time are outdated and are ignored.
     fn load_valid_since(&self) -> Millis {
         (self.now + 1).saturating_sub(self.load_ttl)
     }
--- a/routing/src/counters.rs
+++ b/routing/src/counters.rs
@@ -1,42 +1,43 @@
-//! Counts of requests by their end.
+//! Counters of requests by how they ended.
 
 use strum::EnumCount;
 
 use crate::interface::RejectReason;
 
-/// Counts since the start. `received == completed + rejected() + aborted_responses + client_left + open` at all times.
+/// Counts since the start of the process, apart from the gauges `open` and `queued`. The following always
+/// holds: `received == completed + rejected() + aborted_responses + client_left + open`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests received from clients.
     pub received: u64,
-    /// Requests that got a complete response of a server, failures among them.
+    /// Requests that got the complete response of a server, including forwarded failures.
     pub completed: u64,
-    /// Of those, failures of servers that were forwarded.
+    /// The part of `completed` for which the failed response of a server was forwarded.
     pub forwarded_failures: u64,
-    /// Responses that were aborted midway.
+    /// Responses that were aborted after their head had been forwarded.
     pub aborted_responses: u64,
-    /// Requests whose client left first.
+    /// Requests whose client left before the response was complete.
     pub client_left: u64,
-    /// Requests without a final action yet.
+    /// Gauge of the requests that have not ended yet.
     pub open: u64,
-    /// Of those, requests that are queued for a server.
+    /// Gauge of the open requests that are queued for a server.
     pub queued: u64,
     /// Attempts sent to servers.
     pub attempts: u64,
-    /// Retries: attempts beyond a request's first that reached a server, or may have.
+    /// Attempts that reached a server, or may have, after an earlier attempt of the same request had done so.
     pub retries: u64,
-    /// Streams resumed at another server.
+    /// Attempts that resumed a stream at another server.
     pub resumed: u64,
     rejected: [u64; RejectReason::COUNT],
 }
 
 impl Counters {
-    /// Requests that were rejected.
+    /// Requests that the edge rejected, over all reasons.
     pub fn rejected(&self) -> u64 {
         self.rejected.iter().sum()
     }
 
-    /// Requests that were rejected for one reason.
+    /// Requests that the edge rejected for this reason.
     pub fn rejected_for(&self, reason: RejectReason) -> u64 {
         self.rejected.get(reason as usize).copied().unwrap_or(0)
     }
--- a/routing/src/discovery.rs
+++ b/routing/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Updates of the configuration and of the servers: which servers each service's pool balances over.
+//! Handlers for updates of the configuration and of the server records. They keep the server pool of each
+//! service current.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -61,7 +62,8 @@
         self.drain_queues(now, actions);
     }
 
-    /// Updates the slot arrays for servers that became ready or ceased to be.
+    /// Adds servers that became ready to the slot arrays of their services, and removes those that are no
+    /// longer ready.
     fn update_slots(&mut self, changed_servers: &[ServerHandle]) {
         let mut changed: BTreeMap<String, Vec<ReadinessChange>> = BTreeMap::new();
         for handle in changed_servers {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Has the driver close its connections to a server, once.
+    /// Tells the driver to close its connections to a server. Does nothing if it was told before.
     pub(crate) fn close_connections(&mut self, handle: ServerHandle, actions: &mut Vec<Action>) {
         if let Some(id) = self.servers.get_mut(handle).and_then(|server| server.mark_connections_closed()) {
             actions.push(Action::CloseConnections(id));
--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of requests: the retry policy, and the sending of an attempt to the server that the balancer selects.
+//! Dispatch of requests: applies the retry policy and sends attempts to the servers that the balancer
+//! selects.
 
 use std::sync::Arc;
 
@@ -11,26 +12,28 @@
 use crate::router::Router;
 use crate::target::Target;
 
-/// Retries at servers that have surely not run the request, beyond the route's maximum of attempts.
+/// Maximum number of attempts beyond the route's `max_attempts`. They may only go to servers that were
+/// already tried and have certainly not run the request.
 const MAX_SAME_SERVER_RETRIES: u32 = 2;
-/// The highest value of `Priority`.
+/// The highest valid value of the `Priority` header.
 const MAX_PRIORITY: u8 = 9;
-/// The shortest `Deadline-Ms`.
+/// The lowest value of the `Deadline-Ms` header.
 const MIN_DEADLINE_MS: Millis = 1;
 
-/// What becomes of a request for which no attempt can be made now.
+/// What happens to a request for which no attempt can be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
-    /// It is queued, or rejected where it may not wait.
+    /// The request is queued, or rejected if it may not wait.
     Queue,
-    /// The failed response that the driver buffers is forwarded to the client.
+    /// The failed response that the driver has buffered is forwarded to the client.
     ForwardFailure,
-    /// Its response, of which the client has a part, is aborted.
+    /// The response, which the client has received in part, is aborted.
     AbortResponse,
 }
 
 impl Router {
-    /// Sends a request if another attempt is allowed and a server available; otherwise the fallback applies.
+    /// Sends a request if another attempt is allowed and a server is available. Otherwise applies the
+    /// fallback.
     pub(crate) fn dispatch(
         &mut self,
         now: Millis,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Why no further attempt is allowed, if none is.
+    /// The reason why no further attempt is allowed; `None` if one is.
     pub(crate) fn retry_denied(&mut self, now: Millis, request: &Request) -> Option<RejectReason> {
         if !request.may_run_again() {
             return Some(RejectReason::MayHaveRun);
@@ -82,7 +85,8 @@
         if request.delivered_attempts == 0 {
             return None;
         }
-        // A server that has surely not run the request may be retried without counting as another server.
+        // A server that has certainly not run the request may be retried. It does not count as another
+        // server.
         let may_reuse_server = request.surely_not_run()
             && request.delivered_attempts < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
         let may_retry = (self.may_use_another_server(request) || may_reuse_server)
@@ -90,12 +94,12 @@
         (!may_retry).then(|| request.exhausted_reason())
     }
 
-    /// This edge's share of the slack of retry budgets.
+    /// This edge's share of the retry slack.
     fn slack_share(&self) -> SlackShare {
         SlackShare { edge_count: self.edge_count, expires_at: self.budget_share_until }
     }
 
-    /// Whether the request may visit one more server.
+    /// Whether the request may be sent to a server that it has not reached before.
     fn may_use_another_server(&self, request: &Request) -> bool {
         (request.visited_servers.len() as u32) < request.incoming.route.max_attempts
     }
@@ -127,7 +131,8 @@
         select(pool, &self.servers, &self.load_gossip, &criteria, now, &self.options)
     }
 
-    /// Connections to one server of a service that this edge may open.
+    /// Maximum number of connections of this edge to one server of the service: an equal share of the
+    /// service's `max_connections`.
     fn max_connections_per_server(&self, service: &str) -> u32 {
         let total =
             self.view.as_ref().and_then(|view| view.service(service)).map_or(0, |s| s.max_connections);
@@ -137,8 +142,8 @@
         (total / self.edge_count).max(1)
     }
 
-    /// Counts an attempt at its server, pool and demand, and withdraws a retry from the budget. Returns the server's id
-    /// and address; `None` where the server is no longer known.
+    /// Adds an attempt to the counts of its server, pool and demand entry, and withdraws a retry from the
+    /// budget. Returns the server's id and address; `None` if the server is no longer known.
     fn record_sent(
         &mut self,
         now: Millis,
@@ -167,7 +172,6 @@
         Some((id, address))
     }
 
-    /// Sends a request's next attempt to the selected server.
     fn send(
         &mut self,
         now: Millis,
@@ -218,7 +222,7 @@
     }
 }
 
-/// Why a request is rejected for which no server is available.
+/// The reason for rejecting a request for which no server is available.
 pub(crate) fn reject_reason(unavailable: Unavailable, target: &Target) -> RejectReason {
     match unavailable {
         Unavailable::NoReplica { .. } if target.model.is_empty() => RejectReason::NoServer,
--- a/routing/src/failure_accrual.rs
+++ b/routing/src/failure_accrual.rs
@@ -1,17 +1,17 @@
-//! Outlier detection for one server: consecutive failures eject it for a backoff that doubles with each failed probe.
-//! After the backoff, single requests probe it until a success readmits it.
+//! Outlier detection for one server. Consecutive failures eject the server for a back-off, which doubles with
+//! each failed probe. After the back-off, one request at a time is sent as a probe until one succeeds.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
 
 use crate::Options;
 
-/// What kind of failure an attempt saw.
+/// The kind of failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// No connection came up: ejects the server by itself.
+    /// No connection could be established. One such failure ejects the server.
     Unreachable,
-    /// The server failed an attempt: ejects it after [`Options::eject_after_failures`] in a row.
+    /// The server failed the attempt. [`Options::eject_after_failures`] consecutive failures eject it.
     FailedAttempt,
 }
 
@@ -30,17 +30,17 @@
 }
 
 impl FailureAccrual {
-    /// Records a success, which clears all failures and readmits the server.
+    /// Records a success, which clears the failures and ends the ejection.
     pub fn record_success(&mut self) {
         *self = FailureAccrual::default();
     }
 
-    /// Records a sign of life, which ends the ejection while the failures still count.
+    /// Ends the ejection because the server has responded. The failures still count until the next success.
     pub fn readmit(&mut self) {
         self.ejection = None;
     }
 
-    /// Records a failure, and ejects the server where it is one too many or a failed probe.
+    /// Records a failure. Ejects the server if it has reached the failure limit or if a probe has failed.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -50,7 +50,8 @@
     ) {
         self.failures = self.failures.saturating_add(1);
         let backoff = match &mut self.ejection {
-            // Attempts that were in flight at the ejection say nothing new.
+            // This attempt was already in flight when the server was ejected, so its failure does not extend
+            // the back-off.
             Some(ejection) if now < ejection.until => {
                 ejection.probe_in_flight = false;
                 return;
@@ -65,31 +66,32 @@
         self.ejection = Some(Ejection { until: now + backoff + jitter, backoff, probe_in_flight: false });
     }
 
-    /// Records a request sent to the server: the probe, if it is ejected.
+    /// Records that a request was sent to the server. If the server is ejected, the request is its probe.
     pub fn record_sent(&mut self) {
         if let Some(ejection) = &mut self.ejection {
             ejection.probe_in_flight = true;
         }
     }
 
-    /// Records the end of an attempt that shows neither success nor failure.
+    /// Records the end of an attempt that was neither a success nor a failure. If it was a probe, another may
+    /// be sent.
     pub fn record_inconclusive_attempt(&mut self) {
         if let Some(ejection) = &mut self.ejection {
             ejection.probe_in_flight = false;
         }
     }
 
-    /// Whether the server may get a request: it is not ejected, or due for a probe.
+    /// Whether the server may receive a request: it is not ejected, or a probe is due.
     pub fn admits(&self, now: Millis) -> bool {
         self.ejection.as_ref().is_none_or(|ejection| now >= ejection.until && !ejection.probe_in_flight)
     }
 
-    /// When an ejected server may be probed, unless a probe is in flight.
+    /// When the ejected server may be probed; `None` if it is not ejected or a probe is in flight.
     pub fn probe_at(&self) -> Option<Millis> {
         self.ejection.as_ref().filter(|ejection| !ejection.probe_in_flight).map(|ejection| ejection.until)
     }
 
-    /// Failures since the last success, which rank ejected servers.
+    /// Number of failures since the last success. Ejected servers are ranked by it.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/routing/src/gossip_topology.rs
+++ b/routing/src/gossip_topology.rs
@@ -1,37 +1,32 @@
-//! The topology of the exchange of loads: which edge sends its updates to which others.
+//! The topology of the load exchange among edges: which edges each edge sends its updates to.
 //!
-//! Up to [`MAX_MESH_EDGES`] edges form a full mesh. Beyond that the work would grow with the square of their number, so
-//! edges form about √n groups of √n: each sends to the relay of its group, relays send each other the sums of their
-//! groups, and each sends its group the sum of all. Groups are runs of the edges in the order of their addresses, which
-//! keeps edges of one zone together where zones are address ranges. All nodes compute the same groups from one list;
-//! while lists differ, some loads are missing or counted twice until they expire.
+//! Up to [`MAX_MESH_EDGES`] edges form a full mesh. In a larger mesh the number of messages would grow with
+//! the square of the number of edges n. The edges therefore form about √n groups of √n edges. Each edge sends
+//! its loads to the relay of its group, relays send each other the sums of their groups, and each relay sends
+//! the sum over all edges to its group. A group is a range of edges in the order of their addresses, so that
+//! edges of one zone stay together if zones are address ranges. All nodes compute the same groups from the
+//! same list of edges. While their lists differ, some loads are missing or counted twice until they expire.
 
 use std::sync::Arc;
 
 use shaletrail_protocol::NodeId;
 use shaletrail_ring::mix;
 
-/// Edges in a full mesh at most.
+/// Maximum number of edges in a full mesh.
 const MAX_MESH_EDGES: usize = 128;
 
-/// The place of this edge in the topology.
+/// This edge's role in the topology, and the edges that it sends updates to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum GossipTopology {
-    /// Each edge sends to all others.
-    Mesh {
-        /// The other edges.
-        others: Arc<[NodeId]>,
-    },
-    /// This edge sends to its relay, and receives the sum of all from it.
-    Member {
-        /// The relay of its group.
-        relay: NodeId,
-    },
+    /// Every edge sends its loads to all others.
+    Mesh { others: Arc<[NodeId]> },
+    /// This edge sends its loads to the relay of its group and receives the sum over all edges from it.
+    Member { relay: NodeId },
     /// This edge is the relay of its group.
     Relay {
-        /// The other edges of its group.
+        /// The other edges of the group.
         members: Arc<[NodeId]>,
-        /// The other groups' relays.
+        /// The relays of the other groups.
         relays: Arc<[NodeId]>,
     },
 }
@@ -43,7 +38,7 @@
 }
 
 impl GossipTopology {
-    /// The place of `own` among the edges at work.
+    /// The role of the edge `own` among all active edges.
     pub fn for_edge(own: NodeId, edges: &[NodeId]) -> GossipTopology {
         let mut edges = edges.to_vec();
         edges.sort_unstable();
@@ -65,8 +60,8 @@
         }
     }
 
-    /// Whether loads received in one place still count in the other: they come from the same kind of edges, and for a
-    /// member from the same relay.
+    /// Whether loads received in one role are still valid in the other. That is so if both receive loads from
+    /// the same kind of senders and, for a member, from the same relay.
     pub fn has_same_sources_as(&self, other: &GossipTopology) -> bool {
         match (self, other) {
             (GossipTopology::Member { relay }, GossipTopology::Member { relay: other }) => relay == other,
@@ -75,7 +70,8 @@
     }
 }
 
-/// The relay of a group: the edge with the greatest hash, so that it stays the same while others come and go.
+/// The relay of a group: the edge with the greatest hash, so that other edges that join or leave rarely
+/// change it.
 fn relay_of(group: &[NodeId], fallback: NodeId) -> NodeId {
     group.iter().copied().max_by_key(|edge| mix(u64::from(edge.0))).unwrap_or(fallback)
 }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,28 +1,29 @@
-//! Decisions on requests at an edge, as a sans-IO state machine: a driver feeds a [`Router`] with
-//! [`interface::Event`]s and carries out the [`interface::Action`]s that it returns. It has no clock, no threads
-//! and no I/O; the same events give the same actions.
+//! Request routing of an edge as a sans-IO state machine. A driver passes [`interface::Event`]s to a
+//! [`Router`] and executes the [`interface::Action`]s that it returns. The router has no clock, no threads
+//! and no I/O; equal events and seeds give equal actions.
 //!
-//! A request's way: `admission` names its service, `dispatch` asks `balance` for a server and sends it, or `queueing` keeps
-//! it; `attempt_events` and `attempt_outcomes` follow the attempt, and `responses` ends the request.
+//! A request passes through the modules as follows: `admission` selects its service; `dispatch` asks
+//! `balance` for a server and sends an attempt, or `queueing` queues the request; `attempt_events` and
+//! `attempt_outcomes` handle the events of the attempt; `responses` ends the request.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `router` | the state; dispatch of events to the modules below |
-//! | `discovery` | updates of the configuration and of the servers |
-//! | `admission` | new requests: service, load shedding, unknown models |
-//! | `dispatch` | retry policy, and the sending of attempts |
+//! | `router` | state of the router; passes events to the modules below |
+//! | `discovery` | updates of the configuration and of the server records |
+//! | `admission` | new requests: selection of the service, load shedding, unknown models |
+//! | `dispatch` | retry policy; sending of attempts |
 //! | `queueing`, `request_queue` | requests that wait for a server |
-//! | `attempt_events`, `attempts` | what the driver reports of attempts; their time-out and cancellation |
-//! | `attempt_outcomes` | what the end of an attempt says of the request and of the server |
+//! | `attempt_events`, `attempts` | driver events about attempts; time-out and cancellation of attempts |
+//! | `attempt_outcomes` | effect of an attempt's outcome on the request and the server |
 //! | `responses` | the final action of a request |
-//! | `timers`, `request_table` | requests and attempts that are due; the table of open requests |
+//! | `timers`, `request_table` | timers of requests and attempts; table of open requests |
 //! | `request`, `target` | a request and its phases; the service, model and adapter that it asks for |
-//! | `balance` | the server of a request: RJ-CH sequence, cap, known load |
+//! | `balance` | selection of the server: consistent hashing (RJ-CH), load cap, known load |
 //! | `server`, `server_table`, `server_pool` | one server; all servers; the servers of one service |
-//! | `failure_accrual` | consecutive failures, ejection with backoff, probes |
-//! | `retry_budget`, `sliding_window_counter` | this edge's part of the retries allowed |
-//! | `local_load`, `load_gossip`, `load_table`, `advertisement`, `gossip_topology` | requests in flight at servers, exchanged among edges |
-//! | `report`, `counters` | demand and outcomes for the coordinators; counts of requests |
+//! | `failure_accrual` | consecutive failures, ejection with back-off, probes |
+//! | `retry_budget`, `sliding_window_counter` | this edge's share of the retry budget |
+//! | `local_load`, `load_gossip`, `load_table`, `advertisement`, `gossip_topology` | exchange of server loads among edges |
+//! | `report`, `counters` | demand and attempt outcomes for the coordinators; request counters |
 
 mod admission;
 mod advertisement;
--- a/routing/src/load_gossip.rs
+++ b/routing/src/load_gossip.rs
@@ -1,8 +1,8 @@
-//! The exchange of loads among edges.
+//! The exchange of server loads among edges.
 //!
-//! A server reports its load only in responses, and never the prompt tokens that are still to be prefilled. Each edge
-//! therefore advertises its requests in flight: to all other edges or, where there are many, to the relay of its group
-//! ([`GossipTopology`]).
+//! A server reports its load only in responses, and does not report the prompt tokens that it has yet to
+//! prefill. Each edge therefore advertises its requests in flight: to all other edges or, if there are many,
+//! to the relay of its group ([`GossipTopology`]).
 
 use std::sync::Arc;
 
@@ -14,17 +14,17 @@
 use crate::interface::LoadUpdate;
 use crate::load_table::{LoadTable, RemoteLoad};
 
-/// Interval of a relay's updates to the other relays, in milliseconds.
+/// Minimum interval between a relay's updates to the other relays.
 const GROUP_UPDATE_INTERVAL_MS: Millis = 100;
-/// Interval of a relay's updates to its group, in milliseconds.
+/// Minimum interval between a relay's updates to its group.
 const FLEET_UPDATE_INTERVAL_MS: Millis = 200;
 
 /// The loads received from other edges.
 #[derive(Debug, Default)]
 struct ReceivedLoads {
-    /// Loads of single edges. At a relay, those of this edge are among them.
+    /// Loads of individual edges. At a relay, they include the loads of the relay itself.
     per_edge: LoadTable,
-    /// Aggregates of relays.
+    /// Aggregated loads from relays.
     aggregated: LoadTable,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The loads of the other edges, and what a relay has advertised of them.
+/// The loads received from other edges and, at a relay, the aggregated loads that it has advertised.
 #[derive(Debug, Default)]
 pub(crate) struct LoadGossip {
     own: NodeId,
@@ -56,7 +56,8 @@
 }
 
 impl LoadGossip {
-    /// Sets the edges at work; received loads are dropped where they would no longer come from the same sources.
+    /// Sets the active edges. All received loads are dropped if the new topology receives loads from other
+    /// sources.
     pub fn set_edges(&mut self, own: NodeId, edges: &[NodeId]) {
         let topology = GossipTopology::for_edge(own, edges);
         if !topology.has_same_sources_as(&self.topology) {
@@ -65,7 +66,8 @@
         (self.own, self.topology) = (own, topology);
     }
 
-    /// Records an update of another edge, if this edge's place in the topology expects it.
+    /// Records an update from another edge. It is ignored if this edge's role in the topology does not expect
+    /// it.
     pub fn receive(&mut self, now: Millis, edge: NodeId, scope: LoadScope, loads: Vec<EdgeServerLoad>) {
         if edge == self.own {
             return;
@@ -83,8 +85,8 @@
         table.record(now, edge, loads);
     }
 
-    /// The other edges' load at a server. `advertised` is this edge's own advertisement, which a relay's aggregate
-    /// contains.
+    /// The load of the other edges at a server. `advertised` is the last load that this edge advertised for
+    /// the server; it is subtracted from sums that include it.
     pub fn remote_load(&self, advertised: &EdgeServerLoad) -> RemoteLoad {
         let all = self.received.load_of(advertised.server);
         match self.topology {
@@ -98,7 +100,7 @@
         self.received.expire(now);
     }
 
-    /// The updates to send now, where `own_loads` of this edge have changed.
+    /// Returns the updates to send now. `own_loads` are the changed loads of this edge.
     pub fn take_updates(&mut self, now: Millis, own_loads: Vec<EdgeServerLoad>) -> Vec<LoadUpdate> {
         match &self.topology {
             GossipTopology::Mesh { others } => {
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -1,30 +1,30 @@
-//! The loads received from other edges, by edge and in sum by server.
+//! The loads received from other edges, by edge and as a sum per server.
 //!
-//! An update carries states and not changes: the next one repairs a lost datagram, and the loads of an edge expire when it
-//! sends no more.
+//! Updates carry absolute loads, not differences, so the next update makes up for a lost datagram. The loads
+//! of an edge expire if it stops sending updates.
 
 use std::collections::HashMap;
 
 use shaletrail_protocol::internal::EdgeServerLoad;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// How long a received load counts, in milliseconds.
+/// How long a received load is valid.
 const LOAD_TTL_MS: Millis = 1_500;
-/// After how long a load other than zero is advertised again, in milliseconds; well below [`LOAD_TTL_MS`].
+/// Interval after which an unchanged load other than zero is advertised again. It is well below
+/// [`LOAD_TTL_MS`], so that the load does not expire if an update is lost.
 pub(crate) const REFRESH_INTERVAL_MS: Millis = 500;
-/// Edges of which loads are kept.
+/// Maximum number of edges whose loads are kept.
 const MAX_EDGES: usize = 256;
-/// Servers of which one edge's loads are kept.
+/// Maximum number of servers per edge whose loads are kept.
 const MAX_SERVERS_PER_EDGE: usize = 8_192;
 
-/// The load that edges have put on one server.
+/// The sum of the loads that other edges have put on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RemoteLoad {
-    /// Requests in flight.
     pub open_requests: u32,
-    /// Prompt tokens of those whose response has not begun.
+    /// Number of prompt tokens of the requests whose response has not begun.
     pub prefill_tokens: u64,
-    /// Edges to which the server is unresponsive.
+    /// Number of edges to which the server is unresponsive.
     pub unresponsive_edges: u32,
 }
 
@@ -34,7 +34,6 @@
     expires_at: Millis,
 }
 
-/// Received loads, by edge and in sum.
 #[derive(Debug, Default)]
 pub(crate) struct LoadTable {
     edges: HashMap<NodeId, HashMap<u64, ReceivedLoad>>,
@@ -43,7 +42,7 @@
 }
 
 impl LoadTable {
-    /// Records an update of an edge; beyond the bounds on edges and servers it is ignored.
+    /// Records an update from an edge. Loads beyond the maximum number of edges or servers are ignored.
     pub fn record(&mut self, now: Millis, edge: NodeId, loads: Vec<EdgeServerLoad>) {
         self.expire(now);
         if self.edges.len() >= MAX_EDGES && !self.edges.contains_key(&edge) {
@@ -64,12 +63,12 @@
         self.next_expiry = self.next_expiry.min(now + LOAD_TTL_MS);
     }
 
-    /// The sum of the edges' loads at a server.
+    /// The sum of all edges' loads at a server.
     pub fn load_of(&self, server: u64) -> RemoteLoad {
         self.sums.get(&server).copied().unwrap_or_default()
     }
 
-    /// The servers with any load.
+    /// The servers with a received load.
     pub fn servers(&self) -> impl Iterator<Item = u64> + '_ {
         self.sums.keys().copied()
     }
@@ -98,7 +97,6 @@
 }
 
 impl RemoteLoad {
-    /// The sum of both.
     pub fn saturating_add(self, other: RemoteLoad) -> RemoteLoad {
         RemoteLoad {
             open_requests: self.open_requests.saturating_add(other.open_requests),
@@ -107,13 +105,13 @@
         }
     }
 
-    /// This sum without the load of one edge.
+    /// This sum minus the load of one edge.
     pub fn excluding(mut self, load: &EdgeServerLoad) -> RemoteLoad {
         subtract(&mut self, load);
         self
     }
 
-    /// The message form, for an update to other edges; saturates at the bounds of its fields.
+    /// Converts the load to its message type for updates. Values beyond the range of a field are clamped.
     pub fn to_edge_load(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
             server,
--- a/routing/src/options.rs
+++ b/routing/src/options.rs
@@ -1,84 +1,94 @@
-//! Settings of the decisions.
+//! Settings of the router.
 
 use shaletrail_protocol::settings::Bounds;
 use shaletrail_protocol::Millis;
 
-/// Settings of the decisions. Times are in milliseconds, fractions between 0 and 1.
+/// Settings of the router. Times are in milliseconds; fractions are between 0 and 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// ε of the cap ⌈(1 + ε)·n/k⌉ on the requests that this edge has open at one server.
+    /// ε in the cap ⌈(1 + ε)·n/k⌉ on the number of requests that this edge has open at one server.
     pub epsilon: f64,
-    /// The cap is never below this.
+    /// Lower bound of the cap.
     pub min_cap: u32,
-    /// Retries allowed for each request of a service, over all edges.
+    /// Retries allowed per request of a service, over all edges.
     pub retry_ratio: f64,
-    /// Retries allowed beyond the ratio in a window, over all edges.
+    /// Retries allowed per window in addition to the ratio, over all edges.
     pub retry_slack: f64,
-    /// The window over which retries are counted.
+    /// The sliding window over which requests and retries are counted.
     pub retry_window_ms: Millis,
-    /// When the slack begins to count. A process that ran here before may have spent it within the same window; the
-    /// clock that events carry must then begin with the process.
+    /// Time from which this edge may use its share of the slack. A previous process of this edge may have
+    /// spent the share within the current window. To wait for the end of that window, the times passed with
+    /// events must start at zero with the process.
     pub slack_available_from_ms: Millis,
-    /// The fraction of this edge's part of the retry budget that is used.
+    /// The fraction of this edge's share of the retry budget that it uses.
     pub budget_fraction: f64,
-    /// Edges assumed to be at work while their number is not known.
+    /// Number of edges that is assumed until the actual number is known.
     pub assumed_edges: u32,
-    /// Open requests at most, queued ones included.
+    /// Maximum number of open requests, including queued requests.
     pub max_open: usize,
-    /// Queued requests at most.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// The fraction of its time that a request is queued for a model to load.
+    /// The fraction of the time until its deadline for which a request may be queued until a model is loaded.
     pub model_wait_fraction: f64,
-    /// The fraction of the client's patience that a stream is queued for a model to load.
+    /// The fraction of the client's time-out for stream events for which a stream may be queued until a model
+    /// is loaded.
     pub client_timeout_fraction: f64,
-    /// The fraction of its latency target that a request is queued while every server is full.
+    /// The fraction of its latency target for which a request may be queued while every server is full.
     pub capacity_wait_fraction: f64,
-    /// Attempts of one request at most, including those that reach no server.
+    /// Maximum number of attempts of one request, including those that reach no server.
     pub max_attempts_per_request: u32,
-    /// Subtracted from the deadline that a server is given, for the response's way back.
+    /// Subtracted from the deadline that is sent to a server, to leave time for the transfer of the response.
     pub response_margin_ms: Millis,
-    /// How long an attempt may outlast the deadline, so that the server's own time-out is seen.
+    /// How long an attempt may continue after the deadline, so that the server's own time-out response can
+    /// still arrive.
     pub deadline_grace_ms: Millis,
-    /// The shortest time for which a `Server-Load` counts; otherwise the mean latency of attempts.
+    /// Minimum time for which a reported `Server-Load` is valid. Between the minimum and the maximum, it is
+    /// valid for the mean latency of attempts.
     pub min_load_ttl_ms: Millis,
-    /// The longest such time.
+    /// Maximum time for which a reported `Server-Load` is valid.
     pub max_load_ttl_ms: Millis,
-    /// Requests that may queue at a server while no other has a free slot, as a fraction of its slots.
+    /// Number of requests that may wait at a server while no other server has a free slot, as a fraction of
+    /// its slots.
     pub server_queue_fraction: f64,
-    /// The shortest time for which a server that rejected a request counts as full.
+    /// Minimum time for which a server that rejected a request counts as full.
     pub min_full_ttl_ms: Millis,
-    /// The longest such time.
+    /// Maximum time for which a server that rejected a request counts as full.
     pub max_full_ttl_ms: Millis,
-    /// The delay before a server that rejected a request is retried with the same one.
+    /// Minimum delay before a request is sent again to a server that has certainly not run it.
     pub same_server_retry_delay_ms: Millis,
-    /// How long a model counts as missing at a server that rejected it.
+    /// How long a model counts as missing at a server that responded with status 421 to a request for it.
     pub missing_model_ttl_ms: Millis,
-    /// Consecutive failures that eject a server.
+    /// Number of consecutive failures after which a server is ejected.
     pub eject_after_failures: u32,
-    /// How long the first ejection of a server lasts.
+    /// Duration of the first ejection of a server, without jitter.
     pub initial_backoff_ms: Millis,
-    /// How long an ejection lasts at most.
+    /// Maximum duration of an ejection, without jitter.
     pub max_backoff_ms: Millis,
-    /// The shortest response time-out, after which an idempotent request moves to another server.
+    /// Minimum response time-out, after which an idempotent request is retried at another server. The route's
+    /// latency target is used if it is longer.
     pub min_response_timeout_ms: Millis,
-    /// Prompt tokens whose prefill may be pending at a server before requests prefer others.
+    /// Maximum number of prompt tokens with pending prefill at which a server counts as lightly loaded.
+    /// Requests prefer lightly loaded servers.
     pub max_pending_prefill_tokens: u64,
-    /// Prompt tokens from which a request goes where the fewest streams are, as its prefill stalls the others for longer
-    /// than the target for gaps between events.
+    /// Minimum number of prompt tokens from which a request goes to the server with the fewest open requests.
+    /// The prefill of such a prompt stalls other streams for longer than the target for gaps between events.
     pub long_prompt_tokens: u32,
-    /// How long a request may wait without any response of its server before other requests avoid that server.
+    /// How long a request may wait, while its server responds to no request at all, before other requests
+    /// avoid the server.
     pub unresponsive_after_ms: Millis,
-    /// How long a server that the directory no longer lists is kept as a last resort.
+    /// How long a server that the directory no longer lists is kept. It is used only if no other server is
+    /// available.
     pub unlisted_ttl_ms: Millis,
-    /// The shortest `Retry-After`.
+    /// Minimum value of `Retry-After`.
     pub min_retry_after_ms: Millis,
-    /// The longest `Retry-After`.
+    /// Maximum value of `Retry-After`, without jitter.
     pub max_retry_after_ms: Millis,
-    /// Known servers at most.
+    /// Maximum number of known servers.
     pub max_servers: usize,
-    /// Models and adapters whose demand is counted at most.
+    /// Maximum number of services, models and adapters whose demand is counted.
     pub max_demand_entries: usize,
-    /// For the driver: how long a connection may take to come up before it reports `Unreachable`.
+    /// Time-out for establishing a connection, after which the driver reports `Unreachable`. Only the driver
+    /// uses it.
     pub connect_timeout_ms: Millis,
 }
 
@@ -126,7 +136,8 @@
 }
 
 impl Options {
-    /// The defaults, with the budget of the operators' rules.
+    /// The defaults with the retry budget of the operators' settings. The slack is not available during the
+    /// first retry window.
     pub fn within(bounds: &Bounds) -> Self {
         Options {
             retry_ratio: bounds.retry_ratio,
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -1,5 +1,5 @@
-//! Requests without a server now: they are queued, tried again as servers or time change, and rejected when their wait is
-//! over or the queue is full.
+//! Queueing of requests for which no server is available. They are dispatched when a server becomes
+//! available, and rejected when their maximum wait is over or the queue is full.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use crate::target::Target;
 
 impl Router {
-    /// Queues a request without an available server, unless its wait would be over at once.
+    /// Queues a request for which no server is available. It is rejected if its maximum wait is already over
+    /// or the queue is full of more urgent requests.
     pub(crate) fn enqueue(
         &mut self,
         now: Millis,
@@ -56,7 +57,8 @@
         self.insert_request(request, Phase::Queued(Queued { until, reason }));
     }
 
-    /// Allows servers that have surely not run the request again, after a delay.
+    /// Allows the request to be sent again, after a delay, to servers that it was already sent to, if it has
+    /// certainly not run. Returns the reason why no server is available under this rule.
     fn allow_retry_at_same_servers(
         &self,
         now: Millis,
@@ -99,14 +101,14 @@
         }
     }
 
-    /// Dispatches the queued requests of all services that now find a server.
+    /// Dispatches the queued requests of all services for which a server is now available.
     pub(crate) fn drain_queues(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for service in self.queue.services() {
             self.drain_queue(now, &service, actions);
         }
     }
 
-    /// Dispatches the queued requests of a service that now find a server, in the order of the queue.
+    /// Dispatches the queued requests of a service for which a server is now available, in queue order.
     pub(crate) fn drain_queue(&mut self, now: Millis, service: &str, actions: &mut Vec<Action>) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.queue_retry_at = None;
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Keeps a request queued, with the newest reason and never for a shorter time.
+    /// Updates why a queued request waits, and extends its maximum wait if the new reason allows a longer
+    /// one.
     fn update_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
         let Some((request, Phase::Queued(queued))) = self.requests.get(&key.id) else { return };
         let (target, previous_until) = (Arc::clone(&request.target), queued.until);
--- a/routing/src/report.rs
+++ b/routing/src/report.rs
@@ -1,4 +1,4 @@
-//! Demand and outcomes of attempts, for the reports to the coordinators.
+//! Demand and attempt outcomes, for the reports to the coordinators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use crate::target::Target;
 use crate::Options;
 
-/// Output tokens count this many times as much as those of a prompt.
+/// Weight of an output token in the demand, relative to a prompt token.
 const OUTPUT_TOKEN_WEIGHT: u64 = 10;
 
-/// Demand since the last report.
+/// Demand by target. The counts cover the time since the last report; `queued` and `in_flight` are gauges.
 #[derive(Debug, Default)]
 pub(crate) struct DemandTable(BTreeMap<Arc<Target>, Demand>);
 
 impl DemandTable {
-    /// The demand for a target; `None` where the table is full.
+    /// The demand entry of a target, created if it does not exist. `None` if the table is full.
     pub fn entry(&mut self, target: &Arc<Target>, options: &Options) -> Option<&mut Demand> {
         if self.0.len() >= options.max_demand_entries && !self.0.contains_key(target) {
             return None;
@@ -32,12 +32,12 @@
         Some(self.0.entry(Arc::clone(target)).or_insert_with(new_entry))
     }
 
-    /// The demand for a target, if any has been counted.
+    /// The existing demand entry of a target.
     pub fn get_mut(&mut self, target: &Target) -> Option<&mut Demand> {
         self.0.get_mut(target)
     }
 
-    /// Takes the report and resets its counts; the gauges stay.
+    /// Returns the demand for the report and resets the counts. The gauges keep their values.
     pub fn take(&mut self) -> Vec<Demand> {
         let reported = self.0.values().cloned().collect();
         self.0.retain(|_, demand| {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Counts a request that arrived.
+/// Adds a new request to the demand entry of its target.
 pub(crate) fn record_arrival(demand: &mut Demand, tokens: Option<(u32, u32)>, priority: u8) {
     let (prompt, output) = tokens.unwrap_or_default();
     demand.arrived = demand.arrived.saturating_add(1);
@@ -61,7 +61,7 @@
     demand.priority = demand.priority.min(priority);
 }
 
-/// Takes the outcomes of attempts since the last report, by server.
+/// Returns and resets the attempt outcomes per server since the last report.
 pub(crate) fn take_server_outcomes(servers: &mut ServerTable) -> Vec<ServerOutcomes> {
     let mut taken = Vec::new();
     for server in servers.iter_mut() {
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! An open request of this edge and its phases.
+//! An open request of this edge, and its phases.
 
 use std::sync::Arc;
 
@@ -11,43 +11,41 @@
 use crate::target::Target;
 use crate::Options;
 
-/// Clients abandon a stream after the longest of: this time without an event, in milliseconds, ...
+/// Clients abandon a stream if no event arrives for a certain time. It is the longest of this constant, a
+/// multiple of the latency target, and a multiple of the target for gaps between events.
 const MIN_CLIENT_STREAM_TIMEOUT_MS: Millis = 2_000;
-/// ... this multiple of the latency target, ...
+/// Multiple of the latency target after which clients abandon a stream without events.
 const LATENCY_TARGETS_PER_CLIENT_TIMEOUT: Millis = 4;
-/// ... and this multiple of the target for the gap between events.
+/// Multiple of the target for gaps between events after which clients abandon a stream without events.
 const EVENT_GAPS_PER_CLIENT_TIMEOUT: Millis = 8;
 
-/// A request without a final action yet.
+/// A request that has not ended yet.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// The request as the driver received it.
     pub incoming: NewRequest,
-    /// The service, model and adapter that it asks for.
     pub target: Arc<Target>,
-    /// Its key on the ring.
+    /// The key by which the balancer selects its server.
     pub key: Key,
-    /// When it was received.
     pub arrived_at: Millis,
-    /// When it must have a response.
+    /// When the client must have a response.
     pub deadline_at: Millis,
-    /// The worst verdict of the attempts that have ended.
+    /// The highest verdict over all ended attempts. The head of a successful response also sets it.
     pub verdict: Verdict,
-    /// Attempts, including those that reached no server.
+    /// Number of attempts, including those that reached no server.
     pub attempts: u32,
-    /// Attempts that reached a server, or may have; the one in flight counts.
+    /// Number of attempts that reached a server or may have, including the attempt in flight.
     pub delivered_attempts: u32,
-    /// Servers that it was sent to, which the balancer excludes.
+    /// Servers to which an attempt was sent, and which the balancer therefore excludes.
     pub tried_servers: Vec<ServerHandle>,
-    /// Servers that it reached, or may have, each once.
+    /// Distinct servers that the request reached or may have reached.
     pub visited_servers: Vec<ServerHandle>,
-    /// While it is queued: when the servers that it was sent to may be retried.
+    /// While the request is queued, the earliest time at which it may be dispatched.
     pub not_before: Millis,
-    /// The client has the head of a server's response.
+    /// Whether the head of a server's response was forwarded to the client.
     pub response_started: bool,
-    /// The last complete event of a stream that the client has.
+    /// Id of the last complete stream event that was forwarded to the client.
     pub last_event: Option<u64>,
-    /// `Retry-After` of the last server that rejected it, in milliseconds.
+    /// The last `Retry-After` that a server sent for this request, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -72,13 +70,12 @@
         }
     }
 
-    /// The driver's id of the request.
     pub fn id(&self) -> RequestId {
         self.incoming.id
     }
 
-    /// Prompt tokens that a server has to prefill. Where it has likely cached the shared prefix, only the request's own
-    /// part counts.
+    /// Estimated number of prompt tokens that a server has to prefill. If the server has likely cached the
+    /// shared prefix, only the last part of the prompt counts.
     pub fn prefill_tokens(&self, has_shared_prefix: bool) -> u32 {
         let prompt_tokens = self.incoming.tokens.map_or(0, |(prompt, _)| prompt);
         match self.incoming.prompt.last() {
@@ -89,24 +86,24 @@
         }
     }
 
-    /// Whether no attempt has run it; holds only without an attempt in flight.
+    /// Whether the request has certainly not run. This does not cover an attempt that is in flight.
     pub fn surely_not_run(&self) -> bool {
         self.verdict <= Verdict::SurelyNotRun
     }
 
-    /// Whether the verdict of the attempts that have ended allows another.
+    /// Whether another attempt is allowed: the request has certainly not run, or it is idempotent.
     pub fn may_run_again(&self) -> bool {
         self.surely_not_run() || self.incoming.route.kind.is_idempotent()
     }
 
-    /// Whether its response, of which the client has a part, may resume at another server.
+    /// Whether the response, which the client has received in part, may be resumed at another server.
     pub fn is_resumable(&self) -> bool {
         let resumable_route =
             matches!(self.incoming.route.kind, RouteKind::Streaming { resumable: true, .. });
         resumable_route && self.last_event.is_some()
     }
 
-    /// The reason of the rejection when no attempt is left.
+    /// The reason for rejecting the request when no further attempt is allowed.
     pub fn exhausted_reason(&self) -> RejectReason {
         if self.surely_not_run() {
             RejectReason::Rejected
@@ -115,7 +112,8 @@
         }
     }
 
-    /// Until when it may be queued for a model to load: a fraction of its time, and of the client's patience.
+    /// Until when the request may be queued for a model to load. The wait is a fraction of the time until its
+    /// deadline, limited to a fraction of the client's time-out for stream events.
     pub fn model_wait_until(&self, options: &Options) -> Millis {
         let total_time = self.deadline_at - self.arrived_at;
         let wait = (total_time as f64 * options.model_wait_fraction) as Millis;
@@ -125,7 +123,8 @@
         self.arrived_at + wait.min(client_timeout)
     }
 
-    /// How long clients wait for a stream's next event, in milliseconds.
+    /// How long clients wait for the next event of a stream, in milliseconds; `None` if the request is not a
+    /// stream.
     fn client_stream_timeout(&self) -> Option<Millis> {
         let RouteKind::Streaming { gap_target_ms, .. } = self.incoming.route.kind else { return None };
         let by_latency_target =
@@ -137,24 +136,23 @@
         )
     }
 
-    /// Until when it may be queued while every server is full.
+    /// Until when the request may be queued while every server is full.
     pub fn capacity_wait_until(&self, options: &Options) -> Millis {
         let latency_target = self.incoming.route.target_latency_ms as f64;
         (self.arrived_at + (latency_target * options.capacity_wait_fraction) as Millis).min(self.deadline_at)
     }
 }
 
-/// The phase of a request between two events.
+/// What an open request is waiting for.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// It is queued for a server.
+    /// The request waits for a server.
     Queued(Queued),
-    /// An attempt is in flight.
     InFlight(InFlight),
 }
 
 impl Phase {
-    /// When its timer is due.
+    /// When the timer of the request is due.
     pub fn timer_at(&self) -> Millis {
         match self {
             Phase::Queued(queued) => queued.until,
@@ -168,33 +166,30 @@
 /// The state of a queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Queued {
-    /// When the wait is over.
+    /// When the request is rejected if no server has become available.
     pub until: Millis,
-    /// Why the balancer selected no server the last time.
+    /// The reason for which the request would be rejected.
     pub reason: RejectReason,
 }
 
 /// The state of an attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
-    /// The number of the attempt.
     pub attempt: Attempt,
-    /// The server.
     pub server: ServerHandle,
-    /// When it was sent.
     pub sent_at: Millis,
-    /// When it times out.
+    /// When the attempt times out, shortly after the deadline of the request.
     pub timeout_at: Millis,
-    /// When the response time-out is checked, where the request may move to another server.
+    /// When the response time-out is checked next. `None` if it is not checked because the request is not
+    /// idempotent, the first event has arrived, or the attempt was cancelled.
     pub response_check_at: Option<Millis>,
-    /// Prompt tokens that the server has to prefill before it responds, as estimated by this edge.
+    /// Estimated number of prompt tokens that the server has to prefill before it responds.
     pub prefill: u32,
-    /// Whether the response has begun.
     pub has_response: bool,
-    /// Whether it is the request's first attempt at that server.
+    /// Whether this is the request's first attempt at the server.
     pub is_first_visit: bool,
-    /// Whether it is a retry, withdrawn from the budget.
+    /// Whether this is a retry that was withdrawn from the retry budget.
     pub is_retry: bool,
-    /// Whether the router cancelled it in order to retry at another server.
+    /// Whether the router has cancelled the attempt in order to retry at another server.
     pub cancelled: bool,
 }
--- a/routing/src/request_queue.rs
+++ b/routing/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for a server: by priority, then by deadline.
+//! The queue of requests that wait for a server. It is ordered by priority, then by deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +7,12 @@
 use crate::interface::RequestId;
 use crate::request::Request;
 
-/// The key that orders a request in the queue.
+/// The position of a request in the queue. The lowest key is dispatched first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
     /// The route's priority; 0 is the most urgent.
     pub priority: u8,
-    /// When it must have a response.
     pub deadline_at: Millis,
-    /// The request.
     pub id: RequestId,
 }
 
@@ -25,7 +23,6 @@
     }
 }
 
-/// Queued requests, by service.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQueue {
     by_service: BTreeMap<String, BTreeSet<QueueKey>>,
@@ -33,7 +30,6 @@
 }
 
 impl RequestQueue {
-    /// Adds a request.
     pub fn insert(&mut self, service: &str, key: QueueKey) {
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.to_owned(), BTreeSet::new());
@@ -43,7 +39,6 @@
         }
     }
 
-    /// Removes a request.
     pub fn remove(&mut self, service: &str, key: QueueKey) {
         let Some(keys) = self.by_service.get_mut(service) else { return };
         if keys.remove(&key) {
@@ -54,27 +49,25 @@
         }
     }
 
-    /// The number of queued requests.
+    /// The number of queued requests of all services.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// The number of requests queued for a service.
     pub fn len_for(&self, service: &str) -> usize {
         self.by_service.get(service).map_or(0, BTreeSet::len)
     }
 
-    /// The requests queued for a service, in order.
+    /// The requests queued for a service, most urgent first.
     pub fn for_service(&self, service: &str) -> Vec<QueueKey> {
         self.by_service.get(service).map_or_else(Vec::new, |keys| keys.iter().copied().collect())
     }
 
-    /// All queued requests, by service.
+    /// All queued requests, grouped by service.
     pub fn all(&self) -> Vec<QueueKey> {
         self.by_service.values().flatten().copied().collect()
     }
 
-    /// The services with queued requests.
     pub fn services(&self) -> Vec<String> {
         self.by_service.keys().cloned().collect()
     }
--- a/routing/src/request_table.rs
+++ b/routing/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, with the timer of each.
+//! The table of open requests and their timers.
 
 use crate::interface::RequestId;
 use crate::request::{Phase, Request};
@@ -6,13 +6,13 @@
 use crate::router::Router;
 
 impl Router {
-    /// Inserts a request in a phase, with its timer.
+    /// Inserts a request and sets its timer.
     pub(crate) fn insert_request(&mut self, request: Request, phase: Phase) {
         self.timers.insert((phase.timer_at(), request.id()));
         self.requests.insert(request.id(), (request, phase));
     }
 
-    /// Removes a request with its timer, and from the queue where it is queued.
+    /// Removes a request and its timer. A queued request is also removed from the queue.
     pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<(Request, Phase)> {
         let (request, phase) = self.requests.remove(&id)?;
         self.timers.remove(&(phase.timer_at(), id));
--- a/routing/src/responses.rs
+++ b/routing/src/responses.rs
@@ -1,4 +1,5 @@
-//! The final action of a request: each request gets exactly one.
+//! The end of a request: it is completed, answered with a failed response, aborted or rejected. Every request
+//! whose client stays ends in exactly one of these ways.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
@@ -8,13 +9,13 @@
 use crate::router::Router;
 
 impl Router {
-    /// The client has a server's complete response.
+    /// Ends a request whose client has received a server's complete response.
     pub(crate) fn complete(&mut self, _request: Request) {
         self.counters.open -= 1;
         self.counters.completed += 1;
     }
 
-    /// Forwards the failed response that the driver buffers.
+    /// Ends a request with the failed response that the driver has buffered.
     pub(crate) fn forward_failure(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
         self.counters.completed += 1;
@@ -22,14 +23,15 @@
         actions.push(Action::ForwardFailure(request.id()));
     }
 
-    /// Aborts a response that cannot be completed.
+    /// Ends a request whose response was forwarded in part and cannot be completed.
     pub(crate) fn abort_response(&mut self, request: Request, actions: &mut Vec<Action>) {
         self.counters.open -= 1;
         self.counters.aborted_responses += 1;
         actions.push(Action::AbortResponse(request.id()));
     }
 
-    /// Rejects a request: with 503, which promises that it has not run, only where that is sure.
+    /// Rejects a request. The status is 503, which guarantees that the request has not run, only if that is
+    /// certain.
     pub(crate) fn reject(
         &mut self,
         now: Millis,
@@ -55,7 +57,8 @@
         });
     }
 
-    /// When a rejected request may find a server, in milliseconds, with jitter against synchronized retries.
+    /// The delay after which the client may retry a rejected request, in milliseconds. It contains jitter, so
+    /// that clients do not retry at the same time.
     fn retry_after(&mut self, now: Millis, request: &Request, reason: RejectReason) -> Millis {
         let (shortest, longest) = (self.options.min_retry_after_ms, self.options.max_retry_after_ms);
         let estimate = match reason {
@@ -67,7 +70,7 @@
         estimate + self.random.random_range(0..=estimate / 4)
     }
 
-    /// How long a load of the request's model takes, in milliseconds.
+    /// How long it takes to load the request's model, in milliseconds; 0 if it is not known.
     fn load_time(&self, request: &Request) -> Millis {
         let service = self.view.as_ref().and_then(|view| view.service(&request.target.service));
         let runtime = service.and_then(|service| service.runtime.as_ref());
@@ -76,7 +79,7 @@
         model.map_or(0, |model| (model.load_time_s * 1000.0) as Millis)
     }
 
-    /// How long the queue of the request's service takes to drain, in milliseconds.
+    /// Estimate of how long it takes to drain the queue of the request's service, in milliseconds.
     fn drain_time(&mut self, now: Millis, request: &Request) -> Millis {
         let waiting = self.queue.len_for(&request.target.service) as Millis;
         let pool = self.pools.get_mut(&request.target.service);
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -1,21 +1,22 @@
-//! This edge's part of the retries that the operators allow for a service.
+//! This edge's share of the retry budget of a service, which the operators set.
 //!
-//! Over any window and all edges, arrivals beyond the first of each request may not be more than
-//! `ratio * requests + slack`. Each edge keeps to `ratio` of its own requests and an equal part of the slack. That part has a
-//! term, as a lease has: one window from the sending of the last poll that a coordinator answered. An edge that reaches no
-//! coordinator for longer is no longer counted by them, and the others' parts have grown by its own.
+//! In any window, and over all edges together, the number of retries that reach servers may not exceed `ratio
+//! * requests + slack`. Each edge is limited to `ratio` of its own requests plus an equal share of the slack.
+//! The share of the slack is a lease: it expires one window after the edge sent the last poll that a
+//! coordinator answered. If an edge reaches no coordinator for longer, the coordinators no longer count it,
+//! and the shares of the other edges grow by its share.
 
 use shaletrail_protocol::Millis;
 
 use crate::sliding_window_counter::SlidingWindowCounter;
 use crate::Options;
 
-/// This edge's part of the slack.
+/// This edge's share of the slack.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlackShare {
-    /// The edges among which the slack is divided; 0 where that is not known.
+    /// Number of edges that share the slack; 0 if it is not known.
     pub edge_count: u32,
-    /// When the part ends; `None` before the first poll was answered.
+    /// When the share expires. `None` before the first poll was answered; the share is valid then.
     pub expires_at: Option<Millis>,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Requests and retries of one service at this edge.
+/// The requests and retries of one service at this edge within the retry window.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     requests: SlidingWindowCounter,
@@ -43,12 +44,12 @@
         RetryBudget { requests: count.clone(), retries: count }
     }
 
-    /// Counts a client's request for the service.
+    /// Records a client's request for the service.
     pub fn deposit(&mut self, now: Millis) {
         self.requests.add(now);
     }
 
-    /// Withdraws a retry; returns whether one was left.
+    /// Withdraws a retry from the budget. Returns whether the budget allowed it.
     pub fn withdraw(&mut self, now: Millis, share: SlackShare, options: &Options) -> bool {
         let allowed = self.has_balance(now, share, options);
         if allowed {
@@ -57,14 +58,14 @@
         allowed
     }
 
-    /// Whether a retry is left.
+    /// Whether the budget allows another retry.
     pub fn has_balance(&mut self, now: Millis, share: SlackShare, options: &Options) -> bool {
         let slack = share.slack(now, options);
         let allowance = options.retry_ratio * f64::from(self.requests.lower_bound(now)) + slack;
         f64::from(self.retries.upper_bound(now)) + 1.0 <= allowance * options.budget_fraction
     }
 
-    /// Returns a retry that reached no server.
+    /// Returns a retry to the budget because it reached no server.
     pub fn refund(&mut self, now: Millis) {
         self.retries.remove(now);
     }
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The state of an edge's router, and the dispatch of events to the modules that handle them.
+//! The state of an edge's router. Events are passed to the modules that handle them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::server_table::ServerTable;
 use crate::Options;
 
-/// The decisions on the requests of one edge.
+/// The request router of one edge, driven by events. See the crate documentation.
 pub struct Router {
     pub(crate) options: Options,
     pub(crate) random: Pcg64Mcg,
     pub(crate) view: Option<Arc<View>>,
     pub(crate) edge_count: u32,
-    /// Until when this edge's share of the retry budget's slack holds; `None` before the first poll was answered.
+    /// When this edge's share of the retry slack expires; `None` before the first poll was answered.
     pub(crate) budget_share_until: Option<Millis>,
     pub(crate) shutting_down: bool,
     pub(crate) servers: ServerTable,
@@ -35,16 +35,15 @@
     pub(crate) queue: RequestQueue,
     pub(crate) demand: DemandTable,
     pub(crate) counters: Counters,
-    /// A request was queued for a model since the last report.
+    /// Whether a request was queued for a model since the last report.
     pub(crate) has_urgent_demand: bool,
-    /// The exchange of loads with the other edges.
     pub(crate) load_gossip: LoadGossip,
-    /// The load of this edge changed so much that it should be advertised at once.
+    /// Whether the load of this edge changed so much that it should be advertised immediately.
     pub(crate) has_urgent_load: bool,
 }
 
 impl Router {
-    /// A router without configuration and servers. Equal seeds and events give equal actions.
+    /// Creates a router without configuration and servers. Equal seeds and events give equal actions.
     pub fn new(options: Options, seed: u64) -> Self {
         Router {
             options,
@@ -66,7 +65,8 @@
         }
     }
 
-    /// Takes an event; what is to be done is added to `actions`, in order. `now` never goes back.
+    /// Handles an event. The actions to execute are appended to `actions` in order. `now` must never
+    /// decrease.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::ConfigurationUpdated(view) => self.on_configuration_updated(now, view, actions),
@@ -94,20 +94,20 @@
         }
     }
 
-    /// When `Event::Tick` is wanted next.
+    /// When the next `Event::Tick` is due.
     pub fn next_wake(&self) -> NextWake {
         let timer = self.timers.first().map(|(at, _)| *at);
         let queue_retry = self.pools.values().filter_map(|pool| pool.queue_retry_at).min();
         [timer, queue_retry, self.servers.next_drop_at(&self.options)].into_iter().flatten().min()
     }
 
-    /// Takes demand and the outcomes of attempts since the last report.
+    /// Returns the demand and the attempt outcomes since the last report, and resets them.
     pub fn take_report(&mut self, _now: Millis) -> (Vec<Demand>, Vec<ServerOutcomes>) {
         self.has_urgent_demand = false;
         (self.demand.take(), take_server_outcomes(&mut self.servers))
     }
 
-    /// Takes the load updates to send to other edges now.
+    /// Returns the load updates to send to other edges now, and records them as sent.
     pub fn take_load_update(&mut self, now: Millis) -> Vec<LoadUpdate> {
         self.has_urgent_load = false;
         let options = &self.options;
@@ -121,22 +121,24 @@
         updates
     }
 
-    /// Whether a load update should be sent at once.
+    /// Whether a load update should be sent immediately instead of at the next interval.
     pub fn has_urgent_load_update(&self) -> bool {
         self.has_urgent_load
     }
 
-    /// Whether a request was queued for a model or an adapter since the last report.
+    /// Whether a request was queued for a model or an adapter since the last report, so that a report should
+    /// be sent immediately.
     pub fn has_urgent_report(&self) -> bool {
         self.has_urgent_demand
     }
 
-    /// Counts of requests by their end.
+    /// The request counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Whether clients should be sent here: configuration and servers are known, and the process stays.
+    /// Whether this edge is ready for clients: it knows a configuration and servers, and is not shutting
+    /// down.
     pub fn is_usable(&self, _now: Millis) -> bool {
         self.view.as_ref().is_some_and(|view| view.version > 0)
             && !self.servers.is_empty()
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -1,4 +1,4 @@
-//! One server as this edge knows it: its record, load, capacity and failures.
+//! One server as known to this edge: its record, load, capacity and failures.
 
 use shaletrail_protocol::external::ServerState;
 use shaletrail_protocol::internal::{Presence, ServerOutcomes, ServerRecord};
@@ -10,21 +10,22 @@
 use crate::target::Target;
 use crate::Options;
 
-/// Missing models that are remembered of one server.
+/// Maximum number of missing models that are remembered per server.
 const MAX_MISSING_MODELS: usize = 16;
 
-/// Identifies a server inside the router; never reused.
+/// Identifies a server within the router. Handles are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerHandle(pub(crate) u32);
 
-/// Whether a server is available to new requests.
+/// Whether a server is available for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Availability {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// Its heartbeats have timed out, or the directory no longer lists it: the last resort.
+    /// Its heartbeats have timed out, or the directory no longer lists it. It is used only if no ready server
+    /// can serve a request.
     TimedOut,
-    /// It is draining, removed or displaced, and gets no request.
+    /// It is draining, removed or displaced, and receives no requests.
     Draining,
 }
 
@@ -32,7 +33,7 @@
 struct ReportedLoad {
     reported_at: Millis,
     load: ServerLoad,
-    /// Requests of this edge that were in flight there at the time.
+    /// Requests of this edge that were in flight at the server when the load was reported.
     open_requests: u32,
 }
 
@@ -43,31 +44,30 @@
     expires_at: Millis,
 }
 
-/// A server and what this edge has observed of it.
+/// A server, and what this edge has observed about it.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// The newest record.
+    /// The newest record of the server.
     pub record: ServerRecord,
-    /// Requests of this edge that are open there.
+    /// Number of requests of this edge that are in flight at the server.
     pub open_requests: u32,
-    /// Outlier detection.
     pub health: FailureAccrual,
-    /// The load of this edge there, for the exchange among edges.
+    /// The load that this edge has put on the server, as advertised to other edges.
     pub local_load: LocalLoad,
-    /// When it last responded to any request.
+    /// When the server last responded to any request of this edge.
     pub last_response_at: Millis,
-    /// Outcomes of attempts since the last report.
+    /// Attempt outcomes since the last report.
     pub outcomes: ServerOutcomes,
     load: Option<ReportedLoad>,
     full_until: Millis,
     missing_models: Vec<MissingModel>,
-    /// Whether it is in its service's slot array.
+    /// Whether the server is in the slot array of its service.
     pub in_slot_array: bool,
-    /// Another instance answered at its address.
+    /// Whether another instance responded at the address of this server.
     pub displaced: bool,
-    /// Whether the driver was asked to close its connections.
+    /// Whether the driver was told to close its connections to the server.
     pub connections_closed: bool,
-    /// Since when the directory no longer lists it.
+    /// Since when the directory no longer lists the server; `None` if it is listed.
     pub unlisted_since: Option<Millis>,
 }
 
@@ -91,7 +91,6 @@
         }
     }
 
-    /// Its availability by its record and the directory.
     pub fn availability(&self) -> Availability {
         if is_draining(&self.record) || self.displaced {
             Availability::Draining
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Whether it has the model and adapter loaded, as far as is known.
+    /// Whether the server has the model and adapter loaded, as far as is known.
     pub fn has_loaded(&self, target: &Target, now: Millis) -> bool {
         if target.model.is_empty() {
             return true;
@@ -113,7 +112,7 @@
         self.record.serves(&target.model, target.adapter.as_deref()) && !self.is_missing(target, now)
     }
 
-    /// Records that it rejected a request as the model or adapter is missing.
+    /// Records that the server rejected a request because the model or adapter is not loaded.
     pub fn record_missing_model(&mut self, target: &Target, until: Millis) {
         if self.missing_models.len() >= MAX_MISSING_MODELS {
             self.missing_models.remove(0);
@@ -126,7 +125,7 @@
         self.missing_until(target, now).is_some()
     }
 
-    /// Until when the model or adapter counts as missing.
+    /// Until when the model or adapter counts as missing; `None` if it does not.
     pub fn missing_until(&self, target: &Target, now: Millis) -> Option<Millis> {
         let is_same_target = |missing: &&MissingModel| {
             missing.expires_at > now && missing.model == target.model && missing.adapter == target.adapter
@@ -134,12 +133,13 @@
         self.missing_models.iter().filter(is_same_target).map(|missing| missing.expires_at).max()
     }
 
-    /// Another instance answered at its address: it is unavailable until a newer heartbeat.
+    /// Records that another instance responded at the address of this server. It is unavailable until a newer
+    /// heartbeat arrives.
     pub fn mark_displaced(&mut self) {
         self.displaced = true;
     }
 
-    /// Marks its connections as closed. Returns its id the first time.
+    /// Marks the connections to the server as closed. Returns its id if they were not marked before.
     pub fn mark_connections_closed(&mut self) -> Option<ServerId> {
         let already_closed = std::mem::replace(&mut self.connections_closed, true);
         (!already_closed).then(|| self.record.id.clone())
@@ -150,30 +150,33 @@
         self.load = Some(ReportedLoad { reported_at: now, load, open_requests: self.open_requests });
     }
 
-    /// Records that it rejected a request for lack of capacity.
+    /// Records that the server rejected a request for lack of capacity.
     pub fn record_full(&mut self, until: Millis) {
         self.full_until = self.full_until.max(until);
     }
 
-    /// Records a rejection despite free slots: without models it can only mean a lack of capacity.
+    /// Records a rejection by a server that reported free slots. If the server has no models, only a lack of
+    /// capacity can be the reason.
     pub fn record_full_without_models(&mut self, until: Millis) {
         if self.record.heartbeat.models.is_none() {
             self.record_full(until);
         }
     }
 
-    /// Its slots, as a response reported them or else its heartbeat.
+    /// The number of slots that a response last reported, or else that of the heartbeat; at least 1.
     pub fn slots(&self) -> u32 {
         let reported = self.load.map(|report| report.load.slots).filter(|slots| *slots > 0);
         reported.unwrap_or(self.record.heartbeat.slots).max(1)
     }
 
-    /// Whether a request in flight has waited for long without any response of the server.
+    /// Whether a request in flight has waited for [`Options::unresponsive_after_ms`] while the server
+    /// responded to no request.
     pub fn is_unresponsive(&self, now: Millis, options: &Options) -> bool {
         self.local_load.is_unresponsive(now, self.last_response_at, options.unresponsive_after_ms)
     }
 
-    /// Requests that are there as far as is known: those of this edge, and the load reported since `since`.
+    /// Estimated number of requests at the server: the load reported at or after `since`, adjusted by the
+    /// change of this edge's requests since then, and at least the requests of this edge.
     pub fn occupied(&self, since: Millis) -> u32 {
         let reported = self.reported_load(since).map(|report| {
             let occupied_at_report = report.load.running.saturating_add(report.load.waiting);
@@ -182,7 +185,7 @@
         reported.unwrap_or(0).max(self.open_requests)
     }
 
-    /// Its capacity, as far as is known.
+    /// The capacity for one more request, as far as is known. Loads reported before `since` are ignored.
     pub fn capacity(&self, now: Millis, since: Millis, options: &Options) -> Capacity {
         let (slots, occupied) = (self.slots(), self.occupied(since));
         let waiting = self.reported_load(since).map_or(0, |report| report.load.waiting);
@@ -196,7 +199,8 @@
         }
     }
 
-    /// When it may have capacity without any further event. A reported load counts for `load_ttl` milliseconds.
+    /// When the server may have capacity without a further event. A reported load is valid for `load_ttl`
+    /// milliseconds.
     pub fn full_until(&self, now: Millis, load_ttl: Millis) -> Option<Millis> {
         let load_until = self.load.map(|report| report.reported_at + load_ttl);
         [Some(self.full_until), load_until].into_iter().flatten().filter(|until| *until > now).min()
@@ -207,18 +211,18 @@
     }
 }
 
-/// The capacity of a server for one more request; the lesser variant is preferred.
+/// The capacity of a server for one more request. The variants are in the order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Capacity {
-    /// A slot is free, as far as is known.
+    /// A slot is free.
     Free,
-    /// It would wait in the server's queue.
+    /// The request would wait in the server's queue.
     Queue,
-    /// It would be rejected, or wait for long.
+    /// The request would be rejected or wait for a long time.
     Full,
 }
 
-/// Whether a record says that its server is draining or gone, which is final.
+/// Whether the server is draining or removed according to the record. Neither state can be left again.
 pub(crate) fn is_draining(record: &ServerRecord) -> bool {
     matches!(record.presence, Presence::Draining | Presence::Removed)
         || record.heartbeat.state == ServerState::Draining
--- a/routing/src/server_pool.rs
+++ b/routing/src/server_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of one service's servers, with its retry budget and latency.
+//! The servers of one service, with the service's retry budget and latency.
 
 use shaletrail_protocol::Millis;
 use shaletrail_ring::{hash_of_name, SlotArray};
@@ -8,36 +8,32 @@
 use crate::sliding_window_counter::SlidingWindowCounter;
 use crate::Options;
 
-/// The window over which completions are counted, in milliseconds.
+/// The window over which completed responses are counted.
 const COMPLETION_WINDOW_MS: Millis = 2000;
-/// The mean latency that is assumed at first, in milliseconds.
+/// The mean latency that is assumed before the first response.
 const INITIAL_MEAN_LATENCY_MS: f64 = 300.0;
-/// The weight of the newest attempt in the moving average.
+/// The weight of the newest attempt in the moving average of the latency.
 const LATENCY_EWMA_WEIGHT: f64 = 0.125;
 
-/// A server that became ready or ceased to be.
+/// A server that became ready or is no longer ready.
 #[derive(Debug)]
 pub(crate) struct ReadinessChange {
-    /// The server.
     pub server: ServerHandle,
-    /// Its address, which names its points on the ring.
+    /// The server's address, whose hash determines its points on the ring.
     pub address: String,
-    /// Whether it is ready.
     pub ready: bool,
 }
 
-/// The servers of one service.
 #[derive(Debug)]
 pub(crate) struct ServerPool {
-    /// Servers that are not draining, in the order in which they became known.
+    /// The servers that are not draining, in the order in which they became known.
     pub members: Vec<ServerHandle>,
     /// The ring slots of the ready servers.
     pub slot_array: SlotArray<ServerHandle>,
-    /// Requests of this edge in flight at its servers.
+    /// Number of requests of this edge in flight at servers of the pool.
     pub open_requests: u32,
-    /// The retries that are left.
     pub budget: RetryBudget,
-    /// When queued requests may find a server without any further event.
+    /// When a server may become available for queued requests without a further event.
     pub queue_retry_at: Option<Millis>,
     completions: SlidingWindowCounter,
     mean_latency_ms: f64,
@@ -56,13 +52,12 @@
         }
     }
 
-    /// Adds a server.
     pub fn add(&mut self, added: ServerHandle) {
         self.members.push(added);
     }
 
-    /// Updates the ring slots of servers that became ready or ceased to be. Successive servers at one address have the
-    /// same slots.
+    /// Adds servers that became ready to the slot array, and removes those that are no longer ready. Servers
+    /// that use the same address one after another own the same slots.
     pub fn update_slots(&mut self, changed: &[ReadinessChange]) {
         let weight = |ready: bool| if ready { 1.0 } else { 0.0 };
         let points: Vec<_> =
@@ -70,19 +65,18 @@
         self.slot_array.update(&points);
     }
 
-    /// Removes a server.
     pub fn remove(&mut self, removed: ServerHandle) {
         self.members.retain(|member| *member != removed);
         self.slot_array.update(&[(removed, 0, 0.0)]);
     }
 
-    /// Records a complete response and its latency, in milliseconds.
+    /// Records a complete response and the latency of its attempt.
     pub fn record_completion(&mut self, now: Millis, latency_ms: Millis) {
         self.completions.add(now);
         self.mean_latency_ms += (latency_ms as f64 - self.mean_latency_ms) * LATENCY_EWMA_WEIGHT;
     }
 
-    /// The moving average of the latency of attempts, in milliseconds.
+    /// The moving average of the latency of attempts.
     pub fn mean_latency_ms(&self) -> Millis {
         self.mean_latency_ms as Millis
     }
@@ -92,7 +86,8 @@
         COMPLETION_WINDOW_MS / Millis::from(self.completions.upper_bound(now).max(1))
     }
 
-    /// Schedules the queue's next retry at this time, or earlier where one is already scheduled.
+    /// Schedules the next retry of queued requests at this time, unless an earlier retry is already
+    /// scheduled.
     pub fn retry_queue_by(&mut self, at: Option<Millis>) {
         self.queue_retry_at = [self.queue_retry_at, at].into_iter().flatten().min();
     }
--- a/routing/src/server_table.rs
+++ b/routing/src/server_table.rs
@@ -1,4 +1,4 @@
-//! All servers that this edge knows, and the merging of their records.
+//! The table of all servers known to this edge. Merges new records into it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use crate::server::{is_draining, Server, ServerHandle};
 use crate::Options;
 
-/// Ids of removed servers that are remembered, so that no late record brings them back.
+/// Maximum number of removed servers whose ids are remembered, so that a late record does not add them again.
 const MAX_RETIRED_SERVERS: usize = 4096;
 
-/// The later heartbeat with the later overlay, since each may arrive by another way.
+/// Combines the later heartbeat with the later overlay, since the two may arrive by different paths.
 fn merge_records(known: &ServerRecord, mut record: ServerRecord) -> ServerRecord {
     if record.heartbeat.sequence < known.heartbeat.sequence {
         record.heartbeat = known.heartbeat.clone();
@@ -23,25 +23,25 @@
     record
 }
 
-/// What a record changed.
+/// The effect of merging a record.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// A server that was known.
+    /// A known server was updated.
     Updated(ServerHandle),
-    /// A server that was not known.
+    /// A new server was added.
     Added(ServerHandle),
-    /// It began to drain or was removed.
+    /// A known server began to drain or was removed.
     Draining(ServerHandle),
-    /// The record is older than what is known, or the table is full.
+    /// Nothing changed for the balancer: the record is outdated, its server is draining or removed, or the
+    /// table is full.
     Ignored,
 }
 
-/// All known servers.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     by_handle: BTreeMap<ServerHandle, Server>,
     by_id: BTreeMap<ServerId, ServerHandle>,
-    /// Servers that are draining or unlisted.
+    /// Servers that are draining or unlisted. They are dropped once no request is in flight.
     departing: BTreeSet<ServerHandle>,
     retired: BTreeSet<ServerId>,
     retired_order: VecDeque<ServerId>,
@@ -49,27 +49,24 @@
 }
 
 impl ServerTable {
-    /// The server, unless it has been dropped.
+    /// The server; `None` if it has been dropped.
     pub fn get(&self, handle: ServerHandle) -> Option<&Server> {
         self.by_handle.get(&handle)
     }
 
-    /// The server, unless it has been dropped.
     pub fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut Server> {
         self.by_handle.get_mut(&handle)
     }
 
-    /// All servers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.by_handle.values_mut()
     }
 
-    /// Whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.by_handle.is_empty()
     }
 
-    /// Merges a record unless it is older than what is known. `Draining` and `Removed` are final.
+    /// Merges a record unless it is outdated. A server never leaves the states `Draining` and `Removed`.
     pub fn merge(&mut self, record: ServerRecord, options: &Options) -> MergeOutcome {
         if self.retired.contains(&record.id) {
             return MergeOutcome::Ignored;
@@ -124,7 +121,7 @@
         MergeOutcome::Added(handle)
     }
 
-    /// Marks and returns the servers that a complete directory does not list; they are dropped by
+    /// Marks and returns the servers that a complete directory does not list. They are later dropped by
     /// [`ServerTable::drop_departed`].
     pub fn mark_unlisted(&mut self, now: Millis, listed: &BTreeSet<&ServerId>) -> Vec<ServerHandle> {
         let mut unlisted = Vec::new();
@@ -138,7 +135,8 @@
         unlisted
     }
 
-    /// Drops servers that are draining, and those unlisted for long, once no request is in flight there.
+    /// Drops servers without requests in flight that are draining or have been unlisted for
+    /// [`Options::unlisted_ttl_ms`]. Returns them with their services.
     pub fn drop_departed(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
         let may_drop = |server: &Server| {
             let unlisted = server.unlisted_since.is_some_and(|since| now >= since + options.unlisted_ttl_ms);
@@ -150,7 +148,8 @@
         handles.into_iter().filter_map(|handle| Some((handle, self.remove(handle)?))).collect()
     }
 
-    /// When the next unlisted server is due to be dropped.
+    /// When the next unlisted server is due to be dropped; `None` if there is none without requests in
+    /// flight.
     pub fn next_drop_at(&self, options: &Options) -> Option<Millis> {
         let departing = self.departing.iter().filter_map(|handle| self.by_handle.get(handle));
         let idle = departing.filter(|server| server.open_requests == 0 && !is_draining(&server.record));
--- a/routing/src/sliding_window_counter.rs
+++ b/routing/src/sliding_window_counter.rs
@@ -1,11 +1,11 @@
-//! Counting over a sliding window.
+//! A counter over a sliding time window.
 
 use shaletrail_protocol::Millis;
 
 const BUCKETS: usize = 32;
 
-/// Counts what happened in the last window, in buckets of a part of it. The oldest bucket lies in the window in
-/// part only, so that a count has a lower and an upper bound.
+/// Counts events in a sliding window by buckets, each of which covers a fraction of the window. The oldest
+/// bucket overlaps the window only in part, so only a lower and an upper bound of the count are known.
 #[derive(Clone, Debug)]
 pub(crate) struct SlidingWindowCounter {
     bucket_width_ms: Millis,
@@ -15,7 +15,6 @@
 }
 
 impl SlidingWindowCounter {
-    /// Counts over a window of this many milliseconds.
     pub fn with_window(window_ms: Millis) -> Self {
         SlidingWindowCounter {
             bucket_width_ms: window_ms.div_ceil(BUCKETS as Millis - 1).max(1),
@@ -25,7 +24,7 @@
         }
     }
 
-    /// Adds one at this time.
+    /// Counts one event at time `now`.
     pub fn add(&mut self, now: Millis) {
         self.advance(now);
         let index = (self.newest_bucket % BUCKETS as u64) as usize;
@@ -33,7 +32,7 @@
         self.total = self.total.saturating_add(1);
     }
 
-    /// Removes one from the newest bucket that is not empty.
+    /// Removes one event from the newest bucket that is not empty.
     pub fn remove(&mut self, now: Millis) {
         self.advance(now);
         let buckets =
@@ -47,13 +46,13 @@
         }
     }
 
-    /// The lower bound of the count in the window.
+    /// Lower bound of the number of events in the window.
     pub fn lower_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.total - self.counts[((self.newest_bucket + 1) % BUCKETS as u64) as usize]
     }
 
-    /// The upper bound of the count in the window.
+    /// Upper bound of the number of events in the window.
     pub fn upper_bound(&mut self, now: Millis) -> u32 {
         self.advance(now);
         self.total
--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -1,12 +1,10 @@
 //! The target of a request.
 
-/// What a request asks for: the service, and the model and adapter that must be loaded.
+/// The service that a request is sent to, and the model and adapter that the server must have loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Target {
-    /// The service.
     pub service: String,
-    /// The model; empty for services without models.
+    /// Empty for services without models.
     pub model: String,
-    /// The adapter.
     pub adapter: Option<String>,
 }
--- a/routing/src/timers.rs
+++ b/routing/src/timers.rs
@@ -1,4 +1,5 @@
-//! The passing of time, and the start of the shutdown: queued requests and attempts that are due.
+//! Handlers for timer ticks and for the start of the shutdown. They handle queued requests and attempts in
+//! flight whose timers are due.
 
 use shaletrail_protocol::Millis;
 
