--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An edge's router with a clock of its own, and shorthands for its events and actions.
+//! A router with a simulated clock, and helper functions for its events and actions.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 };
 use shaletrail_routing::{Options, Router};
 
-/// The service with models.
+/// A service with models.
 pub const LLM: &str = "llm";
-/// The service without models.
+/// A service without models.
 pub const WEB: &str = "web";
 
-/// A router and its clock.
-pub struct Edge {
+/// A router with a simulated clock.
+pub struct TestEdge {
     pub router: Router,
     pub now: Millis,
     next_request: u64,
 }
 
-/// An attempt, as the driver has to send it.
+/// The fields of an `Action::Send` that the tests check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sent {
+pub struct SentAttempt {
     pub request: RequestId,
     pub attempt: Attempt,
     pub server: String,
@@ -37,18 +37,18 @@
     pub resume_after: Option<u64>,
 }
 
-impl Edge {
-    /// An edge that knows the configuration and no server.
+impl TestEdge {
+    /// Creates an edge that has a configuration but no servers.
     pub fn new(options: Options) -> Self {
-        let mut edge = Edge { router: Router::new(options, 7), now: 1000, next_request: 0 };
+        let mut edge = TestEdge { router: Router::new(options, 7), now: 1000, next_request: 0 };
         edge.handle(Event::ConfigurationUpdated(view(1)));
         edge
     }
 
-    /// An edge that knows `count` servers of a service, each with the models loaded.
+    /// Creates an edge with `count` servers of a service, each of which has the models loaded.
     pub fn with_servers(service: &str, count: u32, models: &[&str]) -> Self {
-        let mut edge = Edge::new(options());
-        edge.servers((0..count).map(|number| server(service, number, models)).collect());
+        let mut edge = TestEdge::new(options());
+        edge.update_servers((0..count).map(|number| server(service, number, models)).collect());
         edge
     }
 
@@ -58,20 +58,20 @@
         actions
     }
 
-    pub fn servers(&mut self, records: Vec<ServerRecord>) -> Vec<Action> {
+    pub fn update_servers(&mut self, records: Vec<ServerRecord>) -> Vec<Action> {
         self.handle(Event::ServersUpdated { records, complete: false })
     }
 
-    /// A request by a route for a model.
+    /// Receives a request for a model. Returns its id and the resulting actions.
     pub fn request(&mut self, route: &Route, model: &str) -> (RequestId, Vec<Action>) {
         let request = self.new_request(route, model);
         (request.id, self.handle(Event::Request(request)))
     }
 
-    /// A request that is sent at once.
-    pub fn send_request(&mut self, route: &Route, model: &str) -> Sent {
+    /// Receives a request for a model, and panics unless it is sent immediately.
+    pub fn send_request(&mut self, route: &Route, model: &str) -> SentAttempt {
         let (_, actions) = self.request(route, model);
-        sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
+        first_sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
     pub fn new_request(&mut self, route: &Route, model: &str) -> NewRequest {
@@ -91,45 +91,48 @@
         }
     }
 
-    pub fn end(&mut self, sent: &Sent, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, sent: &SentAttempt, outcome: Outcome) -> Vec<Action> {
         self.handle(Event::AttemptEnded(sent.request, sent.attempt, outcome))
     }
 
-    pub fn serve(&mut self, sent: &Sent) -> Vec<Action> {
+    pub fn serve(&mut self, sent: &SentAttempt) -> Vec<Action> {
         self.handle(Event::ResponseHead(sent.request, sent.attempt, None));
         self.handle(Event::FirstEvent(sent.request, sent.attempt));
-        let mut actions = self.end(sent, outcome(Verdict::HasRun, Ending::Served));
+        let mut actions = self.end_attempt(sent, outcome(Verdict::HasRun, Ending::Served));
         actions.extend(self.handle(Event::RequestFinished(sent.request)));
         actions
     }
 
-    /// Lets time pass, with a tick whenever the router wants one.
-    pub fn pass(&mut self, until: Millis) -> Vec<(Millis, Action)> {
+    /// Advances the clock, with a tick whenever the router needs one. Returns the actions with their times.
+    pub fn advance_to(&mut self, until: Millis) -> Vec<(Millis, Action)> {
         let mut actions = Vec::new();
         while let Some(wake) = self.router.next_wake().filter(|wake| *wake <= until) {
             self.now = self.now.max(wake);
             let at = self.now;
             actions.extend(self.handle(Event::Tick).into_iter().map(|action| (at, action)));
-            assert!(self.router.next_wake().is_none_or(|next| next > wake), "woken again at once");
+            assert!(
+                self.router.next_wake().is_none_or(|next| next > wake),
+                "the router asked for another tick at the same time"
+            );
         }
         self.now = until;
         actions
     }
 }
 
-/// The usual options, with more retries than most tests need.
+/// The default options, with a retry budget that most tests do not exhaust.
 pub fn options() -> Options {
     Options { retry_ratio: 0.2, retry_slack: 1000.0, ..Options::default() }
 }
 
-pub fn sent(actions: &[Action]) -> Option<Sent> {
+pub fn first_sent(actions: &[Action]) -> Option<SentAttempt> {
     all_sent(actions).into_iter().next()
 }
 
-pub fn all_sent(actions: &[Action]) -> Vec<Sent> {
+pub fn all_sent(actions: &[Action]) -> Vec<SentAttempt> {
     let sent = |action: &Action| match action.clone() {
         Action::Send { request, attempt, server, deadline_ms, priority, resume_after, .. } => {
-            Some(Sent { request, attempt, server, deadline_ms, priority, resume_after })
+            Some(SentAttempt { request, attempt, server, deadline_ms, priority, resume_after })
         }
         _ => None,
     };
@@ -143,7 +146,8 @@
     })
 }
 
-/// Asserts that a request was rejected with a status and for a reason.
+/// Asserts that a request was rejected with this status and reason, and that only a 503 carries
+/// `Retry-After`.
 pub fn assert_rejected(actions: &[Action], status: u16, reason: RejectReason) {
     let rejection = rejection(actions).unwrap_or_else(|| panic!("not rejected: {actions:?}"));
     assert_eq!((rejection.status, rejection.reason), (status, reason));
@@ -162,7 +166,7 @@
     outcome(Verdict::NeverSent, Ending::Unreachable)
 }
 
-pub fn lost() -> Outcome {
+pub fn connection_lost() -> Outcome {
     outcome(Verdict::MayHaveRun, Ending::ConnectionLost)
 }
 
@@ -174,11 +178,12 @@
     outcome(Verdict::HasRun, Ending::Truncated { last_event, at_fault: false })
 }
 
-pub fn load(running: u32, waiting: u32, slots: u32) -> ServerLoad {
+pub fn server_load(running: u32, waiting: u32, slots: u32) -> ServerLoad {
     ServerLoad { running, waiting, slots }
 }
 
-/// Servers are named by their number, and so are their addresses.
+/// The record of a ready server. Its id and address are derived from `number`. A model is given as
+/// `model/adapter/adapter...`.
 pub fn server(service: &str, number: u32, models: &[&str]) -> ServerRecord {
     let loaded = |name: &&str| {
         let mut parts = name.split('/').map(str::to_owned);
@@ -187,21 +192,21 @@
     };
     let heartbeat = Heartbeat {
         service: service.to_owned(),
-        address: address(number),
+        address: server_address(number),
         slots: 64,
         state: ServerState::Ready,
         models: (service == LLM).then(|| models.iter().map(loaded).collect()),
         sequence: 1,
         ..Heartbeat::default()
     };
-    ServerRecord { id: name(number), heartbeat, presence: Presence::Ready, ..ServerRecord::default() }
+    ServerRecord { id: server_id(number), heartbeat, presence: Presence::Ready, ..ServerRecord::default() }
 }
 
-pub fn name(number: u32) -> String {
+pub fn server_id(number: u32) -> String {
     format!("i-{number}")
 }
 
-pub fn address(number: u32) -> String {
+pub fn server_address(number: u32) -> String {
     format!("10.0.1.{number}:8080")
 }
 
@@ -211,7 +216,7 @@
     record
 }
 
-/// A route to one service, whose requests may run once.
+/// A non-idempotent route to one service.
 pub fn route(service: &str) -> Route {
     Route {
         name: "r".into(),
@@ -235,15 +240,16 @@
     Route { kind: RouteKind::Streaming { resumable, gap_target_ms: 400 }, ..route(service) }
 }
 
-/// Server numbers in the order of a key's sequence.
-pub fn sequence(key: Key, count: u32) -> Vec<String> {
+/// Server ids in the order of the key's sequence.
+pub fn server_sequence(key: Key, count: u32) -> Vec<String> {
     let mut array = SlotArray::default();
-    let sizes: Vec<_> = (0..count).map(|number| (number, hash_of_name(&address(number)), 1.0)).collect();
+    let sizes: Vec<_> =
+        (0..count).map(|number| (number, hash_of_name(&server_address(number)), 1.0)).collect();
     array.update(&sizes);
-    array.sequence(key).map(|number| name(*number)).collect()
+    array.sequence(key).map(|number| server_id(*number)).collect()
 }
 
-/// A configuration with both services; models `m0` to `m39`, each with three adapters.
+/// A configuration with both services. The service with models has `m0` to `m39` with three adapters each.
 pub fn view(version: u64) -> Arc<View> {
     let models: Vec<String> = (0..40)
         .map(|number| {
@@ -264,6 +270,6 @@
     let update =
         ConfigUpdate { base: None, version, upsert: vec![item(LLM, &llm), item(WEB, web)], remove: vec![] };
     let mut view = View::default();
-    view.apply(&update).expect("the view is taken");
+    view.apply(&update).expect("the configuration is applied");
     Arc::new(view)
 }
--- a/routing/tests/random_histories.rs
+++ b/routing/tests/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of requests: the invariants hold whatever servers, clients and records do.
+//! Checks invariants of the router over random sequences of events from servers, clients and the directory.
 
 mod common;
 
@@ -30,11 +30,11 @@
         history.finish();
         counts.add(&history.counts);
     }
-    // The histories cover all ends of requests.
+    // All kinds of events and results must occur often enough for the checks to mean something.
     let reached = [
         counts.served,
-        counts.rejected_with_promise,
-        counts.rejected_without_promise,
+        counts.rejected_as_not_run,
+        counts.rejected_as_possibly_run,
         counts.forwarded_failures,
         counts.aborted_responses,
         counts.departed_clients,
@@ -49,8 +49,8 @@
 #[derive(Debug, Default)]
 struct HistoryCounts {
     served: u64,
-    rejected_with_promise: u64,
-    rejected_without_promise: u64,
+    rejected_as_not_run: u64,
+    rejected_as_possibly_run: u64,
     forwarded_failures: u64,
     aborted_responses: u64,
     departed_clients: u64,
@@ -63,8 +63,8 @@
 impl HistoryCounts {
     fn add(&mut self, other: &HistoryCounts) {
         self.served += other.served;
-        self.rejected_with_promise += other.rejected_with_promise;
-        self.rejected_without_promise += other.rejected_without_promise;
+        self.rejected_as_not_run += other.rejected_as_not_run;
+        self.rejected_as_possibly_run += other.rejected_as_possibly_run;
         self.forwarded_failures += other.forwarded_failures;
         self.aborted_responses += other.aborted_responses;
         self.departed_clients += other.departed_clients;
@@ -75,7 +75,7 @@
     }
 }
 
-/// An open request as its driver, its client and the servers see it.
+/// The state of an open request as the driver, the client and the servers know it.
 #[derive(Debug)]
 struct TrackedRequest {
     route: Route,
@@ -83,15 +83,15 @@
     deadline_at: Millis,
     attempt: Option<AttemptInFlight>,
     attempts: u32,
-    /// Servers that it reached, or may have.
-    arrivals: Vec<String>,
-    /// Servers that may have run it.
-    may_run_at: BTreeSet<String>,
-    /// The worst verdict of the attempts that ended.
+    /// Servers that the request reached or may have reached, one entry per attempt.
+    reached_servers: Vec<String>,
+    /// Servers that may have run the request.
+    possibly_run_at: BTreeSet<String>,
+    /// The highest verdict over all ended attempts. The head of a successful response also sets it.
     verdict: Verdict,
     response_started: bool,
     last_event: Option<u64>,
-    /// The driver buffers a failed response.
+    /// Whether the driver has buffered a failed response.
     has_failure: bool,
 }
 
@@ -105,7 +105,7 @@
 }
 
 struct History {
-    edge: Edge,
+    edge: TestEdge,
     random: Pcg64Mcg,
     records: BTreeMap<String, ServerRecord>,
     departed_servers: BTreeSet<String>,
@@ -121,7 +121,7 @@
     fn new(seed: u64) -> Self {
         let options = Options { retry_ratio: 0.3, retry_slack: 30.0, max_queued: 20, ..Options::default() };
         let mut history = History {
-            edge: Edge::new(options),
+            edge: TestEdge::new(options),
             random: Pcg64Mcg::seed_from_u64(seed),
             records: BTreeMap::new(),
             departed_servers: BTreeSet::new(),
@@ -140,7 +140,7 @@
     fn step(&mut self) {
         match self.random.random_range(0..100) {
             0..35 => self.request(),
-            35..75 => self.progress(),
+            35..75 => self.advance_attempt(),
             75..78 => self.client_leaves(),
             78..80 => self.add_server(),
             80..85 => self.change_server(),
@@ -149,10 +149,10 @@
         self.check_counts();
     }
 
-    /// Lets all requests end by the passing of time.
+    /// Advances the time until all requests have ended.
     fn finish(&mut self) {
         let until = self.edge.now + 20_000;
-        self.pass(until);
+        self.advance_to(until);
         self.check_counts();
         assert!(self.open.is_empty(), "{:?}", self.open);
         assert_eq!(self.edge.router.counters().open, 0);
@@ -182,8 +182,8 @@
             model,
             attempt: None,
             attempts: 0,
-            arrivals: Vec::new(),
-            may_run_at: BTreeSet::new(),
+            reached_servers: Vec::new(),
+            possibly_run_at: BTreeSet::new(),
             verdict: Verdict::NeverSent,
             response_started: false,
             last_event: None,
@@ -193,12 +193,12 @@
         self.request_times.push(self.edge.now);
         let id = request.id;
         self.deliver(Event::Request(request));
-        let waits = self.open.get(&id).is_some_and(|tracked| tracked.attempt.is_none());
-        self.counts.queued += u64::from(waits);
+        let is_queued = self.open.get(&id).is_some_and(|tracked| tracked.attempt.is_none());
+        self.counts.queued += u64::from(is_queued);
     }
 
-    /// Something happens to an attempt.
-    fn progress(&mut self) {
+    /// Lets a random attempt in flight receive a response, stall or end.
+    fn advance_attempt(&mut self) {
         let in_flight: Vec<RequestId> =
             self.open.iter().filter(|(_, tracked)| tracked.attempt.is_some()).map(|(id, _)| *id).collect();
         let Some(&id) = in_flight.choose(&mut self.random) else { return };
@@ -214,7 +214,7 @@
             if is_stream {
                 tracked.last_event = Some(tracked.last_event.map_or(1, |event| event + 1));
             }
-            let load = load(self.random.random_range(0..70), self.random.random_range(0..3), 64);
+            let load = server_load(self.random.random_range(0..70), self.random.random_range(0..3), 64);
             self.deliver(Event::ResponseHead(id, in_flight.attempt, Some(load)));
             return self.deliver(Event::FirstEvent(id, in_flight.attempt));
         }
@@ -222,10 +222,10 @@
             return self.deliver(Event::StreamStalled(id, in_flight.attempt));
         }
         let outcome = self.outcome(&in_flight, id);
-        self.end(id, in_flight, outcome);
+        self.end_attempt(id, in_flight, outcome);
     }
 
-    /// A way for an attempt to end that agrees with what has been seen of it.
+    /// A random outcome that is consistent with the previous events of the attempt.
     fn outcome(&mut self, in_flight: &AttemptInFlight, id: RequestId) -> Outcome {
         let last_event = self.open.get(&id).and_then(|tracked| tracked.last_event);
         let has_head = self.open.get(&id).is_some_and(|tracked| tracked.response_started);
@@ -257,20 +257,20 @@
         Outcome { verdict, ending, load: None, retry_after_ms: None }
     }
 
-    fn end(&mut self, id: RequestId, in_flight: AttemptInFlight, outcome: Outcome) {
+    fn end_attempt(&mut self, id: RequestId, in_flight: AttemptInFlight, outcome: Outcome) {
         let tracked = self.open.get_mut(&id).expect("an open request");
         tracked.attempt = None;
         tracked.verdict = tracked.verdict.max(outcome.verdict);
         tracked.has_failure = matches!(outcome.ending, Ending::Failed { .. });
         if outcome.verdict != Verdict::NeverSent {
-            if !tracked.arrivals.is_empty() {
+            if !tracked.reached_servers.is_empty() {
                 self.retry_times.push(in_flight.sent_at);
                 self.counts.retries += 1;
             }
             if outcome.verdict > Verdict::SurelyNotRun {
-                tracked.may_run_at.insert(in_flight.server.clone());
+                tracked.possibly_run_at.insert(in_flight.server.clone());
             }
-            tracked.arrivals.push(in_flight.server);
+            tracked.reached_servers.push(in_flight.server);
         }
         if outcome.ending == Ending::Served {
             self.open.remove(&id);
@@ -335,7 +335,7 @@
         }
         self.deliver(Event::ServersUpdated { records: vec![record.clone()], complete: false });
         if self.departed_servers.contains(&record.id) && self.random.random_bool(0.5) {
-            // A late record of a server that has left changes nothing.
+            // A late record of a departed server must be ignored.
             let late = ServerRecord { presence: Presence::Ready, ..record };
             self.deliver(Event::ServersUpdated { records: vec![late], complete: false });
         }
@@ -343,22 +343,25 @@
 
     fn advance_time(&mut self) {
         let until = self.edge.now + self.random.random_range(0..250);
-        self.pass(until);
+        self.advance_to(until);
     }
 
-    fn pass(&mut self, until: Millis) {
+    fn advance_to(&mut self, until: Millis) {
         while let Some(wake) = self.edge.router.next_wake().filter(|wake| *wake <= until) {
             self.edge.now = self.edge.now.max(wake);
             self.deliver(Event::Tick);
-            assert!(self.edge.router.next_wake().is_none_or(|next| next > wake), "woken again at once");
-            // What was cancelled ends.
+            assert!(
+                self.edge.router.next_wake().is_none_or(|next| next > wake),
+                "the router asked for another tick at the same time"
+            );
+            // Cancelled attempts end.
             let cancelled =
                 |tracked: &TrackedRequest| tracked.attempt.clone().filter(|in_flight| in_flight.cancelled);
             let ended: Vec<_> =
                 self.open.iter().filter_map(|(id, tracked)| Some((*id, cancelled(tracked)?))).collect();
             for (id, in_flight) in ended {
                 let outcome = self.outcome(&in_flight, id);
-                self.end(id, in_flight, outcome);
+                self.end_attempt(id, in_flight, outcome);
             }
         }
         self.edge.now = until;
@@ -372,7 +375,7 @@
     fn check_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match &action {
-                Action::Send { .. } => self.check_sent(&sent(&[action]).expect("an attempt")),
+                Action::Send { .. } => self.check_sent(&first_sent(&[action]).expect("an attempt")),
                 Action::Cancel(id, attempt) => self.check_cancel(*id, *attempt),
                 Action::Reject { request, rejection } => self.check_rejected(*request, *rejection),
                 Action::ForwardFailure(id) => self.check_forwarded_failure(*id),
@@ -382,22 +385,25 @@
         }
     }
 
-    fn check_sent(&mut self, sent: &Sent) {
-        assert!(!self.finished.contains(&sent.request), "sent after its end");
+    fn check_sent(&mut self, sent: &SentAttempt) {
+        assert!(!self.finished.contains(&sent.request), "sent after the request had ended");
         let tracked = self.open.get_mut(&sent.request).expect("an open request");
-        assert!(tracked.attempt.is_none(), "two attempts at once");
+        assert!(tracked.attempt.is_none(), "two attempts in flight");
         assert_eq!(sent.attempt.0, tracked.attempts);
         assert!(
             tracked.verdict <= Verdict::SurelyNotRun || tracked.route.kind.is_idempotent(),
-            "may run twice: {tracked:?}"
+            "sent although it may have run: {tracked:?}"
         );
-        let visited: BTreeSet<&String> = tracked.arrivals.iter().chain([&sent.server]).collect();
+        let visited: BTreeSet<&String> = tracked.reached_servers.iter().chain([&sent.server]).collect();
         assert!(visited.len() <= tracked.route.max_attempts as usize, "too many servers: {tracked:?}");
         assert!(
-            tracked.arrivals.len() < tracked.route.max_attempts as usize + 2,
+            tracked.reached_servers.len() < tracked.route.max_attempts as usize + 2,
             "too many attempts: {tracked:?}"
         );
-        assert!(!tracked.may_run_at.contains(&sent.server), "sent again to a server that may have run it");
+        assert!(
+            !tracked.possibly_run_at.contains(&sent.server),
+            "sent again to a server that may have run it"
+        );
         assert!(!self.departed_servers.contains(&sent.server), "sent to a departed server");
         let record = self.records.get(&sent.server).expect("a known server");
         let models = record.heartbeat.models.as_deref().unwrap_or_default();
@@ -406,7 +412,10 @@
             "sent to a server without the model"
         );
         assert_eq!(sent.resume_after, tracked.last_event.filter(|_| tracked.response_started));
-        assert!(sent.resume_after.is_some() == tracked.response_started, "a second head");
+        assert!(
+            sent.resume_after.is_some() == tracked.response_started,
+            "a resumed response must have an event to resume after"
+        );
         assert!(self.edge.now < tracked.deadline_at);
         assert!(sent.deadline_ms >= 1 && sent.deadline_ms <= (tracked.deadline_at - self.edge.now).max(1));
         self.counts.resumed += u64::from(tracked.response_started);
@@ -431,16 +440,16 @@
 
     fn check_rejected(&mut self, id: RequestId, rejection: Rejection) {
         let tracked = self.finish_request(id);
-        assert!(!tracked.response_started, "an answer after an answer");
+        assert!(!tracked.response_started, "rejected after the response had started");
         let has_not_run = tracked.verdict <= Verdict::SurelyNotRun && tracked.attempt.is_none();
         match rejection.status {
-            503 => assert!(has_not_run, "a promise that may be broken: {tracked:?}"),
-            502 | 504 => assert!(!has_not_run, "no promise where one could be given: {tracked:?}"),
-            status => panic!("status {status}"),
+            503 => assert!(has_not_run, "503 although the request may have run: {tracked:?}"),
+            502 | 504 => assert!(!has_not_run, "no 503 although the request has not run: {tracked:?}"),
+            status => panic!("unexpected status {status}"),
         }
         assert_eq!(rejection.retry_after_ms.is_some(), has_not_run);
-        self.counts.rejected_with_promise += u64::from(has_not_run);
-        self.counts.rejected_without_promise += u64::from(!has_not_run);
+        self.counts.rejected_as_not_run += u64::from(has_not_run);
+        self.counts.rejected_as_possibly_run += u64::from(!has_not_run);
     }
 
     fn check_forwarded_failure(&mut self, id: RequestId) {
@@ -456,7 +465,7 @@
     }
 
     fn finish_request(&mut self, id: RequestId) -> TrackedRequest {
-        assert!(self.finished.insert(id), "a second end");
+        assert!(self.finished.insert(id), "the request ended twice");
         let tracked = self.open.remove(&id).expect("an open request");
         assert!(
             tracked.attempt.as_ref().is_none_or(|in_flight| in_flight.cancelled),
@@ -477,14 +486,17 @@
         assert!(queued <= 20);
     }
 
-    /// Over any window, retries stay within this edge's part of the budget.
+    /// Checks that the retries in every window stay within this edge's share of the budget.
     fn check_budget(&self) {
         const WINDOW: Millis = 10_000;
         for end in &self.retry_times {
             let within = |time: &&Millis| **time <= *end && **time + WINDOW > *end;
             let retries = self.retry_times.iter().filter(within).count() as f64;
             let requests = self.request_times.iter().filter(within).count() as f64;
-            assert!(retries <= 0.3 * requests + 30.0 / f64::from(EDGES), "{retries} of {requests}");
+            assert!(
+                retries <= 0.3 * requests + 30.0 / f64::from(EDGES),
+                "{retries} retries for {requests} requests"
+            );
         }
     }
 }
--- a/routing/tests/reports.rs
+++ b/routing/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports for the coordinators, and counters.
+//! Reports to the coordinators, and request counters.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn report_separates_demand_by_outcome() {
-    let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
+    let mut edge = TestEdge::with_servers(LLM, 1, &["m1"]);
     let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
     edge.send_request(&Route { priority: 0, ..route(LLM) }, "m1");
@@ -45,12 +45,12 @@
         },
     ]
     "#);
-    // Gauges are reported again; counts start anew.
+    // Counts are reset by a report; gauges are reported again.
     let (demand, _) = edge.router.take_report(edge.now);
     let reported: Vec<_> =
         demand.iter().map(|d| (d.model.as_str(), d.arrived, d.queued, d.in_flight)).collect();
     assert_eq!(reported, vec![("m1", 0, 0, 1), ("m2", 0, 1, 0)]);
-    edge.pass(edge.now + 10_000);
+    edge.advance_to(edge.now + 10_000);
     let (demand, _) = edge.router.take_report(edge.now);
     let reported: Vec<_> =
         demand.iter().map(|d| (d.model.as_str(), d.over_capacity, d.queued, d.in_flight)).collect();
@@ -59,21 +59,21 @@
 }
 
 #[test]
-fn report_contains_server_outcomes_once() {
-    let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
+fn server_outcomes_are_reported_once() {
+    let mut edge = TestEdge::with_servers(LLM, 1, &["m1"]);
     let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
-    let bad = edge.send_request(&route(LLM), "m1");
-    edge.end(&bad, lost());
-    let expected = ServerOutcomes { server: name(0), succeeded: 1, failed: 1, unreachable: 0 };
+    let failing = edge.send_request(&route(LLM), "m1");
+    edge.end_attempt(&failing, connection_lost());
+    let expected = ServerOutcomes { server: server_id(0), succeeded: 1, failed: 1, unreachable: 0 };
     assert_eq!(edge.router.take_report(edge.now).1, vec![expected]);
     assert_eq!(edge.router.take_report(edge.now).1, vec![]);
 }
 
 #[test]
 fn demand_table_is_bounded() {
-    let mut edge = Edge::new(Options { max_demand_entries: 5, ..options() });
-    edge.servers(vec![server(LLM, 0, &["m1"])]);
+    let mut edge = TestEdge::new(Options { max_demand_entries: 5, ..options() });
+    edge.update_servers(vec![server(LLM, 0, &["m1"])]);
     for model in 0..30 {
         edge.request(&route(LLM), &format!("m{model}"));
     }
@@ -82,15 +82,15 @@
 
 #[test]
 fn counters_add_up() {
-    let mut edge = Edge::with_servers(LLM, 3, &["m1"]);
+    let mut edge = TestEdge::with_servers(LLM, 3, &["m1"]);
     let served = edge.send_request(&route(LLM), "m1");
     edge.serve(&served);
     let failing = edge.send_request(&route(LLM), "m1");
-    edge.end(&failing, failed(500));
-    let lost_one = edge.send_request(&route(LLM), "m1");
-    edge.end(&lost_one, lost());
-    let left = edge.send_request(&route(LLM), "m1");
-    edge.handle(Event::RequestFinished(left.request));
+    edge.end_attempt(&failing, failed(500));
+    let disconnected = edge.send_request(&route(LLM), "m1");
+    edge.end_attempt(&disconnected, connection_lost());
+    let abandoned = edge.send_request(&route(LLM), "m1");
+    edge.handle(Event::RequestFinished(abandoned.request));
     edge.request(&route(LLM), "m2");
     edge.send_request(&route(LLM), "m1");
     let counters = edge.router.counters();
--- a/routing/tests/servers.rs
+++ b/routing/tests/servers.rs
@@ -12,100 +12,100 @@
 #[test]
 fn draining_server_connections_are_closed_once() {
     for presence in [Presence::Draining, Presence::Removed] {
-        let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
+        let mut edge = TestEdge::with_servers(LLM, 2, &["m1"]);
         let leaving = with_presence(server(LLM, 0, &["m1"]), presence);
-        assert_eq!(edge.servers(vec![leaving.clone()]), vec![Action::CloseConnections(name(0))]);
-        assert_eq!(edge.servers(vec![leaving.clone()]), vec![]);
-        assert_eq!(edge.servers(vec![with_presence(leaving, Presence::Removed)]), vec![]);
+        assert_eq!(edge.update_servers(vec![leaving.clone()]), vec![Action::CloseConnections(server_id(0))]);
+        assert_eq!(edge.update_servers(vec![leaving.clone()]), vec![]);
+        assert_eq!(edge.update_servers(vec![with_presence(leaving, Presence::Removed)]), vec![]);
     }
 }
 
 #[test]
 fn heartbeat_draining_overrides_ready_presence() {
-    let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
+    let mut edge = TestEdge::with_servers(LLM, 2, &["m1"]);
     let mut leaving = server(LLM, 0, &["m1"]);
     leaving.heartbeat.state = ServerState::Draining;
     leaving.heartbeat.remaining_ms = Some(3000.0);
-    edge.servers(vec![leaving]);
+    edge.update_servers(vec![leaving]);
     for _ in 0..20 {
-        assert_eq!(edge.send_request(&route(LLM), "m1").server, name(1));
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(1));
     }
 }
 
 #[test]
 fn late_record_does_not_revive_drained_server() {
-    let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
-    edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Draining)]);
+    let mut edge = TestEdge::with_servers(LLM, 2, &["m1"]);
+    edge.update_servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Draining)]);
     let mut late = server(LLM, 0, &["m1"]);
     late.heartbeat.sequence = 99;
-    edge.servers(vec![late]);
+    edge.update_servers(vec![late]);
     for _ in 0..20 {
-        assert_eq!(edge.send_request(&route(LLM), "m1").server, name(1));
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(1));
     }
 }
 
 #[test]
 fn late_record_does_not_revive_removed_server() {
-    let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
-    edge.servers(vec![with_presence(server(LLM, 5, &["m1"]), Presence::Removed)]);
-    edge.servers(vec![server(LLM, 5, &["m1"])]);
+    let mut edge = TestEdge::with_servers(LLM, 1, &["m1"]);
+    edge.update_servers(vec![with_presence(server(LLM, 5, &["m1"]), Presence::Removed)]);
+    edge.update_servers(vec![server(LLM, 5, &["m1"])]);
     for _ in 0..20 {
-        assert_eq!(edge.send_request(&route(LLM), "m1").server, name(0));
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(0));
     }
 }
 
 #[test]
 fn older_record_does_not_replace_newer() {
-    let mut edge = Edge::with_servers(LLM, 1, &["m9"]);
+    let mut edge = TestEdge::with_servers(LLM, 1, &["m9"]);
     let mut newer = server(LLM, 0, &["m1"]);
     newer.heartbeat.sequence = 5;
-    edge.servers(vec![newer]);
-    edge.servers(vec![server(LLM, 0, &["m9"])]);
+    edge.update_servers(vec![newer]);
+    edge.update_servers(vec![server(LLM, 0, &["m9"])]);
     edge.send_request(&route(LLM), "m1");
 }
 
 #[test]
 fn timed_out_server_is_last_resort() {
-    let mut edge = Edge::with_servers(LLM, 2, &["m1"]);
-    edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::TimedOut)]);
+    let mut edge = TestEdge::with_servers(LLM, 2, &["m1"]);
+    edge.update_servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::TimedOut)]);
     for _ in 0..20 {
-        assert_eq!(edge.send_request(&route(LLM), "m1").server, name(1));
+        assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(1));
     }
-    edge.servers(vec![with_presence(server(LLM, 1, &["m1"]), Presence::Removed)]);
-    assert_eq!(edge.send_request(&route(LLM), "m1").server, name(0));
-    // It is heard again.
+    edge.update_servers(vec![with_presence(server(LLM, 1, &["m1"]), Presence::Removed)]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(0));
+    // The server sends heartbeats again.
     let mut back = server(LLM, 0, &["m1"]);
     back.heartbeat.sequence = 3;
-    edge.servers(vec![back]);
-    assert_eq!(edge.send_request(&route(LLM), "m1").server, sequence(Key::of("m1"), 1)[0]);
+    edge.update_servers(vec![back]);
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, server_sequence(Key::of("m1"), 1)[0]);
 }
 
 #[test]
 fn unlisted_server_is_last_resort_then_dropped() {
-    let mut edge = Edge::new(Options { unlisted_ttl_ms: 10_000, ..options() });
-    edge.servers((0..2).map(|n| server(LLM, n, &["m1"])).collect());
+    let mut edge = TestEdge::new(Options { unlisted_ttl_ms: 10_000, ..options() });
+    edge.update_servers((0..2).map(|n| server(LLM, n, &["m1"])).collect());
     edge.handle(Event::ServersUpdated { records: vec![server(LLM, 1, &["m9"])], complete: true });
-    assert_eq!(edge.send_request(&route(LLM), "m1").server, name(0));
+    assert_eq!(edge.send_request(&route(LLM), "m1").server, server_id(0));
     let late = edge.send_request(&route(LLM), "m1");
     edge.serve(&late);
-    edge.pass(edge.now + 10_000);
+    edge.advance_to(edge.now + 10_000);
     let (_, actions) = edge.request(&route(LLM), "m1");
-    assert_eq!(sent(&actions), None);
+    assert_eq!(first_sent(&actions), None);
 }
 
 #[test]
 fn request_at_draining_server_completes() {
-    let mut edge = Edge::with_servers(LLM, 1, &["m1"]);
+    let mut edge = TestEdge::with_servers(LLM, 1, &["m1"]);
     let open = edge.send_request(&route(LLM), "m1");
-    edge.servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Draining)]);
+    edge.update_servers(vec![with_presence(server(LLM, 0, &["m1"]), Presence::Draining)]);
     assert_eq!(edge.serve(&open), vec![]);
     assert_eq!(edge.router.counters().completed, 1);
 }
 
 #[test]
 fn server_table_is_bounded() {
-    let mut edge = Edge::new(Options { max_servers: 3, ..options() });
-    edge.servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
+    let mut edge = TestEdge::new(Options { max_servers: 3, ..options() });
+    edge.update_servers((0..9).map(|n| server(LLM, n, &["m1"])).collect());
     let used: std::collections::BTreeSet<_> =
         (0..60).map(|_| edge.send_request(&route(LLM), "m1").server).collect();
     assert_eq!(used.len(), 3);
