--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -28,7 +28,7 @@
         let target = Arc::new(Target { service, model, adapter });
         let key = request_key(&new, &target);
         let request = Request::new(new, target, key, now);
-        if self.requests.len() >= self.options.max_open {
+        if self.requests.len() >= self.options.max_open_requests {
             return self.reject(now, request, RejectReason::Overloaded, actions);
         }
         let Some(pool) = self.pools.get_mut(&request.target.service) else {
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -76,7 +76,7 @@
 
 /// The cap C = ⌈(1 + ε)·n/k⌉ on open requests per server, but at least `min_cap`.
 pub(crate) fn cap(open_requests: u32, eligible: u32, options: &Options) -> u32 {
-    let share = (1.0 + options.epsilon) * f64::from(open_requests) / f64::from(eligible.max(1));
+    let share = (1.0 + options.load_cap_epsilon) * f64::from(open_requests) / f64::from(eligible.max(1));
     (share.ceil() as u32).max(options.min_cap)
 }
 
--- a/routing/src/options.rs
+++ b/routing/src/options.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// ε in the cap ⌈(1 + ε)·n/k⌉ on the number of requests that this edge has open at one server.
-    pub epsilon: f64,
+    pub load_cap_epsilon: f64,
     /// Lower bound of the cap.
     pub min_cap: u32,
     /// Retries allowed per request of a service, over all edges.
@@ -21,13 +21,13 @@
     /// events must start at zero with the process.
     pub slack_available_from_ms: Millis,
     /// The fraction of this edge's share of the retry budget that it uses.
-    pub budget_fraction: f64,
+    pub retry_budget_fraction: f64,
     /// Number of edges that is assumed until the actual number is known.
     pub assumed_edges: u32,
     /// Maximum number of open requests, including queued requests.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Maximum number of queued requests.
-    pub max_queued: usize,
+    pub max_queued_requests: usize,
     /// The fraction of the time until its deadline for which a request may be queued until a model is loaded.
     pub model_wait_fraction: f64,
     /// The fraction of the client's time-out for stream events for which a stream may be queued until a model
@@ -95,16 +95,16 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            epsilon: 0.3,
+            load_cap_epsilon: 0.3,
             min_cap: 4,
             retry_ratio: 0.1,
             retry_slack: 20.0,
             retry_window_ms: 10_000,
             slack_available_from_ms: 0,
-            budget_fraction: 0.8,
+            retry_budget_fraction: 0.8,
             assumed_edges: 64,
-            max_open: 4096,
-            max_queued: 512,
+            max_open_requests: 4096,
+            max_queued_requests: 512,
             model_wait_fraction: 0.45,
             client_timeout_fraction: 0.6,
             capacity_wait_fraction: 0.25,
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -37,7 +37,7 @@
             return self.reject(now, request, reason, actions);
         }
         let key = QueueKey::of(&request);
-        if self.queue.len() >= self.options.max_queued {
+        if self.queue.len() >= self.options.max_queued_requests {
             match self.queue.least_urgent().filter(|last| key < *last) {
                 Some(last) => self.evict_from_queue(now, last, actions),
                 None => return self.reject(now, request, RejectReason::Overloaded, actions),
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -62,7 +62,7 @@
     pub fn has_balance(&mut self, now: Millis, share: SlackShare, options: &Options) -> bool {
         let slack = share.slack(now, options);
         let allowance = options.retry_ratio * f64::from(self.requests.lower_bound(now)) + slack;
-        f64::from(self.retries.upper_bound(now)) + 1.0 <= allowance * options.budget_fraction
+        f64::from(self.retries.upper_bound(now)) + 1.0 <= allowance * options.retry_budget_fraction
     }
 
     /// Returns a retry to the budget because it reached no server.
--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn overflow_follows_rehash_below_cap() {
-    let options = Options { epsilon: 0.3, min_cap: 4, ..options() };
+    let options = Options { load_cap_epsilon: 0.3, min_cap: 4, ..options() };
     let mut edge = TestEdge::new(options);
     edge.update_servers((0..4).map(|n| server(LLM, n, &["m1"])).collect());
     let order = server_sequence(Key::of("m1"), 4);
--- a/routing/tests/random_histories.rs
+++ b/routing/tests/random_histories.rs
@@ -119,7 +119,8 @@
 
 impl History {
     fn new(seed: u64) -> Self {
-        let options = Options { retry_ratio: 0.3, retry_slack: 30.0, max_queued: 20, ..Options::default() };
+        let options =
+            Options { retry_ratio: 0.3, retry_slack: 30.0, max_queued_requests: 20, ..Options::default() };
         let mut history = History {
             edge: TestEdge::new(options),
             random: Pcg64Mcg::seed_from_u64(seed),
--- a/routing/tests/request_queue.rs
+++ b/routing/tests/request_queue.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn full_queue_evicts_least_urgent() {
-    let mut edge = TestEdge::new(Options { max_queued: 2, ..options() });
+    let mut edge = TestEdge::new(Options { max_queued_requests: 2, ..options() });
     edge.update_servers(vec![server(LLM, 0, &["m9"])]);
     edge.request(&route(LLM), "m1");
     let (least_urgent, _) = edge.request(&Route { priority: 2, ..route(LLM) }, "m2");
@@ -100,7 +100,7 @@
 
 #[test]
 fn open_requests_are_bounded() {
-    let mut edge = TestEdge::new(Options { max_open: 3, ..options() });
+    let mut edge = TestEdge::new(Options { max_open_requests: 3, ..options() });
     edge.update_servers(vec![server(LLM, 0, &["m1"])]);
     (0..3).for_each(|_| drop(edge.send_request(&route(LLM), "m1")));
     assert_rejected(&edge.request(&route(LLM), "m1").1, 503, RejectReason::Overloaded);
