--- a/capacity-emulator/src/edge_node/load_updates.rs
+++ b/capacity-emulator/src/edge_node/load_updates.rs
@@ -22,7 +22,7 @@
     pub(super) fn send_load_updates(&mut self, environment: &mut Environment) {
         let Some(routing) = &mut self.routing else { return };
         let timer = CpuTimer::start();
-        let updates = routing.router.take_load_update(environment.scheduler.now);
+        let updates = routing.router.take_load_updates(environment.scheduler.now);
         let datagrams: Vec<Vec<Vec<u8>>> =
             updates.iter().map(|update| self.datagrams.encode(update)).collect();
         self.usage.record_cpu(Activity::LoadDatagram, timer.elapsed());
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -70,7 +70,7 @@
         loop {
             let _ = tokio::time::timeout(ANNOUNCE_INTERVAL, self.state.load_update_ready.notified()).await;
             let now = self.state.clock.now();
-            for update in self.state.with_router(|router| router.take_load_update(now)) {
+            for update in self.state.with_router(|router| router.take_load_updates(now)) {
                 self.send(&update).await;
             }
         }
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -108,7 +108,7 @@
     }
 
     /// Returns the load updates to send to other edges now, and records them as sent.
-    pub fn take_load_update(&mut self, now: Millis) -> Vec<LoadUpdate> {
+    pub fn take_load_updates(&mut self, now: Millis) -> Vec<LoadUpdate> {
         self.has_urgent_load = false;
         let options = &self.options;
         let own = self.servers.iter_mut().filter_map(|server| {
--- a/routing/tests/load_gossip.rs
+++ b/routing/tests/load_gossip.rs
@@ -62,7 +62,7 @@
         let nodes: Vec<NodeId> = self.edges.keys().copied().collect();
         for node in nodes {
             let Some(edge) = self.edges.get_mut(&node) else { continue };
-            for update in edge.router.take_load_update(edge.now) {
+            for update in edge.router.take_load_updates(edge.now) {
                 self.deliver(node, update);
             }
         }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -232,7 +232,7 @@
 
     /// Sends changed loads to the other edges, in a datagram to each.
     fn gossip_loads(&mut self, world: &mut World) {
-        for update in self.router.take_load_update(self.clock(world)) {
+        for update in self.router.take_load_updates(self.clock(world)) {
             for datagram in self.datagrams.encode(&update) {
                 for edge in update.to.iter() {
                     world.send(self.node(), *edge, Message::LoadReport(datagram.clone()));
