--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -1,11 +1,11 @@
-//! Evaluation of an attempt's outcome: it updates the request's verdict, the server's load, capacity and
+//! Evaluation of an attempt's outcome: it updates the request's execution status, the server's load, capacity and
 //! failures, and the retry budget.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
 
 use crate::failure_accrual::FailureKind;
-use crate::interface::{Action, Ending, Outcome, Verdict};
+use crate::interface::{Action, Ending, ExecutionStatus, Outcome};
 use crate::request::{InFlight, Request};
 use crate::router::Router;
 
@@ -23,7 +23,7 @@
 }
 
 impl Router {
-    /// Updates the request's verdict, the server's state and the retry budget after the end of an attempt.
+    /// Updates the request's execution status, the server's state and the retry budget after the end of an attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Millis,
@@ -32,7 +32,7 @@
         outcome: &Outcome,
         actions: &mut Vec<Action>,
     ) {
-        self.record_verdict(now, request, in_flight, outcome);
+        self.record_execution_status(now, request, in_flight, outcome);
         self.record_server_load(now, in_flight, outcome);
         match &outcome.ending {
             Ending::Rejected { status, instance } => {
@@ -44,7 +44,7 @@
         }
     }
 
-    fn record_verdict(
+    fn record_execution_status(
         &mut self,
         now: Millis,
         request: &mut Request,
@@ -52,7 +52,7 @@
         outcome: &Outcome,
     ) {
         let pool = self.pools.get_mut(&request.target.service);
-        if outcome.verdict == Verdict::NeverSent {
+        if outcome.execution_status == ExecutionStatus::NeverSent {
             request.delivered_attempts = request.delivered_attempts.saturating_sub(1);
             if in_flight.is_first_visit {
                 request.visited_servers.retain(|server| *server != in_flight.server);
@@ -66,7 +66,7 @@
             return;
         }
         self.counters.retries += u64::from(in_flight.is_retry);
-        request.verdict = request.verdict.max(outcome.verdict);
+        request.execution_status = request.execution_status.max(outcome.execution_status);
         request.retry_after_ms = outcome.retry_after_ms.or(request.retry_after_ms);
         if let Ending::Truncated { last_event, .. } = outcome.ending {
             request.last_event = last_event.or(request.last_event);
