--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -1,5 +1,5 @@
-//! Evaluation of an attempt's outcome: it updates the request's execution status, the server's load, capacity and
-//! failures, and the retry budget.
+//! Evaluation of an attempt's outcome: it updates the request's execution status, the server's load, capacity
+//! and failures, and the retry budget.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
@@ -23,7 +23,8 @@
 }
 
 impl Router {
-    /// Updates the request's execution status, the server's state and the retry budget after the end of an attempt.
+    /// Updates the request's execution status, the server's state and the retry budget after the end of an
+    /// attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Millis,
--- a/routing/src/balance.rs
+++ b/routing/src/balance.rs
@@ -218,8 +218,8 @@
         Some(SelectedServer { server, over_cap: false, is_home: home == Some(server) })
     }
 
-    /// Selects the lightly loaded server with the fewest open requests, for a prompt so long that its prefill
-    /// stalls the other streams of the server.
+    /// Selects the server with the fewest open requests, and prefers lightly loaded servers. Used for a
+    /// prompt so long that its prefill stalls the other streams of the server.
     fn select_for_long_prompt(&self, below_cap: &[(ServerHandle, &Server)]) -> Option<SelectedServer> {
         let sequence: Vec<ServerHandle> = self.pool.slot_array.sequence(self.criteria.key).copied().collect();
         let position = |handle: &ServerHandle| sequence.iter().position(|owner| owner == handle);
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -1,10 +1,11 @@
 //! This edge's share of the retry budget of a service, which the operators set.
 //!
-//! In any window, and over all edges together, the number of retries that reach servers may not exceed `ratio
-//! * requests + slack`. Each edge is limited to `ratio` of its own requests plus an equal share of the slack.
-//! The share of the slack is a lease: it expires one window after the edge sent the last poll that a
-//! coordinator answered. If an edge reaches no coordinator for longer, the coordinators no longer count it,
-//! and the shares of the other edges grow by its share.
+//! The limit on retries that reach servers, in any window and over all edges together, is
+//! `ratio * requests + slack`.
+//! Each edge is limited to `ratio` of its own requests plus an equal share of the slack. The share of the
+//! slack is a lease: it expires one window after the edge sent the last poll that a coordinator answered. If
+//! an edge reaches no coordinator for longer, the coordinators no longer count it, and its share is divided
+//! among the other edges.
 
 use shaletrail_protocol::Millis;
 
