--- a/capacity-emulator/src/edge_node/client_requests.rs
+++ b/capacity-emulator/src/edge_node/client_requests.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use shaletrail_protocol::Millis;
 use shaletrail_routing::interface::{
-    Action, Attempt, Ending, Event, ExecutionStatus, NewRequest, Outcome, RequestId, ServerLoad,
+    Action, Attempt, Ending, Event, NewRequest, Outcome, RequestId, ServerLoad, Verdict,
 };
 
 use super::EdgeNode;
@@ -96,14 +96,7 @@
             }
             Action::Reject { request, .. } => self.complete_request(environment, request, false),
             Action::Cancel(request, attempt) => {
-                self.end_attempt(
-                    environment,
-                    request,
-                    attempt,
-                    ExecutionStatus::MayHaveRun,
-                    Ending::Cancelled,
-                    None,
-                );
+                self.end_attempt(environment, request, attempt, Verdict::MayHaveRun, Ending::Cancelled, None);
             }
             Action::CloseConnections(_) => {}
         }
@@ -153,18 +146,11 @@
                 Event::ResponseHead(request, attempt, Some(load)),
             );
             self.dispatch(environment, Activity::ClientRequest, Event::FirstEvent(request, attempt));
-            self.end_attempt(
-                environment,
-                request,
-                attempt,
-                ExecutionStatus::HasRun,
-                Ending::Served,
-                Some(load),
-            );
+            self.end_attempt(environment, request, attempt, Verdict::HasRun, Ending::Served, Some(load));
             self.complete_request(environment, request, true);
         } else {
             let ending = Ending::Rejected { status, instance: Some(server.id.clone()) };
-            self.end_attempt(environment, request, attempt, ExecutionStatus::SurelyNotRun, ending, None);
+            self.end_attempt(environment, request, attempt, Verdict::SurelyNotRun, ending, None);
         }
     }
 
@@ -173,11 +159,11 @@
         environment: &mut Environment,
         request: RequestId,
         attempt: Attempt,
-        execution_status: ExecutionStatus,
+        verdict: Verdict,
         ending: Ending,
         load: Option<ServerLoad>,
     ) {
-        let outcome = Outcome { execution_status, ending, load, retry_after_ms: None };
+        let outcome = Outcome { verdict, ending, load, retry_after_ms: None };
         self.dispatch(environment, Activity::ClientRequest, Event::AttemptEnded(request, attempt, outcome));
     }
 
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shaletrail_routing::interface::{Ending, ExecutionStatus};
+use shaletrail_routing::interface::{Ending, Verdict};
 
 use crate::attempt_result::AttemptResult;
 use crate::client_request::ClientRequest;
@@ -39,10 +39,10 @@
     let checked_out = state.pool.check_out(&command.server, &command.address, is_excluded).await;
     let mut connection = checked_out.map_err(|error| {
         slog::debug!(state.log, "failed to connect to server"; "server" => &command.server, "error" => %error);
-        AttemptResult::without_response(ExecutionStatus::NeverSent, Ending::Unreachable)
+        AttemptResult::without_response(Verdict::NeverSent, Ending::Unreachable)
     })?;
     let Some(message) = request.to_server_request(command) else {
-        return Err(AttemptResult::without_response(ExecutionStatus::NeverSent, Ending::Unreachable));
+        return Err(AttemptResult::without_response(Verdict::NeverSent, Ending::Unreachable));
     };
     request.record_connection(connection.id());
     let written = progress.clone();
@@ -65,7 +65,7 @@
         ResponseKind::Malformed(reason) => {
             slog::debug!(progress.state().log, "malformed response from server";
                 "server" => &command.server, "reason" => ?reason);
-            AttemptResult::without_response(ExecutionStatus::MayHaveRun, Ending::MalformedResponse)
+            AttemptResult::without_response(Verdict::MayHaveRun, Ending::MalformedResponse)
         }
         ResponseKind::Rejection => response.into_rejection(),
         ResponseKind::Failure => response.buffer_failure().await,
@@ -74,7 +74,7 @@
         }
         // Only a stream can resume a stream that the client has begun to receive.
         ResponseKind::Success(_) if client.has_begun() => {
-            AttemptResult::without_response(ExecutionStatus::MayHaveRun, Ending::MalformedResponse)
+            AttemptResult::without_response(Verdict::MayHaveRun, Ending::MalformedResponse)
         }
         ResponseKind::Success(shape) => response.forward_success(shape, progress, client).await,
     }
@@ -89,7 +89,6 @@
         SendError { was_written: false, .. } => Ending::Unreachable,
         _ => Ending::ConnectionLost,
     };
-    let execution_status =
-        if error.was_written { ExecutionStatus::MayHaveRun } else { ExecutionStatus::NeverSent };
-    AttemptResult::without_response(execution_status, ending)
+    let verdict = if error.was_written { Verdict::MayHaveRun } else { Verdict::NeverSent };
+    AttemptResult::without_response(verdict, ending)
 }
--- a/dataplane/src/attempt_result.rs
+++ b/dataplane/src/attempt_result.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::http::response::Parts;
-use shaletrail_routing::interface::{Ending, ExecutionStatus, Outcome};
+use shaletrail_routing::interface::{Ending, Outcome, Verdict};
 
 /// A complete failure response of a server.
 pub struct BufferedFailure {
@@ -24,7 +24,7 @@
 
 impl AttemptResult {
     /// The result of an attempt without a usable response.
-    pub fn without_response(execution_status: ExecutionStatus, ending: Ending) -> Self {
-        AttemptResult::NoResponse(Outcome { execution_status, ending, load: None, retry_after_ms: None })
+    pub fn without_response(verdict: Verdict, ending: Ending) -> Self {
+        AttemptResult::NoResponse(Outcome { verdict, ending, load: None, retry_after_ms: None })
     }
 }
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use shaletrail_routing::interface::{Attempt, Ending, Event, ExecutionStatus, Outcome, Rejection};
+use shaletrail_routing::interface::{Attempt, Ending, Event, Outcome, Rejection, Verdict};
 
 use crate::attempt;
 use crate::attempt_result::{AttemptResult, BufferedFailure};
@@ -79,7 +79,7 @@
         let sending = attempt::run(&self.request, command, &progress, &mut self.client);
         match run_until_command(&self.handle, attempt, sending).await {
             Ok(result) => self.finish_attempt(attempt, result),
-            Err(command) => self.interrupt_attempt(attempt, progress.execution_status(), command),
+            Err(command) => self.interrupt_attempt(attempt, progress.verdict(), command),
         }
     }
 
@@ -97,14 +97,9 @@
     }
 
     /// The attempt has been dropped, and its connection with it.
-    fn interrupt_attempt(
-        &self,
-        attempt: Attempt,
-        execution_status: ExecutionStatus,
-        command: Command,
-    ) -> Step {
+    fn interrupt_attempt(&self, attempt: Attempt, verdict: Verdict, command: Command) -> Step {
         let ending = if self.client.has_begun() { self.client.truncated() } else { Ending::Cancelled };
-        let outcome = Outcome { execution_status, ending, load: None, retry_after_ms: None };
+        let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
         self.handle.state().handle(Event::AttemptEnded(self.handle.id(), attempt, outcome));
         match command {
             Command::Cancel(_) => Step::AwaitCommand,
--- a/dataplane/src/progress.rs
+++ b/dataplane/src/progress.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use shaletrail_routing::interface::{Attempt, Event, ExecutionStatus, RequestId, ServerLoad};
+use shaletrail_routing::interface::{Attempt, Event, RequestId, ServerLoad, Verdict};
 
 use crate::state::State;
 
@@ -12,13 +12,13 @@
     state: Rc<State>,
     request: RequestId,
     attempt: Attempt,
-    execution_status: Cell<ExecutionStatus>,
+    verdict: Cell<Verdict>,
 }
 
 impl Progress {
     /// The progress of an attempt that has not begun.
     pub fn new(state: Rc<State>, request: RequestId, attempt: Attempt) -> Self {
-        Progress { state, request, attempt, execution_status: Cell::new(ExecutionStatus::NeverSent) }
+        Progress { state, request, attempt, verdict: Cell::new(Verdict::NeverSent) }
     }
 
     /// The shared state.
@@ -26,20 +26,20 @@
         &self.state
     }
 
-    /// The execution status if the attempt ended now.
-    pub fn execution_status(&self) -> ExecutionStatus {
-        self.execution_status.get()
+    /// The verdict if the attempt ended now.
+    pub fn verdict(&self) -> Verdict {
+        self.verdict.get()
     }
 
     /// A byte of the request has been written.
     pub fn on_request_written(&self) {
-        self.execution_status.set(ExecutionStatus::MayHaveRun);
+        self.verdict.set(Verdict::MayHaveRun);
         self.state.handle(Event::RequestWritten(self.request, self.attempt));
     }
 
     /// The head of a success is about to be forwarded.
     pub fn on_response_head(&self, load: Option<ServerLoad>) {
-        self.execution_status.set(ExecutionStatus::HasRun);
+        self.verdict.set(Verdict::HasRun);
         self.state.handle(Event::ResponseHead(self.request, self.attempt, load));
     }
 
--- a/dataplane/src/server_response.rs
+++ b/dataplane/src/server_response.rs
@@ -9,7 +9,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::http::response::Parts;
 use hyper::Response;
-use shaletrail_routing::interface::{Ending, ExecutionStatus, Outcome, ServerLoad};
+use shaletrail_routing::interface::{Ending, Outcome, ServerLoad, Verdict};
 
 use crate::attempt_result::{AttemptResult, BufferedFailure};
 use crate::client_response::ClientResponse;
@@ -65,7 +65,7 @@
         let status = self.head.status.as_u16();
         let instance = text(&self.head.headers, &INSTANCE_ID).map(str::to_owned);
         let outcome = Outcome {
-            execution_status: ExecutionStatus::SurelyNotRun,
+            verdict: Verdict::SurelyNotRun,
             ending: Ending::Rejected { status, instance },
             load: self.load,
             retry_after_ms: response::retry_after(&self.head.headers),
@@ -82,12 +82,7 @@
     pub async fn buffer_failure(self) -> AttemptResult {
         let status = self.head.status.as_u16();
         let retry_after_ms = response::retry_after(&self.head.headers);
-        let outcome = |ending| Outcome {
-            execution_status: ExecutionStatus::HasRun,
-            ending,
-            load: self.load,
-            retry_after_ms,
-        };
+        let outcome = |ending| Outcome { verdict: Verdict::HasRun, ending, load: self.load, retry_after_ms };
         match collect(self.body, MAX_BUFFERED_FAILURE_BYTES).await {
             Ok(body) => {
                 return_to_pool(self.connection, &self.head);
@@ -116,7 +111,7 @@
                 }
                 Some(Ok(chunk)) => buffered.extend_from_slice(&chunk),
                 Some(Err(BodyInterrupted)) => {
-                    return self.failed(ExecutionStatus::MayHaveRun, Ending::ConnectionLost)
+                    return self.failed(Verdict::MayHaveRun, Ending::ConnectionLost)
                 }
                 None => return self.forward_complete(buffered.freeze(), progress, client),
             }
@@ -133,7 +128,7 @@
     ) -> AttemptResult {
         progress.on_response_head(self.load);
         progress.on_first_chunk();
-        let outcome = self.outcome(ExecutionStatus::HasRun, Ending::Served);
+        let outcome = self.outcome(Verdict::HasRun, Ending::Served);
         return_to_pool(self.connection, &self.head);
         client.begin(self.head);
         client.finish(body);
@@ -160,9 +155,7 @@
                     return self.served();
                 }
                 Some(Ok(chunk)) => client.send_chunk(chunk).await,
-                Some(Err(BodyInterrupted)) => {
-                    return self.failed(ExecutionStatus::HasRun, client.truncated())
-                }
+                Some(Err(BodyInterrupted)) => return self.failed(Verdict::HasRun, client.truncated()),
                 None => return self.served(),
             }
         }
@@ -238,9 +231,9 @@
     /// The result of a stream that failed; `ending` applies if the client has received nothing of it.
     fn stream_failed(self, client: &ClientResponse, ending: Ending) -> AttemptResult {
         if client.has_begun() {
-            self.failed(ExecutionStatus::HasRun, client.truncated())
+            self.failed(Verdict::HasRun, client.truncated())
         } else {
-            self.failed(ExecutionStatus::MayHaveRun, ending)
+            self.failed(Verdict::MayHaveRun, ending)
         }
     }
 
@@ -259,17 +252,17 @@
     }
 
     fn served(self) -> AttemptResult {
-        let outcome = self.outcome(ExecutionStatus::HasRun, Ending::Served);
+        let outcome = self.outcome(Verdict::HasRun, Ending::Served);
         return_to_pool(self.connection, &self.head);
         AttemptResult::Served(outcome)
     }
 
-    fn failed(self, execution_status: ExecutionStatus, ending: Ending) -> AttemptResult {
-        AttemptResult::NoResponse(self.outcome(execution_status, ending))
+    fn failed(self, verdict: Verdict, ending: Ending) -> AttemptResult {
+        AttemptResult::NoResponse(self.outcome(verdict, ending))
     }
 
-    fn outcome(&self, execution_status: ExecutionStatus, ending: Ending) -> Outcome {
-        Outcome { execution_status, ending, load: self.load, retry_after_ms: None }
+    fn outcome(&self, verdict: Verdict, ending: Ending) -> Outcome {
+        Outcome { verdict, ending, load: self.load, retry_after_ms: None }
     }
 }
 
--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -4,7 +4,7 @@
 use shaletrail_protocol::Millis;
 
 use crate::dispatch::Fallback;
-use crate::interface::{Action, Attempt, Ending, ExecutionStatus, Outcome, RequestId, ServerLoad};
+use crate::interface::{Action, Attempt, Ending, Outcome, RequestId, ServerLoad, Verdict};
 use crate::request::{InFlight, Phase, Request};
 use crate::router::Router;
 use crate::server::ServerHandle;
@@ -38,7 +38,7 @@
     ) {
         let Some((request, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         request.response_started = true;
-        request.execution_status = ExecutionStatus::HasRun;
+        request.verdict = Verdict::HasRun;
         let response = ResponsePart::mark_received(in_flight);
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
--- a/routing/src/attempt_outcomes.rs
+++ b/routing/src/attempt_outcomes.rs
@@ -1,11 +1,11 @@
-//! Evaluation of an attempt's outcome: it updates the request's execution status, the server's load, capacity
-//! and failures, and the retry budget.
+//! Evaluation of an attempt's outcome: it updates the request's verdict, the server's load, capacity and
+//! failures, and the retry budget.
 
 use rand::Rng;
 use shaletrail_protocol::Millis;
 
 use crate::failure_accrual::FailureKind;
-use crate::interface::{Action, Ending, ExecutionStatus, Outcome};
+use crate::interface::{Action, Ending, Outcome, Verdict};
 use crate::request::{InFlight, Request};
 use crate::router::Router;
 
@@ -23,8 +23,7 @@
 }
 
 impl Router {
-    /// Updates the request's execution status, the server's state and the retry budget after the end of an
-    /// attempt.
+    /// Updates the request's verdict, the server's state and the retry budget after the end of an attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Millis,
@@ -33,7 +32,7 @@
         outcome: &Outcome,
         actions: &mut Vec<Action>,
     ) {
-        self.record_execution_status(now, request, in_flight, outcome);
+        self.record_verdict(now, request, in_flight, outcome);
         self.record_server_load(now, in_flight, outcome);
         match &outcome.ending {
             Ending::Rejected { status, instance } => {
@@ -45,7 +44,7 @@
         }
     }
 
-    fn record_execution_status(
+    fn record_verdict(
         &mut self,
         now: Millis,
         request: &mut Request,
@@ -53,7 +52,7 @@
         outcome: &Outcome,
     ) {
         let pool = self.pools.get_mut(&request.target.service);
-        if outcome.execution_status == ExecutionStatus::NeverSent {
+        if outcome.verdict == Verdict::NeverSent {
             request.delivered_attempts = request.delivered_attempts.saturating_sub(1);
             if in_flight.is_first_visit {
                 request.visited_servers.retain(|server| *server != in_flight.server);
@@ -67,7 +66,7 @@
             return;
         }
         self.counters.retries += u64::from(in_flight.is_retry);
-        request.execution_status = request.execution_status.max(outcome.execution_status);
+        request.verdict = request.verdict.max(outcome.verdict);
         request.retry_after_ms = outcome.retry_after_ms.or(request.retry_after_ms);
         if let Ending::Truncated { last_event, .. } = outcome.ending {
             request.last_event = last_event.or(request.last_event);
--- a/routing/src/attempts.rs
+++ b/routing/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use shaletrail_protocol::Millis;
 
-use crate::interface::{Action, ExecutionStatus, RejectReason, RequestId};
+use crate::interface::{Action, RejectReason, RequestId, Verdict};
 use crate::request::{InFlight, Phase, Request};
 use crate::router::Router;
 
@@ -45,7 +45,7 @@
         self.record_response_timeout(now, &in_flight);
         actions.push(Action::Cancel(id, in_flight.attempt));
         // The server may have run the cancelled attempt, even if no earlier attempt has run.
-        request.execution_status = request.execution_status.max(ExecutionStatus::MayHaveRun);
+        request.verdict = request.verdict.max(Verdict::MayHaveRun);
         if request.response_started {
             self.abort_response(request, actions);
         } else {
@@ -79,13 +79,13 @@
         let Phase::InFlight(mut in_flight) = phase else { return self.insert_request(request, phase) };
         // Whether a retry is allowed is decided as if the attempt had ended: the server may have run it by
         // now.
-        let execution_status = request.execution_status;
-        request.execution_status = execution_status.max(ExecutionStatus::MayHaveRun);
+        let verdict = request.verdict;
+        request.verdict = verdict.max(Verdict::MayHaveRun);
         let can_retry = !in_flight.cancelled
             && now < request.deadline_at
             && self.retry_denied(now, &request).is_none()
             && self.select_server(now, &request).is_ok();
-        request.execution_status = execution_status;
+        request.verdict = verdict;
         if can_retry {
             in_flight.cancelled = true;
             self.record_response_timeout(now, &in_flight);
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -118,7 +118,7 @@
 /// What is known about whether a server has run a request, in ascending order of certainty that it has.
 /// Retries, rejections and final responses depend on nothing else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display)]
-pub enum ExecutionStatus {
+pub enum Verdict {
     /// No byte of the request was written to any server.
     NeverSent,
     /// The server stated that it has not run the request (`Not-Executed` header or status 421), and nothing
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// Whether the request may have run in this attempt.
-    pub execution_status: ExecutionStatus,
+    pub verdict: Verdict,
     /// How the attempt ended.
     pub ending: Ending,
     /// The server's load, if the response reported it.
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -6,7 +6,7 @@
 use shaletrail_protocol::Millis;
 use shaletrail_ring::Key;
 
-use crate::interface::{Attempt, ExecutionStatus, NewRequest, RejectReason, RequestId};
+use crate::interface::{Attempt, NewRequest, RejectReason, RequestId, Verdict};
 use crate::server::ServerHandle;
 use crate::target::Target;
 use crate::Options;
@@ -29,8 +29,8 @@
     pub arrived_at: Millis,
     /// When the client must have a response.
     pub deadline_at: Millis,
-    /// The highest execution status over all ended attempts. The head of a successful response also sets it.
-    pub execution_status: ExecutionStatus,
+    /// The highest verdict over all ended attempts. The head of a successful response also sets it.
+    pub verdict: Verdict,
     /// Number of attempts, including those that reached no server.
     pub attempts: u32,
     /// Number of attempts that reached a server or may have, including the attempt in flight.
@@ -58,7 +58,7 @@
             key,
             arrived_at: now,
             deadline_at: now.saturating_add(timeout_ms),
-            execution_status: ExecutionStatus::NeverSent,
+            verdict: Verdict::NeverSent,
             attempts: 0,
             delivered_attempts: 0,
             tried_servers: Vec::new(),
@@ -88,7 +88,7 @@
 
     /// Whether the request has certainly not run. This does not cover an attempt that is in flight.
     pub fn surely_not_run(&self) -> bool {
-        self.execution_status <= ExecutionStatus::SurelyNotRun
+        self.verdict <= Verdict::SurelyNotRun
     }
 
     /// Whether another attempt is allowed: the request has certainly not run, or it is idempotent.
--- a/routing/tests/balance.rs
+++ b/routing/tests/balance.rs
@@ -6,7 +6,7 @@
 use shaletrail_configuration::{Route, WeightedService};
 use shaletrail_protocol::internal::Presence;
 use shaletrail_ring::Key;
-use shaletrail_routing::interface::{Ending, Event, ExecutionStatus, RejectReason};
+use shaletrail_routing::interface::{Ending, Event, RejectReason, Verdict};
 use shaletrail_routing::Options;
 
 #[test]
@@ -178,7 +178,7 @@
     edge.update_servers(vec![record]);
     let sent = edge.send_request(&route(LLM), &only);
     assert_eq!(sent.server, server_id(number));
-    let mut served = outcome(ExecutionStatus::HasRun, Ending::Served);
+    let mut served = outcome(Verdict::HasRun, Ending::Served);
     // The reported load still includes the request that ends with this response.
     served.load = Some(server_load(running + 1, waiting, 64));
     edge.end_attempt(&sent, served);
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -9,8 +9,8 @@
 use shaletrail_protocol::Millis;
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
 use shaletrail_routing::interface::{
-    Action, Attempt, Ending, Event, ExecutionStatus, NewRequest, Outcome, RejectReason, Rejection, RequestId,
-    ServerLoad,
+    Action, Attempt, Ending, Event, NewRequest, Outcome, RejectReason, Rejection, RequestId, ServerLoad,
+    Verdict,
 };
 use shaletrail_routing::{Options, Router};
 
@@ -98,7 +98,7 @@
     pub fn serve(&mut self, sent: &SentAttempt) -> Vec<Action> {
         self.handle(Event::ResponseHead(sent.request, sent.attempt, None));
         self.handle(Event::FirstEvent(sent.request, sent.attempt));
-        let mut actions = self.end_attempt(sent, outcome(ExecutionStatus::HasRun, Ending::Served));
+        let mut actions = self.end_attempt(sent, outcome(Verdict::HasRun, Ending::Served));
         actions.extend(self.handle(Event::RequestFinished(sent.request)));
         actions
     }
@@ -154,28 +154,28 @@
     assert_eq!(rejection.retry_after_ms.is_some(), status == 503, "{rejection:?}");
 }
 
-pub fn outcome(execution_status: ExecutionStatus, ending: Ending) -> Outcome {
-    Outcome { execution_status, ending, load: None, retry_after_ms: None }
+pub fn outcome(verdict: Verdict, ending: Ending) -> Outcome {
+    Outcome { verdict, ending, load: None, retry_after_ms: None }
 }
 
 pub fn rejected(status: u16) -> Outcome {
-    outcome(ExecutionStatus::SurelyNotRun, Ending::Rejected { status, instance: None })
+    outcome(Verdict::SurelyNotRun, Ending::Rejected { status, instance: None })
 }
 
 pub fn unreachable() -> Outcome {
-    outcome(ExecutionStatus::NeverSent, Ending::Unreachable)
+    outcome(Verdict::NeverSent, Ending::Unreachable)
 }
 
 pub fn connection_lost() -> Outcome {
-    outcome(ExecutionStatus::MayHaveRun, Ending::ConnectionLost)
+    outcome(Verdict::MayHaveRun, Ending::ConnectionLost)
 }
 
 pub fn failed(status: u16) -> Outcome {
-    outcome(ExecutionStatus::HasRun, Ending::Failed { status })
+    outcome(Verdict::HasRun, Ending::Failed { status })
 }
 
 pub fn truncated(last_event: Option<u64>) -> Outcome {
-    outcome(ExecutionStatus::HasRun, Ending::Truncated { last_event, at_fault: false })
+    outcome(Verdict::HasRun, Ending::Truncated { last_event, at_fault: false })
 }
 
 pub fn server_load(running: u32, waiting: u32, slots: u32) -> ServerLoad {
--- a/routing/tests/failure_accrual.rs
+++ b/routing/tests/failure_accrual.rs
@@ -4,14 +4,12 @@
 
 use common::*;
 use shaletrail_ring::Key;
-use shaletrail_routing::interface::{Action, Ending, ExecutionStatus, Outcome};
+use shaletrail_routing::interface::{Action, Ending, Outcome, Verdict};
 
 #[test]
 fn consecutive_failures_eject_server() {
     let order = server_sequence(Key::of("m1"), 4);
-    for outcome in
-        [connection_lost(), failed(500), outcome(ExecutionStatus::MayHaveRun, Ending::MalformedResponse)]
-    {
+    for outcome in [connection_lost(), failed(500), outcome(Verdict::MayHaveRun, Ending::MalformedResponse)] {
         let mut edge = TestEdge::with_servers(LLM, 4, &["m1"]);
         for _ in 0..2 {
             let sent = edge.send_request(&route(LLM), "m1");
@@ -131,7 +129,7 @@
     let order = server_sequence(Key::of("m1"), 3);
     let first = edge.send_request(&route(LLM), "m1");
     let other = Ending::Rejected { status: 421, instance: Some("i-other".into()) };
-    let actions = edge.end_attempt(&first, outcome(ExecutionStatus::SurelyNotRun, other));
+    let actions = edge.end_attempt(&first, outcome(Verdict::SurelyNotRun, other));
     assert_eq!(actions[0], Action::CloseConnections(order[0].clone()));
     assert_eq!(first_sent(&actions).map(|sent| sent.server), Some(order[1].clone()));
     edge.advance_to(edge.now + 20_000);
@@ -149,7 +147,7 @@
     let order = server_sequence(Key::of("m1"), 3);
     let first = edge.send_request(&route(LLM), "m1");
     let same = Ending::Rejected { status: 421, instance: Some(order[0].clone()) };
-    let second = first_sent(&edge.end_attempt(&first, outcome(ExecutionStatus::SurelyNotRun, same)))
+    let second = first_sent(&edge.end_attempt(&first, outcome(Verdict::SurelyNotRun, same)))
         .expect("sent to another server");
     assert_eq!(second.server, order[1]);
     edge.serve(&second);
--- a/routing/tests/random_histories.rs
+++ b/routing/tests/random_histories.rs
@@ -11,9 +11,7 @@
 use shaletrail_configuration::{Route, RouteKind};
 use shaletrail_protocol::internal::{Presence, ServerRecord};
 use shaletrail_protocol::Millis;
-use shaletrail_routing::interface::{
-    Action, Attempt, Ending, Event, ExecutionStatus, Outcome, Rejection, RequestId,
-};
+use shaletrail_routing::interface::{Action, Attempt, Ending, Event, Outcome, Rejection, RequestId, Verdict};
 use shaletrail_routing::Options;
 
 const HISTORIES: u64 = 150;
@@ -89,8 +87,8 @@
     reached_servers: Vec<String>,
     /// Servers that may have run the request.
     possibly_run_at: BTreeSet<String>,
-    /// The highest execution status over all ended attempts. The head of a successful response also sets it.
-    execution_status: ExecutionStatus,
+    /// The highest verdict over all ended attempts. The head of a successful response also sets it.
+    verdict: Verdict,
     response_started: bool,
     last_event: Option<u64>,
     /// Whether the driver has buffered a failed response.
@@ -187,7 +185,7 @@
             attempts: 0,
             reached_servers: Vec::new(),
             possibly_run_at: BTreeSet::new(),
-            execution_status: ExecutionStatus::NeverSent,
+            verdict: Verdict::NeverSent,
             response_started: false,
             last_event: None,
             has_failure: false,
@@ -210,7 +208,7 @@
         let is_stream = matches!(tracked.route.kind, RouteKind::Streaming { .. });
         if !in_flight.has_first_event && !in_flight.cancelled && self.random.random_bool(0.4) {
             tracked.response_started = true;
-            tracked.execution_status = ExecutionStatus::HasRun;
+            tracked.verdict = Verdict::HasRun;
             if let Some(in_flight) = &mut tracked.attempt {
                 in_flight.has_first_event = true;
             }
@@ -234,43 +232,43 @@
         let has_head = self.open.get(&id).is_some_and(|tracked| tracked.response_started);
         let other = Some("i-other".to_owned());
         let picked = self.random.random_range(0..10);
-        let (execution_status, ending) = match picked {
+        let (verdict, ending) = match picked {
             _ if in_flight.cancelled && has_head => {
-                (ExecutionStatus::MayHaveRun, Ending::Truncated { last_event, at_fault: false })
+                (Verdict::MayHaveRun, Ending::Truncated { last_event, at_fault: false })
             }
-            _ if in_flight.cancelled => (ExecutionStatus::MayHaveRun, Ending::Cancelled),
-            0..5 if in_flight.has_first_event => (ExecutionStatus::HasRun, Ending::Served),
+            _ if in_flight.cancelled => (Verdict::MayHaveRun, Ending::Cancelled),
+            0..5 if in_flight.has_first_event => (Verdict::HasRun, Ending::Served),
             _ if in_flight.has_first_event => {
-                (ExecutionStatus::HasRun, Ending::Truncated { last_event, at_fault: picked < 7 })
+                (Verdict::HasRun, Ending::Truncated { last_event, at_fault: picked < 7 })
             }
-            0 => (ExecutionStatus::SurelyNotRun, Ending::Rejected { status: 421, instance: other }),
+            0 => (Verdict::SurelyNotRun, Ending::Rejected { status: 421, instance: other }),
             1 => (
-                ExecutionStatus::SurelyNotRun,
+                Verdict::SurelyNotRun,
                 Ending::Rejected { status: 421, instance: Some(in_flight.server.clone()) },
             ),
-            2 | 3 => (ExecutionStatus::SurelyNotRun, Ending::Rejected { status: 503, instance: None }),
-            4 => (ExecutionStatus::NeverSent, Ending::Unreachable),
-            5 => (ExecutionStatus::NeverSent, Ending::StaleConnection),
-            6 => (ExecutionStatus::MayHaveRun, Ending::StaleConnection),
-            7 => (ExecutionStatus::MayHaveRun, Ending::MalformedResponse),
-            8 => (ExecutionStatus::MayHaveRun, Ending::ConnectionLost),
-            _ if has_head => (ExecutionStatus::MayHaveRun, Ending::ConnectionLost),
-            _ => (ExecutionStatus::HasRun, Ending::Failed { status: 500 }),
+            2 | 3 => (Verdict::SurelyNotRun, Ending::Rejected { status: 503, instance: None }),
+            4 => (Verdict::NeverSent, Ending::Unreachable),
+            5 => (Verdict::NeverSent, Ending::StaleConnection),
+            6 => (Verdict::MayHaveRun, Ending::StaleConnection),
+            7 => (Verdict::MayHaveRun, Ending::MalformedResponse),
+            8 => (Verdict::MayHaveRun, Ending::ConnectionLost),
+            _ if has_head => (Verdict::MayHaveRun, Ending::ConnectionLost),
+            _ => (Verdict::HasRun, Ending::Failed { status: 500 }),
         };
-        Outcome { execution_status, ending, load: None, retry_after_ms: None }
+        Outcome { verdict, ending, load: None, retry_after_ms: None }
     }
 
     fn end_attempt(&mut self, id: RequestId, in_flight: AttemptInFlight, outcome: Outcome) {
         let tracked = self.open.get_mut(&id).expect("an open request");
         tracked.attempt = None;
-        tracked.execution_status = tracked.execution_status.max(outcome.execution_status);
+        tracked.verdict = tracked.verdict.max(outcome.verdict);
         tracked.has_failure = matches!(outcome.ending, Ending::Failed { .. });
-        if outcome.execution_status != ExecutionStatus::NeverSent {
+        if outcome.verdict != Verdict::NeverSent {
             if !tracked.reached_servers.is_empty() {
                 self.retry_times.push(in_flight.sent_at);
                 self.counts.retries += 1;
             }
-            if outcome.execution_status > ExecutionStatus::SurelyNotRun {
+            if outcome.verdict > Verdict::SurelyNotRun {
                 tracked.possibly_run_at.insert(in_flight.server.clone());
             }
             tracked.reached_servers.push(in_flight.server);
@@ -394,7 +392,7 @@
         assert!(tracked.attempt.is_none(), "two attempts in flight");
         assert_eq!(sent.attempt.0, tracked.attempts);
         assert!(
-            tracked.execution_status <= ExecutionStatus::SurelyNotRun || tracked.route.kind.is_idempotent(),
+            tracked.verdict <= Verdict::SurelyNotRun || tracked.route.kind.is_idempotent(),
             "sent although it may have run: {tracked:?}"
         );
         let visited: BTreeSet<&String> = tracked.reached_servers.iter().chain([&sent.server]).collect();
@@ -444,8 +442,7 @@
     fn check_rejected(&mut self, id: RequestId, rejection: Rejection) {
         let tracked = self.finish_request(id);
         assert!(!tracked.response_started, "rejected after the response had started");
-        let has_not_run =
-            tracked.execution_status <= ExecutionStatus::SurelyNotRun && tracked.attempt.is_none();
+        let has_not_run = tracked.verdict <= Verdict::SurelyNotRun && tracked.attempt.is_none();
         match rejection.status {
             503 => assert!(has_not_run, "503 although the request may have run: {tracked:?}"),
             502 | 504 => assert!(!has_not_run, "no 503 although the request has not run: {tracked:?}"),
--- a/routing/tests/retries.rs
+++ b/routing/tests/retries.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use shaletrail_configuration::Route;
-use shaletrail_routing::interface::{Action, Ending, Event, ExecutionStatus, Outcome, RejectReason};
+use shaletrail_routing::interface::{Action, Ending, Event, Outcome, RejectReason, Verdict};
 use shaletrail_routing::Options;
 
 #[test]
@@ -71,14 +71,14 @@
         for kind in [route(LLM), stream(LLM, false)] {
             let mut edge = TestEdge::with_servers(LLM, 6, &["m1"]);
             let sent = edge.send_request(&kind, "m1");
-            let actions = edge.end_attempt(&sent, outcome(ExecutionStatus::MayHaveRun, ending.clone()));
+            let actions = edge.end_attempt(&sent, outcome(Verdict::MayHaveRun, ending.clone()));
             assert_rejected(&actions, 502, RejectReason::MayHaveRun);
         }
     }
 }
 
 #[test]
-fn highest_execution_status_decides_response() {
+fn worst_verdict_decides_status() {
     let mut edge = TestEdge::with_servers(LLM, 6, &["m1"]);
     let first = edge.send_request(&route(LLM), "m1");
     let second = first_sent(&edge.end_attempt(&first, rejected(503))).expect("second");
@@ -123,7 +123,7 @@
 #[test]
 fn stale_connections_retry_same_server() {
     let mut edge = TestEdge::with_servers(LLM, 3, &["m1"]);
-    let stale = || outcome(ExecutionStatus::NeverSent, Ending::StaleConnection);
+    let stale = || outcome(Verdict::NeverSent, Ending::StaleConnection);
     let first = edge.send_request(&route(LLM), "m1");
     let second = first_sent(&edge.end_attempt(&first, stale())).expect("sent again");
     let third = first_sent(&edge.end_attempt(&second, stale())).expect("sent again");
@@ -204,7 +204,7 @@
     assert_eq!(actions[0], Action::Cancel(sent.request, sent.attempt));
     assert_rejected(&actions, 504, RejectReason::TooLate);
     // The outcome of the cancelled attempt is ignored.
-    assert_eq!(edge.end_attempt(&sent, outcome(ExecutionStatus::MayHaveRun, Ending::Cancelled)), vec![]);
+    assert_eq!(edge.end_attempt(&sent, outcome(Verdict::MayHaveRun, Ending::Cancelled)), vec![]);
 }
 
 #[test]
@@ -229,9 +229,8 @@
     let first = edge.send_request(&idempotent(LLM), "m1");
     let cancelled = edge.advance_to(edge.now + 1000);
     assert_eq!(cancelled, vec![(2000, Action::Cancel(first.request, first.attempt))]);
-    let second =
-        first_sent(&edge.end_attempt(&first, outcome(ExecutionStatus::MayHaveRun, Ending::Cancelled)))
-            .expect("sent to another server");
+    let second = first_sent(&edge.end_attempt(&first, outcome(Verdict::MayHaveRun, Ending::Cancelled)))
+        .expect("sent to another server");
     assert_ne!(first.server, second.server);
 }
 
--- a/simulation/src/edge/requests.rs
+++ b/simulation/src/edge/requests.rs
@@ -5,7 +5,7 @@
 use shaletrail_configuration::RouteKind;
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 use shaletrail_routing::interface::{
-    Action, Attempt, Ending, Event, ExecutionStatus, NewRequest, Outcome, RequestId,
+    Action, Attempt, Ending, Event, NewRequest, Outcome, RequestId, Verdict,
 };
 
 use super::Edge;
@@ -158,27 +158,23 @@
             world.send(self.node(), server, Message::Cancelled { number });
         }
         self.requests.pooled.remove(&in_flight.server);
-        let execution_status = if in_flight.written_to.is_some() {
-            ExecutionStatus::MayHaveRun
-        } else {
-            ExecutionStatus::NeverSent
-        };
-        self.end_attempt(world, &in_flight, execution_status, Ending::Cancelled);
+        let verdict = if in_flight.written_to.is_some() { Verdict::MayHaveRun } else { Verdict::NeverSent };
+        self.end_attempt(world, &in_flight, verdict, Ending::Cancelled);
     }
 
     pub(crate) fn request_unreachable(&mut self, world: &mut World, number: CallNumber) {
         let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
-        self.end_attempt(world, &in_flight, ExecutionStatus::NeverSent, Ending::Unreachable);
+        self.end_attempt(world, &in_flight, Verdict::NeverSent, Ending::Unreachable);
     }
 
     pub(crate) fn request_refused(&mut self, world: &mut World, number: CallNumber, accepted: bool) {
         let Some(in_flight) = self.requests.in_flight.remove(&number) else { return };
         let pooled = self.requests.pooled.remove(&in_flight.server);
         if accepted || pooled {
-            self.end_attempt(world, &in_flight, ExecutionStatus::MayHaveRun, Ending::ConnectionLost);
+            self.end_attempt(world, &in_flight, Verdict::MayHaveRun, Ending::ConnectionLost);
         } else {
             world.observer.attempt_not_written(in_flight.request.0);
-            self.end_attempt(world, &in_flight, ExecutionStatus::NeverSent, Ending::Unreachable);
+            self.end_attempt(world, &in_flight, Verdict::NeverSent, Ending::Unreachable);
         }
     }
 
@@ -195,18 +191,18 @@
             200..=299 => {
                 self.handle_event(world, Event::ResponseHead(in_flight.request, in_flight.attempt, None));
                 self.handle_event(world, Event::FirstEvent(in_flight.request, in_flight.attempt));
-                self.end_attempt(world, &in_flight, ExecutionStatus::HasRun, Ending::Served);
+                self.end_attempt(world, &in_flight, Verdict::HasRun, Ending::Served);
                 self.complete(world, in_flight.request, status);
             }
             421 | 429 | 503 => {
                 let ending = Ending::Rejected { status, instance: Some(instance) };
-                self.end_attempt(world, &in_flight, ExecutionStatus::SurelyNotRun, ending);
+                self.end_attempt(world, &in_flight, Verdict::SurelyNotRun, ending);
             }
             _ => {
                 if let Some(open) = self.requests.open.get_mut(&in_flight.request) {
                     open.failure_status = Some(status);
                 }
-                self.end_attempt(world, &in_flight, ExecutionStatus::HasRun, Ending::Failed { status });
+                self.end_attempt(world, &in_flight, Verdict::HasRun, Ending::Failed { status });
             }
         }
     }
@@ -215,10 +211,10 @@
         &mut self,
         world: &mut World,
         in_flight: &InFlightAttempt,
-        execution_status: ExecutionStatus,
+        verdict: Verdict,
         ending: Ending,
     ) {
-        let outcome = Outcome { execution_status, ending, load: None, retry_after_ms: None };
+        let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
         self.handle_event(world, Event::AttemptEnded(in_flight.request, in_flight.attempt, outcome));
     }
 
