--- a/routing/src/attempt_events.rs
+++ b/routing/src/attempt_events.rs
@@ -1,5 +1,5 @@
-//! What the driver reports of attempts: the response's head and first event, a stalled stream, the end, the client's
-//! departure.
+//! Handlers for the events that the driver reports about attempts: response head, first event, stalled
+//! stream, end of the attempt, and end of the request.
 
 use shaletrail_protocol::Millis;
 
@@ -9,20 +9,19 @@
 use crate::router::Router;
 use crate::server::ServerHandle;
 
-/// A part of a response that arrived for an attempt in flight.
+/// The first or a later part of the response to an attempt in flight.
 struct ResponsePart {
     server: ServerHandle,
-    /// When the attempt was sent.
     sent_at: Millis,
-    /// Prompt tokens that the server had to prefill.
+    /// Estimated number of prompt tokens that the server had to prefill.
     prefill: u32,
-    /// Whether nothing of the response had arrived before.
+    /// Whether this is the first part of the response.
     is_first: bool,
 }
 
 impl ResponsePart {
-    /// Marks that the attempt has a response.
-    fn of(in_flight: &mut InFlight) -> Self {
+    /// Marks the attempt as having a response, and returns what is needed to record this at the server.
+    fn mark_received(in_flight: &mut InFlight) -> Self {
         let is_first = !std::mem::replace(&mut in_flight.has_response, true);
         let InFlight { server, sent_at, prefill, .. } = *in_flight;
         ResponsePart { server, sent_at, prefill, is_first }
@@ -30,11 +29,17 @@
 }
 
 impl Router {
-    pub(crate) fn on_head(&mut self, now: Millis, id: RequestId, attempt: Attempt, load: Option<ServerLoad>) {
+    pub(crate) fn on_response_head(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: Attempt,
+        load: Option<ServerLoad>,
+    ) {
         let Some((request, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         request.response_started = true;
         request.verdict = Verdict::HasRun;
-        let response = ResponsePart::of(in_flight);
+        let response = ResponsePart::mark_received(in_flight);
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
             if let Some(load) = load {
@@ -43,21 +48,22 @@
         }
     }
 
-    pub(crate) fn on_first(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
+    pub(crate) fn on_first_event(&mut self, now: Millis, id: RequestId, attempt: Attempt) {
         let Some((_, in_flight)) = self.in_flight_attempt(id, attempt) else { return };
         let (response_check_at, timeout_at) = (in_flight.response_check_at.take(), in_flight.timeout_at);
-        let response = ResponsePart::of(in_flight);
+        let response = ResponsePart::mark_received(in_flight);
         if let Some(response_check_at) = response_check_at.filter(|at| *at < timeout_at) {
             self.timers.remove(&(response_check_at, id));
             self.timers.insert((timeout_at, id));
         }
         self.record_response(now, &response);
         if let Some(server) = self.servers.get_mut(response.server) {
-            server.health.responded();
+            server.health.readmit();
         }
     }
 
-    /// Records a sign of life of a server, and that the request no longer waits for its prefill.
+    /// Records that the server responded. With the first part of a response, the request's prompt tokens no
+    /// longer count as pending prefill.
     fn record_response(&mut self, now: Millis, response: &ResponsePart) {
         let Some(server) = self.servers.get_mut(response.server) else { return };
         server.last_response_at = now;
@@ -66,8 +72,9 @@
         }
     }
 
-    /// A stalled stream moves to another server if it may be resumed.
-    pub(crate) fn on_stalled(
+    /// Cancels the attempt of a stalled stream in order to resume the stream at another server, if a retry is
+    /// allowed. A stall before the response head is ignored.
+    pub(crate) fn on_stream_stalled(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -75,11 +82,11 @@
         actions: &mut Vec<Action>,
     ) {
         if self.in_flight_attempt(id, attempt).is_some_and(|(request, _)| request.response_started) {
-            self.cancel(now, id, actions);
+            self.cancel_for_retry(now, id, actions);
         }
     }
 
-    pub(crate) fn on_ended(
+    pub(crate) fn on_attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -94,11 +101,11 @@
         let service = request.target.service.clone();
         self.record_outcome(now, &mut request, &in_flight, &outcome, actions);
         self.continue_after_attempt(now, request, outcome, actions);
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
         self.drain_queue(now, &service, actions);
     }
 
-    pub(crate) fn on_finished(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn on_request_finished(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some((request, phase)) = self.remove_request(id) else { return };
         if let Phase::InFlight(in_flight) = phase {
             self.release_server(&request, &in_flight);
@@ -108,11 +115,12 @@
         let service = request.target.service.clone();
         self.counters.client_left += 1;
         self.counters.open -= 1;
-        self.drop_servers(now);
+        self.drop_departed_servers(now);
         self.drain_queue(now, &service, actions);
     }
 
-    /// Completes, retries, forwards or aborts a request whose attempt has ended.
+    /// Decides how a request continues after the end of an attempt: it is completed, retried, answered with
+    /// the failed response, or aborted.
     fn continue_after_attempt(
         &mut self,
         now: Millis,
