--- a/placement/src/adapters.rs
+++ b/placement/src/adapters.rs
@@ -1,4 +1,5 @@
-//! Placement of adapters: each goes to servers that hold its model, in the order of the adapter's own hash ring sequence.
+//! Placement of adapters: an adapter is loaded on servers that hold its model, in the order of the hash ring sequence
+//! of the model and adapter names.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,23 +14,23 @@
 use crate::model::{Artifact, Model, ModelId};
 use crate::server::{Server, ServerKey};
 
-/// Time after its last request during which an adapter counts as in demand, in milliseconds.
+/// An adapter is in demand for this long after its last request, in milliseconds.
 const DEMAND_WINDOW: Millis = 2_000;
-/// Time after its last request during which an adapter is not evicted, in milliseconds.
+/// An adapter is not evicted for this long after its last request, in milliseconds.
 const MIN_IDLE: Millis = 1_000;
-/// Maximum number of missing adapters that one planning pass handles.
+/// Missing adapters beyond this number wait for a later planning pass.
 const MAX_MISSING_ADAPTERS: usize = 64;
-/// Resolution at which request rates are compared, per request per second.
+/// Request rates are compared as integers, in units of 1 / `RATE_SCALE` requests per second.
 const RATE_SCALE: f64 = 1_000.0;
 
-/// An order about an adapter.
+/// An order to load or evict an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdapterOrder {
-    /// The server to send it to.
+    /// The server that receives the order.
     pub server: ServerKey,
     /// Whether to load or to evict.
     pub operation: Operation,
-    /// The adapter.
+    /// The adapter to load or evict, with the model that it belongs to.
     pub artifact: Artifact,
 }
 
@@ -37,12 +38,14 @@
 #[derive(Clone, Copy, Debug)]
 struct MissingAdapter {
     artifact: Artifact,
+    /// Requests that wait for the adapter.
     waiting: u32,
-    /// Requests per second, in units of 1 / [`RATE_SCALE`].
+    /// Request rate, in units of 1 / [`RATE_SCALE`] requests per second.
     scaled_rate: u64,
 }
 
-/// The next orders for missing adapters, at most one for each server. Adds the number of servers examined to `examined`.
+/// Returns the next orders for missing adapters, at most one per server. Adds the number of examined servers to
+/// `examined`.
 pub fn adapter_orders(context: &PlacementContext, examined: &mut u64) -> Vec<AdapterOrder> {
     let mut orders: Vec<AdapterOrder> = Vec::new();
     for missing in missing_adapters(context) {
@@ -54,7 +57,7 @@
     orders
 }
 
-/// The missing adapters, the most urgent first.
+/// Returns the missing adapters, most urgent first.
 fn missing_adapters(context: &PlacementContext) -> Vec<MissingAdapter> {
     let has_demand =
         |model: &Model| model.demand.adapters.values().any(|adapter| is_in_demand(adapter, context.now));
@@ -86,11 +89,11 @@
     demand.waiting > 0 || is_within(demand.last_requested, now, DEMAND_WINDOW)
 }
 
-/// Replicas of models and of adapters on ready servers.
+/// The number of replicas of each model and adapter on ready servers.
 #[derive(Default)]
 struct AdapterCounts {
     models: BTreeMap<ModelId, usize>,
-    /// Those that are being loaded included.
+    /// Includes adapters that are being loaded.
     adapters: BTreeMap<(ModelId, u32), usize>,
 }
 
@@ -126,8 +129,8 @@
     }
 }
 
-/// The next order for a missing adapter: a load if it fits onto a server, otherwise the eviction of the adapter that was idle
-/// the longest.
+/// Returns the next order for a missing adapter: a load if it fits on a server, otherwise the eviction of the adapter
+/// that has been idle the longest.
 fn order_for(
     context: &PlacementContext,
     artifact: Artifact,
@@ -153,7 +156,7 @@
     best_eviction.map(|(_, order)| order)
 }
 
-/// Whether a server accepts an order now and holds the adapter's model, but not the adapter.
+/// Returns whether the server accepts an order now and holds the adapter's model, but not the adapter.
 fn is_candidate(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
     server.accepts_orders(context.now)
         && server.reservation.is_none()
@@ -161,14 +164,15 @@
         && !server.contents.has(artifact)
 }
 
-/// Whether the server's capacity suffices for a further adapter.
+/// Returns whether the adapter fits on the server, both by size and by number of adapters.
 fn fits_adapter(context: &PlacementContext, server: &Server, artifact: Artifact) -> bool {
     let used_mb = server.used_mb(context.models) + context.models.size_mb(artifact);
     let max_adapters = context.catalogue.adapter_capacity as usize;
     used_mb <= context.catalogue.weights_mb && server.contents.adapter_count() < max_adapters
 }
 
-/// The adapter of a server that was idle the longest, with its idle time in milliseconds; `None` if all are in use.
+/// Returns the server's adapter that has been idle the longest, with its idle time in milliseconds; `None` if all are
+/// in use.
 fn longest_idle_adapter(context: &PlacementContext, server: &Server) -> Option<(Millis, Artifact)> {
     let idle_adapters = server.contents.adapters().filter_map(|(id, number)| {
         let demand = context.models.get(id)?.demand.adapters.get(&number);
--- a/placement/src/candidates.rs
+++ b/placement/src/candidates.rs
@@ -1,7 +1,8 @@
-//! On which server a missing replica is loaded.
+//! Selects the server that loads a missing replica.
 //!
-//! The servers are examined in the order of the model's hash ring sequence, so that routing and placement agree on a model's
-//! preferred servers. Before that order come the cost of evictions and, for overloaded models, the server's utilisation.
+//! Servers are examined in the order of the model's hash ring sequence, so that routing and placement agree on the
+//! model's preferred servers. A cheaper eviction and, for overloaded models, a server below full utilisation take
+//! precedence over that order.
 
 use shaletrail_ring::Key;
 
@@ -13,24 +14,25 @@
 use crate::server::{Reservation, Server, ServerKey};
 use crate::urgency::Urgency;
 
-/// Utilisation of a server, relative to one replica at target utilisation, from which further replicas avoid it.
+/// Servers at or above this utilisation are avoided for further replicas. 1 is the load of one replica at target
+/// utilisation.
 const MAX_UTILIZATION: f64 = 1.0;
 
-/// The server chosen for a replica.
+/// The server selected for a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The server.
+    /// The server that is to load the model.
     pub server: ServerKey,
-    /// Whether the load comes from the weight store, as far as is known.
+    /// Whether the model is to be loaded from the weight store, because it is not known to be on the server's disk.
     pub from_origin: bool,
-    /// The first model to evict there, if one must be.
+    /// The first model to evict from the server; `None` if the new model fits without an eviction.
     pub victim: Option<ModelId>,
 }
 
-/// Ranks candidates, the best first, by its fields in their order.
+/// Sort key of a candidate server; the smallest is the best. The fields are compared in order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Whether the server's utilisation is too high for the replica.
+    /// Whether the server is fully utilised and the replica is for an overloaded model.
     is_avoided: bool,
     cost: Cost,
     /// Position in the model's hash ring sequence.
@@ -38,8 +40,8 @@
 }
 
 impl PlacementContext<'_> {
-    /// The best server for a missing replica, among those that accept an order now. Adds the number of servers examined to
-    /// `examined`.
+    /// Returns the best server for a missing replica among those that accept an order now. Adds the number of examined
+    /// servers to `examined`.
     pub fn best_candidate(
         &self,
         missing: &MissingReplica,
@@ -65,15 +67,16 @@
         }
         let (_, key) = best?;
         let server = self.servers.get(&key)?;
-        let victim = match self.missing_mb(server, missing.model) > 0.0 {
+        let victim = match self.shortfall_mb(server, missing.model) > 0.0 {
             true => self.first_victim(key, server, missing.model, max_cost, counts),
             false => None,
         };
         Some(Candidate { server: key, from_origin: !server.has_on_disk(missing.model), victim })
     }
 
-    /// A server if it accepts an order now, is not chosen for another model and does not hold this one. A reservation that no
-    /// request waits for gives way to a model that requests wait for: what it has evicted so far is room for that one.
+    /// Returns the server if it accepts an order now, is not taken by another model and does not hold this one. A model
+    /// that requests wait for may replace a reservation that no request waits for; it then uses the capacity that was
+    /// already freed for that reservation.
     fn available_server(&self, key: ServerKey, missing: &MissingReplica) -> Option<&Server> {
         let stays = |reservation: &Reservation| {
             missing.urgency != Urgency::Waiting || reservation.urgency == Urgency::Waiting
--- a/placement/src/catalogue.rs
+++ b/placement/src/catalogue.rs
@@ -1,8 +1,9 @@
-//! The configuration of a service as the planner needs it: its models, the capacity of its servers, the rate of the weight
-//! store.
+//! The part of a service's configuration that the planner uses: its models, the capacity of its servers and the load
+//! rate of the weight store.
 
-/// Bounds of [`Catalogue::max_concurrent_loads`].
+/// Lower bound of [`Catalogue::max_concurrent_loads`].
 const MIN_CONCURRENT_LOADS: f64 = 2.0;
+/// Upper bound of [`Catalogue::max_concurrent_loads`].
 const MAX_CONCURRENT_LOADS: f64 = 4_096.0;
 
 /// The configuration of one model.
@@ -12,9 +13,9 @@
     pub name: String,
     /// Size of the weights, in MB.
     pub weights_mb: f64,
-    /// Time that a load from the weight store takes at full speed, in seconds.
+    /// Time to load the model from the weight store at full speed, in seconds.
     pub load_time_s: f64,
-    /// Number of adapters. They are named `a1`, `a2` and so on.
+    /// Number of adapters, which are named `a1`, `a2` and so on.
     pub adapters: u32,
     /// Size of each adapter, in MB.
     pub adapter_size_mb: f64,
@@ -23,19 +24,19 @@
 /// The models of a service and the capacity of each of its servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
-    /// The models that servers may load.
+    /// The models that the servers may load.
     pub models: Vec<ModelSpec>,
-    /// Capacity of a server for weights and adapters together, in MB.
+    /// Capacity of one server for model weights and adapters together, in MB.
     pub weights_mb: f64,
-    /// Number of adapters that a server can hold, over all of its models.
+    /// Maximum number of adapters on one server, over all of its models.
     pub adapter_capacity: u32,
-    /// Loads per second that the weight store allows over all servers.
+    /// Maximum rate of loads from the weight store over all servers, in loads per second.
     pub load_per_s: f64,
 }
 
 impl Catalogue {
-    /// Number of concurrent loads that the weight store is expected to serve at full speed: by Little's law its rate times the
-    /// mean time of a load, within 2 and 4,096.
+    /// Returns the number of concurrent loads that the weight store is expected to serve at full speed. By Little's law
+    /// this is the load rate times the mean load time; it is clamped to between 2 and 4,096.
     pub fn max_concurrent_loads(&self) -> usize {
         let sum: f64 = self.models.iter().map(|model| model.load_time_s).sum();
         let in_flight = (self.load_per_s * sum / self.models.len().max(1) as f64).round();
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Mean number of models on a server if all models are packed onto as few servers as possible (first fit, decreasing
-    /// size); 0 if no model fits onto a server.
+    /// Returns the mean number of models per server when all models are packed onto few servers by first-fit
+    /// decreasing; 0 if no model fits on a server.
     pub fn model_slots_per_server(&self) -> f64 {
         let mut sizes = self.sizes();
         let (mut models, mut servers) = (0, 0);
@@ -62,7 +63,8 @@
         f64::from(models) / f64::from(servers.max(1))
     }
 
-    /// The sizes of the models that fit onto a server in MB, in decreasing order, each with its number of models.
+    /// Returns the distinct sizes of the models that fit on a server, in MB and in decreasing order, each with the
+    /// number of models of that size.
     fn sizes(&self) -> Vec<(f64, u32)> {
         let fits = |size: &f64| *size > 0.0 && *size <= self.weights_mb;
         let mut all: Vec<f64> = self.models.iter().map(|model| model.weights_mb).filter(fits).collect();
@@ -77,13 +79,14 @@
         sizes
     }
 
-    /// The size of the largest model, in MB; 0 without models.
+    /// Returns the size of the largest model in MB, or 0 if there are no models.
     pub fn largest_model_mb(&self) -> f64 {
         self.models.iter().map(|model| model.weights_mb).fold(0.0, f64::max)
     }
 }
 
-/// Removes the models that fit onto one server from `sizes`, the largest first. Returns how many these are.
+/// Fills one server with models, largest first, and subtracts them from the counts in `sizes`. Returns the number of
+/// models placed.
 fn fill_server(capacity_mb: f64, sizes: &mut [(f64, u32)]) -> u32 {
     let (mut free_mb, mut placed) = (capacity_mb, 0);
     for (size, count) in sizes.iter_mut().filter(|(_, count)| *count > 0) {
@@ -95,13 +98,14 @@
     placed
 }
 
-/// The number in an adapter's name, 3 for `a3`; `None` for a name of another form.
+/// Parses an adapter's name into its number, such as `a3` into 3; `None` if the name is not `a` followed by a positive
+/// number without leading zeros.
 pub fn adapter_number(name: &str) -> Option<u32> {
     let digits = name.strip_prefix('a')?;
     digits.parse().ok().filter(|number: &u32| *number > 0 && adapter_name(*number) == name)
 }
 
-/// The name of an adapter: `a3` for 3.
+/// Formats an adapter's number as its name, such as 3 as `a3`.
 pub fn adapter_name(number: u32) -> String {
     format!("a{number}")
 }
--- a/placement/src/contents.rs
+++ b/placement/src/contents.rs
@@ -1,9 +1,10 @@
-//! The models and adapters that a server may hold, by all of its messages and orders.
+//! The models and adapters that a server may hold, derived from its messages and the orders sent to it.
 //!
-//! Messages arrive out of order: a heartbeat may have been built before an order that is known to be complete. So what is
-//! known from a response or a report stays for [`HEARTBEAT_GRACE`] and until two consecutive heartbeats lack it, and what a
-//! heartbeat listed goes with the first later one that lacks it. That suffices to tell edges where models are. It proves
-//! nothing: before an order uses capacity that a heartbeat has freed, a report is requested (see [`RemovedContents`]).
+//! Messages arrive out of order: a heartbeat may have been built before an order that is known to be complete.
+//! Therefore an artifact known only from a response or a report is kept for [`HEARTBEAT_GRACE`] and until two
+//! consecutive heartbeats omit it. An artifact that a heartbeat has listed is removed by the first later heartbeat that
+//! omits it. This is accurate enough to tell edges where models are, but it is no proof: before an order uses capacity
+//! that a heartbeat has freed, the planner requests a report (see [`RemovedContents`]).
 
 use std::collections::BTreeMap;
 
@@ -11,25 +12,26 @@
 
 use crate::model::{Artifact, ModelId, ModelTable};
 
-/// Consecutive heartbeats that must lack an artifact that none has listed yet.
+/// Number of consecutive heartbeats that must omit an artifact that no heartbeat has listed yet, before it is removed.
 const MIN_MISSED_HEARTBEATS: u8 = 2;
-/// Maximum delay of a heartbeat, in milliseconds.
+/// Maximum delay of a heartbeat, in milliseconds; an artifact known only from a response or a report is kept for this
+/// long.
 const HEARTBEAT_GRACE: Millis = 4_000;
 
 /// Which messages have confirmed that an artifact is on the server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Evidence {
-    /// Whether a heartbeat has listed it.
+    /// Whether any heartbeat has listed it.
     in_heartbeat: bool,
-    /// Consecutive heartbeats that lacked it.
+    /// Number of consecutive heartbeats that omitted it.
     missed_heartbeats: u8,
-    /// When it was last confirmed.
+    /// When a message last listed it, or an order added it.
     confirmed_at: Millis,
 }
 
 impl Evidence {
-    /// Whether the artifact stays after a message from `source` that lacks it.
-    fn survives(&mut self, now: Millis, source: ContentsSource) -> bool {
+    /// Records that a message omitted the artifact. Returns whether the artifact is still assumed to be on the server.
+    fn record_omission(&mut self, now: Millis, source: ContentsSource) -> bool {
         match source {
             ContentsSource::Heartbeat => {
                 self.missed_heartbeats = self.missed_heartbeats.saturating_add(1);
@@ -46,36 +48,36 @@
     }
 }
 
-/// The message that lists the contents.
+/// The kind of message that lists a server's contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContentsSource {
-    /// A heartbeat, newer than any other received from the server.
+    /// A heartbeat that is newer than all others received from the server.
     Heartbeat,
-    /// A report, which shows the state after all acknowledged orders.
+    /// A report, which shows the state after all orders that the server has acknowledged.
     Report,
 }
 
-/// What a message lacked and is therefore removed from the known contents.
+/// Contents that are removed because a message omitted them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RemovedContents {
-    /// Models and adapters.
+    /// The removed models and adapters; without the adapters of a removed model.
     pub artifacts: Vec<Artifact>,
-    /// Whether models or adapters without a known identity were among them.
+    /// Whether unidentified models or adapters were removed as well.
     pub unidentified: bool,
 }
 
-/// A model with its adapters as a message lists it.
+/// A model with its adapters, as listed in a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedModel {
-    /// The model; `None` if there was no index for its name.
+    /// The model; `None` if the model table had no space for its name.
     pub model: Option<ModelId>,
-    /// Its adapters, by number.
+    /// The numbers of its adapters.
     pub adapters: Vec<u32>,
-    /// Number of adapters whose names have no known form.
+    /// Number of adapters whose names could not be parsed.
     pub unidentified_adapters: usize,
 }
 
-/// The replica of a model on the server.
+/// A model on the server, with its adapters.
 #[derive(Clone, Debug, Default)]
 struct Replica {
     evidence: Evidence,
@@ -83,8 +85,8 @@
     unidentified_adapters: usize,
 }
 
-/// The largest sizes of a model and of one of its adapters in configurations that were in force while a server held or loaded
-/// it, in MB: which one the weights on the server are of is not known.
+/// The largest sizes of a model and of one of its adapters, in MB, over all configurations that were in force while a
+/// server held or loaded it. It is not known with which of them the server loaded its weights.
 #[derive(Clone, Copy, Debug, Default)]
 struct FormerSizes {
     model_mb: f64,
@@ -92,7 +94,7 @@
 }
 
 impl Replica {
-    /// Applies the adapters that a message lists, and adds what it lacks to `removed`.
+    /// Applies the adapters that a message lists, and adds those that it omits to `removed`.
     fn reconcile(
         &mut self,
         now: Millis,
@@ -105,7 +107,7 @@
         removed.unidentified |= self.unidentified_adapters > listed.unidentified_adapters;
         self.unidentified_adapters = listed.unidentified_adapters;
         self.adapters.retain(|number, evidence| {
-            let stays = listed.adapters.contains(number) || evidence.survives(now, source);
+            let stays = listed.adapters.contains(number) || evidence.record_omission(now, source);
             if !stays {
                 removed.artifacts.push(Artifact::adapter(id, *number));
             }
@@ -121,18 +123,18 @@
     }
 }
 
-/// The models and adapters that a server may hold.
+/// The models and adapters that a server may hold, as far as the planner knows.
 #[derive(Clone, Debug, Default)]
 pub struct ServerContents {
     replicas: BTreeMap<ModelId, Replica>,
-    /// Of models that are there, or are being loaded, since before the last change of the configuration.
+    /// Sizes of models that the server has held or has been loading since before the last change of the configuration.
     former_sizes: BTreeMap<ModelId, FormerSizes>,
-    /// Whether the server holds models without an index, whose size is unknown.
+    /// Whether the server holds models that are not in the model table and so have an unknown size.
     has_unidentified_model: bool,
 }
 
 impl ServerContents {
-    /// Applies a complete list of the server's contents. Returns what is removed by it.
+    /// Applies a complete list of the server's contents. Returns what was removed because the list omits it.
     pub fn reconcile(
         &mut self,
         now: Millis,
@@ -149,7 +151,7 @@
             listed.iter().filter_map(|entry| Some((entry.model?, entry))).collect();
         self.replicas.retain(|id, replica| {
             let is_listed = identified.iter().any(|(model, _)| model == id);
-            let stays = is_listed || replica.evidence.survives(now, source);
+            let stays = is_listed || replica.evidence.record_omission(now, source);
             if !stays {
                 removed.artifacts.push(Artifact::model(*id));
                 self.former_sizes.remove(id);
@@ -162,7 +164,7 @@
         removed
     }
 
-    /// Adds an artifact that no message has listed yet.
+    /// Adds an artifact that an order has loaded and no message has listed yet.
     pub fn add(&mut self, now: Millis, artifact: Artifact) {
         let evidence = Evidence { confirmed_at: now, ..Evidence::default() };
         let replica = self.replicas.entry(artifact.model);
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Whether a model, or an adapter with its model, may be on the server.
+    /// Returns whether the model or adapter may be on the server.
     pub fn has(&self, artifact: Artifact) -> bool {
         self.replicas.get(&artifact.model).is_some_and(|replica| match artifact.adapter {
             None => true,
@@ -180,25 +182,26 @@
         })
     }
 
-    /// The models, in the order of their indices.
+    /// Iterates over the models in the order of their indices.
     pub fn models(&self) -> impl Iterator<Item = ModelId> + '_ {
         self.replicas.keys().copied()
     }
 
-    /// The identified adapters of all models, as model and number, in that order.
+    /// Iterates over the identified adapters as pairs of model and adapter number, in ascending order.
     pub fn adapters(&self) -> impl Iterator<Item = (ModelId, u32)> + '_ {
         self.replicas.iter().flat_map(|(id, replica)| replica.adapters.keys().map(|adapter| (*id, *adapter)))
     }
 
-    /// Number of adapters, unidentified ones included.
+    /// Returns the number of adapters, including unidentified ones.
     pub fn adapter_count(&self) -> usize {
         self.replicas.values().map(Replica::adapter_count).sum()
     }
 
-    /// The configuration is about to change: what is there, or is being loaded, may keep the sizes that it has now.
+    /// Called before the configuration changes: remembers the current sizes of what the server holds or is `loading`,
+    /// because its weights may keep these sizes after the change.
     pub fn keep_sizes(&mut self, models: &ModelTable, loading: Option<Artifact>) {
         let held = self.replicas.keys().copied().chain(loading.map(|artifact| artifact.model));
-        // The sizes of others are assumed.
+        // Models that are not configured have only an assumed size, which is not worth keeping.
         let is_configured = |id: &ModelId| models.get(*id).is_some_and(|model| model.is_configured);
         for id in held.filter(is_configured) {
             let former = self.former_sizes.entry(id).or_default();
@@ -207,19 +210,19 @@
         }
     }
 
-    /// The model is loaded anew, with the size that it has now.
+    /// Called when the model is loaded again, which gives it the currently configured size.
     pub fn forget_former_sizes(&mut self, id: ModelId) {
         self.former_sizes.remove(&id);
     }
 
-    /// The size that an artifact has on this server, or a greater one, in MB.
+    /// Returns an upper bound of the size of an artifact on this server, in MB.
     pub fn size_mb(&self, artifact: Artifact, models: &ModelTable) -> f64 {
         let former = self.former_sizes.get(&artifact.model).copied().unwrap_or_default();
         let former_mb = if artifact.adapter.is_some() { former.adapter_mb } else { former.model_mb };
         models.size_mb(artifact).max(former_mb)
     }
 
-    /// Used capacity in MB; infinite with a model of unknown size.
+    /// Returns the used capacity in MB; infinite if the server holds a model of unknown size.
     pub fn used_mb(&self, models: &ModelTable) -> f64 {
         if self.has_unidentified_model {
             return f64::INFINITY;
@@ -227,11 +230,11 @@
         self.replicas.keys().map(|id| self.replica_mb(*id, models)).sum()
     }
 
-    /// Capacity that a model uses with its adapters, in MB; 0 if the server does not hold it.
+    /// Returns the capacity that a model and its adapters use, in MB; 0 if the server does not hold the model.
     pub fn replica_mb(&self, id: ModelId, models: &ModelTable) -> f64 {
         let Some(replica) = self.replicas.get(&id) else { return 0.0 };
         let model_mb = self.size_mb(Artifact::model(id), models);
-        // The size of an adapter of an unknown model is infinite, which must not be multiplied by zero.
+        // The adapter size of an unknown model is infinite, and infinity times zero would be NaN.
         match replica.adapter_count() {
             0 => model_mb,
             count => model_mb + count as f64 * self.size_mb(Artifact::adapter(id, 0), models),
--- a/placement/src/demand_sources.rs
+++ b/placement/src/demand_sources.rs
@@ -1,4 +1,5 @@
-//! Demand reports by source: aggregates them into the demand of each model, and expires those of silent sources.
+//! Aggregates the demand reports of all sources into the demand for each model, and expires the reports of sources that
+//! have stopped reporting.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +8,19 @@
 
 use crate::model::{Artifact, ModelTable};
 
-/// Age at which the waiting and open requests of a source's last report expire, in milliseconds.
+/// Age at which the counts of waiting and in-progress requests in a source's last report expire, in milliseconds.
 pub const DEMAND_REPORT_TTL: Millis = 4_000;
-/// Maximum number of sources.
+/// Maximum number of sources; reports of further sources are ignored.
 const MAX_SOURCES: usize = 512;
-/// Maximum number of entries that are read from one report.
+/// Maximum number of entries of this service that are read from one report; further ones are ignored.
 const MAX_REPORT_ENTRIES: usize = 16_384;
 
-/// Waiting and open requests of one model or adapter in a source's last report.
+/// Numbers of waiting and in-progress requests for one model or adapter in a source's last report.
 #[derive(Clone, Debug)]
 struct Gauge {
     artifact: Artifact,
     waiting: u32,
-    open: u32,
+    in_progress: u32,
 }
 
 /// The last report of one source.
@@ -29,7 +30,7 @@
     gauges: Vec<Gauge>,
 }
 
-/// The sources of demand with their last reports.
+/// The last report of each source of demand.
 #[derive(Clone, Debug, Default)]
 pub struct DemandSources {
     reports: BTreeMap<NodeId, SourceReport>,
@@ -37,8 +38,8 @@
 }
 
 impl DemandSources {
-    /// Adds a report to the models' demand. Its waiting and open requests replace those of the source's last report; an
-    /// artifact that it does not name has none at that source any more.
+    /// Adds a report to the models' demand. Its waiting and in-progress requests replace those of the source's last
+    /// report; for an artifact that the report does not name, the source no longer counts any.
     pub fn record(
         &mut self,
         now: Millis,
@@ -57,25 +58,25 @@
             };
             count_arrivals(now, artifact, entry, models);
             if entry.queued > 0 || entry.in_flight > 0 {
-                gauges.push(Gauge { artifact, waiting: entry.queued, open: entry.in_flight });
+                gauges.push(Gauge { artifact, waiting: entry.queued, in_progress: entry.in_flight });
             }
         }
         if !gauges.is_empty() {
             self.first_demand_at.get_or_insert(now);
         }
-        // The old gauges are subtracted first: the sums saturate at zero.
+        // The previous gauges are subtracted before the new ones are added, because the sums saturate.
         let previous = self.reports.remove(&source).map(|report| report.gauges).unwrap_or_default();
         previous.iter().for_each(|gauge| subtract_gauge(gauge, models));
         gauges.iter().for_each(|gauge| add_gauge(gauge, models));
         self.reports.insert(source, SourceReport { received_at: now, gauges });
     }
 
-    /// When a report first contained waiting or open requests.
+    /// Returns when a report first contained waiting or in-progress requests; `None` if none has yet.
     pub fn first_demand_at(&self) -> Option<Millis> {
         self.first_demand_at
     }
 
-    /// Removes the waiting and open requests of sources that have stopped reporting.
+    /// Removes the waiting and in-progress requests of sources that have stopped reporting.
     pub fn expire(&mut self, now: Millis, models: &mut ModelTable) {
         self.reports.retain(|_, report| {
             let is_current = now.saturating_sub(report.received_at) < DEMAND_REPORT_TTL;
@@ -87,7 +88,8 @@
     }
 }
 
-/// Adds the requests that arrived since the source's last report.
+/// Adds the requests that arrived since the source's last report to the rates, times and priority of the model's
+/// demand.
 fn count_arrivals(now: Millis, artifact: Artifact, entry: &Demand, models: &mut ModelTable) {
     let Some(model) = models.get_mut(artifact.model) else { return };
     let demand = &mut model.demand;
@@ -122,12 +124,12 @@
     apply_gauge(gauge, models, u32::saturating_sub);
 }
 
-/// Applies `operation` to the sums of a model, and of an adapter, with the values of a gauge.
+/// Combines a gauge's values with the sums of its model and, if it names one, its adapter, using `operation`.
 fn apply_gauge(gauge: &Gauge, models: &mut ModelTable, operation: fn(u32, u32) -> u32) {
     let Some(model) = models.get_mut(gauge.artifact.model) else { return };
     let demand = &mut model.demand;
     demand.waiting = operation(demand.waiting, gauge.waiting);
-    demand.open = operation(demand.open, gauge.open);
+    demand.in_progress = operation(demand.in_progress, gauge.in_progress);
     if let Some(adapter) = gauge.artifact.adapter.and_then(|number| demand.adapters.get_mut(&number)) {
         adapter.waiting = operation(adapter.waiting, gauge.waiting);
     }
--- a/placement/src/eviction.rs
+++ b/placement/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Which models a server evicts to free capacity for another one.
+//! Selects the models that a server evicts to free capacity for another one.
 
 use shaletrail_protocol::Millis;
 
@@ -8,44 +8,47 @@
 use crate::server::{Server, ServerKey};
 use crate::urgency::Urgency;
 
-/// A model's only replica is kept for this time after its last request, in milliseconds, unless the missing replica is
-/// urgent.
+/// A model's only replica is not evicted for this long after the model's last request, in milliseconds, unless the
+/// missing replica is urgent (see [`MIN_IDLE_URGENT`]).
 const MIN_IDLE: Millis = 5_000;
-/// The same where requests wait for a model without a replica, or replicas are severely overloaded.
+/// As [`MIN_IDLE`], for a missing replica of a model without replicas that requests wait for, or of a severely
+/// overloaded model.
 const MIN_IDLE_URGENT: Millis = 1_000;
-/// Resolution at which idle times are compared, in milliseconds; within it the hash ring sequence decides.
+/// Idle times are compared at this resolution, in milliseconds. Servers with equal results are ranked by the hash ring
+/// sequence.
 const IDLE_RESOLUTION: Millis = 4_000;
-/// Utilisation of each replica, relative to the target, from which replicas are severely overloaded: a further one may then
-/// replace the only replica of a rarely requested model.
+/// A model whose replicas have at least this utilisation, relative to the target, is severely overloaded: a further
+/// replica may then replace the only replica of a rarely requested model.
 const SEVERE_OVERLOAD: f64 = 2.0;
 
-/// The cost of evicting a replica, the cheapest first.
+/// The cost of evicting a replica. Variants are ordered from the cheapest to the most expensive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionCost {
     /// No eviction is needed.
     None,
-    /// The configuration no longer names the model.
+    /// The model is not in the current configuration.
     Unconfigured,
     /// One of several replicas of a model without demand.
     IdleReplica,
-    /// A replica beyond the model's target.
+    /// A replica in excess of the model's target.
     SurplusReplica,
     /// The only replica of a model without demand.
     OnlyIdleReplica,
-    /// The only replica of a model that was last requested [`MIN_IDLE`] ago or earlier, none of whose requests is open.
+    /// The only replica of a model without requests in progress that has been idle for at least [`MIN_IDLE`].
     OnlyReplica,
-    /// The same for [`MIN_IDLE_URGENT`].
+    /// The only replica of a model without requests in progress that has been idle for at least [`MIN_IDLE_URGENT`].
     OnlyRecentReplica,
-    /// One of several replicas, within the model's target.
+    /// One of several replicas, and not in excess of the model's target.
     NeededReplica,
 }
 
-/// The cost of freeing capacity on a server, compared by its fields in their order.
+/// The cost of freeing capacity on a server. The fields are compared in order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cost {
     /// The cost of the most expensive eviction.
     pub eviction: EvictionCost,
-    /// How recently that model was requested: the longest idle is the cheapest.
+    /// How recently that model was requested, greater for more recent: evicting the model that has been idle the
+    /// longest is the cheapest.
     pub recency: u64,
 }
 
@@ -56,7 +59,8 @@
     const UNCONFIGURED: Cost = Cost { eviction: EvictionCost::Unconfigured, recency: 0 };
 }
 
-/// The maximum eviction cost for a missing replica. `utilization` is that of the model's replicas, relative to the target.
+/// Returns the maximum eviction cost that a missing replica justifies. `utilization` is that of each of the model's
+/// replicas, relative to the target.
 pub fn max_eviction_cost(urgency: Urgency, utilization: f64) -> EvictionCost {
     match urgency {
         Urgency::Waiting => EvictionCost::NeededReplica,
@@ -67,7 +71,8 @@
 }
 
 impl PlacementContext<'_> {
-    /// The cost of the evictions that make a model fit onto a server; `None` if one of them exceeds `max_cost`.
+    /// Returns the cost of the most expensive eviction that is needed to make a model fit on a server; `None` if it
+    /// does not fit even after all evictions that cost at most `max_cost`.
     pub fn cost_to_fit(
         &self,
         key: ServerKey,
@@ -76,21 +81,21 @@
         max_cost: EvictionCost,
         counts: &ReplicaCounts,
     ) -> Option<Cost> {
-        let mut missing_mb = self.missing_mb(server, model);
-        if missing_mb <= 0.0 {
+        let mut shortfall_mb = self.shortfall_mb(server, model);
+        if shortfall_mb <= 0.0 {
             return Some(Cost::NONE);
         }
         for (cost, victim) in self.eviction_candidates(key, server, max_cost, counts) {
-            missing_mb -= server.contents.replica_mb(victim, self.models);
-            if missing_mb <= 0.0 {
+            shortfall_mb -= server.contents.replica_mb(victim, self.models);
+            if shortfall_mb <= 0.0 {
                 return Some(cost);
             }
         }
         None
     }
 
-    /// The first model to evict from a server for another one; `None` if all evictions within `max_cost` together would not
-    /// free enough capacity.
+    /// Returns the first model to evict from a server to make room for `model`; `None` if all evictions that cost at
+    /// most `max_cost` together would not free enough capacity.
     pub fn first_victim(
         &self,
         key: ServerKey,
@@ -102,11 +107,11 @@
         let candidates = self.eviction_candidates(key, server, max_cost, counts);
         let replica_mb = |victim: ModelId| server.contents.replica_mb(victim, self.models);
         let freed_mb: f64 = candidates.iter().map(|(_, victim)| replica_mb(*victim)).sum();
-        let is_enough = freed_mb >= self.missing_mb(server, model);
+        let is_enough = freed_mb >= self.shortfall_mb(server, model);
         candidates.first().filter(|_| is_enough).map(|(_, victim)| *victim)
     }
 
-    /// The cheapest eviction on a server that no missing replica needs.
+    /// Returns the cheapest eviction on a server to free capacity in advance, while no replica is missing.
     pub fn cheapest_eviction(
         &self,
         key: ServerKey,
@@ -116,7 +121,7 @@
         self.eviction_candidates(key, server, EvictionCost::OnlyReplica, counts).into_iter().next()
     }
 
-    /// The models on a server whose eviction costs at most `max_cost`, the cheapest first.
+    /// Returns the models on a server whose eviction costs at most `max_cost`, cheapest first.
     fn eviction_candidates(
         &self,
         key: ServerKey,
@@ -133,7 +138,7 @@
         candidates
     }
 
-    /// The cost of evicting a model from a server; `None` if it must stay.
+    /// Returns the cost of evicting a model from a server; `None` if it must not be evicted.
     fn eviction_cost(
         &self,
         key: ServerKey,
@@ -156,7 +161,7 @@
             EvictionCost::SurplusReplica
         } else if serving > 1 {
             EvictionCost::NeededReplica
-        } else if model.demand.open > 0 || idle_ms < MIN_IDLE_URGENT {
+        } else if model.demand.in_progress > 0 || idle_ms < MIN_IDLE_URGENT {
             return None;
         } else if idle_ms < MIN_IDLE {
             EvictionCost::OnlyRecentReplica
--- a/placement/src/fair_share.rs
+++ b/placement/src/fair_share.rs
@@ -1,14 +1,14 @@
-//! The fair share of replicas where capacity does not suffice for all models at target utilisation.
+//! The fair share of replicas when capacity is too scarce to serve all models at target utilisation.
 //!
-//! All replicas then run at the same utilisation above the target: a model whose demand rises gets replicas that others
-//! give up at once, instead of waiting until the demand of others has fallen.
+//! In that case all replicas run at the same utilisation above the target. A model whose demand rises then gets
+//! replicas from other models at once, instead of waiting until demand for those falls.
 
-/// Steps of the bisection.
+/// Number of times that the interval in which the utilisation lies is halved.
 const BISECTION_STEPS: usize = 16;
 
-/// The utilisation of each replica, relative to the target, at which all replicas beyond each model's first fit into
-/// `extra_slots` model slots. `demands` holds each model's demand, in replicas at target utilisation. The result is 1 where
-/// there are enough slots for the target utilisation.
+/// Returns the lowest utilisation per replica, relative to the target, at which all replicas beyond each model's first
+/// fit into `extra_slots` model slots; 1 if the slots suffice for the target utilisation. `demands` holds each model's
+/// demand, in replicas at target utilisation.
 pub fn utilization_per_replica(demands: &[f64], extra_slots: usize) -> f64 {
     let fits = |utilization: f64| extra_replicas(demands, utilization) <= extra_slots;
     if fits(1.0) {
@@ -27,7 +27,7 @@
     high_enough
 }
 
-/// Number of replicas beyond each model's first where each replica runs at `utilization`.
+/// Returns the number of replicas beyond each model's first that are needed if each replica runs at `utilization`.
 fn extra_replicas(demands: &[f64], utilization: f64) -> usize {
     demands.iter().map(|demand| ((demand / utilization).ceil() as usize).saturating_sub(1)).sum()
 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,25 +1,29 @@
-//! The planner of model placement: turns the demand for a service's models and the state of its servers into orders to load
+//! Model placement planner: turns the demand for a service's models and the state of its servers into orders to load
 //! and evict models and adapters.
 //!
-//! The lease holder of a service's orders owns one [`Planner`]. Inputs are demand ([`Planner::record_demand`]), directory
-//! records ([`Planner::update_server`]), servers' reports ([`Planner::record_report`]) and outcomes of orders
-//! ([`Planner::complete_order`]). Every 50 to 100 ms the lease holder sends the orders that [`Planner::next_orders`] returns.
+//! The node that holds the lease for a service's orders owns one [`Planner`]. Its inputs are demand
+//! ([`Planner::record_demand`]), directory records ([`Planner::update_server`]), server reports
+//! ([`Planner::record_report`]) and order outcomes ([`Planner::complete_order`]). Every 50 to 100 ms the lease holder
+//! sends the orders that [`Planner::next_orders`] returns.
 //!
-//! Modules, in the order of a decision:
-//! - [`rate`], `demand` and `demand_sources` smooth and aggregate the demand that edges report;
-//! - `target` derives the number of replicas of each model; `fair_share` limits them where capacity does not suffice;
-//! - `server` is the state of a server: `contents` is what it may hold, `in_flight` its order in flight, `revision` the number
-//!   of orders that it has accepted, `uncertainty` which orders are not known;
-//! - [`origin`] keeps loads from the weight store within their rate;
-//! - `replicas` counts replicas, and `missing` finds missing ones, by `urgency`;
-//! - `candidates` chooses the server for each, `eviction` what it evicts; `surplus` and `utilization` inform both;
-//!   `context` is the state that they read; `adapters` does the same for adapters;
+//! Modules, in the order in which a decision uses them:
+//! - [`rate`], `demand` and `demand_sources` smooth and aggregate the demand that edges report.
+//! - `target` computes the number of replicas of each model; `fair_share` limits it when capacity is scarce.
+//! - `server` holds the state of one server: `contents` lists the models and adapters that it may hold, `in_flight` its
+//!   order in flight, `revision` the number of orders that it has accepted, and `uncertainty` whether it may have
+//!   accepted orders that the planner does not know about.
+//! - [`origin`] limits the rate of loads from the weight store.
+//! - `replicas` counts existing replicas; `missing` lists missing ones, sorted by `urgency`.
+//! - `candidates` selects a server for each missing replica and `eviction` the models to evict there. `surplus` and
+//!   `utilization` are inputs to both, and `context` bundles the state that they read. `adapters` places adapters.
 //! - `planner` runs the planning passes.
 //!
-//! A missing replica reserves a server until its load starts: the server first evicts until the model fits, then loads
-//! it. A model without demand is never loaded, and models are evicted only to free capacity for others.
+//! A server is reserved for a missing replica until the load starts: the server first evicts models until the new one
+//! fits, then loads it. A model without demand is never loaded, and models are evicted only to free capacity for
+//! others.
 //!
-//! The planner is pure and deterministic: time is an argument, there is no randomness, and equal inputs give equal orders.
+//! The planner does no I/O and is deterministic: time is an argument, there is no randomness, and equal inputs produce
+//! equal orders.
 
 mod adapters;
 mod candidates;
--- a/placement/src/missing.rs
+++ b/placement/src/missing.rs
@@ -1,4 +1,4 @@
-//! Which replicas are missing, the most urgent first.
+//! Lists the missing replicas, most urgent first.
 
 use std::cmp::Reverse;
 
@@ -8,33 +8,33 @@
 use crate::replicas::ReplicaCounts;
 use crate::urgency::Urgency;
 
-/// Maximum number of missing replicas that one planning pass handles.
+/// Missing replicas beyond this number wait for a later planning pass.
 const MAX_MISSING_REPLICAS: usize = 16;
-/// Scale of the weight of an overloaded model.
+/// Converts the utilisation of an overloaded model into a weight in percent.
 const PERCENT: f64 = 100.0;
 
-/// A missing replica.
+/// A replica that should exist and is neither serving, loading nor reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MissingReplica {
     /// The model to load.
     pub model: ModelId,
     /// Why the replica is missing.
     pub urgency: Urgency,
-    /// Order within the same urgency and priority, the greatest first. For [`Urgency::Overloaded`] the utilisation of each
-    /// replica in percent of the target, for [`Urgency::Waiting`] the number of waiting requests, for [`Urgency::Absent`]
-    /// the recency of the last request.
+    /// Sort key among replicas of the same urgency and priority, greatest first. For [`Urgency::Overloaded`] it is the
+    /// utilisation per replica in percent of the target, for [`Urgency::Waiting`] the number of waiting requests, and
+    /// for [`Urgency::Absent`] a value that is greater the more recent the last request is.
     pub weight: u64,
-    /// Priority of the requests, 0 for the most urgent.
+    /// Priority of the requests, 0 for the most urgent; always 0 for an overloaded model.
     pub priority: u8,
 }
 
 impl MissingReplica {
-    /// Utilisation of the model's replicas, relative to the target; without meaning unless the model is overloaded.
+    /// Returns the utilisation per replica, relative to the target. Meaningful only for [`Urgency::Overloaded`].
     pub fn utilization(&self) -> f64 {
         self.weight as f64 / PERCENT
     }
 
-    /// The first replica of a model that has none.
+    /// Creates the entry for the first replica of a model that has none.
     fn first(now: Millis, id: ModelId, model: &Model) -> Self {
         let demand = &model.demand;
         let idle_s = demand.idle_ms(now) / 1_000;
@@ -45,15 +45,17 @@
         MissingReplica { model: id, urgency, weight, priority: demand.priority }
     }
 
-    /// A further replica of a model with `replicas` replicas. The most overloaded model comes first, whatever its priority.
+    /// Creates the entry for a further replica of a model with `replicas` replicas. The priority is ignored so that the
+    /// most overloaded model comes first.
     fn further(id: ModelId, model: &Model, replicas: usize) -> Self {
         let weight = (model.target.demand / replicas as f64 * PERCENT) as u64;
         MissingReplica { model: id, urgency: Urgency::Overloaded, weight, priority: 0 }
     }
 }
 
-/// The missing replicas, the most urgent first. Replicas beyond each model's first may fill `extra_slots` model slots, the
-/// existing ones included; a model has at most one on each of the `ready` servers.
+/// Returns the missing replicas, most urgent first. Replicas beyond each model's first may fill `extra_slots` model
+/// slots, including the slots that existing replicas fill. A model has at most one replica on each of the `ready`
+/// servers.
 pub fn missing_replicas(
     now: Millis,
     models: &ModelTable,
@@ -79,7 +81,7 @@
     missing
 }
 
-/// Keeps the first `free_slots` of the replicas beyond each model's first.
+/// Keeps only the first `free_slots` of those entries that are for a replica beyond a model's first.
 fn limit_extra_replicas(missing: &mut Vec<MissingReplica>, mut free_slots: usize) {
     missing.retain(|entry| {
         if entry.urgency != Urgency::Overloaded {
--- a/placement/src/model.rs
+++ b/placement/src/model.rs
@@ -1,4 +1,4 @@
-//! The table of models: names, configuration, demand and the target number of replicas.
+//! The model table: the name, configuration, demand and target number of replicas of each model.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use crate::demand::ModelDemand;
 use crate::target::ReplicaTarget;
 
-/// Maximum number of models in the table, those that have left the configuration included.
+/// Maximum number of models in the table, including those that have left the configuration.
 const MAX_MODELS: usize = 8192;
 
-/// Index of a model in the [`ModelTable`]; never reused for another name.
+/// Index of a model in the [`ModelTable`]; never reused for another model name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelId(pub usize);
 
-/// What an order loads or evicts: a model, or one of its adapters.
+/// What an order loads or evicts: a model or one of its adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Artifact {
     /// The model, or the model that the adapter belongs to.
@@ -23,12 +23,12 @@
 }
 
 impl Artifact {
-    /// A model itself.
+    /// Creates the artifact for a model itself.
     pub fn model(model: ModelId) -> Self {
         Artifact { model, adapter: None }
     }
 
-    /// An adapter of a model.
+    /// Creates the artifact for an adapter of a model.
     pub fn adapter(model: ModelId, number: u32) -> Self {
         Artifact { model, adapter: Some(number) }
     }
@@ -37,17 +37,18 @@
 /// Configuration, demand and replica target of one model.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    /// The model's entry in the newest configuration that named it.
+    /// The model's entry in the newest configuration that contained it. For a model that was never configured it has
+    /// only the name and an assumed size.
     pub spec: ModelSpec,
-    /// Whether the current configuration names the model.
+    /// Whether the current configuration contains the model.
     pub is_configured: bool,
-    /// The demand for the model.
+    /// The demand for the model and its adapters.
     pub demand: ModelDemand,
-    /// The number of replicas that there should be.
+    /// The target number of replicas.
     pub target: ReplicaTarget,
 }
 
-/// Models by index and by name.
+/// All models that the configuration or a server has ever named, by index and by name.
 #[derive(Clone, Debug, Default)]
 pub struct ModelTable {
     models: Vec<Model>,
@@ -55,7 +56,7 @@
 }
 
 impl ModelTable {
-    /// Applies a configuration. Models that it no longer names stay in the table with their last known size.
+    /// Applies a configuration. Models that it no longer contains stay in the table with their last known size.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         self.models.iter_mut().for_each(|model| model.is_configured = false);
         for spec in &catalogue.models {
@@ -64,7 +65,8 @@
                 (model.spec, model.is_configured) = (spec.clone(), true);
             }
         }
-        // Reported by a server before any configuration was known, and not named by this one either.
+        // Models that a server reported before any configuration was known, and that this configuration does not
+        // contain either.
         for model in
             self.models.iter_mut().filter(|model| !model.is_configured && model.spec.weights_mb <= 0.0)
         {
@@ -72,7 +74,8 @@
         }
     }
 
-    /// The index of a model name, which is added with the size `assumed_mb` if it is unknown. `None` if the table is full.
+    /// Returns the index of a model name. An unknown name is added with the size `assumed_mb`; `None` if the table is
+    /// full.
     pub fn intern(&mut self, name: &str, assumed_mb: f64) -> Option<ModelId> {
         if let Some(id) = self.names.get(name) {
             return Some(*id);
@@ -87,7 +90,7 @@
         Some(id)
     }
 
-    /// The model, or the adapter of a model, of these names; `None` unless the current configuration has it.
+    /// Looks up a model, or an adapter of a model, by name; `None` unless the current configuration contains it.
     pub fn configured_artifact(&self, name: &str, adapter: Option<&str>) -> Option<Artifact> {
         let id = *self.names.get(name)?;
         let model = self.get(id).filter(|model| model.is_configured)?;
@@ -96,34 +99,34 @@
         Some(Artifact::adapter(id, number))
     }
 
-    /// A model by its index.
+    /// Returns a model by its index; `None` if the index is out of range.
     pub fn get(&self, id: ModelId) -> Option<&Model> {
         self.models.get(id.0)
     }
 
-    /// A model by its index, for changes.
+    /// As [`ModelTable::get`], mutable.
     pub fn get_mut(&mut self, id: ModelId) -> Option<&mut Model> {
         self.models.get_mut(id.0)
     }
 
-    /// The models that the current configuration names, in the order of their indices.
+    /// Iterates over the models of the current configuration in the order of their indices.
     pub fn configured(&self) -> impl Iterator<Item = (ModelId, &Model)> {
         let models = self.models.iter().enumerate().map(|(index, model)| (ModelId(index), model));
         models.filter(|(_, model)| model.is_configured)
     }
 
-    /// The models that the current configuration names, for changes, in the order of their indices.
+    /// As [`ModelTable::configured`], mutable.
     pub fn configured_mut(&mut self) -> impl Iterator<Item = (ModelId, &mut Model)> {
         let models = self.models.iter_mut().enumerate().map(|(index, model)| (ModelId(index), model));
         models.filter(|(_, model)| model.is_configured)
     }
 
-    /// Number of indices in use.
+    /// Returns the number of models, including those that are no longer configured.
     pub fn len(&self) -> usize {
         self.models.len()
     }
 
-    /// Size of a model's weights or of an adapter, in MB; infinite for an unknown model.
+    /// Returns the size of a model's weights or of an adapter, in MB; infinite for an unknown model.
     pub fn size_mb(&self, artifact: Artifact) -> f64 {
         let size = |model: &Model| match artifact.adapter {
             None => model.spec.weights_mb,
--- a/placement/src/options.rs
+++ b/placement/src/options.rs
@@ -1,24 +1,27 @@
-//! The tunables of a [`crate::Planner`].
+//! Tunable parameters of a [`crate::Planner`].
 
 use shaletrail_protocol::settings::Bounds;
 use shaletrail_protocol::Millis;
 
-/// Tunables of the planner. [`Options::default`] suits the deployments described to the project.
+/// Tunable parameters of the planner. [`Options::default`] suits the deployments that the project is built for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Length of the sliding window over which loads from the weight store are limited, in milliseconds.
+    /// Length of the sliding window over which the rate of loads from the weight store is limited, in milliseconds.
     pub origin_window: Millis,
-    /// Tokens per second (prompt tokens plus ten times the output tokens) of one replica at target utilisation.
+    /// Tokens per second that one replica processes at target utilisation: prompt tokens plus ten times the output
+    /// tokens.
     pub target_tokens_per_replica: f64,
-    /// Fraction of a server's slots in use at target utilisation, from 0 to 1. Above it a model gets another replica.
+    /// Fraction of a server's request slots that are in use at target utilisation, from 0 to 1. Above it a model gets
+    /// another replica.
     pub target_slot_utilization: f64,
     /// Fraction of all model slots that replicas beyond each model's first may fill, from 0 to 1.
     pub extra_replica_share: f64,
-    /// Fraction of the store's rate that is reserved for models without a replica whose requests wait, from 0 to 1.
+    /// Fraction of the weight store's load rate that is reserved for models without a replica that requests wait for,
+    /// from 0 to 1.
     pub urgent_load_share: f64,
-    /// Time after its last request during which a model counts as in demand, in milliseconds.
+    /// A model is in demand for this long after its last request, in milliseconds.
     pub demand_window: Millis,
-    /// Requests per second for each further replica of an adapter.
+    /// An adapter gets one further replica for each full multiple of this request rate, in requests per second.
     pub adapter_replica_rate: f64,
 }
 
@@ -37,7 +40,7 @@
 }
 
 impl Options {
-    /// The defaults, with the weight store's window from the settings.
+    /// Returns the defaults, with the window of the weight store's rate limit taken from the settings.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Options { origin_window: bounds.origin_window.as_millis() as Millis, ..Options::default() }
     }
--- a/placement/src/planner/headroom.rs
+++ b/placement/src/planner/headroom.rs
@@ -1,4 +1,4 @@
-//! Keeps free capacity on some servers, so that a load that requests wait for need not wait for an eviction first.
+//! Keeps free capacity on some servers, so that a load that requests wait for can start without an eviction.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
@@ -8,14 +8,14 @@
 use crate::model::Artifact;
 use crate::server::Server;
 
-/// One of this many servers keeps free capacity for another model.
+/// One in this many ready servers is kept with free capacity for another model.
 const SERVERS_PER_HEADROOM: usize = 6;
-/// Minimum time from the first demand to the first eviction for headroom, in milliseconds.
+/// No model is evicted for headroom until this long after the first demand, in milliseconds.
 const HEADROOM_DELAY: Millis = 3_000;
 
 impl Planner {
-    /// Evicts the cheapest model if too few servers have free capacity for another one. Does nothing while replicas
-    /// are missing.
+    /// Orders the cheapest eviction if too few servers have free capacity for another model. Does nothing while
+    /// replicas are missing.
     pub(super) fn evict_for_headroom(&mut self, now: Millis) -> Option<PlannedOrder> {
         let first_demand_at = self.demand_sources.first_demand_at()?;
         if self.has_missing_replicas || now.saturating_sub(first_demand_at) < HEADROOM_DELAY {
@@ -39,7 +39,7 @@
         self.send(now, key, Operation::Evict, Artifact::model(model), false)
     }
 
-    /// Whether the largest model fits onto a server, or the server is evicting a model.
+    /// Returns whether the largest model of the configuration fits on the server, or the server is evicting a model.
     fn has_headroom(&self, server: &Server) -> bool {
         let is_evicting = server.in_flight.as_ref().is_some_and(|order| order.is_for_model(Operation::Evict));
         let used_mb = server.used_mb(&self.models) + self.catalogue.largest_model_mb();
--- a/placement/src/planner/inputs.rs
+++ b/placement/src/planner/inputs.rs
@@ -1,4 +1,4 @@
-//! Applies the planner's inputs: demand, directory records, and servers' reports.
+//! Applies the planner's inputs: demand, directory records and server reports.
 
 use shaletrail_protocol::external::{LoadedModel, ServerReport};
 use shaletrail_protocol::internal::{Demand, Presence, ServerRecord};
@@ -10,18 +10,19 @@
 use crate::contents::ListedModel;
 use crate::server::{Server, ServerKey};
 
-/// Maximum number of servers; further ones are ignored.
+/// Further servers are ignored once this many are known.
 const MAX_SERVERS: usize = 4_096;
 
 impl Planner {
-    /// Applies the demand that a source reports (an edge, or a coordinator for its edges). Its waiting and open requests
-    /// replace those of the source's last report.
+    /// Applies the demand that a source reports: an edge, or a coordinator on behalf of its edges. The waiting and
+    /// in-progress requests replace those of the source's last report.
     pub fn record_demand(&mut self, now: Millis, source: NodeId, demand: &[Demand]) {
         self.demand_sources.record(now, source, demand, &self.service, &mut self.models);
         self.has_changed |= demand.iter().any(|entry| entry.service == self.service);
     }
 
-    /// Applies the directory's record of a server. Records of other services, and those of older heartbeats, are ignored.
+    /// Applies the directory's record of a server. Records of other services are ignored. A record whose heartbeat is
+    /// not newer than the last one changes at most the presence, and never makes a server ready.
     pub fn update_server(&mut self, now: Millis, record: &ServerRecord) {
         let heartbeat = &record.heartbeat;
         if heartbeat.service != self.service {
@@ -39,12 +40,12 @@
         }
         self.has_changed |= is_newer;
         server.slots = heartbeat.slots;
-        let has_moved = server.address != heartbeat.address;
+        let address_changed = server.address != heartbeat.address;
         server.address.clone_from(&heartbeat.address);
-        self.set_presence(key, record.presence, has_moved);
+        self.set_presence(key, record.presence, address_changed);
     }
 
-    /// Removes a server that is no longer in the directory.
+    /// Removes a server that the directory has removed; does nothing if it is unknown.
     pub fn remove_server(&mut self, id: &ServerId) {
         let Some(key) = self.keys.remove(id) else { return };
         self.ring.update(&[(key, 0, 0.0)]);
@@ -52,7 +53,7 @@
         self.has_changed = true;
     }
 
-    /// Applies a server's response to `GET /report`.
+    /// Applies a server's response to `GET /report`; ignored if the server is unknown.
     pub fn record_report(&mut self, now: Millis, id: &ServerId, report: &ServerReport) {
         let listed = self.identify(&report.models);
         let Some(server) = self.server_mut(id) else { return };
@@ -60,7 +61,7 @@
         self.has_changed = true;
     }
 
-    /// A server did not respond to `GET /report`.
+    /// Records that a server did not respond to `GET /report`.
     pub fn report_failed(&mut self, now: Millis, id: &ServerId) {
         if let Some(server) = self.server_mut(id) {
             server.report_failed(now, UNREACHABLE_BACKOFF);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Another server has this server's address: it counts as timed out until its next heartbeat.
+    /// Treats a server as timed out until its next heartbeat, because another server has its address.
     pub(super) fn mark_timed_out(&mut self, now: Millis, id: &ServerId) {
         let Some(key) = self.keys.get(id).copied() else { return };
         if let Some(server) = self.servers.get_mut(&key) {
@@ -77,14 +78,14 @@
         self.set_presence(key, Presence::TimedOut, false);
     }
 
-    fn set_presence(&mut self, key: ServerKey, presence: Presence, has_moved: bool) {
+    fn set_presence(&mut self, key: ServerKey, presence: Presence, address_changed: bool) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         let was_ready = server.is_ready();
         server.presence = presence;
         if !server.is_ready() {
             server.reservation = None;
         }
-        if was_ready != server.is_ready() || has_moved {
+        if was_ready != server.is_ready() || address_changed {
             self.has_changed = true;
             let weight = if server.is_ready() { 1.0 } else { 0.0 };
             self.ring.update(&[(key, hash_of_name(&server.address), weight)]);
@@ -105,8 +106,8 @@
         Some(key)
     }
 
-    /// Resolves the names of models and adapters in a message. A model that the configuration does not know counts as large
-    /// as the largest one.
+    /// Resolves the names of models and adapters in a message. A model that is not in the configuration is assumed to
+    /// be as large as the largest configured one.
     fn identify(&mut self, loaded: &[LoadedModel]) -> Vec<ListedModel> {
         let assumed_mb = self.catalogue.largest_model_mb();
         let identify_model = |entry: &LoadedModel| {
--- a/placement/src/planner/load_budget.rs
+++ b/placement/src/planner/load_budget.rs
@@ -1,4 +1,4 @@
-//! How many loads from the weight store a planning pass may plan.
+//! Limits the loads from the weight store that a planning pass may plan.
 
 use shaletrail_protocol::Millis;
 
@@ -6,33 +6,36 @@
 use crate::server::Reservation;
 use crate::urgency::Urgency;
 
-/// Concurrent loads for models with waiting requests beyond those that the weight store serves at full speed.
+/// Loads for models with waiting requests may exceed the concurrency that the weight store serves at full speed by this
+/// many.
 pub(super) const MAX_URGENT_EXCESS: isize = 2;
-/// Concurrent loads from which one is kept free for models with waiting requests.
+/// If the weight store serves at least this many concurrent loads at full speed, one of them is kept free for models
+/// with waiting requests.
 const MIN_LOADS_FOR_URGENT_SLOT: usize = 3;
-/// Maximum number of concurrent loads, reservations included, up to which loads start that no request waits for, or one for
-/// each [`SERVERS_PER_BACKGROUND_LOAD`] servers if that is more. A server that loads accepts no other order, and the weight
-/// store may serve more loads concurrently than there are servers to spare.
+/// A load that no request waits for starts only while fewer loads than this, or than one per
+/// [`SERVERS_PER_BACKGROUND_LOAD`] ready servers if that is more, are in flight or reserved. A loading server accepts
+/// no other order, and the weight store may serve more concurrent loads than there are servers to spare.
 const MAX_BACKGROUND_LOADS: usize = 64;
 /// See [`MAX_BACKGROUND_LOADS`].
 const SERVERS_PER_BACKGROUND_LOAD: usize = 5;
 
 /// Loads from the weight store that a planning pass may still plan.
 pub(super) struct LoadBudget {
-    /// Loads within the store's rate.
+    /// Loads that the weight store's rate still permits.
     rate: usize,
-    /// Loads that the store serves at full speed beside those in flight; negative if more are in flight.
+    /// Loads that the weight store can serve at full speed in addition to those in flight; negative if too many are in
+    /// flight.
     concurrency: isize,
     /// Part of `rate` that is reserved for models with waiting requests.
     urgent_rate: usize,
     /// Part of `concurrency` that is reserved for models with waiting requests.
     urgent_concurrency: isize,
-    /// Loads that may start without a request that waits for them.
+    /// Loads that may start although no request waits for them.
     background: isize,
 }
 
 impl LoadBudget {
-    /// Whether a load of this urgency may be planned.
+    /// Returns whether a load of this urgency may be planned.
     pub(super) fn allows(&self, urgency: Urgency) -> bool {
         match urgency {
             Urgency::Waiting => self.rate > 0 && self.concurrency > -MAX_URGENT_EXCESS,
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Takes a load from the budget.
+    /// Deducts one load from the budget.
     pub(super) fn take(&mut self) {
         self.rate = self.rate.saturating_sub(1);
         self.concurrency -= 1;
@@ -53,7 +56,7 @@
 }
 
 impl Planner {
-    /// The budget of a planning pass with `ready` ready servers.
+    /// Returns the budget of a planning pass with `ready` ready servers.
     pub(super) fn load_budget(&mut self, now: Millis, ready: usize) -> LoadBudget {
         let is_reserved_load = |reservation: &Reservation| reservation.from_origin;
         let reservations = self.servers.values().filter_map(|server| server.reservation);
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Number of loads from the weight store in flight, except those whose expected time has passed.
+    /// Returns the number of loads from the weight store in flight, excluding those that should have ended by now.
     pub(super) fn origin_loads_in_flight(&self, now: Millis) -> usize {
         let orders = self.servers.values().filter_map(|server| server.in_flight.as_ref());
         orders.filter(|order| order.origin_load.is_some() && !order.is_probably_loaded(now)).count()
--- a/placement/src/planner/mod.rs
+++ b/placement/src/planner/mod.rs
@@ -1,9 +1,9 @@
 //! The planner of one service.
 //!
-//! - `inputs` applies demand, directory records and reports;
-//! - `pass` is the planning pass, with `reservations` (missing replicas), `headroom` (evictions ahead of need) and
-//!   `load_budget` (loads from the weight store);
-//! - `orders` sends orders and records their outcomes;
+//! - `inputs` applies demand, directory records and reports.
+//! - `pass` is the planning pass. It uses `reservations` (servers for missing replicas), `headroom` (evictions in
+//!   advance) and `load_budget` (limits on loads from the weight store).
+//! - `orders` records orders as sent and applies their outcomes.
 //! - `queries` reads the planner's state.
 
 mod headroom;
@@ -28,7 +28,7 @@
 use crate::server::{Server, ServerKey};
 use crate::uncertainty::Uncertainty;
 
-/// Time without orders after a server was unreachable, in milliseconds.
+/// A server that was unreachable gets no orders for this long, in milliseconds.
 const UNREACHABLE_BACKOFF: Millis = 1_000;
 
 /// The planner of one service's models.
@@ -37,7 +37,7 @@
     service: String,
     options: Options,
     catalogue: Catalogue,
-    /// See [`Catalogue::model_slots_per_server`].
+    /// The result of [`Catalogue::model_slots_per_server`] for `catalogue`.
     model_slots_per_server: f64,
     models: ModelTable,
     demand_sources: DemandSources,
@@ -48,9 +48,9 @@
     /// The hash ring of the ready servers.
     ring: SlotArray<ServerKey>,
     origin: OriginBudget,
-    /// Covers the orders of the previous lease holder, for servers that are seen for the first time.
+    /// Uncertainty about the orders of the previous lease holder, for servers that are seen for the first time.
     initial_uncertainty: Uncertainty,
-    /// Whether there was any input since the last planning pass.
+    /// Whether any input since the last planning pass may change its result.
     has_changed: bool,
     /// Whether replicas were missing in the last planning pass.
     has_missing_replicas: bool,
@@ -59,8 +59,8 @@
 }
 
 impl Planner {
-    /// A planner whose lease starts at `now`: the previous lease has ended, its orders are not known, and they may have
-    /// exhausted the weight store's rate.
+    /// Creates a planner whose lease starts at `now`. The orders of the previous lease, which has ended, are assumed to
+    /// be unknown and to have exhausted the weight store's rate.
     pub fn new(service: String, catalogue: Catalogue, options: Options, now: Millis) -> Self {
         let mut models = ModelTable::default();
         models.set_catalogue(&catalogue);
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Starts to send orders, on a node that has only applied inputs so far. Servers may have accepted orders of an earlier
-    /// lease until `earlier_orders_until`, and these may have exhausted the weight store's rate by then; `None` if nobody has
-    /// sent any.
+    /// Starts a lease on a node that has only applied inputs so far. Servers may have accepted orders of an earlier
+    /// lease until `earlier_orders_until`, and these orders may have exhausted the weight store's rate by then; `None`
+    /// if no orders were ever sent.
     pub fn start_ordering(&mut self, now: Millis, earlier_orders_until: Option<Millis>) {
         let (window, rate) = (self.options.origin_window, self.catalogue.load_per_s);
         let uncertainty =
@@ -101,7 +101,7 @@
         self.has_changed = true;
     }
 
-    /// Applies a changed configuration.
+    /// Applies a new configuration of the service.
     pub fn set_catalogue(&mut self, catalogue: Catalogue) {
         self.servers.values_mut().for_each(|server| server.keep_sizes(&self.models));
         self.models.set_catalogue(&catalogue);
--- a/placement/src/planner/orders.rs
+++ b/placement/src/planner/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders and records their outcomes.
+//! Records orders as sent and applies their outcomes.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::{Millis, ServerId};
@@ -10,11 +10,11 @@
 use crate::model::Artifact;
 use crate::server::ServerKey;
 
-/// Time without orders after a server has rejected one as invalid, in milliseconds.
+/// A server that has rejected an order as invalid gets no orders for this long, in milliseconds.
 const REJECTED_BACKOFF: Millis = 5_000;
 
 impl Planner {
-    /// Records the outcome of an order to a server. Outcomes of orders that are no longer outstanding are ignored.
+    /// Applies the outcome of an order to a server. Ignored if the order is no longer in flight or already accepted.
     pub fn complete_order(&mut self, now: Millis, id: &ServerId, number: OrderNumber, outcome: OrderOutcome) {
         let Some(server) = self.keys.get(id).and_then(|key| self.servers.get_mut(key)) else { return };
         let is_outstanding = |order: &&InFlightOrder| order.number == number && order.accepted_at.is_none();
@@ -38,8 +38,8 @@
         self.has_changed = true;
     }
 
-    /// Records an order as in flight and returns it. `None` if the revision that it must require is not known: then the
-    /// server's report is requested instead.
+    /// Records an order as in flight and returns it for sending. `None` if the server's revision is not known, in which
+    /// case a report is requested instead.
     pub(super) fn send(
         &mut self,
         now: Millis,
@@ -79,7 +79,8 @@
         Some(planned)
     }
 
-    /// Expected time of an order from its acceptance to its end, in milliseconds; `None` for an unknown model.
+    /// Returns the expected time from an order's acceptance to its completion, in milliseconds; 0 for an eviction or an
+    /// adapter, `None` for an unknown model.
     fn expected_ms(
         &self,
         now: Millis,
@@ -91,7 +92,7 @@
         if operation != Operation::Load || artifact.adapter.is_some() {
             return Some(0);
         }
-        // Loads beyond those that the weight store serves at full speed slow each other down in proportion.
+        // Once the weight store serves more loads than it can at full speed, all of them slow down in proportion.
         let loads = (self.origin_loads_in_flight(now) + 1) as f64;
         let slowdown = (loads / self.catalogue.max_concurrent_loads() as f64).max(1.0);
         Some(InFlightOrder::expected_load_ms(spec.load_time_s * slowdown, from_origin))
--- a/placement/src/planner/pass.rs
+++ b/placement/src/planner/pass.rs
@@ -1,4 +1,4 @@
-//! The planning pass: updates the targets, and plans the next orders.
+//! The planning pass: updates the replica targets and plans the next orders.
 
 use shaletrail_protocol::{Millis, ServerId};
 
@@ -14,11 +14,12 @@
 use crate::target::replica_demand;
 use crate::utilization::server_utilization;
 
-/// Maximum time between two planning passes if nothing has changed, in milliseconds.
+/// A planning pass runs after this time even if nothing has changed, in milliseconds.
 const MAX_PASS_INTERVAL: Millis = 1_000;
 
 impl Planner {
-    /// The orders to send now, at most one for each server. Each is outstanding until [`Planner::complete_order`].
+    /// Returns the orders to send now, at most one per server. The caller reports the outcome of each by
+    /// [`Planner::complete_order`].
     pub fn next_orders(&mut self, now: Millis) -> Vec<PlannedOrder> {
         self.servers.values_mut().for_each(|server| server.expire_order(now));
         self.demand_sources.expire(now, &mut self.models);
@@ -43,7 +44,7 @@
         is_overdue || self.has_changed || self.has_missing_replicas || self.servers.values().any(is_busy)
     }
 
-    /// The servers whose reports are needed and are to be requested now.
+    /// Returns the servers to request a report from now.
     pub fn next_reports(&mut self, now: Millis) -> Vec<ServerId> {
         let has_missing_replicas = self.has_missing_replicas;
         let due = self.servers.values_mut().filter_map(|server| {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Number of model slots that replicas beyond each model's first may fill on `ready` servers.
+    /// Returns the number of model slots on `ready` servers that replicas beyond each model's first may fill.
     pub(super) fn slots_for_extra_replicas(&self, ready: usize) -> usize {
         let model_slots = ready as f64 * self.model_slots_per_server;
         (model_slots * self.options.extra_replica_share.clamp(0.0, 1.0)) as usize
@@ -76,7 +77,7 @@
         ReplicaCounts::of_servers(self.models.len(), self.servers.values())
     }
 
-    /// The context of a planning pass.
+    /// Returns the context for placing model replicas.
     pub(super) fn context(&self, now: Millis, counts: &ReplicaCounts) -> PlacementContext<'_> {
         PlacementContext {
             surplus: surplus_replicas(&self.models, &self.servers, &self.ring, counts),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A context without surplus and utilisation.
+    /// Returns a context without surplus and utilisation, which suffices for adapters.
     fn basic_context(&self, now: Millis) -> PlacementContext<'_> {
         PlacementContext {
             now,
--- a/placement/src/planner/queries.rs
+++ b/placement/src/planner/queries.rs
@@ -1,4 +1,4 @@
-//! Reads the planner's state.
+//! Read-only queries of the planner's state.
 
 use shaletrail_protocol::external::{LoadedModel, Operation};
 use shaletrail_protocol::{Millis, ServerId};
@@ -10,7 +10,7 @@
 use crate::server::Server;
 
 impl Planner {
-    /// The desired contents of each ready server.
+    /// Returns the desired contents of each ready server.
     pub fn desired_servers(&self) -> Vec<DesiredServer> {
         self.ready_servers().map(|server| self.desired_server(server)).collect()
     }
@@ -27,10 +27,12 @@
         }
     }
 
-    /// What a server serves now and does not evict, in the order of names; `None` while that is uncertain.
+    /// Returns the models and adapters that a server holds and is not evicting, sorted by model name; `None` while they
+    /// are uncertain or if the server is unknown.
     ///
-    /// This includes the effects of orders ahead of the server's next heartbeat. A load counts as complete after its expected
-    /// time: a server that takes longer rejects requests, which then have not been executed.
+    /// The result includes effects of orders that the server's heartbeats do not show yet. A load counts as complete
+    /// after its expected time. If it takes longer, the server rejects the requests that it then gets without executing
+    /// them.
     pub fn served(&self, now: Millis, id: &ServerId) -> Option<Vec<LoadedModel>> {
         let server = self.keys.get(id).and_then(|key| self.servers.get(key))?;
         if server.uncertainty.is_some() {
@@ -54,14 +56,14 @@
         Some(LoadedModel { name: self.model_name(model)?, version: 0, adapters })
     }
 
-    /// The target number of replicas of a model; 0 without demand, or if the configuration does not name it.
+    /// Returns the target number of replicas of a model; 0 without demand or if the model is not configured.
     pub fn desired_replicas(&self, model: &str) -> usize {
         let artifact = self.models.configured_artifact(model, None);
         let model = artifact.and_then(|artifact| self.models.get(artifact.model));
         model.map_or(0, |model| model.target.replicas)
     }
 
-    /// Counters of the planner's work since its creation.
+    /// Returns the counters of the planner's work since it was created.
     pub fn counters(&self) -> PlannerCounters {
         self.counters
     }
--- a/placement/src/planner/reservations.rs
+++ b/placement/src/planner/reservations.rs
@@ -1,4 +1,4 @@
-//! Reserves servers for missing replicas. A reserved server first evicts until the model fits, then loads the model.
+//! Reserves servers for missing replicas. A reserved server first evicts models until the new one fits, then loads it.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
@@ -14,7 +14,7 @@
 use crate::server::{Reservation, Server, ServerKey};
 use crate::urgency::Urgency;
 
-/// The next step of a reserved server.
+/// The next action for a reserved server.
 enum Step {
     Load { artifact: Artifact, from_origin: bool },
     Evict(Artifact),
@@ -22,7 +22,7 @@
 }
 
 impl Planner {
-    /// Cancels reservations for models that have enough replicas by now.
+    /// Cancels reservations that would give their model more replicas than its target.
     pub(super) fn cancel_reservations(&mut self) {
         let mut counts = self.replica_counts();
         for server in self.servers.values_mut() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reserves servers for missing replicas, as far as the weight store's budget allows.
+    /// Reserves servers for missing replicas, as far as the budget of loads from the weight store allows.
     pub(super) fn reserve_servers(&mut self, now: Millis) {
         let counts = self.replica_counts();
         let ready = self.ready_servers().count();
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Chooses a server for each missing replica that the budget allows. Adds the number of servers examined to `examined`.
+    /// Selects a server for each missing replica that the budget allows. Adds the number of examined servers to
+    /// `examined`.
     fn choose_servers(
         &self,
         now: Millis,
@@ -107,13 +108,14 @@
         self.ready_servers().any(|server| server.has_on_disk(model))
     }
 
-    /// Utilisation that a further replica of the model would add to its server.
+    /// Returns the utilisation that a further replica of the model would add to its server.
     fn utilization_of_further_replica(&self, model: ModelId, counts: &ReplicaCounts) -> f64 {
         let demand = self.models.get(model).map_or(0.0, |model| model.target.demand);
         demand / (counts.of(model).total() + 1) as f64
     }
 
-    /// The next order of each reserved server: the evictions until the model fits, then the load.
+    /// Returns the next order for each reserved server that can get one: an eviction until the model fits, then the
+    /// load.
     pub(super) fn execute_reservations(&mut self, now: Millis) -> Vec<PlannedOrder> {
         if !self.servers.values().any(|server| server.reservation.is_some()) {
             return Vec::new();
@@ -145,7 +147,7 @@
         steps.into_iter().filter_map(|(key, step)| self.execute_step(now, key, step)).collect()
     }
 
-    /// Requests the reports of reserved servers whose next order needs a revision that is not known.
+    /// Requests reports from reserved servers that would get an order now if their revision were known.
     fn request_revisions(&mut self, now: Millis) {
         let reserved = self.servers.values_mut().filter(|server| server.reservation.is_some());
         let blocked =
@@ -180,7 +182,7 @@
     if server.contents.has(artifact) {
         return Step::Cancel;
     }
-    if context.missing_mb(server, model) <= 0.0 {
+    if context.shortfall_mb(server, model) <= 0.0 {
         return Step::Load { artifact, from_origin: !server.has_on_disk(model) };
     }
     let utilization = utilization_of_other_replicas(context, model, counts);
@@ -191,7 +193,7 @@
     }
 }
 
-/// Utilisation of each replica of a model except the reserved one, relative to the target.
+/// Returns the utilisation per replica of a model without the reserved replica, relative to the target.
 fn utilization_of_other_replicas(context: &PlacementContext, model: ModelId, counts: &ReplicaCounts) -> f64 {
     let demand = context.models.get(model).map_or(0.0, |model| model.target.demand);
     let others = counts.of(model).total().saturating_sub(1).max(1);
--- a/placement/src/rate.rs
+++ b/placement/src/rate.rs
@@ -1,10 +1,10 @@
-//! A smoothed event rate that follows a rise fast and a fall slowly.
+//! A smoothed event rate that rises quickly and falls slowly.
 
 use shaletrail_protocol::Millis;
 
-/// Half-life of the average that follows a rise, in milliseconds.
+/// Half-life of the short-term average, which follows a rise quickly, in milliseconds.
 pub const RISE_HALF_LIFE: Millis = 1_000;
-/// Half-life of the average that bridges a lull, in milliseconds.
+/// Half-life of the long-term average, which keeps the rate from dropping during a short pause, in milliseconds.
 pub const FALL_HALF_LIFE: Millis = 8_000;
 
 /// An exponentially decaying count.
@@ -29,7 +29,7 @@
     }
 }
 
-/// Events per second: the greater of a short-term and a long-term exponential moving average.
+/// An event rate: the greater of a short-term and a long-term exponential moving average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
     short_term: DecayingCount,
@@ -37,13 +37,13 @@
 }
 
 impl Rate {
-    /// Counts `count` events at `now`.
+    /// Adds `count` events that occurred at `now`, in milliseconds.
     pub fn add(&mut self, now: Millis, count: f64) {
         self.short_term.add(now, count, RISE_HALF_LIFE);
         self.long_term.add(now, count, FALL_HALF_LIFE);
     }
 
-    /// Events per second at `now`.
+    /// Returns the rate at `now`, in events per second.
     pub fn per_second(&self, now: Millis) -> f64 {
         self.short_term.per_second(now, RISE_HALF_LIFE).max(self.long_term.per_second(now, FALL_HALF_LIFE))
     }
--- a/placement/src/replicas.rs
+++ b/placement/src/replicas.rs
@@ -8,39 +8,39 @@
 /// The replicas of one model, by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaCount {
-    /// On ready servers, and not being evicted.
+    /// Replicas on ready servers that are not being evicted.
     pub serving: usize,
-    /// Being loaded on ready servers.
+    /// Replicas that ready servers are loading.
     pub loading: usize,
-    /// To be loaded on ready servers that are reserved for them.
+    /// Replicas that ready servers are reserved for.
     pub reserved: usize,
 }
 
 impl ReplicaCount {
-    /// Replicas in any state.
+    /// Returns the number of replicas in all states.
     pub fn total(&self) -> usize {
         self.serving + self.loading + self.reserved
     }
 
-    /// Counts a serving replica less, because it is to be evicted.
+    /// Removes a serving replica that is to be evicted.
     pub fn remove_serving(&mut self) {
         self.serving = self.serving.saturating_sub(1);
     }
 
-    /// Counts a reservation less, because it is cancelled.
+    /// Removes a reservation that is cancelled.
     pub fn remove_reserved(&mut self) {
         self.reserved = self.reserved.saturating_sub(1);
     }
 }
 
-/// The replicas of each model, by the model's index.
+/// The replica counts of all models, indexed by [`ModelId`].
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaCounts {
     counts: Vec<ReplicaCount>,
 }
 
 impl ReplicaCounts {
-    /// Counts the replicas of `models` models on the ready ones of `servers`.
+    /// Counts the replicas of the first `models` models of the table on those of `servers` that are ready.
     pub fn of_servers<'a>(models: usize, servers: impl Iterator<Item = &'a Server>) -> Self {
         let mut counts = ReplicaCounts { counts: vec![ReplicaCount::default(); models] };
         servers.filter(|server| server.is_ready()).for_each(|server| counts.add_server(server));
@@ -63,12 +63,12 @@
         }
     }
 
-    /// The replicas of one model.
+    /// Returns the replica count of one model, or zero for a model that was not counted.
     pub fn of(&self, model: ModelId) -> ReplicaCount {
         self.counts.get(model.0).copied().unwrap_or_default()
     }
 
-    /// Changes the count of one model.
+    /// Applies `change` to the count of one model; does nothing for a model that was not counted.
     pub fn update(&mut self, model: ModelId, change: impl FnOnce(&mut ReplicaCount)) {
         if let Some(count) = self.counts.get_mut(model.0) {
             change(count);
--- a/placement/src/server/mod.rs
+++ b/placement/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The state of one server as the planner knows it.
+//! The state of one server, as far as the planner knows it.
 //!
-//! [`messages`] applies heartbeats and reports, [`orders`] follows an order from its sending to its end, [`reporting`] decides
-//! when to request a report.
+//! [`messages`] applies heartbeats and reports, [`orders`] tracks an order from sending to completion, and
+//! [`reporting`] decides when to request a report.
 
 mod messages;
 mod orders;
@@ -21,22 +21,22 @@
 use crate::urgency::Urgency;
 use reporting::ReportSchedule;
 
-/// Identifies a server within the planner, for one start of its process.
+/// Identifies a server within the planner. A server that restarts gets a new key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerKey(pub u64);
 
-/// Reserves a server for a model that is loaded once it fits.
+/// Reserves a server for a model, which the server loads as soon as it fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// The model to load.
     pub model: ModelId,
-    /// Whether the load comes from the weight store.
+    /// Whether the load is expected to come from the weight store and not from the server's disk.
     pub from_origin: bool,
     /// Why the replica is missing.
     pub urgency: Urgency,
 }
 
-/// A server of the service, for one start of its process.
+/// A server of the service, from one start of its process to the next.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// The server's identity, new at each start.
@@ -47,28 +47,29 @@
     pub slots: u32,
     /// The server's state in the directory.
     pub presence: Presence,
-    /// What the server may hold.
+    /// The models and adapters that the server may hold.
     pub contents: ServerContents,
-    /// The order in flight. A server has at most one.
+    /// The order in flight; a server has at most one.
     pub in_flight: Option<InFlightOrder>,
-    /// The model that the server is reserved for.
+    /// The model that the server is reserved for, if any.
     pub reservation: Option<Reservation>,
-    /// How many orders the server has accepted. `contents` are known for that revision.
+    /// The number of orders that the server has accepted, which `contents` reflects.
     pub revision: OrderRevision,
-    /// Set while the server may have accepted orders that are not known.
+    /// Set while the server may have accepted orders that the planner does not know.
     pub uncertainty: Option<Uncertainty>,
-    /// Models that the server has held, and so has on its disk.
+    /// Models that the server has held since its start and therefore has on its disk.
     on_disk: BTreeSet<ModelId>,
     /// Sequence number of the newest heartbeat that listed the contents.
     last_heartbeat: Option<u64>,
-    /// No order is sent before this time.
+    /// The server gets no order before this time.
     blocked_until: Millis,
     reports: ReportSchedule,
 }
 
 impl Server {
-    /// A server that is seen for the first time. `uncertainty` covers the orders of the previous lease holder. If it has sent
-    /// any, the server rejects the first order, and a report gives the revision.
+    /// Creates a server that is seen for the first time. `uncertainty` covers orders of the previous lease holder. If
+    /// that holder has sent any, the server rejects the first order because of its revision, and a report then gives
+    /// the actual revision.
     pub fn new(id: ServerId, uncertainty: Uncertainty) -> Self {
         Server {
             id,
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Drops all state of orders at the start of a lease. `uncertainty` covers earlier orders; `None` if nobody has sent any.
+    /// Discards all order state at the start of a lease. `uncertainty` covers the orders of earlier leases; `None` if
+    /// no orders were ever sent.
     pub fn reset_for_lease(&mut self, uncertainty: Option<Uncertainty>) {
         self.in_flight = None;
         self.reservation = None;
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Whether requests may be routed to the server.
+    /// Returns whether requests may be routed to the server.
     pub fn is_ready(&self) -> bool {
         self.presence == Presence::Ready
     }
 
-    /// Whether an order may be sent now.
+    /// Returns whether an order may be sent to the server now.
     pub fn accepts_orders(&self, now: Millis) -> bool {
         self.is_ready()
             && self.last_heartbeat.is_some()
@@ -114,32 +116,33 @@
             && now >= self.blocked_until
     }
 
-    /// Whether the server holds the artifact and does not evict it.
+    /// Returns whether the server holds the artifact and is not evicting it.
     pub fn serves(&self, artifact: Artifact) -> bool {
         self.contents.has(artifact) && !self.in_flight.as_ref().is_some_and(|order| order.evicts(artifact))
     }
 
-    /// Whether the server loads the artifact, or is reserved for it.
-    pub fn expects(&self, artifact: Artifact) -> bool {
+    /// Returns whether the server is loading the artifact or is reserved for it.
+    pub fn is_loading_or_reserved(&self, artifact: Artifact) -> bool {
         let is_load =
             |order: &InFlightOrder| order.operation == Operation::Load && order.artifact == artifact;
         let is_reserved = |reservation: &Reservation| artifact == Artifact::model(reservation.model);
         self.in_flight.as_ref().is_some_and(is_load) || self.reservation.as_ref().is_some_and(is_reserved)
     }
 
-    /// Whether a load of the model is known to come from the server's own disk.
+    /// Returns whether the model is known to be on the server's own disk.
     pub fn has_on_disk(&self, model: ModelId) -> bool {
         self.on_disk.contains(&model)
     }
 
-    /// Capacity that may be in use, a load in flight included, in MB.
+    /// Returns the capacity that may be in use, including a load in flight, in MB.
     pub fn used_mb(&self, models: &ModelTable) -> f64 {
         let loading = self.loading().filter(|artifact| !self.contents.has(*artifact));
         let loading_mb = loading.map_or(0.0, |artifact| self.contents.size_mb(artifact, models));
         self.contents.used_mb(models) + loading_mb
     }
 
-    /// The configuration is about to change: what the server holds or loads may keep the sizes that it has now.
+    /// Called before the configuration changes: what the server holds or is loading may keep its current size
+    /// afterwards.
     pub fn keep_sizes(&mut self, models: &ModelTable) {
         let loading = self.loading();
         self.contents.keep_sizes(models, loading);
--- a/placement/src/server/orders.rs
+++ b/placement/src/server/orders.rs
@@ -1,4 +1,4 @@
-//! Follows an order to a server from its sending to its end.
+//! Tracks an order to a server from sending to completion.
 
 use shaletrail_protocol::external::Operation;
 use shaletrail_protocol::Millis;
@@ -7,13 +7,13 @@
 use crate::in_flight::InFlightOrder;
 use crate::uncertainty::{Uncertainty, MAX_REPORT_AGE};
 
-/// Time after acceptance at which an adapter counts as loaded, in milliseconds.
+/// An adapter counts as loaded this long after the order's acceptance, in milliseconds.
 const ADAPTER_LOAD_TIME: Millis = 50;
-/// Time after sending at which an order without an outcome counts as unanswered, in milliseconds.
+/// An order whose outcome has not been recorded this long after sending counts as unanswered, in milliseconds.
 const OUTCOME_TIMEOUT: Millis = 5_000;
 
 impl Server {
-    /// An order is sent.
+    /// Records an order that is being sent.
     pub fn order_sent(&mut self, order: InFlightOrder) {
         self.reports.order_sent(order.sent_at);
         if order.is_for_model(Operation::Load) {
@@ -22,7 +22,7 @@
         self.in_flight = Some(order);
     }
 
-    /// The server has accepted the order.
+    /// Records that the server has accepted the order in flight.
     pub fn order_accepted(&mut self, now: Millis) {
         if let Some(order) = &mut self.in_flight {
             order.accepted_at = Some(now);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The server had nothing to do for the order: its contents were not known correctly.
+    /// Records that the server had nothing to do for the order, which means that its known contents were wrong.
     pub fn order_already_done(&mut self, now: Millis) {
         let Some(order) = self.in_flight.take() else { return };
         match order.operation {
@@ -42,19 +42,21 @@
         }
     }
 
-    /// The server has certainly not accepted the order. The next one waits for `backoff` milliseconds.
+    /// Records that the server has certainly not accepted the order. It gets no further order for `backoff`
+    /// milliseconds.
     pub fn order_rejected(&mut self, now: Millis, backoff: Millis) {
         self.in_flight = None;
         self.blocked_until = now.saturating_add(backoff);
     }
 
-    /// The server is busy with an unknown order, or its revision is not the order's.
+    /// Records that the server is executing an unknown order, or that its revision is not the one that the order
+    /// required.
     pub fn order_conflicted(&mut self, now: Millis) {
         self.in_flight = None;
         self.assume_unknown_order(now, MAX_REPORT_AGE);
     }
 
-    /// There was no response: the server may have accepted the order, or may still do so.
+    /// Records that the order got no response: the server may have accepted it, or may still accept it.
     pub fn order_unanswered(&mut self, now: Millis) {
         let Some(order) = self.in_flight.take() else { return };
         if order.operation == Operation::Load {
@@ -69,7 +71,7 @@
         self.uncertainty = Some(Uncertainty::of_unknown_order(now, report_after));
     }
 
-    /// Ends the order in flight if its time is over.
+    /// Removes the order in flight if it has timed out, or if it is an adapter load that counts as complete.
     pub fn expire_order(&mut self, now: Millis) {
         let Some(order) = &self.in_flight else { return };
         let Some(accepted_at) = order.accepted_at else {
--- a/placement/src/server/reporting.rs
+++ b/placement/src/server/reporting.rs
@@ -1,22 +1,23 @@
-//! Decides when a server's report is requested, with an exponential backoff between requests.
+//! Decides when to request a report from a server, with exponential backoff between requests.
 
 use shaletrail_protocol::Millis;
 
 use super::Server;
 
-/// Time after the expected end of an order at which a report shows that end, in milliseconds.
+/// A report is requested this long after the expected end of an order, so that it is likely to show that end, in
+/// milliseconds.
 const REPORT_DELAY: Millis = 250;
-/// First interval between two requests, in milliseconds. It doubles with each request.
+/// Initial interval between two requests, in milliseconds. It doubles with each request.
 const INITIAL_BACKOFF: Millis = 250;
 /// Maximum interval between two requests, in milliseconds.
 const MAX_BACKOFF: Millis = 2_400;
 
-/// The requests for one server's reports.
+/// The state of the report requests to one server.
 #[derive(Clone, Debug)]
 pub(super) struct ReportSchedule {
-    /// Whether an order waits for the server's revision.
+    /// Whether an order waits until a report gives the server's revision.
     needs_revision: bool,
-    /// When a report was last requested, or an order sent; 0 if a request need not wait for the backoff.
+    /// When a report was last requested or an order sent; 0 if the next request does not wait for the backoff.
     requested_at: Millis,
     backoff: Millis,
 }
@@ -28,13 +29,13 @@
 }
 
 impl ReportSchedule {
-    /// An order is sent: the backoff starts anew.
+    /// Resets the backoff when an order is sent.
     pub(super) fn order_sent(&mut self, now: Millis) {
         self.backoff = INITIAL_BACKOFF;
         self.requested_at = now;
     }
 
-    /// A report has given the revision.
+    /// Records that a report has given the revision.
     pub(super) fn revision_received(&mut self) {
         self.needs_revision = false;
     }
@@ -45,15 +46,15 @@
 }
 
 impl Server {
-    /// An order waits for the server's revision, which a report gives.
+    /// Requests a report because an order waits for the server's revision.
     pub fn request_revision(&mut self) {
         if !self.reports.needs_revision {
             self.reports = ReportSchedule { needs_revision: true, ..ReportSchedule::default() };
         }
     }
 
-    /// A request for a report failed: an order that waits for the revision is planned for another server, and this one gets
-    /// no orders for `backoff` milliseconds.
+    /// Records that a request for a report failed. If an order waits for the revision, the reservation is cancelled so
+    /// that another server can be selected, and this server gets no orders for `backoff` milliseconds.
     pub fn report_failed(&mut self, now: Millis, backoff: Millis) {
         if self.reports.needs_revision {
             self.reports.needs_revision = false;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Whether to request a report now; the next request then waits for the backoff. `is_needed` says whether the planner has
-    /// a use for the server.
+    /// Returns whether to request a report now, and if so delays the next request by the backoff. `is_needed` tells
+    /// whether the planner currently needs the server for a replica.
     pub fn poll_report_request(&mut self, now: Millis, is_needed: bool) -> bool {
         let needs_revision = self.reports.needs_revision;
         let due_at = match (&self.in_flight, self.uncertainty) {
--- a/placement/src/surplus.rs
+++ b/placement/src/surplus.rs
@@ -1,4 +1,4 @@
-//! Replicas beyond their model's target.
+//! Finds replicas in excess of their model's target.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::replicas::ReplicaCounts;
 use crate::server::{Server, ServerKey};
 
-/// The replicas beyond their model's target: of each model the last ones in its hash ring sequence.
+/// Returns the replicas in excess of their model's target: for each model the last ones in its hash ring sequence.
 pub fn surplus_replicas(
     models: &ModelTable,
     servers: &BTreeMap<ServerKey, Server>,
--- a/placement/src/target.rs
+++ b/placement/src/target.rs
@@ -1,46 +1,47 @@
 //! The target number of replicas of a model.
 //!
-//! The target rises at once with demand or when requests find all replicas full, and falls one replica at a time, because
-//! each replica costs a load. Where capacity does not suffice for all models, it falls to the fair share at once, because
-//! others need the capacity.
+//! The target rises at once when demand rises or when requests find all replicas at their concurrency limit. It falls
+//! one replica at a time, because restoring a replica costs a load. When capacity is scarce, it falls to the fair share
+//! at once, because other models need the capacity.
 
 use shaletrail_protocol::Millis;
 
 use crate::demand::{is_within, ModelDemand};
 use crate::options::Options;
 
-/// Hysteresis of a rise: the part of a replica by which demand may exceed the replicas before another is added.
+/// Upward hysteresis: a replica is added only when demand exceeds the replicas by more than this fraction of a replica.
 const RISE_MARGIN: f64 = 0.15;
-/// Hysteresis of a fall: the part of a replica by which demand must fall below the replicas before one is removed.
+/// Downward hysteresis: a replica is removed only when demand falls this fraction of a replica below what the remaining
+/// replicas serve.
 const FALL_MARGIN: f64 = 0.3;
-/// Minimum time between two steps down, in milliseconds.
+/// Minimum time between two reductions by one replica, in milliseconds.
 const STEP_DOWN_INTERVAL: Millis = 4_000;
-/// Minimum time between two boosts, in milliseconds: the first must have had time to take effect.
+/// Minimum time between two increases of the boost, in milliseconds, so that the first one has time to take effect.
 const BOOST_INTERVAL: Millis = 2_500;
-/// Time for which a report of requests over capacity counts, in milliseconds.
+/// Age at which a report of requests over capacity no longer increases the boost, in milliseconds.
 const OVER_CAPACITY_TTL: Millis = 1_000;
-/// Time after the last report of requests over capacity at which the boost ends, in milliseconds.
+/// Age of the last report of requests over capacity at which the boost ends, in milliseconds.
 const BOOST_TTL: Millis = 10_000;
-/// Maximum number of replicas that demand alone asks for.
+/// Upper bound of a model's replicas without the boost.
 const MAX_REPLICAS: f64 = 1024.0;
 
 /// The target number of replicas of one model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaTarget {
-    /// Replicas that there should be; 0 without demand.
+    /// The target number of replicas; 0 without demand.
     pub replicas: usize,
-    /// The demand, in replicas at target utilisation.
+    /// The model's demand, in replicas at target utilisation.
     pub demand: f64,
-    /// Replicas beyond those by demand, because requests found all replicas at their limit.
+    /// Replicas on top of those that `demand` needs, because requests found all replicas at their concurrency limit.
     boost: usize,
     boosted_at: Millis,
     lowered_at: Millis,
 }
 
 impl ReplicaTarget {
-    /// Updates the target. `replica_demand` is the result of [`replica_demand`], `serving` the number of ready replicas, and
-    /// `utilization_per_replica` their utilisation relative to the target, above 1 only where capacity does not suffice for
-    /// all models.
+    /// Updates the target. `replica_demand` is the result of [`replica_demand`] and `serving` the number of ready
+    /// replicas. `utilization_per_replica` is the utilisation at which replicas are to run, relative to the target
+    /// utilisation; it exceeds 1 only when capacity is scarce.
     pub fn update(
         &mut self,
         now: Millis,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Adds a replica while requests find all replicas at their limit, and ends the boost once none has for a while.
+    /// Increases the boost while requests find all replicas at their limit, and ends it once that has not been reported
+    /// for [`BOOST_TTL`].
     fn update_boost(&mut self, now: Millis, demand: &ModelDemand, serving: usize) {
         let is_over_capacity = is_within(demand.last_over_capacity, now, OVER_CAPACITY_TTL);
         let is_due = now.saturating_sub(self.boosted_at) >= BOOST_INTERVAL;
@@ -85,16 +87,16 @@
     }
 }
 
-/// The demand for a model in replicas at target utilisation: by tokens, or by open requests if that is more. `slots` is the
-/// concurrency limit of one server. `None` if the model was not requested recently.
+/// Returns the demand for a model in replicas at target utilisation: by token rate or by requests in progress,
+/// whichever is more. `slots` is the concurrency limit of one server. `None` if the model was not requested recently.
 pub fn replica_demand(now: Millis, demand: &ModelDemand, slots: u32, options: &Options) -> Option<f64> {
     let is_requested = demand.is_requested_within(now, options.demand_window);
-    if !is_requested && demand.waiting == 0 && demand.open == 0 {
+    if !is_requested && demand.waiting == 0 && demand.in_progress == 0 {
         return None;
     }
     let by_tokens = demand.tokens.per_second(now) / options.target_tokens_per_replica.max(1.0);
     let target_slots = f64::from(slots.max(1)) * options.target_slot_utilization.max(0.01);
-    let by_slots = f64::from(demand.open) / target_slots;
+    let by_slots = f64::from(demand.in_progress) / target_slots;
     Some(by_tokens.max(by_slots))
 }
 
--- a/placement/src/urgency.rs
+++ b/placement/src/urgency.rs
@@ -1,11 +1,11 @@
-//! Why a replica is missing.
+//! The reasons for which a replica is missing.
 
-/// Why a replica is missing, the most urgent reason first.
+/// Why a replica is missing. Variants are ordered from the most to the least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// Requests wait and no server holds the model.
     Waiting,
-    /// There are replicas, but too few for the demand.
+    /// The model has replicas, but too few for its demand.
     Overloaded,
     /// The model was requested recently and no server holds it now.
     Absent,
--- a/placement/src/utilization.rs
+++ b/placement/src/utilization.rs
@@ -1,4 +1,4 @@
-//! The utilisation of servers.
+//! Estimates the utilisation of servers.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 use crate::replicas::ReplicaCounts;
 use crate::server::{Server, ServerKey};
 
-/// The utilisation of each ready server if the demand for each model is spread evenly over its replicas. 1 is the work of
-/// one replica at target utilisation.
+/// Returns the utilisation of each ready server, assuming that the demand for each model is spread evenly over its
+/// replicas. 1 is the load of one replica at target utilisation.
 pub fn server_utilization(
     models: &ModelTable,
     servers: &BTreeMap<ServerKey, Server>,
@@ -32,5 +32,5 @@
 }
 
 fn is_loading_model(server: &Server, artifact: Artifact) -> bool {
-    artifact.adapter.is_none() && server.expects(artifact) && !server.contents.has(artifact)
+    artifact.adapter.is_none() && server.is_loading_or_reserved(artifact) && !server.contents.has(artifact)
 }
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests: [`scenario`] feeds a planner one message at a time, [`simulation`] runs it against simulated servers.
+//! Shared by the tests: [`scenario`] feeds a planner one message at a time, [`simulation`] runs it against simulated
+//! servers.
 
 #![allow(dead_code)]
 
--- a/placement/tests/common/simulation/mod.rs
+++ b/placement/tests/common/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A planner against simulated servers on a simulated clock. The capacity of servers and the rate of the weight store are
-//! checked at every order.
+//! A planner against simulated servers on a simulated clock. The capacity of servers and the rate of the weight store
+//! are checked at every order.
 
 mod demand;
 mod heartbeats;
@@ -169,7 +169,8 @@
         self.servers.iter().filter(holds).count()
     }
 
-    /// The lease of the holder expires: until [`Simulation::replace_planner`] a planner of another service is in its place.
+    /// The lease of the holder expires: until [`Simulation::replace_planner`] a planner of another service is in its
+    /// place.
     pub fn suspend_planner(&mut self) {
         self.planner = Planner::new("another".into(), self.catalogue.clone(), Options::default(), self.now);
     }
