--- a/placement/src/contents.rs
+++ b/placement/src/contents.rs
@@ -201,7 +201,7 @@
     /// because its weights may keep these sizes after the change.
     pub fn keep_sizes(&mut self, models: &ModelTable, loading: Option<Artifact>) {
         let held = self.replicas.keys().copied().chain(loading.map(|artifact| artifact.model));
-        // Models that are not configured have only an assumed size, which is not worth keeping.
+        // The size of a model that is not configured is only an assumption.
         let is_configured = |id: &ModelId| models.get(*id).is_some_and(|model| model.is_configured);
         for id in held.filter(is_configured) {
             let former = self.former_sizes.entry(id).or_default();
--- a/placement/src/interface.rs
+++ b/placement/src/interface.rs
@@ -21,7 +21,7 @@
     Fenced,
     /// HTTP 400: the server considers the order invalid.
     Rejected,
-    /// HTTP 421: the address now belongs to another server, or to a later start of the same one.
+    /// HTTP 421: the address now belongs to another server, or the server has restarted.
     #[strum(to_string = "Gone")]
     WrongInstance,
     /// The order certainly did not reach the server, for example because the connection was refused.
--- a/placement/src/planner/inputs.rs
+++ b/placement/src/planner/inputs.rs
@@ -21,8 +21,8 @@
         self.has_changed |= demand.iter().any(|entry| entry.service == self.service);
     }
 
-    /// Applies the directory's record of a server. Records of other services are ignored. A record whose heartbeat is
-    /// not newer than the last one changes at most the presence, and never makes a server ready.
+    /// Applies the directory's record of a server. Records of other services are ignored. A heartbeat that is not newer
+    /// than the last one neither changes the known contents nor makes a server ready again.
     pub fn update_server(&mut self, now: Millis, record: &ServerRecord) {
         let heartbeat = &record.heartbeat;
         if heartbeat.service != self.service {
--- a/placement/src/server/messages.rs
+++ b/placement/src/server/messages.rs
@@ -52,8 +52,8 @@
     }
 
     /// Applies a report of the server's contents at `revision`. `busy` tells whether the server is still executing its
-    /// last order; such a report, an outdated one, and one that may be older than an order is ignored except for the
-    /// disk contents.
+    /// last order. The report only adds to the models on disk if the server is busy, if the order in flight is
+    /// unanswered, or if the report is outdated or does not resolve the uncertainty.
     pub fn record_report(&mut self, now: Millis, revision: u64, busy: bool, listed: &[ListedModel]) {
         self.remember_on_disk(listed);
         let unanswered = self.in_flight.as_ref().is_some_and(|order| order.accepted_at.is_none());
--- a/placement/src/server/mod.rs
+++ b/placement/src/server/mod.rs
@@ -57,7 +57,7 @@
     pub revision: OrderRevision,
     /// Set while the server may have accepted orders that the planner does not know.
     pub uncertainty: Option<Uncertainty>,
-    /// Models that the server has held since its start and therefore has on its disk.
+    /// Models that a heartbeat or report has listed and that are therefore on the server's disk.
     on_disk: BTreeSet<ModelId>,
     /// Sequence number of the newest heartbeat that listed the contents.
     last_heartbeat: Option<u64>,
--- a/placement/tests/adapters.rs
+++ b/placement/tests/adapters.rs
@@ -45,15 +45,15 @@
 
 #[test]
 fn adapters_count_towards_server_capacity() {
-    // 140 GB of models and 3 x 100 MB of adapters leave less than a third model takes.
-    let mut roomy = catalogue(3);
-    roomy.weights_mb = 210_200.0;
+    // 140 GB of models and three adapters of 100 MB each leave too little capacity for a third model.
+    let mut larger_servers = catalogue(3);
+    larger_servers.weights_mb = 210_200.0;
     let mut scenario = Scenario::new(3, &[&["m0/a1/a2/a3", "m1"]]);
-    scenario.planner.set_catalogue(roomy.clone());
+    scenario.planner.set_catalogue(larger_servers.clone());
     scenario.report_demand(&[waiting("m2")]);
     assert!(scenario.next_orders()[0].starts_with("s0 evict"));
     let mut scenario = Scenario::new(3, &[&["m0/a1/a2", "m1"]]);
-    scenario.planner.set_catalogue(roomy);
+    scenario.planner.set_catalogue(larger_servers);
     scenario.report_demand(&[waiting("m2")]);
     assert_eq!(scenario.next_orders(), ["s0 load m2 at 0"]);
 }
--- a/placement/tests/catalogue.rs
+++ b/placement/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Figures derived from the configuration.
+//! Values derived from the configuration.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use shaletrail_placement::{Catalogue, ModelSpec};
 
 #[test]
-fn model_slots_are_those_of_packed_servers() {
+fn model_slots_assume_packed_servers() {
     let model_slots = |sizes: &[f64], weights_mb: f64| {
         let spec = |weights_mb: &f64| ModelSpec { weights_mb: *weights_mb, ..ModelSpec::default() };
         let models = sizes.iter().map(spec).collect();
@@ -24,9 +24,12 @@
 
 #[test]
 fn concurrent_loads_follow_rate_and_load_time() {
-    let with = |load_time_s: f64, load_per_s: f64| {
+    let max_loads = |load_time_s: f64, load_per_s: f64| {
         let models = vec![ModelSpec { load_time_s, ..ModelSpec::default() }];
         Catalogue { models, load_per_s, ..Catalogue::default() }.max_concurrent_loads()
     };
-    assert_eq!([with(2.1, 2.8), with(0.6, 2.8), with(0.1, 0.1), with(f64::NAN, 1.0)], [6, 2, 2, 2]);
+    assert_eq!(
+        [max_loads(2.1, 2.8), max_loads(0.6, 2.8), max_loads(0.1, 0.1), max_loads(f64::NAN, 1.0)],
+        [6, 2, 2, 2]
+    );
 }
--- a/placement/tests/changed_sizes.rs
+++ b/placement/tests/changed_sizes.rs
@@ -1,11 +1,11 @@
-//! A configuration that changes the sizes of models which servers hold or are loading.
+//! Configuration changes that alter the sizes of models that servers hold or are loading.
 
 mod common;
 
 use common::scenario::{catalogue, demand, waiting, Scenario};
 use shaletrail_placement::{Catalogue, OrderOutcome};
 
-/// The same models at half their size: three would fit where two do.
+/// Returns the same models at half their size, so that more of them fit on a server.
 fn halved(models: usize) -> Catalogue {
     let mut catalogue = catalogue(models);
     catalogue.models.iter_mut().for_each(|model| model.weights_mb /= 2.0);
@@ -18,17 +18,17 @@
 
 #[test]
 fn load_in_flight_keeps_the_size_that_it_was_ordered_with() {
-    // given: a server that loads its second model
+    // given: a server that is loading its second model
     let mut scenario = Scenario::new(3, &[&["m0"]]);
     scenario.report_demand(&[waiting("m1"), demand("m0")]);
     assert_eq!(scenario.next_orders(), ["s0 load m1 at 0"]);
     scenario.complete_order(0, OrderOutcome::Accepted);
-    // when: sizes are halved before that is seen
+    // when: the configured sizes are halved before a heartbeat shows the load
     scenario.planner.set_catalogue(halved(3));
     scenario.now += 2_500;
     scenario.heartbeat(0, &["m0", "m1"]);
     scenario.report_demand(&[waiting("m2"), demand("m0"), demand("m1")]);
-    // then: a third is not loaded beside them
+    // then: no third model is loaded in addition
     let orders = scenario.next_orders();
     assert!(!orders.iter().any(|order| is_load(order)), "{orders:?}");
 }
--- a/placement/tests/common/scenario.rs
+++ b/placement/tests/common/scenario.rs
@@ -1,4 +1,4 @@
-//! A planner that receives one message at a time, and its orders as text.
+//! Feeds a planner one message at a time and returns its orders as text.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use shaletrail_ring::{hash_of_name, Key, SlotArray};
 
 pub const EDGE: NodeId = NodeId(1);
-/// A time at which the orders of the previous lease holder have ended, and the load budget is unused.
+/// A time, in milliseconds, at which the orders of the previous lease holder have ended and the load budget is unused.
 pub const AFTER_TAKEOVER: Millis = 20_000;
 
-/// `count` models `m0`, `m1` and so on, two of which fit onto a server.
+/// Returns a configuration of `count` models `m0`, `m1` and so on, two of which fit on a server.
 pub fn catalogue(count: usize) -> Catalogue {
     let model = |index| ModelSpec {
         name: format!("m{index}"),
@@ -37,12 +37,12 @@
     format!("s{server}")
 }
 
-/// The inverse of [`id`].
+/// Returns the server's index for its [`id`].
 pub fn server_index(id: &str) -> usize {
-    id.strip_prefix('s').and_then(|digits| digits.parse().ok()).expect("an id of a server")
+    id.strip_prefix('s').and_then(|digits| digits.parse().ok()).expect("a server id such as s0")
 }
 
-/// Models as a server lists them, from `m1` or, with adapters, `m1/a1/a2`.
+/// Converts texts such as `m1` or, with adapters, `m1/a1/a2` into the models that a server lists in a message.
 pub fn loaded(models: &[&str]) -> Vec<LoadedModel> {
     let entry = |text: &&str| {
         let mut parts = text.split('/').map(str::to_owned);
@@ -56,12 +56,13 @@
     pub now: Millis,
     /// Sequence number of the newest heartbeat.
     pub heartbeats: u64,
-    /// The newest order to each server.
+    /// The number of the newest order to each server, by server id.
     pub newest_orders: BTreeMap<String, OrderNumber>,
 }
 
 impl Scenario {
-    /// A planner long after its lease began, with servers that hold these models.
+    /// Creates a planner with `models` models long after its lease began, and one ready server for each entry of
+    /// `servers`, which lists the models that the server holds.
     pub fn new(models: usize, servers: &[&[&str]]) -> Scenario {
         let planner = Planner::new("s".into(), catalogue(models), Options::default(), 0);
         let mut scenario = Scenario::with_planner(planner);
@@ -71,12 +72,12 @@
         scenario
     }
 
-    /// A planner that knows no servers yet.
+    /// Wraps a planner that knows no servers yet.
     pub fn with_planner(planner: Planner) -> Scenario {
         Scenario { planner, now: AFTER_TAKEOVER, heartbeats: 0, newest_orders: BTreeMap::new() }
     }
 
-    /// The directory's record of a server after a new heartbeat, which the planner does not receive yet.
+    /// Creates the directory's record of a server after a new heartbeat, without passing it to the planner.
     pub fn record(&mut self, server: usize, models: &[&str], presence: Presence) -> ServerRecord {
         self.heartbeats += 1;
         let heartbeat = Heartbeat {
@@ -90,17 +91,18 @@
         ServerRecord { id: id(server), heartbeat, presence, ..ServerRecord::default() }
     }
 
-    /// A ready server's heartbeat.
+    /// Passes a new heartbeat of a ready server to the planner.
     pub fn heartbeat(&mut self, server: usize, models: &[&str]) {
-        self.presence(server, models, Presence::Ready);
+        self.update_presence(server, models, Presence::Ready);
     }
 
-    pub fn presence(&mut self, server: usize, models: &[&str], presence: Presence) {
+    /// Passes a directory record with a new heartbeat to the planner.
+    pub fn update_presence(&mut self, server: usize, models: &[&str], presence: Presence) {
         let record = self.record(server, models, presence);
         self.planner.update_server(self.now, &record);
     }
 
-    /// A server's report after `sequence` orders.
+    /// Passes the report of a server that has accepted `sequence` orders to the planner.
     pub fn report(&mut self, server: usize, sequence: u64, busy: bool, models: &[&str]) {
         let report = ServerReport {
             models: loaded(models),
@@ -115,19 +117,19 @@
         self.planner.record_demand(self.now, EDGE, demand);
     }
 
-    /// Completes the newest order to a server.
+    /// Reports the outcome of the newest order to a server.
     pub fn complete_order(&mut self, server: usize, outcome: OrderOutcome) {
         let number = self.newest_orders[&id(server)];
         self.planner.complete_order(self.now, &id(server), number, outcome);
     }
 
-    /// The next orders after `span` milliseconds.
+    /// Advances the clock by `span` milliseconds and returns the next orders.
     pub fn orders_after(&mut self, span: Millis) -> Vec<String> {
         self.now += span;
         self.next_orders()
     }
 
-    /// The next orders as text, such as `s0 load m1 at 0` with the required revision.
+    /// Returns the next orders as text, such as `s0 load m1 at 0`, where the last number is the required revision.
     pub fn next_orders(&mut self) -> Vec<String> {
         let text = |order: PlannedOrder| {
             let adapter = order.adapter.map(|adapter| format!("/{adapter}")).unwrap_or_default();
@@ -139,12 +141,12 @@
     }
 }
 
-/// One arriving request.
+/// Demand of one arriving request.
 pub fn demand(model: &str) -> Demand {
     Demand { service: "s".into(), model: model.into(), arrived: 1, tokens: 1_000, ..Demand::default() }
 }
 
-/// One arriving request that waits for the model.
+/// Demand of one arriving request that waits for the model.
 pub fn waiting(model: &str) -> Demand {
     Demand { queued: 1, ..demand(model) }
 }
@@ -153,7 +155,7 @@
     Demand { adapter: Some(adapter.into()), ..demand }
 }
 
-/// The servers 0 to `count` in the order of a model's hash ring sequence.
+/// Returns the ids of the servers below `count` in the order of a model's hash ring sequence.
 pub fn ring_sequence(model: &str, count: usize) -> Vec<String> {
     let mut ring = SlotArray::default();
     let weights: Vec<_> = (0..count).map(|index| (id(index), hash_of_name(&address(index)), 1.0)).collect();
--- a/placement/tests/common/simulated_server.rs
+++ b/placement/tests/common/simulated_server.rs
@@ -1,4 +1,4 @@
-//! One simulated model server, and the configuration of its service.
+//! A simulated model server and the configuration of its service.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,14 +6,15 @@
 use shaletrail_protocol::external::{LoadedModel, Operation, ServerReport};
 use shaletrail_protocol::Millis;
 
-/// Number of reports that a server keeps.
+/// Number of past reports that a server keeps, from which late reports are taken.
 const REPORT_HISTORY: usize = 32;
 
 pub fn model_name(index: usize) -> String {
     format!("m{index}")
 }
 
-/// `count` models `m0`, `m1`, ... of 70 GB, three of which fit a server; 42 adapters each.
+/// Returns a configuration of `count` models `m0`, `m1` and so on of 70 GB each with 42 adapters. Three models fit on a
+/// server.
 pub fn catalogue(count: usize) -> Catalogue {
     let model = |index| ModelSpec {
         name: model_name(index),
@@ -30,7 +31,7 @@
     }
 }
 
-/// The adapters of each loaded model.
+/// The loaded adapters of each loaded model, by name.
 pub type LoadedAdapters = BTreeMap<String, BTreeSet<String>>;
 
 pub fn loaded_models(loaded: &LoadedAdapters) -> Vec<LoadedModel> {
@@ -42,7 +43,7 @@
     loaded.iter().map(entry).collect()
 }
 
-/// The order that a server executes.
+/// The order that a server is executing.
 #[derive(Clone, Debug)]
 pub struct RunningOrder {
     pub operation: Operation,
@@ -55,10 +56,10 @@
 #[derive(Clone, Debug)]
 pub struct SimulatedServer {
     pub index: usize,
-    /// Number of restarts.
-    pub start: u32,
+    /// Number of restarts, part of the server's id.
+    pub restarts: u32,
     pub loaded: LoadedAdapters,
-    /// Models on its disk.
+    /// Models on the server's disk, which survive a restart.
     pub disk: BTreeSet<String>,
     pub running: Option<RunningOrder>,
     /// Number of accepted orders.
@@ -68,9 +69,9 @@
     pub next_heartbeat: Millis,
     pub last_heartbeat: Millis,
     pub draining: bool,
-    /// When it starts again after a crash.
+    /// When the server restarts after a crash; `None` while it is up.
     pub restarts_at: Option<Millis>,
-    /// Its newest states, as it would have reported them.
+    /// The newest reports that the server could have sent, each with its time.
     pub report_history: VecDeque<(Millis, ServerReport)>,
 }
 
@@ -78,7 +79,7 @@
     pub fn new(index: usize, now: Millis, next_heartbeat: Millis) -> SimulatedServer {
         SimulatedServer {
             index,
-            start: 0,
+            restarts: 0,
             loaded: BTreeMap::new(),
             disk: BTreeSet::new(),
             running: None,
@@ -93,7 +94,7 @@
     }
 
     pub fn id(&self) -> String {
-        format!("s{}-{}", self.index, self.start)
+        format!("s{}-{}", self.index, self.restarts)
     }
 
     pub fn is_up(&self) -> bool {
@@ -106,7 +107,7 @@
             .is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)))
     }
 
-    /// Ends the running order when its time is over.
+    /// Completes the running order once its end time is reached.
     pub fn complete_order(&mut self, now: Millis) {
         let Some(run) = self.running.take_if(|run| run.ends_at <= now) else { return };
         match (run.operation, run.adapter) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The newest report that is at least `age` milliseconds old.
+    /// Returns the newest report that is at least `age` milliseconds old.
     pub fn report_of_age(&self, now: Millis, age: Millis) -> Option<ServerReport> {
         let latest = now.saturating_sub(age);
         let report = self.report_history.iter().rev().find(|(at, _)| *at <= latest);
@@ -153,7 +154,7 @@
 
     pub fn restart(&mut self, now: Millis) {
         self.restarts_at = None;
-        self.start += 1;
+        self.restarts += 1;
         self.heartbeats = 0;
         self.next_heartbeat = now;
         self.draining = false;
--- a/placement/tests/common/simulation/demand.rs
+++ b/placement/tests/common/simulation/demand.rs
@@ -1,4 +1,4 @@
-//! Requests arrive at an edge, which serves those with a replica and reports the demand.
+//! Simulates an edge: requests arrive, those for which a replica exists are served, and the demand is reported.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::{Simulation, DEMAND_INTERVAL, EDGE, SERVICE};
 
-/// Demand by model and adapter.
+/// Demand by model name and adapter name.
 type DemandByName = BTreeMap<(String, Option<String>), Demand>;
 
 impl Simulation {
@@ -24,10 +24,10 @@
 
     fn add_arrivals(&mut self, reported: &mut DemandByName) {
         for (index, demand) in self.demand.iter().enumerate() {
-            let due = self.due_requests.entry(index).or_default();
-            *due += demand.per_second * DEMAND_INTERVAL as f64 / 1_000.0;
-            let arrived = due.floor() as u32;
-            *due -= f64::from(arrived);
+            let accumulated = self.fractional_requests.entry(index).or_default();
+            *accumulated += demand.per_second * DEMAND_INTERVAL as f64 / 1_000.0;
+            let arrived = accumulated.floor() as u32;
+            *accumulated -= f64::from(arrived);
             if arrived > 0 {
                 let key = (demand.model.clone(), demand.adapter.clone());
                 let entry = reported.entry(key.clone()).or_default();
--- a/placement/tests/common/simulation/heartbeats.rs
+++ b/placement/tests/common/simulation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Servers send heartbeats, time out and restart; the directory's records reach the planner.
+//! Simulates heartbeats, time-outs and restarts of servers, and the resulting directory records.
 
 use rand::Rng;
 use shaletrail_protocol::external::{Heartbeat, ServerState};
@@ -9,11 +9,11 @@
 use super::{Simulation, HEARTBEAT_INTERVAL, SERVICE};
 use crate::common::simulated_server::{loaded_models, SimulatedServer};
 
-/// Time without a heartbeat after which a server times out, in milliseconds.
+/// A server times out after this time without a heartbeat, in milliseconds.
 const HEARTBEAT_TIMEOUT: Millis = 3_600;
 /// Delay of a heartbeat that is not late, in milliseconds.
-const DELAY: Millis = 10;
-/// Default of the maximum delay of late heartbeats, in milliseconds.
+const NORMAL_DELAY: Millis = 10;
+/// Maximum delay of late heartbeats unless the faults set another one, in milliseconds.
 const MAX_LATE_DELAY: Millis = 3_000;
 
 impl Simulation {
@@ -25,23 +25,23 @@
             if let Some(record) = next_record(&mut self.servers[index], self.now) {
                 let max_delay = self.faults.max_heartbeat_delay.unwrap_or(MAX_LATE_DELAY);
                 let is_late = self.happens(self.faults.heartbeat_late);
-                let delay = if is_late { self.random.random_range(0..max_delay) } else { DELAY };
+                let delay = if is_late { self.random.random_range(0..max_delay) } else { NORMAL_DELAY };
                 self.send(self.now + delay, Message::Record(record));
             }
         }
     }
 
-    /// Starts a server anew. The directory removes the previous start, as the address is the same.
+    /// Restarts a server. The directory removes the record of the previous start, because the address is the same.
     fn restart(&mut self, index: usize) {
         let heartbeat = Heartbeat { service: SERVICE.into(), ..Heartbeat::default() };
         let id = self.servers[index].id();
         let previous = ServerRecord { id, heartbeat, presence: Presence::Removed, ..ServerRecord::default() };
         self.servers[index].restart(self.now);
-        self.send(self.now + DELAY, Message::Record(previous));
+        self.send(self.now + NORMAL_DELAY, Message::Record(previous));
     }
 }
 
-/// The directory's record after a due heartbeat, or after a time-out.
+/// Returns the directory's record if the server's heartbeat is due or the server has timed out.
 fn next_record(server: &mut SimulatedServer, now: Millis) -> Option<ServerRecord> {
     let is_due = server.next_heartbeat <= now;
     let has_timed_out = !server.is_up() && now.saturating_sub(server.last_heartbeat) >= HEARTBEAT_TIMEOUT;
--- a/placement/tests/common/simulation/messages.rs
+++ b/placement/tests/common/simulation/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the lease holder and the servers, with delays and losses.
+//! Simulates messages between the lease holder and the servers, with delays and losses.
 
 use rand::Rng;
 use shaletrail_placement::{OrderNumber, OrderOutcome, PlannedOrder};
@@ -10,11 +10,11 @@
 
 /// Maximum delay of an order or its response, in milliseconds.
 const MAX_DELAY: Millis = 60;
-/// Maximum delay of a late order, in milliseconds. Its response comes within [`RESPONSE_TIMEOUT`] or not at all.
+/// Maximum delay of a late order, in milliseconds. Its response arrives within [`RESPONSE_TIMEOUT`] or not at all.
 const MAX_LATE_ORDER_DELAY: Millis = 600;
 /// Maximum delay of a late report, in milliseconds.
 const MAX_LATE_REPORT_DELAY: Millis = 1_400;
-/// Time after which the lease holder stops waiting for a response, in milliseconds.
+/// The lease holder stops waiting for a response after this time, in milliseconds.
 const RESPONSE_TIMEOUT: Millis = 1_000;
 /// Age of the values in a report, in milliseconds.
 const REPORT_AGE: Millis = 200;
@@ -38,12 +38,12 @@
             match entry.remove() {
                 Message::Order { order, has_response } => self.deliver_order(order, has_response),
                 Message::Outcome { server, number, outcome } => {
-                    self.record(&server, format!("answered {outcome}"));
+                    self.add_trace(&server, format!("answered {outcome}"));
                     self.planner.complete_order(self.now, &server, number, outcome);
                 }
                 Message::Record(record) => self.deliver_record(&record),
                 Message::Report { server, report } => {
-                    self.record(&server, format!("report {report:?}"));
+                    self.add_trace(&server, format!("report {report:?}"));
                     self.planner.record_report(self.now, &server, &report);
                 }
             }
@@ -52,7 +52,7 @@
 
     fn deliver_order(&mut self, order: PlannedOrder, has_response: bool) {
         let outcome = self.execute(&order);
-        self.record(&order.server, format!("outcome {outcome}: {} {}", order.operation, order.model));
+        self.add_trace(&order.server, format!("outcome {outcome}: {} {}", order.operation, order.model));
         if has_response {
             let arrives_at = self.now + self.random.random_range(1..MAX_DELAY);
             let PlannedOrder { server, number, .. } = order;
@@ -60,7 +60,8 @@
         }
     }
 
-    /// As in the directory, a removal is final: later heartbeats of that server are ignored.
+    /// Passes a record to both planners. As in the directory, a removal is final: later records of that server are
+    /// ignored.
     fn deliver_record(&mut self, record: &ServerRecord) {
         if record.presence == Presence::Removed {
             self.removed_servers.insert(record.id.clone());
@@ -68,7 +69,7 @@
             return;
         }
         let heartbeat = &record.heartbeat;
-        self.record(&record.id, format!("heartbeat {} {:?}", heartbeat.sequence, heartbeat.models));
+        self.add_trace(&record.id, format!("heartbeat {} {:?}", heartbeat.sequence, heartbeat.models));
         self.planner.update_server(self.now, record);
         self.standby.update_server(self.now, record);
     }
@@ -84,7 +85,7 @@
 
     fn send_order(&mut self, order: PlannedOrder) {
         self.orders.push((self.now, order.clone()));
-        self.record(&order.server, format!("planned {order:?}"));
+        self.add_trace(&order.server, format!("planned {order:?}"));
         let max_delay = if self.happens(self.faults.order_late) { MAX_LATE_ORDER_DELAY } else { MAX_DELAY };
         let arrives_at = self.now + self.random.random_range(1..max_delay);
         let timeout = self.now + RESPONSE_TIMEOUT;
@@ -104,7 +105,7 @@
     }
 
     fn request_report(&mut self, id: String) {
-        self.reports += 1;
+        self.report_requests += 1;
         let is_lost = self.happens(self.faults.report_lost);
         let Some(server) = self.servers.iter().find(|server| server.id() == id && server.is_up()) else {
             return;
--- a/placement/tests/common/simulation/mod.rs
+++ b/placement/tests/common/simulation/mod.rs
@@ -23,18 +23,18 @@
 const HEARTBEAT_INTERVAL: Millis = 1_200;
 const DEMAND_INTERVAL: Millis = 200;
 const PLAN_INTERVAL: Millis = 100;
-/// Time from the election of a new lease holder until it sends orders, in milliseconds.
+/// Time between the election of a new lease holder and its first orders, in milliseconds.
 const LEASE_WAIT: Millis = 3_600;
-/// Messages that are kept for the text of a failure.
+/// Maximum number of trace entries that are kept for failure messages.
 const MAX_TRACE: usize = 600;
 
-/// A steady demand for one model or adapter.
+/// A constant rate of requests for one model or adapter.
 #[derive(Clone, Debug)]
 pub struct SteadyDemand {
     pub model: String,
     pub adapter: Option<String>,
     pub per_second: f64,
-    /// Tokens of each request.
+    /// Tokens per request.
     pub tokens: u64,
 }
 
@@ -42,7 +42,7 @@
     SteadyDemand { model: model.into(), adapter: None, per_second, tokens }
 }
 
-/// The same demand for each of these models.
+/// Returns the same demand for each model in the range.
 pub fn demand_for_models(models: Range<usize>, per_second: f64, tokens: u64) -> Vec<SteadyDemand> {
     models.map(|index| steady_demand(&model_name(index), per_second, tokens)).collect()
 }
@@ -57,15 +57,15 @@
     pub report_lost: f64,
     /// An order reaches its server late.
     pub order_late: f64,
-    /// A report arrives late, with the state at its request.
+    /// A report arrives late, with the state at the time of the request.
     pub report_late: f64,
-    /// A load takes up to `orders::MAX_LOAD_FACTOR` times its time.
+    /// A load takes up to `orders::MAX_LOAD_FACTOR` times as long.
     pub load_slow: f64,
-    /// Maximum delay of heartbeats, in milliseconds, if not the default.
+    /// Maximum delay of late heartbeats, in milliseconds; `None` for the default.
     pub max_heartbeat_delay: Option<Millis>,
 }
 
-/// A message for the text of a failure.
+/// An event that failure messages show.
 struct TraceEntry {
     at: Millis,
     /// The server's id; empty for an event of the lease holder.
@@ -77,7 +77,7 @@
     pub now: Millis,
     pub catalogue: Catalogue,
     pub planner: Planner,
-    /// The planner of the next lease holder, which receives the same inputs.
+    /// The planner of the next lease holder, which receives the same demand and directory records.
     pub standby: Planner,
     /// The lease holder sends no orders before this time.
     pub orders_from: Millis,
@@ -85,18 +85,18 @@
     pub demand: Vec<SteadyDemand>,
     pub faults: Faults,
     /// Start times of loads from the weight store.
-    pub loads: Vec<Millis>,
+    pub origin_loads: Vec<Millis>,
     pub orders: Vec<(Millis, PlannedOrder)>,
     /// Number of reports requested.
-    pub reports: usize,
+    pub report_requests: usize,
     /// The longest time for which each model had waiting requests and no replica.
     pub longest_wait: BTreeMap<String, Millis>,
-    /// Since when requests wait, and how many.
+    /// Waiting requests by model and adapter: since when they wait, and how many they are.
     waiting: BTreeMap<(String, Option<String>), (Millis, u32)>,
-    /// The fraction of a request that is due next, by index of `demand`.
-    due_requests: BTreeMap<usize, f64>,
+    /// The fraction of a request that has accumulated for each entry of `demand`, by its index.
+    fractional_requests: BTreeMap<usize, f64>,
     removed_servers: BTreeSet<String>,
-    /// Messages in flight by arrival and number.
+    /// Messages in flight, by arrival time and sequence number.
     messages: BTreeMap<(Millis, u64), Message>,
     last_message: u64,
     trace: VecDeque<TraceEntry>,
@@ -122,12 +122,12 @@
             servers: (0..servers).map(server).collect(),
             demand: Vec::new(),
             faults: Faults::default(),
-            loads: Vec::new(),
+            origin_loads: Vec::new(),
             orders: Vec::new(),
-            reports: 0,
+            report_requests: 0,
             longest_wait: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            due_requests: BTreeMap::new(),
+            fractional_requests: BTreeMap::new(),
             removed_servers: BTreeSet::new(),
             messages: BTreeMap::new(),
             last_message: 0,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Loads models onto a server before the simulation starts.
+    /// Places models on a server before the simulation starts.
     pub fn preload(&mut self, server: usize, models: &[&str]) {
         for model in models {
             self.servers[server].loaded.insert((*model).into(), BTreeSet::new());
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Loads the first `models` models onto the servers in turn, before the simulation starts.
+    /// Places the first `models` models on the servers in round-robin order before the simulation starts.
     pub fn preload_in_turn(&mut self, models: usize) {
         let servers = self.servers.len();
         for index in 0..models {
@@ -152,48 +152,48 @@
         }
     }
 
-    /// The servers in operation that hold a model.
+    /// Returns the indices of running servers that hold a model.
     pub fn replicas(&self, model: &str) -> Vec<usize> {
         let holds = |server: &&SimulatedServer| server.is_up() && server.has(model, None);
         self.servers.iter().filter(holds).map(|server| server.index).collect()
     }
 
-    /// Which of these models no server in operation holds.
+    /// Returns the models in the range that no running server holds.
     pub fn models_without_replica(&self, models: Range<usize>) -> Vec<usize> {
         models.filter(|index| self.replicas(&model_name(*index)).is_empty()).collect()
     }
 
-    /// Number of servers in operation that hold an adapter.
+    /// Returns the number of running servers that hold an adapter.
     pub fn adapter_replicas(&self, model: &str, adapter: &str) -> usize {
         let holds = |server: &&SimulatedServer| server.is_up() && server.has(model, Some(adapter));
         self.servers.iter().filter(holds).count()
     }
 
-    /// The lease of the holder expires: until [`Simulation::replace_planner`] a planner of another service is in its
-    /// place.
+    /// Expires the lease: until [`Simulation::replace_planner`], a planner of another service, which sends no orders,
+    /// takes the planner's place.
     pub fn suspend_planner(&mut self) {
         self.planner = Planner::new("another".into(), self.catalogue.clone(), Options::default(), self.now);
     }
 
-    /// A new planner takes over without any knowledge, as on a node that has just started.
+    /// Lets a new planner take over without any state, as on a node that has just started.
     pub fn replace_planner(&mut self) {
         self.planner = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
         self.drop_responses();
     }
 
-    /// The lease holder is lost and the standby is elected. Orders of the previous holder in flight still arrive.
+    /// Fails over from the lease holder to the standby. Orders of the previous holder that are in flight still arrive.
     pub fn transfer_leadership(&mut self) {
         let fresh = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
         self.planner = std::mem::replace(&mut self.standby, fresh);
         self.planner.start_ordering(self.now, Some(self.now));
         self.orders_from = self.now + LEASE_WAIT;
-        self.record("", "another lease holder".to_owned());
+        self.add_trace("", "lease holder replaced".to_owned());
         self.drop_responses();
         self.drop_responses_of_orders_in_flight();
     }
 
-    pub fn crash(&mut self, server: usize, down: Millis) {
-        self.servers[server].crash(self.now + down);
+    pub fn crash(&mut self, server: usize, downtime: Millis) {
+        self.servers[server].crash(self.now + downtime);
     }
 
     /// Runs for `span` milliseconds.
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Lets a server's message, or an event of the lease holder, appear in the text of a failure.
-    fn record(&mut self, server: &str, text: String) {
+    /// Records an event of a server or, with an empty `server`, of the lease holder for failure messages.
+    fn add_trace(&mut self, server: &str, text: String) {
         if self.trace.len() == MAX_TRACE {
             self.trace.pop_front();
         }
@@ -226,7 +226,7 @@
         of_server.map(|entry| format!("{} {}\n", entry.at, entry.text)).collect()
     }
 
-    /// Draws an event of this probability. Nothing is drawn for zero.
+    /// Draws whether an event of this probability happens. For probability zero, no random number is drawn.
     fn happens(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.random.random_bool(probability)
     }
--- a/placement/tests/heartbeats_and_reports.rs
+++ b/placement/tests/heartbeats_and_reports.rs
@@ -1,4 +1,4 @@
-//! What heartbeats and reports prove of a server's contents, and what they do not.
+//! What heartbeats and reports prove about a server's contents, and what they do not.
 
 mod common;
 
@@ -31,7 +31,7 @@
     scenario.report_demand(&[waiting("m1")]);
     assert_eq!(scenario.next_orders(), ["s0 load m1 at 0"]);
 
-    // when: the report may be older than the order
+    // when: a report arrives that may be older than the order
     scenario.report(0, 0, false, &["m0"]);
 
     // then
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn report_outweighs_older_heartbeats() {
+fn report_overrides_older_heartbeats() {
     let mut scenario = Scenario::new(4, &[&["m0"]]);
     scenario.report_demand(&[waiting("m1")]);
     assert_eq!(scenario.next_orders(), ["s0 load m1 at 0"]);
@@ -78,14 +78,14 @@
 
 #[test]
 fn late_heartbeats_do_not_free_capacity() {
-    // given: a report shows that a server has evicted a model, and the server loads it again
+    // given: a report shows that the server has evicted a model, and the server is loading it again
     let mut scenario = Scenario::new(4, &[&["m0", "m1"]]);
     scenario.report(0, 1, false, &["m1"]);
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.next_orders(), ["s0 load m0 at 1"]);
     scenario.complete_order(0, OrderOutcome::Accepted);
 
-    // when: one heartbeat is older than the eviction, the next older than the end of the load
+    // when: one heartbeat predates the eviction, and the next one predates the end of the load
     scenario.now += 100;
     scenario.heartbeat(0, &["m0", "m1"]);
     scenario.heartbeat(0, &["m1"]);
--- a/placement/tests/histories.rs
+++ b/placement/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Simulated histories. The simulation checks the capacity of servers and the rate of the weight store at every order.
+//! Simulated histories. The simulation checks the capacity of servers and the load rate of the weight store at every
+//! order.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Twelve servers that hold the models in turn, up to three each.
+/// Returns a simulation of twelve servers that hold up to three models each, assigned in round-robin order.
 fn full_servers(models: usize, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(models, 12, seed);
     simulation.preload_in_turn(models.min(36));
@@ -23,10 +24,10 @@
         steady_demand("m7", 0.2, 4_000),
     ];
     simulation.run(30_000);
-    let early = simulation.orders.len();
-    assert!(early > 0 && early < 20, "{early} orders");
+    let order_count = simulation.orders.len();
+    assert!(order_count > 0 && order_count < 20, "{order_count} orders");
     simulation.run(60_000);
-    assert_eq!(simulation.orders.len(), early);
+    assert_eq!(simulation.orders.len(), order_count);
     assert!(simulation.replicas("m0").len() >= 3);
 }
 
@@ -34,7 +35,7 @@
 fn no_demand_causes_no_orders_or_reports() {
     let mut simulation = full_servers(39, 2);
     simulation.run(60_000);
-    assert_eq!((simulation.orders.len(), simulation.reports), (0, 0));
+    assert_eq!((simulation.orders.len(), simulation.report_requests), (0, 0));
     assert_eq!(simulation.planner.counters().servers_examined, 0);
 }
 
@@ -47,7 +48,7 @@
     simulation.run(10_000);
     assert_eq!(simulation.replicas("m37").len(), 1);
     let waited = simulation.longest_wait["m37"];
-    // Its load, the eviction before it, reports, and steps of the simulation.
+    // 2,000 ms for the load, 1,600 ms for the eviction before it, reports and simulation steps.
     assert!(waited <= 2_000 + 1_600, "{waited} ms");
 }
 
@@ -60,7 +61,7 @@
     simulation.demand = vec![steady_demand("m5", 27.0, 5_000)];
     simulation.run(8_000);
     assert!(simulation.replicas("m5").len() >= 6, "{:?}", simulation.replicas("m5"));
-    assert!(simulation.loads.len() <= 20, "{} loads", simulation.loads.len());
+    assert!(simulation.origin_loads.len() <= 20, "{} loads", simulation.origin_loads.len());
 }
 
 #[test]
@@ -98,9 +99,9 @@
     for number in 1..=20 {
         assert!(simulation.adapter_replicas("m0", &format!("a{number}")) >= 1, "a{number}");
     }
-    let early = simulation.orders.len();
+    let order_count = simulation.orders.len();
     simulation.run(30_000);
-    assert_eq!(simulation.orders.len(), early);
+    assert_eq!(simulation.orders.len(), order_count);
 }
 
 #[test]
@@ -111,7 +112,6 @@
         simulation.demand = demand_for_models(0..30, 0.5, 4_000);
         simulation.run(2_000 + 300 * seed);
         let demand = std::mem::take(&mut simulation.demand);
-        // The lease of the previous holder expires.
         simulation.suspend_planner();
         simulation.run(3_000);
         simulation.replace_planner();
@@ -137,12 +137,12 @@
         for _ in 0..12 {
             simulation.demand = random_demand(&mut random, 39);
             if random.random_bool(0.3) {
-                let down = random.random_range(1_000..8_000);
-                simulation.crash(random.random_range(0..12), down);
+                let downtime = random.random_range(1_000..8_000);
+                simulation.crash(random.random_range(0..12), downtime);
             }
             simulation.run(random.random_range(1_000..7_000));
         }
-        // Without faults every requested model has a replica in the end.
+        // Once faults stop, every requested model gets a replica.
         simulation.faults = Faults::default();
         simulation.demand = demand_for_models(0..20, 0.5, 1_000);
         simulation.run(25_000);
@@ -178,25 +178,25 @@
     );
 }
 
-/// Demand for a few models and adapters, drawn at random.
+/// Draws random demand for a few models and adapters.
 fn random_demand(random: &mut Pcg64, models: usize) -> Vec<SteadyDemand> {
     let rates = [0.2, 0.5, 2.0, 20.0];
-    let one = |random: &mut Pcg64| {
+    let random_entry = |random: &mut Pcg64| {
         let model = format!("m{}", random.random_range(0..models));
         let adapter = random.random_bool(0.4).then(|| format!("a{}", random.random_range(1..=42)));
         SteadyDemand { adapter, ..steady_demand(&model, *rates.choose(random).unwrap(), 3_000) }
     };
-    (0..random.random_range(1..12)).map(|_| one(random)).collect()
+    (0..random.random_range(1..12)).map(|_| random_entry(random)).collect()
 }
 
-/// Number of histories with late messages; the environment variable `LIMIT_SEEDS` overrides it.
-fn late_seeds() -> u64 {
+/// Returns the number of histories with late messages, which the environment variable `LIMIT_SEEDS` overrides.
+fn late_message_histories() -> u64 {
     std::env::var("LIMIT_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(150)
 }
 
 #[test]
 fn capacity_holds_with_late_messages_and_lease_changes() {
-    for seed in 0..late_seeds() {
+    for seed in 0..late_message_histories() {
         let mut random = Pcg64::seed_from_u64(seed);
         let servers = random.random_range(2..8);
         let mut simulation = Simulation::new(servers * 4, servers, seed);
--- a/placement/tests/lease_takeover.rs
+++ b/placement/tests/lease_takeover.rs
@@ -1,4 +1,4 @@
-//! Orders after a change of the lease holder.
+//! Orders after the lease moves to another holder.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use shaletrail_placement::{Options, Planner};
 use shaletrail_protocol::Millis;
 
-/// Long after the orders of the previous lease holder should have ended.
-const LONG_AFTER: Millis = 30_000;
+/// Time after which all orders of the previous lease holder should have ended, in milliseconds.
+const MAX_ORDER_TIME: Millis = 30_000;
 
 #[test]
 fn loads_after_takeover_start_at_store_rate() {
@@ -42,7 +42,7 @@
     assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
     scenario.report(0, 7, false, &[]);
     scenario.report_demand(&[waiting("m0")]);
-    // The budget allows a first load by now.
+    // By now the budget of loads allows a first one.
     assert_eq!(scenario.next_orders(), ["s0 load m0 at 7"]);
 }
 
@@ -64,7 +64,7 @@
     let mut scenario = Scenario::new(4, &[&["m0"]]);
     scenario.planner.start_ordering(scenario.now, Some(scenario.now));
     for _ in 0..2 {
-        scenario.now += LONG_AFTER / 2;
+        scenario.now += MAX_ORDER_TIME / 2;
         scenario.heartbeat(0, &["m0"]);
     }
 
@@ -89,20 +89,20 @@
     (0..2).for_each(|server| scenario.heartbeat(server, &[]));
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.next_orders(), [""; 0]);
-    let order = ring_sequence("m0", 2);
+    let sequence = ring_sequence("m0", 2);
     assert_eq!(
         scenario.planner.next_reports(scenario.now),
-        [order[0].clone()],
-        "one is chosen, and one is asked"
+        [sequence[0].clone()],
+        "only the selected server is asked for a report"
     );
 
     // when
-    scenario.planner.report_failed(scenario.now, &order[0]);
+    scenario.planner.report_failed(scenario.now, &sequence[0]);
 
     // then
     assert_eq!(scenario.orders_after(100), [""; 0]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [order[1].clone()]);
-    let other = server_index(&order[1]);
+    assert_eq!(scenario.planner.next_reports(scenario.now), [sequence[1].clone()]);
+    let other = server_index(&sequence[1]);
     scenario.report(other, 6, false, &[]);
-    assert_eq!(scenario.orders_after(50), [format!("{} load m0 at 6", order[1])]);
+    assert_eq!(scenario.orders_after(50), [format!("{} load m0 at 6", sequence[1])]);
 }
--- a/placement/tests/model_placement.rs
+++ b/placement/tests/model_placement.rs
@@ -1,4 +1,4 @@
-//! Which server loads a model, and what it evicts for it.
+//! Which server loads a model, and which models it evicts first.
 
 mod common;
 
@@ -38,7 +38,7 @@
     scenario.report_demand(&[waiting("m2")]);
     assert_eq!(scenario.next_orders(), ["s0 evict m1 at 0"]);
     scenario.complete_order(0, OrderOutcome::Accepted);
-    // There is no further order until the eviction is seen to have ended.
+    // No further order is sent until a message shows that the eviction has ended.
     assert_eq!(scenario.orders_after(200), [""; 0]);
     scenario.heartbeat(0, &["m0"]);
     assert_eq!(scenario.orders_after(100), ["s0 load m2 at 1"]);
@@ -77,7 +77,7 @@
         let mut scenario = Scenario::new(3, &[&["m0"], &[]]);
         scenario.report_demand(&[demand("m0")]);
         assert_eq!(scenario.next_orders(), [""; 0]);
-        scenario.presence(0, &["m0"], presence);
+        scenario.update_presence(0, &["m0"], presence);
         assert_eq!(scenario.orders_after(100), ["s1 load m0 at 0"]);
     }
 }
@@ -85,12 +85,12 @@
 #[test]
 fn model_without_demand_is_not_loaded_again() {
     let mut scenario = Scenario::new(3, &[&["m0"], &[]]);
-    scenario.presence(0, &["m0"], Presence::TimedOut);
+    scenario.update_presence(0, &["m0"], Presence::TimedOut);
     assert_eq!(scenario.orders_after(100), [""; 0]);
 }
 
 #[test]
-fn load_from_disk_does_not_count_at_the_store() {
+fn load_from_disk_is_not_counted_as_origin_load() {
     let mut scenario = Scenario::new(3, &[&["m0"]]);
     scenario.report(0, 1, false, &[]);
     scenario.report_demand(&[waiting("m0")]);
--- a/placement/tests/order_outcomes.rs
+++ b/placement/tests/order_outcomes.rs
@@ -6,8 +6,8 @@
 use shaletrail_placement::OrderOutcome;
 use shaletrail_protocol::Millis;
 
-/// Longer than any order should take.
-const LONG_AFTER: Millis = 30_000;
+/// Time after which any order should have ended, in milliseconds.
+const MAX_ORDER_TIME: Millis = 30_000;
 
 #[test]
 fn only_a_late_enough_report_resolves_unanswered_order() {
@@ -18,7 +18,7 @@
     scenario.complete_order(0, OrderOutcome::Unknown);
     scenario.report_demand(&[waiting("m1"), waiting("m2")]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
-    // A heartbeat and a report that may be older than the order prove nothing.
+    // A heartbeat or a report that may be older than the order does not resolve the uncertainty.
     scenario.heartbeat(0, &["m0"]);
     scenario.report(0, 0, false, &["m0"]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
@@ -27,7 +27,7 @@
     assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
     scenario.report(0, 5, false, &["m0", "m1"]);
     scenario.report_demand(&[demand("m1"), waiting("m2")]);
-    // The order was accepted, and the revision is known again.
+    // The report shows that the order was accepted, and gives the revision.
     assert_eq!(scenario.next_orders(), ["s0 evict m0 at 5"]);
 }
 
@@ -77,23 +77,23 @@
 #[test]
 fn load_avoids_uncertain_server() {
     let mut scenario = Scenario::new(2, &[&[], &[]]);
-    let order = ring_sequence("m0", 2);
+    let sequence = ring_sequence("m0", 2);
     scenario.report_demand(&[waiting("m0")]);
-    assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", order[0])]);
-    let first = server_index(&order[0]);
+    assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", sequence[0])]);
+    let first = server_index(&sequence[0]);
     scenario.complete_order(first, OrderOutcome::Busy);
-    assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", order[1])]);
+    assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", sequence[1])]);
 }
 
 #[test]
 fn load_moves_if_connection_is_refused() {
     let mut scenario = Scenario::new(2, &[&[], &[]]);
-    let order = ring_sequence("m0", 2);
+    let sequence = ring_sequence("m0", 2);
     scenario.report_demand(&[waiting("m0")]);
-    assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", order[0])]);
-    let first = server_index(&order[0]);
+    assert_eq!(scenario.next_orders(), [format!("{} load m0 at 0", sequence[0])]);
+    let first = server_index(&sequence[0]);
     scenario.complete_order(first, OrderOutcome::NotSent);
-    assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", order[1])]);
+    assert_eq!(scenario.orders_after(100), [format!("{} load m0 at 0", sequence[1])]);
 }
 
 #[test]
@@ -122,7 +122,7 @@
 
     // when
     for _ in 0..2 {
-        scenario.now += LONG_AFTER;
+        scenario.now += MAX_ORDER_TIME;
         scenario.heartbeat(0, &["m0"]);
     }
     scenario.report_demand(&[waiting("m2")]);
--- a/placement/tests/origin_budget.rs
+++ b/placement/tests/origin_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of loads from the weight store.
+//! The budget that limits the rate of loads from the weight store.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -7,7 +7,7 @@
 /// The budget's window, in milliseconds.
 const WINDOW: u64 = 5_000;
 
-/// A budget that was exhausted so long ago that it is unused by now.
+/// Returns a budget that was exhausted at time 0, so that it is fully available again at the times that the tests use.
 fn unused(load_per_s: f64) -> OriginBudget {
     OriginBudget::exhausted(0, WINDOW, load_per_s)
 }
@@ -78,9 +78,9 @@
             });
         }
         starts.sort();
-        let fullest = starts
+        let loads_in_windows = starts
             .iter()
             .map(|end| starts.iter().filter(|at| (end - WINDOW.min(*end)..=*end).contains(at)).count());
-        assert!(fullest.max() <= Some(budget.limit()), "seed {seed}");
+        assert!(loads_in_windows.max() <= Some(budget.limit()), "seed {seed}");
     }
 }
--- a/placement/tests/rate.rs
+++ b/placement/tests/rate.rs
@@ -10,11 +10,11 @@
     }
     let steady = rate.per_second(40_000);
     assert!((9.0..11.0).contains(&steady), "{steady}");
-    let mut young = Rate::default();
+    let mut rising = Rate::default();
     for now in (0..2_000).step_by(100) {
-        young.add(now, 1.0);
+        rising.add(now, 1.0);
     }
-    let (risen, fallen) = (young.per_second(2_000), rate.per_second(42_000));
+    let (risen, fallen) = (rising.per_second(2_000), rate.per_second(42_000));
     assert!(risen > 0.7 * steady, "{risen}");
     assert!(fallen > 0.8 * steady, "{fallen}");
 }
--- a/placement/tests/replica_targets.rs
+++ b/placement/tests/replica_targets.rs
@@ -21,10 +21,10 @@
 #[test]
 fn over_capacity_adds_one_replica_at_a_time() {
     let mut scenario = Scenario::new(2, &[&["m0"], &[], &[]]);
-    let crowded = || [Demand { over_capacity: 3, ..demand("m0") }];
-    scenario.report_demand(&crowded());
+    let over_capacity_report = || [Demand { over_capacity: 3, ..demand("m0") }];
+    scenario.report_demand(&over_capacity_report());
     assert_eq!(scenario.next_orders().len(), 1);
-    scenario.report_demand(&crowded());
+    scenario.report_demand(&over_capacity_report());
     assert_eq!(scenario.orders_after(3_000), [""; 0]);
     assert_eq!(scenario.planner.desired_replicas("m0"), 2);
 }
--- a/placement/tests/scarce_capacity.rs
+++ b/placement/tests/scarce_capacity.rs
@@ -1,4 +1,4 @@
-//! Targets and evictions where capacity does not suffice for all replicas.
+//! Replica targets and evictions when capacity is scarce.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use shaletrail_protocol::internal::Demand;
 use shaletrail_protocol::NodeId;
 
-/// Tokens by which one report raises a model's demand to eight replicas at target utilisation.
-const TOKENS_OF_EIGHT: u64 = 235_000;
+/// Number of tokens in one report that raises a model's demand to eight replicas at target utilisation.
+const TOKENS_FOR_EIGHT_REPLICAS: u64 = 235_000;
 
 fn busy(model: &str, tokens: u64) -> Demand {
     Demand { arrived: 10, tokens, ..demand(model) }
@@ -17,7 +17,7 @@
 #[test]
 fn busy_model_gets_target_replicas_if_capacity_suffices() {
     let mut scenario = Scenario::new(2, &[&["m0"], &["m1"], &[], &[], &[], &[], &[], &[]]);
-    scenario.report_demand(&[busy("m0", TOKENS_OF_EIGHT)]);
+    scenario.report_demand(&[busy("m0", TOKENS_FOR_EIGHT_REPLICAS)]);
     scenario.next_orders();
     assert_eq!(scenario.planner.desired_replicas("m0"), 8);
 }
@@ -25,11 +25,11 @@
 #[test]
 fn equally_busy_models_share_scarce_capacity_at_once() {
     let mut scenario = Scenario::new(2, &[&["m0"], &["m0"], &["m0"], &["m0", "m1"]]);
-    scenario.report_demand(&[busy("m0", TOKENS_OF_EIGHT)]);
+    scenario.report_demand(&[busy("m0", TOKENS_FOR_EIGHT_REPLICAS)]);
     scenario.next_orders();
     let alone = scenario.planner.desired_replicas("m0");
     scenario.now += 100;
-    scenario.report_demand(&[busy("m0", 0), busy("m1", TOKENS_OF_EIGHT)]);
+    scenario.report_demand(&[busy("m0", 0), busy("m1", TOKENS_FOR_EIGHT_REPLICAS)]);
     scenario.next_orders();
     let (first, second) = (scenario.planner.desired_replicas("m0"), scenario.planner.desired_replicas("m1"));
     assert!(alone > first && second >= first, "alone {alone}, then {first} and {second}");
@@ -44,14 +44,14 @@
     scenario.report_demand(&[busy("m0", 60_000), open("m2"), open("m3"), open("m1")]);
     assert_eq!(scenario.next_orders(), [""; 0]);
     scenario.now += 200;
-    scenario.report_demand(&[open("m2"), open("m3"), busy("m1", 4 * TOKENS_OF_EIGHT)]);
+    scenario.report_demand(&[open("m2"), open("m3"), busy("m1", 4 * TOKENS_FOR_EIGHT_REPLICAS)]);
     let orders = scenario.next_orders();
     assert!(orders.iter().any(|order| order.contains("evict m0")), "{orders:?}");
 }
 
 #[test]
 fn recent_model_is_evicted_only_under_severe_overload() {
-    for (tokens, is_evicted) in [(45_000, false), (TOKENS_OF_EIGHT, true)] {
+    for (tokens, is_evicted) in [(45_000, false), (TOKENS_FOR_EIGHT_REPLICAS, true)] {
         let mut scenario = Scenario::new(4, &[&["m0", "m1"], &["m2", "m3"]]);
         let open = Demand { in_flight: 1, ..demand("m1") };
         scenario.report_demand(&[demand("m2"), demand("m3"), open.clone()]);
@@ -73,7 +73,7 @@
     scenario.now += 1_000;
     let mut loads = 0;
     for _ in 0..30 {
-        scenario.report_demand(&[busy("m0", 20 * TOKENS_OF_EIGHT)]);
+        scenario.report_demand(&[busy("m0", 20 * TOKENS_FOR_EIGHT_REPLICAS)]);
         loads += scenario.orders_after(10).iter().filter(|order| order.contains("load m0")).count();
     }
     assert_eq!(loads, 64);
@@ -84,21 +84,21 @@
 }
 
 #[test]
-fn reservation_that_nobody_waits_for_gives_way_to_waiting_requests() {
-    // given: a server that evicts for a further replica of a busy model
+fn reservation_without_waiting_requests_is_replaced_for_waiting_requests() {
+    // given: a server that evicts a model to make room for a further replica of a busy model
     let mut scenario = Scenario::new(4, &[&["m0", "m1"], &["m2", "m3"]]);
     scenario.now += 6_000;
-    scenario.report_demand(&[busy("m0", TOKENS_OF_EIGHT)]);
+    scenario.report_demand(&[busy("m0", TOKENS_FOR_EIGHT_REPLICAS)]);
     let orders = scenario.next_orders();
     assert!(orders.iter().any(|order| order.starts_with("s1 evict")), "{orders:?}");
     scenario.complete_order(1, OrderOutcome::Accepted);
-    let (evicted, left) = if orders[0].contains("m2") { ("m2", "m3") } else { ("m3", "m2") };
-    // when: a request for the evicted model comes before the eviction is seen
+    let (evicted, remaining) = if orders[0].contains("m2") { ("m2", "m3") } else { ("m3", "m2") };
+    // when: a request for the evicted model arrives before a message shows the eviction
     scenario.report_demand(&[waiting(evicted)]);
     scenario.now += 300;
     scenario.heartbeat(0, &["m0", "m1"]);
-    scenario.heartbeat(1, &[left]);
-    scenario.report(1, 1, false, &[left]);
+    scenario.heartbeat(1, &[remaining]);
+    scenario.report(1, 1, false, &[remaining]);
     // then
     let orders = scenario.next_orders();
     assert_eq!(orders, [format!("s1 load {evicted} at 1")]);
@@ -106,12 +106,12 @@
 
 #[test]
 fn most_urgent_report_decides_the_priority_of_a_model() {
-    // given: one free place
+    // given: capacity for one more model
     let mut scenario = Scenario::new(3, &[&["m0"]]);
     let report = |edge, demand: Demand, scenario: &mut Scenario| {
         scenario.planner.record_demand(scenario.now, NodeId(edge), &[demand]);
     };
-    // when: the last report of a model is the least urgent one
+    // when: the last report for a model has the lowest priority
     report(11, Demand { priority: 0, ..waiting("m1") }, &mut scenario);
     report(12, Demand { priority: 7, ..waiting("m1") }, &mut scenario);
     report(13, Demand { priority: 3, queued: 9, ..waiting("m2") }, &mut scenario);
