--- a/coordinator/src/core/orders/planners.rs
+++ b/coordinator/src/core/orders/planners.rs
@@ -67,7 +67,7 @@
     /// This node has acquired the order lease of a shard; see [`OwnEpoch::previous_lease_until`].
     pub fn start_ordering(&mut self, now: Millis, shard: u32, previous_lease_until: Option<Millis>) {
         for (_, planner) in self.planners.iter_mut().filter(|(service, _)| shard_of(service) == shard) {
-            planner.start_ordering(now, previous_lease_until);
+            planner.start_lease(now, previous_lease_until);
         }
     }
 
@@ -119,7 +119,7 @@
             let Some(catalogue) = self.catalogues.get(service) else { return };
             let mut planner = Planner::new(service.to_owned(), catalogue.clone(), self.options.clone(), now);
             if let Some(epoch) = epoch {
-                planner.start_ordering(now, epoch.previous_lease_until);
+                planner.start_lease(now, epoch.previous_lease_until);
             }
             self.planners.insert(service.to_owned(), planner);
         }
--- a/placement/src/planner/mod.rs
+++ b/placement/src/planner/mod.rs
@@ -88,7 +88,7 @@
     /// Starts a lease on a node that has only applied inputs so far. Servers may have accepted orders of an earlier
     /// lease until `earlier_orders_until`, and these orders may have exhausted the weight store's rate by then; `None`
     /// if no orders were ever sent.
-    pub fn start_ordering(&mut self, now: Millis, earlier_orders_until: Option<Millis>) {
+    pub fn start_lease(&mut self, now: Millis, earlier_orders_until: Option<Millis>) {
         let (window, rate) = (self.options.origin_window, self.catalogue.load_per_s);
         let uncertainty =
             earlier_orders_until.map(|until| Uncertainty::of_previous_lease(&self.catalogue, until));
--- a/placement/tests/common/simulation/mod.rs
+++ b/placement/tests/common/simulation/mod.rs
@@ -185,7 +185,7 @@
     pub fn transfer_leadership(&mut self) {
         let fresh = Planner::new(SERVICE.into(), self.catalogue.clone(), Options::default(), self.now);
         self.planner = std::mem::replace(&mut self.standby, fresh);
-        self.planner.start_ordering(self.now, Some(self.now));
+        self.planner.start_lease(self.now, Some(self.now));
         self.orders_from = self.now + LEASE_WAIT;
         self.add_trace("", "lease holder replaced".to_owned());
         self.drop_responses();
--- a/placement/tests/lease_takeover.rs
+++ b/placement/tests/lease_takeover.rs
@@ -62,7 +62,7 @@
 fn load_of_previous_holder_counts_until_a_report() {
     // given: the previous lease holder's load of another model has not ended, and no heartbeat shows it
     let mut scenario = Scenario::new(4, &[&["m0"]]);
-    scenario.planner.start_ordering(scenario.now, Some(scenario.now));
+    scenario.planner.start_lease(scenario.now, Some(scenario.now));
     for _ in 0..2 {
         scenario.now += MAX_ORDER_TIME / 2;
         scenario.heartbeat(0, &["m0"]);
@@ -84,7 +84,7 @@
 fn load_moves_to_another_server_when_report_fails() {
     // given
     let mut scenario = Scenario::new(2, &[&[], &[]]);
-    scenario.planner.start_ordering(scenario.now, Some(scenario.now));
+    scenario.planner.start_lease(scenario.now, Some(scenario.now));
     scenario.now += AFTER_TAKEOVER;
     (0..2).for_each(|server| scenario.heartbeat(server, &[]));
     scenario.report_demand(&[waiting("m0")]);
