--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -212,7 +212,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(planner) = self.planners.get_mut(service) else { return };
-        for server in planner.next_reports(now) {
+        for server in planner.next_report_requests(now) {
             if let Some(record) = directory.record(&server) {
                 actions.push(Action::FetchReport { server, address: record.heartbeat.address.clone() });
             }
--- a/placement/src/planner/pass.rs
+++ b/placement/src/planner/pass.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the servers to request a report from now.
-    pub fn next_reports(&mut self, now: Millis) -> Vec<ServerId> {
+    pub fn next_report_requests(&mut self, now: Millis) -> Vec<ServerId> {
         let has_missing_replicas = self.has_missing_replicas;
         let due = self.servers.values_mut().filter_map(|server| {
             let is_needed = has_missing_replicas || server.reservation.is_some();
--- a/placement/tests/common/simulation/messages.rs
+++ b/placement/tests/common/simulation/messages.rs
@@ -78,7 +78,7 @@
         let may_order = self.now >= self.orders_from;
         let orders = if may_order { self.planner.next_orders(self.now) } else { Vec::new() };
         orders.into_iter().for_each(|order| self.send_order(order));
-        for server in self.planner.next_reports(self.now) {
+        for server in self.planner.next_report_requests(self.now) {
             self.request_report(server);
         }
     }
--- a/placement/tests/heartbeats_and_reports.rs
+++ b/placement/tests/heartbeats_and_reports.rs
@@ -13,10 +13,10 @@
     assert_eq!(scenario.next_orders(), ["s0 evict m0 at 0"]);
     scenario.now += 20;
     scenario.complete_order(0, OrderOutcome::Accepted);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [""; 0]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [""; 0]);
     scenario.now += 250;
-    assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [""; 0]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), ["s0"]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [""; 0]);
     scenario.report(0, 1, true, &["m0", "m1"]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
     scenario.report(0, 1, false, &["m1"]);
--- a/placement/tests/lease_takeover.rs
+++ b/placement/tests/lease_takeover.rs
@@ -37,9 +37,9 @@
     scenario.heartbeat(0, &[]);
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.orders_after(400), [""; 0]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [""; 0]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [""; 0]);
     scenario.now += 100;
-    assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), ["s0"]);
     scenario.report(0, 7, false, &[]);
     scenario.report_demand(&[waiting("m0")]);
     // By now the budget of loads allows a first one.
@@ -53,7 +53,7 @@
     scenario.heartbeat(0, &[]);
     scenario.now += 8_000;
     scenario.heartbeat(0, &[]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [""; 0]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [""; 0]);
     scenario.report_demand(&[waiting("m0")]);
     assert_eq!(scenario.next_orders(), ["s0 load m0 at 0"]);
 }
@@ -71,7 +71,7 @@
     // when
     scenario.report_demand(&[waiting("m2")]);
     assert_eq!(scenario.next_orders(), [""; 0]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), ["s0"]);
     scenario.report(0, 4, true, &["m0"]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
     scenario.report(0, 4, false, &["m0", "m1"]);
@@ -91,7 +91,7 @@
     assert_eq!(scenario.next_orders(), [""; 0]);
     let sequence = ring_sequence("m0", 2);
     assert_eq!(
-        scenario.planner.next_reports(scenario.now),
+        scenario.planner.next_report_requests(scenario.now),
         [sequence[0].clone()],
         "only the selected server is asked for a report"
     );
@@ -101,7 +101,7 @@
 
     // then
     assert_eq!(scenario.orders_after(100), [""; 0]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [sequence[1].clone()]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [sequence[1].clone()]);
     let other = server_index(&sequence[1]);
     scenario.report(other, 6, false, &[]);
     assert_eq!(scenario.orders_after(50), [format!("{} load m0 at 6", sequence[1])]);
--- a/placement/tests/order_outcomes.rs
+++ b/placement/tests/order_outcomes.rs
@@ -22,9 +22,9 @@
     scenario.heartbeat(0, &["m0"]);
     scenario.report(0, 0, false, &["m0"]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
-    assert_eq!(scenario.planner.next_reports(scenario.now), [""; 0]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), [""; 0]);
     scenario.now += 800;
-    assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), ["s0"]);
     scenario.report(0, 5, false, &["m0", "m1"]);
     scenario.report_demand(&[demand("m1"), waiting("m2")]);
     // The report shows that the order was accepted, and gives the revision.
@@ -65,7 +65,7 @@
     scenario.complete_order(0, OrderOutcome::Busy);
     assert_eq!(scenario.orders_after(100), [""; 0]);
     scenario.now += 500;
-    assert_eq!(scenario.planner.next_reports(scenario.now), ["s0"]);
+    assert_eq!(scenario.planner.next_report_requests(scenario.now), ["s0"]);
     scenario.report(0, 1, true, &[]);
     scenario.report_demand(&[waiting("m1")]);
     assert_eq!(scenario.orders_after(100), [""; 0]);
