--- a/coordinator/src/core/orders/overlay.rs
+++ b/coordinator/src/core/orders/overlay.rs
@@ -12,7 +12,7 @@
     record: &ServerRecord,
     fencing_token: u64,
 ) -> Option<PlacementOverlay> {
-    let served = planner.served(now, &record.id)?;
+    let served = planner.served_models(now, &record.id)?;
     let reported = record.heartbeat.models.as_deref()?;
     let added = difference(&served, reported);
     let mut evicting = difference(reported, &served);
--- a/placement/src/planner/queries.rs
+++ b/placement/src/planner/queries.rs
@@ -33,7 +33,7 @@
     /// The result includes effects of orders that the server's heartbeats do not show yet. A load counts as complete
     /// after its expected time. If it takes longer, the server rejects the requests that it then gets without executing
     /// them.
-    pub fn served(&self, now: Millis, id: &ServerId) -> Option<Vec<LoadedModel>> {
+    pub fn served_models(&self, now: Millis, id: &ServerId) -> Option<Vec<LoadedModel>> {
         let server = self.keys.get(id).and_then(|key| self.servers.get(key))?;
         if server.uncertainty.is_some() {
             return None;
