--- a/coordinator/src/core/demand.rs
+++ b/coordinator/src/core/demand.rs
@@ -1,4 +1,4 @@
-//! Demand that edges report with their polls, aggregated and broadcast to the holders of order leases.
+//! Demand that edges report, aggregated and broadcast to the other coordinators, any of which may hold an order lease.
 
 mod aggregated;
 mod edges;
@@ -12,12 +12,12 @@
 pub use aggregated::AggregatedDemand;
 pub use edges::{edge_list_hash, Edges};
 
-/// Interval between two broadcasts.
+/// Interval between broadcasts.
 const BROADCAST_INTERVAL: Millis = 250;
-/// The interval while requests wait for a model or an adapter.
+/// Interval between broadcasts while requests wait for a model or an adapter.
 const URGENT_BROADCAST_INTERVAL: Millis = 30;
 
-/// When demand is broadcast.
+/// Decides when demand is broadcast.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandBroadcastSchedule {
     next: Millis,
@@ -25,17 +25,17 @@
 }
 
 impl DemandBroadcastSchedule {
-    /// A schedule whose first broadcast is due at once.
+    /// Creates a schedule whose first broadcast is due immediately.
     pub fn new(now: Millis) -> Self {
         DemandBroadcastSchedule { next: now, last: now }
     }
 
-    /// Brings the next broadcast forward, as requests wait for what the demand names.
+    /// Brings the next broadcast forward because requests wait for a model or an adapter.
     fn expedite(&mut self) {
         self.next = self.next.min(self.last + URGENT_BROADCAST_INTERVAL);
     }
 
-    /// The milliseconds that the demand covers, if a broadcast is due.
+    /// Returns the period that the demand covers, in milliseconds, if a broadcast is due.
     fn take_due(&mut self, now: Millis) -> Option<Millis> {
         if now < self.next {
             return None;
@@ -48,15 +48,16 @@
 }
 
 impl Coordinator {
-    /// Adds an edge's report to the demand. The broadcast is brought forward if requests wait for a model or an adapter.
-    pub(super) fn record_demand(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
+    /// Adds an edge's report to the aggregated demand, and brings the next broadcast forward if requests wait for a
+    /// model or an adapter.
+    pub(super) fn record_demand(&mut self, edge: NodeId, demand: Vec<Demand>, outcomes: Vec<ServerOutcomes>) {
         if demand.iter().any(|demand| demand.queued > 0) {
             self.demand_broadcasts.expedite();
         }
-        self.demand.add(edge, demand, observed);
+        self.demand.add(edge, demand, outcomes);
     }
 
-    /// Sends the demand since the last broadcast to the nodes that may hold order leases, when due.
+    /// Broadcasts the demand reported since the last broadcast, if a broadcast is due.
     pub(super) fn broadcast_demand(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let Some(window) = self.demand_broadcasts.take_due(now) else { return };
         let reports = self.demand.take();
--- a/coordinator/src/core/demand/aggregated.rs
+++ b/coordinator/src/core/demand/aggregated.rs
@@ -1,4 +1,4 @@
-//! Demand and observations of edges, summed up until the next broadcast.
+//! Demand and server outcomes reported by edges, aggregated until the next broadcast.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 
 use super::edges::MAX_EDGES;
 
-/// Different combinations of service, model and adapter that are kept for one edge.
+/// Maximum number of combinations of service, model and adapter for which the demand of one edge is kept.
 const MAX_DEMAND_KEYS: usize = 4096;
-/// Servers whose observations are kept for one edge.
-const MAX_OBSERVED_SERVERS: usize = 4096;
+/// Maximum number of servers whose outcomes are kept for one edge.
+const MAX_SERVERS_WITH_OUTCOMES: usize = 4096;
 
-/// What requests ask for.
+/// Identifies what requests ask for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DemandKey {
     service: String,
@@ -30,41 +30,40 @@
     }
 }
 
-/// What edges have reported since it was last taken.
+/// Reports of edges since the last broadcast, aggregated per edge.
 #[derive(Debug, Default)]
 pub struct AggregatedDemand {
     edges: BTreeMap<NodeId, AggregatedReport>,
 }
 
-/// The sum of one edge's reports.
 #[derive(Debug, Default)]
 struct AggregatedReport {
     demand: BTreeMap<DemandKey, Demand>,
-    observed: BTreeMap<ServerId, ServerOutcomes>,
+    outcomes: BTreeMap<ServerId, ServerOutcomes>,
 }
 
 impl AggregatedDemand {
-    /// Adds one edge's report. Edges beyond a bound are ignored.
-    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
+    /// Adds a report of one edge. Reports of further edges are ignored once `MAX_EDGES` edges have reported.
+    pub fn add(&mut self, edge: NodeId, demand: Vec<Demand>, outcomes: Vec<ServerOutcomes>) {
         if self.edges.len() < MAX_EDGES || self.edges.contains_key(&edge) {
-            self.edges.entry(edge).or_default().add(demand, observed);
+            self.edges.entry(edge).or_default().add(demand, outcomes);
         }
     }
 
-    /// Takes all reports, one for each edge, and starts anew.
+    /// Returns the aggregated reports, one for each edge, and clears them.
     pub fn take(&mut self) -> Vec<EdgeReport> {
         let reports = std::mem::take(&mut self.edges).into_iter();
         let report = |(edge, report): (NodeId, AggregatedReport)| EdgeReport {
             edge,
             demand: report.demand.into_values().collect(),
-            server_outcomes: report.observed.into_values().collect(),
+            server_outcomes: report.outcomes.into_values().collect(),
         };
         reports.map(report).collect()
     }
 }
 
 impl AggregatedReport {
-    fn add(&mut self, demand: Vec<Demand>, observed: Vec<ServerOutcomes>) {
+    fn add(&mut self, demand: Vec<Demand>, outcomes: Vec<ServerOutcomes>) {
         for later in demand {
             let key = DemandKey::of(&later);
             if let Some(sum) = self.demand.get_mut(&key) {
@@ -73,17 +72,17 @@
                 self.demand.insert(key, later);
             }
         }
-        for later in observed {
-            if let Some(sum) = self.observed.get_mut(&later.server) {
-                add_observation(sum, &later);
-            } else if self.observed.len() < MAX_OBSERVED_SERVERS {
-                self.observed.insert(later.server.clone(), later);
+        for later in outcomes {
+            if let Some(sum) = self.outcomes.get_mut(&later.server) {
+                add_outcomes(sum, &later);
+            } else if self.outcomes.len() < MAX_SERVERS_WITH_OUTCOMES {
+                self.outcomes.insert(later.server.clone(), later);
             }
         }
     }
 }
 
-/// Adds a later report of the same edge: counters add up, gauges are replaced.
+/// Adds a later report of the same edge: counters are summed, gauges replaced, and the lower priority value is kept.
 fn add_demand(sum: &mut Demand, later: &Demand) {
     sum.arrived = sum.arrived.saturating_add(later.arrived);
     sum.tokens = sum.tokens.saturating_add(later.tokens);
@@ -93,7 +92,7 @@
     sum.in_flight = later.in_flight;
 }
 
-fn add_observation(sum: &mut ServerOutcomes, later: &ServerOutcomes) {
+fn add_outcomes(sum: &mut ServerOutcomes, later: &ServerOutcomes) {
     sum.succeeded = sum.succeeded.saturating_add(later.succeeded);
     sum.failed = sum.failed.saturating_add(later.failed);
     sum.unreachable = sum.unreachable.saturating_add(later.unreachable);
