--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -1,11 +1,13 @@
-//! Orders to servers: for which services this node may send them, from when on, and which come next.
+//! Orders to servers: for which services this node may send them, from when on, and which ones are sent next.
 //!
-//! The leader of a service's shard acquires the order lease by an entry of its own term, which is its fencing token. A
-//! holder that follows another node waits until orders of the previous one can no longer arrive within the lease: the
-//! previous holder wrote none after its leader lease or after it had stepped down, and that was over when this node was
-//! elected. Once it has waited, the holder records that by a second entry; only then may it, elected again, go on at once.
+//! The leader of a service's shard acquires the order lease with a log entry. The term of its leadership is its fencing
+//! token. A holder that follows another node first waits, so that its orders are at least one lease duration apart from
+//! those of the previous holder. The previous holder writes no order after its leader lease has expired or after it has
+//! stepped down, and one of the two had happened by the time that this node was elected. After the wait, the holder
+//! records its completion with a second log entry. Only if that entry is committed may the holder go on without a wait
+//! when it is elected again.
 //!
-//! The driver asks [`OrderLeases::may_write`] as the last thing before an order's bytes go to the socket.
+//! The driver calls [`OrderLeases::may_write`] immediately before it writes an order to the socket.
 
 mod catalogue;
 mod in_flight;
@@ -29,16 +31,17 @@
 
 pub use lease::ORDER_SEND_TIMEOUT;
 
-/// Interval between two runs of the planners.
+/// Interval between runs of the planners while no orders are scheduled or in flight.
 const PLAN_INTERVAL: Millis = 100;
-/// The interval while orders are scheduled or in flight.
+/// Interval between runs of the planners while orders are scheduled or in flight.
 const BUSY_PLAN_INTERVAL: Millis = 50;
-/// Interval between two updates of the planners from the directory.
+/// Interval between updates of the planners from the directory.
 const DIRECTORY_SCAN_INTERVAL: Millis = 400;
-/// How long before an eviction edges are told that the server will no longer serve what it evicts.
+/// Delay between announcing an eviction to the edges and sending the order.
 const EVICTION_NOTICE: Millis = 50;
 
-/// An order that waits until edges have stopped sending requests for what it evicts.
+/// A planned order that is sent when due. Evictions are delayed so that edges stop sending requests that need the
+/// evicted model or adapter.
 #[derive(Clone, Debug)]
 struct ScheduledOrder {
     due: Millis,
@@ -46,9 +49,9 @@
     order: PlannedOrder,
 }
 
-/// The order leases of this node, and the orders that it sends under them.
+/// The order leases that this node holds, and the orders that it sends under them.
 pub struct OrderLeases {
-    /// Name of this node, which orders carry as their lease holder.
+    /// Name of this node, sent in orders as the name of the lease holder.
     node_name: String,
     leases: ShardLeases,
     planners: Planners,
@@ -59,7 +62,7 @@
 }
 
 impl OrderLeases {
-    /// A node that holds no lease yet.
+    /// Creates the state of a node that holds no lease yet.
     pub fn new(options: &CoordinatorOptions) -> Self {
         OrderLeases {
             node_name: options.node_name.clone(),
@@ -72,19 +75,19 @@
         }
     }
 
-    /// This node has become the leader of a shard.
+    /// Handles this node becoming the leader of a shard.
     pub fn on_elected(&mut self, now: Millis, shard: u32, term: u64) {
         self.leases.on_elected(now, shard, term);
     }
 
-    /// This node no longer leads a shard.
+    /// Handles the end of this node's leadership of a shard: its scheduled orders are discarded.
     pub fn on_deposed(&mut self, shard: u32) {
         self.leases.on_deposed(shard);
         self.scheduled.retain(|scheduled| shard_of(&scheduled.service) != shard);
     }
 
-    /// A lease epoch has started. Whether its holder is this node and `still_leads` in the term in which it acquired the
-    /// lease.
+    /// Handles the start of a lease epoch. Returns whether this node is its holder and may use it, for which it must
+    /// still lead the shard in the term in which it acquired the lease (`still_leads`).
     pub fn on_epoch_started(
         &mut self,
         now: Millis,
@@ -97,24 +100,25 @@
         true
     }
 
-    /// Until when this node must wait before it sends orders to the servers of a shard's services; `None` unless it has
-    /// acquired the shard's lease.
+    /// Returns the time before which this node must not send orders to the servers of a shard's services; `None` if it
+    /// has not acquired the shard's lease.
     pub fn wait_until(&self, shard: u32) -> Option<Millis> {
         self.leases.epoch(shard).map(|epoch| epoch.wait_until)
     }
 
-    /// Until when orders of earlier epochs may arrive at the servers of a shard's services; `None` unless this node has
-    /// acquired the shard's lease after another epoch.
+    /// Returns the time until which orders of earlier epochs may arrive at the servers of a shard's services; `None` if
+    /// this node has not acquired the shard's lease or there was no earlier epoch.
     pub fn previous_orders_until(&self, shard: u32) -> Option<Millis> {
         self.leases.epoch(shard)?.previous_lease_until
     }
 
-    /// A version of the configuration has been applied.
+    /// Passes a newly applied version of the configuration to the planners.
     pub fn on_configuration(&mut self, view: &View) {
         self.planners.on_configuration(view);
     }
 
-    /// Records what edges have reported. Requests that wait for a model or an adapter make the planners run at once.
+    /// Passes reports of edges to the planners, and runs these without delay if requests wait for a model or an
+    /// adapter.
     pub fn record_demand(&mut self, now: Millis, reports: &[EdgeReport]) {
         let has_waiting = |report: &EdgeReport| report.demand.iter().any(|demand| demand.queued > 0);
         if reports.iter().any(has_waiting) && !self.leases.is_empty() {
@@ -123,7 +127,7 @@
         self.planners.record_demand(now, reports);
     }
 
-    /// An order has ended.
+    /// Handles the outcome of an order.
     pub fn on_order_completed(&mut self, now: Millis, order: OrderId, outcome: OrderOutcome) {
         let Some(InFlightOrder { service, server, number, fencing_token }) = self.in_flight.remove(order)
         else {
@@ -131,29 +135,29 @@
         };
         self.next_plan = now;
         if self.leases.fencing_token(shard_of(&service)) != Some(fencing_token) {
-            // A later epoch has started over, and takes all orders that were in flight to be in doubt.
+            // The planner was reset in a later epoch and already treats all orders of earlier epochs as undetermined.
             return;
         }
         self.planners.complete_order(now, &service, &server, number, outcome);
     }
 
-    /// A server's report has arrived, or none has in time.
+    /// Handles a server's report; `None` if it could not be fetched in time.
     pub fn on_report(&mut self, now: Millis, server: &ServerId, report: Option<ServerReport>) {
-        // Orders may wait for the report.
+        // Planned orders may depend on the report.
         self.next_plan = now;
         self.planners.record_report(now, server, report.as_ref());
     }
 
-    /// Whether an order may be written to its server now: the epoch that it belongs to goes on, and the lease holds.
+    /// Returns whether an order may be written to its server at `now`: its epoch has not ended and the lease is valid.
     pub fn may_write(&self, now: Millis, order: OrderId, shards: &Shards) -> bool {
         let Some(InFlightOrder { service, fencing_token, .. }) = self.in_flight.get(order) else {
             return false;
         };
         let shard = shard_of(service);
-        self.leases.may_order(now, shard, shards) && self.leases.fencing_token(shard) == Some(*fencing_token)
+        self.leases.may_send(now, shard, shards) && self.leases.fencing_token(shard) == Some(*fencing_token)
     }
 
-    /// Acquires leases, brings the planners up to date and sends the orders that they want.
+    /// Acquires leases, updates the planners and sends the orders that they have planned.
     pub fn plan(
         &mut self,
         now: Millis,
@@ -175,12 +179,12 @@
         for service in self.planners.services() {
             let shard = shard_of(&service);
             let epoch = self.leases.epoch(shard);
-            // Also where another node holds the lease: the demand is known when this one takes over.
+            // Also if another node holds the lease, so that the planner knows the demand when this node takes over.
             self.planners.update(now, &service, directory, scans_directory, epoch);
             if epoch.is_none() {
                 continue;
             }
-            if self.leases.may_order(now, shard, shards) {
+            if self.leases.may_send(now, shard, shards) {
                 self.publish_overlays(now, &service, directory);
                 self.send_orders(now, &service, directory, actions);
             }
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Publishes in the directory what orders have changed about the servers' models, ahead of their heartbeats.
+    /// Publishes in the directory how orders have changed the servers' models, before heartbeats report the change.
     fn publish_overlays(&mut self, now: Millis, service: &str, directory: &mut Directory) {
         let Some(fencing_token) = self.leases.fencing_token(shard_of(service)) else { return };
         let Some(planner) = self.planners.get_mut(service) else { return };
@@ -236,7 +240,7 @@
             let due = if evicts { now + EVICTION_NOTICE } else { now };
             self.scheduled.push(ScheduledOrder { due, service: service.to_owned(), order });
         }
-        // Edges learn of evictions before the orders go out.
+        // Edges must learn of evictions before the orders are sent.
         self.publish_overlays(now, service, directory);
         for ScheduledOrder { order: planned, .. } in self.take_due(now, service) {
             let order = self.in_flight.add(InFlightOrder {
--- a/coordinator/src/core/orders/catalogue.rs
+++ b/coordinator/src/core/orders/catalogue.rs
@@ -1,9 +1,8 @@
-//! The planner's catalogue of a service's models, from the configuration.
+//! Converts the configuration of a service's models into the planner's catalogue.
 
 use shaletrail_configuration::{Model, Runtime};
 use shaletrail_placement::{Catalogue, ModelSpec};
 
-/// The catalogue of a service with this runtime.
 pub(super) fn catalogue(runtime: &Runtime) -> Catalogue {
     let spec = |model: &Model| ModelSpec {
         name: model.name.clone(),
--- a/coordinator/src/core/orders/in_flight.rs
+++ b/coordinator/src/core/orders/in_flight.rs
@@ -1,4 +1,4 @@
-//! Orders that were handed to the driver and have not ended.
+//! Orders that were passed to the driver and whose outcome is not known yet.
 
 use std::collections::HashMap;
 
@@ -7,21 +7,20 @@
 
 use crate::interface::OrderId;
 
-/// Orders that may be in flight before no further ones are planned.
+/// Maximum number of orders in flight; no further ones are planned while it is reached.
 const MAX_IN_FLIGHT: usize = 512;
 
-/// An order that was handed to the driver and has not ended.
+/// An order that was passed to the driver and whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightOrder {
     pub service: String,
     pub server: ServerId,
-    /// The planner's number of the order.
+    /// The number that the planner has assigned to the order.
     pub number: OrderNumber,
-    /// The fencing token of the epoch that it belongs to.
+    /// The fencing token of the lease epoch in which the order was sent.
     pub fencing_token: u64,
 }
 
-/// All orders in flight.
 #[derive(Debug, Default)]
 pub(super) struct OrdersInFlight {
     orders: HashMap<OrderId, InFlightOrder>,
@@ -37,22 +36,18 @@
         id
     }
 
-    /// An order by its id.
     pub fn get(&self, id: OrderId) -> Option<&InFlightOrder> {
         self.orders.get(&id)
     }
 
-    /// Removes an order that has ended.
     pub fn remove(&mut self, id: OrderId) -> Option<InFlightOrder> {
         self.orders.remove(&id)
     }
 
-    /// Whether no order is in flight.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Whether so many orders are in flight that no further ones are planned.
     pub fn is_full(&self) -> bool {
         self.orders.len() >= MAX_IN_FLIGHT
     }
--- a/coordinator/src/core/orders/overlay.rs
+++ b/coordinator/src/core/orders/overlay.rs
@@ -1,11 +1,11 @@
-//! Placement overlays: what orders have changed about a server's models since its last heartbeat.
+//! Placement overlays: how orders have changed a server's models since its last heartbeat.
 
 use shaletrail_placement::Planner;
 use shaletrail_protocol::external::LoadedModel;
 use shaletrail_protocol::internal::{PlacementOverlay, ServerRecord};
 use shaletrail_protocol::Millis;
 
-/// The overlay that a server's record needs, if it differs from the one that it has.
+/// Returns the overlay for a server's record; `None` if it equals the present one.
 pub(super) fn changed_overlay(
     now: Millis,
     planner: &Planner,
@@ -18,7 +18,7 @@
     let mut evicting = difference(reported, &served);
     for model in &mut evicting {
         if !served.iter().any(|loaded| loaded.name == model.name) {
-            // An entry without adapters stands for the model itself.
+            // An entry without adapters means that the model itself is evicted.
             model.adapters.clear();
         }
     }
@@ -30,16 +30,17 @@
     Some(PlacementOverlay { fencing_token, revision, added, evicting })
 }
 
-/// Models and adapters of one list that another lacks. A model that is in both stands there for its adapters only.
-fn difference(these: &[LoadedModel], those: &[LoadedModel]) -> Vec<LoadedModel> {
+/// Returns the models and adapters of one list that are missing in another. A model that is in both lists is returned
+/// with its missing adapters only.
+fn difference(models: &[LoadedModel], subtracted: &[LoadedModel]) -> Vec<LoadedModel> {
     let mut missing = Vec::new();
-    for model in these {
-        let Some(other) = those.iter().find(|other| other.name == model.name) else {
+    for model in models {
+        let Some(other) = subtracted.iter().find(|other| other.name == model.name) else {
             missing.push(model.clone());
             continue;
         };
-        let lacks = |adapter: &&String| !other.adapters.contains(adapter);
-        let adapters: Vec<String> = model.adapters.iter().filter(lacks).cloned().collect();
+        let is_missing = |adapter: &&String| !other.adapters.contains(adapter);
+        let adapters: Vec<String> = model.adapters.iter().filter(is_missing).cloned().collect();
         if !adapters.is_empty() {
             missing.push(LoadedModel { adapters, ..model.clone() });
         }
--- a/coordinator/src/core/orders/planners.rs
+++ b/coordinator/src/core/orders/planners.rs
@@ -1,4 +1,4 @@
-//! The planners of all services with models, and what they are fed from configuration, directory and demand.
+//! The planners of all services with models, and their input from configuration, directory and demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,6 @@
 }
 
 impl Planners {
-    /// No service is configured yet.
     pub fn new(options: Options) -> Self {
         Planners {
             options,
@@ -34,17 +33,17 @@
         }
     }
 
-    /// A version of the configuration has been applied.
+    /// Updates the catalogues of models from a newly applied version of the configuration.
     pub fn on_configuration(&mut self, view: &View) {
         self.catalogues = view
             .services()
             .filter_map(|service| Some((service.name.clone(), catalogue(service.runtime.as_ref()?))))
             .collect();
-        // The weight store is shared by all services; each planner keeps to its share of the load rate.
-        let sharing =
+        // All services load from the same weight store, so its load rate is divided equally among the planners.
+        let services_with_models =
             self.catalogues.values().filter(|catalogue| !catalogue.models.is_empty()).count().max(1);
         for catalogue in self.catalogues.values_mut() {
-            catalogue.load_per_s /= sharing as f64;
+            catalogue.load_per_s /= services_with_models as f64;
         }
         self.planners.retain(|service, _| self.catalogues.contains_key(service));
         for (service, planner) in &mut self.planners {
@@ -54,24 +53,23 @@
         }
     }
 
-    /// Names of all services with models.
+    /// Returns the names of all services with models.
     pub fn services(&self) -> Vec<String> {
         self.catalogues.keys().cloned().collect()
     }
 
-    /// A service's planner.
     pub fn get_mut(&mut self, service: &str) -> Option<&mut Planner> {
         self.planners.get_mut(service)
     }
 
-    /// This node has acquired the order lease of a shard; see [`OwnEpoch::previous_lease_until`].
+    /// Starts planning orders for the services of a shard whose order lease this node has acquired. See
+    /// [`OwnEpoch::previous_lease_until`].
     pub fn start_ordering(&mut self, now: Millis, shard: u32, previous_lease_until: Option<Millis>) {
         for (_, planner) in self.planners.iter_mut().filter(|(service, _)| shard_of(service) == shard) {
             planner.start_ordering(now, previous_lease_until);
         }
     }
 
-    /// Records what edges have reported.
     pub fn record_demand(&mut self, now: Millis, reports: &[EdgeReport]) {
         for report in reports {
             for planner in self.planners.values_mut() {
@@ -80,7 +78,7 @@
         }
     }
 
-    /// An order of the present epoch has ended.
+    /// Records the outcome of an order of the present epoch.
     pub fn complete_order(
         &mut self,
         now: Millis,
@@ -94,7 +92,7 @@
         }
     }
 
-    /// A server's report has arrived, or none has in time.
+    /// Records a server's report; `None` if it could not be fetched in time.
     pub fn record_report(&mut self, now: Millis, server: &ServerId, report: Option<&ServerReport>) {
         for planner in self.planners.values_mut() {
             match report {
@@ -104,8 +102,8 @@
         }
     }
 
-    /// Creates a service's planner if it has none, and brings it up to date with the directory if it is new or the
-    /// directory is scanned. `epoch` is this node's epoch of the service's shard.
+    /// Creates the planner of a service if it does not exist. Updates the planner from the directory if it is new or a
+    /// scan is due (`scans_directory`). `epoch` is this node's lease epoch in the service's shard.
     pub fn update(
         &mut self,
         now: Millis,
