--- a/coordinator/src/core/directory_snapshot.rs
+++ b/coordinator/src/core/directory_snapshot.rs
@@ -1,40 +1,42 @@
-//! Snapshots of the directory on this node's disk, by which it knows the servers after a restart.
+//! Snapshots of the directory on this node's disk, from which it restores the servers after a restart.
 //!
-//! The directory is soft state that heartbeats rebuild. Until they have come, a fleet that was restarted as a whole
-//! serves by the snapshots of its coordinators: a server that no longer exists is found out by the first request, which
-//! is retried at another one. A snapshot is written at intervals and may be old; nothing waits for it to be synced. Servers that
-//! have begun to leave are written at once, each change as a record of its own, and what is acknowledged of them waits for
-//! that.
+//! The directory is soft state that is rebuilt from heartbeats. Until these arrive after a restart of the whole system,
+//! requests are routed by the coordinators' snapshots. If a snapshot contains a server that no longer exists, the first
+//! request to it fails and is retried at another server. Snapshots are written at intervals and may be stale; nothing
+//! waits for them to be synced. Servers that begin to leave (they drain or deregister) are written immediately, each
+//! change as a separate record, and are acknowledged only after that record is synced.
 
 use shaletrail_cluster::Directory;
 use shaletrail_protocol::internal::{DirectoryCursor, ServerRecord};
 use shaletrail_protocol::Millis;
 use shaletrail_storage::StoredRecord;
 
-/// The journal's stream of directory snapshots; the shards' streams have the lower numbers.
+/// The journal stream of directory snapshots. Lower numbers are the streams of the shards.
 pub const STREAM: u32 = 1_000;
-/// The journal's stream of servers that have begun to leave since the newest snapshot.
+/// The journal stream of servers that have begun to leave since the newest snapshot.
 pub const LEAVING_STREAM: u32 = 1_001;
-/// Minimum time between two snapshots of a directory that changes, for each [`SERVERS_PER_INTERVAL`] servers begun.
+/// Minimum time between snapshots of a directory of up to [`SERVERS_PER_INTERVAL`] servers.
 const SNAPSHOT_INTERVAL: Millis = 1_000;
-/// See [`SNAPSHOT_INTERVAL`]: what is written in a second does not grow with the fleet.
+/// Each time the directory contains this many more servers, the minimum time grows by another [`SNAPSHOT_INTERVAL`], so
+/// that the write rate does not grow with the number of servers.
 const SERVERS_PER_INTERVAL: usize = 1_024;
 
-/// Encodes a snapshot of the directory when it has changed and the interval since the last one is over.
+/// Encodes a snapshot of the directory whenever it has changed and the minimum time since the last snapshot has passed.
 #[derive(Debug, Default)]
 pub struct DirectorySnapshotWriter {
-    /// State of the directory at the newest snapshot.
+    /// The directory's cursor at the newest snapshot.
     saved: DirectoryCursor,
     next_due: Millis,
     /// The newest snapshot, encoded; empty if there is none.
     newest: Vec<u8>,
-    /// Records of servers that have begun to leave since then, encoded.
+    /// Encoded records of servers that have begun to leave since the newest snapshot.
     leaving: Vec<Vec<u8>>,
 }
 
 impl DirectorySnapshotWriter {
-    /// Takes the directory's records out of what the journal held, leaving those of the shards. The servers of the newest
-    /// snapshot that can be decoded, and after them those that have begun to leave since.
+    /// Removes the directory's records from the records of the journal, so that only those of the shards remain.
+    /// Returns the servers of the newest snapshot that can be decoded, followed by those that have begun to leave since
+    /// then.
     pub fn restore_from(stored: &mut Vec<StoredRecord>) -> Vec<ServerRecord> {
         let mut known: Vec<ServerRecord> = Vec::new();
         stored.retain(|record| {
@@ -49,14 +51,14 @@
         known
     }
 
-    /// Encodes servers that have begun to leave, as a record of [`LEAVING_STREAM`].
+    /// Encodes servers that have begun to leave and returns the record for [`LEAVING_STREAM`].
     pub fn add_leaving(&mut self, records: &[ServerRecord]) -> Vec<u8> {
         let encoded = bitcode::encode(records);
         self.leaving.push(encoded.clone());
         encoded
     }
 
-    /// The encoded snapshot that is to be written now, if the directory has changed and one is due.
+    /// Returns the encoded snapshot to write now, if one is due and the directory has changed.
     pub fn take_due(&mut self, now: Millis, directory: &Directory) -> Option<Vec<u8>> {
         if now < self.next_due || directory.cursor() == self.saved {
             return None;
@@ -70,7 +72,8 @@
         Some(self.newest.clone())
     }
 
-    /// Streams and bytes of the newest snapshot and what follows it, which a checkpoint of the journal must keep.
+    /// Returns the stream and bytes of each record that a checkpoint of the journal must keep: the newest snapshot, and
+    /// the servers that have begun to leave since.
     pub fn live_records(&self) -> Vec<(u32, Vec<u8>)> {
         let snapshot = (!self.newest.is_empty()).then(|| (STREAM, self.newest.clone()));
         let leaving = self.leaving.iter().map(|record| (LEAVING_STREAM, record.clone()));
--- a/coordinator/src/core/disk.rs
+++ b/coordinator/src/core/disk.rs
@@ -1,22 +1,24 @@
-//! Reactions to the state of this node's disk: leadership moves away from a degraded one, and checkpoints are written.
+//! Reactions to the state of this node's disk: leadership is transferred away from a node whose disk is degraded, and
+//! checkpoints are written on request.
 
 use shaletrail_protocol::Millis;
 
 use super::Coordinator;
 use crate::interface::Action;
 
-/// How long a disk counts as degraded after the last report of it.
+/// How long a disk counts as degraded after the last [`DiskDegraded`](crate::interface::Event::DiskDegraded) event.
 const DEGRADED_PERIOD: Millis = 1_500;
 
 impl Coordinator {
-    /// The disk does not make records durable: a voter whose disk does should lead.
+    /// Handles a disk that does not make records durable: another voter should lead the configuration's shard.
     pub(super) fn on_disk_degraded(&mut self, now: Millis) {
         self.disk_degraded_until = now + DEGRADED_PERIOD;
         self.transfer_configuration_if_disk_degraded(now);
     }
 
-    /// Transfers the leadership of the configuration's shard, which cannot change without a disk. Orders can go on: the
-    /// order lease rests on heartbeats, and another holder would have to wait until it is over.
+    /// Transfers the leadership of the configuration's shard while the disk is degraded, as no change can be committed
+    /// without it. Service shards keep their leader: it can go on sending orders, as the order lease is renewed by
+    /// heartbeats alone, and a new holder would first have to wait until the lease has expired.
     pub(super) fn transfer_configuration_if_disk_degraded(&mut self, now: Millis) {
         let replica = self.shards.configuration_replica();
         if now < self.disk_degraded_until && replica.is_leader() {
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Transfers the leadership of all shards that this node leads, before it shuts down.
+    /// Transfers the leadership of all shards that this node leads, in preparation for its shutdown.
     pub(super) fn transfer_all_leaderships(&mut self, now: Millis) {
         for shard in self.shards.numbers() {
             if let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) {
@@ -33,9 +35,9 @@
         }
     }
 
-    /// Replaces the journal's content by the live records if the driver wants that.
-    pub(super) fn checkpoint_if(&mut self, wanted: bool, actions: &mut Vec<Action>) {
-        if !wanted {
+    /// Emits a checkpoint of all live records if the driver has asked for one.
+    pub(super) fn checkpoint_if(&mut self, is_requested: bool, actions: &mut Vec<Action>) {
+        if !is_requested {
             return;
         }
         let mut live = self.shards.live_records();
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision of a coordinator, as a sans-IO state machine.
+//! The decisions of a coordinator, as a sans-IO state machine.
 //!
-//! The parts (shards, directory, planners) keep the desired state: what heartbeats, operators and edges ask for. Each event
-//! ends with [`Coordinator::reconcile`], which works out what is still to be done and answers whoever waits for what has
-//! come about.
+//! The components (shards, directory, planners) record what heartbeats, operators and edges request. After each event,
+//! [`Coordinator::reconcile`] derives the actions that are still outstanding and answers the calls whose results are
+//! known.
 
 pub mod demand;
 pub mod directory_snapshot;
@@ -37,7 +37,7 @@
 use server_calls::LeavingSync;
 use shards::Shards;
 
-/// A coordinator's decisions.
+/// The sans-IO state machine of a coordinator.
 pub struct Coordinator {
     options: CoordinatorOptions,
     membership: Membership,
@@ -45,31 +45,33 @@
     directory_snapshots: DirectorySnapshotWriter,
     shards: Shards,
     operator_calls: PendingCalls,
-    /// Calls of servers that wait until a majority has what they report.
+    /// Calls of servers that are answered once a majority of coordinators has stored what they report.
     server_calls: HashMap<CallToken, CallId>,
-    /// In the order of their tickets.
+    /// Writes of leaving servers to the journal that are not synced yet, in ticket order.
     leaving_syncs: VecDeque<LeavingSync>,
     polls: PendingPolls,
     edges: Edges,
     demand: AggregatedDemand,
     demand_broadcasts: DemandBroadcastSchedule,
     order_leases: OrderLeases,
-    /// Whether a quorum of the configuration's voters had answered this node recently when the last event was handled.
+    /// Whether a quorum of the configuration shard's voters had answered recent pings of this node when the last event
+    /// was handled.
     has_quorum_contact: bool,
-    /// Whether that has ever been so since the start.
+    /// Whether this node has had quorum contact at any time since its start.
     had_quorum_contact: bool,
     peer_versions: PeerVersions,
-    /// Until when the disk counts as degraded.
+    /// The disk counts as degraded before this time.
     disk_degraded_until: Millis,
     next_voter_review: Millis,
-    /// The configuration's version that the order leases and the log know.
+    /// The configuration version that was last passed to the order leases and logged.
     last_applied_version: u64,
-    /// Actions of the start, handed out with the first event.
+    /// Actions from the recovery at start, returned with the first event.
     startup_actions: Vec<Action>,
 }
 
 impl Coordinator {
-    /// A coordinator with the records that its journal held. `now` is in milliseconds of the clock that all events carry.
+    /// Restores a coordinator from the records in its journal. `now` is in milliseconds, on the same clock as in
+    /// [`Coordinator::handle`].
     pub fn new(options: CoordinatorOptions, mut stored: Vec<StoredRecord>, now: Millis) -> Self {
         let mut startup_actions = Vec::new();
         let known_servers = DirectorySnapshotWriter::restore_from(&mut stored);
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Handles an event and appends the actions that follow from it, in the order in which they are to be carried out.
-    /// `now` must never go back.
+    /// Handles an event and appends the resulting actions, in the order in which they are to be carried out. `now` must
+    /// not decrease from one event to the next.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         actions.append(&mut self.startup_actions);
         match event {
@@ -147,7 +149,7 @@
         self.reconcile(now, actions);
     }
 
-    /// The coordinators that are alive as far as this one knows, itself included.
+    /// Returns the coordinators that this node considers alive, including itself.
     pub fn coordinators(&self) -> Vec<NodeId> {
         let mut nodes = self.membership.alive();
         if !nodes.contains(&self.options.node) {
@@ -156,27 +158,29 @@
         nodes
     }
 
-    /// The version of the configuration that is applied at this node; 0 if there is none.
+    /// Returns the configuration version that is applied at this node; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.shards.configuration().version()
     }
 
-    /// The shards at this node.
+    /// Returns this node's replicas of all shards.
     pub fn shards(&self) -> &Shards {
         &self.shards
     }
 
-    /// The directory of servers at this node.
+    /// Returns this node's copy of the directory of servers.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Whether an order may be written to its server now; to be asked as the last thing before its bytes go out.
+    /// Returns whether an order may be written to its server at `now`. The driver calls this immediately before it
+    /// writes the bytes to the socket.
     pub fn may_write(&self, now: Millis, order: OrderId) -> bool {
         self.order_leases.may_write(now, order, &self.shards)
     }
 
-    /// Whether a quorum of the configuration's voters had answered this node recently when the last event was handled.
+    /// Returns whether a quorum of the configuration shard's voters had answered recent pings of this node when the
+    /// last event was handled.
     pub fn has_quorum_contact(&self) -> bool {
         self.has_quorum_contact
     }
@@ -208,35 +212,35 @@
         }
     }
 
-    /// Brings all parts up to date with each other after an event.
+    /// Propagates the effects of an event between the components and emits the resulting actions.
     fn reconcile(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.update_quorum_contact(now, actions);
         self.update_peers(now, actions);
         self.update_voters(now, actions);
         self.advance_operator_calls(now, actions);
         self.process_shards(now, actions);
-        self.send_from_parts(actions);
+        self.send_queued_messages(actions);
         self.persist_leaving_servers(actions);
         self.send_directory_acknowledgements(actions);
         self.answer_server_calls(actions);
         self.broadcast_demand(now, actions);
         self.plan_orders(now, actions);
-        // The planners may have proposed entries.
+        // Planning may have proposed log entries.
         self.process_shards(now, actions);
         self.snapshot_directory(now, actions);
         self.update_peer_versions(now, actions);
-        // Last, so that polls get all that the event has changed.
+        // Last, so that poll responses contain everything that the event has changed.
         self.answer_polls(now, actions);
     }
 
-    /// Sends a message to all other coordinators that are alive as far as this one knows.
+    /// Sends a message to all other coordinators that this node considers alive.
     fn broadcast(&self, message: &CoordinatorMessage, actions: &mut Vec<Action>) {
         let others = self.coordinators().into_iter().filter(|node| *node != self.options.node);
         actions.extend(others.map(|to| Action::Send { to, message: message.clone() }));
     }
 
-    /// Sends what membership and directory have queued.
-    fn send_from_parts(&mut self, actions: &mut Vec<Action>) {
+    /// Sends the messages that membership and directory have queued.
+    fn send_queued_messages(&mut self, actions: &mut Vec<Action>) {
         for (to, message) in self.membership.take_sends() {
             actions.push(Action::Send { to, message: CoordinatorMessage::Membership(message) });
         }
@@ -248,12 +252,12 @@
 
     fn plan_orders(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.order_leases.plan(now, &mut self.shards, &mut self.directory, actions);
-        self.send_from_parts(actions);
+        self.send_queued_messages(actions);
     }
 
     fn snapshot_directory(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if let Some(record) = self.directory_snapshots.take_due(now, &self.directory) {
-            self.shards.persist_beside_shards(directory_snapshot::STREAM, record, actions);
+            self.shards.persist_record(directory_snapshot::STREAM, record, actions);
         }
     }
 }
--- a/coordinator/src/core/operator.rs
+++ b/coordinator/src/core/operator.rs
@@ -1,4 +1,5 @@
-//! Calls of the operator: each is brought to the leader of the configuration's shard, and answered by what was committed.
+//! Calls of the operator. Each is submitted to the leader of the configuration's shard and answered from its committed
+//! log.
 
 mod pending_calls;
 
@@ -13,7 +14,7 @@
 pub use pending_calls::{CallOrigin, CallStage, PendingCall, PendingCallId, PendingCalls};
 
 impl Coordinator {
-    /// The operator calls, here or at a peer that has forwarded the call.
+    /// Handles a call that the operator has sent to this node, or that a peer has forwarded.
     pub(super) fn on_operator_call(
         &mut self,
         now: Millis,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Brings calls that wait for a leader to it, and gives up those whose time is over.
+    /// Submits calls that wait for a leader, and answers calls that have timed out.
     pub(super) fn advance_operator_calls(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let leader = self.shards.configuration_replica().leader();
         self.operator_calls.restart(|stage| match stage {
@@ -41,14 +42,14 @@
             _ => false,
         });
         for id in self.operator_calls.find(|pending| pending.stage == CallStage::WaitingForLeader) {
-            self.bring_to_leader(now, id, leader, actions);
+            self.submit_to_leader(now, id, leader, actions);
         }
         for id in self.operator_calls.find(|pending| pending.deadline <= now) {
             self.complete_call(id, OperatorResponse::Unavailable, actions);
         }
     }
 
-    fn bring_to_leader(
+    fn submit_to_leader(
         &mut self,
         now: Millis,
         id: PendingCallId,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// A peer has answered a call; only the node that the call was last forwarded to is believed.
+    /// Handles a peer's response to a forwarded call. It is ignored unless it comes from the node that the call was
+    /// last forwarded to.
     pub(super) fn on_forward_response(
         &mut self,
         from: NodeId,
@@ -83,28 +85,28 @@
         self.complete_call(id, response, actions);
     }
 
-    /// A change has been applied as the entry of this index and term, with this outcome.
-    pub(super) fn on_change_decided(
+    /// Answers the calls whose change was applied as the log entry with this index and term.
+    pub(super) fn on_change_applied(
         &mut self,
         index: u64,
         term: u64,
         outcome: &ChangeOutcome,
         actions: &mut Vec<Action>,
     ) {
-        for id in self.operator_calls.decided_by_entry(index, term) {
+        for id in self.operator_calls.resolve_proposals(index, term) {
             let Some(pending) = self.operator_calls.get_mut(id) else { continue };
             let response = response_to(outcome, &pending.call);
             self.complete_call(id, response, actions);
         }
     }
 
-    /// A quorum has confirmed that this node still led when the read came.
+    /// Answers a read after a quorum has confirmed that this node was still the leader when the read arrived.
     pub(super) fn on_read_ready(&mut self, token: u64, actions: &mut Vec<Action>) {
         let body = self.shards.configuration().read();
         self.complete_call(PendingCallId(token), OperatorResponse::Done { body }, actions);
     }
 
-    /// This node cannot answer a read: the next leader must.
+    /// Handles a read that this node cannot answer: it waits for the next leader.
     pub(super) fn on_read_failed(&mut self, token: u64) {
         if let Some(pending) = self.operator_calls.get_mut(PendingCallId(token)) {
             pending.stage = CallStage::WaitingForLeader;
@@ -118,7 +120,7 @@
     }
 }
 
-/// Starts a call at the leader; `None` if the replica does not accept it now.
+/// Starts a read or proposes a change at the leader; `None` if the replica does not accept it at this time.
 fn start_at_leader(
     replica: &mut Replica,
     now: Millis,
@@ -136,9 +138,9 @@
     }
 }
 
-/// The response to a change with this outcome. A rejection must be final, as another copy of the same call may still be in
-/// flight to another node: a change that builds on an older version can never be accepted, but one that builds on a
-/// version yet to come can, so it gets no clear answer.
+/// Returns the response to a change with this outcome. A conflict is only reported if it is final, as another copy of
+/// the same call may still be in flight to another node: a change based on an older version can never be accepted, but
+/// one based on a future version can, so it is answered `Unavailable`.
 fn response_to(outcome: &ChangeOutcome, call: &OperatorCall) -> OperatorResponse {
     let builds_after =
         |version: u64| matches!(call, OperatorCall::Change { base_version, .. } if *base_version > version);
--- a/coordinator/src/core/operator/pending_calls.rs
+++ b/coordinator/src/core/operator/pending_calls.rs
@@ -1,9 +1,9 @@
-//! The table of operator calls that wait for their answer.
+//! The table of operator calls that wait for a response.
 //!
-//! A call is answered only by the configuration's shard: by the entry that its proposal became, or by a read that a quorum
-//! has confirmed. A node that does not lead the shard forwards the call to the leader. No answer is ever guessed: a call
-//! whose outcome is not known in time is answered `Unavailable`, and as changes are remembered by content it may be
-//! retried at any node.
+//! A call is only answered from the configuration's shard: by the log entry that its proposal became, or by a read that
+//! a quorum has confirmed. A node that does not lead the shard forwards the call to the leader. A call whose outcome is
+//! not known by its deadline is answered `Unavailable`. The operator may retry it at any node, as accepted changes are
+//! recognised by their content.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,17 @@
 
 use crate::interface::CallId;
 
-/// Calls that may be pending at once.
+/// Maximum number of pending calls.
 const MAX_PENDING_CALLS: usize = 64;
-/// How long a call may be pending. Operators retry at another node after a second; large bodies take longer.
+/// Timeout of a call with a small body. It ends before operators retry at another node, after one second.
 const CALL_TIMEOUT: Millis = 900;
-/// What is added to the time-out for each MiB of a call's body.
+/// Added to the timeout for each MiB of a call's body, as replicating a large body takes longer.
 const CALL_TIMEOUT_PER_MIB: Millis = 500;
 
-/// Where a call came from, and so where its answer goes.
+/// Where a call came from and its response goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOrigin {
-    /// The operator called this node.
+    /// The operator has called this node.
     Local(CallId),
     /// A peer has forwarded the call.
     Peer {
@@ -34,42 +34,42 @@
     },
 }
 
-/// Identifies a call in the table.
+/// Identifies a pending call of this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PendingCallId(pub u64);
 
-/// How far a call has got.
+/// The processing stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallStage {
     /// No leader is known, or none has accepted the call yet.
     WaitingForLeader,
-    /// It was forwarded to this leader.
+    /// The call was forwarded to this leader.
     Forwarded(NodeId),
-    /// It was proposed as an entry of the log.
+    /// The change was proposed as an entry of the log.
     Proposed {
         /// The entry's index.
         index: u64,
         /// The entry's term.
         term: u64,
     },
-    /// A read that a quorum has not confirmed yet.
+    /// A quorum has not confirmed the read yet.
     Reading,
 }
 
-/// A call that waits for its answer.
+/// A call that waits for a response.
 #[derive(Clone, Debug)]
 pub struct PendingCall {
-    /// Where the answer goes.
+    /// Where the response goes to.
     pub origin: CallOrigin,
     /// The read or the change.
     pub call: OperatorCall,
-    /// How far it has got.
+    /// The present processing stage.
     pub stage: CallStage,
-    /// When it is answered `Unavailable`.
+    /// When the call is answered `Unavailable`.
     pub deadline: Millis,
 }
 
-/// All operator calls that wait for their answer.
+/// All operator calls that wait for a response.
 #[derive(Debug, Default)]
 pub struct PendingCalls {
     pending: BTreeMap<PendingCallId, PendingCall>,
@@ -77,13 +77,13 @@
 }
 
 impl PendingCalls {
-    /// An empty table for one start of a coordinator. Other incarnations assign other ids, so that an answer that is still
-    /// in flight to an earlier one, which had forwarded a call, is no answer to a call of this one.
+    /// Creates an empty table for one incarnation of a coordinator. Each incarnation assigns different ids, so that a
+    /// late response to a call that an earlier incarnation had forwarded does not match a call of this one.
     pub fn for_incarnation(incarnation: Incarnation) -> Self {
         PendingCalls { last_id: mix(incarnation.0) << 32, ..PendingCalls::default() }
     }
 
-    /// Adds a call; `None` if too many are pending.
+    /// Adds a call and assigns its id; `None` if too many calls are pending.
     pub fn add(&mut self, now: Millis, origin: CallOrigin, call: OperatorCall) -> Option<PendingCallId> {
         if self.pending.len() >= MAX_PENDING_CALLS {
             return None;
@@ -100,31 +100,31 @@
         Some(id)
     }
 
-    /// A call by its id.
+    /// Returns the call with this id, if it is pending.
     pub fn get_mut(&mut self, id: PendingCallId) -> Option<&mut PendingCall> {
         self.pending.get_mut(&id)
     }
 
-    /// Removes a call that is answered now.
+    /// Removes and returns the call with this id, if it is pending.
     pub fn remove(&mut self, id: PendingCallId) -> Option<PendingCall> {
         self.pending.remove(&id)
     }
 
-    /// The calls that satisfy a predicate.
+    /// Returns the calls that satisfy a predicate, in the order of their arrival.
     pub fn find(&self, predicate: impl Fn(&PendingCall) -> bool) -> Vec<PendingCallId> {
         self.pending.iter().filter(|(_, pending)| predicate(pending)).map(|(id, _)| *id).collect()
     }
 
-    /// The calls that became the entry of this index and term. Calls that were proposed at the index in another term have
-    /// lost it to this entry: they wait for a leader again.
-    pub fn decided_by_entry(&mut self, index: u64, term: u64) -> Vec<PendingCallId> {
+    /// Returns the calls whose proposal became the applied entry with this index and term. Proposals at the same index
+    /// in another term were overwritten by this entry: their calls wait for a leader again.
+    pub fn resolve_proposals(&mut self, index: u64, term: u64) -> Vec<PendingCallId> {
         let at_index = |stage| matches!(stage, CallStage::Proposed { index: own, .. } if own == index);
         let decided = CallStage::Proposed { index, term };
         self.restart(|stage| at_index(stage) && stage != decided);
         self.find(|pending| pending.stage == decided)
     }
 
-    /// Sets the calls at these stages back to wait for a leader.
+    /// Resets the calls at the matching stages, so that they wait for a leader again.
     pub fn restart(&mut self, predicate: impl Fn(CallStage) -> bool) {
         for pending in self.pending.values_mut().filter(|pending| predicate(pending.stage)) {
             pending.stage = CallStage::WaitingForLeader;
--- a/coordinator/src/core/peer_versions.rs
+++ b/coordinator/src/core/peer_versions.rs
@@ -1,4 +1,5 @@
-//! The configuration versions that other coordinators have applied, and the announcement of this node's own.
+//! The configuration versions that other coordinators announce as applied, and the announcements of this node's
+//! version.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +9,15 @@
 use super::Coordinator;
 use crate::interface::Action;
 
-/// A node that has not applied a version for so long, after peers have announced it, lags behind.
+/// Time after which a node that has not applied a version announced by a peer counts as lagging.
 pub(super) const MAX_LAG: Millis = 600;
-/// Interval between two announcements of a version that has not changed.
+/// Interval between announcements while the version does not change.
 const ANNOUNCE_INTERVAL: Millis = 1_000;
-/// How long a peer's announcement counts.
+/// How long an announcement of a peer is valid.
 const ANNOUNCEMENT_TTL: Millis = 3_000;
-/// Peers whose announcements are kept, at most.
+/// Maximum number of peers whose announcements are kept.
 const MAX_PEERS: usize = 256;
 
-/// A version that a peer has announced.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     version: u64,
@@ -28,25 +28,25 @@
 #[derive(Debug, Default)]
 pub(super) struct PeerVersions {
     announcements: BTreeMap<NodeId, Announcement>,
-    /// Since when a peer has been known to have applied a later version than this node.
+    /// Since when this node has known that a peer has applied a later version; `None` if none has.
     behind_since: Option<Millis>,
-    /// This node's version as it was last announced.
+    /// The version that this node last announced.
     last_announced: u64,
     next_announcement: Millis,
 }
 
 impl PeerVersions {
-    /// A peer has announced its version.
     fn record(&mut self, now: Millis, peer: NodeId, version: u64) {
         if self.announcements.len() < MAX_PEERS || self.announcements.contains_key(&peer) {
             self.announcements.insert(peer, Announcement { version, received_at: now });
         }
     }
 
-    /// Compares the announcements that still count with this node's version.
+    /// Drops expired announcements and compares the others with this node's version.
     fn compare(&mut self, now: Millis, own: u64) {
-        let counts = |announced: &Announcement| now.saturating_sub(announced.received_at) <= ANNOUNCEMENT_TTL;
-        self.announcements.retain(|_, announced| counts(announced));
+        let is_valid =
+            |announced: &Announcement| now.saturating_sub(announced.received_at) <= ANNOUNCEMENT_TTL;
+        self.announcements.retain(|_, announced| is_valid(announced));
         if self.announcements.values().any(|announced| announced.version > own) {
             self.behind_since.get_or_insert(now);
         } else {
@@ -54,17 +54,16 @@
         }
     }
 
-    /// Whether a peer is known to have applied a later version.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
 
-    /// Whether that has been so for longer than an entry takes to arrive here.
+    /// Whether this node has been behind for longer than an entry usually takes to arrive.
     pub fn is_lagging(&self, now: Millis) -> bool {
         self.behind_since.is_some_and(|since| now.saturating_sub(since) >= MAX_LAG)
     }
 
-    /// Whether this node's version is to be announced now, as it has changed or the interval is over.
+    /// Returns whether to announce this node's version now, because it has changed or the interval has passed.
     fn take_announcement_due(&mut self, now: Millis, own: u64) -> bool {
         let due = own != self.last_announced || self.next_announcement <= now;
         if due {
@@ -76,12 +75,12 @@
 }
 
 impl Coordinator {
-    /// A peer has announced the version that it has applied.
+    /// Handles a peer's announcement of the version that it has applied.
     pub(super) fn on_peer_version(&mut self, now: Millis, peer: NodeId, version: u64) {
         self.peer_versions.record(now, peer, version);
     }
 
-    /// Compares this node's version with its peers', and announces it when due.
+    /// Compares this node's version with those of its peers, and announces it if an announcement is due.
     pub(super) fn update_peer_versions(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let version = self.configuration_version();
         self.peer_versions.compare(now, version);
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Brings the directory up to date with the membership, and announces this node's version to peers that have started.
+    /// Passes membership changes to the directory, and announces this node's version to the changed peers.
     pub(super) fn update_peers(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let changed = self.membership.take_changed();
         if changed.is_empty() {
@@ -102,8 +101,8 @@
         let version = self.configuration_version();
         for member in members.iter().filter(|member| changed.contains(&member.node)) {
             self.directory.on_peer_started(now, member.node, member.incarnation);
-            // The peer may have started with old state. The announcement goes out before its ping is answered, so that it
-            // knows the versions of all those whose answers give it quorum contact.
+            // The peer may have restarted with stale state. The announcement is sent before its ping is answered, so
+            // that by the time it has quorum contact it knows the versions of the nodes that have answered.
             if member.node != self.options.node {
                 actions.push(Action::Send {
                     to: member.node,
--- a/coordinator/src/core/polls.rs
+++ b/coordinator/src/core/polls.rs
@@ -1,4 +1,4 @@
-//! Long polls of data-plane nodes: each is pending until there are updates, and answered from this node's state.
+//! Long polls of data-plane nodes. Each is pending until there are updates, and is answered from this node's state.
 
 mod pending_polls;
 
@@ -12,7 +12,7 @@
 pub use pending_polls::{PendingPoll, PendingPolls};
 
 impl Coordinator {
-    /// A data-plane node polls, and reports its demand with the poll.
+    /// Handles a poll of a data-plane node and the demand report that it carries.
     pub(super) fn on_poll(&mut self, now: Millis, call: CallId, edge: EdgeIdentity, request: PollRequest) {
         self.edges.on_poll(edge.node, now);
         self.record_demand(edge.node, request.demand, request.server_outcomes);
@@ -26,7 +26,7 @@
         self.polls.add(now, call, poll);
     }
 
-    /// Answers the polls for which there are updates or whose time is over.
+    /// Answers the polls for which there are updates, whose deadline has passed, or whose edge must poll elsewhere.
     pub(super) fn answer_polls(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let version = self.configuration_version();
         let cursor = self.directory.cursor();
@@ -34,7 +34,7 @@
             poll.deadline <= now
                 || poll.config_version < version
                 || poll.cursor != cursor
-                || !self.may_inform(now, poll.config_version)
+                || !self.may_serve(now, poll.config_version)
         };
         for call in self.polls.find(due) {
             let Some(poll) = self.polls.remove(call) else { continue };
@@ -44,7 +44,7 @@
     }
 
     fn poll_response(&self, now: Millis, poll: &PendingPoll) -> PollResponse {
-        if !self.may_inform(now, poll.config_version) {
+        if !self.may_serve(now, poll.config_version) {
             return self.isolated_response(poll);
         }
         let directory = self.directory.updates_since(poll.cursor);
@@ -53,7 +53,8 @@
         PollResponse {
             config: self.shards.configuration().updates_since(poll.config_version),
             servers: directory.records,
-            // A node that has just started has not heard of all servers: what it does not know may exist all the same.
+            // A node that has just started has not received heartbeats of all servers yet. The edge must not drop
+            // servers that are missing here.
             complete: directory.complete && !self.directory.is_recently_started(now),
             cursor: directory.cursor,
             coordinators: self.coordinators(),
@@ -64,9 +65,9 @@
         }
     }
 
-    /// The response where this node's state may be out of date: the edge keeps what it has and polls another coordinator.
-    /// That holds for an edge that has just started, too: without a configuration it rejects all requests for a moment,
-    /// while with an old one it would route by what no longer applies.
+    /// Returns the response while this node's state may be stale: the edge keeps its state and polls another
+    /// coordinator. An edge that has just started gets no configuration either. Without one it rejects all requests for
+    /// a moment, which is better than routing by a configuration that is no longer in force.
     fn isolated_response(&self, poll: &PendingPoll) -> PollResponse {
         PollResponse {
             cursor: poll.cursor,
--- a/coordinator/src/core/polls/pending_polls.rs
+++ b/coordinator/src/core/polls/pending_polls.rs
@@ -7,9 +7,9 @@
 
 use crate::interface::CallId;
 
-/// Polls that may be pending at once; further ones are not answered, so that their edges time out and poll elsewhere.
+/// Maximum number of pending polls. Further polls get no response, so that their edges time out and poll elsewhere.
 const MAX_PENDING_POLLS: usize = 2_048;
-/// How long a poll may be pending, whatever its request asks for.
+/// Upper limit of the time that a poll may be pending, in milliseconds, even if its request allows more.
 const MAX_WAIT: Millis = 10_000;
 
 /// A poll that waits for updates.
@@ -17,13 +17,13 @@
 pub struct PendingPoll {
     /// The data-plane node that polls.
     pub edge: NodeId,
-    /// The version of the configuration that it has; 0 if none.
+    /// The configuration version that the node has; 0 if none.
     pub config_version: u64,
-    /// The state of the directory that it has.
+    /// The state of the directory that the node has.
     pub cursor: DirectoryCursor,
-    /// Hash of the list of edges that it has.
+    /// Hash of the list of edges that the node has.
     pub edge_list_hash: u64,
-    /// When the poll is answered even without updates.
+    /// When the poll is answered even if there are no updates.
     pub deadline: Millis,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl PendingPolls {
-    /// Adds a poll; `false` if too many are pending.
+    /// Adds a poll; returns `false` if too many are pending.
     pub fn add(&mut self, now: Millis, call: CallId, mut poll: PendingPoll) -> bool {
         if self.pending.len() >= MAX_PENDING_POLLS {
             return false;
@@ -44,12 +44,12 @@
         true
     }
 
-    /// Removes a poll that is answered now or was cancelled.
+    /// Removes a poll that is being answered or was cancelled; `None` if it is not pending.
     pub fn remove(&mut self, call: CallId) -> Option<PendingPoll> {
         self.pending.remove(&call)
     }
 
-    /// The polls that satisfy a predicate.
+    /// Returns the calls of the polls that satisfy a predicate.
     pub fn find(&self, predicate: impl Fn(&PendingPoll) -> bool) -> Vec<CallId> {
         self.pending.iter().filter(|(_, poll)| predicate(poll)).map(|(call, _)| *call).collect()
     }
--- a/coordinator/src/core/quorum_contact.rs
+++ b/coordinator/src/core/quorum_contact.rs
@@ -1,9 +1,10 @@
-//! Whether this node's state is fresh enough to inform data-plane nodes by.
+//! Decides whether this node's state is fresh enough to be served to data-plane nodes.
 //!
-//! Two conditions must hold. A quorum of the configuration's voters must have answered pings that were *sent* within
-//! [`MAX_CONTACT_AGE`]: an answer that lay in a socket for long, as after a freeze, belongs to an old ping and proves
-//! nothing. And no peer may have announced for longer than [`MAX_LAG`](super::peer_versions::MAX_LAG) a version that is
-//! not applied here: a node may reach a quorum and yet not the leader, whose entries then never come.
+//! Two conditions must hold. First, a quorum of the configuration shard's voters must have answered pings that were
+//! *sent* within [`MAX_CONTACT_AGE`]. The age is that of the ping, not of the answer: after a freeze of this process,
+//! answers to old pings may be waiting in its sockets, and these prove no present contact. Second, this node must not
+//! have lacked a version that a peer has announced for longer than [`MAX_LAG`](super::peer_versions::MAX_LAG): a node
+//! may reach a quorum but not the leader, and then receives no entries.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -11,21 +12,23 @@
 use super::Coordinator;
 use crate::interface::{Action, StateChange};
 
-/// Age of the newest ping that a quorum of the voters has answered, beyond which the node has lost quorum contact.
+/// Maximum age of the pings that a quorum of the voters has answered. If they are older, quorum contact is lost.
 const MAX_CONTACT_AGE: Millis = 600;
 
 impl Coordinator {
-    /// Whether a data-plane node with this version of the configuration may be informed by this node's state; otherwise it
-    /// is sent to another coordinator. One without a configuration, version 0, is not given one that is known to be old.
-    pub(super) fn may_inform(&self, now: Millis, config_version: u64) -> bool {
+    /// Returns whether polls of an edge with this configuration version may be answered from this node's state; if not,
+    /// the edge is told to poll another coordinator. An edge without a configuration (version 0) is not given one that
+    /// is known to be outdated, however short the lag.
+    pub(super) fn may_serve(&self, now: Millis, config_version: u64) -> bool {
         let peers = &self.peer_versions;
         let behind = if config_version == 0 { peers.is_behind() } else { peers.is_lagging(now) };
         self.has_quorum_contact && !behind
     }
 
-    /// Whether this node had quorum contact before and has none at this moment, whatever the last event found. Servers are
-    /// then sent to another node, as the peers learn nothing of them from here. A node that has just started accepts
-    /// heartbeats.
+    /// Returns whether this node has had quorum contact since its start and has none at `now`. Unlike
+    /// `has_quorum_contact`, it does not rely on the check at the last event. Servers are then rejected, so that they
+    /// retry at another node, because the peers receive no updates about them from here. A node that has not had quorum
+    /// contact since its start accepts heartbeats.
     pub(super) fn has_lost_quorum_contact(&self, now: Millis) -> bool {
         self.had_quorum_contact && !self.reaches_quorum_of(now, &self.configuration_voters())
     }
@@ -39,7 +42,7 @@
         !voters.is_empty() && self.membership.has_quorum_contact(now, voters, MAX_CONTACT_AGE)
     }
 
-    /// Compares the contact with the last event's, and passes on contact and voters to the parts that depend on them.
+    /// Updates whether there is quorum contact, and passes it and the voters on to the components that depend on them.
     pub(super) fn update_quorum_contact(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let voters = self.configuration_voters();
         let has_contact = self.reaches_quorum_of(now, &voters);
--- a/coordinator/src/core/shard_events.rs
+++ b/coordinator/src/core/shard_events.rs
@@ -1,4 +1,4 @@
-//! Consequences of what the shards have done: answers to the operator, order leases, state changes in the log.
+//! Handling of events from the shards: responses to the operator, order leases, and log lines for state changes.
 
 use shaletrail_protocol::Millis;
 
@@ -9,12 +9,12 @@
 use crate::interface::{Action, StateChange};
 
 impl Coordinator {
-    /// Carries out the effects of all shards and reacts to their events.
+    /// Executes the pending effects of all replicas and handles the resulting events.
     pub(super) fn process_shards(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for event in self.shards.process_effects(actions) {
             self.on_shard_event(now, event, actions);
         }
-        // An installed snapshot changes the version without an event.
+        // Checked here because a snapshot that is installed changes the version without an event.
         let version = self.configuration_version();
         if version != self.last_applied_version {
             self.last_applied_version = version;
@@ -25,8 +25,8 @@
 
     fn on_shard_event(&mut self, now: Millis, event: ShardEvent, actions: &mut Vec<Action>) {
         match event {
-            ShardEvent::ChangeDecided { index, term, outcome } => {
-                self.on_change_decided(index, term, &outcome, actions)
+            ShardEvent::ChangeApplied { index, term, outcome } => {
+                self.on_change_applied(index, term, &outcome, actions)
             }
             ShardEvent::LeaseEpochStarted { shard, epoch } => {
                 self.on_lease_epoch_started(now, shard, epoch, actions)
@@ -59,8 +59,8 @@
     ) {
         let fencing_token = epoch.holder.fencing_token;
         let replica = self.shards.get(shard).map(|shard| &shard.replica);
-        // A node orders in the term in which it acquired the lease and no later one: an entry that is committed by a later
-        // leader starts an epoch in which nobody orders.
+        // A node sends orders only in the term in which it acquired the lease. If a later leader commits the entry, it
+        // starts an epoch in which no node sends orders.
         let leads = replica.is_some_and(|replica| replica.is_leader() && replica.term() == fencing_token);
         if self.order_leases.on_epoch_started(now, shard, epoch, leads) {
             let acquired = StateChange::OrderLeaseAcquired { shard, fencing_token };
@@ -69,7 +69,8 @@
     }
 }
 
-/// Whether a call at this stage is lost with this node's leadership and must be brought to the next leader.
+/// Returns whether a call at this stage depends on this node's leadership and must be submitted to the next leader
+/// after the leadership is lost.
 fn needs_leadership(stage: CallStage) -> bool {
     matches!(stage, CallStage::Proposed { .. } | CallStage::Reading)
 }
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -1,4 +1,4 @@
-//! The replicas of all shards at this node, with their state machines and the records that they want on disk.
+//! This node's replicas of all shards, their state machines, and the persistence of their records.
 
 mod event;
 mod recovery;
@@ -21,45 +21,46 @@
 
 /// The number of the configuration's shard.
 pub const CONFIGURATION: u32 = 0;
-/// Number of shards over which services are spread; they are numbered from 1 on.
+/// Number of shards among which the services are divided. They are numbered from 1.
 pub const SERVICE_SHARDS: u32 = 2;
 
-/// The shard that a service's control state belongs to. All coordinators must agree on it.
+/// Returns the shard that holds the order lease of a service. All coordinators must compute the same shard.
 pub fn shard_of(service: &str) -> u32 {
     1 + (shaletrail_ring::Key::of(service).0 % u64::from(SERVICE_SHARDS)) as u32
 }
 
-/// Records of one shard that are not known to be synced.
+/// Records of one shard whose sync is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 struct UnsyncedRecords {
-    /// The ticket of the [`Action::Persist`] that holds them.
+    /// The ticket of the [`Action::Persist`] that contains the records.
     ticket: u64,
     shard: usize,
-    /// The ticket by which the replica knows them.
+    /// The ticket that the replica has assigned to the records.
     replica_ticket: u64,
 }
 
-/// What the effects of replicas have led to, until it is handed out.
+/// Results of executing the effects of replicas.
 #[derive(Default)]
 struct EffectsOutput {
     events: Vec<ShardEvent>,
-    /// Records that go to the disk with the next ticket: shard and bytes.
+    /// Records to persist with the next ticket: shard and encoded bytes.
     records: Vec<(u32, Vec<u8>)>,
-    /// Shard and replica's ticket of these records.
+    /// Shard and replica ticket of each group of these records.
     replica_tickets: Vec<(usize, u64)>,
 }
 
-/// All shards at this node.
+/// This node's replicas of all shards.
 pub struct Shards {
     node: NodeId,
     shards: Vec<Shard>,
     last_ticket: u64,
-    /// In the order of their tickets.
+    /// In ticket order.
     unsynced: VecDeque<UnsyncedRecords>,
 }
 
 impl Shards {
-    /// The shards as they are recovered from the journal's records. Shards whose records cannot be decoded are logged.
+    /// Recovers the shards from the journal's records. Emits a log action for each shard whose records cannot be
+    /// decoded.
     pub fn new(
         options: &CoordinatorOptions,
         stored: Vec<StoredRecord>,
@@ -70,22 +71,22 @@
         Shards { node: options.node, shards, last_ticket: 0, unsynced: VecDeque::new() }
     }
 
-    /// A shard by its number.
+    /// Returns a shard by its number; `None` if there is no such shard.
     pub fn get(&self, shard: u32) -> Option<&Shard> {
         self.shards.get(shard as usize)
     }
 
-    /// A shard's replica.
+    /// Returns the replica of a shard; `None` if there is no such shard.
     pub fn replica_mut(&mut self, shard: u32) -> Option<&mut Replica> {
         self.shards.get_mut(shard as usize).map(|shard| &mut shard.replica)
     }
 
-    /// The replica of the configuration's shard.
+    /// Returns the replica of the configuration's shard.
     pub fn configuration_replica(&mut self) -> &mut Replica {
         &mut self.shards[CONFIGURATION as usize].replica
     }
 
-    /// The configuration as far as it has been applied here.
+    /// Returns the configuration as applied at this node.
     pub fn configuration(&self) -> &ConfigState {
         match &self.shards[CONFIGURATION as usize].state {
             StateMachine::Configuration(state) => state,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The voters of all shards as this node knows them, each once.
+    /// Returns the voters of all shards that this node knows of, sorted and without duplicates.
     pub fn voters(&self) -> Vec<NodeId> {
         let mut voters: Vec<NodeId> =
             self.shards.iter().flat_map(|shard| shard.replica.voters().members()).collect();
@@ -102,12 +103,13 @@
         voters
     }
 
-    /// The numbers of all shards.
+    /// Returns the numbers of all shards, including [`CONFIGURATION`].
     pub fn numbers(&self) -> std::ops::Range<u32> {
         0..self.shards.len() as u32
     }
 
-    /// Delivers a peer's message to a shard; one that cannot be decoded is ignored.
+    /// Passes a peer's message to a shard. Messages that cannot be decoded, or are for an unknown or halted shard, are
+    /// ignored.
     pub fn receive(&mut self, now: Millis, from: NodeId, shard: u32, body: &[u8]) {
         let Ok(message) = bitcode::decode::<Message>(body) else { return };
         if let Some(shard) = self.shards.get_mut(shard as usize).filter(|shard| !shard.is_halted) {
@@ -115,14 +117,14 @@
         }
     }
 
-    /// Time has passed.
+    /// Advances the clock of all replicas that are not halted.
     pub fn tick(&mut self, now: Millis) {
         for shard in self.shards.iter_mut().filter(|shard| !shard.is_halted) {
             shard.replica.tick(now);
         }
     }
 
-    /// All records up to and including a ticket are synced to disk.
+    /// Tells the replicas that all records up to and including a ticket are synced to disk.
     pub fn on_persisted(&mut self, now: Millis, ticket: u64) {
         while let Some(synced) = self.unsynced.pop_front_if(|unsynced| unsynced.ticket <= ticket) {
             let shard = &mut self.shards[synced.shard];
@@ -132,14 +134,14 @@
         }
     }
 
-    /// Writes a record to a stream that is no shard's; its ticket.
-    pub fn persist_beside_shards(&mut self, stream: u32, bytes: Vec<u8>, actions: &mut Vec<Action>) -> u64 {
+    /// Persists a record of a journal stream that does not belong to a shard. Returns the ticket.
+    pub fn persist_record(&mut self, stream: u32, bytes: Vec<u8>, actions: &mut Vec<Action>) -> u64 {
         self.last_ticket += 1;
         actions.push(Action::Persist { ticket: self.last_ticket, records: vec![(stream, bytes)] });
         self.last_ticket
     }
 
-    /// All records of the shards that a checkpoint of the journal must keep.
+    /// Returns the stream and bytes of all records of the shards that a checkpoint of the journal must keep.
     pub fn live_records(&self) -> Vec<(u32, Vec<u8>)> {
         let of_shard = |(number, shard): (usize, &Shard)| {
             let records = shard.replica.records();
@@ -148,7 +150,7 @@
         self.shards.iter().enumerate().flat_map(of_shard).collect()
     }
 
-    /// Carries out the effects that replicas ask for until there are none left, and persists their records together.
+    /// Executes the effects of all replicas until none are left, and persists their records in a single action.
     pub fn process_effects(&mut self, actions: &mut Vec<Action>) -> Vec<ShardEvent> {
         let mut output = EffectsOutput::default();
         for number in 0..self.shards.len() {
@@ -158,7 +160,7 @@
                     break;
                 }
                 for effect in effects {
-                    self.carry_out(number, effect, actions, &mut output);
+                    self.execute_effect(number, effect, actions, &mut output);
                 }
             }
         }
@@ -186,7 +188,7 @@
         actions.push(Action::Persist { ticket, records });
     }
 
-    fn carry_out(
+    fn execute_effect(
         &mut self,
         number: usize,
         effect: Effect,
@@ -195,7 +197,7 @@
     ) {
         let shard = number as u32;
         if self.shards[number].is_halted {
-            // What is left of the effects rests on the snapshot: its acknowledgement, and its record.
+            // The remaining effects depend on the snapshot that could not be read: its acknowledgement and its record.
             return;
         }
         match effect {
@@ -209,7 +211,7 @@
             }
             Effect::Apply(entry) => output.events.extend(self.shards[number].apply(shard, entry)),
             Effect::InstallSnapshot(snapshot) => {
-                // The snapshot of the bootstrap has an empty state.
+                // The snapshot that the bootstrap creates has an empty state.
                 if self.shards[number].state.restore(&snapshot.state) || snapshot.state.is_empty() {
                     self.campaign_soon_if_last_holder(number);
                 } else {
@@ -223,10 +225,10 @@
         }
     }
 
-    /// Ends the part that this node takes in a shard whose snapshot its state machine cannot read: to go on from the old
-    /// state would apply later entries to it, and to acknowledge the snapshot would let others rely on it. On disk the
-    /// voter is recovering from now on, as if its disk had been lost, so that it counts for nothing after a restart either
-    /// until it has got a snapshot that it can read.
+    /// Stops this node's participation in a shard whose snapshot its state machine cannot read. To continue with the
+    /// old state would apply later entries to the wrong state, and to acknowledge the snapshot would let the leader
+    /// count on it. The node persists that it is a recovering voter, as if its disk had been lost, so that it counts
+    /// for no quorum after a restart either until it has received a snapshot that it can read.
     fn halt(&mut self, number: usize, actions: &mut Vec<Action>, output: &mut EffectsOutput) {
         let shard = &mut self.shards[number];
         shard.is_halted = true;
@@ -236,7 +238,8 @@
         actions.push(Action::LogStateChange(StateChange::UnreadableSnapshot { shard: number as u32 }));
     }
 
-    /// A node that held the order lease last may go on at once; any other would have to wait for the lease to end.
+    /// Makes this node campaign early if it was the last holder of the order lease: it may continue to send orders
+    /// without a wait, while any other node would have to wait until the lease has expired.
     fn campaign_soon_if_last_holder(&mut self, number: usize) {
         let node = self.node;
         let Some(shard) = self.shards.get_mut(number) else { return };
--- a/coordinator/src/core/shards/event.rs
+++ b/coordinator/src/core/shards/event.rs
@@ -1,34 +1,34 @@
-//! Events that shards raise for the rest of the coordinator.
+//! Events that shards report to the other components of the coordinator.
 
 use shaletrail_configuration::ChangeOutcome;
 
 use crate::core::lease_state::LeaseEpoch;
 
-/// Something that has happened in a shard.
+/// An event in a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardEvent {
-    /// A change of the configuration was applied as the entry of this index and term.
-    ChangeDecided {
+    /// A change of the configuration was applied as the log entry with this index and term.
+    ChangeApplied {
         /// The entry's index.
         index: u64,
         /// The entry's term.
         term: u64,
-        /// Whether the change was accepted, and why not.
+        /// Whether the change was accepted, or why it was not.
         outcome: ChangeOutcome,
     },
     /// A node has acquired the order lease of a service shard.
     LeaseEpochStarted {
         /// The shard.
         shard: u32,
-        /// The epoch.
+        /// The epoch that has started.
         epoch: LeaseEpoch,
     },
-    /// A quorum has confirmed this node's leadership, so that a read may be answered.
+    /// A quorum has confirmed this node's leadership after the read was started, so that the read may be answered.
     ReadReady {
         /// The token with which the read was started.
         token: u64,
     },
-    /// A read cannot be answered at this node.
+    /// This node cannot answer a read because it is not the leader any more.
     ReadFailed {
         /// The token with which the read was started.
         token: u64,
--- a/coordinator/src/core/shards/recovery.rs
+++ b/coordinator/src/core/shards/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the shards from the journal's records at the start of the process.
+//! Recovery of the shards from the journal's records when the process starts.
 
 use shaletrail_consensus::{Options, Record, Replica};
 use shaletrail_protocol::Millis;
@@ -9,17 +9,18 @@
 use super::SERVICE_SHARDS;
 use crate::interface::{Action, CoordinatorOptions, StateChange};
 
-/// The decoded records of one shard.
+/// The records of one shard in the journal.
 #[derive(Clone, Default)]
 struct StoredShard {
     records: Vec<Record>,
-    /// Whether a record could not be decoded.
+    /// Whether any record could not be decoded.
     is_corrupt: bool,
 }
 
-/// All shards as the journal held them. A shard whose records cannot be decoded starts without them, as a recovering voter
-/// that counts for no quorum until a leader has readmitted it. So does one without records whose journal was erased: what
-/// it has forgotten may be a vote, or an entry that was acknowledged, of the very group that is being founded.
+/// Restores all shards from the journal's records. If records of a shard cannot be decoded, it starts without any, as a
+/// recovering voter, which counts for no quorum until a leader has readmitted it. The same applies to a shard without
+/// records if the journal was erased, even during the bootstrap: the lost records may contain a vote or an acknowledged
+/// entry of the group that is being bootstrapped.
 pub(super) fn recover(
     options: &CoordinatorOptions,
     stored: Vec<StoredRecord>,
@@ -46,7 +47,7 @@
     shards
 }
 
-/// The records of each shard; those of other streams are left out.
+/// Decodes the records of each shard. Records of streams that belong to no shard are skipped.
 fn decode(stored: Vec<StoredRecord>) -> Vec<StoredShard> {
     let mut shards = vec![StoredShard::default(); SERVICE_SHARDS as usize + 1];
     for StoredRecord { stream, bytes, .. } in stored {
@@ -59,8 +60,8 @@
     shards
 }
 
-/// Whether the state machine can be restored from the newest snapshot among the records, which replaces all before it. The
-/// state of the bootstrap's snapshot is empty.
+/// Returns whether the state machine can be restored from the newest snapshot among the records, which replaces all
+/// earlier ones. The snapshot that the bootstrap creates has an empty state and counts as readable.
 fn is_state_readable(shard: u32, records: &[Record]) -> bool {
     let newest = records.iter().rev().find_map(|record| match record {
         Record::Snapshot(snapshot) => Some(&snapshot.state),
--- a/coordinator/src/core/shards/shard.rs
+++ b/coordinator/src/core/shards/shard.rs
@@ -1,4 +1,4 @@
-//! One shard at this node: its replica, the state machine that its entries are applied to, and the log's compaction.
+//! One shard at this node: its replica, the state machine that committed entries are applied to, and log compaction.
 
 use shaletrail_consensus::{Entry, Payload, Replica};
 use shaletrail_protocol::Millis;
@@ -6,32 +6,32 @@
 use super::state_machine::StateMachine;
 use super::ShardEvent;
 
-/// Applied entries after which the log is replaced by a snapshot, where the snapshot is large.
+/// Number of applied entries after which the log is compacted into a snapshot, if the snapshot is large.
 const COMPACT_ENTRIES: u64 = 128;
-/// Bytes of applied commands after which it is.
+/// Bytes of applied commands after which the log is compacted into a snapshot, if the snapshot is large.
 const COMPACT_BYTES: usize = 2 << 20;
-/// A snapshot of up to this many bytes is taken after each command: a node that restarts then knows all that it has
-/// applied, before there is a leader to tell it what is committed.
+/// If the snapshot is no larger than this, it is taken after each command. A node that restarts then has all entries
+/// that it had applied, even before a leader tells it the commit index.
 const SMALL_SNAPSHOT_BYTES: usize = 96 << 10;
 
-/// One shard at this node.
+/// This node's part of a shard.
 pub struct Shard {
-    /// The shard's replica.
+    /// The consensus replica of the shard.
     pub replica: Replica,
     pub(super) state: StateMachine,
     pub(super) started_at: Millis,
-    /// Whether the replica takes no part any more: its state machine lacks what the group has decided.
+    /// Whether the replica no longer participates because its state machine could not read a snapshot of the leader.
     pub(super) is_halted: bool,
-    /// Bytes of the commands that were applied since the last snapshot.
+    /// Bytes of the commands applied since the last snapshot.
     applied_bytes: usize,
-    /// The last entry that the newest snapshot of this process covers.
+    /// Index of the last entry covered by the newest snapshot that this process has taken; 0 if none.
     compacted_at: u64,
-    /// Size of that snapshot.
+    /// Size of that snapshot; 0 if none.
     snapshot_bytes: usize,
 }
 
 impl Shard {
-    /// A shard with the state machine's initial state.
+    /// Creates a shard whose state machine is in its initial state.
     pub(super) fn new(shard: u32, replica: Replica, now: Millis) -> Self {
         Shard {
             replica,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Applies a committed entry.
+    /// Applies a committed entry; returns the event for the rest of the coordinator, if any.
     pub(super) fn apply(&mut self, shard: u32, entry: Entry) -> Option<ShardEvent> {
         let (index, term) = (entry.index, entry.term);
         let Payload::Command(command) = entry.payload else { return None };
@@ -52,7 +52,7 @@
         let event = match &mut self.state {
             StateMachine::Configuration(state) => {
                 let outcome = state.apply(&command);
-                Some(ShardEvent::ChangeDecided { index, term, outcome })
+                Some(ShardEvent::ChangeApplied { index, term, outcome })
             }
             StateMachine::Service(state) => {
                 state.apply(&command).map(|epoch| ShardEvent::LeaseEpochStarted { shard, epoch })
--- a/coordinator/src/core/shards/state_machine.rs
+++ b/coordinator/src/core/shards/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machines that the entries of shards are applied to.
+//! The state machines that the committed entries of shards are applied to.
 
 use shaletrail_configuration::ConfigState;
 
@@ -12,7 +12,7 @@
 }
 
 impl StateMachine {
-    /// The initial state of a shard.
+    /// Creates the state machine of a shard in its initial state.
     pub fn new(shard: u32) -> Self {
         match shard {
             CONFIGURATION => StateMachine::Configuration(Box::default()),
@@ -20,7 +20,6 @@
         }
     }
 
-    /// The encoded state.
     pub fn snapshot(&self) -> Vec<u8> {
         match self {
             StateMachine::Configuration(state) => state.snapshot(),
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Replaces the state by an encoded one; `false`, and the state stays, if the bytes cannot be decoded.
+    /// Replaces the state with an encoded one. Returns `false` and keeps the state if the bytes cannot be decoded.
     pub fn restore(&mut self, bytes: &[u8]) -> bool {
         match self {
             StateMachine::Configuration(state) => match ConfigState::restore(bytes) {
--- a/coordinator/src/core/shutdown.rs
+++ b/coordinator/src/core/shutdown.rs
@@ -1,18 +1,18 @@
-//! How long a process goes on that was told to end.
+//! When a process that was requested to shut down may exit.
 
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::Coordinator;
 
-/// How long responses and transfers of leadership may go on, in milliseconds.
+/// Minimum time between the request and the exit, in milliseconds, for pending responses and leadership transfers.
 pub const SHUTDOWN_GRACE: Millis = 400;
-/// The longest time for which a voter waits until its place is taken, in milliseconds.
+/// Maximum time that a voter waits for its replacement, in milliseconds.
 pub const MAX_SHUTDOWN_TIME: Millis = 2_000;
 
 impl Coordinator {
-    /// Whether a process that was told to end `elapsed` milliseconds ago may end. A voter stays while another node is there
-    /// that can take its place: the next loss may come as soon as this process has ended, and a group in which it still
-    /// votes would have no majority then.
+    /// Returns whether the process may exit `elapsed` milliseconds after the request to shut down. While another node
+    /// can replace it, a voter waits for that: another node may fail as soon as this process has exited, and a group
+    /// that still counts both as voters might have no majority.
     pub fn may_end(&self, elapsed: Millis) -> bool {
         elapsed >= MAX_SHUTDOWN_TIME || (elapsed >= SHUTDOWN_GRACE && !self.is_awaiting_replacement())
     }
@@ -25,7 +25,8 @@
             let voters = shard.replica.voters();
             let may_be_replaced =
                 voters.contains(node) && others.iter().any(|other| !voters.contains(*other));
-            // Until the exchange is committed the former voters decide as well, this one among them.
+            // Until the change of voters is committed, decisions also need a majority of the former voters, which
+            // include this node.
             may_be_replaced || (shard.replica.is_changing_voters() && !others.is_empty())
         })
     }
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -1,4 +1,5 @@
-//! The voters of a shard: its leader reconciles those that vote with those that should, one change at a time.
+//! The voters of each shard. Its leader compares the present voters with the desired ones and proposes one change at a
+//! time.
 
 use shaletrail_cluster::Membership;
 use shaletrail_consensus::{Index, Replica};
@@ -8,27 +9,27 @@
 use super::Coordinator;
 use crate::interface::{Action, StateChange};
 
-/// Interval between two reviews of the voters.
+/// Interval between reviews of the voters.
 const VOTER_REVIEW_INTERVAL: Millis = 50;
-/// Entries by which a learner may lag behind the commit index and still become a voter: under steady load it always lags
-/// by some, and it has them before anything is committed that needs its vote.
+/// Number of entries by which a learner may lag behind the commit index and still become a voter. Under steady load it
+/// always lags by some entries, and it receives them before anything that needs its vote is committed.
 const MAX_LEARNER_LAG: Index = 16;
 
-/// A node that votes or could, as the leader of a shard sees it.
+/// A voter or a node that could become one, as seen by the leader of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The node.
     pub node: NodeId,
-    /// Whether the membership takes it to be unreachable.
+    /// Whether the node is unreachable according to the membership.
     pub unreachable: bool,
-    /// Whether it is alive, counts towards quorums, and its synced log lags by [`MAX_LEARNER_LAG`] entries at most.
+    /// Whether the node is alive, counts towards quorums, and its synced log lags by at most `MAX_LEARNER_LAG` entries.
     pub caught_up: bool,
 }
 
-/// The voters that a shard should have, if they differ from those that it has.
+/// Returns the voters that a shard should have; `None` if no change is needed or possible.
 ///
-/// Voters are added up to `size`. Beyond that an unreachable voter is replaced by a learner that has caught up; without
-/// one it stays, as it may come back.
+/// Nodes that have caught up are added until there are `size` voters. From then on, an unreachable voter is replaced by
+/// a node that has caught up. Without such a node the voter stays, as it may become reachable again.
 pub fn desired_voters(voters: &[NodeId], candidates: &[Candidate], size: usize) -> Option<Vec<NodeId>> {
     let joining = candidates.iter().find(|candidate| {
         candidate.caught_up && !candidate.unreachable && !voters.contains(&candidate.node)
@@ -45,9 +46,9 @@
     Some(desired)
 }
 
-/// Reconciles learners and voters at the leader of a shard with the membership: nodes that are alive become learners, dead
-/// learners are removed, and a change of voters is proposed if others should vote. The voters after that change, if one
-/// was proposed.
+/// Updates learners and voters at the leader of a shard from the membership: nodes that are alive become learners, dead
+/// learners are removed, and a change of voters is proposed if it is needed. Returns the voters after that change, if
+/// one was proposed.
 pub fn review(
     replica: &mut Replica,
     membership: &Membership,
@@ -59,7 +60,7 @@
     known.extend(voters.iter().copied().filter(|voter| membership.record(*voter).is_none()));
     let is_alive = |node: NodeId| membership.state(node) == Some(MemberState::Alive);
     for node in known.iter().copied().filter(|node| is_alive(*node) && !voters.contains(node)) {
-        // Rejected where there are too many learners already.
+        // An error means that there are too many learners already; the node is added in a later review.
         let _ = replica.add_learner(node);
     }
     for learner in replica.learners() {
@@ -86,19 +87,19 @@
     })
 }
 
-/// The number of voters that a shard needs so that `hosts_lost` of them may be lost at once.
-pub fn group_size(hosts_lost: u32) -> usize {
+/// Returns the number of voters that a shard needs to tolerate the loss of `hosts_lost` of them at the same time.
+pub fn voter_count(hosts_lost: u32) -> usize {
     2 * hosts_lost as usize + 1
 }
 
 impl Coordinator {
-    /// Reviews the voters of each shard that this node leads, when due.
+    /// Reviews the voters of each shard that this node leads, if a review is due.
     pub(super) fn update_voters(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if now < self.next_voter_review {
             return;
         }
         self.next_voter_review = now + VOTER_REVIEW_INTERVAL;
-        let size = group_size(self.options.hosts_lost);
+        let size = voter_count(self.options.hosts_lost);
         for shard in self.shards.numbers() {
             let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) else {
                 continue;
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -1,5 +1,5 @@
-//! Events and actions between a coordinator's decisions ([`crate::core::Coordinator`]) and the driver that owns its
-//! sockets, disk and clock.
+//! Events and actions exchanged between the sans-IO state machine ([`crate::core::Coordinator`]) and the driver, which
+//! owns the sockets, the disk and the clock.
 
 use std::time::Duration;
 
@@ -11,46 +11,46 @@
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::{Incarnation, NodeId, ServerId};
 
-/// Identifies a call that is to be answered. The driver assigns it and never reuses it within a start of the process.
+/// Identifies a call that needs a response. The driver assigns it and never reuses it during the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Identifies an order in flight to a server. The core assigns it and never reuses it within a start of the process.
+/// Identifies an order in flight to a server. The core assigns it and never reuses it during the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
-/// Options of a coordinator, from its settings file.
+/// Options of a coordinator; most come from its settings file.
 #[derive(Clone, Debug)]
 pub struct CoordinatorOptions {
     /// Id of this node.
     pub node: NodeId,
-    /// Name of this node, which orders carry as their lease holder.
+    /// Name of this node, sent in orders as the name of the lease holder.
     pub node_name: String,
-    /// Incarnation of this process: differs with each start.
+    /// Incarnation of this process, different after each restart.
     pub incarnation: Incarnation,
-    /// Coordinators that the settings name as seeds.
+    /// Coordinators that are named as seeds in the settings file.
     pub seeds: Vec<NodeId>,
-    /// Whether the whole system starts for the first time, so that the seeds become the first voters.
+    /// Whether the whole system is starting for the first time, so that the seeds become the first voters.
     pub bootstrap: bool,
-    /// Whether records of this node were lost once: without any it is recovering then, also while the system starts for the
-    /// first time.
+    /// Whether this node's journal was corrupt and has been erased. A shard without records then starts as a recovering
+    /// voter, even during the bootstrap.
     pub lost_state: bool,
     /// Number of coordinators that may be lost at once; `2 * hosts_lost + 1` of them vote.
     pub hosts_lost: u32,
-    /// Interval between two heartbeats of a server.
+    /// Interval between consecutive heartbeats of a server.
     pub heartbeat_interval: Duration,
     /// Minimum time between the last order of a lease holder and the first order of the next one.
     pub order_lease: Duration,
-    /// Window of the data plane's retry budget.
+    /// Window over which the data plane's retry budget is counted.
     pub retry_window: Duration,
     /// Options of the placement planners.
     pub placement: shaletrail_placement::Options,
-    /// Seed of the pseudo-random election timeouts.
+    /// Seed of the random number generator for election timeouts.
     pub seed: u64,
 }
 
 impl CoordinatorOptions {
-    /// The options that the settings of the process give.
+    /// Derives the options from the settings. The journal counts as not erased.
     pub fn from_settings(settings: &Settings, incarnation: Incarnation) -> Self {
         CoordinatorOptions {
             node: settings.node(),
@@ -69,10 +69,10 @@
     }
 }
 
-/// Something that happens at a coordinator, as the driver reports it.
+/// An input to the state machine, reported by the driver.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; the driver raises it at a fixed interval.
+    /// Raised by the driver at a fixed interval.
     Tick,
     /// A message of another coordinator has arrived.
     Message {
@@ -81,19 +81,19 @@
         /// Its message.
         message: CoordinatorMessage,
     },
-    /// All records of [`Action::Persist`] up to and including a ticket are synced to disk.
+    /// The records of each [`Action::Persist`] up to and including a ticket are synced to disk.
     Persisted {
         /// The highest ticket that is synced.
         ticket: u64,
-        /// Whether the journal's ring is filling up, so that it needs an [`Action::Checkpoint`].
+        /// Whether the journal's segment ring is filling up, so that an [`Action::Checkpoint`] is needed.
         wants_checkpoint: bool,
     },
-    /// The disk has rejected a write or has not finished one in time: no new record is durable until it recovers.
+    /// The disk has rejected a write or not completed one in time. No new record is durable until it recovers.
     DiskDegraded {
-        /// Whether the journal's ring is full, so that only an [`Action::Checkpoint`] makes space.
+        /// Whether the journal's segment ring is full, so that only an [`Action::Checkpoint`] frees space.
         wants_checkpoint: bool,
     },
-    /// A server has sent a heartbeat; answered by [`Action::RespondToServer`].
+    /// A server has sent a heartbeat; answered with [`Action::RespondToServer`].
     Heartbeat {
         /// The call to answer.
         call: CallId,
@@ -102,129 +102,131 @@
         /// The heartbeat's body.
         heartbeat: Heartbeat,
     },
-    /// A server is about to shut down; answered by [`Action::RespondToServer`].
+    /// A server that is about to shut down deregisters; answered with [`Action::RespondToServer`].
     Deregister {
         /// The call to answer.
         call: CallId,
         /// The server.
         id: ServerId,
     },
-    /// The operator reads or changes the configuration; answered by [`Action::RespondToOperator`].
+    /// The operator reads or changes the configuration; answered with [`Action::RespondToOperator`].
     OperatorCall {
         /// The call to answer.
         call: CallId,
         /// The read or the change.
         request: OperatorCall,
     },
-    /// A data-plane node polls for updates; answered by [`Action::RespondToPoll`] once there are any, or after the
-    /// request's `max_wait_ms`.
+    /// A data-plane node polls for updates; answered with [`Action::RespondToPoll`] once there are updates, at the
+    /// latest after the request's `max_wait_ms`.
     Poll {
         /// The call to answer.
         call: CallId,
         /// The data-plane node.
         edge: EdgeIdentity,
-        /// The state that it has, and its load and demand reports.
+        /// The state that the node has, and its demand and outcome reports.
         request: PollRequest,
     },
-    /// The connection over which a poll came has closed: the poll needs no answer any more.
+    /// The connection of a poll has closed, so the poll needs no response.
     PollCancelled(CallId),
-    /// A data-plane node reports demand ahead of its next poll.
+    /// A data-plane node reports demand without waiting for its next poll.
     EdgeReport {
         /// The data-plane node.
         edge: NodeId,
-        /// Demand since its last report.
+        /// Demand since the node's last report.
         demand: Vec<Demand>,
     },
-    /// The process of a data-plane node is shutting down.
+    /// A data-plane node is shutting down.
     EdgeDisconnected(NodeId),
-    /// An [`Action::SendOrder`] has ended.
+    /// An [`Action::SendOrder`] has completed or failed.
     OrderCompleted {
         /// The order.
         order: OrderId,
-        /// How it ended.
+        /// The result, as far as it is known.
         outcome: OrderOutcome,
     },
-    /// An [`Action::FetchReport`] has ended.
+    /// An [`Action::FetchReport`] has completed or failed.
     ReportReceived {
         /// The server.
         server: ServerId,
-        /// Its answer to `GET /report`; `None` if there was none in time.
+        /// The response to `GET /report`; `None` if the request failed or timed out.
         report: Option<ServerReport>,
     },
-    /// The process has been told to shut down.
+    /// The process has been requested to shut down.
     ShutdownRequested,
-    /// The settings file was read again; it names these seeds.
+    /// The settings file was reloaded and names these seeds.
     SeedsChanged(Vec<NodeId>),
 }
 
-/// Something that the driver is to carry out.
+/// An output of the state machine, to be carried out by the driver.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another coordinator. It may be dropped while that is unreachable.
+    /// Send a message to another coordinator. The driver may drop it while the receiver is unreachable.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: CoordinatorMessage,
     },
-    /// Append records to the journal and sync them; an [`Event::Persisted`] with the ticket or a higher one follows.
+    /// Append records to the journal and sync them. The driver reports completion as an [`Event::Persisted`] with this
+    /// ticket or a higher one.
     Persist {
-        /// Rises with each action.
+        /// Sequence number of the action, increasing from one [`Action::Persist`] to the next.
         ticket: u64,
-        /// The journal's stream (the number of the shard, or
-        /// [`STREAM`](crate::core::directory_snapshot::STREAM)) and the encoded bytes of each record.
+        /// The journal stream and the encoded bytes of each record. The stream is the number of a shard, or one of the
+        /// streams in [`directory_snapshot`](crate::core::directory_snapshot).
         records: Vec<(u32, Vec<u8>)>,
     },
-    /// Replace the whole content of the journal by these records.
+    /// Replace the whole content of the journal with these records.
     Checkpoint {
-        /// Stream and bytes of each record, as in [`Action::Persist`].
+        /// Stream and encoded bytes of each record, as in [`Action::Persist`].
         live: Vec<(u32, Vec<u8>)>,
     },
-    /// Answer a heartbeat or a deregistration.
+    /// Respond to a heartbeat or a deregistration.
     RespondToServer {
         /// The call to answer.
         call: CallId,
-        /// Whether the call is acknowledged; otherwise the server is to ask another node.
+        /// Whether the call is acknowledged. If not, the server retries at another node.
         accepted: bool,
     },
-    /// Answer the operator.
+    /// Respond to the operator.
     RespondToOperator {
         /// The call to answer.
         call: CallId,
-        /// The answer.
+        /// The response.
         response: OperatorResponse,
     },
-    /// Answer a poll.
+    /// Respond to a poll.
     RespondToPoll {
         /// The call to answer.
         call: CallId,
-        /// The updates since the state that the poll named.
+        /// The updates since the state that the request describes.
         response: Box<PollResponse>,
     },
-    /// Send an order to a server if [`Coordinator::may_write`](crate::core::Coordinator::may_write) allows it once the
-    /// connection is up; an [`Event::OrderCompleted`] follows.
+    /// Connect to a server and send it an order, provided that
+    /// [`Coordinator::may_write`](crate::core::Coordinator::may_write) still allows it once the connection is up. The
+    /// driver reports the result as an [`Event::OrderCompleted`].
     SendOrder {
         /// The id of the order.
         order: OrderId,
-        /// The server's id, for the header `Expected-Instance`.
+        /// The server's id, sent in the header `Expected-Instance`.
         server: ServerId,
         /// The server's address, `IP:PORT`.
         address: String,
-        /// The order's body.
+        /// The body of the request.
         body: Order,
     },
-    /// Fetch a server's `GET /report`; an [`Event::ReportReceived`] follows.
+    /// Fetch `GET /report` from a server. The driver reports the result as an [`Event::ReportReceived`].
     FetchReport {
-        /// The server's id, for the header `Expected-Instance`.
+        /// The server's id, sent in the header `Expected-Instance`.
         server: ServerId,
         /// The server's address, `IP:PORT`.
         address: String,
     },
-    /// Log a change of state that matters to whoever runs the system.
+    /// Log a change of state that is of interest to operators.
     LogStateChange(StateChange),
 }
 
-/// A change of state that the driver logs, each variant with a text of its own (`driver/host/log.rs`).
+/// A change of state to be logged. The log messages are in `driver/host/log.rs`.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 pub enum StateChange {
     /// This node has become the leader of a shard.
@@ -246,28 +248,29 @@
         /// The version.
         version: u64,
     },
-    /// The leader of a shard has proposed other voters.
+    /// This node, as the leader of a shard, has proposed a change of its voters.
     VotersChanging {
         /// The shard.
         shard: u32,
         /// The voters after the change.
         wanted: Vec<NodeId>,
     },
-    /// This node has become the holder of a service shard's order lease.
+    /// This node has acquired the order lease of a service shard.
     OrderLeaseAcquired {
         /// The shard.
         shard: u32,
-        /// The fencing token of its orders.
+        /// The fencing token that this node's orders carry.
         fencing_token: u64,
     },
-    /// The node has gained (`true`) or lost (`false`) contact with a quorum of the configuration's voters.
+    /// This node has gained (`true`) or lost (`false`) contact with a quorum of the configuration shard's voters.
     QuorumContactChanged(bool),
-    /// A leader's snapshot cannot be decoded: the shard takes no part until the process starts again, as a recovering voter.
+    /// A snapshot from the leader cannot be decoded. This node stops participating in the shard; after the next restart
+    /// it is a recovering voter there.
     UnreadableSnapshot {
         /// The shard.
         shard: u32,
     },
-    /// Records on disk cannot be decoded: the shard starts as a recovering voter without them.
+    /// Records on disk cannot be decoded. This node discards them and starts as a recovering voter of the shard.
     UnreadableRecords {
         /// The shard.
         shard: u32,
--- a/coordinator/tests/desired_voters.rs
+++ b/coordinator/tests/desired_voters.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{node, nodes};
-use shaletrail_coordinator::core::voters::{desired_voters, group_size, Candidate};
+use shaletrail_coordinator::core::voters::{desired_voters, voter_count, Candidate};
 
 fn caught_up(number: u8) -> Candidate {
     Candidate { node: node(number), unreachable: false, caught_up: true }
@@ -35,7 +35,7 @@
 #[test]
 fn complete_group_is_unchanged() {
     let candidates: Vec<Candidate> = (1..=4).map(caught_up).collect();
-    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &candidates, group_size(1)), None);
+    assert_eq!(desired_voters(&nodes(&[1, 2, 3]), &candidates, voter_count(1)), None);
 }
 
 #[test]
--- a/coordinator/tests/pending_calls.rs
+++ b/coordinator/tests/pending_calls.rs
@@ -65,7 +65,7 @@
     let (other_term, same, other_index) = (propose(7, 2), propose(7, 3), propose(8, 3));
 
     // when
-    let decided = calls.decided_by_entry(7, 3);
+    let decided = calls.resolve_proposals(7, 3);
 
     // then
     assert_eq!(decided, vec![same]);
