--- a/coordinator/tests/driver_control_api.rs
+++ b/coordinator/tests/driver_control_api.rs
@@ -1,4 +1,5 @@
-//! The control API and the internal port of a coordinator over loopback: each caller gets the response to its own call.
+//! The control API and the internal port of a coordinator over loopback: each caller gets the response to its own call,
+//! and responses keep their text.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -24,10 +25,10 @@
 
 use local_runtime::run_within;
 
-/// How long a test may last. None that passes comes near it.
+/// Timeout of a test, far longer than a successful run takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time between two ticks, and between two attempts of a call.
+/// Interval between ticks, and between attempts of a call.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The only coordinator of its system.
@@ -50,7 +51,7 @@
 
     fn with_seeds(name: &str, seeds: &str) -> TestCoordinator {
         let folder = std::env::temp_dir().join(format!("shaletrail-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the directory is accessible");
         let text = format!(
             "nodeName=core-1\nip=127.0.0.1\nzone=a\nephemeralPorts=7660,7675\nseedNodes={seeds}\n\
              bootstrap=true\nfaultTolerance.hostsLost=0\nheartbeatMs=1200\n"
@@ -61,8 +62,9 @@
         let options = CoordinatorOptions::from_settings(&settings, Incarnation(7));
         let host = Host::start(options, &settings, opened, log.clone());
         let listen = || {
-            let listener = sockets::listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener =
+                sockets::listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port is bound");
+            let address = listener.local_addr().expect("the address is known");
             (listener, address)
         };
         let ((control_listener, control), (internal_listener, internal)) = (listen(), listen());
@@ -78,10 +80,10 @@
     }
 
     async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.control).await.expect("a connection")
+        TcpStream::connect(self.control).await.expect("the connection is established")
     }
 
-    /// One call on a connection of its own, until it is answered other than 503.
+    /// Sends a call on a separate connection, and retries it until the status is not 503.
     async fn call(&self, method: &str, path: &str, base: u64, body: &str) -> (u16, String) {
         loop {
             let mut stream = self.connect().await;
@@ -103,18 +105,23 @@
     stream.write_all(format!("{head}{body}").as_bytes()).await.expect("the call is written");
 }
 
-/// Reads one response, of the length that its head announces.
+/// Reads one response, whose length is given in its head.
 async fn read_response(stream: &mut TcpStream) -> (u16, String) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        head.push(stream.read_u8().await.expect("an answer"));
+        head.push(stream.read_u8().await.expect("a response is received"));
     }
-    let head = String::from_utf8(head).expect("text").to_ascii_lowercase();
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
+    let head = String::from_utf8(head).expect("the bytes are UTF-8").to_ascii_lowercase();
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok())
+        .expect("the head contains a status code");
     let length = head.split("content-length: ").nth(1).and_then(|rest| rest.split("\r\n").next());
-    let mut body = vec![0; length.and_then(|length| length.parse().ok()).expect("a length")];
-    stream.read_exact(&mut body).await.expect("the whole answer");
-    (status, String::from_utf8(body).expect("text"))
+    let mut body =
+        vec![0; length.and_then(|length| length.parse().ok()).expect("the head contains a content length")];
+    stream.read_exact(&mut body).await.expect("the response is complete");
+    (status, String::from_utf8(body).expect("the bytes are UTF-8"))
 }
 
 fn heartbeat(sequence: u64) -> String {
@@ -132,7 +139,7 @@
         let configuration = common::configuration(3, "a.example");
         assert_eq!(coordinator.call("POST", "/Config.Replace", 0, &configuration).await.0, 200);
 
-        // when: all are written before the first is answered
+        // when: all calls are written before the first response is read
         let mut stream = coordinator.connect().await;
         send(&mut stream, "POST", "/Instances.Heartbeat/i-1", 0, &heartbeat(1)).await;
         send(&mut stream, "POST", "/Config.Replace", 0, &common::configuration(3, "b.example")).await;
@@ -142,7 +149,11 @@
 
         // then
         let (status, body) = read_response(&mut stream).await;
-        assert_eq!((status, body.as_str()), (200, "{}"), "no endpoint for later heartbeats is given");
+        assert_eq!(
+            (status, body.as_str()),
+            (200, "{}"),
+            "the response names no endpoint for later heartbeats"
+        );
         assert_eq!(read_response(&mut stream).await, (412, "version 3 is current\n".to_owned()));
         let (status, body) = read_response(&mut stream).await;
         assert!(status == 200 && body.contains("a.example") && !body.contains("b.example"), "{body}");
@@ -151,7 +162,7 @@
     });
 }
 
-/// The status, the headers `content-type` and `retry-after` where they are present, and the body of one call.
+/// Sends one call and returns the status, the headers `content-type` and `retry-after` if present, and the body.
 async fn full_response(
     coordinator: &TestCoordinator,
     (method, path, base, body): (&str, &str, &str, &str),
@@ -164,15 +175,18 @@
     );
     stream.write_all(format!("{head}{body}").as_bytes()).await.expect("the call is written");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("the whole answer");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    stream.read_to_string(&mut answer).await.expect("the response is complete");
+    let (head, body) = answer.split_once("\r\n\r\n").expect("the response has a head");
     let mut lines = head.lines();
-    let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 ")).expect("a status line");
+    let status = lines
+        .next()
+        .and_then(|line| line.strip_prefix("HTTP/1.1 "))
+        .expect("the head starts with a status line");
     let headers = lines.filter(|line| line.starts_with("content-type") || line.starts_with("retry-after"));
     (status.to_owned(), headers.map(str::to_owned).collect(), body.to_owned())
 }
 
-/// The programs of servers and operators rely on these responses: if this turns red, put the response back.
+/// Programs of server and operator teams rely on these responses. If this test fails, restore the response.
 #[test]
 fn responses_keep_status_headers_and_text() {
     run_within(TEST_TIMEOUT, async {
@@ -287,7 +301,8 @@
         };
         let message = frame::encode(&CoordinatorMessage::DirectoryAck { batch: 1 });
         for rest in [&message[..message.len() - 1], b"\xff\xff\xff\xffgarbage", b"\x00\x00\x00\x02\xff\xff"] {
-            let mut stream = TcpStream::connect(coordinator.internal).await.expect("a connection");
+            let mut stream =
+                TcpStream::connect(coordinator.internal).await.expect("the connection is established");
             stream.write_all(&frame::encode(&handshake)).await.expect("the handshake is written");
             stream.write_all(rest).await.expect("the bytes are written");
             stream.shutdown().await.expect("the end is written");
@@ -298,13 +313,14 @@
 
         // when
         let edge = EdgeIdentity { node: NodeId(100), incarnation: Incarnation(1), zone: "a".to_owned() };
-        let mut stream = TcpStream::connect(coordinator.internal).await.expect("a connection");
+        let mut stream =
+            TcpStream::connect(coordinator.internal).await.expect("the connection is established");
         let poll = EdgeRequest::Poll(PollRequest { max_wait_ms: 200, ..PollRequest::default() });
         let call = [frame::encode(&Handshake::Edge(edge)), frame::encode(&poll)].concat();
         stream.write_all(&call).await.expect("the poll is written");
 
         // then
-        let response: PollResponse = read_frame(&mut stream).await.expect("an answer");
+        let response: PollResponse = read_frame(&mut stream).await.expect("a response is received");
         assert!(!response.isolated);
         assert!(response.config.is_some());
     });
@@ -313,11 +329,12 @@
 #[test]
 fn later_handshake_of_a_peer_ends_its_earlier_connection() {
     run_within(TEST_TIMEOUT, async {
-        // given: a peer that has connected anew, as after a restart
+        // given: a peer that has opened a second connection, as after a restart
         let coordinator = TestCoordinator::start("handshakes");
         let connect = |incarnation| async move {
             let node = NodeId::from(Ipv4Addr::new(127, 0, 0, 8));
-            let mut stream = TcpStream::connect(coordinator.internal).await.expect("a connection");
+            let mut stream =
+                TcpStream::connect(coordinator.internal).await.expect("the connection is established");
             let handshake = Handshake::Coordinator { node, incarnation: Incarnation(incarnation) };
             stream.write_all(&frame::encode(&handshake)).await.expect("the handshake is written");
             stream
@@ -327,11 +344,11 @@
         let mut later = connect(4).await;
         tokio::time::sleep(TICK_INTERVAL).await;
 
-        // when: a late message of the earlier connection arrives
+        // when: a late message arrives on the earlier connection
         let message = frame::encode(&CoordinatorMessage::DirectoryAck { batch: 1 });
         earlier.write_all(&message).await.expect("the message is written");
 
-        // then: that connection ends, the later one stays
+        // then: the earlier connection is closed, the later one stays open
         let mut answer = Vec::new();
         let _ = earlier.read_to_end(&mut answer).await;
         assert_eq!(answer, b"");
--- a/coordinator/tests/driver_journal.rs
+++ b/coordinator/tests/driver_journal.rs
@@ -1,4 +1,4 @@
-//! The order in which appends reach the journal's thread, and the events that its reports stand for.
+//! The order in which appends reach the journal thread, and the conversion of its reports into events.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -13,14 +13,14 @@
 use shaletrail_storage::{Command, RejectReason, RejectedCommand, StorageError, WriterEvent};
 use slog::{o, Discard, Logger};
 
-/// A journal's thread that rejects appends as a test wants it.
+/// A fake journal thread that rejects appends when a test asks for it.
 #[derive(Clone, Default)]
 struct TestThread(Rc<ThreadState>);
 
 #[derive(Default)]
 struct ThreadState {
     accepted_tickets: RefCell<Vec<u64>>,
-    /// Why appends are rejected, if they are.
+    /// The reason for which appends are rejected; `None` if they are accepted.
     rejects: RefCell<Option<RejectReason>>,
 }
 
@@ -62,7 +62,10 @@
 
         // then
         assert_eq!(*thread.0.accepted_tickets.borrow(), [1], "{reason:?}");
-        assert!(queue.is_late(), "{reason:?}: leaderships should be transferred meanwhile");
+        assert!(
+            queue.is_late(),
+            "{reason:?}: the disk counts as degraded, so that leadership is transferred"
+        );
         *thread.0.rejects.borrow_mut() = None;
         queue.append(4, records());
         assert_eq!(*thread.0.accepted_tickets.borrow(), [1, 2, 3, 4], "{reason:?}");
@@ -88,13 +91,13 @@
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
     let failed = WriterEvent::CheckpointFailed { error: failure() };
     assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
-    // The records that a checkpoint contains have reports of their own.
+    // Checkpointed records were already reported as synced by their appends.
     let checkpointed = WriterEvent::Checkpointed { wants_checkpoint: false, elapsed_ms: 3 };
     assert!(event_of(&checkpointed).is_none());
     assert!(event_of(&WriterEvent::Stopped).is_none());
 }
 
-/// A folder for one test, removed with it.
+/// A directory for one test, removed when dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -111,12 +114,12 @@
 
     /// Damages a record in each of the journal's files.
     fn corrupt(&self) {
-        for entry in std::fs::read_dir(&self.0).expect("a folder") {
-            let path = entry.expect("an entry").path();
-            let mut bytes = std::fs::read(&path).expect("a file");
+        for entry in std::fs::read_dir(&self.0).expect("the directory is accessible") {
+            let path = entry.expect("the entry is readable").path();
+            let mut bytes = std::fs::read(&path).expect("the file is accessible");
             if let Some(end) = bytes.iter().rposition(|byte| *byte != 0) {
                 bytes[end / 2..end / 2 + 8].fill(0x5a);
-                std::fs::write(&path, bytes).expect("a file");
+                std::fs::write(&path, bytes).expect("the file is accessible");
             }
         }
     }
@@ -142,7 +145,7 @@
     let mut opened = folder.open();
     assert!(!opened.was_erased);
     for record in 0..40 {
-        opened.journal.append(0, vec![record; 100]).expect("it fits");
+        opened.journal.append(0, vec![record; 100]).expect("the record fits");
         opened.journal.sync().expect("the disk works");
     }
     drop(opened);
--- a/coordinator/tests/driver_log.rs
+++ b/coordinator/tests/driver_log.rs
@@ -1,5 +1,5 @@
-//! The log lines of state changes. Operators and their alerts search for these texts and keys, so they are listed in
-//! `docs/operations.md`, too.
+//! The log lines of state changes. Operators and their alerts match these messages and keys, which are also listed in
+//! `docs/operations.md`.
 
 use std::fmt;
 use std::sync::{Arc, Mutex};
@@ -9,7 +9,7 @@
 use shaletrail_protocol::NodeId;
 use slog::{o, Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, KV};
 
-/// Keeps each line as its level, its text and its key-values.
+/// Captures each line as its level, message and key-value pairs.
 #[derive(Default)]
 struct LogCapture(Mutex<Vec<String>>);
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn state_changes_keep_their_lines() {
+fn state_changes_keep_their_log_lines() {
     let lines = [
         (StateChange::BecameLeader { shard: 1, term: 2 }, "INFO became leader of shard term=2 shard=1"),
         (StateChange::LostLeadership { shard: 1, term: 2 }, "INFO lost leadership of shard term=2 shard=1"),
--- a/coordinator/tests/driver_orders.rs
+++ b/coordinator/tests/driver_orders.rs
@@ -1,4 +1,4 @@
-//! Orders over loopback: the check of the lease before they are written, their contents and their outcomes.
+//! Sending orders over loopback: the lease check before the write, the request, and the outcome.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -16,10 +16,10 @@
 
 use local_runtime::run_within;
 
-/// How long a test may last. None that passes comes near it.
+/// Timeout of a test, far longer than a successful run takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The end of the lease, on the clock that a test sets, in milliseconds.
+/// End of the lease on the clock of the test, in milliseconds.
 const LEASE_END: u64 = 500;
 
 fn order_to(address: String) -> OutgoingOrder {
@@ -35,8 +35,8 @@
 }
 
 async fn listener() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is bound");
+    let address = listener.local_addr().expect("the address is known").to_string();
     (listener, address)
 }
 
@@ -48,7 +48,7 @@
         let read = stream.read(&mut buffer).await.expect("the connection is up");
         text.extend_from_slice(&buffer[..read]);
         if read == 0 || text.ends_with(b"}") {
-            return String::from_utf8(text).expect("text");
+            return String::from_utf8(text).expect("the bytes are UTF-8");
         }
     }
 }
@@ -56,7 +56,7 @@
 async fn response_to_order(status: &'static str) -> (OrderOutcome, String) {
     let (listener, address) = listener().await;
     let server = tokio::task::spawn_local(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("the connection is established");
         let request = read_request(&mut stream).await;
         let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(response.as_bytes()).await.expect("the response is written");
@@ -117,7 +117,7 @@
 
         // when
         clock.set(LEASE_END);
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("the connection is established");
         let outcome = sending.await;
 
         // then
@@ -140,7 +140,7 @@
             false
         });
         assert_eq!(sending.await, OrderOutcome::NotSent);
-        assert_eq!(checks.get(), 1, "the first write was denied, and there was no other");
+        assert_eq!(checks.get(), 1, "the first write was denied, and no other was attempted");
         drop(listener);
     });
 }
@@ -150,7 +150,7 @@
     run_within(TEST_TIMEOUT, async {
         let (listener, address) = listener().await;
         let server = tokio::task::spawn_local(async move {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("the connection is established");
             let request = read_request(&mut stream).await;
             drop(stream);
             (listener, request)
@@ -180,7 +180,7 @@
 fn connection_for_order_limits_unacknowledged_time() {
     run_within(TEST_TIMEOUT, async {
         let (_listener, address) = listener().await;
-        let stream = connect_for_order(&address).await.expect("a connection");
+        let stream = connect_for_order(&address).await.expect("the connection is established");
         let timeout = SockRef::from(&stream).tcp_user_timeout().expect("the option is read");
         assert_eq!(timeout, Some(Duration::from_millis(400)));
     });
--- a/coordinator/tests/driver_peer_sessions.rs
+++ b/coordinator/tests/driver_peer_sessions.rs
@@ -1,4 +1,4 @@
-//! Which connection of a peer is read.
+//! Only the newest connection of a peer is read.
 
 mod common;
 
