--- a/coordinator/tests/bounds.rs
+++ b/coordinator/tests/bounds.rs
@@ -1,10 +1,10 @@
-//! Bounds of different crates that must fit together.
+//! Limits of different crates that must be consistent with each other.
 
 use shaletrail_configuration::MAX_CONFIGURATION_BYTES;
 use shaletrail_storage::Options;
 
-/// What a snapshot of the configuration holds beside its text, in bytes: accepted changes, items that were changed
-/// recently, voters.
+/// Upper bound in bytes for the parts of a configuration snapshot other than its text: accepted changes, recently
+/// changed items and voters.
 const SNAPSHOT_OVERHEAD_BYTES: usize = 2 << 20;
 
 #[test]
--- a/coordinator/tests/common/cluster.rs
+++ b/coordinator/tests/common/cluster.rs
@@ -1,5 +1,4 @@
-//! Several coordinators whose messages a test delivers at once, delays or drops, with journals that outlive their
-//! processes.
+//! Several coordinators whose messages a test delivers immediately, delays or drops. Their journals survive restarts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -17,9 +16,9 @@
     stored, START, TICK,
 };
 
-/// Long enough for an election.
+/// Longer than an election takes.
 const ELECTION: Millis = 3_000;
-/// Messages delivered in one step, at most: more would be an endless exchange.
+/// Maximum number of messages delivered in one step, to detect an endless exchange of messages.
 const MAX_MESSAGES: usize = 100_000;
 
 /// A message with the numbers of its sender and its receiver.
@@ -33,7 +32,7 @@
 /// Selects messages by sender, receiver and content.
 type MessageFilter = Box<dyn Fn(u8, u8, &CoordinatorMessage) -> bool>;
 
-/// One machine: its process, if it runs, and its journal.
+/// A machine with its journal and, if it is running, its process.
 #[derive(Default)]
 struct Machine {
     core: Option<Coordinator>,
@@ -42,16 +41,16 @@
     frozen: bool,
     /// Whether its disk rejects every write.
     rejects_writes: bool,
-    /// Events that came while it was frozen, as in its sockets.
+    /// Events that arrived while the process was frozen, as if buffered in its sockets.
     socket_backlog: Vec<Event>,
 }
 
-/// Several coordinators of one system, numbered from 1 on.
+/// Several coordinators of one system, numbered from 1.
 pub struct Cluster {
-    /// The clock of all of them.
+    /// The common clock of all coordinators.
     pub now: Millis,
     machines: BTreeMap<u8, Machine>,
-    /// One-way partitions: sender and receiver.
+    /// Pairs of sender and receiver whose messages are dropped.
     partitions: BTreeSet<(u8, u8)>,
     delay_filter: Option<MessageFilter>,
     delayed: Vec<Envelope>,
@@ -61,7 +60,7 @@
 }
 
 impl Cluster {
-    /// Coordinators that have started for the first time and have a leader.
+    /// Bootstraps coordinators and waits until they have a leader.
     pub fn with_leader(coordinators: u8) -> Self {
         let mut cluster = Cluster {
             now: START,
@@ -78,7 +77,7 @@
         cluster
     }
 
-    /// Coordinators that all have applied version 1 of the configuration.
+    /// Bootstraps coordinators and waits until all have applied version 1 of the configuration.
     pub fn configured(coordinators: u8) -> Self {
         let mut cluster = Cluster::with_leader(coordinators);
         let leader = cluster.leader();
@@ -91,7 +90,7 @@
         cluster
     }
 
-    /// Starts the process of a machine with what its journal holds.
+    /// Starts the process of a machine with the records in its journal.
     pub fn start(&mut self, number: u8) {
         self.start_as(number, false);
     }
@@ -108,19 +107,19 @@
         machine.core = Some(Coordinator::new(options, machine.stored.clone(), now));
     }
 
-    /// Ends the process of a machine; its journal stays.
+    /// Kills the process of a machine. Its journal is kept.
     pub fn kill(&mut self, number: u8) {
         let machine = self.machine(number);
         (machine.core, machine.frozen) = (None, false);
         machine.socket_backlog.clear();
     }
 
-    /// Stops the process of a machine.
+    /// Pauses the process of a machine. Arriving events are buffered.
     pub fn freeze(&mut self, number: u8) {
         self.machine(number).frozen = true;
     }
 
-    /// Lets the process of a machine go on, with what lies in its sockets.
+    /// Resumes the process of a machine, which then handles the buffered events.
     pub fn thaw(&mut self, number: u8) {
         self.machine(number).frozen = false;
         for event in std::mem::take(&mut self.machine(number).socket_backlog) {
@@ -134,12 +133,12 @@
         self.machine(number).rejects_writes = true;
     }
 
-    /// Drops the messages from one machine to another.
+    /// Drops messages from one machine to another from now on.
     pub fn partition_one_way(&mut self, from: u8, to: u8) {
         self.partitions.insert((from, to));
     }
 
-    /// Drops the messages between two machines.
+    /// Drops messages between two machines, in both directions, from now on.
     pub fn partition(&mut self, one: u8, other: u8) {
         self.partition_one_way(one, other);
         self.partition_one_way(other, one);
@@ -151,7 +150,7 @@
         self.partitions.remove(&(other, one));
     }
 
-    /// Drops the messages between a machine and all others.
+    /// Drops messages between a machine and all others from now on.
     pub fn isolate(&mut self, number: u8) {
         self.others(number).into_iter().for_each(|other| self.partition(number, other));
     }
@@ -161,41 +160,40 @@
         self.others(number).into_iter().for_each(|other| self.heal(number, other));
     }
 
-    /// Delays the messages that satisfy a filter.
+    /// Delays messages that satisfy a filter, until they are delivered explicitly.
     pub fn delay_messages(&mut self, filter: impl Fn(u8, u8, &CoordinatorMessage) -> bool + 'static) {
         self.delay_filter = Some(Box::new(filter));
     }
 
-    /// Delays no further messages, without delivering those that were delayed.
+    /// Stops delaying messages, without delivering those that are delayed.
     pub fn stop_delaying(&mut self) {
         self.delay_filter = None;
     }
 
-    /// Delivers the delayed messages in order, and delays no further ones.
+    /// Delivers the delayed messages in order, and stops delaying messages.
     pub fn deliver_delayed(&mut self) {
         self.delay_filter = None;
         self.in_flight.extend(std::mem::take(&mut self.delayed));
         self.deliver();
     }
 
-    /// Delivers the delayed messages that satisfy a predicate, and drops the others.
+    /// Delivers the delayed messages that satisfy a predicate, drops the others, and stops delaying messages.
     pub fn deliver_delayed_if(&mut self, predicate: impl Fn(&CoordinatorMessage) -> bool) {
         self.delayed.retain(|envelope| predicate(&envelope.message));
         self.deliver_delayed();
     }
 
-    /// The delayed messages.
     pub fn delayed(&self) -> impl Iterator<Item = &CoordinatorMessage> {
         self.delayed.iter().map(|envelope| &envelope.message)
     }
 
-    /// Delivers a message that a test has made up.
+    /// Delivers a message constructed by a test.
     pub fn send(&mut self, from: u8, to: u8, message: CoordinatorMessage) {
         self.in_flight.push_back(Envelope { from, to, message });
         self.deliver();
     }
 
-    /// Lets time pass, with ticks.
+    /// Advances the clock, with ticks of all machines.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -213,7 +211,7 @@
         }
     }
 
-    /// Handles an event at a machine, and the syncs that follow from it.
+    /// Handles an event at a machine, and the completed syncs that result from it.
     fn handle(&mut self, number: u8, event: Event) {
         let now = self.now;
         let mut events = VecDeque::from([event]);
@@ -222,13 +220,13 @@
             let Some(core) = self.machine(number).core.as_mut() else { return };
             core.handle(now, event, &mut actions);
             for action in actions {
-                events.extend(self.carry_out(number, action));
+                events.extend(self.execute(number, action));
             }
         }
     }
 
-    /// Carries out an action; the event that follows from it, if any.
-    fn carry_out(&mut self, number: u8, action: Action) -> Option<Event> {
+    /// Executes an action and returns the resulting event, if any.
+    fn execute(&mut self, number: u8, action: Action) -> Option<Event> {
         match action {
             Action::Send { to, message } => {
                 let to = to.address().octets()[3];
@@ -258,13 +256,16 @@
                 self.delayed.push(envelope);
                 continue;
             }
-            self.arrive(envelope.to, Event::Message { from: node(envelope.from), message: envelope.message });
+            self.deliver_event(
+                envelope.to,
+                Event::Message { from: node(envelope.from), message: envelope.message },
+            );
         }
-        panic!("messages without end");
+        panic!("the exchange of messages does not end");
     }
 
-    /// Something reaches a machine's sockets.
-    fn arrive(&mut self, number: u8, event: Event) {
+    /// Passes an event to a machine, or buffers it while the machine is frozen.
+    fn deliver_event(&mut self, number: u8, event: Event) {
         if self.machine(number).frozen {
             self.machine(number).socket_backlog.push(event);
         } else {
@@ -273,30 +274,29 @@
     }
 
     fn machine(&mut self, number: u8) -> &mut Machine {
-        self.machines.get_mut(&number).expect("a machine of the cluster")
+        self.machines.get_mut(&number).expect("the machine exists")
     }
 
-    /// All machines.
     pub fn numbers(&self) -> Vec<u8> {
         self.machines.keys().copied().collect()
     }
 
-    /// All machines but one.
+    /// Returns all machines except one.
     pub fn others(&self, number: u8) -> Vec<u8> {
         self.numbers().into_iter().filter(|other| *other != number).collect()
     }
 
-    /// A machine that does not lead the configuration's shard.
+    /// Returns a machine that does not lead the configuration's shard.
     pub fn follower(&self) -> u8 {
         self.others(self.leader())[0]
     }
 
-    /// The decisions of a machine that runs.
+    /// Returns the state machine of a running process.
     pub fn core(&self, number: u8) -> &Coordinator {
-        self.machines[&number].core.as_ref().expect("it runs")
+        self.machines[&number].core.as_ref().expect("the process is running")
     }
 
-    /// The machine that leads the configuration's shard in the newest term.
+    /// Returns the machine that leads the configuration's shard in the highest term.
     pub fn leader(&self) -> u8 {
         let term = |number: &u8| {
             let core = self.machines[number].core.as_ref()?;
@@ -307,7 +307,7 @@
         leaders.max().map(|(_, number)| number).expect("there is a leader")
     }
 
-    /// Lets time pass until a predicate holds; `false` if it does not in time.
+    /// Advances the clock until a predicate holds. Returns `false` if it does not hold in time.
     pub fn run_until(&mut self, within: Millis, predicate: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + within;
         while !predicate(self) {
@@ -324,55 +324,55 @@
         CallId(self.next_call)
     }
 
-    /// The operator calls a machine.
+    /// Sends a call of the operator to a machine.
     pub fn operator_call(&mut self, number: u8, request: OperatorCall) -> CallId {
         let call = self.new_call();
-        self.arrive(number, Event::OperatorCall { call, request });
+        self.deliver_event(number, Event::OperatorCall { call, request });
         self.deliver();
         call
     }
 
-    /// The operator replaces the configuration.
+    /// Sends a call of the operator that replaces the configuration.
     pub fn replace_config(&mut self, number: u8, base_version: u64, body: &str) -> CallId {
         self.operator_call(number, replace_call(base_version, body))
     }
 
-    /// A machine's response to the operator, if there is one.
+    /// Returns a machine's response to the operator, if there is one.
     pub fn operator_response(&self, number: u8, call: CallId) -> Option<&OperatorResponse> {
         responses::operator_response(&self.machines[&number].actions, call)
     }
 
-    /// An edge polls a machine.
+    /// Sends a poll of an edge to a machine.
     pub fn poll(&mut self, number: u8, edge: u8, request: PollRequest) -> CallId {
         let call = self.new_call();
-        self.arrive(number, Event::Poll { call, edge: edge_identity(edge), request });
+        self.deliver_event(number, Event::Poll { call, edge: edge_identity(edge), request });
         self.deliver();
         call
     }
 
-    /// A machine's response to a poll, if there is one.
+    /// Returns a machine's response to a poll, if there is one.
     pub fn poll_response(&self, number: u8, call: CallId) -> Option<&PollResponse> {
         responses::poll_response(&self.machines[&number].actions, call)
     }
 
-    /// A server sends a heartbeat to a machine.
+    /// Sends a heartbeat of a server to a machine.
     pub fn heartbeat(&mut self, number: u8, id: &str, state: ServerState, sequence: u64) -> CallId {
         let call = self.new_call();
         let heartbeat = heartbeat(state, sequence);
-        self.arrive(number, Event::Heartbeat { call, id: id.to_owned(), heartbeat });
+        self.deliver_event(number, Event::Heartbeat { call, id: id.to_owned(), heartbeat });
         self.deliver();
         call
     }
 
-    /// A server deregisters at a machine.
+    /// Deregisters a server at a machine.
     pub fn deregister(&mut self, number: u8, id: &str) -> CallId {
         let call = self.new_call();
-        self.arrive(number, Event::Deregister { call, id: id.to_owned() });
+        self.deliver_event(number, Event::Deregister { call, id: id.to_owned() });
         self.deliver();
         call
     }
 
-    /// Whether a server's call was acknowledged, if it is answered.
+    /// Returns whether a call of a server was acknowledged; `None` if it is not answered yet.
     pub fn server_response(&self, number: u8, call: CallId) -> Option<bool> {
         responses::server_response(&self.machines[&number].actions, call)
     }
--- a/coordinator/tests/common/mod.rs
+++ b/coordinator/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Coordinators' decisions under a clock, disks and links that a test drives: one alone ([`single`]), several with
-//! immediate links ([`cluster`]), and several with delays and machines that are lost ([`simulated_cluster`]).
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Coordinators whose clock, disks and links are driven by a test: a single one ([`single`]), several with immediate
+//! message delivery ([`cluster`]), and several with message delays and machines that are lost ([`simulated_cluster`]).
+#![allow(dead_code, reason = "each test file uses a different part")]
 
 pub mod cluster;
 pub mod responses;
@@ -18,24 +18,22 @@
 
 pub use responses::is_done;
 
-/// Interval between two ticks.
+/// Interval between ticks.
 pub const TICK: Millis = 50;
-/// The time at which tests begin.
+/// Time of the test clock at the start of a test.
 pub const START: Millis = 1_000_000;
-/// An edge that polls.
+/// Number of the edge that polls in most tests.
 pub const EDGE: u8 = 100;
 
-/// The node with this number.
 pub fn node(number: u8) -> NodeId {
     NodeId::from(Ipv4Addr::new(10, 0, 0, number))
 }
 
-/// The nodes with these numbers.
 pub fn nodes(numbers: &[u8]) -> Vec<NodeId> {
     numbers.iter().map(|number| node(*number)).collect()
 }
 
-/// Options of a coordinator, from the text of a settings file.
+/// Options of a coordinator, parsed from the text of a settings file.
 pub fn coordinator_options(
     node: NodeId,
     seeds: &[NodeId],
@@ -53,7 +51,7 @@
     CoordinatorOptions::from_settings(&settings, incarnation)
 }
 
-/// A small configuration with one route to this host.
+/// A minimal configuration with one route, for this host.
 pub fn configuration(version: u64, host: &str) -> String {
     format!(
         r#"{{"version":{version},"routes":[{{"name":"r","host":"{host}","pathPrefix":"/","type":"idempotent",
@@ -63,7 +61,7 @@
     )
 }
 
-/// The operator's call that replaces the configuration.
+/// A call of the operator that replaces the configuration.
 pub fn replace_call(base_version: u64, body: &str) -> OperatorCall {
     OperatorCall::Change { replace: true, base_version, body: body.as_bytes().to_vec() }
 }
@@ -74,12 +72,11 @@
     Heartbeat { service: "web".to_owned(), address, state, sequence, ..Heartbeat::default() }
 }
 
-/// The identity of an edge.
 pub fn edge_identity(edge: u8) -> EdgeIdentity {
     EdgeIdentity { node: node(edge), incarnation: Incarnation(1), zone: "a".to_owned() }
 }
 
-/// Records as a journal returns them.
+/// Converts records to the form in which the journal returns them.
 pub fn stored(records: Vec<(u32, Vec<u8>)>) -> Vec<StoredRecord> {
     records.into_iter().map(|(stream, bytes)| StoredRecord { stream, bytes }).collect()
 }
--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -1,5 +1,5 @@
-//! Several coordinators in virtual time: links that delay, partitions, disks that sync late, and machines that are killed,
-//! lose power, lose their disks, are removed and join.
+//! Several coordinators under a simulated clock, with message delays, partitions, slow disks, and machines that lose
+//! power or their disks, are removed, or join.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,17 +12,17 @@
 
 use super::{configuration, coordinator_options, node, replace_call, stored, START, TICK};
 
-/// Interval between two looks at what is due.
+/// Step width of the simulated clock.
 const STEP: Millis = 5;
 /// How long the operator waits for one node before it retries at the next.
 const OPERATOR_TIMEOUT: Millis = 1_000;
 /// How long the operator retries a call.
 const OPERATOR_RETRY_PERIOD: Millis = 8_000;
-/// Number of machines that are named as seeds at the bootstrap.
+/// Number of machines that are named as seeds during the bootstrap.
 const SEEDS: usize = 3;
-/// Time within which all machines start at the bootstrap.
+/// Maximum time between the first and the last start of a machine during the bootstrap.
 const BOOTSTRAP_SPREAD: Millis = 300;
-/// The longest time that a sync takes on a usual disk.
+/// Longest time that a sync takes on a normal disk, in milliseconds.
 const SYNC_MS: Millis = 3;
 
 /// Records that are being synced to a disk.
@@ -32,18 +32,18 @@
     due: Millis,
 }
 
-/// A machine: its process, if it runs, and its disk.
+/// A machine with its disk and, if it is running, its process.
 pub struct Machine {
     core: Option<Coordinator>,
     seeds: Vec<NodeId>,
     synced: Vec<StoredRecord>,
-    /// Whether its journal was corrupt once and erased.
+    /// Whether the journal was corrupt and has been erased.
     was_erased: bool,
     pending_syncs: VecDeque<PendingSync>,
     clock_offset: Millis,
-    /// [`Millis::MAX`] once the process was requested to shut down.
+    /// [`Millis::MAX`] after the process was requested to shut down.
     next_tick: Millis,
-    /// The longest time that a sync takes.
+    /// Longest time that a sync takes, in milliseconds.
     sync_ms: Millis,
 }
 
@@ -54,24 +54,24 @@
     message: CoordinatorMessage,
 }
 
-/// Says whether a message is delivered.
+/// Returns whether a message is delivered.
 pub type DeliveryFilter = Box<dyn FnMut(NodeId, NodeId, &CoordinatorMessage) -> bool>;
 
-/// Coordinators, and the links between them.
+/// Coordinators and the links between them, under a simulated clock.
 pub struct SimulatedCluster {
     pub now: Millis,
     machines: BTreeMap<NodeId, Machine>,
-    /// One-way partitions: sender and receiver.
+    /// Pairs of sender and receiver whose messages are dropped.
     partitions: BTreeSet<(NodeId, NodeId)>,
-    /// Drops the messages for which it says `false`.
+    /// Messages for which it returns `false` are dropped.
     pub delivery_filter: Option<DeliveryFilter>,
-    /// The newest version that was acknowledged to the operator.
+    /// The newest configuration version that was acknowledged to the operator.
     acknowledged_version: u64,
     hosts_lost: usize,
-    /// By the time of delivery and the order of sending.
+    /// Sorted by the time of delivery, then by the order of sending.
     in_flight: BTreeMap<(Millis, u64), Envelope>,
     responses: BTreeMap<CallId, OperatorResponse>,
-    /// Whether calls of servers were acknowledged, as far as they are answered.
+    /// Whether each answered call of a server was acknowledged.
     server_responses: BTreeMap<CallId, bool>,
     random: u64,
     last_sequence: u64,
@@ -79,8 +79,8 @@
 }
 
 impl SimulatedCluster {
-    /// Machines 1 to `2 * hosts_lost + 1`, started together for the first time in a random order, with the first three as
-    /// seeds. All vote, and a first configuration is acknowledged.
+    /// Bootstraps machines 1 to `2 * hosts_lost + 1`, which start in a random order with the first three as seeds,
+    /// until all are voters and a first configuration is acknowledged.
     pub fn bootstrapped(hosts_lost: usize, seed: u64) -> SimulatedCluster {
         let mut cluster = SimulatedCluster::empty(hosts_lost, seed);
         let voters: Vec<NodeId> = (1..=2 * hosts_lost as u8 + 1).map(node).collect();
@@ -100,7 +100,6 @@
         cluster
     }
 
-    /// No machines yet.
     fn empty(hosts_lost: usize, seed: u64) -> SimulatedCluster {
         SimulatedCluster {
             now: START,
@@ -118,7 +117,7 @@
         }
     }
 
-    /// A random number below `bound`.
+    /// Returns a pseudo-random number below `bound`.
     pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -126,7 +125,7 @@
         self.random % bound
     }
 
-    /// The nodes but for some of them, in a random rotation.
+    /// Returns the nodes except some of them, rotated by a random number of places.
     pub fn rotate_without(&mut self, nodes: &[NodeId], without: &[NodeId]) -> Vec<NodeId> {
         let mut rest: Vec<NodeId> = nodes.iter().copied().filter(|node| !without.contains(node)).collect();
         let turns = self.random_below(rest.len() as u64) as usize;
@@ -134,7 +133,7 @@
         rest
     }
 
-    /// Chooses `count` of the nodes at random; these, and the others.
+    /// Chooses `count` of the nodes at random. Returns these and the others.
     pub fn choose(&mut self, nodes: &[NodeId], count: usize) -> (Vec<NodeId>, Vec<NodeId>) {
         let chosen = self.rotate_without(nodes, &[])[..count].to_vec();
         let others = self.rotate_without(nodes, &chosen);
@@ -157,12 +156,12 @@
         self.machines.insert(node, machine);
     }
 
-    /// A machine joins with an empty disk.
+    /// Adds and starts a machine with an empty disk.
     pub fn join(&mut self, node: NodeId, seeds: &[NodeId]) {
         self.join_with_disk(node, seeds, SYNC_MS);
     }
 
-    /// A machine joins with an empty disk whose syncs take up to `sync_ms` milliseconds.
+    /// Adds and starts a machine with an empty disk whose syncs take up to `sync_ms` milliseconds.
     pub fn join_with_disk(&mut self, node: NodeId, seeds: &[NodeId], sync_ms: Millis) {
         self.add(node, seeds);
         self.slow_disk(node, sync_ms);
@@ -174,13 +173,13 @@
         self.machine(node).sync_ms = sync_ms;
     }
 
-    /// Starts a process with what its disk holds.
+    /// Starts a process with the records on its disk.
     pub fn start(&mut self, node: NodeId) {
         self.start_as(node, false);
     }
 
-    /// Starts a process again while its settings still say that the whole system starts for the first time.
-    pub fn start_at_founding(&mut self, node: NodeId) {
+    /// Starts a process with the records on its disk, while its settings still say `bootstrap`.
+    pub fn start_with_bootstrap(&mut self, node: NodeId) {
         self.start_as(node, true);
     }
 
@@ -200,32 +199,31 @@
     }
 
     fn machine(&mut self, node: NodeId) -> &mut Machine {
-        self.machines.get_mut(&node).expect("a machine of the test")
+        self.machines.get_mut(&node).expect("the machine exists")
     }
 
-    /// Nodes whose process runs.
+    /// Returns the nodes whose process is running.
     pub fn running(&self) -> Vec<NodeId> {
         let running = self.machines.iter().filter(|(_, machine)| machine.core.is_some());
         running.map(|(node, _)| *node).collect()
     }
 
-    /// The decisions of a machine whose process runs.
+    /// Returns the state machine of a running process.
     pub fn core(&self, node: NodeId) -> &Coordinator {
-        self.machines[&node].core.as_ref().expect("a process that runs")
+        self.machines[&node].core.as_ref().expect("the process is running")
     }
 
-    /// A shard's replica at a machine whose process runs.
+    /// Returns the replica of a shard at a running process.
     pub fn replica(&self, node: NodeId, shard: u32) -> &Replica {
-        &self.core(node).shards().get(shard).expect("a shard").replica
+        &self.core(node).shards().get(shard).expect("the shard exists").replica
     }
 
-    /// Numbers of the shards.
     pub fn shards(&self) -> std::ops::Range<u32> {
         let any = self.running()[0];
         self.core(any).shards().numbers()
     }
 
-    /// The machine loses power: what is not synced is lost, but for a part at its start.
+    /// Cuts the power of a machine: writes that are not synced are lost, except for a random number of the oldest ones.
     pub fn lose_power(&mut self, node: NodeId) {
         let kept = self.random_below(4) as usize;
         let machine = self.machine(node);
@@ -235,19 +233,19 @@
         machine.synced.extend(kept);
     }
 
-    /// The machine loses power and its disk.
+    /// Cuts the power of a machine and erases its disk.
     pub fn wipe(&mut self, node: NodeId) {
         self.lose_power(node);
         self.machine(node).synced.clear();
     }
 
-    /// The machine loses power, and its journal turns out to be corrupt: it is erased, as the driver does.
+    /// Cuts the power of a machine and erases its journal in the way that the driver erases a corrupt one.
     pub fn erase_corrupt_journal(&mut self, node: NodeId) {
         self.wipe(node);
         self.machine(node).was_erased = true;
     }
 
-    /// Corrupts all that the disk holds of a shard but its hard state.
+    /// Corrupts all records of a shard on the disk except its hard state.
     pub fn corrupt_log(&mut self, node: NodeId, shard: u32) {
         let is_hard =
             |record: &StoredRecord| matches!(Record::decode(&record.bytes), Ok(Record::HardState(_)));
@@ -255,21 +253,21 @@
         records.filter(|record| !is_hard(record)).for_each(|record| record.bytes = vec![255; 3]);
     }
 
-    /// Requests the process to shut down. It answers until it may end, without ticks.
+    /// Requests a process to shut down. From then on it handles messages and syncs, but no ticks.
     pub fn request_shutdown(&mut self, node: NodeId) {
         self.handle(node, Event::ShutdownRequested);
         self.machine(node).next_tick = Millis::MAX;
     }
 
-    /// Shuts a machine down: after the grace period it loses power, and keeps its disk.
+    /// Shuts a machine down: its power is cut once the process may exit. The disk is kept.
     pub fn shut_down(&mut self, node: NodeId) {
         self.request_shutdown(node);
-        self.await_end(node);
+        self.await_exit(node);
         self.lose_power(node);
     }
 
-    /// Lets time pass until a process may end that was requested to; how long that took.
-    fn await_end(&mut self, node: NodeId) -> Millis {
+    /// Advances the clock until a process that was requested to shut down may exit. Returns the time that this took.
+    fn await_exit(&mut self, node: NodeId) -> Millis {
         let requested_at = self.now;
         while !self.core(node).may_end(self.now - requested_at) {
             self.step();
@@ -277,15 +275,15 @@
         self.now - requested_at
     }
 
-    /// Shuts a machine down and removes its disk; how long the process went on.
-    pub fn remove_as_planned(&mut self, node: NodeId) -> Millis {
+    /// Shuts a machine down and erases its disk. Returns the time from the request to the exit.
+    pub fn decommission(&mut self, node: NodeId) -> Millis {
         self.request_shutdown(node);
-        let elapsed = self.await_end(node);
+        let elapsed = self.await_exit(node);
         self.wipe(node);
         elapsed
     }
 
-    /// Drops the messages between a machine and all others.
+    /// Drops messages between a machine and all others from now on.
     pub fn isolate(&mut self, node: NodeId) {
         for other in self.machines.keys().copied().filter(|other| *other != node) {
             self.partitions.insert((node, other));
@@ -298,7 +296,7 @@
         self.partitions.clear();
     }
 
-    /// Handles an event at a machine, if its process runs.
+    /// Handles an event at a machine, if its process is running.
     pub fn handle(&mut self, node: NodeId, event: Event) {
         let now = self.now;
         let machine = self.machine(node);
@@ -307,11 +305,11 @@
         let mut actions = Vec::new();
         core.handle(clock, event, &mut actions);
         for action in actions {
-            self.carry_out(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, action: Action) {
+    fn execute(&mut self, node: NodeId, action: Action) {
         match action {
             Action::Send { to, message } => self.send(node, to, message),
             Action::Persist { ticket, records } => {
@@ -336,7 +334,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -344,7 +342,7 @@
         }
     }
 
-    /// Lets time pass until something holds, or returns false after `limit`.
+    /// Advances the clock until a predicate holds. Returns `false` if it does not hold within `limit`.
     pub fn run_until(&mut self, limit: Millis, holds: impl Fn(&SimulatedCluster) -> bool) -> bool {
         let end = self.now + limit;
         while !holds(self) {
@@ -381,13 +379,13 @@
         Some(pending.ticket)
     }
 
-    /// The node that leads a shard, in the newest term, where one does.
+    /// Returns the leader of a shard in the highest term, if there is one.
     pub fn leader_of(&self, shard: u32) -> Option<NodeId> {
         let leaders = self.running().into_iter().filter(|node| self.replica(*node, shard).is_leader());
         leaders.max_by_key(|node| self.replica(*node, shard).term())
     }
 
-    /// Whether a shard has a leader that is one of these voters, and no others vote or are to vote.
+    /// Returns whether a shard has exactly these voters, with no change in progress, and one of them is its leader.
     pub fn has_voters_in(&self, shard: u32, voters: &[NodeId]) -> bool {
         let mut voters = voters.to_vec();
         voters.sort_unstable();
@@ -396,7 +394,7 @@
         !replica.is_changing_voters() && replica.voters().incoming() == voters && voters.contains(&leader)
     }
 
-    /// The same in all shards.
+    /// Returns whether [`SimulatedCluster::has_voters_in`] holds for all shards.
     pub fn has_voters(&self, voters: &[NodeId]) -> bool {
         self.shards().all(|shard| self.has_voters_in(shard, voters))
     }
@@ -407,7 +405,7 @@
         assert!(has_voters, "{voters:?} are not the voters: {}", self.describe());
     }
 
-    /// Whether any shard of a machine would be a recovering voter if its process restarted now.
+    /// Returns whether a restart of the process now would make the machine a recovering voter of any shard.
     pub fn is_recovering_on_disk(&self, node: NodeId) -> bool {
         let is_recovering = |shard: u32| {
             let records = self.machines[&node].synced.iter().filter(|record| record.stream == shard).rev();
@@ -420,7 +418,7 @@
         self.shards().any(is_recovering)
     }
 
-    /// A server calls a node; whether it is acknowledged, once it is answered.
+    /// Sends a call of a server to a node. Returns whether it is acknowledged in time.
     pub fn server_call(&mut self, at: NodeId, event: impl FnOnce(CallId) -> Event) -> bool {
         self.last_call += 1;
         let call = CallId(self.last_call);
@@ -429,7 +427,7 @@
         self.server_responses.remove(&call).unwrap_or(false)
     }
 
-    /// The operator calls a node; its response, if it comes in time.
+    /// Sends a call of the operator to a node. Returns the response if it comes in time.
     fn operator_call(&mut self, at: NodeId, request: &OperatorCall) -> Option<OperatorResponse> {
         self.last_call += 1;
         let call = CallId(self.last_call);
@@ -438,7 +436,8 @@
         self.responses.remove(&call)
     }
 
-    /// The operator calls one node after the other until one succeeds, or time is up; the response's body.
+    /// Sends a call of the operator to one node after another until one succeeds or time is up. Returns the response
+    /// body.
     fn retry_operator_call(&mut self, request: &OperatorCall) -> Option<Vec<u8>> {
         let end = self.now + OPERATOR_RETRY_PERIOD;
         while self.now < end {
@@ -451,7 +450,7 @@
         None
     }
 
-    /// The operator replaces the configuration by the next version, which is acknowledged within some seconds.
+    /// Replaces the configuration with the next version, and asserts that this is acknowledged.
     pub fn commit_change(&mut self) {
         let body = configuration(self.acknowledged_version + 1, "example");
         let change = replace_call(self.acknowledged_version, &body);
@@ -460,11 +459,12 @@
         self.acknowledged_version += 1;
     }
 
-    /// What was acknowledged is read back, each shard has a leader, and the next change is acknowledged.
+    /// Asserts that the last acknowledged version can be read, each shard has a leader, and a further change is
+    /// acknowledged.
     pub fn assert_available(&mut self) {
         let body = self.retry_operator_call(&OperatorCall::Read);
-        let Some(body) = body else { panic!("nothing can be read: {}", self.describe()) };
-        let text = String::from_utf8(body).expect("JSON");
+        let Some(body) = body else { panic!("the configuration cannot be read: {}", self.describe()) };
+        let text = String::from_utf8(body).expect("the body is UTF-8");
         let version = format!("\"version\":{}", self.acknowledged_version);
         assert!(text.contains(&version), "{version} was lost: {text}");
         let has_leaders =
@@ -473,7 +473,7 @@
         self.commit_change();
     }
 
-    /// One line for each shard of each machine, for messages of failed tests.
+    /// Describes the state in one line for each shard of each machine, for messages of failed assertions.
     pub fn describe(&self) -> String {
         let mut lines = vec![format!("at {}", self.now)];
         for node in self.machines.keys() {
@@ -498,19 +498,19 @@
     }
 }
 
-/// A cluster after its bootstrap, with as many members chosen at random as may be lost at once.
+/// A bootstrapped cluster, with a random choice of as many voters as it tolerates losing at once.
 pub struct BootstrappedCluster {
     pub cluster: SimulatedCluster,
-    /// The voters of the bootstrap.
+    /// All voters.
     pub members: Vec<NodeId>,
-    /// As many of them as may be lost at once.
+    /// The chosen voters, as many as may be lost at once.
     pub chosen: Vec<NodeId>,
-    /// The others, in random order.
+    /// The other voters, in a random rotation.
     pub others: Vec<NodeId>,
 }
 
 impl BootstrappedCluster {
-    /// A cluster that bears `hosts_lost` losses at once.
+    /// Bootstraps a cluster that tolerates `hosts_lost` losses at once.
     pub fn new(hosts_lost: usize, seed: u64) -> Self {
         let mut cluster = SimulatedCluster::bootstrapped(hosts_lost, seed);
         let members = cluster.running();
--- a/coordinator/tests/demand.rs
+++ b/coordinator/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Demand that edges report, and the edges among which the retry budget is divided.
+//! Aggregation of the demand that edges report, and the number of edges that share the retry budget.
 
 mod common;
 
@@ -13,20 +13,20 @@
 #[test]
 fn reports_add_counters_and_replace_gauges() {
     // given
-    let demand = |arrived, waiting, priority| Demand {
+    let demand = |arrived, queued, priority| Demand {
         service: "llm".into(),
         model: "m".into(),
         arrived,
-        queued: waiting,
+        queued,
         priority,
         ..Demand::default()
     };
-    let observed = |failed| ServerOutcomes { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
+    let outcomes = |failed| ServerOutcomes { server: "i-1".into(), succeeded: 1, failed, unreachable: 0 };
     let mut aggregated = AggregatedDemand::default();
 
     // when
-    aggregated.add(node(100), vec![demand(2, 5, 3)], vec![observed(1)]);
-    aggregated.add(node(100), vec![demand(3, 1, 7)], vec![observed(2)]);
+    aggregated.add(node(100), vec![demand(2, 5, 3)], vec![outcomes(1)]);
+    aggregated.add(node(100), vec![demand(3, 1, 7)], vec![outcomes(2)]);
     aggregated.add(node(101), vec![demand(1, 0, 0)], Vec::new());
 
     // then
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn inactive_edges_are_dropped() {
+fn inactive_edges_are_removed() {
     // given
     let mut edges = Edges::new(RETRY_WINDOW, 0);
     edges.on_poll(node(100), 0);
@@ -46,13 +46,13 @@
     edges.on_peer_edges(nodes(&[101, 102, 103]), 3_000);
     assert_eq!(edges.list(), nodes(&[100, 101, 102, 103]));
 
-    // when: one has not polled for long, and one disconnects
+    // when: one entry expires, and another edge disconnects
     edges.tick(4_000);
     edges.on_disconnect(node(103));
 
     // then
     assert_eq!((edges.local(), edges.list().len()), (nodes(&[101]), 2));
-    // The shares of the retry budget that they may have spent count until its window is over.
+    // Retries that they may have made count until the window of the retry budget has passed.
     assert_eq!(edges.retry_budget_shares(10_000), 4);
     assert_ne!(edge_list_hash(&edges.list()), edge_list_hash(&nodes(&[102, 101])));
 }
@@ -73,8 +73,9 @@
 }
 
 #[test]
-fn departed_edges_share_until_their_spendings_are_out_of_the_window() {
-    // Their own share ends a window after their last poll, and what they spent by then counts for a window more.
+fn departed_edges_count_until_their_retries_leave_the_window() {
+    // An edge may use its share for one window after its last poll, and the retries that it has made by then count for
+    // one more window.
     let now = START + RETRY_WINDOW;
     let mut edges = six_edges_at(now);
 
--- a/coordinator/tests/desired_voters.rs
+++ b/coordinator/tests/desired_voters.rs
@@ -1,4 +1,4 @@
-//! The voters that a shard should have, by what its leader sees of the nodes.
+//! The voters that a shard should have, derived from the state of the nodes as seen by its leader.
 
 mod common;
 
--- a/coordinator/tests/disk_loss.rs
+++ b/coordinator/tests/disk_loss.rs
@@ -1,4 +1,4 @@
-//! Acknowledged changes survive lost and corrupt disks, together with losses of power or one after the other.
+//! Acknowledged changes survive lost and corrupt disks, combined with power losses or following each other.
 
 mod common;
 
@@ -11,35 +11,36 @@
 use shaletrail_protocol::NodeId;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
-/// Number of random histories of each kind, unless `SHALETRAIL_SEEDS` says otherwise.
-const HISTORIES: u64 = 4;
-/// A server that leaves.
+/// Number of random runs of each kind, unless `SHALETRAIL_SEEDS` is set.
+const RANDOM_RUNS: u64 = 4;
+/// The server that leaves.
 const SERVER: &str = "i-1";
-/// Losses in a history.
-const LOSSES: usize = 8;
+/// Number of rounds of losses in a random run.
+const ROUNDS: usize = 8;
 
-/// A change that one voter has not got is acknowledged. All lose power, and the other follower comes back changed by
-/// `harm`, with the one that lags; the former leader comes later.
-fn lose_power_around(seed: u64, harm: impl Fn(&mut SimulatedCluster, NodeId)) {
+/// A change is acknowledged that one voter, which is isolated, has not received. Then all nodes lose power. The other
+/// follower, modified by `damage`, and the lagging voter restart first, the former leader later. Until then no leader
+/// may be elected, because neither of the two has the change.
+fn lose_power_after_change(seed: u64, damage: impl Fn(&mut SimulatedCluster, NodeId)) {
     // given
     let mut cluster = SimulatedCluster::bootstrapped(1, seed);
-    let leader = cluster.leader_of(CONFIGURATION).expect("a leader");
+    let leader = cluster.leader_of(CONFIGURATION).expect("the shard has a leader");
     let voters = cluster.running();
     let followers = cluster.rotate_without(&voters, &[leader]);
-    let (lagging, harmed) = (followers[0], followers[1]);
+    let (lagging, damaged) = (followers[0], followers[1]);
     cluster.isolate(lagging);
     cluster.commit_change();
 
     // when
     voters.iter().for_each(|node| cluster.lose_power(*node));
-    harm(&mut cluster, harmed);
+    damage(&mut cluster, damaged);
     cluster.heal();
     cluster.start(lagging);
-    cluster.start(harmed);
+    cluster.start(damaged);
     cluster.run(3_000);
 
     // then
-    assert!(cluster.is_recovering_on_disk(harmed), "{}", cluster.describe());
+    assert!(cluster.is_recovering_on_disk(damaged), "{}", cluster.describe());
     assert_eq!(cluster.leader_of(CONFIGURATION), None, "seed {seed}");
     cluster.start(leader);
     cluster.assert_available();
@@ -47,23 +48,24 @@
 
 #[test]
 fn change_survives_wiped_disk_and_power_loss() {
-    SEEDS.for_each(|seed| lose_power_around(seed, |cluster, harmed| cluster.wipe(harmed)));
+    SEEDS.for_each(|seed| lose_power_after_change(seed, |cluster, damaged| cluster.wipe(damaged)));
 }
 
 #[test]
 fn change_survives_corrupt_disk_and_power_loss() {
     SEEDS.for_each(|seed| {
-        lose_power_around(seed, |cluster, harmed| cluster.corrupt_log(harmed, CONFIGURATION))
+        lose_power_after_change(seed, |cluster, damaged| cluster.corrupt_log(damaged, CONFIGURATION))
     });
 }
 
-/// A change that one voter has not got is acknowledged while settings still say that the system starts for the first time.
-/// All lose power; the journal of the other follower is corrupt and erased. They start again in this order, the last one
-/// much later: of the lagging voter (0), the one that has lost its journal (1) and the former leader (2).
-fn corrupt_journal_at_founding(seed: u64, order: [usize; 3]) {
+/// A change is acknowledged that one voter, which is isolated, has not received. Then all nodes lose power, and the
+/// corrupt journal of the other follower is erased. The nodes restart, while their settings still say `bootstrap`, in
+/// the given order, the last one much later: the lagging voter (0), the one that has lost its journal (1), the former
+/// leader (2).
+fn corrupt_journal_during_bootstrap(seed: u64, order: [usize; 3]) {
     // given
     let mut cluster = SimulatedCluster::bootstrapped(1, seed);
-    let leader = cluster.leader_of(CONFIGURATION).expect("a leader");
+    let leader = cluster.leader_of(CONFIGURATION).expect("the shard has a leader");
     let voters = cluster.running();
     let followers = cluster.rotate_without(&voters, &[leader]);
     let nodes = [followers[0], followers[1], leader];
@@ -77,7 +79,7 @@
     for (position, started) in order.into_iter().enumerate() {
         let pause = if position == 2 { 3_000 } else { 200 };
         cluster.run(pause);
-        cluster.start_at_founding(nodes[started]);
+        cluster.start_with_bootstrap(nodes[started]);
     }
 
     // then
@@ -87,13 +89,13 @@
 }
 
 #[test]
-fn change_survives_corrupt_journal_at_founding() {
+fn change_survives_corrupt_journal_during_bootstrap() {
     let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
-    SEEDS.for_each(|seed| orders.iter().for_each(|order| corrupt_journal_at_founding(seed, *order)));
+    SEEDS.for_each(|seed| orders.iter().for_each(|order| corrupt_journal_during_bootstrap(seed, *order)));
 }
 
 #[test]
-fn two_corrupt_journals_found_no_second_group() {
+fn two_erased_journals_bootstrap_no_second_group() {
     SEEDS.for_each(|seed| {
         // given
         let mut cluster = SimulatedCluster::bootstrapped(1, seed);
@@ -101,25 +103,25 @@
         voters.iter().for_each(|node| cluster.lose_power(*node));
         // when
         voters[..2].iter().for_each(|node| cluster.erase_corrupt_journal(*node));
-        voters[..2].iter().for_each(|node| cluster.start_at_founding(*node));
+        voters[..2].iter().for_each(|node| cluster.start_with_bootstrap(*node));
         cluster.run(5_000);
         // then
         assert_eq!(cluster.leader_of(CONFIGURATION), None, "seed {seed}");
-        cluster.start_at_founding(voters[2]);
+        cluster.start_with_bootstrap(voters[2]);
         cluster.run(5_000);
         assert_eq!(cluster.leader_of(CONFIGURATION), None, "seed {seed}");
     });
 }
 
-/// Machines are removed and replaced or lose their disks, one round after the other; in each round the losses begin in
-/// the moment in which the last ones are made good.
-fn play_history(hosts_lost: usize, seed: u64) {
+/// In each round, machines are replaced or lose their disks. The next round begins as soon as the losses of the
+/// previous one are repaired.
+fn run_random_losses(hosts_lost: usize, seed: u64) {
     let mut cluster = SimulatedCluster::bootstrapped(hosts_lost, seed);
     let mut voters = cluster.running();
     let mut next_machine = 20;
-    for _ in 0..LOSSES {
-        let (struck, _) = cluster.choose(&voters, hosts_lost);
-        for lost in &struck {
+    for _ in 0..ROUNDS {
+        let (lost_nodes, _) = cluster.choose(&voters, hosts_lost);
+        for lost in &lost_nodes {
             cluster.wipe(*lost);
             if cluster.random_below(2) == 0 {
                 cluster.start(*lost);
@@ -149,18 +151,19 @@
 #[test]
 fn change_survives_consecutive_losses() {
     for hosts_lost in [1, 2] {
-        for seed in 1..=histories() {
+        for seed in 1..=random_runs() {
             println!("{hosts_lost} lost at once, seed {seed}");
-            play_history(hosts_lost, seed);
+            run_random_losses(hosts_lost, seed);
         }
     }
 }
 
-fn histories() -> u64 {
-    std::env::var("SHALETRAIL_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(HISTORIES)
+fn random_runs() -> u64 {
+    std::env::var("SHALETRAIL_SEEDS").ok().and_then(|value| value.parse().ok()).unwrap_or(RANDOM_RUNS)
 }
 
-/// A server leaves, and the moment in which that is acknowledged all coordinators lose power; `hosts_lost` disks are lost.
+/// A server leaves. Right after that is acknowledged, all coordinators lose power and `lost_disks` of them lose their
+/// disks.
 fn lose_all_after_departure(seed: u64, hosts_lost: usize, lost_disks: usize, leave: fn(CallId) -> Event) {
     // given
     let mut cluster = SimulatedCluster::bootstrapped(hosts_lost, seed);
@@ -181,12 +184,12 @@
     voters.iter().for_each(|node| cluster.start(*node));
     cluster.run(1_000);
 
-    // then: nobody takes it to be ready
+    // then: no coordinator considers the server ready
     for node in &voters {
         let presence = cluster.core(*node).directory().record(SERVER).map(|record| record.presence);
         assert!(
             matches!(presence, Some(Presence::Draining | Presence::Removed)),
-            "seed {seed}: {node} takes it to be {presence:?}"
+            "seed {seed}: {node} considers it {presence:?}"
         );
     }
 }
--- a/coordinator/tests/lease_state.rs
+++ b/coordinator/tests/lease_state.rs
@@ -1,4 +1,4 @@
-//! Which node holds a shard's order lease, and when a holder need not wait for the one before it.
+//! Which node holds a shard's order lease, and whether it must wait after the previous holder.
 
 mod common;
 
@@ -18,7 +18,7 @@
     state.apply(&LeaseState::acquire_command(holder)).expect("an epoch starts")
 }
 
-/// The first node has ordered, then the second one has acquired the lease.
+/// The state after the first node held the lease and the second one has acquired it.
 fn second_after_first() -> LeaseState {
     let mut state = LeaseState::default();
     acquire(&mut state, holder(1, 4));
@@ -67,7 +67,7 @@
     let mut state = second_after_first();
     let epoch = acquire(&mut state, holder(2, 6));
     assert_eq!(epoch.previous_holder, Some(holder(2, 5)));
-    assert!(epoch.must_wait, "the first node's orders may be as old as they were");
+    assert!(epoch.must_wait, "orders of the first node may still be less than a lease duration old");
 }
 
 #[test]
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn former_orders_may_arrive_after_the_election() {
-    // given: another node's epoch before this one
+fn orders_of_previous_holder_may_arrive_after_election() {
+    // given: another node held the lease before
     let shard = shard_of("llm");
     let options = coordinator_options(node(1), &[node(1)], false, 0, Incarnation(1));
     let mut leases = OrderLeases::new(&options);
@@ -112,7 +112,7 @@
     let epoch = LeaseEpoch { holder: holder(1, 5), previous_holder: Some(holder(2, 4)), must_wait: true };
     // when
     leases.on_epoch_started(START + 20, shard, epoch, true);
-    // then: its loads count in the store's window until the last of them can have begun
+    // then: the other node's orders may arrive, and count as loads from the weight store, until the margin has passed
     let arrival = Duration::from_millis(600);
     assert_eq!(leases.previous_orders_until(shard), Some(START + arrival.as_millis() as u64));
     let lease = options.order_lease;
--- a/coordinator/tests/operator_calls.rs
+++ b/coordinator/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operator calls that are forwarded, proposed again or answered late.
+//! Operator calls that are forwarded, proposed more than once, or answered late.
 
 mod common;
 
@@ -11,17 +11,17 @@
 use shaletrail_protocol::internal::{CoordinatorMessage, OperatorCall, OperatorResponse};
 use shaletrail_protocol::NodeId;
 
-/// A configured cluster of three; its leader, and a follower.
+/// Returns a configured cluster of three, its leader, and a follower.
 fn configured() -> (Cluster, u8, u8) {
     let cluster = Cluster::configured(3);
     let (leader, follower) = (cluster.leader(), cluster.follower());
     (cluster, leader, follower)
 }
 
-/// The coordinator that is neither of the two.
+/// Returns the coordinator that is neither of the two.
 fn third(cluster: &Cluster, one: u8, other: u8) -> u8 {
     let others = cluster.others(one);
-    others.into_iter().find(|number| *number != other).expect("a third")
+    others.into_iter().find(|number| *number != other).expect("there is a third coordinator")
 }
 
 fn is_forward_request(message: &CoordinatorMessage) -> bool {
@@ -32,14 +32,14 @@
     matches!(message, CoordinatorMessage::ForwardResponse { .. })
 }
 
-/// A configuration so large that its call may be pending for some seconds.
+/// A configuration so large that the timeout of its call is several seconds.
 fn large_configuration(version: u64, host: &str) -> String {
     configuration(version, host) + &" ".repeat(6 << 20)
 }
 
 #[test]
-fn late_response_reaches_no_call_of_next_start() {
-    // given: a forwarded call that the leader answers while its sender is down
+fn late_response_matches_no_call_of_next_incarnation() {
+    // given: the leader answers a forwarded call while the node that forwarded it is down
     let (mut cluster, leader, sender) = configured();
     cluster.kill(sender);
     cluster.start(sender);
@@ -52,7 +52,7 @@
     cluster.start(sender);
     cluster.run(1_000);
 
-    // when: the new process forwards a call of its own, also its first, which is lost
+    // when: the restarted process forwards its first call, which is lost, and then receives the old response
     cluster.delay_messages(move |from, _, message| from == sender && is_forward_request(message));
     let call = cluster.replace_config(sender, 1, &configuration(2, "c.example"));
     cluster.stop_delaying();
@@ -76,9 +76,9 @@
         CoordinatorMessage::ForwardRequest { call_id, .. } => Some(*call_id),
         _ => None,
     });
-    let id = id.expect("it is forwarded");
+    let id = id.expect("the call is forwarded");
 
-    // when: the answer of another node, and one to another call
+    // when: a response arrives from a node that is not the leader, and one to another call
     let response = OperatorResponse::Done { body: Vec::new() };
     cluster.send(
         third,
@@ -103,14 +103,14 @@
     let others = cluster.others(leader);
     assert!(cluster.run_until(2_000, |cluster| others.contains(&cluster.leader())));
 
-    // when: the entry of another term takes its index, and reaches the old leader while the call is still pending
+    // when: an entry of a later term overwrites it and reaches the old leader while the call is still pending
     let next = cluster.leader();
     let won = cluster.replace_config(next, 1, &configuration(2, "d.example"));
     cluster.reconnect(leader);
     cluster.run(500);
     assert!(is_done(cluster.operator_response(next, won)));
 
-    // then: it was forwarded to the next leader, and is in conflict there
+    // then: the call was forwarded to the next leader, where it is a conflict
     assert_eq!(
         cluster.operator_response(leader, lost),
         Some(&OperatorResponse::Conflict { current_version: 2 })
@@ -120,7 +120,7 @@
         let read = cluster.operator_call(number, OperatorCall::Read);
         cluster.run(500);
         let Some(OperatorResponse::Done { body }) = cluster.operator_response(number, read) else {
-            panic!("no answer")
+            panic!("the read is not answered")
         };
         assert!(!String::from_utf8_lossy(body).contains("b.example"));
     }
@@ -128,7 +128,7 @@
 
 #[test]
 fn retry_after_lost_response_is_acknowledged() {
-    // given: it was accepted, and the response to the node that forwarded it was lost
+    // given: a change was accepted, and the response to the node that forwarded it is lost
     let (mut cluster, leader, sender) = configured();
     cluster.delay_messages(|_, _, message| is_forward_response(message));
     let lost = cluster.replace_config(sender, 1, &configuration(2, "b.example"));
@@ -139,7 +139,7 @@
     );
     cluster.stop_delaying();
 
-    // when: the leader is lost, another change was committed, and it is retried at each of those that are left
+    // when: the leader is lost, another change is committed, and the first one is retried at each remaining coordinator
     cluster.kill(leader);
     cluster.run(3_000);
     let next = cluster.leader();
@@ -162,7 +162,7 @@
 
 #[test]
 fn proposal_is_acknowledged_after_leader_change() {
-    // given: one follower has got the entry, and its acknowledgement does not reach the leader
+    // given: one follower has received the entry, but its acknowledgement does not reach the leader
     let (mut cluster, leader, follower) = configured();
     let third = third(&cluster, leader, follower);
     cluster.partition(leader, third);
@@ -170,7 +170,7 @@
     let call = cluster.replace_config(leader, 1, &large_configuration(2, "b.example"));
     cluster.run(TICK);
 
-    // when: the follower leads next, and the old leader learns of it while its call is still pending
+    // when: the follower becomes the leader, and the old leader learns of it while its call is still pending
     cluster.partition_one_way(leader, follower);
     assert!(cluster.run_until(2_500, |cluster| cluster.leader() == follower));
     cluster.run(300);
@@ -209,7 +209,7 @@
         assert!(is_done(cluster.operator_response(at, first)));
         assert!(is_done(cluster.operator_response(at, again)));
 
-        // and one that builds on an older version is rejected for good
+        // and a change based on an older version is rejected as a conflict
         let old = cluster.replace_config(at, 1, &configuration(9, "x.example"));
         cluster.run(300);
         assert_eq!(
@@ -220,8 +220,8 @@
 }
 
 #[test]
-fn replaced_leader_reads_nothing_stale() {
-    // given: a leader that does not know that a change was committed under another one
+fn replaced_leader_returns_no_stale_read() {
+    // given: a leader that does not know of its successor and of a change committed by it
     let (mut cluster, leader, _) = configured();
     cluster.isolate(leader);
     let others = cluster.others(leader);
@@ -239,13 +239,13 @@
     cluster.run(1_000);
 
     // then
-    match cluster.operator_response(leader, read).expect("it is answered") {
+    match cluster.operator_response(leader, read).expect("the read is answered") {
         OperatorResponse::Done { body } => assert!(String::from_utf8_lossy(body).contains("d.example")),
         other => assert_eq!(other, &OperatorResponse::Unavailable),
     }
 }
 
-/// The first of three coordinators, of which this node leads.
+/// The first of three coordinators, with `leader` as the leader of the configuration's shard.
 fn led_by(leader: NodeId, incarnation: u64) -> SingleCoordinator {
     let mut coordinator = SingleCoordinator::with_incarnation(3, incarnation);
     let stamp = RoundStamp { round: 1, sent_at: 1 };
@@ -255,7 +255,7 @@
     coordinator
 }
 
-/// The id by which the last change was forwarded to the leader.
+/// Returns the id with which the last call was forwarded to the leader.
 fn forwarded_id(coordinator: &SingleCoordinator, leader: NodeId) -> u64 {
     let id = coordinator.actions.iter().rev().find_map(|action| match action {
         Action::Send { to, message: CoordinatorMessage::ForwardRequest { call_id, .. } } if *to == leader => {
@@ -272,8 +272,8 @@
 }
 
 #[test]
-fn response_to_earlier_start_is_ignored() {
-    // given: a call of an earlier process, and one of this
+fn response_to_call_of_earlier_incarnation_is_ignored() {
+    // given: a forwarded call of an earlier incarnation, and one of the present incarnation
     let leader = node(2);
     let mut before = led_by(leader, 77);
     before.replace_config(0, &configuration(1, "a.example"));
--- a/coordinator/tests/orders.rs
+++ b/coordinator/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to servers over the lease epochs of a node.
+//! An order may only be written in the lease epoch in which it was planned.
 
 mod common;
 
@@ -25,7 +25,7 @@
     )
 }
 
-/// The server says by a heartbeat and a report that it has loaded the model and no adapter.
+/// The server reports, by heartbeat and report, that it has loaded the model without any adapter.
 fn report_loaded_model(coordinator: &mut SingleCoordinator) {
     let models = vec![LoadedModel { name: "m0".to_owned(), version: 1, adapters: Vec::new() }];
     let heartbeat = Heartbeat {
@@ -42,7 +42,7 @@
     coordinator.handle(Event::ReportReceived { server: "i-1".to_owned(), report: Some(report) });
 }
 
-/// The only coordinator of its system, with a server of models.
+/// The only coordinator of its system, with a server that has loaded a model.
 fn with_model_server() -> SingleCoordinator {
     let mut coordinator = SingleCoordinator::leading();
     let call = coordinator.replace_config(0, &configuration_with_models());
@@ -53,7 +53,7 @@
     coordinator
 }
 
-/// Requests wait for an adapter until it is ordered; the order and its fencing token.
+/// Reports requests that wait for an adapter until an order is sent; returns the order and its fencing token.
 fn wait_for_order(coordinator: &mut SingleCoordinator) -> (OrderId, u64) {
     for _ in 0..100 {
         report_loaded_model(coordinator);
@@ -82,10 +82,10 @@
 }
 
 fn term(coordinator: &SingleCoordinator) -> u64 {
-    coordinator.core.shards().get(shard_of(SERVICE)).expect("the shard").replica.term()
+    coordinator.core.shards().get(shard_of(SERVICE)).expect("the shard exists").replica.term()
 }
 
-/// Another node leads the shard in a later term.
+/// Makes the coordinator step down: another node leads the shard in a later term.
 fn depose(coordinator: &mut SingleCoordinator) {
     let stamp = RoundStamp { round: 1, sent_at: 1 };
     let message = Message::Heartbeat { term: term(coordinator) + 1, commit: 0, stamp };
@@ -106,7 +106,7 @@
     // when
     depose(&mut coordinator);
 
-    // then: nor in the node's next epoch
+    // then: neither now nor in the node's next epoch
     assert!(!coordinator.core.may_write(coordinator.now, order));
     coordinator.actions.clear();
     coordinator.run(4_000);
--- a/coordinator/tests/pending_calls.rs
+++ b/coordinator/tests/pending_calls.rs
@@ -1,4 +1,4 @@
-//! The table of operator calls that wait for their answer.
+//! The table of operator calls that wait for a response.
 
 mod common;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn restart_concerns_matching_stages_only() {
+fn restart_affects_matching_stages_only() {
     // given
     let mut calls = PendingCalls::for_incarnation(Incarnation(1));
     let proposed = add_at_stage(&mut calls, CallStage::Proposed { index: 3, term: 2 });
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn entry_decides_call_of_same_term() {
+fn applied_entry_resolves_call_of_same_term() {
     // given
     let mut calls = PendingCalls::default();
     let mut propose = |index, term| add_at_stage(&mut calls, CallStage::Proposed { index, term });
--- a/coordinator/tests/quorum_contact.rs
+++ b/coordinator/tests/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! What coordinators give to edges and operators while they are isolated, frozen, lagging or just started.
+//! Responses of coordinators to edges and operators while they are isolated, frozen, lagging or just started.
 
 mod common;
 
@@ -11,21 +11,21 @@
 };
 use shaletrail_protocol::Millis;
 
-/// An edge polls another coordinator at the latest so long after the one it polls has lost quorum contact.
+/// Time limit within which a coordinator that loses quorum contact must tell its edges to poll another one.
 const ISOLATION_NOTICED: Millis = 700;
-/// How long polls wait in these tests.
+/// Wait time of polls in these tests, in milliseconds.
 const MAX_WAIT: u32 = 500;
-/// A second edge.
+/// Number of a second edge.
 const OTHER_EDGE: u8 = 101;
 
-/// A poll of an edge with this version that knows all servers.
+/// Sends a poll of an edge that has this configuration version and the present directory.
 fn poll(cluster: &mut Cluster, number: u8, config_version: u64) -> CallId {
     let cursor = cluster.core(number).directory().cursor();
     let request = PollRequest { config_version, cursor, max_wait_ms: MAX_WAIT, ..PollRequest::default() };
     cluster.poll(number, EDGE, request)
 }
 
-/// A poll of an edge that knows nothing, which waits for `max_wait_ms`.
+/// Sends a poll of an edge that has no state yet.
 fn first_poll(cluster: &mut Cluster, number: u8, edge: u8, max_wait_ms: u32) -> CallId {
     cluster.poll(number, edge, PollRequest { max_wait_ms, ..PollRequest::default() })
 }
@@ -34,7 +34,7 @@
     cluster.poll_response(number, call).expect("the poll is answered").clone()
 }
 
-/// The edge is told that the coordinator is isolated, and nothing else.
+/// Asserts that the response tells the edge to poll elsewhere and contains no updates.
 fn assert_isolated(response: &PollResponse) {
     let PollResponse { config, servers, complete, edge_count: edges, edge_nodes, isolated, .. } = response;
     assert!(*isolated, "{response:?}");
@@ -46,7 +46,7 @@
     assert_eq!(cluster.operator_response(number, call), Some(&OperatorResponse::Unavailable));
 }
 
-/// An edge with version 1 polls again and again until a response satisfies the predicate; the time until then.
+/// Sends polls of an edge with version 1 until a response satisfies the predicate; returns the time that this took.
 fn poll_until(cluster: &mut Cluster, number: u8, predicate: impl Fn(&PollResponse) -> bool) -> Millis {
     let start = cluster.now;
     while cluster.now < start + 5_000 {
@@ -68,7 +68,7 @@
     cluster.isolate(isolated);
     cluster.run(ISOLATION_NOTICED);
 
-    // when: an edge that has just started polls, and one that knows the configuration
+    // when: an edge that has just started polls, and one that has the configuration
     let first = poll(&mut cluster, isolated, 0);
     let known = poll(&mut cluster, isolated, 1);
 
@@ -95,11 +95,11 @@
     let started = cluster.now;
     let has_contact = cluster.run_until(2_000, |cluster| cluster.core(1).has_quorum_contact());
 
-    // then: there need be no leader yet
+    // then: quorum contact suffices, even without a leader
     assert!(has_contact);
     assert!(cluster.now - started <= 400, "{} ms", cluster.now - started);
     let call = poll(&mut cluster, 1, 0);
-    let update = response(&cluster, 1, call).config.expect("the configuration");
+    let update = response(&cluster, 1, call).config.expect("the response contains a configuration");
     assert_eq!(update.version, 1);
 }
 
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn late_pongs_prove_no_contact() {
+fn late_ping_answers_prove_no_quorum_contact() {
     // given
     let mut cluster = Cluster::configured(3);
     let leader = cluster.leader();
@@ -140,7 +140,7 @@
     cluster.run(250);
     assert!(cluster.delayed().count() >= 2);
     cluster.freeze(frozen);
-    // The pongs reach its sockets, and a poll does. Then it is isolated.
+    // The answers to its pings and a poll arrive in its sockets. Then it is isolated.
     cluster.deliver_delayed();
     let call = poll(&mut cluster, frozen, 1);
     cluster.isolate(frozen);
@@ -148,7 +148,7 @@
     cluster.run(5_000);
     assert!(is_done(cluster.operator_response(leader, change)));
 
-    // when: the pongs, which came while it was frozen, are read before the poll
+    // when: it reads the answers, which arrived while it was frozen, before the poll
     cluster.thaw(frozen);
 
     // then
@@ -175,10 +175,10 @@
         let after =
             poll_until(&mut cluster, lagging, |response| response.isolated || response.config.is_some());
 
-        // then: in time for the tightest bound on configurations, 2 s
+        // then: within the strictest time limit for distributing a configuration, 2 s
         assert!(after <= 1_000, "{after} ms");
 
-        // and once it reaches the leader, it serves edges again
+        // and it serves edges again after it has reached the leader
         cluster.heal(leader, lagging);
         let has_caught_up =
             cluster.run_until(3_000, |cluster| cluster.core(lagging).configuration_version() == 2);
@@ -206,7 +206,7 @@
         assert_unavailable(&cluster, leader, call);
     }
 
-    // and when the others have committed another change, that one never comes into force
+    // and after the others have committed another change, the unconfirmed one is never applied
     let next = cluster.leader();
     assert_ne!(next, leader);
     let other = cluster.replace_config(next, 1, &configuration(2, "d.example"));
@@ -222,7 +222,7 @@
     assert!(String::from_utf8_lossy(body).contains("d.example"));
 }
 
-/// Two edges poll two coordinators twice a second; the last call of the first one.
+/// Polls two coordinators twice a second, each by a different edge; returns the last call at the first coordinator.
 fn poll_for(cluster: &mut Cluster, duration: Millis) -> CallId {
     let end = cluster.now + duration;
     let mut last = CallId(0);
@@ -241,7 +241,7 @@
     let call = poll_for(&mut cluster, 12_000);
     assert_eq!(response(&cluster, 1, call).edge_count, 2);
 
-    // when: the coordinator is back, and has heard of no edge elsewhere
+    // when: the coordinator has quorum contact again, but has received no announcement of edges of other coordinators
     cluster.isolate(1);
     let call = poll_for(&mut cluster, 15_000);
     assert_eq!(response(&cluster, 1, call).edge_count, 0);
@@ -253,12 +253,12 @@
     // then
     let response = response(&cluster, 1, call);
     assert!(!response.isolated);
-    assert_eq!(response.edge_count, 0, "unknown, and not one alone");
+    assert_eq!(response.edge_count, 0, "the count is unknown, not 1");
 }
 
 #[test]
 fn restarted_coordinator_gives_no_stale_configuration() {
-    // given: a coordinator that has missed a change, and does not reach the leader
+    // given: a coordinator that has missed a change and cannot reach the leader
     let mut cluster = Cluster::configured(3);
     let leader = cluster.leader();
     let stale = cluster.follower();
@@ -275,7 +275,7 @@
         let call = poll(&mut cluster, stale, 0);
         cluster.run(50);
 
-        // then: not even in the first moment with quorum contact
+        // then: none is given, not even right after quorum contact is gained
         if let Some(response) = cluster.poll_response(stale, call) {
             assert!(response.config.is_none(), "{response:?}");
         }
@@ -285,8 +285,8 @@
 }
 
 #[test]
-fn late_entry_isolates_new_edges_only() {
-    // given: the version is applied elsewhere, and its entry late here
+fn late_entry_rejects_polls_of_new_edges_only() {
+    // given: the other coordinators have applied a version whose entry arrives late at this one
     let mut cluster = Cluster::configured(3);
     let leader = cluster.leader();
     let late = cluster.follower();
@@ -304,7 +304,7 @@
 
     // then
     assert_isolated(&response(&cluster, late, new));
-    assert_eq!(cluster.poll_response(late, known), None, "it is pending");
+    assert_eq!(cluster.poll_response(late, known), None, "the poll is pending");
     cluster.deliver_delayed();
     assert_eq!(response(&cluster, late, known).config.map(|update| update.version), Some(2));
 }
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn degraded_leader_is_replaced_and_serves_on() {
+fn degraded_leader_is_replaced_and_keeps_serving() {
     // given
     let mut cluster = Cluster::configured(3);
     let degraded = cluster.leader();
@@ -349,7 +349,7 @@
     let draining = cluster.heartbeat(degraded, "i-1", ServerState::Draining, 2);
     cluster.run(800);
 
-    // then: the others accept the change, and edges here get it or poll elsewhere
+    // then: the change is accepted, and edges of the degraded coordinator get it or poll elsewhere
     assert_ne!(cluster.leader(), degraded);
     let changed = cluster.operator_response(degraded, change);
     assert!(is_done(changed), "{changed:?}");
@@ -358,7 +358,7 @@
     let response = response(&cluster, degraded, call);
     assert!(response.isolated || response.config.is_some(), "{response:?}");
 
-    // and with two such disks of three nothing is confirmed that one loss of power could undo
+    // and with two of three disks degraded, no change is acknowledged that a single power loss could undo
     let second = cluster.leader();
     cluster.reject_writes(second);
     cluster.run(500);
@@ -368,8 +368,8 @@
 }
 
 #[test]
-fn version_of_a_lost_coordinator_keeps_edges_away_for_seconds_only() {
-    // given: a coordinator that has applied a version which nobody else ever gets, and is lost at once
+fn announced_version_of_lost_coordinator_expires() {
+    // given: a coordinator announces a version that no other node ever receives, and is lost immediately
     let mut cluster = Cluster::configured(3);
     let lost = cluster.leader();
     let staying = cluster.others(lost);
@@ -383,7 +383,7 @@
     let meanwhile = poll(&mut cluster, staying[0], 1);
     cluster.run(MAX_WAIT.into());
 
-    // then: edges are informed again as soon as the announcement has expired
+    // then: edges get updates again as soon as the announcement has expired
     assert_isolated(&response(&cluster, staying[0], meanwhile));
     let is_informed = (0..30).any(|_| {
         cluster.run(100);
--- a/coordinator/tests/server_calls.rs
+++ b/coordinator/tests/server_calls.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistrations of servers at coordinators that are isolated, and messages that arrive late.
+//! Heartbeats and deregistrations of servers at isolated coordinators, and heartbeats that arrive late.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use shaletrail_protocol::external::ServerState;
 use shaletrail_protocol::internal::Presence;
 
-/// Deregistrations that may wait for a majority at once.
+/// Maximum number of deregistrations that wait for a majority.
 const MAX_WAITING: usize = 1_024;
 
-/// A configured cluster; a coordinator that does not lead, and another one.
+/// Returns a configured cluster, a coordinator that is not the leader, and another coordinator.
 fn configured() -> (Cluster, u8, u8) {
     let cluster = Cluster::configured(3);
     let isolated = cluster.follower();
@@ -53,7 +53,7 @@
 
 #[test]
 fn deregistered_server_stays_removed() {
-    // given: a deregistration without a draining before it
+    // given: the server deregisters without draining first
     let mut cluster = Cluster::configured(3);
     cluster.heartbeat(1, "i-1", ServerState::Ready, 5);
     cluster.run(500);
@@ -61,7 +61,7 @@
     cluster.run(100);
     assert_eq!(cluster.server_response(2, deregistration), Some(true));
 
-    // when: heartbeats from before and after it arrive late, at other coordinators
+    // when: heartbeats sent before and after the deregistration arrive late at other coordinators
     let earlier = cluster.heartbeat(3, "i-1", ServerState::Ready, 4);
     let later = cluster.heartbeat(1, "i-1", ServerState::Ready, 6);
     cluster.run(1_000);
@@ -80,7 +80,11 @@
     let (mut cluster, isolated, other) = configured();
     cluster.heartbeat(other, "i-1", ServerState::Ready, 1);
     cluster.run(5_000);
-    assert_eq!(presence(&cluster, isolated), Some(Presence::TimedOut), "as it has quorum contact");
+    assert_eq!(
+        presence(&cluster, isolated),
+        Some(Presence::TimedOut),
+        "a coordinator with quorum contact times it out"
+    );
     for sequence in 2..6 {
         cluster.heartbeat(other, "i-1", ServerState::Ready, sequence);
         cluster.run(1_000);
@@ -94,7 +98,7 @@
         cluster.run(1_000);
     }
 
-    // then: nor right after it is back
+    // then: the server is not timed out, not even right after quorum contact is regained
     assert_eq!(presence(&cluster, isolated), Some(Presence::Ready));
     cluster.reconnect(isolated);
     for sequence in 26..32 {
@@ -128,7 +132,7 @@
     cluster.run(200);
     assert_eq!(cluster.server_response(isolated, first), Some(true));
 
-    // when: the server goes on to another coordinator where it is not acknowledged
+    // when: the server switches to another coordinator after a heartbeat is not acknowledged
     cluster.isolate(isolated);
     let mut at = isolated;
     for sequence in 2..20 {
@@ -139,12 +143,12 @@
         }
         cluster.run(1_000);
 
-        // then: the majority, which informs the edges, does not time it out
+        // then: the majority, which serves the edges, does not time it out
         assert_eq!(presence(&cluster, other), Some(Presence::Ready));
     }
     assert_eq!(at, other);
 
-    // and the isolated coordinator records what it receives all the same
+    // and the isolated coordinator still records the heartbeats that it receives
     cluster.heartbeat(isolated, "i-2", ServerState::Ready, 1);
     assert!(cluster.core(isolated).directory().record("i-2").is_some());
 }
--- a/coordinator/tests/shards.rs
+++ b/coordinator/tests/shards.rs
@@ -1,4 +1,4 @@
-//! Which shard a service's control state belongs to.
+//! The assignment of services to shards.
 
 use shaletrail_coordinator::core::shards::{shard_of, CONFIGURATION, SERVICE_SHARDS};
 
--- a/coordinator/tests/single_coordinator.rs
+++ b/coordinator/tests/single_coordinator.rs
@@ -1,4 +1,4 @@
-//! What a coordinator answers that is alone in its system, and what it leaves without an answer where it has no quorum.
+//! Responses of a coordinator that is the only one of its system, or that has no quorum.
 
 mod common;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn expired_change_gets_no_clear_answer() {
+fn expired_change_is_answered_unavailable() {
     // given
     let mut coordinator = SingleCoordinator::leading();
     let first = coordinator.replace_config(0, &configuration(1, "a.example"));
@@ -254,7 +254,7 @@
     let mut coordinator = SingleCoordinator::restarted(stored);
     coordinator.run(ELECTION);
 
-    // then: it does not lead shard 0, though it is its only voter
+    // then: it does not lead shard 0, although it is the only voter
     let is_unreadable = |change: &StateChange| matches!(change, StateChange::UnreadableRecords { shard: 0 });
     let leads = |change: &StateChange| matches!(change, StateChange::BecameLeader { shard: 0, .. });
     assert!(coordinator.has_logged(is_unreadable), "{:?}", coordinator.actions);
@@ -263,7 +263,7 @@
 
 #[test]
 fn unreadable_snapshot_prevents_leadership() {
-    // given: a checkpoint in which the configuration's state cannot be decoded
+    // given: a checkpoint whose configuration state cannot be decoded
     let mut coordinator = SingleCoordinator::leading();
     coordinator.replace_config(0, &configuration(5, "a.example"));
     let corrupt = |(stream, bytes): (u32, Vec<u8>)| match (stream, Record::decode(&bytes)) {
@@ -279,23 +279,23 @@
     let mut again = SingleCoordinator::restarted(stored);
     again.run(ELECTION);
 
-    // then: it does not lead that shard with an empty state
+    // then: it does not lead the shard with an empty state
     assert!(again.has_logged(|change| matches!(change, StateChange::UnreadableRecords { shard: 0 })));
     assert!(!again.has_logged(|change| matches!(change, StateChange::BecameLeader { shard: 0, .. })));
     assert!(again.has_logged(|change| matches!(change, StateChange::BecameLeader { shard: 1, .. })));
 }
 
-/// A message of a peer about a shard.
+/// An event with a peer's message for a shard.
 fn shard_message(from: u8, shard: u32, message: &Message) -> Event {
     let body = bitcode::encode(message);
     Event::Message { from: node(from), message: CoordinatorMessage::Shard { shard, body } }
 }
 
-/// What the coordinator has sent about a shard.
+/// Returns the messages that the coordinator has sent for a shard.
 fn sent_in_shard(coordinator: &SingleCoordinator, shard: u32) -> Vec<Message> {
     let sent = coordinator.actions.iter().filter_map(|action| match action {
         Action::Send { message: CoordinatorMessage::Shard { shard: of, body }, .. } if *of == shard => {
-            Some(bitcode::decode(body).expect("a message"))
+            Some(bitcode::decode(body).expect("a message is received"))
         }
         _ => None,
     });
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn shard_with_unreadable_snapshot_takes_no_part() {
+fn shard_with_unreadable_snapshot_is_halted() {
     for shard in [CONFIGURATION, 1] {
         // given
         let mut coordinator = SingleCoordinator::new(3);
@@ -323,9 +323,9 @@
         let vote = Message::VoteRequest { term: 3, last, leadership_transfer: true };
         coordinator.handle(shard_message(3, shard, &vote));
         coordinator.run(ELECTION);
-        // then: nothing of it is acknowledged, and nobody gets a vote
+        // then: the snapshot is not acknowledged, and the coordinator neither votes nor campaigns
         let sent = sent_in_shard(&coordinator, shard);
-        let is_promise = |message: &Message| {
+        let is_ack_or_vote = |message: &Message| {
             matches!(
                 message,
                 Message::AppendResponse { .. }
@@ -333,12 +333,12 @@
                     | Message::VoteRequest { .. }
             )
         };
-        assert!(!sent.iter().any(is_promise), "{sent:?}");
+        assert!(!sent.iter().any(is_ack_or_vote), "{sent:?}");
         let halted = StateChange::UnreadableSnapshot { shard };
         let is_halted =
             |action: &&Action| matches!(action, Action::LogStateChange(change) if *change == halted);
         assert_eq!(coordinator.actions.iter().filter(is_halted).count(), 1);
-        // and after a restart it is a recovering voter
+        // and after a restart it would be a recovering voter
         let hard_states = coordinator.checkpoint().into_iter().filter(|(stream, _)| *stream == shard);
         let recovering = hard_states.filter_map(|(_, bytes)| match Record::decode(&bytes) {
             Ok(Record::HardState(hard_state)) => Some(hard_state.recovering),
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -1,12 +1,12 @@
-//! The bytes that a coordinator keeps: commands and snapshots of the service shards, what it remembers of the
-//! servers, which stream holds what, and the hashes that all coordinators must agree on.
+//! The encoding of stored data: commands and snapshots of the service shards, the directory snapshot, the numbers of
+//! the journal streams, and the hashes that all coordinators must compute alike.
 //!
-//! The next version reads them from disk, and coordinators of two versions exchange them while a release is rolled out.
-//! bitcode encodes by position: a field or variant that is moved, added, removed or swapped is read as another value,
-//! without an error.
+//! The next version reads this data from disk, and coordinators of two versions exchange it while a release is rolled
+//! out. bitcode encodes by position: a field or variant that is moved, added, removed or swapped is decoded as another
+//! value, without an error.
 //!
-//! If one turns red, the format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own and go on reading the old one.
+//! If a test fails, the format has changed. Do not update the fixtures: restore the types, or introduce a new format
+//! version and keep reading the old one.
 
 mod common;
 #[path = "../../protocol/tests/support/stored.rs"]
@@ -40,34 +40,34 @@
 }
 
 #[test]
-fn a_service_state_and_its_commands_keep_their_bytes() {
+fn service_state_and_commands_keep_their_encoding() {
     let mut stored = starting_with("service ");
     let decode = |bytes: &[u8]| LeaseState::restore(bytes).expect("stored states are restored");
     let mut state = LeaseState::default();
     stored.compare("service state, none", &state, LeaseState::snapshot, decode);
 
-    let begin = stored.bytes("service command, begin", &LeaseState::acquire_command(FIRST));
+    let acquire = stored.bytes("service command, begin", &LeaseState::acquire_command(FIRST));
     let epoch = LeaseEpoch { holder: FIRST, previous_holder: None, must_wait: false };
-    assert_eq!(state.apply(&begin), Some(epoch));
+    assert_eq!(state.apply(&acquire), Some(epoch));
     stored.compare("service state, first", &state, LeaseState::snapshot, decode);
 
     let epoch = LeaseEpoch { holder: SECOND, previous_holder: Some(FIRST), must_wait: true };
     assert_eq!(state.apply(&LeaseState::acquire_command(SECOND)), Some(epoch));
     stored.compare("service state, second waits", &state, LeaseState::snapshot, decode);
 
-    let waited = stored.bytes("service command, waited", &LeaseState::wait_completed_command(SECOND));
-    assert_eq!(state.apply(&waited), None);
+    let wait_completed = stored.bytes("service command, waited", &LeaseState::wait_completed_command(SECOND));
+    assert_eq!(state.apply(&wait_completed), None);
     assert!(state.is_wait_completed());
     stored.compare("service state, second", &state, LeaseState::snapshot, decode);
     stored.finish();
 }
 
-fn held(name: &str, version: u64, adapter: &str) -> LoadedModel {
+fn loaded_model(name: &str, version: u64, adapter: &str) -> LoadedModel {
     LoadedModel { name: name.to_owned(), version, adapters: vec![adapter.to_owned()] }
 }
 
 #[test]
-fn the_directory_on_disk_keeps_its_bytes() {
+fn directory_snapshot_keeps_its_encoding() {
     // given
     let mut stored = starting_with("directory ");
     let mut directory = Directory::new(Options::for_heartbeat(1200), node(1), Incarnation(5), 1_000);
@@ -81,14 +81,14 @@
         cold_remaining_ms: 1250.5,
         remaining_ms: Some(30_000.25),
         phase: "combined".to_owned(),
-        models: Some(vec![held("large", 32, "legal")]),
+        models: Some(vec![loaded_model("large", 32, "legal")]),
         sequence: 34,
     };
     let overlay = PlacementOverlay {
         fencing_token: 41,
         revision: 42,
-        added: vec![held("tiny", 43, "poems")],
-        evicting: vec![held("huge", 44, "prose")],
+        added: vec![loaded_model("tiny", 43, "poems")],
+        evicting: vec![loaded_model("huge", 44, "prose")],
     };
     directory.heartbeat(1_100, "server-9", heartbeat.clone());
     directory.set_placement_overlay(1_200, "server-9", overlay.clone());
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn lists_of_edges_keep_their_names() {
+fn edge_list_hashes_are_stable() {
     assert_eq!([edge_list_hash(&[]), edge_list_hash(&[node(3), node(4)])], [1, 12_010_951_819_348_462_431]);
 }
 
-/// The records that a coordinator alone in its system has on its disk once it has taken a configuration and a server's
-/// heartbeat.
-fn disk_of_a_coordinator() -> Vec<(u32, Vec<u8>)> {
+/// Returns the records on the disk of a single coordinator after it has accepted a configuration and the heartbeat of a
+/// server.
+fn records_on_disk() -> Vec<(u32, Vec<u8>)> {
     let mut coordinator = SingleCoordinator::new(1);
     coordinator.run(3_000);
     let call = coordinator.replace_config(0, &configuration(7, "stored.example"));
@@ -138,32 +138,32 @@
     live.expect("a checkpoint is written")
 }
 
-/// The records that [`disk_of_a_coordinator`] gave in an earlier build.
-fn disk_of_an_earlier_build() -> Vec<StoredRecord> {
+/// Returns the records that [`records_on_disk`] returned in an earlier build.
+fn records_of_earlier_build() -> Vec<StoredRecord> {
     let record = |(name, bytes): (String, Vec<u8>)| {
-        let (_, stream) = name.split_once("stream ").expect("the stream stands in the name");
+        let (_, stream) = name.split_once("stream ").expect("the name contains the stream");
         StoredRecord { stream: stream.parse().expect("a stream is a number"), bytes }
     };
     starting_with("disk ").into_all().into_iter().map(record).collect()
 }
 
 #[test]
-fn records_stand_in_the_streams_where_they_stood() {
+fn records_stay_in_their_streams() {
     let kind = |stream: u32, bytes: &[u8]| {
         let record = if stream == STREAM { None } else { Record::decode(bytes).ok() };
         (stream, record.as_ref().map(std::mem::discriminant))
     };
-    let earlier = disk_of_an_earlier_build();
+    let earlier = records_of_earlier_build();
     let earlier: Vec<_> = earlier.iter().map(|stored| kind(stored.stream, &stored.bytes)).collect();
-    let present = disk_of_a_coordinator();
+    let present = records_on_disk();
     let present: Vec<_> = present.iter().map(|(stream, bytes)| kind(*stream, bytes)).collect();
     assert_eq!(present, earlier);
 }
 
 #[test]
-fn a_coordinator_goes_on_with_the_disk_of_an_earlier_build() {
+fn coordinator_restarts_from_disk_of_earlier_build() {
     // given
-    let disk = disk_of_an_earlier_build();
+    let disk = records_of_earlier_build();
     for StoredRecord { stream, bytes } in disk.iter().filter(|stored| stored.stream != STREAM) {
         let record = Record::decode(bytes).expect("stored records decode");
         assert_eq!(record.encode(), *bytes, "stream {stream}");
@@ -182,14 +182,14 @@
     let body = std::str::from_utf8(body).expect("JSON is text");
     assert!(body.contains("stored.example") && body.contains("\"version\":7"), "{body}");
     let poll = coordinator.poll(shaletrail_protocol::internal::PollRequest::default());
-    let reply = coordinator.poll_response(poll).expect("there is news");
-    let servers: Vec<&str> = reply.servers.iter().map(|server| server.id.as_str()).collect();
+    let response = coordinator.poll_response(poll).expect("there are updates");
+    let servers: Vec<&str> = response.servers.iter().map(|server| server.id.as_str()).collect();
     assert_eq!(servers, ["server-9"]);
 }
 
 #[test]
-fn names_in_logs_stay() {
-    let notes = [
+fn log_names_are_stable() {
+    let changes = [
         StateChange::BecameLeader { shard: 1, term: 2 },
         StateChange::LostLeadership { shard: 1, term: 2 },
         StateChange::ConfigurationApplied { version: 3 },
@@ -207,7 +207,7 @@
         "QuorumContactChanged",
         "UnreadableRecords",
     ];
-    assert_eq!(notes.map(|note| note.to_string()), expected);
+    assert_eq!(changes.map(|change| change.to_string()), expected);
     let outcomes = [
         OrderOutcome::Accepted,
         OrderOutcome::AlreadyDone,
--- a/coordinator/tests/voters.rs
+++ b/coordinator/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Voters are replaced by machines that join, while further machines are lost, degraded or partitioned.
+//! Replacement of voters by machines that join, while other machines are lost, degraded or partitioned.
 
 mod common;
 
@@ -11,28 +11,29 @@
 use shaletrail_protocol::internal::CoordinatorMessage;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// How long a machine that is back, or new, counts as lost (`syncS`), in the deployments with one and with two losses.
+/// How long a restarted or new machine still counts as lost (`syncS`), for deployments that tolerate one and two
+/// losses.
 const SYNC: [Millis; 2] = [4_000, 6_000];
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
-/// Longer than it takes until a lost machine is unreachable for the others.
+/// Longer than it takes the other nodes to consider a lost machine unreachable.
 const LOSS_NOTICED: Millis = 3_000;
-/// Longer than a dead member is remembered.
+/// Longer than the membership keeps a dead member.
 const MEMBER_FORGOTTEN: Millis = 70_000;
-/// The first machine that joins after the bootstrap, and the second.
+/// Numbers of the first and second machine that join after the bootstrap.
 const JOINING: u8 = 20;
 const JOINING_NEXT: u8 = 21;
 
-/// What a second loss does to a machine.
+/// Kind of a loss that follows a first one.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// It loses power and does not come back.
+    /// The machine is lost for good.
     Permanent,
-    /// It loses its disk and restarts at once.
+    /// The machine loses its disk and restarts immediately.
     Disk,
 }
 
 impl Loss {
-    fn strike(self, cluster: &mut SimulatedCluster, node: NodeId) {
+    fn apply(self, cluster: &mut SimulatedCluster, node: NodeId) {
         cluster.wipe(node);
         if let Loss::Disk = self {
             cluster.start(node);
@@ -40,7 +41,7 @@
     }
 }
 
-/// `count` machines that join.
+/// Returns `count` machines to join.
 fn joining(count: usize) -> Vec<NodeId> {
     (JOINING..).take(count).map(node).collect()
 }
@@ -49,14 +50,14 @@
     [voters, joining].concat()
 }
 
-/// Whether a node votes in a shard, as far as the shard's leader knows.
+/// Returns whether a node is a voter of a shard, according to the shard's leader.
 fn is_voter(cluster: &SimulatedCluster, shard: u32, node: NodeId) -> bool {
     let leader = cluster.leader_of(shard);
     leader.is_some_and(|leader| cluster.replica(leader, shard).voters().contains(node))
 }
 
-/// Machines are removed for good and others join; in the moment in which the voters of all shards are changed, as many
-/// are lost again. The time from the start of the joining machines to that moment.
+/// Removes machines for good, lets others join, and causes as many losses again as soon as the voters of all shards
+/// have changed. Returns the time from the start of the joining machines until then.
 fn replace_then_lose(hosts_lost: usize, seed: u64, loss: Loss) -> Millis {
     // given
     let BootstrappedCluster { mut cluster, members, chosen: removed, others: staying } =
@@ -72,7 +73,7 @@
     cluster.await_voters(&voters);
     let replaced_within = cluster.now - started;
     let (lost, _) = cluster.choose(&voters, hosts_lost);
-    lost.iter().for_each(|node| loss.strike(&mut cluster, *node));
+    lost.iter().for_each(|node| loss.apply(&mut cluster, *node));
 
     // then
     cluster.assert_available();
@@ -115,14 +116,14 @@
                 let BootstrappedCluster { mut cluster, chosen: wiped, others, .. } =
                     BootstrappedCluster::new(hosts_lost, seed);
                 cluster.commit_change();
-                wiped.iter().for_each(|node| Loss::Disk.strike(&mut cluster, *node));
+                wiped.iter().for_each(|node| Loss::Disk.apply(&mut cluster, *node));
 
-                // when: their disks say so
+                // when: the readmission is recorded on their disks
                 let readmitted = cluster.run_until(SYNC[hosts_lost - 1], |cluster| {
                     wiped.iter().all(|node| !cluster.is_recovering_on_disk(*node))
                 });
                 assert!(readmitted, "{}", cluster.describe());
-                others[..hosts_lost].iter().for_each(|node| loss.strike(&mut cluster, *node));
+                others[..hosts_lost].iter().for_each(|node| loss.apply(&mut cluster, *node));
 
                 // then
                 cluster.assert_available();
@@ -134,7 +135,7 @@
 #[test]
 fn forgotten_voter_is_replaced() {
     for seed in SEEDS {
-        // given: nobody remembers the member
+        // given: no node keeps the lost member in its membership any more
         let BootstrappedCluster { mut cluster, members, chosen: removed, others: staying } =
             BootstrappedCluster::new(1, seed);
         cluster.wipe(removed[0]);
@@ -154,7 +155,7 @@
 #[test]
 fn never_seen_voter_is_replaced() {
     for seed in SEEDS {
-        // given: all lose power, and one of them does not come back
+        // given: all lose power, and one of them does not restart
         let BootstrappedCluster { mut cluster, members, chosen: removed, others: staying } =
             BootstrappedCluster::new(1, seed);
         cluster.wipe(removed[0]);
@@ -192,7 +193,7 @@
         };
         assert!(cluster.run_until(SYNC[1], has_joined), "{}", cluster.describe());
 
-        // when: all of them restart, so that nobody remembers the other one
+        // when: all of them restart, so that no membership contains the other lost voter
         let running = cluster.running();
         running.iter().for_each(|node| cluster.lose_power(*node));
         running.iter().for_each(|node| cluster.start(*node));
@@ -211,16 +212,16 @@
 #[test]
 fn planned_removal_allows_immediate_loss() {
     for seed in SEEDS {
-        // given: the successor has had its time
+        // given: the replacement has had time to catch up
         let mut cluster = SimulatedCluster::bootstrapped(1, seed);
         let members = cluster.running();
         cluster.join(node(JOINING), &members);
         cluster.run(SYNC[0]);
         cluster.commit_change();
 
-        // when: a machine shuts down, and as soon as it has, another is lost
+        // when: a machine shuts down, and another is lost as soon as it has exited
         let leaving = cluster.rotate_without(&members, &[])[0];
-        cluster.remove_as_planned(leaving);
+        cluster.decommission(leaving);
         let staying = cluster.rotate_without(&members, &[leaving]);
         cluster.wipe(staying[0]);
 
@@ -230,10 +231,10 @@
 }
 
 #[test]
-fn leaving_voter_waits_until_its_place_is_taken() {
+fn leaving_voter_waits_for_its_replacement() {
     for sync_ms in [5, 30, 100, 200] {
         for seed in SEEDS {
-            // given: the successor has had its time, and all disks are slow
+            // given: the replacement has had time to catch up, and all disks are slow
             let mut cluster = SimulatedCluster::bootstrapped(1, seed);
             let members = cluster.running();
             members.iter().for_each(|member| cluster.slow_disk(*member, sync_ms));
@@ -241,9 +242,9 @@
             cluster.run(SYNC[0]);
             cluster.commit_change();
 
-            // when: a machine shuts down, and as soon as it has, another is lost
+            // when: a machine shuts down, and another is lost as soon as it has exited
             let leaving = cluster.rotate_without(&members, &[])[0];
-            let elapsed = cluster.remove_as_planned(leaving);
+            let elapsed = cluster.decommission(leaving);
             let staying = cluster.rotate_without(&members, &[leaving]);
             cluster.wipe(staying[0]);
 
@@ -255,12 +256,12 @@
 }
 
 #[test]
-fn leaving_voter_without_successor_ends_at_once() {
+fn leaving_voter_without_replacement_exits_after_grace_period() {
     // given
     let mut cluster = SimulatedCluster::bootstrapped(1, 1);
     let leaving = cluster.running()[0];
     // when
-    let elapsed = cluster.remove_as_planned(leaving);
+    let elapsed = cluster.decommission(leaving);
     // then
     assert!(elapsed <= SHUTDOWN_GRACE + 10, "{elapsed}");
 }
@@ -273,7 +274,7 @@
             BootstrappedCluster::new(1, seed);
         cluster.wipe(removed[0]);
 
-        // when: changes are committed all the time
+        // when: changes are committed continuously
         let end = cluster.now + SYNC[0];
         cluster.join_with_disk(node(JOINING), &members, 150);
         while cluster.now < end {
@@ -290,14 +291,14 @@
 fn slow_learner_counts_before_it_votes() {
     for hosts_lost in [1, 2] {
         for seed in SEEDS {
-            // given: the loss has been noticed before anybody joins
+            // given: the loss has been detected before any machine joins
             let BootstrappedCluster { mut cluster, members, chosen: removed, others: staying } =
                 BootstrappedCluster::new(hosts_lost, seed);
             removed.iter().for_each(|node| cluster.wipe(*node));
             cluster.run(LOSS_NOTICED);
             cluster.commit_change();
 
-            // when: one more is lost in the moment in which the learners have become voters
+            // when: as many voters are lost again as soon as the learners have become voters
             let joining = joining(hosts_lost);
             joining.iter().for_each(|node| cluster.join_with_disk(*node, &members, 600));
             cluster.await_voters(&join(&staying, &joining));
@@ -309,8 +310,8 @@
     }
 }
 
-/// Whether a message brings entries or the state of the configuration's shard.
-fn brings_configuration(message: &CoordinatorMessage) -> bool {
+/// Returns whether a message carries entries or a snapshot of the configuration's shard.
+fn carries_configuration(message: &CoordinatorMessage) -> bool {
     let CoordinatorMessage::Shard { shard: CONFIGURATION, body } = message else { return false };
     matches!(bitcode::decode(body), Ok(Message::Append { .. } | Message::InstallSnapshot { .. }))
 }
@@ -318,13 +319,13 @@
 #[test]
 fn learner_without_entries_does_not_vote() {
     for seed in SEEDS {
-        // given: a learner that has caught up once, and gets no further entries
+        // given: a learner that has caught up, and then receives no further entries
         let BootstrappedCluster { mut cluster, members, chosen: removed, others: staying } =
             BootstrappedCluster::new(1, seed);
         cluster.join(node(JOINING), &members);
         cluster.run(SYNC[0]);
         cluster.delivery_filter =
-            Some(Box::new(|_, to, message| to != node(JOINING) || !brings_configuration(message)));
+            Some(Box::new(|_, to, message| to != node(JOINING) || !carries_configuration(message)));
         (0..40).for_each(|_| cluster.commit_change());
 
         // when
@@ -332,7 +333,7 @@
         cluster.run(SYNC[0]);
         (0..40).for_each(|_| cluster.commit_change());
 
-        // then: it becomes a voter once it has them
+        // then: it is no voter until it has received them
         assert!(cluster.leader_of(CONFIGURATION).is_some(), "{}", cluster.describe());
         assert!(!is_voter(&cluster, CONFIGURATION, node(JOINING)), "{}", cluster.describe());
         cluster.delivery_filter = None;
@@ -367,7 +368,7 @@
 #[test]
 fn change_survives_leaving_voter_and_next_loss() {
     for seed in SEEDS {
-        // given: a third voter that gets everything late
+        // given: a third voter whose disk is slow
         let BootstrappedCluster { mut cluster, members, chosen: leaving, others } =
             BootstrappedCluster::new(1, seed);
         cluster.join(node(JOINING), &members);
@@ -377,7 +378,7 @@
         cluster.commit_change();
 
         // when
-        cluster.remove_as_planned(leaving[0]);
+        cluster.decommission(leaving[0]);
         cluster.await_voters(&[lost, late, node(JOINING)]);
         cluster.wipe(lost);
 
@@ -387,7 +388,7 @@
 }
 
 #[test]
-fn replaced_voter_does_not_disturb() {
+fn replaced_voter_causes_no_election() {
     for seed in SEEDS {
         // given: a voter is replaced while it is isolated
         let BootstrappedCluster { mut cluster, members, chosen: isolated, others } =
@@ -406,7 +407,7 @@
         cluster.heal();
         cluster.run(SYNC[0]);
 
-        // then: one more may be lost
+        // then: its return causes no election, and one more loss is tolerated
         assert_eq!(terms(&cluster), terms_before);
         assert!(cluster.has_voters(&voters), "{}", cluster.describe());
         cluster.wipe(voters[0]);
@@ -415,7 +416,7 @@
 }
 
 #[test]
-fn learner_joins_once_its_only_seed_is_back() {
+fn learner_joins_after_its_only_seed_reconnects() {
     for seed in SEEDS {
         // given
         let BootstrappedCluster { mut cluster, members, chosen: isolated, .. } =
@@ -428,7 +429,7 @@
         cluster.heal();
         cluster.run(SYNC[0]);
 
-        // then: it replaces a voter that is lost
+        // then: it has joined, and replaces a voter that is lost
         let removed = cluster.rotate_without(&members, &isolated)[0];
         cluster.wipe(removed);
         let staying = cluster.rotate_without(&members, &[removed]);
@@ -438,7 +439,7 @@
 }
 
 #[test]
-fn bootstrap_in_any_order_makes_all_vote() {
+fn bootstrap_in_any_order_makes_all_nodes_voters() {
     for hosts_lost in [1, 2] {
         for seed in 1..=8 {
             // given, when
@@ -460,7 +461,7 @@
         for degraded in [false, true] {
             // given
             let mut cluster = SimulatedCluster::bootstrapped(1, seed);
-            let leader = cluster.leader_of(CONFIGURATION).expect("a leader");
+            let leader = cluster.leader_of(CONFIGURATION).expect("the shard has a leader");
 
             // when
             if degraded {
@@ -470,7 +471,7 @@
             }
             cluster.run(200);
 
-            // then: before its leader lease would be over
+            // then: before its leader lease would have expired
             let next = cluster.leader_of(CONFIGURATION);
             assert!(next.is_some_and(|next| next != leader), "degraded {degraded}: {}", cluster.describe());
         }
@@ -479,9 +480,9 @@
 
 #[test]
 fn coordinator_leads_again_once_its_disk_has_recovered() {
-    // given: two of three are there, and the leader's disk was degraded for a moment
+    // given: two of three are running, and the leader has lost its leadership to a temporarily degraded disk
     let mut cluster = SimulatedCluster::bootstrapped(1, 3);
-    let former = cluster.leader_of(CONFIGURATION).expect("a leader");
+    let former = cluster.leader_of(CONFIGURATION).expect("the shard has a leader");
     let running = cluster.running();
     let others = cluster.rotate_without(&running, &[former]);
     cluster.lose_power(others[0]);
@@ -489,7 +490,7 @@
     cluster.run(2_500);
     assert_eq!(cluster.leader_of(CONFIGURATION), Some(others[1]), "{}", cluster.describe());
 
-    // when: the other one's disk is degraded
+    // when: the disk of the new leader is degraded
     for _ in 0..30 {
         cluster.handle(others[1], Event::DiskDegraded { wants_checkpoint: false });
         cluster.run(100);
