--- a/coordinator/src/core/disk.rs
+++ b/coordinator/src/core/disk.rs
@@ -16,9 +16,9 @@
         self.transfer_configuration_if_disk_degraded(now);
     }
 
-    /// Transfers the leadership of the configuration's shard while the disk is degraded, as no change can be committed
-    /// without it. Service shards keep their leader: it can go on sending orders, as the order lease is renewed by
-    /// heartbeats alone, and a new holder would first have to wait until the lease has expired.
+    /// Transfers the leadership of the configuration's shard while the disk is degraded, because changes need a working
+    /// disk. The service shards keep their leader: heartbeats suffice to renew the lease under which it sends orders,
+    /// and a new holder would first have to wait for one lease duration.
     pub(super) fn transfer_configuration_if_disk_degraded(&mut self, now: Millis) {
         let replica = self.shards.configuration_replica();
         if now < self.disk_degraded_until && replica.is_leader() {
--- a/coordinator/src/core/lease_state.rs
+++ b/coordinator/src/core/lease_state.rs
@@ -33,7 +33,8 @@
     wait_completed: bool,
 }
 
-/// The period of one lease holder, from the log entry by which it acquires the lease to the entry of the next holder.
+/// A period in which one holder has the lease: from the log entry by which it acquires the lease to that of the next
+/// holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseEpoch {
     /// The node that holds the lease in this epoch, with its fencing token.
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -3,9 +3,9 @@
 //! The leader of a service's shard acquires the order lease with a log entry. The term of its leadership is its fencing
 //! token. A holder that follows another node first waits, so that its orders are at least one lease duration apart from
 //! those of the previous holder. The previous holder writes no order after its leader lease has expired or after it has
-//! stepped down, and one of the two had happened by the time that this node was elected. After the wait, the holder
-//! records its completion with a second log entry. Only if that entry is committed may the holder go on without a wait
-//! when it is elected again.
+//! stepped down, and one of the two had happened before this node was elected. After the wait, the holder records its
+//! completion with a second log entry. Only if that entry has been applied may the holder, when it is elected again,
+//! send orders without another wait.
 //!
 //! The driver calls [`OrderLeases::may_write`] immediately before it writes an order to the socket.
 
--- a/coordinator/src/core/orders/lease.rs
+++ b/coordinator/src/core/orders/lease.rs
@@ -7,8 +7,8 @@
 use crate::core::lease_state::{LeaseEpoch, LeaseHolder, LeaseState};
 use crate::core::shards::{Shards, CONFIGURATION};
 
-/// Timeout for sending an order, in milliseconds: an order that has not left the socket by this time after it was
-/// written never does.
+/// Timeout for sending an order, in milliseconds. An order that has not left the sender's socket within this time after
+/// it was written is never sent.
 pub const ORDER_SEND_TIMEOUT: Millis = 400;
 /// Longest time that an order is assumed to take over the network, in milliseconds.
 const MAX_ORDER_NETWORK_DELAY: Millis = 200;
--- a/coordinator/src/core/quorum_contact.rs
+++ b/coordinator/src/core/quorum_contact.rs
@@ -26,9 +26,9 @@
     }
 
     /// Returns whether this node has had quorum contact since its start and has none at `now`. Unlike
-    /// `has_quorum_contact`, it does not rely on the check at the last event. Servers are then rejected, so that they
-    /// retry at another node, because the peers receive no updates about them from here. A node that has not had quorum
-    /// contact since its start accepts heartbeats.
+    /// `has_quorum_contact`, this does not rely on the check at the last event. Heartbeats are then rejected, so that
+    /// the servers retry at another node, because the peers receive no updates about them from this one. A node that
+    /// has not had quorum contact since its start accepts heartbeats.
     pub(super) fn has_lost_quorum_contact(&self, now: Millis) -> bool {
         self.had_quorum_contact && !self.reaches_quorum_of(now, &self.configuration_voters())
     }
--- a/coordinator/src/core/shards/shard.rs
+++ b/coordinator/src/core/shards/shard.rs
@@ -10,8 +10,8 @@
 const COMPACT_ENTRIES: u64 = 128;
 /// Bytes of applied commands after which the log is compacted into a snapshot, if the snapshot is large.
 const COMPACT_BYTES: usize = 2 << 20;
-/// If the snapshot is no larger than this, it is taken after each command. A node that restarts then has all entries
-/// that it had applied, even before a leader tells it the commit index.
+/// If the last snapshot was no larger than this, a new one is taken after each command. A node that restarts then has
+/// the state that it had applied, even before a leader tells it the commit index.
 const SMALL_SNAPSHOT_BYTES: usize = 96 << 10;
 
 /// This node's part of a shard.
--- a/coordinator/src/core/shutdown.rs
+++ b/coordinator/src/core/shutdown.rs
@@ -10,9 +10,9 @@
 pub const MAX_SHUTDOWN_TIME: Millis = 2_000;
 
 impl Coordinator {
-    /// Returns whether the process may exit `elapsed` milliseconds after the request to shut down. While another node
-    /// can replace it, a voter waits for that: another node may fail as soon as this process has exited, and a group
-    /// that still counts both as voters might have no majority.
+    /// Returns whether the process may exit `elapsed` milliseconds after the request to shut down. A voter
+    /// waits while another node can replace it: a further node may fail as soon as this process has exited, and a group
+    /// in which both are still voters might have no majority.
     pub fn may_end(&self, elapsed: Millis) -> bool {
         elapsed >= MAX_SHUTDOWN_TIME || (elapsed >= SHUTDOWN_GRACE && !self.is_awaiting_replacement())
     }
