--- a/coordinator/src/core/shutdown.rs
+++ b/coordinator/src/core/shutdown.rs
@@ -13,7 +13,7 @@
     /// Returns whether the process may exit `elapsed` milliseconds after the request to shut down. A voter
     /// waits while another node can replace it: a further node may fail as soon as this process has exited, and a group
     /// in which both are still voters might have no majority.
-    pub fn may_end(&self, elapsed: Millis) -> bool {
+    pub fn may_exit(&self, elapsed: Millis) -> bool {
         elapsed >= MAX_SHUTDOWN_TIME || (elapsed >= SHUTDOWN_GRACE && !self.is_awaiting_replacement())
     }
 
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -160,6 +160,6 @@
 
     /// Whether the process may end, so long after it was told to.
     pub fn may_end(&self, elapsed: Duration) -> bool {
-        self.state.borrow().coordinator.may_end(elapsed.as_millis() as Millis)
+        self.state.borrow().coordinator.may_exit(elapsed.as_millis() as Millis)
     }
 }
--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -269,7 +269,7 @@
     /// Advances the clock until a process that was requested to shut down may exit. Returns the time that this took.
     fn await_exit(&mut self, node: NodeId) -> Millis {
         let requested_at = self.now;
-        while !self.core(node).may_end(self.now - requested_at) {
+        while !self.core(node).may_exit(self.now - requested_at) {
             self.step();
         }
         self.now - requested_at
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -128,7 +128,7 @@
 
     /// Whether the process may end that was told to.
     pub fn may_end(&self, world: &World) -> bool {
-        self.shutdown_requested_at.is_none_or(|at| self.core.may_end(world.now.saturating_sub(at)))
+        self.shutdown_requested_at.is_none_or(|at| self.core.may_exit(world.now.saturating_sub(at)))
     }
 
     fn fail_callers(&mut self, world: &mut World) {
