--- a/capacity-emulator/src/coordinator_node.rs
+++ b/capacity-emulator/src/coordinator_node.rs
@@ -123,7 +123,7 @@
             incarnation,
             seeds: environment.seeds(),
             bootstrap,
-            lost_state: false,
+            journal_was_erased: false,
             hosts_lost: environment.options.hosts_lost,
             heartbeat_interval: Duration::from_millis(environment.options.heartbeat_ms),
             order_lease: ORDER_LEASE,
--- a/coordinator/src/core/shards/recovery.rs
+++ b/coordinator/src/core/shards/recovery.rs
@@ -35,7 +35,7 @@
             records.clear();
             actions.push(Action::LogStateChange(StateChange::UnreadableRecords { shard }));
         }
-        let recovering = !options.bootstrap || options.lost_state || is_unreadable;
+        let recovering = !options.bootstrap || options.journal_was_erased || is_unreadable;
         let seed = options.seed.wrapping_add(u64::from(shard));
         let replica_options = Options { recovering, ..Options::new(options.node, seed) };
         let mut replica = Replica::new(replica_options, records, now);
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -56,7 +56,7 @@
     let incarnation = Incarnation(random_number());
     let opened = journal::open_journal(&folder, &settings, &log).context(JournalSnafu { folder: &folder })?;
     let options = CoordinatorOptions {
-        lost_state: opened.was_erased,
+        journal_was_erased: opened.was_erased,
         ..CoordinatorOptions::from_settings(&settings, incarnation)
     };
     let host = Host::start(options, &settings, opened, log.clone());
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -34,7 +34,7 @@
     pub bootstrap: bool,
     /// Whether this node's journal was corrupt and has been erased. A shard without records then starts as a recovering
     /// voter, even during the bootstrap.
-    pub lost_state: bool,
+    pub journal_was_erased: bool,
     /// Number of coordinators that may be lost at once; `2 * hosts_lost + 1` of them vote.
     pub hosts_lost: u32,
     /// Interval between consecutive heartbeats of a server.
@@ -58,7 +58,7 @@
             incarnation,
             seeds: settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect(),
             bootstrap: settings.bootstrap,
-            lost_state: false,
+            journal_was_erased: false,
             hosts_lost: settings.tolerated_host_losses,
             heartbeat_interval: settings.heartbeat_interval,
             order_lease: settings.bounds.lease,
--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -187,7 +187,7 @@
         let incarnation = Incarnation(self.random_below(u64::MAX));
         let seeds = &self.machines[&node].seeds;
         let options = CoordinatorOptions {
-            lost_state: self.machines[&node].was_erased,
+            journal_was_erased: self.machines[&node].was_erased,
             ..coordinator_options(node, seeds, bootstrap, self.hosts_lost, incarnation)
         };
         let now = self.now;
--- a/model-checker/src/order_leadership.rs
+++ b/model-checker/src/order_leadership.rs
@@ -63,7 +63,7 @@
         incarnation: Incarnation(1),
         seeds: Vec::new(),
         bootstrap: false,
-        lost_state: false,
+        journal_was_erased: false,
         hosts_lost: 1,
         heartbeat_interval: Duration::from_secs(1),
         order_lease: Duration::from_millis(ORDER_LEASE_MS),
--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -77,7 +77,7 @@
         let OpenedDisk { writer, stored, was_erased } = disk.open()?;
         let incarnation = Incarnation(world.random_range(1..=u64::MAX));
         let options = CoordinatorOptions {
-            lost_state: was_erased,
+            journal_was_erased: was_erased,
             ..CoordinatorOptions::from_settings(settings, incarnation)
         };
         let wants_checkpoint = writer.wants_checkpoint();
