--- a/capacity-emulator/src/coordinator_node.rs
+++ b/capacity-emulator/src/coordinator_node.rs
@@ -124,7 +124,7 @@
             seeds: environment.seeds(),
             bootstrap,
             journal_was_erased: false,
-            hosts_lost: environment.options.hosts_lost,
+            tolerated_host_losses: environment.options.hosts_lost,
             heartbeat_interval: Duration::from_millis(environment.options.heartbeat_ms),
             order_lease: ORDER_LEASE,
             placement: shaletrail_placement::Options::default(),
--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -87,9 +87,9 @@
     })
 }
 
-/// Returns the number of voters that a shard needs to tolerate the loss of `hosts_lost` of them at the same time.
-pub fn voter_count(hosts_lost: u32) -> usize {
-    2 * hosts_lost as usize + 1
+/// Returns the number of voters that a shard needs to tolerate the loss of `tolerated_host_losses` of them at the same time.
+pub fn voter_count(tolerated_host_losses: u32) -> usize {
+    2 * tolerated_host_losses as usize + 1
 }
 
 impl Coordinator {
@@ -99,7 +99,7 @@
             return;
         }
         self.next_voter_review = now + VOTER_REVIEW_INTERVAL;
-        let size = voter_count(self.options.hosts_lost);
+        let size = voter_count(self.options.tolerated_host_losses);
         for shard in self.shards.numbers() {
             let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) else {
                 continue;
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -35,8 +35,8 @@
     /// Whether this node's journal was corrupt and has been erased. A shard without records then starts as a recovering
     /// voter, even during the bootstrap.
     pub journal_was_erased: bool,
-    /// Number of coordinators that may be lost at once; `2 * hosts_lost + 1` of them vote.
-    pub hosts_lost: u32,
+    /// Number of coordinators that may be lost at once; `2 * tolerated_host_losses + 1` of them vote.
+    pub tolerated_host_losses: u32,
     /// Interval between consecutive heartbeats of a server.
     pub heartbeat_interval: Duration,
     /// Minimum time between the last order of a lease holder and the first order of the next one.
@@ -59,7 +59,7 @@
             seeds: settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect(),
             bootstrap: settings.bootstrap,
             journal_was_erased: false,
-            hosts_lost: settings.tolerated_host_losses,
+            tolerated_host_losses: settings.tolerated_host_losses,
             heartbeat_interval: settings.heartbeat_interval,
             order_lease: settings.bounds.lease,
             retry_window: settings.bounds.retry_window,
--- a/model-checker/src/order_leadership.rs
+++ b/model-checker/src/order_leadership.rs
@@ -64,7 +64,7 @@
         seeds: Vec::new(),
         bootstrap: false,
         journal_was_erased: false,
-        hosts_lost: 1,
+        tolerated_host_losses: 1,
         heartbeat_interval: Duration::from_secs(1),
         order_lease: Duration::from_millis(ORDER_LEASE_MS),
         retry_window: Duration::from_secs(10),
