--- a/coordinator/src/core/voters.rs
+++ b/coordinator/src/core/voters.rs
@@ -104,8 +104,8 @@
             let Some(replica) = self.shards.replica_mut(shard).filter(|replica| replica.is_leader()) else {
                 continue;
             };
-            if let Some(wanted) = review(replica, &self.membership, size, now) {
-                actions.push(Action::LogStateChange(StateChange::VotersChanging { shard, wanted }));
+            if let Some(target_voters) = review(replica, &self.membership, size, now) {
+                actions.push(Action::LogStateChange(StateChange::VotersChanging { shard, target_voters }));
             }
         }
     }
--- a/coordinator/src/driver/host/log.rs
+++ b/coordinator/src/driver/host/log.rs
@@ -19,8 +19,8 @@
         StateChange::ConfigurationApplied { version } => {
             info!(log, "configuration applied"; "version" => version)
         }
-        StateChange::VotersChanging { shard, wanted } => {
-            let voters: Vec<String> = wanted.iter().map(ToString::to_string).collect();
+        StateChange::VotersChanging { shard, target_voters } => {
+            let voters: Vec<String> = target_voters.iter().map(ToString::to_string).collect();
             info!(log, "changing voters of shard"; "shard" => shard, "target_voters" => voters.join(","))
         }
         StateChange::OrderLeaseAcquired { shard, fencing_token } => {
--- a/coordinator/src/interface.rs
+++ b/coordinator/src/interface.rs
@@ -253,7 +253,7 @@
         /// The shard.
         shard: u32,
         /// The voters after the change.
-        wanted: Vec<NodeId>,
+        target_voters: Vec<NodeId>,
     },
     /// This node has acquired the order lease of a service shard.
     OrderLeaseAcquired {
--- a/coordinator/tests/driver_log.rs
+++ b/coordinator/tests/driver_log.rs
@@ -49,7 +49,10 @@
         (StateChange::LostLeadership { shard: 1, term: 2 }, "INFO lost leadership of shard term=2 shard=1"),
         (StateChange::ConfigurationApplied { version: 3 }, "INFO configuration applied version=3"),
         (
-            StateChange::VotersChanging { shard: 1, wanted: vec![NodeId(0x0a01_0002), NodeId(0x0a01_0003)] },
+            StateChange::VotersChanging {
+                shard: 1,
+                target_voters: vec![NodeId(0x0a01_0002), NodeId(0x0a01_0003)],
+            },
             "INFO changing voters of shard target_voters=10.1.0.2,10.1.0.3 shard=1",
         ),
         (
--- a/coordinator/tests/stored_format.rs
+++ b/coordinator/tests/stored_format.rs
@@ -193,7 +193,7 @@
         StateChange::BecameLeader { shard: 1, term: 2 },
         StateChange::LostLeadership { shard: 1, term: 2 },
         StateChange::ConfigurationApplied { version: 3 },
-        StateChange::VotersChanging { shard: 1, wanted: Vec::new() },
+        StateChange::VotersChanging { shard: 1, target_voters: Vec::new() },
         StateChange::OrderLeaseAcquired { shard: 1, fencing_token: 4 },
         StateChange::QuorumContactChanged(true),
         StateChange::UnreadableRecords { shard: 1 },
