--- a/ring/src/lib.rs
+++ b/ring/src/lib.rs
@@ -1,20 +1,21 @@
 //! The slot array of RJ-CH (Chen, Coleman, Shrivastava, "Revisiting Consistent Hashing with Bounded Loads"):
-//! members are hashed into an array of [`SLOTS`] slots, each slot belongs to the nearest point clockwise, and
-//! a key tries the owners of h(key, 0), h(key, 1) and so on.
+//! members are hashed to points in an array of [`SLOTS`] slots, each slot belongs to the nearest point
+//! clockwise, and a key tries the owners of h(key, 0), h(key, 1) and so on.
 //!
-//! Where points lie depends on the members' names and sizes alone, not on any order, seed or platform, so
-//! that all nodes compute the same owners.
+//! Points depend on the members' names and sizes alone, not on any order, seed or platform, so that all nodes
+//! compute the same owners.
 
 /// Length m of the slot array: many times the points of a large fleet, so that few points collide.
 pub const SLOTS: usize = 1 << 16;
-/// Points of a member of size 1; shares vary by about 1/sqrt(128), 9 %.
+/// Points of a member of size 1; the shares that members own vary by about 1/sqrt(128), 9 %.
 pub const POINTS: f64 = 128.0;
-/// Points passed over at most in the search for one that takes a key.
+/// Points examined at most in the search for one that takes a key.
 pub const MAX_JUMPS: u64 = 32;
-/// Attempts of [`SlotArray::sequence`]; members that own none of these slots follow in slot order.
+/// Attempts that [`SlotArray::sequence`] evaluates; members that own none of their slots follow in slot
+/// order.
 pub const MAX_ATTEMPTS: u64 = 64;
 
-/// The splitmix64 finaliser, written out so that every port computes the same homes.
+/// The splitmix64 finaliser, written out so that every port computes the same owners.
 pub fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -31,17 +32,17 @@
     text.bytes().fold(start, |hash, byte| mix(hash ^ u64::from(byte)))
 }
 
-/// h(key, attempt) of the paper.
+/// Slot h(key, attempt) of the paper.
 pub fn slot_of(key: Key, attempt: u64) -> usize {
     (mix(mix(key.0) ^ attempt.wrapping_mul(0xd6e8_feb8_6659_fd93)) % SLOTS as u64) as usize
 }
 
-/// What is looked up in a [`SlotArray`].
+/// A hashed key, as it is looked up in a [`SlotArray`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
 impl Key {
-    /// The key of a name.
+    /// The key of a single name.
     pub fn of(name: &str) -> Key {
         Key(hash_of_name(name))
     }
@@ -60,7 +61,7 @@
     member: u16,
 }
 
-/// The slot array. Members are compared by `Eq`; their points lie by the hashes of their names.
+/// The points of all members. Members are compared by `Eq`; their points follow from their names' hashes.
 #[derive(Clone, Debug)]
 pub struct SlotArray<M> {
     points: Vec<Point>,
@@ -74,8 +75,8 @@
 }
 
 impl<M: Clone + Eq> SlotArray<M> {
-    /// Gives members as many points as go with their sizes; at size 0 none. The others' points stay. Each
-    /// entry is a member, the hash of its name ([`hash_of_name`]) and its size (1.0 is the usual one).
+    /// Gives members points in proportion to their sizes, none at size 0; points of other members stay. Each
+    /// entry is a member, the hash of its name ([`hash_of_name`]) and its size (usually 1.0).
     pub fn update(&mut self, sizes: &[(M, u64, f64)]) {
         self.remove(sizes);
         let mut free = 0;
@@ -92,7 +93,7 @@
                 Point { slot, hash: (hash >> 32) as u32, member: free as u16 }
             }));
         }
-        // Stable, as what is sorted already then costs one merge only.
+        // The stable sort takes one merge where most points are sorted already.
         self.points.sort();
     }
 
@@ -106,16 +107,16 @@
         self.points.retain(|point| stays[usize::from(point.member)]);
     }
 
-    /// The owner of slot h(key, attempt): that of the nearest point clockwise that takes the key. `takes` is
-    /// given the member and the hash of its point; at most [`MAX_JUMPS`] points are asked.
+    /// The owner of slot h(key, attempt): the member of the nearest point clockwise that takes the key.
+    /// `takes` gets the member and the hash of its point; at most [`MAX_JUMPS`] points are examined.
     pub fn owner(&self, key: Key, attempt: u64, takes: impl Fn(&M, u32) -> bool) -> Option<&M> {
         self.clockwise(slot_of(key, attempt)).take(MAX_JUMPS as usize).find_map(|point| {
             self.members[usize::from(point.member)].as_ref().filter(|member| takes(member, point.hash))
         })
     }
 
-    /// Distinct owners of h(key, 0), h(key, 1), ..., each once, in that order. After [`MAX_ATTEMPTS`]
-    /// attempts, members that are left follow in slot order from h(key, 0) on, so that all come in the end.
+    /// Distinct owners of h(key, 0), h(key, 1), ... in that order. After [`MAX_ATTEMPTS`] attempts, the other
+    /// members follow in slot order from h(key, 0) on, so that each member occurs once.
     pub fn sequence(&self, key: Key) -> impl Iterator<Item = &M> {
         let mut seen = vec![false; self.members.len()];
         let owners =
@@ -125,17 +126,17 @@
         distinct.take(self.len()).filter_map(|index| self.members[index].as_ref())
     }
 
-    /// Members that have points.
+    /// Number of members that have points.
     pub fn len(&self) -> usize {
         self.members.iter().flatten().count()
     }
 
-    /// Whether there is no member.
+    /// Whether no member has points.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All points, each once, clockwise from a slot on.
+    /// All points, each once, clockwise from a slot.
     fn clockwise(&self, slot: usize) -> impl Iterator<Item = &Point> {
         let (before, after) =
             self.points.split_at(self.points.partition_point(|p| usize::from(p.slot) < slot));
--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -1,65 +1,65 @@
-//! What a node may take and repeat: the quotas of tenants and the budget of further attempts.
+//! Admission of requests and retries: tenant quotas and the retry budget.
 
 use std::collections::VecDeque;
 
 use super::Node;
 use crate::interface::*;
 
-/// Requests that may be saved up of a tenant's quota and of a cold server's allowance: few come unevenly.
-pub(super) const SPARE: f64 = 4.0;
-/// The retry budget where the settings state none: repeats must not become a storm.
-pub(super) const OWN_BUDGET: Budget = Budget { span: 10.0, free: 20.0, ratio: 0.1 };
+/// Burst, in requests, of a tenant's quota and of a cold server's allowance: sparse requests come unevenly.
+pub(super) const BURST: f64 = 4.0;
+/// Retry budget where the settings state none: retries must not become a retry storm.
+pub(super) const DEFAULT_BUDGET: Budget = Budget { span: 10.0, free: 20.0, ratio: 0.1 };
 
-/// What a tenant may still send at this node, as of when, and what it sent a second, smoothed over the ramp.
+/// A tenant's token bucket at this node, and its requests per second, smoothed over the warm-up time.
 #[derive(Clone, Default)]
-pub(super) struct Tokens {
+pub(super) struct TokenBucket {
     pub(super) tokens: f64,
-    pub(super) at: Seconds,
-    pub(super) used: f64,
+    pub(super) refilled: Seconds,
+    pub(super) rate: f64,
 }
 
-/// Rule five: requests taken and further attempts in the span, exact where a bucket would let bursts pass.
+/// Rule 5: requests and retries within the budget's span, exact where a token bucket would let bursts pass.
 #[derive(Default)]
-pub(super) struct Ration {
-    pub(super) taken: VecDeque<Seconds>,
-    pub(super) extra: VecDeque<Seconds>,
+pub(super) struct RetryWindow {
+    pub(super) requests: VecDeque<Seconds>,
+    pub(super) retries: VecDeque<Seconds>,
 }
 
-impl Ration {
-    pub(super) fn allows_one(&mut self, budget: &Budget, now: Seconds, spare: Seconds) -> bool {
-        let since = now - budget.span;
+impl RetryWindow {
+    pub(super) fn allows_retry(&mut self, budget: &Budget, now: Seconds, slack: Seconds) -> bool {
+        let window_start = now - budget.span;
         if cfg!(feature = "without-budget") {
             return true;
         }
-        self.taken.drain(..self.taken.partition_point(|&at| at < since + spare));
-        self.extra.drain(..self.extra.partition_point(|&at| at < since - spare));
-        self.extra.len() as f64 + 1.0 <= budget.free + budget.ratio * self.taken.len() as f64
+        self.requests.drain(..self.requests.partition_point(|&at| at < window_start + slack));
+        self.retries.drain(..self.retries.partition_point(|&at| at < window_start - slack));
+        self.retries.len() as f64 + 1.0 <= budget.free + budget.ratio * self.requests.len() as f64
     }
 }
 
 impl Node {
-    /// A token bucket a tenant, filled at this node's part of its quota: nodes carry unequal parts, as much
-    /// as the least demanding tenant uses, an even part at least.
+    /// Takes a token from the tenant's bucket. Nodes carry unequal parts of the load, so buckets refill at
+    /// the part of its quota that the least demanding tenant uses here, but at an even share at least.
     pub(super) fn over_quota(&mut self, tenant: Option<TenantId>) -> bool {
-        let (ramp, even, sets) = (self.ramp(), self.part(1.0), &self.settings.tenants);
-        let used = sets.iter().zip(&self.tenants).map(|(set, t)| t.used / set.quota).fold(f64::MAX, f64::min);
+        let (warmup_time, even, quotas) = (self.warmup_time(), self.node_share(1.0), &self.settings.tenants);
+        let usage = quotas.iter().zip(&self.tenants).map(|(q, t)| t.rate / q.quota).fold(f64::MAX, f64::min);
         let Some(t) = tenant.and_then(|t| self.tenants.get_mut(t.0)) else { return false };
-        let quota = tenant.map_or(0.0, |t| sets[t.0].quota);
-        let rate = quota * used.max(even);
-        t.used += 1.0 / ramp;
-        t.tokens = (t.tokens + rate * (self.now - t.at)).min(rate.max(SPARE));
-        t.at = self.now;
+        let quota = tenant.map_or(0.0, |t| quotas[t.0].quota);
+        let refill_rate = quota * usage.max(even);
+        t.rate += 1.0 / warmup_time;
+        t.tokens = (t.tokens + refill_rate * (self.now - t.refilled)).min(refill_rate.max(BURST));
+        t.refilled = self.now;
         let over = t.tokens < 1.0;
         t.tokens -= f64::from(!over);
         over
     }
 
-    /// What does not go by the requests taken, two processes of a node have half of each.
+    /// Each of two processes of one node gets half of what does not grow with its own requests.
     pub(super) fn on_shared(&mut self, shared: bool) {
-        let part = if shared { 0.5 } else { 1.0 };
-        let budget = self.settings.guarantees.budget.unwrap_or(OWN_BUDGET);
-        self.budget = Budget { free: budget.free * part, ..budget };
-        self.spare = SPARE * part;
-        self.servers.values_mut().for_each(|s| s.allowance = s.allowance.min(self.spare));
+        let share = if shared { 0.5 } else { 1.0 };
+        let budget = self.settings.guarantees.budget.unwrap_or(DEFAULT_BUDGET);
+        self.budget = Budget { free: budget.free * share, ..budget };
+        self.burst = BURST * share;
+        self.servers.values_mut().for_each(|s| s.allowance = s.allowance.min(self.burst));
     }
 }
--- a/src/balance/figures.rs
+++ b/src/balance/figures.rs
@@ -1,38 +1,38 @@
-//! Smoothed figures of what a node observes, and limits learnt from answer times.
+//! Smoothed statistics of what a node observes, and concurrency limits adapted from latencies.
 
 use crate::interface::*;
 
-/// Weight of a new observation in smoothed figures, and the time that rare ones are set against.
-const SMOOTH: f64 = 0.1;
-pub(super) const RARE: Seconds = 10.0;
-/// How long a key is taken to be kept where it was last served.
-pub(super) const MEMORY: Seconds = 15.0;
+/// Least weight of a new sample in an average, and the time that gaps between samples are relative to.
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
+pub(super) const RARE_INTERVAL: Seconds = 10.0;
+/// How long a key is presumed cached where it was last served; also the time constant of decaying counts.
+pub(super) const RETENTION: Seconds = 15.0;
 
-/// A smoothed figure. Where observations are rare each counts for more, as many nodes each see few.
+/// Exponentially weighted moving average. Sparse samples weigh more, as each of many nodes sees few.
 #[derive(Debug, Default)]
-pub(super) struct Mean {
+pub(super) struct Average {
     pub(super) value: f64,
-    pub(super) at: Seconds,
+    pub(super) updated: Seconds,
 }
 
-impl Mean {
+impl Average {
     pub(super) fn add(&mut self, observed: f64, now: Seconds) {
-        let weight = ((now - self.at) / RARE).clamp(SMOOTH, 0.3);
+        let weight = ((now - self.updated) / RARE_INTERVAL).clamp(MIN_SAMPLE_WEIGHT, 0.3);
         self.value += weight * (observed - self.value);
-        self.at = now;
+        self.updated = now;
     }
 }
 
-/// How many of something there were lately: a count that fades over `MEMORY`.
+/// Event count that decays exponentially with time constant `RETENTION`.
 #[derive(Debug, Default)]
-pub(super) struct Recent {
+pub(super) struct DecayingCount {
     pub(super) count: f64,
     pub(super) since: Seconds,
 }
 
-impl Recent {
+impl DecayingCount {
     pub(super) fn at(&self, now: Seconds) -> f64 {
-        self.count * (-(now - self.since) / MEMORY).exp()
+        self.count * (-(now - self.since) / RETENTION).exp()
     }
 
     pub(super) fn add(&mut self, now: Seconds) {
@@ -40,27 +40,27 @@
     }
 }
 
-/// A number in flight that grows while answers are quick and falls when they are slow.
+/// Concurrency limit that grows while answers are fast and is cut when they are slow.
 #[derive(Debug, Default)]
-pub(super) struct Limit {
+pub(super) struct ConcurrencyLimit {
     pub(super) value: f64,
-    pub(super) least: f64,
-    pub(super) changed: Seconds,
+    pub(super) min: f64,
+    pub(super) last_cut: Seconds,
 }
 
-impl Limit {
-    /// A limit that is not used tells nothing and does not grow.
-    pub(super) fn grow(&mut self, load: f64) {
+impl ConcurrencyLimit {
+    /// A limit that is not in use does not grow: fast answers then say nothing about it.
+    pub(super) fn raise(&mut self, load: f64) {
         if load >= self.value / 2.0 {
             self.value += (self.value / 2.0).min(1.0 / self.value);
         }
     }
 
-    /// Attempts sent before the last cut tell nothing of the limit that it set.
+    /// Ignores attempts sent before the last cut: they say nothing about the limit that it set.
     pub(super) fn cut(&mut self, to: f64, load: f64, now: Seconds, sent: Seconds) {
-        if sent > self.changed {
-            self.value = (load.clamp(self.value / 2.0, self.value) * to).max(self.least);
-            self.changed = now;
+        if sent > self.last_cut {
+            self.value = (load.clamp(self.value / 2.0, self.value) * to).max(self.min);
+            self.last_cut = now;
         }
     }
 }
--- a/src/balance/placement.rs
+++ b/src/balance/placement.rs
@@ -1,92 +1,93 @@
-//! Where an attempt may go: the cap and the jumps of RJ-CH, and what departs from them.
+//! Choice of a server: the cap and the jumps of RJ-CH, and the exceptions to them.
 
 use shaletrail_ring::{mix, MAX_JUMPS};
 
 use super::request::{Attempt, Request};
-use super::{outcomes::BUSY, server::Server, Node, LEAST};
+use super::{outcomes::SLOW_FLEET_DELAY, server::Server, Node, MIN_LIMIT};
 use crate::interface::*;
 
-/// ε of the cap. A jump costs a miss at the slow origin: the cap is to stop crowding, not to even out.
+/// ε of the cap. A jump costs a miss at the slow origin: the cap is against crowding, not for even load.
 const EPSILON: f64 = 0.7;
-/// Requests that all nodes together may always have at one server: a few a core; and each node in aside mode,
-/// where a jump into a miss costs attempts and the origin.
-pub(super) const FLEET_FLOOR: f64 = 8.0;
-const NODE_FLOOR: f64 = 3.0;
-/// Over quota a limit is divided by 1 + this x the usual answer time / the aim: two or so, in a jam four.
-const OVER: f64 = 6.0;
-/// A key may add this part of what a server is sent by the mean to each of its places.
-const KEY_SHARE: f64 = 0.6;
-/// Requests set against the first ones seen of a key: two in a row don't make it hot.
-const FEW: f64 = 50.0;
-/// Connections that have lain unused for less are not suspected; a suspicion fades over `RARE`.
-pub(super) const IDLE: Seconds = 0.25;
+/// Requests in flight at one server that the cap always allows: over all nodes (a few per core), and per node
+/// in aside mode, where a jump into a miss costs attempts and a fetch from the origin.
+pub(super) const FLEET_CAP_FLOOR: f64 = 8.0;
+const NODE_CAP_FLOOR: f64 = 3.0;
+/// Over quota, limits are divided by 1 + this x hit latency / latency target: by about 2, in overload by 4.
+const QUOTA_PENALTY: f64 = 6.0;
+/// Part of a server's mean load that one key may add to each of the servers that it is spread over.
+const MAX_KEY_SHARE: f64 = 0.6;
+/// Added to the total when a key's share of it is computed: two early requests in a row don't make it hot.
+const KEY_SHARE_BASE: f64 = 50.0;
+/// Connections that were idle for less are not suspected to be dead.
+pub(super) const MIN_STALE_IDLE: Seconds = 0.25;
 
 impl Node {
-    /// max(floor, ⌈(1+ε)n/k⌉), with n/k in proportion to the server's share where sizes differ.
+    /// max(floor, ⌈(1+ε)n/k⌉), with n/k in proportion to the server's capacity.
     fn cap(&self, server: &Server) -> f64 {
         if cfg!(feature = "without-cap") {
             return f64::INFINITY;
         }
         let n = f64::from(self.in_flight + 1);
-        let floor = if self.settings.cache == CacheMode::Through { 1.0 } else { NODE_FLOOR };
-        ((1.0 + EPSILON) * n * server.share / self.shares)
+        let floor = if self.settings.cache == CacheMode::Through { 1.0 } else { NODE_CAP_FLOOR };
+        ((1.0 + EPSILON) * n * server.capacity / self.total_capacity)
             .ceil()
-            .max(self.part(FLEET_FLOOR).ceil().max(floor))
+            .max(self.node_share(FLEET_CAP_FLOOR).ceil().max(floor))
     }
 
-    /// A cold server takes a stable part of its keys, as it is warm and allowed, and no overflow.
-    fn takes(&self, server: &Server, key: Key, place: u64, hash: u32) -> bool {
-        let part = mix(key.0 ^ u64::from(hash)) as f64 / u64::MAX as f64;
-        let cold = server.share < server.size;
-        server.share > 0.0
-            && (!cold || (place == 0 && server.allowance >= 1.0 && part * server.size < server.share))
+    /// A cold server accepts a stable part of its own keys, by capacity and allowance, and no overflow.
+    fn accepts(&self, server: &Server, key: Key, jump: u64, hash: u32) -> bool {
+        let draw = mix(key.0 ^ u64::from(hash)) as f64 / u64::MAX as f64;
+        let cold = server.capacity < server.size;
+        server.capacity > 0.0
+            && (!cold || (jump == 0 && server.allowance >= 1.0 && draw * server.size < server.capacity))
     }
 
-    /// The first server below its cap along the key's places; `None` if all are full.
-    pub(super) fn choose(&self, r: &Request) -> Option<ServerId> {
-        // When the whole fleet is slow in mode `Through`, where a miss holds a place, a jump finds no idler
-        // server, only a miss that slows it further: requests wait.
+    /// The first server below its cap along the key's jumps; `None` if all are full.
+    pub(super) fn choose_server(&self, r: &Request) -> Option<ServerId> {
+        // In through mode a miss occupies its server. While the whole fleet is slow, a jump finds no less
+        // loaded server and adds a miss that slows it further, so requests wait instead.
         let through = self.settings.cache == CacheMode::Through;
-        let slow = through && self.wait.value > BUSY;
-        let share = if r.over_quota { 1.0 + OVER * self.hit_time.value / self.tightest_aim } else { 1.0 };
-        let first = (r.draw * self.places(r.key)) as u64;
-        let mut spare = None;
-        for place in 0..MAX_JUMPS {
-            let takes = |id: &ServerId, hash| self.takes(&self.servers[id], r.key, place, hash);
-            let Some(id) = self.slots.owner(r.key, first + place, takes) else { continue };
+        let slow_fleet = through && self.delay.value > SLOW_FLEET_DELAY;
+        let divisor =
+            if r.over_quota { 1.0 + QUOTA_PENALTY * self.hit_latency.value / self.min_target } else { 1.0 };
+        let first = (r.draw * self.spread(r.key)) as u64;
+        let mut fallback = None;
+        for jump in 0..MAX_JUMPS {
+            let accepts = |id: &ServerId, hash| self.accepts(&self.servers[id], r.key, jump, hash);
+            let Some(id) = self.slots.owner(r.key, first + jump, accepts) else { continue };
             let server = &self.servers[id];
-            // On a connection that was dead when used, the server did not fail.
-            let stale = |a: &Attempt| a.status == Some(Status::Broken) && a.idle >= IDLE;
+            // A connection that was already dead when it was used is no failure of its server.
+            let stale = |a: &Attempt| a.status == Some(Status::Broken) && a.idle >= MIN_STALE_IDLE;
             let tried = |a: &Attempt| a.server == *id && a.status != Some(Status::Absent) && !stale(a);
             if r.attempts.iter().any(tried) || !self.may_send(r, id, server) {
                 continue;
             }
             let limit = server.limit.value;
-            let rest = self.hit_time.value / limit * (share - 1.0);
-            let rested = server.in_flight == 0 && self.now >= server.rested + rest;
-            let quiet = self.now < server.quiet;
-            if quiet || !rested && f64::from(server.in_flight) >= (limit / share).floor() {
-                if slow || r.over_quota {
+            let pause = self.hit_latency.value / limit * (divisor - 1.0);
+            let pause_over = server.in_flight == 0 && self.now >= server.paced_until + pause;
+            let ejected = self.now < server.ejected_until;
+            if ejected || !pause_over && f64::from(server.in_flight) >= (limit / divisor).floor() {
+                if slow_fleet || r.over_quota {
                     return None;
                 }
                 continue;
             }
             if f64::from(server.in_flight) < self.cap(server) {
-                if !server.loses(r.class, self.now) {
+                if !server.class_ejected(r.class, self.now) {
                     return Some(id.clone());
                 }
-                spare = spare.or(Some(id));
+                fallback = fallback.or(Some(id));
             }
         }
-        spare.cloned()
+        fallback.cloned()
     }
 
-    /// Rules two and three, for one more attempt at this server.
+    /// Whether rules 2 and 3 allow one more attempt at this server.
     pub(super) fn may_send(&self, r: &Request, id: &ServerId, server: &Server) -> bool {
         let limits = &self.settings.limits;
-        let out = server.entry.state != ServerState::Ready || self.by_hand.contains_key(id);
+        let out = server.entry.state != ServerState::Ready || self.out_of_service.contains_key(id);
         let over = r.ended || self.now >= r.deadline || r.attempts.len() >= limits.max_attempts as usize;
-        if out || over || r.spent || r.streaming || r.attempts_out() > 0 {
+        if out || over || r.spent || r.streaming || r.in_flight() > 0 {
             return false;
         }
         let class = &self.settings.classes[r.class];
@@ -113,8 +114,8 @@
             || !r.attempts.iter().any(|a| a.status.is_none_or(Status::may_have_run))
     }
 
-    /// The origin, if it has room for one more fetch. Writes always go; they are few.
-    pub(super) fn origin(&self, r: &Request) -> Option<ServerId> {
+    /// The least loaded origin that has room for a fetch. Writes are always sent; they are few.
+    pub(super) fn choose_origin(&self, r: &Request) -> Option<ServerId> {
         self.servers
             .iter()
             .filter(|(id, s)| self.settings.is_origin(&s.entry) && self.may_send(r, id, s))
@@ -123,19 +124,19 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// How many places a key is spread over: one, unless it is hot. Each node sees its own part of the key's
-    /// traffic, and all would fill one place before the next, so they draw among as many as it needs.
-    fn places(&self, key: Key) -> f64 {
-        let count = self.heat.get(&key).map_or(0.0, |heat| heat.at(self.now));
-        let share = (count - 1.0).max(0.0) / (self.total.at(self.now) + FEW);
-        (share * self.ready / KEY_SHARE).ceil().clamp(1.0, self.ready.max(1.0))
+    /// Number of servers that a key is spread over: one, unless it is hot. Each node sees its own part of the
+    /// traffic, and all would fill one server before the next, so requests draw among as many as are needed.
+    fn spread(&self, key: Key) -> f64 {
+        let count = self.key_arrivals.get(&key).map_or(0.0, |requests| requests.at(self.now));
+        let key_share = (count - 1.0).max(0.0) / (self.arrivals.at(self.now) + KEY_SHARE_BASE);
+        (key_share * self.ready_count / MAX_KEY_SHARE).ceil().clamp(1.0, self.ready_count.max(1.0))
     }
 
-    /// Room for one more attempt that may reach the origin; with a limit below 1, one after a rest.
-    pub(super) fn bears(&self, part: f64) -> bool {
-        // Most of what this node does not know to be kept, others have had fetched, where there are many.
-        let limit = part * self.fetch_limit.value / self.misses.value.max(LEAST);
-        f64::from(self.origin_load) < limit
-            && self.now - self.last_fetch >= self.tightest_aim * (1.0 / limit - 1.0)
+    /// Room for one more attempt that may reach the origin; with a limit below 1, one after each pause.
+    pub(super) fn origin_has_room(&self, multiple: f64) -> bool {
+        // With many nodes, most keys that this node does not know to be cached have been fetched by others.
+        let limit = multiple * self.fetch_limit.value / self.miss_ratio.value.max(MIN_LIMIT);
+        f64::from(self.origin_in_flight) < limit
+            && self.now - self.last_fetch >= self.min_target * (1.0 / limit - 1.0)
     }
 }
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -1,4 +1,4 @@
-//! Requests under way and their attempts.
+//! Requests in progress and their attempts.
 
 use crate::interface::*;
 
@@ -7,11 +7,11 @@
     pub(super) server: ServerId,
     pub(super) sent: Seconds,
     pub(super) to_origin: bool,
-    /// How long this node's connections to the server had lain idle.
+    /// How long this node's connections to the server had been idle.
     pub(super) idle: Seconds,
-    /// It holds a place at its server: from when the request is whole there until its answer has begun.
-    pub(super) works: bool,
-    /// `None` while it is out.
+    /// Counted in flight: from when the server has the whole request until its answer begins.
+    pub(super) counted: bool,
+    /// `None` while it is in flight.
     pub(super) status: Option<Status>,
 }
 
@@ -22,32 +22,32 @@
     pub(super) write: bool,
     pub(super) arrived: Seconds,
     pub(super) deadline: Seconds,
-    /// Its hinted work, 0 where there is no hint.
+    /// Hinted work in core time, 0 without a hint.
     pub(super) work: Seconds,
-    /// Past its tenant's share at this node.
+    /// Its tenant was over its quota at this node.
     pub(super) over_quota: bool,
-    /// By chance from 0 to 1: which of the places of a hot key it starts from.
+    /// Random number from 0 to 1 that selects the first of a hot key's servers.
     pub(super) draw: f64,
     pub(super) attempts: Vec<Attempt>,
-    /// A cache server lacked its key; the origin is next (aside mode).
+    /// A cache server lacked the key; the origin is next (aside mode).
     pub(super) missed: bool,
-    /// Its last cache server goes on failing its class: the next attempt is free of the node's own budget.
-    pub(super) excused: bool,
-    /// Its body is on the way, and its time does not run yet.
+    /// Its cache server keeps failing its class: the next attempt is exempt from the default retry budget.
+    pub(super) budget_exempt: bool,
+    /// Its body is still arriving, and the client's time does not run yet.
     pub(super) coming: bool,
-    /// Its body can't be sent again.
+    /// Its body was not kept and can't be sent again.
     pub(super) spent: bool,
     pub(super) streaming: bool,
     pub(super) ended: bool,
 }
 
 impl Request {
-    pub(super) fn attempts_out(&self) -> usize {
+    pub(super) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.status.is_none()).count()
     }
 
-    /// The next attempt counts against the budget: not the first, nor one after `Absent`, nor an excused one.
-    pub(super) fn costs_budget(&self) -> bool {
-        !self.excused && self.attempts.last().is_some_and(|a| a.status != Some(Status::Absent))
+    /// A retry is neither the first attempt, nor one after `Absent`, nor one exempt from the budget.
+    pub(super) fn is_retry(&self) -> bool {
+        !self.budget_exempt && self.attempts.last().is_some_and(|a| a.status != Some(Status::Absent))
     }
 }
--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -1,67 +1,66 @@
-//! What a node knows of one server: its load, its warmth and what it has lost.
+//! What a node knows about one server: its load, its warm-up and its failures.
 
 use std::collections::BTreeMap;
 
-use super::{figures::Limit, TICK};
+use super::{figures::ConcurrencyLimit, MAX_TICK};
 use crate::interface::*;
 
-/// A server found failing or silent twice in the first time is left alone for about the second, by all nodes
-/// that are told: what is jammed comes back only when left idle.
-pub(super) const AGREED: Seconds = 2.0;
-pub(super) const QUIET: Seconds = 4.0;
+/// A server with two failures within the first time is ejected for about the second, by all nodes that are
+/// notified: an overloaded server recovers only when it is left idle.
+pub(super) const FAILURE_WINDOW: Seconds = 2.0;
+pub(super) const EJECTION_TIME: Seconds = 4.0;
 
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    /// As last listed.
     pub(crate) entry: RosterEntry,
     pub(super) in_flight: u32,
-    /// What its points in the slot array go by; 0 when it has none.
+    /// Determines its points in the slot array; 0 when it has none.
     pub(super) size: f64,
-    /// The same by warmth; 0 while nothing may go there.
-    pub(super) share: f64,
-    /// Attempts that it may be sent while it is cold.
+    /// Size times warm-up fraction; 0 while nothing may be sent to it.
+    pub(super) capacity: f64,
+    /// Token bucket of attempts while it is cold.
     pub(super) allowance: f64,
-    /// In-flight count above which answers get slow, learnt from their times.
-    pub(super) limit: Limit,
-    /// With a limit below 1, when it has rested from what it was sent; two rests may be saved up.
-    pub(super) rested: Seconds,
-    /// When a node last found it failing, and until when it is left alone.
-    pub(super) failed: Seconds,
-    pub(crate) quiet: Seconds,
+    /// Number in flight above which answers get slow, learnt from latencies.
+    pub(super) limit: ConcurrencyLimit,
+    /// With a limit below 1, when it has paused for what it was sent; two pauses may be saved up.
+    pub(super) paced_until: Seconds,
+    /// When any node last saw it fail, and until when it is ejected.
+    pub(super) last_failure: Seconds,
+    pub(crate) ejected_until: Seconds,
     /// When an attempt here last ended.
-    pub(super) used: Seconds,
+    pub(super) last_used: Seconds,
     /// When it last answered, and when the latest attempt was sent that it has answered.
-    pub(super) answered: Seconds,
-    pub(super) newest: Seconds,
-    /// When a connection to it in use was last reset.
-    pub(super) reset: Seconds,
-    /// Classes of which it has lost the last attempts: how many, and until when they go elsewhere.
-    pub(super) lost: BTreeMap<usize, (u32, Seconds)>,
+    pub(super) last_answer: Seconds,
+    pub(super) newest_answered: Seconds,
+    /// When a connection to it was last reset while in use.
+    pub(super) last_reset: Seconds,
+    /// Classes whose last attempts failed: how many, and until when the class is sent elsewhere.
+    pub(super) class_failures: BTreeMap<usize, (u32, Seconds)>,
 }
 
 impl Server {
-    /// A single attempt may get lost anywhere; two of a class with no answer between are the server's.
-    pub(super) fn on_class(&mut self, class: usize, lost: bool, now: Seconds) {
-        if !lost {
-            self.lost.remove(&class);
+    /// One attempt may get lost anywhere; two of a class with no answer in between count against the server.
+    pub(super) fn add_result(&mut self, class: usize, failed: bool, now: Seconds) {
+        if !failed {
+            self.class_failures.remove(&class);
             return;
         }
-        let (count, until) = self.lost.entry(class).or_default();
+        let (count, until) = self.class_failures.entry(class).or_default();
         *count += 1;
-        *until = if *count > 1 { now + AGREED } else { *until };
+        *until = if *count > 1 { now + FAILURE_WINDOW } else { *until };
     }
 
-    pub(super) fn loses(&self, class: usize, now: Seconds) -> bool {
-        self.lost.get(&class).is_some_and(|(_, until)| now < *until)
+    pub(super) fn class_ejected(&self, class: usize, now: Seconds) -> bool {
+        self.class_failures.get(&class).is_some_and(|(_, until)| now < *until)
     }
 
-    /// Share of its capacity that a just-started server can be trusted with.
-    pub(super) fn warmth(&self, now: Seconds, guarantees: &Guarantees) -> f64 {
+    /// Fraction of its capacity that a recently started server can take.
+    pub(super) fn warmup_fraction(&self, now: Seconds, guarantees: &Guarantees) -> f64 {
         if cfg!(feature = "without-warmup") {
             return 1.0;
         }
         let started = self.entry.started.unwrap_or(f64::NEG_INFINITY);
-        let left = (1.0 - (now - started) / guarantees.ramp.max(TICK)).clamp(0.0, 1.0);
+        let left = (1.0 - (now - started) / guarantees.ramp.max(MAX_TICK)).clamp(0.0, 1.0);
         1.0 - (1.0 - guarantees.cold_from) * left
     }
 }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -19,15 +19,16 @@
     pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         self.0.now = now;
         self.0.on_event(event);
-        actions.append(&mut self.0.out);
+        actions.append(&mut self.0.actions);
     }
 
     /// What there is of servers as of the last event, for operators.
     pub fn listed(&self) -> Listed {
         let node = &self.0;
         let servers = node.servers.values().filter(|s| self.is_listed(&s.entry));
-        let avoided =
-            servers.clone().filter(|s| node.now < s.quiet || node.by_hand.contains_key(&s.entry.server));
+        let avoided = servers
+            .clone()
+            .filter(|s| node.now < s.ejected_until || node.out_of_service.contains_key(&s.entry.server));
         Listed { all: servers.count(), avoided: avoided.count() }
     }
 
