--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words and the interface's types, one to the other.
+//! Translation between the lines of the text protocol and the types of the balancer's interface.
 
 use std::fmt::Write;
 use std::io::BufRead;
@@ -6,7 +6,7 @@
 use shaletrail_balancer_settings::Names;
 use shaletrail_policy::*;
 
-/// Input lines and the number of the last one read.
+/// Input lines, with the number of the last one read.
 pub struct Lines<R> {
     input: R,
     number: u64,
@@ -30,19 +30,19 @@
                 line.truncate(line.trim_end_matches(['\n', '\r']).len());
                 Ok(Some(line))
             }
-            Err(_) => Err("UTF-8 text expected".into()),
+            Err(_) => Err("expected UTF-8 text".into()),
         }
     }
 }
 
 /// One message of a batch.
-pub enum Line {
+pub enum Message {
     Attach { node: u64, seed: u64, settings: Settings },
-    Down { node: u64 },
+    Stop { node: u64 },
     Event { node: u64, event: Event },
 }
 
-/// The values of a line, taken in their order. A missing or `-` value is `None`.
+/// Space-separated fields of a line, read in order. A missing field or `-` is `None`.
 struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -58,35 +58,35 @@
         (value != "-" && !value.is_empty()).then_some(value)
     }
 
-    fn opt<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        self.text().map(|v| v.parse().map_err(|_| format!("{what} expected, got `{v}`"))).transpose()
+    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
+        self.text().map(|v| v.parse().map_err(|_| format!("expected {what}, got `{v}`"))).transpose()
     }
 
-    fn need<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.opt(what)?.ok_or_else(|| format!("{what} expected"))
+    fn required<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
+        self.optional(what)?.ok_or_else(|| format!("expected {what}"))
     }
 
     fn seconds(&mut self, what: &str) -> Result<Option<Seconds>, String> {
-        match self.opt::<f64>(what)? {
-            Some(v) if !v.is_finite() => Err(format!("{what} expected, got `{v}`")),
+        match self.optional::<f64>(what)? {
+            Some(v) if !v.is_finite() => Err(format!("expected {what}, got `{v}`")),
             v => Ok(v),
         }
     }
 
     fn server(&mut self) -> Result<ServerId, String> {
-        self.text().map(|v| ServerId(v.into())).ok_or_else(|| "server address expected".into())
+        self.text().map(|v| ServerId(v.into())).ok_or_else(|| "expected server address".into())
     }
 }
 
 pub fn parse_sync(line: &str) -> Result<Seconds, String> {
     let mut fields = Fields { rest: Some(line) };
     if fields.text() != Some("sync") {
-        return Err("`sync` with the clock expected".into());
+        return Err("expected `sync` with the clock time".into());
     }
-    fields.seconds("clock time")?.ok_or_else(|| "clock time expected".into())
+    fields.seconds("clock time")?.ok_or_else(|| "expected clock time".into())
 }
 
-fn status(word: Option<&str>) -> Status {
+fn parse_status(word: Option<&str>) -> Status {
     match word {
         Some("success") => Status::Success,
         Some("failure") => Status::Error,
@@ -105,67 +105,67 @@
     line: &str,
     lines: &mut Lines<R>,
     names: impl Fn(u64) -> Option<&'n Names>,
-) -> Result<Line, String> {
+) -> Result<Message, String> {
     let mut f = Fields { rest: Some(line) };
-    let word = f.text().ok_or("a message name expected")?;
-    let node: u64 = f.need("node number")?;
-    let names = || names(node).ok_or_else(|| format!("an attached node expected, got {node}"));
-    let event = match word {
+    let name = f.text().ok_or("expected a message name")?;
+    let node: u64 = f.required("node number")?;
+    let names = || names(node).ok_or_else(|| format!("expected an attached node, got {node}"));
+    let event = match name {
         "attach" => {
-            let seed = f.need("random seed")?;
+            let seed = f.required("random seed")?;
             let setup = serde_json::from_str(f.rest.unwrap_or(""))
-                .map_err(|e| format!("settings as a JSON object expected: {e}"))?;
-            return Ok(Line::Attach {
+                .map_err(|e| format!("expected settings as a JSON object: {e}"))?;
+            return Ok(Message::Attach {
                 node,
                 seed,
                 settings: shaletrail_balancer_settings::parse(&setup).map_err(|e| e.to_string())?,
             });
         }
-        "down" => return Ok(Line::Down { node }),
+        "down" => return Ok(Message::Stop { node }),
         "roster_change" => {
             let mode = f.text();
-            f.opt::<u64>("list version")?;
-            let count = f.opt::<usize>("number of entries")?.unwrap_or(0);
+            f.optional::<u64>("list version")?;
+            let count = f.optional::<usize>("number of entries")?.unwrap_or(0);
             let mut entries = Vec::new();
             for _ in 0..count {
-                entries.push(entry(&lines.next()?.ok_or("a list entry expected")?)?);
+                entries.push(parse_entry(&lines.next()?.ok_or("expected a list entry")?)?);
             }
             Event::Roster(match mode {
                 Some("delta") => RosterNews::Delta(entries),
                 Some("full") => RosterNews::Full(entries),
                 Some("cached") => RosterNews::Cached(entries),
                 Some("failed") => RosterNews::Failed,
-                _ => return Err("delta, full, cached or failed expected".into()),
+                _ => return Err("expected delta, full, cached or failed".into()),
             })
         }
         "arrival" => {
-            let id = RequestId(f.need("request id")?);
+            let id = RequestId(f.required("request id")?);
             let left = f.seconds("time left")?.unwrap_or(0.0);
             let work = f.seconds("work hint")?;
-            let bits = f.opt::<u64>("bitmap")?.unwrap_or(0);
+            let bits = f.optional::<u64>("bitmap")?.unwrap_or(0);
             let names = names()?;
             let tenant = f.text().and_then(|name| names.tenant(name));
             let class = f.text().and_then(|name| names.class(name));
             f.seconds("object size")?;
-            let key = f.opt("key")?.map(Key);
+            let key = f.optional("key")?.map(Key);
             let work = work.filter(|_| bits & 1 != 0);
             let write = bits & 4 != 0;
             Event::Request(NewRequest { id, left, class, tenant, key, write, work, coming: false })
         }
         "head_received" => Event::StreamStarted {
-            request: RequestId(f.need("request id")?),
-            attempt: AttemptId(f.need("attempt number")?),
-            // The wire says it with the outcome.
+            request: RequestId(f.required("request id")?),
+            attempt: AttemptId(f.required("attempt number")?),
+            // The protocol reports the cache status with the outcome.
             note: None,
         },
         "outcome" => {
-            let request = RequestId(f.need("request id")?);
+            let request = RequestId(f.required("request id")?);
             let elapsed = f.seconds("time spent")?.unwrap_or(0.0);
-            let finished = f.opt::<u8>("0 or 1")?.unwrap_or(0) != 0;
+            let finished = f.optional::<u8>("0 or 1")?.unwrap_or(0) != 0;
             f.server()?;
-            let attempt = AttemptId(f.need("attempt number")?);
-            let status = status(f.text());
-            let note = match f.opt::<u64>("remark")? {
+            let attempt = AttemptId(f.required("attempt number")?);
+            let status = parse_status(f.text());
+            let note = match f.optional::<u64>("cache status")? {
                 Some(1) => Some(CacheNote::Hit),
                 Some(2) => Some(CacheNote::Miss),
                 Some(3) => Some(CacheNote::MissFetching),
@@ -173,35 +173,37 @@
             };
             Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note })
         }
-        "withdrawn" => Event::Withdrawn(RequestId(f.need("request id")?)),
-        "ring" => Event::Timer(TimerToken(f.need("timer label")?)),
+        "withdrawn" => Event::Withdrawn(RequestId(f.required("request id")?)),
+        "ring" => Event::Timer(TimerToken(f.required("timer label")?)),
         "checked" => {
-            let status = status(f.text());
+            let status = parse_status(f.text());
             f.seconds("time spent")?;
             Event::Probed { server: f.server()?, status }
         }
-        "message" => Event::Message { from: f.need("sender")?, bytes: hex(f.text().unwrap_or(""))? },
-        other => return Err(format!("a known message name expected, got `{other}`")),
+        "message" => {
+            Event::Message { from: f.required("sender")?, bytes: parse_hex(f.text().unwrap_or(""))? }
+        }
+        other => return Err(format!("expected a known message name, got `{other}`")),
     };
     names()?;
-    Ok(Line::Event { node, event })
+    Ok(Message::Event { node, event })
 }
 
-fn hex(digits: &str) -> Result<Vec<u8>, String> {
-    let wrong = || format!("hex digits expected, got `{digits}`");
+fn parse_hex(digits: &str) -> Result<Vec<u8>, String> {
+    let error = || format!("expected hex digits, got `{digits}`");
     if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
-        return Err(wrong());
+        return Err(error());
     }
     (0..digits.len())
         .step_by(2)
-        .map(|i| u8::from_str_radix(&digits[i..i + 2], 16).map_err(|_| wrong()))
+        .map(|i| u8::from_str_radix(&digits[i..i + 2], 16).map_err(|_| error()))
         .collect()
 }
 
-fn entry(line: &str) -> Result<RosterEntry, String> {
+fn parse_entry(line: &str) -> Result<RosterEntry, String> {
     let mut f = Fields { rest: Some(line) };
     if f.text() != Some("m") {
-        return Err("a list entry (`m`) expected".into());
+        return Err("expected a list entry (`m`)".into());
     }
     let state = match f.text() {
         Some("Ready") => ServerState::Ready,
@@ -215,13 +217,12 @@
         weight: f.seconds("size")?.unwrap_or(1.0),
         kind: f.text().unwrap_or("").into(),
         started: f.seconds("start time")?.filter(|&at| at > 0.0),
-        cell: f.opt("cell")?.unwrap_or(0),
+        cell: f.optional("cell")?.unwrap_or(0),
     })
 }
 
-/// Writes one action as a line.
 pub fn write_action(node: u64, action: &Action, out: &mut String) {
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { request, server, timeout: Some(t) } => {
             writeln!(out, "hand_off {node} {} {t:.6} {}", request.0, server.0)
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -1,19 +1,19 @@
-//! Reads the JSON settings, for the adapter and the node alike: one reading, so that both run the module
-//! under the same figures.
+//! Parses the JSON settings. Adapter and node share this crate, so that both run the balancer with the same
+//! settings.
 
 use std::collections::HashMap;
 
 use serde_json::{Map, Value};
 use shaletrail_policy::*;
 
-/// Where the names of an instance's classes and tenants stand in its settings.
+/// Indices of the classes and tenants of one balancer's settings, by name.
 pub struct Names {
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
 }
 
 impl Names {
-    /// Indexes the names of these settings.
+    /// Builds the index for these settings.
     pub fn of(settings: &Settings) -> Self {
         let index =
             |names: Vec<&String>| names.into_iter().cloned().enumerate().map(|(i, n)| (n, i)).collect();
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The class of this name, if the settings have it.
+    /// Index of the class with this name; `None` if there is none.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).map(|&i| ClassId(i))
     }
 
-    /// The tenant of this name, if the settings have it.
+    /// Index of the tenant with this name; `None` if there is none.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).map(|&i| TenantId(i))
     }
@@ -37,11 +37,11 @@
 type Object = Map<String, Value>;
 
 fn object<'a>(from: &'a Object, name: &str) -> Result<&'a Object, String> {
-    from.get(name).and_then(Value::as_object).ok_or_else(|| format!("setting {name}: an object expected"))
+    from.get(name).and_then(Value::as_object).ok_or_else(|| format!("setting {name}: expected an object"))
 }
 
-/// An optional setting of one JSON type.
-fn opt<'a, T>(
+/// Reads an optional setting. `kind` describes the expected JSON type in the error.
+fn optional<'a, T>(
     from: &'a Object,
     name: &str,
     kind: &str,
@@ -49,62 +49,66 @@
 ) -> Result<Option<T>, String> {
     match from.get(name) {
         None | Some(Value::Null) => Ok(None),
-        Some(v) => read(v).map(Some).ok_or_else(|| format!("setting {name}: {kind} expected, got {v}")),
+        Some(v) => read(v).map(Some).ok_or_else(|| format!("setting {name}: expected {kind}, got {v}")),
     }
 }
 
 fn number(from: &Object, name: &str) -> Result<Option<f64>, String> {
-    opt(from, name, "a number", Value::as_f64)
+    optional(from, name, "a number", Value::as_f64)
 }
 
-fn need<T>(name: &str, value: Option<T>) -> Result<T, String> {
+fn required<T>(name: &str, value: Option<T>) -> Result<T, String> {
     value.ok_or_else(|| format!("setting {name}: missing"))
 }
 
 fn text<'a>(from: &'a Object, name: &str) -> Result<Option<&'a str>, String> {
-    opt(from, name, "a text", Value::as_str)
+    optional(from, name, "a text", Value::as_str)
 }
 
-/// Reads the object that both the simulator's first message and a node's configuration hold.
+/// Parses the settings object, which is the same in the simulator's `attach` message and in a node's
+/// configuration.
+///
+/// # Errors
+/// Names the first setting that is missing or has the wrong type.
 pub fn parse(setup: &Value) -> Result<Settings, SettingsError> {
     settings(setup).map_err(SettingsError)
 }
 
 fn settings(setup: &Value) -> Result<Settings, String> {
-    let top = setup.as_object().ok_or("settings as a JSON object expected")?;
+    let top = setup.as_object().ok_or("expected settings as a JSON object")?;
     let empty = Vec::new();
-    let list = |name: &str| opt(top, name, "a list", Value::as_array).map(|l| l.unwrap_or(&empty));
+    let list = |name: &str| optional(top, name, "a list", Value::as_array).map(|l| l.unwrap_or(&empty));
     let mut classes = Vec::new();
-    for class in need("grades", opt(top, "grades", "a list", Value::as_array)?)? {
-        classes.push(class_of(class.as_object().ok_or("setting grades: objects expected")?)?);
+    for class in required("grades", optional(top, "grades", "a list", Value::as_array)?)? {
+        classes.push(parse_class(class.as_object().ok_or("setting grades: expected objects")?)?);
     }
     let mut tenants = Vec::new();
     for tenant in list("tenants")? {
-        let t = tenant.as_object().ok_or("setting tenants: objects expected")?;
+        let t = tenant.as_object().ok_or("setting tenants: expected objects")?;
         tenants.push(Tenant {
-            name: need("tenants.name", text(t, "name")?)?.into(),
-            quota: need("tenants.quota-per-s", number(t, "quota-per-s")?)?,
+            name: required("tenants.name", text(t, "name")?)?.into(),
+            quota: required("tenants.quota-per-s", number(t, "quota-per-s")?)?,
         });
     }
     let none = Object::new();
     let family = object(top, "family-info").unwrap_or(&none);
     let cache = match text(family, "mode")? {
         Some("aside") => {
-            let kind = need("family-info.origin-kind", number(family, "origin-kind")?)?;
+            let kind = required("family-info.origin-kind", number(family, "origin-kind")?)?;
             let name = list("skus")?.get(kind.max(0.0) as usize).and_then(Value::as_str);
-            CacheMode::Aside { origin_kind: need("skus (name of the origin's kind)", name)?.into() }
+            CacheMode::Aside { origin_kind: required("skus (name of the origin's kind)", name)?.into() }
         }
         _ => CacheMode::Through,
     };
-    let membership = match need("membership-mode", text(top, "membership-mode")?)? {
+    let membership = match required("membership-mode", text(top, "membership-mode")?)? {
         "pushed" => Membership::Pushed,
         "on_request" => Membership::OnRequest,
-        other => return Err(format!("setting membership-mode: pushed or on_request expected, got {other}")),
+        other => return Err(format!("setting membership-mode: expected pushed or on_request, got {other}")),
     };
     Ok(Settings {
-        balancers: need("balancers", opt(top, "balancers", "a whole number", Value::as_u64)?)?
+        balancers: required("balancers", optional(top, "balancers", "a whole number", Value::as_u64)?)?
             .try_into()
-            .map_err(|_| "setting balancers: too many")?,
+            .map_err(|_| "setting balancers: too large")?,
         zone: text(top, "locality")?.unwrap_or("").into(),
         classes,
         tenants,
@@ -123,10 +127,10 @@
     })
 }
 
-fn class_of(from: &Object) -> Result<Class, String> {
-    let deadline = need("grades.hard-limit-s", number(from, "hard-limit-s")?)?;
+fn parse_class(from: &Object) -> Result<Class, String> {
+    let deadline = required("grades.hard-limit-s", number(from, "hard-limit-s")?)?;
     Ok(Class {
-        name: need("grades.name", text(from, "name")?)?.into(),
+        name: required("grades.name", text(from, "name")?)?.into(),
         aim: number(from, "target-s")?.unwrap_or(deadline),
         deadline,
         worth: number(from, "importance")?.unwrap_or(1.0),
@@ -142,37 +146,37 @@
             _ => Group::Cell,
         },
         window: number(from, "key-ttl-s")?.unwrap_or(0.0),
-        streamed: opt(from, "streamed", "true or false", Value::as_bool)?.unwrap_or(false),
+        streamed: optional(from, "streamed", "true or false", Value::as_bool)?.unwrap_or(false),
     })
 }
 
 fn guarantees(from: &Object, membership: Membership) -> Result<Guarantees, String> {
-    let figure = |name: &str| need(&format!("guarantees.{name}"), number(from, name)?);
+    let required_number = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
     Ok(Guarantees {
-        answer_grace: figure("grace-to-answer-s")?,
-        // Nobody has to ask for a list that is pushed.
+        answer_grace: required_number("grace-to-answer-s")?,
+        // With a pushed roster nobody has to ask for it.
         ask_every: match membership {
             Membership::Pushed => number(from, "ask-every-s")?.unwrap_or(0.0),
-            Membership::OnRequest => figure("ask-every-s")?,
+            Membership::OnRequest => required_number("ask-every-s")?,
         },
-        cold_from: figure("cold-from")?,
-        ramp: figure("ramp-time-s")?,
-        drain_grace: figure("drain-grace-s")?,
-        fall_multiple: figure("fall-multiple")?,
-        fall_for: figure("fall-s")?,
+        cold_from: required_number("cold-from")?,
+        ramp: required_number("ramp-time-s")?,
+        drain_grace: required_number("drain-grace-s")?,
+        fall_multiple: required_number("fall-multiple")?,
+        fall_for: required_number("fall-s")?,
         budget: budget(from)?,
         close_on_drain: number(from, "close-on-drain-within-s")?,
     })
 }
 
-/// The span makes the rule; a share or a few without a span say nothing of when.
+/// The budget exists only with a span: a ratio or a number of retries without one is an error.
 fn budget(from: &Object) -> Result<Option<Budget>, String> {
     let (free, ratio) = (number(from, "extra-free")?, number(from, "resend-ratio")?);
     let Some(span) = number(from, "budget-span-s")? else {
         return match free.or(ratio) {
             None => Ok(None),
             Some(_) => {
-                Err("setting guarantees.budget-span-s: missing beside extra-free or resend-ratio".into())
+                Err("setting guarantees.budget-span-s: missing, but extra-free or resend-ratio is set".into())
             }
         };
     };
@@ -188,14 +192,15 @@
         ("parallel-tries", &mut l.second_copies),
         ("retry-after", &mut l.retry_after),
     ] {
-        *field = opt(from, name, "true or false", Value::as_bool)?.unwrap_or(*field);
+        *field = optional(from, name, "true or false", Value::as_bool)?.unwrap_or(*field);
     }
     l.max_retry_after = number(from, "max-retry-after-s")?.unwrap_or(0.0);
     l.connect_timeout = number(from, "dial-timeout-s")?.unwrap_or(0.0);
     l.idle_close = number(from, "idle-close-s")?.unwrap_or(0.0);
-    let attempts = opt(from, "max-attempts", "a whole number", Value::as_u64)?;
-    l.max_attempts =
-        need("limits.max-attempts", attempts)?.try_into().map_err(|_| "setting max-attempts: too many")?;
+    let attempts = optional(from, "max-attempts", "a whole number", Value::as_u64)?;
+    l.max_attempts = required("limits.max-attempts", attempts)?
+        .try_into()
+        .map_err(|_| "setting limits.max-attempts: too large")?;
     Ok(l)
 }
 
@@ -209,8 +214,8 @@
     use super::*;
     use serde_json::json;
 
-    /// As little as a deployment may state.
-    fn least(membership: &str) -> Value {
+    /// The smallest settings that a deployment may have.
+    fn minimal(membership: &str) -> Value {
         json!({
             "balancers": 1, "membership-mode": membership, "grades": [{"name": "read", "hard-limit-s": 0.04}],
             "guarantees": {"grace-to-answer-s": 0.02, "ask-every-s": 10.0, "cold-from": 0.3, "ramp-time-s": 8.0,
@@ -219,10 +224,10 @@
         })
     }
 
-    /// What is not stated forbids, costs nothing, or is the strictest of its kind.
+    /// A setting that is absent disallows, costs nothing, or takes the strictest value of its kind.
     #[test]
-    fn a_setting_that_is_absent_changes_nothing_else() {
-        let settings = parse(&least("on_request")).expect("enough");
+    fn absent_settings_take_the_strictest_values() {
+        let settings = parse(&minimal("on_request")).expect("minimal settings are valid");
         assert_eq!(settings.validate(), Ok(()));
         let class = &settings.classes[0];
         assert_eq!((class.effect, class.group, class.aim), (Effect::Unsafe, Group::Cell, 0.04));
@@ -233,13 +238,13 @@
     }
 
     #[test]
-    fn how_often_to_ask_is_needed_only_where_the_list_is_asked_for() {
+    fn ask_every_is_required_only_where_the_roster_is_requested() {
         for (membership, named) in [("pushed", None), ("on_request", Some("guarantees.ask-every-s"))] {
-            let mut setup = least(membership);
+            let mut setup = minimal(membership);
             setup["guarantees"].as_object_mut().unwrap().remove("ask-every-s");
-            let wrong = parse(&setup).err().map(|e| e.to_string());
-            assert_eq!(wrong.is_some(), named.is_some());
-            assert!(wrong.unwrap_or_default().contains(named.unwrap_or("")));
+            let error = parse(&setup).err().map(|e| e.to_string());
+            assert_eq!(error.is_some(), named.is_some());
+            assert!(error.unwrap_or_default().contains(named.unwrap_or("")));
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,24 +1,24 @@
-//! Settings, events and actions: all that passes between a [`Balancer`](crate::Balancer) and its host.
+//! Settings, events and actions: the whole interface between a [`Balancer`](crate::Balancer) and its host.
 //!
-//! Nothing in this file decides anything. Times are in seconds on the host's clock.
+//! This file contains no decisions. Times are in seconds on the host's clock.
 
 use std::sync::Arc;
 
-/// What a request concerns; requests with one key share a home.
+/// The key of a request; requests with one key share a home server.
 pub use shaletrail_ring::Key;
 
-/// A point on the host's clock, or a length of time, in seconds.
+/// A point in time on the host's clock, or a duration, in seconds.
 pub type Seconds = f64;
 
-/// A request, numbered by the host; never used twice.
+/// Identifies a request. The host assigns the numbers and never reuses one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The place of an attempt among the attempts of its request, from 0.
+/// Index of an attempt among the attempts of its request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u32);
 
-/// The name of a server, the same at every node. It alone decides the server's place in the slot array.
+/// The name of a server, the same at every node. It alone determines the server's points in the slot array.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ServerId(pub Arc<str>);
 
@@ -30,209 +30,213 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Chosen by the balancer and given back when the timer is due.
+/// Chosen by the balancer; the host returns it when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// May a request run more than once?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Idempotent: repeats do no harm.
     Safe,
-    /// Servers of one group drop repeats for a while.
+    /// Carries an idempotency key: the servers of one group drop repeats within a window.
     Keyed,
-    /// Must never run twice. Unknown effects are handled as this one.
+    /// Must never run twice. Unknown effects are treated as this one.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers recognise and drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in one zone.
+    /// Servers in the same zone.
     Zone,
-    /// Those in one cell.
+    /// Servers in the same cell.
     Cell,
 }
 
-/// A request class.
+/// A class of requests with the same latency target, deadline and repeat rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Unique among the classes.
     pub name: String,
-    /// An answer within this time earns its full worth.
+    /// Latency target: an answer within this time earns its full worth.
     pub aim: Seconds,
-    /// The client waits this long, over all its tries.
+    /// How long the client waits in total, over all its tries.
     pub deadline: Seconds,
-    /// Worth of an answer within the aim.
+    /// Worth of an answer within the latency target.
     pub worth: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Fraction of the worth that an answer after the latency target still earns.
     pub late_worth: f64,
-    /// May it run again?
+    /// Whether it may run more than once.
     pub effect: Effect,
-    /// Where repeats are dropped, for keyed classes.
+    /// Which servers drop repeats, for [`Effect::Keyed`].
     pub group: Group,
-    /// How long repeats are dropped, from the first send that may have run.
+    /// How long repeats are dropped, counted from the first send that may have run.
     pub window: Seconds,
-    /// The answer is a stream.
+    /// Answers are streamed.
     pub streamed: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Unique among the tenants.
     pub name: String,
-    /// Requests a second within its share, over all nodes.
+    /// Requests per second that it may send, over all nodes.
     pub quota: f64,
 }
 
-/// How the list of servers reaches the node.
+/// How the roster reaches the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
-    /// Changes arrive by themselves.
+    /// Changes are pushed to the node.
     #[default]
     Pushed,
-    /// Only after [`Action::Subscribe`].
+    /// Changes are sent only after [`Action::Subscribe`].
     OnRequest,
 }
 
-/// What servers do with a key that they lack.
+/// What servers do with a key that they have not cached.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum CacheMode {
-    /// They fetch it from the origin and forward writes to it.
+    /// Read- and write-through: servers fetch the key from the origin and forward writes to it.
     #[default]
     Through,
-    /// They answer [`Status::Absent`]; the node asks the origin, which is a roster entry of this kind.
+    /// Cache-aside: servers answer [`Status::Absent`], and the node asks the origin, a roster entry of this
+    /// kind.
     Aside {
-        /// Kind of the origin.
+        /// Value of [`RosterEntry::kind`] that marks the origin.
         origin_kind: String,
     },
 }
 
-/// What [`RosterEntry::weight`] holds.
+/// Meaning of [`RosterEntry::weight`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Always the same number.
+    /// A constant without meaning.
     #[default]
     Off,
-    /// The registered size.
+    /// The registered size of the server.
     Nominal,
-    /// The size, give or take.
+    /// An approximate size.
     Rough,
-    /// Size over load; changes from list to list.
+    /// Size divided by load; changes with every update of the roster.
     Live,
 }
 
-/// How many attempts beyond each request's first a node may make, in any window of a stated length.
+/// Retry budget: how many attempts beyond each request's first a node may make in any window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Budget {
     /// Length of the window.
     pub span: Seconds,
-    /// So many in any window ...
+    /// Retries allowed in any window ...
     pub free: f64,
-    /// ... and this many more for each request taken in it.
+    /// ... plus this many for each request received in it.
     pub ratio: f64,
 }
 
-/// Figures of the rules that every node keeps.
+/// Parameters of the rules that every node must keep.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Guarantees {
-    /// A final answer counts until this long past the client's deadline.
+    /// A final answer counts until this long after the client's deadline.
     pub answer_grace: Seconds,
-    /// Longest time without a subscription or a fetch of the list.
+    /// Longest time that a node may go without a subscription or a request for the roster.
     pub ask_every: Seconds,
-    /// A server starts at this share of its capacity, or more.
+    /// Least fraction of its capacity that a server has when it starts.
     pub cold_from: f64,
-    /// And is warm after this long.
+    /// Time from its start until a server has its full capacity.
     pub ramp: Seconds,
-    /// Sends to a draining server end within this time.
+    /// Time after the drain notice within which sends to a draining server must end.
     pub drain_grace: Seconds,
-    /// More than this many times its present capacity ...
+    /// Load above this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... for this long brings a just-started server down.
+    /// ... for this long brings down a server that has just started.
     pub fall_for: Seconds,
-    /// The rule on further attempts, where there is one.
+    /// The retry budget, if there is a rule on it.
     pub budget: Option<Budget>,
-    /// Idle connections to a draining server are closed within this time, where that is a rule.
+    /// Time within which idle connections to a draining server must be closed, if there is a rule on it.
     pub close_on_drain: Option<Seconds>,
 }
 
-/// What the deployment allows; by default nothing.
+/// Capabilities and bounds of the deployment; by default nothing is allowed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// [`Action::Cancel`] is allowed.
+    /// Whether [`Action::Cancel`] is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`] is allowed.
+    /// Whether [`Action::Probe`] is allowed.
     pub probes: bool,
-    /// [`Action::Tell`] is allowed.
+    /// Whether [`Action::Tell`] is allowed.
     pub peers: bool,
-    /// A request may have two attempts out at once. The rules never need it.
+    /// Whether a request may have two attempts in flight at once. No rule requires it.
     pub second_copies: bool,
-    /// Clients are given the advice of [`Action::Refuse`].
+    /// Whether clients receive the delay of [`Action::Refuse`].
     pub retry_after: bool,
-    /// Longest advice that clients heed.
+    /// Longest delay that clients comply with.
     pub max_retry_after: Seconds,
-    /// Attempts for one request.
+    /// Most attempts for one request, the first one included.
     pub max_attempts: u32,
-    /// A connection not up by then fails.
+    /// A connection that is not established within this time fails.
     pub connect_timeout: Seconds,
-    /// Servers close connections that have lain idle for this long; 0 where they don't say.
+    /// Idle time after which servers close connections; 0 where it is not known.
     pub idle_close: Seconds,
 }
 
-/// What some habits cost, in parts of the result; by default nothing.
+/// Cost of connections as a fraction of the result; nothing by default.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Open connections: a hundred at each server, all the time.
+    /// Cost of keeping 100 connections open at each server all the time.
     pub connection: f64,
-    /// New connections: one for each request.
+    /// Cost of a new connection for each request.
     pub handshake: f64,
 }
 
-/// All that a node is told at its start.
+/// Everything that a node is configured with when it starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Nodes that share the servers, this one included.
+    /// Number of nodes that share the servers, including this one.
     pub balancers: u32,
-    /// The zone of this node.
+    /// The zone that this node runs in.
     pub zone: String,
-    /// Request classes.
+    /// Request classes, at least one.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants with a quota; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How the list of servers arrives.
+    /// How the roster reaches the node.
     pub membership: Membership,
-    /// What servers do with a key that they lack.
+    /// What servers do with a key that they have not cached.
     pub cache: CacheMode,
-    /// What roster weights mean.
+    /// Meaning of the weights in the roster.
     pub weights: WeightSource,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub guarantees: Guarantees,
-    /// What is allowed.
+    /// Capabilities and bounds of the deployment.
     pub limits: Limits,
-    /// What is paid for.
+    /// Cost of connections.
     pub prices: Prices,
-    /// Events are handed over at most this often.
+    /// Least interval between two batches of events from the host.
     pub round: Seconds,
 }
 
 impl Settings {
-    /// The entry is the origin beside the caches ([`CacheMode::Aside`]).
+    /// Whether the entry is the origin beside the caches ([`CacheMode::Aside`]).
     pub fn is_origin(&self, entry: &RosterEntry) -> bool {
         matches!(&self.cache, CacheMode::Aside { origin_kind } if *origin_kind == entry.kind)
     }
 
-    /// Finds values that make no sense.
+    /// Checks all values.
+    ///
+    /// # Errors
+    /// Names the first value that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let settings = self;
-        let wrong = |what: String| Err(SettingsError(what));
+        let invalid = |message: String| Err(SettingsError(message));
         if settings.balancers == 0 {
-            return wrong("balancers: at least 1 expected, got 0".into());
+            return invalid("balancers: expected at least 1, got 0".into());
         }
         if settings.classes.is_empty() {
-            return wrong("classes: at least one expected, got none".into());
+            return invalid("classes: expected at least one, got none".into());
         }
         let g = &settings.guarantees;
         let mut times = vec![
@@ -251,37 +255,40 @@
         }
         if let Some(b) = &g.budget {
             if !(b.span.is_finite() && b.span > 0.0) {
-                return wrong(format!("budget span: a time above 0 expected, got {}", b.span));
+                return invalid(format!("budget span: expected a time above 0, got {}", b.span));
             }
-            for (what, figure) in [("budget, free attempts", b.free), ("budget ratio", b.ratio)] {
-                if !(figure.is_finite() && figure >= 0.0) {
-                    return wrong(format!("{what}: a number of 0 or more expected, got {figure}"));
+            for (what, number) in [("budget, free attempts", b.free), ("budget ratio", b.ratio)] {
+                if !(number.is_finite() && number >= 0.0) {
+                    return invalid(format!("{what}: expected a number of at least 0, got {number}"));
                 }
             }
         }
         for class in &settings.classes {
             times.extend([
                 ("class deadline", class.deadline),
-                ("class aim", class.aim),
-                ("window", class.window),
+                ("class latency target", class.aim),
+                ("class window", class.window),
             ]);
             if class.deadline == 0.0 || class.aim == 0.0 {
-                return wrong(format!("class {}: aim and deadline above 0 expected", class.name));
+                return invalid(format!(
+                    "class {}: expected a latency target and a deadline above 0",
+                    class.name
+                ));
             }
         }
         for (what, time) in times {
             if !time.is_finite() || time < 0.0 {
-                return wrong(format!("{what}: a time of 0 or more expected, got {time}"));
+                return invalid(format!("{what}: expected a time of at least 0, got {time}"));
             }
         }
         if !(g.cold_from > 0.0 && g.cold_from <= 1.0) {
-            return wrong(format!("cold from: a share above 0 and up to 1 expected, got {}", g.cold_from));
+            return invalid(format!("cold from: expected a share above 0 and up to 1, got {}", g.cold_from));
         }
         Ok(())
     }
 }
 
-/// A setting that makes no sense.
+/// Names a setting that is missing or out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -293,220 +300,221 @@
 
 impl std::error::Error for SettingsError {}
 
-/// State of a roster entry.
+/// Lifecycle state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Wraps up; must be sent nothing new. Unknown states are handled as this one.
+    /// Finishes its requests and must be sent no new ones. Unknown states are treated as this one.
     #[default]
     Draining,
-    /// Left the list.
+    /// No longer in the roster.
     Gone,
 }
 
-/// One server in a roster.
+/// One server in the roster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RosterEntry {
-    /// Its name.
+    /// Unique in the roster.
     pub server: ServerId,
-    /// Its state.
+    /// Lifecycle state.
     pub state: ServerState,
-    /// Its zone.
+    /// Zone that the server runs in.
     pub zone: String,
-    /// A number to set against other servers' numbers.
+    /// Relative to other servers' weights; see [`WeightSource`].
     pub weight: f64,
-    /// Its machine kind.
+    /// Machine kind; see [`CacheMode::Aside`].
     pub kind: String,
-    /// When it last started, if lately.
+    /// Start time of its process, if it started recently.
     pub started: Option<Seconds>,
-    /// Its cell.
+    /// Cell that the server runs in.
     pub cell: u64,
 }
 
-/// What a roster event brings.
+/// An update of the roster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RosterNews {
-    /// The changed entries.
+    /// Only the entries that changed.
     Delta(Vec<RosterEntry>),
-    /// The whole list; who is absent has left.
+    /// The whole roster: servers that are not in it have left.
     Full(Vec<RosterEntry>),
-    /// The whole list as this node last had it, maybe old.
+    /// The whole roster as this node last stored it; it may be out of date.
     Cached(Vec<RosterEntry>),
-    /// A call failed or the subscription broke; the old list stands.
+    /// A call failed or the subscription ended; the current roster stays in use.
     Failed,
 }
 
 /// A request that has just arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its id.
+    /// Assigned by the host.
     pub id: RequestId,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up on this try.
     pub left: Seconds,
-    /// Its class; `None` if unknown.
+    /// `None` if the class is unknown.
     pub class: Option<ClassId>,
-    /// Its tenant, if it has one.
+    /// `None` if it has no tenant.
     pub tenant: Option<TenantId>,
-    /// Its key, if it has one.
+    /// `None` if it has no key.
     pub key: Option<Key>,
-    /// It writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// A guess of its cost in core time.
+    /// Estimated cost in core time, if there is a hint.
     pub work: Option<Seconds>,
-    /// Its body is still on the way: `left` is a bound only, and [`Event::Received`] follows.
+    /// Its body is still arriving: `left` is only an upper bound, and [`Event::Received`] follows.
     pub coming: bool,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The request was served.
     Success,
-    /// Answered with an error; may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by overload protection; it did not run.
     Overloaded,
-    /// No answer in time; may have run or still run.
+    /// No answer in time; it may have run or still be running.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection was established; it did not run.
     Unreachable,
-    /// The connection broke; may have run.
+    /// The connection broke; it may have run.
     Broken,
-    /// Cancelled; may have run.
+    /// Cancelled by the node; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     Void,
-    /// The server lacks the key; nothing ran.
+    /// The server has not cached the key; nothing ran.
     Absent,
-    /// A code this library does not know; counts as may-have-run.
+    /// A code that this library does not know; it may have run.
     Unknown,
 }
 
 impl Status {
-    /// False where the status proves that the attempt never ran.
+    /// False if the status proves that the attempt did not run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Status::Overloaded | Status::Unreachable | Status::Void | Status::Absent)
     }
 }
 
-/// What the server told of its cache.
+/// Cache status that the server reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheNote {
-    /// It had the key.
+    /// The key was cached.
     Hit,
-    /// It lacked the key.
+    /// The key was not cached.
     Miss,
-    /// It lacked the key and another request fetches it.
+    /// The key was not cached and another request is already fetching it.
     MissFetching,
 }
 
-/// The one outcome of an attempt.
+/// Result of an attempt; there is exactly one for each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: Status,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Seconds,
-    /// The request is finished; no answer is owed.
+    /// The request is finished; no answer is owed to the client.
     pub finished: bool,
-    /// What the server told of its cache.
+    /// Cache status, if the server reported one.
     pub note: Option<CacheNote>,
 }
 
-/// What a host tells a balancer.
+/// An event that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
+    /// The roster changed, or a call for it failed.
     Roster(RosterNews),
-    /// A request arrived.
+    /// A client's request has arrived.
     Request(NewRequest),
-    /// The last byte of a request's body has come, and has been passed on to the attempt that is out.
+    /// The last byte of a request's body has arrived and was forwarded to the attempt in flight.
     Received {
-        /// The request.
+        /// The request whose body is complete.
         request: RequestId,
-        /// Time until the client gives this try up.
+        /// Time until the client gives up on this try.
         left: Seconds,
     },
-    /// The request's body has been passed on in part and is not kept: it can't be sent again.
+    /// Part of the request's body was forwarded and not kept: the request can't be sent again.
     Spent(RequestId),
-    /// A streamed answer has begun. Should its attempt end without finishing the request, the client has seen nothing.
+    /// A streamed answer has begun. If its attempt ends without finishing the request, the client has
+    /// received nothing.
     StreamStarted {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
-        /// The attempt that the client now reads.
+        /// The attempt whose answer the client receives.
         attempt: AttemptId,
-        /// What the server told of its cache.
+        /// Cache status, if the server reported one.
         note: Option<CacheNote>,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     Outcome(Outcome),
-    /// Nobody waits for this request any more.
+    /// The client no longer waits for this request.
     Withdrawn(RequestId),
-    /// A timer is due.
+    /// A timer set by [`Action::SetTimer`] has expired.
     Timer(TimerToken),
-    /// A probe ended.
+    /// A probe has ended.
     Probed {
-        /// The server probed.
+        /// The server that was probed.
         server: ServerId,
-        /// What came of it.
+        /// Result of the probe.
         status: Status,
     },
-    /// Operators have taken a server out, listed or not, or have called it back.
+    /// Operators took a server out of service, listed or not, or put it back.
     ByHand {
-        /// The server.
+        /// The server that they acted on.
         server: ServerId,
-        /// When it was called back; `None`: it is out. Its process has been restarted meanwhile.
+        /// When it was put back, with a process restarted since it was taken out; `None` while it is out.
         back: Option<Seconds>,
     },
-    /// A second process of this node runs beside this one, or runs no longer. To rules they are one node.
+    /// Whether a second process of this node runs beside this one. The rules treat both as one node.
     Shared(bool),
-    /// Another node sent a message.
+    /// Another node sent a message by [`Action::Tell`].
     Message {
-        /// The sender.
+        /// Number of the sending node.
         from: u32,
-        /// Its bytes.
+        /// Contents of the message.
         bytes: Vec<u8>,
     },
 }
 
-/// What a balancer asks its host to do, in this order.
+/// What the balancer asks its host to do; actions must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Launch the request's next attempt.
+    /// Send the next attempt of a request.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Give it up after this long; `None`: as long as the client waits.
+        /// Time-out of the attempt; `None` stands for as long as the client waits.
         timeout: Option<Seconds>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: the request was not served, and the client may safely retry.
     Refuse {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// How long the client should hold off.
+        /// How long the client should wait before it retries.
         retry_after: Option<Seconds>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: the request failed, and it may have run.
     Fail(RequestId),
-    /// Ask for [`Event::Timer`].
+    /// Request an [`Event::Timer`].
     SetTimer {
-        /// Comes back as given.
+        /// Returned in the event.
         token: TimerToken,
-        /// From now.
+        /// Time from now.
         after: Seconds,
     },
     /// Health-check a server.
@@ -515,17 +523,17 @@
     CloseIdle(ServerId),
     /// Send a message to all other nodes.
     Tell(Vec<u8>),
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the roster.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
-/// What a balancer can be asked of its list: how many servers it holds, the origin aside.
+/// Numbers of servers in the roster, without the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
-    /// All that are listed.
+    /// All servers in the roster.
     pub all: usize,
-    /// Those of them that it avoids now.
+    /// Those that the node does not send to now: ejected, or taken out of service by operators.
     pub avoided: usize,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of a proxy that spreads keys over cache servers before a slow origin.
+//! Load balancing decisions of a proxy that spreads keys over cache servers in front of a slow origin.
 //!
-//! The crate holds a sans-IO state machine. A host feeds a [`Balancer`] with [`Event`]s and carries out the
-//! [`Action`]s that it answers. It has no clock, no threads and no I/O; the same events give the same actions.
+//! The crate is a sans-IO state machine: a host passes [`Event`]s to a [`Balancer`] and carries out the
+//! [`Action`]s that it returns. It has no clock, no threads and no I/O, and is deterministic: the same events
+//! give the same actions.
 //!
 //! ```
 //! use shaletrail_policy::*;
@@ -52,7 +53,7 @@
 //! };
 //! balancer.handle(0.0, Event::Roster(RosterNews::Full(vec![server.clone()])), &mut actions);
 //!
-//! // A request arrives; the host is told to send it on.
+//! // A request arrives, and the balancer asks the host to send it to the server.
 //! let request = NewRequest {
 //!     id: RequestId(1),
 //!     left: 1.0,
@@ -67,7 +68,7 @@
 //! balancer.handle(0.1, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: s, .. } if *s == server.server)));
 //!
-//! // The server answers; the answer has gone to the client and nothing is left to do.
+//! // The server has answered and the client has its answer, so that nothing is left to do.
 //! let outcome = Outcome {
 //!     request: RequestId(1),
 //!     attempt: AttemptId(0),
@@ -83,7 +84,7 @@
 //! # }
 //! ```
 //!
-//! All decisions are in `src/balance.rs`, `src/balance/` and the crate `shaletrail-ring`, all types in
+//! The decisions are in `src/balance.rs`, `src/balance/` and the crate `shaletrail-ring`, the types in
 //! `src/interface.rs`.
 
 #![forbid(unsafe_code)]
