--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts over the real binary.
+//! Runs the adapter binary on transcripts of the protocol.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -42,8 +42,8 @@
     )
 }
 
-/// Three batches for some nodes, without the frame around the last.
-fn day(nodes: &[u64]) -> String {
+/// A transcript of four batches for the given nodes.
+fn transcript(nodes: &[u64]) -> String {
     let mut lines = String::from("sync 8.41225\ngo\nsync 9\n");
     nodes.iter().for_each(|&n| lines += &attach(n, 7 * n));
     lines += "go\nsync 9.1\n";
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_transcript_gets_its_replies() {
+fn transcript_gets_expected_replies() {
     let mut input = String::from("sync 8.41225\ngo\nsync 9\n") + &attach(3, 1);
     input += "go\nsync 9.1\narrival 3 2811873703137732 0.4 0.012 1 - read 1800 4569004829183723\n";
     input += "withdrawn 3 77\ngo\nsync 9.15\n";
@@ -73,13 +73,13 @@
     assert_eq!(first[0], "set_timer 3 2811873703137733 0.390000");
     assert!(first[1].starts_with("hand_off 3 2811873703137732 0.390000 10.0.0."), "{}", first[1]);
     assert_eq!(first.last(), Some(&"ack"));
-    // Turned away unseen: the other server is next.
+    // Rejected as overloaded: the retry goes to the other server.
     let other = if first[1].ends_with(".1:80") { "10.0.0.2:80" } else { "10.0.0.1:80" };
     assert!(replies[3].contains(&format!("hand_off 3 2811873703137732 0.340000 {other}")), "{}", replies[3]);
 }
 
 #[test]
-fn prices_reach_the_module_and_closing_connections_the_wire() {
+fn prices_reach_the_balancer_and_close_idle_the_wire() {
     let priced = SETUP
         .replace("\"balancers\":2", "\"balancers\":500,\"prices\":{\"connection\":0.1,\"handshake\":0.1}");
     let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETUP, &priced))
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_budget_and_the_time_to_close_on_drains_reach_the_module() {
+fn budget_and_close_on_drain_reach_the_balancer() {
     let rules = SETUP.replace(
         "\"fall-s\":1",
         r#""fall-s":1,"budget-span-s":5,"extra-free":0,"resend-ratio":0,"close-on-drain-within-s":1"#,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn nodes_tell_each_other_of_a_silent_server_over_the_wire() {
+fn nodes_notify_peers_of_a_silent_server_over_the_wire() {
     let peers = SETUP.replace("\"probes\":true", "\"probes\":true,\"peers\":true");
     let one = attach(3, 1).replace(SETUP, &peers).replace("2\nm Ready 10.0.0.1:80 here 1 box - 0", "1");
     let mut input = format!("sync 9\n{one}go\n");
@@ -121,22 +121,22 @@
     let output = run(input.as_bytes());
     assert!(output.status.success(), "{}", text(&output.stderr));
     let replies = text(&output.stdout);
-    // 10.0.0.2:80 in hex digits, to all peers.
+    // 10.0.0.2:80 as hex digits, to all other nodes.
     assert!(replies.contains("write_peer 3 -1 31302e302e302e323a3830"), "{replies}");
     assert!(replies.contains("journal_line 3 10.0.0.2:80 fails, left alone"), "{replies}");
 }
 
 #[test]
-fn the_same_input_gives_the_same_bytes_and_nodes_do_not_share() {
-    let all = run(day(&[1, 2, 3]).as_bytes());
+fn same_input_gives_same_output_and_nodes_are_independent() {
+    let all = run(transcript(&[1, 2, 3]).as_bytes());
     assert!(all.status.success());
-    assert_eq!(all.stdout, run(day(&[1, 2, 3]).as_bytes()).stdout);
+    assert_eq!(all.stdout, run(transcript(&[1, 2, 3]).as_bytes()).stdout);
     let of = |output: &[u8], node: u64| -> Vec<String> {
         let mine = |l: &&str| l.split(' ').nth(1) == Some(&node.to_string());
         text(output).lines().filter(mine).map(String::from).collect()
     };
     for node in 1..=3 {
-        let alone = run(day(&[node]).as_bytes());
+        let alone = run(transcript(&[node]).as_bytes());
         let lines = of(&all.stdout, node);
         assert!(lines.iter().any(|l| l.starts_with("hand_off")));
         assert_eq!(lines, of(&alone.stdout, node));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_killed_node_forgets() {
+fn stopped_node_loses_its_state() {
     let input =
         format!("sync 1\n{}go\nsync 2\ndown 1\n{}go\nsync 3\ndown 1\ngo\n", attach(1, 1), attach(1, 2));
     let output = run(input.as_bytes());
@@ -154,14 +154,14 @@
 
 fn fails(input: &[u8], line: u64, expected: &str) {
     let output = run(input);
-    let said = text(&output.stderr);
-    assert!(!output.status.success(), "{said}");
-    assert!(said.contains(&format!("line {line}:")) && said.contains(expected), "{said}");
-    assert!(!said.contains("panicked"), "{said}");
+    let stderr = text(&output.stderr);
+    assert!(!output.status.success(), "{stderr}");
+    assert!(stderr.contains(&format!("line {line}:")) && stderr.contains(expected), "{stderr}");
+    assert!(!stderr.contains("panicked"), "{stderr}");
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn errors_name_malformed_lines() {
     fails(b"hello\n", 1, "`sync`");
     fails(b"sync abc\n", 1, "clock time");
     fails(b"sync inf\n", 1, "clock time");
@@ -177,23 +177,23 @@
     fails(format!("sync 1\nattach 1 2 {zero}\n").as_bytes(), 2, "balancers");
     let negative = SETUP.replace("\"ramp-time-s\":8", "\"ramp-time-s\":-8");
     fails(format!("sync 1\nattach 1 2 {negative}\n").as_bytes(), 2, "ramp");
-    for (figures, expected) in [
+    for (settings, expected) in [
         (r#""budget-span-s":-5,"extra-free":3"#, "budget span"),
         (r#""budget-span-s":5,"resend-ratio":-0.1"#, "budget ratio"),
         (r#""resend-ratio":0.1"#, "guarantees.budget-span-s: missing"),
         (r#""close-on-drain-within-s":-1"#, "close on drain"),
     ] {
-        let wrong = SETUP.replace("\"fall-s\":1", &format!("\"fall-s\":1,{figures}"));
+        let wrong = SETUP.replace("\"fall-s\":1", &format!("\"fall-s\":1,{settings}"));
         fails(format!("sync 1\nattach 1 2 {wrong}\n").as_bytes(), 2, expected);
     }
     let absent = SETUP.replace("\"fall-s\":1", "\"fall-t\":1");
     fails(format!("sync 1\nattach 1 2 {absent}\n").as_bytes(), 2, "guarantees.fall-s: missing");
 }
 
-/// A day with one byte changed here and there: a clean error or whole replies, never a panic.
+/// A transcript with a few damaged bytes gives a clean error or whole replies, never a panic.
 #[test]
-fn damaged_input_ends_cleanly() {
-    let sound = day(&[1, 2]).into_bytes();
+fn damaged_input_gives_errors_or_whole_replies() {
+    let valid = transcript(&[1, 2]).into_bytes();
     let mut seed = 9u64;
     let mut next = |n: usize| {
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -201,7 +201,7 @@
     };
     let mut errors = 0;
     for _ in 0..150 {
-        let mut input = sound.clone();
+        let mut input = valid.clone();
         for _ in 0..1 + next(3) {
             let at = next(input.len());
             match next(3) {
@@ -211,12 +211,12 @@
             }
         }
         let output = run(&input);
-        let (out, said) = (text(&output.stdout), text(&output.stderr));
-        assert!(!said.contains("panicked"), "{said}");
+        let (out, stderr) = (text(&output.stdout), text(&output.stderr));
+        assert!(!stderr.contains("panicked"), "{stderr}");
         assert!(out.is_empty() || out.ends_with("ack\n"), "half a reply: {out}");
-        assert_eq!(output.status.success(), said.is_empty(), "{said}");
+        assert_eq!(output.status.success(), stderr.is_empty(), "{stderr}");
         assert!(output.status.code().is_some(), "ended by a signal");
-        errors += usize::from(!said.is_empty());
+        errors += usize::from(!stderr.is_empty());
     }
     assert!(errors > 50, "{errors} of 150 were errors");
 }
--- a/ring/tests/slot_array.rs
+++ b/ring/tests/slot_array.rs
@@ -1,4 +1,4 @@
-//! Owners and sequences of the slot array.
+//! Tests of owners and sequences of the slot array.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,6 @@
     ring
 }
 
-/// Every member takes every key.
 fn takes_all(_: &String, _: u32) -> bool {
     true
 }
@@ -29,7 +28,7 @@
     keys.map(|key| ring.owner(Key(key), 0, takes_all).cloned()).collect()
 }
 
-/// The owner by a straightforward search, as a reference.
+/// Reference implementation of the owner by a linear search.
 fn reference_owner(members: &[usize], key: Key, attempt: u64) -> String {
     let mut points = Vec::new();
     for &index in members {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1,4 +1,5 @@
-//! The module without any bench: placement, request life, rules, failures met.
+//! Unit tests of the balancer through its public interface: placement, life of a request, rules, and
+//! regressions.
 
 mod common;
 
@@ -12,17 +13,17 @@
 }
 
 fn homes(entries: Vec<RosterEntry>, seed: u64) -> Vec<ServerId> {
-    let mut node = Node::with(settings(), seed, entries);
+    let mut node = Node::with_roster(settings(), seed, entries);
     (0..2000).map(|n| node.home(n, n * 7919)).collect()
 }
 
 // ---- Placement ----
 
 #[test]
-fn nodes_with_other_seeds_and_other_orders_agree_on_every_home() {
-    let mut backwards = fleet(10);
-    backwards.reverse();
-    assert_eq!(homes(fleet(10), 1), homes(backwards, 2));
+fn nodes_agree_on_homes_whatever_their_seeds_and_roster_order() {
+    let mut reversed = fleet(10);
+    reversed.reverse();
+    assert_eq!(homes(fleet(10), 1), homes(reversed, 2));
 }
 
 #[test]
@@ -35,11 +36,11 @@
 }
 
 #[test]
-fn the_keys_of_a_removed_server_spread_over_all_others() {
+fn keys_of_a_removed_server_spread_over_the_others() {
     let (before, after) = (homes(fleet(10), 1), homes(fleet(9), 1));
-    let heirs: BTreeSet<_> =
+    let new_homes: BTreeSet<_> =
         before.iter().zip(after).filter(|(b, _)| **b == id(10)).map(|(_, a)| a).collect();
-    assert!(heirs.len() >= 7, "{} heirs", heirs.len());
+    assert!(new_homes.len() >= 7, "{} new homes", new_homes.len());
 }
 
 #[test]
@@ -51,18 +52,18 @@
     let mut entries = fleet(10);
     entries[0].weight = 300.0;
     entries[1..].iter_mut().for_each(|e| e.weight = 100.0);
-    let mut node = Node::with(Settings { weights: WeightSource::Nominal, ..settings() }, 1, entries);
+    let mut node = Node::with_roster(Settings { weights: WeightSource::Nominal, ..settings() }, 1, entries);
     let heavy = (0..2000).filter(|&n| node.home(n, n * 7919) == id(1)).count();
     assert!((380..620).contains(&heavy), "a quarter of 2000 expected, got {heavy}");
 }
 
 #[test]
 fn a_full_home_overflows_by_key_to_many_servers_and_no_server_passes_its_cap() {
-    let mut node = Node::with(settings(), 1, fleet(10));
+    let mut node = Node::with_roster(settings(), 1, fleet(10));
     let home = node.home(1, 1);
     let mut load: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut overflow = BTreeSet::new();
-    // Keys of one home, each asked for once and never answered.
+    // Distinct keys with the same home server; none of the requests is answered.
     let keys: Vec<u64> = (2..4000).filter(|&k| node.home(k, k) == home).take(28).collect();
     for (n, key) in keys.into_iter().enumerate() {
         for server in sent(&node.request(read(10_000 + n as u64, key))) {
@@ -72,19 +73,20 @@
             }
         }
     }
-    // max(floor, ceil((1 + 0.7) * 28 / 10)) with a floor of 8 over two nodes.
+    // max(floor, ceil((1 + 0.7) * 28 / 10)), where the floor is 8 shared by two nodes.
     assert_eq!(load[&home], 5, "{load:?}");
     assert!(load.values().all(|&n| n <= 5), "{load:?}");
     assert!(overflow.len() >= 5, "overflow to {} servers", overflow.len());
 }
 
-/// 33 nodes each filled the first place of the hottest key before the second, all in step: it choked.
+/// Guards against an overload of one server by a hot key: 33 nodes used to fill the key's first server before
+/// its second, all in step.
 #[test]
-fn a_hot_key_is_drawn_over_places_and_others_stay_at_home() {
-    let mut node = Node::with(settings(), 1, fleet(10));
+fn a_hot_key_is_spread_over_servers_and_other_keys_stay_at_home() {
+    let mut node = Node::with_roster(settings(), 1, fleet(10));
     let (mut hot, mut cool) = (BTreeMap::new(), BTreeSet::new());
     for n in 0..600 {
-        // Three of ten are for one key, one of a hundred for another.
+        // Three in ten requests are for one key, one in a hundred for another.
         let key = if n % 10 < 3 {
             42
         } else if n % 100 == 5 {
@@ -93,14 +95,14 @@
             1000 + n
         };
         let server = node.home(n, key);
-        node.pass(0.05);
+        node.advance(0.05);
         match key {
             42 if n > 100 => *hot.entry(server).or_insert(0) += 1,
             7 => drop(cool.insert(server)),
             _ => {}
         }
     }
-    // 0.3 of all over ten servers is three times what a server gets: at most 0.6 of that a place.
+    // 0.3 of all requests is three times the mean of ten servers, and a key may add 0.6 of the mean at each.
     assert!((4..=6).contains(&hot.len()), "{hot:?}");
     assert!(hot.values().all(|&n| n < 75), "{hot:?} of 150");
     assert_eq!(cool.len(), 1);
@@ -108,19 +110,19 @@
 
 #[test]
 fn a_request_without_a_key_or_with_an_unknown_class_is_sent() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(NewRequest { key: None, ..read(1, 0) })).len(), 1);
     assert_eq!(sent(&node.request(NewRequest { class: None, ..read(2, 0) })).len(), 1);
-    // Unknown classes never run twice.
+    // A request of unknown class is never run twice.
     let after = node.outcome(2, Status::TimedOut, None);
     assert!(sent(&after).is_empty() && failed(&after));
 }
 
 #[test]
-fn with_no_server_a_request_is_held_for_part_of_its_aim_and_then_refused() {
+fn without_servers_a_request_is_held_for_part_of_its_target_and_then_refused() {
     let mut node = Node::new(settings(), 1);
     assert!(sent(&node.request(read(1, 1))).is_empty());
-    assert!(refused(&node.pass(0.5)));
+    assert!(refused(&node.advance(0.5)));
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
@@ -128,19 +130,20 @@
     assert_eq!(sent(&actions).len(), 1);
 }
 
-// ---- Rule one ----
+// ---- Rule 1: every request is answered in time ----
 
-/// Clients that waited for less than the aim heard of their refusal when their time was over.
+/// Guards against refusals after the client's own time is over, where that is shorter than the latency
+/// target.
 #[test]
-fn a_request_is_held_for_no_more_than_part_of_its_own_time() {
-    let mut node = Node::with(settings(), 1, vec![]);
+fn a_request_is_held_for_at_most_part_of_its_clients_time() {
+    let mut node = Node::with_roster(settings(), 1, vec![]);
     assert!(!refused(&node.request(NewRequest { left: 0.2, ..read(1, 1) })));
-    assert!(refused(&node.pass(0.06)), "a quarter of its time is over, of the aim it is not");
+    assert!(refused(&node.advance(0.06)), "a quarter of its time is over, of the aim it is not");
 }
 
-/// Housekeeping came every 50 ms whatever the aims were, and a refusal after the client's time was over.
+/// Guards against late refusals: housekeeping used to run every 50 ms whatever the latency targets were.
 #[test]
-fn a_request_with_a_short_aim_hears_of_its_refusal_in_time() {
+fn a_request_with_a_short_latency_target_is_refused_in_time() {
     for aim in [0.04, 0.1, 0.5, 10.0] {
         let mut settings = settings();
         settings.classes.iter_mut().for_each(|class| class.aim = aim);
@@ -171,13 +174,13 @@
 #[test]
 fn every_request_is_answered_before_its_deadline_even_if_nothing_answers() {
     for class in [READ, KEYED, UNSAFE] {
-        let mut node = Node::with(settings(), 1, fleet(4));
+        let mut node = Node::with_roster(settings(), 1, fleet(4));
         node.request(NewRequest { class: Some(class), ..read(1, 1) });
         node.now += 1.0 - 0.01;
         let actions = node.event(Event::Timer(TimerToken(2)));
         assert!(refused(&actions) || failed(&actions), "{class:?}");
         assert!(sent(&actions).is_empty());
-        // A batch that ran late brings the time-out and the timer after the end: both are ignored.
+        // After a late batch the time-out and the timer arrive when the request has ended; both are ignored.
         node.now += 0.02;
         let late = node.outcome(1, Status::TimedOut, None);
         assert!(!refused(&late) && !failed(&late) && sent(&late).is_empty());
@@ -185,8 +188,8 @@
 }
 
 #[test]
-fn unknown_and_ended_things_are_ignored() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn events_for_unknown_or_ended_requests_are_ignored() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     assert!(node.event(Event::Withdrawn(RequestId(7))).is_empty());
     assert!(node.event(Event::Timer(TimerToken(77))).is_empty());
     assert!(node.event(Event::Probed { server: id(200), status: Status::Success }).is_empty());
@@ -208,7 +211,7 @@
 
 #[test]
 fn a_started_stream_is_left_alone() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     node.request(read(1, 1));
     node.event(stream_started(1));
     node.now += 5.0;
@@ -219,10 +222,10 @@
     Event::StreamStarted { request: RequestId(request), attempt: AttemptId(0), note: Some(CacheNote::Hit) }
 }
 
-/// A server whose long answers were still being read passed for a busy one, and for a slow one at their end.
+/// Guards against counting the transfer of long answers as load, and their length as latency.
 #[test]
-fn a_long_answer_holds_no_place_and_its_length_is_no_sign_of_crowding() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn a_long_answer_neither_counts_in_flight_nor_indicates_crowding() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     let home = node.home(0, 1);
     let keys: Vec<u64> = (0..4000).filter(|&key| node.home(100 + key, key) == home).take(30).collect();
     for (n, key) in keys.iter().enumerate() {
@@ -239,8 +242,8 @@
 }
 
 #[test]
-fn an_answer_that_breaks_before_its_client_has_seen_any_is_had_elsewhere_in_time() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn an_answer_that_breaks_before_it_reaches_the_client_is_retried_in_time() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     for (n, again) in [(1, true), (2, false)] {
         node.request(read(n, n));
         node.event(stream_started(n));
@@ -252,18 +255,19 @@
 }
 
 #[test]
-fn the_time_of_a_long_request_runs_from_its_last_byte() {
+fn the_time_of_a_long_request_starts_with_its_last_byte() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
     let write = |n| NewRequest { class: Some(KEYED), write: true, coming: true, left: 600.0, ..read(n, n) };
-    // As many as a read would wait for at the origin: while they come they hold no place there.
+    // As many writes as would make a read wait at the origin; while their bodies arrive, none counts in
+    // flight.
     for n in 1..=30 {
         assert_eq!(sent(&node.request(write(n))), [id(998)]);
     }
     node.request(read(100, 100));
     let miss = node.outcome(100, Status::Absent, Some(CacheNote::Miss));
     assert_eq!(sent(&miss), [id(998)]);
-    node.pass(20.0);
+    node.advance(20.0);
     let left = 1.0;
     let told = node.event(Event::Received { request: RequestId(1), left });
     let after = told.iter().find_map(|action| match action {
@@ -275,7 +279,7 @@
     let ended = node.event(Event::Timer(TimerToken(2)));
     assert!(ended.contains(&Action::Fail(RequestId(1))), "may have run: {ended:?}");
     assert!(
-        !node.pass(1.0).iter().any(|a| matches!(a, Action::Fail(_) | Action::Refuse { .. })),
+        !node.advance(1.0).iter().any(|a| matches!(a, Action::Fail(_) | Action::Refuse { .. })),
         "the others come"
     );
 }
@@ -288,7 +292,7 @@
         [(Status::Unreachable, true), (Status::Broken, false), (Status::Overloaded, true)]
     {
         for spent in [false, true] {
-            let mut node = Node::with(aside.clone(), 1, origins.to_vec());
+            let mut node = Node::with_roster(aside.clone(), 1, origins.to_vec());
             let new = NewRequest { class: Some(UNSAFE), write: true, coming: true, left: 60.0, ..read(1, 1) };
             node.request(new);
             if spent {
@@ -304,7 +308,7 @@
     }
 }
 
-// ---- Rule two ----
+// ---- Rule 2: nothing runs twice that must not ----
 
 const ALL: [Status; 10] = [
     Status::Success,
@@ -320,10 +324,10 @@
 ];
 
 #[test]
-fn every_effect_crossed_with_every_status() {
+fn every_effect_is_retried_and_refused_by_the_rules_for_every_status() {
     for status in ALL {
         for class in [READ, KEYED, UNSAFE] {
-            let mut node = Node::with(settings(), 1, fleet(6));
+            let mut node = Node::with_roster(settings(), 1, fleet(6));
             let first = sent(&node.request(NewRequest { class: Some(class), ..read(1, 5) }))[0].clone();
             node.now += 0.01;
             let actions = node.outcome(1, status, None);
@@ -333,7 +337,7 @@
             } else if status.may_have_run() && class == UNSAFE {
                 assert!(again.is_empty() && !refused(&actions), "{status:?} {actions:?}");
             } else if status.may_have_run() && class == KEYED {
-                // Zones alternate by number; the group is the zone.
+                // Even and odd servers are in different zones, and the group of the class is the zone.
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
                 assert!(again.iter().all(|s| zone(s) == zone(&first)), "{status:?} {again:?}");
                 assert!(!refused(&actions), "{status:?}");
@@ -345,19 +349,19 @@
 
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window() {
-    let mut node = Node::with(settings(), 1, fleet(6));
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
     node.request(NewRequest { class: Some(KEYED), left: 2.0, ..read(1, 5) });
     node.now += 1.2;
     let actions = node.outcome(1, Status::Broken, None);
     assert!(sent(&actions).is_empty());
 }
 
-// ---- Rule three ----
+// ---- Rule 3: nothing is sent to servers that drain or have left ----
 
 #[test]
-fn a_drain_just_before_a_send_keeps_the_send_away() {
+fn nothing_is_sent_to_a_server_that_has_just_started_to_drain() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        let mut node = Node::with(settings(), 1, fleet(4));
+        let mut node = Node::with_roster(settings(), 1, fleet(4));
         let home = node.home(1, 9);
         let n = (1..=4).find(|&n| id(n) == home).unwrap();
         node.event(Event::Roster(RosterNews::Delta(vec![RosterEntry { state, ..entry(n) }])));
@@ -368,24 +372,25 @@
 }
 
 #[test]
-fn who_is_absent_from_a_full_list_has_left() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn a_server_missing_from_a_full_roster_has_left() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     node.event(Event::Roster(RosterNews::Full(fleet(3))));
     assert!((1..200).all(|n| node.home(n, n) != id(4)));
 }
 
 #[test]
-fn an_emptied_list_sends_nothing_and_a_new_one_serves_again() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn an_empty_roster_sends_nothing_and_a_new_one_serves_again() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     node.event(Event::Roster(RosterNews::Full(vec![])));
     assert!(sent(&node.request(read(1, 1))).is_empty());
     node.event(Event::Roster(RosterNews::Full(fleet(4))));
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
-// ---- Rule four ----
+// ---- Rule 4: servers that have just started are not overloaded ----
 
-/// The keys of server 1 among so many, asked for 100 to a step of housekeeping, so that allowances refill.
+/// Requests `keys` keys and returns those that go to server 1. Housekeeping runs after every 20 requests, so
+/// that allowances refill.
 fn at_once(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
     let mut owned = Vec::new();
     for n in 0..keys {
@@ -400,11 +405,11 @@
 }
 
 #[test]
-fn a_just_started_server_owns_part_of_its_keys_and_more_by_and_by() {
+fn a_cold_server_takes_part_of_its_keys_and_gradually_more() {
     let owned = |age: Seconds| {
         let mut entries = fleet(8);
         entries[0].started = Some(100.0 - age);
-        let mut node = Node::with(settings(), 1, entries);
+        let mut node = Node::with_roster(settings(), 1, entries);
         at_once(&mut node, 0, 3000).len()
     };
     let (cold, half, warm) = (owned(0.0), owned(4.0), owned(9.0));
@@ -416,25 +421,26 @@
 fn a_cold_server_takes_no_overflow() {
     let mut entries = fleet(4);
     entries[0].started = Some(100.0);
-    let mut node = Node::with(settings(), 1, entries.clone());
+    let mut node = Node::with_roster(settings(), 1, entries.clone());
     let cold_home: BTreeSet<u64> = (0..4000).filter(|&n| node.home(n, n) == id(1)).collect();
-    let mut node = Node::with(settings(), 1, entries);
+    let mut node = Node::with_roster(settings(), 1, entries);
     for n in (0..600).filter(|n| !cold_home.contains(n)) {
         assert!(sent(&node.request(read(n, n))).iter().all(|s| *s != id(1)), "key {n}");
     }
 }
 
-// ---- Rules five and six ----
+// ---- Rules 5 and 6: retry budget, closing connections on a drain ----
 
-/// A bucket that fills in quiet times let more attempts through in one window than the rule allows.
+/// Guards against a token bucket as the budget: one that fills in quiet times admits more retries in one
+/// window than the rule allows.
 #[test]
-fn further_attempts_keep_to_the_budget_in_any_window() {
+fn retries_keep_to_the_budget_in_any_window() {
     let mut stated = settings();
     stated.guarantees.budget = Some(Budget { span: 5.0, free: 2.0, ratio: 0.1 });
-    let mut node = Node::with(stated, 1, fleet(8));
+    let mut node = Node::with_roster(stated, 1, fleet(8));
     let (mut taken, mut extra) = (Vec::new(), Vec::new());
     for n in 0..600 {
-        // A busy start, a rest in which the window empties, and a burst of failures.
+        // A busy start, a pause in which the window empties, and a burst of failures.
         let failing = n >= 300;
         node.now += if n == 300 { 4.0 } else { 0.01 };
         taken.push(node.now);
@@ -454,12 +460,12 @@
 }
 
 #[test]
-fn an_absent_grants_one_send_outside_the_budget() {
+fn an_attempt_after_absent_is_outside_the_budget() {
     let mut aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     aside.guarantees.budget = Some(Budget { span: 5.0, free: 0.0, ratio: 0.0 });
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with_roster(aside, 1, entries);
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Absent, None)), [origin().server]);
     let after = node.outcome(1, Status::Overloaded, None);
@@ -471,70 +477,72 @@
     let mut closing = settings();
     closing.guarantees.close_on_drain = Some(1.0);
     let closes = |actions: &[Action], n| actions.contains(&Action::CloseIdle(id(n)));
-    let mut node = Node::with(closing, 1, fleet(4));
+    let mut node = Node::with_roster(closing, 1, fleet(4));
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     node.request(NewRequest { left: 1.9, ..read(900, key) });
     let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
     assert!(closes(&node.event(Event::Roster(RosterNews::Delta(vec![drain.clone()]))), 1));
-    // Ordered answers: a connection may fall idle unseen, so closing is repeated while it is listed.
-    assert!(closes(&node.pass(0.4), 1));
+    // With answers in order, a connection may become idle unnoticed, so closing is repeated while it is
+    // listed.
+    assert!(closes(&node.advance(0.4), 1));
     assert!(closes(&node.event(Event::Roster(RosterNews::Delta(vec![drain]))), 1), "a repeated notice");
     assert!(closes(&node.event(Event::Roster(RosterNews::Full(fleet(4)[1..].to_vec()))), 1), "it left");
-    node.pass(1.0);
+    node.advance(1.0);
     assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
-    assert!(!closes(&node.pass(2.0), 2), "those that stay are left open");
+    assert!(!closes(&node.advance(2.0), 2), "those that stay are left open");
 }
 
 // ---- Discovery ----
 
-fn asking() -> Settings {
+fn on_request_settings() -> Settings {
     Settings { membership: Membership::OnRequest, ..settings() }
 }
 
-fn asks(actions: &[Action]) -> usize {
+fn subscribe_calls(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Subscribe)).count()
 }
 
 #[test]
-fn an_asking_node_subscribes_at_once_and_repeats_failed_calls() {
-    let mut node = Node::new(asking(), 1);
-    assert_eq!(asks(&node.event(Event::Roster(RosterNews::Cached(fleet(4))))), 1);
+fn a_node_subscribes_at_once_and_repeats_failed_calls() {
+    let mut node = Node::new(on_request_settings(), 1);
+    assert_eq!(subscribe_calls(&node.event(Event::Roster(RosterNews::Cached(fleet(4))))), 1);
     for _ in 0..5 {
         node.event(Event::Roster(RosterNews::Failed));
-        assert_eq!(asks(&node.pass(3.0)), 1);
+        assert_eq!(subscribe_calls(&node.advance(3.0)), 1);
     }
     node.event(Event::Roster(RosterNews::Delta(vec![])));
-    assert_eq!(asks(&node.pass(60.0)), 0, "a subscription is not asked for twice");
+    assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a subscription is not asked for twice");
     node.event(Event::Roster(RosterNews::Failed));
-    assert_eq!(asks(&node.pass(3.0)), 1, "a broken one is asked for again");
+    assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken one is asked for again");
 }
 
 #[test]
-fn a_call_that_is_never_answered_is_made_again_before_the_time_to_ask_has_run_out() {
-    let mut node = Node::new(asking(), 1);
+fn an_unanswered_call_is_repeated_within_ask_every() {
+    let mut node = Node::new(on_request_settings(), 1);
     node.event(Event::Roster(RosterNews::Cached(fleet(4))));
-    assert!(asks(&node.pass(9.0)) >= 1);
+    assert!(subscribe_calls(&node.advance(9.0)) >= 1);
 }
 
-/// After a failed call the list that a node holds counts for four times the time to ask, whatever that is.
+/// After a failed call, the roster that a node holds is valid for four times `ask_every`, so the back-off
+/// must scale with it.
 #[test]
-fn failed_calls_are_made_again_within_the_time_that_the_settings_give() {
+fn failed_calls_are_repeated_within_the_configured_time() {
     for ask_every in [0.3, 1.0, 10.0] {
-        let mut settings = asking();
+        let mut settings = on_request_settings();
         settings.guarantees.ask_every = ask_every;
         let mut node = Node::new(settings, 1);
         node.event(Event::Roster(RosterNews::Cached(fleet(4))));
         for _ in 0..20 {
             node.event(Event::Roster(RosterNews::Failed));
-            assert!(asks(&node.pass(2.0 * ask_every)) >= 1, "{ask_every}");
+            assert!(subscribe_calls(&node.advance(2.0 * ask_every)) >= 1, "{ask_every}");
         }
     }
 }
 
-// ---- Failures met ----
+// ---- Regressions: failures of servers, connections and the origin ----
 
-/// Reads answered in 50 ms each, so that the node has a usual answer time to rest by.
-fn warm_up(node: &mut Node) {
+/// Serves reads in 50 ms each, so that the node learns a hit latency to pause by.
+fn learn_hit_latency(node: &mut Node) {
     for n in 500_000..500_100 {
         node.request(read(n, n));
         node.now += 0.05;
@@ -542,13 +550,13 @@
     }
 }
 
-/// A server that fails twice is left alone for some seconds.
+/// Two failures eject a server for some seconds.
 #[test]
-fn a_server_that_fails_is_left_alone_and_tried_again_later() {
-    let mut node = Node::with(settings(), 1, fleet(6));
+fn a_failing_server_is_ejected_and_tried_again_later() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(20).collect();
-    warm_up(&mut node);
-    let at_one = |node: &mut Node, from: u64, status| {
+    learn_hit_latency(&mut node);
+    let sent_to_first = |node: &mut Node, from: u64, status| {
         let mut count = 0;
         for (n, &key) in keys.iter().enumerate() {
             let n = from + n as u64;
@@ -564,47 +572,48 @@
         }
         count
     };
-    let failing = at_one(&mut node, 1000, Status::Broken);
+    let failing = sent_to_first(&mut node, 1000, Status::Broken);
     assert!((2..12).contains(&failing), "{failing} of 20 sent to a server that breaks");
     for round in 0..20 {
-        node.pass(1.0);
-        at_one(&mut node, 2000 + 100 * round, Status::Success);
+        node.advance(1.0);
+        sent_to_first(&mut node, 2000 + 100 * round, Status::Success);
     }
-    assert_eq!(at_one(&mut node, 9000, Status::Success), 20);
+    assert_eq!(sent_to_first(&mut node, 9000, Status::Success), 20);
 }
 
-/// Idle connections dropped unseen: nearly each send of a node that uses a server every few seconds met a dead
-/// one; resets took healthy servers out and sent their keys to servers that lack them.
+/// Guards against ejecting healthy servers for idle connections that were dropped unnoticed. A node that used
+/// a server every few seconds met a dead connection on nearly each send, and the resets sent the server's
+/// keys to servers that had not cached them.
 #[test]
-fn a_connection_that_lay_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
-    let mut node = Node::with(settings(), 1, fleet(6));
+fn a_connection_idle_for_as_long_as_a_dead_one_was_is_closed_before_the_next_send() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
-    node.pass(2.0);
+    node.advance(2.0);
     assert!(!closes(&node.request(read(1000, key))), "nothing is suspected yet");
     node.now += 0.01;
     let again = node.outcome(1000, Status::Broken, None);
     assert_eq!(sent(&again), [id(1)], "the server did not fail: the same one is asked again");
     node.serve(1000);
-    node.pass(0.3);
+    node.advance(0.3);
     assert!(!closes(&node.request(read(1001, key))), "a short rest is harmless");
     node.serve(1001);
-    node.pass(3.0);
+    node.advance(3.0);
     let actions = node.request(read(1002, key));
     let close = actions.iter().position(|a| *a == Action::CloseIdle(id(1)));
     let send = actions.iter().position(|a| matches!(a, Action::Send { .. }));
     assert!(close.is_some() && close < send, "{actions:?}");
     node.serve(1002);
-    node.pass(60.0);
+    node.advance(60.0);
     assert!(!closes(&node.request(read(1003, key))), "the suspicion has faded");
 }
 
-/// The same where nothing says so: an attempt on a connection that lay idle got no answer, later ones did.
+/// The same without a reset: an attempt on an idle connection gets no answer, while later ones do.
 #[test]
-fn silence_on_an_idle_connection_of_a_server_that_answers_others_is_the_connection_s() {
-    let mut node = Node::with(settings(), 1, fleet(1));
+fn a_time_out_on_an_idle_connection_of_an_answering_server_closes_idle_connections() {
+    let mut node = Node::with_roster(settings(), 1, fleet(1));
     node.home(1, 1);
-    node.pass(1.0);
+    node.advance(1.0);
     node.request(read(2, 1));
     node.now += 0.1;
     node.request(read(3, 1));
@@ -614,10 +623,11 @@
     assert!(actions.contains(&Action::CloseIdle(id(1))), "{actions:?}");
 }
 
-/// Two thirds of all attempts got no connection while each node held one that it seldom used.
+/// Guards against holding connections that others need: two thirds of all attempts got no connection while
+/// each node held one that it seldom used.
 #[test]
-fn where_connections_are_scarce_none_is_kept_unused() {
-    let mut node = Node::with(settings(), 1, fleet(6));
+fn idle_connections_are_closed_where_connections_are_scarce() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
     let closed = |node: &mut Node, n| {
         node.request(read(n, n));
         node.serve(n).iter().any(|a| matches!(a, Action::CloseIdle(_)))
@@ -632,14 +642,15 @@
     assert!(!(200..260).all(|n| closed(&mut node, n)), "and kept again when there is room");
 }
 
-/// Where caches don't tell hits, only errors were taken for fetches: a few in a thousand shut the fetch limit.
+/// Guards against a fetch limit that shuts. Where caches don't report hits, only errors used to count as
+/// fetches, and a few in a thousand shut the limit.
 #[test]
-fn rare_errors_do_not_shut_the_way_to_the_origin_where_caches_tell_no_hits() {
-    let mut node = Node::with(settings(), 1, fleet(8));
+fn rare_errors_do_not_shut_the_fetch_limit_where_caches_report_no_hits() {
+    let mut node = Node::with_roster(settings(), 1, fleet(8));
     let mut held = 0;
     for n in 0..3000 {
         held += usize::from(sent(&node.request(read(n, n))).is_empty());
-        node.pass(0.05);
+        node.advance(0.05);
         if node.sends.contains_key(&RequestId(n)) {
             node.outcome(n, if n % 100 == 0 { Status::Error } else { Status::Success }, None);
         }
@@ -647,11 +658,11 @@
     assert!(held < 30, "{held} of 3000 held");
 }
 
-/// Work is heavy-tailed: an answer that took its hinted work is no sign of a crowd.
+/// Work is heavy-tailed: an answer that takes as long as its hinted work does not indicate crowding.
 #[test]
-fn heavy_requests_do_not_pass_for_crowding() {
+fn heavy_requests_do_not_count_as_crowding() {
     let at_once = |work| {
-        let mut node = Node::with(settings(), 1, fleet(1));
+        let mut node = Node::with_roster(settings(), 1, fleet(1));
         for n in 0..40 {
             node.request(NewRequest { work, ..read(n, 1) });
             node.now += 0.4;
@@ -665,48 +676,49 @@
     assert!(told > untold, "{told} at once with hints, {untold} without");
 }
 
-/// Each of 36 nodes learnt of a choked server by time-outs of its own and tried it now and then: together they
-/// never left it idle, and it stayed choked. One that is found silent twice, by whomever, is left alone.
+/// Guards against nodes that together never leave an overloaded server idle, so that it can't recover: each
+/// of 36 nodes learnt of it only by its own time-outs. A server with two time-outs, seen by any nodes, is
+/// ejected.
 #[test]
-fn a_server_found_silent_twice_is_left_alone_and_others_are_told() {
-    let mut telling = settings();
-    telling.limits.peers = true;
-    let mut node = Node::with(telling, 1, fleet(6));
-    warm_up(&mut node);
+fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
+    let mut with_peers = settings();
+    with_peers.limits.peers = true;
+    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(3).collect();
     node.request(read(1000, keys[0]));
     node.now += 0.9;
     let told = Action::Tell(id(1).0.as_bytes().to_vec());
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&told));
-    node.pass(0.5);
+    node.advance(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
-    // Another node had no answer either; what is no address is passed over.
+    // Another node saw a time-out too; messages that are not the address of a known server are ignored.
     for bytes in [id(1).0.as_bytes().to_vec(), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
     }
-    node.pass(1.0);
+    node.advance(1.0);
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
     assert_eq!(node.balancer.listed(), Listed { all: 6, avoided: 1 });
-    node.pass(6.0);
+    node.advance(6.0);
     assert_eq!(node.home(4000, keys[2]), id(1), "and back after its rest");
     assert_eq!(node.balancer.listed(), Listed { all: 6, avoided: 0 });
 }
 
-/// Clients that waited for less than an answer takes, and asked again at once: their time-outs passed for dead
-/// servers, and all servers, the origin among them, were left alone for as long as such clients came.
+/// Guards against ejections by impatient clients. Time-outs of clients that wait for less than an answer
+/// takes and retry at once used to count as dead servers; all servers, the origin included, stayed ejected.
 #[test]
-fn clients_that_hardly_wait_do_not_take_servers_out() {
-    let mut telling = settings();
-    telling.cache = CacheMode::Aside { origin_kind: "origin".into() };
-    telling.limits.peers = true;
-    let mut node = Node::with(telling, 1, fleet(6).into_iter().chain([origin()]).collect());
-    warm_up(&mut node);
+fn impatient_clients_do_not_get_servers_ejected() {
+    let mut with_peers = settings();
+    with_peers.cache = CacheMode::Aside { origin_kind: "origin".into() };
+    with_peers.limits.peers = true;
+    let mut node = Node::with_roster(with_peers, 1, fleet(6).into_iter().chain([origin()]).collect());
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     let mut told = 0;
     for (n, &key) in (10_000..10_400).zip(keys.iter().cycle()) {
         let first = node.request(NewRequest { left: 0.06, ..read(n, key) });
         assert_eq!(sent(&first).len(), 1, "request {n} finds a server");
-        // Every other one gets as far as the origin.
+        // Every other request gets as far as the origin.
         let at_origin = n % 2 == 0 && {
             let next = node.outcome(n, Status::Absent, None);
             assert_eq!(sent(&next), [id(998)], "request {n} finds the origin");
@@ -716,19 +728,20 @@
         let actions = node.outcome(n, Status::TimedOut, None);
         told += actions.iter().filter(|a| matches!(a, Action::Tell(_))).count();
         if !at_origin {
-            node.pass(0.05);
+            node.advance(0.05);
         }
     }
     assert_eq!(told, 0);
     assert_eq!(node.home(20_000, keys[0]), id(1), "who waits longer finds the key at its home");
 }
 
-/// One attempt in a hundred got no answer at any server, idle ones too. Each passed for crowding and lowered the
-/// limit of its server; the origin's fell until hardly a miss was fetched.
+/// Guards against lost attempts that count as crowding. One attempt in a hundred got no answer at any server,
+/// idle ones included, and each lowered the server's limit; the origin's fell until hardly a miss was
+/// fetched.
 #[test]
-fn an_attempt_that_is_lost_does_not_lower_the_limit_of_a_server_that_answers_later_ones() {
+fn a_lost_attempt_does_not_lower_the_limit_of_a_server_that_answers_later_ones() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with(aside, 1, fleet(6).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_roster(aside, 1, fleet(6).into_iter().chain([origin()]).collect());
     let fetch = |node: &mut Node, n: u64| {
         node.request(NewRequest { left: 0.9, ..read(n, n) });
         sent(&node.outcome(n, Status::Absent, None)) == [id(998)]
@@ -739,21 +752,22 @@
         assert!(fetch(&mut node, n + 1), "request {} finds the origin", n + 1);
         node.now += 0.02;
         node.outcome(n + 1, Status::Success, Some(CacheNote::Miss));
-        node.pass(0.9);
+        node.advance(0.9);
         node.outcome(n, Status::TimedOut, None);
     }
     let together = (2_000..2_006).filter(|&n| fetch(&mut node, n)).count();
     assert_eq!(together, 6, "as many as before may be fetched at once");
 }
 
-/// Connections were reset at every server alike, on some days each tenth. Two of one server within two seconds had
-/// all nodes leave it alone, a third of the fleet at any time, and its keys were missed elsewhere.
+/// Guards against ejections by connection resets. On some days each tenth connection was reset, at every
+/// server alike; two resets of a server within two seconds ejected it at all nodes, a third of the fleet at
+/// any time.
 #[test]
-fn resets_of_connections_do_not_take_out_a_server_that_answers() {
-    let mut telling = settings();
-    telling.limits.peers = true;
-    let mut node = Node::with(telling, 1, fleet(6));
-    warm_up(&mut node);
+fn connection_resets_do_not_eject_a_server_that_answers() {
+    let mut with_peers = settings();
+    with_peers.limits.peers = true;
+    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     for (n, keys) in (2_000..).step_by(4).zip(keys.chunks_exact(4)).take(8) {
         for (n, &key) in (n..).zip(keys) {
@@ -763,49 +777,50 @@
             assert!(!actions.iter().any(|a| matches!(a, Action::Tell(_))), "{actions:?}");
         }
         (n + 1..n + 4).for_each(|n| _ = node.serve(n));
-        node.pass(0.5);
+        node.advance(0.5);
     }
 }
 
-/// An attempt that its server had lost kept its request waiting until nothing else could be tried.
+/// Guards against a request that waits for an attempt lost by its server until no time is left to retry.
 #[test]
-fn a_lost_attempt_is_called_off_and_made_again_while_there_is_time() {
-    let mut node = Node::with(settings(), 1, fleet(6));
-    warm_up(&mut node);
+fn a_lost_attempt_is_cancelled_and_retried_while_there_is_time() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(2).collect();
     node.request(read(2_000, keys[0]));
     let cancel = Action::Cancel { request: RequestId(2_000), attempt: AttemptId(0) };
-    assert!(!node.pass(0.4).contains(&cancel), "the server may be slow");
+    assert!(!node.advance(0.4).contains(&cancel), "the server may be slow");
     node.request(read(2_001, keys[1]));
     node.now += 0.01;
     node.serve(2_001);
-    assert!(node.pass(0.1).contains(&cancel), "it has answered a later one");
+    assert!(node.advance(0.1).contains(&cancel), "it has answered a later one");
     let again = node.outcome(2_000, Status::Cancelled, None);
     assert_eq!(sent(&again).len(), 1, "and the request is sent on");
     assert_ne!(sent(&again), [id(1)], "elsewhere, as some servers lose all of one class");
     node.serve(2_000);
-    // A key that the server does not keep is being fetched through it, which takes its time.
+    // A key that is not cached is fetched through its server, which takes longer.
     let fetched = (500..900).find(|&n| sent(&node.request(read(4_000 + n, n))) == [id(1)]).unwrap();
     node.now += 0.01;
     node.request(read(2_002, keys[1]));
     node.now += 0.01;
     node.serve(2_002);
     let cancel = Action::Cancel { request: RequestId(4_000 + fetched), attempt: AttemptId(0) };
-    assert!(!node.pass(0.4).contains(&cancel));
-    // What must not run twice waits for its answer.
+    assert!(!node.advance(0.4).contains(&cancel));
+    // A request that must not run twice waits for its answer.
     node.request(NewRequest { class: Some(UNSAFE), ..read(3_000, keys[0]) });
     node.now += 0.01;
     node.request(read(3_001, keys[1]));
     node.now += 0.01;
     node.serve(3_001);
-    assert!(!node.pass(0.4).iter().any(|a| matches!(a, Action::Cancel { .. })));
+    assert!(!node.advance(0.4).iter().any(|a| matches!(a, Action::Cancel { .. })));
 }
 
-/// Some caches answered no request of one class for ten seconds, and all others as ever.
+/// Some cache servers answered no request of one class for ten seconds, while they answered all other
+/// classes.
 #[test]
-fn a_class_that_a_server_loses_goes_elsewhere_for_a_while_and_other_classes_stay() {
-    let mut node = Node::with(settings(), 1, fleet(6));
-    warm_up(&mut node);
+fn a_class_that_a_server_keeps_losing_goes_elsewhere_for_a_while_and_other_classes_stay() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(4).collect();
     let other = |n, key| NewRequest { class: Some(KEYED), ..read(n, key) };
     for (n, &key) in (2_000..).step_by(10).zip(&keys[..2]) {
@@ -814,25 +829,25 @@
         node.request(other(n + 1, keys[2]));
         node.now += 0.01;
         node.serve(n + 1);
-        assert!(node.pass(0.5).iter().any(|a| matches!(a, Action::Cancel { .. })));
+        assert!(node.advance(0.5).iter().any(|a| matches!(a, Action::Cancel { .. })));
         node.outcome(n, Status::Cancelled, None);
         node.serve(n);
     }
     assert_ne!(node.home(3_000, keys[3]), id(1), "two in a row are the server's");
     assert_eq!(sent(&node.request(other(3_001, keys[3]))), [id(1)], "which answers other classes");
     node.serve(3_001);
-    node.pass(3.0);
+    node.advance(3.0);
     assert_eq!(node.home(3_002, keys[3]), id(1), "and is tried again");
 }
 
-/// In aside mode errors counted against no cache server: three of fifteen that answered 500 to every read kept their
-/// whole share of the attempts, and repeats ran out of budget.
+/// Guards against errors without effect in aside mode: three of fifteen cache servers that answered 500 to
+/// every read kept their full share of the attempts, and retries exhausted the budget.
 #[test]
-fn a_cache_server_that_answers_errors_is_passed_over_but_not_where_the_class_fails_everywhere() {
+fn a_cache_server_that_answers_errors_is_skipped_unless_the_class_fails_everywhere() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut entries = fleet(6);
     entries.push(origin());
-    let mut node = Node::with(aside.clone(), 1, entries.clone());
+    let mut node = Node::with_roster(aside.clone(), 1, entries.clone());
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(4).collect();
     for n in 0..2 {
         assert_eq!(sent(&node.request(read(2_000 + n, keys[n as usize]))), [id(1)]);
@@ -840,50 +855,51 @@
         node.serve(2_000 + n);
     }
     assert_ne!(node.home(3_000, keys[2]), id(1));
-    node.pass(3.0);
+    node.advance(3.0);
     assert_eq!(node.home(3_001, keys[2]), id(1), "and is tried again");
 
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with_roster(aside, 1, entries);
     for n in 0..200 {
         node.request(read(4_000 + n, n));
         for _ in 0..3 {
             node.outcome(4_000 + n, Status::Error, None);
         }
-        node.pass(0.005);
+        node.advance(0.005);
     }
     assert_eq!(node.home(5_000, keys[3]), id(1), "all have lost it: keys stay at home");
 }
 
-/// Where a whole class failed at all caches, repeats ran into the node's own budget, and a tenth was refused while the
-/// origin had room.
+/// Guards against refusals while the origin has room: where a class failed at all cache servers, retries ran
+/// into the default budget and a tenth of the requests was refused.
 #[test]
-fn where_a_cache_server_goes_on_failing_the_origin_is_next_and_only_a_stated_budget_counts_it() {
+fn after_repeated_cache_errors_the_origin_is_next_and_only_a_configured_budget_counts_it() {
     for stated in [false, true] {
         let mut aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
         aside.guarantees.budget = stated.then_some(Budget { span: 10.0, free: 5.0, ratio: 0.1 });
         let mut entries = fleet(6);
         entries.push(origin());
-        let mut node = Node::with(aside, 1, entries);
+        let mut node = Node::with_roster(aside, 1, entries);
         let mut served = 0;
         for n in 0..100 {
             node.request(read(2_000 + n, n));
             let next = sent(&node.outcome(2_000 + n, Status::Error, None));
             served += usize::from(next == [origin().server]);
             node.serve(2_000 + n);
-            node.pass(0.005);
+            node.advance(0.005);
         }
-        // Each server's first error may be chance.
+        // A server's first error does not count.
         assert_eq!(served > 60, !stated, "{served}");
     }
 }
 
-/// Attempts called off as their clients had left passed for answers, and hid that a server was silent.
+/// Guards against cancelled attempts that count as answers: they hid that a server was silent after clients
+/// left.
 #[test]
-fn an_attempt_that_is_called_off_is_no_sign_of_life() {
-    let mut telling = settings();
-    telling.limits.peers = true;
-    let mut node = Node::with(telling, 1, fleet(6));
-    warm_up(&mut node);
+fn a_cancelled_attempt_is_no_sign_of_life() {
+    let mut with_peers = settings();
+    with_peers.limits.peers = true;
+    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(2).collect();
     node.request(read(2_000, keys[0]));
     node.now += 0.1;
@@ -896,27 +912,29 @@
     assert!(node.outcome(2_000, Status::TimedOut, None).contains(&told));
 }
 
-/// With two attempts in all, a second cache lacked the key in vain after a first that took no connection.
+/// With two attempts in all, the second one must not go to another cache server that lacks the key, when the
+/// first got no connection.
 #[test]
 fn in_aside_mode_the_last_attempt_of_a_read_goes_to_the_origin() {
     let mut aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     aside.limits.max_attempts = 2;
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with(aside.clone(), 1, entries.clone());
+    let mut node = Node::with_roster(aside.clone(), 1, entries.clone());
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
     aside.limits.max_attempts = 3;
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with_roster(aside, 1, entries);
     node.request(read(1, 3));
     assert_ne!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
 }
 
-/// With tens of nodes the floor fell to one, and reads that met at a home by chance jumped into misses.
+/// Guards against a cap floor of one: with tens of nodes, two reads that met at their home server by chance
+/// jumped into misses.
 #[test]
 fn in_aside_mode_reads_that_meet_at_their_home_stay_there() {
     let together = |cache| {
-        let mut node = Node::with(Settings { balancers: 8, cache, ..settings() }, 1, fleet(6));
+        let mut node = Node::with_roster(Settings { balancers: 8, cache, ..settings() }, 1, fleet(6));
         let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(2).collect();
         (0..2)
             .flat_map(|n| sent(&node.request(read(900 + n, keys[n as usize]))))
@@ -927,20 +945,20 @@
     assert_eq!(together(CacheMode::Through), 1);
 }
 
-/// Where nodes may not tell, each goes by what it saw itself.
+/// Without peer messages, each node acts only on what it sees itself.
 #[test]
-fn nothing_is_told_where_it_is_not_allowed() {
-    let mut node = Node::with(settings(), 1, fleet(1));
+fn peers_are_not_notified_where_messages_are_not_allowed() {
+    let mut node = Node::with_roster(settings(), 1, fleet(1));
     node.request(read(1, 1));
     node.now += 0.9;
     assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::Tell(_))));
 }
 
-/// Errors of all servers at once are the origin's: taking servers out for them only adds misses.
+/// Errors of all servers at once come from the origin: ejecting servers for them only adds misses.
 #[test]
-fn errors_of_the_whole_fleet_rest_few_but_those_of_one_server_rest_it() {
-    let play = |bad: &dyn Fn(&ServerId) -> bool| {
-        let mut node = Node::with(settings(), 1, fleet(6));
+fn errors_of_the_whole_fleet_eject_few_servers_but_errors_of_one_server_eject_it() {
+    let ejections = |bad: &dyn Fn(&ServerId) -> bool| {
+        let mut node = Node::with_roster(settings(), 1, fleet(6));
         let mut taken_out = 0;
         for n in 0..3000 {
             let mut actions = node.request(read(n, n % 100));
@@ -954,16 +972,16 @@
         }
         taken_out
     };
-    let (all, one) = (play(&|_| true), play(&|s| *s == id(1)));
+    let (all, one) = (ejections(&|_| true), ejections(&|s| *s == id(1)));
     assert!(all <= 6 && one >= 1, "{all} {one}");
 }
 
-/// A fifth of a fleet died, the rest got slow, and two thirds of all reads jumped: into misses, each of which
-/// held a place in its server until the origin had answered.
+/// Guards against jumps that slow down a slow fleet. When a fifth of the fleet died and the rest got slow,
+/// two thirds of all reads jumped into misses, each of which occupied its server until the origin answered.
 #[test]
 fn while_a_through_fleet_is_slow_a_server_at_its_limit_holds_requests() {
     let sent_of_four = |cache| {
-        let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(6));
+        let mut node = Node::with_roster(Settings { cache, ..settings() }, 1, fleet(6));
         let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).collect();
         for n in 1000..1072 {
             let key = if n < 1060 { n } else { keys[n as usize % 4] };
@@ -979,18 +997,18 @@
 
 #[test]
 fn reads_of_one_key_share_a_fetch() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(read(1, 3))).len(), 1);
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheNote::Miss));
     assert_eq!(sent(&released).len(), 1);
-    // Known to be kept now: reads no longer wait for one another.
+    // The key is cached now, so reads no longer wait for one another.
     assert_eq!(sent(&node.request(read(3, 3))).len(), 1);
 }
 
 #[test]
-fn failed_fetches_lower_the_number_of_unknown_keys_sent_and_known_keys_pass() {
-    let mut node = Node::with(settings(), 1, fleet(8));
+fn failed_fetches_limit_reads_of_uncached_keys_and_not_of_cached_ones() {
+    let mut node = Node::with_roster(settings(), 1, fleet(8));
     for n in 0..50 {
         node.home(n, n);
     }
@@ -1007,8 +1025,8 @@
 }
 
 #[test]
-fn repeats_are_budgeted() {
-    let mut node = Node::with(settings(), 1, fleet(8));
+fn retries_are_limited_by_the_default_budget() {
+    let mut node = Node::with_roster(settings(), 1, fleet(8));
     let mut repeats = 0;
     for n in 0..1000 {
         let mut actions = node.request(read(n, n));
@@ -1026,21 +1044,21 @@
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with_roster(aside, 1, entries);
     let home = sent(&node.request(read(1, 3)))[0].clone();
     assert_ne!(home, origin().server);
     assert_eq!(sent(&node.request(NewRequest { write: true, ..read(9, 4) })), [origin().server]);
     assert_eq!(sent(&node.request(read(2, 3))).len(), 1);
     assert_eq!(sent(&node.outcome(1, Status::Absent, Some(CacheNote::Miss))), [origin().server]);
     assert!(sent(&node.outcome(2, Status::Absent, Some(CacheNote::Miss))).is_empty());
-    // The second read asks its cache server again when the fetch is over.
+    // The second read asks its cache server again once the fetch is over.
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// However a fetch ends, and whether or not its own client has left meanwhile: who waited for it goes on, once, and who
-/// has left while waiting does not.
+/// However a fetch ends, and whether or not its own client has left: the reads that wait for it go on, once,
+/// except those whose client has left.
 #[test]
-fn those_who_wait_for_anothers_fetch_go_on_however_it_ends() {
+fn reads_that_wait_for_a_fetch_go_on_however_it_ends() {
     let endings = [
         Status::Success,
         Status::Absent,
@@ -1059,7 +1077,7 @@
             aside.limits.cancel = cancel;
             let mut entries = fleet(4);
             entries.push(origin());
-            let mut node = Node::with(aside, 1, entries);
+            let mut node = Node::with_roster(aside, 1, entries);
             for n in 1..=3 {
                 node.request(read(n, 3));
             }
@@ -1073,7 +1091,7 @@
             let called_off = withdrawn.iter().any(|action| matches!(action, Action::Cancel { .. }));
             assert_eq!(called_off, left && cancel);
             let mut after = node.outcome(1, ending, None);
-            after.extend(node.pass(0.3));
+            after.extend(node.advance(0.3));
             let went_on =
                 |n| after.iter().any(|a| matches!(a, Action::Send { request, .. } if request.0 == n));
             assert!(went_on(2), "{ending:?}, cancel {cancel}, left {left}");
@@ -1085,9 +1103,9 @@
 }
 
 #[test]
-fn over_its_quota_a_tenant_gives_way_first() {
+fn a_tenant_over_its_quota_is_limited_first() {
     let tenants = ["a", "b"].map(|n| Tenant { name: n.into(), quota: 20.0 }).to_vec();
-    let mut node = Node::with(Settings { tenants, ..settings() }, 1, fleet(2));
+    let mut node = Node::with_roster(Settings { tenants, ..settings() }, 1, fleet(2));
     let mut served = [0; 2];
     for n in 0..60 {
         let tenant = usize::from(n % 6 == 0);
@@ -1101,7 +1119,7 @@
 // ---- State ----
 
 #[test]
-fn nonsense_settings_are_errors_that_name_the_value() {
+fn invalid_settings_are_errors_that_name_the_value() {
     let bad = |change: &dyn Fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
@@ -1114,10 +1132,10 @@
     assert!(bad(&|s| s.classes[0].deadline = 0.0).contains("read"));
 }
 
-/// Writes reach the origin too: while it fails, they and second copies must not keep it flooded.
+/// Writes reach the origin too: while it fails, they must not keep it overloaded.
 #[test]
-fn while_the_origin_fails_writes_are_held_back_too() {
-    let mut node = Node::with(settings(), 1, fleet(8));
+fn while_the_origin_fails_writes_are_limited_too() {
+    let mut node = Node::with_roster(settings(), 1, fleet(8));
     for n in 0..400 {
         if !sent(&node.request(read(n, n))).is_empty() {
             node.now += 0.002;
@@ -1130,11 +1148,11 @@
     assert!((1..10).contains(&writes), "{writes} sent");
 }
 
-/// Where many nodes share an origin each uses little of its limit: when the origin is slow, the limit must
-/// fall from what is in use, or it takes tens of cuts before it acts.
+/// Where many nodes share an origin, each uses little of its limit. When the origin is slow, the limit must
+/// be cut from what is in use, or it takes tens of cuts to have an effect.
 #[test]
-fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
-    let mut node = Node::with(settings(), 1, fleet(8));
+fn a_fetch_limit_far_above_what_is_in_flight_falls_fast() {
+    let mut node = Node::with_roster(settings(), 1, fleet(8));
     for n in 0..25 {
         for m in 0..4 {
             node.request(read(n * 4 + m, n * 4 + m));
@@ -1150,11 +1168,11 @@
     assert!(unknown <= 4, "{unknown} sent");
 }
 
-/// Single fetches vary much. While half of them were in time and half far from it, a limit that went by their
-/// mean fell to nothing and kept most reads out for twenty seconds.
+/// Guards against a fetch limit driven by the mean latency. Single fetches vary much: while half of them were
+/// in time and half far too late, such a limit fell to nothing and refused most reads for twenty seconds.
 #[test]
-fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
-    let mut node = Node::with(settings(), 1, fleet(16));
+fn the_fetch_limit_stays_while_half_of_the_fetches_are_in_time() {
+    let mut node = Node::with_roster(settings(), 1, fleet(16));
     for n in 0..300 {
         node.request(read(n, n));
         node.now += if n % 2 == 0 { 0.9 } else { 0.3 };
@@ -1166,8 +1184,8 @@
 
 /// Many nodes crowd a small server even with one request each.
 #[test]
-fn a_server_that_keeps_turning_requests_away_is_left_to_rest() {
-    let mut node = Node::with(settings(), 1, fleet(1));
+fn sends_to_a_server_that_keeps_rejecting_requests_are_paced() {
+    let mut node = Node::with_roster(settings(), 1, fleet(1));
     let mut sends = 0;
     for n in 0..1000 {
         let actions = node.request(read(n, n));
@@ -1180,13 +1198,13 @@
     assert!((2..60).contains(&sends), "{sends} sends in 5 s");
 }
 
-/// A restarted node has only its last list: it works by it, asks at once, and a start that the list hid counts from the
-/// moment that it is told.
+/// A restarted node has only its stored roster. It uses it, subscribes at once, and warms up a server from
+/// its start time when that is reported later.
 #[test]
-fn a_restarted_node_works_by_its_old_list_until_it_is_told_more() {
-    let mut node = Node::new(asking(), 7);
+fn a_restarted_node_uses_its_stored_roster_until_it_gets_updates() {
+    let mut node = Node::new(on_request_settings(), 7);
     let first = node.event(Event::Roster(RosterNews::Cached(fleet(8))));
-    assert_eq!(asks(&first), 1);
+    assert_eq!(subscribe_calls(&first), 1);
     let owned = |node: &mut Node, from: u64| at_once(node, from, 2000).len();
     let before = owned(&mut node, 0);
     let started = RosterEntry { started: Some(99.0), ..entry(1) };
@@ -1197,12 +1215,12 @@
     assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
 }
 
-/// An old process's failures do not outlast it: a fresh start time clears them.
+/// A later start time means a new process, and clears the failures of the old one.
 #[test]
-fn a_restarted_server_is_not_held_to_what_its_last_process_did() {
-    let mut node = Node::with(settings(), 1, fleet(6));
+fn a_restart_clears_the_failures_of_a_server() {
+    let mut node = Node::with_roster(settings(), 1, fleet(6));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(5).collect();
-    warm_up(&mut node);
+    learn_hit_latency(&mut node);
     for (n, &key) in keys.iter().enumerate() {
         node.request(read(1000 + n as u64, key));
         node.now += 0.1;
@@ -1215,18 +1233,19 @@
     assert!(!at_once(&mut node, 3000, 400).is_empty());
 }
 
-/// At a size where hundreds of nodes each send little, popular keys at one home pushed it over when it came back.
+/// Guards against overloading a server that has restarted: with hundreds of nodes that each send little,
+/// popular keys with the same home pushed it over.
 #[test]
-fn many_nodes_together_keep_popular_keys_from_pushing_a_cold_server_over() {
-    let mut other = Node::with(settings(), 1, fleet(10));
+fn popular_keys_from_many_nodes_do_not_overload_a_cold_server() {
+    let mut other = Node::with_roster(settings(), 1, fleet(10));
     let keys: Vec<u64> = (0..4000).filter(|&n| other.home(n, n) == id(1)).take(60).collect();
     let asked: usize = (0..100)
         .map(|seed| {
-            let mut node = Node::with(Settings { balancers: 100, ..settings() }, seed, fleet(10));
-            // Twenty reads a second, all of keys of one home, which then starts anew.
+            let mut node = Node::with_roster(Settings { balancers: 100, ..settings() }, seed, fleet(10));
+            // Twenty reads per second of keys with the same home server, which then restarts.
             let mut second = |from: usize| {
                 let step =
-                    |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.pass(0.05)).0;
+                    |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.advance(0.05)).0;
                 let asked = (0..20).map(step).filter(|server| *server == id(1)).count();
                 if from == 80 {
                     let started = RosterEntry { started: Some(node.now), ..entry(1) };
@@ -1237,15 +1256,15 @@
             (0..6).map(|n| second(20 * n)).last().unwrap_or_default()
         })
         .sum();
-    // By the second a warm server takes 2 of a node's 20 reads, a cold one a quarter of that; the rule allows
+    // Per second a warm server takes 2 of a node's 20 reads and a cold one a quarter of that; the rule allows
     // three times as much.
     assert!((1..=150).contains(&asked), "{asked} reads of 100 nodes");
 }
 
-/// With many nodes one request each is a crowd: a node's part of what a server may hold is then below one.
+/// With many nodes one request each is a crowd: a node's share of a server's limit is then below one.
 #[test]
-fn with_hundreds_of_nodes_a_server_is_asked_once_and_then_left_to_rest() {
-    let mut node = Node::with(Settings { balancers: 300, ..settings() }, 1, fleet(1));
+fn with_hundreds_of_nodes_sends_to_a_server_are_paced() {
+    let mut node = Node::with_roster(Settings { balancers: 300, ..settings() }, 1, fleet(1));
     let sends = |node: &mut Node, n: u64| {
         let count = sent(&node.request(read(n, n))).len();
         if count == 1 {
@@ -1255,29 +1274,30 @@
     };
     let at_once = (1..20).map(|n| sends(&mut node, n)).sum::<usize>();
     assert!((1..=6).contains(&at_once), "{at_once} of 20, with what was saved up");
-    node.pass(3.0);
+    node.advance(3.0);
     assert_eq!(sends(&mut node, 30), 1);
 }
 
-/// Eight silent servers of 75: their time-outs passed for a slow origin, and two thirds of all reads were refused.
+/// Guards against time-outs of silent servers that count against the origin: with 8 of 75 servers silent, two
+/// thirds of all reads were refused.
 #[test]
 fn time_outs_of_a_silent_server_do_not_lower_the_fetch_limit() {
-    let mut node = Node::with(Settings { balancers: 10, ..settings() }, 1, fleet(8));
+    let mut node = Node::with_roster(Settings { balancers: 10, ..settings() }, 1, fleet(8));
     let mut silent = 0;
     for n in 0..60 {
         let server = sent(&node.request(read(n, n)));
-        node.pass(0.05);
+        node.advance(0.05);
         if server == [id(1)] {
             silent += 1;
-            node.pass(0.9);
+            node.advance(0.9);
             node.outcome(n, Status::TimedOut, None);
         } else if !server.is_empty() {
             node.outcome(n, Status::Success, Some(CacheNote::Hit));
         }
     }
     assert!(silent > 0);
-    node.pass(5.0);
-    let mut other = Node::with(settings(), 1, fleet(8));
+    node.advance(5.0);
+    let mut other = Node::with_roster(settings(), 1, fleet(8));
     let sent_at_once = (100..160)
         .filter(|&n| other.home(n, n) != id(1))
         .take(10)
@@ -1286,19 +1306,20 @@
             if at_once {
                 node.serve(n);
             }
-            node.pass(0.5);
+            node.advance(0.5);
             at_once
         })
         .count();
     assert!(sent_at_once >= 9, "{sent_at_once} of 10");
 }
 
-/// Where open connections of all nodes cost more than new ones, they are closed; with few nodes they stay.
+/// Idle connections are closed where keeping them at all nodes costs more than new ones; with few nodes they
+/// stay.
 #[test]
 fn idle_connections_are_closed_where_they_cost_more_than_new_ones() {
     let closes = |balancers| {
         let prices = Prices { connection: 0.1, handshake: 0.1 };
-        let mut node = Node::with(Settings { balancers, prices, ..settings() }, 1, fleet(4));
+        let mut node = Node::with_roster(Settings { balancers, prices, ..settings() }, 1, fleet(4));
         node.request(read(1, 1));
         node.serve(1).contains(&Action::CloseIdle(node.sends[&RequestId(1)][0].0.clone()))
     };
@@ -1307,11 +1328,11 @@
 }
 
 #[test]
-fn a_refusal_tells_when_to_come_back_within_what_clients_heed() {
+fn a_refusal_gives_a_retry_delay_that_clients_comply_with() {
     let advice = |limits: Limits| {
-        let mut node = Node::with(Settings { limits, ..settings() }, 1, vec![]);
+        let mut node = Node::with_roster(Settings { limits, ..settings() }, 1, vec![]);
         node.request(read(1, 1));
-        node.pass(0.5).iter().find_map(|a| match a {
+        node.advance(0.5).iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
@@ -1323,17 +1344,17 @@
     assert_eq!(advice(Limits { retry_after: false, ..heeding }), Some(None));
 }
 
-// ---- Out by hand ----
+// ---- Servers taken out of service by operators ----
 
-fn by_hand(node: &mut Node, server: ServerId, back: Option<Seconds>) -> Vec<Action> {
+fn set_out_of_service(node: &mut Node, server: ServerId, back: Option<Seconds>) -> Vec<Action> {
     node.event(Event::ByHand { server, back })
 }
 
 #[test]
-fn a_server_out_by_hand_is_sent_nothing_whatever_the_list_says_and_comes_back_cold() {
-    let mut node = Node::with(settings(), 1, fleet(4));
+fn a_server_out_of_service_is_sent_nothing_whatever_its_state_and_returns_cold() {
+    let mut node = Node::with_roster(settings(), 1, fleet(4));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).collect();
-    let told = by_hand(&mut node, id(1), None);
+    let told = set_out_of_service(&mut node, id(1), None);
     assert!(told.contains(&Action::CloseIdle(id(1))));
     assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
     for (n, state) in [ServerState::Ready, ServerState::Gone, ServerState::Ready].into_iter().enumerate() {
@@ -1345,92 +1366,94 @@
         let left = keys.iter().filter(|&&key| node.home(1000 * (n as u64 + 1) + key, key) == id(1)).count();
         assert_eq!(left, 0, "{state:?}");
     }
-    node.pass(10.0);
-    by_hand(&mut node, id(1), None);
+    node.advance(10.0);
+    set_out_of_service(&mut node, id(1), None);
     let at = node.now;
-    by_hand(&mut node, id(1), Some(at));
+    set_out_of_service(&mut node, id(1), Some(at));
     assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 0 });
-    node.pass(1.0);
+    node.advance(1.0);
     let share = |node: &mut Node, from: u64| {
         keys.iter().filter(|&&key| node.home(from + key, key) == id(1)).count() as f64 / keys.len() as f64
     };
     let cold = share(&mut node, 10_000);
     assert!(cold > 0.0 && cold < 0.6, "{cold} of its keys just after its return");
-    node.pass(9.0);
+    node.advance(9.0);
     assert_eq!(share(&mut node, 20_000), 1.0);
 }
 
-/// The call back for its start left a server with a third of its warm-up behind it nearly unused.
+/// Guards against a second warm-up: putting a server back used to count as its start, so that one with a
+/// third of its warm-up behind it stayed nearly unused.
 #[test]
-fn a_server_called_back_warms_up_from_the_start_that_the_list_told_of() {
+fn a_server_put_back_warms_up_from_the_start_time_in_the_roster() {
     let keys_of_one = |started: f64| {
-        let mut node = Node::with(settings(), 1, fleet(4));
+        let mut node = Node::with_roster(settings(), 1, fleet(4));
         let keys: Vec<u64> = (0..1000).filter(|&n| node.home(n, n) == id(1)).collect();
-        by_hand(&mut node, id(1), None);
-        node.pass(6.0);
+        set_out_of_service(&mut node, id(1), None);
+        node.advance(6.0);
         let entry = RosterEntry { started: Some(node.now - started), ..entry(1) };
         node.event(Event::Roster(RosterNews::Delta(vec![entry])));
         let at = node.now;
-        by_hand(&mut node, id(1), Some(at));
-        // Not faster than a cold server's allowance grows.
+        set_out_of_service(&mut node, id(1), Some(at));
+        // Paced so that a cold server's allowance keeps up.
         let takes = |key: &&u64| {
-            node.pass(0.05);
+            node.advance(0.05);
             node.home(10_000 + **key, **key) == id(1)
         };
         keys.iter().take(40).filter(takes).count()
     };
-    // Since the call out, before it, and long before that: the latter two tell of no restart.
+    // Started after it was taken out, before that, and long before that: the latter two indicate no restart.
     let [since, before, long_before] = [4.0, 7.0, 100.0].map(keys_of_one);
     assert_eq!(before, long_before);
     assert!(since > before * 3 / 2 && before > 0, "{since} keys instead of {before}");
 }
 
 #[test]
-fn a_server_out_by_hand_may_be_unlisted_and_is_out_when_it_comes() {
-    let mut node = Node::with(settings(), 1, fleet(3));
-    by_hand(&mut node, id(4), None);
+fn a_server_out_of_service_may_be_unlisted_and_stays_out_when_listed() {
+    let mut node = Node::with_roster(settings(), 1, fleet(3));
+    set_out_of_service(&mut node, id(4), None);
     assert!(!node.balancer.lists(&id(4)) && node.balancer.lists(&id(3)));
     assert_eq!(node.balancer.listed(), Listed { all: 3, avoided: 0 });
     node.event(Event::Roster(RosterNews::Full(fleet(4))));
     assert!((0..400).all(|n| node.home(n, n) != id(4)));
     assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
-    // Called back while unlisted, it is used as the list then says.
+    // Put back while unlisted, it is used as soon as the roster lists it.
     node.event(Event::Roster(RosterNews::Full(fleet(3))));
     let at = node.now;
-    by_hand(&mut node, id(4), Some(at));
+    set_out_of_service(&mut node, id(4), Some(at));
     node.event(Event::Roster(RosterNews::Full(fleet(4))));
-    node.pass(10.0);
+    node.advance(10.0);
     assert!((1000..1400).any(|n| node.home(n, n) == id(4)));
 }
 
 #[test]
-fn with_every_cache_server_out_reads_get_what_the_origin_bears() {
+fn without_cache_servers_reads_go_to_the_origin_within_its_limit() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
     for server in [id(1), id(2)] {
-        by_hand(&mut node, server, None);
+        set_out_of_service(&mut node, server, None);
     }
     assert!(!node.balancer.lists(&id(998)), "the origin is no cache server");
     assert_eq!(sent(&node.request(read(1, 1))), [id(998)]);
     let actions: Vec<Action> = (2..200).flat_map(|n| node.request(read(n, n))).collect();
     assert!(sent(&actions).len() < 50, "no flood: {}", sent(&actions).len());
-    let ended = node.pass(1.0).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let ended = node.advance(1.0).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
     assert!(ended > 100, "the others are refused: {ended}");
 }
 
-/// A node that had just started took its fading count of requests for all that it takes, and sent cold servers next to
-/// nothing: with a new process every few seconds a fleet that was warming up was left idle.
+/// Guards against idle cold servers: a node that had just started took its low decaying count for its full
+/// rate and sent them next to nothing. With a new process every few seconds, a fleet that was warming up
+/// stayed idle.
 #[test]
-fn a_node_that_has_just_started_trusts_cold_servers_with_as_much_as_one_that_has_run() {
+fn a_node_that_has_just_started_sends_cold_servers_as_much_as_one_that_has_run() {
     let cold = |ran: f64| {
-        let mut node = Node::with(settings(), 1, fleet(10));
+        let mut node = Node::with_roster(settings(), 1, fleet(10));
         let mut next = 0;
         let mut second = |node: &mut Node| {
             (0..200)
                 .filter(|_| {
                     next += 1;
                     if next % 10 == 0 {
-                        node.pass(0.05);
+                        node.advance(0.05);
                     }
                     let to = sent(&node.request(read(next, next * 7919)));
                     to.iter().for_each(|_| drop(node.serve(next)));
@@ -1450,11 +1473,11 @@
 }
 
 #[test]
-fn two_processes_of_a_node_have_one_budget_and_one_allowance() {
+fn two_processes_of_a_node_share_one_budget_and_one_allowance() {
     let tries = |shared: bool| {
         let mut tight = settings();
         tight.guarantees.budget = Some(Budget { span: 10.0, free: 8.0, ratio: 0.0 });
-        let mut node = Node::with(tight, 1, fleet(4));
+        let mut node = Node::with_roster(tight, 1, fleet(4));
         node.event(Event::Shared(true));
         node.event(Event::Shared(shared));
         let again = |n: u64| {
@@ -1465,13 +1488,13 @@
     };
     assert_eq!((tries(true), tries(false)), (4, 8));
     let cold = |shared: bool| {
-        let mut node = Node::with(settings(), 1, fleet(2));
+        let mut node = Node::with_roster(settings(), 1, fleet(2));
         (0..400).for_each(|n| drop(node.home(n, n)));
         let entry = RosterEntry { started: Some(node.now), ..entry(1) };
         node.event(Event::Roster(RosterNews::Delta(vec![entry])));
         node.event(Event::Shared(shared));
-        // Long enough to save up all that may be saved up, too short to warm up.
-        node.pass(2.0);
+        // Long enough to fill the allowance, too short to warm up.
+        node.advance(2.0);
         (1000..1400).filter(|&n| node.home(n, n) == id(1)).count()
     };
     let (half, whole) = (cold(true), cold(false));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, its settings, and a checker of rules one to three.
+//! A node under test, its settings, and helpers to inspect actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -93,7 +93,7 @@
     }
 }
 
-/// A balancer and what it has sent and not heard of yet.
+/// A balancer, and the attempts that it has sent by request.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
@@ -106,7 +106,7 @@
         Node { balancer, now: 100.0, sends: BTreeMap::new() }
     }
 
-    pub fn with(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
+    pub fn with_roster(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
         let mut node = Node::new(settings, seed);
         node.event(Event::Roster(RosterNews::Full(entries)));
         node
@@ -127,7 +127,7 @@
         self.event(Event::Request(new))
     }
 
-    /// The last attempt of a request ends.
+    /// Reports the outcome of a request's last attempt.
     pub fn outcome(&mut self, request: u64, status: Status, note: Option<CacheNote>) -> Vec<Action> {
         let request = RequestId(request);
         let attempts = &self.sends[&request];
@@ -146,8 +146,8 @@
         self.outcome(request, Status::Success, Some(CacheNote::Hit))
     }
 
-    /// Lets time pass in housekeeping steps.
-    pub fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    /// Advances the time in housekeeping steps.
+    pub fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
         while self.now < end {
@@ -157,7 +157,7 @@
         actions
     }
 
-    /// Where a read of this key goes while nothing is in flight.
+    /// The server that a read of this key goes to; the read is served at once.
     pub fn home(&mut self, request: u64, key: u64) -> ServerId {
         let sent = sent(&self.request(read(request, key)));
         self.serve(request);
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a node holds in memory must not grow with the requests, keys and servers that it has seen.
+//! A node's memory must not grow with the number of requests, keys and servers that it has handled.
 
 mod common;
 
@@ -8,28 +8,28 @@
 use common::{entry, read, settings, Node};
 use shaletrail_policy::*;
 
-struct Counting;
+struct CountingAllocator;
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: hands everything on to the system's allocator and only counts bytes.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: forwards every call to the system allocator and only counts bytes.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// One simulated minute: fresh keys all the time, all kinds of ends, a server replaced each second.
-fn minute(node: &mut Node, next: &mut u64) {
+/// Simulates a minute with new keys all the time, all kinds of outcomes, and a server replaced every second.
+fn run_minute(node: &mut Node, next: &mut u64) {
     for second in 0..60 {
         let first = *next / 100;
         let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
@@ -45,12 +45,12 @@
                 2 => Status::Unreachable,
                 _ => Status::Success,
             };
-            node.pass(0.01);
+            node.advance(0.01);
             if node.sends.contains_key(&RequestId(*next)) {
                 node.outcome(*next, status, Some(CacheNote::Miss));
             }
             node.event(Event::Withdrawn(RequestId(*next)));
-            // Attempts that were sent again before the client left end too.
+            // Attempts that were retried before the client left end as well.
             if let Some(attempts) = node.sends.remove(&RequestId(*next)) {
                 for attempt in 0..attempts.len() as u32 {
                     node.event(Event::Outcome(Outcome {
@@ -68,14 +68,17 @@
 }
 
 #[test]
-fn a_long_life_holds_no_more_than_a_short_one() {
-    let mut node = Node::with(settings(), 1, vec![]);
+fn memory_does_not_grow_over_simulated_minutes() {
+    let mut node = Node::with_roster(settings(), 1, vec![]);
     let mut next = 0;
-    minute(&mut node, &mut next);
-    let short = LIVE.load(Ordering::Relaxed);
+    run_minute(&mut node, &mut next);
+    let after_one = ALLOCATED.load(Ordering::Relaxed);
     for _ in 0..20 {
-        minute(&mut node, &mut next);
+        run_minute(&mut node, &mut next);
     }
-    let long = LIVE.load(Ordering::Relaxed);
-    assert!(long < short + short / 4, "{short} bytes after a minute, {long} after twenty more");
+    let after_all = ALLOCATED.load(Ordering::Relaxed);
+    assert!(
+        after_all < after_one + after_one / 4,
+        "{after_one} bytes after a minute, {after_all} after twenty more"
+    );
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Arbitrary legal event sequences against a small checker of the rules.
+//! Random sequences of legal events, checked against the rules.
 
 mod common;
 
@@ -21,27 +21,27 @@
 }
 
 #[derive(Clone)]
-struct Sent {
+struct SentAttempt {
     server: ServerId,
     at: Seconds,
     status: Option<Status>,
 }
 
-struct Open {
+struct RequestState {
     class: ClassId,
     deadline: Seconds,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     answered: bool,
 }
 
-/// What the rules say of each action.
+/// Checks each action against the rules.
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Open>,
+    requests: BTreeMap<RequestId, RequestState>,
     left: BTreeMap<ServerId, Seconds>,
     taken: Vec<Seconds>,
     extra: Vec<Seconds>,
-    /// When each server was last sent to or heard of, and last closed.
+    /// When each server was last sent to or heard from, and when its connections were last closed.
     used: BTreeMap<ServerId, Seconds>,
     closed: BTreeMap<ServerId, Seconds>,
 }
@@ -60,7 +60,7 @@
                 if self.left.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
                     return Err("send to a server that drains".into());
                 }
-                let ran: Vec<&Sent> =
+                let ran: Vec<&SentAttempt> =
                     r.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").bytes().last().unwrap() % 2;
                 match r.class {
@@ -85,7 +85,7 @@
                     }
                 }
                 self.used.insert(server.clone(), now);
-                r.sent.push(Sent { server: server.clone(), at: now, status: None });
+                r.sent.push(SentAttempt { server: server.clone(), at: now, status: None });
             }
             Action::Refuse { request, .. } | Action::Fail(request) => {
                 let r = self.requests.get_mut(request).ok_or("answer to an unknown request")?;
@@ -106,8 +106,8 @@
         Ok(())
     }
 
-    /// Rule six: what drains is closed in time from the notice or the last use.
-    fn unclosed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+    /// Rule 6: connections to a draining server are closed in time after the notice or the last use.
+    fn check_closed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
         let Some(within) = settings.guarantees.close_on_drain else { return Ok(()) };
         for (server, &left) in &self.left {
             let due = left.max(self.used.get(server).copied().unwrap_or(0.0));
@@ -118,8 +118,8 @@
         Ok(())
     }
 
-    fn overdue(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
-        let late = |r: &Open| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
+    fn check_answered(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+        let late = |r: &RequestState| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
         match self.requests.iter().find(|(_, r)| late(r)) {
             Some((id, _)) => Err(format!("{id:?} not answered in time")),
             None => Ok(()),
@@ -127,8 +127,9 @@
     }
 }
 
-/// One random life of a node. `tamper` may change the actions on their way to the checker.
-fn play(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
+/// Runs a node through random events and returns the number of sends. `tamper` may change the actions before
+/// they are checked.
+fn run(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
     let mut rng = Rng(seed);
     let mut settings = settings();
     settings.limits.probes = seed.is_multiple_of(2);
@@ -157,7 +158,7 @@
             }
             !due
         });
-        // Attempts end at the client's deadline at the latest, as a host sees to.
+        // The host ends attempts at the client's deadline at the latest.
         let out: Vec<(RequestId, usize, bool)> = checker
             .requests
             .iter()
@@ -203,8 +204,8 @@
                 let left = 0.05 + rng.below(100) as f64 * 0.01;
                 next_id += 1;
                 let sent = Vec::new();
-                let open = Open { class, deadline: now + left, sent, answered: false };
-                checker.requests.insert(RequestId(next_id), open);
+                let request = RequestState { class, deadline: now + left, sent, answered: false };
+                checker.requests.insert(RequestId(next_id), request);
                 checker.taken.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
@@ -240,7 +241,7 @@
             _ => {}
         }
         for event in events.drain(..) {
-            // The node learns of an end when it is told, not when the batch was made up.
+            // The node learns of the end of a request with this event, not when the batch was generated.
             if let Event::Withdrawn(id) | Event::Outcome(Outcome { request: id, finished: true, .. }) = event
             {
                 checker.requests.get_mut(&id).unwrap().answered = true;
@@ -257,16 +258,16 @@
                 }
             }
         }
-        checker.overdue(now, &settings)?;
-        checker.unclosed(now, &settings)?;
+        checker.check_answered(now, &settings)?;
+        checker.check_closed(now, &settings)?;
     }
     Ok(sends)
 }
 
 #[test]
-fn rules_hold_in_random_lives() {
+fn rules_hold_for_random_events() {
     for seed in 1..=16 {
-        let sends = play(seed, 2000, |_| {}).unwrap_or_else(|broken| panic!("seed {seed}: {broken}"));
+        let sends = run(seed, 2000, |_| {}).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         assert!(sends > 50, "seed {seed}: {sends} sends");
     }
 }
@@ -277,27 +278,27 @@
         let sends: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
         actions.extend(sends);
     };
-    assert!(play(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
-    assert!(play(2, 3000, twice).unwrap_err().contains("while one is out"));
-    let mute = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
-    assert!(play(1, 6000, mute).unwrap_err().contains("not answered in time"));
-    let eager = |actions: &mut Vec<Action>| {
+    assert!(run(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
+    assert!(run(2, 3000, twice).unwrap_err().contains("while one is out"));
+    let drop_failures = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
+    assert!(run(1, 6000, drop_failures).unwrap_err().contains("not answered in time"));
+    let refuse_always = |actions: &mut Vec<Action>| {
         for action in actions.iter_mut() {
             if let Action::Fail(request) = action {
                 *action = Action::Refuse { request: *request, retry_after: None };
             }
         }
     };
-    assert!(play(1, 6000, eager).unwrap_err().contains("may not be given"));
-    let open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
-    assert!(play(4, 3000, open).unwrap_err().contains("left open"));
+    assert!(run(1, 6000, refuse_always).unwrap_err().contains("may not be given"));
+    let keep_open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
+    assert!(run(4, 3000, keep_open).unwrap_err().contains("left open"));
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let trace = |_: ()| {
         let log = std::cell::RefCell::new(String::new());
-        play(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
+        run(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
         log.into_inner()
     };
     assert!(trace(()) == trace(()));
