--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -131,7 +131,7 @@
     let deadline = required("grades.hard-limit-s", number(from, "hard-limit-s")?)?;
     Ok(Class {
         name: required("grades.name", text(from, "name")?)?.into(),
-        aim: number(from, "target-s")?.unwrap_or(deadline),
+        target: number(from, "target-s")?.unwrap_or(deadline),
         deadline,
         worth: number(from, "importance")?.unwrap_or(1.0),
         late_worth: number(from, "late-worth")?.unwrap_or(0.0),
@@ -230,7 +230,7 @@
         let settings = parse(&minimal("on_request")).expect("minimal settings are valid");
         assert_eq!(settings.validate(), Ok(()));
         let class = &settings.classes[0];
-        assert_eq!((class.effect, class.group, class.aim), (Effect::Unsafe, Group::Cell, 0.04));
+        assert_eq!((class.effect, class.group, class.target), (Effect::Unsafe, Group::Cell, 0.04));
         assert_eq!((settings.cache, settings.tenants.len()), (CacheMode::Through, 0));
         assert_eq!(settings.limits, Limits { max_attempts: 1, ..Limits::default() });
         assert_eq!(settings.prices, Prices::default());
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -98,7 +98,7 @@
         let shortest = settings.classes.iter().min_by(|a, b| a.deadline.total_cmp(&b.deadline)).cloned();
         let unknown_class = |c| Class { effect: Effect::Unsafe, group: Group::Cell, window: 0.0, ..c };
         settings.classes.extend(shortest.map(unknown_class));
-        let min_target = settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min);
+        let min_target = settings.classes.iter().map(|c| c.target).fold(f64::MAX, f64::min);
         let nodes = f64::from(settings.balancers);
         let (value, min) = ((FLEET_FETCHES / nodes).max(2.0), (MIN_FETCHES / nodes).clamp(MIN_LIMIT, 1.0));
         Ok(Node {
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -95,7 +95,7 @@
         }
         let Some(r) = self.requests.get(&id) else { return };
         // A client that waits for less than the latency target must get a refusal while it can still retry.
-        let time_limit = self.settings.classes[r.class].aim.min(r.deadline - r.arrived);
+        let time_limit = self.settings.classes[r.class].target.min(r.deadline - r.arrived);
         let max_hold = time_limit * if r.over_quota { 0.1 } else { HOLD_FRACTION };
         let exhausted = !r.attempts.is_empty() && !self.servers.iter().any(|(id, s)| self.may_send(r, id, s));
         if exhausted || self.now >= r.arrived + max_hold || self.now >= r.deadline {
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -48,10 +48,10 @@
         let counted = std::mem::replace(&mut attempt.counted, false);
         let (server, to_origin, idle) = (attempt.server.clone(), attempt.to_origin, attempt.idle);
         let (key, write, ended, class, sent) = (r.key, r.write, r.ended, r.class, attempt.sent);
-        let aim = self.settings.classes[r.class].aim;
+        let target = self.settings.classes[r.class].target;
         // Service time counts from when the server has the last byte of the request.
         let outcome = Outcome { elapsed: outcome.elapsed.min(self.now - sent), ..outcome.clone() };
-        let delay = (outcome.elapsed - SLOW_CORE_FACTOR * r.work).max(0.0) / aim;
+        let delay = (outcome.elapsed - SLOW_CORE_FACTOR * r.work).max(0.0) / target;
         self.in_flight -= u32::from(counted);
         self.origin_in_flight -= u32::from(to_origin);
         let at_origin = self.servers.get(&server).is_some_and(|s| self.settings.is_origin(&s.entry));
@@ -145,7 +145,7 @@
             let fetching = through && !self.likely_cached(&(r.key, a.server.clone()));
             let overtaken =
                 !fetching && self.servers.get(&a.server).is_some_and(|s| s.newest_answered > a.sent);
-            let overdue = self.now - a.sent - SLOW_CORE_FACTOR * r.work > CROWDED_DELAY * class.aim;
+            let overdue = self.now - a.sent - SLOW_CORE_FACTOR * r.work > CROWDED_DELAY * class.target;
             let has_time = self.now + self.hit_latency.value < r.deadline;
             let may_retry = r.attempts.len() < self.settings.limits.max_attempts as usize;
             if class.effect == Effect::Safe && overtaken && overdue && has_time && may_retry {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -62,7 +62,7 @@
     /// Unique among the classes.
     pub name: String,
     /// Latency target: an answer within this time earns its full worth.
-    pub aim: Seconds,
+    pub target: Seconds,
     /// How long the client waits in total, over all its tries.
     pub deadline: Seconds,
     /// Worth of an answer within the latency target.
@@ -266,10 +266,10 @@
         for class in &settings.classes {
             times.extend([
                 ("class deadline", class.deadline),
-                ("class latency target", class.aim),
+                ("class latency target", class.target),
                 ("class window", class.window),
             ]);
-            if class.deadline == 0.0 || class.aim == 0.0 {
+            if class.deadline == 0.0 || class.target == 0.0 {
                 return invalid(format!(
                     "class {}: expected a latency target and a deadline above 0",
                     class.name
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! # fn main() -> Result<(), SettingsError> {
 //! let read = Class {
 //!     name: "read".into(),
-//!     aim: 0.3,
+//!     target: 0.3,
 //!     deadline: 1.0,
 //!     worth: 1.0,
 //!     late_worth: 0.2,
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -144,9 +144,9 @@
 /// Guards against late refusals: housekeeping used to run every 50 ms whatever the latency targets were.
 #[test]
 fn a_request_with_a_short_latency_target_is_refused_in_time() {
-    for aim in [0.04, 0.1, 0.5, 10.0] {
+    for target in [0.04, 0.1, 0.5, 10.0] {
         let mut settings = settings();
-        settings.classes.iter_mut().for_each(|class| class.aim = aim);
+        settings.classes.iter_mut().for_each(|class| class.target = target);
         let mut node = Node::new(settings, 1);
         let tick = |actions: &[Action]| {
             let mut ticks = actions.iter().rev().filter_map(|action| match action {
@@ -158,7 +158,7 @@
         let mut after = tick(&node.event(Event::Roster(RosterNews::Full(vec![]))));
         assert!(after <= 0.05, "{after}");
         let asked = node.now;
-        assert!(!refused(&node.request(NewRequest { left: 2.0 * aim, ..read(1, 1) })));
+        assert!(!refused(&node.request(NewRequest { left: 2.0 * target, ..read(1, 1) })));
         loop {
             node.now += after;
             let actions = node.event(Event::Timer(TimerToken(0)));
@@ -167,7 +167,7 @@
             }
             after = tick(&actions);
         }
-        assert!(node.now - asked <= 0.5 * aim + 1e-9, "{aim}: refused after {}", node.now - asked);
+        assert!(node.now - asked <= 0.5 * target + 1e-9, "{target}: refused after {}", node.now - asked);
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,7 +12,7 @@
 pub fn class(name: &str, effect: Effect, group: Group) -> Class {
     Class {
         name: name.into(),
-        aim: 0.5,
+        target: 0.5,
         deadline: 2.0,
         worth: 1.0,
         late_worth: 0.2,
