--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -160,7 +160,7 @@
             Membership::OnRequest => required_number("ask-every-s")?,
         },
         cold_from: required_number("cold-from")?,
-        ramp: required_number("ramp-time-s")?,
+        warmup_time: required_number("ramp-time-s")?,
         drain_grace: required_number("drain-grace-s")?,
         fall_multiple: required_number("fall-multiple")?,
         fall_for: required_number("fall-s")?,
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -98,7 +98,7 @@
             attempts: RefCell::default(),
             upstreams,
             by_hand,
-            ramp: config.settings.guarantees.ramp,
+            ramp: config.settings.guarantees.warmup_time,
             discovery,
             peers,
             figures,
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -162,7 +162,7 @@
     }
 
     fn warmup_time(&self) -> Seconds {
-        self.settings.guarantees.ramp.max(MAX_TICK)
+        self.settings.guarantees.warmup_time.max(MAX_TICK)
     }
 
     fn on_tick(&mut self) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -147,7 +147,7 @@
     /// Least fraction of its capacity that a server has when it starts.
     pub cold_from: f64,
     /// Time from its start until a server has its full capacity.
-    pub ramp: Seconds,
+    pub warmup_time: Seconds,
     /// Time after the drain notice within which sends to a draining server must end.
     pub drain_grace: Seconds,
     /// Load above this multiple of its current capacity ...
@@ -242,7 +242,7 @@
         let mut times = vec![
             ("answer grace", g.answer_grace),
             ("ask every", g.ask_every),
-            ("ramp", g.ramp),
+            ("ramp", g.warmup_time),
             ("drain grace", g.drain_grace),
             ("fall time", g.fall_for),
             ("round", settings.round),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -40,7 +40,7 @@
             answer_grace: 0.02,
             ask_every: 10.0,
             cold_from: 0.25,
-            ramp: 8.0,
+            warmup_time: 8.0,
             drain_grace: 0.5,
             fall_multiple: 3.0,
             fall_for: 1.0,
