--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -159,7 +159,7 @@
             Membership::Pushed => number(from, "ask-every-s")?.unwrap_or(0.0),
             Membership::OnRequest => required_number("ask-every-s")?,
         },
-        cold_from: required_number("cold-from")?,
+        cold_capacity: required_number("cold-from")?,
         warmup_time: required_number("ramp-time-s")?,
         drain_grace: required_number("drain-grace-s")?,
         fall_multiple: required_number("fall-multiple")?,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -145,7 +145,7 @@
     /// Longest time that a node may go without a subscription or a request for the roster.
     pub ask_every: Seconds,
     /// Least fraction of its capacity that a server has when it starts.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// Time from its start until a server has its full capacity.
     pub warmup_time: Seconds,
     /// Time after the drain notice within which sends to a draining server must end.
@@ -281,8 +281,11 @@
                 return invalid(format!("{what}: expected a time of at least 0, got {time}"));
             }
         }
-        if !(g.cold_from > 0.0 && g.cold_from <= 1.0) {
-            return invalid(format!("cold from: expected a share above 0 and up to 1, got {}", g.cold_from));
+        if !(g.cold_capacity > 0.0 && g.cold_capacity <= 1.0) {
+            return invalid(format!(
+                "cold from: expected a share above 0 and up to 1, got {}",
+                g.cold_capacity
+            ));
         }
         Ok(())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,7 +30,7 @@
 //!     guarantees: Guarantees {
 //!         answer_grace: 0.02,
 //!         ask_every: 10.0,
-//!         cold_from: 0.3,
+//!         cold_capacity: 0.3,
 //!         warmup_time: 8.0,
 //!         drain_grace: 0.5,
 //!         fall_multiple: 3.0,
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1128,7 +1128,7 @@
     assert!(bad(&|s| s.balancers = 0).contains("balancers"));
     assert!(bad(&|s| s.classes.clear()).contains("classes"));
     assert!(bad(&|s| s.guarantees.warmup_time = -1.0).contains("ramp"));
-    assert!(bad(&|s| s.guarantees.cold_from = f64::NAN).contains("cold from"));
+    assert!(bad(&|s| s.guarantees.cold_capacity = f64::NAN).contains("cold from"));
     assert!(bad(&|s| s.classes[0].deadline = 0.0).contains("read"));
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,7 +39,7 @@
         guarantees: Guarantees {
             answer_grace: 0.02,
             ask_every: 10.0,
-            cold_from: 0.25,
+            cold_capacity: 0.25,
             warmup_time: 8.0,
             drain_grace: 0.5,
             fall_multiple: 3.0,
