--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -162,8 +162,8 @@
         cold_capacity: required_number("cold-from")?,
         warmup_time: required_number("ramp-time-s")?,
         drain_grace: required_number("drain-grace-s")?,
-        fall_multiple: required_number("fall-multiple")?,
-        fall_for: required_number("fall-s")?,
+        overload_multiple: required_number("fall-multiple")?,
+        overload_time: required_number("fall-s")?,
         budget: budget(from)?,
         close_on_drain: number(from, "close-on-drain-within-s")?,
     })
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -218,7 +218,7 @@
     fn refresh_allowances(&mut self) {
         let left = 1.0 - self.tick / self.warmup_time();
         self.tenants.iter_mut().for_each(|t| t.rate *= left);
-        let multiple = self.settings.guarantees.fall_multiple / 2.0;
+        let multiple = self.settings.guarantees.overload_multiple / 2.0;
         let requests = self.request_rate();
         for s in self.servers.values_mut().filter(|s| s.capacity < s.size) {
             let rate = multiple * s.capacity / self.total_size.max(s.size) * requests;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -151,9 +151,9 @@
     /// Time after the drain notice within which sends to a draining server must end.
     pub drain_grace: Seconds,
     /// Load above this multiple of its current capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long brings down a server that has just started.
-    pub fall_for: Seconds,
+    pub overload_time: Seconds,
     /// The retry budget, if there is a rule on it.
     pub budget: Option<Budget>,
     /// Time within which idle connections to a draining server must be closed, if there is a rule on it.
@@ -244,7 +244,7 @@
             ("ask every", g.ask_every),
             ("ramp", g.warmup_time),
             ("drain grace", g.drain_grace),
-            ("fall time", g.fall_for),
+            ("fall time", g.overload_time),
             ("round", settings.round),
             ("max retry after", settings.limits.max_retry_after),
             ("connect timeout", settings.limits.connect_timeout),
