--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -189,7 +189,7 @@
         ("cancel", &mut l.cancel),
         ("probes", &mut l.probes),
         ("peers", &mut l.peers),
-        ("parallel-tries", &mut l.second_copies),
+        ("parallel-tries", &mut l.parallel_attempts),
         ("retry-after", &mut l.retry_after),
     ] {
         *field = optional(from, name, "true or false", Value::as_bool)?.unwrap_or(*field);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -170,7 +170,7 @@
     /// Whether [`Action::Tell`] is allowed.
     pub peers: bool,
     /// Whether a request may have two attempts in flight at once. No rule requires it.
-    pub second_copies: bool,
+    pub parallel_attempts: bool,
     /// Whether clients receive the delay of [`Action::Refuse`].
     pub retry_after: bool,
     /// Longest delay that clients comply with.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,7 +38,7 @@
 //!         budget: None,
 //!         close_on_drain: None,
 //!     },
-//!     limits: Limits { cancel: true, max_attempts: 3, second_copies: true, ..Limits::default() },
+//!     limits: Limits { cancel: true, max_attempts: 3, parallel_attempts: true, ..Limits::default() },
 //!     prices: Prices::default(),
 //!     round: 0.005,
 //! };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -50,7 +50,7 @@
         limits: Limits {
             cancel: true,
             probes: true,
-            second_copies: true,
+            parallel_attempts: true,
             max_attempts: 4,
             connect_timeout: 0.1,
             ..Limits::default()
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -54,7 +54,7 @@
                 if r.answered {
                     return Err("send after the final answer".into());
                 }
-                if !settings.limits.second_copies && r.sent.iter().any(|s| s.status.is_none()) {
+                if !settings.limits.parallel_attempts && r.sent.iter().any(|s| s.status.is_none()) {
                     return Err("a second attempt while one is out".into());
                 }
                 if self.left.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
@@ -134,7 +134,7 @@
     let mut settings = settings();
     settings.limits.probes = seed.is_multiple_of(2);
     settings.limits.peers = seed.is_multiple_of(5);
-    settings.limits.second_copies = !seed.is_multiple_of(2);
+    settings.limits.parallel_attempts = !seed.is_multiple_of(2);
     if seed.is_multiple_of(3) {
         settings.cache = CacheMode::Aside { origin_kind: "origin".into() };
     }
