--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -188,7 +188,7 @@
     for (name, field) in [
         ("cancel", &mut l.cancel),
         ("probes", &mut l.probes),
-        ("peers", &mut l.peers),
+        ("peers", &mut l.peer_messages),
         ("parallel-tries", &mut l.parallel_attempts),
         ("retry-after", &mut l.retry_after),
     ] {
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -33,7 +33,7 @@
 impl Peers {
     /// `None` where the deployment lets nodes not talk.
     pub async fn bind(config: &Config) -> io::Result<Option<Self>> {
-        let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peers) else {
+        let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peer_messages) else {
             return Ok(None);
         };
         let socket = match UdpSocket::bind(listen).await {
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -216,7 +216,7 @@
             s.newest_answered = s.newest_answered.max(now - time);
         }
         if failed && now - time > s.ejected_until {
-            if self.settings.limits.peers {
+            if self.settings.limits.peer_messages {
                 self.actions.push(Action::Tell(at.1 .0.as_bytes().to_vec()));
             }
             self.on_server_failure(&at.1);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -168,7 +168,7 @@
     /// Whether [`Action::Probe`] is allowed.
     pub probes: bool,
     /// Whether [`Action::Tell`] is allowed.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether a request may have two attempts in flight at once. No rule requires it.
     pub parallel_attempts: bool,
     /// Whether clients receive the delay of [`Action::Refuse`].
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -682,7 +682,7 @@
 #[test]
 fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
     let mut with_peers = settings();
-    with_peers.limits.peers = true;
+    with_peers.limits.peer_messages = true;
     let mut node = Node::with_roster(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(3).collect();
@@ -710,7 +710,7 @@
 fn impatient_clients_do_not_get_servers_ejected() {
     let mut with_peers = settings();
     with_peers.cache = CacheMode::Aside { origin_kind: "origin".into() };
-    with_peers.limits.peers = true;
+    with_peers.limits.peer_messages = true;
     let mut node = Node::with_roster(with_peers, 1, fleet(6).into_iter().chain([origin()]).collect());
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
@@ -765,7 +765,7 @@
 #[test]
 fn connection_resets_do_not_eject_a_server_that_answers() {
     let mut with_peers = settings();
-    with_peers.limits.peers = true;
+    with_peers.limits.peer_messages = true;
     let mut node = Node::with_roster(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
@@ -897,7 +897,7 @@
 #[test]
 fn a_cancelled_attempt_is_no_sign_of_life() {
     let mut with_peers = settings();
-    with_peers.limits.peers = true;
+    with_peers.limits.peer_messages = true;
     let mut node = Node::with_roster(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(2).collect();
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -97,7 +97,9 @@
                     return Err("a refusal that may not be given".into());
                 }
             }
-            Action::Tell(_) if !settings.limits.peers => return Err("a message that may not be sent".into()),
+            Action::Tell(_) if !settings.limits.peer_messages => {
+                return Err("a message that may not be sent".into())
+            }
             Action::CloseIdle(server) => {
                 self.closed.insert(server.clone(), now);
             }
@@ -133,7 +135,7 @@
     let mut rng = Rng(seed);
     let mut settings = settings();
     settings.limits.probes = seed.is_multiple_of(2);
-    settings.limits.peers = seed.is_multiple_of(5);
+    settings.limits.peer_messages = seed.is_multiple_of(5);
     settings.limits.parallel_attempts = !seed.is_multiple_of(2);
     if seed.is_multiple_of(3) {
         settings.cache = CacheMode::Aside { origin_kind: "origin".into() };
@@ -234,7 +236,7 @@
                 events.push(Event::Withdrawn(id));
             }
             8 => events.push(Event::Probed { server: id(1 + rng.below(8)), status: Status::Success }),
-            9 if settings.limits.peers => {
+            9 if settings.limits.peer_messages => {
                 let bytes = id(1 + rng.below(8)).0.as_bytes().to_vec();
                 events.push(Event::Message { from: 1, bytes });
             }
