--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -131,10 +131,10 @@
                 entries.push(parse_entry(&lines.next()?.ok_or("expected a list entry")?)?);
             }
             Event::Roster(match mode {
-                Some("delta") => RosterNews::Delta(entries),
-                Some("full") => RosterNews::Full(entries),
-                Some("cached") => RosterNews::Cached(entries),
-                Some("failed") => RosterNews::Failed,
+                Some("delta") => RosterUpdate::Delta(entries),
+                Some("full") => RosterUpdate::Full(entries),
+                Some("cached") => RosterUpdate::Cached(entries),
+                Some("failed") => RosterUpdate::Failed,
                 _ => return Err("expected delta, full, cached or failed".into()),
             })
         }
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -10,7 +10,7 @@
 
 use hyper::header::HeaderValue;
 use shaletrail_policy::{
-    Action, AttemptId, Balancer, ClassId, Event, Key, Listed, NewRequest, Outcome, RequestId, RosterNews,
+    Action, AttemptId, Balancer, ClassId, Event, Key, Listed, NewRequest, Outcome, RequestId, RosterUpdate,
     Seconds, ServerId, Status, TenantId, TimerToken,
 };
 use tokio::sync::{oneshot, watch};
@@ -179,9 +179,9 @@
         self.upstreams.update(&list);
         let entries = list.servers.into_iter().map(|(entry, _)| entry).collect();
         self.tell(Event::Roster(match (list.full, cached) {
-            (_, true) => RosterNews::Cached(entries),
-            (true, false) => RosterNews::Full(entries),
-            (false, false) => RosterNews::Delta(entries),
+            (_, true) => RosterUpdate::Cached(entries),
+            (true, false) => RosterUpdate::Full(entries),
+            (false, false) => RosterUpdate::Delta(entries),
         }));
     }
 
@@ -189,7 +189,7 @@
     pub fn hear(self: &Rc<Self>, heard: Heard) {
         match heard {
             Heard::List(list) => self.on_list(list, false),
-            Heard::ListFailed => self.tell(Event::Roster(RosterNews::Failed)),
+            Heard::ListFailed => self.tell(Event::Roster(RosterUpdate::Failed)),
             Heard::Peer { from, bytes } => self.tell(Event::Message { from, bytes }),
         }
     }
--- a/src/balance/roster.rs
+++ b/src/balance/roster.rs
@@ -27,8 +27,8 @@
         }
     }
 
-    pub(super) fn on_roster(&mut self, update: RosterNews) {
-        if update == RosterNews::Failed {
+    pub(super) fn on_roster(&mut self, update: RosterUpdate) {
+        if update == RosterUpdate::Failed {
             // Jittered, so that calls that failed together are not repeated together; bounded by `ask_every`.
             let max_backoff = self.settings.guarantees.ask_every.max(CALL_BACKOFF);
             let delay = (CALL_BACKOFF * f64::from(1u32 << self.roster.failures.min(3))).min(max_backoff);
@@ -36,12 +36,12 @@
             self.roster = Subscription { next_call, failures, ..Subscription::default() };
             return;
         }
-        if !matches!(update, RosterNews::Cached(_)) {
+        if !matches!(update, RosterUpdate::Cached(_)) {
             self.roster.subscribed |= self.roster.called.take().is_some();
             self.roster.failures = 0;
         }
-        let full_list = !matches!(update, RosterNews::Delta(_));
-        use RosterNews::{Cached, Delta, Full};
+        let full_list = !matches!(update, RosterUpdate::Delta(_));
+        use RosterUpdate::{Cached, Delta, Full};
         let (Delta(entries) | Full(entries) | Cached(entries)) = update else { return };
         let has_left = |id: &ServerId| full_list && !entries.iter().any(|e| e.server == *id);
         for (_, s) in self.servers.iter_mut().filter(|(id, _)| has_left(id)) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -336,7 +336,7 @@
 
 /// An update of the roster.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterNews {
+pub enum RosterUpdate {
     /// Only the entries that changed.
     Delta(Vec<RosterEntry>),
     /// The whole roster: servers that are not in it have left.
@@ -432,7 +432,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The roster changed, or a call for it failed.
-    Roster(RosterNews),
+    Roster(RosterUpdate),
     /// A client's request has arrived.
     Request(NewRequest),
     /// The last byte of a request's body has arrived and was forwarded to the attempt in flight.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -51,7 +51,7 @@
 //!     weight: 1.0,
 //!     ..RosterEntry::default()
 //! };
-//! balancer.handle(0.0, Event::Roster(RosterNews::Full(vec![server.clone()])), &mut actions);
+//! balancer.handle(0.0, Event::Roster(RosterUpdate::Full(vec![server.clone()])), &mut actions);
 //!
 //! // A request arrives, and the balancer asks the host to send it to the server.
 //! let request = NewRequest {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -126,7 +126,7 @@
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
-    let actions = node.event(Event::Roster(RosterNews::Full(fleet(2))));
+    let actions = node.event(Event::Roster(RosterUpdate::Full(fleet(2))));
     assert_eq!(sent(&actions).len(), 1);
 }
 
@@ -155,7 +155,7 @@
             });
             ticks.next().expect("housekeeping goes on")
         };
-        let mut after = tick(&node.event(Event::Roster(RosterNews::Full(vec![]))));
+        let mut after = tick(&node.event(Event::Roster(RosterUpdate::Full(vec![]))));
         assert!(after <= 0.05, "{after}");
         let asked = node.now;
         assert!(!refused(&node.request(NewRequest { left: 2.0 * target, ..read(1, 1) })));
@@ -364,7 +364,7 @@
         let mut node = Node::with_roster(settings(), 1, fleet(4));
         let home = node.home(1, 9);
         let n = (1..=4).find(|&n| id(n) == home).unwrap();
-        node.event(Event::Roster(RosterNews::Delta(vec![RosterEntry { state, ..entry(n) }])));
+        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry { state, ..entry(n) }])));
         for request in 2..40 {
             assert!(sent(&node.request(read(request, 9))).iter().all(|s| *s != home));
         }
@@ -374,16 +374,16 @@
 #[test]
 fn a_server_missing_from_a_full_roster_has_left() {
     let mut node = Node::with_roster(settings(), 1, fleet(4));
-    node.event(Event::Roster(RosterNews::Full(fleet(3))));
+    node.event(Event::Roster(RosterUpdate::Full(fleet(3))));
     assert!((1..200).all(|n| node.home(n, n) != id(4)));
 }
 
 #[test]
 fn an_empty_roster_sends_nothing_and_a_new_one_serves_again() {
     let mut node = Node::with_roster(settings(), 1, fleet(4));
-    node.event(Event::Roster(RosterNews::Full(vec![])));
+    node.event(Event::Roster(RosterUpdate::Full(vec![])));
     assert!(sent(&node.request(read(1, 1))).is_empty());
-    node.event(Event::Roster(RosterNews::Full(fleet(4))));
+    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
@@ -481,12 +481,12 @@
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     node.request(NewRequest { left: 1.9, ..read(900, key) });
     let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
-    assert!(closes(&node.event(Event::Roster(RosterNews::Delta(vec![drain.clone()]))), 1));
+    assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain.clone()]))), 1));
     // With answers in order, a connection may become idle unnoticed, so closing is repeated while it is
     // listed.
     assert!(closes(&node.advance(0.4), 1));
-    assert!(closes(&node.event(Event::Roster(RosterNews::Delta(vec![drain]))), 1), "a repeated notice");
-    assert!(closes(&node.event(Event::Roster(RosterNews::Full(fleet(4)[1..].to_vec()))), 1), "it left");
+    assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
+    assert!(closes(&node.event(Event::Roster(RosterUpdate::Full(fleet(4)[1..].to_vec()))), 1), "it left");
     node.advance(1.0);
     assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
     assert!(!closes(&node.advance(2.0), 2), "those that stay are left open");
@@ -505,21 +505,21 @@
 #[test]
 fn a_node_subscribes_at_once_and_repeats_failed_calls() {
     let mut node = Node::new(on_request_settings(), 1);
-    assert_eq!(subscribe_calls(&node.event(Event::Roster(RosterNews::Cached(fleet(4))))), 1);
+    assert_eq!(subscribe_calls(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
     for _ in 0..5 {
-        node.event(Event::Roster(RosterNews::Failed));
+        node.event(Event::Roster(RosterUpdate::Failed));
         assert_eq!(subscribe_calls(&node.advance(3.0)), 1);
     }
-    node.event(Event::Roster(RosterNews::Delta(vec![])));
+    node.event(Event::Roster(RosterUpdate::Delta(vec![])));
     assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a subscription is not asked for twice");
-    node.event(Event::Roster(RosterNews::Failed));
+    node.event(Event::Roster(RosterUpdate::Failed));
     assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken one is asked for again");
 }
 
 #[test]
 fn an_unanswered_call_is_repeated_within_ask_every() {
     let mut node = Node::new(on_request_settings(), 1);
-    node.event(Event::Roster(RosterNews::Cached(fleet(4))));
+    node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
     assert!(subscribe_calls(&node.advance(9.0)) >= 1);
 }
 
@@ -531,9 +531,9 @@
         let mut settings = on_request_settings();
         settings.guarantees.ask_every = ask_every;
         let mut node = Node::new(settings, 1);
-        node.event(Event::Roster(RosterNews::Cached(fleet(4))));
+        node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
         for _ in 0..20 {
-            node.event(Event::Roster(RosterNews::Failed));
+            node.event(Event::Roster(RosterUpdate::Failed));
             assert!(subscribe_calls(&node.advance(2.0 * ask_every)) >= 1, "{ask_every}");
         }
     }
@@ -1203,13 +1203,13 @@
 #[test]
 fn a_restarted_node_uses_its_stored_roster_until_it_gets_updates() {
     let mut node = Node::new(on_request_settings(), 7);
-    let first = node.event(Event::Roster(RosterNews::Cached(fleet(8))));
+    let first = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
     assert_eq!(subscribe_calls(&first), 1);
     let owned = |node: &mut Node, from: u64| at_once(node, from, 2000).len();
     let before = owned(&mut node, 0);
     let started = RosterEntry { started: Some(99.0), ..entry(1) };
     let gone = RosterEntry { state: ServerState::Gone, ..entry(2) };
-    node.event(Event::Roster(RosterNews::Delta(vec![started, gone])));
+    node.event(Event::Roster(RosterUpdate::Delta(vec![started, gone])));
     let after = owned(&mut node, 10_000);
     assert!(after > 0 && after * 2 < before, "{after} of {before}");
     assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
@@ -1229,7 +1229,7 @@
     }
     assert!((0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2, "all but shut");
     let started = RosterEntry { started: Some(node.now), ..entry(1) };
-    node.event(Event::Roster(RosterNews::Delta(vec![started])));
+    node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
     assert!(!at_once(&mut node, 3000, 400).is_empty());
 }
 
@@ -1249,7 +1249,7 @@
                 let asked = (0..20).map(step).filter(|server| *server == id(1)).count();
                 if from == 80 {
                     let started = RosterEntry { started: Some(node.now), ..entry(1) };
-                    node.event(Event::Roster(RosterNews::Delta(vec![started])));
+                    node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
                 }
                 asked
             };
@@ -1358,8 +1358,8 @@
     assert!(told.contains(&Action::CloseIdle(id(1))));
     assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
     for (n, state) in [ServerState::Ready, ServerState::Gone, ServerState::Ready].into_iter().enumerate() {
-        node.event(Event::Roster(RosterNews::Delta(vec![RosterEntry { state, ..entry(1) }])));
-        node.event(Event::Roster(RosterNews::Delta(vec![RosterEntry {
+        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry { state, ..entry(1) }])));
+        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry {
             started: Some(node.now),
             ..entry(2)
         }])));
@@ -1391,7 +1391,7 @@
         set_out_of_service(&mut node, id(1), None);
         node.advance(6.0);
         let entry = RosterEntry { started: Some(node.now - started), ..entry(1) };
-        node.event(Event::Roster(RosterNews::Delta(vec![entry])));
+        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
         let at = node.now;
         set_out_of_service(&mut node, id(1), Some(at));
         // Paced so that a cold server's allowance keeps up.
@@ -1413,14 +1413,14 @@
     set_out_of_service(&mut node, id(4), None);
     assert!(!node.balancer.lists(&id(4)) && node.balancer.lists(&id(3)));
     assert_eq!(node.balancer.listed(), Listed { all: 3, avoided: 0 });
-    node.event(Event::Roster(RosterNews::Full(fleet(4))));
+    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
     assert!((0..400).all(|n| node.home(n, n) != id(4)));
     assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
     // Put back while unlisted, it is used as soon as the roster lists it.
-    node.event(Event::Roster(RosterNews::Full(fleet(3))));
+    node.event(Event::Roster(RosterUpdate::Full(fleet(3))));
     let at = node.now;
     set_out_of_service(&mut node, id(4), Some(at));
-    node.event(Event::Roster(RosterNews::Full(fleet(4))));
+    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
     node.advance(10.0);
     assert!((1000..1400).any(|n| node.home(n, n) == id(4)));
 }
@@ -1465,7 +1465,7 @@
             second(&mut node);
         }
         let entry = RosterEntry { started: Some(node.now), ..entry(1) };
-        node.event(Event::Roster(RosterNews::Delta(vec![entry])));
+        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
         second(&mut node) + second(&mut node)
     };
     let (new, old) = (cold(1.0), cold(40.0));
@@ -1491,7 +1491,7 @@
         let mut node = Node::with_roster(settings(), 1, fleet(2));
         (0..400).for_each(|n| drop(node.home(n, n)));
         let entry = RosterEntry { started: Some(node.now), ..entry(1) };
-        node.event(Event::Roster(RosterNews::Delta(vec![entry])));
+        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
         node.event(Event::Shared(shared));
         // Long enough to fill the allowance, too short to warm up.
         node.advance(2.0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -108,7 +108,7 @@
 
     pub fn with_roster(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
         let mut node = Node::new(settings, seed);
-        node.event(Event::Roster(RosterNews::Full(entries)));
+        node.event(Event::Roster(RosterUpdate::Full(entries)));
         node
     }
 
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -33,7 +33,7 @@
     for second in 0..60 {
         let first = *next / 100;
         let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
-        node.event(Event::Roster(RosterNews::Full(fleet)));
+        node.event(Event::Roster(RosterUpdate::Full(fleet)));
         for n in 0..100 {
             *next += 1;
             let key = if n % 2 == 0 { *next } else { n };
