--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -257,7 +257,7 @@
     fn follow_body(self: &Rc<Self>, request: RequestId, body: &Long, left: Duration) {
         let host = Rc::clone(self);
         body.on_news(move |news| match news {
-            News::Spent => host.tell(Event::Spent(request)),
+            News::Spent => host.tell(Event::BodyConsumed(request)),
             News::Received => {
                 host.move_deadline(request, Instant::now() + left);
                 host.tell(Event::Received { request, left: left.as_secs_f64() });
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -127,8 +127,8 @@
             Event::Roster(update) => self.on_roster(update),
             Event::Request(new) => self.on_request(new),
             Event::Received { request, left } => self.on_received(request, left),
-            Event::Spent(request) => {
-                self.requests.entry(request).and_modify(|r| r.spent = true);
+            Event::BodyConsumed(request) => {
+                self.requests.entry(request).and_modify(|r| r.body_consumed = true);
             }
             Event::StreamStarted { request, attempt, note } => self.on_stream(request, attempt, note),
             Event::Outcome(outcome) => self.on_outcome(outcome),
--- a/src/balance/placement.rs
+++ b/src/balance/placement.rs
@@ -87,7 +87,7 @@
         let limits = &self.settings.limits;
         let out = server.entry.state != ServerState::Ready || self.out_of_service.contains_key(id);
         let over = r.ended || self.now >= r.deadline || r.attempts.len() >= limits.max_attempts as usize;
-        if out || over || r.spent || r.streaming || r.in_flight() > 0 {
+        if out || over || r.body_consumed || r.streaming || r.in_flight() > 0 {
             return false;
         }
         let class = &self.settings.classes[r.class];
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -36,7 +36,7 @@
     /// Its body is still arriving, and the client's time does not run yet.
     pub(super) coming: bool,
     /// Its body was not kept and can't be sent again.
-    pub(super) spent: bool,
+    pub(super) body_consumed: bool,
     pub(super) streaming: bool,
     pub(super) ended: bool,
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -443,7 +443,7 @@
         left: Seconds,
     },
     /// Part of the request's body was forwarded and not kept: the request can't be sent again.
-    Spent(RequestId),
+    BodyConsumed(RequestId),
     /// A streamed answer has begun. If its attempt ends without finishing the request, the client has
     /// received nothing.
     StreamStarted {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -296,7 +296,7 @@
             let new = NewRequest { class: Some(UNSAFE), write: true, coming: true, left: 60.0, ..read(1, 1) };
             node.request(new);
             if spent {
-                node.event(Event::Spent(RequestId(1)));
+                node.event(Event::BodyConsumed(RequestId(1)));
             }
             let then = node.outcome(1, status, None);
             assert_eq!(sent(&then).len(), usize::from(!spent && refused), "{status:?}");
