--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -260,7 +260,7 @@
             News::Spent => host.tell(Event::BodyConsumed(request)),
             News::Received => {
                 host.move_deadline(request, Instant::now() + left);
-                host.tell(Event::Received { request, left: left.as_secs_f64() });
+                host.tell(Event::BodyReceived { request, left: left.as_secs_f64() });
             }
         });
     }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -126,7 +126,7 @@
         match event {
             Event::Roster(update) => self.on_roster(update),
             Event::Request(new) => self.on_request(new),
-            Event::Received { request, left } => self.on_received(request, left),
+            Event::BodyReceived { request, left } => self.on_body_received(request, left),
             Event::BodyConsumed(request) => {
                 self.requests.entry(request).and_modify(|r| r.body_consumed = true);
             }
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -46,7 +46,7 @@
     }
 
     /// The body is complete: the client's time starts, and so does the service time of the attempt in flight.
-    pub(super) fn on_received(&mut self, id: RequestId, left: Seconds) {
+    pub(super) fn on_body_received(&mut self, id: RequestId, left: Seconds) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming && !r.ended) else { return };
         (r.coming, r.deadline) = (false, now + left);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -364,7 +364,7 @@
     pub write: bool,
     /// Estimated cost in core time, if there is a hint.
     pub work: Option<Seconds>,
-    /// Its body is still arriving: `left` is only an upper bound, and [`Event::Received`] follows.
+    /// Its body is still arriving: `left` is only an upper bound, and [`Event::BodyReceived`] follows.
     pub coming: bool,
 }
 
@@ -436,7 +436,7 @@
     /// A client's request has arrived.
     Request(NewRequest),
     /// The last byte of a request's body has arrived and was forwarded to the attempt in flight.
-    Received {
+    BodyReceived {
         /// The request whose body is complete.
         request: RequestId,
         /// Time until the client gives up on this try.
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -269,7 +269,7 @@
     assert_eq!(sent(&miss), [id(998)]);
     node.advance(20.0);
     let left = 1.0;
-    let told = node.event(Event::Received { request: RequestId(1), left });
+    let told = node.event(Event::BodyReceived { request: RequestId(1), left });
     let after = told.iter().find_map(|action| match action {
         Action::SetTimer { token: TimerToken(2), after } => Some(*after),
         _ => None,
