--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -150,7 +150,7 @@
             let key = f.optional("key")?.map(Key);
             let work = work.filter(|_| bits & 1 != 0);
             let write = bits & 4 != 0;
-            Event::Request(NewRequest { id, left, class, tenant, key, write, work, coming: false })
+            Event::Request(NewRequest { id, left, class, tenant, key, write, work, body_pending: false })
         }
         "head_received" => Event::StreamStarted {
             request: RequestId(f.required("request id")?),
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -248,7 +248,7 @@
             key: Some(arrival.key),
             write: arrival.write,
             work: arrival.work,
-            coming,
+            body_pending: coming,
         }));
         ticket
     }
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -31,7 +31,7 @@
             work: new.work.unwrap_or(0.0).max(0.0),
             over_quota,
             draw: self.random(),
-            coming: new.coming,
+            body_pending: new.body_pending,
             ..Request::default()
         };
         self.set_deadline_timer(new.id, new.left);
@@ -48,8 +48,8 @@
     /// The body is complete: the client's time starts, and so does the service time of the attempt in flight.
     pub(super) fn on_body_received(&mut self, id: RequestId, left: Seconds) {
         let now = self.now;
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming && !r.ended) else { return };
-        (r.coming, r.deadline) = (false, now + left);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.body_pending && !r.ended) else { return };
+        (r.body_pending, r.deadline) = (false, now + left);
         if let Some(a) = r.attempts.last_mut().filter(|a| a.status.is_none()) {
             (a.sent, a.counted) = (now, true);
             let server = a.server.clone();
@@ -118,7 +118,7 @@
         if idle >= stale_after {
             self.actions.push(Action::CloseIdle(server.clone()));
         }
-        let counted = !r.coming;
+        let counted = !r.body_pending;
         let (sent, status) = (self.now, None);
         r.attempts.push(Attempt { server: server.clone(), sent, to_origin, idle, counted, status });
         self.origin_in_flight += u32::from(to_origin);
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -34,7 +34,7 @@
     /// Its cache server keeps failing its class: the next attempt is exempt from the default retry budget.
     pub(super) budget_exempt: bool,
     /// Its body is still arriving, and the client's time does not run yet.
-    pub(super) coming: bool,
+    pub(super) body_pending: bool,
     /// Its body was not kept and can't be sent again.
     pub(super) body_consumed: bool,
     pub(super) streaming: bool,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -365,7 +365,7 @@
     /// Estimated cost in core time, if there is a hint.
     pub work: Option<Seconds>,
     /// Its body is still arriving: `left` is only an upper bound, and [`Event::BodyReceived`] follows.
-    pub coming: bool,
+    pub body_pending: bool,
 }
 
 /// How an attempt or a probe ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,7 +62,7 @@
 //!     key: Some(Key(7)),
 //!     write: false,
 //!     work: None,
-//!     coming: false,
+//!     body_pending: false,
 //! };
 //! actions.clear();
 //! balancer.handle(0.1, Event::Request(request), &mut actions);
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -258,7 +258,8 @@
 fn the_time_of_a_long_request_starts_with_its_last_byte() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
-    let write = |n| NewRequest { class: Some(KEYED), write: true, coming: true, left: 600.0, ..read(n, n) };
+    let write =
+        |n| NewRequest { class: Some(KEYED), write: true, body_pending: true, left: 600.0, ..read(n, n) };
     // As many writes as would make a read wait at the origin; while their bodies arrive, none counts in
     // flight.
     for n in 1..=30 {
@@ -293,7 +294,8 @@
     {
         for spent in [false, true] {
             let mut node = Node::with_roster(aside.clone(), 1, origins.to_vec());
-            let new = NewRequest { class: Some(UNSAFE), write: true, coming: true, left: 60.0, ..read(1, 1) };
+            let new =
+                NewRequest { class: Some(UNSAFE), write: true, body_pending: true, left: 60.0, ..read(1, 1) };
             node.request(new);
             if spent {
                 node.event(Event::BodyConsumed(RequestId(1)));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -89,7 +89,7 @@
         key: Some(Key(key)),
         write: false,
         work: None,
-        coming: false,
+        body_pending: false,
     }
 }
 
