--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -221,7 +221,7 @@
     fn tell_by_hand(self: &Rc<Self>, changes: Vec<Change>) {
         for Change { server, back } in changes {
             eprintln!("{} {}", server.0, if back.is_some() { "called back" } else { "out by hand" });
-            self.tell(Event::ByHand { server, back });
+            self.tell(Event::OutOfService { server, restored_at: back });
         }
     }
 
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -141,7 +141,7 @@
                     self.on_server_failure(&ServerId(address.into()));
                 }
             }
-            Event::ByHand { server, back } => self.on_service_change(server, back),
+            Event::OutOfService { server, restored_at } => self.on_service_change(server, restored_at),
             Event::Shared(shared) => self.on_shared(shared),
             Event::Probed { .. } => {}
         }
--- a/src/balance/roster.rs
+++ b/src/balance/roster.rs
@@ -71,8 +71,8 @@
 
     /// Takes a server out of service or puts it back. Its process was restarted meanwhile: it warms up from
     /// the start time that the roster reported since, or else from the time when it was put back.
-    pub(super) fn on_service_change(&mut self, server: ServerId, back: Option<Seconds>) {
-        match back {
+    pub(super) fn on_service_change(&mut self, server: ServerId, restored_at: Option<Seconds>) {
+        match restored_at {
             Some(at) => {
                 let removed = self.out_of_service.remove(&server).unwrap_or(at);
                 let entry = self.servers.get(&server).map(|s| s.entry.clone());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -468,11 +468,11 @@
         status: Status,
     },
     /// Operators took a server out of service, listed or not, or put it back.
-    ByHand {
+    OutOfService {
         /// The server that they acted on.
         server: ServerId,
         /// When it was put back, with a process restarted since it was taken out; `None` while it is out.
-        back: Option<Seconds>,
+        restored_at: Option<Seconds>,
     },
     /// Whether a second process of this node runs beside this one. The rules treat both as one node.
     Shared(bool),
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1348,8 +1348,8 @@
 
 // ---- Servers taken out of service by operators ----
 
-fn set_out_of_service(node: &mut Node, server: ServerId, back: Option<Seconds>) -> Vec<Action> {
-    node.event(Event::ByHand { server, back })
+fn set_out_of_service(node: &mut Node, server: ServerId, restored_at: Option<Seconds>) -> Vec<Action> {
+    node.event(Event::OutOfService { server, restored_at })
 }
 
 #[test]
