--- a/node/src/sharing.rs
+++ b/node/src/sharing.rs
@@ -106,7 +106,7 @@
         host.upstreams().bound(now.upstreams.min(most.upstreams));
         if shared != other.is_some() {
             shared = other.is_some();
-            host.tell(Event::Shared(shared));
+            host.tell(Event::SecondProcess(shared));
         }
         sleep(EXCHANGE).await;
     }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -142,7 +142,7 @@
                 }
             }
             Event::OutOfService { server, restored_at } => self.on_service_change(server, restored_at),
-            Event::Shared(shared) => self.on_shared(shared),
+            Event::SecondProcess(shared) => self.on_second_process(shared),
             Event::Probed { .. } => {}
         }
     }
--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -55,7 +55,7 @@
     }
 
     /// Each of two processes of one node gets half of what does not grow with its own requests.
-    pub(super) fn on_shared(&mut self, shared: bool) {
+    pub(super) fn on_second_process(&mut self, shared: bool) {
         let share = if shared { 0.5 } else { 1.0 };
         let budget = self.settings.guarantees.budget.unwrap_or(DEFAULT_BUDGET);
         self.budget = Budget { free: budget.free * share, ..budget };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -475,7 +475,7 @@
         restored_at: Option<Seconds>,
     },
     /// Whether a second process of this node runs beside this one. The rules treat both as one node.
-    Shared(bool),
+    SecondProcess(bool),
     /// Another node sent a message by [`Action::Tell`].
     Message {
         /// Number of the sending node.
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1480,8 +1480,8 @@
         let mut tight = settings();
         tight.guarantees.budget = Some(Budget { span: 10.0, free: 8.0, ratio: 0.0 });
         let mut node = Node::with_roster(tight, 1, fleet(4));
-        node.event(Event::Shared(true));
-        node.event(Event::Shared(shared));
+        node.event(Event::SecondProcess(true));
+        node.event(Event::SecondProcess(shared));
         let again = |n: u64| {
             node.request(read(n, n));
             sent(&node.outcome(n, Status::Overloaded, None)).len()
@@ -1494,7 +1494,7 @@
         (0..400).for_each(|n| drop(node.home(n, n)));
         let entry = RosterEntry { started: Some(node.now), ..entry(1) };
         node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
-        node.event(Event::Shared(shared));
+        node.event(Event::SecondProcess(shared));
         // Long enough to fill the allowance, too short to warm up.
         node.advance(2.0);
         (1000..1400).filter(|&n| node.home(n, n) == id(1)).count()
