--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -237,7 +237,7 @@
         Action::SetTimer { token, after } => writeln!(out, "set_timer {node} {} {after:.6}", token.0),
         Action::Probe(server) => writeln!(out, "sample {node} {}", server.0),
         Action::CloseIdle(server) => writeln!(out, "close_idle {node} {}", server.0),
-        Action::Tell(bytes) => {
+        Action::NotifyPeers(bytes) => {
             let digits: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             writeln!(out, "write_peer {node} -1 {digits}")
         }
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -146,7 +146,7 @@
             Action::SetTimer { token, after } => self.set_timer(token, after),
             Action::Probe(server) => self.probe(server),
             Action::CloseIdle(server) => self.upstreams.close_idle(&server),
-            Action::Tell(bytes) => {
+            Action::NotifyPeers(bytes) => {
                 if let Some(peers) = &self.peers {
                     peers.tell(&bytes);
                 }
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -217,7 +217,7 @@
         }
         if failed && now - time > s.ejected_until {
             if self.settings.limits.peer_messages {
-                self.actions.push(Action::Tell(at.1 .0.as_bytes().to_vec()));
+                self.actions.push(Action::NotifyPeers(at.1 .0.as_bytes().to_vec()));
             }
             self.on_server_failure(&at.1);
         } else if !failed && answer {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -167,7 +167,7 @@
     pub cancel: bool,
     /// Whether [`Action::Probe`] is allowed.
     pub probes: bool,
-    /// Whether [`Action::Tell`] is allowed.
+    /// Whether [`Action::NotifyPeers`] is allowed.
     pub peer_messages: bool,
     /// Whether a request may have two attempts in flight at once. No rule requires it.
     pub parallel_attempts: bool,
@@ -476,7 +476,7 @@
     },
     /// Whether a second process of this node runs beside this one. The rules treat both as one node.
     SecondProcess(bool),
-    /// Another node sent a message by [`Action::Tell`].
+    /// Another node sent a message by [`Action::NotifyPeers`].
     Message {
         /// Number of the sending node.
         from: u32,
@@ -525,7 +525,7 @@
     /// Close this node's idle connections to a server.
     CloseIdle(ServerId),
     /// Send a message to all other nodes.
-    Tell(Vec<u8>),
+    NotifyPeers(Vec<u8>),
     /// Subscribe to changes of the roster.
     Subscribe,
     /// Write a line to the operators' log.
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -690,7 +690,7 @@
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(3).collect();
     node.request(read(1000, keys[0]));
     node.now += 0.9;
-    let told = Action::Tell(id(1).0.as_bytes().to_vec());
+    let told = Action::NotifyPeers(id(1).0.as_bytes().to_vec());
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&told));
     node.advance(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
@@ -728,7 +728,7 @@
         };
         node.now += 0.05;
         let actions = node.outcome(n, Status::TimedOut, None);
-        told += actions.iter().filter(|a| matches!(a, Action::Tell(_))).count();
+        told += actions.iter().filter(|a| matches!(a, Action::NotifyPeers(_))).count();
         if !at_origin {
             node.advance(0.05);
         }
@@ -776,7 +776,7 @@
             assert_eq!(sent(&node.request(read(n, key))), [id(1)], "request {n} goes home");
             node.now += 0.01;
             let actions = if n % 4 == 0 { node.serve(n) } else { node.outcome(n, Status::Broken, None) };
-            assert!(!actions.iter().any(|a| matches!(a, Action::Tell(_))), "{actions:?}");
+            assert!(!actions.iter().any(|a| matches!(a, Action::NotifyPeers(_))), "{actions:?}");
         }
         (n + 1..n + 4).for_each(|n| _ = node.serve(n));
         node.advance(0.5);
@@ -910,7 +910,7 @@
     node.event(Event::Withdrawn(RequestId(2_001)));
     node.outcome(2_001, Status::Cancelled, None);
     node.now += 0.7;
-    let told = Action::Tell(id(1).0.as_bytes().to_vec());
+    let told = Action::NotifyPeers(id(1).0.as_bytes().to_vec());
     assert!(node.outcome(2_000, Status::TimedOut, None).contains(&told));
 }
 
@@ -953,7 +953,7 @@
     let mut node = Node::with_roster(settings(), 1, fleet(1));
     node.request(read(1, 1));
     node.now += 0.9;
-    assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::Tell(_))));
+    assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::NotifyPeers(_))));
 }
 
 /// Errors of all servers at once come from the origin: ejecting servers for them only adds misses.
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -97,7 +97,7 @@
                     return Err("a refusal that may not be given".into());
                 }
             }
-            Action::Tell(_) if !settings.limits.peer_messages => {
+            Action::NotifyPeers(_) if !settings.limits.peer_messages => {
                 return Err("a message that may not be sent".into())
             }
             Action::CloseIdle(server) => {
