--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -95,7 +95,7 @@
         Some("unreachable") => Status::Unreachable,
         Some("broken") => Status::Broken,
         Some("withdrawn") => Status::Cancelled,
-        Some("void") => Status::Void,
+        Some("void") => Status::NotSent,
         Some("absent") => Status::Absent,
         _ => Status::Unknown,
     }
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -314,7 +314,7 @@
             let stop = async {
                 tokio::select! {
                     () = sleep(wait) => (Status::TimedOut, Status::Unreachable),
-                    _ = cancelled => (Status::Cancelled, Status::Void),
+                    _ = cancelled => (Status::Cancelled, Status::NotSent),
                 }
             };
             let mut stop = std::pin::pin!(stop);
@@ -407,7 +407,7 @@
     fn drop(&mut self) {
         if !self.reported {
             let host = Rc::clone(&self.host);
-            host.on_ended(self, self.stopped(Status::Broken, Status::Void));
+            host.on_ended(self, self.stopped(Status::Broken, Status::NotSent));
         }
     }
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -390,7 +390,7 @@
                 return Err(Ended::without_reply(Status::Overloaded));
             }
             if !open() {
-                return Err(Ended::without_reply(Status::Void));
+                return Err(Ended::without_reply(Status::NotSent));
             }
             sent.begin(&connection.progress);
             let left = wait.saturating_sub(started.elapsed());
@@ -398,7 +398,7 @@
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(Answering { connection, response }),
                 // The client has failed, not the server.
-                Err(_) if payload.content.failed() => return Err(Ended::without_reply(Status::Void)),
+                Err(_) if payload.content.failed() => return Err(Ended::without_reply(Status::NotSent)),
                 // The server had closed an idle connection: it has not failed, and has seen no request.
                 Err(_) if reused && !sent.whole() && !payload.content.spent() => continue,
                 Err(_) if sent.whole() => return Err(Ended::without_reply(Status::Broken)),
@@ -447,7 +447,7 @@
     async fn connect(&self, server: &ServerId, calls: &Rc<Cell<u64>>) -> Result<Connection, Status> {
         let addr = self.addr(server).ok_or(Status::Overloaded)?;
         // No socket left is this node's want, not the server's: nothing was sent.
-        let open = self.claim_socket().ok_or(Status::Void)?;
+        let open = self.claim_socket().ok_or(Status::NotSent)?;
         let connecting = async {
             let stream = TcpStream::connect(addr).await.ok()?;
             stream.set_nodelay(true).ok()?;
@@ -659,7 +659,7 @@
                 async { open.set(false) },
             };
             let status = answering.err().map(|ended| ended.status);
-            assert_eq!((status, sent.whole()), (Some(Status::Void), false));
+            assert_eq!((status, sent.whole()), (Some(Status::NotSent), false));
             let mut seen = Vec::new();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_to_end(&mut seen).await.unwrap();
@@ -768,7 +768,7 @@
                 exchange(&upstreams, &server, &payload, &other),
                 serve,
             };
-            assert_eq!((ended.status, beyond.status), (Status::Success, Status::Void));
+            assert_eq!((ended.status, beyond.status), (Status::Success, Status::NotSent));
             let room = upstreams.claim_socket();
             assert!(room.is_some());
             assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "the idle connection is closed");
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -124,7 +124,7 @@
         r.budget_exempt = own_error && !stated && server.is_some_and(|s| s.class_ejected(r.class, self.now));
         r.missed |= last_attempt || r.budget_exempt || outcome.status == Status::Absent;
         match outcome.status {
-            Status::Void => self.end(id),
+            Status::NotSent => self.end(id),
             // A fetch that failed would fail through another server too.
             Status::Error if to_origin => self.end(id),
             _ => self.route(id),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -386,7 +386,7 @@
     /// Cancelled by the node; it may have run.
     Cancelled,
     /// It was never sent.
-    Void,
+    NotSent,
     /// The server has not cached the key; nothing ran.
     Absent,
     /// A code that this library does not know; it may have run.
@@ -396,7 +396,7 @@
 impl Status {
     /// False if the status proves that the attempt did not run.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Status::Overloaded | Status::Unreachable | Status::Void | Status::Absent)
+        !matches!(self, Status::Overloaded | Status::Unreachable | Status::NotSent | Status::Absent)
     }
 }
 
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -320,7 +320,7 @@
     Status::Unreachable,
     Status::Broken,
     Status::Cancelled,
-    Status::Void,
+    Status::NotSent,
     Status::Absent,
     Status::Unknown,
 ];
@@ -1070,7 +1070,7 @@
         Status::Unreachable,
         Status::TimedOut,
         Status::Cancelled,
-        Status::Void,
+        Status::NotSent,
     ];
     for (cancel, left) in [(true, true), (true, false), (false, true), (false, false)] {
         for ending in endings {
