--- a/node/src/figures.rs
+++ b/node/src/figures.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use serde_json::{json, Map, Value};
-use shaletrail_policy::{ClassId, Listed};
+use shaletrail_policy::{ClassId, ServerCounts};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         Taken { figures: Rc::clone(self), class, end: Cell::new(None) }
     }
 
-    pub fn json(&self, listed: Listed, state: &str) -> Value {
+    pub fn json(&self, counts: ServerCounts, state: &str) -> Value {
         let count = |end: End| {
             let count = |(name, ends): &(String, RefCell<[u64; 3]>)| {
                 (name.clone(), Value::from(ends.borrow()[end as usize]))
@@ -55,8 +55,8 @@
             "failure": count(End::Failure),
             "backend_calls": self.backend_calls.get(),
             "inflight": self.inflight.get(),
-            "hosts_listed": listed.all,
-            "hosts_down": listed.avoided,
+            "hosts_listed": counts.listed,
+            "hosts_down": counts.avoided,
             "reconfig_ok": self.reconfig_ok.get(),
             "reconfig_failed": self.reconfig_failed.get(),
             "state": state,
@@ -100,7 +100,7 @@
     #[test]
     fn a_request_counts_once_and_not_without_an_end() {
         let figures = Rc::new(Figures::new(["read", "write"].map(String::from).into_iter()));
-        let json = || figures.json(Listed { all: 3, avoided: 1 }, "serving");
+        let json = || figures.json(ServerCounts { listed: 3, avoided: 1 }, "serving");
         assert_eq!(json()["success"], json!({"read": 0, "write": 0}));
         let (served, left) = (figures.take(ClassId(1)), figures.take(ClassId(0)));
         assert_eq!(json()["inflight"], 2);
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -10,8 +10,8 @@
 
 use hyper::header::HeaderValue;
 use shaletrail_policy::{
-    Action, AttemptId, Balancer, ClassId, Event, Key, Listed, NewRequest, Outcome, RequestId, RosterUpdate,
-    Seconds, ServerId, Status, TenantId, TimerToken,
+    Action, AttemptId, Balancer, ClassId, Event, Key, NewRequest, Outcome, RequestId, RosterUpdate, Seconds,
+    ServerCounts, ServerId, Status, TenantId, TimerToken,
 };
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -120,8 +120,8 @@
     }
 
     /// The module's view of its list.
-    pub fn listed(&self) -> Listed {
-        self.balancer.borrow().listed()
+    pub fn listed(&self) -> ServerCounts {
+        self.balancer.borrow().server_counts()
     }
 
     /// Tells the module of an event and carries out its answer.
@@ -196,7 +196,7 @@
 
     /// Takes a cache server out or calls it back. `None` if nobody has that name.
     pub fn set_by_hand(self: &Rc<Self>, server: &ServerId, out: bool) -> Option<std::io::Result<()>> {
-        if !self.by_hand.is_out(server) && !self.balancer.borrow().lists(server) {
+        if !self.by_hand.is_out(server) && !self.balancer.borrow().has_server(server) {
             return None;
         }
         let changed = self.by_hand.set(server, out, self.clock.now(), self.ramp);
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -20,17 +20,17 @@
     }
 
     /// Server counts as of the last event, for operators.
-    pub fn listed(&self) -> Listed {
+    pub fn server_counts(&self) -> ServerCounts {
         let node = &self.0;
         let servers = node.servers.values().filter(|s| self.is_listed(&s.entry));
         let avoided = servers
             .clone()
             .filter(|s| node.now < s.ejected_until || node.out_of_service.contains_key(&s.entry.server));
-        Listed { all: servers.count(), avoided: avoided.count() }
+        ServerCounts { listed: servers.count(), avoided: avoided.count() }
     }
 
     /// Whether the roster lists a cache server under this name.
-    pub fn lists(&self, server: &ServerId) -> bool {
+    pub fn has_server(&self, server: &ServerId) -> bool {
         self.0.servers.get(server).is_some_and(|s| self.is_listed(&s.entry))
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -534,9 +534,9 @@
 
 /// Numbers of servers in the roster, without the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Listed {
+pub struct ServerCounts {
     /// All servers in the roster.
-    pub all: usize,
+    pub listed: usize,
     /// Those that the node does not send to now: ejected, or taken out of service by operators.
     pub avoided: usize,
 }
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -700,10 +700,10 @@
     }
     node.advance(1.0);
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
-    assert_eq!(node.balancer.listed(), Listed { all: 6, avoided: 1 });
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 6, avoided: 1 });
     node.advance(6.0);
     assert_eq!(node.home(4000, keys[2]), id(1), "and back after its rest");
-    assert_eq!(node.balancer.listed(), Listed { all: 6, avoided: 0 });
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 6, avoided: 0 });
 }
 
 /// Guards against ejections by impatient clients. Time-outs of clients that wait for less than an answer
@@ -1358,7 +1358,7 @@
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).collect();
     let told = set_out_of_service(&mut node, id(1), None);
     assert!(told.contains(&Action::CloseIdle(id(1))));
-    assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 1 });
     for (n, state) in [ServerState::Ready, ServerState::Gone, ServerState::Ready].into_iter().enumerate() {
         node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry { state, ..entry(1) }])));
         node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry {
@@ -1372,7 +1372,7 @@
     set_out_of_service(&mut node, id(1), None);
     let at = node.now;
     set_out_of_service(&mut node, id(1), Some(at));
-    assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 0 });
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 0 });
     node.advance(1.0);
     let share = |node: &mut Node, from: u64| {
         keys.iter().filter(|&&key| node.home(from + key, key) == id(1)).count() as f64 / keys.len() as f64
@@ -1413,11 +1413,11 @@
 fn a_server_out_of_service_may_be_unlisted_and_stays_out_when_listed() {
     let mut node = Node::with_roster(settings(), 1, fleet(3));
     set_out_of_service(&mut node, id(4), None);
-    assert!(!node.balancer.lists(&id(4)) && node.balancer.lists(&id(3)));
-    assert_eq!(node.balancer.listed(), Listed { all: 3, avoided: 0 });
+    assert!(!node.balancer.has_server(&id(4)) && node.balancer.has_server(&id(3)));
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 3, avoided: 0 });
     node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
     assert!((0..400).all(|n| node.home(n, n) != id(4)));
-    assert_eq!(node.balancer.listed(), Listed { all: 4, avoided: 1 });
+    assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 1 });
     // Put back while unlisted, it is used as soon as the roster lists it.
     node.event(Event::Roster(RosterUpdate::Full(fleet(3))));
     let at = node.now;
@@ -1434,7 +1434,7 @@
     for server in [id(1), id(2)] {
         set_out_of_service(&mut node, server, None);
     }
-    assert!(!node.balancer.lists(&id(998)), "the origin is no cache server");
+    assert!(!node.balancer.has_server(&id(998)), "the origin is no cache server");
     assert_eq!(sent(&node.request(read(1, 1))), [id(998)]);
     let actions: Vec<Action> = (2..200).flat_map(|n| node.request(read(n, n))).collect();
     assert!(sent(&actions).len() < 50, "no flood: {}", sent(&actions).len());
