--- a/ring/src/lib.rs
+++ b/ring/src/lib.rs
@@ -11,8 +11,7 @@
 pub const POINTS: f64 = 128.0;
 /// Points examined at most in the search for one that takes a key.
 pub const MAX_JUMPS: u64 = 32;
-/// Attempts that [`SlotArray::sequence`] evaluates; members that own none of their slots follow in slot
-/// order.
+/// Attempts evaluated by [`SlotArray::sequence`]; members that own none of their slots follow in slot order.
 pub const MAX_ATTEMPTS: u64 = 64;
 
 /// The splitmix64 finaliser, written out so that every port computes the same owners.
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -182,7 +182,7 @@
         self.route_pending();
     }
 
-    /// Updates points in the slot array by size, kept while a server is listed, and capacities.
+    /// Updates the points in the slot array, which servers keep while listed, and the capacities.
     fn refresh_slots(&mut self) {
         let by_weight = matches!(self.settings.weights, WeightSource::Nominal | WeightSource::Rough);
         let max_weight = self.servers.values().map(|s| s.entry.weight).fold(0.0, f64::max);
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -6,7 +6,7 @@
 use super::{server::Server, Node};
 use crate::interface::*;
 
-/// Part of the latency target, or of the client's time if less, for which a request may be held.
+/// Part of the latency target, or of the client's time if less, for which a request may wait for a server.
 pub(super) const HOLD_FRACTION: f64 = 0.25;
 
 impl Node {
@@ -73,7 +73,7 @@
     /// Sends, holds or ends a request that has no attempt in flight.
     pub(super) fn route(&mut self, id: RequestId) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.ended && r.in_flight() == 0) else { return };
-        if r.is_retry() && !self.retry_window.allows_retry(&self.budget, self.now, self.settings.round) {
+        if r.costs_budget() && !self.retry_window.allows_retry(&self.budget, self.now, self.settings.round) {
             return self.end(id);
         }
         let Some(r) = self.requests.get(&id) else { return };
@@ -88,7 +88,7 @@
         if let (false, true, Some((_, waiters))) = (r.write, to_origin, self.fetches.get_mut(&key)) {
             return waiters.push(id);
         }
-        // Limits what reaches the origin, writes less than reads: hits must not queue behind it.
+        // Limits what reaches the origin, writes less strictly than reads: hits must not queue behind it.
         let has_room = aside || !to_origin || self.origin_has_room(if r.write { 2.0 } else { 1.0 });
         if let Some(server) = target.filter(|_| has_room) {
             return self.send(id, &server, to_origin);
@@ -108,7 +108,7 @@
     fn send(&mut self, id: RequestId, server: &ServerId, to_origin: bool) {
         let stale_after = self.stale_after();
         let Some(r) = self.requests.get_mut(&id) else { return };
-        if r.is_retry() {
+        if r.costs_budget() {
             self.retry_window.retries.push_back(self.now);
         }
         let busy = |s: &Server| s.in_flight > 0 || s.last_used == 0.0;
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -41,7 +41,8 @@
         self.route_pending();
     }
 
-    /// Updates the state of a server when an attempt ends or its answer begins, and resumes reads of its key.
+    /// Updates a server when an attempt ends or its answer begins, and resumes reads that waited for its
+    /// fetch.
     pub(super) fn settle(&mut self, outcome: &Outcome) {
         let Some(r) = self.requests.get_mut(&outcome.request) else { return };
         let Some(attempt) = r.attempts.get_mut(outcome.attempt.0 as usize) else { return };
@@ -99,7 +100,7 @@
     }
 
     /// Rule 6: closes at the drain notice, after each outcome (`close_idle`) and while a server is listed, as
-    /// a connection may become idle after its outcome: a time-out leaves it busy, ordered answers wait.
+    /// a connection may become idle after its outcome: a time-out leaves it busy, answers may come in order.
     pub(super) fn close_drained(&mut self) {
         let Some(within) = self.settings.guarantees.close_on_drain else { return };
         self.next_close = self.now + (within / 4.0).max(MAX_TICK);
--- a/src/balance/placement.rs
+++ b/src/balance/placement.rs
@@ -6,7 +6,7 @@
 use super::{outcomes::SLOW_FLEET_DELAY, server::Server, Node, MIN_LIMIT};
 use crate::interface::*;
 
-/// ε of the cap. A jump costs a miss at the slow origin: the cap is against crowding, not for even load.
+/// ε of the cap. A jump costs a miss at the slow origin: the cap prevents crowding, not uneven load.
 const EPSILON: f64 = 0.7;
 /// Requests in flight at one server that the cap always allows: over all nodes (a few per core), and per node
 /// in aside mode, where a jump into a miss costs attempts and a fetch from the origin.
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -46,8 +46,9 @@
         self.attempts.iter().filter(|a| a.status.is_none()).count()
     }
 
-    /// A retry is neither the first attempt, nor one after `Absent`, nor one exempt from the budget.
-    pub(super) fn is_retry(&self) -> bool {
+    /// Whether the next attempt costs retry budget: neither the first, nor one after `Absent`, nor an exempt
+    /// one.
+    pub(super) fn costs_budget(&self) -> bool {
         !self.budget_exempt && self.attempts.last().is_some_and(|a| a.status != Some(Status::Absent))
     }
 }
--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -5,8 +5,8 @@
 use super::{figures::ConcurrencyLimit, MAX_TICK};
 use crate::interface::*;
 
-/// A server with two failures within the first time is ejected for about the second, by all nodes that are
-/// notified: an overloaded server recovers only when it is left idle.
+/// A server with two failures within `FAILURE_WINDOW` is ejected for about `EJECTION_TIME`, by all nodes that
+/// are notified: an overloaded server recovers only when it is left idle.
 pub(super) const FAILURE_WINDOW: Seconds = 2.0;
 pub(super) const EJECTION_TIME: Seconds = 4.0;
 
@@ -22,7 +22,7 @@
     pub(super) allowance: f64,
     /// Number in flight above which answers get slow, learnt from latencies.
     pub(super) limit: ConcurrencyLimit,
-    /// With a limit below 1, when it has paused for what it was sent; two pauses may be saved up.
+    /// With a limit below 1, end of the pauses after what it was sent; up to two pauses may be saved up.
     pub(super) paced_until: Seconds,
     /// When any node last saw it fail, and until when it is ejected.
     pub(super) last_failure: Seconds,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -115,7 +115,7 @@
 /// Meaning of [`RosterEntry::weight`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// A constant without meaning.
+    /// A constant; weights carry no information.
     #[default]
     Off,
     /// The registered size of the server.
