--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -54,7 +54,7 @@
     entries[1..].iter_mut().for_each(|e| e.weight = 100.0);
     let mut node = Node::with_roster(Settings { weights: WeightSource::Nominal, ..settings() }, 1, entries);
     let heavy = (0..2000).filter(|&n| node.home(n, n * 7919) == id(1)).count();
-    assert!((380..620).contains(&heavy), "a quarter of 2000 expected, got {heavy}");
+    assert!((380..620).contains(&heavy), "expected a quarter of 2000, got {heavy}");
 }
 
 #[test]
@@ -138,7 +138,7 @@
 fn a_request_is_held_for_at_most_part_of_its_clients_time() {
     let mut node = Node::with_roster(settings(), 1, vec![]);
     assert!(!refused(&node.request(NewRequest { left: 0.2, ..read(1, 1) })));
-    assert!(refused(&node.advance(0.06)), "a quarter of its time is over, of the aim it is not");
+    assert!(refused(&node.advance(0.06)), "a quarter of its time has passed, but not of the latency target");
 }
 
 /// Guards against late refusals: housekeeping used to run every 50 ms whatever the latency targets were.
@@ -153,7 +153,7 @@
                 Action::SetTimer { token: TimerToken(0), after } => Some(*after),
                 _ => None,
             });
-            ticks.next().expect("housekeeping goes on")
+            ticks.next().expect("the housekeeping timer is set again")
         };
         let mut after = tick(&node.event(Event::Roster(RosterUpdate::Full(vec![]))));
         assert!(after <= 0.05, "{after}");
@@ -281,7 +281,7 @@
     assert!(ended.contains(&Action::Fail(RequestId(1))), "may have run: {ended:?}");
     assert!(
         !node.advance(1.0).iter().any(|a| matches!(a, Action::Fail(_) | Action::Refuse { .. })),
-        "the others come"
+        "the bodies of the others are still arriving"
     );
 }
 
@@ -471,7 +471,7 @@
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Absent, None)), [origin().server]);
     let after = node.outcome(1, Status::Overloaded, None);
-    assert!(sent(&after).is_empty() && refused(&after), "no budget is left for one more");
+    assert!(sent(&after).is_empty() && refused(&after), "no budget is left for a retry");
 }
 
 #[test]
@@ -488,10 +488,13 @@
     // listed.
     assert!(closes(&node.advance(0.4), 1));
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
-    assert!(closes(&node.event(Event::Roster(RosterUpdate::Full(fleet(4)[1..].to_vec()))), 1), "it left");
+    assert!(
+        closes(&node.event(Event::Roster(RosterUpdate::Full(fleet(4)[1..].to_vec()))), 1),
+        "it left the roster"
+    );
     node.advance(1.0);
-    assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
-    assert!(!closes(&node.advance(2.0), 2), "those that stay are left open");
+    assert!(closes(&node.serve(900), 1), "an outcome after it left the roster");
+    assert!(!closes(&node.advance(2.0), 2), "connections to other servers stay open");
 }
 
 // ---- Discovery ----
@@ -513,9 +516,9 @@
         assert_eq!(subscribe_calls(&node.advance(3.0)), 1);
     }
     node.event(Event::Roster(RosterUpdate::Delta(vec![])));
-    assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a subscription is not asked for twice");
+    assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a subscribed node does not subscribe again");
     node.event(Event::Roster(RosterUpdate::Failed));
-    assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken one is asked for again");
+    assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken subscription is renewed");
 }
 
 #[test]
@@ -592,13 +595,13 @@
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     node.advance(2.0);
-    assert!(!closes(&node.request(read(1000, key))), "nothing is suspected yet");
+    assert!(!closes(&node.request(read(1000, key))), "no connection is suspected yet");
     node.now += 0.01;
     let again = node.outcome(1000, Status::Broken, None);
-    assert_eq!(sent(&again), [id(1)], "the server did not fail: the same one is asked again");
+    assert_eq!(sent(&again), [id(1)], "the server did not fail, so the retry goes to it");
     node.serve(1000);
     node.advance(0.3);
-    assert!(!closes(&node.request(read(1001, key))), "a short rest is harmless");
+    assert!(!closes(&node.request(read(1001, key))), "a short idle time is not suspicious");
     node.serve(1001);
     node.advance(3.0);
     let actions = node.request(read(1002, key));
@@ -641,7 +644,7 @@
         node.serve(n);
     }
     assert!(closed(&mut node, 2));
-    assert!(!(200..260).all(|n| closed(&mut node, n)), "and kept again when there is room");
+    assert!(!(200..260).all(|n| closed(&mut node, n)), "connections are kept once they are no longer scarce");
 }
 
 /// Guards against a fetch limit that shuts. Where caches don't report hits, only errors used to count as
@@ -693,7 +696,7 @@
     let told = Action::NotifyPeers(id(1).0.as_bytes().to_vec());
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&told));
     node.advance(0.5);
-    assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
+    assert_eq!(node.home(2000, keys[1]), id(1), "a single time-out does not eject");
     // Another node saw a time-out too; messages that are not the address of a known server are ignored.
     for bytes in [id(1).0.as_bytes().to_vec(), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
@@ -702,7 +705,7 @@
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 6, avoided: 1 });
     node.advance(6.0);
-    assert_eq!(node.home(4000, keys[2]), id(1), "and back after its rest");
+    assert_eq!(node.home(4000, keys[2]), id(1), "it is used again after its ejection");
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 6, avoided: 0 });
 }
 
@@ -719,11 +722,11 @@
     let mut told = 0;
     for (n, &key) in (10_000..10_400).zip(keys.iter().cycle()) {
         let first = node.request(NewRequest { left: 0.06, ..read(n, key) });
-        assert_eq!(sent(&first).len(), 1, "request {n} finds a server");
+        assert_eq!(sent(&first).len(), 1, "request {n} is sent to a server");
         // Every other request gets as far as the origin.
         let at_origin = n % 2 == 0 && {
             let next = node.outcome(n, Status::Absent, None);
-            assert_eq!(sent(&next), [id(998)], "request {n} finds the origin");
+            assert_eq!(sent(&next), [id(998)], "request {n} is sent to the origin");
             true
         };
         node.now += 0.05;
@@ -734,7 +737,7 @@
         }
     }
     assert_eq!(told, 0);
-    assert_eq!(node.home(20_000, keys[0]), id(1), "who waits longer finds the key at its home");
+    assert_eq!(node.home(20_000, keys[0]), id(1), "a patient client reads the key from its home server");
 }
 
 /// Guards against lost attempts that count as crowding. One attempt in a hundred got no answer at any server,
@@ -749,16 +752,16 @@
         sent(&node.outcome(n, Status::Absent, None)) == [id(998)]
     };
     for n in (1_000..1_080).step_by(2) {
-        assert!(fetch(&mut node, n), "request {n} finds the origin");
+        assert!(fetch(&mut node, n), "request {n} is sent to the origin");
         node.now += 0.01;
-        assert!(fetch(&mut node, n + 1), "request {} finds the origin", n + 1);
+        assert!(fetch(&mut node, n + 1), "request {} is sent to the origin", n + 1);
         node.now += 0.02;
         node.outcome(n + 1, Status::Success, Some(CacheNote::Miss));
         node.advance(0.9);
         node.outcome(n, Status::TimedOut, None);
     }
     let together = (2_000..2_006).filter(|&n| fetch(&mut node, n)).count();
-    assert_eq!(together, 6, "as many as before may be fetched at once");
+    assert_eq!(together, 6, "the limit allows as many fetches as before");
 }
 
 /// Guards against ejections by connection resets. On some days each tenth connection was reset, at every
@@ -773,7 +776,7 @@
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     for (n, keys) in (2_000..).step_by(4).zip(keys.chunks_exact(4)).take(8) {
         for (n, &key) in (n..).zip(keys) {
-            assert_eq!(sent(&node.request(read(n, key))), [id(1)], "request {n} goes home");
+            assert_eq!(sent(&node.request(read(n, key))), [id(1)], "request {n} goes to its home server");
             node.now += 0.01;
             let actions = if n % 4 == 0 { node.serve(n) } else { node.outcome(n, Status::Broken, None) };
             assert!(!actions.iter().any(|a| matches!(a, Action::NotifyPeers(_))), "{actions:?}");
@@ -795,10 +798,10 @@
     node.request(read(2_001, keys[1]));
     node.now += 0.01;
     node.serve(2_001);
-    assert!(node.advance(0.1).contains(&cancel), "it has answered a later one");
+    assert!(node.advance(0.1).contains(&cancel), "the server has answered a later attempt");
     let again = node.outcome(2_000, Status::Cancelled, None);
-    assert_eq!(sent(&again).len(), 1, "and the request is sent on");
-    assert_ne!(sent(&again), [id(1)], "elsewhere, as some servers lose all of one class");
+    assert_eq!(sent(&again).len(), 1, "the request is retried");
+    assert_ne!(sent(&again), [id(1)], "the retry goes elsewhere, as some servers lose all of one class");
     node.serve(2_000);
     // A key that is not cached is fetched through its server, which takes longer.
     let fetched = (500..900).find(|&n| sent(&node.request(read(4_000 + n, n))) == [id(1)]).unwrap();
@@ -826,7 +829,7 @@
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(4).collect();
     let other = |n, key| NewRequest { class: Some(KEYED), ..read(n, key) };
     for (n, &key) in (2_000..).step_by(10).zip(&keys[..2]) {
-        assert_eq!(sent(&node.request(read(n, key))), [id(1)], "one may be chance");
+        assert_eq!(sent(&node.request(read(n, key))), [id(1)], "a single lost attempt does not count");
         node.now += 0.01;
         node.request(other(n + 1, keys[2]));
         node.now += 0.01;
@@ -835,11 +838,11 @@
         node.outcome(n, Status::Cancelled, None);
         node.serve(n);
     }
-    assert_ne!(node.home(3_000, keys[3]), id(1), "two in a row are the server's");
-    assert_eq!(sent(&node.request(other(3_001, keys[3]))), [id(1)], "which answers other classes");
+    assert_ne!(node.home(3_000, keys[3]), id(1), "two in a row count against the server");
+    assert_eq!(sent(&node.request(other(3_001, keys[3]))), [id(1)], "the server still gets other classes");
     node.serve(3_001);
     node.advance(3.0);
-    assert_eq!(node.home(3_002, keys[3]), id(1), "and is tried again");
+    assert_eq!(node.home(3_002, keys[3]), id(1), "the server is tried again");
 }
 
 /// Guards against errors without effect in aside mode: three of fifteen cache servers that answered 500 to
@@ -858,7 +861,7 @@
     }
     assert_ne!(node.home(3_000, keys[2]), id(1));
     node.advance(3.0);
-    assert_eq!(node.home(3_001, keys[2]), id(1), "and is tried again");
+    assert_eq!(node.home(3_001, keys[2]), id(1), "the server is tried again");
 
     let mut node = Node::with_roster(aside, 1, entries);
     for n in 0..200 {
@@ -868,7 +871,7 @@
         }
         node.advance(0.005);
     }
-    assert_eq!(node.home(5_000, keys[3]), id(1), "all have lost it: keys stay at home");
+    assert_eq!(node.home(5_000, keys[3]), id(1), "all servers fail the class, so keys stay at their homes");
 }
 
 /// Guards against refusals while the origin has room: where a class failed at all cache servers, retries ran
@@ -1088,7 +1091,7 @@
             for n in 2..=3 {
                 assert!(sent(&node.outcome(n, Status::Absent, Some(CacheNote::Miss))).is_empty());
             }
-            assert!(node.event(Event::Withdrawn(RequestId(3))).is_empty(), "it had nothing out");
+            assert!(node.event(Event::Withdrawn(RequestId(3))).is_empty(), "it had no attempt in flight");
             let withdrawn = if left { node.event(Event::Withdrawn(RequestId(1))) } else { Vec::new() };
             let called_off = withdrawn.iter().any(|action| matches!(action, Action::Cancel { .. }));
             assert_eq!(called_off, left && cancel);
@@ -1229,7 +1232,10 @@
         node.outcome(1000 + n as u64, Status::Broken, None);
         node.serve(1000 + n as u64);
     }
-    assert!((0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2, "all but shut");
+    assert!(
+        (0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2,
+        "hardly any request is sent to it"
+    );
     let started = RosterEntry { started: Some(node.now), ..entry(1) };
     node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
     assert!(!at_once(&mut node, 3000, 400).is_empty());
@@ -1275,7 +1281,7 @@
         count
     };
     let at_once = (1..20).map(|n| sends(&mut node, n)).sum::<usize>();
-    assert!((1..=6).contains(&at_once), "{at_once} of 20, with what was saved up");
+    assert!((1..=6).contains(&at_once), "{at_once} of 20 sent, including the burst");
     node.advance(3.0);
     assert_eq!(sends(&mut node, 30), 1);
 }
@@ -1437,7 +1443,7 @@
     assert!(!node.balancer.has_server(&id(998)), "the origin is no cache server");
     assert_eq!(sent(&node.request(read(1, 1))), [id(998)]);
     let actions: Vec<Action> = (2..200).flat_map(|n| node.request(read(n, n))).collect();
-    assert!(sent(&actions).len() < 50, "no flood: {}", sent(&actions).len());
+    assert!(sent(&actions).len() < 50, "origin flooded with {} requests", sent(&actions).len());
     let ended = node.advance(1.0).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
     assert!(ended > 100, "the others are refused: {ended}");
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -38,9 +38,9 @@
 #[derive(Default)]
 struct Checker {
     requests: BTreeMap<RequestId, RequestState>,
-    left: BTreeMap<ServerId, Seconds>,
-    taken: Vec<Seconds>,
-    extra: Vec<Seconds>,
+    draining: BTreeMap<ServerId, Seconds>,
+    request_times: Vec<Seconds>,
+    retry_times: Vec<Seconds>,
     /// When each server was last sent to or heard from, and when its connections were last closed.
     used: BTreeMap<ServerId, Seconds>,
     closed: BTreeMap<ServerId, Seconds>,
@@ -55,10 +55,10 @@
                     return Err("send after the final answer".into());
                 }
                 if !settings.limits.parallel_attempts && r.sent.iter().any(|s| s.status.is_none()) {
-                    return Err("a second attempt while one is out".into());
+                    return Err("a second attempt while one is in flight".into());
                 }
-                if self.left.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
-                    return Err("send to a server that drains".into());
+                if self.draining.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
+                    return Err("send to a draining server".into());
                 }
                 let ran: Vec<&SentAttempt> =
                     r.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
@@ -76,11 +76,11 @@
                 }
                 if let (Some(b), Some(last)) = (&settings.guarantees.budget, r.sent.last()) {
                     if last.status != Some(Status::Absent) {
-                        self.extra.push(now);
+                        self.retry_times.push(now);
                         let within = |times: &[Seconds]| times.iter().filter(|&&t| t > now - b.span).count();
-                        let allowed = b.free + b.ratio * within(&self.taken) as f64;
-                        if within(&self.extra) as f64 > allowed {
-                            return Err("a further attempt beyond the budget".into());
+                        let allowed = b.free + b.ratio * within(&self.request_times) as f64;
+                        if within(&self.retry_times) as f64 > allowed {
+                            return Err("a retry beyond the budget".into());
                         }
                     }
                 }
@@ -94,11 +94,11 @@
                 }
                 let ran = r.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
                 if matches!(action, Action::Refuse { .. }) && r.class != READ && ran {
-                    return Err("a refusal that may not be given".into());
+                    return Err("a refusal that is not allowed".into());
                 }
             }
             Action::NotifyPeers(_) if !settings.limits.peer_messages => {
-                return Err("a message that may not be sent".into())
+                return Err("a message that is not allowed".into())
             }
             Action::CloseIdle(server) => {
                 self.closed.insert(server.clone(), now);
@@ -111,8 +111,8 @@
     /// Rule 6: connections to a draining server are closed in time after the notice or the last use.
     fn check_closed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
         let Some(within) = settings.guarantees.close_on_drain else { return Ok(()) };
-        for (server, &left) in &self.left {
-            let due = left.max(self.used.get(server).copied().unwrap_or(0.0));
+        for (server, &notified) in &self.draining {
+            let due = notified.max(self.used.get(server).copied().unwrap_or(0.0));
             if now > due + within && self.closed.get(server).is_none_or(|&at| at < due) {
                 return Err(format!("connections to {server:?} left open"));
             }
@@ -208,7 +208,7 @@
                 let sent = Vec::new();
                 let request = RequestState { class, deadline: now + left, sent, answered: false };
                 checker.requests.insert(RequestId(next_id), request);
-                checker.taken.push(now);
+                checker.request_times.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
@@ -225,9 +225,9 @@
                 list[index].state = state;
                 if state == ServerState::Ready {
                     list[index].started = Some(now);
-                    checker.left.remove(&list[index].server);
+                    checker.draining.remove(&list[index].server);
                 } else {
-                    checker.left.entry(list[index].server.clone()).or_insert(now);
+                    checker.draining.entry(list[index].server.clone()).or_insert(now);
                 }
                 events.push(Event::Roster(RosterUpdate::Delta(vec![list[index].clone()])));
             }
@@ -281,7 +281,7 @@
         actions.extend(sends);
     };
     assert!(run(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
-    assert!(run(2, 3000, twice).unwrap_err().contains("while one is out"));
+    assert!(run(2, 3000, twice).unwrap_err().contains("while one is in flight"));
     let drop_failures = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
     assert!(run(1, 6000, drop_failures).unwrap_err().contains("not answered in time"));
     let refuse_always = |actions: &mut Vec<Action>| {
@@ -291,7 +291,7 @@
             }
         }
     };
-    assert!(run(1, 6000, refuse_always).unwrap_err().contains("may not be given"));
+    assert!(run(1, 6000, refuse_always).unwrap_err().contains("refusal that is not allowed"));
     let keep_open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
     assert!(run(4, 3000, keep_open).unwrap_err().contains("left open"));
 }
