--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -140,7 +140,7 @@
         }
         "arrival" => {
             let id = RequestId(f.required("request id")?);
-            let left = f.seconds("time left")?.unwrap_or(0.0);
+            let time_left = f.seconds("time left")?.unwrap_or(0.0);
             let work = f.seconds("work hint")?;
             let bits = f.optional::<u64>("bitmap")?.unwrap_or(0);
             let names = names()?;
@@ -150,7 +150,7 @@
             let key = f.optional("key")?.map(Key);
             let work = work.filter(|_| bits & 1 != 0);
             let write = bits & 4 != 0;
-            Event::Request(NewRequest { id, left, class, tenant, key, write, work, body_pending: false })
+            Event::Request(NewRequest { id, time_left, class, tenant, key, write, work, body_pending: false })
         }
         "head_received" => Event::StreamStarted {
             request: RequestId(f.required("request id")?),
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -242,7 +242,7 @@
         let ticket = Ticket { id, host: Rc::clone(self), answered, until, taken: Some(arrival.taken) };
         self.tell(Event::Request(NewRequest {
             id,
-            left: left.as_secs_f64(),
+            time_left: left.as_secs_f64(),
             class: arrival.class,
             tenant: arrival.tenant,
             key: Some(arrival.key),
@@ -260,7 +260,7 @@
             News::Spent => host.tell(Event::BodyConsumed(request)),
             News::Received => {
                 host.move_deadline(request, Instant::now() + left);
-                host.tell(Event::BodyReceived { request, left: left.as_secs_f64() });
+                host.tell(Event::BodyReceived { request, time_left: left.as_secs_f64() });
             }
         });
     }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -126,7 +126,7 @@
         match event {
             Event::Roster(update) => self.on_roster(update),
             Event::Request(new) => self.on_request(new),
-            Event::BodyReceived { request, left } => self.on_body_received(request, left),
+            Event::BodyReceived { request, time_left } => self.on_body_received(request, time_left),
             Event::BodyConsumed(request) => {
                 self.requests.entry(request).and_modify(|r| r.body_consumed = true);
             }
@@ -216,8 +216,8 @@
     /// Refills the allowances of cold servers, at half the overload multiple of the mean rate for their
     /// capacity: popular keys alone, requested by all nodes, could overload a cold server.
     fn refresh_allowances(&mut self) {
-        let left = 1.0 - self.tick / self.warmup_time();
-        self.tenants.iter_mut().for_each(|t| t.rate *= left);
+        let decay = 1.0 - self.tick / self.warmup_time();
+        self.tenants.iter_mut().for_each(|t| t.rate *= decay);
         let multiple = self.settings.guarantees.overload_multiple / 2.0;
         let requests = self.request_rate();
         for s in self.servers.values_mut().filter(|s| s.capacity < s.size) {
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -14,7 +14,7 @@
         if self.requests.contains_key(&new.id) {
             return;
         }
-        // Called only to drop entries that have left the span, so that memory stays bounded.
+        // Called only to drop entries that have time_left the span, so that memory stays bounded.
         self.retry_window.allows_retry(&self.budget, self.now, self.settings.round);
         self.retry_window.requests.push_back(self.now);
         let key = new.key.unwrap_or(Key(mix(new.id.0)));
@@ -27,36 +27,36 @@
             key,
             write: new.write,
             arrived: self.now,
-            deadline: self.now + new.left,
+            deadline: self.now + new.time_left,
             work: new.work.unwrap_or(0.0).max(0.0),
             over_quota,
             draw: self.random(),
             body_pending: new.body_pending,
             ..Request::default()
         };
-        self.set_deadline_timer(new.id, new.left);
+        self.set_deadline_timer(new.id, new.time_left);
         self.requests.insert(new.id, request);
         self.route(new.id);
     }
 
     /// Sets the timer that ends a request ahead of its client's deadline, whatever happens.
-    fn set_deadline_timer(&mut self, id: RequestId, left: Seconds) {
-        let after = (left - 2.0 * self.settings.round).max(0.0);
+    fn set_deadline_timer(&mut self, id: RequestId, time_left: Seconds) {
+        let after = (time_left - 2.0 * self.settings.round).max(0.0);
         self.actions.push(Action::SetTimer { token: TimerToken(id.0 + 1), after });
     }
 
     /// The body is complete: the client's time starts, and so does the service time of the attempt in flight.
-    pub(super) fn on_body_received(&mut self, id: RequestId, left: Seconds) {
+    pub(super) fn on_body_received(&mut self, id: RequestId, time_left: Seconds) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.body_pending && !r.ended) else { return };
-        (r.body_pending, r.deadline) = (false, now + left);
+        (r.body_pending, r.deadline) = (false, now + time_left);
         if let Some(a) = r.attempts.last_mut().filter(|a| a.status.is_none()) {
             (a.sent, a.counted) = (now, true);
             let server = a.server.clone();
             self.in_flight += 1;
             self.servers.entry(server).and_modify(|s| s.in_flight += 1);
         }
-        self.set_deadline_timer(id, left);
+        self.set_deadline_timer(id, time_left);
     }
 
     /// The start of an answer settles its attempt: the server has done its work, and the rest is transfer.
@@ -126,9 +126,9 @@
         if to_origin && !r.write {
             self.fetches.entry(r.key).or_insert((id, Vec::new()));
         }
-        let left = r.deadline - self.now - 2.0 * self.settings.round;
+        let time_left = r.deadline - self.now - 2.0 * self.settings.round;
         self.in_flight += u32::from(counted);
-        let timeout = Some(left.max(self.settings.round));
+        let timeout = Some(time_left.max(self.settings.round));
         self.actions.push(Action::Send { request: id, server: server.clone(), timeout });
         if let Some(s) = self.servers.get_mut(server) {
             s.in_flight += u32::from(counted);
--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -60,7 +60,7 @@
             return 1.0;
         }
         let started = self.entry.started.unwrap_or(f64::NEG_INFINITY);
-        let left = (1.0 - (now - started) / guarantees.warmup_time.max(MAX_TICK)).clamp(0.0, 1.0);
-        1.0 - (1.0 - guarantees.cold_capacity) * left
+        let remaining = (1.0 - (now - started) / guarantees.warmup_time.max(MAX_TICK)).clamp(0.0, 1.0);
+        1.0 - (1.0 - guarantees.cold_capacity) * remaining
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -353,7 +353,7 @@
     /// Assigned by the host.
     pub id: RequestId,
     /// Time until the client gives up on this try.
-    pub left: Seconds,
+    pub time_left: Seconds,
     /// `None` if the class is unknown.
     pub class: Option<ClassId>,
     /// `None` if it has no tenant.
@@ -364,7 +364,7 @@
     pub write: bool,
     /// Estimated cost in core time, if there is a hint.
     pub work: Option<Seconds>,
-    /// Its body is still arriving: `left` is only an upper bound, and [`Event::BodyReceived`] follows.
+    /// Its body is still arriving: `time_left` is only an upper bound, and [`Event::BodyReceived`] follows.
     pub body_pending: bool,
 }
 
@@ -440,7 +440,7 @@
         /// The request whose body is complete.
         request: RequestId,
         /// Time until the client gives up on this try.
-        left: Seconds,
+        time_left: Seconds,
     },
     /// Part of the request's body was forwarded and not kept: the request can't be sent again.
     BodyConsumed(RequestId),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -56,7 +56,7 @@
 //! // A request arrives, and the balancer asks the host to send it to the server.
 //! let request = NewRequest {
 //!     id: RequestId(1),
-//!     left: 1.0,
+//!     time_left: 1.0,
 //!     class: Some(ClassId(0)),
 //!     tenant: None,
 //!     key: Some(Key(7)),
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -137,7 +137,7 @@
 #[test]
 fn a_request_is_held_for_at_most_part_of_its_clients_time() {
     let mut node = Node::with_roster(settings(), 1, vec![]);
-    assert!(!refused(&node.request(NewRequest { left: 0.2, ..read(1, 1) })));
+    assert!(!refused(&node.request(NewRequest { time_left: 0.2, ..read(1, 1) })));
     assert!(refused(&node.advance(0.06)), "a quarter of its time has passed, but not of the latency target");
 }
 
@@ -158,7 +158,7 @@
         let mut after = tick(&node.event(Event::Roster(RosterUpdate::Full(vec![]))));
         assert!(after <= 0.05, "{after}");
         let asked = node.now;
-        assert!(!refused(&node.request(NewRequest { left: 2.0 * target, ..read(1, 1) })));
+        assert!(!refused(&node.request(NewRequest { time_left: 2.0 * target, ..read(1, 1) })));
         loop {
             node.now += after;
             let actions = node.event(Event::Timer(TimerToken(0)));
@@ -258,8 +258,13 @@
 fn the_time_of_a_long_request_starts_with_its_last_byte() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
-    let write =
-        |n| NewRequest { class: Some(KEYED), write: true, body_pending: true, left: 600.0, ..read(n, n) };
+    let write = |n| NewRequest {
+        class: Some(KEYED),
+        write: true,
+        body_pending: true,
+        time_left: 600.0,
+        ..read(n, n)
+    };
     // As many writes as would make a read wait at the origin; while their bodies arrive, none counts in
     // flight.
     for n in 1..=30 {
@@ -269,13 +274,13 @@
     let miss = node.outcome(100, Status::Absent, Some(CacheNote::Miss));
     assert_eq!(sent(&miss), [id(998)]);
     node.advance(20.0);
-    let left = 1.0;
-    let told = node.event(Event::BodyReceived { request: RequestId(1), left });
+    let time_left = 1.0;
+    let told = node.event(Event::BodyReceived { request: RequestId(1), time_left });
     let after = told.iter().find_map(|action| match action {
         Action::SetTimer { token: TimerToken(2), after } => Some(*after),
         _ => None,
     });
-    assert!(after.is_some_and(|after| after <= left), "{told:?}");
+    assert!(after.is_some_and(|after| after <= time_left), "{told:?}");
     node.now += after.unwrap_or(0.0);
     let ended = node.event(Event::Timer(TimerToken(2)));
     assert!(ended.contains(&Action::Fail(RequestId(1))), "may have run: {ended:?}");
@@ -294,8 +299,13 @@
     {
         for spent in [false, true] {
             let mut node = Node::with_roster(aside.clone(), 1, origins.to_vec());
-            let new =
-                NewRequest { class: Some(UNSAFE), write: true, body_pending: true, left: 60.0, ..read(1, 1) };
+            let new = NewRequest {
+                class: Some(UNSAFE),
+                write: true,
+                body_pending: true,
+                time_left: 60.0,
+                ..read(1, 1)
+            };
             node.request(new);
             if spent {
                 node.event(Event::BodyConsumed(RequestId(1)));
@@ -352,7 +362,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window() {
     let mut node = Node::with_roster(settings(), 1, fleet(6));
-    node.request(NewRequest { class: Some(KEYED), left: 2.0, ..read(1, 5) });
+    node.request(NewRequest { class: Some(KEYED), time_left: 2.0, ..read(1, 5) });
     node.now += 1.2;
     let actions = node.outcome(1, Status::Broken, None);
     assert!(sent(&actions).is_empty());
@@ -481,7 +491,7 @@
     let closes = |actions: &[Action], n| actions.contains(&Action::CloseIdle(id(n)));
     let mut node = Node::with_roster(closing, 1, fleet(4));
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
-    node.request(NewRequest { left: 1.9, ..read(900, key) });
+    node.request(NewRequest { time_left: 1.9, ..read(900, key) });
     let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain.clone()]))), 1));
     // With answers in order, a connection may become idle unnoticed, so closing is repeated while it is
@@ -721,7 +731,7 @@
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     let mut told = 0;
     for (n, &key) in (10_000..10_400).zip(keys.iter().cycle()) {
-        let first = node.request(NewRequest { left: 0.06, ..read(n, key) });
+        let first = node.request(NewRequest { time_left: 0.06, ..read(n, key) });
         assert_eq!(sent(&first).len(), 1, "request {n} is sent to a server");
         // Every other request gets as far as the origin.
         let at_origin = n % 2 == 0 && {
@@ -748,7 +758,7 @@
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut node = Node::with_roster(aside, 1, fleet(6).into_iter().chain([origin()]).collect());
     let fetch = |node: &mut Node, n: u64| {
-        node.request(NewRequest { left: 0.9, ..read(n, n) });
+        node.request(NewRequest { time_left: 0.9, ..read(n, n) });
         sent(&node.outcome(n, Status::Absent, None)) == [id(998)]
     };
     for n in (1_000..1_080).step_by(2) {
@@ -1060,7 +1070,7 @@
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// However a fetch ends, and whether or not its own client has left: the reads that wait for it go on, once,
+/// However a fetch ends, and whether or not its own client has time_left: the reads that wait for it go on, once,
 /// except those whose client has left.
 #[test]
 fn reads_that_wait_for_a_fetch_go_on_however_it_ends() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -83,7 +83,7 @@
 pub fn read(n: u64, key: u64) -> NewRequest {
     NewRequest {
         id: RequestId(n),
-        left: 1.0,
+        time_left: 1.0,
         class: Some(READ),
         tenant: None,
         key: Some(Key(key)),
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -203,17 +203,17 @@
         match rng.below(10) {
             0..=5 => {
                 let class = [READ, READ, KEYED, UNSAFE][rng.below(4) as usize];
-                let left = 0.05 + rng.below(100) as f64 * 0.01;
+                let time_left = 0.05 + rng.below(100) as f64 * 0.01;
                 next_id += 1;
                 let sent = Vec::new();
-                let request = RequestState { class, deadline: now + left, sent, answered: false };
+                let request = RequestState { class, deadline: now + time_left, sent, answered: false };
                 checker.requests.insert(RequestId(next_id), request);
                 checker.request_times.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
                     class: Some(class),
-                    left,
+                    time_left,
                     write,
                     ..read(next_id, key)
                 }));
