--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -14,7 +14,7 @@
         if self.requests.contains_key(&new.id) {
             return;
         }
-        // Called only to drop entries that have time_left the span, so that memory stays bounded.
+        // Called only to drop entries that have left the span, so that memory stays bounded.
         self.retry_window.allows_retry(&self.budget, self.now, self.settings.round);
         self.retry_window.requests.push_back(self.now);
         let key = new.key.unwrap_or(Key(mix(new.id.0)));
