--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -10,8 +10,8 @@
 
 use hyper::header::HeaderValue;
 use shaletrail_policy::{
-    Action, AttemptId, Balancer, ClassId, Event, Key, Listed, NewRequest, Outcome, RequestId, RosterNews,
-    Seconds, ServerId, Status, TenantId, TimerToken,
+    Action, AttemptId, Balancer, ClassId, Event, Key, NewRequest, Outcome, RequestId, RosterUpdate, Seconds,
+    ServerCounts, ServerId, Status, TenantId, TimerToken,
 };
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -103,7 +103,7 @@
             attempts: RefCell::default(),
             upstreams,
             disabled_servers,
-            enabled_at_retention: config.settings.guarantees.ramp,
+            enabled_at_retention: config.settings.guarantees.warmup_time,
             discovery,
             peers,
             metrics,
@@ -125,8 +125,8 @@
     }
 
     /// Number of listed and of avoided servers, as the balancer sees them.
-    pub fn listed(&self) -> Listed {
-        self.balancer.borrow().listed()
+    pub fn server_counts(&self) -> ServerCounts {
+        self.balancer.borrow().server_counts()
     }
 
     /// Passes an event to the balancer and executes the resulting actions.
@@ -151,7 +151,7 @@
             Action::SetTimer { token, after } => self.set_timer(token, after),
             Action::Probe(server) => self.probe(server),
             Action::CloseIdle(server) => self.upstreams.close_idle(&server),
-            Action::Tell(bytes) => {
+            Action::NotifyPeers(bytes) => {
                 if let Some(peers) = &self.peers {
                     peers.send(&bytes);
                 }
@@ -184,9 +184,9 @@
         self.upstreams.update(&list);
         let entries = list.servers.into_iter().map(|(entry, _)| entry).collect();
         self.handle_event(Event::Roster(match (list.full, cached) {
-            (_, true) => RosterNews::Cached(entries),
-            (true, false) => RosterNews::Full(entries),
-            (false, false) => RosterNews::Delta(entries),
+            (_, true) => RosterUpdate::Cached(entries),
+            (true, false) => RosterUpdate::Full(entries),
+            (false, false) => RosterUpdate::Delta(entries),
         }));
     }
 
@@ -194,7 +194,7 @@
     pub fn on_event(self: &Rc<Self>, event: HostEvent) {
         match event {
             HostEvent::List(list) => self.on_list(list, false),
-            HostEvent::ListFailed => self.handle_event(Event::Roster(RosterNews::Failed)),
+            HostEvent::ListFailed => self.handle_event(Event::Roster(RosterUpdate::Failed)),
             HostEvent::PeerMessage { from, bytes } => self.handle_event(Event::Message { from, bytes }),
         }
     }
@@ -202,7 +202,7 @@
     /// Disables or enables a cache server. Returns `None` if no server has that name, otherwise whether the
     /// state was written to the file.
     pub fn set_disabled(self: &Rc<Self>, server: &ServerId, disabled: bool) -> Option<std::io::Result<()>> {
-        if !self.disabled_servers.is_disabled(server) && !self.balancer.borrow().lists(server) {
+        if !self.disabled_servers.is_disabled(server) && !self.balancer.borrow().has_server(server) {
             return None;
         }
         let result =
@@ -233,7 +233,7 @@
                 server.0,
                 if enabled_at.is_some() { "enabled by an operator" } else { "disabled by an operator" }
             );
-            self.handle_event(Event::ByHand { server, back: enabled_at });
+            self.handle_event(Event::OutOfService { server, restored_at: enabled_at });
         }
     }
 
@@ -262,13 +262,13 @@
         };
         self.handle_event(Event::Request(NewRequest {
             id,
-            left: left.as_secs_f64(),
+            time_left: left.as_secs_f64(),
             class: incoming.class,
             tenant: incoming.tenant,
             key: Some(incoming.key),
             write: incoming.write,
             work: incoming.work,
-            coming: streamed_body,
+            body_pending: streamed_body,
         }));
         pending
     }
@@ -277,10 +277,10 @@
     fn follow_body(self: &Rc<Self>, request: RequestId, body: &StreamedBody, left: Duration) {
         let host = Rc::clone(self);
         body.on_event(move |event| match event {
-            BodyEvent::Consumed => host.handle_event(Event::Spent(request)),
+            BodyEvent::Consumed => host.handle_event(Event::BodyConsumed(request)),
             BodyEvent::Received => {
                 host.move_deadline(request, Instant::now() + left);
-                host.handle_event(Event::Received { request, left: left.as_secs_f64() });
+                host.handle_event(Event::BodyReceived { request, time_left: left.as_secs_f64() });
             }
         });
     }
@@ -335,7 +335,7 @@
             let stop = async {
                 tokio::select! {
                     () = sleep(wait) => (Status::TimedOut, Status::Unreachable),
-                    _ = cancelled => (Status::Cancelled, Status::Void),
+                    _ = cancelled => (Status::Cancelled, Status::NotSent),
                 }
             };
             let mut stop = std::pin::pin!(stop);
@@ -429,7 +429,7 @@
     fn drop(&mut self) {
         if !self.reported {
             let host = Rc::clone(&self.host);
-            host.on_attempt_end(self, self.stopped(Status::Broken, Status::Void));
+            host.on_attempt_end(self, self.stopped(Status::Broken, Status::NotSent));
         }
     }
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use serde_json::{json, Map, Value};
-use shaletrail_policy::{ClassId, Listed};
+use shaletrail_policy::{ClassId, ServerCounts};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         ActiveRequest { metrics: Rc::clone(self), class, end: Cell::new(None) }
     }
 
-    pub fn to_json(&self, listed: Listed, state: &str) -> Value {
+    pub fn to_json(&self, servers: ServerCounts, state: &str) -> Value {
         let count = |end: RequestEnd| {
             let count = |(name, counts): &(String, RefCell<[u64; 3]>)| {
                 (name.clone(), Value::from(counts.borrow()[end as usize]))
@@ -55,8 +55,8 @@
             "failure": count(RequestEnd::Failure),
             "backend_calls": self.backend_calls.get(),
             "inflight": self.in_flight.get(),
-            "hosts_listed": listed.all,
-            "hosts_down": listed.avoided,
+            "hosts_listed": servers.listed,
+            "hosts_down": servers.avoided,
             "reconfig_ok": self.reconfig_ok.get(),
             "reconfig_failed": self.reconfig_failed.get(),
             "state": state,
@@ -101,7 +101,7 @@
     #[test]
     fn a_request_is_counted_once_and_only_if_it_ended() {
         let metrics = Rc::new(Metrics::new(["read", "write"].map(String::from).into_iter()));
-        let json = || metrics.to_json(Listed { all: 3, avoided: 1 }, "serving");
+        let json = || metrics.to_json(ServerCounts { listed: 3, avoided: 1 }, "serving");
         assert_eq!(json()["success"], json!({"read": 0, "write": 0}));
         let (served, left) = (metrics.begin_request(ClassId(1)), metrics.begin_request(ClassId(0)));
         assert_eq!(json()["inflight"], 2);
--- a/node/src/operator_api.rs
+++ b/node/src/operator_api.rs
@@ -215,7 +215,7 @@
     }
 
     fn metrics(&self) -> Response<Full<Bytes>> {
-        let metrics = self.host.metrics.to_json(self.host.listed(), self.lifecycle.state().name());
+        let metrics = self.host.metrics.to_json(self.host.server_counts(), self.lifecycle.state().name());
         let mut response = text_response(StatusCode::OK, metrics.to_string());
         response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
--- a/node/src/socket_sharing.rs
+++ b/node/src/socket_sharing.rs
@@ -116,7 +116,7 @@
         host.upstreams().set_limit(limits.upstreams.min(own_limits.upstreams));
         if has_other_process != other_counts.is_some() {
             has_other_process = other_counts.is_some();
-            host.handle_event(Event::Shared(has_other_process));
+            host.handle_event(Event::SecondProcess(has_other_process));
         }
         sleep(EXCHANGE_INTERVAL).await;
     }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -403,7 +403,7 @@
                 return Err(AttemptEnd::without_reply(Status::Overloaded));
             }
             if !is_open() {
-                return Err(AttemptEnd::without_reply(Status::Void));
+                return Err(AttemptEnd::without_reply(Status::NotSent));
             }
             write_state.track(&connection.progress);
             let left = wait.saturating_sub(started.elapsed());
@@ -411,7 +411,7 @@
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(ReplyHead { connection, response }),
                 // The client's body failed, not the server.
-                Err(_) if payload.content.failed() => return Err(AttemptEnd::without_reply(Status::Void)),
+                Err(_) if payload.content.failed() => return Err(AttemptEnd::without_reply(Status::NotSent)),
                 // The server had closed an idle connection. That is no failure, and the server has not seen
                 // the request.
                 Err(_) if reused && !write_state.is_complete() && !payload.content.consumed() => continue,
@@ -461,7 +461,7 @@
     async fn connect(&self, server: &ServerId, calls: &Rc<Cell<u64>>) -> Result<Connection, Status> {
         let addr = self.usable_addr(server).ok_or(Status::Overloaded)?;
         // Running out of sockets is this node's fault, not the server's, and nothing was sent.
-        let open = self.claim_socket().ok_or(Status::Void)?;
+        let open = self.claim_socket().ok_or(Status::NotSent)?;
         let connecting = async {
             let stream = TcpStream::connect(addr).await.ok()?;
             stream.set_nodelay(true).ok()?;
@@ -688,7 +688,7 @@
                 async { open.set(false) },
             };
             let status = reply_head.err().map(|ended| ended.status);
-            assert_eq!((status, write_state.is_complete()), (Some(Status::Void), false));
+            assert_eq!((status, write_state.is_complete()), (Some(Status::NotSent), false));
             let mut seen = Vec::new();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_to_end(&mut seen).await.unwrap();
@@ -799,7 +799,7 @@
                 exchange(&upstreams, &server, &payload, &other),
                 serve,
             };
-            assert_eq!((ended.status, beyond.status), (Status::Success, Status::Void));
+            assert_eq!((ended.status, beyond.status), (Status::Success, Status::NotSent));
             let room = upstreams.claim_socket();
             assert!(room.is_some());
             assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "the idle connection is closed");
