--- a/consensus/src/apply.rs
+++ b/consensus/src/apply.rs
@@ -1,4 +1,4 @@
-//! The state machine's side of the log: committed entries, snapshots of its state, and compaction.
+//! Connects the log to the state machine: applying committed entries, installing snapshots, and log compaction.
 
 use crate::effect::Effect;
 use crate::entry::Index;
@@ -8,14 +8,16 @@
 use crate::restore::BOOTSTRAP_INDEX;
 
 impl Replica {
-    /// Replaces the log up to `index` by `state`, the state machine's as it is after that entry. Without effect where
-    /// the entry was not handed out yet, or is covered already.
+    /// Compacts the log: replaces the entries up to `index` by a snapshot. `state` is the encoded state machine after
+    /// the entry at `index` was applied. Does nothing if that entry has not been handed out as [`Effect::Apply`] yet,
+    /// or if a snapshot already covers it.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) {
         if index > self.applied_index || index <= self.log.snapshot_index() {
             return;
         }
         let Some(position) = self.log.position(index) else { return };
-        // Not the newest voters: a change after the snapshot may still be replaced.
+        // The voters as of `index`, not the latest ones: a membership change after the snapshot may still be rolled
+        // back.
         let voters = self.log.voters_at(index).clone();
         let snapshot = Snapshot { position, voters, state: state.into() };
         self.persistence.record(Record::Snapshot(snapshot.clone()));
@@ -23,8 +25,8 @@
         self.log.install(snapshot, retention);
     }
 
-    /// All that must be kept, for a checkpoint that replaces all earlier records, those included that are still
-    /// on their way to the disk. Records of tickets that are not synced yet may follow it once more.
+    /// All state that has to be kept, for a checkpoint that replaces every earlier record, including records that are
+    /// still being synced. Records of tickets that are not synced yet may be written again after the checkpoint.
     pub fn records(&self) -> Vec<Record> {
         let mut records = vec![Record::HardState(self.hard_state.clone())];
         records.extend(self.log.snapshot().cloned().map(Record::Snapshot));
@@ -35,7 +37,8 @@
         records
     }
 
-    /// Takes over a snapshot that is ahead of the state machine. The log counts as not synced until the snapshot is.
+    /// Installs a snapshot that is ahead of the state machine. The log counts as not synced until the snapshot is
+    /// synced.
     pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
         self.persistence.record(Record::Snapshot(snapshot.clone()));
         self.persistence.on_truncated(0);
@@ -45,14 +48,15 @@
         self.apply_snapshot(snapshot);
     }
 
-    /// Hands the state of a snapshot to the state machine, but for the empty one of the bootstrap.
+    /// Passes the snapshot to the state machine, unless it is the empty bootstrap snapshot.
     pub(crate) fn apply_snapshot(&mut self, snapshot: Snapshot) {
         if snapshot.index() > BOOTSTRAP_INDEX {
             self.effects.push(Effect::InstallSnapshot(snapshot));
         }
     }
 
-    /// Raises the commit index, as far as the log reaches, and hands the entries out.
+    /// Advances the commit index to `index`, or to the end of the log if that comes first, and hands the newly
+    /// committed entries to the state machine.
     pub(crate) fn commit_to(&mut self, index: Index) {
         self.commit_index = self.commit_index.max(index.min(self.log.last().index));
         while self.applied_index < self.commit_index {
--- a/consensus/src/effect.rs
+++ b/consensus/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its driver.
+//! The actions that a replica requests from its driver.
 
 use shaletrail_protocol::NodeId;
 
@@ -6,42 +6,43 @@
 use crate::message::Message;
 use crate::record::{Record, Snapshot};
 
-/// Something for the driver to do. Effects are carried out in their order; syncing may go on in the background.
+/// An action for the driver. The driver carries out effects in order; syncing to disk may continue in the background.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message to a node. It may get lost, be duplicated or delayed.
+    /// Send a message to a node. The message may be lost, duplicated or delayed.
     Send(NodeId, Message),
-    /// Write and sync these records, in the order of tickets, then call
-    /// [`Replica::persisted`](crate::Replica::persisted)
+    /// Write and sync these records, in ticket order, and then call [`Replica::persisted`](crate::Replica::persisted)
     /// with the ticket.
     Persist {
-        /// Rises by one each time, from 1.
+        /// Identifies the batch. Starts at 1 and increases by one with each batch.
         ticket: u64,
-        /// The records, in the order in which they have to be restored.
+        /// The records, in the order in which they have to be replayed on restart.
         records: Vec<Record>,
     },
-    /// A committed entry, to be applied to the state machine.
+    /// Apply this committed entry to the state machine.
     Apply(Entry),
-    /// Replace the state machine by this state.
+    /// Replace the state of the state machine by this snapshot.
     InstallSnapshot(Snapshot),
-    /// A read may be answered from the state machine as it is after the effects before this one.
+    /// Answer a read from the state machine, as it is after the preceding effects.
     ReadReady {
-        /// As given to [`Replica::read`](crate::Replica::read).
+        /// The token passed to [`Replica::read`](crate::Replica::read).
         token: u64,
-        /// The commit index; all up to it has been handed out by `Apply` or `InstallSnapshot`.
+        /// The commit index. All entries up to it have already been handed out by `Apply` or `InstallSnapshot`.
         index: Index,
     },
-    /// A read cannot be confirmed, since this replica no longer leads.
+    /// Fail a read: it cannot be confirmed because this replica no longer leads.
     ReadFailed {
-        /// As given to [`Replica::read`](crate::Replica::read).
+        /// The token passed to [`Replica::read`](crate::Replica::read).
         token: u64,
     },
-    /// This replica leads from now on. What former leaders have committed is applied once an entry of this term is.
+    /// This replica has become leader. Entries committed by former leaders are applied once an entry of the new term is
+    /// committed.
     BecameLeader {
         /// The term in which it leads.
         term: Term,
     },
-    /// This replica leads no more. Proposals not applied yet may still be committed by others, or not.
+    /// This replica has stopped leading. Proposals that were not applied yet may or may not still be committed by a
+    /// later leader.
     LostLeadership {
         /// The term in which it led.
         term: Term,
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes and votes (Ongaro's thesis, sections 3.4, 3.6 and 9.6).
+//! Elections: pre-vote and vote (Ongaro's thesis, sections 3.4, 3.6 and 9.6).
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,14 @@
 use crate::message::Message;
 use crate::replica::{Replica, RoleState};
 
-/// Beyond the shortest election timeout, since voters that received the same message of a leader a little later still
-/// reject a candidate.
+/// Added to the shortest election timeout by [`Replica::campaign_soon`], in milliseconds. Other voters may have
+/// received the leader's last message slightly later than this replica, and reject candidates until their own timeout
+/// has passed.
 const CAMPAIGN_SOON_MARGIN_MS: Millis = 30;
 
 impl Replica {
-    /// Starts an election with a pre-vote, which raises no term: a replica that was partitioned off does not depose
-    /// the leader when it is back.
+    /// Starts an election with a pre-vote. A pre-vote does not increase the term, so a replica that was partitioned
+    /// does not depose the leader when the partition heals.
     pub(crate) fn on_election_timeout(&mut self) {
         self.reset_election_timeout();
         self.leader = None;
@@ -30,17 +31,18 @@
         self.campaign_if_pre_vote_won();
     }
 
-    /// Whether the disk hasn't synced for so long that this replica could not lead.
+    /// Whether the disk has not completed a sync for so long that this replica would be unable to lead.
     pub(crate) fn is_disk_stalled(&self) -> bool {
         self.persistence.is_stalled(self.now, self.options.disk_stall_ms)
     }
 
-    /// All voters but this replica, of both halves in a joint phase.
+    /// All voters except this replica; in a joint phase, those of both voter sets.
     pub(crate) fn other_voters(&self) -> Vec<NodeId> {
         self.log.voters().members().filter(|node| *node != self.options.node).collect()
     }
 
-    /// A rejection names the newer term, so it waits for that to be synced; nothing rests on a granted pre-vote.
+    /// A rejection carries the newer term, so it is sent only after that term is synced. A granted pre-vote depends on
+    /// no stored state and is sent immediately.
     pub(crate) fn on_pre_vote_request(&mut self, from: NodeId, term: Term, last: LogPosition) {
         if term <= self.hard_state.term {
             let response = Message::PreVoteResponse { term: self.hard_state.term, granted: false };
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Asks for votes in a new term. The own vote counts when it is synced, and the requests leave then: they name the
-    /// new term.
+    /// Requests votes in a new term. The vote for itself counts only after it is synced. The requests carry the new
+    /// term, so they are sent only after the sync as well.
     pub(crate) fn campaign(&mut self, leadership_transfer: bool) {
         self.become_follower(self.hard_state.term + 1, None);
         self.hard_state.voted_for = Some(self.options.node);
@@ -85,8 +87,8 @@
         self.send_after_sync(self.options.node, Message::VoteResponse { term, granted: true });
     }
 
-    /// Votes for one candidate a term (Election Safety), whose log is at least as up to date as this replica's
-    /// (Leader Completeness; Ongaro's thesis, section 3.6).
+    /// Grants its vote to at most one candidate per term (Election Safety), and only if the candidate's log is at least
+    /// as up to date as its own (Leader Completeness; Ongaro's thesis, section 3.6).
     pub(crate) fn on_vote_request(
         &mut self,
         from: NodeId,
@@ -94,8 +96,8 @@
         last: LogPosition,
         leadership_transfer: bool,
     ) {
-        // The lease is checked again, as the leader may have been in contact since the pre-vote. A transfer passes over
-        // it, as the former leader has stopped.
+        // The lease is checked again because the leader may have contacted this voter since the pre-vote. A leadership
+        // transfer bypasses the check, as the former leader has already stopped leading.
         if term >= self.hard_state.term && self.in_leader_lease() && !leadership_transfer {
             return;
         }
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Campaigns as soon as voters may grant it, for a node that should rather lead than others: its owner has to wait
-    /// for something where another one leads.
+    /// Shortens the election timeout to the earliest time at which voters may grant their votes. For a node that should
+    /// be preferred as leader, because its owner would have to wait if another node led.
     pub fn campaign_soon(&mut self, now: Millis) {
         self.set_now(now);
         if !self.is_leader() {
--- a/consensus/src/entry.rs
+++ b/consensus/src/entry.rs
@@ -6,38 +6,38 @@
 
 use crate::voters::VoterSet;
 
-/// Index of an entry in the log; the first is 1.
+/// Index of a log entry, starting at 1.
 pub type Index = u64;
-/// Number of a term; each has one leader at most (Election Safety; Ongaro's thesis, section 3.4).
+/// Term number. Each term has at most one leader (Election Safety; Ongaro's thesis, section 3.4).
 pub type Term = u64;
 
-/// Bytes that an entry takes besides its payload, roughly.
+/// Approximate size of an entry without its payload, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Payload {
-    /// Nothing: the first of a term, or a rejoin point.
+    /// No content: the first entry of a term, or a rejoin point.
     Empty,
-    /// A command of the state machine, as its owner encodes it.
+    /// A state machine command, as encoded by its owner.
     Command(Arc<[u8]>),
-    /// The voters from here on; in force as soon as the entry is in the log, committed or not.
+    /// A new voter set. It takes effect as soon as the entry is in the log, whether committed or not.
     Voters(VoterSet),
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// Its index in the log.
+    /// Position in the log, starting at 1.
     pub index: Index,
-    /// The term of the leader that appended it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// What it holds.
+    /// The content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Its size in bytes, roughly, for the limits of [`Options`](crate::Options).
+    /// Approximate size in bytes, used for the limits in [`Options`](crate::Options).
     pub fn size(&self) -> usize {
         match &self.payload {
             Payload::Empty => ENTRY_OVERHEAD_BYTES,
@@ -46,17 +46,18 @@
         }
     }
 
-    /// Its term and index.
+    /// Term and index of the entry.
     pub fn position(&self) -> LogPosition {
         LogPosition { term: self.term, index: self.index }
     }
 }
 
-/// An entry's term and index. Greater means more up to date, as elections compare logs.
+/// Term and index of an entry. Ordered by term first: the greater position belongs to the more up-to-date log in an
+/// election.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct LogPosition {
-    /// Term of the entry.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Index of the entry.
+    /// Position in the log, starting at 1.
     pub index: Index,
 }
--- a/consensus/src/error.rs
+++ b/consensus/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a replica rejects a call.
+//! The errors of calls to a replica.
 
 use shaletrail_protocol::NodeId;
 use snafu::Snafu;
 
-/// Why a call was rejected. Nothing has been done then.
+/// The reason why a call was rejected. A rejected call has no effect.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 pub enum ReplicaError {
-    /// Another replica leads, or none.
-    #[snafu(display("this replica does not lead"))]
+    /// Another replica is the leader, or there is none.
+    #[snafu(display("this replica is not the leader"))]
     NotLeader {
-        /// The leader, where known.
+        /// The current leader, or `None` if unknown.
         leader: Option<NodeId>,
     },
-    /// Too many proposals, reads or learners at once.
-    #[snafu(display("too much is under way already"))]
+    /// Too many proposals, reads or learners are in progress.
+    #[snafu(display("too many proposals, reads or learners are in progress"))]
     Busy,
-    /// The command is over [`Options::max_command_bytes`](crate::Options::max_command_bytes).
-    #[snafu(display("a command of {size} bytes is over the limit"))]
+    /// The command exceeds [`Options::max_command_bytes`](crate::Options::max_command_bytes).
+    #[snafu(display("a command of {size} bytes exceeds the size limit"))]
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the command in bytes.
         size: usize,
     },
-    /// A change of voters is in progress, or no entry of the leader's term is committed yet.
-    #[snafu(display("another change of voters is under way"))]
+    /// Another change of voters is in progress, or the leader has not committed an entry of its own term yet.
+    #[snafu(display("a change of voters is in progress, or no entry of this term is committed yet"))]
     ChangePending,
-    /// The new set of voters is empty, or larger than [`Options::max_peers`](crate::Options::max_peers).
-    #[snafu(display("the new set of voters is empty or too large"))]
+    /// The new voter set is empty, or larger than [`Options::max_peers`](crate::Options::max_peers).
+    #[snafu(display("the new voter set is empty or too large"))]
     InvalidVoters,
 }
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a replica does with the messages of a leader.
+//! Handling of the messages that a leader sends.
 
 use shaletrail_protocol::NodeId;
 
@@ -8,7 +8,7 @@
 use crate::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Follows the sender of a leader's message, or returns false where its term is over.
+    /// Follows the sender of a leader's message. Returns false if the message belongs to an earlier term.
     pub(crate) fn follow_leader(&mut self, from: NodeId, term: Term) -> bool {
         if term < self.hard_state.term || (term == self.hard_state.term && self.is_leader()) {
             return false;
@@ -23,7 +23,7 @@
         true
     }
 
-    /// As [`Replica::follow_leader`]; a sender whose term is over gets a response that names the present one.
+    /// Like [`Replica::follow_leader`], but answers a sender of an earlier term with the current term.
     pub(crate) fn follow_or_reject(&mut self, from: NodeId, term: Term) -> bool {
         let follows = self.follow_leader(from, term);
         if !follows && term < self.hard_state.term {
@@ -42,8 +42,8 @@
         self.send_in_term(from, response);
     }
 
-    /// The response names two indexes: only what is synced may count for commits, while what was received tells the
-    /// leader whether entries got lost.
+    /// The response carries two indexes. Only synced entries may count towards commits, while the received index tells
+    /// the leader whether entries were lost in transit.
     fn heartbeat_response(&self, stamp: RoundStamp) -> Message {
         Message::HeartbeatResponse {
             term: self.hard_state.term,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Appends where the entry before the first is there (Log Matching; Ongaro's thesis, section 3.5).
+    /// Appends the entries if `previous` is in the log (Log Matching; Ongaro's thesis, section 3.5).
     pub(crate) fn on_append(
         &mut self,
         from: NodeId,
@@ -91,12 +91,14 @@
         self.send_append_response(from, AppendOutcome::Matched(matched), stamp);
     }
 
-    /// Whether an entry is in the log, or committed, so that the leader has the same one (Leader Completeness).
+    /// Whether the entry is in the log or below the commit index. A committed entry is the same in the leader's log
+    /// (Leader Completeness).
     fn matches_log(&self, position: LogPosition) -> bool {
         position.index <= self.commit_index || self.log.contains(position)
     }
 
-    /// Appends what is missing, and drops what differs. False where that would drop a committed entry.
+    /// Appends the missing entries and truncates the log at the first conflicting one. Returns false if the entries do
+    /// not follow directly on the remaining log, which would mean dropping committed entries.
     fn append_from_leader(&mut self, entries: Vec<Entry>) -> bool {
         let is_new = |entry: &Entry| entry.index > self.commit_index && !self.log.contains(entry.position());
         let missing: Vec<Entry> = entries.into_iter().skip_while(|entry| !is_new(entry)).collect();
@@ -126,8 +128,8 @@
         self.send_append_response(from, AppendOutcome::Matched(index), stamp);
     }
 
-    /// Stops recovering, where the leader's message names this disk. The vote of the term counts as given to the
-    /// leader, as a vote from before the loss may have been.
+    /// Ends recovery if the message names the current disk. The vote of this term is recorded as given to the leader,
+    /// because the lost disk may have held a vote for it.
     pub(crate) fn on_rejoin(&mut self, from: NodeId, term: Term, disk_id: u64) {
         if !self.follow_leader(from, term)
             || !self.hard_state.recovering
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does on its own: it takes office, keeps contact with a quorum, and takes proposals.
+//! The leader's own duties: starting its term, checking its contact with a quorum, and accepting proposals.
 
 use shaletrail_protocol::Millis;
 
@@ -10,8 +10,8 @@
 use crate::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Leads the present term. The empty entry lets the leader learn what is committed: only an entry of its own term
-    /// may be counted (Ongaro's thesis, section 3.6.2).
+    /// Starts leading the current term. The empty entry lets the leader find out what is committed: a leader may only
+    /// count replicas of entries of its own term (Ongaro's thesis, section 3.6.2).
     pub(crate) fn become_leader(&mut self) {
         let own_node = self.options.node;
         let term_start_index = self.log.last().index + 1;
@@ -23,8 +23,8 @@
         self.append_entry(Payload::Empty);
     }
 
-    /// Steps down where no quorum has responded for the longest election timeout (check-quorum; Ongaro's thesis,
-    /// section 6.2), else sends heartbeats where they are due.
+    /// Steps down if no quorum has responded for the longest election timeout (check-quorum; Ongaro's thesis, section
+    /// 6.2). Otherwise schedules heartbeats that are due.
     pub(crate) fn tick_leader(&mut self) {
         let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         let last_contact = leader_state.last_quorum_contact(self.log.voters(), self.options.node);
@@ -35,13 +35,14 @@
         }
     }
 
-    /// Adds a command to the log. It has taken effect once it comes back as [`Effect::Apply`] with this index and
-    /// the present term; it may be lost if the leadership is.
+    /// Appends a command to the log. The command has taken effect once it is returned as [`Effect::Apply`] with this
+    /// index and the current term. If this replica loses leadership first, the command may be lost.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError::NotLeader`], [`ReplicaError::TooLarge`] for a command over [`Options::max_command_bytes`], and
-    /// [`ReplicaError::Busy`] where too much is uncommitted already, or a voter that the group will need is too far behind.
+    /// [`ReplicaError::NotLeader`]; [`ReplicaError::TooLarge`] if the command exceeds [`Options::max_command_bytes`];
+    /// and [`ReplicaError::Busy`] if too many entries or bytes are uncommitted, or if a voter that the group may soon
+    /// depend on is too far behind.
     ///
     /// [`Options::max_command_bytes`]: crate::Options::max_command_bytes
     pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Result<Index, ReplicaError> {
@@ -57,13 +58,13 @@
         let uncommitted_bytes = self.log.bytes_after(self.commit_index);
         let is_full = uncommitted >= self.options.max_uncommitted_entries
             || (uncommitted > 0 && uncommitted_bytes + size > self.options.max_uncommitted_bytes);
-        if is_full || self.must_hold_proposals(size) {
+        if is_full || self.must_reject_proposals(size) {
             return Err(ReplicaError::Busy);
         }
         Ok(self.append_entry(Payload::Command(command.into())))
     }
 
-    /// Appends an entry of the present term; a leader never replaces one of its own (Leader Append-Only; Ongaro's
+    /// Appends an entry of the current term. A leader never overwrites its own entries (Leader Append-Only; Ongaro's
     /// thesis, figure 3.2).
     pub(crate) fn append_entry(&mut self, payload: Payload) -> Index {
         let index = self.log.last().index + 1;
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -1,7 +1,8 @@
-//! The log of a replica in memory: a snapshot and the entries after it.
+//! The in-memory log of a replica: a snapshot and the entries after it.
 //!
-//! Log Matching (Ongaro's thesis, section 3.5): two logs with an entry of one index and term are equal up to it. It
-//! holds as a leader gives an index once a term, and a follower appends only behind the entry that came before.
+//! Log Matching (Ongaro's thesis, section 3.5): if two logs contain an entry with the same index and term, they are
+//! identical up to that entry. This holds because a leader creates at most one entry per index in its term, and a
+//! follower appends an entry only after the entry that precedes it in the leader's log.
 
 use std::collections::VecDeque;
 
@@ -9,52 +10,51 @@
 use crate::record::Snapshot;
 use crate::voters::VoterSet;
 
-/// Which of the entries that a snapshot covers stay in the log.
+/// Which entries that are covered by a snapshot are kept in the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Retention {
-    /// The newest of them, up to this size.
+    /// Keeps the latest covered entries up to this total size, in bytes.
     pub bytes: usize,
-    /// All from this one on, whatever their size.
+    /// Keeps all covered entries from this index on, whatever their size.
     pub first: Option<Index>,
 }
 
-/// A set of voters and the index of the entry that brought it.
+/// A voter set and the index of the entry that introduced it.
 #[derive(Clone, Debug)]
 struct VoterSetAt {
     index: Index,
     voters: VoterSet,
 }
 
-/// The log. Entries are kept without gaps from `base` on; some may also be covered by the snapshot.
+/// The log. `entries` holds all entries after `base` without gaps. Some of them may also be covered by the snapshot.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     snapshot: Option<Snapshot>,
-    /// The entry before the first that is kept.
+    /// Position of the entry before the first one in `entries`.
     base: LogPosition,
     entries: VecDeque<Entry>,
-    /// Sets of voters, oldest first: the snapshot's, then those of entries after it.
+    /// Voter sets, oldest first: that of the snapshot, then those introduced by entries after it.
     voter_sets: Vec<VoterSetAt>,
-    /// The voters of an empty log.
+    /// The voter set of a log that contains none; always empty.
     no_voters: VoterSet,
 }
 
 impl Log {
-    /// The last entry.
+    /// Position of the last entry.
     pub fn last(&self) -> LogPosition {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
-    /// The snapshot, if there is one.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Index of the last entry in the snapshot, 0 if there is none.
+    /// Index of the last entry covered by the snapshot, 0 if there is no snapshot.
     pub fn snapshot_index(&self) -> Index {
         self.snapshot.as_ref().map_or(0, Snapshot::index)
     }
 
-    /// Term and index of an entry, if it is kept or directly before those that are.
+    /// Term and index of an entry. `None` unless the entry is kept or is the one directly before the kept entries.
     pub fn position(&self, index: Index) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
@@ -62,19 +62,19 @@
         self.get(index).map(Entry::position)
     }
 
-    /// An entry, if it is kept.
+    /// The entry at `index`, if it is kept.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.base.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Whether an entry of this index and term is in the log.
+    /// Whether the log contains an entry with this index and term.
     pub fn contains(&self, position: LogPosition) -> bool {
         self.position(position.index) == Some(position)
     }
 
-    /// The last index up to `index` whose term is not over `term`, or the base's: no later entry can match one of
-    /// `term` or before.
+    /// The last index up to `index` whose term is at most `term`, or the index of `base` if there is none. No later
+    /// entry can match a log whose term at that index is at most `term`.
     pub fn find_conflict_by_term(&self, index: Index, term: Term) -> Index {
         let mut index = index.min(self.last().index);
         while self.get(index).is_some_and(|entry| entry.term > term) {
@@ -83,7 +83,7 @@
         index.max(self.base.index)
     }
 
-    /// Appends an entry; it must follow on the last.
+    /// Appends an entry, which must directly follow the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         if let Payload::Voters(voters) = &entry.payload {
@@ -92,7 +92,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries from `index` on; what a snapshot covers stays.
+    /// Removes all entries from `index` on, except those covered by the snapshot.
     pub fn truncate(&mut self, index: Index) {
         let index = index.max(self.snapshot_index() + 1);
         while self.entries.back().is_some_and(|entry| entry.index >= index) {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Replaces all entries from the first's index on, as a restored record says. Entries that would leave a gap
-    /// or let terms sink are left out.
+    /// Replays a stored record of entries: they replace all entries from the index of the first one on. Entries that
+    /// would leave a gap or decrease the term are skipped.
     pub fn restore(&mut self, entries: Vec<Entry>) {
         let covered = self.snapshot_index();
         let mut entries = entries.into_iter().skip_while(|entry| entry.index <= covered).peekable();
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Entries from `from` on, up to `limit` bytes; one larger entry alone where `at_least_one` is set.
+    /// Entries from `from` on, up to a total of `limit` bytes. If `at_least_one` is set, returns the first entry even
+    /// if it is larger.
     pub fn batch(&self, from: Index, limit: usize, at_least_one: bool) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut size = 0;
@@ -135,29 +136,29 @@
         batch
     }
 
-    /// Size of the entries after `index`, in bytes.
+    /// Total size of the entries after `index`, in bytes.
     pub fn bytes_after(&self, index: Index) -> usize {
         self.entries.iter().rev().take_while(|entry| entry.index > index).map(Entry::size).sum()
     }
 
-    /// The voters in force: those of the last entry that names any.
+    /// The voter set in effect: that of the last entry that introduced one.
     pub fn voters(&self) -> &VoterSet {
         self.voter_sets.last().map_or(&self.no_voters, |set| &set.voters)
     }
 
-    /// Index of the entry that brought the voters in force.
+    /// Index of the entry that introduced the voter set in effect.
     pub fn voters_index(&self) -> Index {
         self.voter_sets.last().map_or(0, |set| set.index)
     }
 
-    /// The voters as of an index.
+    /// The voter set in effect at `index`.
     pub fn voters_at(&self, index: Index) -> &VoterSet {
         let set = self.voter_sets.iter().rev().find(|set| set.index <= index);
         set.map_or(&self.no_voters, |set| &set.voters)
     }
 
-    /// Takes over a snapshot. Entries after it stay where its last entry is in the log; else all are dropped.
-    /// Entries that it covers stay as far as `retention` says. One older than the present is left out.
+    /// Installs a snapshot. Entries after it are kept if the log contains its last entry, and dropped otherwise.
+    /// Entries covered by it are kept as specified by `retention`. A snapshot older than the current one is ignored.
     pub fn install(&mut self, snapshot: Snapshot, retention: Retention) {
         if snapshot.index() < self.snapshot_index() {
             return;
@@ -174,7 +175,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Drops the entries that a snapshot covers, but for those that are retained.
+    /// Drops the entries covered by a snapshot, except those to be retained.
     fn trim_covered(&mut self, snapshot: &Snapshot, retention: Retention) {
         let mut size = 0;
         let covered = self.entries.iter().rev().skip_while(|entry| entry.index > snapshot.index());
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of membership: voters by joint consensus (Ongaro's thesis, section 4.3), learners ahead of them (section
-//! 4.2.1).
+//! Membership changes: voters change by joint consensus (Ongaro's thesis, section 4.3), and new voters are learners
+//! first (section 4.2.1).
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -11,13 +11,13 @@
 use crate::voters::VoterSet;
 
 impl Replica {
-    /// Starts to replace the voters, by a joint phase that ends by itself. New voters should have been learners
-    /// that are caught up, else they hold up commits. Nothing happens where the voters are these already.
+    /// Starts replacing the voters, through a joint phase that ends on its own. New voters should be learners that have
+    /// caught up, otherwise they delay commits. Does nothing if `voters` are the current voters.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError::NotLeader`], [`ReplicaError::InvalidVoters`], and [`ReplicaError::ChangePending`] until the last
-    /// change and an entry of the leader's term are committed.
+    /// [`ReplicaError::NotLeader`]; [`ReplicaError::InvalidVoters`]; and [`ReplicaError::ChangePending`] until both the
+    /// previous change and an entry of the leader's own term are committed.
     pub fn change_voters(&mut self, now: Millis, voters: Vec<NodeId>) -> Result<(), ReplicaError> {
         self.set_now(now);
         let RoleState::Leader(leader_state) = &self.role_state else { return self.not_leader() };
@@ -36,16 +36,16 @@
         Ok(())
     }
 
-    /// Whether a change of voters is in progress by this replica's log.
+    /// Whether this replica's log contains a membership change that is still in progress.
     pub fn is_changing_voters(&self) -> bool {
         self.log.voters().is_joint() || self.log.voters_index() > self.commit_index
     }
 
-    /// Starts to send entries to a replica that does not vote. Forgotten when the leadership ends.
+    /// Starts replicating to a node that does not vote. The leader forgets its learners when it stops leading.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] where there are [`Options::max_peers`] learners.
+    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] if there are already [`Options::max_peers`] learners.
     ///
     /// [`Options::max_peers`]: crate::Options::max_peers
     pub fn add_learner(&mut self, node: NodeId) -> Result<(), ReplicaError> {
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Stops sending to a learner. Without effect on voters, and where this replica doesn't lead.
+    /// Stops replicating to a learner. Does nothing for voters, or if this replica does not lead.
     pub fn remove_learner(&mut self, node: NodeId) {
         if let RoleState::Leader(leader_state) = &mut self.role_state {
             leader_state.learners.remove(&node);
@@ -72,7 +72,7 @@
         self.remove_departed_peers();
     }
 
-    /// The learners of this leader, sorted; none where this replica doesn't lead.
+    /// The learners of this leader, in ascending order; empty if this replica does not lead.
     pub fn learners(&self) -> Vec<NodeId> {
         match &self.role_state {
             RoleState::Leader(leader_state) => leader_state.learners.iter().copied().collect(),
@@ -80,7 +80,8 @@
         }
     }
 
-    /// What this leader knows of another replica; `None` where this replica doesn't lead, or not that one.
+    /// What this leader knows about another replica. `None` if this replica does not lead, or does not replicate to
+    /// that node.
     pub fn peer_status(&self, node: NodeId) -> Option<PeerStatus> {
         match &self.role_state {
             RoleState::Leader(leader_state) => leader_state.peers.get(&node).map(Progress::status),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Ends the joint phase once its entry is committed, by majorities of both halves.
+    /// Ends the joint phase once its entry is committed by majorities of both voter sets.
     pub(crate) fn leave_joint_if_committed(&mut self) {
         let voters = self.log.voters();
         if voters.is_joint() && self.log.voters_index() <= self.commit_index {
@@ -109,8 +110,8 @@
         self.advance_commit();
     }
 
-    /// Forgets peers that neither vote nor learn, once the commit of that was announced to them, and stops leading
-    /// where that holds for this replica itself (Ongaro's thesis, section 4.2.2).
+    /// Removes peers that are neither voters nor learners, once they have been told that their removal is committed.
+    /// Steps down if this replica itself was removed (Ongaro's thesis, section 4.2.2).
     pub(crate) fn remove_departed_peers(&mut self) {
         if self.is_changing_voters() {
             return;
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -1,4 +1,5 @@
-//! What replicas of a group send each other. The encoding goes by position: variants and fields keep their order.
+//! The messages between the replicas of a group. They are encoded by position, so variants and fields must keep their
+//! order.
 
 use bitcode::{Decode, Encode};
 use shaletrail_protocol::Millis;
@@ -6,140 +7,140 @@
 use crate::entry::{Entry, Index, LogPosition, Term};
 use crate::record::Snapshot;
 
-/// Put on each message of a leader and returned by the response.
+/// Identifies a round of a leader's messages. Sent with each message of a leader and returned in the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RoundStamp {
-    /// Rises with each round of messages that the leader sends in its term.
+    /// Number of the round. Increases with each round of messages that the leader sends in its term.
     pub round: u64,
-    /// When it was sent, by the leader's clock, in milliseconds.
+    /// When the message was sent, in milliseconds by the leader's clock.
     pub sent_at: Millis,
 }
 
-/// Which disk a response speaks for, and whether it counts.
+/// The disk of the responding replica, and whether its response counts towards quorums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VoterStatus {
-    /// The disk, see [`HardState::disk_id`](crate::HardState::disk_id).
+    /// Identifies the disk; see [`HardState::disk_id`](crate::HardState::disk_id).
     pub disk_id: u64,
-    /// Whether a former disk was lost and no leader has let this one rejoin.
+    /// Whether a previous disk was lost and no leader has let this disk rejoin yet.
     pub recovering: bool,
 }
 
-/// What became of a [`Message::Append`] or [`Message::InstallSnapshot`].
+/// The result of a [`Message::Append`] or [`Message::InstallSnapshot`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AppendOutcome {
-    /// The log matches the leader's up to this index, and is synced.
+    /// The log matches the leader's up to this index, and is synced up to it.
     Matched(Index),
-    /// The entry before is not there; the log may match the leader's up to this index, but not further.
+    /// The entry before the first one is missing or differs. The log matches the leader's up to this index at most.
     Conflict(Index),
 }
 
-/// A message between replicas. `term` is the sender's, but in pre-votes, where it is the one after the candidate's.
+/// A message between replicas. `term` is the sender's current term, except in pre-votes, where it is the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, strum::IntoStaticStr)]
 pub enum Message {
-    /// Asks whether a vote would be given.
+    /// Asks whether the receiver would grant a vote.
     PreVoteRequest {
-        /// The term after the sender's.
+        /// The term after the sender's current one.
         term: Term,
-        /// End of the sender's log.
+        /// Last entry of the sender's log.
         last: LogPosition,
     },
-    /// Responds to [`Message::PreVoteRequest`].
+    /// Response to [`Message::PreVoteRequest`].
     PreVoteResponse {
-        /// The requested term where granted, else the sender's.
+        /// The requested term if granted, otherwise the sender's term.
         term: Term,
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     VoteRequest {
         /// The candidate's term.
         term: Term,
-        /// End of the candidate's log.
+        /// Last entry of the candidate's log.
         last: LogPosition,
-        /// Whether the former leader has stopped leading and prompted this.
+        /// Whether the former leader has stepped down and asked the candidate to campaign.
         leadership_transfer: bool,
     },
-    /// Responds to [`Message::VoteRequest`].
+    /// Response to [`Message::VoteRequest`].
     VoteResponse {
         /// The sender's term.
         term: Term,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Announces that the leader is there, and how far entries are committed.
+    /// Maintains leadership and announces the commit index.
     Heartbeat {
         /// The leader's term.
         term: Term,
         /// The leader's commit index.
         commit: Index,
-        /// Returned by the response.
+        /// Returned in the response.
         stamp: RoundStamp,
     },
-    /// Responds to [`Message::Heartbeat`].
+    /// Response to [`Message::Heartbeat`].
     HeartbeatResponse {
         /// The follower's term.
         term: Term,
-        /// As in the heartbeat.
+        /// The stamp of the heartbeat.
         stamp: RoundStamp,
-        /// How far the log is known to match the leader's, synced or not.
+        /// Highest index up to which the log is known to match the leader's, synced or not.
         received: Index,
-        /// How far it is known to match the leader's and synced.
+        /// Highest index up to which the log is known to match the leader's and is synced.
         matched: Index,
-        /// The disk, and whether the response counts.
+        /// The follower's disk, and whether the response counts towards quorums.
         status: VoterStatus,
     },
-    /// Entries to append.
+    /// Entries to append to the log.
     Append {
         /// The leader's term.
         term: Term,
-        /// The entry before the first.
+        /// Position of the entry before the first one in `entries`.
         previous: LogPosition,
-        /// Entries in order, without gaps; may be empty, to ask whether `previous` is there.
+        /// Entries in order and without gaps. Empty for a probe, which only asks whether `previous` is in the log.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
-        /// Returned by the response.
+        /// Returned in the response.
         stamp: RoundStamp,
     },
-    /// Responds to [`Message::Append`] and [`Message::InstallSnapshot`].
+    /// Response to [`Message::Append`] and [`Message::InstallSnapshot`].
     AppendResponse {
         /// The follower's term.
         term: Term,
-        /// As in the message.
+        /// The stamp of the message.
         stamp: RoundStamp,
-        /// Whether the log matches now, and how far.
+        /// Whether the log now matches the leader's, and up to which index.
         outcome: AppendOutcome,
-        /// The disk, and whether the response counts.
+        /// The follower's disk, and whether the response counts towards quorums.
         status: VoterStatus,
     },
-    /// A snapshot, where the leader's log no longer reaches back far enough.
+    /// A snapshot, sent if the leader's log no longer contains the entries that the follower needs.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The leader's newest.
+        /// The leader's latest snapshot.
         snapshot: Snapshot,
-        /// Returned by the response.
+        /// Returned in the response.
         stamp: RoundStamp,
     },
-    /// The leader has stopped leading and asks the receiver to campaign at once (leadership transfer).
+    /// Leadership transfer: the leader has stepped down and asks the receiver to campaign immediately.
     TimeoutNow {
         /// The former leader's term.
         term: Term,
     },
-    /// A recovering voter counts again.
+    /// Lets a recovering voter count towards quorums again.
     Rejoin {
         /// The leader's term.
         term: Term,
-        /// The disk that may count; another one stays recovering.
+        /// The disk that may rejoin. A voter with another disk stays recovering.
         disk_id: u64,
     },
 }
 
-/// Greater terms and indexes than this are not reached in any lifetime; sums with them might overflow.
+/// Upper bound of plausible terms and indexes. No system reaches it, and arithmetic with larger values could overflow.
 const MAX_PLAUSIBLE: u64 = 1 << 62;
 
 impl Message {
-    /// Whether no term or index in it is absurdly great.
+    /// Whether the terms and log positions in the message are below [`MAX_PLAUSIBLE`].
     pub(crate) fn is_plausible(&self) -> bool {
         let (term, index) = match self {
             Message::PreVoteRequest { term, last } | Message::VoteRequest { term, last, .. } => {
@@ -160,7 +161,7 @@
         term.max(index) < MAX_PLAUSIBLE
     }
 
-    /// The message's name, for logs.
+    /// The name of the message variant, for logs.
     pub fn name(&self) -> &'static str {
         self.into()
     }
--- a/consensus/src/options.rs
+++ b/consensus/src/options.rs
@@ -1,65 +1,67 @@
-//! Settings of a replica: its identity, timeouts, and limits of messages, proposals and memory.
+//! Settings of a replica: its identity, timeouts, and limits on messages, proposals and memory.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-/// Settings of a replica. All times in milliseconds, all sizes in bytes.
+/// Settings of a replica. All times are in milliseconds and all sizes in bytes.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The replica's own node.
+    /// The node that this replica runs on.
     pub node: NodeId,
-    /// Seed of its randomness; must differ between nodes and between starts of one node.
+    /// Seed of the random number generator. Must differ between nodes and between starts of the same node.
     pub seed: u64,
-    /// Whether an earlier disk of this node may have been lost: true wherever the process doesn't know that
-    /// the whole system starts for the first time. Without effect where a hard state is restored.
+    /// Whether a previous disk of this node may have been lost. Set unless the process knows that the whole system is
+    /// starting for the first time. Ignored if a hard state is restored from disk.
     pub recovering: bool,
-    /// The interval between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub heartbeat_ms: Millis,
-    /// The shortest election timeout; for as long no voter helps to replace a leader that it received a message of.
+    /// Shortest election timeout. For this long after a message from a leader, a voter does not help to replace that
+    /// leader.
     pub election_min_ms: Millis,
-    /// The longest election timeout; a leader that no majority responds to for as long steps down.
+    /// Longest election timeout. A leader that no majority has responded to for this long steps down.
     pub election_max_ms: Millis,
-    /// The shortest election timeout of a group that was just bootstrapped and never had a leader.
+    /// Shortest election timeout of a newly bootstrapped group that has not had a leader yet.
     pub bootstrap_election_min_ms: Millis,
-    /// The longest election timeout of such a group.
+    /// Longest election timeout of a newly bootstrapped group that has not had a leader yet.
     pub bootstrap_election_max_ms: Millis,
-    /// How long a lease lasts from the sending of the message that was responded to. Cut to nine tenths of
-    /// `election_min_ms`.
+    /// Duration of a leader's lease, counted from the time at which the acknowledged message was sent. Limited to nine
+    /// tenths of `election_min_ms`.
     pub lease_ms: Millis,
-    /// A replica whose disk has not synced for as long does not campaign.
+    /// A replica whose disk has not completed a sync for this long does not campaign.
     pub disk_stall_ms: Millis,
-    /// Size of the entries in one message, but for a single larger one.
+    /// Maximum total size of the entries in one message. A single larger entry is sent alone.
     pub max_append_bytes: usize,
-    /// Size of the entries in a probe of a follower.
+    /// Maximum total size of the entries in a probe.
     pub max_probe_bytes: usize,
-    /// Size of the entries in flight to one follower, but for a single larger one.
+    /// Once the entries in flight to one follower reach this total size, no further message with entries is sent to it.
     pub max_in_flight_bytes: usize,
-    /// Messages with entries in flight to one follower.
+    /// Maximum number of messages with entries in flight to one follower.
     pub max_in_flight_messages: usize,
-    /// A message with entries counts as lost no sooner than this after it was sent, ...
+    /// Minimum time after sending before a message with entries may be considered lost. The expected transfer time of
+    /// the message is added; see `min_link_bytes_per_ms`.
     pub resend_after_ms: Millis,
-    /// ... plus one millisecond for each of these bytes: the slowest link that is expected.
-    pub resend_bytes_per_ms: usize,
-    /// The size of the largest command.
+    /// Bandwidth of the slowest expected link, in bytes per millisecond. Used to estimate how long a message may take.
+    pub min_link_bytes_per_ms: usize,
+    /// Maximum size of a command.
     pub max_command_bytes: usize,
-    /// Proposals that may be uncommitted at a time.
+    /// Maximum number of uncommitted entries; further proposals are rejected.
     pub max_uncommitted_entries: u64,
-    /// Size of those proposals, but for a single larger one.
+    /// Maximum total size of uncommitted entries. A single larger proposal is accepted if nothing else is uncommitted.
     pub max_uncommitted_bytes: usize,
-    /// Reads that may be unconfirmed at a time.
+    /// Maximum number of unconfirmed reads.
     pub max_pending_reads: usize,
-    /// Voters, and learners, at a time.
+    /// Maximum number of voters, and maximum number of learners.
     pub max_peers: usize,
-    /// Size of the entries kept in memory behind a snapshot, for followers that are a little behind.
+    /// Total size of the entries kept in memory although a snapshot covers them, for followers that lag slightly.
     pub retain_bytes: usize,
-    /// Size of the entries kept by a leader for a replica that is catching up, while it makes progress.
+    /// Maximum total size of the entries that a leader keeps for a replica that is catching up and making progress.
     pub max_catch_up_bytes: usize,
-    /// A replica that acknowledges no further entries for so long, beyond the time that they need on the slowest link, is
-    /// not waited for.
+    /// A replica that acknowledges no new entries for this long, plus the time that they need on the slowest expected
+    /// link, is considered stalled, and the leader stops waiting for it.
     pub catch_up_stall_ms: Millis,
 }
 
 impl Options {
-    /// The usual settings for a node, with the seed of its randomness.
+    /// Default settings for a node. `seed` seeds the random number generator.
     pub fn new(node: NodeId, seed: u64) -> Self {
         Options {
             node,
@@ -77,7 +79,7 @@
             max_in_flight_bytes: 8 << 20,
             max_in_flight_messages: 16,
             resend_after_ms: 250,
-            resend_bytes_per_ms: 4000,
+            min_link_bytes_per_ms: 4000,
             max_command_bytes: 8 << 20,
             max_uncommitted_entries: 256,
             max_uncommitted_bytes: 32 << 20,
@@ -89,8 +91,8 @@
         }
     }
 
-    /// How long a message of this size may take on the slowest link that is expected.
+    /// Transfer time of a message of this size on the slowest expected link, in milliseconds.
     pub(crate) fn transfer_ms(&self, bytes: usize) -> Millis {
-        (bytes / self.resend_bytes_per_ms.max(1)) as Millis
+        (bytes / self.min_link_bytes_per_ms.max(1)) as Millis
     }
 }
--- a/consensus/src/read_index.rs
+++ b/consensus/src/read_index.rs
@@ -1,8 +1,8 @@
 //! Linearizable reads without a log entry (ReadIndex; Ongaro's thesis, section 6.4).
 //!
-//! A read waits for a round of messages that was sent after it was asked for and that a quorum has responded to: so no
-//! later leader had been elected when it was asked for. It also waits for an entry of the leader's own term to be
-//! committed, as the leader doesn't know before what former leaders have committed.
+//! A read waits until a quorum has responded to a round of messages sent after the read was requested. This shows that
+//! no later leader had been elected when the read was requested. The read also waits until an entry of the leader's own
+//! term is committed, because until then the leader does not know what former leaders have committed.
 
 use shaletrail_protocol::Millis;
 
@@ -12,13 +12,13 @@
 use crate::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Asks for a read that sees all that was acknowledged before. Answered by [`Effect::ReadReady`] or
-    /// [`Effect::ReadFailed`] with the token.
+    /// Requests a read that reflects everything acknowledged before the request. The result is [`Effect::ReadReady`] or
+    /// [`Effect::ReadFailed`] with the same token.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] where [`Options::max_pending_reads`](crate::Options::max_pending_reads)
-    /// are pending.
+    /// [`ReplicaError::NotLeader`], and [`ReplicaError::Busy`] if
+    /// [`Options::max_pending_reads`](crate::Options::max_pending_reads) reads are pending.
     pub fn read(&mut self, now: Millis, token: u64) -> Result<(), ReplicaError> {
         self.set_now(now);
         let RoleState::Leader(leader_state) = &mut self.role_state else { return self.not_leader() };
@@ -30,7 +30,7 @@
         Ok(())
     }
 
-    /// Answers the reads whose round a quorum has responded to, once an entry of the present term is committed.
+    /// Completes the reads whose round a quorum has responded to, once an entry of the current term is committed.
     pub(crate) fn confirm_reads(&mut self) {
         let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         if leader_state.pending_reads.is_empty() || self.commit_index < leader_state.term_start_index {
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! The state of a replica, its roles, and what its owner may ask of it.
+//! The state and roles of a replica, and the queries that its owner may call.
 
 use std::collections::BTreeSet;
 
@@ -17,70 +17,70 @@
 use crate::record::{HardState, Record};
 use crate::voters::VoterSet;
 
-/// What a replica does in its group.
+/// The role of a replica in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Takes entries, and neither votes nor campaigns: it is not among the voters, or is recovering.
+    /// Receives entries, but neither votes nor campaigns, because it is not a voter or is recovering.
     Learner,
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks for pre-votes, in the term that it has.
+    /// Requests pre-votes in its current term.
     PreCandidate,
-    /// Asks for votes, in a term of its own.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads the term.
+    /// Leads its term.
     Leader,
 }
 
-/// The volatile state that goes with the role. Learners are followers here.
+/// The volatile state of each role. Learners use `Follower`.
 #[derive(Clone, Debug)]
 pub(crate) enum RoleState {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Gathers pre-votes; holds those granted, its own included.
+    /// Collects pre-votes. `granted` includes its own.
     PreCandidate { granted: BTreeSet<NodeId> },
-    /// Gathers votes; holds those granted, its own once that is synced.
+    /// Collects votes. `granted` includes its own once that is synced.
     Candidate { granted: BTreeSet<NodeId> },
-    /// Leads the term.
+    /// Leads its term.
     Leader(Box<LeaderState>),
 }
 
-/// One replica of one shard; the crate's documentation has the protocol.
+/// One replica of one shard. The crate documentation describes the protocol.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) options: Options,
-    /// The greatest time that the driver has given, by the clock of this process.
+    /// The latest time passed by the driver, by the clock of this process.
     pub(crate) now: Millis,
-    /// Term, vote and disk, as last recorded; see `hard_state_ticket` for whether it is synced.
+    /// Term, vote and disk as last recorded. `hard_state_ticket` tells whether they are synced.
     pub(crate) hard_state: HardState,
     pub(crate) log: Log,
     pub(crate) persistence: Persistence,
     pub(crate) role_state: RoleState,
-    /// The leader of the present term, where known.
+    /// The leader of the current term, if known.
     pub(crate) leader: Option<NodeId>,
-    /// How far entries are known to be committed.
+    /// The highest index known to be committed.
     pub(crate) commit_index: Index,
-    /// How far entries have been handed to the state machine; never above `commit_index`.
+    /// The highest index handed to the state machine; at most `commit_index`.
     pub(crate) applied_index: Index,
-    /// How far the log is known to match that of the leader of the present term. Commit indexes of the leader count
-    /// up to here only: what lies behind may be entries of former leaders.
+    /// Highest index up to which the log is known to match that of the current term's leader. The leader's commit index
+    /// applies only up to here, because later entries may stem from former leaders.
     pub(crate) leader_match_index: Index,
-    /// Until then this voter helps nobody to replace the leader that it last received a message of.
+    /// Until this time, this voter does not help to replace the leader that it last received a message from.
     pub(crate) leader_lease_until: Millis,
-    /// When this replica campaigns unless it receives a message of a leader before.
+    /// When this replica campaigns, unless it receives a message from a leader first.
     pub(crate) election_at: Millis,
     /// Whether the group was just bootstrapped here and no leader has been elected yet.
     pub(crate) bootstrapping: bool,
-    /// The ticket that covers the hard state.
+    /// The persistence ticket that covers the hard state.
     pub(crate) hard_state_ticket: u64,
     pub(crate) random: Pcg32,
-    /// What the driver has to do, in order.
+    /// Effects that the driver has not taken yet, in order.
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Replica {
-    /// What this replica does in its group.
+    /// The role of this replica in its group.
     pub fn role(&self) -> Role {
         match self.role_state {
             RoleState::Leader(_) => Role::Leader,
@@ -95,54 +95,55 @@
         }
     }
 
-    /// Whether this replica leads. It may have been replaced without knowing it yet.
+    /// Whether this replica leads. Another replica may already have replaced it without its knowledge.
     pub fn is_leader(&self) -> bool {
         matches!(self.role_state, RoleState::Leader(_))
     }
 
-    /// The leader of the present term, where known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The newest term seen.
+    /// The latest term that this replica has seen.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The voters in force here, the newest in the log, committed or not.
+    /// The latest voter set in this replica's log, whether committed or not.
     pub fn voters(&self) -> &VoterSet {
         self.log.voters()
     }
 
-    /// Index of the entry that brought the voters in force here.
+    /// Index of the entry that introduced [`Replica::voters`].
     pub fn voters_index(&self) -> Index {
         self.log.voters_index()
     }
 
-    /// How far entries are known to be committed.
+    /// The highest index known to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit_index
     }
 
-    /// The last entry of the log.
+    /// Position of the last entry of the log.
     pub fn last(&self) -> LogPosition {
         self.log.last()
     }
 
-    /// Index of the last entry that the snapshot covers, 0 if there is none.
+    /// Index of the last entry covered by the snapshot, 0 if there is no snapshot.
     pub fn snapshot_index(&self) -> Index {
         self.log.snapshot_index()
     }
 
-    /// Whether this replica's former disk was lost and no leader has let it rejoin.
+    /// Whether this replica's previous disk was lost and no leader has let it rejoin yet.
     pub fn is_recovering(&self) -> bool {
         self.hard_state.recovering
     }
 
-    /// Counts as a voter that lost its disk, from the returned records on, for an owner whose state machine lacks what the
-    /// group has decided. Term and vote stay: they were promised by this disk. The owner must not call the replica again
-    /// except to look at it, as effects that were not taken are dropped.
+    /// Turns this replica into a voter that lost its disk, for an owner whose state machine lacks what the group has
+    /// decided. The change takes effect when the returned records are stored. Term and vote are kept, because this disk
+    /// has promised them. Afterwards the owner may only query the replica, because effects that it has not taken are
+    /// dropped.
     #[must_use]
     pub fn lose_state(&mut self) -> Vec<Record> {
         self.become_follower(self.hard_state.term, None);
@@ -152,12 +153,12 @@
         vec![Record::HardState(self.hard_state.clone())]
     }
 
-    /// Advances the clock; it never goes back, so that no lease given to a leader gets shorter.
+    /// Advances the clock. It never goes back, so that no lease granted to a leader is shortened.
     pub(crate) fn set_now(&mut self, now: Millis) {
         self.now = self.now.max(now);
     }
 
-    /// The disk that this replica's responses speak for, and whether they count.
+    /// The disk identity and recovery status that this replica's responses carry.
     pub(crate) fn voter_status(&self) -> VoterStatus {
         VoterStatus { disk_id: self.hard_state.disk_id, recovering: self.hard_state.recovering }
     }
@@ -167,13 +168,13 @@
         Err(ReplicaError::NotLeader { leader: self.leader })
     }
 
-    /// Whether this replica may campaign and vote: a voter that is not recovering.
+    /// Whether this replica may campaign: it is a voter and is not recovering.
     pub(crate) fn is_promotable(&self) -> bool {
         !self.hard_state.recovering && self.log.voters().contains(self.options.node)
     }
 
-    /// Ends the present role and follows, in a term not below the present one. A new term is recorded: a restart must
-    /// not bring back one in which another leader could still be followed.
+    /// Ends the current role and becomes a follower in `term`, which must not be lower than the current term. A new
+    /// term is recorded, because after a restart this replica must not follow a leader of an earlier term.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
         let former = std::mem::replace(&mut self.role_state, RoleState::Follower);
         if let RoleState::Leader(leader_state) = former {
@@ -192,14 +193,14 @@
         self.reset_election_timeout();
     }
 
-    /// Goes on to a newer term that a response named.
+    /// Moves to the newer term that a response carried, if it is newer.
     pub(crate) fn adopt_newer_term(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.become_follower(term, None);
         }
     }
 
-    /// Draws the time of the next election at random, so that votes are rarely split (Ongaro's thesis, section 3.4).
+    /// Draws a random election timeout, so that split votes are rare (Ongaro's thesis, section 3.4).
     pub(crate) fn reset_election_timeout(&mut self) {
         let (shortest, longest) = if self.bootstrapping {
             (self.options.bootstrap_election_min_ms, self.options.bootstrap_election_max_ms)
--- a/consensus/src/replication.rs
+++ b/consensus/src/replication.rs
@@ -1,5 +1,5 @@
-//! Replication by the leader: entries, snapshots and heartbeats to the peers, their responses, and commits (Ongaro's
-//! thesis, section 3.5).
+//! The leader's replication: entries, snapshots and heartbeats to peers, handling of their responses, and commits
+//! (Ongaro's thesis, section 3.5).
 
 use shaletrail_protocol::NodeId;
 
@@ -11,7 +11,7 @@
 use crate::progress::{Progress, StatusCheck};
 use crate::replica::{Replica, RoleState};
 
-/// What all messages of one round have in common.
+/// The values shared by all messages of one round.
 struct Round<'a> {
     term: Term,
     commit: Index,
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// Sends what the peers lack, and heartbeats where they are due, as a new round.
+    /// Starts a new round: sends each peer the entries that it lacks, and heartbeats if they are due.
     pub(crate) fn replicate(&mut self) {
         let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         leader_state.round += 1;
@@ -43,7 +43,7 @@
         self.confirm_reads();
     }
 
-    /// Records the status and the stamp of a peer's response; false where the rest of it must be left out.
+    /// Records the status and stamp of a peer's response. Returns false if the rest of the response must be ignored.
     pub(crate) fn record_response(
         &mut self,
         from: NodeId,
@@ -59,7 +59,7 @@
         let RoleState::Leader(leader_state) = &mut self.role_state else { return false };
         let Some(peer) = leader_state.peers.get_mut(&from) else { return false };
         if stamp.round > leader_state.round {
-            // Nobody can respond to what was not sent.
+            // A response to a round that was never sent.
             return false;
         }
         match peer.check_status(status, stamp, next) {
@@ -106,7 +106,7 @@
         self.send_rejoin_if_ready(from);
     }
 
-    /// Lets a recovering voter count again, where it is ready.
+    /// Lets a recovering voter count again if it is ready.
     fn send_rejoin_if_ready(&mut self, node: NodeId) {
         let RoleState::Leader(leader_state) = &self.role_state else { return };
         let peer = leader_state.peers.get(&node);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Commits what a quorum has synced, where that includes an entry of the present term: one of an earlier term may
-    /// still be replaced, even on a majority (Ongaro's thesis, section 3.6.2).
+    /// Commits the entries that a quorum has synced, provided that the last of them belongs to the current term. An
+    /// entry of an earlier term may still be overwritten, even if a majority holds it (Ongaro's thesis, section 3.6.2).
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(leader_state) = &self.role_state else { return };
         let synced = self.persistence.synced_index();
@@ -136,7 +136,7 @@
 }
 
 impl Round<'_> {
-    /// Sends entries, a probe or the snapshot, as far as the peer's window is open. Whether anything was sent.
+    /// Sends entries, a probe or the snapshot, as far as the peer's window allows. Returns whether anything was sent.
     fn send_entries(&self, node: NodeId, peer: &mut Progress, effects: &mut Vec<Effect>) -> bool {
         let mut has_sent = false;
         while peer.can_send_entries(self.options) && (peer.needs_probe() || self.has_entries_for(peer)) {
--- a/consensus/src/restore.rs
+++ b/consensus/src/restore.rs
@@ -1,4 +1,4 @@
-//! How a replica begins: from the records of its disk, or by the bootstrap of its group.
+//! Start of a replica, from its stored records or by bootstrapping its group.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,15 +12,16 @@
 use crate::replica::{Replica, RoleState};
 use crate::voters::VoterSet;
 
-/// Index and term of the empty snapshot with which a group is bootstrapped; it is never handed out to be installed.
+/// Index and term of the empty snapshot with which a group is bootstrapped. It is never passed to the state machine.
 pub const BOOTSTRAP_INDEX: Index = 1;
 const BOOTSTRAP_POSITION: LogPosition = LogPosition { term: 1, index: BOOTSTRAP_INDEX };
-/// The lease in tenths of the shortest election timeout, at most.
+/// Maximum duration of the lease, in tenths of the shortest election timeout.
 const MAX_LEASE_TENTHS: Millis = 9;
 
 impl Replica {
-    /// A replica from the records that it asked to persist before, in their order; without any it is new. The state of
-    /// the restored snapshot comes as [`Effect::InstallSnapshot`](crate::Effect::InstallSnapshot).
+    /// Creates a replica from the records that it asked to persist earlier, in their original order. Without records,
+    /// the replica is new. If a snapshot was restored, the first effect is
+    /// [`Effect::InstallSnapshot`](crate::Effect::InstallSnapshot) with its state.
     pub fn new(options: Options, restored: Vec<Record>, now: Millis) -> Replica {
         let options = with_valid_timeouts(options);
         let mut random = Pcg32::seed_from_u64(options.seed);
@@ -38,8 +39,8 @@
             commit_index: log.snapshot_index(),
             applied_index: log.snapshot_index(),
             leader_match_index: 0,
-            // It may have responded to a leader just before it stopped. A new disk has not: no response leaves before
-            // the hard state is synced.
+            // A restarted voter may have responded to a leader just before it stopped. A new disk cannot have: no
+            // response is sent before its hard state is synced.
             leader_lease_until: if is_new { now } else { now + options.election_min_ms },
             election_at: Millis::MAX,
             bootstrapping: false,
@@ -59,8 +60,8 @@
         replica
     }
 
-    /// Bootstraps the group, on each of its first voters alike, when the whole system starts for the first time.
-    /// Without effect on a replica that already has entries or is recovering.
+    /// Bootstraps the group. Called with the same voters on each of the first voters when the whole system starts for
+    /// the first time. Does nothing if the replica already has entries or is recovering.
     pub fn bootstrap(&mut self, now: Millis, voters: &[NodeId]) {
         self.set_now(now);
         if self.hard_state.recovering || self.log.last().index > 0 || voters.is_empty() {
@@ -79,7 +80,8 @@
     }
 }
 
-/// Cuts the lease below the shortest election timeout, and raises each longest timeout to its shortest.
+/// Limits the lease to less than the shortest election timeout, and raises each longest timeout to at least its
+/// shortest.
 fn with_valid_timeouts(mut options: Options) -> Options {
     options.lease_ms = options.lease_ms.min(options.election_min_ms * MAX_LEASE_TENTHS / 10);
     options.election_max_ms = options.election_max_ms.max(options.election_min_ms);
@@ -88,7 +90,7 @@
     options
 }
 
-/// The newest hard state, if there is one, and the log.
+/// Replays stored records. Returns the latest hard state, if there is one, and the log.
 fn replay(records: Vec<Record>) -> (Option<HardState>, Log) {
     let mut hard_state = None;
     let mut log = Log::default();
--- a/consensus/src/retention.rs
+++ b/consensus/src/retention.rs
@@ -1,16 +1,18 @@
-//! What a leader keeps of its log for replicas that are catching up, and when it rejects proposals for their sake.
+//! What a leader retains of its log for replicas that are catching up, and when it rejects proposals on their behalf.
 //!
-//! A snapshot that takes longer to arrive and to be synced than the log takes to outgrow what is kept behind it would be
-//! followed by another one, for ever. So a compaction keeps the entries that such a replica needs next, up to
-//! [`Options::max_catch_up_bytes`](crate::Options::max_catch_up_bytes), for as long as it makes progress. What happens at
-//! that bound depends on who needs them:
+//! If a snapshot takes longer to transfer and sync than the log needs to outgrow the retained entries, the follower
+//! needs another snapshot as soon as it has installed one, and never catches up. So compaction keeps the entries that
+//! such a replica needs next, up to [`Options::max_catch_up_bytes`](crate::Options::max_catch_up_bytes), as long as the
+//! replica makes progress. What happens at that limit depends on the replica:
 //!
-//! - A voter, while those that are up to date are a bare quorum: the next loss would leave a group that hangs on this voter.
-//!   Proposals are rejected until it has caught up, so it is never dropped.
-//! - A learner, or a voter that a larger quorum can do without: the entries are dropped, and it gets another snapshot.
+//! - A voter, while the up-to-date voters are a minimal quorum: if one of them failed, the group could not commit
+//!   without the lagging voter. Proposals are rejected until it has caught up, so its entries are not dropped.
+//! - A learner, or a voter that the quorum does not depend on: the entries are dropped, and it receives another
+//!   snapshot.
 //!
-//! A replica that stops responding or acknowledging is not waited for
-//! ([`Options::catch_up_stall_ms`](crate::Options::catch_up_stall_ms)), so proposals are never rejected for longer.
+//! The leader does not wait for a replica that stops responding or acknowledging
+//! ([`Options::catch_up_stall_ms`](crate::Options::catch_up_stall_ms)), which limits how long proposals are rejected
+//! for a stalled replica.
 
 use shaletrail_protocol::NodeId;
 
@@ -20,40 +22,41 @@
 use crate::replica::{Replica, RoleState};
 
 impl Replica {
-    /// The first entry that a compaction keeps for the sake of peers that make progress.
+    /// The first entry that compaction keeps for peers that are making progress.
     pub(crate) fn first_needed_by_peers(&self) -> Option<Index> {
         let RoleState::Leader(leader_state) = &self.role_state else { return None };
         let first_kept_for = |(node, peer): (&NodeId, &Progress)| {
             let first = self.first_needed_by(peer)?;
-            let is_held_for = leader_state.holds_proposals && self.log.voters().contains(*node);
+            let is_waited_for = leader_state.rejects_proposals && self.log.voters().contains(*node);
             let fits = self.log.bytes_after(first - 1) <= self.options.max_catch_up_bytes;
-            (fits || is_held_for).then_some(first)
+            (fits || is_waited_for).then_some(first)
         };
         leader_state.peers.iter().filter_map(first_kept_for).min()
     }
 
-    /// Whether a proposal of this size has to wait until voters that are behind have caught up. Once that is so, it stays
-    /// so until they have: else a voter that keeps pace at the bound would stay that far behind for ever.
-    pub(crate) fn must_hold_proposals(&mut self, size: usize) -> bool {
-        let must_hold = self.is_catch_up_full(size);
+    /// Whether a proposal of this size must be rejected until lagging voters have caught up. Once it starts rejecting,
+    /// the leader continues until they have caught up. Otherwise a voter that keeps pace at the limit would stay that
+    /// far behind forever.
+    pub(crate) fn must_reject_proposals(&mut self, size: usize) -> bool {
+        let must_reject = self.is_catch_up_full(size);
         if let RoleState::Leader(leader_state) = &mut self.role_state {
-            leader_state.holds_proposals = must_hold;
+            leader_state.rejects_proposals = must_reject;
         }
-        must_hold
+        must_reject
     }
 
     fn is_catch_up_full(&self, size: usize) -> bool {
         let RoleState::Leader(leader_state) = &self.role_state else { return false };
         let lagging = self.lagging_voters(leader_state);
         let Some(first) = lagging.iter().map(|voter| voter.first_needed).min() else { return false };
-        if !self.is_bare_quorum_without(&lagging) {
+        if !self.is_minimal_quorum_without(&lagging) {
             return false;
         }
         let needed_bytes = self.log.bytes_after(first - 1) + size;
-        leader_state.holds_proposals || needed_bytes > self.options.max_catch_up_bytes
+        leader_state.rejects_proposals || needed_bytes > self.options.max_catch_up_bytes
     }
 
-    /// The voters that make progress and need entries which the snapshot covers.
+    /// The voters that are making progress and need entries covered by the snapshot.
     fn lagging_voters(&self, leader_state: &LeaderState) -> Vec<LaggingVoter> {
         let voters = leader_state.peers.iter().filter(|(node, _)| self.log.voters().contains(**node));
         let lagging = voters.filter_map(|(node, peer)| {
@@ -68,8 +71,8 @@
         peer.first_needed().filter(|_| peer.is_making_progress(self.now, &self.options))
     }
 
-    /// Whether one of the voters that are up to date is needed for their quorum.
-    fn is_bare_quorum_without(&self, lagging: &[LaggingVoter]) -> bool {
+    /// Whether the up-to-date voters would lose their quorum if any one of them failed.
+    fn is_minimal_quorum_without(&self, lagging: &[LaggingVoter]) -> bool {
         let voters = self.log.voters();
         let is_up_to_date = |node: NodeId| !lagging.iter().any(|voter| voter.node == node);
         voters
@@ -79,7 +82,7 @@
     }
 }
 
-/// A voter that cannot take over yet where another one is lost.
+/// A voter that is too far behind to replace a failed one in the quorum.
 struct LaggingVoter {
     node: NodeId,
     first_needed: Index,
--- a/consensus/src/step.rs
+++ b/consensus/src/step.rs
@@ -1,4 +1,4 @@
-//! The calls of the driver: messages, time, synced records, and the effects that they had.
+//! The calls that drive a replica: received messages, time, synced records, and retrieving effects.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -7,7 +7,7 @@
 use crate::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Handles a message of another replica. One that cannot be meant is left out.
+    /// Handles a message from another replica. Implausible messages are ignored.
     pub fn receive(&mut self, now: Millis, from: NodeId, message: Message) {
         self.set_now(now);
         if from == self.options.node || !message.is_plausible() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Does what is due: heartbeats and check-quorum of a leader, the election timeout of others.
+    /// Performs actions that are due: a leader's heartbeats and check-quorum, or the election timeout of other roles.
     pub fn tick(&mut self, now: Millis) {
         self.set_now(now);
         if self.is_leader() {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// When [`Replica::tick`] has something to do next; may be past, or [`Millis::MAX`].
+    /// When [`Replica::tick`] has to be called next. May be in the past, or [`Millis::MAX`] if nothing is scheduled.
     pub fn next_wake(&self) -> Millis {
         match &self.role_state {
             RoleState::Leader(leader_state) => leader_state.heartbeat_at,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// All records up to this ticket are synced: sends the messages that waited for that.
+    /// Reports that all records up to `ticket` are synced, and sends the messages that waited for them.
     pub fn persisted(&mut self, now: Millis, ticket: u64) {
         self.set_now(now);
         self.persistence.on_persisted(ticket);
@@ -80,7 +80,7 @@
         self.advance_commit();
     }
 
-    /// What the driver has to do since the last call, in order.
+    /// The effects since the last call, for the driver to carry out in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.replicate();
         if let Some(batch) = self.persistence.flush(self.now, self.log.last().index) {
--- a/consensus/src/transfer.rs
+++ b/consensus/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Leadership transfer (Ongaro's thesis, section 3.10).
 //!
-//! Here the leader stops leading *before* it prompts its successor. So the successor's request for votes may pass over
-//! the leader lease of the voters: the lease that it would protect has ended.
+//! In this implementation, the leader steps down *before* it asks its successor to campaign. The successor's vote
+//! requests may therefore bypass the voters' leader lease, because the lease that it protects has already ended.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -12,12 +12,12 @@
 use crate::replica::{Replica, RoleState};
 use crate::voters::VoterSet;
 
-/// Longest election timeouts for which a leader doesn't campaign after it has transferred the leadership.
+/// For how many of the longest election timeouts a former leader does not campaign after a leadership transfer.
 const CAMPAIGN_BACKOFF_TIMEOUTS: Millis = 2;
 
 impl Replica {
-    /// Stops leading and prompts the most advanced other voter to campaign at once, for a driver whose disk is degraded
-    /// or which is shutting down. Without effect where there is no other voter.
+    /// Steps down and asks the most up-to-date other voter to campaign immediately. For a driver whose disk is degraded
+    /// or which is shutting down. Does nothing if there is no other voter.
     pub fn transfer_leadership(&mut self, now: Millis) {
         self.set_now(now);
         self.replicate();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Stops leading, and only then prompts another voter, where one is in contact.
+    /// Steps down, and only then asks another voter to campaign, if one has been in contact recently.
     pub(crate) fn step_down(&mut self) {
         let RoleState::Leader(leader_state) = &self.role_state else { return };
         let min_last_contact = self.now.saturating_sub(self.options.election_max_ms);
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Campaigns without a pre-vote. Only in the term of the transfer: a late message of an earlier one must not pass
-    /// over the lease of a newer leader.
+    /// Campaigns without a pre-vote, but only in the term of the transfer. A delayed message from an earlier term must
+    /// not bypass the lease of a later leader.
     pub(crate) fn on_timeout_now(&mut self, term: Term) {
         let is_current = term == self.hard_state.term && !self.is_leader();
         if is_current && self.is_promotable() && !self.is_disk_stalled() {
@@ -50,7 +50,8 @@
 }
 
 impl LeaderState {
-    /// The voter with the longest log among those that have acknowledged a message sent at `min_last_contact` or later.
+    /// The voter with the highest matched index among those that acknowledged a message sent at `min_last_contact` or
+    /// later.
     fn transfer_target(&self, voters: &VoterSet, min_last_contact: Millis) -> Option<NodeId> {
         let is_eligible = |node: &NodeId, peer: &Progress| {
             voters.incoming().contains(node)
