--- a/consensus/tests/catching_up.rs
+++ b/consensus/tests/catching_up.rs
@@ -1,4 +1,5 @@
-//! Replicas that catch up by a snapshot while the log goes on: what is kept for them, and who waits for whom.
+//! Replicas that catch up from a snapshot while new entries are being committed: which entries the leader retains for
+//! them, and when it rejects proposals on their behalf.
 
 mod group;
 
@@ -6,24 +7,24 @@
 use shaletrail_consensus::Options;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// Time between two changes, each of which is followed by a compaction at the leader.
-const CHANGE_INTERVAL_MS: Millis = 50;
-/// What a slow link adds to each message.
+/// Time between two proposals, in milliseconds. Each is followed by a compaction at the leader.
+const PROPOSAL_INTERVAL_MS: Millis = 50;
+/// Delay that a slow link adds to each message, in milliseconds.
 const SLOW_LINK_MS: Millis = 300;
-/// How long a slow disk takes for each sync.
+/// Duration of each sync on a slow disk, in milliseconds.
 const SLOW_SYNC_MS: Millis = 400;
-/// The way there and back, and the sync, of a snapshot and of the entries after it.
+/// Time to transfer, sync and acknowledge a snapshot and then the entries after it, in milliseconds.
 const CATCH_UP_MS: Millis = 2 * (2 * SLOW_LINK_MS + SLOW_SYNC_MS);
-/// The changes that are made while one goes over the slow link, is synced and acknowledged.
-const PIPELINE_CHANGES: u64 = (2 * SLOW_LINK_MS + SLOW_SYNC_MS) / CHANGE_INTERVAL_MS + 2;
+/// Upper bound of the proposals made while one entry crosses the slow link, is synced and is acknowledged.
+const MAX_PIPELINED_ENTRIES: u64 = (2 * SLOW_LINK_MS + SLOW_SYNC_MS) / PROPOSAL_INTERVAL_MS + 2;
 
-fn retains_nothing(options: &mut Options) {
+fn retain_nothing(options: &mut Options) {
     options.retain_bytes = 0;
 }
 
-/// Also keeps no more than some ten entries for a replica that is catching up.
-fn retains_ten_entries_for_catching_up(options: &mut Options) {
-    retains_nothing(options);
+/// Also limits the entries kept for a replica that is catching up to about ten.
+fn retain_ten_entries_for_catching_up(options: &mut Options) {
+    retain_nothing(options);
     options.max_catch_up_bytes = 400;
 }
 
@@ -37,19 +38,19 @@
     }
 }
 
-/// Proposes a change, lets time pass and compacts the leader's log; whether the change was accepted.
-fn change_and_compact(group: &mut Group, leader: NodeId) -> bool {
+/// Proposes a command, lets time pass and compacts the leader's log. Returns whether the proposal was accepted.
+fn propose_and_compact(group: &mut Group, leader: NodeId) -> bool {
     let is_accepted = group.propose(leader).is_some();
-    group.run(CHANGE_INTERVAL_MS);
+    group.run(PROPOSAL_INTERVAL_MS);
     group.machine(leader).compact();
     is_accepted
 }
 
-/// Changes one after the other for some time; how many were accepted and how many rejected.
-fn change_for(group: &mut Group, leader: NodeId, duration: Millis) -> (u64, u64) {
+/// Proposes commands for some time. Returns how many were accepted and how many were rejected.
+fn propose_for(group: &mut Group, leader: NodeId, duration: Millis) -> (u64, u64) {
     let (mut accepted, mut rejected) = (0, 0);
-    for _ in 0..duration / CHANGE_INTERVAL_MS {
-        if change_and_compact(group, leader) {
+    for _ in 0..duration / PROPOSAL_INTERVAL_MS {
+        if propose_and_compact(group, leader) {
             accepted += 1;
         } else {
             rejected += 1;
@@ -58,16 +59,17 @@
     (accepted, rejected)
 }
 
-fn distance(group: &Group, leader: NodeId, behind: NodeId) -> u64 {
-    group.machines[&leader].applied - group.machines[&behind].applied
+fn entries_behind(group: &Group, leader: NodeId, lagging: NodeId) -> u64 {
+    group.machines[&leader].applied - group.machines[&lagging].applied
 }
 
 fn snapshots_sent(group: &Group) -> u64 {
     group.sent.get("InstallSnapshot").copied().unwrap_or_default()
 }
 
-/// A group whose leader's log no longer reaches back to one follower, which is slow from now on.
-fn with_slow_follower_behind(
+/// A group with a follower that needs entries which the leader's log no longer contains, and whose disk and links are
+/// slow from now on. Returns the group, the leader and the follower.
+fn with_slow_lagging_follower(
     size: u32,
     seed: u64,
     adjust_options: fn(&mut Options),
@@ -75,96 +77,96 @@
     let mut group = Group::bootstrapped_with(size, seed, adjust_options);
     let leader = group.await_leader();
     group.run(500);
-    let behind = group.followers()[0];
-    group.isolate(behind);
-    change_for(&mut group, leader, 1000);
+    let lagging = group.followers()[0];
+    group.isolate(lagging);
+    propose_for(&mut group, leader, 1000);
     group.blocked_links.clear();
-    slow_down(&mut group, behind);
-    (group, leader, behind)
+    slow_down(&mut group, lagging);
+    (group, leader, lagging)
 }
 
 #[test]
 fn slow_follower_catches_up_with_one_snapshot() {
     // given
-    let (mut group, leader, behind) = with_slow_follower_behind(3, 1, retains_nothing);
+    let (mut group, leader, lagging) = with_slow_lagging_follower(3, 1, retain_nothing);
     // when
-    let (_, rejected) = change_for(&mut group, leader, CATCH_UP_MS + 1000);
+    let (_, rejected) = propose_for(&mut group, leader, CATCH_UP_MS + 1000);
     // then
     assert_eq!(rejected, 0);
-    assert!(distance(&group, leader, behind) <= PIPELINE_CHANGES, "{}", group.describe());
+    assert!(entries_behind(&group, leader, lagging) <= MAX_PIPELINED_ENTRIES, "{}", group.describe());
     assert_eq!(snapshots_sent(&group), 1);
-    change_for(&mut group, leader, 5000);
-    assert!(distance(&group, leader, behind) <= PIPELINE_CHANGES, "{}", group.describe());
+    propose_for(&mut group, leader, 5000);
+    assert!(entries_behind(&group, leader, lagging) <= MAX_PIPELINED_ENTRIES, "{}", group.describe());
     assert_eq!(snapshots_sent(&group), 1);
 }
 
 #[test]
 fn slow_learner_catches_up_with_one_snapshot() {
     // given
-    let mut group = Group::bootstrapped_with(3, 2, retains_nothing);
+    let mut group = Group::bootstrapped_with(3, 2, retain_nothing);
     let leader = group.await_leader();
-    change_for(&mut group, leader, 1000);
+    propose_for(&mut group, leader, 1000);
     let learner = node(9);
     group.add_machine(learner, true);
     slow_down(&mut group, learner);
     // when
     group.call(leader, |replica, _| replica.add_learner(learner));
-    change_for(&mut group, leader, CATCH_UP_MS + 1000);
+    propose_for(&mut group, leader, CATCH_UP_MS + 1000);
     // then
-    assert!(distance(&group, leader, learner) <= PIPELINE_CHANGES, "{}", group.describe());
+    assert!(entries_behind(&group, leader, learner) <= MAX_PIPELINED_ENTRIES, "{}", group.describe());
     assert_eq!(snapshots_sent(&group), 1);
 }
 
 #[test]
-fn proposals_wait_for_voter_that_a_bare_quorum_will_need() {
+fn proposals_are_rejected_while_minimal_quorum_would_need_lagging_voter() {
     // given
-    let (mut group, leader, behind) = with_slow_follower_behind(3, 3, retains_ten_entries_for_catching_up);
+    let (mut group, leader, lagging) = with_slow_lagging_follower(3, 3, retain_ten_entries_for_catching_up);
     // when
-    let (accepted, rejected) = change_for(&mut group, leader, CATCH_UP_MS + 1000);
-    // then: it has what the others have with one snapshot, although the bound was reached
+    let (accepted, rejected) = propose_for(&mut group, leader, CATCH_UP_MS + 1000);
+    // then: it catches up with one snapshot, although the retention limit was reached
     assert!(accepted > 0 && rejected > 0, "{accepted} accepted, {rejected} rejected");
-    assert!(distance(&group, leader, behind) <= PIPELINE_CHANGES, "{}", group.describe());
+    assert!(entries_behind(&group, leader, lagging) <= MAX_PIPELINED_ENTRIES, "{}", group.describe());
     assert_eq!(snapshots_sent(&group), 1);
-    // and the next loss leaves a group that goes on
-    let lost = group.followers().into_iter().find(|node| *node != behind).expect("a third voter");
+    // and: after the loss of another voter, the group continues to commit
+    let lost = group.followers().into_iter().find(|node| *node != lagging).expect("a third voter");
     group.crash(lost);
     group.run(CATCH_UP_MS);
     let accepted = group.propose(leader);
     group.run(CATCH_UP_MS);
-    let (_, index) = accepted.expect("the leader accepts it");
+    let (_, index) = accepted.expect("the leader accepts the proposal");
     assert!(group.invariants.is_acknowledged(index), "{}", group.describe());
 }
 
 #[test]
-fn held_proposals_go_on_once_the_voter_has_caught_up() {
-    // given: one entry at a time goes to the follower
-    let (mut group, leader, behind) = with_slow_follower_behind(3, 7, |options| {
-        retains_ten_entries_for_catching_up(options);
+fn proposals_are_accepted_again_once_the_voter_has_caught_up() {
+    // given: the follower receives one entry at a time
+    let (mut group, leader, lagging) = with_slow_lagging_follower(3, 7, |options| {
+        retain_ten_entries_for_catching_up(options);
         options.max_append_bytes = 1;
         options.max_in_flight_messages = 1;
     });
-    while change_and_compact(&mut group, leader) {
-        assert!(group.now < 30_000, "no proposal was ever held: {}", group.describe());
+    while propose_and_compact(&mut group, leader) {
+        assert!(group.now < 30_000, "no proposal was ever rejected: {}", group.describe());
     }
-    // when: the first proposal is accepted again
+    // when: proposals are accepted again
     let mut is_caught_up = false;
     while group.propose(leader).is_none() {
-        group.run(CHANGE_INTERVAL_MS);
+        group.run(PROPOSAL_INTERVAL_MS);
         group.machine(leader).compact();
-        let matched = group.replica(leader).peer_status(behind).map(|peer| peer.matched);
+        let matched = group.replica(leader).peer_status(lagging).map(|peer| peer.matched);
         is_caught_up = matched >= Some(group.replica(leader).snapshot_index());
-        assert!(group.now < 60_000, "proposals are held for ever: {}", group.describe());
+        assert!(group.now < 60_000, "proposals are still rejected: {}", group.describe());
     }
-    // then: not just as far behind as the bound allows
+    // then: the follower has caught up, and does not stay as far behind as the limit allows
     assert!(is_caught_up, "{}", group.describe());
 }
 
 #[test]
 fn larger_quorum_does_not_wait_for_lagging_voter() {
     // given
-    let (mut group, leader, _) = with_slow_follower_behind(5, 4, retains_ten_entries_for_catching_up);
+    let (mut group, leader, _) = with_slow_lagging_follower(5, 4, retain_ten_entries_for_catching_up);
     // when
-    let (_, rejected) = change_for(&mut group, leader, CATCH_UP_MS);
+    let (_, rejected) = propose_for(&mut group, leader, CATCH_UP_MS);
     // then
     assert_eq!(rejected, 0);
 }
@@ -172,30 +174,30 @@
 #[test]
 fn proposals_do_not_wait_for_stalled_disk() {
     // given
-    let (mut group, leader, behind) = with_slow_follower_behind(3, 5, |options| {
-        retains_ten_entries_for_catching_up(options);
+    let (mut group, leader, lagging) = with_slow_lagging_follower(3, 5, |options| {
+        retain_ten_entries_for_catching_up(options);
         options.catch_up_stall_ms = 2000;
     });
-    group.machine(behind).is_disk_stalled = true;
-    let (_, rejected) = change_for(&mut group, leader, 2500);
+    group.machine(lagging).is_disk_stalled = true;
+    let (_, rejected) = propose_for(&mut group, leader, 2500);
     assert!(rejected > 0);
     // when
-    change_for(&mut group, leader, 2000);
+    propose_for(&mut group, leader, 2000);
     // then
-    let (_, rejected) = change_for(&mut group, leader, 5000);
+    let (_, rejected) = propose_for(&mut group, leader, 5000);
     assert_eq!(rejected, 0, "{}", group.describe());
 }
 
 #[test]
 fn proposals_do_not_wait_for_unreachable_voter() {
     // given
-    let (mut group, leader, behind) = with_slow_follower_behind(3, 6, retains_ten_entries_for_catching_up);
-    let (_, rejected) = change_for(&mut group, leader, 1500);
+    let (mut group, leader, lagging) = with_slow_lagging_follower(3, 6, retain_ten_entries_for_catching_up);
+    let (_, rejected) = propose_for(&mut group, leader, 1500);
     assert!(rejected > 0);
     // when
-    group.isolate(behind);
-    change_for(&mut group, leader, 2000);
+    group.isolate(lagging);
+    propose_for(&mut group, leader, 2000);
     // then
-    let (_, rejected) = change_for(&mut group, leader, 2000);
+    let (_, rejected) = propose_for(&mut group, leader, 2000);
     assert_eq!(rejected, 0, "{}", group.describe());
 }
--- a/consensus/tests/durability_scenarios.rs
+++ b/consensus/tests/durability_scenarios.rs
@@ -1,21 +1,21 @@
-//! Scenarios of entries: deposed leaders, power loss and lost disks around acknowledgements.
+//! Scenarios for the durability of entries: deposed leaders, power loss and lost disks around acknowledgements.
 
 mod group;
 
 use group::history::small_limits;
 use group::scenario::{
-    draw, draw_node, flip_coin, heal_and_await_rejoin, play_all, propose_and_read_at_leaders, run_up_to,
+    draw, draw_node, flip_coin, heal_and_await_rejoin, propose_and_read_at_leaders, run_up_to, run_with_seeds,
 };
 use group::{Conditions, Group};
 use shaletrail_protocol::NodeId;
 
 #[test]
 fn returning_leaders_lose_nothing_acknowledged() {
-    play_all(30_000, |seed| {
+    run_with_seeds(30_000, |seed| {
         let mut group = Group::bootstrapped_with(3 + (seed % 3) as u32, seed, small_limits);
         let mut unreachable: Vec<NodeId> = Vec::new();
         for _ in 0..10 {
-            // The leader is isolated or crashes while few others hold its entries.
+            // The leader is isolated or crashes while few other voters hold its entries.
             if let Some(leader) = group.leader() {
                 propose_and_read_at_leaders(&mut group);
                 run_up_to(&mut group, 15);
@@ -27,7 +27,7 @@
                 }
                 unreachable.push(leader);
             }
-            // An earlier one returns, so that a majority is there.
+            // The voter that failed first returns as soon as a majority would be missing otherwise.
             while unreachable.len() > (group.machines.len() - 1) / 2 {
                 let returning = unreachable.remove(0);
                 group.blocked_links.retain(|(from, to)| *from != returning && *to != returning);
@@ -48,7 +48,7 @@
 
 #[test]
 fn power_loss_with_slow_disks_loses_nothing_acknowledged() {
-    play_all(50_000, |seed| {
+    run_with_seeds(50_000, |seed| {
         let mut group = Group::bootstrapped_with(if seed % 3 == 0 { 5 } else { 3 }, seed, small_limits);
         for _ in 0..15 {
             group.await_leader();
@@ -78,7 +78,7 @@
 
 #[test]
 fn disk_loss_after_vote_or_acknowledgement_loses_nothing() {
-    play_all(95_000, |seed| {
+    run_with_seeds(95_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..6 {
             let former = heal_and_await_rejoin(&mut group);
@@ -88,7 +88,8 @@
             }
             let (absent, wiped) = (followers[0], followers[1]);
             if flip_coin(&mut group) {
-                // It alone has acknowledged with the leader, and is left with one that lacks the entry.
+                // Only this follower has acknowledged the entry besides the leader. After losing its disk, it is left
+                // with a voter that lacks the entry.
                 group.isolate(absent);
                 run_up_to(&mut group, 300);
                 propose_and_read_at_leaders(&mut group);
@@ -96,14 +97,16 @@
                 group.wipe_disk(wiped);
                 group.crash(former);
             } else {
-                // It has elected another leader, and is left with the former one, which doesn't know.
+                // This follower elects another leader. After losing its disk, it is left with the former leader, which
+                // has not learned of the election.
                 group.isolate(former);
                 group.run_until(950, |group| group.leader().is_some_and(|leader| leader != former));
                 run_up_to(&mut group, 30);
                 propose_and_read_at_leaders(&mut group);
                 run_up_to(&mut group, 60);
                 let newer = group.leader().filter(|leader| *leader != former);
-                let voter = followers.iter().copied().find(|node| Some(*node) != newer).expect("a voter");
+                let voter =
+                    followers.iter().copied().find(|node| Some(*node) != newer).expect("a third voter");
                 group.wipe_disk(voter);
                 group.blocked_links.clear();
                 newer.into_iter().for_each(|newer| group.isolate(newer));
--- a/consensus/tests/election_scenarios.rs
+++ b/consensus/tests/election_scenarios.rs
@@ -1,11 +1,11 @@
-//! Scenarios of elections: delayed candidates, split votes, leadership transfers and messages that come late.
+//! Election scenarios: delayed candidates, split votes, leadership transfers and late messages.
 
 mod group;
 
 use group::history::small_limits;
 use group::scenario::{
-    draw, draw_node, flip_coin, heal_and_await_leader, heal_and_await_rejoin, play_all,
-    propose_and_read_at_leaders, run_up_to,
+    draw, draw_node, flip_coin, heal_and_await_leader, heal_and_await_rejoin, propose_and_read_at_leaders,
+    run_up_to, run_with_seeds,
 };
 use group::{Conditions, Group};
 use shaletrail_consensus::{Message, Role};
@@ -13,7 +13,7 @@
 
 #[test]
 fn late_leadership_transfers_respect_a_lease() {
-    play_all(10_000, |seed| {
+    run_with_seeds(10_000, |seed| {
         let mut group = Group::bootstrapped(if seed % 3 == 0 { 5 } else { 3 }, seed);
         group.should_record = |message| {
             matches!(
@@ -22,7 +22,7 @@
             )
         };
         for _ in 0..6 {
-            // A leadership transfer, which may be interrupted.
+            // A leadership transfer, which may be interrupted by a crash or a partition.
             let leader = heal_and_await_leader(&mut group);
             group.call(leader, |replica, now| replica.transfer_leadership(now));
             run_up_to(&mut group, 10);
@@ -32,7 +32,7 @@
                 _ => {}
             }
             run_up_to(&mut group, 100);
-            // A leader that is isolated while it holds the lease, and late messages of transfers.
+            // A leader is isolated while it holds the lease, and messages of earlier transfers arrive late.
             let leader = heal_and_await_leader(&mut group);
             group.isolate(leader);
             for _ in 0..3 {
@@ -48,7 +48,7 @@
 
 #[test]
 fn delayed_candidates_respect_a_lease() {
-    play_all(20_000, |seed| {
+    run_with_seeds(20_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..8 {
             delay_candidate_by_disk(&mut group);
@@ -57,9 +57,9 @@
     });
 }
 
-/// A leader is isolated for less than it takes to step down, a voter gathers pre-votes and is delayed by its disk,
-/// the third voter is in contact with the leader again and may restart, or lose its disk as the leader crashes; then
-/// the request for its vote arrives.
+/// A leader is isolated for less time than it takes to step down. Meanwhile another voter wins the pre-vote, but its
+/// disk stalls before it can request votes. The third voter is then in contact with the leader again. It may restart,
+/// or lose its disk while the leader crashes. Only then does the candidate's vote request arrive.
 fn delay_candidate_by_disk(group: &mut Group) {
     let leader = heal_and_await_rejoin(group);
     let others = group.others(leader);
@@ -74,7 +74,7 @@
     group.partition(&[leader], &[candidate]);
     run_up_to(group, 300);
     if flip_coin(group) {
-        // With newer entries the voter would not vote for the candidate anyway.
+        // If the voter had newer entries, it would reject the candidate in any case.
         propose_and_read_at_leaders(group);
     }
     run_up_to(group, 100);
@@ -97,7 +97,7 @@
 
 #[test]
 fn vote_survives_power_loss() {
-    play_all(40_000, |seed| {
+    run_with_seeds(40_000, |seed| {
         let mut group = Group::bootstrapped_with(3, seed, |options| options.election_max_ms = 2000);
         group.should_record = |message| matches!(message, Message::VoteRequest { .. });
         for _ in 0..5 {
@@ -107,7 +107,8 @@
     });
 }
 
-/// Two voters without a link campaign in the same term; the voter between them loses power around its response.
+/// Two voters that cannot reach each other campaign in the same term. The voter between them loses power around the
+/// time of its response.
 fn split_votes(group: &mut Group) {
     let middle = heal_and_await_leader(group);
     group.clear_recorded();
@@ -117,7 +118,7 @@
     for candidate in &candidates {
         group.machine(*candidate).is_disk_stalled = true;
     }
-    // Both have requested pre-votes when the voter between them resumes, and have received nothing else.
+    // When the voter between them resumes, both candidates have requested pre-votes and have received nothing else.
     group.run(2100);
     group.resume(middle);
     let both_campaign = |group: &Group| {
@@ -135,7 +136,7 @@
     group.crash(middle);
     group.restart(middle);
     group.run(20);
-    // The one that was elected is isolated, and the other's request comes late.
+    // The elected candidate is isolated, and the vote request of the other one arrives late.
     for leader in group.leaders() {
         group.isolate(leader);
     }
@@ -148,7 +149,7 @@
 
 #[test]
 fn split_elections_give_one_leader_a_term() {
-    play_all(45_000, |seed| {
+    run_with_seeds(45_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         group.should_record =
             |message| matches!(message, Message::VoteRequest { .. } | Message::VoteResponse { .. });
@@ -179,7 +180,7 @@
 
 #[test]
 fn late_messages_of_former_terms_do_no_harm() {
-    play_all(60_000, |seed| {
+    run_with_seeds(60_000, |seed| {
         let mut group = Group::bootstrapped_with(if seed % 3 == 0 { 5 } else { 3 }, seed, small_limits);
         group.should_record = |_| true;
         for _ in 0..12 {
@@ -197,8 +198,8 @@
                 }
                 run_up_to(&mut group, 100);
                 let nodes = group.running();
-                let compacts = draw_node(&mut group, &nodes);
-                group.machine(compacts).compact();
+                let compacting_node = draw_node(&mut group, &nodes);
+                group.machine(compacting_node).compact();
             }
         }
         group
@@ -207,7 +208,7 @@
 
 #[test]
 fn half_of_the_voters_is_no_quorum() {
-    play_all(77_000, |seed| {
+    run_with_seeds(77_000, |seed| {
         let mut group = Group::bootstrapped(4, seed);
         let leader = heal_and_await_leader(&mut group);
         let others = group.others(leader);
@@ -230,19 +231,18 @@
     // when
     group.crash(member);
     group.restart(member);
-    // then
-    // It neither leads nor holds a lease, and takes no proposals or reads, until it was elected anew.
+    // then: until it is elected anew, it neither leads nor holds a lease, and accepts no proposals or reads
     assert_eq!((group.role(member), group.has_lease(member)), (Role::Follower, false));
     assert_eq!((group.propose(member), group.read(member)), (None, None));
-    assert_eq!(group.machines[&member].commands, Vec::<u64>::new(), "what is not known to be committed");
+    assert_eq!(group.machines[&member].commands, Vec::<u64>::new(), "nothing is known to be committed yet");
     group.await_applied();
 }
 
 #[test]
 fn restarted_voter_rejects_former_leader() {
-    let mut played = 0;
+    let mut reached = 0;
     for seed in 0..20 {
-        // given: a leader that is isolated with one voter, and a newer one that three others have elected
+        // given: a leader that is isolated together with one voter, and a newer leader elected by the other three
         let mut group = Group::bootstrapped_with(5, seed, |options| options.election_max_ms = 4000);
         let former = heal_and_await_leader(&mut group);
         let others = group.others(former);
@@ -251,39 +251,39 @@
         group.isolate(voter);
         group.run_until(3500, |group| group.leaders().iter().any(|leader| *leader != former));
         let Some(newer) = group.leaders().into_iter().find(|leader| *leader != former) else { continue };
-        // The voter follows the newer one, which needs it to commit.
+        // The voter follows the newer leader, which needs it to commit.
         group
             .blocked_links
             .retain(|(from, to)| ![*from, *to].contains(&voter) || ![*from, *to].contains(&newer));
-        let idle = others[1..].iter().copied().find(|node| *node != newer).expect("another");
-        group.isolate(idle);
-        let (_, index) = group.propose(newer).expect("it leads");
+        let isolated = others[1..].iter().copied().find(|node| *node != newer).expect("another voter");
+        group.isolate(isolated);
+        let (_, index) = group.propose(newer).expect("it is the leader");
         group.run(800);
         if !group.invariants.is_acknowledged(index) || !group.replica(former).is_leader() {
             continue;
         }
-        played += 1;
-        // when: it restarts and receives messages of the former leader only, and the newer one and its follower are
-        // lost
+        reached += 1;
+        // when: the voter restarts and receives messages from the former leader only, while the newer leader and its
+        // follower are lost
         group.crash(voter);
         group.restart(voter);
         group.blocked_links.clear();
         let rest: Vec<NodeId> = others[1..].to_vec();
         group.partition(&[former, voter], &rest);
-        group.isolate(idle);
+        group.isolate(isolated);
         for _ in 0..3 {
             group.propose(former);
         }
         group.run(700);
         group.blocked_links.clear();
-        others[1..].iter().filter(|node| **node != idle).for_each(|node| group.crash(*node));
+        others[1..].iter().filter(|node| **node != isolated).for_each(|node| group.crash(*node));
         group.run(12_000);
-        // then: what was acknowledged is still there
+        // then: no acknowledged entry is lost
         group.heal();
         group.run(8000);
         group.commit_one();
         group.await_applied();
         group.assert_nothing_lost();
     }
-    assert!(played >= 5, "only {played} seeds reach the case");
+    assert!(reached >= 5, "only {reached} seeds reach the case");
 }
--- a/consensus/tests/elections.rs
+++ b/consensus/tests/elections.rs
@@ -1,4 +1,4 @@
-//! Elections: who becomes the leader, who stays it, and who must not campaign.
+//! Elections: who becomes leader, who remains leader, and who must not campaign.
 
 mod group;
 
@@ -17,12 +17,12 @@
 
 #[test]
 fn staggered_bootstrap_makes_one_group() {
-    let founders = [node(1), node(2), node(3)];
+    let first_voters = [node(1), node(2), node(3)];
     for seed in 0..20 {
         let mut group = Group::empty(seed, |_| {});
-        for founder in [node(3), node(1), node(2)] {
-            group.add_machine(founder, false);
-            group.call(founder, |replica, now| replica.bootstrap(now, &founders));
+        for voter in [node(3), node(1), node(2)] {
+            group.add_machine(voter, false);
+            group.call(voter, |replica, now| replica.bootstrap(now, &first_voters));
             group.run(130);
         }
         let index = group.commit_one();
@@ -112,16 +112,16 @@
     // given
     let mut group = Group::bootstrapped(3, 5);
     group.await_leader();
-    let fresh = node(9);
-    group.add_machine(fresh, true);
+    let new_node = node(9);
+    group.add_machine(new_node, true);
     // when
     group.filter = Some(Box::new(move |from, _, message| {
-        assert_ne!(from, fresh, "{message:?}");
+        assert_ne!(from, new_node, "{message:?}");
         true
     }));
     group.run(10_000);
     // then
-    assert_eq!(group.role(fresh), Role::Learner);
+    assert_eq!(group.role(new_node), Role::Learner);
 }
 
 #[test]
@@ -198,11 +198,11 @@
         let mut group = Group::bootstrapped(3, seed);
         let former = group.await_leader();
         group.run(1000);
-        // when: it gives up the leadership, and nobody is prompted
+        // when: it gives up leadership, but no successor is asked to campaign
         group.drop_messages(|message| matches!(message, Message::TimeoutNow { .. }));
         group.call(former, |replica, now| replica.transfer_leadership(now));
         let has_leader = group.run_until(4000, |group| group.leader().is_some());
-        // then: its clients get another one, as what made it give up goes on
+        // then: another replica leads, because the reason for the transfer still exists
         assert!(has_leader, "seed {seed}: {}", group.describe());
         assert_ne!(group.leader(), Some(former), "seed {seed}");
     }
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -1,4 +1,4 @@
-//! Random histories: faults, proposals, reads and changes of voters, drawn from a seed.
+//! Random histories of a group: faults, proposals, reads and membership changes, drawn from a seed.
 
 use rand::Rng;
 use shaletrail_consensus::{Options, VoterSet};
@@ -6,23 +6,23 @@
 
 use super::{node, Conditions, Group};
 
-/// The longest time between two random events, in milliseconds.
+/// Maximum time between two random events, in milliseconds.
 const MAX_PAUSE_MS: Millis = 60;
-/// Time for the first syncs of all first voters, in milliseconds.
+/// Time for the first sync of every initial voter, in milliseconds.
 const BOOTSTRAP_MS: Millis = 20;
-/// How long faults are injected, in milliseconds.
+/// Duration of fault injection, in milliseconds.
 const FAULTS_MS: Millis = 20_000;
-/// Time within which the group must work again after the faults, in milliseconds.
+/// Time after the faults within which the group must work again, in milliseconds.
 const RECOVERY_MS: Millis = 6_000;
-/// Machines that may replace others in one history.
+/// Maximum number of machines that replace others in one history.
 const MAX_REPLACEMENTS: u32 = 3;
 
-/// Which faults a history has besides those of links, processes and slow disks.
+/// The faults that a history contains in addition to those of links, processes and slow disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Disks are lost, one after the other, up to the tolerated number at once.
+    /// Voters lose their disks. At any time, at most as many are lost as the group tolerates.
     pub disk_losses: bool,
-    /// Machines are removed for good and replaced.
+    /// Machines are removed permanently and replaced.
     pub replacements: bool,
 }
 
@@ -31,9 +31,9 @@
     group: Group,
     faults: Faults,
     size: u32,
-    /// Machines created so far.
+    /// Number of machines created so far.
     created: u32,
-    /// How lossy and slow links and disks get, from 0 (hardly) to 3.
+    /// How unreliable and slow links and disks become, from 0 (hardly) to 3.
     intensity: u32,
 }
 
@@ -47,8 +47,8 @@
     options.retain_bytes = 300;
 }
 
-/// Plays one history of a group whose bootstrap is synced, and checks the group after it.
-pub fn play(seed: u64, faults: Faults) -> Group {
+/// Runs one history on a group whose bootstrap is synced, checks the group afterwards, and returns it.
+pub fn run_history(seed: u64, faults: Faults) -> Group {
     let size = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut group = Group::bootstrapped_with(size, seed, small_limits);
     group.run(BOOTSTRAP_MS);
@@ -88,14 +88,17 @@
         }
         let token = self.group.read(leader).expect("a leader accepts reads");
         self.group.run(500);
-        assert!(!self.group.invariants.is_read_pending(token), "a read is answered in calm times");
+        assert!(
+            !self.group.invariants.is_read_pending(token),
+            "a read is answered while there are no faults"
+        );
     }
 
     fn random_event(&mut self) {
         let roll = self.group.random.random_range(0..1000);
         match roll {
             0..435 => self.propose(),
-            435..450 => self.calm_period(),
+            435..450 => self.fault_free_period(),
             450..600 => self.read(),
             600..660 => self.compact(),
             660..690 => self.checkpoint(),
@@ -108,10 +111,10 @@
             910..930 => self.pause(),
             930..965 => self.resume(),
             965..972 => self.stall_disk(),
-            972..980 => self.elect_behind_leader(),
+            972..980 => self.elect_while_leader_isolated(),
             980..990 => self.lose_disk(),
             990..995 => self.replace_machine(),
-            _ => self.power_off(),
+            _ => self.power_cycle(),
         }
     }
 
@@ -202,7 +205,7 @@
         machine.is_disk_stalled = !machine.is_disk_stalled;
     }
 
-    fn power_off(&mut self) {
+    fn power_cycle(&mut self) {
         let nodes: Vec<NodeId> = self.group.machines.keys().copied().collect();
         for node in &nodes {
             self.group.crash(*node);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// The voters by the last committed change.
+    /// The voter set of the last committed membership change, or the initial one.
     fn voters(&self) -> VoterSet {
         let first_voters: Vec<NodeId> = (1..=self.size).map(node).collect();
         self.group
@@ -223,28 +226,29 @@
             .map_or_else(|| VoterSet::new(&first_voters), |(_, voters)| voters)
     }
 
-    /// Whether one more voter may lose its disk: no change is in progress, and fewer are lost than tolerated.
-    fn may_lose_a_disk(&self) -> bool {
+    /// Whether one more voter may lose its disk: no membership change is in progress, and fewer disks are lost than the
+    /// group tolerates.
+    fn may_lose_another_disk(&self) -> bool {
         let voters = self.voters();
         let since = self.group.invariants.committed_voters().map_or(1, |(index, _)| index);
         let replicas = self.group.machines.values().filter_map(|machine| machine.replica.as_ref());
         if voters.is_joint() || replicas.into_iter().any(|replica| replica.voters_index() > since) {
             return false;
         }
-        let lost = voters.members().filter(|voter| self.lacks_disk(*voter)).count();
+        let lost = voters.members().filter(|voter| self.is_removed_or_recovering(*voter)).count();
         lost < (voters.members().count() - 1) / 2
     }
 
-    fn lacks_disk(&self, node: NodeId) -> bool {
+    fn is_removed_or_recovering(&self, node: NodeId) -> bool {
         let machine = &self.group.machines[&node];
         machine.is_removed || machine.disk.is_recovering()
     }
 
     fn lose_disk(&mut self) {
         let node = self.any_machine();
-        let is_lost_already = self.lacks_disk(node);
+        let is_lost_already = self.is_removed_or_recovering(node);
         let may_lose_disk_now =
-            !self.group.machines[&node].is_removed && (is_lost_already || self.may_lose_a_disk());
+            !self.group.machines[&node].is_removed && (is_lost_already || self.may_lose_another_disk());
         if self.faults.disk_losses && may_lose_disk_now {
             self.group.wipe_disk(node);
             self.group.restart(node);
@@ -255,7 +259,7 @@
         let node = self.any_machine();
         let may_be_replaced = self.faults.replacements && self.created < self.size + MAX_REPLACEMENTS;
         let is_removed = self.group.machines[&node].is_removed;
-        if may_be_replaced && !is_removed && self.voters().contains(node) && self.may_lose_a_disk() {
+        if may_be_replaced && !is_removed && self.voters().contains(node) && self.may_lose_another_disk() {
             self.group.wipe_disk(node);
             self.group.machine(node).is_removed = true;
             self.created += 1;
@@ -264,8 +268,8 @@
         }
     }
 
-    /// A period without faults.
-    fn calm_period(&mut self) {
+    /// Repairs all faults and runs for a while without new ones.
+    fn fault_free_period(&mut self) {
         self.group.heal();
         let end = self.group.now + self.group.random.random_range(500..2500);
         while self.group.now < end {
@@ -276,9 +280,9 @@
         }
     }
 
-    /// Isolates a leader until another may have been elected, lets a voter lose its disk, and lets the former leader
-    /// reach the others again, but not the new one.
-    fn elect_behind_leader(&mut self) {
+    /// Isolates the leader until another one may have been elected, lets a voter lose its disk, and then lets the
+    /// former leader reach all voters except the new leader.
+    fn elect_while_leader_isolated(&mut self) {
         let Some(former) = self.group.leader() else { return };
         self.group.blocked_links.clear();
         self.group.isolate(former);
--- a/consensus/tests/group/invariants.rs
+++ b/consensus/tests/group/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of Raft (Ongaro's thesis, figure 3.2) and of leases and reads, checked at each effect.
+//! The invariants of Raft (Ongaro's thesis, figure 3.2) and those of leases and reads, checked on every effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,41 +8,45 @@
 use super::command_number;
 use super::machine::{decode_state, Machine};
 
-/// Sees the effects of all machines and panics where an invariant is broken.
+/// Observes the effects of all machines and panics if an invariant is violated.
 #[derive(Default)]
 pub struct InvariantChecker {
     committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, NodeId>,
     acknowledged: BTreeMap<Index, Entry>,
-    /// Pending reads by token, with the last index acknowledged when they were asked for.
+    /// Pending reads by token, with the highest index that was acknowledged when each was requested.
     reads: BTreeMap<u64, Index>,
-    /// Reads answered.
+    /// Number of reads that were answered.
     pub reads_answered: u64,
-    /// Reads that failed.
+    /// Number of reads that failed.
     pub reads_failed: u64,
 }
 
 impl InvariantChecker {
-    /// State Machine Safety: all machines apply the same entry at an index.
+    /// State Machine Safety: all machines apply the same entry at each index.
     pub fn check_applied(&mut self, node: NodeId, entry: &Entry) {
         let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
-        assert_eq!(known, entry, "{node} applies another entry than others did");
+        assert_eq!(known, entry, "{node} applied a different entry than other machines");
     }
 
-    /// A snapshot's state holds what was committed up to its index, and nothing else.
+    /// The state in a snapshot contains exactly the commands committed up to its index.
     pub fn check_installed(&mut self, snapshot: &Snapshot) {
         let covered = self.committed.range(..=snapshot.index());
         let commands: Vec<u64> = covered.filter_map(|(_, entry)| command_number(&entry.payload)).collect();
-        assert_eq!(decode_state(&snapshot.state), commands, "a state differs from what was committed");
+        assert_eq!(
+            decode_state(&snapshot.state),
+            commands,
+            "the snapshot's state differs from the committed commands"
+        );
     }
 
-    /// Election Safety: there is one leader a term.
+    /// Election Safety: there is at most one leader per term.
     pub fn check_elected(&mut self, node: NodeId, term: Term) {
         let leader = *self.leaders.entry(term).or_insert(node);
         assert_eq!(leader, node, "two leaders in term {term}");
     }
 
-    /// What is acknowledged is synced on a majority, but for disks that were lost since.
+    /// An acknowledged entry is synced on a majority. Disks that were lost since count as synced.
     pub fn check_acknowledged(
         &mut self,
         index: Index,
@@ -55,12 +59,15 @@
                 .get(&voter)
                 .is_some_and(|machine| machine.has_lost_disk || machine.disk.has_synced(entry))
         };
-        let voters = machines[&node].replica.as_ref().expect("it has just applied").voters();
-        assert!(voters.has_quorum(is_synced) || voters.is_joint(), "{index} is not synced on a majority");
+        let voters = machines[&node].replica.as_ref().expect("it has just applied an entry").voters();
+        assert!(
+            voters.has_quorum(is_synced) || voters.is_joint(),
+            "entry {index} was acknowledged without being synced on a majority"
+        );
         self.acknowledged.insert(index, entry.clone());
     }
 
-    /// One machine at most holds a lease, at a moment of true time.
+    /// At any moment of true time, at most one machine holds a lease.
     pub fn check_leases(&self, machines: &BTreeMap<NodeId, Machine>, now: Millis) {
         let has_lease = |machine: &Machine| {
             let replica = machine.replica.as_ref();
@@ -68,19 +75,19 @@
         };
         let leaseholders: Vec<NodeId> =
             machines.iter().filter(|(_, machine)| has_lease(machine)).map(|(node, _)| *node).collect();
-        assert!(leaseholders.len() <= 1, "two leases at {now}: {leaseholders:?}");
+        assert!(leaseholders.len() <= 1, "two leases at the same time, at {now}: {leaseholders:?}");
     }
 
-    /// Notes what a read that is asked for now has to see.
+    /// Registers a read, and which entries it has to reflect.
     pub fn begin_read(&mut self, token: u64) {
         self.reads.insert(token, self.acknowledged_index());
     }
 
-    /// A read sees all that was acknowledged before it was asked for.
+    /// A read reflects everything that was acknowledged before it was requested.
     pub fn check_read(&mut self, token: u64, index: Index, applied: Index) {
         let min_index = self.reads.remove(&token).expect("a read is answered once");
-        assert!(index >= min_index, "a read at {index} misses {min_index}");
-        assert!(applied >= index, "a read is answered before {index} is applied");
+        assert!(index >= min_index, "a read at index {index} misses the acknowledged index {min_index}");
+        assert!(applied >= index, "a read was answered before index {index} was applied");
         self.reads_answered += 1;
     }
 
@@ -105,7 +112,7 @@
         self.acknowledged.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// The last committed voters and their index, where any change was committed.
+    /// The last committed voter set and its index; `None` if no membership change was committed.
     pub fn committed_voters(&self) -> Option<(Index, VoterSet)> {
         self.committed.iter().rev().find_map(|(index, entry)| match &entry.payload {
             Payload::Voters(voters) => Some((*index, voters.clone())),
@@ -118,7 +125,7 @@
         let applied_commands: BTreeSet<u64> = machine.commands.iter().copied().collect();
         for (index, entry) in &self.acknowledged {
             let command = command_number(&entry.payload).expect("only commands are acknowledged");
-            assert!(applied_commands.contains(&command), "{index}, acknowledged, was lost");
+            assert!(applied_commands.contains(&command), "the acknowledged entry {index} was lost");
         }
     }
 }
--- a/consensus/tests/group/machine.rs
+++ b/consensus/tests/group/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: a replica, its clock, its disk and its state machine.
+//! A simulated machine: a replica with its clock, disk and state machine.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,17 +9,17 @@
 
 use super::command_number;
 
-/// Records that are handed to the disk and not synced yet.
+/// Records that were handed to the disk and are not synced yet.
 struct PendingSync {
     ticket: u64,
     records: Vec<Record>,
     due: Millis,
 }
 
-/// A disk that holds encoded records.
+/// A simulated disk.
 #[derive(Default)]
 pub struct Disk {
-    /// Each was encoded and decoded on its way.
+    /// The synced records, each of which has been encoded and decoded again.
     synced: Vec<Record>,
     pending: VecDeque<PendingSync>,
 }
@@ -29,23 +29,23 @@
         self.pending.push_back(PendingSync { ticket, records, due });
     }
 
-    /// Syncs the next records where that is due, and returns their ticket.
+    /// Syncs the next batch of records if it is due, and returns its ticket.
     pub fn sync_due(&mut self, now: Millis) -> Option<u64> {
         let pending = self.pending.pop_front_if(|pending| pending.due <= now)?;
         self.synced.extend(pending.records.iter().map(encode_and_decode));
         Some(pending.ticket)
     }
 
-    /// Loses what isn't synced, but for the first few records, which may have reached the disk.
+    /// Loses unsynced records, except for a random number of the first ones, which may have reached the disk.
     fn lose_unsynced(&mut self, random: &mut Pcg32) {
         let unsynced: Vec<Record> = self.pending.drain(..).flat_map(|pending| pending.records).collect();
         let survivors = random.random_range(0..=unsynced.len());
         self.synced.extend(unsynced.iter().take(survivors).map(encode_and_decode));
     }
 
-    /// The disk's identity by its newest hard state.
+    /// The disk identity in the latest hard state.
     pub fn id(&self) -> u64 {
-        self.hard_state().expect("a hard state").disk_id
+        self.hard_state().expect("a hard state was recorded").disk_id
     }
 
     fn hard_state(&self) -> Option<&HardState> {
@@ -55,17 +55,17 @@
         })
     }
 
-    /// All records that are synced, oldest first.
+    /// All synced records, oldest first.
     pub fn records(&self) -> &[Record] {
         &self.synced
     }
 
-    /// Replaces all that is synced; pending records follow.
+    /// Replaces all synced records. Pending records are synced after them.
     pub fn checkpoint(&mut self, records: &[Record]) {
         self.synced = records.iter().map(encode_and_decode).collect();
     }
 
-    /// Whether no hard state is synced, or that of a recovering voter.
+    /// Whether the disk holds no hard state, or that of a recovering voter.
     pub fn is_recovering(&self) -> bool {
         self.hard_state().is_none_or(|hard_state| hard_state.recovering)
     }
@@ -84,27 +84,26 @@
 }
 
 fn encode_and_decode(record: &Record) -> Record {
-    Record::decode(&record.encode()).expect("own records decode")
+    Record::decode(&record.encode()).expect("records encoded here decode")
 }
 
-/// One machine.
 pub struct Machine {
     pub replica: Option<Replica>,
     pub disk: Disk,
     pub is_paused: bool,
     pub is_disk_stalled: bool,
-    /// How long each sync takes, where the disk is slower than the group's conditions say.
+    /// Duration of each sync, if the disk differs from the conditions of the group.
     pub sync_ms: Option<Millis>,
-    /// Removed for good; it never runs again.
+    /// Whether it was removed permanently and never runs again.
     pub is_removed: bool,
-    /// Whether it has lost a disk.
+    /// Whether it has ever lost a disk.
     pub has_lost_disk: bool,
     /// Messages that arrived while it was paused.
     pub inbox: Vec<(NodeId, Message)>,
-    /// Proposals made here since it leads: the term of each by its index.
+    /// Terms of the proposals made here in the current leadership, by index.
     pub proposals: BTreeMap<Index, Term>,
     pub applied: Index,
-    /// Commands applied, in order.
+    /// The commands applied, in order.
     pub commands: Vec<u64>,
     clock_offset: Millis,
 }
@@ -127,7 +126,7 @@
         }
     }
 
-    /// The time by its own steady clock.
+    /// The time on its own monotonic clock.
     pub fn clock(&self, now: Millis) -> Millis {
         now + self.clock_offset
     }
@@ -136,7 +135,7 @@
         self.replica.is_some() && !self.is_paused
     }
 
-    /// Starts with what the disk holds.
+    /// Starts a replica with the records on the disk.
     pub fn start(&mut self, options: Options, now: Millis) {
         let now = self.clock(now);
         self.applied = shaletrail_consensus::BOOTSTRAP_INDEX;
@@ -157,9 +156,9 @@
         self.has_lost_disk = true;
     }
 
-    /// Applies an entry; its index where it was proposed here.
+    /// Applies an entry. Returns its index if it was proposed here.
     pub fn apply(&mut self, entry: Entry) -> Option<Index> {
-        assert_eq!(entry.index, self.applied + 1, "entries come in order and without gaps");
+        assert_eq!(entry.index, self.applied + 1, "entries are applied in order and without gaps");
         self.applied = entry.index;
         self.commands.extend(command_number(&entry.payload));
         let term = self.proposals.remove(&entry.index)?;
@@ -167,17 +166,17 @@
     }
 
     pub fn install(&mut self, snapshot: &Snapshot) {
-        assert!(snapshot.index() > self.applied, "a snapshot brings something new");
+        assert!(snapshot.index() > self.applied, "a snapshot is ahead of the state machine");
         self.applied = snapshot.index();
         self.commands = decode_state(&snapshot.state);
     }
 
-    /// The state machine as bytes.
+    /// The encoded state of the state machine.
     pub fn encode_state(&self) -> Vec<u8> {
         bitcode::encode(&self.commands)
     }
 
-    /// Lets the replica drop the log up to what is applied.
+    /// Lets the replica compact its log up to the last applied entry.
     pub fn compact(&mut self) {
         let state = self.encode_state();
         let applied = self.applied;
@@ -186,7 +185,7 @@
         }
     }
 
-    /// Replaces the disk's records by those that must be kept.
+    /// Replaces the records on the disk by a checkpoint.
     pub fn checkpoint(&mut self) {
         if let Some(replica) = &self.replica {
             self.disk.checkpoint(&replica.records());
@@ -217,5 +216,5 @@
 
 /// The commands in an encoded state.
 pub fn decode_state(state: &[u8]) -> Vec<u64> {
-    bitcode::decode(state).expect("own states decode")
+    bitcode::decode(state).expect("states encoded here decode")
 }
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -1,8 +1,9 @@
-//! A group of replicas in memory: virtual time, lossy links, machines that pause, crash and lose their disks.
+//! A simulated group of replicas with virtual time, unreliable links, and machines that pause, crash and lose their
+//! disks.
 //!
-//! Every effect is checked on the way by an [`InvariantChecker`]: one leader a term, one order of entries, no loss of
-//! what was acknowledged, no old reads, one lease at a time.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! An [`InvariantChecker`] checks every effect: at most one leader per term, the same order of entries everywhere, no
+//! loss of acknowledged entries, no stale reads, and at most one lease at a time.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 pub mod history;
 mod invariants;
@@ -22,40 +23,40 @@
 use network::MessageInTransit;
 pub use network::{Conditions, Filter};
 
-/// The step of virtual time, in milliseconds.
+/// Step of the virtual time, in milliseconds.
 const STEP_MS: Millis = 5;
 
-/// The group, its network and its clock.
+/// A group with its network and virtual time.
 pub struct Group {
-    /// True time; each machine's clock is ahead of it by an offset of its own.
+    /// True time. The clock of each machine is ahead of it by a constant offset.
     pub now: Millis,
     pub machines: BTreeMap<NodeId, Machine>,
     pub conditions: Conditions,
     pub invariants: InvariantChecker,
     pub random: Pcg32,
-    /// Drops messages of a test's choice.
+    /// Drops messages selected by a test.
     pub filter: Option<Filter>,
-    /// Links that lose everything, as sender and receiver.
+    /// Links that lose every message, as pairs of sender and receiver.
     pub blocked_links: BTreeSet<(NodeId, NodeId)>,
-    /// What links add to the delay of each message, as sender and receiver, in milliseconds.
+    /// Additional delay of links in milliseconds, by sender and receiver.
     pub slow_links: BTreeMap<(NodeId, NodeId), Millis>,
-    /// Which messages are recorded, whether they arrive or not, for [`Group::replay_recorded`].
+    /// Selects the messages that are recorded for [`Group::replay_recorded`], whether or not they arrive.
     pub should_record: fn(&Message) -> bool,
     recorded: Vec<MessageInTransit>,
-    /// Messages sent so far, by name.
+    /// Number of messages sent so far, by name.
     pub sent: BTreeMap<&'static str, u64>,
-    /// The last round that each leader sent a heartbeat in.
+    /// The latest round in which each leader sent a heartbeat.
     pub last_rounds: BTreeMap<NodeId, u64>,
-    /// Messages by the time of their arrival and a number of their own.
+    /// Messages in transit, by arrival time and sequence number.
     in_transit: BTreeMap<(Millis, u64), MessageInTransit>,
-    /// The number of the last message put in transit.
+    /// Sequence number of the latest message put in transit.
     sequence: u64,
     next_token: u64,
     next_command: u64,
     adjust_options: fn(&mut Options),
 }
 
-/// The node with a number.
+/// The node with the given number.
 pub fn node(number: u32) -> NodeId {
     NodeId(0x0a00_0000 + number)
 }
@@ -66,7 +67,7 @@
         Group::bootstrapped_with(size, seed, |_| {})
     }
 
-    /// As [`Group::bootstrapped`], with changed options.
+    /// Like [`Group::bootstrapped`], with adjusted options.
     pub fn bootstrapped_with(size: u32, seed: u64, adjust_options: fn(&mut Options)) -> Group {
         let mut group = Group::empty(seed, adjust_options);
         let voters: Vec<NodeId> = (1..=size).map(node).collect();
@@ -119,27 +120,27 @@
     }
 
     pub fn machine(&mut self, node: NodeId) -> &mut Machine {
-        self.machines.get_mut(&node).expect("a machine of the test")
+        self.machines.get_mut(&node).expect("the machine exists")
     }
 
-    /// The replica of a machine that runs.
+    /// The replica of a running machine.
     pub fn replica(&self, node: NodeId) -> &Replica {
-        self.machines[&node].replica.as_ref().expect("a machine that runs")
+        self.machines[&node].replica.as_ref().expect("the machine is running")
     }
 
-    /// Nodes that run and are not paused.
+    /// Machines that run and are not paused.
     pub fn running(&self) -> Vec<NodeId> {
         let running = self.machines.iter().filter(|(_, machine)| machine.is_running());
         running.map(|(node, _)| *node).collect()
     }
 
-    /// Stops a machine; what isn't synced is lost, but for a part at its start. The disk stays.
+    /// Crashes a machine. Its disk keeps the synced records and possibly the first unsynced ones.
     pub fn crash(&mut self, node: NodeId) {
-        let machine = self.machines.get_mut(&node).expect("a machine of the test");
+        let machine = self.machines.get_mut(&node).expect("the machine exists");
         machine.crash(&mut self.random);
     }
 
-    /// Starts a machine with what its disk holds.
+    /// Starts a stopped machine with the records on its disk.
     pub fn restart(&mut self, node: NodeId) {
         if self.machines[&node].replica.is_none() {
             self.start(node, true);
@@ -152,12 +153,12 @@
         self.machine(node).wipe_disk();
     }
 
-    /// Stops a machine from running, as a scheduler or hypervisor may; its clock goes on.
+    /// Suspends a machine, as a scheduler or hypervisor may do. Its clock continues.
     pub fn pause(&mut self, node: NodeId) {
         self.machine(node).is_paused = true;
     }
 
-    /// Lets a paused machine run again. Its timers and its messages come in any order.
+    /// Resumes a paused machine. Its timer may be handled before or after the messages that have arrived.
     pub fn resume(&mut self, node: NodeId) {
         let machine = self.machine(node);
         if !machine.is_paused {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Repairs all links and disks, resumes and restarts all machines that are not removed.
+    /// Repairs all links and disks, and resumes or restarts all machines that are not removed.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
         self.conditions = Conditions::HEALTHY;
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Calls a replica and performs its effects.
+    /// Calls a replica and carries out its effects. Returns `None` if the machine is not running.
     pub fn call<T>(&mut self, node: NodeId, call: impl FnOnce(&mut Replica, Millis) -> T) -> Option<T> {
         let now = self.now;
         let machine = self.machine(node);
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Lets time pass until a condition is met, or returns false after `limit`.
+    /// Advances the virtual time until a condition is met. Returns false if it is not met within `limit`.
     pub fn run_until(&mut self, limit: Millis, is_met: impl Fn(&Group) -> bool) -> bool {
         let end = self.now + limit;
         while !is_met(self) {
@@ -277,14 +278,14 @@
         machine.disk.sync_due(now)
     }
 
-    /// The running leader with the newest term.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<NodeId> {
         self.leaders().into_iter().max_by_key(|node| self.replica(*node).term())
     }
 
-    /// The running leader, which must exist.
+    /// Like [`Group::leader`], but panics if there is none.
     pub fn current_leader(&self) -> NodeId {
-        self.leader().expect("a leader")
+        self.leader().expect("the group has a leader")
     }
 
     /// Waits for a leader that holds the lease.
@@ -292,7 +293,7 @@
         let has_leader =
             self.run_until(8000, |group| group.leader().is_some_and(|leader| group.has_lease(leader)));
         assert!(has_leader, "no leader within eight seconds: {}", self.describe());
-        self.leader().expect("a leader")
+        self.leader().expect("the group has a leader")
     }
 
     /// Whether a node leads and holds the lease by its own clock.
@@ -302,12 +303,12 @@
         machine.replica.as_ref().is_some_and(|replica| replica.is_leader_with_lease(now))
     }
 
-    /// Proposes the next command at a node, and returns its number and index.
+    /// Proposes the next command at a node. Returns its number and index if it is accepted.
     pub fn propose(&mut self, node: NodeId) -> Option<(u64, Index)> {
         let command = self.next_command;
         let bytes = command.to_be_bytes().to_vec();
         let term = self.machines[&node].replica.as_ref()?.term();
-        // The effects of the proposal may already commit it in a group of one, so it is registered before.
+        // In a group of one, the effects of the proposal may already commit it, so it is registered first.
         let index = self.machines[&node].replica.as_ref()?.last().index + 1;
         self.machine(node).proposals.insert(index, term);
         match self.call(node, |replica, now| replica.propose(now, bytes))? {
@@ -323,7 +324,7 @@
         }
     }
 
-    /// Asks for a read at a node, and returns its token.
+    /// Requests a read at a node. Returns its token if it is accepted.
     pub fn read(&mut self, node: NodeId) -> Option<u64> {
         let token = self.next_token;
         self.next_token += 1;
@@ -337,12 +338,12 @@
         }
     }
 
-    /// Proposes at the leader and waits until it is acknowledged.
+    /// Proposes a command at the leader and waits until it is acknowledged.
     pub fn commit_one(&mut self) -> Index {
         let leader = self.await_leader();
-        let (_, index) = self.propose(leader).expect("the leader takes proposals");
+        let (_, index) = self.propose(leader).expect("the leader accepts proposals");
         let acknowledged = self.run_until(5000, |group| group.invariants.is_acknowledged(index));
-        assert!(acknowledged, "{index} not acknowledged within five seconds: {}", self.describe());
+        assert!(acknowledged, "index {index} not acknowledged within five seconds: {}", self.describe());
         index
     }
 
@@ -351,29 +352,29 @@
         self.running().iter().all(|node| self.machines[node].applied >= index)
     }
 
-    /// Waits until all running machines have applied what is acknowledged.
+    /// Waits until all running machines have applied everything that is acknowledged.
     pub fn await_applied(&mut self) {
         let index = self.invariants.acknowledged_index();
         let is_applied = self.run_until(8000, |group| group.all_applied(index));
-        assert!(is_applied, "{index} not applied everywhere: {}", self.describe());
+        assert!(is_applied, "index {index} not applied on all machines: {}", self.describe());
     }
 
-    /// All running machines that follow, sorted.
+    /// All running machines that do not lead, in ascending order.
     pub fn followers(&self) -> Vec<NodeId> {
         self.running().into_iter().filter(|node| self.role(*node) != Role::Leader).collect()
     }
 
-    /// All machines but one, running or not.
+    /// All machines except one, running or not.
     pub fn others(&self, node: NodeId) -> Vec<NodeId> {
         self.machines.keys().copied().filter(|other| *other != node).collect()
     }
 
-    /// All running machines that take themselves for the leader.
+    /// All running machines that consider themselves the leader.
     pub fn leaders(&self) -> Vec<NodeId> {
         self.running().into_iter().filter(|node| self.replica(*node).is_leader()).collect()
     }
 
-    /// Checks that every machine has applied all that was ever acknowledged.
+    /// Checks that every machine has applied everything that was ever acknowledged.
     pub fn assert_nothing_lost(&self) {
         self.machines.values().for_each(|machine| self.invariants.assert_nothing_lost(machine));
     }
@@ -386,14 +387,14 @@
         self.replica(node).term()
     }
 
-    /// One line a machine, for messages of failed tests.
+    /// The state of all machines, one per line, for messages of failed tests.
     pub fn describe(&self) -> String {
         let lines = self.machines.iter().map(|(node, machine)| machine.describe(*node));
         format!("at {}\n{}", self.now, lines.collect::<Vec<_>>().join("\n"))
     }
 }
 
-/// The number in a command that [`Group::propose`] made.
+/// The number in a command made by [`Group::propose`].
 pub fn command_number(payload: &Payload) -> Option<u64> {
     match payload {
         Payload::Command(bytes) => bytes.get(..8)?.try_into().ok().map(u64::from_be_bytes),
@@ -401,7 +402,7 @@
     }
 }
 
-/// Whether a message brings the entry that ends a joint phase.
+/// Whether a message contains the entry that ends a joint phase.
 pub fn leaves_joint(message: &Message) -> bool {
     let Message::Append { entries, .. } = message else { return false };
     entries.iter().any(|entry| matches!(&entry.payload, Payload::Voters(voters) if !voters.is_joint()))
--- a/consensus/tests/group/network.rs
+++ b/consensus/tests/group/network.rs
@@ -1,5 +1,5 @@
-//! The network of a group: links that lose, duplicate, delay and block messages, and messages that a test drops, replays
-//! or forges.
+//! The simulated network of a group. Links lose, duplicate, delay and block messages, and tests can drop, replay and
+//! forge messages.
 
 use rand::Rng;
 use shaletrail_consensus::{Message, RoundStamp, VoterStatus};
@@ -7,19 +7,19 @@
 
 use super::Group;
 
-/// Messages that are recorded at most; further ones replace others at random.
+/// Maximum number of recorded messages. Further ones replace random earlier ones.
 const MAX_RECORDED: usize = 256;
 
 /// How links and disks behave.
 #[derive(Clone, Debug)]
 pub struct Conditions {
-    /// Messages lost, in a thousand.
+    /// Lost messages per thousand.
     pub lost_permille: u32,
-    /// Messages duplicated, in a thousand.
+    /// Duplicated messages per thousand.
     pub duplicated_permille: u32,
-    /// The longest delay of a message; each draws its own, so that they overtake each other.
+    /// Maximum delay of a message. Each message draws its own delay, so messages may overtake each other.
     pub max_delay_ms: Millis,
-    /// The longest time of a sync.
+    /// Maximum duration of a sync.
     pub max_sync_ms: Millis,
 }
 
@@ -29,7 +29,7 @@
         Conditions { lost_permille: 0, duplicated_permille: 0, max_delay_ms: 3, max_sync_ms: 3 };
 }
 
-/// A message on its way, ordered by arrival.
+/// A message that has been sent and has not arrived yet.
 #[derive(Clone, Debug)]
 pub(super) struct MessageInTransit {
     pub from: NodeId,
@@ -37,7 +37,7 @@
     pub message: Message,
 }
 
-/// Sees each message with its sender and receiver; the message is dropped where it returns false.
+/// Called for each message with its sender and receiver. The message is dropped if it returns false.
 pub type Filter = Box<dyn FnMut(NodeId, NodeId, &Message) -> bool>;
 
 impl Group {
@@ -57,7 +57,7 @@
         self.partition(&[node], &others);
     }
 
-    /// Drops the messages for which a condition is met, from now on.
+    /// From now on, drops the messages for which the condition holds.
     pub fn drop_messages(&mut self, is_dropped: fn(&Message) -> bool) {
         self.filter = Some(Box::new(move |_, _, message| !is_dropped(message)));
     }
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Forgets the messages recorded so far.
+    /// Discards the messages recorded so far.
     pub fn clear_recorded(&mut self) {
         self.recorded.clear();
     }
 
-    /// Delivers a recorded message once more, also over a blocked link: it has been in transit for long.
+    /// Delivers a random recorded message again, even over a blocked link, as if it had been in transit for long.
     pub fn replay_recorded(&mut self) {
         if !self.recorded.is_empty() {
             let slot = self.random.random_range(0..self.recorded.len());
@@ -110,7 +110,7 @@
         self.schedule(MessageInTransit { from, to, message });
     }
 
-    /// Blocks a follower's link to the leader, and delivers a response to a heartbeat in its name.
+    /// Blocks a follower's link to the leader, and delivers a forged heartbeat response in the follower's name.
     pub fn forge_heartbeat_response(&mut self, follower: NodeId, leader: NodeId, stamp: RoundStamp) {
         self.blocked_links.insert((follower, leader));
         let status = VoterStatus { disk_id: self.machines[&follower].disk.id(), recovering: false };
--- a/consensus/tests/leases.rs
+++ b/consensus/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of leaders, and of the voters that they rest on.
+//! Leader leases, and the voters' side of them.
 
 mod group;
 
@@ -17,7 +17,7 @@
         group.run(505);
         // then
         assert!(!group.has_lease(leader), "seed {seed}");
-        assert_eq!(group.leader(), Some(leader), "it does not know yet");
+        assert_eq!(group.leader(), Some(leader), "the leader does not know yet that it is isolated");
     }
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn lease_counts_from_sending_not_response() {
     for seed in 0..10 {
-        // given: a leader that is paused between its heartbeats and their responses
+        // given: a leader that is paused after it sent heartbeats and before it receives the responses
         let mut group = Group::bootstrapped(3, seed);
         let leader = group.await_leader();
         group.run(1000);
@@ -57,11 +57,11 @@
         group.pause(leader);
         group.run(495);
         assert!(group.replica(leader).lease_until().is_some_and(|until| until <= sent_at + 500));
-        // when: the responses are read after the lease has expired
+        // when: it receives the responses after the lease has expired
         group.run(50);
-        assert!(group.machines[&leader].inbox.len() >= 2, "the answers wait");
+        assert!(group.machines[&leader].inbox.len() >= 2, "the responses have arrived");
         group.resume(leader);
-        // then: they renew nothing
+        // then: they do not renew the lease
         assert!(!group.has_lease(leader), "seed {seed}");
         assert!(group.replica(leader).lease_until().is_none_or(|until| until == sent_at + 500));
     }
@@ -104,8 +104,8 @@
             group.crash(*other);
             group.restart(*other);
         }
-        // then
-        // The invariant checker panics if a second lease begins while the first lasts.
+        // then: the voters elect nobody yet. The invariant checker panics if a second lease starts before the first one
+        // ends.
         group.run(550);
         assert!(others.iter().all(|other| !group.replica(*other).is_leader()), "seed {seed}");
         group.commit_one();
@@ -115,7 +115,7 @@
 #[test]
 fn restarting_voter_respects_lease() {
     for seed in 0..30 {
-        // given: a follower that lacks contact with the leader and is about to campaign
+        // given: a follower that has lost contact with the leader and is about to campaign
         let mut group = Group::bootstrapped(3, seed);
         let leader = group.await_leader();
         group.run(1000);
@@ -128,7 +128,7 @@
             group.restart(others[1]);
             group.run(160);
         }
-        // then: the invariant checker saw no second lease, and the leader has kept its own
+        // then: the invariant checker has seen no second lease, and the leader has kept its own
         assert_eq!(group.leader(), Some(leader), "seed {seed}");
     }
 }
@@ -162,7 +162,7 @@
     group.run(545);
     // then
     assert!(!group.has_lease(leader));
-    // The invariant checker panics if a second lease begins while the first lasts.
+    // The invariant checker panics if a second lease starts before the first one ends.
     group.run(3000);
     assert!(group.leader().is_some_and(|other| other != leader));
 }
--- a/consensus/tests/membership_disk_loss.rs
+++ b/consensus/tests/membership_disk_loss.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost while the voters are being changed, and machines lost right after.
+//! Disks that are lost during a membership change, and machines that fail right after it.
 
 mod group;
 
@@ -6,10 +6,10 @@
 use shaletrail_consensus::{Message, Payload, ReplicaError, RoundStamp, VoterStatus};
 use shaletrail_protocol::{Millis, NodeId};
 
-const LIMIT_MS: Millis = 5000;
+const TIMEOUT_MS: Millis = 5000;
 const SEEDS: std::ops::Range<u64> = 0..10;
 
-/// Three voters, and a learner that was brought up to date.
+/// A group of three voters, with a learner that has caught up.
 struct Fixture {
     group: Group,
     leader: NodeId,
@@ -29,11 +29,11 @@
         let counts = |group: &Group| {
             group.replica(leader).peer_status(learner).is_some_and(|peer| peer.counts_towards_quorum)
         };
-        assert!(group.run_until(LIMIT_MS, counts), "{}", group.describe());
+        assert!(group.run_until(TIMEOUT_MS, counts), "{}", group.describe());
         group.run(300);
         let mut followers = (1..=3).map(node).filter(|node| *node != leader);
-        let staying = followers.next().expect("two followers");
-        let leaving = followers.next().expect("two followers");
+        let staying = followers.next().expect("a group of three has two followers");
+        let leaving = followers.next().expect("a group of three has two followers");
         Fixture { group, leader, staying, leaving, learner }
     }
 
@@ -47,10 +47,10 @@
         let voters = self.voters();
         self.group
             .call(self.leader, |replica, now| replica.change_voters(now, voters))
-            .expect("the leader runs")
+            .expect("the leader is running")
     }
 
-    /// Waits until the change is over.
+    /// Waits until the membership change is complete.
     fn await_change(&mut self) {
         let voters = self.voters();
         let is_done = |group: &Group| {
@@ -62,13 +62,13 @@
         assert!(self.group.run_until(8000, is_done), "{}", self.group.describe());
     }
 
-    /// Waits until a machine's rejoin is synced.
+    /// Waits until the disk of a machine records that it has rejoined.
     fn await_rejoin(&mut self, node: NodeId) {
         let has_rejoined = self.group.run_until(8000, |group| !group.machines[&node].disk.is_recovering());
         assert!(has_rejoined, "{}", self.group.describe());
     }
 
-    /// Crashes the voter that leaves, and checks that the others hold all that was acknowledged.
+    /// Crashes the voter that leaves, and checks that the others hold everything that was acknowledged.
     fn assert_nothing_is_lost(&mut self) {
         self.group.crash(self.leaving);
         self.group.commit_one();
@@ -141,7 +141,7 @@
         // when: of the voters that stay, only the recovering one responds
         fixture.group.isolate(fixture.leaving);
         assert_eq!(fixture.change(), Ok(()));
-        let (_, index) = fixture.group.propose(fixture.leader).expect("it leads still");
+        let (_, index) = fixture.group.propose(fixture.leader).expect("it is still the leader");
         fixture.group.run(500);
 
         // then
@@ -158,7 +158,7 @@
 #[test]
 fn learner_with_lost_disk_counts_once_rejoined() {
     for seed in SEEDS {
-        // given: the new disk has not responded to the leader yet
+        // given: the learner's new disk has not responded to the leader yet
         let mut fixture = Fixture::new(seed);
         let learner = fixture.learner;
         fixture.group.wipe_disk(learner);
@@ -168,11 +168,11 @@
         assert_eq!(fixture.change(), Ok(()));
         fixture.group.drop_messages(|message| matches!(message, Message::Rejoin { .. }));
         fixture.group.restart(learner);
-        let (_, index) = fixture.group.propose(fixture.leader).expect("it leads still");
+        let (_, index) = fixture.group.propose(fixture.leader).expect("it is still the leader");
         fixture.group.run(400);
 
         // then
-        assert!(fixture.group.replica(learner).last().index >= index, "it takes entries");
+        assert!(fixture.group.replica(learner).last().index >= index, "it receives entries");
         assert!(!fixture.group.invariants.is_acknowledged(index), "seed {seed}");
         fixture.group.filter = None;
         fixture.group.blocked_links.clear();
@@ -193,7 +193,7 @@
     group.drop_messages(|message| matches!(message, Message::AppendResponse { .. }));
     group.crash(leader);
     group.blocked_links.clear();
-    group.run_until(LIMIT_MS, |group| group.leader().is_some());
+    group.run_until(TIMEOUT_MS, |group| group.leader().is_some());
     let leader = group.current_leader();
     let voters = vec![node(1), node(2)];
     // when
@@ -209,7 +209,7 @@
         let mut fixture = Fixture::new(seed);
         fixture.group.drop_messages(changes_voters);
         // when
-        let (_, index) = fixture.group.propose(fixture.leader).expect("it leads");
+        let (_, index) = fixture.group.propose(fixture.leader).expect("it is the leader");
         assert_eq!(fixture.change(), Ok(()));
         fixture.group.run(100);
         // then
@@ -254,7 +254,7 @@
     assert!(peer.is_some_and(|peer| !peer.counts_towards_quorum), "{peer:?}");
 }
 
-/// Delivers a response of another disk than the one that runs, which acknowledges all that the leader has.
+/// Delivers a response from a disk other than the current one. It acknowledges every entry that the leader has.
 fn inject_response(fixture: &mut Fixture, status: VoterStatus, round: u64) {
     let replica = fixture.group.replica(fixture.leader);
     let (term, last) = (replica.term(), replica.last().index);
@@ -273,7 +273,8 @@
     fixture.group.wipe_disk(fixture.staying);
     fixture.group.restart(fixture.staying);
     fixture.group.run(500);
-    // Newer than all that was received, but of a round that was sent: others do not count anyway.
+    // The round is newer than all that were responded to, but was sent. A round that was never sent would be ignored in
+    // any case.
     fixture.group.isolate(fixture.staying);
     fixture.group.run(200);
     let newest = fixture.group.last_rounds[&fixture.leader];
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! Persistence: messages that wait for a sync, and replicas that are restored from their records.
+//! Persistence: messages that wait for a sync, and replicas restored from their records.
 
 mod group;
 
@@ -8,13 +8,13 @@
     Snapshot, VoterSet,
 };
 
-fn founded(number: u32) -> Replica {
+fn bootstrapped_replica(number: u32) -> Replica {
     let mut replica = Replica::new(Options::new(node(number), 1), Vec::new(), 0);
     replica.bootstrap(0, &[node(1), node(2), node(3)]);
     replica
 }
 
-fn sent(effects: &[Effect]) -> Vec<&'static str> {
+fn sent_message_names(effects: &[Effect]) -> Vec<&'static str> {
     let names = effects.iter().filter_map(|effect| match effect {
         Effect::Send(_, message) => Some(message.name()),
         _ => None,
@@ -27,12 +27,12 @@
         Effect::Persist { ticket, .. } => Some(*ticket),
         _ => None,
     });
-    tickets.max().expect("something to persist")
+    tickets.max().expect("there are records to persist")
 }
 
 /// A voter that has synced its bootstrap.
 fn synced_voter() -> Replica {
-    let mut voter = founded(2);
+    let mut voter = bootstrapped_replica(2);
     let ticket = last_ticket(&voter.take_effects());
     voter.persisted(1, ticket);
     voter.take_effects();
@@ -48,7 +48,7 @@
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     // then
     let effects = voter.take_effects();
-    assert_eq!(sent(&effects), Vec::<&str>::new());
+    assert_eq!(sent_message_names(&effects), Vec::<&str>::new());
     voter.persisted(20, last_ticket(&effects));
     insta::assert_debug_snapshot!(voter.take_effects(), @r#"
     [
@@ -90,9 +90,9 @@
     candidate.receive(5001, node(1), Message::PreVoteResponse { term: 2, granted: true });
     let effects = candidate.take_effects();
     // then
-    assert_eq!((candidate.role(), sent(&effects)), (Role::Candidate, vec![]));
+    assert_eq!((candidate.role(), sent_message_names(&effects)), (Role::Candidate, vec![]));
     candidate.persisted(5002, last_ticket(&effects));
-    assert_eq!(sent(&candidate.take_effects()), ["VoteRequest", "VoteRequest"]);
+    assert_eq!(sent_message_names(&candidate.take_effects()), ["VoteRequest", "VoteRequest"]);
 }
 
 #[test]
@@ -101,10 +101,11 @@
     let mut group = Group::bootstrapped(3, 1);
     let leader = group.await_leader();
     group.run(200);
-    let slow = group.running().into_iter().find(|node| *node != leader).expect("a follower");
+    let slow =
+        group.running().into_iter().find(|node| *node != leader).expect("a group of three has a follower");
     group.machine(slow).is_disk_stalled = true;
     // when
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.filter = Some(Box::new(move |from, _, message| {
         assert!(from != slow || !matches!(message, Message::AppendResponse { .. }), "{message:?}");
         true
@@ -114,7 +115,10 @@
     // then
     assert!(group.invariants.is_acknowledged(index));
     assert!(group.sent["HeartbeatResponse"] >= before + 20);
-    assert!(group.machines[&slow].applied >= index, "a commit does not wait for the own disk");
+    assert!(
+        group.machines[&slow].applied >= index,
+        "applying a committed entry does not wait for the follower's own disk"
+    );
     assert!(group.replica(leader).peer_status(slow).is_some_and(|peer| peer.matched < index));
 }
 
@@ -126,7 +130,7 @@
     group.run(200);
     group.machine(leader).is_disk_stalled = true;
     // when
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(100);
     // then
     assert!(group.invariants.is_acknowledged(index));
@@ -142,7 +146,7 @@
     group.crash(others[0]);
     group.machine(others[1]).is_disk_stalled = true;
     // when
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(2000);
     // then
     assert!(!group.invariants.is_acknowledged(index));
@@ -176,7 +180,7 @@
     Entry { index, term, payload: Payload::Command(index.to_be_bytes().as_slice().into()) }
 }
 
-fn hard(term: u64) -> Record {
+fn hard_state_record(term: u64) -> Record {
     Record::HardState(HardState { term, voted_for: None, recovering: false, disk_id: 5 })
 }
 
@@ -195,7 +199,7 @@
 
 #[test]
 fn records_survive_encoding() {
-    for record in [hard(3), snapshot(9, 2), Record::Entries(vec![entry(1, 1), entry(2, 1)])] {
+    for record in [hard_state_record(3), snapshot(9, 2), Record::Entries(vec![entry(1, 1), entry(2, 1)])] {
         assert_eq!(Record::decode(&record.encode()), Ok(record));
     }
 }
@@ -210,7 +214,7 @@
 fn restored_entries_replace_earlier_ones() {
     let first = Record::Entries(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
     let second = Record::Entries(vec![entry(3, 2)]);
-    let replica = restored(vec![hard(1), snapshot(1, 1), first, hard(2), second]);
+    let replica = restored(vec![hard_state_record(1), snapshot(1, 1), first, hard_state_record(2), second]);
     assert_eq!(replica.last(), LogPosition { term: 2, index: 3 });
     assert_eq!(replica.term(), 2);
 }
@@ -218,8 +222,14 @@
 #[test]
 fn restore_keeps_entries_after_last_snapshot() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
-    let mut replica =
-        restored(vec![hard(1), snapshot(1, 1), entries, snapshot(5, 1), hard(2), snapshot(7, 1)]);
+    let mut replica = restored(vec![
+        hard_state_record(1),
+        snapshot(1, 1),
+        entries,
+        snapshot(5, 1),
+        hard_state_record(2),
+        snapshot(7, 1),
+    ]);
     assert_eq!((replica.snapshot_index(), replica.commit_index(), replica.last().index), (7, 7, 9));
     let installs =
         |effect: &Effect| matches!(effect, Effect::InstallSnapshot(snapshot) if snapshot.index() == 7);
@@ -230,7 +240,7 @@
 #[test]
 fn restore_ignores_entries_below_snapshot() {
     let entries = |from: u64, to: u64| Record::Entries((from..=to).map(|index| entry(index, 1)).collect());
-    let replica = restored(vec![hard(1), snapshot(5, 1), entries(6, 9), entries(2, 4)]);
+    let replica = restored(vec![hard_state_record(1), snapshot(5, 1), entries(6, 9), entries(2, 4)]);
     assert_eq!(replica.last(), LogPosition { term: 1, index: 9 });
 }
 
@@ -238,7 +248,7 @@
 fn uncommitted_entries_are_not_compacted() {
     // given
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
-    let mut replica = restored(vec![hard(1), snapshot(1, 1), entries]);
+    let mut replica = restored(vec![hard_state_record(1), snapshot(1, 1), entries]);
     // when
     replica.compact(5, vec![7]);
     // then
@@ -248,14 +258,14 @@
 #[test]
 fn restored_snapshot_drops_conflicting_log() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
-    let replica = restored(vec![hard(3), snapshot(1, 1), entries, snapshot(5, 3)]);
+    let replica = restored(vec![hard_state_record(3), snapshot(1, 1), entries, snapshot(5, 3)]);
     assert_eq!(replica.last(), LogPosition { term: 3, index: 5 });
 }
 
 #[test]
 fn restarted_replica_is_not_bootstrapped_again() {
     // given
-    let mut replica = restored(vec![hard(3), snapshot(5, 3)]);
+    let mut replica = restored(vec![hard_state_record(3), snapshot(5, 3)]);
     let before = replica.records();
     // when
     replica.bootstrap(10, &[node(7)]);
--- a/consensus/tests/read_index.rs
+++ b/consensus/tests/read_index.rs
@@ -1,4 +1,4 @@
-//! Reads that a round of heartbeats confirms.
+//! Reads that are confirmed by a round of heartbeats.
 
 mod group;
 
@@ -46,7 +46,7 @@
         replica.read(now, 1).expect("a leader accepts reads");
         let effects = replica.take_effects();
         let confirms = |effect: &Effect| matches!(effect, Effect::ReadReady { .. });
-        assert!(!effects.iter().any(confirms), "before its round was sent");
+        assert!(!effects.iter().any(confirms), "a read was confirmed before its round was sent");
     });
     assert_eq!(group.invariants.reads_answered, answered);
 }
@@ -60,7 +60,7 @@
     // when
     let token = group.read(leader).expect("a leader accepts reads");
     // then
-    assert!(group.invariants.is_read_pending(token), "nobody has confirmed it yet");
+    assert!(group.invariants.is_read_pending(token), "no follower has responded yet");
     group.run(20);
     assert!(!group.invariants.is_read_pending(token));
     assert_eq!(group.invariants.reads_answered, 1);
@@ -74,7 +74,7 @@
     group.commit_one();
     group.isolate(leader);
     // when
-    let token = group.read(leader).expect("it does not know yet");
+    let token = group.read(leader).expect("the leader does not know yet that it is isolated");
     group.run(900);
     // then
     assert!(group.invariants.is_read_pending(token));
@@ -93,7 +93,7 @@
     group.crash(former);
     let has_leader = group.run_until(4000, |group| group.leader().is_some_and(|leader| leader != former));
     assert!(has_leader);
-    let leader = group.leader().expect("it is led");
+    let leader = group.leader().expect("the group has a leader");
     // when
     let token = group.read(leader).expect("a leader accepts reads");
     group.run(300);
--- a/consensus/tests/read_scenarios.rs
+++ b/consensus/tests/read_scenarios.rs
@@ -1,15 +1,15 @@
-//! Scenarios of reads: leaders that were replaced, paused, or lead again get late responses.
+//! Read scenarios: leaders that were replaced, were paused, or lead again, and that receive late responses.
 
 mod group;
 
-use group::scenario::{heal_and_await_leader, play_all, propose_and_read_at_leaders, run_up_to};
+use group::scenario::{heal_and_await_leader, propose_and_read_at_leaders, run_up_to, run_with_seeds};
 use group::Group;
 use shaletrail_consensus::Message;
 use shaletrail_protocol::NodeId;
 
 #[test]
 fn replaced_leader_confirms_no_read_by_old_responses() {
-    play_all(70_000, |seed| {
+    run_with_seeds(70_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         group.should_record =
             |message| matches!(message, Message::HeartbeatResponse { .. } | Message::AppendResponse { .. });
@@ -23,7 +23,7 @@
 
 #[test]
 fn reelected_leader_confirms_no_read_by_former_term() {
-    play_all(72_000, |seed| {
+    run_with_seeds(72_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..4 {
             transfer_until_leading_again(&mut group);
@@ -34,7 +34,7 @@
     });
 }
 
-/// Isolates a leader until another leads, and replays recorded messages while both are asked for reads.
+/// Isolates a leader until another one leads, and replays recorded messages while both receive read requests.
 fn isolate_and_replay(group: &mut Group, former: NodeId) {
     group.isolate(former);
     group.run_until(990, |group| group.leader().is_some_and(|leader| leader != former));
@@ -48,8 +48,8 @@
     }
 }
 
-/// A leader transfers the leadership and leads again soon; only the responses of its former term are recorded. Its
-/// rounds begin anew.
+/// A leader transfers leadership and soon leads again. Only responses from its former term are recorded. Its rounds
+/// start at 1 again in the new term, so the recorded round numbers recur.
 fn transfer_until_leading_again(group: &mut Group) {
     let leader = heal_and_await_leader(group);
     group.clear_recorded();
@@ -61,8 +61,8 @@
     }
     group.should_record = |_| false;
     for _ in 0..20 {
-        if let Some(present) = group.leader() {
-            group.call(present, |replica, now| replica.transfer_leadership(now));
+        if let Some(current) = group.leader() {
+            group.call(current, |replica, now| replica.transfer_leadership(now));
         }
         if group.run_until(60, |group| group.leader() == Some(leader)) {
             break;
@@ -73,10 +73,10 @@
 
 #[test]
 fn paused_leader_confirms_no_read_by_earlier_round() {
-    play_all(75_000, |seed| {
+    run_with_seeds(75_000, |seed| {
         let mut group = Group::bootstrapped(3, seed);
         for _ in 0..4 {
-            // The responses to a heartbeat wait in the socket of a leader that was paused, and another leads.
+            // Responses to a heartbeat wait in the socket of a paused leader while another one is elected.
             let former = heal_and_await_leader(&mut group);
             let round = group.last_rounds[&former];
             group.run_until(400, |group| group.last_rounds[&former] > round);
@@ -84,7 +84,7 @@
             group.run_until(4000, |group| group.leader().is_some());
             propose_and_read_at_leaders(&mut group);
             run_up_to(&mut group, 100);
-            // When it resumes it handles a read first, and only then the responses.
+            // After it resumes, the former leader handles a read first, and the responses only then.
             group.read(former);
             group.resume(former);
             group.run(100);
--- a/consensus/tests/recovering_voters.rs
+++ b/consensus/tests/recovering_voters.rs
@@ -1,4 +1,4 @@
-//! Recovering voters: those that lost their disks, until they have rejoined.
+//! Recovering voters: voters that lost their disks and have not rejoined yet.
 
 mod group;
 
@@ -12,7 +12,7 @@
     matches!(message, Message::Rejoin { .. })
 }
 
-/// A group with a leader and a follower that is about to lose its disk.
+/// A group with a leader and two followers, one of which is about to lose its disk.
 struct Fixture {
     group: Group,
     leader: NodeId,
@@ -26,8 +26,8 @@
     group.commit_one();
     group.run(200);
     let mut followers = group.running().into_iter().filter(|node| *node != leader);
-    let other = followers.next().expect("two followers");
-    let recovering = followers.next().expect("two followers");
+    let other = followers.next().expect("a group of three has two followers");
+    let recovering = followers.next().expect("a group of three has two followers");
     Fixture { group, leader, other, recovering }
 }
 
@@ -61,7 +61,7 @@
     group.wipe_disk(recovering);
     group.crash(other);
     group.restart(recovering);
-    let (_, index) = group.propose(leader).expect("it leads still");
+    let (_, index) = group.propose(leader).expect("it is still the leader");
     group.run(10_000);
     // then
     assert!(!group.invariants.is_acknowledged(index));
@@ -99,11 +99,11 @@
     group.run(500);
     // when
     group.isolate(other);
-    let (_, index) = group.propose(leader).expect("it leads still");
-    let token = group.read(leader).expect("it leads still");
+    let (_, index) = group.propose(leader).expect("it is still the leader");
+    let token = group.read(leader).expect("it is still the leader");
     group.run(300);
     // then
-    assert!(group.replica(recovering).last().index >= index, "it takes entries");
+    assert!(group.replica(recovering).last().index >= index, "it receives entries");
     assert!(!group.invariants.is_acknowledged(index));
     assert!(group.invariants.is_read_pending(token));
 }
@@ -135,7 +135,7 @@
     group.machine(recovering).is_disk_stalled = true;
     group.run(20);
     // then
-    assert!(!group.replica(recovering).is_recovering(), "in memory");
+    assert!(!group.replica(recovering).is_recovering(), "the rejoin is recorded in memory");
     let is_recovering_on_disk = group.machines[&recovering].disk.is_recovering();
     assert!(is_recovering_on_disk);
     let counts = |group: &Group| {
@@ -151,7 +151,8 @@
     assert!(counts(&group));
 }
 
-/// A group in which the voter's new disk has not rejoined, it and the third are isolated, and an entry is pending.
+/// A group in which a voter has lost its disk and has not rejoined. Both followers are isolated, and an entry is
+/// pending.
 fn fixture_with_pending_entry(seed: u64) -> (Fixture, Index) {
     let mut fixture = fixture(seed);
     let Fixture { group, leader, other, recovering } = &mut fixture;
@@ -161,11 +162,11 @@
     group.run(500);
     group.isolate(*other);
     group.isolate(*recovering);
-    let (_, index) = group.propose(*leader).expect("it leads still");
+    let (_, index) = group.propose(*leader).expect("it is still the leader");
     (fixture, index)
 }
 
-/// Delivers a response of the lost disk to a round, by which it would hold the entry, and checks that it does not
+/// Delivers a response of the lost disk to the given round, which claims to hold the entry, and checks that it does not
 /// count.
 fn assert_response_of_lost_disk_does_not_count(fixture: Fixture, index: Index, round: u64) {
     let Fixture { mut group, leader, recovering, .. } = fixture;
@@ -176,7 +177,7 @@
     group.inject(recovering, leader, response);
     group.run(50);
     assert!(!group.invariants.is_acknowledged(index));
-    let peer = group.replica(leader).peer_status(recovering).expect("a voter");
+    let peer = group.replica(leader).peer_status(recovering).expect("the leader replicates to it");
     assert!(!peer.counts_towards_quorum && peer.matched < index, "{peer:?}");
 }
 
@@ -222,7 +223,7 @@
         Record::HardState(hard_state) => Some(hard_state.disk_id),
         _ => None,
     });
-    let disk_id = disk_id.expect("a hard state");
+    let disk_id = disk_id.expect("a hard state was recorded");
     // when
     voter.receive(10, node(1), Message::Rejoin { term: 3, disk_id });
     // then
@@ -232,9 +233,9 @@
 
 #[test]
 fn former_leader_gains_nothing_from_lost_disk() {
-    let mut played = 0;
+    let mut reached = 0;
     for seed in 0..40 {
-        // given: a leader that doesn't know yet that another was elected with the vote of a follower
+        // given: a leader that has not learned that another one was elected with a follower's vote
         let mut group = Group::bootstrapped_with(3, seed, |options| options.election_max_ms = 4000);
         let former = group.await_leader();
         group.commit_one();
@@ -243,21 +244,24 @@
         if !has_leader || !group.replica(former).is_leader() {
             continue;
         }
-        played += 1;
-        let leader = group.leader().expect("it is led");
-        let voter =
-            [1, 2, 3].map(node).into_iter().find(|node| ![former, leader].contains(node)).expect("a third");
-        let (_, index) = group.propose(leader).expect("it leads");
+        reached += 1;
+        let leader = group.leader().expect("the group has a leader");
+        let voter = [1, 2, 3]
+            .map(node)
+            .into_iter()
+            .find(|node| ![former, leader].contains(node))
+            .expect("a third voter");
+        let (_, index) = group.propose(leader).expect("it is the leader");
         group.run_until(100, |group| group.invariants.is_acknowledged(index));
-        // when: the follower loses its disk and receives messages of the former leader only
+        // when: that follower loses its disk and receives messages from the former leader only
         group.wipe_disk(voter);
         group.restart(voter);
         group.blocked_links.clear();
         group.isolate(leader);
-        let lost = group.propose(former).expect("it does not know").1;
-        let token = group.read(former).expect("it does not know");
+        let lost = group.propose(former).expect("the former leader does not know of the election yet").1;
+        let token = group.read(former).expect("the former leader does not know of the election yet");
         group.run(500);
-        // then: nothing of the former leader is confirmed by it
+        // then: nothing from the former leader is confirmed with its help
         assert!(group.replica(voter).is_recovering(), "seed {seed}");
         assert!(!group.has_lease(former), "seed {seed}");
         assert!(group.invariants.is_read_pending(token) || group.invariants.reads_failed > 0, "seed {seed}");
@@ -268,7 +272,7 @@
         group.await_applied();
         group.assert_nothing_lost();
     }
-    assert!(played >= 10, "only {played} seeds reach the case");
+    assert!(reached >= 10, "only {reached} seeds reach the case");
 }
 
 #[test]
@@ -315,7 +319,7 @@
 
 #[test]
 fn rejoin_point_outdates_candidates_from_before_loss() {
-    // given: five voters; a candidate has the vote of one that then loses its disk and rejoins in the old term
+    // given: five voters. A candidate has the vote of a voter that then loses its disk and rejoins in the old term.
     let mut group = Group::bootstrapped(5, 7);
     let leader = group.await_leader();
     group.commit_one();
@@ -329,10 +333,10 @@
     group.restart(recovering);
     group.run(1500);
     assert!(!group.replica(recovering).is_recovering());
-    // when: the candidate's request reaches another voter late, and no leader lease stops it
+    // when: the candidate's vote request reaches another voter late, and bypasses the leader lease
     group.blocked_links.clear();
     group.inject(candidate, voter, Message::VoteRequest { term, last, leadership_transfer: true });
-    // then: it is rejected, since the voter's log holds the rejoin point
+    // then: it is rejected, because the voter's log contains the rejoin point
     group.drop_messages(|message| matches!(message, Message::VoteResponse { granted: true, .. }));
     let is_vote = |record: &Record| match record {
         Record::HardState(hard_state) => hard_state.voted_for == Some(candidate) && hard_state.term == term,
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: entries, heartbeats and snapshots from the leader to the others, and commits.
+//! Replication: entries, heartbeats and snapshots from the leader to its peers, and commits.
 
 mod group;
 
@@ -18,7 +18,7 @@
     let leader = group.await_leader();
     // when
     for _ in 0..100 {
-        group.propose(leader).expect("the leader accepts it");
+        group.propose(leader).expect("the leader accepts the proposal");
         group.run(5);
     }
     group.run(100);
@@ -36,7 +36,7 @@
     let leader = group.await_leader();
     group.run(401);
     // when
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(40);
     // then
     assert!(group.all_applied(index), "{}", group.describe());
@@ -146,7 +146,7 @@
     let leader = group.await_leader();
     group.run(500);
     group.drop_messages(|message| matches!(message, Message::Append { .. }));
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(100);
     assert!(!group.invariants.is_acknowledged(index));
     // when
@@ -164,7 +164,7 @@
     group.run(500);
     group.drop_messages(|message| matches!(message, Message::AppendResponse { .. }));
     // when
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(700);
     // then
     assert!(group.invariants.is_acknowledged(index), "{}", group.describe());
@@ -180,7 +180,7 @@
     for _ in 0..30 {
         group.commit_one();
     }
-    // As long as it may only be late, the leader keeps what it needs.
+    // While the follower counts as in contact, the leader retains the entries that it needs.
     group.run(2 * Options::new(leader, 0).election_max_ms);
     group.machine(leader).compact();
     let index = group.commit_one();
@@ -287,7 +287,8 @@
     assert!(group.all_applied(index));
 }
 
-/// A voter of three that holds entries up to 3 of term 2, and knows that the bootstrap is committed.
+/// One of three voters. Its log holds entries of term 2 up to index 3, of which only the bootstrap is known to be
+/// committed.
 fn voter_with_old_entries() -> Replica {
     let entry = |index| Entry { index, term: 2, payload: Payload::Command([0].as_slice().into()) };
     let voters = VoterSet::new(&[node(1), node(2), node(3)]);
@@ -300,7 +301,7 @@
     Replica::new(Options::new(node(1), 1), records, 0)
 }
 
-/// Syncs all records, and returns the indexes of the entries applied.
+/// Syncs all records, and returns the indexes of the applied entries.
 fn applied(replica: &mut Replica, now: u64) -> Vec<Index> {
     let mut applied = Vec::new();
     let mut effects = replica.take_effects();
@@ -371,12 +372,12 @@
     let stamp = RoundStamp { round: 1, sent_at: 1 };
     replica.receive(10, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
     applied(&mut replica, 10);
-    // when: its leader replaces them, and the disk is slow
+    // when: the leader of the newer term replaces them, and the new entries are not synced yet
     let entry = |index| Entry { index, term: 3, payload: Payload::Empty };
     let (previous, entries) = (LogPosition { term: 1, index: 1 }, vec![entry(2), entry(3)]);
     replica.receive(20, node(3), Message::Append { term: 3, previous, entries, commit: 1, stamp });
     replica.receive(30, node(3), Message::Heartbeat { term: 3, commit: 1, stamp });
-    // then: the response names them as received, not as synced
+    // then: the response reports them as received, but not as synced
     let responses = replica.take_effects().into_iter().filter_map(|effect| match effect {
         Effect::Send(_, Message::HeartbeatResponse { received, matched, .. }) => Some((received, matched)),
         _ => None,
@@ -389,7 +390,7 @@
     // given
     let mut group = Group::bootstrapped(3, 12);
     let leader = group.await_leader();
-    let (_, index) = group.propose(leader).expect("the leader accepts it");
+    let (_, index) = group.propose(leader).expect("the leader accepts the proposal");
     group.run(200);
     let follower = group.followers()[0];
     // when
--- a/consensus/tests/stored_format.rs
+++ b/consensus/tests/stored_format.rs
@@ -1,11 +1,12 @@
-//! The bytes of messages between replicas, and of the records that a replica keeps on disk.
+//! The encoding of messages between replicas, and of the records that a replica stores on disk.
 //!
-//! Replicas of two versions speak to each other while a release is rolled out, and a replica reads the records of the
-//! version before it. bitcode encodes by position: a field or variant that is moved, added, removed or swapped is
-//! read as another value, without an error. These tests compare the present types with bytes of an earlier build.
+//! During a rolling upgrade, replicas of two versions exchange messages, and a replica reads records written by the
+//! previous version. bitcode encodes by position: if a field or variant is moved, added, removed or swapped, stored
+//! bytes decode to different values without an error. These tests compare the current types with bytes written by an
+//! earlier build.
 //!
-//! If one turns red, the format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own and go on reading the old one.
+//! If a test fails, the format has changed. Do not update the stored bytes. Either restore the types, or give the new
+//! format its own version and keep reading the old one.
 
 #[path = "../../protocol/tests/support/stored.rs"]
 mod stored;
@@ -27,7 +28,7 @@
     numbers.iter().map(|number| NodeId(0x0a01_0000 + number)).collect()
 }
 
-/// Voters 2, 3 and 4 are coming, 1, 2 and 3 are leaving.
+/// Voters 2, 3 and 4 are incoming, and 1, 2 and 3 are outgoing.
 fn joint_voters() -> VoterSet {
     VoterSet::new(&nodes(&[1, 2, 3])).joint_with(&nodes(&[2, 3, 4]))
 }
