--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -145,7 +145,7 @@
     /// has promised them. Afterwards the owner may only query the replica, because effects that it has not taken are
     /// dropped.
     #[must_use]
-    pub fn lose_state(&mut self) -> Vec<Record> {
+    pub fn begin_recovery(&mut self) -> Vec<Record> {
         self.become_follower(self.hard_state.term, None);
         self.hard_state.recovering = true;
         self.hard_state.disk_id = self.random.random();
--- a/coordinator/src/core/shards.rs
+++ b/coordinator/src/core/shards.rs
@@ -230,7 +230,7 @@
     fn halt(&mut self, number: usize, actions: &mut Vec<Action>, output: &mut EffectsOutput) {
         let shard = &mut self.shards[number];
         shard.is_halted = true;
-        for record in shard.replica.lose_state() {
+        for record in shard.replica.begin_recovery() {
             output.records.push((number as u32, record.encode()));
         }
         actions.push(Action::LogStateChange(StateChange::UnreadableSnapshot { shard: number as u32 }));
