--- a/consensus/src/apply.rs
+++ b/consensus/src/apply.rs
@@ -58,7 +58,7 @@
     /// Advances the commit index to `index`, or to the end of the log if that comes first, and hands the newly
     /// committed entries to the state machine.
     pub(crate) fn commit_to(&mut self, index: Index) {
-        self.commit_index = self.commit_index.max(index.min(self.log.last().index));
+        self.commit_index = self.commit_index.max(index.min(self.log.last_position().index));
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.get(self.applied_index + 1).cloned() else { return };
             self.applied_index += 1;
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -24,7 +24,8 @@
             return;
         }
         self.role_state = RoleState::PreCandidate { granted: BTreeSet::from([self.options.node]) };
-        let pre_vote = Message::PreVoteRequest { term: self.hard_state.term + 1, last: self.log.last() };
+        let pre_vote =
+            Message::PreVoteRequest { term: self.hard_state.term + 1, last: self.log.last_position() };
         for node in self.other_voters() {
             self.send(node, pre_vote.clone());
         }
@@ -47,7 +48,7 @@
         if term <= self.hard_state.term {
             let response = Message::PreVoteResponse { term: self.hard_state.term, granted: false };
             self.send_in_term(from, response);
-        } else if !self.hard_state.recovering && !self.in_leader_lease() && last >= self.log.last() {
+        } else if !self.hard_state.recovering && !self.in_leader_lease() && last >= self.log.last_position() {
             self.send(from, Message::PreVoteResponse { term, granted: true });
         }
     }
@@ -80,7 +81,7 @@
         self.record_hard_state();
         self.role_state = RoleState::Candidate { granted: BTreeSet::new() };
         let term = self.hard_state.term;
-        let request = Message::VoteRequest { term, last: self.log.last(), leadership_transfer };
+        let request = Message::VoteRequest { term, last: self.log.last_position(), leadership_transfer };
         for node in self.other_voters() {
             self.send_after_sync(node, request.clone());
         }
@@ -106,7 +107,7 @@
         let granted = term == self.hard_state.term
             && can_vote
             && !self.hard_state.recovering
-            && last >= self.log.last();
+            && last >= self.log.last_position();
         if granted {
             self.reset_election_timeout();
             if self.hard_state.voted_for.is_none() {
--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -103,11 +103,11 @@
         let is_new = |entry: &Entry| entry.index > self.commit_index && !self.log.contains(entry.position());
         let missing: Vec<Entry> = entries.into_iter().skip_while(|entry| !is_new(entry)).collect();
         let Some(first) = missing.first().map(|entry| entry.index) else { return true };
-        if first <= self.log.last().index {
+        if first <= self.log.last_position().index {
             self.log.truncate(first);
             self.persistence.on_truncated(first);
         }
-        if first != self.log.last().index + 1 {
+        if first != self.log.last_position().index + 1 {
             return false;
         }
         self.persistence.record(Record::Entries(missing.clone()));
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -14,7 +14,7 @@
     /// count replicas of entries of its own term (Ongaro's thesis, section 3.6.2).
     pub(crate) fn become_leader(&mut self) {
         let own_node = self.options.node;
-        let term_start_index = self.log.last().index + 1;
+        let term_start_index = self.log.last_position().index + 1;
         let peers = self.log.voters().members().filter(|node| *node != own_node);
         self.role_state = RoleState::Leader(Box::new(LeaderState::new(self.now, term_start_index, peers)));
         self.leader = Some(own_node);
@@ -54,7 +54,7 @@
         if size > self.options.max_command_bytes {
             return Err(ReplicaError::TooLarge { size });
         }
-        let uncommitted = self.log.last().index - self.commit_index;
+        let uncommitted = self.log.last_position().index - self.commit_index;
         let uncommitted_bytes = self.log.bytes_after(self.commit_index);
         let is_full = uncommitted >= self.options.max_uncommitted_entries
             || (uncommitted > 0 && uncommitted_bytes + size > self.options.max_uncommitted_bytes);
@@ -67,7 +67,7 @@
     /// Appends an entry of the current term. A leader never overwrites its own entries (Leader Append-Only; Ongaro's
     /// thesis, figure 3.2).
     pub(crate) fn append_entry(&mut self, payload: Payload) -> Index {
-        let index = self.log.last().index + 1;
+        let index = self.log.last_position().index + 1;
         let entry = Entry { index, term: self.hard_state.term, payload };
         self.persistence.record(Record::Entries(vec![entry.clone()]));
         self.log.push(entry);
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -41,7 +41,7 @@
 
 impl Log {
     /// Position of the last entry.
-    pub fn last(&self) -> LogPosition {
+    pub fn last_position(&self) -> LogPosition {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
@@ -76,7 +76,7 @@
     /// The last index up to `index` whose term is at most `term`, or the index of `base` if there is none. No later
     /// entry can match a log whose term at that index is at most `term`.
     pub fn find_conflict_by_term(&self, index: Index, term: Term) -> Index {
-        let mut index = index.min(self.last().index);
+        let mut index = index.min(self.last_position().index);
         while self.get(index).is_some_and(|entry| entry.term > term) {
             index -= 1;
         }
@@ -85,7 +85,7 @@
 
     /// Appends an entry, which must directly follow the last one.
     pub fn push(&mut self, entry: Entry) {
-        debug_assert_eq!(entry.index, self.last().index + 1);
+        debug_assert_eq!(entry.index, self.last_position().index + 1);
         if let Payload::Voters(voters) = &entry.payload {
             self.voter_sets.push(VoterSetAt { index: entry.index, voters: voters.clone() });
         }
@@ -112,7 +112,7 @@
             self.truncate(first.index);
         }
         for entry in entries {
-            let last = self.last();
+            let last = self.last_position();
             if entry.index == last.index + 1 && entry.term >= last.term {
                 self.push(entry);
             }
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -49,7 +49,7 @@
     ///
     /// [`Options::max_peers`]: crate::Options::max_peers
     pub fn add_learner(&mut self, node: NodeId) -> Result<(), ReplicaError> {
-        let next = self.log.last().index + 1;
+        let next = self.log.last_position().index + 1;
         let own_node = self.options.node;
         let RoleState::Leader(leader_state) = &mut self.role_state else { return self.not_leader() };
         if node == own_node || leader_state.learners.contains(&node) {
@@ -99,7 +99,7 @@
     }
 
     fn append_voter_change(&mut self, voters: VoterSet) {
-        let next = self.log.last().index + 1;
+        let next = self.log.last_position().index + 1;
         let own_node = self.options.node;
         if let RoleState::Leader(leader_state) = &mut self.role_state {
             for node in voters.members().filter(|node| *node != own_node) {
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -126,8 +126,8 @@
     }
 
     /// Position of the last entry of the log.
-    pub fn last(&self) -> LogPosition {
-        self.log.last()
+    pub fn last_position(&self) -> LogPosition {
+        self.log.last_position()
     }
 
     /// Index of the last entry covered by the snapshot, 0 if there is no snapshot.
--- a/consensus/src/replication.rs
+++ b/consensus/src/replication.rs
@@ -55,7 +55,7 @@
             self.adopt_newer_term(term);
             return false;
         }
-        let next = self.log.last().index + 1;
+        let next = self.log.last_position().index + 1;
         let RoleState::Leader(leader_state) = &mut self.role_state else { return false };
         let Some(peer) = leader_state.peers.get_mut(&from) else { return false };
         if stamp.round > leader_state.round {
@@ -84,7 +84,7 @@
     ) {
         let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         let Some(peer) = leader_state.peers.get_mut(&from) else { return };
-        if matched > 0 && matched <= self.log.last().index {
+        if matched > 0 && matched <= self.log.last_position().index {
             peer.on_matched(matched, self.now);
         }
         peer.resend_if_lost(received, stamp, self.now, &self.options);
@@ -94,7 +94,7 @@
     }
 
     pub(crate) fn on_append_response(&mut self, from: NodeId, outcome: AppendOutcome, stamp: RoundStamp) {
-        let last = self.log.last().index;
+        let last = self.log.last_position().index;
         let RoleState::Leader(leader_state) = &mut self.role_state else { return };
         let Some(peer) = leader_state.peers.get_mut(&from) else { return };
         match outcome {
@@ -152,7 +152,7 @@
     }
 
     fn has_entries_for(&self, peer: &Progress) -> bool {
-        peer.next() <= self.log.last().index
+        peer.next() <= self.log.last_position().index
     }
 
     fn append(&self, previous: LogPosition, peer: &mut Progress) -> Option<Message> {
--- a/consensus/src/restore.rs
+++ b/consensus/src/restore.rs
@@ -33,7 +33,7 @@
         let mut replica = Replica {
             now,
             hard_state,
-            persistence: Persistence::restored(log.last().index),
+            persistence: Persistence::restored(log.last_position().index),
             role_state: RoleState::Follower,
             leader: None,
             commit_index: log.snapshot_index(),
@@ -64,7 +64,7 @@
     /// the first time. Does nothing if the replica already has entries or is recovering.
     pub fn bootstrap(&mut self, now: Millis, voters: &[NodeId]) {
         self.set_now(now);
-        if self.hard_state.recovering || self.log.last().index > 0 || voters.is_empty() {
+        if self.hard_state.recovering || self.log.last_position().index > 0 || voters.is_empty() {
             return;
         }
         if self.hard_state.term < BOOTSTRAP_POSITION.term {
--- a/consensus/src/step.rs
+++ b/consensus/src/step.rs
@@ -83,7 +83,7 @@
     /// The effects since the last call, for the driver to carry out in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.replicate();
-        if let Some(batch) = self.persistence.flush(self.now, self.log.last().index) {
+        if let Some(batch) = self.persistence.flush(self.now, self.log.last_position().index) {
             self.effects.push(Effect::Persist { ticket: batch.ticket, records: batch.records });
         }
         std::mem::take(&mut self.effects)
--- a/consensus/tests/elections.rs
+++ b/consensus/tests/elections.rs
@@ -174,7 +174,7 @@
     let leader = group.await_leader();
     group.run(500);
     let voter = follower_of(&group);
-    let last = group.replica(leader).last();
+    let last = group.replica(leader).last_position();
     let term = group.term(leader) + 1;
     let before = group.sent.get("PreVoteResponse").copied();
     // when
--- a/consensus/tests/group/machine.rs
+++ b/consensus/tests/group/machine.rs
@@ -202,7 +202,7 @@
             replica.role(),
             replica.term(),
             replica.leader(),
-            replica.last(),
+            replica.last_position(),
             replica.commit_index(),
             replica.snapshot_index(),
             self.applied,
--- a/consensus/tests/group/mod.rs
+++ b/consensus/tests/group/mod.rs
@@ -309,7 +309,7 @@
         let bytes = command.to_be_bytes().to_vec();
         let term = self.machines[&node].replica.as_ref()?.term();
         // In a group of one, the effects of the proposal may already commit it, so it is registered first.
-        let index = self.machines[&node].replica.as_ref()?.last().index + 1;
+        let index = self.machines[&node].replica.as_ref()?.last_position().index + 1;
         self.machine(node).proposals.insert(index, term);
         match self.call(node, |replica, now| replica.propose(now, bytes))? {
             Ok(proposed) => {
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -173,7 +173,7 @@
     let (_, index) = group.propose(leader).expect("it is still the leader");
     group.run(700);
     // then
-    assert!(group.replica(node(4)).last().index >= index, "the incoming voters hold the entry");
+    assert!(group.replica(node(4)).last_position().index >= index, "the incoming voters hold the entry");
     assert!(!group.invariants.is_acknowledged(index));
     assert!(!group.has_lease(leader));
     group.blocked_links.clear();
--- a/consensus/tests/membership_disk_loss.rs
+++ b/consensus/tests/membership_disk_loss.rs
@@ -172,7 +172,7 @@
         fixture.group.run(400);
 
         // then
-        assert!(fixture.group.replica(learner).last().index >= index, "it receives entries");
+        assert!(fixture.group.replica(learner).last_position().index >= index, "it receives entries");
         assert!(!fixture.group.invariants.is_acknowledged(index), "seed {seed}");
         fixture.group.filter = None;
         fixture.group.blocked_links.clear();
@@ -257,7 +257,7 @@
 /// Delivers a response from a disk other than the current one. It acknowledges every entry that the leader has.
 fn inject_response(fixture: &mut Fixture, status: VoterStatus, round: u64) {
     let replica = fixture.group.replica(fixture.leader);
-    let (term, last) = (replica.term(), replica.last().index);
+    let (term, last) = (replica.term(), replica.last_position().index);
     let stamp =
         RoundStamp { round, sent_at: fixture.group.machines[&fixture.leader].clock(fixture.group.now) };
     let response = Message::HeartbeatResponse { term, stamp, received: last, matched: last, status };
--- a/consensus/tests/persistence.rs
+++ b/consensus/tests/persistence.rs
@@ -43,7 +43,7 @@
 fn vote_is_sent_once_synced() {
     // given
     let mut voter = synced_voter();
-    let last = voter.last();
+    let last = voter.last_position();
     // when
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     // then
@@ -69,7 +69,7 @@
 fn second_candidate_of_term_is_rejected() {
     // given
     let mut voter = synced_voter();
-    let last = voter.last();
+    let last = voter.last_position();
     voter.receive(10, node(1), Message::VoteRequest { term: 2, last, leadership_transfer: false });
     // when
     voter.receive(11, node(3), Message::VoteRequest { term: 2, last, leadership_transfer: false });
@@ -215,7 +215,7 @@
     let first = Record::Entries(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
     let second = Record::Entries(vec![entry(3, 2)]);
     let replica = restored(vec![hard_state_record(1), snapshot(1, 1), first, hard_state_record(2), second]);
-    assert_eq!(replica.last(), LogPosition { term: 2, index: 3 });
+    assert_eq!(replica.last_position(), LogPosition { term: 2, index: 3 });
     assert_eq!(replica.term(), 2);
 }
 
@@ -230,7 +230,7 @@
         hard_state_record(2),
         snapshot(7, 1),
     ]);
-    assert_eq!((replica.snapshot_index(), replica.commit_index(), replica.last().index), (7, 7, 9));
+    assert_eq!((replica.snapshot_index(), replica.commit_index(), replica.last_position().index), (7, 7, 9));
     let installs =
         |effect: &Effect| matches!(effect, Effect::InstallSnapshot(snapshot) if snapshot.index() == 7);
     assert_eq!(replica.take_effects().iter().filter(|effect| installs(effect)).count(), 1);
@@ -241,7 +241,7 @@
 fn restore_ignores_entries_below_snapshot() {
     let entries = |from: u64, to: u64| Record::Entries((from..=to).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard_state_record(1), snapshot(5, 1), entries(6, 9), entries(2, 4)]);
-    assert_eq!(replica.last(), LogPosition { term: 1, index: 9 });
+    assert_eq!(replica.last_position(), LogPosition { term: 1, index: 9 });
 }
 
 #[test]
@@ -252,14 +252,14 @@
     // when
     replica.compact(5, vec![7]);
     // then
-    assert_eq!((replica.snapshot_index(), replica.last().index), (1, 9));
+    assert_eq!((replica.snapshot_index(), replica.last_position().index), (1, 9));
 }
 
 #[test]
 fn restored_snapshot_drops_conflicting_log() {
     let entries = Record::Entries((2..=9).map(|index| entry(index, 1)).collect());
     let replica = restored(vec![hard_state_record(3), snapshot(1, 1), entries, snapshot(5, 3)]);
-    assert_eq!(replica.last(), LogPosition { term: 3, index: 5 });
+    assert_eq!(replica.last_position(), LogPosition { term: 3, index: 5 });
 }
 
 #[test]
--- a/consensus/tests/recovering_voters.rs
+++ b/consensus/tests/recovering_voters.rs
@@ -103,7 +103,7 @@
     let token = group.read(leader).expect("it is still the leader");
     group.run(300);
     // then
-    assert!(group.replica(recovering).last().index >= index, "it receives entries");
+    assert!(group.replica(recovering).last_position().index >= index, "it receives entries");
     assert!(!group.invariants.is_acknowledged(index));
     assert!(group.invariants.is_read_pending(token));
 }
@@ -326,7 +326,7 @@
     group.run(200);
     let others: Vec<NodeId> = group.running().into_iter().filter(|node| *node != leader).collect();
     let (candidate, recovering, voter) = (others[0], others[1], others[2]);
-    let last = group.replica(candidate).last();
+    let last = group.replica(candidate).last_position();
     let term = group.term(leader) + 1;
     group.isolate(candidate);
     group.wipe_disk(recovering);
--- a/consensus/tests/replication.rs
+++ b/consensus/tests/replication.rs
@@ -97,7 +97,7 @@
     assert!(in_flight.borrow().0 <= 3 * LARGE, "{in_flight:?}");
     group.machine(slow).is_disk_stalled = false;
     group.run(1000);
-    assert!(group.all_applied(group.replica(leader).last().index));
+    assert!(group.all_applied(group.replica(leader).last_position().index));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     group.run(2 * Options::new(leader, 0).election_max_ms);
     group.machine(leader).compact();
     let index = group.commit_one();
-    assert!(group.replica(behind).last().index < 10);
+    assert!(group.replica(behind).last_position().index < 10);
     // when
     group.blocked_links.clear();
     group.await_applied();
@@ -260,7 +260,7 @@
     group.run(200);
     let follower = group.followers()[0];
     let term = group.term(leader);
-    let last = group.replica(leader).last();
+    let last = group.replica(leader).last_position();
     // when
     let gap = shaletrail_consensus::Entry {
         index: last.index + 7,
--- a/consensus/tests/snapshot_scenarios.rs
+++ b/consensus/tests/snapshot_scenarios.rs
@@ -134,7 +134,7 @@
     let entries_behind = group.machines[&leader].applied - group.machines[&lagging].applied;
     assert!(group.sent.contains_key("InstallSnapshot"));
     assert!(entries_behind < 20, "{entries_behind} entries behind: {}", group.describe());
-    let last = group.replica(leader).last().index;
+    let last = group.replica(leader).last_position().index;
     assert!(group.run_until(8000, |group| group.all_applied(last)), "{}", group.describe());
     assert_eq!(group.machines[&lagging].commands, group.machines[&leader].commands);
 }
--- a/coordinator/tests/common/simulated_cluster.rs
+++ b/coordinator/tests/common/simulated_cluster.rs
@@ -487,7 +487,7 @@
                     "{node}, shard {shard}: {} in term {}, last {:?}, commit {}, voters {:?}, recovering {}",
                     replica.role(),
                     replica.term(),
-                    replica.last(),
+                    replica.last_position(),
                     replica.commit_index(),
                     replica.voters(),
                     replica.is_recovering(),
--- a/model-checker/src/cluster_state.rs
+++ b/model-checker/src/cluster_state.rs
@@ -252,7 +252,7 @@
                 node.id.0,
                 replica.role(),
                 replica.term(),
-                replica.last(),
+                replica.last_position(),
                 replica.commit_index(),
                 replica.voters(),
                 replica.is_recovering(),
