--- a/consensus/src/follower.rs
+++ b/consensus/src/follower.rs
@@ -91,8 +91,8 @@
         self.send_append_response(from, AppendOutcome::Matched(matched), stamp);
     }
 
-    /// Whether the entry is in the log or below the commit index. A committed entry is the same in the leader's log
-    /// (Leader Completeness).
+    /// Whether the entry is in the log, or at or below the commit index. A committed entry is the same in the leader's
+    /// log (Leader Completeness).
     fn matches_log(&self, position: LogPosition) -> bool {
         position.index <= self.commit_index || self.log.contains(position)
     }
@@ -129,7 +129,7 @@
     }
 
     /// Ends recovery if the message names the current disk. The vote of this term is recorded as given to the leader,
-    /// because the lost disk may have held a vote for it.
+    /// because this voter may already have voted in this term before it lost its disk.
     pub(crate) fn on_rejoin(&mut self, from: NodeId, term: Term, disk_id: u64) {
         if !self.follow_leader(from, term)
             || !self.hard_state.recovering
--- a/consensus/src/lease.rs
+++ b/consensus/src/lease.rs
@@ -26,9 +26,9 @@
         Some(if acked_at == 0 { 0 } else { acked_at.saturating_add(self.options.lease_ms) })
     }
 
-    /// Whether this replica must assume that a leader holds a lease on the strength of its responses: it received a
-    /// message from that leader within the shortest election timeout, or it leads itself and was in contact with a
-    /// quorum within that time.
+    /// Whether a leader may hold a lease that relies on this replica's responses: this replica received a message from
+    /// that leader within the shortest election timeout, or it leads itself and was in contact with a quorum within
+    /// that time.
     pub(crate) fn in_leader_lease(&self) -> bool {
         match &self.role_state {
             RoleState::Leader(leader_state) => {
--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -73,8 +73,8 @@
         self.position(position.index) == Some(position)
     }
 
-    /// The last index up to `index` whose term is at most `term`, or the index of `base` if there is none. No later
-    /// entry can match a log whose term at that index is at most `term`.
+    /// The last index up to `index` whose term is at most `term`, or the index of `base` if there is none. Entries of a
+    /// higher term cannot match a log whose terms up to `index` are at most `term`.
     pub fn find_conflict_by_term(&self, index: Index, term: Term) -> Index {
         let mut index = index.min(self.last_position().index);
         while self.get(index).is_some_and(|entry| entry.term > term) {
--- a/consensus/src/options.rs
+++ b/consensus/src/options.rs
@@ -30,7 +30,7 @@
     pub disk_stall_ms: Millis,
     /// Maximum total size of the entries in one message. A single larger entry is sent alone.
     pub max_append_bytes: usize,
-    /// Maximum total size of the entries in a probe.
+    /// Maximum total size of the entries in a probe. If the next entry is larger, the probe contains none.
     pub max_probe_bytes: usize,
     /// Once the entries in flight to one follower reach this total size, no further message with entries is sent to it.
     pub max_in_flight_bytes: usize,
--- a/consensus/src/persistence.rs
+++ b/consensus/src/persistence.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 struct UnsyncedBatch {
     ticket: u64,
-    /// Last index of the log after these records; lowered if entries before it have been truncated since.
+    /// Last index of the log after these records; lowered if the log has been truncated below it since.
     last_index: Index,
     flushed_at: Millis,
 }
--- a/consensus/src/send.rs
+++ b/consensus/src/send.rs
@@ -1,8 +1,8 @@
 //! Sending messages, either immediately or after the records that they depend on are synced.
 //!
 //! A server must not respond before its persistent state is on stable storage (Ongaro's thesis, section 3.8). So a
-//! message that grants a vote or acknowledges entries waits for all earlier records, and a message that carries the
-//! term waits until that term is synced. All other messages are sent immediately.
+//! message that grants a vote or acknowledges entries waits for all earlier records, and a response that carries the
+//! current term waits until that term is synced. All other messages are sent immediately.
 
 use shaletrail_protocol::NodeId;
 
--- a/consensus/src/transfer.rs
+++ b/consensus/src/transfer.rs
@@ -12,7 +12,8 @@
 use crate::replica::{Replica, RoleState};
 use crate::voters::VoterSet;
 
-/// For how many of the longest election timeouts a former leader does not campaign after a leadership transfer.
+/// Time for which a former leader does not campaign after a leadership transfer, in multiples of the longest election
+/// timeout.
 const CAMPAIGN_BACKOFF_TIMEOUTS: Millis = 2;
 
 impl Replica {
--- a/consensus/tests/group/history.rs
+++ b/consensus/tests/group/history.rs
@@ -33,7 +33,7 @@
     size: u32,
     /// Number of machines created so far.
     created: u32,
-    /// How unreliable and slow links and disks become, from 0 (hardly) to 3.
+    /// How unreliable and slow links and disks become, from 0 (least) to 3.
     intensity: u32,
 }
 
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -255,7 +255,7 @@
         .expect("the machine is running")
         .expect("it is the leader");
     assert!(group.replica(former).is_changing_voters());
-    // when: it compacts its log up to before the change, and rejoins a group that has gone on without the change
+    // when: it compacts its log up to before the change, and returns to a group that went on without the change
     group.machine(former).compact();
     group.call(former, |_, _| ());
     group.run(4000);
