--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -1,17 +1,17 @@
 //! Membership of the coordinators: failure detection and gossip in the manner of SWIM.
 //!
-//! Each member is monitored by a few peers, chosen alike by all nodes (`targets`). A monitor pings it, suspects it
-//! after missed answers, and declares it dead unless it refutes the suspicion in time (`failure_detector`). Records
-//! travel on pings and their answers (`gossip`) and merge by incarnation, refutation number and state
-//! (`member_table`). A member that shuts down announces that itself ([`Membership::leave`]).
+//! Each member is monitored by a few peers, and every node computes the same choice of monitors (`targets`). A
+//! monitor pings the member, suspects it if acks are missing, and declares it dead unless it refutes the suspicion in
+//! time (`failure_detector`). Member records are piggybacked on pings and acks (`gossip`) and merge by incarnation,
+//! refutation number and state (`member_table`). A member that shuts down announces it ([`Membership::leave`]).
 //!
-//! Seeds that are no members are pinged for ever with backoff, as they may start later. The voters
-//! ([`Membership::set_voters`]) are pinged by every coordinator, as each must know whether it reaches a quorum. A
-//! voter without any record, as this process started after it was lost or has forgotten it, becomes unreachable
-//! after the same time as one with a record.
+//! A seed that is not a live member is pinged indefinitely with backoff, as it may start later. Every coordinator
+//! pings all voters ([`Membership::set_voters`]), as each must know whether it reaches a quorum. A voter may have no
+//! record, because this process started after the voter failed or has since forgotten it. Such a voter becomes
+//! unreachable after the same time as a voter with a record.
 //!
-//! Incarnations are drawn at random and have no order. Only a node itself can announce a new one; a report of another
-//! incarnation by a third node leads to a ping first.
+//! Incarnations are random and have no order, so that only the node itself can announce a new one. If a third node
+//! reports a different incarnation, this node first pings the member concerned.
 
 mod failure_detector;
 mod gossip;
@@ -33,17 +33,18 @@
 use crate::send_queue::SendQueue;
 use crate::stable_hash::first_message_number;
 
-/// One coordinator's view of the coordinators.
+/// One coordinator's view of the membership.
 #[derive(Debug)]
 pub struct Membership {
     options: Options,
     own: MemberRecord,
     table: MemberTable,
     seeds: Vec<NodeId>,
-    /// The voters, each with the time since when it has been one or its time-out was restarted.
+    /// The voters, each with the start of its detection time-out: when it became a voter, or the end of the last stall.
     voters: BTreeMap<NodeId, Millis>,
     /// The nodes that this one pings.
     targets: BTreeSet<NodeId>,
+    /// Whether `targets` must be computed again.
     targets_stale: bool,
     probes: BTreeMap<NodeId, Probe>,
     last_ping_number: u64,
@@ -53,7 +54,7 @@
 }
 
 impl Membership {
-    /// A view that knows only the seeds.
+    /// A membership that knows only its seeds; their states are unknown until they answer.
     pub fn new(
         options: Options,
         node: NodeId,
@@ -80,7 +81,7 @@
         membership
     }
 
-    /// Adds seeds; beyond [`MAX_SEEDS`] the oldest are dropped.
+    /// Adds seeds. The oldest are dropped if there are more than [`MAX_SEEDS`].
     pub fn add_seeds(&mut self, seeds: &[NodeId]) {
         self.seeds.retain(|seed| !seeds.contains(seed));
         self.seeds.extend(seeds.iter().filter(|seed| **seed != self.own.node));
@@ -88,7 +89,8 @@
         self.targets_stale = true;
     }
 
-    /// Names the current voters, which this node pings whoever monitors them; at most [`MAX_MEMBERS`].
+    /// Sets the current voters, of which at most [`MAX_MEMBERS`] are kept. This node pings them even if it is not one of
+    /// their monitors.
     pub fn set_voters(&mut self, voters: &[NodeId]) {
         let voters: BTreeSet<NodeId> =
             voters.iter().copied().filter(|node| *node != self.own.node).take(MAX_MEMBERS).collect();
@@ -100,7 +102,8 @@
         self.targets_stale = true;
     }
 
-    /// Detects failures and sends the pings that are due. To be called at [`Membership::next_wake`].
+    /// Detects failures and queues the pings that are due. Must be called at the time that [`Membership::next_wake`]
+    /// returns.
     pub fn tick(&mut self, now: Millis) {
         self.restart_timeouts_after_stall(now);
         self.detect_failures(now);
@@ -110,7 +113,7 @@
         self.last_tick = now;
     }
 
-    /// When [`Membership::tick`] should be called next.
+    /// The time at which [`Membership::tick`] must be called next.
     pub fn next_wake(&self) -> Millis {
         if self.targets_stale {
             return self.last_tick;
@@ -121,17 +124,17 @@
         next_ping.map_or(latest, |next_ping| next_ping.min(latest))
     }
 
-    /// Takes the messages to send.
+    /// Takes the queued messages, each with its receiver.
     pub fn take_sends(&mut self) -> Vec<(NodeId, MembershipMessage)> {
         self.sends.take()
     }
 
-    /// Takes the members that were updated or forgotten since the last call.
+    /// Takes the members whose records were changed or removed since the last call.
     pub fn take_changed(&mut self) -> Vec<NodeId> {
         self.table.take_changed()
     }
 
-    /// This node and all members that are not dead, in order of their addresses.
+    /// This node and all members that are not dead (suspects included), sorted by address.
     pub fn alive(&self) -> Vec<NodeId> {
         let others = self.table.records().filter(|record| record.state != MemberState::Dead);
         let mut alive: Vec<NodeId> = others.map(|record| record.node).chain([self.own.node]).collect();
@@ -139,12 +142,12 @@
         alive
     }
 
-    /// The state of a coordinator; `None` if it is unknown.
+    /// The state of a coordinator; `None` if there is no record of it.
     pub fn state(&self, node: NodeId) -> Option<MemberState> {
         self.record(node).map(|record| record.state)
     }
 
-    /// Whether a node is dead, or is a voter of which no record has come for as long as a failure takes to detect.
+    /// Whether a node is dead, or is a voter that has had no record for as long as failure detection takes.
     pub fn is_unreachable(&self, node: NodeId) -> bool {
         let detection_ms = self.options.ping_timeout_ms + self.options.suspicion_timeout_ms;
         match self.state(node) {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// The record of a coordinator; `None` if it is unknown.
+    /// The record of a coordinator, this node included; `None` if there is none.
     pub fn record(&self, node: NodeId) -> Option<&MemberRecord> {
         if node == self.own.node {
             return Some(&self.own);
@@ -161,20 +164,20 @@
         self.table.record(node)
     }
 
-    /// All records, this node's own first.
+    /// The records of this node, which comes first, and of all known members, dead ones included.
     pub fn members(&self) -> Vec<MemberRecord> {
         [&self.own].into_iter().chain(self.table.records()).cloned().collect()
     }
 
-    /// Whether the node has answered a ping that was sent within the last `within_ms`, so that the links worked both
-    /// ways. Always false for nodes that this one does not ping.
+    /// Whether the node has answered a ping that was sent within the last `within_ms` milliseconds, which shows that
+    /// the network worked in both directions. Always false for nodes that this one does not ping.
     pub fn has_contact_within(&self, node: NodeId, now: Millis, within_ms: Millis) -> bool {
         let sent_at = self.probes.get(&node).and_then(Probe::answered_ping_sent_at);
         sent_at.is_some_and(|sent_at| now.saturating_sub(sent_at) <= within_ms)
     }
 
-    /// Whether more than half of the voters have answered pings that were sent within the last `within_ms`; this
-    /// node counts as answering if it is a voter.
+    /// Whether more than half of the voters have answered pings that were sent within the last `within_ms`
+    /// milliseconds. If this node is a voter, it counts as one that has answered.
     pub fn has_quorum_contact(&self, now: Millis, voters: &[NodeId], within_ms: Millis) -> bool {
         let voters: BTreeSet<NodeId> = voters.iter().copied().collect();
         let answering = voters
--- a/cluster/src/membership/gossip.rs
+++ b/cluster/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Pings, their answers, and the member records that travel on both.
+//! Pings, acks, and the member records that both carry.
 
 use shaletrail_protocol::internal::{MemberRecord, MemberState, MembershipMessage};
 use shaletrail_protocol::{Millis, NodeId};
@@ -7,7 +7,7 @@
 use super::Membership;
 
 impl Membership {
-    /// Handles a message of another coordinator.
+    /// Handles a message from another coordinator: merges its member records, and queues an ack if it is a ping.
     pub fn receive(&mut self, now: Millis, from: NodeId, message: MembershipMessage) {
         if from == self.own.node {
             return;
@@ -24,14 +24,15 @@
             }
             MembershipMessage::Ack { sequence_number, members } => {
                 if let Some(probe) = self.probes.get_mut(&from) {
-                    probe.record_pong(sequence_number);
+                    probe.record_ack(sequence_number);
                 }
                 self.merge_records(now, from, &members);
             }
         }
     }
 
-    /// Announces that this process is about to end: the members see it as dead from then on, without a suspicion.
+    /// Announces that this process is about to shut down. The other members mark it dead at once, without suspecting it
+    /// first.
     pub fn leave(&mut self, now: Millis) {
         self.own.state = MemberState::Dead;
         let mut others = self.alive();
@@ -50,7 +51,7 @@
         self.sends.push(node, MembershipMessage::Ping { sequence_number, members });
     }
 
-    /// Pings a node at the next tick, if it is a ping target at all.
+    /// Makes a ping due at the next tick if the node is a ping target.
     fn expedite_ping(&mut self, now: Millis, node: NodeId) {
         if let Some(probe) = self.probes.get_mut(&node) {
             probe.expedite(now, &self.options);
@@ -62,17 +63,17 @@
             if record.node == self.own.node {
                 self.refute(record);
             } else if record.node == from {
-                self.targets_stale |= self.table.merge_from_subject(now, record);
+                self.targets_stale |= self.table.merge_self_report(now, record);
             } else {
                 self.merge_from_peer(now, record);
             }
         }
     }
 
-    /// Merges what a peer reports of another member.
+    /// Merges a record that a peer has sent about another member.
     ///
-    /// A peer that was partitioned off sees all others as dead. So a member that this node has contact with becomes
-    /// suspect at most, until it refutes that.
+    /// A peer on the other side of a partition considers all other nodes dead. A member that this node has contact with
+    /// is therefore at most suspected, until it refutes the report.
     fn merge_from_peer(&mut self, now: Millis, record: &MemberRecord) {
         let has_contact = self.has_contact_within(record.node, now, self.options.ping_timeout_ms);
         let state = if has_contact { record.state.min(MemberState::Suspect) } else { record.state };
@@ -84,13 +85,13 @@
             if let (true, Some(probe)) = (is_refuted, self.probes.get_mut(&record.node)) {
                 probe.cool_down(now + self.options.suspicion_cooldown_ms);
             }
-        } else if self.table.has_other_incarnation(record) {
+        } else if self.table.has_different_incarnation(record) {
             self.expedite_ping(now, record.node);
         }
     }
 
-    /// Refutes a suspicion against this incarnation by a higher refutation number, unless this process is about to
-    /// end.
+    /// Refutes a report that this incarnation is suspect or dead by raising the refutation number, unless this process
+    /// is shutting down.
     fn refute(&mut self, record: &MemberRecord) {
         if self.own.state == MemberState::Dead {
             return;
@@ -101,8 +102,8 @@
         }
     }
 
-    /// The records for a message: this node's own, recent changes, and all others where a full exchange is due or
-    /// `full` asks for it.
+    /// The records for a message: this node's own and those that changed recently. If `full` is set or a full exchange
+    /// with the receiver is due, other records fill the message.
     fn records_for(&mut self, now: Millis, receiver: NodeId, full: bool) -> Vec<MemberRecord> {
         let last_exchange = self.last_full_exchange.get(&receiver);
         let is_due = last_exchange.is_none_or(|last| *last + self.options.full_exchange_interval_ms <= now);
--- a/cluster/src/membership/member_table.rs
+++ b/cluster/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! The records of the other members, how they merge, and which of them are gossiped next.
+//! The records of the other members: how they merge, and which of them the next message carries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,15 +7,15 @@
 
 use super::options::{MAX_MEMBERS, MAX_MESSAGE_RECORDS};
 
-/// Ended incarnations that are remembered for each node.
-const MAX_FORMER_INCARNATIONS: usize = 4;
-/// How long an ended incarnation is remembered, in milliseconds; its last messages arrive earlier.
-const FORMER_INCARNATION_RETENTION_MS: Millis = 5000;
-/// Messages that carry a change, for each doubling of the number of members.
+/// Number of previous incarnations that are kept for each member, so that their late messages are recognised.
+const MAX_PREVIOUS_INCARNATIONS: usize = 4;
+/// How long a previous incarnation is kept, in milliseconds. Its last messages arrive well before that.
+const PREVIOUS_INCARNATION_RETENTION_MS: Millis = 5000;
+/// Number of messages that carry a change, for each doubling of the number of members.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 4;
 
 #[derive(Clone, Debug)]
-struct FormerIncarnation {
+struct PreviousIncarnation {
     incarnation: Incarnation,
     expires_at: Millis,
 }
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 struct Member {
     record: MemberRecord,
-    former_incarnations: Vec<FormerIncarnation>,
-    /// When the member entered its state.
+    previous_incarnations: Vec<PreviousIncarnation>,
+    /// When the member entered its present state.
     state_since: Millis,
-    /// How many more messages carry the record as a recent change.
+    /// Number of further messages that carry the record as a recent change.
     remaining_transmissions: u32,
-    /// Orders records by their last update: the newest are sent first.
-    update_number: u64,
+    /// The position of the record's last update among all updates; the latest updates are sent first.
+    update_sequence: u64,
 }
 
 /// The records of the other members.
@@ -37,9 +37,9 @@
 pub(super) struct MemberTable {
     members: BTreeMap<NodeId, Member>,
     changed: BTreeSet<NodeId>,
-    last_update_number: u64,
-    /// Where the next full exchange starts if not all records fit into a message.
-    rotation: usize,
+    last_update_sequence: u64,
+    /// The offset at which the next full exchange starts if not all records fit into one message.
+    rotation_offset: usize,
 }
 
 impl MemberTable {
@@ -55,42 +55,43 @@
         self.record(node).map(|record| record.state)
     }
 
-    /// When the member entered its state.
+    /// When the member entered its present state; `None` if it is unknown.
     pub(super) fn state_since(&self, node: NodeId) -> Option<Millis> {
         self.members.get(&node).map(|member| member.state_since)
     }
 
-    /// Takes the members that were updated or forgotten since the last call.
+    /// Takes the members whose records were changed or removed since the last call.
     pub(super) fn take_changed(&mut self) -> Vec<NodeId> {
         std::mem::take(&mut self.changed).into_iter().collect()
     }
 
-    /// Merges a record that its own node has sent; true if something changed.
+    /// Merges a record that a node has sent about itself; returns whether the table changed.
     ///
-    /// Only here a new incarnation replaces a live one. Late messages of an ended incarnation are ignored.
-    pub(super) fn merge_from_subject(&mut self, now: Millis, record: &MemberRecord) -> bool {
+    /// Only such a record may replace a live incarnation by a new one. Late messages of a previous incarnation are
+    /// ignored.
+    pub(super) fn merge_self_report(&mut self, now: Millis, record: &MemberRecord) -> bool {
         let Some(member) = self.members.get_mut(&record.node) else {
             return self.insert(now, MemberRecord { state: MemberState::Alive, ..record.clone() });
         };
         if member.record.incarnation == record.incarnation {
             return self.merge(now, record);
         }
-        member.former_incarnations.retain(|former| now < former.expires_at);
-        if member.former_incarnations.iter().any(|former| former.incarnation == record.incarnation) {
+        member.previous_incarnations.retain(|previous| now < previous.expires_at);
+        if member.previous_incarnations.iter().any(|previous| previous.incarnation == record.incarnation) {
             return false;
         }
-        if member.former_incarnations.len() == MAX_FORMER_INCARNATIONS {
-            member.former_incarnations.remove(0);
+        if member.previous_incarnations.len() == MAX_PREVIOUS_INCARNATIONS {
+            member.previous_incarnations.remove(0);
         }
-        member.former_incarnations.push(FormerIncarnation {
+        member.previous_incarnations.push(PreviousIncarnation {
             incarnation: member.record.incarnation,
-            expires_at: now + FORMER_INCARNATION_RETENTION_MS,
+            expires_at: now + PREVIOUS_INCARNATION_RETENTION_MS,
         });
         self.put(now, MemberRecord { state: MemberState::Alive, ..record.clone() });
         true
     }
 
-    /// Merges a record that another node has sent; true if something changed.
+    /// Merges a record that a node has sent about another one; returns whether the table changed.
     pub(super) fn merge_from_peer(&mut self, now: Millis, record: &MemberRecord) -> bool {
         match self.members.get(&record.node).map(|member| &member.record) {
             None => record.state == MemberState::Alive && self.insert(now, record.clone()),
@@ -105,33 +106,33 @@
         }
     }
 
-    /// Whether the record names another incarnation than the known one, which only the node itself can confirm.
-    pub(super) fn has_other_incarnation(&self, record: &MemberRecord) -> bool {
+    /// Whether the record's incarnation differs from the known one. Only the node itself can confirm the change.
+    pub(super) fn has_different_incarnation(&self, record: &MemberRecord) -> bool {
         self.record(record.node).is_some_and(|known| known.incarnation != record.incarnation)
     }
 
-    /// Sets the state of a known member.
+    /// Sets the state of a member, as a change that is gossiped; without effect if the member is unknown.
     pub(super) fn set_state(&mut self, now: Millis, node: NodeId, state: MemberState) {
         if let Some(record) = self.record(node).cloned() {
             self.put(now, MemberRecord { state, ..record });
         }
     }
 
-    /// Restarts the time-out of all suspicions, as after a stall in which refutations could not be read.
+    /// Restarts the time-outs of all suspicions. Used after a stall, during which no refutations were processed.
     pub(super) fn restart_suspicions(&mut self, now: Millis) {
         let suspects = self.members.values_mut().filter(|member| member.record.state == MemberState::Suspect);
         suspects.for_each(|member| member.state_since = now);
     }
 
-    /// Forgets a member.
     pub(super) fn remove(&mut self, node: NodeId) {
         if self.members.remove(&node).is_some() {
             self.changed.insert(node);
         }
     }
 
-    /// At most `max_records` records for a message to `receiver`: first the receiver's own if it should refute that,
-    /// then recent changes, the newest first; with `full`, also other records in rotation.
+    /// Selects at most `max_records` records for a message to `receiver`. The receiver's own record comes first if it
+    /// is suspect or dead, so that the receiver can refute it. Recent changes follow, the latest first. With `full`,
+    /// the remaining space is filled with other records, in rotation over successive messages.
     pub(super) fn records_for(
         &mut self,
         receiver: NodeId,
@@ -143,7 +144,7 @@
         let mut selected: Vec<MemberRecord> = refutable.cloned().into_iter().collect();
         self.select_recent_changes(receiver, max_records, &mut selected);
         if full {
-            self.select_others(receiver, max_records, &mut selected);
+            self.select_remaining(receiver, max_records, &mut selected);
         }
         selected
     }
@@ -158,7 +159,7 @@
             .members
             .iter()
             .filter(|(node, member)| **node != receiver && member.remaining_transmissions > 0)
-            .map(|(node, member)| (member.update_number, *node))
+            .map(|(node, member)| (member.update_sequence, *node))
             .collect();
         recent.sort_unstable_by(|left, right| right.cmp(left));
         for (_, node) in recent.into_iter().take(max_records.saturating_sub(selected.len())) {
@@ -169,7 +170,7 @@
         }
     }
 
-    fn select_others(&mut self, receiver: NodeId, max_records: usize, selected: &mut Vec<MemberRecord>) {
+    fn select_remaining(&mut self, receiver: NodeId, max_records: usize, selected: &mut Vec<MemberRecord>) {
         let already: BTreeSet<NodeId> = selected.iter().map(|record| record.node).collect();
         let mut others: Vec<&MemberRecord> = self
             .records()
@@ -177,12 +178,12 @@
             .collect();
         let remaining = max_records.saturating_sub(selected.len());
         if others.len() > remaining {
-            let start = self.rotation % others.len();
+            let start = self.rotation_offset % others.len();
             others.rotate_left(start);
             others.truncate(remaining);
         }
         selected.extend(others.into_iter().cloned());
-        self.rotation = self.rotation.wrapping_add(remaining);
+        self.rotation_offset = self.rotation_offset.wrapping_add(remaining);
     }
 
     fn insert(&mut self, now: Millis, record: MemberRecord) -> bool {
@@ -193,7 +194,7 @@
         true
     }
 
-    /// Evicts the member that has been dead for longest; false if none is dead.
+    /// Evicts the member that has been dead for the longest time; returns false if no member is dead.
     fn evict_oldest_dead(&mut self) -> bool {
         let dead = self.members.iter().filter(|(_, member)| member.record.state == MemberState::Dead);
         let oldest = dead.min_by_key(|(_, member)| member.state_since).map(|(node, _)| *node);
@@ -202,7 +203,8 @@
         true
     }
 
-    /// Merges a record of the known incarnation: the higher refutation wins, then the worse state.
+    /// Merges a record of the known incarnation. The higher refutation number wins; if they are equal, the later state
+    /// in the order alive, suspect, dead wins.
     fn merge(&mut self, now: Millis, record: &MemberRecord) -> bool {
         let Some(known) = self.record(record.node) else { return false };
         let is_newer = (record.refutation, record.state) > (known.refutation, known.state);
@@ -213,24 +215,24 @@
     }
 
     fn put(&mut self, now: Millis, record: MemberRecord) {
-        self.last_update_number += 1;
+        self.last_update_sequence += 1;
         let node = record.node;
         let doublings = usize::BITS - self.members.len().leading_zeros();
         let remaining_transmissions = TRANSMISSIONS_PER_DOUBLING * (doublings + 1);
-        let update_number = self.last_update_number;
+        let update_sequence = self.last_update_sequence;
         let member = self.members.entry(node).or_insert_with(|| Member {
             record: record.clone(),
-            former_incarnations: Vec::new(),
+            previous_incarnations: Vec::new(),
             state_since: now,
             remaining_transmissions,
-            update_number,
+            update_sequence,
         });
         if member.record.state != record.state || member.record.incarnation != record.incarnation {
             member.state_since = now;
         }
         member.record = record;
         member.remaining_transmissions = remaining_transmissions;
-        member.update_number = update_number;
+        member.update_sequence = update_sequence;
         self.changed.insert(node);
     }
 }
--- a/cluster/src/membership/options.rs
+++ b/cluster/src/membership/options.rs
@@ -1,27 +1,27 @@
-//! Intervals and bounds of the membership.
+//! Time-outs, intervals and limits of the membership protocol.
 
 use shaletrail_protocol::Millis;
 
-/// Intervals and bounds of the membership; times in milliseconds.
+/// Time-outs, intervals and limits of the membership protocol; all times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Between two pings to a member that answers.
+    /// The interval between two pings to a member that answers.
     pub ping_interval_ms: Millis,
-    /// A member that has answered no ping for this long is suspected.
+    /// A member whose oldest unanswered ping was sent this long ago is suspected.
     pub ping_timeout_ms: Millis,
-    /// A suspected member that does not refute within this is dead.
+    /// A suspect that does not refute the suspicion within this time is declared dead.
     pub suspicion_timeout_ms: Millis,
     /// The longest interval between two pings to a node that does not answer.
     pub max_backoff_ms: Millis,
-    /// A member that has been dead for this long is forgotten.
+    /// A member that has been dead for this long is removed from the table.
     pub dead_retention_ms: Millis,
     /// The number of peers that monitor each member.
     pub monitors: usize,
-    /// Between two exchanges of all records with one peer.
+    /// The interval between two exchanges of all records with one peer.
     pub full_exchange_interval_ms: Millis,
-    /// A longer gap between two calls of `tick` means that this process itself has stalled.
+    /// A gap between two calls of `tick` that is longer than this is treated as a stall of this process.
     pub stall_ms: Millis,
-    /// For this long after a refuted suspicion this node does not suspect the member again.
+    /// This node does not suspect a member again for this long after another node has passed on its refutation.
     pub suspicion_cooldown_ms: Millis,
 }
 
@@ -41,9 +41,9 @@
     }
 }
 
-/// Records in one message.
+/// Limit on the member records in one message.
 pub const MAX_MESSAGE_RECORDS: usize = 32;
-/// Members in the table.
+/// Limit on the other members in the table.
 pub const MAX_MEMBERS: usize = 256;
-/// Seeds; the oldest are dropped first.
+/// Limit on the seeds; beyond it the oldest are dropped.
 pub const MAX_SEEDS: usize = 32;
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn unanswered_seed_is_pinged_for_ever_with_backoff() {
+fn unresponsive_seed_is_pinged_indefinitely_with_backoff() {
     // given
     let mut membership = single_member(&[PEER]);
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn added_seed_joins_two_groups() {
+fn added_seed_merges_two_groups() {
     // given
     let mut fleet = Fleet::new(2, 4);
     let nodes = fleet.nodes();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn partition_between_two_members_declares_nobody_dead() {
+fn partition_between_two_members_declares_no_member_dead() {
     let mut fleet = Fleet::running(5, 5);
     fleet.partition(0, 1);
     for _ in 0..100 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn stalled_coordinator_declares_nobody_dead() {
+fn stalled_coordinator_declares_no_member_dead() {
     let mut fleet = Fleet::running(9, 5);
     fleet.freeze(0);
     fleet.run(10_000);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn large_group_converges_with_bounded_messages() {
+fn large_group_converges_with_bounded_message_size() {
     let mut fleet = Fleet::new(10, 40);
     (0..40).for_each(|index| fleet.start(index));
     fleet.run(8000);
@@ -244,7 +244,11 @@
     let sent = run_idle(&mut membership, 0, 199);
 
     // then
-    assert!((1..=6).contains(&sent.len()), "{} of 8 members are pinged", sent.len());
+    assert!(
+        (1..=6).contains(&sent.len()),
+        "{} pings to 8 members; only the monitored ones should be pinged",
+        sent.len()
+    );
 }
 
 #[test]
@@ -257,13 +261,13 @@
     membership.receive(100, PEER, ping(records));
 
     // then
-    let (_, pong) = membership.take_sends().pop().expect("a pong");
-    let MembershipMessage::Ack { sequence_number: 1, members } = pong else { panic!("not a pong: {pong:?}") };
+    let (_, ack) = membership.take_sends().pop().expect("an ack");
+    let MembershipMessage::Ack { sequence_number: 1, members } = ack else { panic!("not an ack: {ack:?}") };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
 }
 
 #[test]
-fn suspicion_of_former_incarnation_is_not_refuted() {
+fn suspicion_of_previous_incarnation_is_not_refuted() {
     // given
     let mut membership = single_member(&[]);
     let records = vec![member(PEER, 21, 0, MemberState::Alive), member(OWN, 10, 4, MemberState::Dead)];
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn only_the_node_itself_announces_new_incarnation() {
+fn only_the_node_itself_can_announce_its_new_incarnation() {
     let mut membership = single_member(&[]);
     membership.receive(0, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
     let third = NodeId(3);
@@ -288,7 +292,7 @@
     assert_eq!(
         incarnation(&membership, PEER),
         Some(Incarnation(22)),
-        "late message of the former incarnation"
+        "a late message of the previous incarnation is ignored"
     );
 }
 
@@ -311,7 +315,7 @@
 }
 
 #[test]
-fn pong_to_unknown_ping_proves_no_contact() {
+fn ack_of_unknown_ping_is_not_contact() {
     // given
     let mut membership = single_member(&[PEER]);
     membership.tick(0);
@@ -325,7 +329,7 @@
     assert_eq!(membership.state(PEER), Some(MemberState::Alive));
 }
 
-/// This node with a member that has answered a ping at 0 and none since.
+/// A membership with one member that has answered a ping at time 0 and none since.
 fn with_unresponsive_member() -> Membership {
     let mut membership = single_member(&[]);
     membership.receive(0, PEER, ping(vec![member(PEER, 21, 0, MemberState::Alive)]));
@@ -334,15 +338,11 @@
     membership
 }
 
-/// Answers all sent pings on behalf of the peer.
+/// Acknowledges all pings to the peer on its behalf.
 fn answer_pings(membership: &mut Membership, now: Millis) {
     for (to, message) in membership.take_sends() {
-        if let (PEER, MembershipMessage::Ping { sequence_number: number, .. }) = (to, message) {
-            membership.receive(
-                now,
-                PEER,
-                MembershipMessage::Ack { sequence_number: number, members: vec![] },
-            );
+        if let (PEER, MembershipMessage::Ping { sequence_number, .. }) = (to, message) {
+            membership.receive(now, PEER, MembershipMessage::Ack { sequence_number, members: vec![] });
         }
     }
 }
@@ -396,7 +396,7 @@
     assert_eq!(membership.state(PEER), Some(MemberState::Suspect));
 }
 
-/// This node with a voter that has just answered a ping.
+/// A membership with one voter that has just answered a ping.
 fn with_responsive_member() -> Membership {
     let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn unknown_voter_becomes_unreachable_in_time() {
+fn unknown_voter_becomes_unreachable_after_detection_time() {
     let mut membership = single_member(&[]);
     membership.set_voters(&[PEER]);
     run_idle(&mut membership, 0, 1_400);
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn leaving_member_is_dead_for_all_at_once() {
+fn all_members_mark_leaving_member_dead_without_suspicion() {
     let mut fleet = Fleet::running(3, 3);
     let leaving = fleet.machines[1].node;
     let now = fleet.now;
@@ -468,7 +468,7 @@
     for (node, process) in fleet.processes().filter(|(node, _)| *node != leaving) {
         assert!(process.membership.is_unreachable(leaving), "as {node} sees it");
     }
-    // Reports of its own death do not make it refute.
+    // The leaving member receives reports of its own death and must not refute them.
     fleet.run(3_000);
     assert!(fleet
         .processes()
@@ -480,23 +480,23 @@
 }
 
 #[test]
-fn member_evicted_for_room_is_reported_as_changed() {
-    // given: a full table, one member of which is dead
+fn member_evicted_from_full_table_is_reported_as_changed() {
+    // given: a full table with one dead member
     let mut membership = single_member(&[]);
     for number in 0..2 * MAX_MEMBERS as u32 {
         let node = NodeId(1000 + number);
         membership.receive(0, node, ping(vec![member(node, 1, 0, MemberState::Alive)]));
     }
     let known: Vec<NodeId> = membership.alive().into_iter().filter(|node| *node != OWN).collect();
-    let (gone, witness) = (known[0], known[1]);
-    membership.receive(10, witness, ping(vec![member(gone, 1, 0, MemberState::Dead)]));
-    assert_eq!(membership.state(gone), Some(MemberState::Dead));
+    let (evicted, reporter) = (known[0], known[1]);
+    membership.receive(10, reporter, ping(vec![member(evicted, 1, 0, MemberState::Dead)]));
+    assert_eq!(membership.state(evicted), Some(MemberState::Dead));
     membership.take_changed();
     // when
     let joining = NodeId(9000);
     membership.receive(20, joining, ping(vec![member(joining, 1, 0, MemberState::Alive)]));
     // then
-    assert_eq!(membership.state(gone), None);
+    assert_eq!(membership.state(evicted), None);
     let changed = membership.take_changed();
-    assert!(changed.contains(&gone) && changed.contains(&joining), "{changed:?}");
+    assert!(changed.contains(&evicted) && changed.contains(&joining), "{changed:?}");
 }
