--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -1,13 +1,15 @@
 //! The directory of servers: one coordinator's replica of the table that all coordinators share.
 //!
-//! A heartbeat reaches one coordinator. A change that it brings is pushed to all peers at once and kept as a hint
-//! for those that do not acknowledge it (`hinted_handoff`); unchanged servers are only named in digests
-//! (`anti_entropy`). There is no leader: records merge alike everywhere, as draining and removed are final for an
-//! id and otherwise the higher sequence wins (`server_table`). A heartbeat with `draining` and a deregistration
-//! are answered once a majority of the voters knows of them (`majority`) and has them on disk (`durability`).
+//! A server sends each heartbeat to one coordinator. If the heartbeat changes the server's record, the coordinator
+//! pushes the record to all peers at once and keeps a hint for each peer until it acknowledges (`hinted_handoff`).
+//! Servers that have not changed are only listed in digests (`anti_entropy`).
 //!
-//! Time-outs are not replicated (`expiry`): each coordinator concludes them by itself, and none while it has
-//! recently started, lacks contact with a quorum, or has stalled (`quorum_contact`).
+//! There is no leader. Merging gives the same result on every coordinator: draining and removed are final for a server
+//! id, and otherwise the higher sequence number wins (`server_table`). A draining heartbeat or a deregistration is
+//! answered once a majority of the voters knows of it (`majority`) and has it on disk (`durability`).
+//!
+//! Time-outs of servers are not replicated (`expiry`). Each coordinator detects them itself, except while it has
+//! recently started, lacks contact with a quorum, or has recently stalled (`quorum_contact`).
 
 mod anti_entropy;
 mod change_log;
@@ -49,17 +51,17 @@
 use crate::send_queue::SendQueue;
 use crate::stable_hash::first_message_number;
 
-/// Between two scans for servers that expire, in milliseconds.
+/// The interval between two scans for expired servers, in milliseconds.
 const EXPIRY_SCAN_INTERVAL_MS: Millis = 200;
 
-/// What an edge has missed.
+/// The changes that an edge has not received yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryUpdate {
     /// The changed servers, or all of them.
     pub records: Vec<ServerRecord>,
-    /// Whether `records` is the whole directory, so that the edge drops all others.
+    /// Whether `records` is the whole directory, so that the edge must drop all servers that are not in it.
     pub complete: bool,
-    /// The edge's cursor once it has applied the records.
+    /// The cursor that the edge holds once it has applied the records.
     pub cursor: DirectoryCursor,
 }
 
@@ -70,7 +72,7 @@
     node: NodeId,
     table: ServerTable,
     change_log: ChangeLog,
-    /// One queue for each peer, unreachable ones included.
+    /// The hint queue of each peer, unreachable peers included.
     hint_queues: BTreeMap<NodeId, HintQueue>,
     voters: BTreeSet<NodeId>,
     pending_calls: PendingCalls,
@@ -79,7 +81,7 @@
     started_at: Millis,
     last_version: u64,
     last_batch: u64,
-    /// Servers with unchanged heartbeats that this coordinator itself has received since its last digest.
+    /// Servers that have sent this coordinator an unchanged heartbeat since its last digest.
     refreshed_servers: BTreeSet<ServerKey>,
     next_digest: Millis,
     next_full_digest: Millis,
@@ -88,7 +90,7 @@
 }
 
 impl Directory {
-    /// An empty directory for one incarnation of a coordinator.
+    /// An empty directory for one incarnation of the coordinator `node`.
     pub fn new(options: Options, node: NodeId, incarnation: Incarnation, now: Millis) -> Self {
         Directory {
             node,
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Names all other coordinators, unreachable ones included, for which hints are kept. A new one is sent the whole
-    /// directory.
+    /// Sets the other coordinators, for which hints are kept even while they are unreachable. A new peer is sent the
+    /// whole directory.
     pub fn set_peers(&mut self, now: Millis, peers: &[NodeId]) {
         let peers: BTreeSet<NodeId> = peers.iter().copied().filter(|peer| *peer != self.node).collect();
         let known: BTreeSet<NodeId> = self.hint_queues.keys().copied().collect();
@@ -127,12 +129,13 @@
         self.flush_hints(now);
     }
 
-    /// Sets whether this coordinator reaches a quorum. While it does not, no server times out here.
+    /// Sets whether this coordinator has contact with a quorum. Without it, no server times out in this replica.
     pub fn set_quorum_contact(&mut self, now: Millis, has_quorum_contact: bool) {
         self.quorum_contact.set(now, has_quorum_contact);
     }
 
-    /// Handles the incarnation of another coordinator; a new one has lost its directory and is sent the whole.
+    /// Records the incarnation of another coordinator. If the peer has restarted, it has lost its directory and is sent
+    /// the whole one.
     pub fn on_peer_started(&mut self, now: Millis, peer: NodeId, incarnation: Incarnation) {
         let Some(queue) = self.hint_queues.get_mut(&peer) else { return };
         if !queue.observe_incarnation(incarnation) {
@@ -144,9 +147,10 @@
         self.flush_hints(now);
     }
 
-    /// Expires servers, calls and batches, and sends what is due. To be called at [`Directory::next_wake`].
+    /// Expires servers, calls and batches, and queues the messages that are due. Must be called at the time that
+    /// [`Directory::next_wake`] returns.
     pub fn tick(&mut self, now: Millis) {
-        self.record_call(now);
+        self.record_activity(now);
         self.pending_calls.expire(now);
         if self.next_expiry_scan <= now {
             self.next_expiry_scan = now + EXPIRY_SCAN_INTERVAL_MS;
@@ -157,7 +161,7 @@
         self.flush_hints(now);
     }
 
-    /// When [`Directory::tick`] should be called next.
+    /// The time at which [`Directory::tick`] must be called next.
     pub fn next_wake(&self) -> Millis {
         let batches = self.hint_queues.values().filter_map(|queue| queue.next_wake(&self.options)).min();
         let digest = (!self.refreshed_servers.is_empty()).then_some(self.next_digest);
@@ -165,17 +169,18 @@
         others.fold(self.next_expiry_scan.min(self.next_full_digest), Millis::min)
     }
 
-    /// Takes the messages to send.
+    /// Takes the queued messages, each with its receiver.
     pub fn take_sends(&mut self) -> Vec<(NodeId, DirectoryMessage)> {
         self.sends.take()
     }
 
-    /// The cursor of an edge that knows all changes so far.
+    /// The cursor of an edge that has applied all changes so far.
     pub fn cursor(&self) -> DirectoryCursor {
         self.change_log.cursor()
     }
 
-    /// The servers that changed after the cursor, each once, or all servers if the log does not reach back so far.
+    /// The servers that changed after the cursor, each once, or all servers if the change log does not reach back that
+    /// far.
     pub fn updates_since(&self, cursor: DirectoryCursor) -> DirectoryUpdate {
         let current = self.change_log.cursor();
         let Some(changes) = self.change_log.since(cursor) else {
@@ -189,45 +194,45 @@
         DirectoryUpdate { records, complete: false, cursor: current }
     }
 
-    /// All known servers, tombstones included.
+    /// The records of all known servers, tombstones included.
     pub fn records(&self) -> impl Iterator<Item = &ServerRecord> {
         self.table.iter().map(|(_, entry)| &entry.record)
     }
 
-    /// The record of one server; `None` if it is unknown.
+    /// The record of the server with this id; `None` if it is unknown.
     pub fn record(&self, id: &str) -> Option<&ServerRecord> {
         self.table.get(ServerKey::of(id)).map(|entry| &entry.record)
     }
 
-    /// Whether this coordinator has started so recently that the directory may lack live servers.
+    /// Whether this coordinator has started so recently that some live servers may not be in its directory yet.
     pub fn is_recently_started(&self, now: Millis) -> bool {
         now.saturating_sub(self.started_at) < self.options.heartbeat_timeout_ms
     }
 
-    /// Records that the process runs, for the detection of stalls; every timed call begins with it.
-    fn record_call(&mut self, now: Millis) {
-        self.quorum_contact.record_call(now, self.options.stall_ms);
+    /// Records that the process is running, for the detection of stalls.
+    fn record_activity(&mut self, now: Millis) {
+        self.quorum_contact.record_activity(now, self.options.stall_ms);
     }
 
-    /// Gives a server its address if that is free, and evicts others while the table is too large.
-    fn admit(&mut self, key: ServerKey) {
+    /// Makes a server the owner of its address if that is free, and evicts other servers while the table is too large.
+    fn claim_address_and_evict(&mut self, key: ServerKey) {
         self.table.claim_address_if_free(key);
         while self.table.len() > self.options.max_servers {
             let Some(evicted) = self.table.eviction_candidate(key) else { return };
             self.forget(evicted);
-            // Edges that follow by cursor never heard that it is gone: they get the whole directory.
-            self.change_log.forget_changes();
+            // The log has no entry for an eviction, so edges must fetch the whole directory to drop the server.
+            self.change_log.invalidate_cursors();
         }
     }
 
-    /// Appends a change of a server to the log that edges follow.
+    /// Appends a change of a server to the log from which edges are updated.
     fn publish_change(&mut self, key: ServerKey) {
         if let Some(entry) = self.table.get_mut(key) {
             entry.last_change = self.change_log.append(key);
         }
     }
 
-    /// Gives a changed server a new version, by which peers acknowledge it.
+    /// Gives a changed server a new version. Acknowledgements by peers refer to versions.
     fn advance_version(&mut self, key: ServerKey, outcome: MergeOutcome) {
         if let Some(entry) = self.table.get_mut(key) {
             self.last_version += 1;
@@ -241,7 +246,6 @@
         }
     }
 
-    /// Drops a server from the directory.
     fn forget(&mut self, key: ServerKey) {
         self.table.remove(key);
         self.durability.forget(key);
--- a/cluster/src/directory/change_log.rs
+++ b/cluster/src/directory/change_log.rs
@@ -1,4 +1,4 @@
-//! The numbered changes by which edges follow the directory.
+//! The numbered changes from which edges are updated incrementally.
 
 use std::collections::VecDeque;
 
@@ -7,14 +7,14 @@
 
 use super::server_entry::ServerKey;
 
-/// A change of one server.
+/// A change of one server's record; the record itself is in the table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     pub(super) number: u64,
     pub(super) server: ServerKey,
 }
 
-/// The newest changes, numbered from 1 in each incarnation of the coordinator.
+/// The latest changes, numbered from 1 in each incarnation of the coordinator.
 #[derive(Debug)]
 pub(super) struct ChangeLog {
     epoch: Incarnation,
@@ -24,12 +24,12 @@
 }
 
 impl ChangeLog {
-    /// An empty log that keeps `capacity` changes.
+    /// An empty log that keeps at most `capacity` changes.
     pub(super) fn new(epoch: Incarnation, capacity: usize) -> Self {
         ChangeLog { epoch, last_number: 0, changes: VecDeque::new(), capacity }
     }
 
-    /// Appends a change and returns its number; the oldest is dropped beyond the capacity.
+    /// Appends a change and returns its number. Beyond the capacity the oldest change is dropped.
     pub(super) fn append(&mut self, server: ServerKey) -> u64 {
         self.last_number += 1;
         self.changes.push_back(Change { number: self.last_number, server });
@@ -39,19 +39,19 @@
         self.last_number
     }
 
-    /// Drops all changes: every cursor but the present one is answered with a full snapshot.
-    pub(super) fn forget_changes(&mut self) {
+    /// Drops all changes, so that every cursor returned so far is answered with a full snapshot.
+    pub(super) fn invalidate_cursors(&mut self) {
         self.last_number += 1;
         self.changes.clear();
     }
 
-    /// The position after the newest change.
+    /// The cursor after the latest change.
     pub(super) fn cursor(&self) -> DirectoryCursor {
         DirectoryCursor { epoch: self.epoch, revision: self.last_number }
     }
 
-    /// The changes after the cursor; `None` if they are no longer all here or the cursor is of another incarnation,
-    /// so that a full snapshot is needed.
+    /// The changes after the cursor; `None` if some of them are no longer in the log or the cursor belongs to another
+    /// incarnation, so that a full snapshot is needed.
     pub(super) fn since(&self, cursor: DirectoryCursor) -> Option<impl Iterator<Item = &Change> + '_> {
         let oldest = self.changes.front().map_or(self.last_number + 1, |change| change.number);
         let is_covered = cursor.epoch == self.epoch
--- a/cluster/src/directory/durability.rs
+++ b/cluster/src/directory/durability.rs
@@ -1,5 +1,6 @@
-//! Durability of what is acknowledged: a server's call is answered, and a peer's batch acknowledged, only once the stages that
-//! they concern are on this coordinator's disk. So whatever was acknowledged survives the death of all coordinators at once.
+//! Durability of acknowledged stages: a server's call is answered, and a peer's batch is acknowledged, only once the
+//! stages that they concern are on this coordinator's disk. An acknowledged stage therefore survives a simultaneous
+//! failure of all coordinators.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,43 +10,44 @@
 use super::server_entry::ServerKey;
 use super::Directory;
 
-/// Acknowledgements that wait for the disk, at most; the oldest are dropped, as their batches are sent again.
-const MAX_HELD_ACKNOWLEDGEMENTS: usize = 256;
+/// Limit on the acknowledgements that wait for the disk. Beyond it the oldest are dropped; the peer then sends the
+/// batch again.
+const MAX_DEFERRED_ACKNOWLEDGEMENTS: usize = 256;
 
-/// Records of servers that leave, to be made durable together.
+/// Records of draining and removed servers that must be written to disk and synced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnsyncedRecords {
-    /// Rises with each set of records; see [`Directory::on_synced`].
+    /// Identifies this set of records; higher than all earlier tickets. See [`Directory::on_synced`].
     pub ticket: u64,
-    /// The records.
+    /// The records, each with the stage that must become durable.
     pub records: Vec<ServerRecord>,
 }
 
-/// A batch of a peer that names stages which are not on disk here.
+/// The acknowledgement of a peer's batch, which waits until the stages in the batch are on disk here.
 #[derive(Clone, Debug)]
-struct HeldAcknowledgement {
+struct DeferredAcknowledgement {
     peer: NodeId,
     batch: u64,
     servers: Vec<ServerKey>,
 }
 
-/// Which stages are not on disk, and what waits for them.
+/// The stages that are not on disk yet, and the acknowledgements that wait for them.
 #[derive(Debug, Default)]
 pub(super) struct Durability {
-    /// Servers whose stage is not on disk, with the ticket that covers it once there is one.
+    /// Servers whose stage is not on disk, each with the ticket that covers it; `None` until the record has been taken.
     unsynced: BTreeMap<ServerKey, Option<u64>>,
     last_ticket: u64,
-    held: VecDeque<HeldAcknowledgement>,
+    deferred: VecDeque<DeferredAcknowledgement>,
     released: Vec<(NodeId, u64)>,
 }
 
 impl Durability {
-    /// A server has entered another stage.
+    /// Records that a server has entered a later stage, which is not on disk yet.
     pub(super) fn record_stage(&mut self, key: ServerKey) {
         self.unsynced.insert(key, None);
     }
 
-    /// The server is no longer in the directory, or its stage is on disk from the start.
+    /// Stops tracking a server that has been dropped from the directory, or whose record was loaded from disk.
     pub(super) fn forget(&mut self, key: ServerKey) {
         self.unsynced.remove(&key);
     }
@@ -55,15 +57,16 @@
         !self.unsynced.contains_key(&key)
     }
 
-    /// Holds the acknowledgement of a batch until these servers' stages are on disk.
-    fn hold(&mut self, peer: NodeId, batch: u64, servers: Vec<ServerKey>) {
-        if self.held.len() >= MAX_HELD_ACKNOWLEDGEMENTS {
-            self.held.pop_front();
+    /// Defers the acknowledgement of a batch until the stages of these servers are on disk.
+    fn defer(&mut self, peer: NodeId, batch: u64, servers: Vec<ServerKey>) {
+        if self.deferred.len() >= MAX_DEFERRED_ACKNOWLEDGEMENTS {
+            self.deferred.pop_front();
         }
-        self.held.push_back(HeldAcknowledgement { peer, batch, servers });
+        self.deferred.push_back(DeferredAcknowledgement { peer, batch, servers });
     }
 
-    /// Gives a ticket to all stages that have none yet.
+    /// Assigns one ticket to all stages that have none yet, and returns it with their servers; `None` if there are
+    /// none.
     fn take_unsynced(&mut self) -> Option<(u64, Vec<ServerKey>)> {
         let keys: Vec<ServerKey> =
             self.unsynced.iter().filter(|(_, ticket)| ticket.is_none()).map(|(key, _)| *key).collect();
@@ -75,7 +78,7 @@
         Some((self.last_ticket, keys))
     }
 
-    /// All tickets up to this one are on disk; the servers whose stage is now.
+    /// Records that all tickets up to `synced` are on disk; returns the servers whose stage has thereby become durable.
     fn on_synced(&mut self, synced: u64) -> Vec<ServerKey> {
         let is_covered = |ticket: Option<u64>| ticket.is_some_and(|ticket| ticket <= synced);
         let keys: Vec<ServerKey> =
@@ -83,10 +86,10 @@
         self.unsynced.retain(|_, ticket| !is_covered(*ticket));
         let unsynced = &self.unsynced;
         let released = &mut self.released;
-        self.held.retain(|held| {
-            let waits = held.servers.iter().any(|key| unsynced.contains_key(key));
+        self.deferred.retain(|deferred| {
+            let waits = deferred.servers.iter().any(|key| unsynced.contains_key(key));
             if !waits {
-                released.push((held.peer, held.batch));
+                released.push((deferred.peer, deferred.batch));
             }
             waits
         });
@@ -95,28 +98,29 @@
 }
 
 impl Directory {
-    /// Takes the records of servers that have begun to leave, to be made durable; [`Directory::on_synced`] is to be called
-    /// with their ticket once they are.
+    /// Takes the records of servers that have become draining or removed and must be made durable; `None` if there are
+    /// none. Call [`Directory::on_synced`] with their ticket once they are on disk.
     pub fn take_unsynced(&mut self) -> Option<UnsyncedRecords> {
         let (ticket, keys) = self.durability.take_unsynced()?;
         let entries = keys.into_iter().filter_map(|key| self.table.get(key));
         Some(UnsyncedRecords { ticket, records: entries.map(|entry| entry.record.clone()).collect() })
     }
 
-    /// All records up to this ticket are on disk: calls and acknowledgements that waited for them may go on.
+    /// Handles the sync of all records up to this ticket: completes the calls and releases the acknowledgements that
+    /// waited for them.
     pub fn on_synced(&mut self, now: Millis, ticket: u64) {
-        self.record_call(now);
+        self.record_activity(now);
         for key in self.durability.on_synced(ticket) {
             self.complete_calls(key);
         }
     }
 
-    /// Takes the batches that may be acknowledged since the last time, with the peers that sent them.
+    /// Takes the deferred acknowledgements that may now be sent, as pairs of the peer and its batch number.
     pub fn take_acknowledgements(&mut self) -> Vec<(NodeId, u64)> {
         std::mem::take(&mut self.durability.released)
     }
 
-    /// The batch's number if it may be acknowledged now; else the acknowledgement is held.
+    /// Returns the batch number if the batch may be acknowledged now; otherwise defers the acknowledgement.
     pub(super) fn acknowledge_once_synced(
         &mut self,
         peer: NodeId,
@@ -127,7 +131,7 @@
         if unsynced.is_empty() {
             return Some(batch);
         }
-        self.durability.hold(peer, batch, unsynced);
+        self.durability.defer(peer, batch, unsynced);
         None
     }
 }
--- a/cluster/src/directory/expiry.rs
+++ b/cluster/src/directory/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry by time: announced terminations, heartbeat time-outs and old tombstones.
+//! Changes by time: announced terminations, heartbeat time-outs, and the removal of old entries.
 
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::Millis;
@@ -8,21 +8,22 @@
 use super::server_table::MergeOutcome;
 use super::Directory;
 
-/// What the time does to one server.
+/// The change that is due for one server because of the time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expiry {
-    /// Nothing yet.
+    /// Nothing is due.
     None,
-    /// The termination that the server announced has come.
+    /// The server has reached the termination time that it announced.
     Terminated,
-    /// Heartbeats are missing.
+    /// The server has had no contact for the heartbeat time-out.
     TimedOut,
-    /// The server has been timed out or a tombstone for long enough to be forgotten.
+    /// The server has been timed out, or a tombstone, for the retention time, so that its entry is dropped.
     Forgotten,
 }
 
 impl Expiry {
-    /// Without `may_time_out` a missing heartbeat proves nothing, as this coordinator could not have received it.
+    /// The change that is due for `entry`. If `may_time_out` is false, missing heartbeats are ignored, as this
+    /// coordinator may have been unable to receive them.
     fn of(entry: &ServerEntry, now: Millis, options: &Options, may_time_out: bool) -> Self {
         let since_contact = now.saturating_sub(entry.last_contact);
         let is_terminated = entry.terminates_at.is_some_and(|terminates_at| terminates_at <= now);
@@ -50,10 +51,10 @@
 }
 
 impl Directory {
-    /// Applies the expiry to all servers.
+    /// Applies the changes that are due to all servers.
     ///
-    /// A termination gets a new version, so that acknowledgements of earlier versions do not count for it. Nothing is
-    /// pushed, as each coordinator comes to the same conclusion by its own clock.
+    /// A terminated server gets a new version, so that acknowledgements of earlier versions do not count for its
+    /// removal. Nothing is pushed to peers, as each coordinator makes the same change by its own clock.
     pub(super) fn expire_servers(&mut self, now: Millis) {
         let may_time_out = self.quorum_contact.has_lasted(now, self.options.heartbeat_timeout_ms);
         let mut changed = Vec::new();
--- a/cluster/src/directory/heartbeats.rs
+++ b/cluster/src/directory/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Calls of servers and of this coordinator itself: heartbeats, deregistrations, placement overlays, recovery.
+//! Updates by servers (heartbeats and deregistrations) and by this coordinator (placement overlays and recovery).
 
 use shaletrail_protocol::external::{Heartbeat, ServerState};
 use shaletrail_protocol::internal::{PlacementOverlay, Presence, ServerRecord};
@@ -12,16 +12,17 @@
 /// The effect of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// Whether edges need to know what changed.
+    /// Whether the server's record changed in a way that edges must learn of.
     pub changed: bool,
-    /// Set for a draining server: answer once [`Directory::take_completed_calls`] returns this token.
+    /// Set for a draining heartbeat, which may be answered only once [`Directory::take_completed_calls`] returns this
+    /// token.
     pub call: Option<CallToken>,
 }
 
 impl Directory {
-    /// Merges a heartbeat of a server.
+    /// Merges a heartbeat that this coordinator has received from a server.
     pub fn heartbeat(&mut self, now: Millis, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
-        self.record_call(now);
+        self.record_activity(now);
         let presence = match heartbeat.state {
             ServerState::Ready => Presence::Ready,
             ServerState::Draining => Presence::Draining,
@@ -33,9 +34,10 @@
         HeartbeatOutcome { changed: outcome.is_change(), call }
     }
 
-    /// Removes a server at its own request; answer once [`Directory::take_completed_calls`] returns the token.
+    /// Removes a server at its own request. The request may be answered only once [`Directory::take_completed_calls`]
+    /// returns this token.
     pub fn deregister(&mut self, now: Millis, id: &str) -> CallToken {
-        self.record_call(now);
+        self.record_activity(now);
         let key = ServerKey::of(id);
         let heartbeat = self.table.get(key).map(|entry| entry.record.heartbeat.clone()).unwrap_or_default();
         let presence = Presence::Removed;
@@ -44,7 +46,8 @@
         self.await_majority(now, key, LifecycleStage::Removed)
     }
 
-    /// Stores what this coordinator's orders have changed on a server, ahead of the server's heartbeats.
+    /// Stores the changes that this coordinator's orders have made to a server's loaded models, until the server's
+    /// heartbeats report them. Has no effect if the server is unknown or the overlay is not later than the known one.
     pub fn set_placement_overlay(&mut self, now: Millis, id: &str, overlay: PlacementOverlay) {
         let key = ServerKey::of(id);
         if self.table.get_mut(key).is_some_and(|entry| entry.apply_overlay(overlay)) {
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Restores the records of an earlier incarnation. Servers that send no heartbeat from now on time out as usual.
+    /// Restores the records that a previous incarnation of this coordinator has written to disk. Servers that send no
+    /// more heartbeats time out as usual.
     pub fn restore(&mut self, now: Millis, records: Vec<ServerRecord>) {
         for record in records {
             let key = ServerKey::of(&record.id);
@@ -64,9 +68,9 @@
                 self.publish_change(key);
                 self.advance_version(key, outcome);
             }
-            // It comes from the disk.
+            // The record was read from disk, so its stage is already durable.
             self.durability.forget(key);
-            self.admit(key);
+            self.claim_address_and_evict(key);
         }
     }
 
@@ -84,17 +88,17 @@
                 self.push_hints_to_all(key, &[]);
             }
         }
-        self.admit(key);
-        self.replace_former_owner(now, key);
+        self.claim_address_and_evict(key);
+        self.replace_previous_owner(now, key);
         self.flush_hints(now);
         outcome
     }
 
-    /// Removes the server that owned the address before, once the new one has itself sent a heartbeat here.
+    /// Removes the server that owned the address before, once the new server has sent a heartbeat to this coordinator.
     ///
-    /// Records of other coordinators are not enough, as they may be old, nor is a time-out while this coordinator
-    /// could not receive heartbeats.
-    fn replace_former_owner(&mut self, now: Millis, key: ServerKey) {
+    /// A record from another coordinator is not sufficient, as it may be old. Neither is a time-out of the previous
+    /// owner while this coordinator may have been unable to receive heartbeats.
+    fn replace_previous_owner(&mut self, now: Millis, key: ServerKey) {
         let address_takeover_ms = self.options.address_takeover_ms;
         if !self.quorum_contact.has_lasted(now, address_takeover_ms) {
             return;
--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -1,4 +1,4 @@
-//! Replication of changes: pushed to all peers at once, and kept as hints for those that do not acknowledge.
+//! Hinted handoff: changes are pushed to all peers at once, and kept as hints until each peer acknowledges them.
 
 use shaletrail_protocol::internal::ServerRecord;
 use shaletrail_protocol::{Millis, NodeId};
@@ -10,8 +10,9 @@
 use super::Directory;
 
 impl Directory {
-    /// Merges a batch of another coordinator; returns the number to acknowledge to it, or `None` where the batch names stages
-    /// that have to be on disk first: then [`Directory::take_acknowledgements`] gives the number.
+    /// Merges a batch from another coordinator; returns the batch number if it may be acknowledged at once. `None`
+    /// means that the batch contains stages that must be on disk first; [`Directory::take_acknowledgements`] then
+    /// returns the number later.
     pub fn merge(
         &mut self,
         now: Millis,
@@ -19,7 +20,7 @@
         batch: u64,
         records: Vec<ServerRecord>,
     ) -> Option<u64> {
-        self.record_call(now);
+        self.record_activity(now);
         self.record_contact(from);
         let servers: Vec<ServerKey> = records.iter().map(|record| ServerKey::of(&record.id)).collect();
         for record in records {
@@ -29,13 +30,13 @@
         self.acknowledge_once_synced(from, batch, servers.into_iter())
     }
 
-    /// Handles the acknowledgement of one batch by another coordinator. It covers that batch only, not earlier ones.
+    /// Handles the acknowledgement of a batch by another coordinator. It covers only that batch, not earlier ones.
     pub fn acknowledge(&mut self, now: Millis, peer: NodeId, batch: u64) {
-        self.record_call(now);
+        self.record_activity(now);
         self.record_contact(peer);
         let hints = self.hint_queues.get_mut(&peer).map(|queue| queue.acknowledge(batch)).unwrap_or_default();
         for hint in hints {
-            // An older version may have been sent before the server entered its stage.
+            // A version below this was sent before the server entered its present stage.
             if self.table.get(hint.key).is_some_and(|entry| hint.version >= entry.stage_version) {
                 self.record_acknowledgement(peer, hint.key);
             }
@@ -50,35 +51,36 @@
         if outcome.is_change() {
             self.publish_change(key);
         }
-        // A final stage is passed on, as the sender may be unable to reach the others; other changes are not.
+        // Draining and removed are passed on, as the sender may be unable to reach the other peers. Other changes are
+        // not.
         if outcome == MergeOutcome::StageAdvanced {
             self.advance_version(key, outcome);
             self.push_hints_to_all(key, &[from]);
         }
         if outcome != MergeOutcome::Stale {
-            self.admit(key);
+            self.claim_address_and_evict(key);
         }
-        self.push_if_behind(from, key, reported);
+        self.push_if_peer_is_behind(from, key, reported);
         if !self.options.waits_for_disk {
-            // Otherwise a record on its way says nothing of its sender's disk; acknowledgements and digests do.
+            // With `waits_for_disk` a received record does not count: the sender may not have synced it yet. Only its
+            // acknowledgements and digests show what it has on disk.
             self.record_reported_stage(from, key, reported);
         }
     }
 
-    /// Queues the whole directory for a peer that knows nothing.
+    /// Queues the whole directory for a new or restarted peer.
     pub(super) fn push_full_table(&mut self, peer: NodeId) {
         let keys: Vec<ServerKey> = self.table.iter().map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.push_hint(peer, key));
     }
 
-    /// Queues one server for all peers but some.
+    /// Queues one server for all peers that are not in `except`.
     pub(super) fn push_hints_to_all(&mut self, key: ServerKey, except: &[NodeId]) {
         let peers: Vec<NodeId> =
             self.hint_queues.keys().copied().filter(|peer| !except.contains(peer)).collect();
         peers.into_iter().for_each(|peer| self.push_hint(peer, key));
     }
 
-    /// Queues one server for one peer.
     pub(super) fn push_hint(&mut self, peer: NodeId, key: ServerKey) {
         let version = self.table.get(key).map(|entry| entry.version);
         if let (Some(queue), Some(version)) = (self.hint_queues.get_mut(&peer), version) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Sends pending hints in batches, as many as each peer's window allows.
+    /// Sends pending hints in batches, as many as each peer's limit on batches in flight allows.
     pub(super) fn flush_hints(&mut self, now: Millis) {
         let peers: Vec<NodeId> = self.hint_queues.keys().copied().collect();
         for peer in peers {
--- a/cluster/src/directory/majority.rs
+++ b/cluster/src/directory/majority.rs
@@ -1,4 +1,4 @@
-//! Majority acknowledgement: which coordinators know that a server is draining or removed.
+//! Majority acknowledgement: tracks which coordinators know that a server is draining or removed.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -7,24 +7,25 @@
 use super::Directory;
 
 impl Directory {
-    /// Names the voters, a majority of which must acknowledge that a server leaves; this coordinator counts if it is
-    /// one of them. Without voters no call is acknowledged.
+    /// Sets the voters. A majority of them must know that a server is draining or removed before its call is
+    /// acknowledged; this coordinator counts if it is a voter. Without voters no call is acknowledged.
     pub fn set_voters(&mut self, voters: &[NodeId]) {
         self.voters = voters.iter().copied().collect();
         self.pending_calls.servers().into_iter().for_each(|server| self.complete_calls(server));
     }
 
-    /// Takes the calls that have been acknowledged or have failed since the last time.
+    /// Takes the outcomes of the calls that have been acknowledged or have failed since the last call of this function.
     pub fn take_completed_calls(&mut self) -> Vec<CallOutcome> {
         self.pending_calls.take_completed()
     }
 
-    /// Whether a majority of the voters knows that the server is draining or removed.
+    /// Whether a majority of the voters knows that the server is draining or removed; false if it is neither.
     pub fn is_known_to_majority(&self, id: &str) -> bool {
         self.has_majority(ServerKey::of(id))
     }
 
-    /// Adds a call that waits for a majority, and pushes the record to the peers that have not acknowledged it.
+    /// Adds a call that waits until a majority knows `stage`. Unless that is already so, pushes the record to the peers
+    /// that have not acknowledged it.
     pub(super) fn await_majority(&mut self, now: Millis, key: ServerKey, stage: LifecycleStage) -> CallToken {
         let token = self.pending_calls.add(key, stage, now + self.options.majority_timeout_ms);
         self.complete_calls(key);
@@ -37,7 +38,7 @@
         token
     }
 
-    /// Records that a peer knows the server's present stage, which may complete calls.
+    /// Records that a peer knows the server's present stage, and completes the calls that have a majority with it.
     pub(super) fn record_acknowledgement(&mut self, peer: NodeId, key: ServerKey) {
         if let Some(entry) = self.table.get_mut(key) {
             entry.record_acknowledgement(peer);
@@ -45,19 +46,19 @@
         }
     }
 
-    /// Drops all acknowledgements of a peer that has left, or has restarted without them.
+    /// Drops all acknowledgements by a peer that has left, or has restarted and lost its directory.
     pub(super) fn drop_acknowledgements_of(&mut self, peer: NodeId) {
         self.table.iter_mut().for_each(|(_, entry)| entry.acknowledged_by.retain(|node| *node != peer));
     }
 
-    /// Sends a peer the record where the stage that it reports is an earlier one.
-    pub(super) fn push_if_behind(&mut self, peer: NodeId, key: ServerKey, reported: LifecycleStage) {
+    /// Queues the record for a peer that reports an earlier stage than the one known here.
+    pub(super) fn push_if_peer_is_behind(&mut self, peer: NodeId, key: ServerKey, reported: LifecycleStage) {
         if self.table.get(key).is_some_and(|entry| reported < entry.stage()) {
             self.push_hint(peer, key);
         }
     }
 
-    /// A peer that reports the stage which is known here has acknowledged it.
+    /// Counts a peer's report of the stage that is known here as an acknowledgement of that stage.
     pub(super) fn record_reported_stage(&mut self, peer: NodeId, key: ServerKey, reported: LifecycleStage) {
         if self.table.get(key).is_some_and(|entry| reported == entry.stage()) {
             self.record_acknowledgement(peer, key);
@@ -76,9 +77,9 @@
         let Some(entry) = self.table.get(key).filter(|entry| entry.stage() != LifecycleStage::Active) else {
             return false;
         };
-        let is_known_here = self.durability.is_synced(key);
+        let is_durable_here = self.durability.is_synced(key);
         let knows = |voter: &&NodeId| match **voter == self.node {
-            true => is_known_here,
+            true => is_durable_here,
             false => entry.acknowledged_by.contains(voter),
         };
         self.voters.iter().filter(knows).count() * 2 > self.voters.len()
--- a/cluster/src/directory/messages.rs
+++ b/cluster/src/directory/messages.rs
@@ -9,15 +9,15 @@
 /// The state of one server in a digest, without its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServerDigest {
-    /// The server.
+    /// The key of the server.
     pub key: ServerKey,
-    /// The sequence of the newest heartbeat that the sender knows.
+    /// The sequence number of the latest heartbeat that the sender knows.
     pub sequence: u64,
-    /// A hash of what edges need from that heartbeat; two records with the same hash need no transfer.
+    /// A hash of the record's content that edges use. Records with the same hash need not be transferred.
     pub fingerprint: u32,
-    /// How the sender sees the server.
+    /// The presence of the server according to the sender.
     pub presence: Presence,
-    /// Milliseconds since the sender's last contact with the server, directly or by other coordinators.
+    /// Milliseconds since the server's last contact that the sender knows of, directly or through other coordinators.
     pub age_ms: u32,
 }
 
@@ -33,27 +33,28 @@
     }
 }
 
-/// What one directory sends another, apart from acknowledgements (`CoordinatorMessage::DirectoryAck`).
+/// A message from one directory to another. Acknowledgements are a message of their own
+/// (`CoordinatorMessage::DirectoryAck`).
 ///
-/// The encoding goes by the position of variants and fields: they may be renamed, not moved, added or removed.
+/// Variants and fields are encoded by their position: they may be renamed, but not moved, added or removed.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DirectoryMessage {
-    /// Records that changed. The receiver acknowledges the batch by its number.
+    /// Records that changed. The receiver acknowledges the batch by returning its number.
     Batch {
-        /// Identifies the batch; not reused by this incarnation or the one before.
+        /// Identifies the batch; used neither by another batch of this incarnation nor by the previous incarnation.
         batch: u64,
-        /// The changed records.
+        /// The changed records, each with the server's present state.
         records: Vec<ServerRecord>,
     },
-    /// Servers that the sender has had contact with. Answered by a [`DirectoryMessage::Request`] where the receiver
-    /// lacks a record, otherwise not at all.
+    /// The states of servers with recent contact, and of recent tombstones. Answered by a
+    /// [`DirectoryMessage::Request`] only if the receiver lacks a record or has an older one.
     Digest {
-        /// The servers.
+        /// The states, at most [`MAX_DIGEST_SERVERS`](super::MAX_DIGEST_SERVERS).
         servers: Vec<ServerDigest>,
     },
     /// Requests the records of servers that a digest showed to differ; answered by batches.
     Request {
-        /// The servers.
+        /// The keys of the requested servers.
         servers: Vec<ServerKey>,
     },
 }
--- a/cluster/src/directory/options.rs
+++ b/cluster/src/directory/options.rs
@@ -1,43 +1,43 @@
-//! Intervals and bounds of the directory.
+//! Time-outs, intervals and limits of the directory.
 
 use shaletrail_protocol::Millis;
 
-/// Intervals and bounds of the directory; times in milliseconds.
+/// Time-outs, intervals and limits of the directory; all times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// A server without contact for this long is timed out.
+    /// A server that has had no contact for this long times out.
     pub heartbeat_timeout_ms: Millis,
     /// A server that has been timed out for this long is dropped from the directory.
     pub remove_timed_out_ms: Millis,
-    /// Draining and removed servers stay as tombstones for this long after the last contact.
+    /// Draining and removed servers are kept as tombstones for this long after their last contact.
     pub tombstone_retention_ms: Millis,
-    /// Tombstones are part of full digests for this long after the last contact.
+    /// Tombstones are included in full digests for this long after the server's last contact.
     pub tombstone_gossip_ms: Millis,
-    /// A server must have had no contact for this long before another one at its address replaces it.
+    /// A server that has had no contact for this long may be replaced by another server with the same address.
     pub address_takeover_ms: Millis,
-    /// Between two digests of the servers whose heartbeats this coordinator itself received.
+    /// The interval between two digests of the servers that have sent heartbeats to this coordinator.
     pub digest_interval_ms: Millis,
-    /// Between two digests of all servers.
+    /// The interval between two digests of all servers.
     pub full_digest_interval_ms: Millis,
-    /// A batch without an acknowledgement for this long is sent again.
+    /// A batch that has not been acknowledged for this long is sent again.
     pub retry_interval_ms: Millis,
     /// The longest backoff between two batches to a peer that does not respond.
     pub max_backoff_ms: Millis,
-    /// A call that a majority has not acknowledged for this long fails.
+    /// A call that a majority has not acknowledged within this time fails.
     pub majority_timeout_ms: Millis,
-    /// A longer gap between two calls of the directory means that the process itself has stalled.
+    /// A gap between two calls of the directory that is longer than this is treated as a stall of this process.
     pub stall_ms: Millis,
-    /// Servers in the table.
+    /// Limit on the servers in the table.
     pub max_servers: usize,
-    /// Changes in the log from which edges catch up.
+    /// Limit on the changes in the log from which edges are updated.
     pub max_changes: usize,
-    /// Whether the stage of a server that leaves must be durable before it is acknowledged; see
+    /// Whether a draining or removed stage must be on disk before it is acknowledged; see
     /// [`Directory::take_unsynced`](super::Directory::take_unsynced).
     pub waits_for_disk: bool,
 }
 
 impl Options {
-    /// The defaults for servers that send a heartbeat each `heartbeat_ms` milliseconds.
+    /// The defaults for servers that send a heartbeat every `heartbeat_ms` milliseconds.
     pub fn for_heartbeat(heartbeat_ms: Millis) -> Self {
         Options {
             heartbeat_timeout_ms: heartbeat_ms * 16 / 5,
@@ -58,15 +58,15 @@
     }
 }
 
-/// Servers in the table: more than the largest fleet that is planned for, so that none of them is ever evicted.
+/// Limit on the servers in the table. It exceeds the largest planned fleet, so that no live server is evicted.
 pub const MAX_SERVERS: usize = 16_384;
-/// Records in one batch to a peer that responds.
+/// Limit on the records in one batch to a peer that responds.
 pub const MAX_BATCH_RECORDS: usize = 64;
-/// Records in one batch to a peer that does not respond.
+/// Limit on the records in one batch to a peer that does not respond.
 pub const MAX_RETRY_RECORDS: usize = 16;
-/// Batches to one peer that are not acknowledged yet.
+/// Limit on the batches in flight to one peer that responds.
 pub const MAX_BATCHES_IN_FLIGHT: usize = 4;
-/// Servers in one digest or request.
+/// Limit on the servers in one digest or request.
 pub const MAX_DIGEST_SERVERS: usize = MAX_SERVERS;
-/// Calls that wait for a majority; further ones fail at once.
+/// Limit on the calls that wait for a majority; further calls fail at once.
 pub const MAX_PENDING_CALLS: usize = 1024;
--- a/cluster/src/directory/pending_calls.rs
+++ b/cluster/src/directory/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of servers that wait until a majority of the coordinators has acknowledged what they announced.
+//! Calls by servers (drains and deregistrations) that wait until a majority of the voters has acknowledged them.
 
 use std::collections::VecDeque;
 
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallToken(pub u64);
 
-/// How a pending call has ended.
+/// The outcome of a pending call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A majority has acknowledged: the server may be answered with success.
+    /// A majority has acknowledged the call, so that the server may be answered with success.
     Acknowledged(CallToken),
-    /// No majority has acknowledged in time, or too many calls were pending: the server should retry at another
-    /// coordinator.
+    /// No majority has acknowledged the call in time, or too many calls were pending. The server should retry with
+    /// another coordinator.
     Failed(CallToken),
 }
 
@@ -29,7 +29,7 @@
     deadline: Millis,
 }
 
-/// Pending calls in order of their deadlines, and completed ones until they are taken.
+/// The pending calls in order of their deadlines, and the completed ones that have not been taken yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     last_token: u64,
@@ -38,8 +38,8 @@
 }
 
 impl PendingCalls {
-    /// Adds a call that waits until a majority knows the server to be at `stage`, or until the deadline. It fails at
-    /// once beyond [`MAX_PENDING_CALLS`].
+    /// Adds a call that waits until a majority knows that the server has reached `stage`, or until the deadline. It
+    /// fails at once if [`MAX_PENDING_CALLS`] calls are pending. Deadlines must not decrease from call to call.
     pub(super) fn add(&mut self, server: ServerKey, stage: LifecycleStage, deadline: Millis) -> CallToken {
         self.last_token += 1;
         let token = CallToken(self.last_token);
@@ -51,7 +51,7 @@
         token
     }
 
-    /// Completes the calls on one server that wait for `stage`, which a majority knows, or for an earlier one.
+    /// Completes the calls of one server that wait for `stage` or an earlier stage, once a majority knows of `stage`.
     pub(super) fn acknowledge(&mut self, server: ServerKey, stage: LifecycleStage) {
         let completed = &mut self.completed;
         self.pending.retain(|call| {
@@ -75,12 +75,12 @@
         });
     }
 
-    /// Whether a call on this server is pending.
+    /// Whether a call of this server is pending.
     pub(super) fn contains(&self, server: ServerKey) -> bool {
         self.pending.iter().any(|call| call.server == server)
     }
 
-    /// The server of each pending call.
+    /// The server of each pending call; a server with several calls is repeated.
     pub(super) fn servers(&self) -> Vec<ServerKey> {
         self.pending.iter().map(|call| call.server).collect()
     }
--- a/cluster/src/directory/quorum_contact.rs
+++ b/cluster/src/directory/quorum_contact.rs
@@ -1,25 +1,25 @@
-//! Whether a missing heartbeat proves anything about the server.
+//! Tracks whether this coordinator can conclude from missing heartbeats that a server is down.
 
 use shaletrail_protocol::Millis;
 
-/// For how long this coordinator has had contact with a quorum without a break or a stall of its own process.
+/// How long this coordinator has had contact with a quorum, without an interruption or a stall of its process.
 ///
-/// A coordinator that is partitioned or stalled receives neither heartbeats nor digests, so it must not conclude
-/// from their absence that a server is down.
+/// A partitioned or stalled coordinator receives neither heartbeats nor digests, so that it must not conclude from
+/// their absence that a server is down.
 #[derive(Debug)]
 pub(super) struct QuorumContact {
     connected: bool,
     since: Millis,
-    last_call: Millis,
+    last_activity: Millis,
 }
 
 impl QuorumContact {
-    /// Contact that begins at `now`.
+    /// Starts with contact that has begun at `now`.
     pub(super) fn new(now: Millis) -> Self {
-        QuorumContact { connected: true, since: now, last_call: now }
+        QuorumContact { connected: true, since: now, last_activity: now }
     }
 
-    /// Sets whether a quorum is reachable; contact that is regained starts at `now`.
+    /// Sets whether a quorum is reachable. If it becomes reachable again, contact begins at `now`.
     pub(super) fn set(&mut self, now: Millis, connected: bool) {
         if connected && !self.connected {
             self.since = now;
@@ -27,13 +27,13 @@
         self.connected = connected;
     }
 
-    /// Records that the process runs at `now`. A gap of more than `stall_ms` since the last call is a stall:
-    /// messages that arrived meanwhile may still be unread, so contact starts again at `now`.
-    pub(super) fn record_call(&mut self, now: Millis, stall_ms: Millis) {
-        if now.saturating_sub(self.last_call) > stall_ms {
+    /// Records that the process is running at `now`. A gap of more than `stall_ms` is treated as a stall: messages that
+    /// arrived during the stall may not have been processed yet, so that contact begins again at `now`.
+    pub(super) fn record_activity(&mut self, now: Millis, stall_ms: Millis) {
+        if now.saturating_sub(self.last_activity) > stall_ms {
             self.since = now;
         }
-        self.last_call = self.last_call.max(now);
+        self.last_activity = self.last_activity.max(now);
     }
 
     /// Whether contact has lasted for at least `duration` milliseconds.
--- a/cluster/src/directory/server_entry.rs
+++ b/cluster/src/directory/server_entry.rs
@@ -1,4 +1,4 @@
-//! One server in the directory: its record and this coordinator's own times and versions.
+//! The entry of one server in the directory: its record, and times and versions that only this coordinator uses.
 
 use std::hash::{Hash, Hasher};
 
@@ -9,7 +9,7 @@
 
 use crate::stable_hash::StableHasher;
 
-/// Identifies a server inside the directory: the hash of its id, the same in every process.
+/// Identifies a server inside the directory: a hash of its id, which is the same in every process and version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ServerKey(pub u64);
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// The stages of a server's life, in order; it never returns to an earlier one.
+/// The stages of a server's lifecycle, in order. A server never returns to an earlier stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LifecycleStage {
-    /// Ready or timed out; these two may alternate.
+    /// Ready or timed out. A server may change between these two any number of times.
     Active,
     Draining,
     Removed,
@@ -41,32 +41,32 @@
     }
 }
 
-/// What this coordinator knows of one server. Times are this coordinator's own, in milliseconds.
+/// The state of one server at this coordinator. Times are in milliseconds of this coordinator's clock.
 #[derive(Clone, Debug)]
 pub(super) struct ServerEntry {
     pub(super) record: ServerRecord,
-    /// A hash of what edges need; see [`fingerprint`].
+    /// A hash of the content that edges use; see [`fingerprint`].
     pub(super) fingerprint: u32,
-    /// When the server was first known here.
+    /// When this coordinator first learnt of the server.
     pub(super) first_contact: Millis,
-    /// The newest sign of life, from the server or by other coordinators.
+    /// The latest known contact with the server, by this or another coordinator.
     pub(super) last_contact: Millis,
-    /// When the server entered its presence.
+    /// When the server entered its present presence.
     pub(super) presence_since: Millis,
-    /// When the server will be terminated, as its heartbeats announce (`remaining_ms`).
+    /// When the server will terminate; `None` if its heartbeats have not announced that (`remaining_ms`).
     pub(super) terminates_at: Option<Millis>,
-    /// Raised by each change that is pushed to the other coordinators.
+    /// The version of the record, which other coordinators acknowledge; raised by each change that must reach them.
     pub(super) version: u64,
-    /// The version at which the server entered its stage.
+    /// The version at which the server entered its present stage.
     pub(super) stage_version: u64,
-    /// Peers that know the server's stage, if that is draining or removed.
+    /// Peers that have acknowledged the server's present stage; empty while the server is active.
     pub(super) acknowledged_by: Vec<NodeId>,
-    /// The number of the newest change in the log for edges.
+    /// The number of the server's latest change in the change log.
     pub(super) last_change: u64,
 }
 
 impl ServerEntry {
-    /// An entry for a server that was not known before.
+    /// An entry for a server that this coordinator learns of at `now`.
     pub(super) fn new(now: Millis, record: ServerRecord) -> Self {
         ServerEntry {
             fingerprint: fingerprint(&record.heartbeat, &record.overlay),
@@ -94,7 +94,7 @@
         self.record.presence == Presence::TimedOut
     }
 
-    /// Sets the presence; true if it was another one. Acknowledgements of an earlier stage are dropped.
+    /// Sets the presence; returns whether it changed. If the stage changes, its acknowledgements are dropped.
     pub(super) fn set_presence(&mut self, now: Millis, presence: Presence) -> bool {
         let changed = self.record.presence != presence;
         if changed {
@@ -107,8 +107,8 @@
         changed
     }
 
-    /// Stores a later heartbeat; true if edges need to know what changed. An announced termination is only ever
-    /// brought forward.
+    /// Stores a later heartbeat; returns whether content that edges use has changed. An announced termination time may
+    /// only move to an earlier time.
     pub(super) fn apply_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
         let announced = announced_termination(now, &heartbeat);
         self.terminates_at = self.terminates_at.into_iter().chain(announced).min();
@@ -116,7 +116,7 @@
         self.update_fingerprint()
     }
 
-    /// Stores a placement overlay if it is later than the known one; true if it was.
+    /// Stores a placement overlay if it is later than the known one; returns whether it was.
     pub(super) fn apply_overlay(&mut self, overlay: PlacementOverlay) -> bool {
         let is_later = overlay.is_later_than(&self.record.overlay);
         if is_later {
@@ -133,15 +133,15 @@
         changed
     }
 
-    /// Records that a peer knows the stage; without effect while the server is active.
+    /// Records that a peer knows the server's stage; without effect while the server is active.
     pub(super) fn record_acknowledgement(&mut self, peer: NodeId) {
         if self.stage() != LifecycleStage::Active && !self.acknowledged_by.contains(&peer) {
             self.acknowledged_by.push(peer);
         }
     }
 
-    /// The record for another coordinator. A ready server without contact for `heartbeat_timeout_ms` is marked as
-    /// timed out, so that the receiver does not take an old record for a sign of life.
+    /// The record as it is sent to another coordinator. A ready server without contact for `heartbeat_timeout_ms` is
+    /// marked as timed out, so that the receiver does not count an old record as recent contact.
     pub(super) fn record_for_peer(&self, now: Millis, heartbeat_timeout_ms: Millis) -> ServerRecord {
         let mut record = self.record.clone();
         let is_overdue = now.saturating_sub(self.last_contact) >= heartbeat_timeout_ms;
@@ -152,7 +152,8 @@
     }
 }
 
-/// A hash of all that edges need: not the sequence of the heartbeat, nor how much time is left.
+/// A hash of the content that edges use. It leaves out the heartbeat's sequence number and the exact remaining times,
+/// which change with every heartbeat.
 fn fingerprint(heartbeat: &Heartbeat, overlay: &PlacementOverlay) -> u32 {
     let mut hasher = StableHasher::default();
     heartbeat.service.hash(&mut hasher);
--- a/cluster/src/directory/server_table.rs
+++ b/cluster/src/directory/server_table.rs
@@ -1,4 +1,4 @@
-//! All known servers, and how records of different sources merge.
+//! The table of all known servers, and the rules by which records merge.
 
 use std::collections::BTreeMap;
 
@@ -8,40 +8,41 @@
 use super::messages::ServerDigest;
 use super::server_entry::{LifecycleStage, ServerEntry, ServerKey};
 
-/// Who sent a record.
+/// The source of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordSource {
     /// The server itself.
     Server,
-    /// Another coordinator, or this one's own storage.
+    /// Another coordinator, or this coordinator's disk.
     Peer,
 }
 
-/// The effect of a merged record.
+/// The effect of merging a record or a digest entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MergeOutcome {
-    /// None: the record was old.
+    /// None, as the record was not newer than the known one.
     Stale,
-    /// A sign of life, without other changes.
+    /// The last contact was updated; edges need no update.
     Refreshed,
-    /// A change that edges need to know.
+    /// The record changed in a way that edges must learn of.
     Changed,
-    /// The server has become draining or was removed, which is final.
+    /// The server has become draining or removed, which is final.
     StageAdvanced,
 }
 
 impl MergeOutcome {
-    /// Whether edges need to know.
+    /// Whether edges must learn of the outcome.
     pub(super) fn is_change(self) -> bool {
         matches!(self, MergeOutcome::Changed | MergeOutcome::StageAdvanced)
     }
 }
 
-/// All known servers by their keys, and who owns which address.
+/// All known servers by key, and the owner of each address.
 #[derive(Debug, Default)]
 pub(super) struct ServerTable {
     entries: BTreeMap<ServerKey, ServerEntry>,
-    /// The server that owns each address.
+    /// The server that owns each address. Another server with the same address replaces it only after it has lost
+    /// contact.
     address_owners: BTreeMap<String, ServerKey>,
 }
 
@@ -66,16 +67,16 @@
         self.entries.len()
     }
 
-    /// Removes a server and releases its address.
+    /// Removes a server from the table, and releases its address.
     pub(super) fn remove(&mut self, key: ServerKey) {
         if let Some(entry) = self.entries.remove(&key) {
             self.release_address(key, &entry.record.heartbeat.address);
         }
     }
 
-    /// Merges a record: the later stage and the higher sequence win, independently of each other.
+    /// Merges a record. The later stage wins and, independently of it, the higher sequence number.
     ///
-    /// The result does not depend on the order in which records arrive, so all coordinators converge.
+    /// The result does not depend on the order in which records arrive, so that all coordinators converge.
     pub(super) fn merge(
         &mut self,
         now: Millis,
@@ -94,25 +95,25 @@
         let sequence = record.heartbeat.sequence;
         let is_newer =
             sequence > entry.sequence() || (source == RecordSource::Server && sequence == entry.sequence());
-        let is_alive = is_newer && record.presence != Presence::TimedOut;
+        let proves_contact = is_newer && record.presence != Presence::TimedOut;
         let stage_advanced = stage > entry.stage();
-        let former_address = entry.record.heartbeat.address.clone();
+        let previous_address = entry.record.heartbeat.address.clone();
         let mut changed = entry.apply_overlay(record.overlay);
-        if is_newer || (former_address.is_empty() && !record.heartbeat.address.is_empty()) {
+        if is_newer || (previous_address.is_empty() && !record.heartbeat.address.is_empty()) {
             changed |= entry.apply_heartbeat(now, record.heartbeat);
         }
-        if is_alive {
+        if proves_contact {
             entry.last_contact = now;
         }
         if stage_advanced {
             entry.set_presence(now, record.presence);
-        } else if is_alive && entry.is_timed_out() {
+        } else if proves_contact && entry.is_timed_out() {
             changed |= entry.set_presence(now, Presence::Ready);
         }
-        if entry.record.heartbeat.address != former_address {
-            self.release_address(key, &former_address);
+        if entry.record.heartbeat.address != previous_address {
+            self.release_address(key, &previous_address);
         }
-        match (stage_advanced, changed, is_alive) {
+        match (stage_advanced, changed, proves_contact) {
             (true, _, _) => MergeOutcome::StageAdvanced,
             (_, true, _) => MergeOutcome::Changed,
             (_, _, true) => MergeOutcome::Refreshed,
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Merges the sign of life in a digest. The sequence is raised only where the record is the same, as otherwise
-    /// the record itself must still be requested.
+    /// Merges the last contact from a digest entry. The sequence number is raised only if the content is the same;
+    /// otherwise the record must still be requested, and its heartbeat must count as newer when it arrives.
     pub(super) fn merge_digest(
         &mut self,
         now: Millis,
@@ -143,7 +144,7 @@
         MergeOutcome::Refreshed
     }
 
-    /// Makes a server the owner of its address, unless another one that is not removed owns it.
+    /// Makes a server the owner of its address, unless a server that is not removed already owns it.
     pub(super) fn claim_address_if_free(&mut self, key: ServerKey) {
         let Some(entry) = self.get(key).filter(|entry| entry.stage() != LifecycleStage::Removed) else {
             return;
@@ -156,9 +157,9 @@
         }
     }
 
-    /// Gives a server that has just sent a heartbeat its address, and removes the former owner, whose key is
-    /// returned. The former owner's last contact must be older than the claimant's first one, and at least
-    /// `address_takeover_ms` ago.
+    /// Makes a server that has just sent a heartbeat the owner of its address and removes the previous owner, whose key
+    /// is returned. This is done only if the previous owner's last contact is earlier than the claimant's first contact
+    /// and at least `address_takeover_ms` ago; otherwise returns `None`.
     pub(super) fn take_over_address(
         &mut self,
         now: Millis,
@@ -180,8 +181,8 @@
         Some(owner_key)
     }
 
-    /// The server to evict from a full table, other than `protected`: removed ones before timed-out ones before all
-    /// others, and among these the one with the oldest contact.
+    /// The server to evict from a full table, never `protected`. Removed servers are evicted first, then timed-out
+    /// ones, then all others; among equals the one with the earliest last contact.
     pub(super) fn eviction_candidate(&self, protected: ServerKey) -> Option<ServerKey> {
         let rank = |entry: &ServerEntry| match entry.record.presence {
             Presence::Removed => 0,
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,11 +1,11 @@
-//! Cluster state of one coordinator: the other coordinators, and the servers that send heartbeats.
+//! Cluster state of one coordinator: which coordinators are alive, and which servers send heartbeats.
 //!
 //! - [`Membership`] is a failure detector and gossip protocol in the manner of SWIM (Das, Gupta, Motivala, 2002).
-//! - [`Directory`] is the replicated table of servers: every coordinator holds a full replica without a leader.
-//! - [`rendezvous`] ranks nodes for a key, alike on every node.
+//! - [`Directory`] is the replicated table of servers. There is no leader; every coordinator holds a full replica.
+//! - [`rendezvous`] ranks nodes for a key, with the same result on every node.
 //!
-//! Both state machines are pure: the caller passes in the time and the received messages, and takes out the
-//! messages to send. Neither reads a clock nor opens a socket.
+//! `Membership` and `Directory` are state machines without I/O: the caller passes in the time and the received
+//! messages, and takes out the messages to send. Neither reads a clock or opens a socket.
 
 pub mod directory;
 pub mod membership;
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -89,8 +89,8 @@
         self.targets_stale = true;
     }
 
-    /// Sets the current voters, of which at most [`MAX_MEMBERS`] are kept. This node pings them even if it is not one of
-    /// their monitors.
+    /// Sets the current voters, of which at most [`MAX_MEMBERS`] are kept. This node pings them even if it is not one
+    /// of their monitors.
     pub fn set_voters(&mut self, voters: &[NodeId]) {
         let voters: BTreeSet<NodeId> =
             voters.iter().copied().filter(|node| *node != self.own.node).take(MAX_MEMBERS).collect();
--- a/cluster/src/rendezvous.rs
+++ b/cluster/src/rendezvous.rs
@@ -1,13 +1,13 @@
 //! Rendezvous hashing (highest random weight).
 //!
-//! All that know the same nodes rank them alike for a key, and a node that joins or leaves moves only the keys for
-//! which it ranks first.
+//! Processes that know the same nodes rank them identically for a key. A node that joins or leaves changes the
+//! assignment of only those keys for which it ranks first.
 
 use shaletrail_protocol::NodeId;
 
 use crate::stable_hash::mix;
 
-/// All distinct nodes in order of their weight for `key`, the highest first.
+/// All distinct nodes sorted by their weight for `key`, the highest first.
 pub fn rank(key: u64, nodes: &[NodeId]) -> Vec<NodeId> {
     let mut weighted: Vec<(u64, NodeId)> = nodes.iter().map(|node| (weight(key, *node), *node)).collect();
     weighted.sort_unstable_by(|left, right| right.cmp(left));
@@ -22,7 +22,7 @@
     ranked
 }
 
-/// The key of a node for which other nodes are ranked, such as an edge that chooses its coordinator.
+/// The key for which other nodes are ranked on behalf of `node`, such as for an edge that chooses its coordinator.
 pub fn node_key(node: NodeId) -> u64 {
     mix(u64::from(node.0).wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
--- a/cluster/src/send_queue.rs
+++ b/cluster/src/send_queue.rs
@@ -1,13 +1,14 @@
-//! Outgoing messages of a state machine, until the driver takes them.
+//! The outgoing messages of a state machine, which wait here until its driver takes them.
 
 use shaletrail_protocol::NodeId;
 
-/// Messages that wait for the driver, at most.
+/// Limit on the messages in one queue.
 const MAX_QUEUED_MESSAGES: usize = 1024;
 
 /// A bounded queue of messages with their receivers.
 ///
-/// A message beyond the bound is dropped, as a lossy link would: both protocols repeat what is not acknowledged.
+/// Messages beyond the limit are dropped. This is safe because both protocols tolerate message loss: they send again
+/// what is not acknowledged.
 #[derive(Debug)]
 pub(crate) struct SendQueue<Message> {
     messages: Vec<(NodeId, Message)>,
--- a/cluster/src/stable_hash.rs
+++ b/cluster/src/stable_hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that are the same in every process and version, as coordinators compare them with each other.
+//! Hashes that are the same in every process and every version, as coordinators compare them with each other.
 
 use std::hash::Hasher;
 
@@ -7,7 +7,7 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// FNV-1a with a final mix; unlike the standard library's hasher it has no random key.
+/// FNV-1a followed by [`mix`]. Unlike the standard library's default hasher it has no random key.
 pub(crate) struct StableHasher(u64);
 
 impl Default for StableHasher {
@@ -28,17 +28,17 @@
     }
 }
 
-/// Spreads the bits of a number over all 64 (the finaliser of splitmix64).
+/// Mixes the bits of a number so that each input bit affects all output bits (the finaliser of SplitMix64).
 pub(crate) fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
 
-/// Where an incarnation starts to number its messages.
+/// The number from which an incarnation counts its messages.
 ///
-/// The upper half is a hash of the incarnation, so that a late answer to an earlier incarnation of the same node
-/// matches no number of this one.
+/// The upper half is derived from a hash of the incarnation, so that a late reply to a previous incarnation of the same
+/// node does not match a message of this one.
 pub(crate) fn first_message_number(incarnation: Incarnation) -> u64 {
     mix(incarnation.0) << 32
 }
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -1,7 +1,8 @@
 //! The bytes that the directories of two coordinators exchange, and the hashes that they must agree on.
 //!
 //! Coordinators of two versions exchange messages during a rolling upgrade, and bitcode encodes by position: a field
-//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an error. These tests compare the present types with bytes that an earlier build wrote.
+//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an
+//! error. These tests compare the present types with bytes that an earlier build wrote.
 //!
 //! If one fails, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
 //! version of its own that old nodes are never sent.
