--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of one coordinator: heartbeats, pending calls, time-outs, and updates for edges.
+//! Tests of one coordinator's directory: heartbeats, pending calls, time-outs, and updates for edges.
 
 mod directory_fixture;
 
@@ -8,13 +8,16 @@
 use shaletrail_protocol::internal::{DirectoryCursor, Presence};
 use shaletrail_protocol::{Incarnation, Millis};
 
-/// Sends a draining heartbeat of server `a`; returns the call that waits for a majority.
+/// Sends a draining heartbeat of server `a`; returns the token of the call, which waits for a majority.
 fn start_draining(directory: &mut Directory, now: Millis, sequence: u64) -> CallToken {
-    directory.heartbeat(now, "a", draining(1, sequence)).call.expect("a draining waits for a majority")
+    directory
+        .heartbeat(now, "a", draining(1, sequence))
+        .call
+        .expect("a draining heartbeat waits for a majority")
 }
 
 #[test]
-fn only_first_heartbeat_is_a_change() {
+fn only_first_of_two_equal_heartbeats_is_a_change() {
     // given
     let mut directory = running_directory();
 
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn draining_with_old_sequence_counts() {
+fn draining_with_older_sequence_is_merged() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
@@ -95,7 +98,11 @@
     for batch in &earlier {
         directory.acknowledge(10_110, batch.to, batch.number);
     }
-    assert_eq!(directory.take_completed_calls(), [], "earlier batches do not cover the draining");
+    assert_eq!(
+        directory.take_completed_calls(),
+        [],
+        "acknowledgements of earlier batches do not count for the drain"
+    );
     assert!(!directory.is_known_to_majority("a"));
     let batches = take_batches(&mut directory);
     directory.acknowledge(10_120, batches[1].to, batches[1].number);
@@ -185,7 +192,7 @@
 }
 
 #[test]
-fn recently_started_coordinator_times_out_nobody() {
+fn recently_started_coordinator_times_out_no_server() {
     // given
     let mut directory = directory(OWN, 11, 50_000);
     directory.merge(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
@@ -199,7 +206,7 @@
 }
 
 #[test]
-fn coordinator_without_quorum_contact_times_out_nobody() {
+fn coordinator_without_quorum_contact_times_out_no_server() {
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.set_quorum_contact(11_000, false);
@@ -213,7 +220,7 @@
 }
 
 #[test]
-fn stalled_coordinator_times_out_nobody_at_once() {
+fn stalled_coordinator_does_not_time_out_servers_at_once() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
@@ -228,7 +235,7 @@
 }
 
 #[test]
-fn new_server_replaces_former_owner_of_address() {
+fn new_server_replaces_previous_owner_of_address() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
@@ -243,7 +250,7 @@
 }
 
 #[test]
-fn late_heartbeat_of_former_owner_does_not_replace_live_server() {
+fn late_heartbeat_of_previous_owner_does_not_replace_live_server() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 1));
@@ -261,7 +268,7 @@
 }
 
 #[test]
-fn late_heartbeat_after_stall_replaces_nobody() {
+fn late_heartbeat_after_stall_replaces_no_server() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
@@ -276,8 +283,8 @@
 #[test]
 fn announced_termination_removes_server() {
     let mut directory = running_directory();
-    let notice = Heartbeat { remaining_ms: Some(1500.0), ..draining(1, 2) };
-    directory.heartbeat(10_000, "a", notice);
+    let termination_notice = Heartbeat { remaining_ms: Some(1500.0), ..draining(1, 2) };
+    directory.heartbeat(10_000, "a", termination_notice);
     run_idle(&mut directory, 10_000, 11_400);
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
     run_idle(&mut directory, 11_400, 11_800);
@@ -291,8 +298,8 @@
 
     // when
     for (sequence, remaining) in [f64::NAN, f64::INFINITY, 1e300].into_iter().enumerate() {
-        let odd = Heartbeat { remaining_ms: Some(remaining), ..heartbeat(1, sequence as u64 + 1) };
-        directory.heartbeat(10_000, "a", odd);
+        let non_finite = Heartbeat { remaining_ms: Some(remaining), ..heartbeat(1, sequence as u64 + 1) };
+        directory.heartbeat(10_000, "a", non_finite);
     }
     run_idle(&mut directory, 10_000, 11_000);
 
--- a/cluster/tests/directory_fixture/mod.rs
+++ b/cluster/tests/directory_fixture/mod.rs
@@ -1,5 +1,5 @@
-//! Directories without a network, and what the tests pass to them.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers for tests of directories without a network: directories, heartbeats, records and message delivery.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use shaletrail_cluster::directory::{Directory, DirectoryMessage, Options};
 use shaletrail_protocol::external::{Heartbeat, ServerState};
@@ -10,14 +10,14 @@
 pub const PEER: NodeId = NodeId(2);
 pub const OTHER: NodeId = NodeId(3);
 pub const HEARTBEAT_MS: Millis = 1000;
-/// As [`Options::for_heartbeat`] sets it for [`HEARTBEAT_MS`].
+/// The time-out that [`Options::for_heartbeat`] sets for [`HEARTBEAT_MS`].
 pub const HEARTBEAT_TIMEOUT_MS: Millis = 3200;
 
 pub fn directory(node: NodeId, incarnation: u64, now: Millis) -> Directory {
     Directory::new(Options::for_heartbeat(HEARTBEAT_MS), node, Incarnation(incarnation), now)
 }
 
-/// A directory of one of three voters that has run for ten seconds.
+/// The directory of one of three voters, after ten seconds of running.
 pub fn running_directory() -> Directory {
     let mut directory = directory(OWN, 11, 0);
     directory.set_peers(0, &[PEER, OTHER]);
@@ -26,7 +26,7 @@
     directory
 }
 
-/// Calls `tick` whenever the directory wakes, without other input.
+/// Calls `tick` at each time that the directory asks for, without other input.
 pub fn run_idle(directory: &mut Directory, from: Millis, until: Millis) {
     let mut now = from;
     while now < until {
@@ -58,14 +58,14 @@
     directory.record(id).map(|record| record.presence)
 }
 
-/// A batch that a directory has sent.
+/// A batch that a directory has queued for sending.
 pub struct SentBatch {
     pub to: NodeId,
     pub number: u64,
     pub records: Vec<ServerRecord>,
 }
 
-/// Takes the sent batches; other messages are dropped.
+/// Takes the queued batches; other messages are dropped.
 pub fn take_batches(directory: &mut Directory) -> Vec<SentBatch> {
     let batch = |(to, message)| match message {
         DirectoryMessage::Batch { batch, records } => Some(SentBatch { to, number: batch, records }),
@@ -74,7 +74,7 @@
     directory.take_sends().into_iter().filter_map(batch).collect()
 }
 
-/// Delivers all messages between two directories, in both directions and with acknowledgements.
+/// Delivers the messages between two directories in both directions, acknowledgements included, for several rounds.
 pub fn exchange_messages(
     now: Millis,
     left: &mut Directory,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Delivers the messages of one directory to another, and the acknowledgements back.
+/// Delivers the queued messages of one directory to another, and returns the acknowledgements at once.
 pub fn deliver(now: Millis, from: &mut Directory, from_node: NodeId, to: &mut Directory, to_node: NodeId) {
     for (receiver, message) in from.take_sends() {
         if receiver != to_node {
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -1,4 +1,4 @@
-//! What is acknowledged of a server that leaves is on disk first.
+//! Tests that a drain or deregistration is acknowledged only once it is on disk.
 
 mod directory_fixture;
 
@@ -7,7 +7,7 @@
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Incarnation, Millis};
 
-/// A directory of one of three voters that acknowledges only what is on disk.
+/// The directory of one of three voters, with `waits_for_disk`: it acknowledges a stage only once that is on disk.
 fn durable_directory() -> Directory {
     let options = Options { waits_for_disk: true, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn own_knowledge_counts_once_it_is_on_disk() {
+fn own_record_counts_for_majority_once_it_is_on_disk() {
     // given
     let mut directory = durable_directory();
     let call = directory.deregister(10_010, "a");
-    let unsynced = directory.take_unsynced().expect("the record has to be synced");
+    let unsynced = directory.take_unsynced().expect("the removed record has to be synced");
     assert_eq!(unsynced.records.len(), 1);
     assert_eq!(unsynced.records[0].presence, Presence::Removed);
     // when: a peer acknowledges
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn later_stage_needs_a_sync_of_its_own() {
-    // given: draining is being synced while the server deregisters
+fn later_stage_needs_its_own_sync() {
+    // given: the server deregisters while its draining record is being synced
     let mut directory = durable_directory();
     directory.heartbeat(10_010, "a", draining(1, 2));
     let draining = directory.take_unsynced().expect("a record");
@@ -68,20 +68,20 @@
     assert_eq!(directory.take_acknowledgements(), []);
     directory.on_synced(10_020, unsynced.ticket);
     assert_eq!(directory.take_acknowledgements(), [(PEER, 7)]);
-    // what is on disk already is acknowledged at once, and so are batches of servers that stay
+    // Stages that are already on disk, and records of servers that are still ready, are acknowledged at once.
     assert_eq!(directory.merge(10_030, OTHER, 9, vec![leaving]), Some(9));
     let ready = record("b", Presence::Ready, heartbeat(2, 1));
     assert_eq!(directory.merge(10_040, OTHER, 10, vec![ready]), Some(10));
 }
 
 #[test]
-fn record_on_its_way_is_no_acknowledgement() {
-    // given: this coordinator's own disk is done
+fn record_received_from_peer_is_not_an_acknowledgement() {
+    // given: the removal is on this coordinator's own disk
     let mut directory = durable_directory();
     let call = directory.deregister(10_010, "a");
     let unsynced = directory.take_unsynced().expect("a record");
     directory.on_synced(10_020, unsynced.ticket);
-    // when: a peer sends the same record, which its disk may not have
+    // when: a peer sends the same record, which may not be on its disk yet
     directory.merge(10_030, PEER, 3, vec![record("a", Presence::Removed, heartbeat(1, 1))]);
     // then
     assert_eq!(directory.take_completed_calls(), []);
@@ -96,13 +96,13 @@
     let mut directory = durable_directory();
     directory.deregister(10_010, "a");
     let unsynced = directory.take_unsynced().expect("a record");
-    let run_in_contact = |directory: &mut Directory, from: Millis| {
+    let run_with_contact_to_peer = |directory: &mut Directory, from: Millis| {
         for now in (from..from + 3_000).step_by(100) {
             directory.merge(now, PEER, now, Vec::new());
             directory.tick(now);
         }
     };
-    let digests_name_it = |directory: &mut Directory| {
+    let digests_contain_removed = |directory: &mut Directory| {
         let digests = directory.take_sends().into_iter().filter_map(|(_, message)| match message {
             DirectoryMessage::Digest { servers } => Some(servers),
             _ => None,
@@ -110,12 +110,12 @@
         digests.flatten().any(|digest| digest.presence == Presence::Removed)
     };
     // when
-    run_in_contact(&mut directory, 10_010);
+    run_with_contact_to_peer(&mut directory, 10_010);
     // then
-    assert!(!digests_name_it(&mut directory));
+    assert!(!digests_contain_removed(&mut directory));
     directory.on_synced(13_100, unsynced.ticket);
-    run_in_contact(&mut directory, 13_100);
-    assert!(digests_name_it(&mut directory));
+    run_with_contact_to_peer(&mut directory, 13_100);
+    assert!(digests_contain_removed(&mut directory));
 }
 
 #[test]
@@ -130,7 +130,7 @@
 
 #[test]
 fn evicted_server_is_published_to_edges() {
-    // given: a full table, and an edge that knows all of it
+    // given: a full table, and an edge that has received all of it
     let options = Options { max_servers: 2, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     directory.heartbeat(10, "a", heartbeat(1, 1));
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Simulated coordinators: virtual time, a network with loss, delay and partitions, processes that freeze and restart.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A simulation of coordinators in virtual time. The network loses and delays messages and may be partitioned;
+//! processes may freeze, stop and restart.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 pub mod servers;
 
@@ -12,15 +13,15 @@
 use shaletrail_protocol::internal::{CoordinatorMessage, MembershipMessage, Presence};
 use shaletrail_protocol::{frame, Incarnation, Millis, NodeId};
 
-/// Virtual time between two steps, in milliseconds.
+/// The virtual time of one simulation step, in milliseconds.
 pub const STEP_MS: Millis = 10;
-/// Between two heartbeats of a server, in milliseconds.
+/// The interval between two heartbeats of a server, in milliseconds.
 pub const HEARTBEAT_MS: Millis = 1000;
-/// A server without contact for this long is timed out, in milliseconds.
+/// A server that has had no contact for this long times out, in milliseconds.
 pub const HEARTBEAT_TIMEOUT_MS: Millis = 3200;
-/// A longer freeze must be detected by the process itself, in milliseconds.
+/// A process must detect a freeze that is longer than this as a stall, in milliseconds.
 pub const STALL_MS: Millis = 1000;
-/// A coordinator without answers of a majority for this long has no quorum contact, in milliseconds.
+/// A coordinator has no quorum contact if a majority has not answered it for this long, in milliseconds.
 pub const ISOLATION_MS: Millis = 1500;
 
 #[derive(Clone, Debug)]
@@ -37,18 +38,18 @@
     message: Message,
 }
 
-/// The last presence of each server that was observed at a process.
+/// The presence of each server at the last check of a process's directory.
 pub type ObservedPresences = BTreeMap<String, Presence>;
 
-/// One incarnation of a coordinator.
+/// The process of one incarnation of a coordinator.
 pub struct Process {
     pub membership: Membership,
     pub directory: Directory,
     pub incarnation: Incarnation,
     pub started: Millis,
     pub has_quorum_contact: bool,
-    /// When it last lacked quorum contact, started or was frozen.
-    pub last_uncertain_at: Millis,
+    /// The last time at which it lacked quorum contact, started, or resumed after a freeze of more than [`STALL_MS`].
+    pub last_interruption_at: Millis,
     pub observed: ObservedPresences,
     pub edge: servers::EdgeReplica,
 }
@@ -59,14 +60,14 @@
     pub process: Option<Process>,
     pub frozen: bool,
     frozen_at: Millis,
-    /// Servers that some incarnation of its process has known to leave.
-    pub known_leaving: BTreeSet<String>,
-    /// When a fault last affected it or one of its links.
+    /// Servers that any incarnation of its process has known to be draining or removed.
+    pub known_draining_or_removed: BTreeSet<String>,
+    /// When a fault, or the end of one, last affected the machine or one of its links.
     pub last_fault_at: Millis,
     unread_packets: Vec<Packet>,
 }
 
-/// Coordinators and the network between them.
+/// The simulated coordinators and the network between them.
 pub struct Fleet {
     pub now: Millis,
     pub random: Pcg64,
@@ -74,17 +75,17 @@
     pub loss: f64,
     pub completed_calls: Vec<(NodeId, Incarnation, CallOutcome)>,
     pub max_frame_bytes: usize,
-    pub max_records: usize,
-    pub messages: u64,
+    pub max_message_records: usize,
+    pub message_count: u64,
     blocked_links: BTreeSet<(NodeId, NodeId)>,
-    /// By the time of arrival, then by number.
+    /// Packets by their arrival time, then by the number of the send.
     in_transit: BTreeMap<(Millis, u64), Packet>,
     sent_packets: u64,
     seeds: Vec<NodeId>,
 }
 
 impl Fleet {
-    /// `count` coordinators with the first three as seeds, not yet started.
+    /// A fleet of `count` coordinators that have not started yet. The first three are the seeds.
     pub fn new(seed: u64, count: u32) -> Self {
         let node = |number: u32| NodeId(0x0a00_0000 + number);
         let machine = |number| Machine {
@@ -92,7 +93,7 @@
             process: None,
             frozen: false,
             frozen_at: 0,
-            known_leaving: BTreeSet::new(),
+            known_draining_or_removed: BTreeSet::new(),
             last_fault_at: 0,
             unread_packets: Vec::new(),
         };
@@ -103,8 +104,8 @@
             loss: 0.0,
             completed_calls: Vec::new(),
             max_frame_bytes: 0,
-            max_records: 0,
-            messages: 0,
+            max_message_records: 0,
+            message_count: 0,
             blocked_links: BTreeSet::new(),
             in_transit: BTreeMap::new(),
             sent_packets: 0,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A fleet whose coordinators have all started and had time to find each other.
+    /// A fleet whose coordinators have started and have had time to discover each other.
     pub fn running(seed: u64, count: u32) -> Self {
         let mut fleet = Fleet::new(seed, count);
         (0..fleet.machines.len()).for_each(|index| fleet.start(index));
@@ -125,7 +126,7 @@
     }
 
     pub fn process(&mut self, index: usize) -> &mut Process {
-        self.machines[index].process.as_mut().expect("the process runs")
+        self.machines[index].process.as_mut().expect("the process is running")
     }
 
     pub fn processes(&self) -> impl Iterator<Item = (NodeId, &Process)> {
@@ -150,7 +151,7 @@
             incarnation,
             started: self.now,
             has_quorum_contact: false,
-            last_uncertain_at: self.now,
+            last_interruption_at: self.now,
             observed: ObservedPresences::new(),
             edge: servers::EdgeReplica::default(),
         });
@@ -177,7 +178,7 @@
         let now = self.now;
         let is_stall = now - self.machines[index].frozen_at > STALL_MS;
         if let Some(process) = self.machines[index].process.as_mut().filter(|_| is_stall) {
-            process.last_uncertain_at = now;
+            process.last_interruption_at = now;
         }
         for packet in std::mem::take(&mut self.machines[index].unread_packets) {
             self.put_in_transit(packet, 0);
@@ -232,7 +233,8 @@
         }
     }
 
-    /// What a coordinator's driver does: timers, updates from the membership to the directory, sends.
+    /// Does the work of a coordinator's driver: runs the timers, passes membership changes to the directory, and sends
+    /// the queued messages.
     fn drive(&mut self, index: usize) {
         let now = self.now;
         let voters = self.nodes();
@@ -269,7 +271,7 @@
     }
 
     fn record_size(&mut self, message: &Message) {
-        self.messages += 1;
+        self.message_count += 1;
         let (length, records) = match message {
             Message::Membership(message) => {
                 let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) =
@@ -282,7 +284,7 @@
             }
         };
         self.max_frame_bytes = self.max_frame_bytes.max(length);
-        self.max_records = self.max_records.max(records);
+        self.max_message_records = self.max_message_records.max(records);
     }
 
     fn deliver(&mut self, packet: Packet) {
@@ -333,7 +335,7 @@
         }
         self.has_quorum_contact = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
         if !self.has_quorum_contact {
-            self.last_uncertain_at = now;
+            self.last_interruption_at = now;
         }
         self.directory.set_quorum_contact(now, self.has_quorum_contact);
         if self.directory.next_wake() <= now {
--- a/cluster/tests/fleet/servers.rs
+++ b/cluster/tests/fleet/servers.rs
@@ -1,4 +1,4 @@
-//! Simulated servers: they send heartbeats, drain, crash, and succeed one another at an address.
+//! Simulated servers, which send heartbeats, drain, crash, and reuse the addresses of ended servers.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 use super::{Fleet, HEARTBEAT_MS};
 
-/// After this many milliseconds a server without an answer retries at the next coordinator.
+/// The time after which a server that got no answer retries with the next coordinator, in milliseconds.
 const FAILOVER_DELAY_MS: Millis = 100;
 
-/// What an edge knows that polls one coordinator: a replica of its directory.
+/// The replica of a coordinator's directory at an edge that polls that coordinator.
 #[derive(Default)]
 pub struct EdgeReplica {
     cursor: DirectoryCursor,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The states of a simulated server.
+/// The state of a simulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     Ready,
@@ -40,7 +40,7 @@
     Crashed,
 }
 
-/// A call that waits for a majority, at the incarnation of the coordinator that took it.
+/// A call that waits for a majority, and the incarnation of the coordinator that accepted it.
 #[derive(Clone, Copy, Debug)]
 struct PendingCall {
     node: NodeId,
@@ -48,13 +48,13 @@
     token: CallToken,
 }
 
-/// One incarnation of a server, with an id of its own.
+/// A simulated server. A server that is started later at the same address is a new one with a new id.
 pub struct Server {
     pub id: String,
     pub port: u16,
     pub lifecycle: Lifecycle,
     pub models: u32,
-    /// When its draining was first acknowledged.
+    /// When its drain was first acknowledged.
     pub acknowledged_at: Option<Millis>,
     pub ended_at: Millis,
     sequence: u64,
@@ -63,12 +63,12 @@
     pending_call: Option<PendingCall>,
 }
 
-/// A draining that a coordinator has just acknowledged.
+/// A drain that a coordinator has just acknowledged.
 pub struct AcknowledgedDrain {
     pub id: String,
 }
 
-/// All servers of a history, ended ones included.
+/// All servers of a simulated history, ended ones included.
 #[derive(Default)]
 pub struct Servers {
     pub all: Vec<Server>,
@@ -96,7 +96,7 @@
         (0..self.all.len()).filter(|index| self.all[*index].lifecycle == lifecycle).collect()
     }
 
-    /// Sends the heartbeats that are due; returns the drainings that were acknowledged.
+    /// Sends the heartbeats that are due; returns the drains that have been acknowledged.
     pub fn step(&mut self, fleet: &mut Fleet) -> Vec<AcknowledgedDrain> {
         let outcomes = std::mem::take(&mut fleet.completed_calls);
         let acknowledged =
--- a/cluster/tests/histories.rs
+++ b/cluster/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Random histories of coordinators and servers from fixed seeds: faults of every kind, then recovery.
+//! Runs random histories of coordinators and servers from fixed seeds: random faults, followed by recovery.
 //!
-//! Invariants are checked after every step, convergence at the end.
+//! Invariants are checked after every step, and convergence is checked at the end.
 
 mod fleet;
 
@@ -12,22 +12,23 @@
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Millis, NodeId};
 
-/// Between two events of a history, in milliseconds.
+/// The interval between two events of a history, in milliseconds.
 const EVENT_INTERVAL_MS: Millis = 400;
-/// Events in a history.
+/// Number of events in a history.
 const EVENTS: usize = 80;
-/// Time without faults at the end: longer than a heartbeat time-out, and than it takes all to find each other.
+/// The fault-free time at the end, in milliseconds. It is longer than a heartbeat time-out and than the time in which
+/// all coordinators discover each other.
 const RECOVERY_MS: Millis = 12_000;
-/// Within this a coordinator without faults learns of an acknowledged draining.
+/// The time within which a coordinator without faults learns of an acknowledged drain, in milliseconds.
 const PROPAGATION_MS: Millis = 1500;
-/// How long a coordinator must have been without faults for that to be checked.
+/// The time for which a coordinator must have had no faults for its propagation to be checked, in milliseconds.
 const FAULT_FREE_MS: Millis = 4000;
-/// Before the address of an ended server is given to another one.
+/// The time after which the address of an ended server may be given to another one, in milliseconds.
 const ADDRESS_REUSE_MS: Millis = 2000;
-/// Addresses, each with one server at most.
+/// Number of addresses; each has at most one running server.
 const ADDRESSES: u16 = 12;
 
-/// A draining that all coordinators without faults must know after [`PROPAGATION_MS`].
+/// A drain that all coordinators without faults must know of after [`PROPAGATION_MS`].
 struct PropagationCheck {
     id: String,
     acknowledged_at: Millis,
@@ -41,7 +42,7 @@
     checks_passed: usize,
 }
 
-fn is_leaving(presence: Presence) -> bool {
+fn is_draining_or_removed(presence: Presence) -> bool {
     matches!(presence, Presence::Draining | Presence::Removed)
 }
 
@@ -68,15 +69,20 @@
         }
     }
 
-    /// Once a draining is acknowledged, a majority of the machines knows it, or did before a restart.
+    /// Checks that a majority of the machines knows of an acknowledged drain, or knew of it before a restart.
     fn check_majority(&self, drain: &AcknowledgedDrain) {
         let machines = &self.fleet.machines;
-        let knowing = machines.iter().filter(|machine| machine.known_leaving.contains(&drain.id)).count();
-        assert!(knowing * 2 > machines.len(), "{} is acknowledged but known to {knowing} only", drain.id);
+        let knowing =
+            machines.iter().filter(|machine| machine.known_draining_or_removed.contains(&drain.id)).count();
+        assert!(
+            knowing * 2 > machines.len(),
+            "the drain of {} is acknowledged, but only {knowing} coordinators know of it",
+            drain.id
+        );
     }
 
-    /// No server that leaves becomes ready again, and none times out at a coordinator that might have missed its
-    /// heartbeats.
+    /// Checks that no draining or removed server becomes ready again, and that no server times out at a coordinator
+    /// that may have missed its heartbeats.
     fn check_presences(&mut self) {
         let now = self.fleet.now;
         for machine in &mut self.fleet.machines {
@@ -84,26 +90,28 @@
             let Some(process) = machine.process.as_mut().filter(|_| !frozen) else { continue };
             for record in process.directory.records() {
                 let before = process.observed.insert(record.id.clone(), record.presence);
-                if is_leaving(record.presence) {
-                    machine.known_leaving.insert(record.id.clone());
+                if is_draining_or_removed(record.presence) {
+                    machine.known_draining_or_removed.insert(record.id.clone());
                 }
-                let is_monotonic = !before.is_some_and(is_leaving) || is_leaving(record.presence);
+                let is_monotonic =
+                    !before.is_some_and(is_draining_or_removed) || is_draining_or_removed(record.presence);
                 assert!(is_monotonic, "{} went from {before:?} to {} at {node}", record.id, record.presence);
                 if before == Some(Presence::Ready) && record.presence == Presence::TimedOut {
                     assert!(
-                        now - process.last_uncertain_at >= HEARTBEAT_TIMEOUT_MS,
+                        now - process.last_interruption_at >= HEARTBEAT_TIMEOUT_MS,
                         "{node} times {} out too early",
                         record.id
                     );
                 }
             }
-            check_not_forgotten(node, process);
+            check_tombstones_kept(node, process);
             process.edge.poll(&process.directory);
         }
     }
 
-    /// A coordinator without faults that reaches a quorum soon learns of an acknowledged draining; one that reaches
-    /// none sends its edges elsewhere.
+    /// Checks that each coordinator without faults has learnt of an acknowledged drain after [`PROPAGATION_MS`].
+    ///
+    /// Coordinators without quorum contact are not checked, as they direct their edges to other coordinators.
     fn check_propagation(&mut self) {
         let now = self.fleet.now;
         let due: Vec<PropagationCheck> = self
@@ -113,13 +121,18 @@
         for check in due {
             for machine in self.fleet.machines.iter().filter(|machine| !machine.frozen) {
                 let Some(process) = &machine.process else { continue };
-                if machine.last_fault_at.max(process.last_uncertain_at) + FAULT_FREE_MS
+                if machine.last_fault_at.max(process.last_interruption_at) + FAULT_FREE_MS
                     > check.acknowledged_at
                 {
                     continue;
                 }
                 let presence = process.directory.record(&check.id).map(|record| record.presence);
-                assert!(presence.is_some_and(is_leaving), "{} is {presence:?} at {}", check.id, machine.node);
+                assert!(
+                    presence.is_some_and(is_draining_or_removed),
+                    "{} is {presence:?} at {}",
+                    check.id,
+                    machine.node
+                );
                 self.checks_passed += 1;
             }
         }
@@ -252,9 +265,9 @@
     }
 }
 
-/// Tombstones stay: histories are shorter than their retention.
-fn check_not_forgotten(node: NodeId, process: &Process) {
-    for (id, presence) in process.observed.iter().filter(|(_, presence)| is_leaving(**presence)) {
+/// Checks that no tombstone is dropped, as histories are shorter than the tombstone retention.
+fn check_tombstones_kept(node: NodeId, process: &Process) {
+    for (id, presence) in process.observed.iter().filter(|(_, presence)| is_draining_or_removed(**presence)) {
         let record = process.directory.record(id);
         assert!(record.is_some(), "{node} has forgotten {id}, which was {presence}");
     }
@@ -291,7 +304,7 @@
 }
 
 #[test]
-fn random_faults_break_no_invariant_and_all_converge() {
+fn random_faults_break_no_invariant_and_all_replicas_converge() {
     let mut acknowledged_drains = 0;
     let mut checks_passed = 0;
     for seed in 0..60 {
@@ -300,12 +313,12 @@
         checks_passed += history.checks_passed;
         assert!(history.fleet.max_frame_bytes < 64 * 1024, "{} bytes", history.fleet.max_frame_bytes);
     }
-    assert!(acknowledged_drains > 200, "only {acknowledged_drains} drainings were acknowledged");
+    assert!(acknowledged_drains > 200, "only {acknowledged_drains} drains were acknowledged");
     assert!(checks_passed > 200, "propagation was checked only {checks_passed} times");
 }
 
 #[test]
-fn every_draining_is_acknowledged_without_faults() {
+fn every_drain_is_acknowledged_without_faults() {
     let mut history = History::new(1000, 3);
     history.run(2000);
     for _ in 0..20 {
@@ -342,6 +355,6 @@
 #[test]
 fn same_seed_replays_same_history() {
     let (once, again) = (run_history(7), run_history(7));
-    assert_eq!(once.fleet.messages, again.fleet.messages);
+    assert_eq!(once.fleet.message_count, again.fleet.message_count);
     assert_eq!(once.acknowledged_drains, again.acknowledged_drains);
 }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -229,7 +229,7 @@
     (0..40).for_each(|index| fleet.start(index));
     fleet.run(8000);
     assert_all_alive(&fleet);
-    assert!(fleet.max_records <= MAX_MESSAGE_RECORDS);
+    assert!(fleet.max_message_records <= MAX_MESSAGE_RECORDS);
 }
 
 #[test]
--- a/cluster/tests/rendezvous.rs
+++ b/cluster/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: agreement, minimal movement, even spread.
+//! Tests of rendezvous hashing: agreement between nodes, minimal reassignment, and even distribution.
 
 use shaletrail_cluster::rendezvous::{choose, node_key, rank};
 use shaletrail_protocol::NodeId;
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replication between directories: hinted handoff, digests, requests.
+//! Tests of the replication between directories: hinted handoff, digests and requests.
 
 mod directory_fixture;
 
@@ -9,7 +9,7 @@
 use shaletrail_protocol::{Incarnation, Millis, NodeId};
 
 #[test]
-fn acknowledgement_ends_with_restart_of_the_peer() {
+fn acknowledgement_is_dropped_when_the_peer_restarts() {
     let mut directory = running_directory();
     directory.on_peer_started(10_000, PEER, Incarnation(21));
     directory.heartbeat(10_000, "a", draining(1, 1));
@@ -23,12 +23,12 @@
     directory.acknowledge(10_510, PEER, batches[0].number);
     assert!(
         !directory.is_known_to_majority("a"),
-        "an acknowledgement of the former incarnation does not count"
+        "an acknowledgement by the previous incarnation does not count"
     );
 }
 
 #[test]
-fn record_from_peer_replaces_no_owner_of_an_address() {
+fn record_from_peer_does_not_replace_address_owner() {
     // given
     let mut directory = running_directory();
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
@@ -84,7 +84,7 @@
     run_idle(&mut directory, 31_500, 32_500);
     assert!(
         take_batches(&mut directory).iter().all(|batch| batch.to == OTHER),
-        "no hint for the peer is left"
+        "all hints for the returned peer have been acknowledged"
     );
 }
 
@@ -107,7 +107,11 @@
 
     // then
     assert!(sent.iter().all(|batch| batch.records.len() <= MAX_BATCH_RECORDS));
-    assert!(sent.len() <= MAX_BATCHES_IN_FLIGHT + 15, "{} batches in ten seconds", sent.len());
+    assert!(
+        sent.len() <= MAX_BATCHES_IN_FLIGHT + 15,
+        "{} batches to an unresponsive peer in ten seconds",
+        sent.len()
+    );
 }
 
 #[test]
@@ -131,7 +135,7 @@
     // then
     assert_eq!(presence(&peer, "a"), Some(Presence::Ready));
     let lag = 190 - peer.record("a").map_or(0, |record| record.heartbeat.sequence);
-    assert!(lag <= 10, "the sequence is {lag} steps behind");
+    assert!(lag <= 10, "the peer's sequence number is {lag} steps behind");
 }
 
 #[test]
@@ -157,11 +161,11 @@
         deliver_without_acknowledgements(now, for_both.clone(), PEER, OWN, &mut own);
         deliver_without_acknowledgements(now, for_both, PEER, OTHER, &mut far);
         deliver_without_acknowledgements(now, for_peers, OTHER, PEER, &mut middle);
-        assert!(now < 5000 || presence(&far, "a") == Some(Presence::Ready), "at {now}");
+        assert!(now < 5000 || presence(&far, "a") == Some(Presence::Ready), "not ready at {now} ms");
     }
 }
 
-/// Delivers the messages for one receiver; acknowledgements are lost.
+/// Delivers the messages for one receiver without returning acknowledgements.
 fn deliver_without_acknowledgements(
     now: Millis,
     sends: Vec<(NodeId, DirectoryMessage)>,
@@ -198,13 +202,13 @@
 }
 
 #[test]
-fn old_record_is_no_sign_of_life() {
+fn old_record_is_sent_as_timed_out() {
     // given
     let mut own = running_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 1));
     own.set_quorum_contact(10_000, false);
     run_idle(&mut own, 10_000, 20_000);
-    assert_eq!(presence(&own, "a"), Some(Presence::Ready), "no server times out without quorum contact");
+    assert_eq!(presence(&own, "a"), Some(Presence::Ready), "no server may time out without quorum contact");
     own.take_sends();
 
     // when
@@ -225,11 +229,11 @@
     let batches = take_batches(&mut own);
     assert_eq!(batches.iter().map(|batch| batch.to).collect::<Vec<_>>(), [OTHER]);
     own.merge(10_010, OTHER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
-    assert_eq!(take_batches(&mut own).len(), 0, "both peers know it");
+    assert_eq!(take_batches(&mut own).len(), 0, "both peers already know that the server is draining");
 }
 
 #[test]
-fn late_acknowledgement_of_former_incarnation_is_ignored() {
+fn late_acknowledgement_by_previous_incarnation_is_ignored() {
     let mut own = running_directory();
     own.on_peer_started(10_000, PEER, Incarnation(21));
     own.heartbeat(10_000, "a", draining(1, 2));
@@ -261,7 +265,7 @@
             DirectoryMessage::Digest { servers } => Some(servers),
             _ => None,
         });
-        digest.expect("a digest each 300 ms")
+        digest.expect("a digest is due every 300 ms")
     };
     let requests = |own: &mut Directory, servers| {
         own.receive_digest(10_100, PEER, servers);
@@ -269,7 +273,7 @@
             .iter()
             .any(|(to, message)| *to == PEER && matches!(message, DirectoryMessage::Request { .. }))
     };
-    assert!(!requests(&mut own, digest(2, 8)), "older");
-    assert!(!requests(&mut own, digest(4, 4)), "newer, with the same content");
-    assert!(requests(&mut own, digest(5, 8)), "newer, with other content");
+    assert!(!requests(&mut own, digest(2, 8)), "an older digest needs no record");
+    assert!(!requests(&mut own, digest(4, 4)), "a newer digest with the same content needs no record");
+    assert!(requests(&mut own, digest(5, 8)), "a newer digest with other content needs the record");
 }
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -4,8 +4,8 @@
 //! or variant that is moved, added, removed or swapped is read as another value by the other version, without an
 //! error. These tests compare the present types with bytes that an earlier build wrote.
 //!
-//! If one fails, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own that old nodes are never sent.
+//! If one fails, the wire format has changed. Don't store new bytes: restore the types, or give the new format a
+//! version of its own that is never sent to old nodes.
 
 #[path = "../../protocol/tests/support/stored.rs"]
 mod stored;
