--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -13,7 +13,7 @@
     /// Merges a batch from another coordinator; returns the batch number if it may be acknowledged at once. `None`
     /// means that the batch contains stages that must be on disk first; [`Directory::take_acknowledgements`] then
     /// returns the number later.
-    pub fn merge(
+    pub fn receive_batch(
         &mut self,
         now: Millis,
         from: NodeId,
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -68,7 +68,7 @@
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(10_100, "a", draining(1, 2));
     directory.heartbeat(10_200, "a", heartbeat(1, 3));
-    directory.merge(10_300, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 9))]);
+    directory.receive_batch(10_300, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 9))]);
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
     directory.deregister(10_400, "a");
     directory.heartbeat(10_500, "a", draining(1, 10));
@@ -82,7 +82,7 @@
     directory.heartbeat(10_000, "a", heartbeat(1, 5));
 
     // when
-    directory.merge(10_100, PEER, 1, vec![record("a", Presence::Draining, draining(1, 4))]);
+    directory.receive_batch(10_100, PEER, 1, vec![record("a", Presence::Draining, draining(1, 4))]);
 
     // then
     assert_eq!(presence(&directory, "a"), Some(Presence::Draining));
@@ -169,7 +169,7 @@
     directory.heartbeat(10_100, "a", heartbeat(1, 7));
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     run_idle(&mut directory, 10_100, 45_000);
-    directory.merge(45_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 8))]);
+    directory.receive_batch(45_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 8))]);
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     run_idle(&mut directory, 45_000, 120_000);
     assert_eq!(presence(&directory, "a"), None, "the tombstone has expired");
@@ -195,7 +195,7 @@
 fn recently_started_coordinator_times_out_no_server() {
     // given
     let mut directory = directory(OWN, 11, 50_000);
-    directory.merge(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
+    directory.receive_batch(50_000, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
     assert!(directory.is_recently_started(50_000 + HEARTBEAT_TIMEOUT_MS - 1));
 
     // when
--- a/cluster/tests/directory_fixture/mod.rs
+++ b/cluster/tests/directory_fixture/mod.rs
@@ -96,7 +96,8 @@
         }
         match message {
             DirectoryMessage::Batch { batch, records } => {
-                let acknowledged = to.merge(now, from_node, batch, records).expect("no disk to wait for");
+                let acknowledged =
+                    to.receive_batch(now, from_node, batch, records).expect("no disk to wait for");
                 from.acknowledge(now, to_node, acknowledged);
             }
             DirectoryMessage::Digest { servers } => to.receive_digest(now, from_node, servers),
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -61,7 +61,7 @@
     let mut directory = durable_directory();
     let leaving = record("a", Presence::Draining, draining(1, 2));
     // when
-    let acknowledged = directory.merge(10_010, PEER, 7, vec![leaving.clone()]);
+    let acknowledged = directory.receive_batch(10_010, PEER, 7, vec![leaving.clone()]);
     // then
     assert_eq!(acknowledged, None);
     let unsynced = directory.take_unsynced().expect("a record");
@@ -69,9 +69,9 @@
     directory.on_synced(10_020, unsynced.ticket);
     assert_eq!(directory.take_acknowledgements(), [(PEER, 7)]);
     // Stages that are already on disk, and records of servers that are still ready, are acknowledged at once.
-    assert_eq!(directory.merge(10_030, OTHER, 9, vec![leaving]), Some(9));
+    assert_eq!(directory.receive_batch(10_030, OTHER, 9, vec![leaving]), Some(9));
     let ready = record("b", Presence::Ready, heartbeat(2, 1));
-    assert_eq!(directory.merge(10_040, OTHER, 10, vec![ready]), Some(10));
+    assert_eq!(directory.receive_batch(10_040, OTHER, 10, vec![ready]), Some(10));
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let unsynced = directory.take_unsynced().expect("a record");
     directory.on_synced(10_020, unsynced.ticket);
     // when: a peer sends the same record, which may not be on its disk yet
-    directory.merge(10_030, PEER, 3, vec![record("a", Presence::Removed, heartbeat(1, 1))]);
+    directory.receive_batch(10_030, PEER, 3, vec![record("a", Presence::Removed, heartbeat(1, 1))]);
     // then
     assert_eq!(directory.take_completed_calls(), []);
     let batch = take_batches(&mut directory).into_iter().find(|batch| batch.to == PEER).expect("a batch");
@@ -98,7 +98,7 @@
     let unsynced = directory.take_unsynced().expect("a record");
     let run_with_contact_to_peer = |directory: &mut Directory, from: Millis| {
         for now in (from..from + 3_000).step_by(100) {
-            directory.merge(now, PEER, now, Vec::new());
+            directory.receive_batch(now, PEER, now, Vec::new());
             directory.tick(now);
         }
     };
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -301,7 +301,7 @@
         match message {
             Message::Membership(message) => process.membership.receive(now, from, message),
             Message::Directory(DirectoryMessage::Batch { batch, records }) => {
-                let acknowledged = process.directory.merge(now, from, batch, records);
+                let acknowledged = process.directory.receive_batch(now, from, batch, records);
                 self.send(to, from, Message::Acknowledgement(acknowledged.expect("no disk to wait for")));
             }
             Message::Directory(DirectoryMessage::Digest { servers }) => {
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -34,8 +34,8 @@
     directory.heartbeat(10_000, "new", heartbeat(1, 5));
 
     // when
-    directory.merge(12_000, PEER, 1, vec![record("old", Presence::Ready, heartbeat(1, 7))]);
-    directory.merge(12_500, PEER, 2, vec![record("old", Presence::Ready, heartbeat(1, 8))]);
+    directory.receive_batch(12_000, PEER, 1, vec![record("old", Presence::Ready, heartbeat(1, 7))]);
+    directory.receive_batch(12_500, PEER, 2, vec![record("old", Presence::Ready, heartbeat(1, 8))]);
 
     // then
     assert_eq!(presence(&directory, "new"), Some(Presence::Ready));
@@ -176,7 +176,7 @@
     for (_, message) in sends.into_iter().filter(|(node, _)| *node == to) {
         match message {
             DirectoryMessage::Batch { batch, records } => {
-                receiver.merge(now, from, batch, records);
+                receiver.receive_batch(now, from, batch, records);
             }
             DirectoryMessage::Digest { servers } => receiver.receive_digest(now, from, servers),
             DirectoryMessage::Request { servers } => receiver.receive_request(now, from, servers),
@@ -193,7 +193,7 @@
     batches.iter().for_each(|batch| own.acknowledge(10_010, batch.to, batch.number));
 
     // when
-    own.merge(10_020, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
+    own.receive_batch(10_020, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
 
     // then
     let repair = take_batches(&mut own);
@@ -225,10 +225,10 @@
 #[test]
 fn merged_draining_is_pushed_to_remaining_peers() {
     let mut own = running_directory();
-    own.merge(10_000, PEER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
+    own.receive_batch(10_000, PEER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
     let batches = take_batches(&mut own);
     assert_eq!(batches.iter().map(|batch| batch.to).collect::<Vec<_>>(), [OTHER]);
-    own.merge(10_010, OTHER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
+    own.receive_batch(10_010, OTHER, 1, vec![record("a", Presence::Draining, draining(1, 2))]);
     assert_eq!(take_batches(&mut own).len(), 0, "both peers already know that the server is draining");
 }
 
--- a/coordinator/src/core/server_calls.rs
+++ b/coordinator/src/core/server_calls.rs
@@ -95,7 +95,7 @@
     ) {
         match bitcode::decode(body) {
             Ok(DirectoryMessage::Batch { batch, records }) => {
-                if let Some(batch) = self.directory.merge(now, from, batch, records) {
+                if let Some(batch) = self.directory.receive_batch(now, from, batch, records) {
                     let message = CoordinatorMessage::DirectoryAck { batch };
                     actions.push(Action::Send { to: from, message });
                 }
