--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -31,7 +31,7 @@
     }
 
     /// Handles the acknowledgement of a batch by another coordinator. It covers only that batch, not earlier ones.
-    pub fn acknowledge(&mut self, now: Millis, peer: NodeId, batch: u64) {
+    pub fn receive_acknowledgement(&mut self, now: Millis, peer: NodeId, batch: u64) {
         self.record_activity(now);
         self.record_contact(peer);
         let hints = self.hint_queues.get_mut(&peer).map(|queue| queue.acknowledge(batch)).unwrap_or_default();
--- a/cluster/tests/directory.rs
+++ b/cluster/tests/directory.rs
@@ -96,7 +96,7 @@
     let earlier = take_batches(&mut directory);
     let call = start_draining(&mut directory, 10_100, 2);
     for batch in &earlier {
-        directory.acknowledge(10_110, batch.to, batch.number);
+        directory.receive_acknowledgement(10_110, batch.to, batch.number);
     }
     assert_eq!(
         directory.take_completed_calls(),
@@ -105,7 +105,7 @@
     );
     assert!(!directory.is_known_to_majority("a"));
     let batches = take_batches(&mut directory);
-    directory.acknowledge(10_120, batches[1].to, batches[1].number);
+    directory.receive_acknowledgement(10_120, batches[1].to, batches[1].number);
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
     assert!(directory.is_known_to_majority("a"));
 }
@@ -116,7 +116,7 @@
     let mut directory = running_directory();
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
-    directory.acknowledge(10_010, batches[0].to, batches[0].number);
+    directory.receive_acknowledgement(10_010, batches[0].to, batches[0].number);
     directory.take_completed_calls();
 
     // when
@@ -370,12 +370,12 @@
     run_idle(&mut directory, 10_000, 10_500);
     assert_eq!(presence(&directory, "a"), Some(Presence::Removed));
     let batches = take_batches(&mut directory);
-    batches.iter().for_each(|batch| directory.acknowledge(10_500, batch.to, batch.number));
+    batches.iter().for_each(|batch| directory.receive_acknowledgement(10_500, batch.to, batch.number));
 
     // when
     let call = directory.deregister(10_600, "a");
     let batches = take_batches(&mut directory);
-    batches.iter().for_each(|batch| directory.acknowledge(10_610, batch.to, batch.number));
+    batches.iter().for_each(|batch| directory.receive_acknowledgement(10_610, batch.to, batch.number));
 
     // then
     assert!(directory.take_completed_calls().contains(&CallOutcome::Acknowledged(call)));
--- a/cluster/tests/directory_fixture/mod.rs
+++ b/cluster/tests/directory_fixture/mod.rs
@@ -98,7 +98,7 @@
             DirectoryMessage::Batch { batch, records } => {
                 let acknowledged =
                     to.receive_batch(now, from_node, batch, records).expect("no disk to wait for");
-                from.acknowledge(now, to_node, acknowledged);
+                from.receive_acknowledgement(now, to_node, acknowledged);
             }
             DirectoryMessage::Digest { servers } => to.receive_digest(now, from_node, servers),
             DirectoryMessage::Request { servers } => to.receive_request(now, from_node, servers),
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -29,7 +29,7 @@
     assert_eq!(unsynced.records[0].presence, Presence::Removed);
     // when: a peer acknowledges
     let batch = take_batches(&mut directory).into_iter().find(|batch| batch.to == PEER).expect("a batch");
-    directory.acknowledge(10_020, PEER, batch.number);
+    directory.receive_acknowledgement(10_020, PEER, batch.number);
     // then
     assert_eq!(directory.take_completed_calls(), []);
     directory.on_synced(10_030, unsynced.ticket);
@@ -46,7 +46,7 @@
     let call = directory.deregister(10_020, "a");
     let removed = directory.take_unsynced().expect("another record");
     let last = take_batches(&mut directory).into_iter().rfind(|batch| batch.to == PEER).expect("a batch");
-    directory.acknowledge(10_030, PEER, last.number);
+    directory.receive_acknowledgement(10_030, PEER, last.number);
     // when
     directory.on_synced(10_040, draining.ticket);
     // then
@@ -86,7 +86,7 @@
     // then
     assert_eq!(directory.take_completed_calls(), []);
     let batch = take_batches(&mut directory).into_iter().find(|batch| batch.to == PEER).expect("a batch");
-    directory.acknowledge(10_040, PEER, batch.number);
+    directory.receive_acknowledgement(10_040, PEER, batch.number);
     assert_eq!(directory.take_completed_calls(), [CallOutcome::Acknowledged(call)]);
 }
 
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -310,7 +310,7 @@
             Message::Directory(DirectoryMessage::Request { servers }) => {
                 process.directory.receive_request(now, from, servers);
             }
-            Message::Acknowledgement(batch) => process.directory.acknowledge(now, from, batch),
+            Message::Acknowledgement(batch) => process.directory.receive_acknowledgement(now, from, batch),
         }
     }
 
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -14,13 +14,13 @@
     directory.on_peer_started(10_000, PEER, Incarnation(21));
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
-    directory.acknowledge(10_010, PEER, batches[0].number);
+    directory.receive_acknowledgement(10_010, PEER, batches[0].number);
     directory.take_completed_calls();
     directory.on_peer_started(10_500, PEER, Incarnation(22));
     assert!(!directory.is_known_to_majority("a"));
     let resent = take_batches(&mut directory);
     assert!(resent.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
-    directory.acknowledge(10_510, PEER, batches[0].number);
+    directory.receive_acknowledgement(10_510, PEER, batches[0].number);
     assert!(
         !directory.is_known_to_majority("a"),
         "an acknowledgement by the previous incarnation does not count"
@@ -47,7 +47,7 @@
     let mut directory = running_directory();
     directory.heartbeat(10_000, "old", heartbeat(1, 7));
     let first = take_batches(&mut directory);
-    first.iter().for_each(|batch| directory.acknowledge(10_010, batch.to, batch.number));
+    first.iter().for_each(|batch| directory.receive_acknowledgement(10_010, batch.to, batch.number));
     run_idle(&mut directory, 10_010, 12_000);
     directory.take_sends();
 
@@ -190,7 +190,7 @@
     let mut own = running_directory();
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
-    batches.iter().for_each(|batch| own.acknowledge(10_010, batch.to, batch.number));
+    batches.iter().for_each(|batch| own.receive_acknowledgement(10_010, batch.to, batch.number));
 
     // when
     own.receive_batch(10_020, PEER, 1, vec![record("a", Presence::Ready, heartbeat(1, 1))]);
@@ -240,11 +240,11 @@
     let batches = take_batches(&mut own);
     own.on_peer_started(10_010, PEER, Incarnation(22));
     let late = batches.iter().find(|batch| batch.to == PEER).expect("a batch for the peer");
-    own.acknowledge(10_020, PEER, late.number);
+    own.receive_acknowledgement(10_020, PEER, late.number);
     assert!(!own.is_known_to_majority("a"));
     let resent = take_batches(&mut own);
     let resent = resent.iter().find(|batch| batch.to == PEER).expect("a second batch for the peer");
-    own.acknowledge(10_030, PEER, resent.number);
+    own.receive_acknowledgement(10_030, PEER, resent.number);
     assert!(own.is_known_to_majority("a"));
 }
 
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -95,7 +95,7 @@
     // when
     for (peer, message) in directory.take_sends() {
         if let DirectoryMessage::Batch { batch, .. } = message {
-            directory.acknowledge(1_250, peer, batch);
+            directory.receive_acknowledgement(1_250, peer, batch);
         }
     }
     directory.heartbeat(1_250, "server-9", Heartbeat { sequence: 35, ..heartbeat() });
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -193,7 +193,9 @@
             CoordinatorMessage::Membership(message) => self.membership.receive(now, from, message),
             CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
-            CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
+            CoordinatorMessage::DirectoryAck { batch } => {
+                self.directory.receive_acknowledgement(now, from, batch)
+            }
             CoordinatorMessage::ForwardRequest { call_id, call } => {
                 self.on_operator_call(now, CallOrigin::Peer { node: from, call: call_id }, call, actions)
             }
