--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -136,7 +136,7 @@
 
     /// Records the incarnation of another coordinator. If the peer has restarted, it has lost its directory and is sent
     /// the whole one.
-    pub fn on_peer_started(&mut self, now: Millis, peer: NodeId, incarnation: Incarnation) {
+    pub fn observe_peer_incarnation(&mut self, now: Millis, peer: NodeId, incarnation: Incarnation) {
         let Some(queue) = self.hint_queues.get_mut(&peer) else { return };
         if !queue.observe_incarnation(incarnation) {
             return;
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -330,7 +330,7 @@
         self.directory.set_peers(now, &peers);
         for node in self.membership.take_changed() {
             if let Some(record) = self.membership.record(node) {
-                self.directory.on_peer_started(now, node, record.incarnation);
+                self.directory.observe_peer_incarnation(now, node, record.incarnation);
             }
         }
         self.has_quorum_contact = self.membership.has_quorum_contact(now, voters, ISOLATION_MS);
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -11,12 +11,12 @@
 #[test]
 fn acknowledgement_is_dropped_when_the_peer_restarts() {
     let mut directory = running_directory();
-    directory.on_peer_started(10_000, PEER, Incarnation(21));
+    directory.observe_peer_incarnation(10_000, PEER, Incarnation(21));
     directory.heartbeat(10_000, "a", draining(1, 1));
     let batches = take_batches(&mut directory);
     directory.receive_acknowledgement(10_010, PEER, batches[0].number);
     directory.take_completed_calls();
-    directory.on_peer_started(10_500, PEER, Incarnation(22));
+    directory.observe_peer_incarnation(10_500, PEER, Incarnation(22));
     assert!(!directory.is_known_to_majority("a"));
     let resent = take_batches(&mut directory);
     assert!(resent.iter().any(|batch| batch.to == PEER && batch.records[0].presence == Presence::Draining));
@@ -212,8 +212,8 @@
     own.take_sends();
 
     // when
-    own.on_peer_started(20_000, PEER, Incarnation(5));
-    own.on_peer_started(20_000, PEER, Incarnation(6));
+    own.observe_peer_incarnation(20_000, PEER, Incarnation(5));
+    own.observe_peer_incarnation(20_000, PEER, Incarnation(6));
     run_idle(&mut own, 20_000, 21_500);
 
     // then
@@ -235,10 +235,10 @@
 #[test]
 fn late_acknowledgement_by_previous_incarnation_is_ignored() {
     let mut own = running_directory();
-    own.on_peer_started(10_000, PEER, Incarnation(21));
+    own.observe_peer_incarnation(10_000, PEER, Incarnation(21));
     own.heartbeat(10_000, "a", draining(1, 2));
     let batches = take_batches(&mut own);
-    own.on_peer_started(10_010, PEER, Incarnation(22));
+    own.observe_peer_incarnation(10_010, PEER, Incarnation(22));
     let late = batches.iter().find(|batch| batch.to == PEER).expect("a batch for the peer");
     own.receive_acknowledgement(10_020, PEER, late.number);
     assert!(!own.is_known_to_majority("a"));
--- a/coordinator/src/core/peer_versions.rs
+++ b/coordinator/src/core/peer_versions.rs
@@ -101,7 +101,7 @@
         self.directory.set_peers(now, &peers);
         let version = self.configuration_version();
         for member in members.iter().filter(|member| changed.contains(&member.node)) {
-            self.directory.on_peer_started(now, member.node, member.incarnation);
+            self.directory.observe_peer_incarnation(now, member.node, member.incarnation);
             // The peer may have started with old state. The announcement goes out before its ping is answered, so that it
             // knows the versions of all those whose answers give it quorum contact.
             if member.node != self.options.node {
