--- a/cluster/src/directory/expiry.rs
+++ b/cluster/src/directory/expiry.rs
@@ -33,7 +33,7 @@
             let since = entry.presence_since.max(entry.last_contact);
             Expiry::forgotten_if(now.saturating_sub(since) >= options.tombstone_retention_ms)
         } else if may_time_out && entry.is_timed_out() {
-            Expiry::forgotten_if(now.saturating_sub(entry.presence_since) >= options.remove_timed_out_ms)
+            Expiry::forgotten_if(now.saturating_sub(entry.presence_since) >= options.timed_out_retention_ms)
         } else if may_time_out && since_contact >= options.heartbeat_timeout_ms {
             Expiry::TimedOut
         } else {
--- a/cluster/src/directory/options.rs
+++ b/cluster/src/directory/options.rs
@@ -8,7 +8,7 @@
     /// A server that has had no contact for this long times out.
     pub heartbeat_timeout_ms: Millis,
     /// A server that has been timed out for this long is dropped from the directory.
-    pub remove_timed_out_ms: Millis,
+    pub timed_out_retention_ms: Millis,
     /// Draining and removed servers are kept as tombstones for this long after their last contact.
     pub tombstone_retention_ms: Millis,
     /// Tombstones are included in full digests for this long after the server's last contact.
@@ -41,7 +41,7 @@
     pub fn for_heartbeat(heartbeat_ms: Millis) -> Self {
         Options {
             heartbeat_timeout_ms: heartbeat_ms * 16 / 5,
-            remove_timed_out_ms: 20_000,
+            timed_out_retention_ms: 20_000,
             tombstone_retention_ms: 60_000,
             tombstone_gossip_ms: 10_000,
             address_takeover_ms: heartbeat_ms * 5 / 4,
