--- a/cluster/src/membership/options.rs
+++ b/cluster/src/membership/options.rs
@@ -16,7 +16,7 @@
     /// A member that has been dead for this long is removed from the table.
     pub dead_retention_ms: Millis,
     /// The number of peers that monitor each member.
-    pub monitors: usize,
+    pub monitors_per_member: usize,
     /// The interval between two exchanges of all records with one peer.
     pub full_exchange_interval_ms: Millis,
     /// A gap between two calls of `tick` that is longer than this is treated as a stall of this process.
@@ -33,7 +33,7 @@
             suspicion_timeout_ms: 1000,
             max_backoff_ms: 1000,
             dead_retention_ms: 60_000,
-            monitors: 3,
+            monitors_per_member: 3,
             full_exchange_interval_ms: 1000,
             stall_ms: 500,
             suspicion_cooldown_ms: 3000,
--- a/cluster/src/membership/targets.rs
+++ b/cluster/src/membership/targets.rs
@@ -39,7 +39,7 @@
     /// that knows the same members.
     fn is_monitor_of(&self, node: NodeId, alive: &[NodeId]) -> bool {
         let candidates: Vec<NodeId> = alive.iter().copied().filter(|other| *other != node).collect();
-        choose(node_key(node), &candidates, self.options.monitors).contains(&self.own.node)
+        choose(node_key(node), &candidates, self.options.monitors_per_member).contains(&self.own.node)
     }
 
     fn seeds_without_live_member(&self) -> impl Iterator<Item = NodeId> + '_ {
