--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -86,7 +86,7 @@
     next_digest: Millis,
     next_full_digest: Millis,
     next_expiry_scan: Millis,
-    sends: SendQueue<DirectoryMessage>,
+    send_queue: SendQueue<DirectoryMessage>,
 }
 
 impl Directory {
@@ -108,7 +108,7 @@
             next_digest: now + options.digest_interval_ms,
             next_full_digest: now + options.full_digest_interval_ms,
             next_expiry_scan: now + EXPIRY_SCAN_INTERVAL_MS,
-            sends: SendQueue::default(),
+            send_queue: SendQueue::default(),
             options,
         }
     }
@@ -170,8 +170,8 @@
     }
 
     /// Takes the queued messages, each with its receiver.
-    pub fn take_sends(&mut self) -> Vec<(NodeId, DirectoryMessage)> {
-        self.sends.take()
+    pub fn take_messages(&mut self) -> Vec<(NodeId, DirectoryMessage)> {
+        self.send_queue.take()
     }
 
     /// The cursor of an edge that has applied all changes so far.
--- a/cluster/src/directory/anti_entropy.rs
+++ b/cluster/src/directory/anti_entropy.rs
@@ -20,7 +20,7 @@
             .map(|digest| digest.key)
             .collect();
         if !requested.is_empty() {
-            self.sends.push(from, DirectoryMessage::Request { servers: requested });
+            self.send_queue.push(from, DirectoryMessage::Request { servers: requested });
         }
         self.flush_hints(now);
     }
@@ -77,7 +77,7 @@
         }
         let responsive = self.hint_queues.iter().filter(|(_, queue)| queue.is_responsive());
         for (peer, _) in responsive {
-            self.sends.push(*peer, DirectoryMessage::Digest { servers: servers.clone() });
+            self.send_queue.push(*peer, DirectoryMessage::Digest { servers: servers.clone() });
         }
     }
 
--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -96,7 +96,7 @@
                 let entries = hints.iter().filter_map(|hint| self.table.get(hint.key));
                 let heartbeat_timeout_ms = self.options.heartbeat_timeout_ms;
                 let records = entries.map(|entry| entry.record_for_peer(now, heartbeat_timeout_ms)).collect();
-                self.sends.push(peer, DirectoryMessage::Batch { batch: self.last_batch, records });
+                self.send_queue.push(peer, DirectoryMessage::Batch { batch: self.last_batch, records });
             }
         }
     }
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -50,7 +50,7 @@
     last_ping_number: u64,
     last_tick: Millis,
     last_full_exchange: BTreeMap<NodeId, Millis>,
-    sends: SendQueue<MembershipMessage>,
+    send_queue: SendQueue<MembershipMessage>,
 }
 
 impl Membership {
@@ -75,7 +75,7 @@
             last_ping_number: first_message_number(incarnation),
             last_tick: now,
             last_full_exchange: BTreeMap::new(),
-            sends: SendQueue::default(),
+            send_queue: SendQueue::default(),
         };
         membership.add_seeds(seeds);
         membership
@@ -125,8 +125,8 @@
     }
 
     /// Takes the queued messages, each with its receiver.
-    pub fn take_sends(&mut self) -> Vec<(NodeId, MembershipMessage)> {
-        self.sends.take()
+    pub fn take_messages(&mut self) -> Vec<(NodeId, MembershipMessage)> {
+        self.send_queue.take()
     }
 
     /// Takes the members whose records were changed or removed since the last call.
--- a/cluster/src/membership/gossip.rs
+++ b/cluster/src/membership/gossip.rs
@@ -20,7 +20,7 @@
                     self.expedite_ping(now, from);
                 }
                 let members = self.records_for(now, from, state_before.is_none());
-                self.sends.push(from, MembershipMessage::Ack { sequence_number, members });
+                self.send_queue.push(from, MembershipMessage::Ack { sequence_number, members });
             }
             MembershipMessage::Ack { sequence_number, members } => {
                 if let Some(probe) = self.probes.get_mut(&from) {
@@ -48,7 +48,7 @@
             probe.record_ping(now, sequence_number, !is_live, &self.options);
         }
         let members = self.records_for(now, node, false);
-        self.sends.push(node, MembershipMessage::Ping { sequence_number, members });
+        self.send_queue.push(node, MembershipMessage::Ping { sequence_number, members });
     }
 
     /// Makes a ping due at the next tick if the node is a ping target.
--- a/cluster/tests/directory_fixture/mod.rs
+++ b/cluster/tests/directory_fixture/mod.rs
@@ -71,7 +71,7 @@
         DirectoryMessage::Batch { batch, records } => Some(SentBatch { to, number: batch, records }),
         _ => None,
     };
-    directory.take_sends().into_iter().filter_map(batch).collect()
+    directory.take_messages().into_iter().filter_map(batch).collect()
 }
 
 /// Delivers the messages between two directories in both directions, acknowledgements included, for several rounds.
@@ -90,7 +90,7 @@
 
 /// Delivers the queued messages of one directory to another, and returns the acknowledgements at once.
 pub fn deliver(now: Millis, from: &mut Directory, from_node: NodeId, to: &mut Directory, to_node: NodeId) {
-    for (receiver, message) in from.take_sends() {
+    for (receiver, message) in from.take_messages() {
         if receiver != to_node {
             continue;
         }
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -103,7 +103,7 @@
         }
     };
     let digests_contain_removed = |directory: &mut Directory| {
-        let digests = directory.take_sends().into_iter().filter_map(|(_, message)| match message {
+        let digests = directory.take_messages().into_iter().filter_map(|(_, message)| match message {
             DirectoryMessage::Digest { servers } => Some(servers),
             _ => None,
         });
--- a/cluster/tests/fleet/mod.rs
+++ b/cluster/tests/fleet/mod.rs
@@ -246,8 +246,8 @@
         self.completed_calls.extend(
             process.directory.take_completed_calls().into_iter().map(|outcome| (node, incarnation, outcome)),
         );
-        let membership = process.membership.take_sends();
-        let directory = process.directory.take_sends();
+        let membership = process.membership.take_messages();
+        let directory = process.directory.take_messages();
         for (to, message) in membership {
             self.send(node, to, Message::Membership(message));
         }
--- a/cluster/tests/membership.rs
+++ b/cluster/tests/membership.rs
@@ -27,7 +27,7 @@
     let mut now = from;
     while now < until {
         membership.tick(now);
-        sent.extend(membership.take_sends().into_iter().map(|(node, _)| (now, node)));
+        sent.extend(membership.take_messages().into_iter().map(|(node, _)| (now, node)));
         now = membership.next_wake().max(now + 1);
     }
     sent
@@ -238,7 +238,7 @@
     let mut membership = single_member(&[]);
     let others = (2..=9).map(|node| member(NodeId(node), 1, 0, MemberState::Alive)).collect();
     membership.receive(0, PEER, ping(others));
-    membership.take_sends();
+    membership.take_messages();
 
     // when
     let sent = run_idle(&mut membership, 0, 199);
@@ -261,7 +261,7 @@
     membership.receive(100, PEER, ping(records));
 
     // then
-    let (_, ack) = membership.take_sends().pop().expect("an ack");
+    let (_, ack) = membership.take_messages().pop().expect("an ack");
     let MembershipMessage::Ack { sequence_number: 1, members } = ack else { panic!("not an ack: {ack:?}") };
     assert_eq!(members[0], member(OWN, 11, 5, MemberState::Alive));
 }
@@ -306,7 +306,7 @@
     }
     assert!(membership.members().len() <= MAX_MEMBERS + 1);
     membership.tick(0);
-    let sends = membership.take_sends();
+    let sends = membership.take_messages();
     assert!(sends.len() <= MAX_MEMBERS + MAX_SEEDS + 50);
     for (_, message) in sends {
         let (MembershipMessage::Ping { members, .. } | MembershipMessage::Ack { members, .. }) = message;
@@ -340,7 +340,7 @@
 
 /// Acknowledges all pings to the peer on its behalf.
 fn answer_pings(membership: &mut Membership, now: Millis) {
-    for (to, message) in membership.take_sends() {
+    for (to, message) in membership.take_messages() {
         if let (PEER, MembershipMessage::Ping { sequence_number, .. }) = (to, message) {
             membership.receive(now, PEER, MembershipMessage::Ack { sequence_number, members: vec![] });
         }
--- a/cluster/tests/replication.rs
+++ b/cluster/tests/replication.rs
@@ -49,7 +49,7 @@
     let first = take_batches(&mut directory);
     first.iter().for_each(|batch| directory.receive_acknowledgement(10_010, batch.to, batch.number));
     run_idle(&mut directory, 10_010, 12_000);
-    directory.take_sends();
+    directory.take_messages();
 
     // when
     directory.heartbeat(12_000, "new", heartbeat(1, 1));
@@ -70,7 +70,7 @@
     directory.heartbeat(10_000, "a", heartbeat(1, 1));
     directory.heartbeat(20_000, "a", draining(1, 2));
     run_idle(&mut directory, 20_000, 30_000);
-    directory.take_sends();
+    directory.take_messages();
 
     // when
     let mut back = self::directory(PEER, 21, 0);
@@ -154,9 +154,9 @@
         for directory in [&mut own, &mut middle, &mut far] {
             directory.tick(now);
         }
-        let for_middle = own.take_sends();
-        let for_both = middle.take_sends();
-        let for_peers = far.take_sends();
+        let for_middle = own.take_messages();
+        let for_both = middle.take_messages();
+        let for_peers = far.take_messages();
         deliver_without_acknowledgements(now, for_middle, OWN, PEER, &mut middle);
         deliver_without_acknowledgements(now, for_both.clone(), PEER, OWN, &mut own);
         deliver_without_acknowledgements(now, for_both, PEER, OTHER, &mut far);
@@ -209,7 +209,7 @@
     own.set_quorum_contact(10_000, false);
     run_idle(&mut own, 10_000, 20_000);
     assert_eq!(presence(&own, "a"), Some(Presence::Ready), "no server may time out without quorum contact");
-    own.take_sends();
+    own.take_messages();
 
     // when
     own.observe_peer_incarnation(20_000, PEER, Incarnation(5));
@@ -252,15 +252,15 @@
 fn newer_digest_with_other_content_requests_record() {
     let mut own = running_directory();
     own.heartbeat(10_000, "a", heartbeat(1, 3));
-    own.take_sends();
+    own.take_messages();
     let digest = |sequence, slots| {
         let mut peer = directory(PEER, 21, 0);
         peer.set_peers(0, &[OWN]);
         peer.heartbeat(0, "a", Heartbeat { slots, ..heartbeat(1, sequence - 1) });
         peer.heartbeat(10, "a", Heartbeat { slots, ..heartbeat(1, sequence) });
-        peer.take_sends();
+        peer.take_messages();
         peer.tick(300);
-        let sends = peer.take_sends();
+        let sends = peer.take_messages();
         let digest = sends.into_iter().find_map(|(_, message)| match message {
             DirectoryMessage::Digest { servers } => Some(servers),
             _ => None,
@@ -269,7 +269,7 @@
     };
     let requests = |own: &mut Directory, servers| {
         own.receive_digest(10_100, PEER, servers);
-        own.take_sends()
+        own.take_messages()
             .iter()
             .any(|(to, message)| *to == PEER && matches!(message, DirectoryMessage::Request { .. }))
     };
--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -93,7 +93,7 @@
     directory.set_placement_overlay(1_200, "server-9", overlay());
 
     // when
-    for (peer, message) in directory.take_sends() {
+    for (peer, message) in directory.take_messages() {
         if let DirectoryMessage::Batch { batch, .. } = message {
             directory.receive_acknowledgement(1_250, peer, batch);
         }
@@ -102,7 +102,7 @@
     directory.tick(1_300);
 
     // then
-    let sends = directory.take_sends();
+    let sends = directory.take_messages();
     let digests = sends.iter().find_map(|(_, message)| match message {
         DirectoryMessage::Digest { servers } => Some(servers.as_slice()),
         _ => None,
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -239,10 +239,10 @@
 
     /// Sends what membership and directory have queued.
     fn send_from_parts(&mut self, actions: &mut Vec<Action>) {
-        for (to, message) in self.membership.take_sends() {
+        for (to, message) in self.membership.take_messages() {
             actions.push(Action::Send { to, message: CoordinatorMessage::Membership(message) });
         }
-        for (to, message) in self.directory.take_sends() {
+        for (to, message) in self.directory.take_messages() {
             let body = bitcode::encode(&message);
             actions.push(Action::Send { to, message: CoordinatorMessage::Directory { body } });
         }
