--- a/cluster/src/directory.rs
+++ b/cluster/src/directory.rs
@@ -239,7 +239,7 @@
             entry.version = self.last_version;
             if outcome == MergeOutcome::StageAdvanced {
                 entry.stage_version = self.last_version;
-                if self.options.waits_for_disk {
+                if self.options.sync_before_acknowledging {
                     self.durability.record_stage(key);
                 }
             }
--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -61,8 +61,8 @@
             self.claim_address_and_evict(key);
         }
         self.push_if_peer_is_behind(from, key, reported);
-        if !self.options.waits_for_disk {
-            // With `waits_for_disk` a received record does not count: the sender may not have synced it yet. Only its
+        if !self.options.sync_before_acknowledging {
+            // With `sync_before_acknowledging` a received record does not count: the sender may not have synced it yet. Only its
             // acknowledgements and digests show what it has on disk.
             self.record_reported_stage(from, key, reported);
         }
--- a/cluster/src/directory/options.rs
+++ b/cluster/src/directory/options.rs
@@ -33,7 +33,7 @@
     pub max_changes: usize,
     /// Whether a draining or removed stage must be on disk before it is acknowledged; see
     /// [`Directory::take_unsynced`](super::Directory::take_unsynced).
-    pub waits_for_disk: bool,
+    pub sync_before_acknowledging: bool,
 }
 
 impl Options {
@@ -53,7 +53,7 @@
             stall_ms: heartbeat_ms.max(500),
             max_servers: MAX_SERVERS,
             max_changes: 2048,
-            waits_for_disk: false,
+            sync_before_acknowledging: false,
         }
     }
 }
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -7,9 +7,9 @@
 use shaletrail_protocol::internal::Presence;
 use shaletrail_protocol::{Incarnation, Millis};
 
-/// The directory of one of three voters, with `waits_for_disk`: it acknowledges a stage only once that is on disk.
+/// The directory of one of three voters, with `sync_before_acknowledging`: it acknowledges a stage only once that is on disk.
 fn durable_directory() -> Directory {
-    let options = Options { waits_for_disk: true, ..Options::for_heartbeat(HEARTBEAT_MS) };
+    let options = Options { sync_before_acknowledging: true, ..Options::for_heartbeat(HEARTBEAT_MS) };
     let mut directory = Directory::new(options, OWN, Incarnation(11), 0);
     directory.set_peers(0, &[PEER, OTHER]);
     directory.set_voters(&[OWN, PEER, OTHER]);
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -79,7 +79,7 @@
             Membership::new(membership_options, options.node, options.incarnation, &options.seeds, now);
         let heartbeat_interval = options.heartbeat_interval.as_millis() as Millis;
         let directory_options = directory::Options {
-            waits_for_disk: true,
+            sync_before_acknowledging: true,
             ..directory::Options::for_heartbeat(heartbeat_interval)
         };
         let mut directory = Directory::new(directory_options, options.node, options.incarnation, now);
