--- a/cluster/src/directory/durability.rs
+++ b/cluster/src/directory/durability.rs
@@ -116,7 +116,7 @@
     }
 
     /// Takes the deferred acknowledgements that may now be sent, as pairs of the peer and its batch number.
-    pub fn take_acknowledgements(&mut self) -> Vec<(NodeId, u64)> {
+    pub fn take_deferred_acknowledgements(&mut self) -> Vec<(NodeId, u64)> {
         std::mem::take(&mut self.durability.released)
     }
 
--- a/cluster/src/directory/hinted_handoff.rs
+++ b/cluster/src/directory/hinted_handoff.rs
@@ -11,7 +11,7 @@
 
 impl Directory {
     /// Merges a batch from another coordinator; returns the batch number if it may be acknowledged at once. `None`
-    /// means that the batch contains stages that must be on disk first; [`Directory::take_acknowledgements`] then
+    /// means that the batch contains stages that must be on disk first; [`Directory::take_deferred_acknowledgements`] then
     /// returns the number later.
     pub fn receive_batch(
         &mut self,
--- a/cluster/tests/durability.rs
+++ b/cluster/tests/durability.rs
@@ -65,9 +65,9 @@
     // then
     assert_eq!(acknowledged, None);
     let unsynced = directory.take_unsynced().expect("a record");
-    assert_eq!(directory.take_acknowledgements(), []);
+    assert_eq!(directory.take_deferred_acknowledgements(), []);
     directory.on_synced(10_020, unsynced.ticket);
-    assert_eq!(directory.take_acknowledgements(), [(PEER, 7)]);
+    assert_eq!(directory.take_deferred_acknowledgements(), [(PEER, 7)]);
     // Stages that are already on disk, and records of servers that are still ready, are acknowledged at once.
     assert_eq!(directory.receive_batch(10_030, OTHER, 9, vec![leaving]), Some(9));
     let ready = record("b", Presence::Ready, heartbeat(2, 1));
--- a/coordinator/src/core/server_calls.rs
+++ b/coordinator/src/core/server_calls.rs
@@ -67,7 +67,7 @@
 
     /// Acknowledges the batches of peers that have become durable.
     pub(super) fn send_directory_acknowledgements(&mut self, actions: &mut Vec<Action>) {
-        for (to, batch) in self.directory.take_acknowledgements() {
+        for (to, batch) in self.directory.take_deferred_acknowledgements() {
             actions.push(Action::Send { to, message: CoordinatorMessage::DirectoryAck { batch } });
         }
     }
