--- a/cluster/src/directory/server_entry.rs
+++ b/cluster/src/directory/server_entry.rs
@@ -51,7 +51,7 @@
     pub(super) first_contact: Millis,
     /// The latest known contact with the server, by this or another coordinator.
     pub(super) last_contact: Millis,
-    /// When the server entered its present presence.
+    /// When the presence last changed.
     pub(super) presence_since: Millis,
     /// When the server will terminate; `None` if its heartbeats have not announced that (`remaining_ms`).
     pub(super) terminates_at: Option<Millis>,
