--- a/cluster/tests/wire_format.rs
+++ b/cluster/tests/wire_format.rs
@@ -1,10 +1,11 @@
 //! The bytes that the directories of two coordinators exchange, and the hashes that they must agree on.
 //!
 //! Coordinators of two versions exchange messages during a rolling upgrade, and bitcode encodes by position: a field
-//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an error. These tests compare the present types with bytes that an earlier build wrote.
+//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an
+//! error. These tests compare the present types with bytes that an earlier build wrote.
 //!
-//! If one fails, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own that old nodes are never sent.
+//! If one fails, the wire format has changed. Don't store new bytes: restore the types, or give the new format a
+//! version of its own that is never sent to old nodes.
 
 #[path = "../../protocol/tests/support/stored.rs"]
 mod stored;
@@ -92,16 +93,16 @@
     directory.set_placement_overlay(1_200, "server-9", overlay());
 
     // when
-    for (peer, message) in directory.take_sends() {
+    for (peer, message) in directory.take_messages() {
         if let DirectoryMessage::Batch { batch, .. } = message {
-            directory.acknowledge(1_250, peer, batch);
+            directory.receive_acknowledgement(1_250, peer, batch);
         }
     }
     directory.heartbeat(1_250, "server-9", Heartbeat { sequence: 35, ..heartbeat() });
     directory.tick(1_300);
 
     // then
-    let sends = directory.take_sends();
+    let sends = directory.take_messages();
     let digests = sends.iter().find_map(|(_, message)| match message {
         DirectoryMessage::Digest { servers } => Some(servers.as_slice()),
         _ => None,
--- a/coordinator/src/core/mod.rs
+++ b/coordinator/src/core/mod.rs
@@ -81,7 +81,7 @@
             Membership::new(membership_options, options.node, options.incarnation, &options.seeds, now);
         let heartbeat_interval = options.heartbeat_interval.as_millis() as Millis;
         let directory_options = directory::Options {
-            waits_for_disk: true,
+            sync_before_acknowledging: true,
             ..directory::Options::for_heartbeat(heartbeat_interval)
         };
         let mut directory = Directory::new(directory_options, options.node, options.incarnation, now);
@@ -197,7 +197,9 @@
             CoordinatorMessage::Membership(message) => self.membership.receive(now, from, message),
             CoordinatorMessage::Shard { shard, body } => self.shards.receive(now, from, shard, &body),
             CoordinatorMessage::Directory { body } => self.receive_directory(now, from, &body, actions),
-            CoordinatorMessage::DirectoryAck { batch } => self.directory.acknowledge(now, from, batch),
+            CoordinatorMessage::DirectoryAck { batch } => {
+                self.directory.receive_acknowledgement(now, from, batch)
+            }
             CoordinatorMessage::ForwardRequest { call_id, call } => {
                 self.on_operator_call(now, CallOrigin::Peer { node: from, call: call_id }, call, actions)
             }
@@ -241,10 +243,10 @@
 
     /// Sends the messages that membership and directory have queued.
     fn send_queued_messages(&mut self, actions: &mut Vec<Action>) {
-        for (to, message) in self.membership.take_sends() {
+        for (to, message) in self.membership.take_messages() {
             actions.push(Action::Send { to, message: CoordinatorMessage::Membership(message) });
         }
-        for (to, message) in self.directory.take_sends() {
+        for (to, message) in self.directory.take_messages() {
             let body = bitcode::encode(&message);
             actions.push(Action::Send { to, message: CoordinatorMessage::Directory { body } });
         }
--- a/coordinator/src/core/server_calls.rs
+++ b/coordinator/src/core/server_calls.rs
@@ -69,7 +69,7 @@
 
     /// Acknowledges the batches of records from peers that are durable now.
     pub(super) fn send_directory_acknowledgements(&mut self, actions: &mut Vec<Action>) {
-        for (to, batch) in self.directory.take_acknowledgements() {
+        for (to, batch) in self.directory.take_deferred_acknowledgements() {
             actions.push(Action::Send { to, message: CoordinatorMessage::DirectoryAck { batch } });
         }
     }
@@ -97,7 +97,7 @@
     ) {
         match bitcode::decode(body) {
             Ok(DirectoryMessage::Batch { batch, records }) => {
-                if let Some(batch) = self.directory.merge(now, from, batch, records) {
+                if let Some(batch) = self.directory.receive_batch(now, from, batch, records) {
                     let message = CoordinatorMessage::DirectoryAck { batch };
                     actions.push(Action::Send { to: from, message });
                 }
