--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -77,7 +77,7 @@
         let OpenedDisk { writer, stored, was_erased } = disk.open()?;
         let incarnation = Incarnation(world.random_range(1..=u64::MAX));
         let options = CoordinatorOptions {
-            lost_state: was_erased,
+            journal_was_erased: was_erased,
             ..CoordinatorOptions::from_settings(settings, incarnation)
         };
         let wants_checkpoint = writer.wants_checkpoint();
@@ -128,7 +128,7 @@
 
     /// Whether the process may end that was told to.
     pub fn may_end(&self, world: &World) -> bool {
-        self.shutdown_requested_at.is_none_or(|at| self.core.may_end(world.now.saturating_sub(at)))
+        self.shutdown_requested_at.is_none_or(|at| self.core.may_exit(world.now.saturating_sub(at)))
     }
 
     fn fail_callers(&mut self, world: &mut World) {
