--- a/protocol/src/external.rs
+++ b/protocol/src/external.rs
@@ -1,29 +1,29 @@
-//! Messages of model servers, as JSON over HTTP/1.1: heartbeats that they send, orders and requests for reports that
-//! they receive.
+//! Messages exchanged with model servers as JSON over HTTP/1.1: the heartbeats that servers send, and the orders and
+//! report requests that they receive.
 //!
-//! The names of the JSON fields are the platform's. Unknown fields are ignored and absent ones have defaults, as servers
-//! of other releases may send more or fewer of them.
+//! The platform defines the names of the JSON fields. Unknown fields of heartbeats and reports are ignored and absent
+//! ones get defaults, because servers of other releases may send more or fewer fields.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest body of a heartbeat that is accepted, in bytes.
+/// The maximum length of a heartbeat's body, in bytes.
 pub const MAX_HEARTBEAT_BYTES: usize = 4096;
 
-/// A model that is loaded on a server, with its adapters.
+/// A model that is loaded on a server, with the adapters that are loaded on it.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
 )]
 #[serde(default)]
 pub struct LoadedModel {
-    /// The name of the model, as routes of the configuration name it.
+    /// The name of the model, as used in the routes of the configuration.
     pub name: String,
-    /// The version of the weights.
+    /// The version of the model's weights.
     pub version: u64,
-    /// The names of the adapters that are loaded on the model.
+    /// The names of the loaded adapters.
     pub adapters: Vec<String>,
 }
 
-/// The lifecycle state of a server, as it reports it.
+/// The lifecycle state that a server reports for itself.
 #[derive(
     Clone,
     Copy,
@@ -42,94 +42,95 @@
     /// The server accepts requests.
     #[default]
     Ready,
-    /// The server shuts down gracefully: no new requests may be sent to it.
+    /// The server is shutting down gracefully: no new requests may be sent to it.
     Draining,
 }
 
-/// The body of `POST /Instances.Heartbeat/ID`, which a server sends each heartbeat interval.
+/// The body of `POST /Instances.Heartbeat/ID`, which a server sends once per heartbeat interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode)]
 #[serde(default, rename_all = "camelCase")]
 pub struct Heartbeat {
     /// The service that the server belongs to.
     pub service: String,
-    /// The address that the server accepts requests and orders on, `IP:PORT`.
+    /// The address on which the server accepts requests and orders, as `IP:PORT`.
     pub address: String,
-    /// The zone (failure domain) that the server stands in.
+    /// The zone (failure domain) in which the server is located.
     pub zone: String,
     /// The version of the server's software.
     pub version: String,
-    /// Requests that the server processes concurrently; further ones queue there.
+    /// The number of requests that the server processes concurrently. It queues further requests.
     pub slots: u32,
-    /// Whether the server accepts requests.
+    /// Whether the server accepts new requests or is draining.
     pub state: ServerState,
-    /// Milliseconds until the server has warmed up after its start; 0 once it has.
+    /// Milliseconds until the server's warm-up after its start is complete; 0 once it is.
     pub cold_remaining_ms: f64,
-    /// Milliseconds until the platform takes the server away, where that has been announced.
+    /// Milliseconds until the platform removes the server; `None` if no removal has been announced.
     pub remaining_ms: Option<f64>,
-    /// The phases of inference that the server runs; `combined` for prefill and decode.
+    /// The phases of inference that the server runs; `combined` for both prefill and decode.
     pub phase: String,
-    /// The models that are loaded; absent for services without models.
+    /// The loaded models; absent for services without models.
     pub models: Option<Vec<LoadedModel>>,
-    /// Rises with each heartbeat of one start, so that one that was overtaken is recognised.
+    /// Increases with each heartbeat of one server run, so that a heartbeat that arrives out of order is recognized.
     pub sequence: u64,
 }
 
-/// The response to a heartbeat.
+/// The response to a heartbeat or a deregistration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct HeartbeatResponse {
-    /// The address for later heartbeats, `IP:PORT`; absent if it does not change.
+    /// The address for subsequent heartbeats, as `IP:PORT`; absent if it does not change.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub heartbeat_endpoint: Option<String>,
 }
 
-/// What an order tells a server to do.
+/// The operation that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "lowercase")]
 #[strum(serialize_all = "lowercase")]
 pub enum Operation {
-    /// Load a model from the weight store, or an adapter of a model that is loaded.
+    /// Load a model from the weight store, or an adapter of a model that is already loaded.
     Load,
-    /// Evict a model with its adapters, or one adapter.
+    /// Evict a model with all its adapters, or a single adapter.
     Evict,
 }
 
-/// The body of `POST /order`, by which a coordinator changes what is loaded on a server.
+/// The body of `POST /order`, with which a coordinator loads or evicts a model or an adapter on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Order {
     /// Whether to load or to evict.
     pub operation: Operation,
-    /// The model that is concerned.
+    /// The name of the model.
     pub model: String,
-    /// The adapter that is concerned; absent if it is the model itself.
+    /// The name of the adapter; absent if the order is for the model itself.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The `sequence` of [`ServerReport`] that the server must be at, else it rejects the order; absent if it need not.
+    /// The [`ServerReport::sequence`] that the server must be at, otherwise it rejects the order. If absent, the
+    /// server does not check its sequence.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub if_revision: Option<u64>,
-    /// The name of the node that holds the lease on the server's orders.
+    /// The name of the node that holds the order lease for the server.
     pub lease_holder: String,
-    /// Rises with each lease, so that a server can reject the orders of an earlier holder.
+    /// Increases with each lease, so that a server can reject orders of a previous lease holder.
     pub fencing_token: u64,
 }
 
-/// The response to `GET /report`: the state of a server as it is at that moment.
+/// The response to `GET /report`: the state of a server at the time of the request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct ServerReport {
-    /// The models that are loaded.
+    /// The loaded models.
     pub models: Vec<LoadedModel>,
-    /// Whether the server still carries out an order.
+    /// Whether the server is executing an order. The JSON field is named `utilization`.
     #[serde(rename = "utilization")]
     pub order_in_flight: bool,
-    /// Counts the orders that this start of the server has accepted.
+    /// The number of orders that the server has accepted since its start.
     pub sequence: u64,
-    /// Requests that wait for a slot.
+    /// The number of requests that wait for a slot.
     pub queued: u64,
-    /// Requests that are processed.
+    /// The number of requests that are being processed.
     pub active: u64,
-    /// KV cache that cannot be evicted, in tokens.
+    /// The part of the KV cache that cannot be evicted, in tokens.
     pub kv_in_use: u64,
     /// The capacity of the KV cache, in tokens.
     pub kv_limit: u64,
--- a/protocol/src/internal.rs
+++ b/protocol/src/internal.rs
@@ -1,11 +1,12 @@
-//! Messages between the nodes: bitcode in length-prefixed frames over TCP, on the first of the ephemeral ports of each
-//! coordinator.
+//! Messages between nodes. They are encoded with bitcode and sent as length-prefixed frames over TCP to the first of
+//! a coordinator's ephemeral ports, except for the datagrams between edges.
 //!
-//! An edge polls one coordinator over a connection of its own ([`EdgeRequest`], [`PollResponse`]) and sends its loads to
-//! other edges as datagrams ([`EdgeLoadReport`]). Coordinators keep one connection to each other for each direction,
-//! over which the one that opened it sends [`CoordinatorMessage`]s. Each connection begins with a [`Handshake`].
+//! An edge is a machine that runs the `data-plane` role. It polls one coordinator over a dedicated connection
+//! ([`EdgeRequest`], [`PollResponse`]) and sends its load on each server to other edges as datagrams
+//! ([`EdgeLoadReport`]). Two coordinators have one connection for each direction; the coordinator that opened a
+//! connection sends [`CoordinatorMessage`]s over it. Each connection begins with a [`Handshake`].
 //!
-//! A message says what its sender knows, never what its receiver should conclude from it.
+//! A message states what its sender knows and leaves the conclusions to the receiver.
 
 mod config;
 mod coordinator;
@@ -27,16 +28,16 @@
 
 use crate::{Incarnation, NodeId};
 
-/// The first frame on a connection, by which the caller introduces itself.
+/// The first frame on a connection, which identifies the node that opened it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Handshake {
-    /// An edge, which goes on with [`EdgeRequest`]s.
+    /// From an edge; followed by [`EdgeRequest`]s.
     Edge(EdgeIdentity),
-    /// A coordinator, which goes on with [`CoordinatorMessage`]s.
+    /// From a coordinator; followed by [`CoordinatorMessage`]s.
     Coordinator {
         /// The machine of the coordinator.
         node: NodeId,
-        /// The start of its process.
+        /// The current run of the coordinator's process.
         incarnation: Incarnation,
     },
 }
--- a/protocol/src/internal/coordinator.rs
+++ b/protocol/src/internal/coordinator.rs
@@ -8,30 +8,30 @@
 /// A message from one coordinator to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorMessage {
-    /// The membership protocol.
+    /// A message of the membership protocol.
     Membership(MembershipMessage),
-    /// A message of the replica group of one shard: a `shaletrail_consensus::Message` in bitcode.
+    /// A consensus message for the replica group of one shard.
     Shard {
-        /// The number of the shard; 0 is the configuration.
+        /// The number of the shard; shard 0 holds the configuration.
         shard: u32,
-        /// The encoded message.
+        /// A `shaletrail_consensus::Message`, encoded with bitcode.
         body: Vec<u8>,
     },
-    /// Changes of the directory: a `shaletrail_cluster::directory::DirectoryMessage` in bitcode.
+    /// A batch of changes to the directory of servers; answered with a `DirectoryAck`.
     Directory {
-        /// The encoded message.
+        /// A `shaletrail_cluster::directory::DirectoryMessage`, encoded with bitcode.
         body: Vec<u8>,
     },
-    /// A batch of the receiver's directory changes has been applied.
+    /// Acknowledges that a batch of the receiver's directory changes has been applied by the sender.
     DirectoryAck {
         /// The number of the batch.
         batch: u64,
     },
-    /// A call of the operator for the leader of the configuration's shard.
+    /// Forwards an operator's call to the leader of the configuration's shard.
     ForwardRequest {
-        /// Identifies the call at the sender.
+        /// Identifies the call at the sender; the response repeats it.
         call_id: u64,
-        /// The call itself.
+        /// The forwarded call.
         call: OperatorCall,
     },
     /// The response to a `ForwardRequest`.
@@ -41,16 +41,16 @@
         /// The result of the call.
         response: OperatorResponse,
     },
-    /// Demand that edges have reported to the sender, for the lease holders of orders.
+    /// Demand that edges have reported to the sender. The holders of order leases plan placements with it.
     Demand {
-        /// The time over which it was aggregated, in milliseconds.
+        /// The duration over which the demand was aggregated, in milliseconds.
         window_ms: u32,
         /// The edges that poll the sender.
         edges: Vec<NodeId>,
-        /// What they reported, by edge.
+        /// The aggregated reports, by edge.
         reports: Vec<EdgeReport>,
     },
-    /// The configuration that the sender applies, so that the receiver can find out whether it is behind.
+    /// Announces the configuration that the sender has applied, so that a receiver with an older one notices it.
     AppliedConfigVersion {
         /// The version of the configuration.
         version: u64,
@@ -64,6 +64,6 @@
     pub edge: NodeId,
     /// Demand at the edge.
     pub demand: Vec<Demand>,
-    /// Outcomes of the edge's attempts, by server.
+    /// Outcomes of the attempts that the edge made, by server.
     pub server_outcomes: Vec<ServerOutcomes>,
 }
--- a/protocol/src/internal/edge.rs
+++ b/protocol/src/internal/edge.rs
@@ -1,108 +1,114 @@
-//! Long polls and reports of edges.
+//! Long polls and reports that edges send to coordinators.
 
 use bitcode::{Decode, Encode};
 
 use super::{ConfigUpdate, DirectoryCursor, ServerRecord};
 use crate::{Incarnation, NodeId, ServerId};
 
-/// An edge as it introduces itself.
+/// Identifies an edge in its handshake.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct EdgeIdentity {
     /// The machine of the edge.
     pub node: NodeId,
-    /// The start of its process.
+    /// The current run of the edge's process.
     pub incarnation: Incarnation,
-    /// The zone (failure domain) that it stands in.
+    /// The zone (failure domain) in which the edge is located.
     pub zone: String,
 }
 
-/// What an edge may send after its [`super::Handshake`].
+/// A message that an edge sends after its [`super::Handshake`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum EdgeRequest {
-    /// Asks for updates; answered by a [`PollResponse`].
+    /// Asks for updates; answered with a [`PollResponse`].
     Poll(PollRequest),
-    /// Demand that cannot wait for the next poll. It has no response, and may be sent while a poll is pending.
+    /// Reports demand that cannot wait for the next poll. It is not answered, and may be sent while a poll is
+    /// pending.
     Report {
-        /// Demand since the last report.
+        /// Demand since the last poll or report.
         demand: Vec<Demand>,
     },
-    /// The edge's process is about to end.
+    /// The edge's process is about to exit.
     ShutdownNotice,
 }
 
-/// A long poll: answered at once where there are updates, otherwise after `max_wait_ms`.
+/// A long poll: answered at once if there are updates, otherwise as soon as there are some, at the latest after
+/// `max_wait_ms`.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct PollRequest {
-    /// The version of the configuration that the edge applies; 0 if none.
+    /// The version of the configuration that the edge has applied; 0 if none.
     pub config_version: u64,
-    /// The position of the edge in the coordinator's directory.
+    /// The edge's position in the coordinator's log of directory changes.
     pub cursor: DirectoryCursor,
     /// How long the coordinator may wait for updates before it responds, in milliseconds.
     pub max_wait_ms: u32,
-    /// Demand since the last report.
+    /// Demand since the last poll or report.
     pub demand: Vec<Demand>,
     /// Outcomes of attempts since the last poll, by server.
     pub server_outcomes: Vec<ServerOutcomes>,
-    /// The list of edges that the edge has, as [`PollResponse::edge_list_hash`]; 0 if none.
+    /// The [`PollResponse::edge_list_hash`] of the list of edges that this edge has; 0 if none.
     pub edge_list_hash: u64,
 }
 
-/// The demand for one model, or one of its adapters, at one edge. The counts begin at 0 with each report, those that
-/// say "at this moment" are gauges.
+/// The demand for one model, or for one of its adapters, at one edge. `queued` and `in_flight` are gauges; the other
+/// counts cover the time since the previous report.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Demand {
-    /// The service that the requests are for.
+    /// The service to which the requests are addressed.
     pub service: String,
     /// The model; empty for services without models.
     pub model: String,
-    /// The adapter, if one was asked for.
+    /// The adapter, if the requests name one.
     pub adapter: Option<String>,
-    /// Requests that arrived.
+    /// The number of requests that arrived.
     pub arrived: u32,
-    /// Tokens of those requests: prompt tokens, and tenfold the output tokens that they asked for.
+    /// The weighted tokens of those requests: their prompt tokens plus ten times the output tokens that they asked
+    /// for.
     pub tokens: u64,
-    /// The most urgent priority among them; 0 is the most urgent.
+    /// The most urgent priority among those requests; 0 is the most urgent priority.
     pub priority: u8,
-    /// Requests that are queued at this moment, as no server has the model loaded.
+    /// The number of requests that are currently queued because no server has the model loaded.
     pub queued: u32,
-    /// Requests that were rejected for lack of capacity, or found each server with the model at its limit.
+    /// The number of requests that were rejected for lack of capacity, or that found all servers with the model at
+    /// their limits.
     pub over_capacity: u32,
-    /// Requests in flight to servers at this moment.
+    /// The number of requests that are currently in flight to servers.
     pub in_flight: u32,
 }
 
-/// The outcomes of an edge's attempts at one server since its last report.
+/// Counts of the outcomes of an edge's attempts at one server since the previous report.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ServerOutcomes {
     /// The server that the attempts were sent to.
     pub server: ServerId,
     /// Attempts that succeeded.
     pub succeeded: u32,
-    /// Attempts that failed through the server's fault.
+    /// Attempts that failed because of the server.
     pub failed: u32,
-    /// Attempts that found nobody at the server's address, or another start of a server.
+    /// Attempts that found no server at the address, or another server or another run of it.
     pub unreachable: u32,
 }
 
-/// The response to a poll.
+/// The response to a [`PollRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct PollResponse {
-    /// The configuration, if the edge's version is not the current one.
+    /// An update to the current configuration; `None` if the edge already has it.
     pub config: Option<ConfigUpdate>,
-    /// Servers that changed after the request's cursor, or all of them where `complete` is set.
+    /// Servers that changed after the request's cursor, or all servers if `complete` is set.
     pub servers: Vec<ServerRecord>,
-    /// Whether `servers` is the full directory, which replaces all that the edge knows.
+    /// Whether `servers` is the full directory, which replaces the edge's copy.
     pub complete: bool,
-    /// The position of the edge in the directory after this response.
+    /// The edge's position in the log of directory changes after this response.
     pub cursor: DirectoryCursor,
-    /// The coordinators that the sender takes to be alive, itself included.
+    /// The coordinators that the sender considers alive, including itself.
     pub coordinators: Vec<NodeId>,
-    /// The number of edges that poll any of the coordinators; 0 if unknown.
+    /// The number of edges that poll any coordinator; 0 if unknown.
     pub edge_count: u32,
-    /// Those edges, if they differ from the list of the request and are few enough to be sent.
+    /// The edges that poll any coordinator. `None` if the edge already has this list, or if it is too long to be
+    /// sent.
     pub edge_nodes: Option<Vec<NodeId>>,
-    /// A hash of the list of those edges, by which the next request names it.
+    /// A hash of the list of edges. The edge sends it back as [`PollRequest::edge_list_hash`].
     pub edge_list_hash: u64,
-    /// The sender lacks contact with a majority, or is behind: the edge should poll another coordinator.
+    /// Whether the sender has no contact with a majority or is behind, so that the edge should poll another
+    /// coordinator.
     pub isolated: bool,
 }
--- a/protocol/src/internal/load.rs
+++ b/protocol/src/internal/load.rs
@@ -1,45 +1,45 @@
-//! Loads that edges announce to each other, as datagrams.
+//! Datagrams in which edges tell each other how much load they put on each server.
 
 use bitcode::{Decode, Encode};
 
 use crate::{Incarnation, NodeId};
 
-/// The load that edges put on one server.
+/// The load that one or more edges put on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EdgeServerLoad {
-    /// Hash of the server's id (`shaletrail_ring::hash_of_name`).
+    /// The hash of the server's id, computed by `shaletrail_ring::hash_of_name`.
     pub server: u64,
-    /// Requests in flight to the server.
+    /// The number of requests in flight to the server.
     pub in_flight: u16,
-    /// Prompt tokens of those requests whose response has not begun.
+    /// The prompt tokens of those of the requests whose response has not begun.
     pub prefill_tokens: u32,
-    /// Whether requests have waited there for long without any sign of life from the server.
+    /// Whether a request has been waiting for a long time, and the server has answered no request since it was sent.
     pub unresponsive: bool,
 }
 
-/// The edges whose requests the loads of a report count.
+/// The set of edges whose requests a load report counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum LoadScope {
-    /// The sender alone.
+    /// Only the sender.
     #[default]
     Own,
-    /// All edges of the sender's group; relays of the groups send these to each other.
+    /// All edges of the sender's group. The relays of the groups send these reports to each other.
     Group,
-    /// All edges; a relay sends these to the edges of its group.
+    /// All edges. A relay sends these reports to the edges of its group.
     Fleet,
 }
 
-/// A datagram from one edge to others, with the loads that have changed or are due to be repeated.
+/// A datagram from one edge to others, with loads that have changed and loads that are due for a periodic refresh.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EdgeLoadReport {
     /// The machine of the sender.
     pub edge: NodeId,
-    /// The start of the sender's process.
+    /// The current run of the sender's process.
     pub incarnation: Incarnation,
-    /// Rises with each datagram of one incarnation, so that late ones are recognised.
+    /// Increases with each datagram of one incarnation, so that datagrams that arrive out of order are recognized.
     pub sequence: u64,
-    /// The edges whose requests are counted.
+    /// The set of edges whose requests the loads count.
     pub scope: LoadScope,
-    /// Loads by server; each replaces the sender's last one on that server in the same scope.
+    /// Loads by server. Each replaces the sender's previous load for that server in the same scope.
     pub loads: Vec<EdgeServerLoad>,
 }
--- a/protocol/src/internal/membership.rs
+++ b/protocol/src/internal/membership.rs
@@ -1,13 +1,13 @@
-//! The membership protocol among coordinators, after SWIM (Das, Gupta, Motivala 2002).
+//! Messages of the membership protocol between coordinators, which is based on SWIM (Das, Gupta, Motivala 2002).
 
 use bitcode::{Decode, Encode};
 
 use crate::{Incarnation, NodeId};
 
-/// Pings and their acknowledgements; both carry records of members (gossip).
+/// A ping or its acknowledgement. Both carry gossip: the sender's records of members.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum MembershipMessage {
-    /// Asks the receiver to acknowledge that it is alive.
+    /// Probes whether the receiver is alive; answered with an `Ack`.
     Ping {
         /// Identifies the ping at its sender; the acknowledgement repeats it.
         sequence_number: u64,
@@ -23,26 +23,26 @@
     },
 }
 
-/// A coordinator as another one knows it.
+/// What one coordinator knows about another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct MemberRecord {
     /// The machine of the member.
     pub node: NodeId,
-    /// The start of its process; 0 while it is known from seeds only.
+    /// The current run of the member's process; 0 while the member is only known as a seed.
     pub incarnation: Incarnation,
-    /// Raised by the member itself to refute a suspicion (SWIM's incarnation number).
+    /// Increased by the member itself to refute a suspicion (called the incarnation number in SWIM).
     pub refutation: u64,
-    /// The state that the sender sees the member in.
+    /// The state of the member, as the sender sees it.
     pub state: MemberState,
 }
 
-/// The state of a member as another one sees it.
+/// The liveness of a member, as another member sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, strum::Display)]
 pub enum MemberState {
     /// It acknowledges pings.
     #[default]
     Alive,
-    /// It has missed acknowledgements, and may refute the suspicion.
+    /// It has not acknowledged pings, and may still refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time, or announced its shutdown.
     Dead,
--- a/protocol/src/internal/operator.rs
+++ b/protocol/src/internal/operator.rs
@@ -1,17 +1,18 @@
-//! Calls of the operator, as coordinators forward them to each other.
+//! Calls of the operator's API, as coordinators forward them to the leader of the configuration's shard.
 
 use bitcode::{Decode, Encode};
 
 /// A call of the operator's API.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum OperatorCall {
-    /// `POST /Config.Replace` or `/Config.Update`.
+    /// `POST /Config.Replace` or `POST /Config.Update`.
     Change {
-        /// Whether the body replaces the whole configuration, or only the items that it names.
+        /// Whether the body replaces the whole configuration (`Config.Replace`), instead of only the items that it
+        /// contains.
         replace: bool,
-        /// The version that the operator expects to be current (header `Base-Version`); 0 if absent.
+        /// The version that the operator expects to be current (header `Base-Version`); 0 if the header is absent.
         base_version: u64,
-        /// The body as it was received.
+        /// The unmodified body of the request.
         body: Vec<u8>,
     },
     /// `GET /Config.Read`.
@@ -21,21 +22,21 @@
 /// The result of a call of the operator's API.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum OperatorResponse {
-    /// The change is committed, or the configuration was read.
+    /// The change has been committed, or the configuration has been read.
     Done {
-        /// JSON: the configuration for a read, an empty object for a change.
+        /// The configuration as JSON for a read, an empty JSON object for a change.
         body: Vec<u8>,
     },
-    /// The change was rejected, as its base version is not the current one.
+    /// The change was rejected because its base version is not the current version.
     Conflict {
         /// The current version of the configuration.
         current_version: u64,
     },
-    /// The change was rejected, as the configuration is not valid.
+    /// The change was rejected because the configuration is invalid.
     Invalid {
-        /// The item and field that are wrong, and what is wrong with them.
+        /// Names the invalid item and field and says what is wrong with them.
         reason: String,
     },
-    /// The result is unknown, or nothing was done: the caller may retry, perhaps at another node.
+    /// The result is unknown, or the call was not executed. The caller may retry it, also on another node.
     Unavailable,
 }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,10 +1,11 @@
-//! Every message of the system, and the settings that its processes start with.
+//! The messages that nodes exchange with model servers and with each other, and the settings file of a process.
 //!
-//! [`external`] has the messages of model servers and operators (JSON over HTTP/1.1), [`internal`] those between the
-//! nodes (bitcode in length-prefixed [`frame`]s), [`settings`] the file that a process starts with.
+//! - [`external`]: messages to and from model servers, as JSON over HTTP/1.1.
+//! - [`internal`]: messages between nodes, encoded with bitcode and sent as length-prefixed [`frame`]s.
+//! - [`settings`]: the settings file that a process reads when it starts.
 //!
-//! bitcode encodes fields and variants by their position: a type with `Encode` may have a name changed, and nothing
-//! moved, added or removed.
+//! bitcode encodes fields and variants by their position. In a type that derives `Encode`, names may change, but
+//! fields and variants must not be moved, added or removed.
 
 pub mod external;
 pub mod frame;
--- a/protocol/src/node.rs
+++ b/protocol/src/node.rs
@@ -1,13 +1,14 @@
-//! Identifiers of machines, processes and servers, and the unit of time.
+//! Identifiers of machines, processes and model servers, and the unit of time.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// A time or a span in milliseconds of a node's own monotonic clock. Times of two machines are never compared.
+/// A point in time or a duration, in milliseconds of the node's own monotonic clock. Clocks of different machines are
+/// not synchronized, so points in time of two machines must not be compared.
 pub type Millis = u64;
 
-/// The identity of a machine: its IPv4 address as a number. A machine that replaces another one has a new address.
-/// Ports are the same on all machines, so that the address is enough to reach it.
+/// Identifies a machine by its IPv4 address, stored as a number. A replacement machine gets a new address. All
+/// machines use the same ports, so the address alone is enough to reach a machine.
 #[derive(
     Clone,
     Copy,
@@ -26,7 +27,7 @@
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The IPv4 address of the machine.
+    /// The IPv4 address that the id encodes.
     pub fn address(self) -> Ipv4Addr {
         Ipv4Addr::from(self.0)
     }
@@ -44,9 +45,11 @@
     }
 }
 
-/// One start of a process, drawn at random so that no two starts have the same number.
+/// Identifies one run of a process, from its start to its end. The number is drawn at random at the start, so that a
+/// restarted process is told apart from its previous run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default, bitcode::Encode, bitcode::Decode)]
 pub struct Incarnation(pub u64);
 
-/// One start of a model server, as the server names itself: `ID` in the path of its heartbeats.
+/// Identifies one run of a model server. The server chooses the id and sends it as `ID` in the path of its
+/// heartbeats.
 pub type ServerId = String;
--- a/protocol/src/settings.rs
+++ b/protocol/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings file that a process starts with: lines of `a.b=value`, commas between the items of a list.
+//! The settings file that a process reads when it starts: lines of the form `a.b=value`, where commas separate the
+//! items of a list.
 //!
-//! Unknown keys are ignored, as later releases of the platform may write more of them. A missing key or an invalid
-//! value is a [`SettingsError`] that names the key, the value and what was expected.
+//! Unknown keys are ignored, because later releases of the platform may write additional keys. A missing key or an
+//! invalid value is reported as a [`SettingsError`] that names the key, the value and what was expected.
 
 mod bounds;
 mod error;
@@ -27,42 +28,44 @@
 /// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
 
-/// The settings of a process. Fields that only one role needs are optional; the role checks that they are there.
+/// The settings of a process. Fields that only one role needs are optional; the role checks whether they are present.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The name of the machine, for logs and for orders to servers.
+    /// The name of the machine, as used in logs and in orders to servers.
     pub node_name: String,
-    /// The IPv4 address of the machine, under which the other nodes know it.
+    /// The IPv4 address of the machine, by which other nodes identify it.
     pub ip: Ipv4Addr,
-    /// The zone (failure domain) that the machine stands in.
+    /// The zone (failure domain) in which the machine is located.
     pub zone: String,
-    /// The region that the zone belongs to; empty if the file names none.
+    /// The region of the machine's zone; empty if the file does not set it.
     pub region: String,
-    /// The region of each zone, by the zone's name.
+    /// The region of each zone, by the name of the zone.
     pub zones: BTreeMap<String, String>,
-    /// The listen address for clients' requests. Edges only.
+    /// The listen address for client requests. Needed by edges.
     pub ingress: Option<SocketAddrV4>,
-    /// The listen address for readiness probes. Edges only.
+    /// The listen address for readiness probes. Needed by edges.
     pub readiness: Option<SocketAddrV4>,
-    /// The listen address for servers' heartbeats and operators' calls. Coordinators only.
+    /// The listen address for heartbeats of servers and calls of operators. Needed by coordinators.
     pub control_plane: Option<SocketAddrV4>,
-    /// The first and the last of the ports for traffic between nodes.
+    /// The first and the last port of the range for traffic between nodes.
     pub ephemeral_ports: (u16, u16),
-    /// `control_plane` addresses of some coordinators; the list may be out of date.
+    /// The `control_plane` addresses of some coordinators. The list may be out of date.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time, so that the seeds found its replica groups.
+    /// Whether the whole system starts for the first time, so that the seeds become the first voters of its replica
+    /// groups.
     pub bootstrap: bool,
-    /// Whether the machine is one of those whose losses `tolerated_host_losses` limits.
+    /// Whether the machine is one of those to which `tolerated_host_losses` applies.
     pub counts_for_quorum: bool,
-    /// The directory of the journal. Coordinators only, which have a disk.
+    /// The directory of the journal. Needed by coordinators, which have a disk.
     pub data_dir: Option<PathBuf>,
-    /// The time between two heartbeats of a server.
+    /// The interval between two heartbeats of a server.
     pub heartbeat_interval: Duration,
-    /// Machines that may be lost at once: replica groups have `2 * tolerated_host_losses + 1` voters.
+    /// The number of machines that may fail at the same time without loss of service: replica groups have
+    /// `2 * tolerated_host_losses + 1` voters.
     pub tolerated_host_losses: u32,
-    /// The resources of the machine.
+    /// The resources that the process may use.
     pub limits: MachineLimits,
-    /// The time limits and ratios of the operators' rules.
+    /// The time limits and ratios that the operator requires the system to meet.
     pub bounds: Bounds,
 }
 
@@ -70,7 +73,7 @@
     /// Reads the settings from a file.
     ///
     /// # Errors
-    /// The file cannot be read, lacks a required key or has an invalid value.
+    /// The file cannot be read, lacks a required key or contains an invalid value.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         std::fs::read_to_string(path).context(ReadFileSnafu { path })?.parse()
     }
@@ -80,12 +83,12 @@
         NodeId::from(self.ip)
     }
 
-    /// The port on which coordinators accept connections of other nodes, the same on each of them.
+    /// The port on which coordinators accept connections from other nodes. It is the same on all coordinators.
     pub fn internal_port(&self) -> u16 {
         self.ephemeral_ports.0
     }
 
-    /// The coordinators that the seeds name, without this machine.
+    /// The coordinators in the list of seeds, except for this machine.
     pub fn seed_nodes(&self) -> Vec<NodeId> {
         let all = self.seeds.iter().map(|seed| NodeId::from(*seed.ip()));
         all.filter(|node| *node != self.node()).collect()
@@ -101,18 +104,18 @@
             node_name: lines.required("nodeName", "the machine's name")?,
             ip: lines.required("ip", "an IPv4 address")?,
             zone: lines.required("zone", "the machine's zone")?,
-            region: lines.or_default("region", "the machine's region", String::new())?,
+            region: lines.with_default("region", "the machine's region", String::new())?,
             zones: lines.with_prefix("zones."),
             ingress: lines.optional("listenersMap.ingress", SOCKET_ADDRESS)?,
             readiness: lines.optional("listenersMap.readiness", SOCKET_ADDRESS)?,
             control_plane: lines.optional("listenersMap.controlPlane", SOCKET_ADDRESS)?,
             ephemeral_ports: parse_port_range(&lines)?,
             seeds: lines.list("seedNodes", "addresses, IP:PORT, with commas between them")?,
-            bootstrap: lines.or_default("bootstrap", BOOLEAN, false)?,
-            counts_for_quorum: lines.or_default("countsForQuorum", BOOLEAN, false)?,
+            bootstrap: lines.with_default("bootstrap", BOOLEAN, false)?,
+            counts_for_quorum: lines.with_default("countsForQuorum", BOOLEAN, false)?,
             data_dir: lines.value("dataDir").map(PathBuf::from),
             heartbeat_interval: lines.duration("heartbeatMs", MILLISECOND, 1000.0)?,
-            tolerated_host_losses: lines.or_default("faultTolerance.hostsLost", WHOLE_NUMBER, 1)?,
+            tolerated_host_losses: lines.with_default("faultTolerance.hostsLost", WHOLE_NUMBER, 1)?,
             limits: MachineLimits::parse(&lines)?,
             bounds: Bounds::parse(&lines)?,
         })
--- a/protocol/src/settings/bounds.rs
+++ b/protocol/src/settings/bounds.rs
@@ -1,49 +1,51 @@
-//! The time limits and ratios of the operators' rules (keys `bounds.…`).
+//! The time limits and ratios that the operator requires the system to meet (keys `bounds.…`).
 
 use std::time::Duration;
 
 use super::error::SettingsError;
 use super::lines::{SettingsLines, BOOLEAN, MILLISECOND, SECOND};
 
-/// The time limits and ratios of the operators' rules, to which the system's own timeouts are tuned. The fields have
-/// the names of their keys. Durations are over 0.
+/// The time limits and ratios that the operator requires the system to meet. The system's own timeouts are chosen to
+/// meet them. Each field has the name of its key, unless its comment says otherwise. Durations are greater than 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the list of nodes that operators and servers go by may lag behind the machines that are there.
+    /// The maximum delay with which the list of nodes that operators and servers use reflects the actual machines.
     pub seed_lag: Duration,
-    /// The earliest time after a server's end at which its address may be given to another server.
+    /// The minimum time after a server has ended until its address may be assigned to another server.
     pub address_reuse: Duration,
-    /// How long a machine must have been free of faults before it counts as having contact with the others.
+    /// How long a machine must have been free of faults before it counts as in contact with the others.
     pub contact: Duration,
-    /// The time within which valid calls of the operator have to be acknowledged.
+    /// The maximum time until a valid call of the operator is acknowledged.
     pub ack_timeout: Duration,
-    /// How long a machine still counts as lost after its return, so that it can catch up.
+    /// How long a machine still counts as lost after it has returned, so that it can catch up.
     pub sync: Duration,
-    /// The longest time from an acknowledged `draining` of a server to the last request that is sent to it.
+    /// The maximum time between the acknowledgement of a server's `draining` heartbeat and the last request that is
+    /// sent to the server.
     pub drain: Duration,
-    /// The time between SIGTERM and SIGKILL: the limit of a graceful shutdown.
+    /// The time between SIGTERM and SIGKILL, within which a graceful shutdown has to be complete.
     pub grace: Duration,
-    /// The longest time from the acknowledgement of a configuration until every edge applies it.
+    /// The maximum time from the acknowledgement of a configuration until every edge has applied it.
     pub convergence: Duration,
-    /// After a version was seen applied anywhere, no node may apply an older one for longer than this.
+    /// How long a node may still apply an older version of the configuration after a newer one was observed on any
+    /// node.
     pub downgrade: Duration,
-    /// Retries allowed as a fraction of a service's requests, 0 or more.
+    /// The permitted number of retries, as a fraction of a service's requests; 0 or more.
     pub retry_ratio: f64,
-    /// The sliding window over which retries are counted.
+    /// The length of the sliding window over which retries are counted.
     pub retry_window: Duration,
-    /// Retries allowed in a window in addition to those of `retry_ratio`, 0 or more.
+    /// The number of retries permitted per window in addition to those of `retry_ratio`; 0 or more.
     pub retry_slack: f64,
-    /// The longest time from the return of lost machines until requests are served again.
+    /// The maximum time from the return of lost machines until requests are served again.
     pub recovery: Duration,
-    /// The longest delay with which an event of a streamed response is forwarded. Key: `bounds.pass_ms`.
+    /// The maximum delay with which an event of a streamed response is forwarded. The key is `bounds.pass_ms`.
     pub stream_delay: Duration,
-    /// Whether model servers reject an order whose fencing token is lower than one that they have seen.
+    /// Whether model servers reject an order whose fencing token is lower than one that they have already seen.
     pub fencing: bool,
-    /// The least time between the orders of two lease holders to one server.
+    /// The minimum time between orders of two different lease holders to the same server.
     pub lease: Duration,
-    /// The sliding window over which loads from the weight store are counted.
+    /// The length of the sliding window over which loads from the weight store are counted.
     pub origin_window: Duration,
-    /// The factor by which loads within a window may exceed the weight store's rate, 0 or more.
+    /// The factor by which the loads in a window may exceed the rate of the weight store; 0 or more.
     pub origin_overshoot: f64,
 }
 
@@ -59,15 +61,15 @@
             grace: lines.duration("bounds.graceS", SECOND, 8.0)?,
             convergence: lines.duration("bounds.convergenceMs", MILLISECOND, 2000.0)?,
             downgrade: lines.duration("bounds.downgradeMs", MILLISECOND, 250.0)?,
-            retry_ratio: lines.amount("bounds.retryRatio", 0.1)?,
+            retry_ratio: lines.non_negative_number("bounds.retryRatio", 0.1)?,
             retry_window: lines.duration("bounds.retryWindowS", SECOND, 10.0)?,
-            retry_slack: lines.amount("bounds.retrySlack", 20.0)?,
+            retry_slack: lines.non_negative_number("bounds.retrySlack", 20.0)?,
             recovery: lines.duration("bounds.recoveryS", SECOND, 12.0)?,
             stream_delay: lines.duration("bounds.pass_ms", MILLISECOND, 120.0)?,
-            fencing: lines.or_default("bounds.fencing", BOOLEAN, false)?,
+            fencing: lines.with_default("bounds.fencing", BOOLEAN, false)?,
             lease: lines.duration("bounds.leaseMs", MILLISECOND, 3000.0)?,
             origin_window: lines.duration("bounds.originWindowS", SECOND, 5.0)?,
-            origin_overshoot: lines.amount("bounds.originOvershoot", 1.0)?,
+            origin_overshoot: lines.non_negative_number("bounds.originOvershoot", 1.0)?,
         })
     }
 }
--- a/protocol/src/settings/error.rs
+++ b/protocol/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! Why a settings file cannot be used.
+//! Errors of reading a settings file.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a settings file cannot be used. Each text names what an operator has to correct.
+/// Why a settings file cannot be used. Each message says what the operator has to correct.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SettingsError {
     /// The file cannot be read.
     #[snafu(display("settings file {}: {source}", path.display()))]
     ReadFile {
-        /// The path that was tried.
+        /// The path of the file.
         path: PathBuf,
         /// The error of the operating system.
         source: std::io::Error,
@@ -19,19 +19,19 @@
     /// A required key is absent, or its value is empty.
     #[snafu(display("{key}: missing, expected {expected}"))]
     MissingKey {
-        /// The key as it is spelled in the file.
+        /// The key, as spelled in the file.
         key: String,
-        /// The kind of value that belongs there, in words for the operator.
+        /// A description of the expected value for the operator.
         expected: &'static str,
     },
-    /// A value cannot be parsed, or is out of its range.
+    /// A value cannot be parsed, or is out of range.
     #[snafu(display("{key}: '{value}' found, expected {expected}"))]
     InvalidValue {
-        /// The key as it is spelled in the file.
+        /// The key, as spelled in the file.
         key: String,
-        /// The value that was found; of a list, the item that is wrong.
+        /// The value that was found; for a list, the invalid item.
         value: String,
-        /// The kind of value that belongs there, in words for the operator.
+        /// A description of the expected value for the operator.
         expected: &'static str,
     },
 }
--- a/protocol/src/settings/limits.rs
+++ b/protocol/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! The resources of the machine (keys `limits.…`).
+//! Resource limits of the process (keys `limits.…`).
 
 use super::error::SettingsError;
 use super::lines::{SettingsLines, WHOLE_NUMBER};
@@ -6,23 +6,23 @@
 /// The resources that the process may use on its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineLimits {
-    /// Resident memory of the process, in MB.
+    /// The resident memory of the process, in MB.
     pub memory_mb: u64,
-    /// Open file descriptors of the process.
+    /// The number of open file descriptors of the process.
     pub max_fds: u64,
-    /// Bandwidth of the network link, in Mbit/s; 0 or more.
+    /// The bandwidth of the network link, in Mbit/s; 0 or more.
     pub link_mbps: f64,
-    /// Space on the disk, in MB; 0 where the machine has no disk.
+    /// The disk space, in MB; 0 if the machine has no disk.
     pub disk_mb: u64,
 }
 
 impl MachineLimits {
     pub(super) fn parse(lines: &SettingsLines) -> Result<Self, SettingsError> {
         Ok(MachineLimits {
-            memory_mb: lines.or_default("limits.memoryMb", WHOLE_NUMBER, 256)?,
-            max_fds: lines.or_default("limits.maxFds", WHOLE_NUMBER, 1024)?,
-            link_mbps: lines.amount("limits.linkMbps", 1000.0)?,
-            disk_mb: lines.or_default("limits.diskMb", WHOLE_NUMBER, 0)?,
+            memory_mb: lines.with_default("limits.memoryMb", WHOLE_NUMBER, 256)?,
+            max_fds: lines.with_default("limits.maxFds", WHOLE_NUMBER, 1024)?,
+            link_mbps: lines.non_negative_number("limits.linkMbps", 1000.0)?,
+            disk_mb: lines.with_default("limits.diskMb", WHOLE_NUMBER, 0)?,
         })
     }
 }
--- a/protocol/src/settings/lines.rs
+++ b/protocol/src/settings/lines.rs
@@ -15,10 +15,11 @@
 const POSITIVE_NUMBER: &str = "a number over 0";
 const NON_NEGATIVE_NUMBER: &str = "a number of 0 or more";
 
-/// Durations stay below this many units, so that arithmetic on them cannot overflow.
+/// The exclusive upper limit of a duration, in its unit, so that arithmetic on durations cannot overflow.
 const MAX_DURATION_UNITS: f64 = 1e9;
 
-/// The values of a settings file by their keys. Lines without `=` are ignored; the last line of a key counts.
+/// The values of a settings file, by key. Lines without `=` are ignored. If a key occurs more than once, the last
+/// line wins.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SettingsLines(BTreeMap<String, String>);
 
@@ -34,12 +35,12 @@
 }
 
 impl SettingsLines {
-    /// The text of a value; an empty one counts as absent.
+    /// The text of a value; `None` if the key is absent or its value is empty.
     pub(super) fn value(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str).filter(|value| !value.is_empty())
     }
 
-    /// The values of all keys that begin with `prefix`, by the rest of their keys.
+    /// The values of all keys that begin with `prefix`, by the rest of the key.
     pub(super) fn with_prefix(&self, prefix: &str) -> BTreeMap<String, String> {
         let pairs = self.0.iter().filter_map(|(key, value)| Some((key.strip_prefix(prefix)?, value)));
         pairs.map(|(rest, value)| (rest.to_owned(), value.clone())).collect()
@@ -58,7 +59,7 @@
         value.parse().map(Some).map_err(|_| InvalidValueSnafu { key, value, expected }.build())
     }
 
-    pub(super) fn or_default<T: FromStr>(
+    pub(super) fn with_default<T: FromStr>(
         &self,
         key: &str,
         expected: &'static str,
@@ -67,7 +68,7 @@
         Ok(self.optional(key, expected)?.unwrap_or(default))
     }
 
-    /// The items of a value, which commas separate; none where the key is absent.
+    /// The comma-separated items of a value; empty if the key is absent.
     pub(super) fn list<T: FromStr>(
         &self,
         key: &str,
@@ -80,14 +81,14 @@
         items.map(parse).collect()
     }
 
-    /// A duration over 0, which the file gives in units of `unit`.
+    /// A duration greater than 0. The file contains it as a number of `unit`s.
     pub(super) fn duration(
         &self,
         key: &str,
         unit: Duration,
         default: f64,
     ) -> Result<Duration, SettingsError> {
-        let number: f64 = self.or_default(key, POSITIVE_NUMBER, default)?;
+        let number: f64 = self.with_default(key, POSITIVE_NUMBER, default)?;
         if !(number.is_finite() && number > 0.0 && number < MAX_DURATION_UNITS) {
             let value = number.to_string();
             return InvalidValueSnafu { key, value, expected: POSITIVE_NUMBER }.fail();
@@ -96,8 +97,8 @@
     }
 
     /// A finite number of 0 or more.
-    pub(super) fn amount(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
-        let number: f64 = self.or_default(key, NON_NEGATIVE_NUMBER, default)?;
+    pub(super) fn non_negative_number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
+        let number: f64 = self.with_default(key, NON_NEGATIVE_NUMBER, default)?;
         if !(number.is_finite() && number >= 0.0) {
             let value = number.to_string();
             return InvalidValueSnafu { key, value, expected: NON_NEGATIVE_NUMBER }.fail();
--- a/protocol/tests/frames.rs
+++ b/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes: encoding, the limit of their length, and bodies that are not messages.
+//! Tests of frames: encoding and decoding, the length limit, and bodies that cannot be decoded.
 
 use shaletrail_protocol::frame::{self, FrameError, MAX_FRAME_BYTES, PREFIX_BYTES};
 use shaletrail_protocol::internal::{EdgeRequest, PollRequest};
--- a/protocol/tests/settings.rs
+++ b/protocol/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process: values that are read, keys that are ignored, and the texts of errors.
+//! Tests of the settings file: values and their units, ignored keys, and error messages.
 
 use std::time::Duration;
 
--- a/protocol/tests/settings_keys.rs
+++ b/protocol/tests/settings_keys.rs
@@ -1,7 +1,7 @@
-//! The keys of the settings file, the field that each one sets, and the texts of its errors.
+//! The keys of the settings file, the field that each key sets, and the error messages.
 //!
-//! The files are written by others: a key or a text that changes here breaks deployments that are out there. If one of
-//! these tests turns red, put the key or the text back.
+//! Settings files are written by other systems, so a changed key or message breaks existing deployments. If one of
+//! these tests fails, restore the key or the message.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 use shaletrail_protocol::settings::{Bounds, MachineLimits, Settings, SettingsError, PATH_VARIABLE};
 
-/// Each key with a value that no other key and no default has.
+/// All keys, each with a value that differs from all other values and from its default.
 const ALL_KEYS: &str = "\
 nodeName=core-a-1
 ip=10.1.0.38
@@ -51,7 +51,7 @@
 bounds.originOvershoot=28
 ";
 
-/// The shortest file.
+/// The smallest valid file: only the required keys.
 const REQUIRED_KEYS: &str = "nodeName=core-a-1\nip=10.1.0.38\nzone=hall-a\nephemeralPorts=7660,7675\n";
 
 fn seconds(number: u64) -> Duration {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn unreadable_file_is_named() {
+fn error_names_unreadable_file() {
     let error = Settings::read(Path::new("/nowhere/settings")).expect_err("there is no such file");
     assert!(matches!(error, SettingsError::ReadFile { .. }), "{error:?}");
     assert_eq!(error.to_string(), "settings file /nowhere/settings: No such file or directory (os error 2)");
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -1,11 +1,11 @@
-//! The bytes and texts that nodes and servers of different builds exchange.
+//! Compatibility of the wire format between builds: frames between nodes, and JSON exchanged with model servers.
 //!
-//! Nodes of two versions speak to each other while a release is rolled out, and bitcode encodes by position: a field
-//! or variant that is moved, added, removed or swapped is read as another value by the other version, without an
-//! error. These tests compare the present types with frames that an earlier build wrote.
+//! During a rolling upgrade, nodes of two versions exchange messages. bitcode encodes by position, so if a field or
+//! variant is moved, added, removed or swapped, the other version decodes another value without an error. These tests
+//! compare the current types with frames that an earlier build wrote.
 //!
-//! If one turns red, the wire format has changed. Don't store new bytes: put the types back, or give the new format a
-//! version of its own that old nodes are never sent.
+//! If one of these tests fails, the wire format has changed. Don't replace the stored bytes: restore the types, or
+//! introduce a new version of the format that is never sent to old nodes.
 
 #[path = "support/stored.rs"]
 mod stored;
@@ -41,7 +41,11 @@
     {
         self.0.compare(name, message, frame::encode, |bytes| {
             let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
-            assert_eq!(frame::body_length(*prefix), Ok(body.len()), "{name}: the prefix holds the length");
+            assert_eq!(
+                frame::body_length(*prefix),
+                Ok(body.len()),
+                "{name}: the prefix is the length of the body"
+            );
             frame::decode(body).expect("stored frames decode")
         });
     }
@@ -298,10 +302,10 @@
     frames.finish();
 }
 
-/// Compares a value's JSON with a text, and what is read from the text with the value.
+/// Checks that serializing a value gives `text`, and that parsing `text` gives the value.
 fn compare_json<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
-    assert_eq!(sonic_rs::to_string(value).expect("the value is written"), text);
-    assert_eq!(sonic_rs::from_str::<T>(text).expect("the text is read"), *value);
+    assert_eq!(sonic_rs::to_string(value).expect("the value is serialized"), text);
+    assert_eq!(sonic_rs::from_str::<T>(text).expect("the text is parsed"), *value);
 }
 
 #[test]
@@ -316,12 +320,12 @@
 }
 
 #[test]
-fn heartbeat_with_absent_and_unknown_fields_is_read() {
+fn heartbeat_with_absent_and_unknown_fields_is_parsed() {
     let text = "{\"state\":\"ready\",\"sequence\":5,\"comingSoon\":{\"a\":[1]},\"models\":[{\"name\":\"m\",\"x\":1}]}";
     let expected =
         Heartbeat { sequence: 5, models: Some(vec![loaded_model("m", 0, &[])]), ..Heartbeat::default() };
-    assert_eq!(sonic_rs::from_str::<Heartbeat>(text).expect("the text is read"), expected);
-    assert_eq!(sonic_rs::from_str::<Heartbeat>("{}").expect("the text is read"), Heartbeat::default());
+    assert_eq!(sonic_rs::from_str::<Heartbeat>(text).expect("the text is parsed"), expected);
+    assert_eq!(sonic_rs::from_str::<Heartbeat>("{}").expect("the text is parsed"), Heartbeat::default());
 }
 
 #[test]
@@ -370,7 +374,7 @@
          \"sequence\":142,\"queued\":143,\"active\":144,\"kvInUse\":145,\"kvLimit\":146}",
     );
     assert_eq!(
-        sonic_rs::from_str::<ServerReport>("{\"new\":1}").expect("the text is read"),
+        sonic_rs::from_str::<ServerReport>("{\"new\":1}").expect("the text is parsed"),
         ServerReport::default()
     );
 }
