--- a/coordinator/src/driver/accept.rs
+++ b/coordinator/src/driver/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, at most so many at a time.
+//! Accepts connections, up to a maximum number at a time.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 
 use super::sockets;
 
-/// Pause after a failed `accept`, which would otherwise fail again at once, as where descriptors have run out.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed `accept`. Without it, the loop would spin while file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections for as long as the process runs, and serves each one in a task of its own. Beyond
-/// `max_connections`, callers wait in the listener's backlog.
-pub async fn accept_connections<Serving>(
+/// Accepts connections for as long as the process runs, and serves each in a separate task. While `max_connections`
+/// are open, further callers wait in the listener's backlog.
+pub async fn accept_connections<ServeFuture>(
     listener: TcpListener,
     max_connections: usize,
-    serve: impl Fn(TcpStream) -> Serving,
+    serve: impl Fn(TcpStream) -> ServeFuture,
 ) where
-    Serving: Future<Output = ()> + 'static,
+    ServeFuture: Future<Output = ()> + 'static,
 {
     let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         sockets::set_options(&stream);
-        let serving = serve(stream);
+        let connection = serve(stream);
         tokio::task::spawn_local(async move {
             let _permit = permit;
-            serving.await;
+            connection.await;
         });
     }
 }
--- a/coordinator/src/driver/control_api.rs
+++ b/coordinator/src/driver/control_api.rs
@@ -1,4 +1,4 @@
-//! The control API over HTTP/1.1: heartbeats of servers, calls of the operator.
+//! The control API over HTTP/1.1: heartbeats and deregistrations of model servers, and calls of the operator.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,13 +19,13 @@
 use super::accept::accept_connections;
 use super::host::Host;
 
-/// Connections that are open at a time.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1024;
-/// How long a caller may take to send the head of a request.
+/// Timeout for receiving the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest body of a change of the configuration that is accepted, in bytes.
-const MAX_CHANGE_BODY_BYTES: usize = 7 << 20;
-/// After how many seconds a caller may retry a call whose result is unknown.
+/// Maximum length of the body of a configuration change, in bytes.
+const MAX_CONFIG_BODY_BYTES: usize = 7 << 20;
+/// Value of the `Retry-After` header in responses to calls whose result is unknown, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
 const HEARTBEAT_PATH: &str = "/Instances.Heartbeat/";
@@ -34,7 +34,7 @@
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Serves connections for as long as the process runs.
+/// Accepts and serves connections for as long as the process runs.
 pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
     accept_connections(listener, MAX_CONNECTIONS, |stream| {
         serve_connection(Rc::clone(&host), stream, log.clone())
@@ -43,27 +43,27 @@
 }
 
 async fn serve_connection(host: Rc<Host>, stream: TcpStream, log: Logger) {
-    let service = service_fn(move |request| respond(Rc::clone(&host), request));
+    let service = service_fn(move |request| handle_request(Rc::clone(&host), request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        debug!(log, "control connection ended"; "error" => %error);
+        debug!(log, "control API connection failed"; "error" => %error);
     }
 }
 
-async fn respond(host: Rc<Host>, request: Request<Incoming>) -> Result<HttpResponse, Infallible> {
+async fn handle_request(host: Rc<Host>, request: Request<Incoming>) -> Result<HttpResponse, Infallible> {
     let path = request.uri().path().to_owned();
     let is_post = request.method() == Method::POST;
     Ok(if let Some(id) = path.strip_prefix(HEARTBEAT_PATH).filter(|id| is_post && !id.is_empty()) {
-        heartbeat(&host, id.to_owned(), request).await
+        handle_heartbeat(&host, id.to_owned(), request).await
     } else if let Some(id) = path.strip_prefix(DEREGISTER_PATH).filter(|id| is_post && !id.is_empty()) {
         server_response(host.deregister(id.to_owned()).await)
     } else {
         match path.as_str() {
-            "/Config.Replace" if is_post => change(&host, true, request).await,
-            "/Config.Update" if is_post => change(&host, false, request).await,
+            "/Config.Replace" if is_post => change_configuration(&host, true, request).await,
+            "/Config.Update" if is_post => change_configuration(&host, false, request).await,
             "/Config.Read" if request.method() == Method::GET => {
                 operator_response(host.operator(OperatorCall::Read).await)
             }
@@ -75,7 +75,7 @@
     })
 }
 
-async fn heartbeat(host: &Host, id: String, request: Request<Incoming>) -> HttpResponse {
+async fn handle_heartbeat(host: &Host, id: String, request: Request<Incoming>) -> HttpResponse {
     let body = match Limited::new(request.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "a heartbeat holds at most 4096 bytes"),
@@ -88,11 +88,11 @@
     }
 }
 
-async fn change(host: &Host, replace: bool, request: Request<Incoming>) -> HttpResponse {
+async fn change_configuration(host: &Host, replace: bool, request: Request<Incoming>) -> HttpResponse {
     let Some(base_version) = base_version(&request) else {
         return plain_text(StatusCode::BAD_REQUEST, "Base-Version: expected a whole number");
     };
-    let body = match Limited::new(request.into_body(), MAX_CHANGE_BODY_BYTES).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_CONFIG_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes().to_vec(),
         Err(error) if error.is::<LengthLimitError>() => {
             return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the configuration is too long")
@@ -102,7 +102,7 @@
     operator_response(host.operator(OperatorCall::Change { replace, base_version, body }).await)
 }
 
-/// The version that a change builds on; 0 where the header is absent, `None` where it is no whole number.
+/// The version to which a change applies; 0 if the header is absent, `None` if its value is not a whole number.
 fn base_version(request: &Request<Incoming>) -> Option<u64> {
     let Some(value) = request.headers().get(BASE_VERSION) else { return Some(0) };
     value.to_str().unwrap_or("").trim().parse().ok()
--- a/coordinator/src/driver/edge_polls.rs
+++ b/coordinator/src/driver/edge_polls.rs
@@ -1,4 +1,4 @@
-//! The connection of one edge: its polls, which may be pending for long, and the reports that it sends meanwhile.
+//! Serves the connection of one edge: its long polls, and the reports that it sends while a poll is pending.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,26 +15,26 @@
 use super::sockets::with_timeout;
 use crate::interface::Event;
 
-/// How long a response may take to be written.
+/// Timeout for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an edge may be silent between two requests.
+/// Maximum time without a request from the edge while no poll is pending.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Requests of one edge that are read ahead.
+/// Number of requests of one edge that are read ahead.
 const MAX_QUEUED_REQUESTS: usize = 4;
 
-/// How a poll ended.
+/// The outcome of a poll.
 enum PollOutcome {
     Answered(Box<PollResponse>),
-    /// The edge has sent another poll before it had the response: only the new one counts.
+    /// The edge sent another poll before it received the response. Only the new one is answered.
     Superseded(PollRequest),
-    /// There is nobody to respond to any more, or nobody who could.
+    /// The edge has disconnected or announced its shutdown, or this coordinator is shutting down.
     Closed,
 }
 
-/// Serves an edge until it disconnects.
+/// Serves an edge until it disconnects or announces its shutdown.
 ///
 /// # Errors
-/// The edge is idle for too long, or does not read its responses.
+/// The edge is idle for too long, or does not read its responses in time.
 pub async fn serve_edge(
     host: &Rc<Host>,
     edge: EdgeIdentity,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Waits for the response to a poll, and handles the edge's other requests meanwhile.
+/// Waits for the response to a poll, and handles other requests of the edge in the meantime.
 async fn await_response(
     host: &Rc<Host>,
     edge: &EdgeIdentity,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads what an edge sends until its connection ends.
+/// Reads the edge's requests until its connection closes or a request cannot be read.
 async fn read_requests(mut reader: OwnedReadHalf, requests: mpsc::Sender<EdgeRequest>) {
     while let Ok(request) = read_frame(&mut reader).await {
         if requests.send(request).await.is_err() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A task that is aborted with its owner.
+/// Aborts a task when dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/coordinator/src/driver/error.rs
+++ b/coordinator/src/driver/error.rs
@@ -1,4 +1,4 @@
-//! Why a coordinator cannot run.
+//! Errors that end a coordinator's process.
 
 use std::path::PathBuf;
 
@@ -6,12 +6,12 @@
 
 use super::journal::OpenJournalError;
 
-/// Why a coordinator cannot run. Each one ends the process.
+/// Why a coordinator cannot be started. Each of these errors ends the process.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum CoordinatorError {
     /// A listener cannot be opened.
-    #[snafu(display("listener on {address}: {source}"))]
+    #[snafu(display("failed to listen on {address}: {source}"))]
     Listen {
         /// The address, `IP:PORT`.
         address: String,
@@ -21,19 +21,19 @@
     /// The settings lack a key that the role needs.
     #[snafu(display("{key}: missing, a coordinator needs it"))]
     MissingSetting {
-        /// The key as it is spelled in the settings file.
+        /// The key, as spelled in the settings file.
         key: &'static str,
     },
     /// The journal cannot be opened.
-    #[snafu(display("journal in {}: {source}", folder.display()))]
+    #[snafu(display("failed to open journal in {}: {source}", folder.display()))]
     Journal {
         /// The directory of the journal.
         folder: PathBuf,
         /// The error of the last attempt.
         source: OpenJournalError,
     },
-    /// The handlers of signals cannot be installed.
-    #[snafu(display("signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("failed to install signal handlers: {source}"))]
     Signals {
         /// The error of the operating system.
         source: std::io::Error,
--- a/coordinator/src/driver/frames.rs
+++ b/coordinator/src/driver/frames.rs
@@ -1,22 +1,22 @@
-//! Reading frames from connections of other nodes.
+//! Reads frames from the connections of other nodes.
 
 use shaletrail_protocol::frame::{self, FrameError};
 use snafu::Snafu;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Why no message could be read. The connection is of no use after it.
+/// Why no message could be read. The connection is not used any further after such an error.
 #[derive(Debug, Snafu)]
 pub enum ReadFrameError {
-    /// The connection has ended, failed or timed out.
+    /// The connection was closed, failed or timed out.
     #[snafu(context(false), display("{source}"))]
     Connection {
-        /// The error of the operating system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The bytes are not a message.
+    /// The received bytes are not a valid frame.
     #[snafu(context(false), display("{source}"))]
     Frame {
-        /// What is wrong with them.
+        /// Whether the frame is too long or cannot be decoded.
         source: FrameError,
     },
 }
@@ -24,7 +24,7 @@
 /// Reads one message.
 ///
 /// # Errors
-/// The connection ends within the frame, or the frame is too long or cannot be decoded.
+/// The connection closes before the frame is complete, or the frame is too long or cannot be decoded.
 pub async fn read_frame<M: bitcode::DecodeOwned>(
     from: &mut (impl AsyncRead + Unpin),
 ) -> Result<M, ReadFrameError> {
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/host.rs
@@ -1,4 +1,4 @@
-//! Brings events to the coordinator's decisions and carries out the actions that they return.
+//! Passes events to the coordinator's state machine and executes the actions that it returns.
 
 mod calls;
 pub mod log;
@@ -21,14 +21,15 @@
 use crate::interface::{Action, CoordinatorOptions, Event, OrderId};
 use pending_calls::PendingCalls;
 
-/// Where the clock of events begins, in milliseconds: late enough that subtracting any timeout stays above 0.
+/// The time at which the clock of events starts, in milliseconds. It is not 0, so that subtracting a timeout from a
+/// time never underflows.
 const CLOCK_START: Millis = 1_000_000;
 
-/// Owns a coordinator's decisions and everything that carries out its actions. Lives on one thread.
+/// Owns a coordinator's state machine and everything that executes its actions. Used on a single thread only.
 pub struct Host {
     state: RefCell<State>,
     started_at: Instant,
-    /// For the tasks that outlast the call that starts them.
+    /// A weak reference to this `Host`, from which methods get the `Rc` that they move into a spawned task.
     weak_self: Weak<Host>,
     log: Logger,
 }
@@ -41,7 +42,7 @@
 }
 
 impl Host {
-    /// Starts a coordinator with the records of its journal. Needs a `LocalSet`.
+    /// Starts a coordinator from the records of its journal. Must be called within a `LocalSet`.
     pub fn start(
         options: CoordinatorOptions,
         settings: &Settings,
@@ -64,29 +65,30 @@
         host
     }
 
-    /// The time that events carry, in milliseconds.
+    /// The current time of the clock of events, in milliseconds.
     pub fn now(&self) -> Millis {
         CLOCK_START + self.started_at.elapsed().as_millis() as Millis
     }
 
-    /// Handles an event and carries out the actions that follow from it.
+    /// Passes an event to the state machine and executes the resulting actions.
     pub fn handle(&self, event: Event) {
         let now = self.now();
         let mut actions = Vec::new();
         let mut state = self.state.borrow_mut();
-        // Asked before pending appends are submitted: their wait is what tells that the disk is degraded.
-        let is_degraded = matches!(event, Event::Tick) && state.journal.is_late();
+        // Must be checked before pending appends are submitted: appends that are still pending show that the disk is
+        // degraded.
+        let is_degraded = matches!(event, Event::Tick) && state.journal.is_disk_degraded();
         state.journal.submit_pending();
         state.coordinator.handle(now, event, &mut actions);
         if is_degraded {
             state.coordinator.handle(now, Event::DiskDegraded { wants_checkpoint: false }, &mut actions);
         }
         for action in actions {
-            self.carry_out(&mut state, action);
+            self.execute(&mut state, action);
         }
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn execute(&self, state: &mut State, action: Action) {
         match action {
             Action::Send { to, message } => state.peers.send(to, &message),
             Action::Persist { ticket, records } => state.journal.append(ticket, records),
@@ -112,7 +114,7 @@
         });
     }
 
-    /// Whether an order may be written to its server at this moment.
+    /// Whether an order may be written to its server now.
     fn may_write(&self, order: OrderId) -> bool {
         self.state.borrow().coordinator.may_write(self.now(), order)
     }
@@ -128,7 +130,7 @@
         });
     }
 
-    /// Handles the reports of the journal's thread until it ends.
+    /// Handles the reports of the journal's thread until it stops.
     async fn receive_journal_reports(self: Rc<Self>, mut reports: UnboundedReceiver<WriterEvent>) {
         while let Some(report) = reports.recv().await {
             log::log_journal_failure(&self.log, &report);
@@ -145,21 +147,22 @@
         }
     }
 
-    /// Submits the appends that the journal's thread did not accept during a checkpoint.
+    /// Submits the appends that the journal's thread did not accept while it was writing a checkpoint.
     fn checkpoint_ended(&self) {
         let mut state = self.state.borrow_mut();
         state.journal.checkpoint_ended();
         state.journal.submit_pending();
     }
 
-    /// Begins a graceful shutdown: leaderships are transferred, and pending calls end as unavailable.
+    /// Begins a graceful shutdown: transfers leaderships, and cancels pending calls, which are answered as
+    /// unavailable.
     pub fn shut_down(&self) {
         self.handle(Event::ShutdownRequested);
         self.state.borrow_mut().calls.cancel_all();
     }
 
-    /// Whether the process may end, so long after it was told to.
-    pub fn may_end(&self, elapsed: Duration) -> bool {
+    /// Whether the process may exit, when `elapsed` has passed since the shutdown was requested.
+    pub fn may_exit(&self, elapsed: Duration) -> bool {
         self.state.borrow().coordinator.may_exit(elapsed.as_millis() as Millis)
     }
 }
--- a/coordinator/src/driver/host/calls.rs
+++ b/coordinator/src/driver/host/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of servers, operators and edges, each of which waits for its response.
+//! Calls of model servers, operators and edges. Each one waits until the state machine has responded.
 
 use shaletrail_protocol::external::Heartbeat;
 use shaletrail_protocol::internal::{
@@ -10,30 +10,32 @@
 use crate::interface::{CallId, Event};
 
 impl Host {
-    /// Handles a server's heartbeat; whether it is acknowledged.
+    /// Handles a server's heartbeat. Returns whether it is acknowledged.
     pub async fn heartbeat(&self, id: ServerId, heartbeat: Heartbeat) -> bool {
-        self.call_of_server(|call| Event::Heartbeat { call, id, heartbeat }).await
+        self.server_call(|call| Event::Heartbeat { call, id, heartbeat }).await
     }
 
-    /// Handles a server's deregistration; whether it is acknowledged.
+    /// Handles a server's deregistration. Returns whether it is acknowledged.
     pub async fn deregister(&self, id: ServerId) -> bool {
-        self.call_of_server(|call| Event::Deregister { call, id }).await
+        self.server_call(|call| Event::Deregister { call, id }).await
     }
 
-    async fn call_of_server(&self, event: impl FnOnce(CallId) -> Event) -> bool {
+    async fn server_call(&self, event: impl FnOnce(CallId) -> Event) -> bool {
         let (call, response) = self.state.borrow_mut().calls.add_server_call();
         self.handle(event(call));
         response.await.unwrap_or(false)
     }
 
-    /// Handles a call of the operator.
+    /// Handles a call of the operator. The response is also `Unavailable` if the coordinator shuts down
+    /// meanwhile.
     pub async fn operator(&self, operator: OperatorCall) -> OperatorResponse {
         let (call, response) = self.state.borrow_mut().calls.add_operator_call();
         self.handle(Event::OperatorCall { call, request: operator });
         response.await.unwrap_or(OperatorResponse::Unavailable)
     }
 
-    /// Handles an edge's long poll; `None` during a shutdown. Dropping the future cancels the poll.
+    /// Handles an edge's long poll. Returns `None` if the coordinator shuts down meanwhile. Dropping the future
+    /// cancels the poll.
     pub async fn poll(&self, edge: EdgeIdentity, request: PollRequest) -> Option<Box<PollResponse>> {
         let (call, response) = self.state.borrow_mut().calls.add_poll();
         let _cancel = CancelPollOnDrop { host: self, call };
@@ -42,7 +44,7 @@
     }
 }
 
-/// Cancels a poll whose caller does not wait for the response any more.
+/// Cancels a poll when dropped, unless the poll has already been answered.
 struct CancelPollOnDrop<'a> {
     host: &'a Host,
     call: CallId,
--- a/coordinator/src/driver/host/log.rs
+++ b/coordinator/src/driver/host/log.rs
@@ -1,4 +1,4 @@
-//! The log lines of events that an operator of the system may act on.
+//! Log lines for events on which an operator of the system may have to act.
 
 use shaletrail_protocol::external::ServerReport;
 use shaletrail_storage::WriterEvent;
@@ -7,7 +7,8 @@
 use crate::driver::order_client::OutgoingOrder;
 use crate::interface::{OrderOutcome, StateChange};
 
-/// Logs a change of the coordinator's state: info for the expected ones, warning where an operator may have to act.
+/// Logs a change of the coordinator's state. Expected changes have the level info, changes on which an operator may
+/// have to act have the level warning.
 pub fn log_state_change(log: &Logger, change: &StateChange) {
     match change {
         StateChange::BecameLeader { shard, term } => {
@@ -38,8 +39,8 @@
     }
 }
 
-/// Logs an order with its outcome. One that the server rejects says that something about the server was not known: another
-/// order that it has accepted.
+/// Logs an order with its outcome. The outcomes busy and already done are logged as info instead of debug: they show
+/// that the server has accepted an order that this coordinator did not know about.
 pub(super) fn log_order(log: &Logger, outgoing: &OutgoingOrder, outcome: OrderOutcome) {
     let order = &outgoing.body;
     let log = log.new(o!("operation" => order.operation.to_string(), "model" => order.model.clone(),
--- a/coordinator/src/driver/host/pending_calls.rs
+++ b/coordinator/src/driver/host/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their responses.
+//! Calls that wait for a response of the state machine.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,14 @@
 
 use crate::interface::CallId;
 
-/// The calls that wait for their responses, by their ids.
+/// The pending calls, by id.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     next_id: u64,
     calls: HashMap<CallId, PendingCall>,
 }
 
-/// Where the response to a call goes. The caller may have left: sending then has no effect.
+/// The sender of a call's response. If the caller has stopped waiting, sending has no effect.
 enum PendingCall {
     Server(Sender<bool>),
     Operator(Sender<OperatorResponse>),
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Removes a call whose caller has left; whether it was still pending.
+    /// Removes a call whose caller has stopped waiting. Returns whether it was still pending.
     pub(super) fn cancel(&mut self, id: CallId) -> bool {
         self.calls.remove(&id).is_some()
     }
 
-    /// Removes all calls: their callers see that no response will come.
+    /// Removes all calls. Their receivers fail, which tells the callers that there will be no response.
     pub(super) fn cancel_all(&mut self) {
         self.calls.clear();
     }
--- a/coordinator/src/driver/internal_api.rs
+++ b/coordinator/src/driver/internal_api.rs
@@ -1,4 +1,4 @@
-//! The internal port: edges poll here, and other coordinators send their messages.
+//! Serves the internal port, on which edges poll and other coordinators send their messages.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 use super::sockets::with_timeout;
 use crate::interface::Event;
 
-/// How long a caller may take to introduce itself.
+/// Timeout for receiving the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that are open at a time: all nodes of a zone may connect at the same moment.
+/// Maximum number of open connections: enough for all nodes of a zone to connect at the same time.
 const MAX_CONNECTIONS: usize = 2048;
 
-/// Serves connections for as long as the process runs.
+/// Accepts and serves connections for as long as the process runs.
 pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
     let sessions = Rc::new(RefCell::new(PeerSessions::default()));
     accept_connections(listener, MAX_CONNECTIONS, |stream| {
@@ -30,7 +30,7 @@
         let session = sessions.borrow_mut().accept();
         async move {
             if let Err(error) = serve_connection(&host, &sessions, session, stream).await {
-                debug!(log, "internal connection ended"; "error" => %error);
+                debug!(log, "internal connection closed"; "error" => %error);
             }
         }
     })
@@ -53,7 +53,7 @@
     }
 }
 
-/// Handles a peer's messages for as long as this is its newest connection.
+/// Handles a peer's messages for as long as this connection is the peer's newest one.
 async fn receive_messages(
     host: &Rc<Host>,
     from: NodeId,
--- a/coordinator/src/driver/journal.rs
+++ b/coordinator/src/driver/journal.rs
@@ -1,4 +1,4 @@
-//! The journal on disk: opened at the start of the process, then written by a thread of its own.
+//! The journal on disk. It is opened at the start of the process and then written by a dedicated thread.
 
 mod open;
 mod queue;
--- a/coordinator/src/driver/journal/open.rs
+++ b/coordinator/src/driver/journal/open.rs
@@ -1,4 +1,4 @@
-//! Opening the journal at the start of the process.
+//! Opens the journal at the start of the process.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use slog::{error, warn, Logger};
 use snafu::{ResultExt, Snafu};
 
-/// Attempts to open the journal: a disk may fail for a while after a restart of the machine.
+/// Maximum number of attempts to open the journal. A disk may fail for some time after the machine has restarted.
 const MAX_OPEN_ATTEMPTS: u32 = 100;
-/// Pause between two attempts.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why one attempt to open the journal has failed.
+/// Why an attempt to open the journal failed.
 #[derive(Debug, Snafu)]
 pub enum OpenJournalError {
     /// The directory cannot be used.
@@ -22,27 +22,28 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The files of the journal cannot be read, or not be relied on.
+    /// The files of the journal cannot be read or are corrupt.
     #[snafu(display("{source}"))]
     Files {
-        /// The error of the storage.
+        /// The error of the storage layer.
         source: StorageError,
     },
 }
 
-/// A journal with the records that it held when it was opened.
+/// A journal, with the records that it contained when it was opened.
 pub struct OpenedJournal {
     /// The journal, ready for appends.
     pub journal: Journal<FolderDisk>,
-    /// Its records, oldest first.
+    /// The records of the journal, oldest first.
     pub stored: Vec<StoredRecord>,
-    /// Whether a journal of this directory was ever corrupt and erased.
+    /// Whether a corrupt journal in this directory has ever been erased.
     pub was_erased: bool,
 }
 
-/// Opens the journal in a directory, and tries again while that fails. Blocks the thread.
+/// Opens the journal in a directory, and retries if that fails. Blocks the calling thread.
 ///
-/// A corrupt journal counts as a lost disk: it is erased, and the node rejoins its replica groups as a recovering voter.
+/// A corrupt journal is treated like a lost disk: it is erased, and the node rejoins its replica groups as a
+/// recovering voter.
 ///
 /// # Errors
 /// The error of the last attempt.
@@ -62,11 +63,11 @@
         if attempts == MAX_OPEN_ATTEMPTS {
             return Err(error);
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
 }
 
-/// Erases a corrupt journal. One that fails is resumed by the next attempt.
+/// Erases a corrupt journal. If that fails, the next attempt to open the journal completes it.
 fn erase_journal(folder: &Path, log: &Logger) {
     let erased = FolderDisk::open(folder)
         .context(DirectorySnafu)
--- a/coordinator/src/driver/lease_guard.rs
+++ b/coordinator/src/driver/lease_guard.rs
@@ -1,7 +1,8 @@
-//! A connection that checks before each write whether it may still write.
+//! A connection that checks before each write whether writing is still permitted.
 //!
-//! An order may be written only under a valid lease. A check before the connection is established, or before the request
-//! is encoded, would not do: the process may be suspended in between for longer than the lease lasts.
+//! An order may only be written while the lease is valid. It is not enough to check the lease before the connection
+//! is established or before the request is encoded, because the process may be suspended in between until the lease
+//! has expired.
 
 use std::cell::Cell;
 use std::io::{Error, ErrorKind};
@@ -12,23 +13,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection whose writes fail once `may_write` denies them. Nothing runs between that check and the system call, so
-/// that a process that resumes after a suspension checks the lease as it is then, whatever it was about to write.
-pub struct LeaseGuardedStream<Permit> {
+/// A connection whose writes fail if `may_write` returns false. The check comes directly before the system call, so a
+/// process that resumes after a suspension checks the lease again before it writes.
+pub struct LeaseGuardedStream<MayWrite> {
     stream: TcpStream,
-    may_write: Permit,
+    may_write: MayWrite,
     has_written: Rc<Cell<bool>>,
 }
 
-impl<Permit: Fn() -> bool> LeaseGuardedStream<Permit> {
-    /// Guards a connection; also returns the flag that says whether any byte has been written.
-    pub fn new(stream: TcpStream, may_write: Permit) -> (Self, Rc<Cell<bool>>) {
+impl<MayWrite: Fn() -> bool> LeaseGuardedStream<MayWrite> {
+    /// Wraps a connection. Also returns a flag that is set once any byte has been written.
+    pub fn new(stream: TcpStream, may_write: MayWrite) -> (Self, Rc<Cell<bool>>) {
         let has_written = Rc::new(Cell::new(false));
         (LeaseGuardedStream { stream, may_write, has_written: Rc::clone(&has_written) }, has_written)
     }
 }
 
-impl<Permit: Unpin> AsyncRead for LeaseGuardedStream<Permit> {
+impl<MayWrite: Unpin> AsyncRead for LeaseGuardedStream<MayWrite> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -38,7 +39,7 @@
     }
 }
 
-impl<Permit: Fn() -> bool + Unpin> AsyncWrite for LeaseGuardedStream<Permit> {
+impl<MayWrite: Fn() -> bool + Unpin> AsyncWrite for LeaseGuardedStream<MayWrite> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -1,7 +1,8 @@
-//! Sockets, disk and clock of a coordinator, around the decisions of [`crate::core::Coordinator`].
+//! The driver of a coordinator: sockets, disk and clock for the state machine [`crate::core::Coordinator`].
 //!
-//! [`host`] owns the decisions and carries out their actions by [`peers`], [`order_client`] and [`journal`], which know
-//! nothing of it. [`control_api`] and [`internal_api`] accept connections and bring it what callers ask.
+//! [`host`] owns the state machine and executes its actions through [`peers`], [`order_client`] and [`journal`],
+//! which do not depend on it. [`control_api`] and [`internal_api`] accept connections and pass it the calls that they
+//! receive.
 
 pub mod accept;
 pub mod control_api;
@@ -36,15 +37,17 @@
 use error::{JournalSnafu, ListenSnafu, SignalsSnafu};
 use host::Host;
 
-/// Time between two [`Event::Tick`]s.
+/// Interval between two [`Event::Tick`]s.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two looks at whether a process may end that was told to.
+/// Interval between checks whether the process may exit during a shutdown.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a coordinator until SIGTERM. Needs a `LocalSet`.
+/// Runs a coordinator until SIGTERM, and then shuts it down gracefully. On SIGHUP, the seeds are read again from the
+/// settings file at `path`. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// The settings lack a key, an address cannot be listened on, or the journal cannot be opened.
+/// The settings lack a required key, a listener or the journal cannot be opened, or the signal handlers cannot be
+/// installed.
 pub async fn run(settings: Settings, path: PathBuf, log: Logger) -> Result<(), CoordinatorError> {
     let missing = |key| CoordinatorError::MissingSetting { key };
     let control = settings.control_plane.ok_or(missing("listenersMap.controlPlane"))?;
@@ -53,7 +56,7 @@
     let terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
 
-    let incarnation = Incarnation(random_number());
+    let incarnation = Incarnation(random_u64());
     let opened = journal::open_journal(&folder, &settings, &log).context(JournalSnafu { folder: &folder })?;
     let options = CoordinatorOptions {
         journal_was_erased: opened.was_erased,
@@ -71,7 +74,7 @@
     info!(log, "shutting down");
     host.shut_down();
     let requested_at = Instant::now();
-    while !host.may_end(requested_at.elapsed()) {
+    while !host.may_exit(requested_at.elapsed()) {
         tokio::time::sleep(SHUTDOWN_CHECK_INTERVAL).await;
     }
     Ok(())
@@ -99,7 +102,7 @@
     }
 }
 
-/// Reads the settings file again for its seeds; the other settings take effect at the next start only.
+/// Reads the seeds again from the settings file. Other settings only take effect at the next start.
 fn reload_seeds(host: &Host, path: &Path, log: &Logger) {
     match Settings::read(path) {
         Ok(settings) => {
@@ -110,8 +113,8 @@
     }
 }
 
-/// A random number, from the keys that the standard library draws for its hashers.
-fn random_number() -> u64 {
+/// Returns a random number, derived from the random keys of the standard library's hash maps.
+fn random_u64() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/coordinator/src/driver/order_client.rs
+++ b/coordinator/src/driver/order_client.rs
@@ -1,4 +1,5 @@
-//! Requests to model servers: orders and reports, each on a connection of its own that is closed after the response.
+//! Requests to model servers: orders, and requests for reports. Each request uses a new connection, which is closed
+//! after the response.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -18,26 +19,28 @@
 use crate::core::orders::ORDER_SEND_TIMEOUT;
 use crate::interface::OrderOutcome;
 
-/// How long a server may take to respond.
+/// Timeout for a server's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The longest report that is accepted, in bytes.
+/// Maximum length of a report, in bytes.
 const MAX_REPORT_BYTES: usize = 256 << 10;
-/// Names the start of a server that is meant: another server at the address, or a later start, rejects the request.
+/// Header with the id of the server run that a request is addressed to. Another server at the address, or a later run
+/// of the server, rejects the request.
 const EXPECTED_INSTANCE: &str = "expected-instance";
 
 /// An order with its destination.
 #[derive(Clone, Debug)]
 pub struct OutgoingOrder {
-    /// The start of the server that is meant.
+    /// The id of the server run that the order is addressed to.
     pub server: ServerId,
-    /// The address of the server, `IP:PORT`.
+    /// The address of the server, as `IP:PORT`.
     pub address: String,
-    /// The body of the request.
+    /// The order itself, which is the body of the request.
     pub body: Order,
 }
 
-/// Sends an order if `may_write` permits it at the moment when the bytes are written. It is never retried here: without
-/// a response the outcome is [`OrderOutcome::Unknown`], as the server may have accepted the order.
+/// Sends an order, if `may_write` returns true when the bytes are about to be written. The order is not retried: if
+/// bytes were written but there is no response, the outcome is [`OrderOutcome::Unknown`], because the server may have
+/// accepted the order.
 pub async fn send_order(
     outgoing: &OutgoingOrder,
     may_write: impl Fn() -> bool + Unpin + 'static,
@@ -48,9 +51,9 @@
     let Ok((mut sender, connection)) = handshake(TokioIo::new(stream)).await else {
         return OrderOutcome::NotSent;
     };
-    let driving = tokio::task::spawn_local(connection);
+    let connection_task = tokio::task::spawn_local(connection);
     let response = tokio::time::timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await;
-    driving.abort();
+    connection_task.abort();
     match response {
         Ok(Ok(response)) => outcome_of(response.status()),
         Ok(Err(_)) | Err(_) if has_written.get() => OrderOutcome::Unknown,
@@ -68,7 +71,7 @@
     request.body(Full::new(Bytes::from(body))).ok()
 }
 
-/// Asks a server for its report; `None` if it does not send a valid one in time.
+/// Requests a server's report; `None` if the server does not respond in time with a valid report.
 pub async fn fetch_report(server: &str, address: &str) -> Option<ServerReport> {
     let request = Request::get("/report")
         .header(HOST, address)
@@ -85,14 +88,15 @@
         let body = Limited::new(response.into_body(), MAX_REPORT_BYTES).collect().await.ok()?;
         sonic_rs::from_slice(&body.to_bytes()).ok()
     };
-    let driving = tokio::task::spawn_local(connection);
+    let connection_task = tokio::task::spawn_local(connection);
     let report = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.ok().flatten();
-    driving.abort();
+    connection_task.abort();
     report
 }
 
-/// A connection whose bytes leave within [`ORDER_SEND_TIMEOUT`] after they were written, or never. `None` if it cannot be
-/// established, or the operating system does not guarantee that.
+/// Opens a connection on which the operating system does not send or retransmit bytes later than
+/// [`ORDER_SEND_TIMEOUT`] after they were written. `None` if the connection cannot be established or the operating
+/// system does not support this limit.
 pub async fn connect_for_order(address: &str) -> Option<TcpStream> {
     let stream = connect(address).await?;
     sockets::set_unacknowledged_timeout(&stream, Duration::from_millis(ORDER_SEND_TIMEOUT)).ok()?;
--- a/coordinator/src/driver/peer_sessions.rs
+++ b/coordinator/src/driver/peer_sessions.rs
@@ -1,20 +1,21 @@
-//! Which connection of each peer is read: the one that was accepted last.
+//! Tracks the newest incoming connection of each peer, which is the only one whose messages are handled.
 //!
-//! A peer writes on one connection at a time. Bytes that still arrive on an earlier one are of an earlier start of its process,
-//! or were written before it connected anew; none of them is handled once the later handshake has been read.
+//! A peer writes on one connection at a time. Bytes that still arrive on an earlier connection come from an earlier
+//! run of its process, or were written before it reconnected. They are not handled once the handshake of the later
+//! connection has been read.
 
 use std::collections::HashMap;
 
 use shaletrail_protocol::NodeId;
 
-/// Peers that are remembered: far more than there can be coordinators.
+/// Maximum number of peers that are tracked; far more than the possible number of coordinators.
 const MAX_PEERS: usize = 256;
 
-/// The number of an accepted connection, in the order of acceptance.
+/// Numbers accepted connections in the order in which they were accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionNumber(u64);
 
-/// The newest connection of each peer.
+/// The newest accepted connection of each peer.
 #[derive(Debug, Default)]
 pub struct PeerSessions {
     accepted: u64,
@@ -22,14 +23,14 @@
 }
 
 impl PeerSessions {
-    /// Numbers a connection that was accepted.
+    /// Assigns a number to a connection that has been accepted.
     pub fn accept(&mut self) -> SessionNumber {
         self.accepted += 1;
         SessionNumber(self.accepted)
     }
 
-    /// The handshake of a connection names this peer. Whether it is the peer's newest connection; earlier ones are not
-    /// current any more then.
+    /// Records that the handshake of a connection names this peer. Returns whether this is the peer's newest
+    /// connection. If it is, earlier connections of the peer are no longer current.
     pub fn open(&mut self, peer: NodeId, session: SessionNumber) -> bool {
         if self.newest.len() >= MAX_PEERS && !self.newest.contains_key(&peer) {
             return false;
--- a/coordinator/src/driver/peers.rs
+++ b/coordinator/src/driver/peers.rs
@@ -1,5 +1,6 @@
-//! One connection to each other coordinator, over which this one sends its messages. Those of the other one arrive over
-//! the connection that it opened. Messages to a node that cannot be reached are dropped, oldest first.
+//! Sends messages to other coordinators, over one outgoing connection to each of them. The messages of another
+//! coordinator arrive over the connection that it has opened. While a coordinator cannot be reached, messages to it
+//! are dropped, the oldest first.
 
 mod send_queue;
 
@@ -19,14 +20,14 @@
 use super::sockets::{self, with_timeout};
 use send_queue::SendQueue;
 
-/// Pause before a connection is established again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
-/// Peers that connections are kept to: far more than there can be coordinators.
+/// Delay before reconnecting.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
+/// Maximum number of peers; far more than the possible number of coordinators.
 const MAX_PEERS: usize = 256;
-/// How long one write may take before the connection is closed.
+/// Timeout for one write, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The connections to all other coordinators.
+/// The outgoing connections to other coordinators.
 pub struct PeerConnections {
     port: u16,
     /// The encoded [`Handshake`] of this node.
@@ -41,13 +42,14 @@
 }
 
 impl PeerConnections {
-    /// Connections of a node to the internal port of others. None is established yet.
+    /// Creates the set of connections to the internal `port` of other coordinators. No connection is opened yet.
     pub fn new(node: NodeId, incarnation: Incarnation, port: u16) -> Self {
         let handshake = frame::encode(&Handshake::Coordinator { node, incarnation });
         PeerConnections { port, handshake, peers: HashMap::new() }
     }
 
-    /// Queues a message, and connects to the peer with the first one. The message may get lost. Needs a `LocalSet`.
+    /// Queues a message. The first message to a peer opens the connection to it. Messages may get lost. Must be
+    /// called within a `LocalSet`.
     pub fn send(&mut self, to: NodeId, message: &CoordinatorMessage) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&to) {
             return;
@@ -63,20 +65,21 @@
     }
 }
 
-/// Establishes the connection to a peer again and again for as long as the process runs.
+/// Connects to a peer whenever messages are queued for it, for as long as the process runs.
 async fn run_connection(address: SocketAddrV4, handshake: Vec<u8>, peer: Rc<Peer>) {
     loop {
         peer.queued.notified().await;
         if let Ok(stream) = sockets::connect(address).await {
             let _ = write_messages(stream, &handshake, &peer).await;
         }
-        // Messages that could not be sent are stale by the time the peer is back; senders retry what still matters.
+        // Unsent messages would be outdated once the peer can be reached again. Senders retry those that are still
+        // needed.
         peer.queue.borrow_mut().clear();
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Writes the handshake and then queued messages until the connection fails or is closed.
+/// Writes the handshake, and then queued messages until the connection fails or is closed.
 async fn write_messages(mut stream: TcpStream, handshake: &[u8], peer: &Peer) -> std::io::Result<()> {
     let (mut reader, mut writer) = stream.split();
     let writing = async {
@@ -90,7 +93,7 @@
             }
         }
     };
-    // The peer never writes on this connection: a read that completes means that it has closed it.
+    // The peer never writes on this connection, so a completed read means that the peer has closed it.
     let mut byte = [0];
     tokio::select! {
         written = writing => written,
--- a/coordinator/src/driver/peers/send_queue.rs
+++ b/coordinator/src/driver/peers/send_queue.rs
@@ -1,15 +1,15 @@
-//! Encoded messages that wait for a peer's connection.
+//! The queue of encoded messages to one peer.
 
 use std::collections::VecDeque;
 
-/// The size of all messages that may be queued for a peer, in bytes.
+/// Maximum total size of the messages that are queued for a peer, in bytes.
 const MAX_QUEUED_BYTES: usize = 24 << 20;
-/// The number of messages that may be queued for a peer.
+/// Maximum number of messages that are queued for a peer.
 const MAX_QUEUED_MESSAGES: usize = 4096;
-/// Messages are written together up to this size, in bytes.
+/// Maximum total size of the messages that are combined into one write, in bytes.
 const MAX_BATCH_BYTES: usize = 256 << 10;
 
-/// A bounded queue of frames, which drops the oldest ones.
+/// A bounded queue of frames that drops the oldest frames when it is full.
 #[derive(Default)]
 pub(super) struct SendQueue {
     frames: VecDeque<Vec<u8>>,
@@ -17,7 +17,7 @@
 }
 
 impl SendQueue {
-    /// Queues a frame. A single one may be longer than the limit on bytes.
+    /// Queues a frame. A frame that is longer than the limit is kept if it is the only one.
     pub(super) fn push(&mut self, frame: Vec<u8>) {
         self.bytes += frame.len();
         self.frames.push_back(frame);
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Takes as many frames as go into one write; empty if none are queued.
+    /// Removes as many frames as fit into one write, at least one, and returns their bytes; empty if no frame is
+    /// queued.
     pub(super) fn take_batch(&mut self) -> Vec<u8> {
         let mut batch = self.frames.pop_front().unwrap_or_default();
         while let Some(next) = self.frames.front() {
--- a/coordinator/src/driver/sockets.rs
+++ b/coordinator/src/driver/sockets.rs
@@ -1,4 +1,4 @@
-//! Opening sockets, with timeouts by which peers that have disappeared are noticed.
+//! Opens sockets, with timeouts that detect unreachable peers.
 
 use std::future::Future;
 use std::io;
@@ -8,17 +8,18 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long a connection to another machine may take to be established.
+/// Timeout for establishing a connection to another machine.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long written bytes may stay unacknowledged before a connection counts as dead.
+/// How long written bytes may remain unacknowledged before a connection is considered dead.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Opens a listener. The address may be in use by closing connections of an earlier process.
+/// Opens a listener. It succeeds even if connections of an earlier process on this address are still closing
+/// (`SO_REUSEADDR`).
 ///
 /// # Errors
-/// Another process listens on the address, or the machine does not have it.
+/// Another process is listening on the address, or the address does not belong to this machine.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -28,14 +29,14 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Sets the options of every connection, where the operating system supports them.
+/// Sets the options that all connections have. Options that the operating system does not support are skipped.
 pub fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = set_unacknowledged_timeout(stream, UNACKNOWLEDGED_TIMEOUT);
 }
 
-/// Limits how long written bytes may stay unacknowledged (`TCP_USER_TIMEOUT`). After that the operating system no longer
-/// retransmits them, and the connection has failed.
+/// Limits how long written bytes may remain unacknowledged (`TCP_USER_TIMEOUT`). After that time, the operating
+/// system stops retransmitting them and the connection fails.
 ///
 /// # Errors
 /// The operating system does not support the option.
@@ -53,10 +54,10 @@
     Ok(stream)
 }
 
-/// Waits for an operation on a connection.
+/// Waits for an operation, at most for `timeout`.
 ///
 /// # Errors
-/// [`io::ErrorKind::TimedOut`]; the operation is cancelled then.
+/// [`io::ErrorKind::TimedOut`] if the operation takes longer. It is cancelled in that case.
 pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = T>) -> io::Result<T> {
     let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
     tokio::time::timeout(timeout, operation).await.map_err(timed_out)
--- a/coordinator/tests/driver_journal.rs
+++ b/coordinator/tests/driver_journal.rs
@@ -63,22 +63,22 @@
         // then
         assert_eq!(*thread.0.accepted_tickets.borrow(), [1], "{reason:?}");
         assert!(
-            queue.is_late(),
+            queue.is_disk_degraded(),
             "{reason:?}: the disk counts as degraded, so that leadership is transferred"
         );
         *thread.0.rejects.borrow_mut() = None;
         queue.append(4, records());
         assert_eq!(*thread.0.accepted_tickets.borrow(), [1, 2, 3, 4], "{reason:?}");
-        assert!(!queue.is_late());
+        assert!(!queue.is_disk_degraded());
     }
 }
 
 #[test]
-fn journal_without_thread_is_late() {
+fn journal_without_thread_counts_as_degraded() {
     let mut queue: JournalQueue<TestThread> = JournalQueue::new(None);
-    assert!(!queue.is_late());
+    assert!(!queue.is_disk_degraded());
     queue.append(1, records());
-    assert!(queue.is_late());
+    assert!(queue.is_disk_degraded());
 }
 
 #[test]
--- a/daemon/tests/roles.rs
+++ b/daemon/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Processes of the two roles, from their start to their exit.
+//! Runs a process of each role from its start to its exit.
 
 mod common;
 
@@ -12,31 +12,31 @@
 
 const CONTROL_PORT: u16 = 8146;
 const INGRESS_PORT: u16 = 8144;
-/// How long a test waits for a line of the log, or for an exit. None that passes comes near it.
+/// How long a test waits for a log line or for the process to exit. A test that passes takes far less time.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A loopback address that only the tests of this process use, so that its fixed ports are free. Each test has its own
-/// `number`.
+/// A loopback address that no other test process uses, so that the fixed ports are free on it. Each test passes
+/// another `number`.
 fn loopback(number: u8) -> String {
     let process = std::process::id();
     format!("127.{}.{}.{number}", 100 + (process >> 8) % 100, process % 256)
 }
 
-/// A process that is killed if the test ends before it.
+/// A process that is killed when the test ends.
 struct RunningProcess(Child);
 
 impl RunningProcess {
-    /// Sends a signal by its name.
+    /// Sends a signal, named without `SIG`.
     fn signal(&self, name: &str) {
         let sent = Command::new("kill").args(["-s", name, &self.0.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "SIG{name} could not be sent");
     }
 
-    /// Waits for its exit.
+    /// Waits until the process exits, and kills it after [`TIMEOUT`].
     fn wait(mut self) -> ExitStatus {
         let (ended, waiting) = channel::<()>();
         let id = self.0.id().to_string();
-        // Kills the process if it does not exit in time, which ends the wait below.
+        // If the process does not exit in time, killing it ends the wait below.
         let watchdog = std::thread::spawn(move || {
             if waiting.recv_timeout(TIMEOUT) == Err(RecvTimeoutError::Timeout) {
                 let _ = Command::new("kill").args(["-s", "KILL", &id]).status();
@@ -71,7 +71,7 @@
     )
 }
 
-/// Starts a role; returns the process and the lines of its log.
+/// Starts a role. Returns the process and the lines of its log.
 fn start(role: &str, file: &str) -> (RunningProcess, Receiver<String>) {
     let mut command = shaletrail(&[role, "--settings", file]);
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the binary starts");
@@ -84,7 +84,7 @@
     (RunningProcess(child), lines)
 }
 
-/// Waits for a line that contains all of these words.
+/// Waits for a line that contains all of `words`.
 fn wait_for_line(lines: &Receiver<String>, words: &[&str]) -> String {
     let mut seen = Vec::new();
     while let Ok(line) = lines.recv_timeout(TIMEOUT) {
@@ -93,43 +93,43 @@
         }
         seen.push(line);
     }
-    panic!("no line with {words:?} in {seen:#?}");
+    panic!("no line contains {words:?}: {seen:#?}");
 }
 
 #[test]
-fn data_plane_names_an_address_in_use() {
+fn data_plane_error_names_address_in_use() {
     let ip = loopback(1);
     let _in_use = TcpListener::bind((ip.as_str(), INGRESS_PORT)).expect("the address is free");
-    let file = settings_file(&test_folder("data-plane-address-taken"), &data_plane_settings(&ip, &ip));
+    let file = settings_file(&test_folder("data-plane-address-in-use"), &data_plane_settings(&ip, &ip));
 
-    let finished = run_to_end(shaletrail(&["data-plane", "--settings", &file]));
+    let output = run_to_end(shaletrail(&["data-plane", "--settings", &file]));
 
-    assert_eq!(finished.code, Some(1), "{finished:?}");
-    assert!(finished.stderr.contains(&format!("listening on {ip}:{INGRESS_PORT}")), "{}", finished.stderr);
-    assert_eq!(finished.stdout, "", "logs go to standard error");
+    assert_eq!(output.code, Some(1), "{output:?}");
+    assert!(output.stderr.contains(&format!("listening on {ip}:{INGRESS_PORT}")), "{}", output.stderr);
+    assert_eq!(output.stdout, "", "logs go to standard error");
 }
 
 #[test]
-fn coordinator_names_an_address_in_use() {
+fn coordinator_error_names_address_in_use() {
     let ip = loopback(2);
     let _in_use = TcpListener::bind((ip.as_str(), CONTROL_PORT)).expect("the address is free");
-    let folder = test_folder("coordinator-address-taken");
+    let folder = test_folder("coordinator-address-in-use");
     let data = folder.join("data");
     std::fs::create_dir(&data).expect("the tests' folder can be written");
     let file = settings_file(&folder, &coordinator_settings(&ip, data.to_str().expect("a path in UTF-8")));
 
-    let finished = run_to_end(shaletrail(&["coordinator", "--settings", &file]));
+    let output = run_to_end(shaletrail(&["coordinator", "--settings", &file]));
 
-    assert_eq!(finished.code, Some(1), "{finished:?}");
-    assert!(finished.stderr.contains(&format!("listener on {ip}:{CONTROL_PORT}")), "{}", finished.stderr);
-    assert_eq!(finished.stdout, "", "logs go to standard error");
+    assert_eq!(output.code, Some(1), "{output:?}");
+    assert!(output.stderr.contains(&format!("failed to listen on {ip}:{CONTROL_PORT}")), "{}", output.stderr);
+    assert_eq!(output.stdout, "", "logs go to standard error");
     std::fs::remove_dir_all(folder).expect("the tests' folder can be removed");
 }
 
 #[test]
 fn single_coordinator_leads_and_exits_on_sigterm() {
     let ip = loopback(3);
-    let folder = test_folder("only-coordinator");
+    let folder = test_folder("single-coordinator");
     let data = folder.join("data");
     std::fs::create_dir(&data).expect("the tests' folder can be written");
     let file = settings_file(&folder, &coordinator_settings(&ip, data.to_str().expect("a path in UTF-8")));
@@ -148,7 +148,7 @@
 #[test]
 fn data_plane_without_coordinator_exits_on_sigterm() {
     let (ip, nobody) = (loopback(4), loopback(5));
-    let file = settings_file(&test_folder("data-plane-ends"), &data_plane_settings(&ip, &nobody));
+    let file = settings_file(&test_folder("data-plane-exits"), &data_plane_settings(&ip, &nobody));
 
     let (process, lines) = start("data-plane", &file);
 
