--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -1,13 +1,14 @@
-//! The command line. Doc comments of commands and options are their help texts; some are not sentences for that reason.
+//! The command-line interface. The doc comments of commands and options are their help texts, so those of options are
+//! not full sentences.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// A router and placer for many models.
+/// Routes requests to model servers and places models on them.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
-    /// the role to run, or the command for settings files
+    /// the role to run, or `settings` to inspect a settings file
     #[argh(subcommand)]
     pub command: Command,
 }
@@ -21,7 +22,7 @@
     Settings(SettingsOptions),
 }
 
-/// Take requests of clients and send them to servers.
+/// Accept requests from clients and route them to model servers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "data-plane")]
 pub struct DataPlaneOptions {
@@ -33,7 +34,7 @@
     pub log_level: String,
 }
 
-/// Keep the configuration and the directory of servers, place models.
+/// Replicate the configuration, track the model servers and place models on them.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "coordinator")]
 pub struct CoordinatorOptions {
@@ -45,11 +46,11 @@
     pub log_level: String,
 }
 
-/// Look at a settings file.
+/// Check or print a settings file.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsOptions {
-    /// what to do with the file
+    /// the action on the file
     #[argh(subcommand)]
     pub action: SettingsAction,
 }
@@ -62,7 +63,7 @@
     Show(ShowOptions),
 }
 
-/// Say whether a process could run with it, or what is wrong.
+/// Check whether a settings file is valid, and print the first error if it is not.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
 pub struct CheckOptions {
@@ -71,7 +72,7 @@
     pub file: PathBuf,
 }
 
-/// Print what a process would run with.
+/// Print the settings that a process would use, including defaults.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "show")]
 pub struct ShowOptions {
--- a/daemon/src/error.rs
+++ b/daemon/src/error.rs
@@ -1,31 +1,31 @@
-//! Why a command cannot be carried out as it was given.
+//! Errors of the command line and the settings.
 
 use shaletrail_protocol::settings::{SettingsError, PATH_VARIABLE};
 use snafu::Snafu;
 
-/// Why a command cannot be carried out as it was given. The texts are for the operator who typed it.
+/// Why a command cannot be run. The messages are printed for the operator who entered the command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum UsageError {
-    /// `--log-level` is not the name of a level.
+    /// The value of `--log-level` is not the name of a log level.
     #[snafu(display("--log-level: '{level}' found, expected error, warning, info or debug"))]
     UnknownLogLevel {
-        /// The name that was given.
+        /// The value of the option.
         level: String,
     },
-    /// Neither the command line nor the environment names a settings file.
+    /// Neither the command line nor the environment specifies a settings file.
     #[snafu(display("no settings file: set {PATH_VARIABLE} or give --settings FILE"))]
     NoSettingsFile,
     /// The settings file cannot be used.
     #[snafu(context(false), display("{source}"))]
     Settings {
-        /// What is wrong with it.
+        /// The error of reading or parsing it.
         source: SettingsError,
     },
     /// The settings file lacks a key that this role needs.
     #[snafu(display("{key}: missing, the role needs it"))]
     MissingSetting {
-        /// The key as it is spelled in the file.
+        /// The key, as spelled in the file.
         key: &'static str,
     },
 }
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: a line for each event that an operator can act on, to standard error.
+//! Logging to standard error, one line for each event that an operator can act on.
 
 use slog::{o, Drain, Level, Logger};
 
-/// The level that the command line names; `None` if there is none of that name.
+/// Parses a log level of the command line; `None` if the name is unknown.
 pub fn parse_level(name: &str) -> Option<Level> {
     match name {
         "error" => Some(Level::Error),
@@ -13,8 +13,8 @@
     }
 }
 
-/// A logger for lines of this level and of more urgent ones. The thread that logs writes them: they are too few for a
-/// thread of their own, whose wake-ups would cost more.
+/// Creates a logger for lines of this level and of more severe levels. Lines are written by the thread that logs
+/// them: there are so few that the wake-ups of a separate logging thread would cost more.
 pub fn logger(level: Level) -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(decorator).build().filter_level(level).fuse();
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,6 +1,6 @@
-//! The `shaletrail` binary: a subcommand for each role, and one that looks at settings files.
+//! The `shaletrail` binary: a subcommand for each role, and one that inspects settings files.
 //!
-//! Settings are read and checked completely before a role opens anything.
+//! The settings are read and validated completely before a role opens any file or socket.
 
 mod arguments;
 mod error;
@@ -14,7 +14,7 @@
 use error::UsageError;
 use role::Role;
 
-/// The exit code for settings that cannot be used, or options with invalid values.
+/// The exit code if the settings cannot be used or an option has an invalid value.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/daemon/src/role.rs
+++ b/daemon/src/role.rs
@@ -1,4 +1,4 @@
-//! Starting a role: its settings, its log and its runtime.
+//! Starts a role with its settings, logger and async runtime.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -13,17 +13,17 @@
 use crate::error::{MissingSettingSnafu, NoSettingsFileSnafu, UnknownLogLevelSnafu, UsageError};
 use crate::logging;
 
-/// What a process does in the system.
+/// The role of a process in the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes requests of clients and sends them to model servers.
+    /// Accepts requests from clients and routes them to model servers.
     DataPlane,
-    /// Keeps the configuration and the directory of servers, places models.
+    /// Replicates the configuration, tracks the model servers and places models on them.
     Coordinator,
 }
 
 impl Role {
-    /// The first key that the role needs and that the settings lack.
+    /// The first key that the role needs and that is missing from the settings.
     fn missing_setting(self, settings: &Settings) -> Option<&'static str> {
         match self {
             Role::DataPlane if settings.ingress.is_none() => Some("listenersMap.ingress"),
@@ -35,11 +35,11 @@
     }
 }
 
-/// Runs a role until the process is asked to end. The settings file is `path`, or the one that the environment names.
-/// The exit code says whether the role failed.
+/// Runs a role until the process is asked to shut down. The settings file is `path`, or else the one specified by the
+/// environment variable [`PATH_VARIABLE`]. The exit code says whether the role failed.
 ///
 /// # Errors
-/// The options or the settings cannot be used; nothing has been opened then.
+/// The options or the settings cannot be used. No other file or socket has been opened in this case.
 pub fn start(role: Role, path: Option<PathBuf>, log_level: String) -> Result<ExitCode, UsageError> {
     let level = logging::parse_level(&log_level).context(UnknownLogLevelSnafu { level: log_level })?;
     let path_from_environment = || std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
@@ -58,7 +58,7 @@
     })
 }
 
-/// Runs a role on a runtime of this thread.
+/// Runs a role on a single-threaded runtime on the calling thread.
 fn run(role: Role, settings: Settings, path: PathBuf, log: &Logger) -> Result<(), Box<dyn Error>> {
     let runtime = runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     let tasks = LocalSet::new();
--- a/daemon/src/settings_command.rs
+++ b/daemon/src/settings_command.rs
@@ -1,4 +1,4 @@
-//! The subcommand that looks at settings files.
+//! The subcommand that inspects settings files.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use crate::error::UsageError;
 
-/// Says whether a process could run with a settings file.
+/// Prints that a settings file is valid, if it is.
 ///
 /// # Errors
 /// The file cannot be used.
@@ -16,7 +16,7 @@
     Ok(())
 }
 
-/// Prints the settings that a process would run with, defaults included.
+/// Prints the settings that a process would use, including defaults.
 ///
 /// # Errors
 /// The file cannot be used.
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the binary, and writes settings files for it.
+//! Helpers that run the binary and write settings files for it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -8,30 +8,30 @@
 
 /// The exit code and the output of a process.
 #[derive(Debug)]
-pub struct Finished {
+pub struct ProcessOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-/// The binary with these arguments, and without the caller's environment variable for settings.
+/// A command that runs the binary with these arguments. The settings variable of the caller's environment is removed.
 pub fn shaletrail(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletrail"));
     command.args(arguments).env_remove(PATH_VARIABLE).stdin(Stdio::null());
     command
 }
 
-/// Runs a command to its end.
-pub fn run_to_end(mut command: Command) -> Finished {
+/// Runs a command until it exits.
+pub fn run_to_end(mut command: Command) -> ProcessOutput {
     let output = command.output().expect("the binary starts");
-    Finished {
+    ProcessOutput {
         code: output.status.code(),
         stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
         stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
     }
 }
 
-/// An empty folder for one test, which is named after it.
+/// Creates an empty directory for one test.
 pub fn test_folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&folder);
