--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -26,10 +26,10 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "data-plane")]
 pub struct DataPlaneOptions {
-    /// settings file (else the path in SHALETRAIL_BOOT)
+    /// settings file (default: the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
-    /// least urgent lines to log: error, warning, info, debug
+    /// minimum severity of log lines: error, warning, info, debug
     #[argh(option, default = "String::from(\"info\")")]
     pub log_level: String,
 }
@@ -38,10 +38,10 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "coordinator")]
 pub struct CoordinatorOptions {
-    /// settings file (else the path in SHALETRAIL_BOOT)
+    /// settings file (default: the path in SHALETRAIL_BOOT)
     #[argh(option)]
     pub settings: Option<PathBuf>,
-    /// least urgent lines to log: error, warning, info, debug
+    /// minimum severity of log lines: error, warning, info, debug
     #[argh(option, default = "String::from(\"info\")")]
     pub log_level: String,
 }
