--- a/daemon/src/error.rs
+++ b/daemon/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the command line and the settings.
 
-use shaletrail_protocol::settings::{SettingsError, PATH_VARIABLE};
+use shaletrail_protocol::settings::{SettingsError, SETTINGS_PATH_VARIABLE};
 use snafu::Snafu;
 
 /// Why a command cannot be run. The messages are printed for the operator who entered the command.
@@ -14,7 +14,7 @@
         level: String,
     },
     /// Neither the command line nor the environment specifies a settings file.
-    #[snafu(display("no settings file: set {PATH_VARIABLE} or give --settings FILE"))]
+    #[snafu(display("no settings file: set {SETTINGS_PATH_VARIABLE} or give --settings FILE"))]
     NoSettingsFile,
     /// The settings file cannot be used.
     #[snafu(context(false), display("{source}"))]
--- a/daemon/src/role.rs
+++ b/daemon/src/role.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use shaletrail_protocol::settings::{Settings, PATH_VARIABLE};
+use shaletrail_protocol::settings::{Settings, SETTINGS_PATH_VARIABLE};
 use slog::{crit, o, Logger};
 use snafu::OptionExt;
 use tokio::runtime;
@@ -36,13 +36,13 @@
 }
 
 /// Runs a role until the process is asked to shut down. The settings file is `path`, or else the one specified by the
-/// environment variable [`PATH_VARIABLE`]. The exit code says whether the role failed.
+/// environment variable [`SETTINGS_PATH_VARIABLE`]. The exit code says whether the role failed.
 ///
 /// # Errors
 /// The options or the settings cannot be used. No other file or socket has been opened in this case.
 pub fn start(role: Role, path: Option<PathBuf>, log_level: String) -> Result<ExitCode, UsageError> {
     let level = logging::parse_level(&log_level).context(UnknownLogLevelSnafu { level: log_level })?;
-    let path_from_environment = || std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
+    let path_from_environment = || std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from);
     let path = path.or_else(path_from_environment).context(NoSettingsFileSnafu)?;
     let settings = Settings::read(&path)?;
     if let Some(key) = role.missing_setting(&settings) {
--- a/daemon/tests/command.rs
+++ b/daemon/tests/command.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{run_to_end, settings_file, shaletrail, test_folder, ProcessOutput, PATH_VARIABLE};
+use common::{run_to_end, settings_file, shaletrail, test_folder, ProcessOutput, SETTINGS_PATH_VARIABLE};
 
 /// The keys that both roles require.
 const COMMON_SETTINGS: &str = "\
@@ -43,7 +43,7 @@
         let output = run(&[role, "--help"]);
 
         assert_eq!(output.code, Some(0), "{output:?}");
-        for option in ["--settings", "--log-level", PATH_VARIABLE] {
+        for option in ["--settings", "--log-level", SETTINGS_PATH_VARIABLE] {
             assert!(output.stdout.contains(option), "{option} is not listed: {}", output.stdout);
         }
     }
@@ -92,7 +92,7 @@
 fn path_can_come_from_the_environment() {
     let file = settings_file(&test_folder("path-from-environment"), "nodeName=machine-1\n");
     let mut command = shaletrail(&["coordinator"]);
-    command.env(PATH_VARIABLE, &file);
+    command.env(SETTINGS_PATH_VARIABLE, &file);
 
     let output = run_to_end(command);
 
@@ -105,7 +105,7 @@
     let folder = test_folder("path-precedence");
     let file = settings_file(&folder, &COMMON_SETTINGS.replace("7660,7675", "7660"));
     let mut command = shaletrail(&["coordinator", "--settings", &file]);
-    command.env(PATH_VARIABLE, folder.join("missing.conf"));
+    command.env(SETTINGS_PATH_VARIABLE, folder.join("missing.conf"));
 
     let output = run_to_end(command);
 
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 /// The environment variable that holds the path of the settings file.
-pub const PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
+pub const SETTINGS_PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
 
 /// The exit code and the output of a process.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
 /// A command that runs the binary with these arguments. The settings variable of the caller's environment is removed.
 pub fn shaletrail(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletrail"));
-    command.args(arguments).env_remove(PATH_VARIABLE).stdin(Stdio::null());
+    command.args(arguments).env_remove(SETTINGS_PATH_VARIABLE).stdin(Stdio::null());
     command
 }
 
--- a/protocol/src/settings.rs
+++ b/protocol/src/settings.rs
@@ -26,7 +26,7 @@
 use lines::{SettingsLines, BOOLEAN, MILLISECOND, SOCKET_ADDRESS, WHOLE_NUMBER};
 
 /// The environment variable that holds the path of the settings file.
-pub const PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
+pub const SETTINGS_PATH_VARIABLE: &str = "SHALETRAIL_BOOT";
 
 /// The settings of a process. Fields that only one role needs are optional; the role checks whether they are present.
 #[derive(Clone, Debug, PartialEq)]
--- a/protocol/tests/settings_keys.rs
+++ b/protocol/tests/settings_keys.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use shaletrail_protocol::settings::{Bounds, MachineLimits, Settings, SettingsError, PATH_VARIABLE};
+use shaletrail_protocol::settings::{Bounds, MachineLimits, Settings, SettingsError, SETTINGS_PATH_VARIABLE};
 
 /// All keys, each with a value that differs from all other values and from its default.
 const ALL_KEYS: &str = "\
@@ -153,7 +153,7 @@
         bounds,
     };
     assert_eq!(settings, expected);
-    assert_eq!(PATH_VARIABLE, "SHALETRAIL_BOOT");
+    assert_eq!(SETTINGS_PATH_VARIABLE, "SHALETRAIL_BOOT");
 }
 
 fn parse_error(text: &str) -> SettingsError {
