--- a/coordinator/src/driver/control_api.rs
+++ b/coordinator/src/driver/control_api.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::accept::accept_connections;
-use super::host::Host;
+use super::coordinator_driver::CoordinatorDriver;
 
 /// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1024;
@@ -35,15 +35,15 @@
 type HttpResponse = Response<Full<Bytes>>;
 
 /// Accepts and serves connections for as long as the process runs.
-pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
+pub async fn serve(driver: Rc<CoordinatorDriver>, listener: TcpListener, log: Logger) {
     accept_connections(listener, MAX_CONNECTIONS, |stream| {
-        serve_connection(Rc::clone(&host), stream, log.clone())
+        serve_connection(Rc::clone(&driver), stream, log.clone())
     })
     .await;
 }
 
-async fn serve_connection(host: Rc<Host>, stream: TcpStream, log: Logger) {
-    let service = service_fn(move |request| handle_request(Rc::clone(&host), request));
+async fn serve_connection(driver: Rc<CoordinatorDriver>, stream: TcpStream, log: Logger) {
+    let service = service_fn(move |request| handle_request(Rc::clone(&driver), request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
@@ -53,19 +53,22 @@
     }
 }
 
-async fn handle_request(host: Rc<Host>, request: Request<Incoming>) -> Result<HttpResponse, Infallible> {
+async fn handle_request(
+    driver: Rc<CoordinatorDriver>,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, Infallible> {
     let path = request.uri().path().to_owned();
     let is_post = request.method() == Method::POST;
     Ok(if let Some(id) = path.strip_prefix(HEARTBEAT_PATH).filter(|id| is_post && !id.is_empty()) {
-        handle_heartbeat(&host, id.to_owned(), request).await
+        handle_heartbeat(&driver, id.to_owned(), request).await
     } else if let Some(id) = path.strip_prefix(DEREGISTER_PATH).filter(|id| is_post && !id.is_empty()) {
-        server_response(host.deregister(id.to_owned()).await)
+        server_response(driver.deregister(id.to_owned()).await)
     } else {
         match path.as_str() {
-            "/Config.Replace" if is_post => change_configuration(&host, true, request).await,
-            "/Config.Update" if is_post => change_configuration(&host, false, request).await,
+            "/Config.Replace" if is_post => change_configuration(&driver, true, request).await,
+            "/Config.Update" if is_post => change_configuration(&driver, false, request).await,
             "/Config.Read" if request.method() == Method::GET => {
-                operator_response(host.operator(OperatorCall::Read).await)
+                operator_response(driver.operator(OperatorCall::Read).await)
             }
             "/Config.Replace" | "/Config.Update" | "/Config.Read" => {
                 plain_text(StatusCode::METHOD_NOT_ALLOWED, "another method is expected here")
@@ -75,20 +78,28 @@
     })
 }
 
-async fn handle_heartbeat(host: &Host, id: String, request: Request<Incoming>) -> HttpResponse {
+async fn handle_heartbeat(
+    driver: &CoordinatorDriver,
+    id: String,
+    request: Request<Incoming>,
+) -> HttpResponse {
     let body = match Limited::new(request.into_body(), MAX_HEARTBEAT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "a heartbeat holds at most 4096 bytes"),
     };
     match sonic_rs::from_slice::<Heartbeat>(&body) {
-        Ok(heartbeat) => server_response(host.heartbeat(id, heartbeat).await),
+        Ok(heartbeat) => server_response(driver.heartbeat(id, heartbeat).await),
         Err(error) => {
             plain_text(StatusCode::BAD_REQUEST, &format!("heartbeat: {}", first_line(&error.to_string())))
         }
     }
 }
 
-async fn change_configuration(host: &Host, replace: bool, request: Request<Incoming>) -> HttpResponse {
+async fn change_configuration(
+    driver: &CoordinatorDriver,
+    replace: bool,
+    request: Request<Incoming>,
+) -> HttpResponse {
     let Some(base_version) = base_version(&request) else {
         return plain_text(StatusCode::BAD_REQUEST, "Base-Version: expected a whole number");
     };
@@ -99,7 +110,7 @@
         }
         Err(_) => return plain_text(StatusCode::BAD_REQUEST, "the body did not come whole"),
     };
-    operator_response(host.operator(OperatorCall::Change { replace, base_version, body }).await)
+    operator_response(driver.operator(OperatorCall::Change { replace, base_version, body }).await)
 }
 
 /// The version to which a change applies; 0 if the header is absent, `None` if its value is not a whole number.
--- a/coordinator/src/driver/host.rs
+++ b/coordinator/src/driver/coordinator_driver.rs
@@ -26,11 +26,12 @@
 const CLOCK_START: Millis = 1_000_000;
 
 /// Owns a coordinator's state machine and everything that executes its actions. Used on a single thread only.
-pub struct Host {
+pub struct CoordinatorDriver {
     state: RefCell<State>,
     started_at: Instant,
-    /// A weak reference to this `Host`, from which methods get the `Rc` that they move into a spawned task.
-    weak_self: Weak<Host>,
+    /// A weak reference to this `CoordinatorDriver`, from which methods get the `Rc` that they move into a spawned
+    /// task.
+    weak_self: Weak<CoordinatorDriver>,
     log: Logger,
 }
 
@@ -41,28 +42,28 @@
     calls: PendingCalls,
 }
 
-impl Host {
+impl CoordinatorDriver {
     /// Starts a coordinator from the records of its journal. Must be called within a `LocalSet`.
     pub fn start(
         options: CoordinatorOptions,
         settings: &Settings,
         opened: OpenedJournal,
         log: Logger,
-    ) -> Rc<Host> {
+    ) -> Rc<CoordinatorDriver> {
         let peers = PeerConnections::new(options.node, options.incarnation, settings.internal_port());
         let coordinator = Coordinator::new(options, opened.stored, CLOCK_START);
         let wants_checkpoint = opened.journal.wants_checkpoint();
         let (journal, reports) = JournalQueue::start(opened.journal);
         let state = State { coordinator, peers, journal, calls: PendingCalls::default() };
-        let host = Rc::new_cyclic(|weak_self| Host {
+        let driver = Rc::new_cyclic(|weak_self| CoordinatorDriver {
             state: RefCell::new(state),
             started_at: Instant::now(),
             weak_self: weak_self.clone(),
             log,
         });
-        tokio::task::spawn_local(Rc::clone(&host).receive_journal_reports(reports));
-        host.handle(Event::Persisted { ticket: 0, wants_checkpoint });
-        host
+        tokio::task::spawn_local(Rc::clone(&driver).receive_journal_reports(reports));
+        driver.handle(Event::Persisted { ticket: 0, wants_checkpoint });
+        driver
     }
 
     /// The current time of the clock of events, in milliseconds.
@@ -105,12 +106,12 @@
     }
 
     fn send_order(&self, order: OrderId, outgoing: OutgoingOrder) {
-        let Some(host) = self.weak_self.upgrade() else { return };
-        let guard = Rc::clone(&host);
+        let Some(driver) = self.weak_self.upgrade() else { return };
+        let guard = Rc::clone(&driver);
         tokio::task::spawn_local(async move {
             let outcome = send_order(&outgoing, move || guard.may_write(order)).await;
-            log::log_order(&host.log, &outgoing, outcome);
-            host.handle(Event::OrderCompleted { order, outcome });
+            log::log_order(&driver.log, &outgoing, outcome);
+            driver.handle(Event::OrderCompleted { order, outcome });
         });
     }
 
@@ -120,13 +121,13 @@
     }
 
     fn fetch_report(&self, server: ServerId, address: String) {
-        let Some(host) = self.weak_self.upgrade() else { return };
+        let Some(driver) = self.weak_self.upgrade() else { return };
         tokio::task::spawn_local(async move {
             let report = fetch_report(&server, &address).await;
             if let Some(report) = &report {
-                log::log_server_report(&host.log, &server, report);
+                log::log_server_report(&driver.log, &server, report);
             }
-            host.handle(Event::ReportReceived { server, report });
+            driver.handle(Event::ReportReceived { server, report });
         });
     }
 
--- a/coordinator/src/driver/host/calls.rs
+++ b/coordinator/src/driver/coordinator_driver/calls.rs
@@ -6,10 +6,10 @@
 };
 use shaletrail_protocol::ServerId;
 
-use super::Host;
+use super::CoordinatorDriver;
 use crate::interface::{CallId, Event};
 
-impl Host {
+impl CoordinatorDriver {
     /// Handles a server's heartbeat. Returns whether it is acknowledged.
     pub async fn heartbeat(&self, id: ServerId, heartbeat: Heartbeat) -> bool {
         self.server_call(|call| Event::Heartbeat { call, id, heartbeat }).await
@@ -38,7 +38,7 @@
     /// cancels the poll.
     pub async fn poll(&self, edge: EdgeIdentity, request: PollRequest) -> Option<Box<PollResponse>> {
         let (call, response) = self.state.borrow_mut().calls.add_poll();
-        let _cancel = CancelPollOnDrop { host: self, call };
+        let _cancel = CancelPollOnDrop { driver: self, call };
         self.handle(Event::Poll { call, edge, request });
         response.await.ok()
     }
@@ -46,15 +46,15 @@
 
 /// Cancels a poll when dropped, unless the poll has already been answered.
 struct CancelPollOnDrop<'a> {
-    host: &'a Host,
+    driver: &'a CoordinatorDriver,
     call: CallId,
 }
 
 impl Drop for CancelPollOnDrop<'_> {
     fn drop(&mut self) {
-        let was_pending = self.host.state.borrow_mut().calls.cancel(self.call);
+        let was_pending = self.driver.state.borrow_mut().calls.cancel(self.call);
         if was_pending {
-            self.host.handle(Event::PollCancelled(self.call));
+            self.driver.handle(Event::PollCancelled(self.call));
         }
     }
 }
--- a/coordinator/src/driver/edge_polls.rs
+++ b/coordinator/src/driver/edge_polls.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
+use super::coordinator_driver::CoordinatorDriver;
 use super::frames::{read_frame, ReadFrameError};
-use super::host::Host;
 use super::sockets::with_timeout;
 use crate::interface::Event;
 
@@ -36,7 +36,7 @@
 /// # Errors
 /// The edge is idle for too long, or does not read its responses in time.
 pub async fn serve_edge(
-    host: &Rc<Host>,
+    driver: &Rc<CoordinatorDriver>,
     edge: EdgeIdentity,
     stream: TcpStream,
 ) -> Result<(), ReadFrameError> {
@@ -52,16 +52,16 @@
         let poll = match request {
             Some(EdgeRequest::Poll(poll)) => poll,
             Some(EdgeRequest::Report { demand }) => {
-                host.handle(Event::EdgeReport { edge: edge.node, demand });
+                driver.handle(Event::EdgeReport { edge: edge.node, demand });
                 continue;
             }
             Some(EdgeRequest::ShutdownNotice) => {
-                host.handle(Event::EdgeDisconnected(edge.node));
+                driver.handle(Event::EdgeDisconnected(edge.node));
                 return Ok(());
             }
             None => return Ok(()),
         };
-        match await_response(host, &edge, poll, &mut requests).await {
+        match await_response(driver, &edge, poll, &mut requests).await {
             PollOutcome::Answered(response) => {
                 let bytes = frame::encode(&*response);
                 with_timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await??;
@@ -74,12 +74,12 @@
 
 /// Waits for the response to a poll, and handles other requests of the edge in the meantime.
 async fn await_response(
-    host: &Rc<Host>,
+    driver: &Rc<CoordinatorDriver>,
     edge: &EdgeIdentity,
     poll: PollRequest,
     requests: &mut mpsc::Receiver<EdgeRequest>,
 ) -> PollOutcome {
-    let pending = host.poll(edge.clone(), poll);
+    let pending = driver.poll(edge.clone(), poll);
     tokio::pin!(pending);
     loop {
         tokio::select! {
@@ -87,10 +87,10 @@
             request = requests.recv() => match request {
                 Some(EdgeRequest::Poll(poll)) => return PollOutcome::Superseded(poll),
                 Some(EdgeRequest::Report { demand }) => {
-                    host.handle(Event::EdgeReport { edge: edge.node, demand });
+                    driver.handle(Event::EdgeReport { edge: edge.node, demand });
                 }
                 Some(EdgeRequest::ShutdownNotice) => {
-                    host.handle(Event::EdgeDisconnected(edge.node));
+                    driver.handle(Event::EdgeDisconnected(edge.node));
                     return PollOutcome::Closed;
                 }
                 None => return PollOutcome::Closed,
--- a/coordinator/src/driver/internal_api.rs
+++ b/coordinator/src/driver/internal_api.rs
@@ -10,9 +10,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::accept::accept_connections;
+use super::coordinator_driver::CoordinatorDriver;
 use super::edge_polls::serve_edge;
 use super::frames::{read_frame, ReadFrameError};
-use super::host::Host;
 use super::peer_sessions::{PeerSessions, SessionNumber};
 use super::sockets::with_timeout;
 use crate::interface::Event;
@@ -23,13 +23,13 @@
 const MAX_CONNECTIONS: usize = 2048;
 
 /// Accepts and serves connections for as long as the process runs.
-pub async fn serve(host: Rc<Host>, listener: TcpListener, log: Logger) {
+pub async fn serve(driver: Rc<CoordinatorDriver>, listener: TcpListener, log: Logger) {
     let sessions = Rc::new(RefCell::new(PeerSessions::default()));
     accept_connections(listener, MAX_CONNECTIONS, |stream| {
-        let (host, log, sessions) = (Rc::clone(&host), log.clone(), Rc::clone(&sessions));
+        let (driver, log, sessions) = (Rc::clone(&driver), log.clone(), Rc::clone(&sessions));
         let session = sessions.borrow_mut().accept();
         async move {
-            if let Err(error) = serve_connection(&host, &sessions, session, stream).await {
+            if let Err(error) = serve_connection(&driver, &sessions, session, stream).await {
                 debug!(log, "internal connection closed"; "error" => %error);
             }
         }
@@ -38,7 +38,7 @@
 }
 
 async fn serve_connection(
-    host: &Rc<Host>,
+    driver: &Rc<CoordinatorDriver>,
     sessions: &RefCell<PeerSessions>,
     session: SessionNumber,
     mut stream: TcpStream,
@@ -47,15 +47,15 @@
         Handshake::Coordinator { node, .. } => {
             sessions.borrow_mut().open(node, session);
             let is_current = || sessions.borrow().is_current(node, session);
-            receive_messages(host, node, stream, is_current).await
+            receive_messages(driver, node, stream, is_current).await
         }
-        Handshake::Edge(edge) => serve_edge(host, edge, stream).await,
+        Handshake::Edge(edge) => serve_edge(driver, edge, stream).await,
     }
 }
 
 /// Handles a peer's messages for as long as this connection is the peer's newest one.
 async fn receive_messages(
-    host: &Rc<Host>,
+    driver: &Rc<CoordinatorDriver>,
     from: NodeId,
     stream: TcpStream,
     is_current: impl Fn() -> bool,
@@ -64,7 +64,7 @@
     while is_current() {
         let message: CoordinatorMessage = read_frame(&mut stream).await?;
         if is_current() {
-            host.handle(Event::Message { from, message });
+            driver.handle(Event::Message { from, message });
         }
     }
     Ok(())
--- a/coordinator/src/driver/mod.rs
+++ b/coordinator/src/driver/mod.rs
@@ -1,15 +1,15 @@
 //! The driver of a coordinator: sockets, disk and clock for the state machine [`crate::core::Coordinator`].
 //!
-//! [`host`] owns the state machine and executes its actions through [`peers`], [`order_client`] and [`journal`],
-//! which do not depend on it. [`control_api`] and [`internal_api`] accept connections and pass it the calls that they
-//! receive.
+//! [`coordinator_driver`] owns the state machine and executes its actions through [`peers`], [`order_client`] and
+//! [`journal`], which do not depend on it. [`control_api`] and [`internal_api`] accept connections and pass it the
+//! calls that they receive.
 
 pub mod accept;
 pub mod control_api;
+pub mod coordinator_driver;
 pub mod edge_polls;
 pub mod error;
 pub mod frames;
-pub mod host;
 pub mod internal_api;
 pub mod journal;
 pub mod lease_guard;
@@ -34,8 +34,8 @@
 pub use error::CoordinatorError;
 
 use crate::interface::{CoordinatorOptions, Event};
+use coordinator_driver::CoordinatorDriver;
 use error::{JournalSnafu, ListenSnafu, SignalsSnafu};
-use host::Host;
 
 /// Interval between two [`Event::Tick`]s.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -62,19 +62,19 @@
         journal_was_erased: opened.was_erased,
         ..CoordinatorOptions::from_settings(&settings, incarnation)
     };
-    let host = Host::start(options, &settings, opened, log.clone());
+    let driver = CoordinatorDriver::start(options, &settings, opened, log.clone());
 
     let control_listener = listen(control)?;
     let internal_listener = listen(internal)?;
-    tokio::task::spawn_local(control_api::serve(Rc::clone(&host), control_listener, log.clone()));
-    tokio::task::spawn_local(internal_api::serve(Rc::clone(&host), internal_listener, log.clone()));
+    tokio::task::spawn_local(control_api::serve(Rc::clone(&driver), control_listener, log.clone()));
+    tokio::task::spawn_local(internal_api::serve(Rc::clone(&driver), internal_listener, log.clone()));
     info!(log, "coordinator started"; "control" => %control, "internal" => %internal);
 
-    run_until_terminated(&host, terminate, hangup, &path, &log).await;
+    run_until_terminated(&driver, terminate, hangup, &path, &log).await;
     info!(log, "shutting down");
-    host.shut_down();
+    driver.shut_down();
     let requested_at = Instant::now();
-    while !host.may_exit(requested_at.elapsed()) {
+    while !driver.may_exit(requested_at.elapsed()) {
         tokio::time::sleep(SHUTDOWN_CHECK_INTERVAL).await;
     }
     Ok(())
@@ -85,7 +85,7 @@
 }
 
 async fn run_until_terminated(
-    host: &Host,
+    driver: &CoordinatorDriver,
     mut terminate: Signal,
     mut hangup: Signal,
     path: &Path,
@@ -95,19 +95,19 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = ticks.tick() => host.handle(Event::Tick),
-            _ = hangup.recv() => reload_seeds(host, path, log),
+            _ = ticks.tick() => driver.handle(Event::Tick),
+            _ = hangup.recv() => reload_seeds(driver, path, log),
             _ = terminate.recv() => return,
         }
     }
 }
 
 /// Reads the seeds again from the settings file. Other settings only take effect at the next start.
-fn reload_seeds(host: &Host, path: &Path, log: &Logger) {
+fn reload_seeds(driver: &CoordinatorDriver, path: &Path, log: &Logger) {
     match Settings::read(path) {
         Ok(settings) => {
             let seeds: Vec<NodeId> = settings.seeds.iter().map(|seed| NodeId::from(*seed.ip())).collect();
-            host.handle(Event::SeedsChanged(seeds));
+            driver.handle(Event::SeedsChanged(seeds));
         }
         Err(error) => warn!(log, "settings reload failed"; "error" => %error),
     }
--- a/coordinator/tests/driver_control_api.rs
+++ b/coordinator/tests/driver_control_api.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use shaletrail_coordinator::driver::coordinator_driver::CoordinatorDriver;
 use shaletrail_coordinator::driver::frames::read_frame;
-use shaletrail_coordinator::driver::host::Host;
 use shaletrail_coordinator::driver::{control_api, internal_api, journal, sockets};
 use shaletrail_coordinator::interface::{CoordinatorOptions, Event};
 use shaletrail_protocol::frame;
@@ -60,7 +60,7 @@
         let log = Logger::root(Discard, o!());
         let opened = journal::open_journal(&folder, &settings, &log).expect("the journal is opened");
         let options = CoordinatorOptions::from_settings(&settings, Incarnation(7));
-        let host = Host::start(options, &settings, opened, log.clone());
+        let driver = CoordinatorDriver::start(options, &settings, opened, log.clone());
         let listen = || {
             let listener =
                 sockets::listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port is bound");
@@ -68,11 +68,11 @@
             (listener, address)
         };
         let ((control_listener, control), (internal_listener, internal)) = (listen(), listen());
-        tokio::task::spawn_local(control_api::serve(Rc::clone(&host), control_listener, log.clone()));
-        tokio::task::spawn_local(internal_api::serve(Rc::clone(&host), internal_listener, log));
+        tokio::task::spawn_local(control_api::serve(Rc::clone(&driver), control_listener, log.clone()));
+        tokio::task::spawn_local(internal_api::serve(Rc::clone(&driver), internal_listener, log));
         tokio::task::spawn_local(async move {
             loop {
-                host.handle(Event::Tick);
+                driver.handle(Event::Tick);
                 tokio::time::sleep(TICK_INTERVAL).await;
             }
         });
--- a/coordinator/tests/driver_log.rs
+++ b/coordinator/tests/driver_log.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::{Arc, Mutex};
 
-use shaletrail_coordinator::driver::host::log::log_state_change;
+use shaletrail_coordinator::driver::coordinator_driver::log::log_state_change;
 use shaletrail_coordinator::interface::StateChange;
 use shaletrail_protocol::NodeId;
 use slog::{o, Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, KV};
