--- a/coordinator/src/driver/coordinator_driver.rs
+++ b/coordinator/src/driver/coordinator_driver.rs
@@ -142,7 +142,7 @@
                 WriterEvent::Synced { .. } | WriterEvent::SyncFailed { .. } => {}
                 WriterEvent::Stopped => return,
             }
-            if let Some(event) = journal::event_of(&report) {
+            if let Some(event) = journal::event_for_report(&report) {
                 self.handle(event);
             }
         }
--- a/coordinator/src/driver/journal.rs
+++ b/coordinator/src/driver/journal.rs
@@ -4,4 +4,4 @@
 mod queue;
 
 pub use open::{open_journal, OpenJournalError, OpenedJournal};
-pub use queue::{event_of, JournalQueue, JournalThread};
+pub use queue::{event_for_report, JournalQueue, JournalThread};
--- a/coordinator/src/driver/journal/queue.rs
+++ b/coordinator/src/driver/journal/queue.rs
@@ -61,7 +61,7 @@
 }
 
 impl JournalQueue<Writer> {
-    /// Starts the thread. The caller has to convert each report with [`event_of`] and handle the resulting event.
+    /// Starts the thread. The caller has to convert each report with [`event_for_report`] and handle the resulting event.
     pub fn start(journal: Journal<FolderDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
         let (sender, reports) = unbounded_channel();
         let report = Box::new(move |report| {
@@ -122,7 +122,7 @@
 }
 
 /// Converts a report of the journal's thread into an event; `None` if the state machine does not need the report.
-pub fn event_of(report: &WriterEvent) -> Option<Event> {
+pub fn event_for_report(report: &WriterEvent) -> Option<Event> {
     match report {
         WriterEvent::Synced { ticket, wants_checkpoint, .. } => {
             Some(Event::Persisted { ticket: *ticket, wants_checkpoint: *wants_checkpoint })
--- a/coordinator/tests/driver_journal.rs
+++ b/coordinator/tests/driver_journal.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use shaletrail_coordinator::driver::journal::{
-    event_of, open_journal, JournalQueue, JournalThread, OpenedJournal,
+    event_for_report, open_journal, JournalQueue, JournalThread, OpenedJournal,
 };
 use shaletrail_coordinator::interface::Event;
 use shaletrail_protocol::settings::Settings;
@@ -85,16 +85,16 @@
 fn only_finished_syncs_make_records_durable() {
     let failure = || StorageError::RingFull { needed: 1, limit: 0 };
     let done = WriterEvent::Synced { ticket: 7, wants_checkpoint: true, elapsed_ms: 3 };
-    assert!(matches!(event_of(&done), Some(Event::Persisted { ticket: 7, wants_checkpoint: true })));
+    assert!(matches!(event_for_report(&done), Some(Event::Persisted { ticket: 7, wants_checkpoint: true })));
 
     let failed = WriterEvent::SyncFailed { error: failure(), ticket: 7, wants_checkpoint: true };
-    assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
+    assert!(matches!(event_for_report(&failed), Some(Event::DiskDegraded { wants_checkpoint: true })));
     let failed = WriterEvent::CheckpointFailed { error: failure() };
-    assert!(matches!(event_of(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
+    assert!(matches!(event_for_report(&failed), Some(Event::DiskDegraded { wants_checkpoint: false })));
     // Checkpointed records were already reported as synced by their appends.
     let checkpointed = WriterEvent::Checkpointed { wants_checkpoint: false, elapsed_ms: 3 };
-    assert!(event_of(&checkpointed).is_none());
-    assert!(event_of(&WriterEvent::Stopped).is_none());
+    assert!(event_for_report(&checkpointed).is_none());
+    assert!(event_for_report(&WriterEvent::Stopped).is_none());
 }
 
 /// A directory for one test, removed when dropped.
