--- a/protocol/src/internal/load.rs
+++ b/protocol/src/internal/load.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EdgeServerLoad {
     /// The hash of the server's id, computed by `shaletrail_ring::hash_of_name`.
-    pub server: u64,
+    pub server_hash: u64,
     /// The number of requests in flight to the server.
     pub in_flight: u16,
     /// The prompt tokens of those of the requests whose response has not begun.
--- a/protocol/tests/wire_format.rs
+++ b/protocol/tests/wire_format.rs
@@ -229,12 +229,12 @@
             scope,
             loads: vec![
                 EdgeServerLoad {
-                    server: 0x6162_6364_6566_6768,
+                    server_hash: 0x6162_6364_6566_6768,
                     in_flight: 102,
                     prefill_tokens: 70_103,
                     unresponsive: true,
                 },
-                EdgeServerLoad { server: 104, in_flight: 105, prefill_tokens: 106, unresponsive: false },
+                EdgeServerLoad { server_hash: 104, in_flight: 105, prefill_tokens: 106, unresponsive: false },
             ],
         };
         frames.compare(&format!("edge load report {scope:?}"), &loads);
--- a/routing/src/advertisement.rs
+++ b/routing/src/advertisement.rs
@@ -23,7 +23,7 @@
 impl Advertisement {
     /// No load, which is what other edges assume of a server that was never advertised.
     pub fn idle(server: u64) -> Self {
-        Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, at: 0 }
+        Advertisement { load: EdgeServerLoad { server_hash: server, ..EdgeServerLoad::default() }, at: 0 }
     }
 
     /// Whether `load` must be advertised again before it expires at the other edges.
@@ -56,7 +56,7 @@
                 Some((Reverse(self.urgency(now, &load)?), load))
             })
             .collect();
-        changes.sort_unstable_by_key(|(urgency, load)| (*urgency, load.server));
+        changes.sort_unstable_by_key(|(urgency, load)| (*urgency, load.server_hash));
         changes.truncate(MAX_LOADS_PER_UPDATE);
         for (_, load) in &changes {
             self.record_advertised(now, load);
@@ -67,8 +67,8 @@
     /// How urgent an advertisement is: the change in prompt tokens, or the maximum where the former one is about to
     /// expire. `None` where nothing needs to be advertised.
     fn urgency(&self, now: Millis, load: &EdgeServerLoad) -> Option<u32> {
-        let advertised = self.advertised.get(&load.server).copied();
-        let advertised = advertised.unwrap_or(Advertisement::idle(load.server));
+        let advertised = self.advertised.get(&load.server_hash).copied();
+        let advertised = advertised.unwrap_or(Advertisement::idle(load.server_hash));
         if advertised.needs_refresh(now, load) {
             return Some(u32::MAX);
         }
@@ -77,13 +77,13 @@
 
     fn record_advertised(&mut self, now: Millis, load: &EdgeServerLoad) {
         if is_idle(load) {
-            self.advertised.remove(&load.server);
+            self.advertised.remove(&load.server_hash);
         } else {
-            self.advertised.insert(load.server, Advertisement { load: *load, at: now });
+            self.advertised.insert(load.server_hash, Advertisement { load: *load, at: now });
         }
     }
 }
 
 fn is_idle(load: &EdgeServerLoad) -> bool {
-    *load == Advertisement::idle(load.server).load
+    *load == Advertisement::idle(load.server_hash).load
 }
--- a/routing/src/load_gossip.rs
+++ b/routing/src/load_gossip.rs
@@ -86,7 +86,7 @@
     /// The other edges' load at a server. `advertised` is this edge's own advertisement, which a relay's aggregate
     /// contains.
     pub fn remote_load(&self, advertised: &EdgeServerLoad) -> RemoteLoad {
-        let all = self.received.at(advertised.server);
+        let all = self.received.at(advertised.server_hash);
         match self.topology {
             GossipTopology::Mesh { .. } => all,
             GossipTopology::Member { .. } | GossipTopology::Relay { .. } => all.excluding(advertised),
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -51,13 +51,13 @@
         }
         let servers = self.edges.entry(edge).or_default();
         for load in loads {
-            if servers.len() >= MAX_SERVERS_PER_EDGE && !servers.contains_key(&load.server) {
+            if servers.len() >= MAX_SERVERS_PER_EDGE && !servers.contains_key(&load.server_hash) {
                 continue;
             }
             let received = ReceivedLoad { load, until: now + LOAD_TTL };
             let previous =
-                servers.insert(load.server, received).map(|received| received.load).unwrap_or_default();
-            let sum = self.sums.entry(load.server).or_default();
+                servers.insert(load.server_hash, received).map(|received| received.load).unwrap_or_default();
+            let sum = self.sums.entry(load.server_hash).or_default();
             subtract(sum, &previous);
             add(sum, &load);
         }
@@ -116,7 +116,7 @@
     /// The message form, for an update to other edges; saturates at the bounds of its fields.
     pub fn to_edge_load(self, server: u64) -> EdgeServerLoad {
         EdgeServerLoad {
-            server,
+            server_hash: server,
             in_flight: u16::try_from(self.open).unwrap_or(u16::MAX),
             prefill_tokens: u32::try_from(self.prefill_tokens).unwrap_or(u32::MAX),
             unresponsive: self.unresponsive_edges > 0,
