--- a/coordinator/src/driver/journal/open.rs
+++ b/coordinator/src/driver/journal/open.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Erases a corrupt journal. If that fails, the next attempt to open the journal completes it.
+/// Erases a corrupt journal. If that fails, the next attempt to open the journal continues the erasure.
 fn erase_journal(folder: &Path, log: &Logger) {
     let erased = FolderDisk::open(folder)
         .context(DirectorySnafu)
--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -50,7 +50,7 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsOptions {
-    /// the action on the file
+    /// whether to check or to print the file
     #[argh(subcommand)]
     pub action: SettingsAction,
 }
--- a/daemon/src/settings_command.rs
+++ b/daemon/src/settings_command.rs
@@ -6,7 +6,7 @@
 
 use crate::error::UsageError;
 
-/// Prints that a settings file is valid, if it is.
+/// Validates a settings file and reports on standard output that it is valid.
 ///
 /// # Errors
 /// The file cannot be used.
--- a/protocol/src/internal/coordinator.rs
+++ b/protocol/src/internal/coordinator.rs
@@ -22,7 +22,7 @@
         /// A `shaletrail_cluster::directory::DirectoryMessage`, encoded with bitcode.
         body: Vec<u8>,
     },
-    /// Acknowledges that a batch of the receiver's directory changes has been applied by the sender.
+    /// Acknowledges that the sender has applied a batch of the receiver's directory changes.
     DirectoryAck {
         /// The number of the batch.
         batch: u64,
--- a/protocol/src/internal/load.rs
+++ b/protocol/src/internal/load.rs
@@ -11,7 +11,7 @@
     pub server_hash: u64,
     /// The number of requests in flight to the server.
     pub in_flight: u16,
-    /// The prompt tokens of those of the requests whose response has not begun.
+    /// The total prompt tokens of the requests in flight whose response has not begun.
     pub prefill_tokens: u32,
     /// Whether a request has been waiting for a long time, and the server has answered no request since it was sent.
     pub unresponsive: bool,
