--- a/routing/src/load_gossip.rs
+++ b/routing/src/load_gossip.rs
@@ -88,7 +88,7 @@
     /// The load of the other edges at a server. `advertised` is the last load that this edge advertised for
     /// the server; it is subtracted from sums that include it.
     pub fn remote_load(&self, advertised: &EdgeServerLoad) -> RemoteLoad {
-        let all = self.received.load_of(advertised.server);
+        let all = self.received.load_of(advertised.server_hash);
         match self.topology {
             GossipTopology::Mesh { .. } => all,
             GossipTopology::Member { .. } | GossipTopology::Relay { .. } => all.excluding(advertised),
