--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt to serve a request by a server: checks out a connection, sends the request, and handles the response by
-//! what its head says.
+//! One attempt to serve a request from a server: checks out a connection, sends the request, and handles the
+//! response according to its head.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,11 +11,12 @@
 use crate::client_response::ClientResponse;
 use crate::mailbox::SendCommand;
 use crate::progress::Progress;
-use crate::response::{classify, BodyShape, ResponseKind};
+use crate::response::{classify, BodyFraming, ResponseKind};
 use crate::server_connection::{SendError, ServerConnection};
 use crate::server_response::ServerResponse;
 
-/// Sends the request once and forwards the response, if it is a success.
+/// Sends the request once. A successful response is forwarded to `client`; a failure is buffered and
+/// returned.
 pub async fn run(
     request: &ClientRequest,
     command: &SendCommand,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Sends the request and waits for the head of a response, whatever it is.
+/// Sends the request and waits for the head of the response, whether that is a success or a failure.
 async fn send(
     request: &ClientRequest,
     command: &SendCommand,
@@ -45,15 +46,15 @@
         return Err(AttemptResult::without_response(Verdict::NeverSent, Ending::Unreachable));
     };
     request.record_connection(connection.id());
-    let written = progress.clone();
+    let write_progress = progress.clone();
     let time_left = Duration::from_millis(command.deadline_ms);
-    match connection.send(message, time_left, Box::new(move || written.on_request_written())).await {
+    match connection.send(message, time_left, Box::new(move || write_progress.on_request_written())).await {
         Ok(response) => Ok(ServerResponse::new(response, connection)),
         Err(error) => Err(send_failure(&error)),
     }
 }
 
-/// Handles a response by the kind that its head gives it.
+/// Classifies the response by its head and forwards, buffers or drops it.
 async fn forward(
     response: ServerResponse,
     request: &ClientRequest,
@@ -69,22 +70,22 @@
         }
         ResponseKind::Rejection => response.into_rejection(),
         ResponseKind::Failure => response.buffer_failure().await,
-        ResponseKind::Success(BodyShape::Events) => {
+        ResponseKind::Success(BodyFraming::Events) => {
             response.forward_events(command.resume_after, request.stall_timeout(), progress, client).await
         }
-        // Only a stream can resume a stream that the client has begun to receive.
+        // The client has received part of an event stream, which only another event stream can continue.
         ResponseKind::Success(_) if client.has_begun() => {
             AttemptResult::without_response(Verdict::MayHaveRun, Ending::MalformedResponse)
         }
-        ResponseKind::Success(shape) => response.forward_success(shape, progress, client).await,
+        ResponseKind::Success(framing) => response.forward_success(framing, progress, client).await,
     }
 }
 
-/// The result where the connection ended without a response head: only a request of which no byte was written has
-/// surely not run.
+/// The result of an attempt whose connection ended without a response head. The request is known not to have
+/// run only if none of its bytes were written.
 fn send_failure(error: &SendError) -> AttemptResult {
     let ending = match error {
-        SendError { is_parse: true, .. } => Ending::MalformedResponse,
+        SendError { is_parse_error: true, .. } => Ending::MalformedResponse,
         SendError { was_reused: true, .. } => Ending::StaleConnection,
         SendError { was_written: false, .. } => Ending::Unreachable,
         _ => Ending::ConnectionLost,
--- a/dataplane/src/attempt_result.rs
+++ b/dataplane/src/attempt_result.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, for the exchange that made it.
+//! The result of an attempt, returned to the exchange that made it.
 
 use bytes::Bytes;
 use hyper::http::response::Parts;
@@ -6,24 +6,21 @@
 
 /// A complete failure response of a server.
 pub struct BufferedFailure {
-    /// Its head.
     pub head: Parts,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
 pub enum AttemptResult {
-    /// A complete success has been forwarded.
+    /// A successful response has been forwarded completely.
     Served(Outcome),
-    /// A failure response is buffered, to be forwarded if the router does not retry.
+    /// A failure response has been buffered; it is forwarded if the router does not retry.
     Failed(Outcome, BufferedFailure),
-    /// There is no response to forward.
+    /// There is no response to forward, or only part of one was forwarded.
     NoResponse(Outcome),
 }
 
 impl AttemptResult {
-    /// The result of an attempt without a usable response.
+    /// A result that carries neither the server's load nor a `Retry-After`.
     pub fn without_response(verdict: Verdict, ending: Ending) -> Self {
         AttemptResult::NoResponse(Outcome { verdict, ending, load: None, retry_after_ms: None })
     }
--- a/dataplane/src/body_memory.rs
+++ b/dataplane/src/body_memory.rs
@@ -1,21 +1,20 @@
-//! Bounds the memory that buffered request bodies take.
+//! Limits the memory that buffered request bodies use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The memory for the request bodies of all connections.
+/// The memory budget for the request bodies of all client connections.
 pub struct BodyMemory {
     reserved_bytes: Cell<u64>,
     max_bytes: u64,
 }
 
 impl BodyMemory {
-    /// Memory for `max_bytes` bytes, none of them reserved.
     pub fn new(max_bytes: u64) -> Rc<Self> {
         Rc::new(BodyMemory { reserved_bytes: Cell::new(0), max_bytes })
     }
 
-    /// Reserves memory for a body; `None` if the bodies held leave too little.
+    /// Reserves memory for a body; `None` if the budget does not allow it.
     pub fn reserve(self: &Rc<Self>, bytes: u64) -> Option<BodyReservation> {
         self.try_reserve(bytes).then(|| BodyReservation { memory: self.clone(), bytes })
     }
@@ -31,7 +30,7 @@
 }
 
 impl BodyReservation {
-    /// Reserves more memory for the body; false, and nothing is reserved, if the bodies held leave too little.
+    /// Adds `bytes` to the reservation. Returns false, and reserves nothing, if the budget does not allow it.
     pub fn grow(&mut self, bytes: u64) -> bool {
         let reserved = self.memory.try_reserve(bytes);
         if reserved {
@@ -41,7 +40,7 @@
     }
 }
 
-/// Memory reserved for one request's body; released when dropped.
+/// The memory reserved for one request's body; released when dropped.
 pub struct BodyReservation {
     memory: Rc<BodyMemory>,
     bytes: u64,
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection: what it is doing, since when, and whether it is to close.
+//! The state of one client connection: its phase, the start of that phase, and whether it should be closed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -12,10 +12,9 @@
 use crate::shared_stream::is_read_closed;
 use crate::tracked_stream::IoObserver;
 
-/// The longest time for one response, in milliseconds: a client that takes longer does not read.
+/// A connection is dropped if one response takes longer than this: the client has stopped reading it.
 const RESPONSE_TIMEOUT_MS: Millis = 300_000;
 
-/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Waiting for the next request.
@@ -24,72 +23,72 @@
     ReadingHead,
     /// Receiving a request's body.
     ReadingBody,
-    /// Waiting for the response or writing it.
+    /// Waiting for the response to a request, or writing it.
     Responding,
 }
 
-/// What is to become of a connection.
+/// Whether and how the connection's task should close it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// It stays open.
     KeepOpen,
-    /// It closes once it is idle.
+    /// Close the connection after the request in flight, or at once if there is none.
     CloseWhenIdle,
-    /// It is dropped, whatever it is doing.
+    /// Drop the connection at once, even with a request in flight.
     Abort,
 }
 
-/// A client connection, shared by its task, its requests and the table of connections.
+/// The state of a client connection, shared by its task, its requests and the table of connections.
 pub struct ClientConnection {
     clock: Clock,
     phase: Cell<Phase>,
-    phase_since: Cell<Millis>,
+    phase_started_at: Cell<Millis>,
     disposition: Cell<Disposition>,
-    /// The socket, for as long as it is open.
+    /// Can be upgraded only while the socket is open.
     stream: Weak<TcpStream>,
+    /// Wakes the connection's task.
     waker: RefCell<Option<Waker>>,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
     pub fn new(clock: Clock, stream: &Rc<TcpStream>) -> Self {
         ClientConnection {
             clock,
             phase: Cell::new(Phase::Idle),
-            phase_since: Cell::new(clock.now()),
+            phase_started_at: Cell::new(clock.now()),
             disposition: Cell::new(Disposition::KeepOpen),
             stream: Rc::downgrade(stream),
             waker: RefCell::default(),
         }
     }
 
-    /// A request's head has been read. The connection is idle again when the guard is dropped.
+    /// Enters [`Phase::ReadingBody`], after a request's head has been read. The connection becomes idle when
+    /// the guard is dropped.
     pub fn begin_request(self: &Rc<Self>) -> RequestGuard {
-        self.enter(Phase::ReadingBody);
+        self.enter_phase(Phase::ReadingBody);
         RequestGuard(self.clone())
     }
 
-    /// The request's body has been read.
+    /// Enters [`Phase::Responding`], after the request's body has been read.
     pub fn begin_response(&self) {
-        self.enter(Phase::Responding);
+        self.enter_phase(Phase::Responding);
     }
 
-    /// Whether the client has left: whatever it sent before need not be served any more.
-    pub fn has_client_left(&self) -> bool {
+    /// Whether the client has closed the connection or its sending half. Requests that it sent before need no
+    /// longer be served.
+    pub fn is_client_disconnected(&self) -> bool {
         self.stream.upgrade().is_none_or(|stream| is_read_closed(&stream))
     }
 
-    /// Whether a request is being served.
+    /// Whether the connection is in [`Phase::Responding`].
     pub fn is_responding(&self) -> bool {
         self.phase.get() == Phase::Responding
     }
 
-    /// What is to become of the connection.
     pub fn disposition(&self) -> Disposition {
         self.disposition.get()
     }
 
-    /// Changes what is to become of the connection, and wakes its task.
+    /// Changes the disposition and wakes the connection's task, so that it acts on it.
     pub fn set_disposition(&self, disposition: Disposition) {
         if self.disposition.get() == disposition {
             return;
@@ -101,12 +100,12 @@
         }
     }
 
-    /// The connection's task is to be woken when the disposition changes.
-    pub fn register(&self, waker: &Waker) {
+    /// Sets the waker that is called when the disposition changes.
+    pub fn register_waker(&self, waker: &Waker) {
         self.waker.replace(Some(waker.clone()));
     }
 
-    /// What the time-outs make of the connection.
+    /// The disposition that follows from the time-out of the current phase.
     pub fn check_timeout(&self, now: Millis, limits: &ClientLimits) -> Disposition {
         let (timeout_ms, disposition) = match self.phase.get() {
             Phase::Idle => (limits.idle_timeout_ms, Disposition::CloseWhenIdle),
@@ -114,32 +113,32 @@
             Phase::ReadingBody => (limits.idle_timeout_ms, Disposition::Abort),
             Phase::Responding => (RESPONSE_TIMEOUT_MS, Disposition::Abort),
         };
-        if now.saturating_sub(self.phase_since.get()) > timeout_ms {
+        if now.saturating_sub(self.phase_started_at.get()) > timeout_ms {
             disposition
         } else {
             Disposition::KeepOpen
         }
     }
 
-    fn enter(&self, phase: Phase) {
+    fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        self.phase_since.set(self.clock.now());
+        self.phase_started_at.set(self.clock.now());
     }
 }
 
 impl IoObserver for ClientConnection {
     fn on_read(&self) {
         if self.phase.get() == Phase::Idle {
-            self.enter(Phase::ReadingHead);
+            self.enter_phase(Phase::ReadingHead);
         }
     }
 }
 
-/// A request in flight on a client connection, which is idle again when this is dropped.
+/// Marks a request in flight on a client connection; the connection becomes idle when this is dropped.
 pub struct RequestGuard(Rc<ClientConnection>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.enter(Phase::Idle);
+        self.0.enter_phase(Phase::Idle);
     }
 }
--- a/dataplane/src/client_request.rs
+++ b/dataplane/src/client_request.rs
@@ -1,4 +1,4 @@
-//! The buffered request of a client, from which each attempt makes the request that it sends to a server.
+//! A client's buffered request, from which each attempt builds the request that it sends to a server.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use crate::request::{strip_hop_by_hop, ATTEMPT_ID, DEADLINE_MS, EXPECTED_INSTANCE, LAST_EVENT_ID, PRIORITY};
 use crate::server_connection::{ConnectionId, ServerConnection};
 
-/// A client's request, buffered completely, so that it can be sent more than once.
+/// A client's request. It is buffered completely, so that it can be sent more than once.
 pub struct ClientRequest {
     method: Method,
     target: Uri,
     headers: HeaderMap,
     body: Bytes,
     stall_timeout: Option<Duration>,
-    /// Connections over which it has been sent.
-    used: RefCell<Vec<ConnectionId>>,
+    /// Server connections on which it has been sent.
+    used_connections: RefCell<Vec<ConnectionId>>,
     _reservation: BodyReservation,
 }
 
 impl ClientRequest {
-    /// Keeps what is sent to servers of a client's request. A stream that pauses for longer than `stall_timeout` is
-    /// reported as stalled.
+    /// Removes the headers that are not forwarded to servers. `stall_timeout` is the pause after which the
+    /// response stream is reported as stalled; `None` if stalls are not detected.
     pub fn new(
         head: request::Parts,
         body: Bytes,
@@ -41,41 +41,52 @@
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
         let path = uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/"));
-        let (target, used) = (Uri::from(path), RefCell::default());
-        ClientRequest { method, target, headers, body, stall_timeout, used, _reservation: reservation }
+        let (target, used_connections) = (Uri::from(path), RefCell::default());
+        ClientRequest {
+            method,
+            target,
+            headers,
+            body,
+            stall_timeout,
+            used_connections,
+            _reservation: reservation,
+        }
     }
 
-    /// The pause after which its stream counts as stalled.
     pub fn stall_timeout(&self) -> Option<Duration> {
         self.stall_timeout
     }
 
-    /// The method.
     pub fn method(&self) -> &Method {
         &self.method
     }
 
-    /// The value of `Attempt-Id`.
+    /// The value of the `Attempt-Id` header.
     pub fn attempt_id(&self) -> Option<&HeaderValue> {
         self.headers.get(ATTEMPT_ID)
     }
 
-    /// Records a connection over which the request is about to be sent.
+    /// Records that the request is about to be sent on this connection.
     pub fn record_connection(&self, connection: ConnectionId) {
-        self.used.borrow_mut().push(connection);
+        self.used_connections.borrow_mut().push(connection);
     }
 
-    /// Whether the request must not be sent over this connection, as a surplus response could be accepted as its own:
-    /// either it has been sent over it before, with the same `Attempt-Id`, so that the earlier response may arrive twice;
-    /// or the connection's last request had the same id, as where a client gives one id to two tries (of a response to an
-    /// earlier one, the last would have shown the surplus);
-    /// or it has no `Attempt-Id`, so that only a connection which has carried no response will do.
+    /// Whether the request must not be sent on this connection, because a surplus response on it could be
+    /// mistaken for the response to this request. That is the case if
+    ///
+    /// - the request has been sent on it before: the response to the earlier attempt, which has the same
+    ///   `Attempt-Id`, may arrive a second time;
+    /// - the connection's last request had the same `Attempt-Id`, as when a client reuses an id for a retry.
+    ///   Only the last request matters: a surplus response to an earlier one would have been noticed during
+    ///   the last one;
+    /// - the request has no `Attempt-Id`, so that no response can be told from another. Only a new connection
+    ///   will do.
     pub fn is_excluded_from(&self, connection: &ServerConnection) -> bool {
         self.attempt_id().is_none_or(|id| connection.last_attempt_id() == Some(id))
-            || self.used.borrow().contains(&connection.id())
+            || self.used_connections.borrow().contains(&connection.id())
     }
 
-    /// The request that one attempt sends; `None` if the server's id is not valid as a header value.
+    /// Builds the request for one attempt; `None` if the server's id is not a valid header value.
     pub fn to_server_request(&self, command: &SendCommand) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/dataplane/src/client_response.rs
+++ b/dataplane/src/client_response.rs
@@ -1,4 +1,5 @@
-//! The response to a client: a server's, forwarded complete or as it arrives, or one of the edge's own.
+//! The response to a client: either a server's response, forwarded once complete or as it arrives, or a
+//! rejection by the edge itself.
 
 use bytes::Bytes;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -9,7 +10,7 @@
 use crate::request::strip_hop_by_hop;
 use crate::response_body::{ResponseAborted, ResponseWriter};
 
-/// The response to a client, of which a part may have been sent.
+/// The response to a client, which may have been sent in part.
 pub struct ClientResponse {
     writer: ResponseWriter,
     has_begun: bool,
@@ -18,28 +19,29 @@
 }
 
 impl ClientResponse {
-    /// A response that has not begun.
     pub fn new(writer: ResponseWriter) -> Self {
         ClientResponse { writer, has_begun: false, last_event: None, in_partial_event: false }
     }
 
-    /// Records how far a stream has come: the last event sent, and whether a part of the next one has arrived.
+    /// Records the position in an event stream: the id of the last complete event, and whether part of
+    /// another event has arrived from the server.
     pub fn record_stream_position(&mut self, last_event: Option<u64>, in_partial_event: bool) {
         self.last_event = last_event;
         self.in_partial_event = in_partial_event;
     }
 
-    /// How an attempt ends that fails after the head has been sent.
-    pub fn truncated(&self) -> Ending {
+    /// The ending of an attempt that fails after the head has been sent to the client.
+    pub fn truncated_ending(&self) -> Ending {
         Ending::Truncated { last_event: self.last_event, at_fault: self.in_partial_event }
     }
 
-    /// Whether the head has been sent.
+    /// Whether the head has been sent to the client.
     pub fn has_begun(&self) -> bool {
         self.has_begun
     }
 
-    /// Sends the head, if none has been sent: a stream that another server resumes keeps its first head.
+    /// Sends the head, unless one has been sent: a stream that is resumed on another server keeps the first
+    /// server's head.
     pub fn begin(&mut self, mut head: Parts) {
         if self.has_begun {
             return;
@@ -49,12 +51,12 @@
         self.writer.begin(head);
     }
 
-    /// Sends a chunk of the body.
+    /// Sends a chunk of the body and waits until the client connection has taken it.
     pub async fn send_chunk(&self, chunk: Bytes) {
         self.writer.write(chunk).await;
     }
 
-    /// Sends the last chunk of the body.
+    /// Sends the last chunk of the body, which may be empty.
     pub fn finish(&self, chunk: Bytes) {
         self.writer.finish(chunk);
     }
@@ -63,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// If another response has begun.
+    /// If the head of a response has already been sent.
     pub fn send_complete(&mut self, head: Parts, body: Bytes) -> Result<(), ResponseAborted> {
         if self.has_begun {
             return Err(ResponseAborted);
@@ -74,7 +76,7 @@
     }
 }
 
-/// The head of a response of the edge's own; `None` if the status is not valid.
+/// The head of a response by which the edge itself rejects a request; `None` if the status code is invalid.
 pub fn rejection_head(rejection: Rejection) -> Option<Parts> {
     let (mut head, ()) = Response::new(()).into_parts();
     head.status = StatusCode::from_u16(rejection.status).ok()?;
--- a/dataplane/src/control.rs
+++ b/dataplane/src/control.rs
@@ -1,16 +1,16 @@
-//! Requests to shut down and to reload the settings, by signal or by handle.
+//! Requests to shut down or to reload the settings, made by a signal or through a handle.
 
 use std::rc::Rc;
 
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::Notify;
 
-/// A handle on a running data plane.
+/// A handle that controls a running data plane. Clones control the same one.
 #[derive(Clone, Debug, Default)]
-pub struct Control(Rc<Signals>);
+pub struct Control(Rc<ControlState>);
 
 #[derive(Debug, Default)]
-struct Signals {
+struct ControlState {
     stop: Notify,
     reload: Notify,
 }
@@ -21,23 +21,23 @@
         self.0.stop.notify_one();
     }
 
-    /// Requests that the settings are reloaded, as SIGHUP does.
+    /// Requests a reload of the settings file, as SIGHUP does.
     pub fn reload(&self) {
         self.0.reload.notify_one();
     }
 
     /// Waits until shutdown is requested.
-    pub(crate) async fn stopped(&self) {
+    pub(crate) async fn stop_requested(&self) {
         self.0.stop.notified().await;
     }
 
     /// Waits until a reload is requested.
-    pub(crate) async fn reloaded(&self) {
+    pub(crate) async fn reload_requested(&self) {
         self.0.reload.notified().await;
     }
 
-    /// Turns SIGTERM and SIGHUP of the process into requests; returns only if signals cannot be received.
-    pub(crate) async fn follow_signals(self) -> std::io::Result<()> {
+    /// Translates SIGTERM and SIGHUP into requests; returns only if signals cannot be received.
+    pub(crate) async fn forward_signals(self) -> std::io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut hang_up = signal(SignalKind::hangup())?;
         loop {
--- a/dataplane/src/coordinator_link.rs
+++ b/dataplane/src/coordinator_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to a coordinator: opening it, and one poll's request and response on it.
+//! A connection to a coordinator: opens it, and exchanges the request and response of each poll.
 
 use std::time::Duration;
 
@@ -13,87 +13,81 @@
 use crate::poll_timeouts::PollTimeouts;
 use crate::state::State;
 
-/// How long a connection to a coordinator may take to come up.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same while no configuration is known, so that a coordinator that is up is found soon.
-const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the rest of a response may take once it has begun.
+/// Used instead of [`CONNECT_TIMEOUT`] while the edge has no configuration, so that it finds a running
+/// coordinator sooner.
+const INITIAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a response may take to arrive completely after its length prefix.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an urgent report waits for more to go with it.
+/// Delay before an urgent report is sent, so that demand that arrives meanwhile is part of it.
 const URGENT_REPORT_DELAY: Duration = Duration::from_millis(5);
 
 /// Why a poll failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum PollError {
-    /// The connection failed.
+    /// Connecting, reading or writing failed.
     #[snafu(display("{source}"))]
-    Io {
-        /// The system's error.
-        source: std::io::Error,
-    },
-    /// The connection did not come up, or the response did not come, in time.
+    Io { source: std::io::Error },
+    /// The connection was not established, or the response did not arrive, in time.
     #[snafu(display("timed out"))]
     TimedOut,
     /// The response cannot be decoded.
     #[snafu(display("{source}"))]
-    Frame {
-        /// What is wrong with it.
-        source: FrameError,
-    },
-    /// The coordinator itself says that it is cut off from the majority.
+    Frame { source: FrameError },
+    /// The coordinator reported that it has lost contact with a majority of the coordinators.
     #[snafu(display("coordinator has no quorum contact"))]
     NoQuorumContact,
 }
 
-/// A connection to a coordinator, and the bytes that go before the first message on it.
-pub struct CoordinatorLink {
-    /// The coordinator.
+pub struct CoordinatorConnection {
+    /// The coordinator at the other end.
     pub node: NodeId,
     stream: TcpStream,
-    /// The handshake, until it has been sent.
-    unsent: Vec<u8>,
+    /// The encoded handshake; empty once it has been sent.
+    unsent_handshake: Vec<u8>,
 }
 
-impl CoordinatorLink {
-    /// Opens a connection, on which `identity` is sent with the first message.
+impl CoordinatorConnection {
+    /// Opens a connection. The handshake with `identity` is sent together with the first message.
     pub async fn connect(
         state: &State,
         node: NodeId,
         port: u16,
         identity: &EdgeIdentity,
-    ) -> Result<CoordinatorLink, PollError> {
-        let is_first = state.view().version == 0;
-        let connect_timeout = if is_first { FIRST_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
+    ) -> Result<CoordinatorConnection, PollError> {
+        let has_no_configuration = state.view().version == 0;
+        let connect_timeout = if has_no_configuration { INITIAL_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
         let connecting = timeout(connect_timeout, TcpStream::connect((node.address(), port)));
         let Ok(connected) = connecting.await else { return TimedOutSnafu.fail() };
         let stream = connected.context(IoSnafu)?;
         stream.set_nodelay(true).context(IoSnafu)?;
         slog::debug!(state.log, "connected to coordinator"; "coordinator" => %node);
-        let unsent = frame::encode(&Handshake::Edge(identity.clone()));
-        Ok(CoordinatorLink { node, stream, unsent })
+        let unsent_handshake = frame::encode(&Handshake::Edge(identity.clone()));
+        Ok(CoordinatorConnection { node, stream, unsent_handshake })
     }
 
-    /// Announces that this edge is about to end, and closes the connection.
+    /// Tells the coordinator that this edge is shutting down, and closes the connection.
     pub async fn send_shutdown_notice(mut self) -> Result<(), PollError> {
-        let message = self.prepare(&EdgeRequest::ShutdownNotice);
+        let message = self.encode_message(&EdgeRequest::ShutdownNotice);
         self.stream.write_all(&message).await.context(IoSnafu)?;
         self.stream.shutdown().await.context(IoSnafu)
     }
 
-    /// Sends a poll and reads the response. Urgent demand is sent meanwhile; the outcomes of servers observed since
-    /// are returned with the response.
+    /// Sends a poll and reads the response. Urgent demand is sent while waiting. A report message carries no
+    /// server outcomes, so the outcomes taken from the router with that demand are returned for the next
+    /// poll.
     pub async fn poll(
         &mut self,
         state: &State,
         request: &EdgeRequest,
         timeouts: PollTimeouts,
     ) -> Result<(PollResponse, Vec<ServerOutcomes>), PollError> {
-        let message = self.prepare(request);
+        let message = self.encode_message(request);
         let (mut reader, mut writer) = self.stream.split();
         let mut server_outcomes = Vec::new();
         let mut prefix = [0; frame::PREFIX_BYTES];
-        let begin = async {
+        let send_and_read_prefix = async {
             writer.write_all(&message).await?;
             let mut reading = std::pin::pin!(reader.read_exact(&mut prefix));
             loop {
@@ -109,10 +103,10 @@
                 }
             }
         };
-        let Ok(begun) = timeout(timeouts.response_timeout(), begin).await else {
+        let Ok(prefix_read) = timeout(timeouts.response_timeout(), send_and_read_prefix).await else {
             return TimedOutSnafu.fail();
         };
-        begun.context(IoSnafu)?;
+        prefix_read.context(IoSnafu)?;
         let length = frame::body_length(prefix).context(FrameSnafu)?;
         let mut body = Vec::new();
         let mut rest = reader.take(length as u64);
@@ -123,9 +117,9 @@
         Ok((frame::decode(&body).context(FrameSnafu)?, server_outcomes))
     }
 
-    /// The bytes of a message, after the handshake where that is still to be sent.
-    fn prepare(&mut self, request: &EdgeRequest) -> Vec<u8> {
-        let mut message = std::mem::take(&mut self.unsent);
+    /// Encodes a message, preceded by the handshake if that has not been sent yet.
+    fn encode_message(&mut self, request: &EdgeRequest) -> Vec<u8> {
+        let mut message = std::mem::take(&mut self.unsent_handshake);
         message.extend(frame::encode(request));
         message
     }
--- a/dataplane/src/coordinators.rs
+++ b/dataplane/src/coordinators.rs
@@ -1,37 +1,39 @@
-//! Chooses the coordinator to poll: each edge has an order of its own, so that edges spread over the coordinators.
+//! Chooses the coordinator to poll. Each edge ranks the coordinators by a hash of both nodes, so that the
+//! edges are spread over the coordinators.
 
 use std::hash::{BuildHasher, Hasher};
 
 use ahash::RandomState;
 use shaletrail_protocol::NodeId;
 
-/// Learned coordinators kept at most; more than any deployment has.
+/// Limits the coordinators learned from poll responses; larger than any deployment.
 const MAX_LEARNED_COORDINATORS: usize = 64;
-/// Constant, so that an edge's order is the same after a restart.
+/// Constant, so that an edge polls the coordinators in the same order after a restart.
 const HASH_SEEDS: (u64, u64, u64, u64) = (0x9e37_79b9, 0x85eb_ca6b, 0xc2b2_ae35, 0x27d4_eb2f);
 
-/// The known coordinators, and which of them failed in this round.
+/// The known coordinators and the one to poll. A round tries each of them at most once until one succeeds.
 #[derive(Clone, Debug)]
 pub struct Coordinators {
     edge: NodeId,
     seeds: Vec<NodeId>,
     learned: Vec<NodeId>,
+    /// Coordinators that have failed in this round.
     failed: Vec<NodeId>,
     current: Option<NodeId>,
 }
 
 impl Coordinators {
-    /// The coordinators that the settings name.
+    /// Knows only `seeds`, the coordinators listed in the settings of the edge `edge`.
     pub fn new(edge: NodeId, seeds: Vec<NodeId>) -> Self {
         Coordinators { edge, seeds, learned: Vec::new(), failed: Vec::new(), current: None }
     }
 
-    /// Replaces the seeds after a reload of the settings.
+    /// Replaces the seeds after a reload of the settings file. The current coordinator is kept.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.seeds = seeds;
     }
 
-    /// Replaces the coordinators learned from another; an empty list changes nothing.
+    /// Replaces the coordinators learned from an earlier poll response; an empty list changes nothing.
     pub fn learn(&mut self, mut learned: Vec<NodeId>) {
         learned.truncate(MAX_LEARNED_COORDINATORS);
         if !learned.is_empty() {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// The current coordinator, or the first in order that has not failed in this round; `None` once all have.
+    /// The current coordinator or, without one, the first in this edge's order that has not failed in this
+    /// round; `None` if all have failed.
     pub fn choose(&mut self) -> Option<NodeId> {
         if self.current.is_none() {
             let all = self.seeds.iter().chain(&self.learned);
@@ -49,24 +52,25 @@
         self.current
     }
 
-    /// The current coordinator has responded: it stays, and a later failure begins a new round.
+    /// Records that the current coordinator has responded: it stays current, and a later failure begins a new
+    /// round.
     pub fn succeeded(&mut self) {
         self.failed.clear();
     }
 
-    /// The current coordinator has failed: another is chosen next.
+    /// Records that the current coordinator has failed, so that another one is chosen next.
     pub fn failed(&mut self) {
         self.failed.extend(self.current.take());
     }
 
-    /// Begins a new round, in which all may be chosen again.
+    /// Begins a new round, in which every coordinator may be chosen again.
     pub fn begin_round(&mut self) {
         self.failed.clear();
         self.current = None;
     }
 }
 
-/// The rank of a coordinator, which differs from edge to edge.
+/// The rank of a coordinator for this edge; the lowest is polled first.
 fn rank(edge: NodeId, coordinator: NodeId) -> u64 {
     let (first, second, third, fourth) = HASH_SEEDS;
     let mut hasher = RandomState::with_seeds(first, second, third, fourth).build_hasher();
--- a/dataplane/src/error.rs
+++ b/dataplane/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a data plane cannot run.
+//! The error type of the data plane.
 
 use std::net::SocketAddrV4;
 
@@ -8,30 +8,30 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DataplaneError {
-    /// The settings lack an address.
-    #[snafu(display("{key}: missing, a data plane needs it"))]
+    /// The settings lack an address to listen on.
+    #[snafu(display("setting {key} is missing; a data plane requires it"))]
     NoAddress {
-        /// The settings' key.
+        /// The key of the missing setting.
         key: &'static str,
     },
-    /// An address cannot be listened on.
+    /// A listening socket cannot be opened.
     #[snafu(display("listening on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddrV4,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[snafu(display("signals: {source}"))]
+    /// SIGTERM and SIGHUP cannot be received.
+    #[snafu(display("failed to install signal handlers: {source}"))]
     Signals {
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The system gave no seed for random numbers.
-    #[snafu(display("random numbers: {source}"))]
+    /// The operating system provided no seed for the random number generator.
+    #[snafu(display("failed to get a random seed: {source}"))]
     Random {
-        /// The system's error.
+        /// The error of the operating system.
         source: rand::rand_core::OsError,
     },
 }
--- a/dataplane/src/event_splitter.rs
+++ b/dataplane/src/event_splitter.rs
@@ -1,41 +1,43 @@
-//! Splits the bytes of a `text/event-stream` into events, so that each is forwarded completely or not at all.
+//! Splits a `text/event-stream` into events, so that each event is forwarded completely or not at all.
 
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// The longest event that is buffered until its end arrives, in bytes.
+/// An incomplete event longer than this many bytes is an error.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Why a stream cannot be split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SplitError {
-    /// An event has no end within [`MAX_EVENT_BYTES`].
-    #[snafu(display("an event is longer than {MAX_EVENT_BYTES} bytes"))]
+    /// An event does not end within [`MAX_EVENT_BYTES`].
+    #[snafu(display("event is longer than {MAX_EVENT_BYTES} bytes"))]
     TooLong,
 }
 
-/// Takes the bytes of a stream as they arrive and returns complete events.
+/// Accepts the bytes of an event stream as they arrive and returns the events that are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// Bytes of an event whose end has not arrived.
+    /// The bytes received of an event that is not complete yet.
     partial: BytesMut,
-    /// Events up to this id are dropped, as the client has them already.
+    /// Events up to this id are dropped: the client has already received them.
     resume_after: Option<u64>,
-    /// The last id returned, or the one after which the stream is resumed.
+    /// The id of the last event returned; before that, the id after which the stream is resumed.
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that is resumed after the event `last_id`, where there is one.
-    pub fn after(last_id: Option<u64>) -> Self {
+    /// Creates a splitter for a stream that is resumed after the event `last_id`, or for a new stream if that
+    /// is `None`.
+    pub fn resuming_after(last_id: Option<u64>) -> Self {
         EventSplitter { partial: BytesMut::new(), resume_after: last_id, last_id }
     }
 
-    /// Takes more bytes and returns the events that are complete now, in one chunk; empty where there are none.
+    /// Adds received bytes and returns the events that are now complete, as one chunk; empty if there are
+    /// none.
     ///
     /// # Errors
     ///
-    /// If an event is too long.
+    /// If an event is longer than [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: Bytes) -> Result<Bytes, SplitError> {
         if self.partial.is_empty() {
             return self.split(bytes);
@@ -45,30 +47,30 @@
         self.split(joined)
     }
 
-    /// The id of the last event returned.
+    /// The id of the last event returned or, before that, the id after which the stream is resumed.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether a part of an event is buffered.
+    /// Whether part of an event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// The bytes after the last complete event, for a stream that has ended properly.
+    /// Takes the bytes after the last complete event, once the stream has ended without an error.
     pub fn finish(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
     fn split(&mut self, mut bytes: Bytes) -> Result<Bytes, SplitError> {
         let mut end = 0;
-        let mut dropped = 0;
+        let mut dropped_end = 0;
         while let Some(event) = EventEnd::find(&bytes, end) {
             end = event.end;
             let is_duplicate =
                 matches!((event.id, self.resume_after), (Some(id), Some(resume_after)) if id <= resume_after);
             if is_duplicate {
-                dropped = end;
+                dropped_end = end;
             } else if event.id.is_some() {
                 self.last_id = event.id;
             }
@@ -78,18 +80,19 @@
             return TooLongSnafu.fail();
         }
         self.partial.extend_from_slice(&rest);
-        Ok(bytes.split_off(dropped))
+        Ok(bytes.split_off(dropped_end))
     }
 }
 
-/// Where an event ends, and the id in it.
 struct EventEnd {
+    /// Index of the first byte after the event.
     end: usize,
+    /// The event's id, if it has a numeric one.
     id: Option<u64>,
 }
 
 impl EventEnd {
-    /// The end of the event that begins at `start`, if it has arrived.
+    /// Finds the end of the event that begins at `start`; `None` if it has not arrived.
     fn find(bytes: &[u8], start: usize) -> Option<EventEnd> {
         let mut id = None;
         let mut line_start = start;
@@ -107,7 +110,7 @@
     }
 }
 
-/// The number in a line `id: N`.
+/// Parses a line `id: N`.
 fn event_id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The exchange of one request: carries out the router's commands, from its first to the end of the response.
+//! The exchange of one request and its response: executes the router's commands until the response is
+//! complete.
 
 use std::future::Future;
 use std::pin::pin;
@@ -16,7 +17,6 @@
 use crate::request_handle::RequestHandle;
 use crate::response_body::{ResponseAborted, ResponseWriter};
 
-/// The exchange of one request.
 pub struct Exchange {
     handle: RequestHandle,
     request: ClientRequest,
@@ -24,33 +24,34 @@
     buffered_failure: Option<BufferedFailure>,
 }
 
-/// What follows a command.
+/// The next step after a command.
 enum Step {
     /// The response is complete.
     Finished,
-    /// The router decides what is next.
+    /// Wait for the router's next command.
     AwaitCommand,
-    /// This command arrived meanwhile.
+    /// Execute this command, which interrupted the previous one.
     Next(Command),
 }
 
 impl Exchange {
-    /// The exchange of a request that the router knows, and of the response that goes to `writer`.
+    /// Creates the exchange of a request that is registered with the router. The response is written to
+    /// `writer`.
     pub fn new(handle: RequestHandle, request: ClientRequest, writer: ResponseWriter) -> Self {
         Exchange { handle, request, client: ClientResponse::new(writer), buffered_failure: None }
     }
 
-    /// Carries out the router's commands until the response is complete.
+    /// Executes the router's commands until the response is complete.
     ///
     /// # Errors
     ///
-    /// If the response cannot be completed: the client's connection has to be closed.
+    /// If the response cannot be completed; the client connection must then be closed.
     pub async fn run(mut self) -> Result<(), ResponseAborted> {
         let mut next = None;
         loop {
             let command = match next.take() {
                 Some(command) => command,
-                None => self.handle.command().await,
+                None => self.handle.next_command().await,
             };
             match self.execute(command).await? {
                 Step::Finished => return Ok(()),
@@ -66,12 +67,12 @@
             Command::ForwardFailure => self.forward_failure(),
             Command::Reject(rejection) => self.reject(rejection),
             Command::AbortResponse => Err(ResponseAborted),
-            // The attempt ended before the command was read.
+            // The attempt to be cancelled has already ended.
             Command::Cancel(_) => Ok(Step::AwaitCommand),
         }
     }
 
-    /// Makes one attempt, unless another command interrupts it.
+    /// Makes one attempt, until it ends or another command interrupts it.
     async fn send(&mut self, command: &SendCommand) -> Step {
         self.buffered_failure = None;
         let attempt = command.attempt;
@@ -96,9 +97,10 @@
         step
     }
 
-    /// The attempt has been dropped, and its connection with it.
+    /// Reports an attempt that a command interrupted. Its future has been dropped, which closed its
+    /// connection.
     fn interrupt_attempt(&self, attempt: Attempt, verdict: Verdict, command: Command) -> Step {
-        let ending = if self.client.has_begun() { self.client.truncated() } else { Ending::Cancelled };
+        let ending = if self.client.has_begun() { self.client.truncated_ending() } else { Ending::Cancelled };
         let outcome = Outcome { verdict, ending, load: None, retry_after_ms: None };
         self.handle.state().handle(Event::AttemptEnded(self.handle.id(), attempt, outcome));
         match command {
@@ -122,7 +124,7 @@
     }
 }
 
-/// Runs an attempt to its end, or returns the command that interrupts it.
+/// Runs an attempt until it ends; returns `Err` with the command that interrupts it.
 async fn run_until_command(
     handle: &RequestHandle,
     attempt: Attempt,
@@ -132,7 +134,7 @@
     loop {
         tokio::select! {
             biased;
-            command = handle.command() => match command {
+            command = handle.next_command() => match command {
                 Command::Cancel(other) if other != attempt => {}
                 command => return Err(command),
             },
--- a/dataplane/src/graceful_shutdown.rs
+++ b/dataplane/src/graceful_shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown: the process is unready first, then stops accepting, closes idle connections, and aborts what is
-//! still open shortly before the platform would kill it.
+//! Graceful shutdown: the process first fails its readiness checks, then stops accepting connections and
+//! closes idle ones. Shortly before the platform would kill it, it aborts the responses that are still in
+//! flight.
 
 use std::time::Duration;
 
@@ -9,34 +10,36 @@
 use crate::listener::Clients;
 use crate::state::State;
 
-/// Clients are accepted for at least this long after the start of shutdown: the platform's checks must fail twice.
+/// Connections are accepted for at least this long after the start of shutdown: the platform sends new ones
+/// until two readiness checks have failed.
 const MIN_ACCEPT_DURATION: Duration = Duration::from_millis(2200);
-/// Accepting stops only once no client has connected for this long.
+/// After [`MIN_ACCEPT_DURATION`], accepting stops once no client has connected for this long.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
-/// Between two checks whether clients still connect.
+/// Interval between checks for [`QUIET_PERIOD`].
 const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The process ends this long before it is killed.
+/// The process exits this long before the platform would kill it.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Shuts down within `grace`. `accepting` is the task that accepts clients.
-pub async fn shut_down(state: &State, clients: &Clients, accepting: &JoinHandle<()>, grace: Duration) {
+/// Shuts down within `grace`, the time until the platform kills the process. `accept_task` is the task that
+/// accepts connections.
+pub async fn shut_down(state: &State, clients: &Clients, accept_task: &JoinHandle<()>, grace: Duration) {
     slog::info!(state.log, "shutdown started");
     let time_left = grace.saturating_sub(KILL_MARGIN);
     let aborts_at = Instant::now() + time_left;
     state.begin_shutdown(time_left);
-    let drained = async {
+    let drain = async {
         wait_until_quiet(state, clients, grace / 2).await;
-        accepting.abort();
+        accept_task.abort();
         clients.close_idle();
-        clients.all_closed().await;
+        clients.wait_until_all_closed().await;
     };
-    if tokio::time::timeout_at(aborts_at, drained).await.is_err() {
+    if tokio::time::timeout_at(aborts_at, drain).await.is_err() {
         slog::warn!(state.log, "shutdown timed out, aborting responses in flight");
     }
 }
 
-/// Waits until the platform can have noticed that this process is unready, and no client connects any more; `max_wait`
-/// at most.
+/// Waits until the platform has had time to notice that this process is unready and clients have stopped
+/// connecting, but no longer than `max_wait`.
 async fn wait_until_quiet(state: &State, clients: &Clients, max_wait: Duration) {
     let started_at = Instant::now();
     tokio::time::sleep(MIN_ACCEPT_DURATION.min(max_wait)).await;
--- a/dataplane/src/ingress.rs
+++ b/dataplane/src/ingress.rs
@@ -1,5 +1,5 @@
-//! Serves one request of a client connection: reads its body, finds its route, hands it to the router and starts its
-//! exchange.
+//! Serves one request of a client connection: reads its body, finds its route, passes it to the router and
+//! runs its exchange.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -27,14 +27,14 @@
 use crate::response_body::{drive_to_head, ResponseAborted, ResponseBody, ResponseWriter};
 use crate::state::State;
 
-/// `Retry-After` of a rejection that does not depend on servers, in milliseconds.
+/// `Retry-After` of rejections by this module, which are not caused by the load of servers.
 const LOCAL_RETRY_AFTER_MS: u64 = 200;
-/// A stream counts as stalled after a pause of this many times its target gap.
+/// A stream counts as stalled after a pause of this many times the route's target gap between events.
 const STALL_GAP_FACTOR: u64 = 4;
-/// The shortest pause after which a stream counts as stalled.
+/// Lower bound of the pause after which a stream counts as stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A response's body, which keeps its connection from counting as idle.
+/// A response body; the client connection does not count as idle until it is dropped.
 pub struct GuardedBody {
     body: ResponseBody,
     _guard: RequestGuard,
@@ -60,7 +60,11 @@
     }
 }
 
-/// Serves one request of a client's connection.
+/// Serves one request of a client connection.
+///
+/// # Errors
+///
+/// If there is no complete response to send; the connection must then be closed.
 pub async fn serve(
     state: Rc<State>,
     connection: Rc<ClientConnection>,
@@ -70,35 +74,38 @@
     let arrived_at = state.clock.now();
     let (head, body) = request.into_parts();
     let mut response = match read_body(&state, body).await {
-        // It may have been sent ahead of the response before, by a client that left meanwhile.
-        Ok(_) if connection.has_client_left() => return Err(ResponseAborted),
+        // The request may have been pipelined by a client that disconnected before its previous response.
+        Ok(_) if connection.is_client_disconnected() => return Err(ResponseAborted),
         Ok((body, reservation)) => {
             connection.begin_response();
             start_exchange(&state, head, body, reservation, arrived_at).await?
         }
         Err(BodyError::Interrupted) => return Err(ResponseAborted),
-        Err(BodyError::TooLong) => closing(local_response(StatusCode::PAYLOAD_TOO_LARGE, None)?),
-        Err(BodyError::OutOfMemory) => {
-            closing(local_response(StatusCode::SERVICE_UNAVAILABLE, Some(LOCAL_RETRY_AFTER_MS))?)
+        Err(BodyError::TooLong) => {
+            with_connection_close(local_response(StatusCode::PAYLOAD_TOO_LARGE, None)?)
         }
+        Err(BodyError::OutOfMemory) => with_connection_close(local_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            Some(LOCAL_RETRY_AFTER_MS),
+        )?),
     };
     if state.is_shutting_down() {
-        response = closing(response);
+        response = with_connection_close(response);
     }
     Ok(response.map(|body| GuardedBody { body, _guard: guard }))
 }
 
-/// Why a request's body was not read.
+/// Why a request body could not be read.
 enum BodyError {
-    /// The client's connection ended before the body did.
+    /// The client connection ended before the body was complete.
     Interrupted,
     /// The body is longer than the configuration allows.
     TooLong,
-    /// The bodies held leave too little memory.
+    /// The memory budget for request bodies is exhausted.
     OutOfMemory,
 }
 
-/// Reads the complete body, if the limits allow.
+/// Reads the complete body, within the limits of body length and memory.
 async fn read_body(state: &Rc<State>, body: Incoming) -> Result<(Bytes, BodyReservation), BodyError> {
     let limit = state.view().limits.max_body_bytes;
     let declared = body.size_hint().exact();
@@ -114,8 +121,8 @@
     Ok((bytes, reservation))
 }
 
-/// Collects a body of up to `limit` bytes. `reserve` is asked for each part of it before the next one is read, so that bodies
-/// without a declared length are bounded while they come in.
+/// Collects a body of up to `limit` bytes. `reserve` is called with the length of each part before the next
+/// part is read, so that a body without a declared length is limited while it arrives.
 async fn collect_body(
     mut body: Incoming,
     limit: u64,
@@ -124,7 +131,7 @@
     let mut parts = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::Interrupted)?;
-        // Trailers are not passed on.
+        // Trailers are not forwarded.
         let Ok(part) = frame.into_data() else { continue };
         if (parts.len() + part.len()) as u64 > limit {
             return Err(BodyError::TooLong);
@@ -137,7 +144,7 @@
     Ok(parts.freeze())
 }
 
-/// Finds the request's route and starts its exchange; returns once the response has a head.
+/// Finds the request's route and runs its exchange until the response has a head.
 async fn start_exchange(
     state: &Rc<State>,
     head: Parts,
@@ -165,14 +172,15 @@
     drive_to_head(writer, Box::pin(exchange.run())).await
 }
 
-/// The pause after which a stream counts as stalled; only for streams that another server may resume.
+/// The pause after which a response stream counts as stalled; `None` unless another server can resume the
+/// stream.
 fn stall_timeout(route: &Route) -> Option<Duration> {
     let RouteKind::Streaming { resumable: true, gap_target_ms } = route.kind else { return None };
     Some(Duration::from_millis(gap_target_ms.saturating_mul(STALL_GAP_FACTOR)).max(MIN_STALL_TIMEOUT))
 }
 
-/// The request as the router sees it. Its deadline runs from its head, so that the time for reading the body is
-/// deducted.
+/// Builds the request for the router. The deadline counts from the arrival of the head, so `reading_ms`, the
+/// time spent on reading the body, is deducted.
 fn new_request(
     id: RequestId,
     route: Arc<Route>,
@@ -196,7 +204,7 @@
     }
 }
 
-/// A rejection by the edge itself, without the router.
+/// A response by which the edge rejects a request without passing it to the router.
 fn local_response(
     status: StatusCode,
     retry_after_ms: Option<u64>,
@@ -206,8 +214,8 @@
     Ok(Response::from_parts(head, ResponseBody::Complete(None)))
 }
 
-/// Announces that the connection closes after this response.
-fn closing(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
+/// Adds `Connection: close`, so that the connection is closed after this response.
+fn with_connection_close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -1,41 +1,44 @@
-//! The data plane: the driver of an edge. It owns sockets, clock and signals; every decision on a request is made by
+//! The data plane of an edge proxy: it owns the sockets, the clock and the signal handlers. Every decision
+//! about a request, such as which server it is sent to and whether it is retried, is made by
 //! `shaletrail-routing`.
 //!
-//! A request passes the modules in this order:
+//! Modules on the path of a request, in the order in which it passes them:
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `listener` | accepts client connections, serves requests on them, enforces their time-outs |
 //! | `client_connection` | the state of one client connection |
-//! | `ingress` | reads a request, finds its route, hands it to the router |
-//! | [`request`] | parses the headers of requests |
-//! | `client_request` | the buffered request, and how each attempt sends it |
-//! | `request_handle` | an open request between the router and its exchange |
-//! | `exchange` | carries out the router's commands for one request |
-//! | `mailbox` | delivers commands to exchanges |
-//! | `attempt`, `progress`, `attempt_result` | one attempt: its course, what is reported of it, its end |
+//! | `ingress` | reads the request's body, finds its route, passes it to the router |
+//! | [`request`] | parses request headers |
+//! | `client_request` | the buffered request, from which each attempt builds the request to the server |
+//! | `request_handle` | registers a request with the router until it is finished |
+//! | `exchange` | executes the router's commands for one request |
+//! | `mailbox` | queues the router's commands for each exchange |
+//! | `attempt`, `progress`, `attempt_result` | one attempt: its steps, its progress reports, its result |
 //! | `pool` | connections to servers, and the reuse of idle ones |
-//! | `server_connection` | opens a connection to a server and sends on it |
-//! | `tracked_stream` | notifies of reads from and writes to a socket |
+//! | `server_connection` | opens a connection to a server and sends requests on it |
+//! | [`tcp_user_timeout`] | the TCP user timeout of connections to servers |
+//! | `tracked_stream`, `shared_stream` | TCP streams whose reads, writes and state can be observed |
 //! | [`response`] | classifies the head of a server's response |
 //! | `server_response` | buffers or forwards a server's response |
-//! | [`event_splitter`] | splits streams into events |
+//! | [`event_splitter`] | splits event streams into events |
 //! | `stall_detector` | detects streams that pause for too long |
 //! | `client_response` | the response to the client |
-//! | `response_body` | hands the response from the exchange to the client's connection |
+//! | `response_body` | passes the response from the exchange to the client connection |
 //!
-//! The other modules:
+//! Other modules:
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `server` | start-up and the tasks of the process |
 //! | `graceful_shutdown`, [`shutdown_window`] | shutdown, and which requests are accepted during it |
-//! | `state`, `clock`, `body_memory` | what the tasks share |
-//! | `poller`, `coordinator_link`, [`poll_timeouts`] | long polls of a coordinator |
-//! | [`coordinators`] | which coordinator is polled |
-//! | `peers`, [`load_datagrams`] | loads exchanged among edges |
+//! | `state`, `clock`, `body_memory` | state shared by the tasks |
+//! | `poller`, `coordinator_connection`, [`poll_timeouts`] | long polls of a coordinator |
+//! | [`coordinators`] | chooses the coordinator to poll |
+//! | `peers`, [`load_datagrams`] | load reports between edges |
 //! | `readiness` | the platform's health checks |
-//! | `control` | signals |
+//! | `control` | shutdown and reload requests, by signal or by handle |
+//! | `error` | errors at start-up |
 
 mod attempt;
 mod attempt_result;
@@ -45,7 +48,7 @@
 mod client_response;
 mod clock;
 mod control;
-mod coordinator_link;
+mod coordinator_connection;
 pub mod coordinators;
 mod error;
 pub mod event_splitter;
@@ -72,8 +75,8 @@
 pub mod shutdown_window;
 mod stall_detector;
 mod state;
+pub mod tcp_user_timeout;
 mod tracked_stream;
-pub mod unacknowledged_limit;
 
 pub use control::Control;
 pub use error::DataplaneError;
--- a/dataplane/src/listener.rs
+++ b/dataplane/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, serves the requests on each, and closes those that time out.
+//! Accepts client connections, serves the requests on them, and closes connections that time out.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -22,20 +22,19 @@
 use crate::state::State;
 use crate::tracked_stream::TrackedStream;
 
-/// Connections that wait to be accepted: a full queue costs a client seconds.
+/// Limits the connections that wait to be accepted. A connection attempt that finds the queue full costs the
+/// client seconds.
 const ACCEPT_BACKLOG: u32 = 4096;
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Between two checks of the connections' time-outs.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A client counts as gone after this long without an acknowledgement of sent bytes.
+/// A client connection fails if sent bytes stay unacknowledged for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two looks at whether a client has left that has sent more than hyper has read.
-const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The smallest read buffer of a client connection, in bytes.
+/// Interval between checks whether a client has disconnected that has sent more than hyper has read.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Lower bound of hyper's buffer limit for a client connection.
 const MIN_READ_BUFFER_BYTES: usize = 128 << 10;
 
-/// Opens a listening socket.
 pub fn bind(address: SocketAddrV4) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -49,12 +48,12 @@
     max_connections: usize,
     next_id: Cell<u64>,
     connections: RefCell<AHashMap<u64, Rc<ClientConnection>>>,
-    closed: Notify,
+    connection_closed: Notify,
     last_accepted_at: Cell<Millis>,
 }
 
 impl Clients {
-    /// No connections; `max_connections` of them may be open at once.
+    /// Creates an empty table. At most `max_connections` connections are open at a time.
     pub fn new(state: Rc<State>, max_connections: usize) -> Rc<Self> {
         let last_accepted_at = Cell::new(state.clock.now());
         Rc::new(Clients {
@@ -62,19 +61,19 @@
             max_connections,
             next_id: Cell::new(0),
             connections: RefCell::default(),
-            closed: Notify::new(),
+            connection_closed: Notify::new(),
             last_accepted_at,
         })
     }
 
-    /// Accepts connections and serves each in a task of its own; never returns.
+    /// Accepts connections and serves each in its own task; never returns.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             while self.connections.borrow().len() >= self.max_connections {
-                self.closed.notified().await;
+                self.connection_closed.notified().await;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().open(stream),
+                Ok((stream, _)) => self.clone().spawn_connection(stream),
                 Err(error) => {
                     slog::debug!(self.state.log, "failed to accept client connection"; "error" => %error);
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Closes connections that have timed out, of clients and to servers; never returns.
+    /// Closes client connections and idle server connections that have timed out; never returns.
     pub async fn enforce_timeouts(&self) {
         loop {
             tokio::time::sleep(TIMEOUT_CHECK_INTERVAL).await;
@@ -99,29 +98,28 @@
         }
     }
 
-    /// When the newest connection was accepted.
+    /// When the most recent connection was accepted; the start of the process if none has been.
     pub fn last_accepted_at(&self) -> Millis {
         self.last_accepted_at.get()
     }
 
-    /// Closes each connection once it is idle.
+    /// Tells every connection to close once it is idle.
     pub fn close_idle(&self) {
         for connection in self.connections.borrow().values() {
             connection.set_disposition(Disposition::CloseWhenIdle);
         }
     }
 
-    /// Waits until no connection is open.
-    pub async fn all_closed(&self) {
+    pub async fn wait_until_all_closed(&self) {
         while !self.connections.borrow().is_empty() {
-            self.closed.notified().await;
+            self.connection_closed.notified().await;
         }
     }
 
-    fn open(self: Rc<Self>, stream: TcpStream) {
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream) {
         self.last_accepted_at.set(self.state.clock.now());
-        if let Err(error) = configure(&stream) {
-            slog::debug!(self.state.log, "failed to configure client connection"; "error" => %error);
+        if let Err(error) = set_socket_options(&stream) {
+            slog::debug!(self.state.log, "failed to set socket options of client connection"; "error" => %error);
             return;
         }
         let id = self.next_id.get();
@@ -132,17 +130,17 @@
         tokio::task::spawn_local(async move {
             serve(self.state.clone(), connection, stream).await;
             self.connections.borrow_mut().remove(&id);
-            self.closed.notify_waiters();
+            self.connection_closed.notify_waiters();
         });
     }
 }
 
-/// Serves the requests of one connection, until it ends.
+/// Serves the requests of one connection until the connection ends.
 async fn serve(state: Rc<State>, connection: Rc<ClientConnection>, stream: Rc<TcpStream>) {
     let max_head_bytes = usize::try_from(state.view().limits.max_header_bytes);
     let max_head_bytes = max_head_bytes.unwrap_or(MIN_READ_BUFFER_BYTES);
-    let mut departure = pin!(departure(stream.clone()));
-    let mut has_departed = false;
+    let mut disconnect = pin!(wait_for_disconnect(stream.clone()));
+    let mut is_disconnected = false;
     let io = TrackedStream::new(stream, connection.clone());
     let service = {
         let connection = connection.clone();
@@ -166,29 +164,30 @@
                 serving.as_mut().graceful_shutdown();
             }
         }
-        connection.register(context.waker());
-        // Hyper reads no further while a request is served and bytes of the next one are there, and so sees no end.
-        has_departed = has_departed || departure.as_mut().poll(context).is_ready();
-        if has_departed && connection.is_responding() {
+        connection.register_waker(context.waker());
+        // While a request is being served and bytes of the next one are buffered, hyper does not read from
+        // the socket and so does not notice that the client has disconnected.
+        is_disconnected = is_disconnected || disconnect.as_mut().poll(context).is_ready();
+        if is_disconnected && connection.is_responding() {
             return Poll::Ready(());
         }
-        // Nothing depends on how a client's connection ended.
+        // The connection's result is ignored: nothing depends on how a client connection ended.
         serving.as_mut().poll(context).map(drop)
     })
     .await;
 }
 
-/// Waits until the client has ended the connection, or its sending half.
-async fn departure(stream: Rc<TcpStream>) {
+/// Waits until the client has closed the connection or its sending half.
+async fn wait_for_disconnect(stream: Rc<TcpStream>) {
     loop {
         match stream.ready(Interest::READABLE).await {
-            Ok(ready) if !ready.is_read_closed() => tokio::time::sleep(DEPARTURE_CHECK_INTERVAL).await,
+            Ok(ready) if !ready.is_read_closed() => tokio::time::sleep(DISCONNECT_CHECK_INTERVAL).await,
             _ => return,
         }
     }
 }
 
-fn configure(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/dataplane/src/load_datagrams.rs
+++ b/dataplane/src/load_datagrams.rs
@@ -1,13 +1,14 @@
-//! Encodes the load updates that an edge sends to others as datagrams.
+//! Encodes the load reports that an edge sends to the other edges as datagrams.
 
 use shaletrail_protocol::internal::{EdgeLoadReport, EdgeServerLoad};
 use shaletrail_protocol::{Incarnation, NodeId};
 use shaletrail_routing::interface::LoadUpdate;
 
-/// Loads in one datagram, so that it fits into one packet.
+/// Limits the size of a datagram, so that it is not fragmented.
 const MAX_LOADS_PER_DATAGRAM: usize = 64;
 
-/// Encodes load updates into datagrams, numbered over one incarnation of the process.
+/// Encodes load updates into datagrams, which are numbered consecutively from 1 during one incarnation of the
+/// process.
 #[derive(Clone, Debug)]
 pub struct LoadDatagrams {
     edge: NodeId,
@@ -16,12 +17,13 @@
 }
 
 impl LoadDatagrams {
-    /// The datagrams of one incarnation of an edge.
+    /// `edge` is the node that sends the datagrams.
     pub fn new(edge: NodeId, incarnation: Incarnation) -> Self {
         LoadDatagrams { edge, incarnation, last_sequence: 0 }
     }
 
-    /// The datagrams that carry an update, each to be sent to all of its receivers.
+    /// Encodes an update into one or more datagrams, each of which is to be sent to all receivers of the
+    /// update; none if it lists no loads.
     pub fn encode(&mut self, update: &LoadUpdate) -> Vec<Vec<u8>> {
         update.loads.chunks(MAX_LOADS_PER_DATAGRAM).map(|loads| self.encode_chunk(update, loads)).collect()
     }
--- a/dataplane/src/mailbox.rs
+++ b/dataplane/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! Delivers the router's commands to the exchanges of the requests that they concern.
+//! Queues the router's commands for the exchange of each request.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,38 +9,38 @@
 use shaletrail_protocol::{Millis, ServerId};
 use shaletrail_routing::interface::{Attempt, Rejection, RequestId};
 
-/// Commands queued for one exchange. The oldest is dropped beyond that: each command supersedes those before it.
+/// When more commands are queued for one exchange, the oldest is dropped: each command supersedes the earlier
+/// ones.
 const MAX_QUEUED_COMMANDS: usize = 16;
 
-/// Where and how the router wants a request sent.
+/// The router's instruction to send a request to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendCommand {
-    /// Identifies this attempt among those of the request.
+    /// Identifies this attempt among the attempts of the request.
     pub attempt: Attempt,
-    /// The server's id.
     pub server: ServerId,
-    /// The server's address, `IP:PORT`.
+    /// The server's address, as `IP:PORT`.
     pub address: String,
-    /// Value of `Deadline-Ms`: the time that the server has, in milliseconds.
+    /// Value of the `Deadline-Ms` header: the time that the server has for its response.
     pub deadline_ms: Millis,
-    /// Value of `Priority`.
+    /// Value of the `Priority` header.
     pub priority: u8,
-    /// The event after which a stream is resumed.
+    /// The id of the event after which a stream is to be resumed.
     pub resume_after: Option<u64>,
 }
 
-/// What the router wants an exchange to do.
+/// A command of the router to an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send the request to a server.
     Send(SendCommand),
-    /// Forward the buffered failure to the client.
+    /// Forward the buffered failure response to the client.
     ForwardFailure,
-    /// Respond with a status of the edge's own.
+    /// Respond with a rejection by the edge itself.
     Reject(Rejection),
-    /// Abort the response that has begun.
+    /// Abort the response, of which a part has been sent.
     AbortResponse,
-    /// Cancel an attempt.
+    /// Cancel the attempt, if it is still in flight.
     Cancel(Attempt),
 }
 
@@ -50,22 +50,21 @@
     waker: Option<Waker>,
 }
 
-/// One queue of commands for each open request.
+/// One command queue for each open request.
 #[derive(Default)]
 pub struct Mailboxes(RefCell<AHashMap<RequestId, Mailbox>>);
 
 impl Mailboxes {
-    /// Opens the queue of a request.
     pub fn open(&self, request: RequestId) {
         self.0.borrow_mut().insert(request, Mailbox::default());
     }
 
-    /// Drops the queue of a request and what is in it.
+    /// Drops the queue of a request and the commands in it.
     pub fn close(&self, request: RequestId) {
         self.0.borrow_mut().remove(&request);
     }
 
-    /// Queues a command and wakes the exchange; ignored if the request is not open.
+    /// Queues a command and wakes the exchange. Does nothing if the request is no longer open.
     pub fn deliver(&self, request: RequestId, command: Command) {
         let mut mailboxes = self.0.borrow_mut();
         let Some(mailbox) = mailboxes.get_mut(&request) else { return };
@@ -78,7 +77,6 @@
         }
     }
 
-    /// Waits for the next command of a request.
     pub async fn next_command(&self, request: RequestId) -> Command {
         poll_fn(|context| {
             let mut mailboxes = self.0.borrow_mut();
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -1,6 +1,7 @@
-//! Exchanges loads among the edges by datagrams: each announces what it has in flight at servers.
+//! Exchanges load reports with the other edges by UDP: each edge announces how many requests it has in flight
+//! at each server.
 //!
-//! Only the balance of load depends on them: an edge that receives none balances by its own load alone.
+//! The reports only improve load balancing: an edge that receives none balances by its own load alone.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -16,22 +17,21 @@
 use crate::load_datagrams::LoadDatagrams;
 use crate::state::State;
 
-/// Between two announcements of small changes.
+/// Interval between announcements, unless a change is urgent.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest datagram accepted, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Pause after a failed receive.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Edges whose last sequence number is kept.
+/// Limits the edges whose last sequence number is kept.
 const MAX_TRACKED_EDGES: usize = 256;
 
-/// The newest load report of an edge.
+/// Identifies the most recent load report of an edge.
 struct LastReport {
     incarnation: Incarnation,
     sequence: u64,
 }
 
-/// The exchange of loads with the other edges.
+/// Sends load reports to the other edges and receives theirs.
 pub struct Peers {
     state: Rc<State>,
     socket: UdpSocket,
@@ -41,7 +41,7 @@
 }
 
 impl Peers {
-    /// Opens the socket.
+    /// Opens the socket at `address`. The other edges are assumed to use the same port.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Announces and receives loads; never returns.
+    /// Announces and receives load reports; never returns.
     pub async fn run(&self) {
         tokio::join!(self.announce(), self.receive());
     }
@@ -80,7 +80,7 @@
         let datagrams = self.datagrams.borrow_mut().encode(update);
         for datagram in datagrams {
             for edge in update.to.iter() {
-                // The next update makes up for a lost datagram.
+                // Errors are ignored: a later update makes up for a lost datagram.
                 let _ = self.socket.send_to(&datagram, SocketAddrV4::new(edge.address(), self.port)).await;
             }
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether a report is newer than the last one of its edge; the newest is recorded.
+    /// Whether a report is newer than the previous one from the same edge; if so, records it.
     fn is_new(&self, report: &EdgeLoadReport) -> bool {
         let mut last_reports = self.last_reports.borrow_mut();
         if last_reports.len() >= MAX_TRACKED_EDGES && !last_reports.contains_key(&report.edge) {
--- a/dataplane/src/poll_timeouts.rs
+++ b/dataplane/src/poll_timeouts.rs
@@ -1,28 +1,29 @@
-//! How long a long poll of a coordinator may take.
+//! Time-outs of the long polls of a coordinator.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The shortest and longest time that a coordinator may hold a poll, in milliseconds.
+/// Limits of [`PollTimeouts::max_wait`].
 const MAX_WAIT_RANGE_MS: RangeInclusive<u64> = 100..=1000;
-/// The shortest and longest time that a response may be delayed beyond that, in milliseconds.
+/// Limits of [`PollTimeouts::max_delay`].
 const DELAY_RANGE_MS: RangeInclusive<u64> = 150..=400;
-/// A coordinator may hold a poll for the tightest bound divided by this.
+/// [`PollTimeouts::max_wait`] is the tightest bound divided by this.
 const MAX_WAIT_DIVISOR: u64 = 4;
-/// A response may be delayed by the tightest bound divided by this.
+/// [`PollTimeouts::max_delay`] is the tightest bound divided by this.
 const DELAY_DIVISOR: u64 = 6;
 
-/// The time-outs of long polls.
+/// The time-outs of a long poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollTimeouts {
-    /// How long a coordinator may hold a poll before it responds.
+    /// How long a coordinator holds a poll when it has nothing new to report.
     pub max_wait: Duration,
-    /// How much longer the response may take before another coordinator is polled.
+    /// How long after `max_wait` a response may arrive before another coordinator is polled.
     pub max_delay: Duration,
 }
 
 impl PollTimeouts {
-    /// The time-outs that keep configuration and draining within their bounds although one coordinator does not respond.
+    /// Derives the time-outs from the bounds for the distribution of configuration (`convergence`) and for
+    /// draining a server (`drain`), so that both bounds hold even if one coordinator does not respond.
     pub fn within(convergence: Duration, drain: Duration) -> Self {
         let tightest_ms = u64::try_from(convergence.min(drain).as_millis()).unwrap_or(u64::MAX);
         let fraction = |divisor: u64, range: RangeInclusive<u64>| {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// How long the poller waits until a response begins.
+    /// How long the poller waits for the first bytes of a response: `max_wait` plus `max_delay`.
     pub fn response_timeout(&self) -> Duration {
         self.max_wait + self.max_delay
     }
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -1,5 +1,5 @@
-//! Long polls of a coordinator: configuration, servers and the number of edges come in, demand and the outcomes of
-//! servers go out.
+//! Long polls of a coordinator. A poll reports demand and the outcomes of attempts at servers; its response
+//! brings configuration updates, the directory of servers and the list of edges.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -19,19 +19,22 @@
 use shaletrail_routing::interface::Event;
 use tokio::time::{timeout, Instant};
 
-use crate::coordinator_link::{CoordinatorLink, NoQuorumContactSnafu, PollError, CONNECT_TIMEOUT};
+use crate::coordinator_connection::{
+    CoordinatorConnection, NoQuorumContactSnafu, PollError, CONNECT_TIMEOUT,
+};
 use crate::coordinators::Coordinators;
 use crate::poll_timeouts::PollTimeouts;
 use crate::state::State;
 
-/// The least time between the starts of two polls that succeeded: updates that come faster travel together.
+/// Minimum time between the starts of two successful polls, so that updates in quick succession share a
+/// response.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The least time between two reports, in milliseconds.
+/// Minimum time between reports of demand and outcomes.
 const REPORT_INTERVAL_MS: Millis = 250;
-/// The shortest and longest pause after all coordinators have failed, in milliseconds.
+/// Range of the random pause after all coordinators have failed.
 const ROUND_BACKOFF_MS: RangeInclusive<u64> = 100..=300;
 
-/// Polls one coordinator after the other.
+/// Polls a coordinator, and changes to another one when it fails.
 pub struct Poller {
     state: Rc<State>,
     settings_path: PathBuf,
@@ -39,22 +42,21 @@
     port: u16,
     timeouts: PollTimeouts,
     coordinators: Coordinators,
-    link: Option<CoordinatorLink>,
+    connection: Option<CoordinatorConnection>,
     cursor: DirectoryCursor,
-    /// An update could not be applied, so that the complete configuration is requested.
+    /// Set when an update could not be applied: the next poll requests the complete configuration.
     needs_full_config: bool,
     edge_count: u32,
     edge_list_hash: u64,
-    /// Demand that has not reached a coordinator.
+    /// Demand that no coordinator has received yet.
     demand: Vec<Demand>,
-    /// Outcomes of servers that have not reached a coordinator.
+    /// Outcomes of attempts at servers that no coordinator has received yet.
     server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     random: Pcg64,
 }
 
 impl Poller {
-    /// A poller that has polled no coordinator yet.
     pub fn new(state: Rc<State>, settings: &Settings, settings_path: PathBuf, mut random: Pcg64) -> Self {
         let incarnation = Incarnation(random.random());
         let identity = EdgeIdentity { node: settings.node(), incarnation, zone: settings.zone.clone() };
@@ -65,7 +67,7 @@
             port: settings.internal_port(),
             timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
             coordinators: Coordinators::new(settings.node(), settings.seed_nodes()),
-            link: None,
+            connection: None,
             cursor: DirectoryCursor::default(),
             needs_full_config: false,
             edge_count: 0,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Adopts the seeds of the settings file as it is now.
+    /// Reads the settings file again and adopts its seeds; the other settings are not reloaded.
     pub fn reload(&mut self) {
         match Settings::read(&self.settings_path) {
             Ok(settings) => self.coordinators.set_seeds(settings.seed_nodes()),
@@ -85,10 +87,10 @@
         }
     }
 
-    /// Polls once, or pauses where all coordinators have failed. May be dropped at any point: a poll in flight is
-    /// abandoned with its connection.
+    /// Polls once, or backs off if all coordinators have failed. Cancel-safe: dropping the future abandons
+    /// the poll in flight and closes its connection.
     pub async fn step(&mut self) {
-        let Some(coordinator) = self.coordinators.choose() else { return self.begin_round().await };
+        let Some(coordinator) = self.coordinators.choose() else { return self.back_off().await };
         let started_at = Instant::now();
         let polled_at = self.state.clock.now();
         match self.poll(coordinator).await {
@@ -106,22 +108,22 @@
         }
     }
 
-    /// Announces to the current coordinator that this edge is about to end.
+    /// Tells the current coordinator that this edge is shutting down.
     pub async fn send_shutdown_notice(&mut self) {
-        // A poll may be in flight on the current connection.
-        self.link = None;
+        // The current connection may have a poll in flight, so the notice is sent on a new one.
+        self.connection = None;
         let Some(coordinator) = self.coordinators.choose() else { return };
-        let notice = async { self.link_to(coordinator).await?.send_shutdown_notice().await };
+        let notice = async { self.connection_to(coordinator).await?.send_shutdown_notice().await };
         if !matches!(timeout(CONNECT_TIMEOUT, notice).await, Ok(Ok(()))) {
             slog::debug!(self.state.log, "failed to send shutdown notice to coordinator");
         }
     }
 
-    /// All coordinators have failed: pauses before they are polled again.
-    async fn begin_round(&mut self) {
+    /// Pauses after all coordinators have failed, then begins a new round.
+    async fn back_off(&mut self) {
         let backoff_ms = self.random.random_range(ROUND_BACKOFF_MS);
         tokio::time::sleep(Duration::from_millis(backoff_ms)).await;
-        // The file may have changed without a signal.
+        // The settings file may have changed without a SIGHUP.
         self.reload();
         self.coordinators.begin_round();
     }
@@ -136,31 +138,32 @@
             server_outcomes: self.server_outcomes.clone(),
             edge_list_hash: self.edge_list_hash,
         });
-        // The link is put back only after a complete response, so that none is reused in the middle of one.
-        let mut link = self.link_to(coordinator).await?;
-        let (response, server_outcomes) = link.poll(&self.state, &request, self.timeouts).await?;
+        // The connection is kept only after a complete response, so that none is reused in the middle of one.
+        let mut connection = self.connection_to(coordinator).await?;
+        let (response, server_outcomes) = connection.poll(&self.state, &request, self.timeouts).await?;
         self.demand.clear();
         self.server_outcomes = server_outcomes;
         if response.isolated {
-            // It may know of coordinators that the settings do not name.
+            // The response is not applied, but it may name coordinators that the settings do not.
             if self.state.view().version == 0 {
                 self.coordinators.learn(response.coordinators);
             }
             return NoQuorumContactSnafu.fail();
         }
-        self.link = Some(link);
+        self.connection = Some(connection);
         Ok(response)
     }
 
-    /// The current link, if it is to this coordinator, or a new one.
-    async fn link_to(&mut self, coordinator: NodeId) -> Result<CoordinatorLink, PollError> {
-        match self.link.take().filter(|link| link.node == coordinator) {
-            Some(link) => Ok(link),
-            None => CoordinatorLink::connect(&self.state, coordinator, self.port, &self.identity).await,
+    /// Takes the current connection if it leads to this coordinator; otherwise opens a new one.
+    async fn connection_to(&mut self, coordinator: NodeId) -> Result<CoordinatorConnection, PollError> {
+        match self.connection.take().filter(|connection| connection.node == coordinator) {
+            Some(connection) => Ok(connection),
+            None => CoordinatorConnection::connect(&self.state, coordinator, self.port, &self.identity).await,
         }
     }
 
-    /// Collects a new report, unless an earlier one has not reached a coordinator: that is sent again first.
+    /// Takes a new report from the router, unless an earlier one has not reached a coordinator and is to be
+    /// sent again.
     fn collect_report(&mut self) {
         let now = self.state.clock.now();
         let is_due = self.reported_at.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL_MS);
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Adopts the list of edges, if there is a new one, for the load reports among them.
+    /// Passes a changed list of edges to the router, which decides which edges get load reports.
     fn apply_edge_list(&mut self, nodes: Option<Vec<NodeId>>, hash: u64) {
         if let Some(edges) = nodes {
             self.state.handle(Event::EdgesUpdated { own: self.identity.node, edges });
@@ -198,7 +201,7 @@
     fn apply_config_update(&mut self, update: &ConfigUpdate) {
         let current = self.state.view();
         if update.version <= current.version {
-            // From a coordinator that lags behind, or the complete configuration that is in force already.
+            // The coordinator lags behind, or it sent the complete configuration that is already in force.
             self.needs_full_config = false;
             return;
         }
--- a/dataplane/src/pool.rs
+++ b/dataplane/src/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to servers: each attempt checks a connection out of it, and a complete response returns it.
+//! The pool of connections to servers. Each attempt checks out a connection; a complete response returns it
+//! to the pool.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -19,36 +20,35 @@
     ServerConnection,
 };
 
-/// How long servers keep an idle connection, where they don't say, in milliseconds.
+/// Assumed keep-alive time of servers that send no `Keep-Alive: timeout`.
 const DEFAULT_KEEP_ALIVE_MS: Millis = 4_000;
-/// The part of a server's keep-alive time within which an idle connection is reused, in percent.
+/// An idle connection is reused during this part of the server's keep-alive time.
 const KEEP_ALIVE_PERCENT: Millis = 80;
 
-/// Bounds of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Connections to all servers, busy and idle.
-    pub total: usize,
-    /// Idle connections to one server.
-    pub idle_per_server: usize,
+    /// Connections to all servers, in use and idle.
+    pub max_connections: usize,
+    pub max_idle_per_server: usize,
 }
 
-/// Connections to servers, by server.
 pub struct Pool {
     limits: PoolLimits,
     clock: Clock,
     servers: RefCell<AHashMap<ServerId, ServerPool>>,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     next_id: Cell<u64>,
 }
 
 #[derive(Default)]
 struct ServerPool {
     address: String,
-    /// Raised when the server's connections are closed: those of an earlier generation don't come back.
+    /// Incremented when the server's connections are to be closed: connections of an earlier generation are
+    /// not returned to the pool.
     generation: u64,
-    busy: usize,
-    /// The most recently used last.
+    /// Attempts that currently use the server.
+    in_use: usize,
+    /// Ordered by last use, the most recent last.
     idle: Vec<IdleConnection>,
 }
 
@@ -58,35 +58,38 @@
 }
 
 impl IdleConnection {
-    /// Whether a request may be sent on it now: it has not been idle for too long, and the previous exchange is complete
-    /// in both directions, with no byte left.
+    /// Whether a request may be sent on the connection: it has not been idle for too long, and the previous
+    /// request and response have been transferred completely.
     fn is_usable(&self, now: Millis) -> bool {
         now < self.expires_at && self.connection.is_ready()
     }
 }
 
 impl Pool {
-    /// An empty pool, and the start of the clock that it goes by. The clock starts after the map has drawn its seeds,
-    /// so that the system calls for them do not count as time of the process.
+    /// Creates an empty pool and starts the clock of the process. The clock is started after the map has
+    /// obtained its hash seeds, so that the system calls for them do not count.
     pub fn new(limits: PoolLimits) -> Rc<Self> {
         let servers = RefCell::default();
         let clock = Clock::start();
-        Rc::new(Pool { limits, clock, servers, open: Rc::default(), next_id: Cell::new(0) })
+        Rc::new(Pool { limits, clock, servers, open_connections: Rc::default(), next_id: Cell::new(0) })
     }
 
-    /// The clock of the process.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Checks out a connection to a server: an idle one that is not excluded, or a new one.
+    /// Checks out a connection to a server: an idle one that is not excluded, or else a new one.
+    ///
+    /// # Errors
+    ///
+    /// If a new connection is needed and cannot be opened.
     pub async fn check_out(
         self: &Rc<Self>,
         server: &str,
         address: &str,
         is_excluded: impl Fn(&ServerConnection) -> bool,
     ) -> Result<PooledConnection, ConnectError> {
-        // Ended by its drop, also where no connection comes up.
+        // Dropping the checkout ends the use of the server, also if no connection can be opened.
         let checkout = Checkout::begin(self, server, address);
         let connection = match self.take_idle(server, self.clock.now(), is_excluded) {
             Some(connection) => connection,
@@ -95,7 +98,7 @@
         Ok(PooledConnection { connection, checkout })
     }
 
-    /// Closes the idle connections to a server, and the busy ones once they become idle.
+    /// Closes the idle connections to a server at once, and those in use after their current response.
     pub fn close_all(&self, server: &str) {
         let idle = match self.servers.borrow_mut().get_mut(server) {
             Some(entry) => {
@@ -107,15 +110,15 @@
         drop(idle);
     }
 
-    /// Closes connections that have been idle for too long and drops servers without connections.
+    /// Closes connections that have been idle for too long, and forgets servers without connections.
     pub fn prune(&self, now: Millis) {
         self.servers.borrow_mut().retain(|_, entry| {
             entry.idle.retain(|idle| now < idle.expires_at && !idle.connection.is_closed());
-            entry.busy > 0 || !entry.idle.is_empty()
+            entry.in_use > 0 || !entry.idle.is_empty()
         });
     }
 
-    /// The most recently used idle connection to a server, among those that are usable and not excluded.
+    /// Takes the most recently used idle connection to a server that is usable and not excluded.
     fn take_idle(
         &self,
         server: &str,
@@ -141,19 +144,21 @@
         ConnectionId(id)
     }
 
-    /// The permit for a new connection; an idle one is closed for it at the limit.
+    /// Acquires a permit for a new connection. At the connection limit, an idle connection is closed to make
+    /// room; `None` if there is none.
     fn acquire_permit(&self) -> Option<ConnectionPermit> {
-        if self.open.get() >= self.limits.total {
+        if self.open_connections.get() >= self.limits.max_connections {
             let mut servers = self.servers.borrow_mut();
             let with_idle = servers.values_mut().filter(|entry| !entry.idle.is_empty());
             let oldest = with_idle.min_by_key(|entry| entry.idle.first().map(|idle| idle.expires_at))?;
             oldest.idle.remove(0);
         }
-        Some(ConnectionPermit::acquire(&self.open))
+        Some(ConnectionPermit::acquire(&self.open_connections))
     }
 
-    /// Starts the use of a server; returns the generation of its connections.
-    fn begin(&self, server: &str, address: &str) -> u64 {
+    /// Counts an attempt that uses a server, and returns the generation of the server's connections. If the
+    /// server's address has changed, a new generation begins.
+    fn begin_use(&self, server: &str, address: &str) -> u64 {
         let mut servers = self.servers.borrow_mut();
         let entry = match servers.get_mut(server) {
             Some(entry) => entry,
@@ -164,57 +169,58 @@
             entry.generation += 1;
             entry.idle.clear();
         }
-        entry.busy += 1;
+        entry.in_use += 1;
         entry.generation
     }
 
-    /// Ends the use of a server, and keeps its connection where it may be reused.
-    fn release(&self, server: &str, generation: u64, returned: Option<IdleConnection>) {
+    /// Ends an attempt's use of a server. The returned connection is kept if it is of the current generation
+    /// and the limit of idle connections allows it.
+    fn end_use(&self, server: &str, generation: u64, returned: Option<IdleConnection>) {
         let mut servers = self.servers.borrow_mut();
         let Some(entry) = servers.get_mut(server) else { return };
-        entry.busy = entry.busy.saturating_sub(1);
+        entry.in_use = entry.in_use.saturating_sub(1);
         let Some(idle) = returned else { return };
-        if entry.generation == generation && entry.idle.len() < self.limits.idle_per_server {
+        if entry.generation == generation && entry.idle.len() < self.limits.max_idle_per_server {
             entry.idle.push(idle);
         }
     }
 }
 
-/// The use of a server by one attempt, from checkout to release.
+/// One attempt's use of a server; ended when dropped.
 struct Checkout {
     pool: Rc<Pool>,
     server: ServerId,
     generation: u64,
+    /// The connection to keep for reuse.
     returned: Option<IdleConnection>,
 }
 
 impl Checkout {
     fn begin(pool: &Rc<Pool>, server: &str, address: &str) -> Self {
-        let generation = pool.begin(server, address);
+        let generation = pool.begin_use(server, address);
         Checkout { pool: pool.clone(), server: server.to_owned(), generation, returned: None }
     }
 }
 
 impl Drop for Checkout {
     fn drop(&mut self) {
-        self.pool.release(&self.server, self.generation, self.returned.take());
+        self.pool.end_use(&self.server, self.generation, self.returned.take());
     }
 }
 
-/// A connection checked out for one attempt. Closed when dropped, unless it is returned to the pool.
+/// A connection checked out for one attempt; closed when dropped, unless it is returned to the pool.
 pub struct PooledConnection {
     connection: ServerConnection,
     checkout: Checkout,
 }
 
 impl PooledConnection {
-    /// The connection's id.
     pub fn id(&self) -> ConnectionId {
         self.connection.id()
     }
 
-    /// Sends a request, which has so much time left, and waits for the head of the response. `on_first_write` runs when its
-    /// first byte is written.
+    /// Sends a request and waits for the head of the response. `time_left` is the time until the request's
+    /// deadline; `on_first_write` is called when the first byte is written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -224,9 +230,9 @@
         self.connection.send(request, time_left, on_first_write).await
     }
 
-    /// Returns the connection after a complete response. `keep_alive_ms` is the server's time for idle ones. The
-    /// connection is closed if a part of the request is still to be written: a server may respond before it has read all
-    /// of it.
+    /// Returns the connection to the pool after a complete response. `keep_alive_ms` is the server's
+    /// keep-alive time, if it sent one. The connection is closed if part of the request has not been written
+    /// yet, since a server may respond before it has read the whole request.
     pub fn return_to_pool(self, keep_alive_ms: Option<Millis>) {
         let PooledConnection { connection, mut checkout } = self;
         if !connection.is_ready() {
--- a/dataplane/src/progress.rs
+++ b/dataplane/src/progress.rs
@@ -1,4 +1,4 @@
-//! What is known of an attempt in flight, reported to the router as it changes.
+//! The progress of an attempt in flight, which is reported to the router.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +7,6 @@
 
 use crate::state::State;
 
-/// The progress of one attempt.
 pub struct Progress {
     state: Rc<State>,
     request: RequestId,
@@ -16,39 +15,37 @@
 }
 
 impl Progress {
-    /// The progress of an attempt that has not begun.
     pub fn new(state: Rc<State>, request: RequestId, attempt: Attempt) -> Self {
         Progress { state, request, attempt, verdict: Cell::new(Verdict::NeverSent) }
     }
 
-    /// The shared state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The verdict if the attempt ended now.
+    /// The verdict on the request if the attempt ended at this point.
     pub fn verdict(&self) -> Verdict {
         self.verdict.get()
     }
 
-    /// A byte of the request has been written.
+    /// Called when the first byte of the request has been written.
     pub fn on_request_written(&self) {
         self.verdict.set(Verdict::MayHaveRun);
         self.state.handle(Event::RequestWritten(self.request, self.attempt));
     }
 
-    /// The head of a success is about to be forwarded.
+    /// Called when the head of a successful response is about to be forwarded.
     pub fn on_response_head(&self, load: Option<ServerLoad>) {
         self.verdict.set(Verdict::HasRun);
         self.state.handle(Event::ResponseHead(self.request, self.attempt, load));
     }
 
-    /// The first event or byte of the body has arrived.
+    /// Called when the first event, or the first part of any other body, is about to be forwarded.
     pub fn on_first_chunk(&self) {
         self.state.handle(Event::FirstEvent(self.request, self.attempt));
     }
 
-    /// A stream has paused for too long.
+    /// Called each time the stream has paused for the stall time-out.
     pub fn on_stalled(&self) {
         self.state.handle(Event::StreamStalled(self.request, self.attempt));
     }
--- a/dataplane/src/readiness.rs
+++ b/dataplane/src/readiness.rs
@@ -1,4 +1,5 @@
-//! Answers the platform's health checks on an address of its own: 200 if it should send new connections here, else 503.
+//! Answers the platform's health checks at a separate address: 200 if the platform should send new
+//! connections to this process, otherwise 503.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,11 +17,11 @@
 
 use crate::state::State;
 
-/// Connections served at once; others wait to be accepted.
+/// Limits the connections served at the same time; further ones wait in the accept queue.
 const MAX_CONNECTIONS: usize = 16;
-/// The longest that a connection may be idle, or take for a request's head.
+/// Limits how long a connection may be idle or may take to send the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves health checks; never returns.
--- a/dataplane/src/request_handle.rs
+++ b/dataplane/src/request_handle.rs
@@ -1,4 +1,4 @@
-//! An open request between the router and its exchange.
+//! Registers a request with the router for as long as its exchange runs.
 
 use std::rc::Rc;
 
@@ -7,36 +7,34 @@
 use crate::mailbox::Command;
 use crate::state::State;
 
-/// An open request. Dropping it reports the request to the router as finished, whether its client has the response or
-/// has disconnected.
+/// A request that is registered with the router. When it is dropped, the request is reported to the router as
+/// finished, whether the client has received the response or has disconnected.
 pub struct RequestHandle {
     state: Rc<State>,
     id: RequestId,
 }
 
 impl RequestHandle {
-    /// Hands a request over to the router.
+    /// Registers a request with the router.
     pub fn open(state: &Rc<State>, request: NewRequest) -> RequestHandle {
         let id = request.id;
-        // The router may respond with a command at once.
+        // The queue must exist first: the router may issue a command while it handles the event.
         state.mailboxes.open(id);
         let handle = RequestHandle { state: state.clone(), id };
         state.handle(Event::Request(request));
         handle
     }
 
-    /// The request's id.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// The shared state.
     pub fn state(&self) -> &Rc<State> {
         &self.state
     }
 
-    /// Waits for the router's next command.
-    pub async fn command(&self) -> Command {
+    /// Waits for the router's next command for this request.
+    pub async fn next_command(&self) -> Command {
         self.state.mailboxes.next_command(self.id).await
     }
 }
--- a/dataplane/src/response.rs
+++ b/dataplane/src/response.rs
@@ -1,4 +1,4 @@
-//! Classifies the head of a server's response: a success, a failure, a rejection, or malformed.
+//! Classifies a server's response by its head as a success, a failure, a rejection or malformed.
 
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, TRANSFER_ENCODING,
@@ -8,64 +8,64 @@
 use shaletrail_protocol::Millis;
 use shaletrail_routing::interface::ServerLoad;
 
-use crate::request::{text, ATTEMPT_ID};
+use crate::request::{header_text, ATTEMPT_ID};
 
-/// Marks a response that a model server made itself, rather than something on the way.
+/// Shows that a response was made by a model server itself and not by an intermediary.
 pub const SERVER_STAMP: HeaderName = HeaderName::from_static("server-stamp");
-/// States that the server has not executed the request.
+/// Present if the server guarantees that it has not executed the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// The id of the server that responded.
+/// The id of the server that sent the response.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("instance-id");
-/// The server's load: running, waiting and slots.
+/// The server's load: running requests, waiting requests and slots, separated by commas.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
-/// How long the server keeps an idle connection.
+/// Its `timeout` is the time after which the server closes an idle connection, in seconds.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Statuses from which a client concludes that its request has not been executed and never will be.
+/// Statuses from which a client may conclude that its request has not been executed and never will be.
 const REJECTION_STATUSES: [StatusCode; 3] =
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
 
-/// How the body of a response is framed.
+/// How the body of a response is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyShape {
-    /// No body, or one of a known length in bytes.
+pub enum BodyFraming {
+    /// A length that is known in advance, in bytes; 0 if there is no body.
     Length(u64),
-    /// In chunks of unknown total length.
+    /// Chunked transfer coding, of a length that is not known in advance.
     Chunked,
-    /// An event stream, in chunks or of a known length.
+    /// An event stream, either chunked or of a known length.
     Events,
 }
 
-/// What a response is, by its head.
+/// The kind of a response, as shown by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// A success with the server's stamp.
-    Success(BodyShape),
-    /// A failure of the server's own, which is forwarded unchanged or not at all.
+    /// A success with a [`SERVER_STAMP`].
+    Success(BodyFraming),
+    /// A failure reported by the server. It is either forwarded unchanged or discarded for a retry.
     Failure,
-    /// The server states that it has not executed the request.
+    /// The server guarantees that it has not executed the request.
     Rejection,
-    /// No valid response to this request.
+    /// Not a valid response to this request.
     Malformed(MalformedReason),
 }
 
 /// Why a response is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MalformedReason {
-    /// Its `Attempt-Id` is not the request's.
+    /// The `Attempt-Id` of the response differs from that of the request.
     AttemptIdMismatch,
-    /// A success without the server's stamp.
+    /// A success without [`SERVER_STAMP`].
     MissingStamp,
-    /// The end of its body cannot be told from a broken connection.
+    /// The body ends with the connection, so that a complete body cannot be told from a truncated one.
     UnknownLength,
-    /// Its status announces another response to come.
+    /// A 1xx status, which announces a further response.
     InformationalStatus,
-    /// Its status says that the request has not been executed, but [`NOT_EXECUTED`] is missing: forwarded, it would
-    /// assure the client of what nobody has confirmed.
+    /// The status implies that the request has not been executed, but [`NOT_EXECUTED`] is missing. If it were
+    /// forwarded, the client would rely on a guarantee that no server has given.
     UnconfirmedRejection,
 }
 
-/// Classifies the head of a response to a request with this method and `Attempt-Id`.
+/// Classifies the head of a response to a request with the given method and `Attempt-Id`.
 pub fn classify(head: &Parts, method: &Method, attempt_id: Option<&HeaderValue>) -> ResponseKind {
     if head.headers.get(ATTEMPT_ID) != attempt_id {
         return ResponseKind::Malformed(MalformedReason::AttemptIdMismatch);
@@ -79,67 +79,70 @@
     if REJECTION_STATUSES.contains(&head.status) {
         return ResponseKind::Malformed(MalformedReason::UnconfirmedRejection);
     }
-    let Some(shape) = body_shape(head, method) else {
+    let Some(framing) = body_framing(head, method) else {
         return ResponseKind::Malformed(MalformedReason::UnknownLength);
     };
     if !head.status.is_success() {
         return ResponseKind::Failure;
     }
     if head.headers.contains_key(SERVER_STAMP) {
-        ResponseKind::Success(shape)
+        ResponseKind::Success(framing)
     } else {
         ResponseKind::Malformed(MalformedReason::MissingStamp)
     }
 }
 
-/// The value of `Server-Load`: running, waiting, slots.
+/// Parses [`SERVER_LOAD`]; `None` if it is missing or invalid.
 pub fn server_load(headers: &HeaderMap) -> Option<ServerLoad> {
-    let mut numbers = text(headers, &SERVER_LOAD)?.split(',').map(|number| number.trim().parse().ok());
+    let mut numbers = header_text(headers, &SERVER_LOAD)?.split(',').map(|number| number.trim().parse().ok());
     Some(ServerLoad { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
 }
 
-/// The value of `Retry-After`, in milliseconds.
-pub fn retry_after(headers: &HeaderMap) -> Option<Millis> {
-    let seconds: f64 = text(headers, &RETRY_AFTER)?.parse().ok()?;
+/// Parses `Retry-After`, an integral or fractional number of seconds, and returns it in milliseconds. `None`
+/// if it is missing or invalid; dates are not supported.
+pub fn retry_after_ms(headers: &HeaderMap) -> Option<Millis> {
+    let seconds: f64 = header_text(headers, &RETRY_AFTER)?.parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1000.0) as Millis)
 }
 
-/// The `timeout` of `Keep-Alive`, in milliseconds.
-pub fn keep_alive(headers: &HeaderMap) -> Option<Millis> {
-    let options = text(headers, &KEEP_ALIVE)?.split(',');
+/// Parses the `timeout` of [`KEEP_ALIVE`] and returns it in milliseconds; `None` if it is missing or invalid.
+pub fn keep_alive_ms(headers: &HeaderMap) -> Option<Millis> {
+    let options = header_text(headers, &KEEP_ALIVE)?.split(',');
     let timeout =
         options.filter_map(|option| option.split_once('=')).find(|(name, _)| name.trim() == "timeout")?;
     timeout.1.trim().parse::<Millis>().ok()?.checked_mul(1000)
 }
 
 fn is_rejection(head: &Parts) -> bool {
-    const MARKED_STATUSES: [StatusCode; 3] =
+    const STATUSES_WITH_NOT_EXECUTED: [StatusCode; 3] =
         [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS, StatusCode::BAD_REQUEST];
     head.status == StatusCode::MISDIRECTED_REQUEST
-        || (MARKED_STATUSES.contains(&head.status) && head.headers.contains_key(NOT_EXECUTED))
+        || (STATUSES_WITH_NOT_EXECUTED.contains(&head.status) && head.headers.contains_key(NOT_EXECUTED))
 }
 
-/// How the body is framed; `None` where its end could not be told from a broken connection.
-fn body_shape(head: &Parts, method: &Method) -> Option<BodyShape> {
+/// How the body is delimited; `None` if it ends with the connection, so that its end cannot be told from a
+/// failure.
+fn body_framing(head: &Parts, method: &Method) -> Option<BodyFraming> {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&head.status);
     if bodiless || method == Method::HEAD {
-        return Some(BodyShape::Length(0));
+        return Some(BodyFraming::Length(0));
     }
     let (is_encoded, is_chunked) = transfer_encoding(&head.headers);
-    // With a `Transfer-Encoding` a length says nothing: without chunks such a body ends with its connection.
-    let length = text(&head.headers, &CONTENT_LENGTH).and_then(|value| value.parse().ok());
+    // `Content-Length` does not apply next to a `Transfer-Encoding`: unless chunked, such a body ends with
+    // the connection.
+    let length = header_text(&head.headers, &CONTENT_LENGTH).and_then(|value| value.parse().ok());
     let length = length.filter(|_| !is_encoded);
     if is_event_stream(&head.headers) && (is_chunked || length.is_some()) {
-        return Some(BodyShape::Events);
+        return Some(BodyFraming::Events);
     }
     if is_chunked {
-        Some(BodyShape::Chunked)
+        Some(BodyFraming::Chunked)
     } else {
-        length.map(BodyShape::Length)
+        length.map(BodyFraming::Length)
     }
 }
 
-/// Whether there is a `Transfer-Encoding`, and whether the last one named is `chunked`.
+/// Whether there is a `Transfer-Encoding`, and whether the last coding in it is `chunked`.
 fn transfer_encoding(headers: &HeaderMap) -> (bool, bool) {
     let last = headers.get_all(TRANSFER_ENCODING).iter().next_back();
     let coding = last.and_then(|value| value.to_str().ok()).and_then(|value| value.rsplit(',').next());
@@ -147,6 +150,6 @@
 }
 
 fn is_event_stream(headers: &HeaderMap) -> bool {
-    let media_type = text(headers, &CONTENT_TYPE).and_then(|value| value.split(';').next());
+    let media_type = header_text(headers, &CONTENT_TYPE).and_then(|value| value.split(';').next());
     media_type.is_some_and(|name| name.trim().eq_ignore_ascii_case("text/event-stream"))
 }
--- a/dataplane/src/response_body.rs
+++ b/dataplane/src/response_body.rs
@@ -1,8 +1,8 @@
-//! Hands the response over from the exchange that makes it to the client's connection that writes it.
+//! Passes the response from the exchange that produces it to the client connection that writes it.
 //!
-//! An exchange is one future. Until the response has a head it is driven by the service of the client's connection,
-//! from then on by the response's body. When the client disconnects, the connection drops whichever of them holds the
-//! exchange, and with it everything that was in flight for the request.
+//! An exchange is a single future. It is polled by the connection's service until the response has a head,
+//! and by the response body after that. When the client disconnects, hyper drops the one that holds the
+//! exchange, and thereby everything that is in flight for the request.
 
 use std::cell::RefCell;
 use std::future::{poll_fn, Future};
@@ -16,41 +16,42 @@
 use hyper::Response;
 use snafu::Snafu;
 
-/// The response could not be completed: the client's connection is closed, so that it cannot look complete.
+/// The response cannot be completed. The client connection is closed, so that the response does not look
+/// complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the response cannot be completed"))]
+#[snafu(display("response cannot be completed"))]
 pub struct ResponseAborted;
 
-/// The future of one exchange.
 pub type ExchangeFuture = Pin<Box<dyn Future<Output = Result<(), ResponseAborted>>>>;
 
+/// The parts of the response that the client connection has not taken yet.
 #[derive(Default)]
 struct Slot {
     head: Option<Parts>,
     chunk: Option<Bytes>,
 }
 
-/// The exchange's end, which puts the response in.
+/// Used by the exchange to write the response.
 #[derive(Clone, Default)]
 pub struct ResponseWriter(Rc<RefCell<Slot>>);
 
 impl ResponseWriter {
-    /// Begins the response.
+    /// Begins the response with its head.
     pub fn begin(&self, head: Parts) {
         self.0.borrow_mut().head = Some(head);
     }
 
-    /// Writes a chunk of the body, and waits until it has been taken.
+    /// Writes a chunk of the body and waits until the client connection has taken it.
     pub async fn write(&self, chunk: Bytes) {
         if chunk.is_empty() {
             return;
         }
         self.0.borrow_mut().chunk = Some(chunk);
-        // Whoever polls the exchange takes the chunk before polling again: no waker is needed.
+        // No waker is needed: whatever polls the exchange takes the chunk before it polls again.
         poll_fn(|_| if self.0.borrow().chunk.is_none() { Poll::Ready(()) } else { Poll::Pending }).await;
     }
 
-    /// Writes the last chunk of the body, after which the exchange must end.
+    /// Writes the last chunk of the body, which may be empty. The exchange must end after this.
     pub fn finish(&self, chunk: Bytes) {
         if !chunk.is_empty() {
             self.0.borrow_mut().chunk = Some(chunk);
@@ -58,24 +59,18 @@
     }
 }
 
-/// The body of a response.
 pub enum ResponseBody {
-    /// The rest of it is there, or has been taken.
+    /// The exchange has ended. Holds the rest of the body, until that has been taken.
     Complete(Option<Bytes>),
-    /// The exchange is still running.
-    Streaming {
-        /// The future that makes the rest.
-        exchange: ExchangeFuture,
-        /// Where the future puts it.
-        writer: ResponseWriter,
-    },
+    /// The exchange is still running and writes the rest of the body to `writer`.
+    Streaming { exchange: ExchangeFuture, writer: ResponseWriter },
 }
 
-/// Drives an exchange until its response has a head.
+/// Polls an exchange until its response has a head.
 ///
 /// # Errors
 ///
-/// If the exchange ends without a response.
+/// If the exchange fails or ends without a response.
 pub async fn drive_to_head(
     writer: ResponseWriter,
     mut exchange: ExchangeFuture,
--- a/dataplane/src/server.rs
+++ b/dataplane/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts a data plane and runs its tasks until graceful shutdown is complete.
+//! Starts the data plane and runs its tasks until graceful shutdown is complete.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
@@ -25,16 +25,20 @@
 use crate::readiness;
 use crate::state::State;
 
-/// Descriptors for files, listeners, polls and the runtime.
+/// File descriptors reserved for files, listeners, coordinator connections and the runtime.
 const RESERVED_DESCRIPTORS: u64 = 260;
-/// The part of the other descriptors that clients get, in percent; servers get the rest.
+/// Share of the remaining file descriptors for client connections; the rest is for connections to servers.
 const CLIENT_DESCRIPTOR_PERCENT: u64 = 60;
-/// Descriptors for connections of clients and to servers, at least.
+/// Lower bound of the file descriptors for client and server connections together.
 const MIN_CONNECTION_DESCRIPTORS: u64 = 16;
-/// Idle connections kept to one server.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// Runs a data plane until SIGTERM has been carried out. To be called on a single-threaded runtime.
+/// Runs a data plane until the graceful shutdown after SIGTERM is complete. Must be called on a
+/// single-threaded runtime.
+///
+/// # Errors
+///
+/// If the data plane cannot listen, receive signals or get a random seed.
 pub async fn run(
     settings: Settings,
     settings_path: PathBuf,
@@ -43,14 +47,14 @@
     let mut seed = [0; 8];
     rand::rngs::OsRng.try_fill_bytes(&mut seed).context(RandomSnafu)?;
     let dataplane = Dataplane::bind(settings, settings_path, u64::from_le_bytes(seed), log)?;
-    let signals = dataplane.control().follow_signals();
+    let signals = dataplane.control().forward_signals();
     tokio::select! {
         () = dataplane.serve() => Ok(()),
         Err(source) = signals => Err(DataplaneError::Signals { source }),
     }
 }
 
-/// A data plane that listens, but does not serve yet.
+/// A data plane whose sockets are open, but which does not serve requests yet.
 pub struct Dataplane {
     settings: Settings,
     settings_path: PathBuf,
@@ -63,11 +67,12 @@
 }
 
 impl Dataplane {
-    /// Opens the listening sockets. All random numbers come from `seed`.
+    /// Opens the listening sockets. `seed` seeds all random decisions. `settings_path` is the file that a
+    /// reload reads.
     ///
     /// # Errors
     ///
-    /// If the settings lack an address, or one cannot be listened on.
+    /// If the settings lack an address or a socket cannot be opened.
     pub fn bind(
         settings: Settings,
         settings_path: PathBuf,
@@ -87,30 +92,30 @@
         Ok(Dataplane { settings, settings_path, state, control, clients, ingress, readiness, random })
     }
 
-    /// The address at which clients are served.
+    /// The address at which clients are served, with the actual port if the settings specify port 0.
     ///
     /// # Errors
     ///
-    /// If the system does not tell the socket's address.
+    /// If the operating system does not report the socket's address.
     pub fn ingress_address(&self) -> std::io::Result<SocketAddr> {
         self.ingress.local_addr()
     }
 
-    /// The address at which readiness is asked for.
+    /// The address of the readiness checks, with the actual port if the settings specify port 0.
     ///
     /// # Errors
     ///
-    /// If the system does not tell the socket's address.
+    /// If the operating system does not report the socket's address.
     pub fn readiness_address(&self) -> std::io::Result<SocketAddr> {
         self.readiness.local_addr()
     }
 
-    /// The handle that stops the data plane.
+    /// A handle to stop the data plane or to reload its settings.
     pub fn control(&self) -> Control {
         self.control.clone()
     }
 
-    /// Serves until shutdown is requested and complete.
+    /// Serves until a shutdown has been requested and is complete.
     pub async fn serve(self) {
         LocalSet::new().run_until(self.serve_local()).await;
     }
@@ -130,10 +135,10 @@
                 exchange_loads(state.clone(), &settings, incarnation),
             )
         };
-        let accepting = tokio::task::spawn_local(clients.clone().accept(ingress));
+        let accept_task = tokio::task::spawn_local(clients.clone().accept(ingress));
         let shutdown = async {
-            control.stopped().await;
-            shut_down(&state, &clients, &accepting, settings.bounds.grace).await;
+            control.stop_requested().await;
+            shut_down(&state, &clients, &accept_task, settings.bounds.grace).await;
             notice.requested.notify_one();
             notice.sent.notified().await;
         };
@@ -144,16 +149,17 @@
     }
 }
 
-/// The notice to the coordinator that this edge is about to end.
+/// Synchronizes the shutdown with the poller, which tells the coordinator that this edge is shutting down.
 #[derive(Default)]
 struct ShutdownNotice {
     requested: Notify,
     sent: Notify,
 }
 
-/// Polls, and reloads the settings on request, until the shutdown notice is requested.
+/// Polls coordinators and reloads the settings on request, until the shutdown notice is requested; then sends
+/// it.
 async fn poll_coordinators(mut poller: Poller, control: &Control, notice: &ShutdownNotice) {
-    let mut must_reload = false;
+    let mut reload_pending = false;
     loop {
         let is_shutting_down = {
             let mut step = pin!(poller.step());
@@ -161,15 +167,15 @@
                 tokio::select! {
                     () = &mut step => break false,
                     () = notice.requested.notified() => break true,
-                    // The poll in flight is completed first.
-                    () = control.reloaded() => must_reload = true,
+                    // The poll in flight is completed before the reload.
+                    () = control.reload_requested() => reload_pending = true,
                 }
             }
         };
         if is_shutting_down {
             break;
         }
-        if std::mem::take(&mut must_reload) {
+        if std::mem::take(&mut reload_pending) {
             poller.reload();
         }
     }
@@ -177,7 +183,8 @@
     notice.sent.notify_one();
 }
 
-/// Exchanges loads with the other edges. Without a socket this edge balances by its own load alone.
+/// Exchanges load reports with the other edges. If the socket cannot be opened, this edge balances by its own
+/// load alone.
 async fn exchange_loads(state: Rc<State>, settings: &Settings, incarnation: Incarnation) {
     let address = SocketAddrV4::new(settings.ip, settings.internal_port());
     match Peers::open(state.clone(), address, incarnation).await {
@@ -188,10 +195,13 @@
     }
 }
 
-/// How many clients may be connected, and how many connections there may be to servers.
+/// The maximum number of client connections, and the limits of the pool of server connections.
 fn connection_limits(limits: &MachineLimits) -> (usize, PoolLimits) {
     let sockets = limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTION_DESCRIPTORS);
     let clients = sockets * CLIENT_DESCRIPTOR_PERCENT / 100;
     let as_size = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
-    (as_size(clients), PoolLimits { total: as_size(sockets - clients), idle_per_server: MAX_IDLE_PER_SERVER })
+    (
+        as_size(clients),
+        PoolLimits { max_connections: as_size(sockets - clients), max_idle_per_server: MAX_IDLE_PER_SERVER },
+    )
 }
--- a/dataplane/src/server_connection.rs
+++ b/dataplane/src/server_connection.rs
@@ -17,68 +17,60 @@
 use tokio::task::AbortHandle;
 
 use crate::request::ATTEMPT_ID;
+use crate::tcp_user_timeout::{tcp_user_timeout, DEFAULT_TCP_USER_TIMEOUT};
 use crate::tracked_stream::{IoObserver, TrackedStream};
-use crate::unacknowledged_limit::{unacknowledged_limit, DEFAULT_LIMIT};
 
-/// How long a connection may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The first keep-alive probe is sent after this long without traffic.
+/// The first TCP keep-alive probe is sent after this long without traffic.
 const KEEPALIVE_TIME: Duration = Duration::from_millis(1000);
-/// Between two keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
-/// The longest response head, and the most that is read ahead of a body, in bytes.
+/// Limits the length of a response head and how much of a body is read ahead.
 const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why no connection came up. Nothing was written to the server.
+/// Why a connection could not be opened. No byte of a request was written to the server.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConnectError {
     /// The server's address cannot be parsed.
-    #[snafu(display("'{address}' is no address"))]
+    #[snafu(display("'{address}' is not a valid IPv4 address with port"))]
     Address {
-        /// The address as the server registered it.
+        /// The address that the server registered.
         address: String,
     },
-    /// All connections that the process may have are in use.
-    #[snafu(display("connection limit reached"))]
+    /// All connections that the pool may open are in use.
+    #[snafu(display("limit of connections to servers reached"))]
     ConnectionLimit,
-    /// The system refused.
-    #[snafu(display("connecting: {source}"))]
-    Socket {
-        /// The system's error.
-        source: std::io::Error,
-    },
+    /// The operating system reported an error.
+    #[snafu(display("TCP connection failed: {source}"))]
+    Socket { source: std::io::Error },
     /// The server did not accept the connection within [`CONNECT_TIMEOUT`].
-    #[snafu(display("connecting: timed out"))]
+    #[snafu(display("TCP connection timed out"))]
     TimedOut,
-    /// The connection ended before it could be used.
-    #[snafu(display("connecting: {source}"))]
-    Handshake {
-        /// The error of the HTTP connection.
-        source: hyper::Error,
-    },
+    /// The connection failed before it could be used.
+    #[snafu(display("HTTP connection failed: {source}"))]
+    Handshake { source: hyper::Error },
 }
 
-/// Why a request got no response on a connection.
+/// Why a request received no response head.
 #[derive(Debug)]
 pub struct SendError {
-    /// Whether a part of the request may have been written.
+    /// Whether part of the request may have been written to the socket.
     pub was_written: bool,
-    /// Whether the connection had carried a request before.
+    /// Whether the connection had carried an earlier request.
     pub was_reused: bool,
-    /// Whether the bytes received were not HTTP.
-    pub is_parse: bool,
+    /// Whether the bytes received were not a valid HTTP response.
+    pub is_parse_error: bool,
 }
 
-/// Identifies a connection to a server; never given twice.
+/// Identifies a connection to a server; never reused for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(pub u64);
 
-/// Counts as an open connection until it is dropped.
+/// Counts as one open connection until it is dropped.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
-    /// Counts one more open connection.
+    /// Increments `open`, the number of open connections; dropping the permit decrements it.
     pub fn acquire(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         ConnectionPermit(open.clone())
@@ -91,7 +83,7 @@
     }
 }
 
-/// Records whether any byte of the request in flight has been written.
+/// Tracks whether any byte of the request in flight has been written.
 #[derive(Default)]
 struct WriteTracker {
     on_first_write: RefCell<Option<Box<dyn FnOnce()>>>,
@@ -99,7 +91,8 @@
 }
 
 impl WriteTracker {
-    /// Starts over for the next request; `on_first_write` runs once, when its first byte is written.
+    /// Resets the tracker for the next request. `on_first_write` is called once, when its first byte is
+    /// written.
     fn arm(&self, on_first_write: Box<dyn FnOnce()>) {
         self.is_written.set(false);
         self.on_first_write.replace(Some(on_first_write));
@@ -116,18 +109,20 @@
     }
 }
 
-/// A connection to a server, which carries one request at a time. Closed when dropped.
+/// A connection to a server, which carries one request at a time; closed when dropped.
 pub struct ServerConnection {
     id: ConnectionId,
     sender: SendRequest<Full<Bytes>>,
-    tracker: Rc<WriteTracker>,
+    write_tracker: Rc<WriteTracker>,
+    /// The task that runs hyper's side of the connection.
     driver: AbortHandle,
     _permit: ConnectionPermit,
-    has_served: bool,
-    /// The socket, for as long as hyper has it open.
+    has_carried_request: bool,
+    /// Can be upgraded only while hyper keeps the socket open.
     stream: Weak<TcpStream>,
-    unacknowledged_limit: Duration,
-    /// `Attempt-Id` of the last request.
+    /// The TCP user timeout that is set on the socket.
+    tcp_user_timeout: Duration,
+    /// The `Attempt-Id` of the last request.
     last_attempt_id: Option<HeaderValue>,
 }
 
@@ -138,7 +133,7 @@
 }
 
 impl ServerConnection {
-    /// Opens a connection.
+    /// Opens a TCP connection and prepares it for HTTP/1.1. Holds `permit` until the connection is dropped.
     pub async fn connect(
         address: SocketAddrV4,
         id: ConnectionId,
@@ -148,88 +143,88 @@
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(address.into()));
         let Ok(connected) = connecting.await else { return TimedOutSnafu.fail() };
         let stream = connected.context(SocketSnafu)?;
-        configure(&stream).context(SocketSnafu)?;
-        let tracker = Rc::new(WriteTracker::default());
+        set_socket_options(&stream).context(SocketSnafu)?;
+        let write_tracker = Rc::new(WriteTracker::default());
         let stream = Rc::new(stream);
-        let socket = Rc::downgrade(&stream);
-        let io = TrackedStream::new(stream, tracker.clone());
+        let weak_stream = Rc::downgrade(&stream);
+        let io = TrackedStream::new(stream, write_tracker.clone());
         let mut builder = http1::Builder::new();
         let handshake = builder.max_buf_size(MAX_READ_BUFFER_BYTES).handshake(io);
         let (sender, connection) = handshake.await.context(HandshakeSnafu)?;
-        // The request in flight sees how the connection ended.
+        // The connection's error is also returned to the request in flight.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(ServerConnection {
             id,
             sender,
-            tracker,
+            write_tracker,
             driver,
             _permit: permit,
-            has_served: false,
-            stream: socket,
-            unacknowledged_limit: DEFAULT_LIMIT,
+            has_carried_request: false,
+            stream: weak_stream,
+            tcp_user_timeout: DEFAULT_TCP_USER_TIMEOUT,
             last_attempt_id: None,
         })
     }
 
-    /// The connection's id.
     pub fn id(&self) -> ConnectionId {
         self.id
     }
 
-    /// `Attempt-Id` of the last request that was sent on it.
+    /// The `Attempt-Id` of the last request sent on this connection.
     pub fn last_attempt_id(&self) -> Option<&HeaderValue> {
         self.last_attempt_id.as_ref()
     }
 
-    /// Whether the next request may be sent: the previous exchange is complete in both directions.
+    /// Whether the next request may be sent: the previous request and response have been transferred
+    /// completely.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request, which has so much time left, and waits for the head of the response. `on_first_write` runs when its
-    /// first byte is written.
+    /// Sends a request and waits for the head of the response. `time_left` is the time until the request's
+    /// deadline; `on_first_write` is called when the first byte is written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
         time_left: Duration,
         on_first_write: Box<dyn FnOnce()>,
     ) -> Result<Response<Incoming>, SendError> {
-        let was_reused = self.has_served;
-        self.has_served = true;
+        let was_reused = self.has_carried_request;
+        self.has_carried_request = true;
         self.last_attempt_id = request.headers().get(ATTEMPT_ID).cloned();
         let body_bytes = request.body().size_hint().exact().unwrap_or(0);
-        self.limit_unacknowledged(usize::try_from(body_bytes).unwrap_or(usize::MAX), time_left);
-        self.tracker.arm(on_first_write);
+        self.update_tcp_user_timeout(usize::try_from(body_bytes).unwrap_or(usize::MAX), time_left);
+        self.write_tracker.arm(on_first_write);
         let response = self.sender.try_send_request(request).await;
         response.map_err(|error| SendError {
-            was_written: error.message().is_none() && self.tracker.is_written.get(),
+            was_written: error.message().is_none() && self.write_tracker.is_written.get(),
             was_reused,
-            is_parse: error.error().is_parse(),
+            is_parse_error: error.error().is_parse(),
         })
     }
 }
 
 impl ServerConnection {
-    fn limit_unacknowledged(&mut self, body_bytes: usize, time_left: Duration) {
-        let limit = unacknowledged_limit(body_bytes, time_left);
-        if limit == self.unacknowledged_limit {
+    /// Sets the TCP user timeout for a request with a body of this length and this time until its deadline.
+    fn update_tcp_user_timeout(&mut self, body_bytes: usize, time_left: Duration) {
+        let timeout = tcp_user_timeout(body_bytes, time_left);
+        if timeout == self.tcp_user_timeout {
             return;
         }
         let Some(stream) = self.stream.upgrade() else { return };
-        if SockRef::from(&*stream).set_tcp_user_timeout(Some(limit)).is_ok() {
-            self.unacknowledged_limit = limit;
+        if SockRef::from(&*stream).set_tcp_user_timeout(Some(timeout)).is_ok() {
+            self.tcp_user_timeout = timeout;
         }
     }
 }
 
-fn configure(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(DEFAULT_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(DEFAULT_TCP_USER_TIMEOUT))?;
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_TIME).with_interval(KEEPALIVE_INTERVAL))
 }
--- a/dataplane/src/server_response.rs
+++ b/dataplane/src/server_response.rs
@@ -1,5 +1,5 @@
-//! Handles a server's response from its head on: buffers it, forwards it as it arrives or drains it, and decides what
-//! becomes of its connection.
+//! Handles a server's response after its head has arrived: buffers, forwards or drains the body, and returns
+//! the connection to the pool or closes it.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
 use crate::event_splitter::EventSplitter;
 use crate::pool::PooledConnection;
 use crate::progress::Progress;
-use crate::request::{has_connection_close, text};
-use crate::response::{self, BodyShape, INSTANCE_ID};
+use crate::request::{has_connection_close, header_text};
+use crate::response::{self, BodyFraming, INSTANCE_ID};
 use crate::stall_detector::StallDetector;
 
-/// The longest success that is buffered until it is complete, in bytes; longer ones are forwarded as they arrive.
+/// A success up to this length is buffered until it is complete; a longer one is forwarded as it arrives.
 const MAX_BUFFERED_SUCCESS_BYTES: usize = 256 << 10;
-/// The longest failure that is buffered, in bytes; a longer one counts as malformed.
+/// A failure up to this length is buffered; a longer one counts as malformed.
 const MAX_BUFFERED_FAILURE_BYTES: usize = 256 << 10;
-/// The longest body of a rejection that is read to keep its connection, in bytes.
+/// The body of a rejection is drained up to this length, so that its connection can be reused.
 const MAX_DRAINED_BYTES: usize = 64 << 10;
-/// How long the body of a rejection may take to arrive.
+/// Limits the time for draining the body of a rejection.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A response whose head has arrived. Its connection is closed when it is dropped before its end.
+/// A response whose head has arrived. If it is dropped before the body is complete, its connection is closed.
 pub struct ServerResponse {
     head: Parts,
     body: Incoming,
@@ -37,38 +37,36 @@
     load: Option<ServerLoad>,
 }
 
-/// The connection ended before the body did.
+/// The connection ended before the body was complete.
 struct BodyInterrupted;
 
-/// Why a body was not buffered.
+/// Why a body could not be buffered.
 enum CollectError {
-    /// The connection ended before the body did.
+    /// The connection ended before the body was complete.
     Interrupted,
-    /// The body is too long.
     TooLong,
 }
 
 impl ServerResponse {
-    /// What has arrived on a pooled connection.
     pub fn new(response: Response<Incoming>, connection: PooledConnection) -> Self {
         let (head, body) = response.into_parts();
         ServerResponse { load: response::server_load(&head.headers), head, body, connection }
     }
 
-    /// The head.
     pub fn head(&self) -> &Parts {
         &self.head
     }
 
-    /// The server has not executed the request. The router need not wait for the body of a rejection.
+    /// The result of a rejection. Its body is drained in a separate task, so that the router need not wait
+    /// for it.
     pub fn into_rejection(self) -> AttemptResult {
         let status = self.head.status.as_u16();
-        let instance = text(&self.head.headers, &INSTANCE_ID).map(str::to_owned);
+        let instance = header_text(&self.head.headers, &INSTANCE_ID).map(str::to_owned);
         let outcome = Outcome {
             verdict: Verdict::SurelyNotRun,
             ending: Ending::Rejected { status, instance },
             load: self.load,
-            retry_after_ms: response::retry_after(&self.head.headers),
+            retry_after_ms: response::retry_after_ms(&self.head.headers),
         };
         if self.body.is_end_stream() {
             return_to_pool(self.connection, &self.head);
@@ -78,10 +76,10 @@
         AttemptResult::NoResponse(outcome)
     }
 
-    /// A failure of the server's own: buffered, as the router may retry on another server first.
+    /// Buffers a failure response. It is not forwarded yet, because the router may retry on another server.
     pub async fn buffer_failure(self) -> AttemptResult {
         let status = self.head.status.as_u16();
-        let retry_after_ms = response::retry_after(&self.head.headers);
+        let retry_after_ms = response::retry_after_ms(&self.head.headers);
         let outcome = |ending| Outcome { verdict: Verdict::HasRun, ending, load: self.load, retry_after_ms };
         match collect(self.body, MAX_BUFFERED_FAILURE_BYTES).await {
             Ok(body) => {
@@ -94,15 +92,16 @@
         }
     }
 
-    /// A success that is no event stream: buffered until it is complete, unless it is long.
+    /// Forwards a success that is not an event stream. It is buffered until it is complete, unless it is
+    /// longer than [`MAX_BUFFERED_SUCCESS_BYTES`].
     pub async fn forward_success(
         mut self,
-        shape: BodyShape,
+        framing: BodyFraming,
         progress: &Progress,
         client: &mut ClientResponse,
     ) -> AttemptResult {
         let is_long =
-            matches!(shape, BodyShape::Length(length) if length > MAX_BUFFERED_SUCCESS_BYTES as u64);
+            matches!(framing, BodyFraming::Length(length) if length > MAX_BUFFERED_SUCCESS_BYTES as u64);
         let mut buffered = BytesMut::new();
         while !is_long && buffered.len() <= MAX_BUFFERED_SUCCESS_BYTES {
             match self.next_chunk().await {
@@ -119,7 +118,7 @@
         self.forward_chunks(buffered.freeze(), progress, client).await
     }
 
-    /// Forwards a complete success.
+    /// Forwards a success whose body has arrived completely.
     fn forward_complete(
         self,
         body: Bytes,
@@ -135,7 +134,7 @@
         AttemptResult::Served(outcome)
     }
 
-    /// Forwards a long body as it arrives, after what is buffered of it.
+    /// Forwards the part of a long body that is buffered, and then the rest as it arrives.
     async fn forward_chunks(
         mut self,
         buffered: Bytes,
@@ -148,21 +147,21 @@
         client.send_chunk(buffered).await;
         loop {
             match self.next_chunk().await {
-                // The client's connection polls no more once it has the declared length, so that the end must not be
-                // waited for.
+                // The client connection stops polling the exchange once it has the declared length, so the
+                // exchange must end together with the last chunk instead of waiting for the end of the body.
                 Some(Ok(chunk)) if self.body.is_end_stream() => {
                     client.finish(chunk);
                     return self.served();
                 }
                 Some(Ok(chunk)) => client.send_chunk(chunk).await,
-                Some(Err(BodyInterrupted)) => return self.failed(Verdict::HasRun, client.truncated()),
+                Some(Err(BodyInterrupted)) => return self.failed(Verdict::HasRun, client.truncated_ending()),
                 None => return self.served(),
             }
         }
     }
 
-    /// Forwards an event stream, each event as soon as it is complete. The head waits for the first of them, so that
-    /// another server's response may replace one that fails before it.
+    /// Forwards an event stream, each event as soon as it is complete. The head is held back until the first
+    /// event, so that another server's response can be used instead if this one fails before.
     pub async fn forward_events(
         mut self,
         resume_after: Option<u64>,
@@ -170,9 +169,9 @@
         progress: &Progress,
         client: &mut ClientResponse,
     ) -> AttemptResult {
-        let mut splitter = EventSplitter::after(resume_after);
+        let mut splitter = EventSplitter::resuming_after(resume_after);
         let mut stall = StallDetector::new(stall_timeout);
-        let mut has_first = false;
+        let mut has_first_event = false;
         client.record_stream_position(resume_after, false);
         loop {
             let chunk = self.next_stream_chunk(&mut stall, progress).await;
@@ -187,16 +186,16 @@
             if events.is_empty() {
                 continue;
             }
-            if !std::mem::replace(&mut has_first, true) {
+            if !std::mem::replace(&mut has_first_event, true) {
                 progress.on_response_head(self.load);
                 progress.on_first_chunk();
                 self.begin_stream(client);
             }
             client.send_chunk(events).await;
-            // A client that reads slowly does not make the server's stream stalled.
+            // Time spent waiting for a slow client does not count as a pause of the server.
             stall.record_progress();
         }
-        if !has_first {
+        if !has_first_event {
             progress.on_response_head(self.load);
         }
         self.begin_stream(client);
@@ -204,7 +203,7 @@
         self.served()
     }
 
-    /// The next bytes of a stream; stalls are reported meanwhile.
+    /// Waits for the next bytes of a stream, and reports stalls meanwhile.
     async fn next_stream_chunk(
         &mut self,
         stall: &mut StallDetector,
@@ -219,7 +218,8 @@
         }
     }
 
-    /// Sends the head of a stream, without the server's length: it does not hold if another server resumes the stream.
+    /// Sends the head of a stream without its `Content-Length`, which would be wrong if another server
+    /// resumes the stream.
     fn begin_stream(&mut self, client: &mut ClientResponse) {
         if !client.has_begun() {
             let mut head = self.head.clone();
@@ -228,16 +228,16 @@
         }
     }
 
-    /// The result of a stream that failed; `ending` applies if the client has received nothing of it.
+    /// The result of a stream that failed. `ending` is used only if the client has received no part of it.
     fn stream_failed(self, client: &ClientResponse, ending: Ending) -> AttemptResult {
         if client.has_begun() {
-            self.failed(Verdict::HasRun, client.truncated())
+            self.failed(Verdict::HasRun, client.truncated_ending())
         } else {
             self.failed(Verdict::MayHaveRun, ending)
         }
     }
 
-    /// The next bytes of the body; `None` at its proper end.
+    /// The next bytes of the body; `None` once it is complete.
     async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
         loop {
             match self.body.frame().await? {
@@ -251,12 +251,14 @@
         }
     }
 
+    /// The result of a success that has been forwarded completely; its connection returns to the pool.
     fn served(self) -> AttemptResult {
         let outcome = self.outcome(Verdict::HasRun, Ending::Served);
         return_to_pool(self.connection, &self.head);
         AttemptResult::Served(outcome)
     }
 
+    /// The result of a response that cannot be used, or no further; its connection is closed.
     fn failed(self, verdict: Verdict, ending: Ending) -> AttemptResult {
         AttemptResult::NoResponse(self.outcome(verdict, ending))
     }
@@ -266,7 +268,7 @@
     }
 }
 
-/// Buffers a body of `max_bytes` at most.
+/// Buffers a body of at most `max_bytes` bytes.
 async fn collect(body: Incoming, max_bytes: usize) -> Result<Bytes, CollectError> {
     match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -275,16 +277,16 @@
     }
 }
 
-/// Reads the rest of a rejection, so that its connection may be reused.
+/// Reads and discards the body of a rejection, so that its connection can be reused.
 async fn drain(connection: PooledConnection, head: Parts, body: Incoming) {
     if let Ok(Ok(_)) = tokio::time::timeout(DRAIN_TIMEOUT, collect(body, MAX_DRAINED_BYTES)).await {
         return_to_pool(connection, &head);
     }
 }
 
-/// Keeps the connection of a complete response, unless the server closes it.
+/// Returns the connection of a complete response to the pool, unless the response has `Connection: close`.
 fn return_to_pool(connection: PooledConnection, head: &Parts) {
     if !has_connection_close(&head.headers) {
-        connection.return_to_pool(response::keep_alive(&head.headers));
+        connection.return_to_pool(response::keep_alive_ms(&head.headers));
     }
 }
--- a/dataplane/src/shared_stream.rs
+++ b/dataplane/src/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that hyper reads and writes while others look at its state.
+//! A TCP stream that hyper reads and writes while other code observes its state and sets its options.
 
 use std::future::Future;
 use std::io;
@@ -11,17 +11,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Hyper's handle of a TCP stream.
+/// The handle through which hyper reads and writes the stream.
 pub struct SharedStream(Rc<TcpStream>);
 
 impl SharedStream {
-    /// A handle that reads and writes.
     pub fn new(stream: Rc<TcpStream>) -> Self {
         SharedStream(stream)
     }
 }
 
-/// Whether the other side has ended the connection, or its sending half, also where bytes before that are still unread.
+/// Whether the peer has closed the connection or its sending half, even if earlier bytes have not been read
+/// yet.
 pub fn is_read_closed(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE));
     let polled = ready.poll(&mut Context::from_waker(Waker::noop()));
--- a/dataplane/src/shutdown_window.rs
+++ b/dataplane/src/shutdown_window.rs
@@ -1,27 +1,28 @@
-//! Which requests are still accepted during graceful shutdown.
+//! Decides which requests are accepted during graceful shutdown.
 //!
-//! Requests are accepted for a moment longer, as the platform needs two health checks a second apart to notice that the
-//! process is unready. Later ones come over connections that clients kept alive. Such a request is accepted only if its
-//! deadline passes before the process ends, whatever its server does: a response that would be aborted is better given
-//! by another edge.
+//! At first every request is accepted, because the platform needs two health checks, one second apart, to
+//! notice that the process is unready. Later requests arrive on connections that clients have kept alive.
+//! They are accepted only if their deadline is before the end of the process; otherwise the response might
+//! have to be aborted, and another edge can serve the request better.
 
 use shaletrail_protocol::Millis;
 
-/// Every request is accepted for this long after the start of shutdown: two health checks of the platform and the time
-/// that it takes to act on them. Half of the window, where that is shorter.
+/// Every request is accepted for this long after the start of shutdown, or for half of the window if that is
+/// shorter. Covers two health checks of the platform and the time until the platform acts on them.
 const ACCEPT_ALL_MS: Millis = 2_700;
 
-/// The time between the start of graceful shutdown and the end of the process, on the caller's clock.
+/// The time between the start of graceful shutdown and the end of the process, as readings of the caller's
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownWindow {
     /// When shutdown began, in milliseconds.
     pub started_at: Millis,
-    /// When responses that are still open are aborted, in milliseconds.
+    /// When responses that are still in flight are aborted, in milliseconds.
     pub aborts_at: Millis,
 }
 
 impl ShutdownWindow {
-    /// Whether a request is accepted that arrives now and lasts `max_duration_ms` milliseconds at most.
+    /// Whether to accept a request that arrives at `now` and takes at most `max_duration_ms` milliseconds.
     pub fn accepts(&self, now: Millis, max_duration_ms: Millis) -> bool {
         let accept_all_ms = ACCEPT_ALL_MS.min(self.aborts_at.saturating_sub(self.started_at) / 2);
         now < self.started_at + accept_all_ms || now.saturating_add(max_duration_ms) <= self.aborts_at
--- a/dataplane/src/stall_detector.rs
+++ b/dataplane/src/stall_detector.rs
@@ -1,4 +1,5 @@
-//! Detects that a stream has stalled, with a timer that is rearmed once a pause rather than with each event.
+//! Detects that a stream has stalled. The timer is reset only when it fires, not with each event, which would
+//! cost more.
 
 use std::future::pending;
 use std::pin::Pin;
@@ -6,7 +7,6 @@
 
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Watches one stream for pauses.
 pub struct StallDetector {
     timeout: Option<Duration>,
     last_progress_at: Instant,
@@ -14,19 +14,20 @@
 }
 
 impl StallDetector {
-    /// A detector of pauses longer than `timeout`; of none without it.
+    /// Detects pauses of at least `timeout`; none if that is `None`.
     pub fn new(timeout: Option<Duration>) -> Self {
         StallDetector { timeout, last_progress_at: Instant::now(), timer: None }
     }
 
-    /// Bytes have arrived.
+    /// Records that the stream is not stalled: a new pause begins now.
     pub fn record_progress(&mut self) {
         if self.timeout.is_some() {
             self.last_progress_at = Instant::now();
         }
     }
 
-    /// Waits until nothing has arrived for the timeout; completes again each time that it passes once more.
+    /// Waits until the stream has paused for the time-out. When called again, waits until another time-out
+    /// has passed.
     pub async fn stalled(&mut self) {
         let Some(timeout) = self.timeout else { return pending().await };
         loop {
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -1,4 +1,5 @@
-//! What the tasks of the process share: the router, the configuration in force and the resources of requests.
+//! State shared by the tasks of the process: the router, the current configuration, and resources used by
+//! requests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,36 +19,34 @@
 use crate::pool::{Pool, PoolLimits};
 use crate::shutdown_window::ShutdownWindow;
 
-/// Request bodies may take this fraction of the process's memory: one part in so many.
+/// Request bodies may use the process's memory limit divided by this.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
 /// The state shared by all tasks of an edge.
 pub struct State {
-    /// The monotonic clock.
     pub clock: Clock,
-    /// The log.
     pub log: slog::Logger,
-    /// Connections to servers.
     pub pool: Rc<Pool>,
-    /// Commands on their way to exchanges.
     pub mailboxes: Mailboxes,
-    /// Memory for request bodies.
     pub body_memory: Rc<BodyMemory>,
-    /// Notified when a report cannot wait for the next poll.
+    /// Notified when the router has a report for the coordinator that cannot wait for the next poll.
     pub report_ready: Notify,
-    /// Notified when the other edges should get this edge's loads at once.
+    /// Notified when a load report should be sent to the other edges at once.
     pub load_update_ready: Notify,
     router: RefCell<Router>,
+    /// Buffer for the router's actions, kept to reuse its allocation.
     actions: RefCell<Vec<Action>>,
+    /// The configuration in force.
     view: RefCell<Arc<View>>,
     shutdown_window: Cell<Option<ShutdownWindow>>,
     next_request: Cell<u64>,
+    /// When the router's timer fires next.
     timer_at: Cell<Option<Millis>>,
     timer_changed: Notify,
 }
 
 impl State {
-    /// The state of a process that knows no configuration yet.
+    /// Creates the state without a configuration, and starts the clock of the process.
     pub fn new(settings: &Settings, router: Router, limits: PoolLimits, log: slog::Logger) -> Rc<State> {
         let pool = Pool::new(limits);
         let clock = pool.clock();
@@ -69,12 +68,12 @@
         })
     }
 
-    /// The configuration in force; version 0 while none is known.
+    /// The configuration in force. Its version is 0 until a configuration has been received.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Whether the platform should send new connections here.
+    /// Whether the platform should send new connections to this process.
     pub fn is_ready(&self) -> bool {
         self.router.borrow().is_usable(self.clock.now())
     }
@@ -84,20 +83,22 @@
         self.shutdown_window.get().is_some()
     }
 
-    /// Whether a request that lasts `max_duration_ms` milliseconds at most is still accepted.
+    /// Whether to accept a request that takes at most `max_duration_ms` milliseconds; always true before
+    /// shutdown.
     pub fn accepts(&self, max_duration_ms: Millis) -> bool {
         let window = self.shutdown_window.get();
         window.is_none_or(|window| window.accepts(self.clock.now(), max_duration_ms))
     }
 
-    /// Puts a newer configuration in force.
+    /// Replaces the configuration in force and informs the router.
     pub fn set_view(&self, view: Arc<View>) {
         *self.view.borrow_mut() = view.clone();
         self.handle(Event::ConfigurationUpdated(view));
     }
 
-    /// Begins graceful shutdown; responses still open after `time_left` are aborted. The process is unready from now
-    /// on, and the router lets no request wait longer than it must.
+    /// Begins graceful shutdown: the process reports itself as unready, and the router rejects the queued
+    /// requests that wait for more than a free slot at a server. Responses that are still in flight after
+    /// `time_left` will be aborted.
     pub fn begin_shutdown(&self, time_left: Duration) {
         if self.is_shutting_down() {
             return;
@@ -108,7 +109,7 @@
         self.handle(Event::ShutdownRequested);
     }
 
-    /// Feeds an event to the router and dispatches the actions that come of it.
+    /// Passes an event to the router and dispatches the resulting actions.
     pub fn handle(&self, event: Event) {
         let mut actions = self.actions.take();
         let next_wake = {
@@ -129,12 +130,12 @@
         self.arm_timer(next_wake);
     }
 
-    /// Gives access to the router for what is no event.
+    /// Gives access to the router for calls other than events.
     pub fn with_router<T>(&self, access: impl FnOnce(&mut Router) -> T) -> T {
         access(&mut self.router.borrow_mut())
     }
 
-    /// Feeds `Event::Tick` to the router whenever it is due; never returns.
+    /// Passes `Event::Tick` to the router whenever it is due; never returns.
     pub async fn run_timer(&self) {
         loop {
             let Some(at) = self.timer_at.get() else {
@@ -148,7 +149,6 @@
         }
     }
 
-    /// An id for a new request.
     pub fn next_request_id(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id.wrapping_add(1));
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Moves the timer only where it would fire too late: firing early costs less than moving it with each event.
+    /// Moves the timer only if it would otherwise fire too late. Firing early costs less than moving it with
+    /// each event.
     fn arm_timer(&self, next_wake: Option<Millis>) {
         let Some(next) = next_wake else { return };
         if self.timer_at.get().is_none_or(|armed| next < armed) {
--- a/dataplane/src/tracked_stream.rs
+++ b/dataplane/src/tracked_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream below hyper that notifies an observer when bytes are read from it and written to it.
+//! A TCP stream for hyper that notifies an observer of reads and writes.
 
 use std::io;
 use std::pin::Pin;
@@ -11,22 +11,19 @@
 
 use crate::shared_stream::SharedStream;
 
-/// Is notified of reads and writes.
 pub trait IoObserver {
-    /// Bytes, the end of the stream or an error have been read.
+    /// Called after each read that returned bytes, the end of the stream or an error.
     fn on_read(&self) {}
-    /// At least one byte has been written.
+    /// Called after each write of at least one byte.
     fn on_write(&self) {}
 }
 
-/// A TCP stream and its observer.
 pub struct TrackedStream<O> {
     io: TokioIo<SharedStream>,
     observer: Rc<O>,
 }
 
 impl<O: IoObserver> TrackedStream<O> {
-    /// A stream that notifies `observer`.
     pub fn new(stream: Rc<TcpStream>, observer: Rc<O>) -> Self {
         TrackedStream { io: TokioIo::new(SharedStream::new(stream)), observer }
     }
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -10,10 +10,10 @@
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_dataplane::request::{has_connection_close, host, strip_hop_by_hop, RequestHeaders};
 use shaletrail_dataplane::response::{
-    classify, keep_alive, retry_after, server_load, BodyShape, MalformedReason, ResponseKind,
+    classify, keep_alive_ms, retry_after_ms, server_load, BodyFraming, MalformedReason, ResponseKind,
 };
 use shaletrail_dataplane::shutdown_window::ShutdownWindow;
-use shaletrail_dataplane::unacknowledged_limit::{unacknowledged_limit, DEFAULT_LIMIT};
+use shaletrail_dataplane::tcp_user_timeout::{tcp_user_timeout, DEFAULT_TCP_USER_TIMEOUT};
 use shaletrail_protocol::NodeId;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     let mut random = Pcg64::seed_from_u64(1);
     for _ in 0..500 {
         // when
-        let mut splitter = EventSplitter::after(None);
+        let mut splitter = EventSplitter::resuming_after(None);
         let (mut rest, mut forwarded) = (text.as_bytes(), Vec::new());
         while !rest.is_empty() {
             let (chunk, later) = rest.split_at(random.random_range(1..=rest.len()));
@@ -63,7 +63,7 @@
 #[test]
 fn splitter_drops_events_before_resume_point() {
     // given
-    let mut splitter = EventSplitter::after(Some(2));
+    let mut splitter = EventSplitter::resuming_after(Some(2));
 
     // when
     let events = splitter.push(Bytes::from_static(b"id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"));
@@ -76,7 +76,7 @@
 #[test]
 fn splitter_rejects_too_long_event() {
     // given
-    let mut splitter = EventSplitter::after(None);
+    let mut splitter = EventSplitter::resuming_after(None);
 
     // when
     let result = splitter.push(Bytes::from(vec![b'x'; MAX_EVENT_BYTES + 1]));
@@ -195,14 +195,14 @@
     const NOT_EXECUTED: (&str, &str) = ("not-executed", "1");
 
     // when, then
-    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), Success(BodyShape::Length(5)));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), Success(BodyShape::Chunked));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), Success(BodyShape::Events));
-    assert_eq!(classified(204, &[ID, STAMP]), Success(BodyShape::Length(0)));
+    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), Success(BodyFraming::Length(5)));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), Success(BodyFraming::Chunked));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), Success(BodyFraming::Events));
+    assert_eq!(classified(204, &[ID, STAMP]), Success(BodyFraming::Length(0)));
     assert_eq!(classified(200, &[ID, STAMP]), Malformed(UnknownLength));
     assert_eq!(classified(200, &[ID, STAMP, IDENTITY, LENGTH]), Malformed(UnknownLength));
     assert_eq!(classified(200, &[ID, STAMP, CHUNKED, IDENTITY]), Malformed(UnknownLength));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), Success(BodyShape::Chunked));
+    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), Success(BodyFraming::Chunked));
     assert_eq!(classified(200, &[ID, LENGTH]), Malformed(MissingStamp));
     assert_eq!(classified(200, &[("attempt-id", "t0"), STAMP, LENGTH]), Malformed(AttemptIdMismatch));
     assert_eq!(classified(200, &[STAMP, LENGTH]), Malformed(AttemptIdMismatch));
@@ -232,8 +232,8 @@
 
     // when, then
     assert_eq!(server_load(&proper).map(|load| (load.running, load.waiting, load.slots)), Some((3, 0, 8)));
-    assert_eq!((retry_after(&proper), keep_alive(&proper)), (Some(250), Some(5000)));
-    assert_eq!((server_load(&odd), retry_after(&odd), keep_alive(&odd)), (None, None, None));
+    assert_eq!((retry_after_ms(&proper), keep_alive_ms(&proper)), (Some(250), Some(5000)));
+    assert_eq!((server_load(&odd), retry_after_ms(&odd), keep_alive_ms(&odd)), (None, None, None));
 }
 
 #[test]
@@ -316,7 +316,7 @@
 #[test]
 fn long_body_may_stay_unread_until_the_deadline() {
     let time_left = Duration::from_secs(12);
-    assert_eq!(unacknowledged_limit(1_000, time_left), DEFAULT_LIMIT);
-    assert_eq!(unacknowledged_limit(1 << 20, time_left), time_left);
-    assert_eq!(unacknowledged_limit(1 << 20, Duration::from_millis(100)), DEFAULT_LIMIT);
+    assert_eq!(tcp_user_timeout(1_000, time_left), DEFAULT_TCP_USER_TIMEOUT);
+    assert_eq!(tcp_user_timeout(1 << 20, time_left), time_left);
+    assert_eq!(tcp_user_timeout(1 << 20, Duration::from_millis(100)), DEFAULT_TCP_USER_TIMEOUT);
 }
