--- a/dataplane/tests/common/coordinator.rs
+++ b/dataplane/tests/common/coordinator.rs
@@ -1,4 +1,5 @@
-//! A scripted coordinator: it responds to polls with what has been published, in order, and holds them otherwise.
+//! A scripted coordinator: it responds to polls with the published responses, in order. While there are none,
+//! it holds each poll for the time that the poll allows.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -22,13 +23,13 @@
     handshakes: Cell<usize>,
     has_shutdown_notice: Cell<bool>,
     changed: Notify,
-    /// The response to the next poll, which is held until it is released.
+    /// The response to the next poll, which is sent only after `released`.
     delayed_response: RefCell<Option<PollResponse>>,
     delayed_poll_arrived: Cell<bool>,
     released: Notify,
 }
 
-/// The handle of a scripted coordinator, which runs on the test's runtime.
+/// A handle to a scripted coordinator, which runs on the test's runtime.
 #[derive(Clone)]
 pub struct Coordinator {
     pub port: u16,
@@ -36,38 +37,37 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator at 127.0.0.2, on any port.
+    /// Starts a coordinator at 127.0.0.2, on a port chosen by the operating system.
     pub async fn start() -> Coordinator {
-        Coordinator::at("127.0.0.2", 0).await
+        Coordinator::start_at("127.0.0.2", 0).await
     }
 
-    /// Starts a coordinator at an address.
-    pub async fn at(address: &str, port: u16) -> Coordinator {
-        let listener = TcpListener::bind((address, port)).await.expect("a port");
-        let port = listener.local_addr().expect("an address").port();
+    pub async fn start_at(address: &str, port: u16) -> Coordinator {
+        let listener = TcpListener::bind((address, port)).await.expect("bind listener");
+        let port = listener.local_addr().expect("address of listener").port();
         let shared = Rc::new(Shared::default());
         let coordinator = Coordinator { port, shared: shared.clone() };
         tokio::task::spawn_local(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("a connection");
-                tokio::task::spawn_local(serve(shared.clone(), stream));
+                let (stream, _) = listener.accept().await.expect("open connection");
+                tokio::task::spawn_local(serve_connection(shared.clone(), stream));
             }
         });
         coordinator
     }
 
-    /// Queues the response to a poll.
+    /// Queues a response to a poll.
     pub fn publish(&self, response: PollResponse) {
         self.shared.responses.borrow_mut().push_back(response);
         self.shared.published.notify_waiters();
     }
 
-    /// Publishes an update of the configuration.
+    /// Queues a response with a configuration update.
     pub fn publish_configuration(&self, config_update: ConfigUpdate) {
         self.publish(PollResponse { config: Some(config_update), ..PollResponse::default() });
     }
 
-    /// Publishes the complete directory.
+    /// Queues a response with the complete directory of servers.
     pub fn publish_servers(&self, servers: Vec<ServerRecord>) {
         let cursor = DirectoryCursor { epoch: Incarnation(1), revision: 1 };
         self.publish(PollResponse {
@@ -79,54 +79,55 @@
         });
     }
 
-    /// Waits until everything published has been applied: the edge has polled again after it.
-    pub async fn all_applied(&self) {
-        let answered = self.shared.responses.borrow().len() + self.shared.polls.borrow().len();
-        self.until(|shared| shared.responses.borrow().is_empty() && shared.polls.borrow().len() > answered)
-            .await;
+    /// Waits until all queued responses have been applied, which a later poll of the edge shows.
+    pub async fn wait_until_applied(&self) {
+        let expected_polls = self.shared.responses.borrow().len() + self.shared.polls.borrow().len();
+        self.wait_until(|shared| {
+            shared.responses.borrow().is_empty() && shared.polls.borrow().len() > expected_polls
+        })
+        .await;
     }
 
-    /// Sets the response to the next poll, which is sent only once it is released.
+    /// Sets the response to the next poll, which is held back until [`Coordinator::release_delayed`].
     pub fn publish_delayed(&self, response: PollResponse) {
         self.shared.delayed_response.replace(Some(response));
     }
 
-    /// Waits until the poll whose response is delayed has arrived.
-    pub async fn delayed_poll_arrived(&self) {
-        self.until(|shared| shared.delayed_poll_arrived.get()).await;
+    /// Waits for the poll whose response is held back.
+    pub async fn wait_for_delayed_poll(&self) {
+        self.wait_until(|shared| shared.delayed_poll_arrived.get()).await;
     }
 
-    /// Sends the delayed response.
+    /// Sends the response that is held back.
     pub fn release_delayed(&self) {
         self.shared.released.notify_one();
     }
 
     /// Waits until an edge has sent its handshake.
-    pub async fn connected(&self) {
-        self.connected_times(1).await;
+    pub async fn wait_for_connection(&self) {
+        self.wait_for_connections(1).await;
     }
 
-    /// Waits for this many handshakes, each on a connection of its own.
-    pub async fn connected_times(&self, times: usize) {
-        self.until(|shared| shared.handshakes.get() >= times).await;
+    /// Waits until edges have opened this many connections since the start, as shown by their handshakes.
+    pub async fn wait_for_connections(&self, times: usize) {
+        self.wait_until(|shared| shared.handshakes.get() >= times).await;
     }
 
-    /// Waits for this many polls in all.
-    pub async fn polled_times(&self, times: usize) {
-        self.until(|shared| shared.polls.borrow().len() >= times).await;
+    /// Waits for this many polls since the start.
+    pub async fn wait_for_polls(&self, times: usize) {
+        self.wait_until(|shared| shared.polls.borrow().len() >= times).await;
     }
 
-    /// Waits until the edge has sent its shutdown notice.
-    pub async fn received_shutdown_notice(&self) {
-        self.until(|shared| shared.has_shutdown_notice.get()).await;
+    pub async fn wait_for_shutdown_notice(&self) {
+        self.wait_until(|shared| shared.has_shutdown_notice.get()).await;
     }
 
-    /// All polls so far.
+    /// All polls received since the start.
     pub fn polls(&self) -> Vec<PollRequest> {
         self.shared.polls.borrow().clone()
     }
 
-    async fn until(&self, holds: impl Fn(&Shared) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&Shared) -> bool) {
         loop {
             let changed = self.shared.changed.notified();
             if holds(&self.shared) {
@@ -137,11 +138,11 @@
     }
 }
 
-async fn serve(shared: Rc<Shared>, mut stream: TcpStream) {
-    let Some(Handshake::Edge(_)) = read::<Handshake>(&mut stream).await else { return };
+async fn serve_connection(shared: Rc<Shared>, mut stream: TcpStream) {
+    let Some(Handshake::Edge(_)) = read_message::<Handshake>(&mut stream).await else { return };
     shared.handshakes.set(shared.handshakes.get() + 1);
     shared.changed.notify_waiters();
-    while let Some(request) = read::<EdgeRequest>(&mut stream).await {
+    while let Some(request) = read_message::<EdgeRequest>(&mut stream).await {
         let EdgeRequest::Poll(poll) = request else {
             shared.has_shutdown_notice.set(true);
             shared.changed.notify_waiters();
@@ -150,12 +151,12 @@
         let (cursor, max_wait) = (poll.cursor, Duration::from_millis(u64::from(poll.max_wait_ms)));
         shared.polls.borrow_mut().push(poll);
         shared.changed.notify_waiters();
-        let late = shared.delayed_response.take();
-        if let Some(response) = late {
+        let delayed = shared.delayed_response.take();
+        if let Some(response) = delayed {
             shared.delayed_poll_arrived.set(true);
             shared.changed.notify_waiters();
             shared.released.notified().await;
-            // The edge may have closed the connection meanwhile.
+            // The edge may have closed the connection, so a failed write is ignored.
             drop(stream.write_all(&frame::encode(&response)).await);
             continue;
         }
@@ -177,7 +178,7 @@
     }
 }
 
-async fn read<M: bitcode_message::Message>(stream: &mut TcpStream) -> Option<M> {
+async fn read_message<M: edge_message::Message>(stream: &mut TcpStream) -> Option<M> {
     let mut prefix = [0; frame::PREFIX_BYTES];
     stream.read_exact(&mut prefix).await.ok()?;
     let mut body = vec![0; frame::body_length(prefix).ok()?];
@@ -185,11 +186,11 @@
     M::decode(&body)
 }
 
-mod bitcode_message {
+mod edge_message {
     use shaletrail_protocol::frame;
     use shaletrail_protocol::internal::{EdgeRequest, Handshake};
 
-    /// What an edge sends.
+    /// A message that an edge sends.
     pub trait Message: Sized {
         fn decode(body: &[u8]) -> Option<Self>;
     }
--- a/dataplane/tests/common/http.rs
+++ b/dataplane/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! HTTP by hand, so that tests can break it where they like.
+//! A minimal HTTP/1.1 peer, which lets tests send malformed and truncated messages.
 
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
 }
 
 impl Message {
-    /// The status of a response.
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("status code")
     }
 
-    /// A header's value.
+    /// The value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(own, _)| own == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
     fn parse_head(head: &str) -> Message {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A connection of either side.
+/// A connection of a client or a server.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -42,20 +42,20 @@
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Connection {
-        stream.set_nodelay(true).expect("an option");
+        stream.set_nodelay(true).expect("set socket option");
         Connection { stream, buffer: Vec::new() }
     }
 
     pub async fn open(address: SocketAddr) -> Connection {
-        Connection::new(TcpStream::connect(address).await.expect("a connection"))
+        Connection::new(TcpStream::connect(address).await.expect("open connection"))
     }
 
     pub async fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("a write");
+        self.stream.write_all(text.as_bytes()).await.expect("write to connection");
     }
 
     /// Sends a request with a body.
-    pub async fn request(&mut self, path: &str, attempt_id: &str, body: &str) {
+    pub async fn send_request(&mut self, path: &str, attempt_id: &str, body: &str) {
         let length = body.len();
         let request = format!(
             "POST {path} HTTP/1.1\r\nhost: a.example\r\nattempt-id: {attempt_id}\r\ndeadline-ms: 8000\r\n\
@@ -64,8 +64,8 @@
         self.write(&request).await;
     }
 
-    /// Sends requests without bodies in one write, before any of them is answered.
-    pub async fn pipeline(&mut self, path: &str, attempt_ids: &[&str]) {
+    /// Sends several requests without bodies in a single write.
+    pub async fn send_pipelined(&mut self, path: &str, attempt_ids: &[&str]) {
         let request = |id: &&str| {
             format!(
                 "POST {path} HTTP/1.1\r\nhost: a.example\r\nattempt-id: {id}\r\ncontent-length: 0\r\n\r\n"
@@ -75,45 +75,46 @@
         self.write(&requests).await;
     }
 
-    /// Answers a request with a complete success.
+    /// Sends a complete successful response.
     pub async fn respond(&mut self, request: &Message, body: &str) {
         let length = body.len();
-        self.head(request, 200, &format!("server-stamp: st\r\ncontent-length: {length}\r\n")).await;
+        self.send_head(request, 200, &format!("server-stamp: st\r\ncontent-length: {length}\r\n")).await;
         self.write(body).await;
     }
 
-    /// Begins a response; `headers` are complete lines.
-    pub async fn head(&mut self, request: &Message, status: u16, headers: &str) {
-        let id = request.header("attempt-id").expect("an id");
+    /// Sends the head of a response with the `Attempt-Id` of `request`. `headers` are further header lines,
+    /// each with its line break.
+    pub async fn send_head(&mut self, request: &Message, status: u16, headers: &str) {
+        let id = request.header("attempt-id").expect("request has an attempt id");
         self.write(&format!("HTTP/1.1 {status} X\r\nattempt-id: {id}\r\n{headers}\r\n")).await;
     }
 
-    /// Begins a stream.
-    pub async fn stream_head(&mut self, request: &Message, stamp: &str) {
+    /// Sends the head of an event stream.
+    pub async fn send_stream_head(&mut self, request: &Message, stamp: &str) {
         let headers = format!(
             "server-stamp: {stamp}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n"
         );
-        self.head(request, 200, &headers).await;
+        self.send_head(request, 200, &headers).await;
     }
 
-    /// Writes one chunk.
-    pub async fn chunk(&mut self, text: &str) {
+    /// Sends a chunk of a chunked body.
+    pub async fn send_chunk(&mut self, text: &str) {
         self.write(&format!("{:x}\r\n{text}\r\n", text.len())).await;
     }
 
-    /// Ends a body in chunks.
-    pub async fn end_chunks(&mut self) {
+    /// Ends a chunked body.
+    pub async fn send_last_chunk(&mut self) {
         self.write("0\r\n\r\n").await;
     }
 
     /// Reads a complete request.
     pub async fn read_request(&mut self) -> Message {
         let mut message = self.read_head().await;
-        message.body = self.read_body(&message).await.expect("a whole body");
+        message.body = self.read_body(&message).await.expect("complete body");
         message
     }
 
-    /// Reads a complete request; `None` once the connection has ended.
+    /// Reads a complete request; `None` if the connection has ended.
     pub async fn next_request(&mut self) -> Option<Message> {
         let head = self.read_until("\r\n\r\n").await?;
         let mut message = Message::parse_head(&head);
@@ -126,43 +127,43 @@
         self.read_request().await
     }
 
-    /// Reads a head.
+    /// Reads the head of a request or a response.
     pub async fn read_head(&mut self) -> Message {
-        let head = self.read_until("\r\n\r\n").await.expect("a whole head");
+        let head = self.read_until("\r\n\r\n").await.expect("complete head");
         Message::parse_head(&head)
     }
 
-    /// Reads one chunk; `None` for the last.
+    /// Reads a chunk of a chunked body; `None` for the last one.
     pub async fn read_chunk(&mut self) -> Option<String> {
-        let size = self.read_until("\r\n").await.expect("a chunk");
-        let size = usize::from_str_radix(&size, 16).expect("the size of a chunk");
-        let mut text = self.read_exact(size + 2).await.expect("a whole chunk");
+        let size = self.read_until("\r\n").await.expect("chunk size line");
+        let size = usize::from_str_radix(&size, 16).expect("hexadecimal chunk size");
+        let mut text = self.read_exact(size + 2).await.expect("complete chunk");
         text.truncate(size);
         (size > 0).then_some(text)
     }
 
-    /// What comes until the end of the connection.
-    pub async fn read_rest(&mut self) -> String {
-        while self.fill().await {}
-        String::from_utf8(std::mem::take(&mut self.buffer)).expect("text")
+    /// Reads until the connection ends.
+    pub async fn read_to_end(&mut self) -> String {
+        while self.read_more().await {}
+        String::from_utf8(std::mem::take(&mut self.buffer)).expect("UTF-8 text")
     }
 
-    /// Waits until the other side has closed or reset the connection, without a byte before.
-    pub async fn closed(&mut self) {
-        assert_eq!(self.read_rest().await, "");
+    /// Waits until the peer closes or resets the connection, and asserts that it sends nothing before.
+    pub async fn expect_closed(&mut self) {
+        assert_eq!(self.read_to_end().await, "");
     }
 
-    /// Reads so many bytes, or what comes before the end of the connection.
+    /// Reads `length` bytes, or fewer if the connection ends.
     pub async fn read_up_to(&mut self, length: usize) -> String {
-        while self.buffer.len() < length && self.fill().await {}
+        while self.buffer.len() < length && self.read_more().await {}
         let length = length.min(self.buffer.len());
-        String::from_utf8(self.buffer.drain(..length).collect()).expect("text")
+        String::from_utf8(self.buffer.drain(..length).collect()).expect("UTF-8 text")
     }
 
-    /// Closes the connection with a reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
-        socket.set_linger(Some(std::time::Duration::ZERO)).expect("an option");
+        socket.set_linger(Some(std::time::Duration::ZERO)).expect("set socket option");
     }
 
     async fn read_body(&mut self, message: &Message) -> Option<String> {
@@ -177,7 +178,7 @@
         self.read_exact(length).await
     }
 
-    /// The text before a mark, which is taken too; `None` if the connection ends first.
+    /// Reads up to and including `mark` and returns the text before it; `None` if the connection ends first.
     async fn read_until(&mut self, mark: &str) -> Option<String> {
         loop {
             let found = self.buffer.windows(mark.len()).position(|window| window == mark.as_bytes());
@@ -185,7 +186,7 @@
                 let text = self.read_exact(position + mark.len()).await?;
                 return Some(text[..position].to_owned());
             }
-            if !self.fill().await {
+            if !self.read_more().await {
                 return None;
             }
         }
@@ -193,16 +194,16 @@
 
     async fn read_exact(&mut self, length: usize) -> Option<String> {
         while self.buffer.len() < length {
-            if !self.fill().await {
+            if !self.read_more().await {
                 return None;
             }
         }
         let text = self.buffer.drain(..length).collect();
-        Some(String::from_utf8(text).expect("text"))
+        Some(String::from_utf8(text).expect("UTF-8 text"))
     }
 
-    /// Reads more; `false` at the end, be it proper or a reset.
-    async fn fill(&mut self) -> bool {
+    /// Reads into the buffer; false if the connection has been closed or reset.
+    async fn read_more(&mut self) -> bool {
         matches!(self.stream.read_buf(&mut self.buffer).await, Ok(1..))
     }
 }
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A data plane on loopback, between a scripted coordinator and scripted servers. Whatever waits does so for
-//! something that the other side does.
+//! A data plane on loopback addresses, between a scripted coordinator and scripted servers. Helpers wait for
+//! an event at the other side, not for a fixed time.
 #![allow(dead_code)]
 
 pub mod coordinator;
@@ -19,13 +19,12 @@
 use coordinator::Coordinator;
 use http::{Connection, Message};
 
-/// A test that takes longer hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test on a single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let bounded = async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test hangs") };
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build runtime");
+    let bounded = async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("test timed out") };
     LocalSet::new().block_on(&runtime, bounded);
 }
 
@@ -42,38 +41,39 @@
     /// Starts an edge without configuration.
     pub async fn start() -> Edge {
         let coordinator = Coordinator::start().await;
-        Edge::with_seeds(coordinator, &["127.0.0.2"], "no-such-file")
+        Edge::start_with_seeds(coordinator, &["127.0.0.2"], "no-such-file")
     }
 
-    /// Starts an edge without configuration, with these coordinators, and the settings file that it reloads.
-    pub fn with_seeds(coordinator: Coordinator, seeds: &[&str], path: &str) -> Edge {
+    /// Starts an edge without configuration. `seeds` are its coordinators; `path` is the settings file that
+    /// it reloads.
+    pub fn start_with_seeds(coordinator: Coordinator, seeds: &[&str], path: &str) -> Edge {
         let settings = settings(coordinator.port, seeds);
-        Edge::with_settings(coordinator, &settings, path)
+        Edge::start_with_settings(coordinator, &settings, path)
     }
 
-    fn with_settings(coordinator: Coordinator, settings: &str, path: &str) -> Edge {
-        let settings = settings.parse().expect("settings");
+    fn start_with_settings(coordinator: Coordinator, settings: &str, path: &str) -> Edge {
+        let settings = settings.parse().expect("valid settings");
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let dataplane = Dataplane::bind(settings, PathBuf::from(path), 7, log).expect("addresses");
+        let dataplane = Dataplane::bind(settings, PathBuf::from(path), 7, log).expect("bind listeners");
         let control = dataplane.control();
-        let ingress = dataplane.ingress_address().expect("an address");
-        let readiness = dataplane.readiness_address().expect("an address");
+        let ingress = dataplane.ingress_address().expect("address of listener");
+        let readiness = dataplane.readiness_address().expect("address of listener");
         let serving = tokio::task::spawn_local(dataplane.serve());
         Edge { coordinator, control, ingress, readiness, serving }
     }
 
-    /// An edge on a machine with so much memory, with this configuration and servers.
-    pub async fn with_memory(configuration: &str, servers: &[&Server], memory_mb: u64) -> Edge {
+    /// Like [`Edge::start_with`], with a memory limit of `memory_mb`.
+    pub async fn start_with_memory(configuration: &str, servers: &[&Server], memory_mb: u64) -> Edge {
         let coordinator = Coordinator::start().await;
         let settings = settings(coordinator.port, &["127.0.0.2"]);
         let settings = format!("{settings}\nlimits.memoryMb={memory_mb}\n");
-        let edge = Edge::with_settings(coordinator, &settings, "/nowhere");
+        let edge = Edge::start_with_settings(coordinator, &settings, "/nowhere");
         edge.publish(configuration, servers).await;
         edge
     }
 
-    /// Starts an edge that has applied a configuration and knows these servers.
-    pub async fn with(configuration: &str, servers: &[&Server]) -> Edge {
+    /// Starts an edge and waits until it has applied the configuration and the list of servers.
+    pub async fn start_with(configuration: &str, servers: &[&Server]) -> Edge {
         let edge = Edge::start().await;
         edge.publish(configuration, servers).await;
         edge
@@ -82,7 +82,7 @@
     async fn publish(&self, configuration: &str, servers: &[&Server]) {
         self.coordinator.publish_configuration(config_update(configuration));
         self.coordinator.publish_servers(servers.iter().map(|server| server.record()).collect());
-        self.coordinator.all_applied().await;
+        self.coordinator.wait_until_applied().await;
     }
 
     /// Opens a client connection.
@@ -90,7 +90,7 @@
         Connection::open(self.ingress).await
     }
 
-    /// The status of the platform's health check.
+    /// The status code that a readiness check returns.
     pub async fn readiness_status(&self) -> u16 {
         let mut connection = Connection::open(self.readiness).await;
         connection.write("GET /readyz HTTP/1.1\r\nhost: edge\r\n\r\n").await;
@@ -98,7 +98,7 @@
     }
 }
 
-/// A settings file's text.
+/// The text of a settings file. `port` is the port of the coordinators.
 pub fn settings(port: u16, seeds: &[&str]) -> String {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("{seed}:1")).collect();
     let lines = [
@@ -116,29 +116,30 @@
     lines.join("\n")
 }
 
-/// The update by which an edge without configuration gets a complete one.
+/// The update that gives a complete configuration to an edge without one.
 pub fn config_update(configuration: &str) -> ConfigUpdate {
     updates_since(0, &[(true, 0, configuration)])
 }
 
-/// The update from `version` to the state after some changes. Each is `(complete, base, body)`.
+/// The update from `version` to the state after all changes. Each change is `(complete, base version, body)`.
 pub fn updates_since(version: u64, changes: &[(bool, u64, &str)]) -> ConfigUpdate {
     let mut state = ConfigState::default();
     for (complete, base, body) in changes {
         let change = Change::parse(ChangeKind::from_replace_flag(*complete), *base, body.as_bytes())
-            .expect("a change");
+            .expect("valid change");
         assert_eq!(state.apply(&change.encode()), ChangeOutcome::Accepted);
     }
-    state.updates_since(version).expect("news")
+    state.updates_since(version).expect("update since this version")
 }
 
-/// A route of the service `s1`.
+/// A route to the service `s1`; for its parameters see [`route_to_service`].
 pub fn route(name: &str, path_prefix: &str, kind: &str) -> String {
-    route_to("s1", name, path_prefix, kind)
+    route_to_service("s1", name, path_prefix, kind)
 }
 
-/// A route of a service, on the host `a.example`.
-pub fn route_to(service: &str, name: &str, path_prefix: &str, kind: &str) -> String {
+/// A route to a service on the host `a.example`. `kind` is a route type or "resumable", a resumable streaming
+/// route.
+pub fn route_to_service(service: &str, name: &str, path_prefix: &str, kind: &str) -> String {
     let (kind, resumable) = match kind {
         "resumable" => ("streaming", true),
         kind => (kind, false),
@@ -150,18 +151,18 @@
     )
 }
 
-/// A configuration of version 1 with these routes.
+/// A configuration of version 1 with these routes, an idle time-out of 15 s and bodies of up to 4096 bytes.
 pub fn configuration(routes: &[String]) -> String {
-    configuration_with(routes, 15_000)
+    configuration_with_idle_timeout(routes, 15_000)
 }
 
-/// A configuration with an idle time-out of client connections, in milliseconds.
-pub fn configuration_with(routes: &[String], idle_timeout_ms: u64) -> String {
-    configuration_within(routes, idle_timeout_ms, 4096)
+/// Like [`configuration`], with another idle time-out of client connections.
+pub fn configuration_with_idle_timeout(routes: &[String], idle_timeout_ms: u64) -> String {
+    configuration_with_limits(routes, idle_timeout_ms, 4096)
 }
 
-/// A configuration with an idle time-out, in milliseconds, and a limit of request bodies, in bytes.
-pub fn configuration_within(routes: &[String], idle_timeout_ms: u64, max_body_bytes: usize) -> String {
+/// Like [`configuration`], with another idle time-out and another limit of request bodies.
+pub fn configuration_with_limits(routes: &[String], idle_timeout_ms: u64, max_body_bytes: usize) -> String {
     let services = r#"{"name":"s1","healthPath":"/healthz","maxConnections":64,"protocol":"h1","tls":false},
         {"name":"s2","healthPath":"/healthz","maxConnections":64,"protocol":"h1","tls":false}"#;
     let limits = format!(
@@ -170,7 +171,7 @@
     format!(r#"{{"version":1,"routes":[{}],"services":[{services}],"limits":{limits}}}"#, routes.join(","))
 }
 
-/// A scripted server.
+/// A server whose responses are scripted by the test.
 pub struct Server {
     pub id: &'static str,
     service: &'static str,
@@ -178,31 +179,30 @@
 }
 
 impl Server {
-    /// A server of `s1`.
+    /// Starts a server of the service `s1`.
     pub async fn start(id: &'static str) -> Server {
-        Server::of("s1", id).await
+        Server::start_for("s1", id).await
     }
 
-    /// A server of a service.
-    pub async fn of(service: &'static str, id: &'static str) -> Server {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    pub async fn start_for(service: &'static str, id: &'static str) -> Server {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
         Server { id, service, listener }
     }
 
-    /// The next connection that the data plane opens.
+    /// Waits for the next connection from the data plane.
     pub async fn accept(&self) -> Connection {
-        Connection::new(self.listener.accept().await.expect("a connection").0)
+        Connection::new(self.listener.accept().await.expect("open connection").0)
     }
 
-    /// The next connection, and the first request on it.
+    /// Waits for the next connection and the first request on it.
     pub async fn accept_request(&self) -> (Connection, Message) {
         let mut connection = self.accept().await;
         let request = connection.read_request().await;
         (connection, request)
     }
 
-    /// Whether the data plane has opened a connection that was not accepted.
-    pub async fn is_contacted(&self) -> bool {
+    /// Whether the data plane has opened a connection that has not been accepted.
+    pub async fn has_unaccepted_connection(&self) -> bool {
         tokio::select! {
             biased;
             accepted = self.listener.accept() => accepted.is_ok(),
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Responds to every request from now on with its own body.
+    /// From now on, responds to every request with the body of the request.
     pub fn echo(self) {
         tokio::task::spawn_local(async move {
             loop {
@@ -224,9 +224,9 @@
         });
     }
 
-    /// The server's record in the directory.
+    /// The server's record in the coordinator's directory.
     pub fn record(&self) -> ServerRecord {
-        let address = self.listener.local_addr().expect("an address").to_string();
+        let address = self.listener.local_addr().expect("address of listener").to_string();
         let heartbeat = Heartbeat {
             service: self.service.to_owned(),
             address,
@@ -244,7 +244,8 @@
     }
 }
 
-/// The connection and request of the server that is contacted first, that server, and the other one.
+/// Waits for the first request to either server. Returns its connection, the request, the server that
+/// received it and the other server.
 pub async fn first_contacted<'a>(
     one: &'a Server,
     other: &'a Server,
--- a/dataplane/tests/connections.rs
+++ b/dataplane/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and to servers: reuse, time-outs and closing.
+//! Client and server connections: reuse, time-outs and closing.
 
 mod common;
 
@@ -11,20 +11,22 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.respond(&request, "one").await;
         client.read_response().await;
 
         // when
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let request = upstream.read_request().await;
-        upstream.head(&request, 200, "server-stamp: st\r\nconnection: close\r\ncontent-length: 3\r\n").await;
+        upstream
+            .send_head(&request, 200, "server-stamp: st\r\nconnection: close\r\ncontent-length: 3\r\n")
+            .await;
         upstream.write("two").await;
         let second = client.read_response().await;
-        client.request("/x/", "t3", "").await;
+        client.send_request("/x/", "t3", "").await;
         let (mut third_upstream, request) = server.accept_request().await;
         third_upstream.respond(&request, "three").await;
         let third = client.read_response().await;
@@ -41,36 +43,36 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (mut upstream, request) = server.accept_request().await;
 
         // when
         upstream.respond(&request, "").await;
         let empty = client.read_response().await;
-        client.request("/x/", "t2", "body").await;
+        client.send_request("/x/", "t2", "body").await;
         let request = upstream.read_request().await;
         upstream.respond(&request, &"y".repeat(LONG)).await;
         let long = client.read_response().await;
-        client.request("/x/", "t3", &"b".repeat(4096)).await;
+        client.send_request("/x/", "t3", &"b".repeat(4096)).await;
         let request = upstream.read_request().await;
-        upstream.head(&request, 200, "server-stamp: st\r\ntransfer-encoding: chunked\r\n").await;
-        upstream.chunk("three").await;
-        upstream.end_chunks().await;
+        upstream.send_head(&request, 200, "server-stamp: st\r\ntransfer-encoding: chunked\r\n").await;
+        upstream.send_chunk("three").await;
+        upstream.send_last_chunk().await;
         let chunked = client.read_response().await;
-        client.request("/x/", "t4", "").await;
+        client.send_request("/x/", "t4", "").await;
         let request = upstream.read_request().await;
-        upstream.head(&request, 404, "content-length: 4\r\n").await;
+        upstream.send_head(&request, 404, "content-length: 4\r\n").await;
         upstream.write("none").await;
         let failure = client.read_response().await;
-        client.request("/x/", "t5", "").await;
+        client.send_request("/x/", "t5", "").await;
         let request = upstream.read_request().await;
-        upstream.stream_head(&request, "st").await;
-        upstream.chunk("id: 1\n\n").await;
-        upstream.end_chunks().await;
+        upstream.send_stream_head(&request, "st").await;
+        upstream.send_chunk("id: 1\n\n").await;
+        upstream.send_last_chunk().await;
         let stream = client.read_response().await;
-        client.request("/x/", "t6", "").await;
+        client.send_request("/x/", "t6", "").await;
         let last = upstream.read_request().await;
 
         // then
@@ -78,7 +80,7 @@
         assert_eq!((chunked.body.as_str(), failure.body.as_str()), ("three", "none"));
         assert_eq!(stream.body, "id: 1\n\n");
         assert_eq!(last.header("attempt-id"), Some("t6"));
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -87,16 +89,16 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, _) = server.accept_request().await;
 
         // when
         drop(client);
 
         // then
-        upstream.closed().await;
+        upstream.expect_closed().await;
     });
 }
 
@@ -105,14 +107,14 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[]).await;
         let (mut leaving, mut staying) = (edge.connect().await, edge.connect().await);
-        leaving.request("/x/", "t1", "").await;
-        staying.request("/x/", "t2", "").await;
+        leaving.send_request("/x/", "t1", "").await;
+        staying.send_request("/x/", "t2", "").await;
 
         // when
         drop(leaving);
-        // By its answer the edge has seen the end of the other connection.
+        // Once it has answered this check, the edge has noticed that the client disconnected.
         edge.readiness_status().await;
         edge.coordinator.publish_servers(vec![server.record()]);
         let (mut upstream, request) = server.accept_request().await;
@@ -121,7 +123,7 @@
 
         // then
         assert_eq!((request.header("attempt-id"), response.body.as_str()), (Some("t2"), "two"));
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -130,7 +132,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
@@ -141,7 +143,7 @@
         edge.readiness_status().await;
 
         // then
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -150,17 +152,17 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.respond(&request, "one").await;
         client.read_response().await;
 
         // when
         upstream.respond(&request, "one more").await;
-        upstream.closed().await;
-        client.request("/x/", "t2", "").await;
+        upstream.expect_closed().await;
+        client.send_request("/x/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.respond(&request, "two").await;
         let response = client.read_response().await;
@@ -178,7 +180,7 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
         one.echo();
         two.echo();
 
@@ -189,7 +191,7 @@
                 let mut connection = connection.await;
                 for number in 0..REQUESTS {
                     let (id, body) = (format!("t{client}-{number}"), format!("body {client} {number}"));
-                    connection.request(&format!("/x/{client}"), &id, &body).await;
+                    connection.send_request(&format!("/x/{client}"), &id, &body).await;
                     let response = connection.read_response().await;
 
                     // then
@@ -198,12 +200,12 @@
                 }
             }
         });
-        futures_join(clients).await;
+        join_all(clients).await;
     });
 }
 
 /// Runs futures concurrently, and waits until all are complete.
-async fn futures_join<F: std::future::Future<Output = ()>>(futures: impl Iterator<Item = F>) {
+async fn join_all<F: std::future::Future<Output = ()>>(futures: impl Iterator<Item = F>) {
     let mut open: Vec<_> = futures.map(Box::pin).collect();
     std::future::poll_fn(|context| {
         open.retain_mut(|future| future.as_mut().poll(context).is_pending());
@@ -222,14 +224,14 @@
         // given
         let server = Server::start("i-1").await;
         let routes = [route("r", "/x/", "idempotent")];
-        let edge = Edge::with(&common::configuration_with(&routes, 200), &[&server]).await;
+        let edge = Edge::start_with(&common::configuration_with_idle_timeout(&routes, 200), &[&server]).await;
         let mut busy = edge.connect().await;
-        busy.request("/x/", "t1", "").await;
+        busy.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        let mut resting = edge.connect().await;
+        let mut idle = edge.connect().await;
 
         // when
-        resting.closed().await;
+        idle.expect_closed().await;
         upstream.respond(&request, "still there").await;
         let response = busy.read_response().await;
 
@@ -239,66 +241,66 @@
 }
 
 #[test]
-fn pipelined_request_of_departed_client_is_not_sent() {
+fn pipelined_request_of_disconnected_client_is_not_sent() {
     run(async {
-        // given: a client that sends two requests at once
+        // given: a client that pipelines two requests
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.pipeline("/x/", &["t1", "t2"]).await;
+        client.send_pipelined("/x/", &["t1", "t2"]).await;
         let (mut upstream, first) = server.accept_request().await;
         assert_eq!(first.header("attempt-id"), Some("t1"));
 
         // when
         drop(client);
 
-        // then: the first is given up long before its time is over, and the second never sent
-        let closed = tokio::time::timeout(Duration::from_secs(1), upstream.closed()).await;
-        assert!(closed.is_ok(), "the server works on for a client that has left");
+        // then: the first request is cancelled long before its deadline, and the second is never sent
+        let closed = tokio::time::timeout(Duration::from_secs(1), upstream.expect_closed()).await;
+        assert!(closed.is_ok(), "server connection still open after the client disconnected");
         edge.readiness_status().await;
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
 #[test]
-fn request_answered_after_its_client_left_sends_no_pipelined_one() {
+fn response_after_client_disconnect_is_not_followed_by_pipelined_request() {
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.pipeline("/x/", &["t1", "t2"]).await;
+        client.send_pipelined("/x/", &["t1", "t2"]).await;
         let (mut upstream, first) = server.accept_request().await;
 
-        // when: the client leaves at the moment of the response
+        // when: the client disconnects just before the response arrives
         drop(client);
         upstream.respond(&first, "one").await;
 
         // then
         assert!(upstream.next_request().await.is_none(), "a second request was sent");
         edge.readiness_status().await;
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
 #[test]
-fn attempt_id_used_twice_never_meets_on_one_connection() {
+fn request_with_repeated_attempt_id_uses_another_connection() {
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut first, request) = server.accept_request().await;
         first.respond(&request, "one").await;
         client.read_response().await;
 
-        // when: another try with the same id, and then one with its own
-        client.request("/x/", "t1", "").await;
+        // when: a second request with the same id, and then a third with another id
+        client.send_request("/x/", "t1", "").await;
         let (mut second, request) = server.accept_request().await;
         second.respond(&request, "two").await;
         let response = client.read_response().await;
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let third = second.read_request().await;
 
         // then
--- a/dataplane/tests/deadlines.rs
+++ b/dataplane/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests: what `Deadline-Ms` says to servers, and the response when they pass.
+//! Request deadlines: the `Deadline-Ms` header sent to servers, and the response when a deadline passes.
 
 mod common;
 
@@ -7,17 +7,16 @@
 use common::http::Message;
 use common::{configuration, first_contacted, route, run, Edge, Server};
 
-/// A final response comes this long after a route's time at the latest.
-const LATEST: Duration = Duration::from_millis(500);
-/// The time of a short route, in milliseconds.
-const SHORT_MS: u64 = 150;
+/// The final response must arrive within this time after the route's time-out.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
+const SHORT_TIMEOUT_MS: u64 = 150;
 
-fn short_route(kind: &str) -> String {
-    route("r", "/x/", kind).replace(r#""timeoutMs":8000"#, &format!(r#""timeoutMs":{SHORT_MS}"#))
+fn route_with_short_timeout(kind: &str) -> String {
+    route("r", "/x/", kind).replace(r#""timeoutMs":8000"#, &format!(r#""timeoutMs":{SHORT_TIMEOUT_MS}"#))
 }
 
 fn deadline_ms(request: &Message) -> u64 {
-    request.header("deadline-ms").and_then(|text| text.parse().ok()).expect("a number")
+    request.header("deadline-ms").and_then(|text| text.parse().ok()).expect("number of milliseconds")
 }
 
 #[test]
@@ -26,22 +25,22 @@
         for kind in ["non_idempotent", "idempotent", "streaming", "resumable"] {
             // given
             let server = Server::start("i-1").await;
-            let edge = Edge::with(&configuration(&[short_route(kind)]), &[&server]).await;
+            let edge = Edge::start_with(&configuration(&[route_with_short_timeout(kind)]), &[&server]).await;
             let mut client = edge.connect().await;
 
             // when
             let sent_at = Instant::now();
-            client.request("/x/", "t1", "").await;
+            client.send_request("/x/", "t1", "").await;
             let (mut upstream, request) = server.accept_request().await;
             let response = client.read_response().await;
-            let taken = sent_at.elapsed();
+            let elapsed = sent_at.elapsed();
 
             // then
-            let time = Duration::from_millis(SHORT_MS);
+            let timeout = Duration::from_millis(SHORT_TIMEOUT_MS);
             assert_eq!((response.status(), response.header("retry-after")), (504, None), "{kind}");
-            assert!(taken >= time && taken < time + LATEST, "{kind}: {taken:?}");
-            assert!(deadline_ms(&request) <= SHORT_MS, "{kind}");
-            upstream.closed().await;
+            assert!(elapsed >= timeout && elapsed < timeout + MAX_RESPONSE_DELAY, "{kind}: {elapsed:?}");
+            assert!(deadline_ms(&request) <= SHORT_TIMEOUT_MS, "{kind}");
+            upstream.expect_closed().await;
         }
     });
 }
@@ -51,24 +50,25 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[short_route("streaming")]), &[&server]).await;
+        let edge =
+            Edge::start_with(&configuration(&[route_with_short_timeout("streaming")]), &[&server]).await;
         let mut client = edge.connect().await;
         let sent_at = Instant::now();
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
 
         // when
-        upstream.stream_head(&request, "st-1").await;
-        upstream.chunk("id: 1\ndata: a\n\n").await;
+        upstream.send_stream_head(&request, "st-1").await;
+        upstream.send_chunk("id: 1\ndata: a\n\n").await;
         client.read_head().await;
         client.read_chunk().await;
-        let rest = client.read_rest().await;
-        let taken = sent_at.elapsed();
+        let rest = client.read_to_end().await;
+        let elapsed = sent_at.elapsed();
 
         // then
         assert_eq!(rest, "");
-        assert!(taken < Duration::from_millis(SHORT_MS) + LATEST, "{taken:?}");
-        upstream.closed().await;
+        assert!(elapsed < Duration::from_millis(SHORT_TIMEOUT_MS) + MAX_RESPONSE_DELAY, "{elapsed:?}");
+        upstream.expect_closed().await;
     });
 }
 
@@ -76,17 +76,17 @@
 fn timeout_without_server_implies_not_executed() {
     run(async {
         // given
-        let edge = Edge::with(&configuration(&[short_route("non_idempotent")]), &[]).await;
+        let edge = Edge::start_with(&configuration(&[route_with_short_timeout("non_idempotent")]), &[]).await;
         let mut client = edge.connect().await;
 
         // when
         let sent_at = Instant::now();
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let response = client.read_response().await;
 
         // then
         assert_eq!(response.status(), 503);
-        assert!(sent_at.elapsed() < Duration::from_millis(SHORT_MS) + LATEST);
+        assert!(sent_at.elapsed() < Duration::from_millis(SHORT_TIMEOUT_MS) + MAX_RESPONSE_DELAY);
     });
 }
 
@@ -96,14 +96,14 @@
         // given
         const PAUSE: Duration = Duration::from_millis(60);
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
         let head = "POST /x/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: t1\r\ndeadline-ms: 5000\r\n\
                     content-length: 1\r\nexpect: 100-continue\r\n\r\n";
 
         // when
         client.write(head).await;
-        // The edge has the head.
+        // `100 Continue` shows that the edge has received the head.
         assert_eq!(client.read_head().await.status(), 100);
         tokio::time::sleep(PAUSE).await;
         client.write("b").await;
@@ -121,9 +121,9 @@
         // given
         const PAUSE: Duration = Duration::from_millis(60);
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (upstream, first, _, other) = first_contacted(&one, &two).await;
 
         // when
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Parsing of headers and event streams, choice of coordinators, time-outs: whatever needs no sockets.
+//! Tests without sockets: parsing of headers and event streams, choice of coordinators, time-outs.
 
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -19,7 +19,10 @@
 
 fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
     let parse = |(name, value): &(&str, &str)| {
-        (name.parse::<HeaderName>().expect("a name"), HeaderValue::from_str(value).expect("a value"))
+        (
+            name.parse::<HeaderName>().expect("valid header name"),
+            HeaderValue::from_str(value).expect("valid header value"),
+        )
     };
     let mut headers = HeaderMap::new();
     for (name, value) in pairs.iter().map(parse) {
@@ -28,8 +31,8 @@
     headers
 }
 
-fn classified(status: u16, pairs: &[(&str, &str)]) -> ResponseKind {
-    let (mut head, ()) = Response::builder().status(status).body(()).expect("an answer").into_parts();
+fn classify_response(status: u16, pairs: &[(&str, &str)]) -> ResponseKind {
+    let (mut head, ()) = Response::builder().status(status).body(()).expect("valid response").into_parts();
     head.headers = headers(pairs);
     classify(&head, &Method::POST, Some(&HeaderValue::from_static("t1")))
 }
@@ -38,7 +41,7 @@
 fn splitter_output_does_not_depend_on_chunk_boundaries() {
     // given
     let text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nversions: 3\nid:7\ndata: c\n\nid: 8\nda";
-    let complete = text.strip_suffix("id: 8\nda").expect("a part of an event");
+    let complete = text.strip_suffix("id: 8\nda").expect("text that ends with a partial event");
     let mut random = Pcg64::seed_from_u64(1);
     for _ in 0..500 {
         // when
@@ -46,7 +49,7 @@
         let (mut rest, mut forwarded) = (text.as_bytes(), Vec::new());
         while !rest.is_empty() {
             let (chunk, later) = rest.split_at(random.random_range(1..=rest.len()));
-            let events = splitter.push(Bytes::copy_from_slice(chunk)).expect("events");
+            let events = splitter.push(Bytes::copy_from_slice(chunk)).expect("valid events");
             assert!(events.is_empty() || events.ends_with(b"\n\n") || events.ends_with(b"\n\r\n"));
             forwarded.extend_from_slice(&events);
             rest = later;
@@ -95,7 +98,7 @@
         ("deadline-ms", "5000"),
         ("last-event-id", "12"),
     ]);
-    let odd = headers(&[
+    let invalid = headers(&[
         ("model", "m"),
         ("token-count", "x"),
         ("prompt-prefix", "a:1,zz:2,b:3"),
@@ -103,7 +106,7 @@
     ]);
 
     // when
-    let (full, odd) = (RequestHeaders::parse(&full), RequestHeaders::parse(&odd));
+    let (full, invalid) = (RequestHeaders::parse(&full), RequestHeaders::parse(&invalid));
 
     // then
     insta::assert_debug_snapshot!(full, @r#"
@@ -144,7 +147,7 @@
     "#);
     let expected =
         RequestHeaders { model: Some("m".to_owned()), prompt: vec![(10, 1)], ..RequestHeaders::default() };
-    assert_eq!(odd, expected);
+    assert_eq!(invalid, expected);
 }
 
 #[test]
@@ -195,45 +198,48 @@
     const NOT_EXECUTED: (&str, &str) = ("not-executed", "1");
 
     // when, then
-    assert_eq!(classified(200, &[ID, STAMP, LENGTH]), Success(BodyFraming::Length(5)));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED]), Success(BodyFraming::Chunked));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, EVENTS]), Success(BodyFraming::Events));
-    assert_eq!(classified(204, &[ID, STAMP]), Success(BodyFraming::Length(0)));
-    assert_eq!(classified(200, &[ID, STAMP]), Malformed(UnknownLength));
-    assert_eq!(classified(200, &[ID, STAMP, IDENTITY, LENGTH]), Malformed(UnknownLength));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, IDENTITY]), Malformed(UnknownLength));
-    assert_eq!(classified(200, &[ID, STAMP, CHUNKED, LENGTH]), Success(BodyFraming::Chunked));
-    assert_eq!(classified(200, &[ID, LENGTH]), Malformed(MissingStamp));
-    assert_eq!(classified(200, &[("attempt-id", "t0"), STAMP, LENGTH]), Malformed(AttemptIdMismatch));
-    assert_eq!(classified(200, &[STAMP, LENGTH]), Malformed(AttemptIdMismatch));
-    assert_eq!(classified(503, &[ID, NOT_EXECUTED, LENGTH]), Rejection);
-    assert_eq!(classified(429, &[ID, NOT_EXECUTED]), Rejection);
-    assert_eq!(classified(400, &[ID, NOT_EXECUTED]), Rejection);
-    assert_eq!(classified(421, &[ID]), Rejection);
-    assert_eq!(classified(503, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
+    assert_eq!(classify_response(200, &[ID, STAMP, LENGTH]), Success(BodyFraming::Length(5)));
+    assert_eq!(classify_response(200, &[ID, STAMP, CHUNKED]), Success(BodyFraming::Chunked));
+    assert_eq!(classify_response(200, &[ID, STAMP, CHUNKED, EVENTS]), Success(BodyFraming::Events));
+    assert_eq!(classify_response(204, &[ID, STAMP]), Success(BodyFraming::Length(0)));
+    assert_eq!(classify_response(200, &[ID, STAMP]), Malformed(UnknownLength));
+    assert_eq!(classify_response(200, &[ID, STAMP, IDENTITY, LENGTH]), Malformed(UnknownLength));
+    assert_eq!(classify_response(200, &[ID, STAMP, CHUNKED, IDENTITY]), Malformed(UnknownLength));
+    assert_eq!(classify_response(200, &[ID, STAMP, CHUNKED, LENGTH]), Success(BodyFraming::Chunked));
+    assert_eq!(classify_response(200, &[ID, LENGTH]), Malformed(MissingStamp));
+    assert_eq!(classify_response(200, &[("attempt-id", "t0"), STAMP, LENGTH]), Malformed(AttemptIdMismatch));
+    assert_eq!(classify_response(200, &[STAMP, LENGTH]), Malformed(AttemptIdMismatch));
+    assert_eq!(classify_response(503, &[ID, NOT_EXECUTED, LENGTH]), Rejection);
+    assert_eq!(classify_response(429, &[ID, NOT_EXECUTED]), Rejection);
+    assert_eq!(classify_response(400, &[ID, NOT_EXECUTED]), Rejection);
+    assert_eq!(classify_response(421, &[ID]), Rejection);
+    assert_eq!(classify_response(503, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
     for status in [408, 429, 503] {
-        assert_eq!(classified(status, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
+        assert_eq!(classify_response(status, &[ID, STAMP, LENGTH]), Malformed(UnconfirmedRejection));
     }
     for status in [200, 500, 504] {
-        assert_ne!(classified(status, &[ID, STAMP, LENGTH, NOT_EXECUTED]), Rejection);
+        assert_ne!(classify_response(status, &[ID, STAMP, LENGTH, NOT_EXECUTED]), Rejection);
     }
-    assert_eq!(classified(503, &[("attempt-id", "t0"), NOT_EXECUTED]), Malformed(AttemptIdMismatch));
-    assert_eq!(classified(421, &[("attempt-id", "t0")]), Malformed(AttemptIdMismatch));
-    assert_eq!(classified(400, &[ID, LENGTH]), Failure);
-    assert_eq!(classified(500, &[ID, STAMP, LENGTH]), Failure);
+    assert_eq!(classify_response(503, &[("attempt-id", "t0"), NOT_EXECUTED]), Malformed(AttemptIdMismatch));
+    assert_eq!(classify_response(421, &[("attempt-id", "t0")]), Malformed(AttemptIdMismatch));
+    assert_eq!(classify_response(400, &[ID, LENGTH]), Failure);
+    assert_eq!(classify_response(500, &[ID, STAMP, LENGTH]), Failure);
 }
 
 #[test]
 fn invalid_response_header_values_count_as_missing() {
     // given
-    let proper =
+    let valid =
         headers(&[("server-load", "3,0,8"), ("retry-after", "0.25"), ("keep-alive", "max=9, timeout=5")]);
-    let odd = headers(&[("server-load", "3,0"), ("retry-after", "soon"), ("keep-alive", "timeout")]);
+    let invalid = headers(&[("server-load", "3,0"), ("retry-after", "soon"), ("keep-alive", "timeout")]);
 
     // when, then
-    assert_eq!(server_load(&proper).map(|load| (load.running, load.waiting, load.slots)), Some((3, 0, 8)));
-    assert_eq!((retry_after_ms(&proper), keep_alive_ms(&proper)), (Some(250), Some(5000)));
-    assert_eq!((server_load(&odd), retry_after_ms(&odd), keep_alive_ms(&odd)), (None, None, None));
+    assert_eq!(server_load(&valid).map(|load| (load.running, load.waiting, load.slots)), Some((3, 0, 8)));
+    assert_eq!((retry_after_ms(&valid), keep_alive_ms(&valid)), (Some(250), Some(5000)));
+    assert_eq!(
+        (server_load(&invalid), retry_after_ms(&invalid), keep_alive_ms(&invalid)),
+        (None, None, None)
+    );
 }
 
 #[test]
@@ -243,9 +249,9 @@
     coordinators.learn(vec![NodeId(3), NodeId(4)]);
 
     // when
-    let mut asked = Vec::new();
+    let mut polled = Vec::new();
     while let Some(node) = coordinators.choose() {
-        asked.push(node);
+        polled.push(node);
         coordinators.failed();
     }
     coordinators.begin_round();
@@ -253,10 +259,10 @@
     coordinators.succeeded();
 
     // then
-    assert_eq!(again, asked.first().copied());
+    assert_eq!(again, polled.first().copied());
     assert_eq!(coordinators.choose(), again);
-    asked.sort();
-    assert_eq!(asked, [NodeId(2), NodeId(3), NodeId(4)]);
+    polled.sort();
+    assert_eq!(polled, [NodeId(2), NodeId(3), NodeId(4)]);
 }
 
 #[test]
@@ -296,21 +302,21 @@
 }
 
 #[test]
-fn late_requests_are_accepted_only_if_they_end_in_time() {
+fn late_requests_are_accepted_only_if_they_end_before_abort() {
     // given
     let window = ShutdownWindow { started_at: 10_000, aborts_at: 17_300 };
 
     // when
-    let at_once = window.accepts(10_000, 15_000);
-    let while_still_polled = window.accepts(12_699, 15_000);
+    let at_start = window.accepts(10_000, 15_000);
+    let before_checks_take_effect = window.accepts(12_699, 15_000);
     let late_and_long = window.accepts(13_492, 15_000);
     let late_and_short = window.accepts(13_492, 1_500);
-    let last_that_fits = window.accepts(15_800, 1_500);
-    let first_that_does_not = window.accepts(15_801, 1_500);
+    let last_in_time = window.accepts(15_800, 1_500);
+    let first_too_late = window.accepts(15_801, 1_500);
 
     // then
-    assert!(at_once && while_still_polled && late_and_short && last_that_fits);
-    assert!(!late_and_long && !first_that_does_not);
+    assert!(at_start && before_checks_take_effect && late_and_short && last_in_time);
+    assert!(!late_and_long && !first_too_late);
 }
 
 #[test]
--- a/dataplane/tests/polls.rs
+++ b/dataplane/tests/polls.rs
@@ -1,4 +1,4 @@
-//! Responses of coordinators: which poll they belong to, and what is taken from them.
+//! Poll responses of coordinators: which poll they belong to, and which of their content is applied.
 
 mod common;
 
@@ -14,16 +14,16 @@
         let edge = Edge::start().await;
         let coordinator = edge.coordinator.clone();
         coordinator.publish_configuration(config_update(&configuration(&[route("r", "/x/", "idempotent")])));
-        coordinator.all_applied().await;
+        coordinator.wait_until_applied().await;
         let cursor = DirectoryCursor { epoch: Incarnation(9), revision: 9 };
         coordinator.publish_delayed(PollResponse { cursor, ..PollResponse::default() });
-        coordinator.delayed_poll_arrived().await;
+        coordinator.wait_for_delayed_poll().await;
 
         // when
         let polled = coordinator.polls().len();
-        coordinator.connected_times(2).await;
+        coordinator.wait_for_connections(2).await;
         coordinator.release_delayed();
-        coordinator.polled_times(polled + 3).await;
+        coordinator.wait_for_polls(polled + 3).await;
 
         // then
         assert!(coordinator.polls().iter().all(|poll| poll.cursor != cursor));
@@ -37,7 +37,7 @@
         let server = Server::start("i-1").await;
         let newer =
             configuration(&[route("new", "/y/", "idempotent")]).replace(r#""version":1"#, r#""version":5"#);
-        let edge = Edge::with(&newer, &[&server]).await;
+        let edge = Edge::start_with(&newer, &[&server]).await;
 
         // when
         edge.coordinator.publish_configuration(config_update(&configuration(&[route(
@@ -45,13 +45,13 @@
             "/x/",
             "idempotent",
         )])));
-        edge.coordinator.all_applied().await;
+        edge.coordinator.wait_until_applied().await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
-        let by_old = client.read_response().await;
+        client.send_request("/x/", "t1", "").await;
+        let response = client.read_response().await;
 
         // then
-        assert_eq!(by_old.status(), 404);
+        assert_eq!(response.status(), 404);
         assert!(edge.coordinator.polls().last().is_some_and(|poll| poll.config_version == 5));
     });
 }
@@ -61,7 +61,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let newer =
             configuration(&[route("r", "/y/", "idempotent")]).replace(r#""version":1"#, r#""version":5"#);
 
@@ -72,8 +72,8 @@
             isolated: true,
             ..PollResponse::default()
         });
-        edge.coordinator.connected_times(2).await;
-        edge.coordinator.polled_times(polled + 2).await;
+        edge.coordinator.wait_for_connections(2).await;
+        edge.coordinator.wait_for_polls(polled + 2).await;
 
         // then
         assert!(edge.coordinator.polls().iter().all(|poll| poll.config_version <= 1));
@@ -84,20 +84,20 @@
 fn first_configuration_from_isolated_coordinator_is_ignored() {
     run(async {
         // given
-        let remembered = config_update(&configuration(&[route("r", "/x/", "idempotent")]));
+        let update = config_update(&configuration(&[route("r", "/x/", "idempotent")]));
         let edge = Edge::start().await;
 
         // when
         edge.coordinator.publish(PollResponse {
-            config: Some(remembered),
+            config: Some(update),
             isolated: true,
             ..PollResponse::default()
         });
-        edge.coordinator.connected_times(2).await;
-        edge.coordinator.all_applied().await;
+        edge.coordinator.wait_for_connections(2).await;
+        edge.coordinator.wait_until_applied().await;
 
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
 
         // then
         assert_eq!(edge.coordinator.polls().last().map(|poll| poll.config_version), Some(0));
@@ -111,17 +111,17 @@
         // given
         let server = Server::start("i-1").await;
         let first = configuration(&[route("r", "/x/", "idempotent")]);
-        let edge = Edge::with(&first, &[&server]).await;
-        let mut odd = config_update(&first);
-        (odd.base, odd.version) = (Some(4), 5);
+        let edge = Edge::start_with(&first, &[&server]).await;
+        let mut update = config_update(&first);
+        (update.base, update.version) = (Some(4), 5);
 
         // when
         let polled = edge.coordinator.polls().len();
-        edge.coordinator.publish_configuration(odd);
-        edge.coordinator.all_applied().await;
+        edge.coordinator.publish_configuration(update);
+        edge.coordinator.wait_until_applied().await;
         edge.coordinator
             .publish_configuration(config_update(&first.replace(r#""version":1"#, r#""version":6"#)));
-        edge.coordinator.all_applied().await;
+        edge.coordinator.wait_until_applied().await;
 
         // then
         let versions: Vec<u64> =
@@ -136,16 +136,16 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
-        let anew = DirectoryCursor { epoch: Incarnation(2), revision: 0 };
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let restarted_cursor = DirectoryCursor { epoch: Incarnation(2), revision: 0 };
 
         // when
-        edge.coordinator.publish(PollResponse { cursor: anew, ..PollResponse::default() });
-        edge.coordinator.all_applied().await;
+        edge.coordinator.publish(PollResponse { cursor: restarted_cursor, ..PollResponse::default() });
+        edge.coordinator.wait_until_applied().await;
 
         // then
-        assert_eq!(edge.coordinator.polls().last().map(|poll| poll.cursor), Some(anew));
-        // What it does not list yet is kept.
+        assert_eq!(edge.coordinator.polls().last().map(|poll| poll.cursor), Some(restarted_cursor));
+        // Servers that the restarted coordinator does not list yet are kept.
         assert_eq!(edge.readiness_status().await, 200);
     });
 }
@@ -155,12 +155,12 @@
     run(async {
         // given
         let coordinator = Coordinator::start().await;
-        let edge = Edge::with_seeds(coordinator, &["127.0.0.2"], "no-such-file");
+        let edge = Edge::start_with_seeds(coordinator, &["127.0.0.2"], "no-such-file");
         let mut client = edge.connect().await;
 
         // when
         for path in ["/", "/x/", "/never-there/"] {
-            client.request(path, "t1", "").await;
+            client.send_request(path, "t1", "").await;
             let response = client.read_response().await;
 
             // then
--- a/dataplane/tests/requests.rs
+++ b/dataplane/tests/requests.rs
@@ -1,9 +1,11 @@
-//! Requests without streams: forwarding, routing, limits, retries and malformed responses.
+//! Requests whose responses are not event streams: forwarding, routing, limits, retries and malformed
+//! responses.
 
 mod common;
 
 use common::{
-    config_update, configuration, configuration_within, first_contacted, route, route_to, run, Edge, Server,
+    config_update, configuration, configuration_with_limits, first_contacted, route, route_to_service, run,
+    Edge, Server,
 };
 
 #[test]
@@ -11,7 +13,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
@@ -36,7 +38,7 @@
         assert_eq!(request.header("expected-instance"), Some("i-1"));
         assert!(request.header("priority").is_some());
         let deadline: u64 =
-            request.header("deadline-ms").and_then(|text| text.parse().ok()).expect("a number");
+            request.header("deadline-ms").and_then(|text| text.parse().ok()).expect("number of milliseconds");
         assert!((1..=5000).contains(&deadline), "{deadline}");
         for dropped in ["secret", "keep-alive", "connection", "transfer-encoding"] {
             assert_eq!(request.header(dropped), None, "{dropped}");
@@ -54,7 +56,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
@@ -65,7 +67,7 @@
 
         // then
         assert_eq!((by_path.status(), by_host.status()), (404, 404));
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -73,18 +75,21 @@
 fn longest_prefix_selects_service() {
     run(async {
         // given
-        let one = Server::of("s1", "i-1").await;
-        let two = Server::of("s2", "i-2").await;
-        let routes = [route_to("s1", "r1", "/x/", "idempotent"), route_to("s2", "r2", "/x/y/", "idempotent")];
-        let edge = Edge::with(&configuration(&routes), &[&one, &two]).await;
+        let one = Server::start_for("s1", "i-1").await;
+        let two = Server::start_for("s2", "i-2").await;
+        let routes = [
+            route_to_service("s1", "r1", "/x/", "idempotent"),
+            route_to_service("s2", "r2", "/x/y/", "idempotent"),
+        ];
+        let edge = Edge::start_with(&configuration(&routes), &[&one, &two]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/a", "t1", "").await;
+        client.send_request("/x/a", "t1", "").await;
         let (mut upstream, request) = one.accept_request().await;
         upstream.respond(&request, "from s1").await;
         let first = client.read_response().await;
-        client.request("/x/y/a", "t2", "").await;
+        client.send_request("/x/y/a", "t2", "").await;
         let (mut upstream, request) = two.accept_request().await;
         upstream.respond(&request, "from s2").await;
         let second = client.read_response().await;
@@ -102,7 +107,7 @@
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let response = client.read_response().await;
 
         // then
@@ -118,7 +123,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
 
         // when
         let status = edge.readiness_status().await;
@@ -133,13 +138,13 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let long = "x".repeat(4097);
 
         // when
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", &long).await;
-        let announced = client.read_response().await;
+        client.send_request("/x/", "t1", &long).await;
+        let with_length = client.read_response().await;
         let mut client = edge.connect().await;
         client
             .write(&format!(
@@ -149,8 +154,8 @@
         let chunked = client.read_response().await;
 
         // then
-        assert_eq!((announced.status(), chunked.status()), (413, 413));
-        assert!(!server.is_contacted().await);
+        assert_eq!((with_length.status(), chunked.status()), (413, 413));
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -159,11 +164,12 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
+        let edge =
+            Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (upstream, ..) = first_contacted(&one, &two).await;
         upstream.reset();
         let response = client.read_response().await;
@@ -171,7 +177,7 @@
         // then
         assert_eq!(response.status(), 502);
         assert_eq!(response.header("server-stamp"), None);
-        assert!(!one.is_contacted().await && !two.is_contacted().await);
+        assert!(!one.has_unaccepted_connection().await && !two.has_unaccepted_connection().await);
     });
 }
 
@@ -180,11 +186,11 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (upstream, _, _, other) = first_contacted(&one, &two).await;
         upstream.reset();
         let (mut upstream, request) = other.accept_request().await;
@@ -205,13 +211,13 @@
             // given
             let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
             let edge =
-                Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
+                Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
             let mut client = edge.connect().await;
 
             // when
-            client.request("/x/", "t1", "body").await;
+            client.send_request("/x/", "t1", "body").await;
             let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
-            upstream.head(&request, rejection.0, rejection.1).await;
+            upstream.send_head(&request, rejection.0, rejection.1).await;
             upstream.write("full").await;
             let (mut upstream, request) = other.accept_request().await;
             upstream.respond(&request, "taken").await;
@@ -228,18 +234,19 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
+        let edge =
+            Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (mut upstream, request, ..) = first_contacted(&one, &two).await;
-        upstream.head(&request, 503, "content-length: 0\r\n").await;
+        upstream.send_head(&request, 503, "content-length: 0\r\n").await;
         let response = client.read_response().await;
 
         // then
         assert_eq!(response.status(), 502);
-        assert!(!one.is_contacted().await && !two.is_contacted().await);
+        assert!(!one.has_unaccepted_connection().await && !two.has_unaccepted_connection().await);
     });
 }
 
@@ -248,13 +255,13 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.head(&request, 500, "server-stamp: st\r\ncontent-length: 3\r\n").await;
+        upstream.send_head(&request, 500, "server-stamp: st\r\ncontent-length: 3\r\n").await;
         upstream.write("sad").await;
         let response = client.read_response().await;
 
@@ -269,11 +276,11 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "body").await;
+        client.send_request("/x/", "t1", "body").await;
         let (mut upstream, _) = server.accept_request().await;
         upstream
             .write("HTTP/1.1 200 OK\r\nattempt-id: t0\r\nserver-stamp: st\r\ncontent-length: 5\r\n\r\nother")
@@ -283,7 +290,7 @@
         // then
         assert_eq!(response.status(), 502);
         assert_eq!(response.body, "");
-        upstream.closed().await;
+        upstream.expect_closed().await;
     });
 }
 
@@ -294,19 +301,20 @@
             ("no stamp", "HTTP/1.1 200 OK\r\nattempt-id: t1\r\ncontent-length: 1\r\n\r\nx"),
             ("no length", "HTTP/1.1 200 OK\r\nattempt-id: t1\r\nserver-stamp: st\r\n\r\nx"),
             (
-                "cut off",
+                "truncated",
                 "HTTP/1.1 200 OK\r\nattempt-id: t1\r\nserver-stamp: st\r\ncontent-length: 9\r\n\r\nx",
             ),
-            ("no answer", "\u{1}\u{2}what is this\r\n\r\n"),
+            ("not HTTP", "\u{1}\u{2}what is this\r\n\r\n"),
         ];
         for (case, text) in responses {
             // given
             let server = Server::start("i-1").await;
-            let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
+            let edge =
+                Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&server]).await;
             let mut client = edge.connect().await;
 
             // when
-            client.request("/x/", "t1", "body").await;
+            client.send_request("/x/", "t1", "body").await;
             let (mut upstream, _) = server.accept_request().await;
             upstream.write(text).await;
             drop(upstream);
@@ -314,7 +322,7 @@
 
             // then
             assert_eq!(response.status(), 502, "{case}");
-            assert!(!server.is_contacted().await, "{case}");
+            assert!(!server.has_unaccepted_connection().await, "{case}");
         }
     });
 }
@@ -324,17 +332,17 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "idempotent")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.head(&request, 200, "server-stamp: st\r\ncontent-length: 400000\r\n").await;
+        upstream.send_head(&request, 200, "server-stamp: st\r\ncontent-length: 400000\r\n").await;
         upstream.write(&"y".repeat(1000)).await;
         let head = client.read_head().await;
         drop(upstream);
-        let rest = client.read_rest().await;
+        let rest = client.read_to_end().await;
 
         // then
         assert_eq!(head.status(), 200);
@@ -349,7 +357,7 @@
         // given
         let server = Server::start("i-1").await;
         let first = configuration(&[route("old", "/x/", "idempotent")]);
-        let edge = Edge::with(&first, &[&server]).await;
+        let edge = Edge::start_with(&first, &[&server]).await;
         let update = format!(
             r#"{{"version":5,"upsert":{{"routes":[{}]}},"remove":{{"routes":["old"]}}}}"#,
             route("new", "/y/", "idempotent")
@@ -360,47 +368,48 @@
         // when
         edge.coordinator.publish_configuration(delta);
         edge.coordinator.publish_configuration(config_update(&first));
-        edge.coordinator.all_applied().await;
+        edge.coordinator.wait_until_applied().await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
-        let dropped = client.read_response().await;
-        client.request("/y/", "t2", "").await;
+        client.send_request("/x/", "t1", "").await;
+        let removed = client.read_response().await;
+        client.send_request("/y/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.respond(&request, "new").await;
         let added = client.read_response().await;
 
         // then
-        assert_eq!(dropped.status(), 404);
+        assert_eq!(removed.status(), 404);
         assert_eq!(added.body, "new");
         assert_eq!(edge.coordinator.polls().last().map(|poll| poll.config_version), Some(5));
     });
 }
 
 #[test]
-fn chunked_bodies_are_bounded_while_they_come_in() {
+fn chunked_bodies_are_limited_while_they_arrive() {
     run(async {
-        // given: a quarter of 1 MB for bodies, most of which one client has filled without an end
+        // given: a memory limit of 1 MB, a quarter of which is for bodies; an unfinished body uses most of
+        // that
         let server = Server::start("i-1").await;
-        let routes = configuration_within(&[route("r", "/x/", "idempotent")], 15_000, 1 << 20);
-        let edge = Edge::with_memory(&routes, &[&server], 1).await;
+        let routes = configuration_with_limits(&[route("r", "/x/", "idempotent")], 15_000, 1 << 20);
+        let edge = Edge::start_with_memory(&routes, &[&server], 1).await;
         let head = |id: &str| {
             format!("POST /x/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: {id}\r\ntransfer-encoding: chunked\r\n\r\n")
         };
         let part = "b".repeat(100_000);
         let mut first = edge.connect().await;
         first.write(&head("t1")).await;
-        first.chunk(&part).await;
-        first.chunk(&part).await;
+        first.send_chunk(&part).await;
+        first.send_chunk(&part).await;
 
-        // when: another one, of which the end is not there either
+        // when: a second unfinished body exceeds the rest
         let mut second = edge.connect().await;
         second.write(&head("t2")).await;
-        second.chunk(&part).await;
+        second.send_chunk(&part).await;
         let response = second.read_response().await;
 
         // then
         assert_eq!(response.status(), 503);
-        first.end_chunks().await;
+        first.send_last_chunk().await;
         let (mut upstream, request) = server.accept_request().await;
         assert_eq!(request.body.len(), 200_000);
         upstream.respond(&request, "whole").await;
--- a/dataplane/tests/responses.rs
+++ b/dataplane/tests/responses.rs
@@ -1,25 +1,25 @@
-//! Matching of responses to requests: late, early, surplus and truncated responses on connections to servers.
+//! Matching of responses to requests: early, surplus and truncated responses on connections to servers.
 
 mod common;
 
 use common::http::{Connection, Message};
-use common::{configuration, configuration_within, first_contacted, route, run, Edge, Server};
+use common::{configuration, configuration_with_limits, first_contacted, route, run, Edge, Server};
 
-/// More than the buffers of both ends of a connection hold.
+/// More than the socket buffers at both ends of a connection hold.
 const LONG_BODY: usize = 16 << 20;
-/// How much of it a server reads that answers before the rest.
+/// How much of [`LONG_BODY`] a server reads before it responds.
 const READ_BEFORE_RESPONSE_BYTES: usize = 1000;
 
-/// An edge with one server, whose requests may run once, and a client.
-async fn edge_with_one(server: &Server) -> (Edge, Connection) {
-    let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[server]).await;
+/// An edge with one server and a non-idempotent route, and a client connection.
+async fn edge_with_one_server(server: &Server) -> (Edge, Connection) {
+    let edge = Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[server]).await;
     let client = edge.connect().await;
     (edge, client)
 }
 
-/// The connection that has carried a first request, and that request.
-async fn served_once(server: &Server, client: &mut Connection) -> (Connection, Message) {
-    client.request("/x/", "t1", "").await;
+/// Has the server respond to a first request. Returns the server's connection and the request.
+async fn serve_one_request(server: &Server, client: &mut Connection) -> (Connection, Message) {
+    client.send_request("/x/", "t1", "").await;
     let (mut upstream, request) = server.accept_request().await;
     upstream.respond(&request, "one").await;
     assert_eq!(client.read_response().await.body, "one");
@@ -31,15 +31,15 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        let (mut upstream, first) = served_once(&server, &mut client).await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        let (mut upstream, first) = serve_one_request(&server, &mut client).await;
 
         // when
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let second = upstream.read_request().await;
         upstream.respond(&first, "one").await;
         let response = client.read_response().await;
-        client.request("/x/", "t3", "").await;
+        client.send_request("/x/", "t3", "").await;
         let (_other, third) = server.accept_request().await;
 
         // then
@@ -47,8 +47,8 @@
         assert_eq!((response.status(), response.body.as_str()), (502, ""));
         assert_eq!(response.header("server-stamp"), None);
         assert_eq!(third.header("attempt-id"), Some("t3"));
-        upstream.closed().await;
-        assert!(!server.is_contacted().await);
+        upstream.expect_closed().await;
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -60,50 +60,50 @@
         {
             // given
             let server = Server::start("i-1").await;
-            let (_edge, mut client) = edge_with_one(&server).await;
-            client.request("/x/", "t1", "").await;
+            let (_edge, mut client) = edge_with_one_server(&server).await;
+            client.send_request("/x/", "t1", "").await;
             let (mut upstream, _) = server.accept_request().await;
 
             // when
             let head = "HTTP/1.1 200 OK\r\nattempt-id: t1\r\nserver-stamp: st\r\ncontent-length: 3\r\n\r\n";
             upstream.write(&format!("{head}one{surplus}")).await;
             let first = client.read_response().await;
-            client.request("/x/", "t2", "").await;
+            client.send_request("/x/", "t2", "").await;
             let (mut other, request) = server.accept_request().await;
             other.respond(&request, "two").await;
             let second = client.read_response().await;
 
             // then
             assert_eq!((first.body.as_str(), second.body.as_str()), ("one", "two"));
-            upstream.closed().await;
+            upstream.expect_closed().await;
         }
     });
 }
 
 #[test]
-fn duplicate_rejection_does_not_count_for_retry() {
+fn duplicate_rejection_is_not_taken_for_response_to_retry() {
     run(async {
         // given
         const REJECTION: &str = "not-executed: 1\r\nretry-after: 0.05\r\ncontent-length: 0\r\n";
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        client.request("/x/", "t1", "body").await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        client.send_request("/x/", "t1", "body").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.head(&request, 503, REJECTION).await;
+        upstream.send_head(&request, 503, REJECTION).await;
 
         // when
         let again = tokio::select! {
-            // Over the same connection, the copy would be taken for the response to the second sending.
+            // On the same connection, the duplicate would be taken for the response to the retry.
             again = upstream.next_request() => {
-                assert!(again.is_some(), "closed");
-                upstream.head(&request, 503, REJECTION).await;
+                assert!(again.is_some(), "connection closed before the retry");
+                upstream.send_head(&request, 503, REJECTION).await;
                 None
             }
             accepted = server.accept_request() => Some(accepted),
         };
 
         // then
-        let (mut other, again) = again.expect("a connection of its own");
+        let (mut other, again) = again.expect("retry on another connection");
         other.respond(&again, "taken").await;
         let response = client.read_response().await;
         assert_eq!(again.header("attempt-id"), Some("t1"));
@@ -117,9 +117,9 @@
         // given
         let server = Server::start("i-1").await;
         let routes = [route("r", "/x/", "non_idempotent")];
-        let edge = Edge::with(&configuration_within(&routes, 15_000, LONG_BODY), &[&server]).await;
+        let edge = Edge::start_with(&configuration_with_limits(&routes, 15_000, LONG_BODY), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", &"b".repeat(LONG_BODY)).await;
+        client.send_request("/x/", "t1", &"b".repeat(LONG_BODY)).await;
         let mut upstream = server.accept().await;
         let request = upstream.read_head().await;
         let mut read = upstream.read_up_to(READ_BEFORE_RESPONSE_BYTES).await;
@@ -127,15 +127,18 @@
         let first = client.read_response().await;
 
         // when
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let (mut other, request) = server.accept_request().await;
         other.respond(&request, "two").await;
         let second = client.read_response().await;
-        read.push_str(&upstream.read_rest().await);
+        read.push_str(&upstream.read_to_end().await);
 
         // then
         assert_eq!((first.body.as_str(), second.body.as_str()), ("early", "two"));
-        assert!(read.len() < LONG_BODY && read.bytes().all(|byte| byte == b'b'), "other bytes in the body");
+        assert!(
+            read.len() < LONG_BODY && read.bytes().all(|byte| byte == b'b'),
+            "bytes of another request in the body"
+        );
     });
 }
 
@@ -145,9 +148,10 @@
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let routes = [route("r", "/x/", "non_idempotent")];
-        let edge = Edge::with(&configuration_within(&routes, 15_000, LONG_BODY), &[&one, &two]).await;
+        let edge =
+            Edge::start_with(&configuration_with_limits(&routes, 15_000, LONG_BODY), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", &"b".repeat(LONG_BODY)).await;
+        client.send_request("/x/", "t1", &"b".repeat(LONG_BODY)).await;
         let (mut upstream, other) = tokio::select! {
             upstream = one.accept() => (upstream, &two),
             upstream = two.accept() => (upstream, &one),
@@ -155,15 +159,18 @@
         let request = upstream.read_head().await;
 
         // when
-        upstream.head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
+        upstream.send_head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
         let (mut second, request) = other.accept_request().await;
         second.respond(&request, "taken").await;
         let response = client.read_response().await;
-        let read = upstream.read_rest().await;
+        let read = upstream.read_to_end().await;
 
         // then
         assert_eq!((response.status(), request.body.len()), (200, LONG_BODY));
-        assert!(read.len() < LONG_BODY && read.bytes().all(|byte| byte == b'b'), "other bytes in the body");
+        assert!(
+            read.len() < LONG_BODY && read.bytes().all(|byte| byte == b'b'),
+            "bytes of another request in the body"
+        );
     });
 }
 
@@ -172,8 +179,8 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        client.request("/x/", "t1", "").await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
 
         // when
@@ -193,13 +200,13 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        client.request("/x/", "t1", "").await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
 
         // when
         upstream
-            .head(
+            .send_head(
                 &request,
                 101,
                 "server-stamp: st\r\nupgrade: other\r\nconnection: upgrade\r\ncontent-length: 0\r\n",
@@ -209,8 +216,8 @@
 
         // then
         assert_eq!(response.status(), 502);
-        upstream.closed().await;
-        assert!(!server.is_contacted().await);
+        upstream.expect_closed().await;
+        assert!(!server.has_unaccepted_connection().await);
     });
 }
 
@@ -221,12 +228,12 @@
             for is_reset in [false, true] {
                 // given
                 let server = Server::start("i-1").await;
-                let (_edge, mut client) = edge_with_one(&server).await;
-                client.request("/x/", "t1", "").await;
+                let (_edge, mut client) = edge_with_one_server(&server).await;
+                client.send_request("/x/", "t1", "").await;
                 let (mut upstream, request) = server.accept_request().await;
 
                 // when
-                upstream.head(&request, 200, &format!("server-stamp: st\r\n{head}")).await;
+                upstream.send_head(&request, 200, &format!("server-stamp: st\r\n{head}")).await;
                 upstream.write("one").await;
                 if is_reset {
                     upstream.reset();
@@ -237,7 +244,7 @@
 
                 // then
                 assert_eq!((response.status(), response.body.as_str()), (502, ""), "{head:?} {is_reset}");
-                assert!(!server.is_contacted().await);
+                assert!(!server.has_unaccepted_connection().await);
             }
         }
     });
@@ -248,12 +255,12 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        let (upstream, _) = served_once(&server, &mut client).await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        let (upstream, _) = serve_one_request(&server, &mut client).await;
 
         // when
         drop(upstream);
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let (mut upstream, request) = server.accept_request().await;
         upstream.respond(&request, "two").await;
         let response = client.read_response().await;
@@ -268,15 +275,16 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
+        let edge =
+            Edge::start_with(&configuration(&[route("r", "/x/", "non_idempotent")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request, ..) = first_contacted(&one, &two).await;
         upstream.respond(&request, "one").await;
         client.read_response().await;
 
         // when
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let request = upstream.read_request().await;
         drop(upstream);
         let response = client.read_response().await;
@@ -284,7 +292,7 @@
         // then
         assert_eq!(request.header("attempt-id"), Some("t2"));
         assert_eq!((response.status(), response.header("retry-after")), (502, None));
-        assert!(!one.is_contacted().await && !two.is_contacted().await);
+        assert!(!one.has_unaccepted_connection().await && !two.has_unaccepted_connection().await);
     });
 }
 
@@ -293,16 +301,16 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
-        client.request("/x/", "t1", "").await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
 
         // when
         let headers = "server-stamp: st\r\nkeep-alive: timeout=0\r\ncontent-length: 3\r\n";
-        upstream.head(&request, 200, headers).await;
+        upstream.send_head(&request, 200, headers).await;
         upstream.write("one").await;
         client.read_response().await;
-        client.request("/x/", "t2", "").await;
+        client.send_request("/x/", "t2", "").await;
         let (mut other, request) = server.accept_request().await;
         other.respond(&request, "two").await;
         let response = client.read_response().await;
@@ -317,12 +325,12 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
 
         // when
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.head(&request, 421, "instance-id: i-2\r\ncontent-length: 0\r\n").await;
+        upstream.send_head(&request, 421, "instance-id: i-2\r\ncontent-length: 0\r\n").await;
         let response = client.read_response().await;
 
         // then
@@ -337,21 +345,24 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
 
         // when
-        client.pipeline("/x/", &["t1", "t2"]).await;
+        client.send_pipelined("/x/", &["t1", "t2"]).await;
         let (mut upstream, first) = server.accept_request().await;
-        assert!(!server.is_contacted().await);
+        assert!(!server.has_unaccepted_connection().await);
         upstream.respond(&first, "one").await;
-        let first_answer = client.read_response().await;
+        let first_response = client.read_response().await;
         let second = upstream.read_request().await;
         upstream.respond(&second, "two").await;
-        let second_answer = client.read_response().await;
+        let second_response = client.read_response().await;
 
         // then
-        assert_eq!((first_answer.header("attempt-id"), first_answer.body.as_str()), (Some("t1"), "one"));
-        assert_eq!((second_answer.header("attempt-id"), second_answer.body.as_str()), (Some("t2"), "two"));
+        assert_eq!((first_response.header("attempt-id"), first_response.body.as_str()), (Some("t1"), "one"));
+        assert_eq!(
+            (second_response.header("attempt-id"), second_response.body.as_str()),
+            (Some("t2"), "two")
+        );
     });
 }
 
@@ -362,15 +373,15 @@
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let route =
             route("r", "/x/", "idempotent").replace(r#""targetLatencyMs":4000"#, r#""targetLatencyMs":100"#);
-        let edge = Edge::with(&configuration(&[route]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut silent, _, _, other) = first_contacted(&one, &two).await;
 
         // when
         let (mut upstream, request) = other.accept_request().await;
-        silent.closed().await;
-        upstream.head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
+        silent.expect_closed().await;
+        upstream.send_head(&request, 503, "not-executed: 1\r\ncontent-length: 0\r\n").await;
         let response = client.read_response().await;
 
         // then
@@ -379,7 +390,7 @@
 }
 
 #[test]
-fn truncated_rejection_counts_truncated_failure_does_not() {
+fn truncated_rejection_is_accepted_but_truncated_failure_is_not_forwarded() {
     run(async {
         let cases = [(500, "server-stamp: st\r\n", 502), (503, "not-executed: 1\r\n", 503)];
         for (status, headers, expected) in cases {
@@ -387,22 +398,22 @@
             let server = Server::start("i-1").await;
             let routes =
                 [route("r", "/x/", "non_idempotent").replace(r#""maxAttempts":2"#, r#""maxAttempts":1"#)];
-            let edge = Edge::with(&configuration(&routes), &[&server]).await;
+            let edge = Edge::start_with(&configuration(&routes), &[&server]).await;
             let mut client = edge.connect().await;
-            client.request("/x/", "t1", "").await;
+            client.send_request("/x/", "t1", "").await;
             let (mut upstream, request) = server.accept_request().await;
 
             // when
-            upstream.head(&request, status, &format!("{headers}content-length: 9\r\n")).await;
+            upstream.send_head(&request, status, &format!("{headers}content-length: 9\r\n")).await;
             upstream.write("cut").await;
             drop(upstream);
             let response = loop {
-                // It has surely not run where it was rejected, and may be sent again.
+                // A rejected request has not run, so it may be retried even though it is not idempotent.
                 tokio::select! {
                     response = client.read_response() => break response,
                     (mut upstream, request) = server.accept_request() => {
-                        assert_eq!(status, 503, "sent a second time");
-                        upstream.head(&request, status, &format!("{headers}content-length: 0\r\n")).await;
+                        assert_eq!(status, 503, "failure was retried");
+                        upstream.send_head(&request, status, &format!("{headers}content-length: 0\r\n")).await;
                     }
                 }
             };
@@ -421,7 +432,7 @@
         const REQUEST: &str = "POST /x/ HTTP/1.1\r\nhost: a.example\r\ncontent-length: 0\r\n\r\n";
         const RESPONSE: &str = "HTTP/1.1 200 OK\r\nserver-stamp: st\r\ncontent-length: 3\r\n\r\n";
         let server = Server::start("i-1").await;
-        let (_edge, mut client) = edge_with_one(&server).await;
+        let (_edge, mut client) = edge_with_one_server(&server).await;
 
         // when
         let (mut bodies, mut upstreams) = (Vec::new(), Vec::new());
--- a/dataplane/tests/streams.rs
+++ b/dataplane/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Event streams: forwarding, resumption on another server, and truncation.
+//! Event streams: forwarding, resumption on another server, truncation and stalls.
 
 mod common;
 
@@ -13,19 +13,19 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.stream_head(&request, "st-1").await;
+        upstream.send_stream_head(&request, "st-1").await;
 
         // when
-        upstream.chunk(FIRST).await;
+        upstream.send_chunk(FIRST).await;
         let head = client.read_head().await;
         let first = client.read_chunk().await;
-        upstream.chunk(SECOND).await;
+        upstream.send_chunk(SECOND).await;
         let second = client.read_chunk().await;
-        upstream.end_chunks().await;
+        upstream.send_last_chunk().await;
         let end = client.read_chunk().await;
 
         // then
@@ -41,17 +41,17 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.stream_head(&request, "st-1").await;
+        upstream.send_stream_head(&request, "st-1").await;
 
         // when
-        upstream.chunk(&format!("{FIRST}versions: 2\nid")).await;
+        upstream.send_chunk(&format!("{FIRST}versions: 2\nid")).await;
         client.read_head().await;
         let first = client.read_chunk().await;
-        upstream.chunk(": 2\ndata: b\n\n").await;
+        upstream.send_chunk(": 2\ndata: b\n\n").await;
         let second = client.read_chunk().await;
 
         // then
@@ -64,24 +64,24 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "prompt").await;
+        client.send_request("/x/", "t1", "prompt").await;
         let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
-        upstream.stream_head(&request, "st-1").await;
-        upstream.chunk(FIRST).await;
+        upstream.send_stream_head(&request, "st-1").await;
+        upstream.send_chunk(FIRST).await;
         let head = client.read_head().await;
         let first = client.read_chunk().await;
 
         // when
-        upstream.chunk("id: 2\ndata: hal").await;
+        upstream.send_chunk("id: 2\ndata: hal").await;
         drop(upstream);
         let (mut upstream, resumed) = other.accept_request().await;
-        upstream.stream_head(&resumed, "st-2").await;
-        upstream.chunk(&format!("{FIRST}{SECOND}")).await;
+        upstream.send_stream_head(&resumed, "st-2").await;
+        upstream.send_chunk(&format!("{FIRST}{SECOND}")).await;
         let second = client.read_chunk().await;
-        upstream.chunk(THIRD).await;
-        upstream.end_chunks().await;
+        upstream.send_chunk(THIRD).await;
+        upstream.send_last_chunk().await;
         let third = client.read_chunk().await;
         let end = client.read_chunk().await;
 
@@ -103,23 +103,23 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "streaming")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "streaming")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "prompt").await;
+        client.send_request("/x/", "t1", "prompt").await;
         let (mut upstream, request, ..) = first_contacted(&one, &two).await;
-        upstream.stream_head(&request, "st-1").await;
-        upstream.chunk(FIRST).await;
+        upstream.send_stream_head(&request, "st-1").await;
+        upstream.send_chunk(FIRST).await;
         client.read_head().await;
         client.read_chunk().await;
 
         // when
-        upstream.chunk("id: 2\ndata: hal").await;
+        upstream.send_chunk("id: 2\ndata: hal").await;
         drop(upstream);
-        let rest = client.read_rest().await;
+        let rest = client.read_to_end().await;
 
         // then
         assert_eq!(rest, "");
-        assert!(!one.is_contacted().await && !two.is_contacted().await);
+        assert!(!one.has_unaccepted_connection().await && !two.has_unaccepted_connection().await);
     });
 }
 
@@ -128,18 +128,18 @@
     run(async {
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "resumable")]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request, _, other) = first_contacted(&one, &two).await;
-        upstream.stream_head(&request, "st-1").await;
+        upstream.send_stream_head(&request, "st-1").await;
 
         // when
         drop(upstream);
         let (mut upstream, request) = other.accept_request().await;
-        upstream.stream_head(&request, "st-2").await;
-        upstream.chunk(FIRST).await;
-        upstream.end_chunks().await;
+        upstream.send_stream_head(&request, "st-2").await;
+        upstream.send_chunk(FIRST).await;
+        upstream.send_last_chunk().await;
         let response = client.read_response().await;
 
         // then
@@ -154,7 +154,7 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "resumable")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "resumable")]), &[&server]).await;
         let mut client = edge.connect().await;
 
         // when
@@ -162,9 +162,9 @@
             .write("POST /x/ HTTP/1.1\r\nhost: a.example\r\nattempt-id: t1\r\nlast-event-id: 2\r\ncontent-length: 0\r\n\r\n")
             .await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.stream_head(&request, "st-1").await;
-        upstream.chunk(THIRD).await;
-        upstream.end_chunks().await;
+        upstream.send_stream_head(&request, "st-1").await;
+        upstream.send_chunk(THIRD).await;
+        upstream.send_last_chunk().await;
         let response = client.read_response().await;
 
         // then
@@ -178,12 +178,12 @@
     run(async {
         // given
         let server = Server::start("i-1").await;
-        let edge = Edge::with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
+        let edge = Edge::start_with(&configuration(&[route("r", "/x/", "streaming")]), &[&server]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut upstream, request) = server.accept_request().await;
-        upstream.stream_head(&request, "st-1").await;
-        upstream.chunk(FIRST).await;
+        upstream.send_stream_head(&request, "st-1").await;
+        upstream.send_chunk(FIRST).await;
         client.read_head().await;
         client.read_chunk().await;
 
@@ -191,7 +191,7 @@
         drop(client);
 
         // then
-        upstream.closed().await;
+        upstream.expect_closed().await;
     });
 }
 
@@ -201,25 +201,25 @@
         // given
         let (one, two) = (Server::start("i-1").await, Server::start("i-2").await);
         let route = route("r", "/x/", "resumable").replace(r#""gap_aim_ms":2000"#, r#""gap_aim_ms":100"#);
-        let edge = Edge::with(&configuration(&[route]), &[&one, &two]).await;
+        let edge = Edge::start_with(&configuration(&[route]), &[&one, &two]).await;
         let mut client = edge.connect().await;
-        client.request("/x/", "t1", "").await;
+        client.send_request("/x/", "t1", "").await;
         let (mut silent, request, _, other) = first_contacted(&one, &two).await;
-        silent.stream_head(&request, "st-1").await;
-        silent.chunk(FIRST).await;
+        silent.send_stream_head(&request, "st-1").await;
+        silent.send_chunk(FIRST).await;
         client.read_head().await;
         client.read_chunk().await;
 
         // when
         let (mut upstream, resumed) = other.accept_request().await;
-        upstream.stream_head(&resumed, "st-2").await;
-        upstream.chunk(SECOND).await;
-        upstream.end_chunks().await;
+        upstream.send_stream_head(&resumed, "st-2").await;
+        upstream.send_chunk(SECOND).await;
+        upstream.send_last_chunk().await;
         let rest = (client.read_chunk().await, client.read_chunk().await);
 
         // then
         assert_eq!(resumed.header("last-event-id"), Some("1"));
         assert_eq!(rest, (Some(SECOND.to_owned()), None));
-        silent.closed().await;
+        silent.expect_closed().await;
     });
 }
