--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use shaletrail_configuration::View;
-use shaletrail_dataplane::load_datagrams::LoadDatagrams;
+use shaletrail_dataplane::load_datagrams::LoadDatagramEncoder;
 use shaletrail_protocol::{Incarnation, Millis};
 use shaletrail_routing::interface::{Action, Event};
 use shaletrail_routing::Router;
@@ -39,7 +39,7 @@
     /// Requests of its clients.
     pub requests: ClientRequests,
     poller: Poller,
-    datagrams: LoadDatagrams,
+    datagrams: LoadDatagramEncoder,
     /// The earliest scheduled call of the router.
     router_wake_at: Option<Millis>,
     /// What it has used since the counts were last set to zero.
@@ -55,7 +55,7 @@
             routing: None,
             requests: ClientRequests::default(),
             poller: Poller::new(index, Vec::new()),
-            datagrams: LoadDatagrams::new(deployment::edge_node(index), Incarnation(0)),
+            datagrams: LoadDatagramEncoder::new(deployment::edge_node(index), Incarnation(0)),
             router_wake_at: None,
             usage: ResourceUsage::default(),
         }
@@ -67,7 +67,8 @@
         *self = EdgeNode::new(self.index);
         self.usage = usage;
         self.incarnation = environment.start_edge(self.index);
-        self.datagrams = LoadDatagrams::new(deployment::edge_node(self.index), Incarnation(self.incarnation));
+        self.datagrams =
+            LoadDatagramEncoder::new(deployment::edge_node(self.index), Incarnation(self.incarnation));
         self.poller = Poller::new(self.index, environment.seeds());
         if self.index < environment.options.routing_edges {
             let router = Router::new(shaletrail_routing::Options::default(), environment.scheduler.next_id());
--- a/dataplane/src/load_datagrams.rs
+++ b/dataplane/src/load_datagrams.rs
@@ -10,16 +10,16 @@
 /// Encodes load updates into datagrams, which are numbered consecutively from 1 during one incarnation of the
 /// process.
 #[derive(Clone, Debug)]
-pub struct LoadDatagrams {
+pub struct LoadDatagramEncoder {
     edge: NodeId,
     incarnation: Incarnation,
     last_sequence: u64,
 }
 
-impl LoadDatagrams {
+impl LoadDatagramEncoder {
     /// `edge` is the node that sends the datagrams.
     pub fn new(edge: NodeId, incarnation: Incarnation) -> Self {
-        LoadDatagrams { edge, incarnation, last_sequence: 0 }
+        LoadDatagramEncoder { edge, incarnation, last_sequence: 0 }
     }
 
     /// Encodes an update into one or more datagrams, each of which is to be sent to all receivers of the
--- a/dataplane/src/peers.rs
+++ b/dataplane/src/peers.rs
@@ -14,7 +14,7 @@
 use shaletrail_routing::interface::{Event, LoadUpdate};
 use tokio::net::UdpSocket;
 
-use crate::load_datagrams::LoadDatagrams;
+use crate::load_datagrams::LoadDatagramEncoder;
 use crate::state::State;
 
 /// Interval between announcements, unless a change is urgent.
@@ -36,7 +36,7 @@
     state: Rc<State>,
     socket: UdpSocket,
     port: u16,
-    datagrams: RefCell<LoadDatagrams>,
+    datagrams: RefCell<LoadDatagramEncoder>,
     last_reports: RefCell<AHashMap<NodeId, LastReport>>,
 }
 
@@ -56,7 +56,7 @@
             state,
             socket,
             port: address.port(),
-            datagrams: RefCell::new(LoadDatagrams::new(NodeId::from(*address.ip()), incarnation)),
+            datagrams: RefCell::new(LoadDatagramEncoder::new(NodeId::from(*address.ip()), incarnation)),
             last_reports: RefCell::default(),
         })
     }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use shaletrail_configuration::View;
 use shaletrail_dataplane::coordinators::Coordinators;
-use shaletrail_dataplane::load_datagrams::LoadDatagrams;
+use shaletrail_dataplane::load_datagrams::LoadDatagramEncoder;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
@@ -63,7 +63,7 @@
     wants_full_config: bool,
     edge_count: u32,
     edge_list_hash: u64,
-    datagrams: LoadDatagrams,
+    datagrams: LoadDatagramEncoder,
     demand: Vec<Demand>,
     server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
@@ -93,7 +93,7 @@
             wants_full_config: false,
             edge_count: 0,
             edge_list_hash: 0,
-            datagrams: LoadDatagrams::new(node, incarnation),
+            datagrams: LoadDatagramEncoder::new(node, incarnation),
             demand: Vec::new(),
             server_outcomes: Vec::new(),
             reported_at: None,
