--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use shaletrail_configuration::View;
-use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::coordinator_selector::CoordinatorSelector;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
@@ -42,7 +42,7 @@
 /// The state of an edge's polls.
 pub(super) struct Poller {
     timeouts: PollTimeouts,
-    coordinators: Coordinators,
+    coordinators: CoordinatorSelector,
     pending_poll: Option<PendingPoll>,
     config_version: u64,
     /// Whether an update did not apply, so that the next poll asks for the complete configuration.
@@ -72,7 +72,7 @@
     pub fn new(edge: usize, seeds: Vec<NodeId>) -> Self {
         Poller {
             timeouts: PollTimeouts::within(CONFIG_CONVERGENCE, SERVER_DRAIN),
-            coordinators: Coordinators::new(deployment::edge_node(edge), seeds),
+            coordinators: CoordinatorSelector::new(deployment::edge_node(edge), seeds),
             pending_poll: None,
             config_version: 0,
             needs_full_config: false,
--- a/dataplane/src/coordinators.rs
+++ b/dataplane/src/coordinator_selector.rs
@@ -13,7 +13,7 @@
 
 /// The known coordinators and the one to poll. A round tries each of them at most once until one succeeds.
 #[derive(Clone, Debug)]
-pub struct Coordinators {
+pub struct CoordinatorSelector {
     edge: NodeId,
     seeds: Vec<NodeId>,
     learned: Vec<NodeId>,
@@ -22,10 +22,10 @@
     current: Option<NodeId>,
 }
 
-impl Coordinators {
+impl CoordinatorSelector {
     /// Knows only `seeds`, the coordinators listed in the settings of the edge `edge`.
     pub fn new(edge: NodeId, seeds: Vec<NodeId>) -> Self {
-        Coordinators { edge, seeds, learned: Vec::new(), failed: Vec::new(), current: None }
+        CoordinatorSelector { edge, seeds, learned: Vec::new(), failed: Vec::new(), current: None }
     }
 
     /// Replaces the seeds after a reload of the settings file. The current coordinator is kept.
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -34,7 +34,7 @@
 //! | `graceful_shutdown`, [`shutdown_window`] | shutdown, and which requests are accepted during it |
 //! | `state`, `clock`, `body_memory` | state shared by the tasks |
 //! | `poller`, `coordinator_connection`, [`poll_timeouts`] | long polls of a coordinator |
-//! | [`coordinators`] | chooses the coordinator to poll |
+//! | [`coordinator_selector`] | chooses the coordinator to poll |
 //! | `peers`, [`load_datagrams`] | load reports between edges |
 //! | `readiness` | the platform's health checks |
 //! | `control` | shutdown and reload requests, by signal or by handle |
@@ -49,7 +49,7 @@
 mod clock;
 mod control;
 mod coordinator_connection;
-pub mod coordinators;
+pub mod coordinator_selector;
 mod error;
 pub mod event_splitter;
 mod exchange;
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -22,7 +22,7 @@
 use crate::coordinator_connection::{
     CoordinatorConnection, NoQuorumContactSnafu, PollError, CONNECT_TIMEOUT,
 };
-use crate::coordinators::Coordinators;
+use crate::coordinator_selector::CoordinatorSelector;
 use crate::poll_timeouts::PollTimeouts;
 use crate::state::State;
 
@@ -41,7 +41,7 @@
     identity: EdgeIdentity,
     port: u16,
     timeouts: PollTimeouts,
-    coordinators: Coordinators,
+    coordinators: CoordinatorSelector,
     connection: Option<CoordinatorConnection>,
     cursor: DirectoryCursor,
     /// Set when an update could not be applied: the next poll requests the complete configuration.
@@ -66,7 +66,7 @@
             identity,
             port: settings.internal_port(),
             timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
-            coordinators: Coordinators::new(settings.node(), settings.seed_nodes()),
+            coordinators: CoordinatorSelector::new(settings.node(), settings.seed_nodes()),
             connection: None,
             cursor: DirectoryCursor::default(),
             needs_full_config: false,
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Response, Uri};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::coordinator_selector::CoordinatorSelector;
 use shaletrail_dataplane::event_splitter::{EventSplitter, SplitError, MAX_EVENT_BYTES};
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_dataplane::request::{has_connection_close, host, strip_hop_by_hop, RequestHeaders};
@@ -245,7 +245,7 @@
 #[test]
 fn each_coordinator_is_chosen_once_a_round() {
     // given
-    let mut coordinators = Coordinators::new(NodeId(1), vec![NodeId(2), NodeId(3)]);
+    let mut coordinators = CoordinatorSelector::new(NodeId(1), vec![NodeId(2), NodeId(3)]);
     coordinators.learn(vec![NodeId(3), NodeId(4)]);
 
     // when
@@ -272,7 +272,7 @@
 
     // when
     let chosen: Vec<_> =
-        (0..300).filter_map(|edge| Coordinators::new(NodeId(edge), seeds.clone()).choose()).collect();
+        (0..300).filter_map(|edge| CoordinatorSelector::new(NodeId(edge), seeds.clone()).choose()).collect();
 
     // then
     for seed in &seeds {
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use shaletrail_configuration::View;
-use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::coordinator_selector::CoordinatorSelector;
 use shaletrail_dataplane::load_datagrams::LoadDatagramEncoder;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
@@ -56,7 +56,7 @@
     view: Arc<View>,
     started: Millis,
     poll_timeouts: PollTimeouts,
-    coordinators: Coordinators,
+    coordinators: CoordinatorSelector,
     connected: Option<NodeId>,
     in_flight_poll: Option<InFlightPoll>,
     cursor: DirectoryCursor,
@@ -86,7 +86,7 @@
             view: Arc::default(),
             started: world.now,
             poll_timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
-            coordinators: Coordinators::new(node, settings.seed_nodes()),
+            coordinators: CoordinatorSelector::new(node, settings.seed_nodes()),
             connected: None,
             in_flight_poll: None,
             cursor: DirectoryCursor::default(),
