--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -204,11 +204,11 @@
             if self.poller.config_version == 0 {
                 self.apply_response(environment, activity, response);
             }
-            self.poller.coordinators.failed();
+            self.poller.coordinators.record_failure();
             return self.schedule_event(environment, 0, EdgeEvent::Poll);
         }
         self.poller.last_response_at = Some(environment.scheduler.now);
-        self.poller.coordinators.succeeded();
+        self.poller.coordinators.record_success();
         self.apply_response(environment, activity, response);
         let next = pending_poll.started_at + MIN_POLL_INTERVAL_MS;
         self.schedule_event(environment, next.saturating_sub(environment.scheduler.now), EdgeEvent::Poll);
@@ -226,7 +226,7 @@
                 ScheduledEvent::Coordinator(pending_poll.coordinator, incarnation, event),
             );
         }
-        self.poller.coordinators.failed();
+        self.poller.coordinators.record_failure();
         self.schedule_event(environment, 0, EdgeEvent::Poll);
     }
 
--- a/dataplane/src/coordinator_selector.rs
+++ b/dataplane/src/coordinator_selector.rs
@@ -54,12 +54,12 @@
 
     /// Records that the current coordinator has responded: it stays current, and a later failure begins a new
     /// round.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failed.clear();
     }
 
     /// Records that the current coordinator has failed, so that another one is chosen next.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed.extend(self.current.take());
     }
 
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -95,7 +95,7 @@
         let polled_at = self.state.clock.now();
         match self.poll(coordinator).await {
             Ok(response) => {
-                self.coordinators.succeeded();
+                self.coordinators.record_success();
                 self.state.handle(Event::BudgetShareRenewed { polled_at });
                 self.apply_response(response);
                 tokio::time::sleep_until(started_at + MIN_POLL_INTERVAL).await;
@@ -103,7 +103,7 @@
             Err(error) => {
                 slog::info!(self.state.log, "failed to poll coordinator";
                     "coordinator" => %coordinator, "error" => %error);
-                self.coordinators.failed();
+                self.coordinators.record_failure();
             }
         }
     }
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -252,11 +252,11 @@
     let mut polled = Vec::new();
     while let Some(node) = coordinators.choose() {
         polled.push(node);
-        coordinators.failed();
+        coordinators.record_failure();
     }
     coordinators.begin_round();
     let again = coordinators.choose();
-    coordinators.succeeded();
+    coordinators.record_success();
 
     // then
     assert_eq!(again, polled.first().copied());
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -297,11 +297,11 @@
             if self.view.version == 0 {
                 self.coordinators.learn(response.coordinators);
             }
-            self.coordinators.failed();
+            self.coordinators.record_failure();
             return world.wake(self.node(), world.now, Timer::PollNext);
         }
         self.connected = Some(in_flight_poll.coordinator);
-        self.coordinators.succeeded();
+        self.coordinators.record_success();
         let polled_at = in_flight_poll.started_at.saturating_sub(self.started);
         self.handle_event(world, Event::BudgetShareRenewed { polled_at });
         self.apply_response(world, response);
@@ -317,7 +317,7 @@
                 Message::Cancelled { number: in_flight_poll.number },
             );
         }
-        self.coordinators.failed();
+        self.coordinators.record_failure();
         world.wake(self.node(), world.now, Timer::PollNext);
     }
 
