--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -71,7 +71,7 @@
     /// A poller that knows the seeds and nothing else.
     pub fn new(edge: usize, seeds: Vec<NodeId>) -> Self {
         Poller {
-            timeouts: PollTimeouts::within(CONFIG_CONVERGENCE, SERVER_DRAIN),
+            timeouts: PollTimeouts::from_bounds(CONFIG_CONVERGENCE, SERVER_DRAIN),
             coordinators: CoordinatorSelector::new(deployment::edge_node(edge), seeds),
             pending_poll: None,
             config_version: 0,
--- a/dataplane/src/poll_timeouts.rs
+++ b/dataplane/src/poll_timeouts.rs
@@ -24,7 +24,7 @@
 impl PollTimeouts {
     /// Derives the time-outs from the bounds for the distribution of configuration (`convergence`) and for
     /// draining a server (`drain`), so that both bounds hold even if one coordinator does not respond.
-    pub fn within(convergence: Duration, drain: Duration) -> Self {
+    pub fn from_bounds(convergence: Duration, drain: Duration) -> Self {
         let tightest_ms = u64::try_from(convergence.min(drain).as_millis()).unwrap_or(u64::MAX);
         let fraction = |divisor: u64, range: RangeInclusive<u64>| {
             Duration::from_millis((tightest_ms / divisor).clamp(*range.start(), *range.end()))
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -65,7 +65,7 @@
             settings_path,
             identity,
             port: settings.internal_port(),
-            timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
+            timeouts: PollTimeouts::from_bounds(settings.bounds.convergence, settings.bounds.drain),
             coordinators: CoordinatorSelector::new(settings.node(), settings.seed_nodes()),
             connection: None,
             cursor: DirectoryCursor::default(),
--- a/dataplane/tests/parsing.rs
+++ b/dataplane/tests/parsing.rs
@@ -284,7 +284,7 @@
 #[test]
 fn poll_timeouts_stay_within_bounds() {
     let poll_timeouts = |convergence, drain| {
-        PollTimeouts::within(Duration::from_millis(convergence), Duration::from_millis(drain))
+        PollTimeouts::from_bounds(Duration::from_millis(convergence), Duration::from_millis(drain))
     };
     // given, when, then
     assert_eq!(
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -85,7 +85,7 @@
             requests: Requests::default(),
             view: Arc::default(),
             started: world.now,
-            poll_timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
+            poll_timeouts: PollTimeouts::from_bounds(settings.bounds.convergence, settings.bounds.drain),
             coordinators: CoordinatorSelector::new(node, settings.seed_nodes()),
             connected: None,
             in_flight_poll: None,
