--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -9,7 +9,7 @@
 use crate::attempt_result::AttemptResult;
 use crate::client_request::ClientRequest;
 use crate::client_response::ClientResponse;
-use crate::mailbox::SendCommand;
+use crate::command_queues::SendCommand;
 use crate::progress::Progress;
 use crate::response::{classify, BodyFraming, ResponseKind};
 use crate::server_connection::{SendError, ServerConnection};
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -12,7 +12,8 @@
 use crate::shared_stream::is_read_closed;
 use crate::tracked_stream::IoObserver;
 
-/// A connection is dropped if one response takes longer than this: the client has stopped reading it.
+/// A connection is dropped if one response takes longer than this: the client has presumably stopped
+/// reading it.
 const RESPONSE_TIMEOUT_MS: Millis = 300_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,8 +74,8 @@
         self.enter_phase(Phase::Responding);
     }
 
-    /// Whether the client has closed the connection or its sending half. Requests that it sent before need no
-    /// longer be served.
+    /// Whether the client has closed the connection or its sending half. Requests that it sent
+    /// before that need no longer be served.
     pub fn is_client_disconnected(&self) -> bool {
         self.stream.upgrade().is_none_or(|stream| is_read_closed(&stream))
     }
--- a/dataplane/src/client_request.rs
+++ b/dataplane/src/client_request.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, Uri};
 
 use crate::body_memory::BodyReservation;
-use crate::mailbox::SendCommand;
+use crate::command_queues::SendCommand;
 use crate::request::{strip_hop_by_hop, ATTEMPT_ID, DEADLINE_MS, EXPECTED_INSTANCE, LAST_EVENT_ID, PRIORITY};
 use crate::server_connection::{ConnectionId, ServerConnection};
 
@@ -79,8 +79,8 @@
     /// - the connection's last request had the same `Attempt-Id`, as when a client reuses an id for a retry.
     ///   Only the last request matters: a surplus response to an earlier one would have been noticed during
     ///   the last one;
-    /// - the request has no `Attempt-Id`, so that no response can be told from another. Only a new connection
-    ///   will do.
+    /// - the request has no `Attempt-Id`, so that a surplus response could not be recognized: only a new
+    ///   connection is safe.
     pub fn is_excluded_from(&self, connection: &ServerConnection) -> bool {
         self.attempt_id().is_none_or(|id| connection.last_attempt_id() == Some(id))
             || self.used_connections.borrow().contains(&connection.id())
--- a/dataplane/src/mailbox.rs
+++ b/dataplane/src/command_queues.rs
@@ -45,18 +45,18 @@
 }
 
 #[derive(Default)]
-struct Mailbox {
+struct CommandQueue {
     commands: VecDeque<Command>,
     waker: Option<Waker>,
 }
 
 /// One command queue for each open request.
 #[derive(Default)]
-pub struct Mailboxes(RefCell<AHashMap<RequestId, Mailbox>>);
+pub struct CommandQueues(RefCell<AHashMap<RequestId, CommandQueue>>);
 
-impl Mailboxes {
+impl CommandQueues {
     pub fn open(&self, request: RequestId) {
-        self.0.borrow_mut().insert(request, Mailbox::default());
+        self.0.borrow_mut().insert(request, CommandQueue::default());
     }
 
     /// Drops the queue of a request and the commands in it.
@@ -65,27 +65,27 @@
     }
 
     /// Queues a command and wakes the exchange. Does nothing if the request is no longer open.
-    pub fn deliver(&self, request: RequestId, command: Command) {
-        let mut mailboxes = self.0.borrow_mut();
-        let Some(mailbox) = mailboxes.get_mut(&request) else { return };
-        if mailbox.commands.len() >= MAX_QUEUED_COMMANDS {
-            mailbox.commands.pop_front();
+    pub fn push(&self, request: RequestId, command: Command) {
+        let mut queues = self.0.borrow_mut();
+        let Some(queue) = queues.get_mut(&request) else { return };
+        if queue.commands.len() >= MAX_QUEUED_COMMANDS {
+            queue.commands.pop_front();
         }
-        mailbox.commands.push_back(command);
-        if let Some(waker) = mailbox.waker.take() {
+        queue.commands.push_back(command);
+        if let Some(waker) = queue.waker.take() {
             waker.wake();
         }
     }
 
     pub async fn next_command(&self, request: RequestId) -> Command {
         poll_fn(|context| {
-            let mut mailboxes = self.0.borrow_mut();
-            let mailbox = mailboxes.entry(request).or_default();
-            if let Some(command) = mailbox.commands.pop_front() {
+            let mut queues = self.0.borrow_mut();
+            let queue = queues.entry(request).or_default();
+            if let Some(command) = queue.commands.pop_front() {
                 return Poll::Ready(command);
             }
-            if !mailbox.waker.as_ref().is_some_and(|waker| waker.will_wake(context.waker())) {
-                mailbox.waker = Some(context.waker().clone());
+            if !queue.waker.as_ref().is_some_and(|waker| waker.will_wake(context.waker())) {
+                queue.waker = Some(context.waker().clone());
             }
             Poll::Pending
         })
--- a/dataplane/src/coordinator_selector.rs
+++ b/dataplane/src/coordinator_selector.rs
@@ -11,7 +11,7 @@
 /// Constant, so that an edge polls the coordinators in the same order after a restart.
 const HASH_SEEDS: (u64, u64, u64, u64) = (0x9e37_79b9, 0x85eb_ca6b, 0xc2b2_ae35, 0x27d4_eb2f);
 
-/// The known coordinators and the one to poll. A round tries each of them at most once until one succeeds.
+/// The known coordinators and the one to poll. Within a round, each of them is tried until it fails once.
 #[derive(Clone, Debug)]
 pub struct CoordinatorSelector {
     edge: NodeId,
@@ -23,7 +23,8 @@
 }
 
 impl CoordinatorSelector {
-    /// Knows only `seeds`, the coordinators listed in the settings of the edge `edge`.
+    /// Creates a selector for the edge `edge` that knows only `seeds`, the coordinators listed in its
+    /// settings.
     pub fn new(edge: NodeId, seeds: Vec<NodeId>) -> Self {
         CoordinatorSelector { edge, seeds, learned: Vec::new(), failed: Vec::new(), current: None }
     }
--- a/dataplane/src/error.rs
+++ b/dataplane/src/error.rs
@@ -22,7 +22,7 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// SIGTERM and SIGHUP cannot be received.
+    /// The handlers for SIGTERM and SIGHUP cannot be installed.
     #[snafu(display("failed to install signal handlers: {source}"))]
     Signals {
         /// The error of the operating system.
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -12,7 +12,7 @@
 use crate::attempt_result::{AttemptResult, BufferedFailure};
 use crate::client_request::ClientRequest;
 use crate::client_response::{rejection_head, ClientResponse};
-use crate::mailbox::{Command, SendCommand};
+use crate::command_queues::{Command, SendCommand};
 use crate::progress::Progress;
 use crate::request_handle::RequestHandle;
 use crate::response_body::{ResponseAborted, ResponseWriter};
--- a/dataplane/src/ingress.rs
+++ b/dataplane/src/ingress.rs
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// If there is no complete response to send; the connection must then be closed.
+/// If the request cannot be answered; the connection must then be closed.
 pub async fn serve(
     state: Rc<State>,
     connection: Rc<ClientConnection>,
@@ -74,7 +74,8 @@
     let arrived_at = state.clock.now();
     let (head, body) = request.into_parts();
     let mut response = match read_body(&state, body).await {
-        // The request may have been pipelined by a client that disconnected before its previous response.
+        // The request may have been pipelined by a client that disconnected before its
+        // previous response was complete.
         Ok(_) if connection.is_client_disconnected() => return Err(ResponseAborted),
         Ok((body, reservation)) => {
             connection.begin_response();
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -13,7 +13,7 @@
 //! | `client_request` | the buffered request, from which each attempt builds the request to the server |
 //! | `request_handle` | registers a request with the router until it is finished |
 //! | `exchange` | executes the router's commands for one request |
-//! | `mailbox` | queues the router's commands for each exchange |
+//! | `command_queues` | queues the router's commands for each exchange |
 //! | `attempt`, `progress`, `attempt_result` | one attempt: its steps, its progress reports, its result |
 //! | `pool` | connections to servers, and the reuse of idle ones |
 //! | `server_connection` | opens a connection to a server and sends requests on it |
@@ -47,6 +47,7 @@
 mod client_request;
 mod client_response;
 mod clock;
+mod command_queues;
 mod control;
 mod coordinator_connection;
 pub mod coordinator_selector;
@@ -57,7 +58,6 @@
 mod ingress;
 mod listener;
 pub mod load_datagrams;
-mod mailbox;
 mod peers;
 pub mod poll_timeouts;
 mod poller;
--- a/dataplane/src/load_datagrams.rs
+++ b/dataplane/src/load_datagrams.rs
@@ -17,7 +17,7 @@
 }
 
 impl LoadDatagramEncoder {
-    /// `edge` is the node that sends the datagrams.
+    /// Creates an encoder for the datagrams that `edge` sends in this incarnation of its process.
     pub fn new(edge: NodeId, incarnation: Incarnation) -> Self {
         LoadDatagramEncoder { edge, incarnation, last_sequence: 0 }
     }
--- a/dataplane/src/request_handle.rs
+++ b/dataplane/src/request_handle.rs
@@ -4,7 +4,7 @@
 
 use shaletrail_routing::interface::{Event, NewRequest, RequestId};
 
-use crate::mailbox::Command;
+use crate::command_queues::Command;
 use crate::state::State;
 
 /// A request that is registered with the router. When it is dropped, the request is reported to the router as
@@ -19,7 +19,7 @@
     pub fn open(state: &Rc<State>, request: NewRequest) -> RequestHandle {
         let id = request.id;
         // The queue must exist first: the router may issue a command while it handles the event.
-        state.mailboxes.open(id);
+        state.command_queues.open(id);
         let handle = RequestHandle { state: state.clone(), id };
         state.handle(Event::Request(request));
         handle
@@ -35,13 +35,13 @@
 
     /// Waits for the router's next command for this request.
     pub async fn next_command(&self) -> Command {
-        self.state.mailboxes.next_command(self.id).await
+        self.state.command_queues.next_command(self.id).await
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.state.mailboxes.close(self.id);
+        self.state.command_queues.close(self.id);
         self.state.handle(Event::RequestFinished(self.id));
     }
 }
--- a/dataplane/src/stall_detector.rs
+++ b/dataplane/src/stall_detector.rs
@@ -19,7 +19,7 @@
         StallDetector { timeout, last_progress_at: Instant::now(), timer: None }
     }
 
-    /// Records that the stream is not stalled: a new pause begins now.
+    /// Restarts the measurement of the pause, as when bytes have arrived.
     pub fn record_progress(&mut self) {
         if self.timeout.is_some() {
             self.last_progress_at = Instant::now();
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -15,7 +15,7 @@
 
 use crate::body_memory::BodyMemory;
 use crate::clock::Clock;
-use crate::mailbox::{Command, Mailboxes, SendCommand};
+use crate::command_queues::{Command, CommandQueues, SendCommand};
 use crate::pool::{Pool, PoolLimits};
 use crate::shutdown_window::ShutdownWindow;
 
@@ -27,7 +27,7 @@
     pub clock: Clock,
     pub log: slog::Logger,
     pub pool: Rc<Pool>,
-    pub mailboxes: Mailboxes,
+    pub command_queues: CommandQueues,
     pub body_memory: Rc<BodyMemory>,
     /// Notified when the router has a report for the coordinator that cannot wait for the next poll.
     pub report_ready: Notify,
@@ -54,7 +54,7 @@
             clock,
             log,
             pool,
-            mailboxes: Mailboxes::default(),
+            command_queues: CommandQueues::default(),
             body_memory: BodyMemory::new((settings.limits.memory_mb << 20) / BODY_MEMORY_DIVISOR),
             report_ready: Notify::new(),
             load_update_ready: Notify::new(),
@@ -188,14 +188,14 @@
                 resume_after,
             } => {
                 let command = SendCommand { attempt, server, address, deadline_ms, priority, resume_after };
-                self.mailboxes.deliver(request, Command::Send(command));
+                self.command_queues.push(request, Command::Send(command));
             }
-            Action::ForwardFailure(request) => self.mailboxes.deliver(request, Command::ForwardFailure),
+            Action::ForwardFailure(request) => self.command_queues.push(request, Command::ForwardFailure),
             Action::Reject { request, rejection } => {
-                self.mailboxes.deliver(request, Command::Reject(rejection))
+                self.command_queues.push(request, Command::Reject(rejection))
             }
-            Action::AbortResponse(request) => self.mailboxes.deliver(request, Command::AbortResponse),
-            Action::Cancel(request, attempt) => self.mailboxes.deliver(request, Command::Cancel(attempt)),
+            Action::AbortResponse(request) => self.command_queues.push(request, Command::AbortResponse),
+            Action::Cancel(request, attempt) => self.command_queues.push(request, Command::Cancel(attempt)),
             Action::CloseConnections(server) => self.pool.close_all(&server),
         }
     }
