--- a/routing/src/dispatch.rs
+++ b/routing/src/dispatch.rs
@@ -1,36 +1,39 @@
-//! Dispatch of requests: the retry policy, and the sending of an attempt to the server that the balancer selects.
+//! Dispatch of requests: applies the retry policy and sends attempts to the servers that the balancer
+//! selects.
 
 use std::sync::Arc;
 
 use shaletrail_protocol::{Millis, ServerId};
 
-use crate::balance::{select, SelectedServer, Selection, Unavailable};
+use crate::balance::{select, SelectedServer, SelectionCriteria, Unavailable};
 use crate::interface::{Action, Attempt, RejectReason};
 use crate::request::{InFlight, Phase, Request};
 use crate::retry_budget::SlackShare;
 use crate::router::Router;
 use crate::target::Target;
 
-/// Retries at servers that have surely not run the request, beyond the route's maximum of attempts.
+/// Maximum number of attempts beyond the route's `max_attempts`. They may only go to servers that were
+/// already tried and have certainly not run the request.
 const MAX_SAME_SERVER_RETRIES: u32 = 2;
-/// The highest value of `Priority`.
+/// The highest valid value of the `Priority` header.
 const MAX_PRIORITY: u8 = 9;
-/// The shortest `Deadline-Ms`.
-const MIN_DEADLINE: Millis = 1;
+/// The lowest value of the `Deadline-Ms` header.
+const MIN_DEADLINE_MS: Millis = 1;
 
-/// What becomes of a request for which no attempt can be made now.
+/// What happens to a request for which no attempt can be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
-    /// It is queued, or rejected where it may not wait.
+    /// The request is queued, or rejected if it may not wait.
     Queue,
-    /// The failed response that the driver buffers is forwarded to the client.
+    /// The failed response that the driver has buffered is forwarded to the client.
     ForwardFailure,
-    /// Its response, of which the client has a part, is aborted.
+    /// The response, which the client has received in part, is aborted.
     AbortResponse,
 }
 
 impl Router {
-    /// Sends a request if another attempt is allowed and a server available; otherwise the fallback applies.
+    /// Sends a request if another attempt is allowed and a server is available. Otherwise applies the
+    /// fallback.
     pub(crate) fn dispatch(
         &mut self,
         now: Millis,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Why no further attempt is allowed, if none is.
+    /// The reason why no further attempt is allowed; `None` if one is.
     pub(crate) fn retry_denied(&mut self, now: Millis, request: &Request) -> Option<RejectReason> {
         if !request.may_run_again() {
             return Some(RejectReason::MayHaveRun);
@@ -79,25 +82,26 @@
         if request.attempts >= self.options.max_attempts_per_request {
             return Some(RejectReason::NoServer);
         }
-        if request.arrivals == 0 {
+        if request.delivered_attempts == 0 {
             return None;
         }
-        // A server that has surely not run the request may be retried without counting as another server.
+        // A server that has certainly not run the request may be retried. It does not count as another
+        // server.
         let may_reuse_server = request.surely_not_run()
-            && request.arrivals < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
+            && request.delivered_attempts < request.incoming.route.max_attempts + MAX_SAME_SERVER_RETRIES;
         let may_retry = (self.may_use_another_server(request) || may_reuse_server)
             && self.has_retry_budget(now, &request.target);
         (!may_retry).then(|| request.exhausted_reason())
     }
 
-    /// This edge's share of the slack of retry budgets.
+    /// This edge's share of the retry slack.
     fn slack_share(&self) -> SlackShare {
-        SlackShare { edges: self.edges, until: self.budget_share_until }
+        SlackShare { edge_count: self.edge_count, expires_at: self.budget_share_until }
     }
 
-    /// Whether the request may visit one more server.
+    /// Whether the request may be sent to a server that it has not reached before.
     fn may_use_another_server(&self, request: &Request) -> bool {
-        (request.visited.len() as u32) < request.incoming.route.max_attempts
+        (request.visited_servers.len() as u32) < request.incoming.route.max_attempts
     }
 
     fn has_retry_budget(&mut self, now: Millis, target: &Target) -> bool {
@@ -114,30 +118,32 @@
     ) -> Result<SelectedServer, Unavailable> {
         let Some(pool) = self.pools.get(&request.target.service) else { return Err(Unavailable::NoServer) };
         let max_connections = self.max_connections_per_server(&request.target.service);
-        let restricted_to = (!self.may_use_another_server(request)).then_some(request.visited.as_slice());
-        let selection = Selection {
+        let restricted_to =
+            (!self.may_use_another_server(request)).then_some(request.visited_servers.as_slice());
+        let criteria = SelectionCriteria {
             key: request.key,
             target: &request.target,
-            tried: &request.tried,
+            tried_servers: &request.tried_servers,
             restricted_to,
             max_connections,
             unshared_prefill_tokens: request.prefill_tokens(true),
         };
-        select(pool, &self.servers, &self.load_gossip, &selection, now, &self.options)
+        select(pool, &self.servers, &self.load_gossip, &criteria, now, &self.options)
     }
 
-    /// Connections to one server of a service that this edge may open.
+    /// Maximum number of connections of this edge to one server of the service: an equal share of the
+    /// service's `max_connections`.
     fn max_connections_per_server(&self, service: &str) -> u32 {
         let total =
             self.view.as_ref().and_then(|view| view.service(service)).map_or(0, |s| s.max_connections);
-        if total == 0 || self.edges == 0 {
+        if total == 0 || self.edge_count == 0 {
             return u32::MAX;
         }
-        (total / self.edges).max(1)
+        (total / self.edge_count).max(1)
     }
 
-    /// Counts an attempt at its server, pool and demand, and withdraws a retry from the budget. Returns the server's id
-    /// and address; `None` where the server is no longer known.
+    /// Adds an attempt to the counts of its server, pool and demand entry, and withdraws a retry from the
+    /// budget. Returns the server's id and address; `None` if the server is no longer known.
     fn record_sent(
         &mut self,
         now: Millis,
@@ -148,16 +154,16 @@
         let share = self.slack_share();
         let server = self.servers.get_mut(selected.server)?;
         self.has_urgent_load |= server.local_load.record_sent(now, prefill);
-        server.open += 1;
+        server.open_requests += 1;
         server.health.record_sent();
         let (id, address) = (server.record.id.clone(), server.record.heartbeat.address.clone());
         if let Some(pool) = self.pools.get_mut(&request.target.service) {
-            pool.open += 1;
-            if request.arrivals > 0 {
+            pool.open_requests += 1;
+            if request.delivered_attempts > 0 {
                 pool.budget.withdraw(now, share, &self.options);
             }
         }
-        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+        if let Some(demand) = self.demand.entry(&request.target, &self.options) {
             demand.in_flight += 1;
             demand.over_capacity += u32::from(selected.over_cap);
         }
@@ -166,7 +172,6 @@
         Some((id, address))
     }
 
-    /// Sends a request's next attempt to the selected server.
     fn send(
         &mut self,
         now: Millis,
@@ -174,18 +179,18 @@
         selected: SelectedServer,
         actions: &mut Vec<Action>,
     ) {
-        let is_retry = request.arrivals > 0;
+        let is_retry = request.delivered_attempts > 0;
         let prefill = request.prefill_tokens(selected.is_home);
         let Some((server, address)) = self.record_sent(now, &request, selected, prefill) else {
             return self.reject(now, request, RejectReason::NoServer, actions);
         };
         let attempt = Attempt(request.attempts);
         request.attempts += 1;
-        request.arrivals += 1;
-        request.tried.push(selected.server);
-        let is_first_visit = !request.visited.contains(&selected.server);
+        request.delivered_attempts += 1;
+        request.tried_servers.push(selected.server);
+        let is_first_visit = !request.visited_servers.contains(&selected.server);
         if is_first_visit {
-            request.visited.push(selected.server);
+            request.visited_servers.push(selected.server);
         }
         let remaining_ms =
             request.deadline_at.saturating_sub(now).saturating_sub(self.options.response_margin_ms);
@@ -195,7 +200,7 @@
             server,
             address,
             service: request.target.service.clone(),
-            deadline_ms: remaining_ms.max(MIN_DEADLINE),
+            deadline_ms: remaining_ms.max(MIN_DEADLINE_MS),
             priority: request.incoming.route.priority.min(MAX_PRIORITY),
             resume_after: request.last_event.filter(|_| request.response_started),
         });
@@ -217,7 +222,7 @@
     }
 }
 
-/// Why a request is rejected for which no server is available.
+/// The reason for rejecting a request for which no server is available.
 pub(crate) fn reject_reason(unavailable: Unavailable, target: &Target) -> RejectReason {
     match unavailable {
         Unavailable::NoReplica { .. } if target.model.is_empty() => RejectReason::NoServer,
--- a/routing/src/queueing.rs
+++ b/routing/src/queueing.rs
@@ -1,5 +1,5 @@
-//! Requests without a server now: they are queued, tried again as servers or time change, and rejected when their wait is
-//! over or the queue is full.
+//! Queueing of requests for which no server is available. They are dispatched when a server becomes
+//! available, and rejected when their maximum wait is over or the queue is full.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use crate::target::Target;
 
 impl Router {
-    /// Queues a request without an available server, unless its wait would be over at once.
+    /// Queues a request for which no server is available. It is rejected if its maximum wait is already over
+    /// or the queue is full of more urgent requests.
     pub(crate) fn enqueue(
         &mut self,
         now: Millis,
@@ -23,8 +24,8 @@
         unavailable: Unavailable,
         actions: &mut Vec<Action>,
     ) {
-        let unavailable = self.allow_same_servers(now, &mut request, unavailable);
-        let reason = match request.arrivals {
+        let unavailable = self.allow_retry_at_same_servers(now, &mut request, unavailable);
+        let reason = match request.delivered_attempts {
             0 => reject_reason(unavailable, &request.target),
             _ => request.exhausted_reason(),
         };
@@ -36,8 +37,8 @@
             return self.reject(now, request, reason, actions);
         }
         let key = QueueKey::of(&request);
-        if self.queue.len() >= self.options.max_queued {
-            match self.queue.lowest_priority().filter(|last| key < *last) {
+        if self.queue.len() >= self.options.max_queued_requests {
+            match self.queue.least_urgent().filter(|last| key < *last) {
                 Some(last) => self.evict_from_queue(now, last, actions),
                 None => return self.reject(now, request, RejectReason::Overloaded, actions),
             }
@@ -47,7 +48,7 @@
             self.retry_queue_by(&request.target.service, request.not_before);
         }
         self.has_urgent_demand |= reason == RejectReason::NoModel;
-        if let Some(demand) = self.demand.of(&request.target, &self.options) {
+        if let Some(demand) = self.demand.entry(&request.target, &self.options) {
             demand.queued += 1;
             demand.over_capacity += u32::from(reason == RejectReason::Full);
         }
@@ -56,17 +57,18 @@
         self.insert_request(request, Phase::Queued(Queued { until, reason }));
     }
 
-    /// Allows servers that have surely not run the request again, after a delay.
-    fn allow_same_servers(
+    /// Allows the request to be sent again, after a delay, to servers that it was already sent to, if it has
+    /// certainly not run. Returns the reason why no server is available under this rule.
+    fn allow_retry_at_same_servers(
         &self,
         now: Millis,
         request: &mut Request,
         unavailable: Unavailable,
     ) -> Unavailable {
-        if request.tried.is_empty() || !request.surely_not_run() {
+        if request.tried_servers.is_empty() || !request.surely_not_run() {
             return unavailable;
         }
-        request.tried.clear();
+        request.tried_servers.clear();
         request.not_before =
             now + self.options.same_server_retry_delay_ms.max(request.retry_after_ms.unwrap_or(0));
         match self.select_server(now, request) {
@@ -99,14 +101,14 @@
         }
     }
 
-    /// Dispatches the queued requests of all services that now find a server.
+    /// Dispatches the queued requests of all services for which a server is now available.
     pub(crate) fn drain_queues(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for service in self.queue.services() {
             self.drain_queue(now, &service, actions);
         }
     }
 
-    /// Dispatches the queued requests of a service that now find a server, in the order of the queue.
+    /// Dispatches the queued requests of a service for which a server is now available, in queue order.
     pub(crate) fn drain_queue(&mut self, now: Millis, service: &str, actions: &mut Vec<Action>) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.queue_retry_at = None;
@@ -122,11 +124,11 @@
             if unavailable_targets.contains(&request.target) {
                 continue;
             }
-            let (target, is_first_attempt) = (Arc::clone(&request.target), request.tried.is_empty());
+            let (target, is_first_attempt) = (Arc::clone(&request.target), request.tried_servers.is_empty());
             match self.select_server(now, request) {
                 Ok(_) => self.dispatch_queued(now, key, actions),
                 Err(unavailable) => {
-                    self.keep_queued(key, unavailable);
+                    self.update_queued(key, unavailable);
                     if is_first_attempt {
                         unavailable_targets.insert(target);
                     }
@@ -147,8 +149,9 @@
         }
     }
 
-    /// Keeps a request queued, with the newest reason and never for a shorter time.
-    fn keep_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
+    /// Updates why a queued request waits, and extends its maximum wait if the new reason allows a longer
+    /// one.
+    fn update_queued(&mut self, key: QueueKey, unavailable: Unavailable) {
         let Some((request, Phase::Queued(queued))) = self.requests.get(&key.id) else { return };
         let (target, previous_until) = (Arc::clone(&request.target), queued.until);
         let until = self.queue_deadline(request, unavailable).max(previous_until);
--- a/routing/src/server_table.rs
+++ b/routing/src/server_table.rs
@@ -1,4 +1,4 @@
-//! All servers that this edge knows, and the merging of their records.
+//! The table of all servers known to this edge. Merges new records into it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use crate::server::{is_draining, Server, ServerHandle};
 use crate::Options;
 
-/// Ids of removed servers that are remembered, so that no late record brings them back.
+/// Maximum number of removed servers whose ids are remembered, so that a late record does not add them again.
 const MAX_RETIRED_SERVERS: usize = 4096;
 
-/// The later heartbeat with the later overlay, since each may arrive by another way.
+/// Combines the later heartbeat with the later overlay, since the two may arrive by different paths.
 fn merge_records(known: &ServerRecord, mut record: ServerRecord) -> ServerRecord {
     if record.heartbeat.sequence < known.heartbeat.sequence {
         record.heartbeat = known.heartbeat.clone();
@@ -23,53 +23,50 @@
     record
 }
 
-/// What a record changed.
+/// The effect of merging a record.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// A server that was known.
+    /// A known server was updated.
     Updated(ServerHandle),
-    /// A server that was not known.
+    /// A new server was added.
     Added(ServerHandle),
-    /// It began to drain or was removed.
+    /// A known server began to drain or was removed.
     Draining(ServerHandle),
-    /// The record is older than what is known, or the table is full.
+    /// Nothing changed for the balancer: the record is outdated, its server is draining or removed, or the
+    /// table is full.
     Ignored,
 }
 
-/// All known servers.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     by_handle: BTreeMap<ServerHandle, Server>,
     by_id: BTreeMap<ServerId, ServerHandle>,
-    /// Servers that are draining or unlisted.
+    /// Servers that are draining or unlisted. They are dropped once no request is in flight.
     departing: BTreeSet<ServerHandle>,
     retired: BTreeSet<ServerId>,
     retired_order: VecDeque<ServerId>,
-    next: u32,
+    next_handle: u32,
 }
 
 impl ServerTable {
-    /// The server, unless it has been dropped.
+    /// The server; `None` if it has been dropped.
     pub fn get(&self, handle: ServerHandle) -> Option<&Server> {
         self.by_handle.get(&handle)
     }
 
-    /// The server, unless it has been dropped.
     pub fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut Server> {
         self.by_handle.get_mut(&handle)
     }
 
-    /// All servers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.by_handle.values_mut()
     }
 
-    /// Whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.by_handle.is_empty()
     }
 
-    /// Merges a record unless it is older than what is known. `Draining` and `Removed` are final.
+    /// Merges a record unless it is outdated. A server never leaves the states `Draining` and `Removed`.
     pub fn merge(&mut self, record: ServerRecord, options: &Options) -> MergeOutcome {
         if self.retired.contains(&record.id) {
             return MergeOutcome::Ignored;
@@ -94,9 +91,9 @@
             self.departing.insert(handle);
             return MergeOutcome::Draining(handle);
         }
-        let moved = known.heartbeat.service != record.heartbeat.service;
+        let changed_service = known.heartbeat.service != record.heartbeat.service;
         let has_newer_overlay = record.overlay.is_later_than(&known.overlay);
-        if moved || (record.heartbeat.sequence < known.heartbeat.sequence && !has_newer_overlay) {
+        if changed_service || (record.heartbeat.sequence < known.heartbeat.sequence && !has_newer_overlay) {
             return MergeOutcome::Ignored;
         }
         let record = merge_records(known, record);
@@ -117,15 +114,15 @@
         if self.by_handle.len() >= options.max_servers {
             return MergeOutcome::Ignored;
         }
-        let handle = ServerHandle(self.next);
-        self.next = self.next.wrapping_add(1);
+        let handle = ServerHandle(self.next_handle);
+        self.next_handle = self.next_handle.wrapping_add(1);
         self.by_id.insert(record.id.clone(), handle);
         self.by_handle.insert(handle, Server::new(record));
         MergeOutcome::Added(handle)
     }
 
-    /// Marks and returns the servers that a complete directory does not list; they are dropped by
-    /// [`ServerTable::drop_unlisted`].
+    /// Marks and returns the servers that a complete directory does not list. They are later dropped by
+    /// [`ServerTable::drop_departed`].
     pub fn mark_unlisted(&mut self, now: Millis, listed: &BTreeSet<&ServerId>) -> Vec<ServerHandle> {
         let mut unlisted = Vec::new();
         for (handle, server) in &mut self.by_handle {
@@ -138,22 +135,24 @@
         unlisted
     }
 
-    /// Drops servers that are draining, and those unlisted for long, once no request is in flight there.
-    pub fn drop_unlisted(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
-        let over = |server: &Server| {
+    /// Drops servers without requests in flight that are draining or have been unlisted for
+    /// [`Options::unlisted_ttl_ms`]. Returns them with their services.
+    pub fn drop_departed(&mut self, now: Millis, options: &Options) -> Vec<(ServerHandle, String)> {
+        let may_drop = |server: &Server| {
             let unlisted = server.unlisted_since.is_some_and(|since| now >= since + options.unlisted_ttl_ms);
-            server.open == 0 && (is_draining(&server.record) || unlisted)
+            server.open_requests == 0 && (is_draining(&server.record) || unlisted)
         };
         let departing = self.departing.iter().copied();
         let handles: Vec<_> =
-            departing.filter(|handle| self.by_handle.get(handle).is_some_and(over)).collect();
+            departing.filter(|handle| self.by_handle.get(handle).is_some_and(may_drop)).collect();
         handles.into_iter().filter_map(|handle| Some((handle, self.remove(handle)?))).collect()
     }
 
-    /// When the next unlisted server is due to be dropped.
-    pub fn next_drop(&self, options: &Options) -> Option<Millis> {
+    /// When the next unlisted server is due to be dropped; `None` if there is none without requests in
+    /// flight.
+    pub fn next_drop_at(&self, options: &Options) -> Option<Millis> {
         let departing = self.departing.iter().filter_map(|handle| self.by_handle.get(handle));
-        let idle = departing.filter(|server| server.open == 0 && !is_draining(&server.record));
+        let idle = departing.filter(|server| server.open_requests == 0 && !is_draining(&server.record));
         idle.filter_map(|server| server.unlisted_since).map(|since| since + options.unlisted_ttl_ms).min()
     }
 
