--- a/storage/src/fault_injection/faults.rs
+++ b/storage/src/fault_injection/faults.rs
@@ -1,25 +1,25 @@
-//! Which calls of the disk fail.
+//! Faults that a [`MemoryDisk`](super::MemoryDisk) injects into its calls.
 
 use std::io;
 
 use super::volume::Mutation;
 
-/// Faults that last until others are set.
+/// Faults that stay in effect until other faults are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every write and every creation of a file fails for lack of space.
+    /// Every write and every creation of a file fails with [`io::ErrorKind::StorageFull`].
     pub full: bool,
     /// Every write and every creation of a file fails.
     pub writes_fail: bool,
-    /// Every sync fails; the writes that it should have covered stay unsynced.
+    /// Every sync fails. The writes that it should have covered stay unsynced.
     pub syncs_fail: bool,
     /// Every read fails.
     pub reads_fail: bool,
 }
 
 impl Faults {
-    /// The error of a call that changes something, if it fails.
-    pub(super) fn error_of(&self, mutation: &Mutation<'_>) -> Option<io::ErrorKind> {
+    /// Returns the error that these faults cause in a mutating call, or `None` if the call succeeds.
+    pub(super) fn error_for(&self, mutation: &Mutation<'_>) -> Option<io::ErrorKind> {
         match mutation {
             Mutation::Create { .. } | Mutation::Write { .. } if self.full => Some(io::ErrorKind::StorageFull),
             Mutation::Create { .. } | Mutation::Write { .. } if self.writes_fail => {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Faults that happen once, after a number of further calls that change something; `None` for never.
+/// Faults that occur once, after the given number of further mutating calls; `None` if not scheduled.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ScheduledFaults {
     pub calls_until_power_loss: Option<u64>,
@@ -39,8 +39,8 @@
     pub calls_until_full: Option<u64>,
 }
 
-/// Counts a call; whether the fault happens in it.
-pub(super) fn is_due(calls_left: &mut Option<u64>) -> bool {
+/// Counts one call down and returns whether the scheduled fault occurs in this call.
+pub(super) fn count_down(calls_left: &mut Option<u64>) -> bool {
     let is_due = *calls_left == Some(0);
     *calls_left = calls_left.and_then(|left| left.checked_sub(1));
     is_due
--- a/storage/src/fault_injection/file.rs
+++ b/storage/src/fault_injection/file.rs
@@ -1,22 +1,21 @@
-//! A file whose writes are durable only once they were synced.
+//! An in-memory file whose writes become durable only when they are synced.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Bytes that a torn write keeps or loses together.
+/// A torn write keeps or loses whole sectors of this size.
 const SECTOR_BYTES: usize = 512;
 
-/// A file in memory.
 #[derive(Clone, Default)]
 pub(super) struct MemoryFile {
-    /// What reads return, as from the page cache.
+    /// What reads return, like the page cache.
     pub content: Vec<u8>,
-    /// What a loss of power cannot take.
+    /// The content that survives a power loss.
     pub durable: Vec<u8>,
     unsynced: Vec<Change>,
 }
 
-/// A change of a file's content.
+/// A change to the content of a file.
 #[derive(Clone)]
 enum Change {
     Length(usize),
@@ -24,7 +23,7 @@
 }
 
 impl MemoryFile {
-    /// A file of `length` zero bytes, which is not synced yet.
+    /// Creates a file of `length` zero bytes that is not synced yet.
     pub fn new(length: usize) -> Self {
         let mut file = MemoryFile::default();
         file.change(Change::Length(length));
@@ -39,11 +38,11 @@
         self.flush_unsynced(Change::apply);
     }
 
-    /// Loses unsynced changes: all of them, or each by chance, a write perhaps in part.
+    /// Loses unsynced changes: either all of them, or each one at random. A write may also be torn.
     pub fn lose_power(&mut self, all_lost: bool, rng: &mut Pcg64Mcg) {
         self.flush_unsynced(|change, durable| {
             if !all_lost {
-                change.apply_by_chance(durable, rng);
+                change.apply_randomly(durable, rng);
             }
         });
     }
@@ -53,7 +52,8 @@
         self.unsynced.push(change);
     }
 
-    /// Makes unsynced changes durable as far as `apply` does, and shows the result.
+    /// Passes each unsynced change to `apply`, which decides how much of it becomes durable. Then resets the readable
+    /// content to the durable content.
     fn flush_unsynced(&mut self, mut apply: impl FnMut(&Change, &mut Vec<u8>)) {
         for change in self.unsynced.drain(..) {
             apply(&change, &mut self.durable);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Applies the change completely, not at all, or as a torn write.
-    fn apply_by_chance(&self, content: &mut Vec<u8>, rng: &mut Pcg64Mcg) {
+    /// Applies the whole change, nothing of it, or a torn write.
+    fn apply_randomly(&self, content: &mut Vec<u8>, rng: &mut Pcg64Mcg) {
         match (rng.random_range(0..4), self) {
             (0, _) => {}
             (1, Change::Write { offset, bytes }) => {
--- a/storage/src/fault_injection/memory_disk.rs
+++ b/storage/src/fault_injection/memory_disk.rs
@@ -1,4 +1,4 @@
-//! The disk in memory, as the journal and a test use it.
+//! The in-memory disk: implements [`Disk`] for the journal and fault controls for tests.
 
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -6,11 +6,12 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::faults::{is_due, Faults, ScheduledFaults};
+use super::faults::{count_down, Faults, ScheduledFaults};
 use super::volume::{Mutation, Volume};
 use crate::Disk;
 
-/// A disk in memory with fault injection. Clones share one disk, so that a test controls the one that it has given away.
+/// An in-memory disk with fault injection. Clones share the same disk, so a test can keep a clone to control the disk
+/// that it has handed to a journal.
 #[derive(Clone)]
 pub struct MemoryDisk {
     shared: Arc<Shared>,
@@ -18,7 +19,7 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// Signalled whenever a call stalls or goes on.
+    /// Notified when a call blocks on a stall and when the stall ends.
     stall_changed: Condvar,
 }
 
@@ -28,7 +29,7 @@
     faults: Faults,
     scheduled: ScheduledFaults,
     is_powered: bool,
-    /// While set, calls block.
+    /// While this is set, calls block.
     is_stalled: bool,
     blocked_calls: usize,
     mutations: u64,
@@ -36,7 +37,7 @@
 }
 
 impl MemoryDisk {
-    /// An empty disk without faults.
+    /// Creates an empty disk without faults. `seed` determines all random choices.
     pub fn new(seed: u64) -> Self {
         let state = State {
             volume: Volume::default(),
@@ -52,36 +53,37 @@
         MemoryDisk { shared: Arc::new(Shared { state: Mutex::new(state), stall_changed: Condvar::new() }) }
     }
 
-    /// Sets the faults from now on, and cancels [`fill_up_after`](MemoryDisk::fill_up_after).
+    /// Replaces the current faults, and cancels [`fill_up_after`](MemoryDisk::fill_up_after).
     pub fn set_faults(&self, faults: Faults) {
         let mut state = self.lock();
         state.faults = faults;
         state.scheduled.calls_until_full = None;
     }
 
-    /// Lets `calls` more calls that change something succeed; then the power is lost during the next one.
+    /// Lets `calls` more mutating calls succeed, then loses power during the next one.
     pub fn lose_power_after(&self, calls: u64) {
         self.lock().scheduled.calls_until_power_loss = Some(calls);
     }
 
-    /// Lets `calls` more calls that change something succeed, and fails the next one, which changes nothing.
+    /// Lets `calls` more mutating calls succeed, then fails the next one without any effect.
     pub fn fail_after(&self, calls: u64) {
         self.lock().scheduled.calls_until_failure = Some(calls);
     }
 
-    /// Lets `calls` more calls that change something succeed; then the disk is full until other
-    /// [faults](MemoryDisk::set_faults) are set.
+    /// Lets `calls` more mutating calls succeed. After that the disk is full until
+    /// [`set_faults`](MemoryDisk::set_faults) is called.
     pub fn fill_up_after(&self, calls: u64) {
         self.lock().scheduled.calls_until_full = Some(calls);
     }
 
-    /// Whether there is power.
+    /// Returns whether the disk has power. Without power every call fails.
     pub fn is_powered(&self) -> bool {
         self.lock().is_powered
     }
 
-    /// Loses power, unless that has happened already, and restores it. Each write that no sync covers is kept, missing
-    /// or torn, each name that no sync of the directory covers is kept or lost; now and then all of them are lost.
+    /// Loses power, unless it is already lost, and restores it. Each unsynced write is kept, lost or torn at random,
+    /// and each unsynced file name is kept or lost at random. With a probability of 1 in 4, all unsynced changes are
+    /// lost.
     pub fn power_cycle(&self) {
         let mut state = self.lock();
         state.lose_power();
@@ -89,18 +91,18 @@
         state.scheduled.calls_until_power_loss = None;
     }
 
-    /// Makes calls block from now on.
+    /// Makes all further calls block until [`resume`](MemoryDisk::resume) is called.
     pub fn stall(&self) {
         self.lock().is_stalled = true;
     }
 
-    /// Lets blocked calls go on.
+    /// Ends the stall and unblocks the waiting calls.
     pub fn resume(&self) {
         self.lock().is_stalled = false;
         self.shared.stall_changed.notify_all();
     }
 
-    /// Waits until a call is blocked by the stall.
+    /// Blocks until the stall has blocked at least one call.
     pub fn wait_until_stalled(&self) {
         let mut state = self.lock();
         while state.blocked_calls == 0 {
@@ -108,17 +110,17 @@
         }
     }
 
-    /// Number of calls so far that change something, syncs and failed calls among them.
+    /// Returns the number of mutating calls so far, including syncs and failed calls.
     pub fn mutations(&self) -> u64 {
         self.lock().mutations
     }
 
-    /// Number of syncs of files so far.
+    /// Returns the number of file syncs so far, not counting calls that an injected fault refused.
     pub fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
-    /// Flips bits of a byte without a call of the journal's. Whether the byte exists.
+    /// Flips bits of one byte, both in the readable and in the durable content. Returns whether the byte exists.
     pub fn corrupt_byte(&self, name: &str, offset: usize, flipped_bits: u8) -> bool {
         let mut state = self.lock();
         let Ok(file) = state.volume.file(name) else { return false };
@@ -126,7 +128,7 @@
         bytes.into_iter().flatten().map(|byte| *byte ^= flipped_bits).count() > 0
     }
 
-    /// Removes all files, as on a disk that was replaced.
+    /// Removes all files, as if the disk had been replaced.
     pub fn wipe(&self) {
         self.lock().volume = Volume::default();
     }
@@ -135,7 +137,7 @@
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins a call: blocks while the disk is stalled, and fails without power.
+    /// Starts a call: blocks while the disk is stalled, and fails without power.
     fn begin_call(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.lock();
         while state.is_stalled {
@@ -145,7 +147,7 @@
             state.blocked_calls -= 1;
         }
         if !state.is_powered {
-            return Err(io::Error::other("no power"));
+            return Err(io::Error::other("simulated disk has no power"));
         }
         Ok(state)
     }
@@ -156,27 +158,27 @@
 }
 
 impl State {
-    /// Executes a call, unless a scheduled fault happens in it.
+    /// Executes a mutating call, unless a scheduled fault occurs in it.
     fn mutate(&mut self, mutation: Mutation<'_>) -> io::Result<()> {
         self.mutations += 1;
-        if is_due(&mut self.scheduled.calls_until_power_loss) {
-            // Whether the call still reached the disk is a matter of chance, too.
+        if count_down(&mut self.scheduled.calls_until_power_loss) {
+            // The interrupted call reaches the disk with a probability of 1 in 2.
             if self.rng.random() {
                 let _interrupted = self.execute(mutation);
             }
             self.lose_power();
-            return Err(io::Error::other("the power is gone"));
+            return Err(io::Error::other("simulated power loss"));
         }
-        if is_due(&mut self.scheduled.calls_until_failure) {
-            return Err(io::Error::other("refused"));
+        if count_down(&mut self.scheduled.calls_until_failure) {
+            return Err(io::Error::other("simulated disk failure"));
         }
-        self.faults.full |= is_due(&mut self.scheduled.calls_until_full);
+        self.faults.full |= count_down(&mut self.scheduled.calls_until_full);
         self.execute(mutation)
     }
 
-    /// Executes a call, unless a lasting fault makes it fail.
+    /// Executes a mutating call, unless one of the current faults makes it fail.
     fn execute(&mut self, mutation: Mutation<'_>) -> io::Result<()> {
-        if let Some(kind) = self.faults.error_of(&mutation) {
+        if let Some(kind) = self.faults.error_for(&mutation) {
             return Err(kind.into());
         }
         self.syncs += u64::from(matches!(mutation, Mutation::Sync { .. }));
--- a/storage/src/fault_injection/mod.rs
+++ b/storage/src/fault_injection/mod.rs
@@ -1,5 +1,5 @@
-//! Test double of a disk: keeps its files in memory, and loses power, fills up, stalls and fails on demand. All
-//! randomness is seeded, so that a failing history can be repeated.
+//! An in-memory test double of a disk that can lose power, fill up, stall and fail calls on demand. All randomness is
+//! seeded, so a failing sequence of calls can be reproduced.
 
 mod faults;
 mod file;
--- a/storage/src/fault_injection/volume.rs
+++ b/storage/src/fault_injection/volume.rs
@@ -1,4 +1,4 @@
-//! The files and names of a disk in memory, and what of them is durable.
+//! The files and file names of an in-memory disk, with their durable state.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,7 +8,7 @@
 
 use super::file::MemoryFile;
 
-/// A call that changes something.
+/// A mutating call of the disk.
 pub(super) enum Mutation<'a> {
     Create { name: &'a str, length: usize },
     Write { name: &'a str, offset: usize, bytes: &'a [u8] },
@@ -17,13 +17,12 @@
     SyncFolder,
 }
 
-/// A directory of files.
 #[derive(Default)]
 pub(super) struct Volume {
     files: Vec<MemoryFile>,
-    /// Index in `files` for each name, as calls see it.
+    /// Index in `files` for each file name, as seen by calls.
     names: BTreeMap<String, usize>,
-    /// The names that a loss of power cannot take.
+    /// The file names that survive a power loss.
     durable_names: BTreeMap<String, usize>,
 }
 
@@ -53,7 +52,7 @@
         Ok(())
     }
 
-    /// Loses unsynced writes and names by chance; now and then all of them.
+    /// Loses unsynced writes and file names at random; with a probability of 1 in 4, all of them.
     pub fn lose_power(&mut self, rng: &mut Pcg64Mcg) {
         let all_lost = rng.random_ratio(1, 4);
         for file in &mut self.files {
