--- a/storage/src/writer/backoff.rs
+++ b/storage/src/writer/backoff.rs
@@ -1,8 +1,8 @@
-//! Exponential backoff between attempts to sync.
+//! Exponential back-off between attempts to sync.
 
 use std::time::Duration;
 
-/// The delays before further attempts: doubled each time, up to a limit.
+/// Computes the delays between attempts. The delay doubles with each attempt up to a maximum.
 pub(super) struct Backoff {
     next: Duration,
     max: Duration,
@@ -13,7 +13,7 @@
         Backoff { next: initial, max }
     }
 
-    /// The delay before the next attempt.
+    /// Returns the delay before the next attempt.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.next;
         self.next = (delay * 2).min(self.max);
--- a/storage/src/writer/command.rs
+++ b/storage/src/writer/command.rs
@@ -1,18 +1,18 @@
-//! Commands for the writer's thread, and why they are rejected.
+//! Commands to the writer thread, and the reasons for which they are rejected.
 
-/// A command for the writer's thread.
+/// A command to the writer thread.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Make records durable.
+    /// Makes records durable.
     Append {
-        /// Rises with each append; events refer to it.
+        /// Identifies the append in events. Must increase with each append.
         ticket: u64,
         /// Pairs of stream and payload, in order.
         records: Vec<(u32, Vec<u8>)>,
     },
-    /// Replace everything that was appended before.
+    /// Replaces all records that were appended before.
     Checkpoint {
-        /// Pairs of stream and payload, in order. Covers every append submitted before.
+        /// Pairs of stream and payload, in order. They replace every append submitted before.
         live: Vec<(u32, Vec<u8>)>,
     },
 }
@@ -20,18 +20,19 @@
 /// Why a command was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Too much is in flight: retry later.
+    /// The queue or the number of bytes in flight is at its limit, or another checkpoint is in flight. The command can
+    /// be retried later.
     Busy,
-    /// A record exceeds the journal's limit: a retry cannot help.
+    /// A record exceeds the limit of the journal. Retrying does not help.
     RecordTooLarge,
-    /// The thread has ended.
+    /// The writer thread has ended.
     Stopped,
 }
 
-/// A command that was rejected.
+/// A rejected command, which is returned to the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RejectedCommand {
-    /// Why it was rejected.
+    /// Why the command was rejected.
     pub reason: RejectReason,
     /// The command as it was submitted.
     pub command: Command,
--- a/storage/src/writer/event.rs
+++ b/storage/src/writer/event.rs
@@ -1,41 +1,42 @@
-//! What the writer's thread reports.
+//! Events that the writer thread reports.
 
 use crate::StorageError;
 
-/// An event of the writer's thread.
+/// An event reported by the writer thread.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All records up to this ticket are durable.
+    /// All appends up to and including `ticket` are durable.
     Synced {
-        /// The newest durable ticket.
+        /// The highest durable ticket.
         ticket: u64,
         /// Whether a checkpoint should be submitted soon.
         wants_checkpoint: bool,
-        /// Milliseconds of the successful write and its sync, without failed attempts and backoff.
+        /// Duration of the successful write and sync in milliseconds, without failed attempts and back-off.
         elapsed_ms: u64,
     },
-    /// A checkpoint is durable. A `Synced` follows if it covers appends that were in flight.
+    /// A checkpoint is durable. A `Synced` event follows if the checkpoint covers appends that were in flight.
     Checkpointed {
-        /// Whether the ring is nearly full even so.
+        /// Whether the ring is nearly full even after this checkpoint.
         wants_checkpoint: bool,
-        /// Milliseconds of its writes and syncs.
+        /// Duration of the writes and syncs of the checkpoint, in milliseconds.
         elapsed_ms: u64,
     },
-    /// An attempt to make appends durable failed; whether their records are durable is unknown. After
-    /// [`StorageError::RingFull`] they wait for a checkpoint or for another append; otherwise the writer retries.
+    /// An attempt to make appends durable failed. It is unknown whether their records are durable. After
+    /// [`StorageError::RingFull`] the appends wait for a checkpoint or another append; after other errors the writer
+    /// retries.
     SyncFailed {
-        /// The cause.
+        /// The cause of the failure.
         error: StorageError,
-        /// The newest ticket of the attempt.
+        /// The highest ticket of the failed attempt.
         ticket: u64,
         /// Whether a checkpoint should be submitted.
         wants_checkpoint: bool,
     },
-    /// A checkpoint failed and is not retried; nothing has changed. Another may be submitted.
+    /// A checkpoint failed without changing anything. It is not retried, but another one may be submitted.
     CheckpointFailed {
-        /// The cause.
+        /// The cause of the failure.
         error: StorageError,
     },
-    /// The thread ends; no event follows.
+    /// The writer thread is ending. This is its last event.
     Stopped,
 }
--- a/storage/src/writer/in_flight.rs
+++ b/storage/src/writer/in_flight.rs
@@ -1,4 +1,4 @@
-//! Commands that were submitted and are not finished, shared by the writer's handle and its thread.
+//! Tracks unfinished commands. Shared by the writer's handle and its thread.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,9 +15,9 @@
 
 #[derive(Default)]
 struct State {
-    /// In the order of their tickets.
+    /// Ordered by ticket.
     appends: VecDeque<InFlightAppend>,
-    /// Of all appends.
+    /// Sum over all appends.
     bytes: usize,
     has_checkpoint: bool,
 }
@@ -34,7 +34,8 @@
         InFlight { clock, max_bytes, state: Mutex::default() }
     }
 
-    /// Adds an append. Whether the limit allows it; the first one is always allowed.
+    /// Adds an append, unless it would exceed the limit on bytes in flight. If no append is in flight, one of any size
+    /// is accepted. Returns whether it was added.
     pub fn try_add_append(&self, ticket: u64, bytes: usize) -> bool {
         let submitted_at = (self.clock)();
         let mut state = self.lock();
@@ -46,7 +47,7 @@
         true
     }
 
-    /// Removes the newest append, which the queue has rejected.
+    /// Removes the newest append, after the command queue has rejected it.
     pub fn remove_newest_append(&self) {
         let mut state = self.lock();
         if let Some(append) = state.appends.pop_back() {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Removes all appends up to this ticket, which are durable.
+    /// Removes all appends up to and including `ticket`, which are durable now.
     pub fn finish_appends(&self, ticket: u64) {
         let mut state = self.lock();
         while let Some(append) = state.appends.pop_front() {
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Begins a checkpoint. Whether none was in flight.
+    /// Marks a checkpoint as in flight. Returns false if one already is.
     pub fn try_begin_checkpoint(&self) -> bool {
         !std::mem::replace(&mut self.lock().has_checkpoint, true)
     }
 
-    /// The checkpoint has succeeded, failed, or was rejected.
+    /// Marks the checkpoint as finished after it succeeded, failed or was rejected.
     pub fn end_checkpoint(&self) {
         self.lock().has_checkpoint = false;
     }
 
-    /// How long the oldest append has been in flight.
+    /// Returns how long the oldest append has been in flight; `None` if there is none.
     pub fn oldest_age(&self) -> Option<Duration> {
         let submitted_at = self.lock().appends.front()?.submitted_at;
         Some((self.clock)().saturating_sub(submitted_at))
--- a/storage/src/writer/options.rs
+++ b/storage/src/writer/options.rs
@@ -1,25 +1,25 @@
-//! Limits, backoff and clock of a writer.
+//! Limits, back-off and clock of a writer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A monotonic clock: the time since some fixed moment.
+/// A monotonic clock: returns the time elapsed since a fixed starting point.
 pub type Clock = Arc<dyn Fn() -> Duration + Send + Sync>;
 
-/// Limits, backoff and clock of a writer.
+/// Settings of a [`Writer`](crate::Writer).
 #[derive(Clone)]
 pub struct WriterOptions {
-    /// Commands that the queue holds.
+    /// Maximum number of queued commands.
     pub queue_capacity: usize,
-    /// Limit on the bytes of appends in flight. A single append may be larger.
+    /// Maximum number of payload bytes in flight. A single append may exceed it if nothing else is in flight.
     pub max_in_flight_bytes: usize,
-    /// Bytes from which on a batch takes no more appends (group commit).
+    /// A group commit takes no further appends once its batch holds at least this many bytes.
     pub max_batch_bytes: usize,
-    /// The backoff after the first failed attempt; doubled after each further one.
+    /// Delay after the first failed attempt. It doubles with each further failure.
     pub initial_backoff: Duration,
-    /// The longest backoff between attempts.
+    /// Maximum delay between attempts.
     pub max_backoff: Duration,
-    /// Measures how long syncs take and appends are in flight.
+    /// Measures the duration of syncs and the age of appends in flight.
     pub clock: Clock,
 }
 
--- a/storage/src/writer/worker.rs
+++ b/storage/src/writer/worker.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: commits appends in groups, retries failed syncs with backoff, writes checkpoints.
+//! The writer thread: groups appends into commits, retries failed syncs with back-off, and writes checkpoints.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TryRecvError};
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 use super::options::WriterOptions;
 use crate::{Disk, Journal, StorageError};
 
-/// The thread's ends of the channels to its handle.
+/// The thread's ends of the channels that connect it to its handle.
 pub(super) struct WorkerChannels {
     pub commands: Receiver<Command>,
-    /// Disconnected once the handle is gone.
-    pub running: Receiver<()>,
-    /// Dropped when the thread ends, by a panic too.
-    pub _ended: SyncSender<()>,
+    /// Disconnects when the handle is dropped.
+    pub handle_alive: Receiver<()>,
+    /// Dropped when the thread ends, also after a panic.
+    pub _thread_ended: SyncSender<()>,
 }
 
-/// State of the thread.
+/// State of the writer thread.
 pub(super) struct Worker<D> {
     journal: Journal<D>,
     channels: WorkerChannels,
     in_flight: Arc<InFlight>,
     on_event: Box<dyn Fn(WriterEvent) + Send>,
     options: WriterOptions,
-    /// The newest ticket appended to the journal, unless all are durable.
+    /// The highest ticket appended to the journal; `None` if all appends are durable.
     unsynced_ticket: Option<u64>,
 }
 
@@ -42,7 +42,7 @@
         Worker { journal, channels, in_flight, on_event, options, unsynced_ticket: None }
     }
 
-    /// Executes commands until the handle is gone and the queue is empty.
+    /// Executes commands until the handle is dropped and the queue is empty.
     pub fn run(mut self) {
         while let Ok(command) = self.channels.commands.recv() {
             let mut next = Some(command);
@@ -59,8 +59,8 @@
         (self.on_event)(WriterEvent::Stopped);
     }
 
-    /// Appends all queued records up to the limit of a batch, so that one sync covers them. The command behind them, if
-    /// another one was taken from the queue.
+    /// Appends the given records and further queued ones, up to the batch limit, so that one sync covers all of them.
+    /// If a queued command that is not an append ends the batch, returns that command.
     fn append_batch(&mut self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> Option<Command> {
         let mut bytes = self.append(ticket, records);
         while bytes < self.options.max_batch_bytes {
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Appends records to the journal; their number of bytes.
+    /// Appends records to the journal. Returns their total payload size in bytes.
     fn append(&mut self, ticket: u64, records: Vec<(u32, Vec<u8>)>) -> usize {
         self.unsynced_ticket = Some(ticket);
         let mut appended = 0;
@@ -86,7 +86,7 @@
         appended
     }
 
-    /// Makes the batch durable: retries until it is, until only a checkpoint helps, or until the handle is gone.
+    /// Makes the batch durable. Retries until it succeeds, the ring is full, or the handle is dropped.
     fn sync(&mut self) {
         let mut backoff = Backoff::new(self.options.initial_backoff, self.options.max_backoff);
         loop {
@@ -94,7 +94,7 @@
             let Err(error) = self.journal.sync() else { return self.report_synced(start) };
             let ring_full = matches!(error, StorageError::RingFull { .. });
             self.report_failure(error);
-            if ring_full || self.is_stopped_within(backoff.next_delay()) {
+            if ring_full || self.handle_dropped_within(backoff.next_delay()) {
                 return;
             }
         }
@@ -137,8 +137,8 @@
         self.now().saturating_sub(start).as_millis() as u64
     }
 
-    /// Waits; whether the handle is gone.
-    fn is_stopped_within(&self, delay: Duration) -> bool {
-        self.channels.running.recv_timeout(delay) == Err(RecvTimeoutError::Disconnected)
+    /// Waits for `delay`, or until the handle is dropped. Returns whether it was dropped.
+    fn handle_dropped_within(&self, delay: Duration) -> bool {
+        self.channels.handle_alive.recv_timeout(delay) == Err(RecvTimeoutError::Disconnected)
     }
 }
