--- a/storage/src/fragment.rs
+++ b/storage/src/fragment.rs
@@ -1,24 +1,24 @@
-//! Fragments of records as they are stored in a segment. A short record is a single fragment.
+//! Encoding of record fragments in a segment. A short record consists of a single fragment.
 
 use crate::little_endian::{u32_at, u64_at};
 
-/// Bytes of an encoded fragment header.
+/// Size of an encoded fragment header, in bytes.
 pub const HEADER_BYTES: usize = 40;
-/// Fragments begin at multiples of this many bytes.
+/// Alignment of fragments within a file, in bytes.
 pub const ALIGNMENT: usize = 8;
-/// The largest payload of a fragment, in bytes: bounds what is encoded, written and read at once.
+/// Maximum payload of a fragment, in bytes. Bounds the amount of data that is encoded, written or read at once.
 pub const MAX_PAYLOAD_BYTES: usize = 256 << 10;
 
-/// What a record stands for.
+/// The kind of a record. Each fragment of a record stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// Appended by the journal's user.
+    /// A record appended by the user of the journal.
     Append,
-    /// A checkpoint begins; no payload.
+    /// Marks the beginning of a checkpoint. Has no payload.
     CheckpointBegin,
     /// A live record, rewritten by a checkpoint.
     CheckpointLive,
-    /// A checkpoint is complete; no payload.
+    /// Marks a checkpoint as complete. Has no payload.
     CheckpointEnd,
 }
 
@@ -30,7 +30,7 @@
         RecordKind::CheckpointEnd,
     ];
 
-    /// Never 0, so that zeroed space does not decode as a fragment.
+    /// Returns the stored code. It is never 0, so that zeroed space does not decode as a fragment.
     fn code(self) -> u8 {
         match self {
             RecordKind::Append => 1,
@@ -41,37 +41,38 @@
     }
 }
 
-/// The header of a fragment.
+/// The header of a fragment, which precedes its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FragmentHeader {
-    /// Generation of the segment.
+    /// Generation of the segment that contains the fragment.
     pub generation: u64,
-    /// One higher for each fragment over the whole journal.
+    /// Sequence number, which increases by one with each fragment across the whole journal.
     pub sequence: u64,
-    /// All fragments up to this one were synced when this one was encoded.
+    /// Highest sequence number that had been synced when this fragment was encoded.
     pub synced_sequence: u64,
-    /// The user's stream; 0 for the markers of a checkpoint.
+    /// Stream that the record was appended to; 0 for checkpoint markers.
     pub stream: u32,
-    /// What the record stands for.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Whether this is the record's first fragment.
+    /// Whether this is the first fragment of the record.
     pub is_first: bool,
-    /// Whether this is the record's last fragment.
+    /// Whether this is the last fragment of the record.
     pub is_last: bool,
-    /// Bytes of the payload.
+    /// Length of the payload, in bytes.
     pub length: u32,
 }
 
 const FIRST_FLAG: u8 = 1;
 const LAST_FLAG: u8 = 2;
 
-/// Bytes that a fragment with a payload of `length` bytes takes up in a segment, padding included.
+/// Returns the number of bytes that a fragment with a payload of `length` bytes takes up in a segment, including
+/// padding.
 pub fn encoded_len(length: usize) -> usize {
     (HEADER_BYTES + length).next_multiple_of(ALIGNMENT)
 }
 
-/// Appends an encoded fragment to `out`: a CRC-32 of all that follows it, the header's other fields in little-endian
-/// order, the payload, and zeros up to the alignment. `header.length` must be the length of `payload`.
+/// Appends an encoded fragment to `out`: a CRC-32 of everything after it except the padding, the other header fields in
+/// little-endian order, the payload, and zeros up to the alignment. `header.length` must be the length of `payload`.
 pub fn encode(header: &FragmentHeader, payload: &[u8], out: &mut Vec<u8>) {
     let start = out.len();
     out.extend_from_slice(&[0; 4]);
@@ -88,7 +89,8 @@
     out.resize(start + encoded_len(payload.len()), 0);
 }
 
-/// Decodes a header by its form alone; the checksum, which covers the payload too, is not verified.
+/// Decodes a header without verifying the checksum, which also covers the payload. Returns `None` if `bytes` is too
+/// short or a field is invalid.
 pub fn decode_unverified_header(bytes: &[u8]) -> Option<FragmentHeader> {
     let [code, flags, 0, 0] = *bytes.get(36..HEADER_BYTES)?.first_chunk()? else { return None };
     let header = FragmentHeader {
@@ -104,7 +106,8 @@
     (header.length as usize <= MAX_PAYLOAD_BYTES).then_some(header)
 }
 
-/// Decodes and verifies the fragment at the start of `bytes`: its header and payload. `None` if there is no valid one.
+/// Decodes and verifies the fragment at the start of `bytes`. Returns its header and payload, or `None` if there is no
+/// valid fragment.
 pub fn decode(bytes: &[u8]) -> Option<(FragmentHeader, &[u8])> {
     let header = decode_unverified_header(bytes)?;
     let encoded = bytes.get(..HEADER_BYTES + header.length as usize)?;
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,35 +1,40 @@
-//! A write-ahead log: checksummed records in a ring of preallocated segment files.
+//! A write-ahead log of checksummed records, stored in a ring of preallocated segment files.
 //!
-//! A [`Journal`] keeps the records of several streams across restarts and power losses. A [`Writer`] owns a journal on
-//! a thread of its own, commits appends in groups and reports when they are durable. Both work over a [`Disk`]:
-//! [`FolderDisk`] is a directory of the operating system, [`fault_injection::MemoryDisk`] a test double in memory that
-//! loses power, fills up, stalls and fails on demand.
+//! A [`Journal`] keeps the records of several streams across process restarts and power losses. A [`Writer`] runs a
+//! journal on its own thread, groups appends into commits, and reports when they are durable. Both work over a
+//! [`Disk`]: either [`FolderDisk`], a directory of the operating system, or [`fault_injection::MemoryDisk`], an
+//! in-memory test double that can lose power, fill up, stall and fail calls on demand.
 //!
 //! # Layout
 //!
-//! A file of the ring holds one *segment* at a time: a header ([`mod@segment_header`]) in the file's first page, and
-//! record fragments ([`mod@fragment`]) after it. The header names the segment's *generation*, which is one higher for
-//! each segment begun, and the sequence number of its first fragment. A record that does not fit into the rest of a
-//! segment continues in the next one as a further fragment. A fragment carries its generation, its own sequence number,
-//! and the newest sequence number that was synced when it was encoded.
+//! Each file of the ring holds one *segment* at a time: a header ([`mod@segment_header`]) in the first page of the
+//! file, followed by record fragments ([`mod@fragment`]). The header stores the *generation* of the segment and the
+//! sequence number of its first fragment. The generation increases by one with every new segment. A record that does
+//! not fit into the rest of a segment continues as a further fragment in the next segment. Each fragment stores its
+//! generation, its own sequence number, and the highest sequence number that had been synced when the fragment was
+//! encoded.
 //!
 //! # Invariants
 //!
-//! 1. A segment header is synced before the first fragment of its segment is written. So no two segments with fragments
-//!    share a generation, and the previous content of a recycled file cannot be taken for new: its generation differs.
-//! 2. Before a header is written, all fragments below its first sequence number have been synced. So a fragment that is
-//!    missing below the first one of a later segment is corruption. In the newest segment a missing fragment is
-//!    corruption if a later fragment says that it was synced; otherwise it is a torn write at the end of the log.
-//! 3. A header *truncates* the log: fragments of older segments from its first sequence number on are void. After a
-//!    failed write or sync nothing more is written to that segment. The next one begins after the last record known to
-//!    be durable, and the records that were not durable are written there again.
-//! 4. A checkpoint begins with a segment of its own. Older files are recycled only after its end marker was synced;
-//!    until then recovery falls back to the previous checkpoint.
-//! 5. A journal is *fresh* only if no record has ever been durable in it: nothing removes the segments from the newest
-//!    complete checkpoint on, and a fragment in a file without a valid header is corruption, not freshness.
+//! 1. A segment header is synced before the first fragment of its segment is written. Therefore no two segments that
+//!    contain fragments share a generation, and the old content of a recycled file cannot be mistaken for new content,
+//!    because its generation differs.
+//! 2. Before a header is written, all fragments below its first sequence number have been synced. Therefore a fragment
+//!    that is missing before the first fragment of a later segment indicates corruption. In the newest segment, a
+//!    missing fragment indicates corruption if a later fragment states that it had been synced; otherwise it is a torn
+//!    write at the end of the log.
+//! 3. A header *truncates* the log: fragments in older segments with its first sequence number or a higher one are
+//!    ignored. After a failed write or sync, nothing more is written to that segment. The next segment starts after the
+//!    last record known to be durable, and the records that were not durable are written again there.
+//! 4. A checkpoint starts a new segment. Older files are recycled only after the end marker of the checkpoint has been
+//!    synced; until then, recovery falls back to the previous checkpoint.
+//! 5. A journal is *fresh* only if no record has ever been durable in it. The segments since the newest complete
+//!    checkpoint are never removed, and a fragment in a file without a valid header is reported as corruption instead
+//!    of making the journal fresh.
 //!
-//! Opening a journal syncs what recovery has read, since a process that crashed may have left records that no sync
-//! covered. One case stays open: a disk that fails a sync, drops the data, and then keeps showing it to a new process.
+//! Opening a journal syncs the data that recovery has read, because a crashed process may have left records that were
+//! written but not synced. One case is not covered: a disk that fails a sync, discards the data, and still returns that
+//! data to a new process.
 
 mod checkpoint;
 mod disk;
--- a/storage/src/segment_header.rs
+++ b/storage/src/segment_header.rs
@@ -1,31 +1,32 @@
-//! The header of a segment, in the first page of its file.
+//! Encoding of the segment header, which is stored in the first page of each file.
 
 use crate::little_endian::{u32_at, u64_at};
 
-/// Bytes reserved for the header. Fragments begin after them, so that writing those never touches the header's page.
+/// Number of bytes reserved for the header. Fragments begin after them, so that writing fragments never touches the
+/// page of the header.
 pub const PAGE_BYTES: u64 = 4096;
-/// Bytes of an encoded header.
+/// Size of an encoded header, in bytes.
 pub const HEADER_BYTES: usize = 48;
 
 const MAGIC: u64 = u64::from_le_bytes(*b"shalring");
 const STARTS_CHECKPOINT_FLAG: u32 = 1;
 
-/// What the first page of a file says about the segment in it.
+/// Describes the segment that a file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentHeader {
-    /// One higher for each segment begun in the journal.
+    /// Generation of the segment, which increases by one with each segment of the journal.
     pub generation: u64,
-    /// Sequence number of its first fragment. Fragments from this number on in older segments are void.
+    /// Sequence number of the first fragment. Fragments of older segments with this number or a higher one are ignored.
     pub first_sequence: u64,
-    /// Whether a checkpoint begins with its first fragment.
+    /// Whether the first fragment begins a checkpoint.
     pub starts_checkpoint: bool,
-    /// Where the segment ends, in bytes from the file's start.
+    /// End of the segment, in bytes from the start of the file.
     pub end_offset: u64,
 }
 
 impl SegmentHeader {
-    /// The header as it is stored: magic, generation, first sequence number, end and flags in little-endian order, and
-    /// a CRC-32 of all of them in the last four bytes.
+    /// Encodes the header: magic number, generation, first sequence number, end offset and flags in little-endian
+    /// order, zeros, and a CRC-32 of everything before it in the last four bytes.
     pub fn encode(&self) -> [u8; HEADER_BYTES] {
         let mut bytes = [0; HEADER_BYTES];
         let flags = if self.starts_checkpoint { STARTS_CHECKPOINT_FLAG } else { 0 };
@@ -39,7 +40,7 @@
         bytes
     }
 
-    /// Decodes a header; `None` if its magic number or checksum is wrong.
+    /// Decodes a header. Returns `None` if `bytes` is too short, or the magic number or the checksum is wrong.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (body, checksum) = bytes.get(..HEADER_BYTES)?.split_last_chunk::<4>()?;
         if crc32fast::hash(body) != u32::from_le_bytes(*checksum) || u64_at(body, 0)? != MAGIC {
--- a/storage/src/stored_record.rs
+++ b/storage/src/stored_record.rs
@@ -1,10 +1,10 @@
-//! The unit of data that a journal stores and recovers.
+//! The record type that a journal stores and recovers.
 
-/// A record as it was appended.
+/// A record as it was appended to a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The stream that it was appended to. The journal keeps the order of records over all streams.
+    /// The stream that the record belongs to. The journal preserves the order of records across all streams.
     pub stream: u32,
-    /// Its payload, opaque to the journal.
+    /// The payload. The journal does not interpret it.
     pub bytes: Vec<u8>,
 }
