--- a/storage/src/disk_io.rs
+++ b/storage/src/disk_io.rs
@@ -1,12 +1,12 @@
-//! Calls of a [`Disk`] whose errors say what was attempted on which file.
+//! Wrappers around the calls of a [`Disk`] that add the operation and the file name to errors.
 
 use snafu::ResultExt;
 
 use crate::error::{IoSnafu, StorageError};
 use crate::Disk;
 
-/// What errors name in place of a file if a call concerns the directory.
-const FOLDER: &str = "the folder";
+/// Reported as the file name in errors of calls that concern the whole directory.
+const DIRECTORY: &str = "the directory";
 
 pub(crate) fn create<D: Disk>(disk: &mut D, file: &str, length: u64) -> Result<(), StorageError> {
     disk.create(file, length).context(IoSnafu { operation: "create", file })
@@ -39,9 +39,9 @@
 }
 
 pub(crate) fn list<D: Disk>(disk: &mut D) -> Result<Vec<String>, StorageError> {
-    disk.list().context(IoSnafu { operation: "list", file: FOLDER })
+    disk.list().context(IoSnafu { operation: "list", file: DIRECTORY })
 }
 
 pub(crate) fn sync_folder<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    disk.sync_folder().context(IoSnafu { operation: "sync", file: FOLDER })
+    disk.sync_folder().context(IoSnafu { operation: "sync", file: DIRECTORY })
 }
--- a/storage/src/erase.rs
+++ b/storage/src/erase.rs
@@ -1,40 +1,41 @@
-//! Removes a corrupt journal so that a new one can begin.
+//! Removes a corrupt journal so that a new one can be created in the same directory.
 
 use crate::error::StorageError;
 use crate::segment_ring::is_ring_file;
 use crate::{disk_io, Disk};
 
-/// Exists while files are being removed: the rest of them must not be taken for a journal.
-const MARKER_FILE: &str = "erasing";
-/// Exists for good once a journal was erased: a directory without records is not one that never had any.
+/// Exists while files are being removed, so that the remaining files are not opened as a journal.
+const ERASE_IN_PROGRESS_FILE: &str = "erasing";
+/// Created by the first erasure and never removed. Distinguishes a directory whose journal was erased from one that
+/// never had a journal.
 const ERASED_FILE: &str = "erased";
 
-/// Removes all files of a journal that was found to be corrupt: the next one that is opened in the directory is fresh.
-/// If this is interrupted, the next [`Journal::open`](crate::Journal::open) completes it.
+/// Removes all files of a corrupt journal. The next journal that is opened in the directory is fresh. If the removal is
+/// interrupted, the next [`Journal::open`](crate::Journal::open) completes it.
 ///
 /// # Errors
-/// [`StorageError::Io`], after which some files may have been removed.
+/// [`StorageError::Io`], after which some of the files may have been removed.
 pub fn erase<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    disk_io::create(disk, MARKER_FILE, 0)?;
-    disk_io::sync(disk, MARKER_FILE)?;
+    disk_io::create(disk, ERASE_IN_PROGRESS_FILE, 0)?;
+    disk_io::sync(disk, ERASE_IN_PROGRESS_FILE)?;
     disk_io::create(disk, ERASED_FILE, 0)?;
     disk_io::sync(disk, ERASED_FILE)?;
-    // Both must be durable before the first file goes: half a ring could look like an older journal, and none at all like
-    // a directory that never had one.
+    // Both marker files must be durable before the first ring file is removed. Otherwise, after a power loss, a partly
+    // removed ring could look like an older journal, and an empty directory like one that never had a journal.
     disk_io::sync_folder(disk)?;
     remove_files(disk)
 }
 
-/// Whether a journal was ever erased in the directory.
+/// Returns whether a journal has ever been erased in the directory.
 pub(crate) fn was_erased<D: Disk>(disk: &mut D) -> Result<bool, StorageError> {
     Ok(disk_io::list(disk)?.iter().any(|name| name == ERASED_FILE))
 }
 
-/// Completes an erasure that was interrupted, if there is one.
-pub(crate) fn complete_interrupted<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
+/// Completes an interrupted erasure, if there is one.
+pub(crate) fn resume_interrupted<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
     let names = disk_io::list(disk)?;
-    if names.iter().any(|name| name == MARKER_FILE) {
-        // The marker may exist without having been synced, and without the other one.
+    if names.iter().any(|name| name == ERASE_IN_PROGRESS_FILE) {
+        // The in-progress marker may not have been synced, and the erased marker may not exist yet.
         disk_io::create(disk, ERASED_FILE, 0)?;
         disk_io::sync(disk, ERASED_FILE)?;
         disk_io::sync_folder(disk)?;
@@ -48,8 +49,9 @@
     for name in names.iter().filter(|name| is_ring_file(name)) {
         disk_io::remove(disk, name)?;
     }
-    // The removals must be durable before the marker goes, or a removed file could come back without it.
+    // The removals must be durable before the in-progress marker is removed. Otherwise a power loss could restore a
+    // removed file without the marker.
     disk_io::sync_folder(disk)?;
-    disk_io::remove(disk, MARKER_FILE)?;
+    disk_io::remove(disk, ERASE_IN_PROGRESS_FILE)?;
     disk_io::sync_folder(disk)
 }
--- a/storage/src/error.rs
+++ b/storage/src/error.rs
@@ -1,81 +1,82 @@
-//! Errors of a journal.
+//! Error types of the journal.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// Why a journal cannot be opened, or records are not durable.
+/// Why a journal cannot be opened or records could not be made durable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// A call of the disk failed. May be transient: retry later.
+    /// A disk operation failed. The error may be transient, so the caller can retry later.
     #[snafu(display("cannot {operation} {file}: {source}"))]
     Io {
-        /// The call: `create`, `read`, `write`, `sync`, `remove` or `list`.
+        /// The failed operation: `create`, `read`, `write`, `sync`, `remove` or `list`.
         operation: &'static str,
-        /// The file, or `the folder`.
+        /// The name of the file, or `the directory` for calls that concern the whole directory.
         file: String,
-        /// The error of the operating system.
+        /// The error returned by the operating system.
         source: io::Error,
     },
-    /// Records that were once durable are damaged or missing: the rest must not be relied on.
-    #[snafu(display("{file} is damaged at byte {offset}: {source}"))]
+    /// Records that had been durable are damaged or missing. The remaining records must not be used.
+    #[snafu(display("{file} is corrupt at byte {offset}: {source}"))]
     Corrupt {
-        /// The file.
+        /// The name of the corrupt file.
         file: String,
-        /// Where in the file, in bytes from its start.
+        /// Position of the corruption, in bytes from the start of the file; 0 if it cannot be located more precisely.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of corruption.
         source: Corruption,
     },
-    /// More files are needed than may be used for this. After a refused append a checkpoint frees files; a refused
-    /// checkpoint is too large for the ring.
-    #[snafu(display("{needed} files are needed, {limit} may be used"))]
+    /// An operation needs more files than it may use. If an append was refused, a checkpoint frees files. If a
+    /// checkpoint was refused, it is too large for the ring.
+    #[snafu(display("journal ring is full: {needed} files needed, {limit} allowed"))]
     RingFull {
-        /// Files needed.
+        /// Number of files needed.
         needed: usize,
-        /// Files that may be used.
+        /// Number of files that the operation may use.
         limit: usize,
     },
     /// A record exceeds [`Options::max_record_bytes`](crate::Options::max_record_bytes).
-    #[snafu(display("a record of {length} bytes is over the limit of {limit}"))]
+    #[snafu(display("record of {length} bytes exceeds the limit of {limit} bytes"))]
     RecordTooLarge {
-        /// Its length in bytes.
+        /// Length of the record, in bytes.
         length: usize,
-        /// The limit in bytes.
+        /// Maximum length of a record, in bytes.
         limit: usize,
     },
-    /// Options that no journal can work with.
-    #[snafu(display("{name}: {found} found, expected at least {min}"))]
+    /// An option is below its minimum.
+    #[snafu(display("invalid option {name}: got {found}, must be at least {min}"))]
     InvalidOption {
-        /// The field of [`Options`](crate::Options).
+        /// Name of the field in [`Options`](crate::Options).
         name: &'static str,
-        /// Its value.
+        /// The rejected value.
         found: u64,
         /// The smallest valid value.
         min: u64,
     },
 }
 
-/// What recovery found wrong in a file.
+/// The kind of corruption that recovery found in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Corruption {
-    /// A header that was synced before these fragments is gone.
-    #[snafu(display("records of a newer generation without a header"))]
+    /// The file has fragments of a newer generation than any valid header, so the header that was synced before them is
+    /// lost.
+    #[snafu(display("fragments of a newer generation found without a segment header"))]
     MissingHeader,
-    /// Neither the log's beginning nor a complete checkpoint precedes the newest records.
-    #[snafu(display("no complete checkpoint leads here"))]
+    /// Neither the start of the log nor a complete checkpoint precedes the newest records.
+    #[snafu(display("no complete checkpoint precedes the newest records"))]
     NoCompleteCheckpoint,
-    /// A later segment begins with a sequence number that the log does not reach.
-    #[snafu(display("records before those of a later file are missing"))]
+    /// The log ends before the first sequence number of the next segment.
+    #[snafu(display("records before the start of the next segment are missing"))]
     MissingBeforeLaterSegment,
-    /// A later fragment of the same segment proves that the missing one had been synced.
-    #[snafu(display("a record that was synced is missing, later ones are there"))]
+    /// A fragment is missing although a later fragment of the same segment states that it had been synced.
+    #[snafu(display("a synced record is missing but later records are present"))]
     MissingSyncedRecord,
-    /// Fragments that follow one another belong to different records.
-    #[snafu(display("parts of a record do not fit together"))]
+    /// Consecutive fragments belong to different records.
+    #[snafu(display("consecutive fragments belong to different records"))]
     MismatchedFragments,
-    /// A record's kind is impossible after those before it, such as the end of a checkpoint that never began.
-    #[snafu(display("a record that does not belong there"))]
+    /// The kind of a record is invalid at its position, for example the end of a checkpoint that never began.
+    #[snafu(display("unexpected record kind at this position"))]
     UnexpectedRecord,
 }
--- a/storage/src/folder_disk.rs
+++ b/storage/src/folder_disk.rs
@@ -1,4 +1,4 @@
-//! A directory of the operating system as a [`Disk`].
+//! Implements [`Disk`] for a directory of the operating system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -8,26 +8,26 @@
 
 use crate::Disk;
 
-/// A directory of the operating system. Keeps the files that it has used open.
+/// A directory of the operating system. Keeps files open after their first use.
 #[derive(Debug)]
 pub struct FolderDisk {
-    folder: PathBuf,
+    directory: PathBuf,
     open_files: HashMap<String, File>,
 }
 
 impl FolderDisk {
-    /// Opens a directory; creates it and those above it if they do not exist.
+    /// Opens a directory. Creates it and its parent directories if they do not exist.
     ///
     /// # Errors
     /// The directory cannot be created.
-    pub fn open(folder: &Path) -> io::Result<Self> {
-        fs::create_dir_all(folder)?;
-        Ok(FolderDisk { folder: folder.to_owned(), open_files: HashMap::new() })
+    pub fn open(directory: &Path) -> io::Result<Self> {
+        fs::create_dir_all(directory)?;
+        Ok(FolderDisk { directory: directory.to_owned(), open_files: HashMap::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&File> {
         if !self.open_files.contains_key(name) {
-            let file = OpenOptions::new().read(true).write(true).open(self.folder.join(name))?;
+            let file = OpenOptions::new().read(true).write(true).open(self.directory.join(name))?;
             self.open_files.insert(name.to_owned(), file);
         }
         self.open_files.get(name).ok_or_else(|| io::ErrorKind::NotFound.into())
@@ -37,7 +37,7 @@
 impl Disk for FolderDisk {
     fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.open_files.remove(name);
-        let path = self.folder.join(name);
+        let path = self.directory.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(length)?;
         self.open_files.insert(name.to_owned(), file);
@@ -70,13 +70,13 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.open_files.remove(name);
-        fs::remove_file(self.folder.join(name))
+        fs::remove_file(self.directory.join(name))
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
-        for entry in fs::read_dir(&self.folder)? {
-            // No file of a journal has a name that is not Unicode.
+        for entry in fs::read_dir(&self.directory)? {
+            // Skips names that are not valid Unicode, which the journal never creates.
             names.extend(entry?.file_name().into_string());
         }
         names.sort_unstable();
@@ -84,6 +84,6 @@
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        File::open(&self.folder)?.sync_all()
+        File::open(&self.directory)?.sync_all()
     }
 }
--- a/storage/src/options.rs
+++ b/storage/src/options.rs
@@ -6,22 +6,23 @@
 use crate::segment_header::PAGE_BYTES;
 
 const MEBIBYTE: u64 = 1 << 20;
-/// The smallest file: the header's page and capacity for records.
+/// One page for the header and three pages for records.
 const MIN_FILE_BYTES: u64 = 4 * PAGE_BYTES;
-/// With fewer files there would be next to no capacity for appends between two checkpoints.
+/// With fewer files, almost no space would be left for appends between two checkpoints.
 const MIN_FILES: usize = 8;
 
-/// Sizes and limits of a journal.
+/// Sizes and limits of a journal. [`Journal::open`](crate::Journal::open) rejects values below their minimum.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Bytes of a new file; at least 16 KiB. Existing files keep their length.
+    /// Size of a new file, in bytes; at least 16 KiB. Existing files keep their size.
     pub file_bytes: u64,
-    /// Files created when a journal begins; at least one.
+    /// Number of files created with a new journal; at least 1.
     pub initial_files: usize,
-    /// Limit on the number of files; at least 8 and [`initial_files`](Options::initial_files). A checkpoint may take up
-    /// one less than half of them, so that it always fits beside the one it replaces; appends may use one less.
+    /// Maximum number of files; at least 8 and at least [`initial_files`](Options::initial_files). A checkpoint may use
+    /// one file less than half of them, so that it always fits beside the checkpoint it replaces. Appends may use one
+    /// file less than a checkpoint.
     pub max_files: usize,
-    /// The largest record, in bytes.
+    /// Maximum length of a record, in bytes.
     pub max_record_bytes: usize,
 }
 
@@ -32,15 +33,16 @@
 }
 
 impl Options {
-    /// The default sizes, reduced to at most five eighths of a disk of `disk_mb` mebibytes; 0 stands for a disk of
-    /// unknown size.
+    /// Returns the default sizes, reduced so that the ring uses at most five eighths of a disk of `disk_mb` mebibytes.
+    /// A `disk_mb` of 0 means that the disk size is unknown, and gives the defaults.
     pub fn for_disk(disk_mb: u64) -> Self {
         let default = Options::default();
         if disk_mb == 0 {
             return default;
         }
         let budget = disk_mb.saturating_mul(MEBIBYTE) / 8 * 5;
-        // On a small disk the files are smaller, not fewer: a checkpoint must fit beside the one it replaces.
+        // On a small disk the files are smaller instead of fewer, because a checkpoint must fit beside the one it
+        // replaces.
         let pages = budget / MIN_FILES as u64 / PAGE_BYTES;
         let file_bytes = (pages * PAGE_BYTES).clamp(MIN_FILE_BYTES, default.file_bytes);
         let files = (budget / file_bytes) as usize;
@@ -48,17 +50,17 @@
         Options { file_bytes, max_files, initial_files: default.initial_files.min(max_files), ..default }
     }
 
-    /// Validates the sizes.
+    /// Checks each size against its minimum.
     ///
     /// # Errors
-    /// [`StorageError::InvalidOption`] names the first field that is too small.
+    /// [`StorageError::InvalidOption`] for the first field that is too small.
     pub(crate) fn validate(&self) -> Result<(), StorageError> {
-        let at_least = |name, found, min| {
+        let require_at_least = |name, found, min| {
             ensure!(found >= min, InvalidOptionSnafu { name, found, min });
             Ok(())
         };
-        at_least("file_bytes", self.file_bytes, MIN_FILE_BYTES)?;
-        at_least("initial_files", self.initial_files as u64, 1)?;
-        at_least("max_files", self.max_files as u64, MIN_FILES.max(self.initial_files) as u64)
+        require_at_least("file_bytes", self.file_bytes, MIN_FILE_BYTES)?;
+        require_at_least("initial_files", self.initial_files as u64, 1)?;
+        require_at_least("max_files", self.max_files as u64, MIN_FILES.max(self.initial_files) as u64)
     }
 }
--- a/storage/src/recovery/mod.rs
+++ b/storage/src/recovery/mod.rs
@@ -1,5 +1,5 @@
-//! Recovers a journal from its files: finds the newest complete checkpoint, replays what follows it, and distinguishes a
-//! torn write at the end of the log from corruption.
+//! Recovers a journal from its files: finds the newest complete checkpoint, replays the records after it, and
+//! distinguishes a torn write at the end of the log from corruption.
 
 mod record_assembler;
 mod replay;
@@ -10,19 +10,19 @@
 use crate::segment_ring::{is_ring_file, RingFile, Segment, SegmentRing};
 use crate::{disk_io, Disk, StoredRecord};
 use record_assembler::FIRST_SEQUENCE;
-use replay::{replay, Replayed};
+use replay::{replay, ReplayedLog};
 use segment_reader::SegmentReader;
 
-/// What the files of a journal hold.
+/// The content of a journal, as recovered from its files.
 pub(crate) struct Recovery {
-    /// The records from the newest complete checkpoint on, in order.
+    /// The records since the newest complete checkpoint, including its own, in order.
     pub stored: Vec<StoredRecord>,
-    /// Sequence number of the newest record's last fragment; 0 if there has never been a record.
+    /// Sequence number of the last fragment of the newest record; 0 if there has never been a record.
     pub durable_sequence: u64,
     pub ring: SegmentRing,
 }
 
-/// Reads all ring files.
+/// Recovers the journal from all ring files of the directory.
 pub(crate) fn recover<D: Disk>(disk: &mut D, max_files: usize) -> Result<Recovery, StorageError> {
     let (files, segments) = read_headers(disk)?;
     let ring = SegmentRing {
@@ -36,28 +36,30 @@
     if segments.is_empty() {
         return Ok(Recovery { stored: Vec::new(), durable_sequence: FIRST_SEQUENCE - 1, ring });
     }
-    recover_from_newest_checkpoint(disk, ring, &without_void_segments(segments))
+    recover_from_newest_checkpoint(disk, ring, &drop_truncated_segments(segments))
 }
 
-/// The ring's files, and the segments of those that have a valid header.
+/// Returns all files of the ring, and one segment for each file with a valid header.
 fn read_headers<D: Disk>(disk: &mut D) -> Result<(Vec<RingFile>, Vec<Segment>), StorageError> {
     let names = disk_io::list(disk)?.into_iter().filter(|name| is_ring_file(name));
     let (mut files, mut segments) = (Vec::new(), Vec::new());
     for (file, name) in names.enumerate() {
         let header = SegmentHeader::decode(&disk_io::read_at(disk, &name, 0, HEADER_BYTES)?);
         files.push(RingFile { name, generation: header.map_or(0, |header| header.generation) });
-        segments.extend(header.map(|header| segment_of(file, header)));
+        segments.extend(header.map(|header| segment_from_header(file, header)));
     }
     Ok((files, segments))
 }
 
-fn segment_of(file: usize, header: SegmentHeader) -> Segment {
+fn segment_from_header(file: usize, header: SegmentHeader) -> Segment {
     let SegmentHeader { generation, first_sequence, starts_checkpoint, end_offset } = header;
     Segment { file, generation, first_sequence, starts_checkpoint, end_offset }
 }
 
-/// A file without a valid header may be new, or have been about to be recycled. But a header is synced before fragments
-/// of its generation are written: such fragments without it are corruption.
+/// Reports corruption if a file without a valid header contains fragments of a newer generation than all valid headers.
+///
+/// Such a file may be new, or its recycling may have been interrupted. But a header is synced before any fragment of
+/// its generation is written, so newer fragments show that a synced header was lost.
 fn check_files_without_header<D: Disk>(
     disk: &mut D,
     ring: &SegmentRing,
@@ -77,20 +79,21 @@
     Ok(())
 }
 
-/// Drops the segments that newer ones have voided completely; oldest first.
-fn without_void_segments(mut segments: Vec<Segment>) -> Vec<Segment> {
+/// Removes the segments that newer segments have truncated completely. Returns the others, oldest first.
+fn drop_truncated_segments(mut segments: Vec<Segment>) -> Vec<Segment> {
     segments.sort_unstable_by_key(|segment| std::cmp::Reverse(segment.generation));
-    let mut void_from = u64::MAX;
+    let mut truncated_from = u64::MAX;
     segments.retain(|segment| {
-        let is_live = segment.first_sequence < void_from;
-        void_from = void_from.min(segment.first_sequence);
+        let is_live = segment.first_sequence < truncated_from;
+        truncated_from = truncated_from.min(segment.first_sequence);
         is_live
     });
     segments.reverse();
     segments
 }
 
-/// Replays from the newest segment on that begins a complete checkpoint, or else from the journal's first one.
+/// Replays the log from the newest segment that begins a complete checkpoint. If there is none, replays it from its
+/// first segment.
 fn recover_from_newest_checkpoint<D: Disk>(
     disk: &mut D,
     mut ring: SegmentRing,
@@ -101,10 +104,10 @@
         if !first.starts_checkpoint && first.first_sequence != FIRST_SEQUENCE {
             continue;
         }
-        // A checkpoint that was interrupted is no start: the one before it still counts.
+        // An interrupted checkpoint is skipped; recovery falls back to the one before it.
         let Some(replayed) = replay(disk, &ring, tail)? else { continue };
-        let Replayed { stored, durable_sequence, checkpoint_end } = replayed;
-        let in_checkpoint = |segment: &&Segment| segment.first_sequence <= checkpoint_end;
+        let ReplayedLog { stored, durable_sequence, checkpoint_end_sequence } = replayed;
+        let in_checkpoint = |segment: &&Segment| segment.first_sequence <= checkpoint_end_sequence;
         ring.checkpoint_segments = tail.iter().filter(in_checkpoint).count();
         ring.live_segments = tail.to_vec();
         return Ok(Recovery { stored, durable_sequence, ring });
@@ -113,7 +116,7 @@
     Err(corrupt_file(oldest, Corruption::NoCompleteCheckpoint))
 }
 
-/// Corruption that no offset inside the file can be named for.
+/// Reports corruption that cannot be located within the file.
 fn corrupt_file(file: &str, source: Corruption) -> StorageError {
     StorageError::Corrupt { file: file.to_owned(), offset: 0, source }
 }
--- a/storage/src/recovery/record_assembler.rs
+++ b/storage/src/recovery/record_assembler.rs
@@ -1,41 +1,43 @@
-//! Assembles records from their fragments, and the journal's content from appends and checkpoints.
+//! Assembles fragments into records, and applies appends and checkpoints to the recovered content.
 
 use crate::error::Corruption;
 use crate::fragment::{FragmentHeader, RecordKind};
 use crate::StoredRecord;
 
-/// The first sequence number of a journal.
+/// Sequence number of the first fragment of a journal.
 pub(super) const FIRST_SEQUENCE: u64 = 1;
 
-/// A record of which fragments are still missing.
+/// A record whose last fragment has not been read yet.
 struct PartialRecord {
     kind: RecordKind,
     record: StoredRecord,
 }
 
-/// Takes fragments in sequence, from the beginning of the journal or of a checkpoint on.
+/// Receives fragments in sequence order, starting at the beginning of the journal or of a checkpoint.
 pub(super) struct RecordAssembler {
-    /// Whether all content is known: from the journal's beginning, or since a checkpoint ended.
+    /// Whether `stored` holds the whole content: true if the fragments start at the beginning of the journal, and once
+    /// a checkpoint has ended.
     pub is_complete: bool,
     pub stored: Vec<StoredRecord>,
-    /// Sequence number of the newest stored record's last fragment, or of the newest checkpoint's end marker.
+    /// Sequence number of the last fragment of the newest stored record, or of the end marker of the newest checkpoint
+    /// if that is later.
     pub durable_sequence: u64,
-    /// Sequence number of the newest checkpoint's end marker; 0 if there is none.
-    pub checkpoint_end: u64,
-    /// Records of a checkpoint that has not ended.
-    pub open_checkpoint: Option<Vec<StoredRecord>>,
+    /// Sequence number of the end marker of the newest checkpoint; 0 if there is none.
+    pub checkpoint_end_sequence: u64,
+    /// Records of a checkpoint whose end marker has not been read; `None` outside of a checkpoint.
+    pub unfinished_checkpoint: Option<Vec<StoredRecord>>,
     partial: Option<PartialRecord>,
 }
 
 impl RecordAssembler {
-    /// Starts with the fragment `first_sequence`.
+    /// Creates an assembler whose first fragment is `first_sequence`.
     pub fn new(first_sequence: u64) -> Self {
         RecordAssembler {
             is_complete: first_sequence == FIRST_SEQUENCE,
             stored: Vec::new(),
             durable_sequence: first_sequence - 1,
-            checkpoint_end: 0,
-            open_checkpoint: None,
+            checkpoint_end_sequence: 0,
+            unfinished_checkpoint: None,
             partial: None,
         }
     }
@@ -43,7 +45,7 @@
     /// Adds the next fragment.
     ///
     /// # Errors
-    /// It cannot follow those before it.
+    /// The fragment is not valid after the fragments before it.
     pub fn add(&mut self, header: &FragmentHeader, payload: &[u8]) -> Result<(), Corruption> {
         let mut partial = match (self.partial.take(), header.is_first) {
             (None, true) => PartialRecord {
@@ -67,19 +69,19 @@
 
     fn finish_record(&mut self, partial: PartialRecord, sequence: u64) -> Result<(), Corruption> {
         let PartialRecord { kind, record } = partial;
-        match (kind, &mut self.open_checkpoint) {
+        match (kind, &mut self.unfinished_checkpoint) {
             (RecordKind::Append, None) if self.is_complete => {
                 self.stored.push(record);
                 self.durable_sequence = sequence;
             }
-            (RecordKind::CheckpointBegin, None) => self.open_checkpoint = Some(Vec::new()),
+            (RecordKind::CheckpointBegin, None) => self.unfinished_checkpoint = Some(Vec::new()),
             (RecordKind::CheckpointLive, Some(live)) => live.push(record),
             (RecordKind::CheckpointEnd, Some(live)) => {
                 self.stored = std::mem::take(live);
-                self.open_checkpoint = None;
+                self.unfinished_checkpoint = None;
                 self.is_complete = true;
                 self.durable_sequence = sequence;
-                self.checkpoint_end = sequence;
+                self.checkpoint_end_sequence = sequence;
             }
             _ => return Err(Corruption::UnexpectedRecord),
         }
--- a/storage/src/recovery/replay.rs
+++ b/storage/src/recovery/replay.rs
@@ -1,4 +1,4 @@
-//! Replays consecutive segments.
+//! Replays a run of consecutive segments.
 
 use snafu::ResultExt;
 
@@ -10,22 +10,23 @@
 use crate::segment_ring::{Segment, SegmentRing};
 use crate::{Disk, StoredRecord};
 
-/// What consecutive segments hold.
-pub(super) struct Replayed {
+/// The content of a run of consecutive segments.
+pub(super) struct ReplayedLog {
     pub stored: Vec<StoredRecord>,
-    /// Sequence number of the newest record's last fragment.
+    /// Sequence number of the last fragment of the newest record, or of the end marker of the newest checkpoint if that
+    /// is later.
     pub durable_sequence: u64,
-    /// Sequence number of the newest checkpoint's end marker; 0 if there is none.
-    pub checkpoint_end: u64,
+    /// Sequence number of the end marker of the newest checkpoint; 0 if there is none.
+    pub checkpoint_end_sequence: u64,
 }
 
-/// Replays `segments`, oldest first, of which the first begins the journal or a checkpoint. `None` if that checkpoint
-/// never ended.
+/// Replays `segments`, oldest first. The first one must begin the journal or a checkpoint. Returns `None` if that
+/// checkpoint was not completed.
 pub(super) fn replay<D: Disk>(
     disk: &mut D,
     ring: &SegmentRing,
     segments: &[Segment],
-) -> Result<Option<Replayed>, StorageError> {
+) -> Result<Option<ReplayedLog>, StorageError> {
     let Some(first) = segments.first() else { return Ok(None) };
     let mut assembler = RecordAssembler::new(first.first_sequence);
     for (index, segment) in segments.iter().enumerate() {
@@ -33,11 +34,11 @@
         SegmentReplay { segment, file: ring.file_name(segment.file), next_segment }
             .run(disk, &mut assembler)?;
     }
-    let RecordAssembler { is_complete, stored, durable_sequence, checkpoint_end, .. } = assembler;
-    Ok(is_complete.then_some(Replayed { stored, durable_sequence, checkpoint_end }))
+    let RecordAssembler { is_complete, stored, durable_sequence, checkpoint_end_sequence, .. } = assembler;
+    Ok(is_complete.then_some(ReplayedLog { stored, durable_sequence, checkpoint_end_sequence }))
 }
 
-/// One segment to be replayed.
+/// The replay of one segment.
 struct SegmentReplay<'a> {
     segment: &'a Segment,
     file: &'a str,
@@ -45,13 +46,13 @@
 }
 
 impl SegmentReplay<'_> {
-    /// Replays the segment's fragments up to those that the next segment has voided.
+    /// Replays the fragments of the segment, up to the first one that the next segment has truncated.
     fn run<D: Disk>(&self, disk: &mut D, assembler: &mut RecordAssembler) -> Result<(), StorageError> {
         let mut reader = SegmentReader::new(disk, self.file);
         let mut offset = PAGE_BYTES;
         let mut expected = self.segment.first_sequence;
-        let void_from = self.next_segment.map_or(u64::MAX, |next| next.first_sequence);
-        while expected < void_from {
+        let truncated_from = self.next_segment.map_or(u64::MAX, |next| next.first_sequence);
+        while expected < truncated_from {
             let is_inside = offset < self.segment.end_offset;
             let found = if is_inside { reader.fragment_at(offset)? } else { None };
             let follows = |found: &Fragment<'_>| {
@@ -68,8 +69,9 @@
         Ok(())
     }
 
-    /// Whether the log may end at `offset`, where the fragment `expected` is missing: after a torn write it may. A
-    /// later segment, or a later fragment that was written after a sync of the missing one, proves corruption.
+    /// Checks whether the log may end at `offset`, where the fragment `expected` is missing. This is valid after a torn
+    /// write. It is corruption if there is a later segment, or a later fragment that was written after the missing one
+    /// had been synced.
     fn check_end<D: Disk>(
         &self,
         reader: &mut SegmentReader<'_, D>,
@@ -86,7 +88,7 @@
                 && header.sequence > expected
                 && header.synced_sequence >= expected
         };
-        let proof = reader.find(offset, self.segment.end_offset, proves_corruption)?;
+        let proof = reader.find_fragment(offset, self.segment.end_offset, proves_corruption)?;
         if proof.is_some() {
             return Err(corrupt(Corruption::MissingSyncedRecord));
         }
--- a/storage/src/recovery/segment_reader.rs
+++ b/storage/src/recovery/segment_reader.rs
@@ -1,18 +1,18 @@
-//! Reads the fragments of one file through a small buffer.
+//! Reads the fragments of one file through a buffer.
 
 use crate::error::StorageError;
 use crate::fragment::{self, FragmentHeader};
 use crate::segment_header::PAGE_BYTES;
 use crate::{disk_io, Disk};
 
-/// Bytes read at once.
+/// Minimum number of bytes requested by one read.
 const READ_BUFFER_BYTES: usize = 256 << 10;
 
-/// A valid fragment.
+/// A fragment whose checksum is valid.
 pub(super) struct Fragment<'a> {
     pub header: FragmentHeader,
     pub payload: &'a [u8],
-    /// Where the next one would begin, in bytes from the file's start.
+    /// Offset at which the next fragment would begin, in bytes from the start of the file.
     pub next_offset: u64,
 }
 
@@ -20,18 +20,18 @@
     disk: &'a mut D,
     file: &'a str,
     buffer: Vec<u8>,
-    /// Where the buffer's bytes are in the file.
+    /// Offset of the buffered bytes in the file.
     buffer_offset: u64,
-    /// Where the file was seen to end.
-    file_end: u64,
+    /// Size of the file, in bytes; `u64::MAX` until a read has reached the end.
+    known_file_end: u64,
 }
 
 impl<'a, D: Disk> SegmentReader<'a, D> {
     pub fn new(disk: &'a mut D, file: &'a str) -> Self {
-        SegmentReader { disk, file, buffer: Vec::new(), buffer_offset: PAGE_BYTES, file_end: u64::MAX }
+        SegmentReader { disk, file, buffer: Vec::new(), buffer_offset: PAGE_BYTES, known_file_end: u64::MAX }
     }
 
-    /// The valid fragment at `offset`, of any generation.
+    /// Returns the fragment at `offset`, whatever its generation, or `None` if there is no valid one.
     pub fn fragment_at(&mut self, offset: u64) -> Result<Option<Fragment<'_>>, StorageError> {
         let header_bytes = self.bytes_at(offset, fragment::HEADER_BYTES)?;
         let Some(header) = fragment::decode_unverified_header(header_bytes) else { return Ok(None) };
@@ -41,9 +41,9 @@
         Ok(decoded.map(|(header, payload)| Fragment { header, payload, next_offset }))
     }
 
-    /// Offset of the first valid fragment in `offset..end` that satisfies `predicate`. Looks at each multiple of the
-    /// alignment, since nothing says where fragments begin behind one that is missing.
-    pub fn find(
+    /// Returns the offset of the first valid fragment in `offset..end` whose header satisfies `predicate`. Checks every
+    /// aligned offset, because the position of the fragments after a missing one is unknown.
+    pub fn find_fragment(
         &mut self,
         offset: u64,
         end: u64,
@@ -51,7 +51,7 @@
     ) -> Result<Option<u64>, StorageError> {
         let end = end.saturating_sub(fragment::HEADER_BYTES as u64);
         for candidate in (offset..end).step_by(fragment::ALIGNMENT) {
-            if candidate >= self.file_end {
+            if candidate >= self.known_file_end {
                 break;
             }
             let header_bytes = self.bytes_at(candidate, fragment::HEADER_BYTES)?;
@@ -63,10 +63,10 @@
         Ok(None)
     }
 
-    /// `length` bytes from `offset` on; fewer if the file ends before.
+    /// Returns `length` bytes starting at `offset`; fewer if the file ends earlier.
     fn bytes_at(&mut self, offset: u64, length: usize) -> Result<&[u8], StorageError> {
         let buffer_end = self.buffer_offset + self.buffer.len() as u64;
-        let wanted_end = (offset + length as u64).min(self.file_end);
+        let wanted_end = (offset + length as u64).min(self.known_file_end);
         if offset < self.buffer_offset || wanted_end > buffer_end {
             self.fill_buffer(offset, length.max(READ_BUFFER_BYTES))?;
         }
@@ -79,7 +79,7 @@
         self.buffer = disk_io::read_at(self.disk, self.file, offset, length)?;
         self.buffer_offset = offset;
         if self.buffer.len() < length {
-            self.file_end = offset + self.buffer.len() as u64;
+            self.known_file_end = offset + self.buffer.len() as u64;
         }
         Ok(())
     }
--- a/storage/src/segment_ring.rs
+++ b/storage/src/segment_ring.rs
@@ -1,4 +1,5 @@
-//! The ring of files: which segments are live, which file is recycled next, and how far the ring may fill up.
+//! The ring of files: tracks which segments are live, selects the next file to recycle, and limits how far the ring may
+//! fill up.
 
 use snafu::ensure;
 
@@ -10,78 +11,78 @@
     format!("{FILE_PREFIX}{index:04}")
 }
 
-/// Whether a name is that of a ring file.
+/// Returns whether `name` is the name of a ring file.
 pub(crate) fn is_ring_file(name: &str) -> bool {
     name.starts_with(FILE_PREFIX)
 }
 
-/// A segment that recovery would read.
+/// A segment as described by its header. A segment is *live* while recovery would read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Segment {
-    /// Index of its file in [`SegmentRing::files`].
+    /// Index of the file in [`SegmentRing::files`].
     pub file: usize,
     pub generation: u64,
-    /// Sequence number of its first fragment.
+    /// Sequence number of the first fragment.
     pub first_sequence: u64,
     pub starts_checkpoint: bool,
-    /// Where it ends, in bytes from the file's start.
+    /// End of the segment, in bytes from the start of the file.
     pub end_offset: u64,
 }
 
-/// What a segment is begun for.
+/// What a new segment is used for, which determines how many files it must leave free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentPurpose {
-    /// Must leave enough files for a checkpoint of everything.
+    /// Must leave enough free files for a checkpoint of all live records.
     Append,
-    /// May use those files.
+    /// May use the files that appends must leave free.
     Checkpoint,
 }
 
-/// The file of the next segment.
+/// The file to use for the next segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextFile {
-    /// An existing file without a live segment: its index in [`SegmentRing::files`].
+    /// An existing file without a live segment, as an index in [`SegmentRing::files`].
     Recycle(usize),
-    /// A file that has to be created.
+    /// A new file, which has to be created first.
     Create,
 }
 
-/// A file of the ring.
 #[derive(Debug)]
 pub(crate) struct RingFile {
     pub name: String,
-    /// Generation of the segment that it last held; 0 if there was none.
+    /// Generation of the last segment in this file; 0 if there was none.
     pub generation: u64,
 }
 
-/// All files of a journal, and the segments in use.
+/// All files of a journal and its live segments.
 #[derive(Debug)]
 pub(crate) struct SegmentRing {
     pub files: Vec<RingFile>,
-    /// From the newest complete checkpoint on, oldest first.
+    /// Segments since the beginning of the newest complete checkpoint, oldest first.
     pub live_segments: Vec<Segment>,
-    /// The newest generation that was ever attempted.
+    /// The highest generation for which a header write has been attempted.
     pub newest_generation: u64,
-    /// Segments of the newest complete checkpoint.
+    /// Number of segments in the newest complete checkpoint.
     pub checkpoint_segments: usize,
     pub max_files: usize,
 }
 
 impl SegmentRing {
-    /// Segments that a checkpoint may take up. As many may be live besides, and as many again may be left over from
-    /// an attempt that failed, without keeping the next one from beginning.
+    /// Returns the number of segments that a checkpoint may use. Beside a checkpoint of this size, the ring has room
+    /// for as many live segments. If a failed checkpoint has left this many segments behind, one file is still free for
+    /// the first segment of the next checkpoint, whose header frees the leftover segments.
     pub fn checkpoint_limit(&self) -> usize {
         (self.max_files / 2).saturating_sub(1)
     }
 
-    /// Segments that may be live while appends continue: their content fits into a checkpoint, with one segment for
-    /// partly filled ends.
+    /// Returns the number of segments that may be live while appends are accepted. Their content always fits into a
+    /// checkpoint; one segment is reserved for the space lost at segment ends.
     fn append_limit(&self) -> usize {
         self.checkpoint_limit().saturating_sub(1)
     }
 
-    /// Whether a segment that begins with the fragment `first_sequence` may be begun for appends.
-    pub fn check_append(&self, first_sequence: u64) -> Result<(), StorageError> {
+    /// Returns an error if no segment that begins with the fragment `first_sequence` may be started for appends.
+    pub fn check_append_fits(&self, first_sequence: u64) -> Result<(), StorageError> {
         let remaining = |segment: &&Segment| segment.first_sequence < first_sequence;
         let used = self.live_segments.iter().filter(remaining).count();
         let limit = self.append_limit();
@@ -89,15 +90,15 @@
         Ok(())
     }
 
-    /// Whether a checkpoint of `needed` segments fits.
-    pub fn check_checkpoint(&self, needed: usize) -> Result<(), StorageError> {
+    /// Returns an error if a checkpoint of `needed` segments does not fit.
+    pub fn check_checkpoint_fits(&self, needed: usize) -> Result<(), StorageError> {
         let limit = self.checkpoint_limit();
         ensure!(needed <= limit, RingFullSnafu { needed, limit });
         Ok(())
     }
 
-    /// Whether a checkpoint should be made: appends are about to be refused, or the ring would have to grow although
-    /// a checkpoint might free files.
+    /// Returns whether a checkpoint should be made. This is the case if appends are about to be refused, or if the ring
+    /// would have to grow although a checkpoint might free files.
     pub fn wants_checkpoint(&self) -> bool {
         let used = self.live_segments.len();
         let is_full = used >= self.append_limit();
@@ -107,7 +108,7 @@
         is_full || is_nearly_full || must_grow_soon
     }
 
-    /// The file for the next segment: of those without a live segment the one that was used longest ago.
+    /// Selects the file for the next segment: the least recently used file without a live segment, or else a new file.
     pub fn next_file(&self) -> Result<NextFile, StorageError> {
         let is_live = |index: usize| self.live_segments.iter().any(|segment| segment.file == index);
         let free = self.files.iter().enumerate().filter(|(index, _)| !is_live(*index));
@@ -119,18 +120,18 @@
         Ok(NextFile::Create)
     }
 
-    /// The first `count` names that no file has.
-    pub fn unused_names(&self, count: usize) -> Vec<String> {
+    /// Returns the first `count` file names that are not in use.
+    pub fn unused_file_names(&self, count: usize) -> Vec<String> {
         let is_used = |name: &String| self.files.iter().any(|file| file.name == *name);
         (0..).map(file_name).filter(|name| !is_used(name)).take(count).collect()
     }
 
-    /// Name of the file with this index.
+    /// Returns the name of the file with this index; empty if there is no such file.
     pub fn file_name(&self, file: usize) -> &str {
         self.files.get(file).map(|file| file.name.as_str()).unwrap_or_default()
     }
 
-    /// Adds a segment whose header is synced. Segments that it voids completely are free from now on.
+    /// Adds a segment whose header has been synced. Frees the older segments that it truncates completely.
     pub fn add_segment(&mut self, segment: Segment) {
         self.live_segments.retain(|older| older.first_sequence < segment.first_sequence);
         if let Some(file) = self.files.get_mut(segment.file) {
@@ -139,8 +140,8 @@
         self.live_segments.push(segment);
     }
 
-    /// A checkpoint that began with a segment of this generation is complete: older segments are free from now on.
-    pub fn release_before(&mut self, generation: u64) {
+    /// Frees all segments older than `generation`, because the checkpoint that begins with this generation is complete.
+    pub fn free_segments_before(&mut self, generation: u64) {
         self.live_segments.retain(|segment| segment.generation >= generation);
         self.checkpoint_segments = self.live_segments.len();
     }
--- a/storage/src/segment_writer.rs
+++ b/storage/src/segment_writer.rs
@@ -1,4 +1,4 @@
-//! Writes records at the log's end: begins segments, splits records into fragments, syncs.
+//! Writes records at the end of the log: starts segments, splits records into fragments, and syncs.
 
 use crate::error::StorageError;
 use crate::fragment::{self, FragmentHeader, RecordKind, MAX_PAYLOAD_BYTES};
@@ -6,12 +6,12 @@
 use crate::segment_ring::{NextFile, RingFile, Segment, SegmentPurpose, SegmentRing};
 use crate::{disk_io, Disk};
 
-/// Buffered bytes from which on the buffer is written to the file.
+/// The buffer is written to the file once it holds at least this many bytes.
 const WRITE_BUFFER_BYTES: usize = 256 << 10;
-/// Less capacity than this for a fragment's payload is left unused at a segment's end.
+/// A fragment is not started at the end of a segment if less than this many bytes are left for its payload.
 const MIN_PAYLOAD_BYTES: usize = 64;
 
-/// A record to be written.
+/// A record to be written, with a borrowed payload.
 #[derive(Clone, Copy)]
 pub(crate) struct RecordRef<'a> {
     pub kind: RecordKind,
@@ -19,32 +19,33 @@
     pub bytes: &'a [u8],
 }
 
-/// The segment that is being written.
+/// The segment that receives new fragments.
 struct ActiveSegment {
     file_name: String,
-    /// Where the segment ends, in bytes from the file's start.
+    /// End of the segment, in bytes from the start of the file.
     end_offset: u64,
-    /// Where the buffer goes, in bytes from the file's start.
+    /// Position of the next write, in bytes from the start of the file.
     write_offset: u64,
-    /// Whether bytes were written since the last sync.
+    /// Whether the file has been written to since its last sync.
     dirty: bool,
 }
 
-/// The writing end of the log, and the owner of its disk.
+/// Appends to the log. Owns the disk and the ring of files.
 pub(crate) struct SegmentWriter<D> {
     disk: D,
     pub ring: SegmentRing,
     file_bytes: u64,
-    /// `None` if the end of the newest segment is unknown: the next record begins a new one.
+    /// `None` after opening and after a failure. The next record then starts a new segment, because the newest one may
+    /// end with a torn write.
     active: Option<ActiveSegment>,
-    /// Encoded fragments that are not written yet.
+    /// Encoded fragments that are not written to the file yet.
     buffer: Vec<u8>,
     next_sequence: u64,
     synced_sequence: u64,
 }
 
 impl<D: Disk> SegmentWriter<D> {
-    /// Continues after the fragment `durable_sequence`.
+    /// Creates a writer that continues after the fragment `durable_sequence`.
     pub fn new(disk: D, ring: SegmentRing, file_bytes: u64, durable_sequence: u64) -> Self {
         SegmentWriter {
             disk,
@@ -57,18 +58,19 @@
         }
     }
 
-    /// Bytes of a new file.
+    /// Returns the size of a new file, in bytes.
     pub fn file_bytes(&self) -> u64 {
         self.file_bytes
     }
 
-    /// The newest sequence number that is synced.
+    /// Returns the highest sequence number that is synced.
     pub fn synced_sequence(&self) -> u64 {
         self.synced_sequence
     }
 
-    /// Voids everything after the fragment `durable_sequence`: the next segment reuses the sequence numbers. Nothing
-    /// may be written behind a failed write or sync, whose bytes are there, missing or torn.
+    /// Discards everything after the fragment `durable_sequence`; the next segment reuses the sequence numbers. Nothing
+    /// may be written to the same segment after a failed write or sync, because it is unknown which of those bytes were
+    /// written.
     pub fn abandon_segment(&mut self, durable_sequence: u64) {
         self.active = None;
         self.buffer.clear();
@@ -76,7 +78,7 @@
         self.synced_sequence = durable_sequence;
     }
 
-    /// Writes a record without syncing it; the sequence number of its last fragment.
+    /// Writes a record without syncing it. Returns the sequence number of its last fragment.
     pub fn write(&mut self, record: RecordRef<'_>, purpose: SegmentPurpose) -> Result<u64, StorageError> {
         let mut rest = record.bytes;
         let mut is_first = true;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Writes the buffer and syncs the segment.
+    /// Writes the buffer and syncs the active segment.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         self.flush()?;
         if let Some(active) = self.active.as_mut().filter(|active| active.dirty) {
@@ -108,8 +110,9 @@
         Ok(())
     }
 
-    /// Begins a segment in a recycled or new file; its capacity for the payload of a fragment. Everything before it is
-    /// synced first, and its header is synced before this returns (invariants 1 and 2 of the crate).
+    /// Starts a segment in a recycled or new file. Returns the payload capacity of its first fragment, in bytes. First
+    /// syncs everything written before, and syncs the header before returning (invariants 1 and 2 in the crate
+    /// documentation).
     pub fn begin_segment(
         &mut self,
         purpose: SegmentPurpose,
@@ -117,13 +120,14 @@
     ) -> Result<usize, StorageError> {
         self.sync()?;
         if purpose == SegmentPurpose::Append {
-            self.ring.check_append(self.next_sequence)?;
+            self.ring.check_append_fits(self.next_sequence)?;
         }
         let file = match self.ring.next_file()? {
             NextFile::Recycle(file) => file,
             NextFile::Create => self.create_files(1)?,
         };
-        // Counts up even if the header cannot be written: some of it may be in the file.
+        // The generation is used up even if writing the header fails, because a part of the header may have been
+        // written.
         self.ring.newest_generation += 1;
         let segment = Segment {
             file,
@@ -134,7 +138,7 @@
         };
         let file_name = self.ring.file_name(file).to_owned();
         self.active = None;
-        disk_io::write_at(&mut self.disk, &file_name, 0, &header_of(&segment).encode())?;
+        disk_io::write_at(&mut self.disk, &file_name, 0, &header_for(&segment).encode())?;
         disk_io::sync(&mut self.disk, &file_name)?;
         self.ring.add_segment(segment);
         let end_offset = segment.end_offset;
@@ -142,9 +146,9 @@
         Ok(self.payload_capacity().unwrap_or_default())
     }
 
-    /// Creates ring files, whose names are durable when this returns; the index of the first.
+    /// Creates ring files and makes their names durable. Returns the index of the first one.
     pub fn create_files(&mut self, count: usize) -> Result<usize, StorageError> {
-        let names = self.ring.unused_names(count);
+        let names = self.ring.unused_file_names(count);
         for name in &names {
             disk_io::create(&mut self.disk, name, self.file_bytes)?;
         }
@@ -154,7 +158,7 @@
         Ok(first)
     }
 
-    /// Bytes of payload that the next fragment may have; `None` if a segment has to be begun for it.
+    /// Returns the maximum payload of the next fragment, in bytes, or `None` if it needs a new segment.
     fn payload_capacity(&self) -> Option<usize> {
         let active = self.active.as_ref()?;
         let used = active.write_offset + self.buffer.len() as u64 + fragment::HEADER_BYTES as u64;
@@ -180,7 +184,7 @@
 
     fn flush(&mut self) -> Result<(), StorageError> {
         let Some(active) = self.active.as_mut().filter(|_| !self.buffer.is_empty()) else { return Ok(()) };
-        // Before the write: one that fails may have reached the file in part.
+        // Set before the write, because a failed write may have changed a part of the file.
         active.dirty = true;
         disk_io::write_at(&mut self.disk, &active.file_name, active.write_offset, &self.buffer)?;
         active.write_offset += self.buffer.len() as u64;
@@ -190,7 +194,7 @@
     }
 }
 
-fn header_of(segment: &Segment) -> SegmentHeader {
+fn header_for(segment: &Segment) -> SegmentHeader {
     let Segment { generation, first_sequence, starts_checkpoint, end_offset, .. } = *segment;
     SegmentHeader { generation, first_sequence, starts_checkpoint, end_offset }
 }
--- a/storage/tests/checkpoint.rs
+++ b/storage/tests/checkpoint.rs
@@ -1,12 +1,12 @@
-//! Checkpoints: interrupted at each step, failed, too large, one after another.
+//! Checkpoints that are interrupted or fail at each step, that are too large, or that follow one another.
 
 mod support;
 
 use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
 use shaletrail_storage::{Journal, Options, StorageError, StoredRecord};
-use support::{append_synced, names, open, small_options};
+use support::{append_synced, open, payload_texts, small_options};
 
-/// Live records that need three files.
+/// Returns live records that take up three files.
 fn large_live_set() -> Vec<(u32, Vec<u8>)> {
     (0..30).map(|number| (number, vec![number as u8; 1_000])).collect()
 }
@@ -26,25 +26,28 @@
             disk.power_cycle();
             // then
             let mut opened = open(&disk);
-            let is_unchanged = names(&opened.stored) == ["a", "b"];
+            let is_unchanged = payload_texts(&opened.stored) == ["a", "b"];
             assert!(is_unchanged || opened.stored.len() == 30);
             assert!(!(is_unchanged && succeeded));
             unchanged_count += u32::from(is_unchanged);
             completed_count += u32::from(!is_unchanged);
-            // and the journal can be continued
+            // and: the journal accepts further records.
             let expected = opened.stored.len() + 1;
             append_synced(&mut opened.journal, &["next"]);
             disk.power_cycle();
             let reopened = open(&disk).stored;
-            assert_eq!((reopened.len(), names(&reopened).last()), (expected, Some(&"next".to_owned())));
+            assert_eq!(
+                (reopened.len(), payload_texts(&reopened).last()),
+                (expected, Some(&"next".to_owned()))
+            );
         }
     }
-    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints left no trace");
+    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints changed nothing");
     assert!(completed_count > 20, "only {completed_count} checkpoints were completed");
 }
 
 #[test]
-fn failed_checkpoint_leaves_no_trace() {
+fn failed_checkpoint_changes_nothing() {
     for fault in [
         Faults { syncs_fail: true, ..Faults::default() },
         Faults { writes_fail: true, ..Faults::default() },
@@ -60,13 +63,13 @@
         disk.set_faults(Faults::default());
         append_synced(&mut journal, &["c"]);
         // then
-        assert_eq!(names(&open(&disk).stored), ["a", "b", "c"]);
+        assert_eq!(payload_texts(&open(&disk).stored), ["a", "b", "c"]);
     }
 }
 
 #[test]
 fn checkpoint_fits_after_many_failed_ones() {
-    // given: the ring is as full as appends can make it.
+    // given: appends have filled the ring up to their limit.
     let disk = MemoryDisk::new(1);
     let mut journal = open(&disk).journal;
     let mut live = Vec::new();
@@ -80,7 +83,7 @@
     }
     let mut failures = 0;
     for step in 0..60 {
-        // when: each attempt gets one step further; then the process restarts, or goes on.
+        // when: each attempt fails one call later. After every second one the process restarts.
         disk.lose_power_after(step);
         match journal.checkpoint(&live) {
             Err(StorageError::Io { .. }) => failures += 1,
@@ -109,17 +112,17 @@
     let live: Vec<_> = (0..400).map(|_| (1, vec![0; 1_000])).collect();
     // when
     let mutations = disk.mutations();
-    let error = journal.checkpoint(&live).expect_err("it is too large");
+    let error = journal.checkpoint(&live).expect_err("the checkpoint is too large");
     // then
     assert!(matches!(error, StorageError::RingFull { .. }));
     assert_eq!(disk.mutations(), mutations);
-    assert_eq!(names(&open(&disk).stored), ["a"]);
+    assert_eq!(payload_texts(&open(&disk).stored), ["a"]);
 }
 
 #[test]
 fn checkpoint_survives_torn_write_to_a_recycled_file() {
     for seed in 0..60 {
-        // given: the only free files are those that the checkpoint has replaced.
+        // given: the record that the checkpoint has replaced is in a free file, which the next record reuses.
         let disk = MemoryDisk::new(seed);
         let mut journal = open(&disk).journal;
         append_synced(&mut journal, &["old"]);
@@ -137,8 +140,8 @@
 }
 
 #[test]
-fn failed_checkpoint_does_not_come_back_from_a_recycled_file() {
-    // given: every file holds an attempt with the same sequence numbers, complete except for its last sync.
+fn failed_checkpoint_is_not_recovered_from_a_recycled_file() {
+    // given: every file holds a failed checkpoint with the same sequence numbers. Only its last sync failed.
     let disk = MemoryDisk::new(1);
     let options = Options { initial_files: 8, max_files: 8, ..small_options() };
     let mut journal = Journal::open(disk.clone(), &options).expect("the journal opens").journal;
@@ -146,21 +149,21 @@
     for attempt in 0..20 {
         disk.fail_after(3);
         let live = [(1, format!("attempt {attempt:02}").into_bytes())];
-        let error = journal.checkpoint(&live).expect_err("its last sync fails");
+        let error = journal.checkpoint(&live).expect_err("the last sync fails");
         assert!(matches!(error, StorageError::Io { operation: "sync", .. }));
     }
-    // when: the header is written, the records are not
+    // when: a further checkpoint writes its header but not its records.
     disk.fail_after(2);
-    let error = journal.checkpoint(&[(1, b"attempt 20".to_vec())]).expect_err("its write fails");
+    let error = journal.checkpoint(&[(1, b"attempt 20".to_vec())]).expect_err("the write fails");
     assert!(matches!(error, StorageError::Io { operation: "write", .. }));
     // then
     let opened = Journal::open(disk, &options).expect("the journal opens");
-    assert_eq!(names(&opened.stored), ["a"]);
+    assert_eq!(payload_texts(&opened.stored), ["a"]);
 }
 
-/// Whether a journal holds what it held before an interrupted checkpoint, or all of the checkpoint.
-fn is_before_or_after(stored: &[StoredRecord]) -> bool {
-    names(stored) == ["a", "b"] || stored.len() == 30
+/// Returns whether a journal holds either the records from before an interrupted checkpoint or the whole checkpoint.
+fn is_before_or_after_checkpoint(stored: &[StoredRecord]) -> bool {
+    payload_texts(stored) == ["a", "b"] || stored.len() == 30
 }
 
 #[test]
@@ -179,7 +182,7 @@
         disk.power_cycle();
         // then
         let found = open(&disk).stored;
-        assert_eq!(names(&found).last(), Some(&"next".to_owned()));
+        assert_eq!(payload_texts(&found).last(), Some(&"next".to_owned()));
         assert_eq!(found.len(), if failed { 3 } else { 31 }, "after {step} calls");
         failures += u64::from(failed);
     }
@@ -198,12 +201,12 @@
             let succeeded = journal.checkpoint(&large_live_set()).is_ok();
             drop(journal);
             disk.fail_after(u64::MAX);
-            // when: the next process has read the journal, then the power is lost.
+            // when: the power is lost after the next process has opened the journal.
             let found = open(&disk).stored;
             disk.power_cycle();
             // then
-            assert!(is_before_or_after(&found) && (!succeeded || found.len() == 30));
-            assert_eq!(open(&disk).stored, found, "what was read is durable");
+            assert!(is_before_or_after_checkpoint(&found) && (!succeeded || found.len() == 30));
+            assert_eq!(open(&disk).stored, found, "recovered records are durable");
         }
     }
 }
@@ -231,7 +234,7 @@
         disk.power_cycle();
         // then
         let found = open(&disk).stored;
-        assert_eq!(names(&found).last(), Some(&"pending".to_owned()));
+        assert_eq!(payload_texts(&found).last(), Some(&"pending".to_owned()));
         assert_eq!(found.len(), if failed { 3 } else { 31 }, "after {step} calls");
         failures += u64::from(failed);
     }
@@ -259,18 +262,18 @@
             disk.power_cycle();
             // then
             let opened = open(&disk);
-            let is_unchanged = names(&opened.stored) == ["first", "after first", "after power loss"];
+            let is_unchanged = payload_texts(&opened.stored) == ["first", "after first", "after power loss"];
             assert!(is_unchanged || opened.stored.len() == 30);
             assert!(!(is_unchanged && succeeded));
             unchanged_count += u32::from(is_unchanged);
             completed_count += u32::from(!is_unchanged);
-            // and a third one is not confused by what the second left
+            // and: remains of the second checkpoint do not affect a third one.
             let mut journal = opened.journal;
             journal.checkpoint(&[(1, b"third".to_vec())]).expect("a checkpoint fits");
             disk.power_cycle();
-            assert_eq!(names(&open(&disk).stored), ["third"]);
+            assert_eq!(payload_texts(&open(&disk).stored), ["third"]);
         }
     }
-    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints left no trace");
+    assert!(unchanged_count > 20, "only {unchanged_count} checkpoints changed nothing");
     assert!(completed_count > 20, "only {completed_count} checkpoints were completed");
 }
--- a/storage/tests/corruption.rs
+++ b/storage/tests/corruption.rs
@@ -1,4 +1,4 @@
-//! Corruption that recovery must find, and a torn write that it must accept.
+//! Damage that recovery must report as corruption, and a torn write that it must accept.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use shaletrail_storage::fault_injection::MemoryDisk;
 use shaletrail_storage::fragment::{self, FragmentHeader, RecordKind};
 use shaletrail_storage::{Disk, Journal, StorageError};
-use support::{append_synced, names, open, small_options};
+use support::{append_synced, open, payload_texts, small_options};
 
 #[test]
 fn corrupt_record_before_synced_ones_is_located() {
@@ -23,7 +23,7 @@
     assert!(matches!(error, StorageError::Corrupt { .. }));
     assert_snapshot!(
         error,
-        @"ring-0000 is damaged at byte 4144: a record that was synced is missing, later ones are there"
+        @"ring-0000 is corrupt at byte 4144: a synced record is missing but later records are present"
     );
 }
 
@@ -42,7 +42,7 @@
     let error = Journal::open(disk, &small_options()).err().expect("the corruption is found");
     assert_snapshot!(
         error,
-        @"ring-0000 is damaged at byte 15536: records before those of a later file are missing"
+        @"ring-0000 is corrupt at byte 15536: records before the start of the next segment are missing"
     );
 }
 
@@ -55,7 +55,10 @@
     assert!(disk.corrupt_byte("ring-0000", 9, 1));
     // then
     let error = Journal::open(disk, &small_options()).err().expect("the corruption is found");
-    assert_snapshot!(error, @"ring-0000 is damaged at byte 0: records of a newer generation without a header");
+    assert_snapshot!(
+        error,
+        @"ring-0000 is corrupt at byte 0: fragments of a newer generation found without a segment header"
+    );
 }
 
 #[test]
@@ -93,12 +96,12 @@
     disk.write_at("ring-0000", 4096 + fragment::encoded_len(3) as u64, &bytes)
         .expect("the disk has no faults");
     // then
-    assert_eq!(names(&open(&disk).stored), ["one"]);
+    assert_eq!(payload_texts(&open(&disk).stored), ["one"]);
 }
 
 #[test]
-fn fragments_of_two_records_are_not_joined() {
-    // given: the first fragment of a record, and then the last one of another stream.
+fn fragments_of_different_records_are_not_joined() {
+    // given: the first fragment of a record, followed by the last fragment of a record of another stream.
     let mut disk = MemoryDisk::new(1);
     append_synced(&mut open(&disk).journal, &["one"]);
     let fragment_header = |sequence, stream, is_first| FragmentHeader {
@@ -118,6 +121,9 @@
     disk.write_at("ring-0000", 4096 + fragment::encoded_len(3) as u64, &bytes)
         .expect("the disk has no faults");
     // then
-    let error = Journal::open(disk, &small_options()).err().expect("they do not fit together");
-    assert_snapshot!(error, @"ring-0000 is damaged at byte 4192: parts of a record do not fit together");
+    let error = Journal::open(disk, &small_options()).err().expect("the mismatch is found");
+    assert_snapshot!(
+        error,
+        @"ring-0000 is corrupt at byte 4192: consecutive fragments belong to different records"
+    );
 }
--- a/storage/tests/disk_faults.rs
+++ b/storage/tests/disk_faults.rs
@@ -1,10 +1,10 @@
-//! Calls of the disk that fail, and a process that crashes after them.
+//! Disk calls that fail, in some tests followed by a crash of the process.
 
 mod support;
 
 use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
 use shaletrail_storage::{Journal, Options, StorageError};
-use support::{append_synced, names, open, small_options, stored};
+use support::{append_synced, open, payload_texts, small_options, stored};
 
 #[test]
 fn unreadable_disk_is_not_fresh() {
@@ -14,25 +14,25 @@
     // when
     disk.set_faults(Faults { reads_fail: true, ..Faults::default() });
     // then
-    let error = Journal::open(disk, &small_options()).err().expect("it cannot be read");
+    let error = Journal::open(disk, &small_options()).err().expect("the disk cannot be read");
     assert!(matches!(error, StorageError::Io { operation: "read", .. }));
 }
 
 #[test]
 fn opening_syncs_names_of_existing_files() {
     for seed in 0..40 {
-        // given: the process crashed before it could sync the folder
+        // given: the process crashed before it could sync the directory.
         let disk = MemoryDisk::new(seed);
         let options = Options { initial_files: 1, ..small_options() };
         disk.fail_after(1);
-        let error = Journal::open(disk.clone(), &options).err().expect("the folder cannot be synced");
+        let error = Journal::open(disk.clone(), &options).err().expect("the directory cannot be synced");
         assert!(matches!(error, StorageError::Io { operation: "sync", .. }));
         // when
         let mut journal = Journal::open(disk.clone(), &options).expect("the journal opens").journal;
         append_synced(&mut journal, &["one"]);
         disk.power_cycle();
         // then
-        assert_eq!(names(&open(&disk).stored), ["one"]);
+        assert_eq!(payload_texts(&open(&disk).stored), ["one"]);
     }
 }
 
@@ -45,7 +45,7 @@
     disk.set_faults(Faults { full: true, ..Faults::default() });
     let mut opened = open(&disk);
     // then
-    assert_eq!(names(&opened.stored), ["one"]);
+    assert_eq!(payload_texts(&opened.stored), ["one"]);
     opened.journal.append(1, b"two".to_vec()).expect("the record is short");
     assert!(matches!(opened.journal.sync(), Err(StorageError::Io { operation: "write", .. })));
 }
@@ -55,7 +55,7 @@
     let mut failures = 0;
     for step in 0..12 {
         for seed in 0..6 {
-            // given: records that continue in a second file
+            // given: a record that continues in a second file.
             let disk = MemoryDisk::new(seed * 100 + step);
             let mut journal = open(&disk).journal;
             append_synced(&mut journal, &["a"]);
--- a/storage/tests/encoding.rs
+++ b/storage/tests/encoding.rs
@@ -1,11 +1,11 @@
-//! The bytes of headers and fragments.
+//! The encoded bytes of segment headers and fragments.
 
 use insta::assert_snapshot;
 use shaletrail_storage::fragment::{self, FragmentHeader, RecordKind};
 use shaletrail_storage::segment_header::SegmentHeader;
 
 #[test]
-fn segment_header_has_the_bytes_of_the_format() {
+fn encoded_segment_header_matches_the_format() {
     let header =
         SegmentHeader { generation: 3, first_sequence: 258, starts_checkpoint: true, end_offset: 16384 };
     let bytes = header.encode();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn fragment_has_the_bytes_of_the_format() {
+fn encoded_fragment_matches_the_format() {
     // given
     let header = FragmentHeader {
         generation: 3,
--- a/storage/tests/erase.rs
+++ b/storage/tests/erase.rs
@@ -1,10 +1,10 @@
-//! Erasing a corrupt journal.
+//! Erasing a corrupt journal, with power losses at each step.
 
 mod support;
 
 use shaletrail_storage::fault_injection::MemoryDisk;
 use shaletrail_storage::{erase, Journal};
-use support::{append_synced, names, open, small_options};
+use support::{append_synced, open, payload_texts, small_options};
 
 #[test]
 fn erasure_survives_power_loss_at_each_step() {
@@ -21,9 +21,9 @@
         disk.lose_power_after(step);
         let erased = erase(&mut disk).is_ok();
         disk.power_cycle();
-        // then: all records are gone, or none is
+        // then: either all records are removed or none.
         let opened = open(&disk);
-        let is_intact = !opened.fresh && names(&opened.stored) == ["live", "two"];
+        let is_intact = !opened.fresh && payload_texts(&opened.stored) == ["live", "two"];
         assert!((opened.fresh && opened.stored.is_empty()) || (is_intact && !erased));
     }
 }
@@ -31,7 +31,7 @@
 #[test]
 fn resumed_erasure_survives_power_loss_at_each_step() {
     for seed in 0..200 {
-        // given: the marker exists, its name is not synced
+        // given: the in-progress marker exists, but its file name is not synced.
         let mut disk = MemoryDisk::new(seed);
         let mut journal = open(&disk).journal;
         append_synced(&mut journal, &["one"]);
@@ -46,13 +46,13 @@
         disk.power_cycle();
         // then
         let opened = open(&disk);
-        let is_intact = !opened.fresh && names(&opened.stored) == ["live", "two"];
+        let is_intact = !opened.fresh && payload_texts(&opened.stored) == ["live", "two"];
         assert!((opened.fresh && opened.stored.is_empty()) || (is_intact && interrupted));
     }
 }
 
 #[test]
-fn erasure_is_remembered_whatever_interrupts_it() {
+fn erasure_is_recorded_across_power_loss_at_each_step() {
     for seed in 0..320 {
         // given
         let step = seed % 20;
@@ -67,14 +67,14 @@
         disk.lose_power_after(seed % 9);
         let _ = Journal::open(disk.clone(), &small_options());
         disk.power_cycle();
-        // then: whoever finds no records knows that there were some
+        // then: if the records are gone, the journal reports that it was erased.
         let opened = open(&disk);
         assert!(!opened.fresh || opened.erased, "seed {seed}");
     }
 }
 
 #[test]
-fn directory_without_erasure_is_not_erased() {
+fn directory_without_erasure_is_not_reported_as_erased() {
     // given
     let disk = MemoryDisk::new(1);
     let opened = open(&disk);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn erased_records_do_not_come_back() {
+fn erased_records_are_not_recovered() {
     for seed in 0..60 {
         // given
         let mut disk = MemoryDisk::new(seed);
@@ -103,7 +103,7 @@
         disk.power_cycle();
         // then
         let opened = open(&disk);
-        assert_eq!(names(&opened.stored), ["new"]);
+        assert_eq!(payload_texts(&opened.stored), ["new"]);
         assert!(!opened.fresh);
     }
 }
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Opening, appending, syncing and options.
+//! Opening a journal, appending, syncing and options.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::{append_synced, open, small_options, stored};
 
 #[test]
-fn empty_folder_gives_a_fresh_journal_with_files() {
+fn empty_directory_gives_a_fresh_journal_with_files() {
     let mut disk = MemoryDisk::new(1);
     let opened = open(&disk);
     assert!(opened.fresh && !opened.had_files && opened.stored.is_empty());
@@ -59,16 +59,16 @@
 fn too_large_record_is_refused() {
     let disk = MemoryDisk::new(1);
     let mut journal = open(&disk).journal;
-    let refused = journal.append(1, vec![0; 70_000]).expect_err("it is over the limit");
-    assert_snapshot!(refused, @"a record of 70000 bytes is over the limit of 65536");
+    let refused = journal.append(1, vec![0; 70_000]).expect_err("the record exceeds the limit");
+    assert_snapshot!(refused, @"record of 70000 bytes exceeds the limit of 65536 bytes");
     assert_eq!(journal.pending(), 0);
 }
 
 #[test]
 fn invalid_option_is_named() {
     let options = Options { file_bytes: 100, ..small_options() };
-    let refused = Journal::open(MemoryDisk::new(1), &options).err().expect("it must be refused");
-    assert_snapshot!(refused, @"file_bytes: 100 found, expected at least 16384");
+    let refused = Journal::open(MemoryDisk::new(1), &options).err().expect("the option is invalid");
+    assert_snapshot!(refused, @"invalid option file_bytes: got 100, must be at least 16384");
 }
 
 #[test]
@@ -104,5 +104,5 @@
     assert_eq!(files(0), (6, 20));
     assert_eq!(files(128), (6, 20));
     assert_eq!(files(64), (6, 10));
-    assert_eq!(files(8), (6, 8), "the fewest that work");
+    assert_eq!(files(8), (6, 8), "the minimum number of files");
 }
--- a/storage/tests/power_loss.rs
+++ b/storage/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! Random histories with power losses, crashes of the process and faults of the disk.
+//! Random sequences of calls with power losses, process crashes and disk faults, checked against a model.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use shaletrail_storage::{Journal, OpenedJournal, StorageError};
 use support::{seeded_rng, small_options, JournalModel};
 
-/// Opens the journal; repeats that after a power loss during recovery.
+/// Opens the journal and checks the recovered records. If power is lost during recovery, restores it and tries again.
 fn reopen(disk: &MemoryDisk, model: &mut JournalModel) -> Journal<MemoryDisk> {
     loop {
         match Journal::open(disk.clone(), &small_options()) {
@@ -29,7 +29,7 @@
         let mut journal = reopen(&uninterrupted, &mut model);
         model.run_random_calls(&mut journal, &uninterrupted, 120);
         let calls = uninterrupted.mutations();
-        assert!(calls > 60, "the history is too short");
+        assert!(calls > 60, "only {calls} calls were made");
         for step in 0..calls {
             // given
             let disk = MemoryDisk::new(step);
@@ -63,7 +63,7 @@
             let mut journal = reopen(&disk, &mut model);
             model.run_random_calls(&mut journal, &disk, rng.random_range(0..60));
             drop(journal);
-            // then: a process that crashed without a power loss finds its unsynced writes, and they are durable.
+            // then: after a crash without power loss, the next process recovers unsynced writes and makes them durable.
             if rng.random_ratio(1, 3) && disk.is_powered() {
                 reopen(&disk, &mut model);
             }
@@ -109,7 +109,7 @@
 #[test]
 fn recovered_records_are_durable() {
     for seed in 0..200 {
-        // given: a process that crashed with unsynced writes.
+        // given: a process crashed with unsynced writes.
         let disk = MemoryDisk::new(seed);
         let mut model = JournalModel::new(seed);
         let mut journal = reopen(&disk, &mut model);
--- a/storage/tests/segment_ring.rs
+++ b/storage/tests/segment_ring.rs
@@ -1,11 +1,11 @@
-//! Segments recycled, files added, and the limits of the ring.
+//! Recycling segments, adding files, and the limits of the ring.
 
 mod support;
 
 use insta::assert_snapshot;
 use shaletrail_storage::fault_injection::MemoryDisk;
 use shaletrail_storage::{Disk, Journal, Options};
-use support::{append_synced, names, open, small_options, stored};
+use support::{append_synced, open, payload_texts, small_options, stored};
 
 #[test]
 fn ring_wraps_around() {
@@ -19,7 +19,7 @@
         let record = vec![number as u8; 200];
         expected.push((number, record.clone()));
         journal.append(number, record).expect("the record is short");
-        journal.sync().expect("a checkpoint is wanted before appends are refused");
+        journal.sync().expect("a checkpoint is requested before appends are refused");
         if journal.wants_checkpoint() {
             expected = expected.split_off(expected.len().saturating_sub(10));
             journal.checkpoint(&expected).expect("a checkpoint fits");
@@ -62,14 +62,14 @@
         journal.append(1, vec![1; 1_000]).expect("the record is short");
         journal.sync().err()
     });
-    assert!(wanted, "a checkpoint was wanted before");
-    assert_snapshot!(error.expect("the ring is limited"), @"11 files are needed, 10 may be used");
+    assert!(wanted, "no checkpoint was requested before the ring was full");
+    assert_snapshot!(error.expect("the ring is limited"), @"journal ring is full: 11 files needed, 10 allowed");
     assert_eq!(journal.pending(), 1);
     // when
     journal.checkpoint(&[(2, b"all".to_vec())]).expect("a checkpoint fits");
     // then
     append_synced(&mut journal, &["next"]);
-    assert_eq!(names(&open(&disk).stored), ["all", "next"]);
+    assert_eq!(payload_texts(&open(&disk).stored), ["all", "next"]);
 }
 
 #[test]
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn old_records_of_a_recycled_file_stay_void() {
-    // given: all files hold old records of the same lengths as the new ones.
+fn old_records_of_a_recycled_file_are_not_replayed() {
+    // given: all files hold old records with the same lengths as the new ones.
     let disk = MemoryDisk::new(1);
     let mut journal = open(&disk).journal;
     for round in 0..20 {
@@ -104,6 +104,9 @@
         journal.checkpoint(&[(1, record.into_bytes())]).expect("a checkpoint fits");
         append_synced(&mut journal, &["new0", "new1"]);
         // then
-        assert_eq!(names(&open(&disk).stored), [format!("{round:04}"), "new0".to_owned(), "new1".to_owned()]);
+        assert_eq!(
+            payload_texts(&open(&disk).stored),
+            [format!("{round:04}"), "new0".to_owned(), "new1".to_owned()]
+        );
     }
 }
--- a/storage/tests/stored_format.rs
+++ b/storage/tests/stored_format.rs
@@ -1,8 +1,8 @@
-//! The on-disk format of a journal: the bytes of its files after appends and a checkpoint, and that files written by an
-//! earlier build are read.
+//! The on-disk format of a journal: checks the bytes that the journal writes for appends and a checkpoint against a
+//! fixture, and that a journal made from the fixture can be read.
 //!
-//! If one of these tests fails, deployed journals may become unreadable, and each voter would lose its state at the next
-//! release. Don't store new bytes: restore the format, or give the new one a magic number of its own and keep reading
+//! If one of these tests fails, deployed journals may be unreadable after an upgrade, and each voter would lose its
+//! state. Do not update the fixture: restore the format, or give the new format its own magic number and keep reading
 //! the old one.
 
 #[path = "../../protocol/tests/support/stored.rs"]
@@ -16,20 +16,20 @@
 use shaletrail_storage::fragment::{self, RecordKind};
 use shaletrail_storage::segment_header::{self, SegmentHeader, PAGE_BYTES};
 use shaletrail_storage::{FolderDisk, Journal, OpenedJournal, Options, StoredRecord};
-use support::{stored, TempFolder};
+use support::{stored, TempDirectory};
 
 const FILE_BYTES: u64 = 16 << 10;
-/// The files of the stored journal that hold a segment, first to last.
+/// The files of the stored journal that contain a segment, in ascending order of generation.
 const FILES: [&str; 2] = ["ring-0000", "ring-0001"];
-/// Its file without a segment.
+/// The file of the stored journal that contains no segment.
 const EMPTY_FILE: &str = "ring-0002";
 
-/// The directory of a journal.
-struct JournalFolder(TempFolder);
+/// A temporary directory for a journal.
+struct JournalDirectory(TempDirectory);
 
-impl JournalFolder {
+impl JournalDirectory {
     fn new(name: &str) -> Self {
-        JournalFolder(TempFolder::new(name))
+        JournalDirectory(TempDirectory::new(name))
     }
 
     fn open(&self) -> OpenedJournal<FolderDisk> {
@@ -38,7 +38,7 @@
         Journal::open(self.0.disk(), &options).expect("the journal opens")
     }
 
-    /// Header and fragments of a file, without the zeros after the last fragment.
+    /// Returns the header and the fragments of a file, without the zeros after the last fragment.
     fn read_file(&self, name: &str) -> (Vec<u8>, Vec<u8>) {
         let content = fs::read(self.0.path.join(name)).expect("the file exists");
         assert_eq!(content.len() as u64, FILE_BYTES, "{name}");
@@ -49,9 +49,9 @@
         (header.to_vec(), records[..end].to_vec())
     }
 
-    /// Creates a file from a header and fragments.
+    /// Creates a file of a journal from a header and fragments.
     fn create_file(&self, name: &str, header: &[u8], records: &[u8]) {
-        fs::create_dir_all(&self.0.path).expect("the folder can be created");
+        fs::create_dir_all(&self.0.path).expect("the directory can be created");
         let file = fs::File::create(self.0.path.join(name)).expect("the file can be created");
         file.set_len(FILE_BYTES).expect("the file can be extended");
         file.write_all_at(header, 0).expect("the header is written");
@@ -59,9 +59,9 @@
     }
 }
 
-/// Writes the journal whose bytes are stored: two syncs, a checkpoint, one more append.
-fn write_journal(folder: &JournalFolder) {
-    let mut journal = folder.open().journal;
+/// Writes the journal that the fixture describes: two syncs, a checkpoint and one more append.
+fn write_journal(directory: &JournalDirectory) {
+    let mut journal = directory.open().journal;
     journal.append(1, b"first".to_vec()).expect("the record is short");
     journal.append(7, Vec::new()).expect("the record is short");
     journal.sync().expect("the disk has no faults");
@@ -77,15 +77,15 @@
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), "")
 }
 
-/// The live records of the stored journal: those from the checkpoint on.
+/// The records that recovery finds in the stored journal: those since the checkpoint.
 fn live_records() -> [StoredRecord; 3] {
     [stored(3, b"live one"), stored(4, b"live two"), stored(1_000, b"after the checkpoint")]
 }
 
 #[test]
-fn journal_is_written_and_read_in_the_stored_bytes() {
+fn journal_files_match_the_stored_fixture() {
     // given
-    let (written, read) = (JournalFolder::new("written"), JournalFolder::new("read"));
+    let (written, read) = (JournalDirectory::new("written"), JournalDirectory::new("read"));
     let mut fixture = fixture();
 
     // when
@@ -113,11 +113,11 @@
 #[test]
 fn stored_headers_and_fragments_decode() {
     // given
-    let folder = JournalFolder::new("decoded");
-    write_journal(&folder);
+    let directory = JournalDirectory::new("decoded");
+    write_journal(&directory);
 
     // when
-    let files = FILES.map(|name| folder.read_file(name));
+    let files = FILES.map(|name| directory.read_file(name));
     let headers: Vec<SegmentHeader> =
         files.iter().filter_map(|(header, _)| SegmentHeader::decode(header)).collect();
     let records = files.iter().flat_map(|(_, records)| decode_all(records)).collect::<Vec<_>>();
@@ -143,7 +143,7 @@
     assert_eq!(records, expected);
 }
 
-/// Sequence number, stream and kind of each fragment.
+/// Returns the sequence number, stream and kind of each fragment.
 fn decode_all(records: &[u8]) -> Vec<(u64, u32, RecordKind)> {
     let mut rest = records.to_vec();
     rest.resize(records.len().next_multiple_of(fragment::ALIGNMENT), 0);
--- a/storage/tests/support/journal_model.rs
+++ b/storage/tests/support/journal_model.rs
@@ -1,4 +1,4 @@
-//! A model of what a journal must hold.
+//! A model of the records that a journal must hold.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -7,18 +7,18 @@
 
 use super::seeded_rng;
 
-/// Bytes of records that always fit into a checkpoint, whose limit is eleven files.
+/// Total payload size of records that always fit into a checkpoint, which is limited to eleven files.
 const MAX_CHECKPOINT_BYTES: usize = 120_000;
 
-/// What a journal must hold, maintained beside it across restarts and power losses.
+/// The expected content of a journal, updated with each call and kept across restarts and power losses.
 pub struct JournalModel {
     rng: Pcg64Mcg,
-    /// Records appended so far.
+    /// Number of records appended so far.
     record_count: u64,
     durable: Vec<StoredRecord>,
-    /// Appended, not synced.
+    /// Records that were appended and are not durable yet.
     pending: Vec<StoredRecord>,
-    /// Checkpoints that failed since the last call that succeeded: each may be durable even so.
+    /// Checkpoints that failed since the last successful call. Each of them may be durable despite the error.
     failed_checkpoints: Vec<Vec<StoredRecord>>,
     /// Whether any record has ever been durable.
     was_durable: bool,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Makes random calls; ends early when the power is lost.
+    /// Makes random calls. Stops early when the power is lost.
     pub fn run_random_calls(&mut self, journal: &mut Journal<MemoryDisk>, disk: &MemoryDisk, calls: usize) {
         for _ in 0..calls {
             if !disk.is_powered() {
@@ -71,13 +71,13 @@
             self.failed_checkpoints.clear();
         }
         match result {
-            Ok(()) => assert!(self.pending.is_empty(), "a sync that succeeded left records pending"),
+            Ok(()) => assert!(self.pending.is_empty(), "a successful sync left records pending"),
             Err(StorageError::RingFull { .. }) => self.checkpoint(journal),
             Err(_) => {}
         }
     }
 
-    /// Keeps the newest few records, as a snapshot would, as far as they fit into a checkpoint.
+    /// Makes a checkpoint of the newest few records, as far as they fit.
     pub fn checkpoint(&mut self, journal: &mut Journal<MemoryDisk>) {
         let all: Vec<StoredRecord> = self.durable.iter().chain(&self.pending).cloned().collect();
         let kept = self.rng.random_range(0..=all.len().min(8));
@@ -88,20 +88,20 @@
         let pairs: Vec<_> = live.iter().map(|record| (record.stream, record.bytes.clone())).collect();
         match journal.checkpoint(&pairs) {
             Ok(()) => {
-                assert_eq!(journal.pending(), 0, "a checkpoint covers what was pending");
+                assert_eq!(journal.pending(), 0, "a checkpoint must replace all pending records");
                 self.durable = live;
                 self.pending.clear();
                 self.failed_checkpoints.clear();
                 self.was_durable = true;
             }
             Err(StorageError::RingFull { .. }) => {
-                panic!("this checkpoint must fit, however full the ring is")
+                panic!("a checkpoint of this size must fit, however full the ring is")
             }
             Err(_) => self.failed_checkpoints.push(live),
         }
     }
 
-    /// Checks what recovery has found, and continues from there.
+    /// Checks the recovered records, and continues the model from them.
     pub fn check_recovered(&mut self, found: &[StoredRecord], fresh: bool) {
         let history: Vec<&StoredRecord> = self.durable.iter().chain(&self.pending).collect();
         let is_prefix =
@@ -110,7 +110,7 @@
         let is_checkpoint = self.failed_checkpoints.iter().any(|live| live == found);
         assert!(
             is_history || is_checkpoint,
-            "found {} records, but {} are durable and {} more were appended",
+            "recovered {} records, expected {} durable and up to {} pending ones, or a failed checkpoint",
             found.len(),
             self.durable.len(),
             self.pending.len()
--- a/storage/tests/support/temp_directory.rs
+++ b/storage/tests/support/temp_directory.rs
@@ -1,28 +1,28 @@
-//! A directory of a test's own.
+//! Temporary directories for tests.
 
 use std::path::PathBuf;
 
 use shaletrail_storage::FolderDisk;
 
-/// A directory of a test's own, removed at the end.
-pub struct TempFolder {
+/// A temporary directory, removed when dropped.
+pub struct TempDirectory {
     pub path: PathBuf,
 }
 
-impl TempFolder {
-    /// `name` has to be unique among the tests of a program.
+impl TempDirectory {
+    /// `name` must be unique among the tests of one test program.
     pub fn new(name: &str) -> Self {
         let name = format!("shaletrail-storage-{}-{name}", std::process::id());
-        TempFolder { path: std::env::temp_dir().join(name) }
+        TempDirectory { path: std::env::temp_dir().join(name) }
     }
 
     pub fn disk(&self) -> FolderDisk {
-        FolderDisk::open(&self.path).expect("the folder can be opened")
+        FolderDisk::open(&self.path).expect("the directory can be opened")
     }
 }
 
-impl Drop for TempFolder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
-        let _left_behind = std::fs::remove_dir_all(&self.path);
+        let _ignored = std::fs::remove_dir_all(&self.path);
     }
 }
--- a/storage/tests/writer.rs
+++ b/storage/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: group commit, events, retries, stalls, stopping.
+//! The writer thread: group commit, events, retries, stalls and shutdown.
 
 mod support;
 
@@ -11,17 +11,17 @@
 use shaletrail_storage::{
     Command, RejectReason, RejectedCommand, StorageError, Writer, WriterEvent, WriterOptions,
 };
-use support::{names, open};
+use support::{open, payload_texts};
 
-/// Far beyond what any test needs; reaching it is a failure.
+/// Upper bound of every wait in these tests. Reaching it is a failure.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A writer over a disk in memory, and the events that it reports.
+/// A writer on an in-memory disk, and the events that it reports.
 struct WriterFixture {
     disk: MemoryDisk,
     writer: Writer,
     events: Receiver<WriterEvent>,
-    /// Time of the writer's clock, in milliseconds.
+    /// Current time of the writer's clock, in milliseconds.
     now_ms: Arc<AtomicU64>,
 }
 
@@ -34,7 +34,7 @@
         Self::with_event_hook(change, |_, _| {})
     }
 
-    /// Calls `on_event` on the writer's thread, before the writer continues.
+    /// Starts a writer that calls `on_event` on its thread before it continues after an event.
     fn with_event_hook(
         change: impl FnOnce(&mut WriterOptions),
         on_event: impl Fn(&MemoryDisk, &WriterEvent) + Send + 'static,
@@ -50,24 +50,24 @@
         };
         change(&mut options);
         let (sender, events) = channel();
-        let hooked_disk = disk.clone();
+        let shared_disk = disk.clone();
         let on_event = Box::new(move |event| {
-            on_event(&hooked_disk, &event);
-            sender.send(event).expect("the test receives events");
+            on_event(&shared_disk, &event);
+            sender.send(event).expect("the receiver exists");
         });
         let writer = Writer::start(open(&disk).journal, options, on_event).expect("a thread starts");
         WriterFixture { disk, writer, events, now_ms }
     }
 
-    fn append(&self, ticket: u64, name: &str) {
-        self.writer.append(ticket, record(name)).expect("the writer accepts the append");
+    fn append(&self, ticket: u64, payload: &str) {
+        self.writer.append(ticket, record(payload)).expect("the writer accepts the append");
     }
 
     fn next_event(&self) -> WriterEvent {
-        self.events.recv_timeout(TIMEOUT).expect("an event is reported")
+        self.events.recv_timeout(TIMEOUT).expect("the writer reports an event")
     }
 
-    /// Waits until this ticket is durable; the events before.
+    /// Waits until the append `awaited` is durable. Returns the events reported before that.
     fn wait_until_synced(&self, awaited: u64) -> Vec<WriterEvent> {
         let mut before = Vec::new();
         loop {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Appends large records until one is refused because the ring is full; its ticket.
+    /// Appends large records until one is refused because the ring is full. Returns the ticket of that append.
     fn fill_ring(&self) -> u64 {
         let large = "x".repeat(10_000);
         let refused = (1..100).find(|ticket| {
@@ -96,13 +96,13 @@
         refused.expect("the ring is limited")
     }
 
-    fn stored_names(&self) -> Vec<String> {
-        names(&open(&self.disk).stored)
+    fn stored_payloads(&self) -> Vec<String> {
+        payload_texts(&open(&self.disk).stored)
     }
 }
 
-fn record(name: &str) -> Vec<(u32, Vec<u8>)> {
-    vec![(1, name.as_bytes().to_vec())]
+fn record(payload: &str) -> Vec<(u32, Vec<u8>)> {
+    vec![(1, payload.as_bytes().to_vec())]
 }
 
 #[test]
@@ -115,7 +115,7 @@
     // then
     assert!(matches!(event, WriterEvent::Synced { ticket: 1, wants_checkpoint: false, .. }));
     fixture.disk.power_cycle();
-    assert_eq!(fixture.stored_names(), ["a"]);
+    assert_eq!(fixture.stored_payloads(), ["a"]);
     assert_eq!(fixture.writer.oldest_in_flight(), None);
 }
 
@@ -139,9 +139,9 @@
     fixture.wait_until_synced(19);
     // then
     assert_eq!(age, Some(Duration::from_millis(700)));
-    assert_eq!(fixture.disk.syncs(), syncs + 2, "one for the append that stalled, one for all others");
+    assert_eq!(fixture.disk.syncs(), syncs + 2, "one sync for the stalled append, one for all others");
     assert_eq!(fixture.writer.oldest_in_flight(), None);
-    assert_eq!(fixture.stored_names().len(), 19);
+    assert_eq!(fixture.stored_payloads().len(), 19);
 }
 
 #[test]
@@ -169,12 +169,12 @@
         fixture.wait_until_synced(2);
         // then
         fixture.disk.power_cycle();
-        assert_eq!(fixture.stored_names(), ["a", "b"]);
+        assert_eq!(fixture.stored_payloads(), ["a", "b"]);
     }
 }
 
 #[test]
-fn checkpoint_keeps_its_place_between_appends() {
+fn checkpoints_and_appends_run_in_submission_order() {
     // given
     let fixture = WriterFixture::start();
     fixture.append(1, "covered");
@@ -184,7 +184,7 @@
     let before = fixture.wait_until_synced(2);
     // then
     assert!(before.iter().any(|event| matches!(event, WriterEvent::Checkpointed { .. })));
-    assert_eq!(fixture.stored_names(), ["live", "after"]);
+    assert_eq!(fixture.stored_payloads(), ["live", "after"]);
 }
 
 #[test]
@@ -215,7 +215,7 @@
     fixture.writer.checkpoint(vec![(1, b"live".to_vec())]).expect("the writer accepts the checkpoint");
     // then
     assert!(matches!(fixture.next_event(), WriterEvent::Checkpointed { .. }));
-    assert_eq!(fixture.stored_names(), ["live"]);
+    assert_eq!(fixture.stored_payloads(), ["live"]);
 }
 
 #[test]
@@ -227,7 +227,7 @@
     fixture.writer.checkpoint(vec![(1, b"all".to_vec())]).expect("the writer accepts the checkpoint");
     fixture.wait_until_synced(refused);
     // then
-    assert_eq!(fixture.stored_names(), ["all"]);
+    assert_eq!(fixture.stored_payloads(), ["all"]);
     assert_eq!(fixture.writer.oldest_in_flight(), None);
 }
 
@@ -346,14 +346,14 @@
     // when
     fixture.append(2, "b");
     fixture.now_ms.store(900, Ordering::SeqCst);
-    // then: nothing is reported, the age shows, and a power loss takes nothing that was reported
+    // then: no event is reported during the stall, the age of the append grows, and all records survive a power loss.
     assert!(fixture.events.try_recv().is_err());
     assert_eq!(fixture.writer.oldest_in_flight(), Some(Duration::from_millis(900)));
     fixture.disk.resume();
     let before = fixture.wait_until_synced(2);
     assert!(matches!(before.as_slice(), [WriterEvent::Checkpointed { .. }]));
     fixture.disk.power_cycle();
-    assert_eq!(fixture.stored_names(), ["live", "b"]);
+    assert_eq!(fixture.stored_payloads(), ["live", "b"]);
 }
 
 #[test]
@@ -370,11 +370,11 @@
     fixture.disk.set_faults(Faults::default());
     fixture.writer.checkpoint(vec![(1, b"all".to_vec())]).expect("the writer accepts the checkpoint");
     fixture.wait_until_synced(refused);
-    assert_eq!(fixture.stored_names(), ["all"]);
+    assert_eq!(fixture.stored_payloads(), ["all"]);
 }
 
 #[test]
-fn synced_append_does_not_finish_the_next() {
+fn durable_append_does_not_complete_a_later_one() {
     // given
     let fixture = WriterFixture::with_event_hook(
         |_| {},
