--- a/coordinator/src/driver/journal/open.rs
+++ b/coordinator/src/driver/journal/open.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shaletrail_protocol::settings::Settings;
-use shaletrail_storage::{erase, FolderDisk, Journal, Options, StorageError, StoredRecord};
+use shaletrail_storage::{erase, DirectoryDisk, Journal, Options, StorageError, StoredRecord};
 use slog::{error, warn, Logger};
 use snafu::{ResultExt, Snafu};
 
@@ -33,7 +33,7 @@
 /// A journal with the records that it held when it was opened.
 pub struct OpenedJournal {
     /// The journal, ready for appends.
-    pub journal: Journal<FolderDisk>,
+    pub journal: Journal<DirectoryDisk>,
     /// Its records, oldest first.
     pub stored: Vec<StoredRecord>,
     /// Whether a journal of this directory was ever corrupt and erased.
@@ -68,7 +68,7 @@
 
 /// Erases a corrupt journal. One that fails is resumed by the next attempt.
 fn erase_journal(folder: &Path, log: &Logger) {
-    let erased = FolderDisk::open(folder)
+    let erased = DirectoryDisk::open(folder)
         .context(DirectorySnafu)
         .and_then(|mut disk| erase(&mut disk).context(FilesSnafu));
     if let Err(error) = erased {
@@ -77,7 +77,7 @@
 }
 
 fn try_open(folder: &Path, options: &Options, log: &Logger) -> Result<OpenedJournal, OpenJournalError> {
-    let disk = FolderDisk::open(folder).context(DirectorySnafu)?;
+    let disk = DirectoryDisk::open(folder).context(DirectorySnafu)?;
     match Journal::open(disk, options) {
         Ok(opened) => {
             let was_erased = opened.erased;
--- a/coordinator/src/driver/journal/queue.rs
+++ b/coordinator/src/driver/journal/queue.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use shaletrail_storage::{Command, FolderDisk, Journal, RejectedCommand, Writer, WriterEvent, WriterOptions};
+use shaletrail_storage::{
+    Command, DirectoryDisk, Journal, RejectedCommand, Writer, WriterEvent, WriterOptions,
+};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
 use crate::interface::Event;
@@ -61,7 +63,7 @@
 
 impl JournalQueue<Writer> {
     /// Starts the thread. Each of its reports is to be handled as the event that [`event_of`] gives.
-    pub fn start(journal: Journal<FolderDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
+    pub fn start(journal: Journal<DirectoryDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
         let (sender, reports) = unbounded_channel();
         let report = Box::new(move |report| {
             let _ = sender.send(report);
--- a/storage/src/folder_disk.rs
+++ b/storage/src/directory_disk.rs
@@ -10,19 +10,19 @@
 
 /// A directory of the operating system. Keeps files open after their first use.
 #[derive(Debug)]
-pub struct FolderDisk {
+pub struct DirectoryDisk {
     directory: PathBuf,
     open_files: HashMap<String, File>,
 }
 
-impl FolderDisk {
+impl DirectoryDisk {
     /// Opens a directory. Creates it and its parent directories if they do not exist.
     ///
     /// # Errors
     /// The directory cannot be created.
     pub fn open(directory: &Path) -> io::Result<Self> {
         fs::create_dir_all(directory)?;
-        Ok(FolderDisk { directory: directory.to_owned(), open_files: HashMap::new() })
+        Ok(DirectoryDisk { directory: directory.to_owned(), open_files: HashMap::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&File> {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Disk for FolderDisk {
+impl Disk for DirectoryDisk {
     fn create(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.open_files.remove(name);
         let path = self.directory.join(name);
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Journal`] keeps the records of several streams across process restarts and power losses. A [`Writer`] runs a
 //! journal on its own thread, groups appends into commits, and reports when they are durable. Both work over a
-//! [`Disk`]: either [`FolderDisk`], a directory of the operating system, or [`fault_injection::MemoryDisk`], an
+//! [`Disk`]: either [`DirectoryDisk`], a directory of the operating system, or [`fault_injection::MemoryDisk`], an
 //! in-memory test double that can lose power, fill up, stall and fail calls on demand.
 //!
 //! # Layout
@@ -37,12 +37,12 @@
 //! data to a new process.
 
 mod checkpoint;
+mod directory_disk;
 mod disk;
 mod disk_io;
 mod erase;
 mod error;
 pub mod fault_injection;
-mod folder_disk;
 pub mod fragment;
 mod journal;
 mod little_endian;
@@ -54,10 +54,10 @@
 mod stored_record;
 mod writer;
 
+pub use directory_disk::DirectoryDisk;
 pub use disk::Disk;
 pub use erase::erase;
 pub use error::{Corruption, StorageError};
-pub use folder_disk::FolderDisk;
 pub use journal::{Journal, OpenedJournal};
 pub use options::Options;
 pub use stored_record::StoredRecord;
--- a/storage/tests/stored_format.rs
+++ b/storage/tests/stored_format.rs
@@ -15,7 +15,7 @@
 use bytes::StoredBytes;
 use shaletrail_storage::fragment::{self, RecordKind};
 use shaletrail_storage::segment_header::{self, SegmentHeader, PAGE_BYTES};
-use shaletrail_storage::{FolderDisk, Journal, OpenedJournal, Options, StoredRecord};
+use shaletrail_storage::{DirectoryDisk, Journal, OpenedJournal, Options, StoredRecord};
 use support::{stored, TempDirectory};
 
 const FILE_BYTES: u64 = 16 << 10;
@@ -32,7 +32,7 @@
         JournalDirectory(TempDirectory::new(name))
     }
 
-    fn open(&self) -> OpenedJournal<FolderDisk> {
+    fn open(&self) -> OpenedJournal<DirectoryDisk> {
         let options =
             Options { file_bytes: FILE_BYTES, initial_files: 3, max_files: 8, max_record_bytes: 1 << 10 };
         Journal::open(self.0.disk(), &options).expect("the journal opens")
--- a/storage/tests/support/temp_directory.rs
+++ b/storage/tests/support/temp_directory.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use shaletrail_storage::FolderDisk;
+use shaletrail_storage::DirectoryDisk;
 
 /// A temporary directory, removed when dropped.
 pub struct TempDirectory {
@@ -16,8 +16,8 @@
         TempDirectory { path: std::env::temp_dir().join(name) }
     }
 
-    pub fn disk(&self) -> FolderDisk {
-        FolderDisk::open(&self.path).expect("the directory can be opened")
+    pub fn disk(&self) -> DirectoryDisk {
+        DirectoryDisk::open(&self.path).expect("the directory can be opened")
     }
 }
 
