--- a/storage/src/directory_disk.rs
+++ b/storage/src/directory_disk.rs
@@ -83,7 +83,7 @@
         Ok(names)
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.directory)?.sync_all()
     }
 }
--- a/storage/src/disk.rs
+++ b/storage/src/disk.rs
@@ -5,7 +5,7 @@
 /// A directory of files. File names contain no path separators.
 ///
 /// A write is durable once [`Disk::sync`] of its file has succeeded. A created or removed file name is durable once
-/// [`Disk::sync_folder`] has succeeded. Any call may fail or block for a long time. Errors are those of the operating
+/// [`Disk::sync_directory`] has succeeded. Any call may fail or block for a long time. Errors are those of the operating
 /// system.
 pub trait Disk: Send {
     /// Creates a file of `length` zero bytes. Replaces an existing file of the same name.
@@ -20,12 +20,12 @@
     /// Makes all earlier writes to the file durable, like `fdatasync`.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Removes a file. The removal is durable after [`Disk::sync_folder`].
+    /// Removes a file. The removal is durable after [`Disk::sync_directory`].
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Returns the names of all files in ascending order.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
     /// Makes all earlier creations and removals of files durable, like `fsync` on the directory.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
--- a/storage/src/disk_io.rs
+++ b/storage/src/disk_io.rs
@@ -42,6 +42,6 @@
     disk.list().context(IoSnafu { operation: "list", file: DIRECTORY })
 }
 
-pub(crate) fn sync_folder<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
-    disk.sync_folder().context(IoSnafu { operation: "sync", file: DIRECTORY })
+pub(crate) fn sync_directory<D: Disk>(disk: &mut D) -> Result<(), StorageError> {
+    disk.sync_directory().context(IoSnafu { operation: "sync", file: DIRECTORY })
 }
--- a/storage/src/erase.rs
+++ b/storage/src/erase.rs
@@ -22,7 +22,7 @@
     disk_io::sync(disk, ERASED_FILE)?;
     // Both marker files must be durable before the first ring file is removed. Otherwise, after a power loss, a partly
     // removed ring could look like an older journal, and an empty directory like one that never had a journal.
-    disk_io::sync_folder(disk)?;
+    disk_io::sync_directory(disk)?;
     remove_files(disk)
 }
 
@@ -38,7 +38,7 @@
         // The in-progress marker may not have been synced, and the erased marker may not exist yet.
         disk_io::create(disk, ERASED_FILE, 0)?;
         disk_io::sync(disk, ERASED_FILE)?;
-        disk_io::sync_folder(disk)?;
+        disk_io::sync_directory(disk)?;
         remove_files(disk)?;
     }
     Ok(())
@@ -51,7 +51,7 @@
     }
     // The removals must be durable before the in-progress marker is removed. Otherwise a power loss could restore a
     // removed file without the marker.
-    disk_io::sync_folder(disk)?;
+    disk_io::sync_directory(disk)?;
     disk_io::remove(disk, ERASE_IN_PROGRESS_FILE)?;
-    disk_io::sync_folder(disk)
+    disk_io::sync_directory(disk)
 }
--- a/storage/src/fault_injection/faults.rs
+++ b/storage/src/fault_injection/faults.rs
@@ -25,7 +25,7 @@
             Mutation::Create { .. } | Mutation::Write { .. } if self.writes_fail => {
                 Some(io::ErrorKind::Other)
             }
-            Mutation::Sync { .. } | Mutation::SyncFolder if self.syncs_fail => Some(io::ErrorKind::Other),
+            Mutation::Sync { .. } | Mutation::SyncDirectory if self.syncs_fail => Some(io::ErrorKind::Other),
             _ => None,
         }
     }
--- a/storage/src/fault_injection/memory_disk.rs
+++ b/storage/src/fault_injection/memory_disk.rs
@@ -224,7 +224,7 @@
         Ok(self.begin_call()?.volume.file_names())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
-        self.mutate(Mutation::SyncFolder)
+    fn sync_directory(&mut self) -> io::Result<()> {
+        self.mutate(Mutation::SyncDirectory)
     }
 }
--- a/storage/src/fault_injection/volume.rs
+++ b/storage/src/fault_injection/volume.rs
@@ -14,7 +14,7 @@
     Write { name: &'a str, offset: usize, bytes: &'a [u8] },
     Sync { name: &'a str },
     Remove { name: &'a str },
-    SyncFolder,
+    SyncDirectory,
 }
 
 #[derive(Default)]
@@ -47,7 +47,7 @@
             Mutation::Remove { name } => {
                 self.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
             }
-            Mutation::SyncFolder => self.durable_names = self.names.clone(),
+            Mutation::SyncDirectory => self.durable_names = self.names.clone(),
         }
         Ok(())
     }
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -56,7 +56,7 @@
         // A previous process may have crashed before it synced file names and records. From here on they count as
         // durable, so they are synced now.
         if had_files {
-            disk_io::sync_folder(&mut disk)?;
+            disk_io::sync_directory(&mut disk)?;
         }
         if let Some(newest) = ring.live_segments.last() {
             disk_io::sync(&mut disk, ring.file_name(newest.file))?;
--- a/storage/src/segment_writer.rs
+++ b/storage/src/segment_writer.rs
@@ -152,7 +152,7 @@
         for name in &names {
             disk_io::create(&mut self.disk, name, self.file_bytes)?;
         }
-        disk_io::sync_folder(&mut self.disk)?;
+        disk_io::sync_directory(&mut self.disk)?;
         let first = self.ring.files.len();
         self.ring.files.extend(names.into_iter().map(|name| RingFile { name, generation: 0 }));
         Ok(first)
--- a/storage/tests/directory_disk.rs
+++ b/storage/tests/directory_disk.rs
@@ -47,7 +47,7 @@
     disk.write_at("a", 3, b"xyz").expect("it can be written");
     disk.remove("b").expect("it can be removed");
     disk.sync("a").expect("it can be synced");
-    disk.sync_folder().expect("the directory can be synced");
+    disk.sync_directory().expect("the directory can be synced");
     // then
     assert_eq!(disk.list().expect("it can be listed"), ["a"]);
     assert_eq!(disk.read_at("a", 2, 100).expect("it can be read"), b"\0xyz");
@@ -72,11 +72,11 @@
     // given: the directory is replaced by a device that the operating system refuses to sync.
     let directory = TempDirectory::new("unsyncable-directory");
     let mut disk = directory.disk();
-    disk.sync_folder().expect("a directory can be synced");
+    disk.sync_directory().expect("a directory can be synced");
     std::fs::remove_dir(&directory.path).expect("it is empty");
     std::os::unix::fs::symlink("/dev/null", &directory.path).expect("a link can be created");
     // when
-    let synced = disk.sync_folder();
+    let synced = disk.sync_directory();
     std::fs::remove_file(&directory.path).expect("the link can be removed");
     // then
     assert_eq!(synced.expect_err("it cannot be synced").kind(), io::ErrorKind::InvalidInput);
