--- a/storage/src/fault_injection/memory_disk.rs
+++ b/storage/src/fault_injection/memory_disk.rs
@@ -111,12 +111,12 @@
     }
 
     /// Returns the number of mutating calls so far, including syncs and failed calls.
-    pub fn mutations(&self) -> u64 {
+    pub fn mutation_count(&self) -> u64 {
         self.lock().mutations
     }
 
     /// Returns the number of file syncs so far, not counting calls that an injected fault refused.
-    pub fn syncs(&self) -> u64 {
+    pub fn sync_count(&self) -> u64 {
         self.lock().syncs
     }
 
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the number of records that were appended and are not durable yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
--- a/storage/tests/checkpoint.rs
+++ b/storage/tests/checkpoint.rs
@@ -111,11 +111,11 @@
     append_synced(&mut journal, &["a"]);
     let live: Vec<_> = (0..400).map(|_| (1, vec![0; 1_000])).collect();
     // when
-    let mutations = disk.mutations();
+    let mutations = disk.mutation_count();
     let error = journal.checkpoint(&live).expect_err("the checkpoint is too large");
     // then
     assert!(matches!(error, StorageError::RingFull { .. }));
-    assert_eq!(disk.mutations(), mutations);
+    assert_eq!(disk.mutation_count(), mutations);
     assert_eq!(payload_texts(&open(&disk).stored), ["a"]);
 }
 
@@ -227,7 +227,7 @@
         for _ in 0..3 {
             let error = journal.sync().expect_err("a full disk fails every write");
             assert!(matches!(error, StorageError::Io { operation: "write" | "create", .. }));
-            assert_eq!(journal.pending(), 1);
+            assert_eq!(journal.pending_count(), 1);
         }
         disk.set_faults(Faults::default());
         journal.sync().expect("there is space");
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -61,7 +61,7 @@
     let mut journal = open(&disk).journal;
     let refused = journal.append(1, vec![0; 70_000]).expect_err("the record exceeds the limit");
     assert_snapshot!(refused, @"record of 70000 bytes exceeds the limit of 65536 bytes");
-    assert_eq!(journal.pending(), 0);
+    assert_eq!(journal.pending_count(), 0);
 }
 
 #[test]
--- a/storage/tests/power_loss.rs
+++ b/storage/tests/power_loss.rs
@@ -28,7 +28,7 @@
         let mut model = JournalModel::new(seed);
         let mut journal = reopen(&uninterrupted, &mut model);
         model.run_random_calls(&mut journal, &uninterrupted, 120);
-        let calls = uninterrupted.mutations();
+        let calls = uninterrupted.mutation_count();
         assert!(calls > 60, "only {calls} calls were made");
         for step in 0..calls {
             // given
@@ -96,7 +96,7 @@
             disk.set_faults(Faults::default());
             if rng.random() {
                 model.sync(&mut journal);
-                assert_eq!(journal.pending(), 0, "a disk without faults accepts everything");
+                assert_eq!(journal.pending_count(), 0, "a disk without faults accepts everything");
             }
             if rng.random() {
                 disk.power_cycle();
--- a/storage/tests/segment_ring.rs
+++ b/storage/tests/segment_ring.rs
@@ -64,7 +64,7 @@
     });
     assert!(wanted, "no checkpoint was requested before the ring was full");
     assert_snapshot!(error.expect("the ring is limited"), @"journal ring is full: 11 files needed, 10 allowed");
-    assert_eq!(journal.pending(), 1);
+    assert_eq!(journal.pending_count(), 1);
     // when
     journal.checkpoint(&[(2, b"all".to_vec())]).expect("a checkpoint fits");
     // then
--- a/storage/tests/support/journal_model.rs
+++ b/storage/tests/support/journal_model.rs
@@ -62,9 +62,9 @@
     }
 
     pub fn sync(&mut self, journal: &mut Journal<MemoryDisk>) {
-        let before = journal.pending();
+        let before = journal.pending_count();
         let result = journal.sync();
-        let became_durable = before - journal.pending();
+        let became_durable = before - journal.pending_count();
         self.was_durable |= became_durable > 0;
         self.durable.extend(self.pending.drain(..became_durable));
         if became_durable > 0 {
@@ -88,7 +88,7 @@
         let pairs: Vec<_> = live.iter().map(|record| (record.stream, record.bytes.clone())).collect();
         match journal.checkpoint(&pairs) {
             Ok(()) => {
-                assert_eq!(journal.pending(), 0, "a checkpoint must replace all pending records");
+                assert_eq!(journal.pending_count(), 0, "a checkpoint must replace all pending records");
                 self.durable = live;
                 self.pending.clear();
                 self.failed_checkpoints.clear();
--- a/storage/tests/writer.rs
+++ b/storage/tests/writer.rs
@@ -134,12 +134,12 @@
     }
     fixture.now_ms.store(700, Ordering::SeqCst);
     let age = fixture.writer.oldest_in_flight();
-    let syncs = fixture.disk.syncs();
+    let syncs = fixture.disk.sync_count();
     fixture.disk.resume();
     fixture.wait_until_synced(19);
     // then
     assert_eq!(age, Some(Duration::from_millis(700)));
-    assert_eq!(fixture.disk.syncs(), syncs + 2, "one sync for the stalled append, one for all others");
+    assert_eq!(fixture.disk.sync_count(), syncs + 2, "one sync for the stalled append, one for all others");
     assert_eq!(fixture.writer.oldest_in_flight(), None);
     assert_eq!(fixture.stored_payloads().len(), 19);
 }
