--- a/coordinator/src/driver/journal/queue.rs
+++ b/coordinator/src/driver/journal/queue.rs
@@ -41,7 +41,7 @@
     }
 
     fn oldest_in_flight(&self) -> Option<Duration> {
-        Writer::oldest_in_flight(self)
+        Writer::oldest_in_flight_age(self)
     }
 }
 
--- a/storage/src/writer/mod.rs
+++ b/storage/src/writer/mod.rs
@@ -93,7 +93,7 @@
 
     /// Returns how long the oldest append has been in flight, or `None` if all are durable. The value grows while the
     /// disk stalls.
-    pub fn oldest_in_flight(&self) -> Option<Duration> {
+    pub fn oldest_in_flight_age(&self) -> Option<Duration> {
         self.in_flight.oldest_age()
     }
 
--- a/storage/tests/writer.rs
+++ b/storage/tests/writer.rs
@@ -116,7 +116,7 @@
     assert!(matches!(event, WriterEvent::Synced { ticket: 1, wants_checkpoint: false, .. }));
     fixture.disk.power_cycle();
     assert_eq!(fixture.stored_payloads(), ["a"]);
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
 }
 
 #[test]
@@ -133,14 +133,14 @@
         fixture.append(ticket, "b");
     }
     fixture.now_ms.store(700, Ordering::SeqCst);
-    let age = fixture.writer.oldest_in_flight();
+    let age = fixture.writer.oldest_in_flight_age();
     let syncs = fixture.disk.sync_count();
     fixture.disk.resume();
     fixture.wait_until_synced(19);
     // then
     assert_eq!(age, Some(Duration::from_millis(700)));
     assert_eq!(fixture.disk.sync_count(), syncs + 2, "one sync for the stalled append, one for all others");
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
     assert_eq!(fixture.stored_payloads().len(), 19);
 }
 
@@ -162,7 +162,7 @@
                 fixture.next_event(),
                 WriterEvent::SyncFailed { ticket: 2, error: StorageError::Io { .. }, .. }
             ));
-            assert!(fixture.writer.oldest_in_flight().is_some());
+            assert!(fixture.writer.oldest_in_flight_age().is_some());
         }
         // when
         fixture.disk.set_faults(Faults::default());
@@ -228,7 +228,7 @@
     fixture.wait_until_synced(refused);
     // then
     assert_eq!(fixture.stored_payloads(), ["all"]);
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
 }
 
 #[test]
@@ -262,7 +262,7 @@
     fixture.wait_until_synced(2);
     // then
     assert_eq!(rejected.map_err(|rejected| rejected.reason), Err(RejectReason::Busy));
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
 }
 
 #[test]
@@ -270,7 +270,7 @@
     let fixture = WriterFixture::start();
     let rejected = fixture.writer.append(1, vec![(1, vec![0; 70_000])]);
     assert_eq!(rejected.map_err(|rejected| rejected.reason), Err(RejectReason::RecordTooLarge));
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
 }
 
 #[test]
@@ -348,7 +348,7 @@
     fixture.now_ms.store(900, Ordering::SeqCst);
     // then: no event is reported during the stall, the age of the append grows, and all records survive a power loss.
     assert!(fixture.events.try_recv().is_err());
-    assert_eq!(fixture.writer.oldest_in_flight(), Some(Duration::from_millis(900)));
+    assert_eq!(fixture.writer.oldest_in_flight_age(), Some(Duration::from_millis(900)));
     fixture.disk.resume();
     let before = fixture.wait_until_synced(2);
     assert!(matches!(before.as_slice(), [WriterEvent::Checkpointed { .. }]));
@@ -366,7 +366,7 @@
     fixture.writer.checkpoint(vec![(1, b"all".to_vec())]).expect("the writer accepts the checkpoint");
     // then
     assert!(matches!(fixture.next_event(), WriterEvent::CheckpointFailed { error: StorageError::Io { .. } }));
-    assert!(fixture.writer.oldest_in_flight().is_some());
+    assert!(fixture.writer.oldest_in_flight_age().is_some());
     fixture.disk.set_faults(Faults::default());
     fixture.writer.checkpoint(vec![(1, b"all".to_vec())]).expect("the writer accepts the checkpoint");
     fixture.wait_until_synced(refused);
@@ -393,8 +393,8 @@
     fixture.wait_until_synced(1);
     fixture.now_ms.store(700, Ordering::SeqCst);
     // then
-    assert_eq!(fixture.writer.oldest_in_flight(), Some(Duration::from_millis(700)));
+    assert_eq!(fixture.writer.oldest_in_flight_age(), Some(Duration::from_millis(700)));
     fixture.disk.resume();
     fixture.wait_until_synced(2);
-    assert_eq!(fixture.writer.oldest_in_flight(), None);
+    assert_eq!(fixture.writer.oldest_in_flight_age(), None);
 }
