--- a/storage/src/checkpoint.rs
+++ b/storage/src/checkpoint.rs
@@ -4,8 +4,8 @@
 use crate::segment_header::PAGE_BYTES;
 use crate::segment_writer::RecordRef;
 
-/// Upper bound, in bytes, of the space left unused at the end of a segment plus the overhead of splitting a record
-/// there.
+/// Upper bound, in bytes, of the space lost at the end of a segment: unused space, or the header and padding of the
+/// additional fragment in the next segment.
 const MAX_SEGMENT_OVERHEAD_BYTES: u64 = 256;
 
 /// Returns the records of a checkpoint in writing order: a begin marker, the `live` pairs of stream and payload, and an
--- a/storage/src/options.rs
+++ b/storage/src/options.rs
@@ -33,8 +33,8 @@
 }
 
 impl Options {
-    /// Returns the default sizes, reduced so that the ring uses at most five eighths of a disk of `disk_mb` mebibytes.
-    /// A `disk_mb` of 0 means that the disk size is unknown, and gives the defaults.
+    /// Returns the default sizes, reduced so that the ring uses at most five eighths of a disk of `disk_mb` mebibytes,
+    /// but not below the minimum sizes. A `disk_mb` of 0 means that the disk size is unknown, and gives the defaults.
     pub fn for_disk(disk_mb: u64) -> Self {
         let default = Options::default();
         if disk_mb == 0 {
