--- a/coordinator/src/driver/journal/queue.rs
+++ b/coordinator/src/driver/journal/queue.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use shaletrail_storage::{Command, FolderDisk, Journal, RejectedCommand, Writer, WriterEvent, WriterOptions};
+use shaletrail_storage::{
+    Command, DirectoryDisk, Journal, RejectedCommand, Writer, WriterEvent, WriterOptions,
+};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
 use crate::interface::Event;
@@ -39,7 +41,7 @@
     }
 
     fn oldest_in_flight(&self) -> Option<Duration> {
-        Writer::oldest_in_flight(self)
+        Writer::oldest_in_flight_age(self)
     }
 }
 
@@ -62,7 +64,7 @@
 
 impl JournalQueue<Writer> {
     /// Starts the thread. The caller has to convert each report with [`event_for_report`] and handle the resulting event.
-    pub fn start(journal: Journal<FolderDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
+    pub fn start(journal: Journal<DirectoryDisk>) -> (Self, UnboundedReceiver<WriterEvent>) {
         let (sender, reports) = unbounded_channel();
         let report = Box::new(move |report| {
             let _ = sender.send(report);
