--- a/configuration/src/host.rs
+++ b/configuration/src/host.rs
@@ -1,10 +1,10 @@
-//! Host names in the form that they are compared in.
+//! Normalization of host names for comparison.
 
 use std::borrow::Cow;
 
-/// Strips the port and converts to lower case. IPv6 addresses are recognised in brackets only.
+/// Strips the port and converts to lower case. IPv6 addresses are recognized only in brackets.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
-    let name = without_port(host);
+    let name = strip_port(host);
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
         name.to_ascii_lowercase().into()
     } else {
@@ -12,7 +12,7 @@
     }
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     let Some((name, port)) = host.rsplit_once(':') else { return host };
     let is_separator = !name.contains(':') || name.ends_with(']');
     if is_separator && port.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/configuration/src/item/limits.rs
+++ b/configuration/src/item/limits.rs
@@ -1,10 +1,10 @@
-//! Parsing of the limits for clients.
+//! Parsing of the client limits.
 
 use crate::error::InvalidConfig;
 use crate::json::Object;
 use crate::schema::ClientLimits;
 
-/// Parses the limits; absent ones have their defaults.
+/// Parses the client limits. Absent fields get their defaults.
 pub(super) fn parse(object: &Object<'_>) -> Result<ClientLimits, InvalidConfig> {
     let default = ClientLimits::default();
     Ok(ClientLimits {
--- a/configuration/src/item/mod.rs
+++ b/configuration/src/item/mod.rs
@@ -1,4 +1,4 @@
-//! Items of the configuration: the elements of its lists, and values that are no list.
+//! Items of the configuration: the elements of its lists, and the values of sections that are not lists.
 
 mod limits;
 mod route;
@@ -19,30 +19,26 @@
 /// An item's typed form.
 #[derive(Clone, Debug)]
 pub(crate) enum ItemValue {
-    /// A route.
     Route(ParsedRoute),
-    /// A service.
     Service(Arc<Service>),
-    /// The limits for clients.
     Limits(ClientLimits),
-    /// Any other item: it is stored and read back, but not interpreted.
+    /// Any other item. It is stored and returned, but not interpreted.
     Opaque,
 }
 
-/// An item, as it was written and as it is interpreted.
+/// An item, both as JSON and in its typed form.
 #[derive(Clone, Debug)]
 pub(crate) struct Item {
-    /// List and name; the name is empty for a value that is no list.
+    /// Section key and item name; the name is empty for the value of a section that is not a list.
     pub(crate) key: ItemKey,
     /// The JSON as the operator wrote it.
     pub(crate) json: String,
-    /// The typed form.
     pub(crate) value: ItemValue,
 }
 
 impl Item {
-    /// Parses an element of a list. `Ok(None)` if it is no object with a name, which elements of routes and services
-    /// must be.
+    /// Parses an element of a list. Returns `Ok(None)` if it is not an object with a name. In the lists of routes and
+    /// services, such an element is an error.
     pub(crate) fn parse_element(list: &str, value: LazyValue<'_>) -> Result<Option<Item>, InvalidConfig> {
         let json = value.as_raw_str().to_owned();
         let must_be_named = list == ROUTES || list == SERVICES;
@@ -72,7 +68,7 @@
         Ok(Some(Item { key, json, value }))
     }
 
-    /// Parses a value that is no list of items.
+    /// Parses the value of a section that is not a list of items.
     pub(crate) fn parse_value(key: &str, value: LazyValue<'_>) -> Result<Item, InvalidConfig> {
         let json = value.as_raw_str().to_owned();
         let value = match key {
@@ -87,7 +83,8 @@
         Ok(Item { key, json, value })
     }
 
-    /// Parses the JSON of an item that another state or node holds under this list and name.
+    /// Parses the JSON of an item from a snapshot or an update, which must have the given name; an empty `name` stands
+    /// for the value of a section that is not a list.
     pub(crate) fn parse_stored(list: &str, name: &str, json: &str) -> Result<Item, InvalidConfig> {
         let value = json::parse(json.as_bytes())?;
         if name.is_empty() {
@@ -97,7 +94,7 @@
         item.ok_or_else(|| JsonPath::item(list, name).unexpected_value(NAME, json, "the item's name"))
     }
 
-    /// The route, if the item is one.
+    /// Returns the route, or `None` if the item is not a route.
     pub(crate) fn as_route(&self) -> Option<&ParsedRoute> {
         match &self.value {
             ItemValue::Route(route) => Some(route),
--- a/configuration/src/item/service.rs
+++ b/configuration/src/item/service.rs
@@ -1,4 +1,4 @@
-//! Parsing of services and of what their servers run.
+//! Parsing of services, their runtimes and their models.
 
 use crate::error::InvalidConfig;
 use crate::json::Object;
@@ -8,16 +8,16 @@
 const DEFAULT_HEALTH_PATH: &str = "/healthz";
 
 const RUNTIME: &str = "runtime";
-/// The models' path within the service.
+/// Path of the models within the service.
 const RUNTIME_MODELS: &str = "runtime/models";
 const WEIGHTS_MB: &str = "weightsMb";
 
-/// Parses a service, whose name is the path's.
+/// Parses a service. Its name is the item name in the path of `object`.
 pub(super) fn parse(object: &Object<'_>) -> Result<Service, InvalidConfig> {
     let runtime = match object.get(RUNTIME) {
         Some(value) => {
             let path = object.path().within(RUNTIME, None);
-            Some(runtime(&Object::parse_required(value.clone(), RUNTIME, path)?)?)
+            Some(parse_runtime(&Object::parse_required(value.clone(), RUNTIME, path)?)?)
         }
         None => None,
     };
@@ -29,9 +29,9 @@
     })
 }
 
-fn runtime(object: &Object<'_>) -> Result<Runtime, InvalidConfig> {
+fn parse_runtime(object: &Object<'_>) -> Result<Runtime, InvalidConfig> {
     Ok(Runtime {
-        models: models(object)?,
+        models: parse_models(object)?,
         slots: object.optional_u32("slots")?.unwrap_or(1),
         kv_capacity: object.optional_u64("kvCapacity")?.unwrap_or(0),
         stride: object.optional_u32("stride")?.unwrap_or(1),
@@ -41,16 +41,16 @@
     })
 }
 
-fn models(runtime: &Object<'_>) -> Result<Vec<Model>, InvalidConfig> {
+fn parse_models(runtime: &Object<'_>) -> Result<Vec<Model>, InvalidConfig> {
     let elements = runtime.elements("models")?.into_iter().enumerate();
     let models = elements.map(|(index, element)| {
         let path = runtime.path().within(RUNTIME_MODELS, Some(index));
-        model(&Object::parse_required(element, RUNTIME_MODELS, path)?)
+        parse_model(&Object::parse_required(element, RUNTIME_MODELS, path)?)
     });
     models.collect()
 }
 
-fn model(object: &Object<'_>) -> Result<Model, InvalidConfig> {
+fn parse_model(object: &Object<'_>) -> Result<Model, InvalidConfig> {
     Ok(Model {
         name: object.required_string(NAME)?,
         weights_mb: object.optional_f64(WEIGHTS_MB)?.unwrap_or(0.0),
--- a/configuration/src/json/path.rs
+++ b/configuration/src/json/path.rs
@@ -1,52 +1,53 @@
-//! Paths that error messages name items and fields by.
+//! Paths that identify items and fields in error messages.
 
 use std::fmt;
 
 use crate::error::{InvalidConfig, MissingFieldSnafu, UnexpectedValueSnafu};
 
-/// Characters of a name or value that error messages repeat.
+/// Maximum number of characters of a name or value that an error message quotes.
 const MAX_EXCERPT_CHARS: usize = 60;
 
-/// Path of an object: a key of the configuration, an item under it, and a path within that item.
+/// Path of an object: a top-level key of the configuration, an item of the list at that key, and a path within that
+/// item.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JsonPath<'a> {
-    /// Key of the configuration, or the body of a call.
+    /// Top-level key of the configuration, or `body` for the body of a call.
     key: &'a str,
-    /// Name of the item in the list at that key, or empty.
+    /// Name of the item in the list at that key; empty for the value at the key as a whole.
     item_name: &'a str,
-    /// Path within the item, or empty.
+    /// Path of the object within the item; empty for the item itself.
     inner_path: &'static str,
-    /// Index in the array at the inner path.
+    /// Index of the object in the array at the inner path.
     index: Option<usize>,
 }
 
 impl<'a> JsonPath<'a> {
-    /// The item `item_name` of the list at `key`.
+    /// Returns the path of the item `item_name` in the list at `key`.
     pub(crate) fn item(key: &'a str, item_name: &'a str) -> Self {
         JsonPath { key, item_name, inner_path: "", index: None }
     }
 
-    /// The value at `key` as a whole.
+    /// Returns the path of the value at `key` as a whole.
     pub(crate) fn section(key: &'a str) -> Self {
         JsonPath::item(key, "")
     }
 
-    /// An object within the item, in place of any that this path has.
+    /// Returns the path of an object within the same item; it replaces the inner path of `self`.
     pub(crate) fn within(self, inner_path: &'static str, index: Option<usize>) -> Self {
         JsonPath { inner_path, index, ..self }
     }
 
-    /// Name of the item, or empty.
+    /// Returns the name of the item, which is empty for a value as a whole.
     pub(crate) fn item_name(&self) -> &'a str {
         self.item_name
     }
 
-    /// The path up to the item.
+    /// Returns the path without the part within the item.
     fn item_path(self) -> String {
         JsonPath::item(self.key, self.item_name).to_string()
     }
 
-    /// Path within the item of a field of this object.
+    /// Returns the path of a field of this object, relative to the item.
     fn field_path(&self, field: &str) -> String {
         let field = excerpt(field);
         match (self.inner_path, self.index) {
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The error of a required field that is missing.
+    /// Returns the error for a required field that is missing.
     pub(crate) fn missing_field(&self, field: &str, expected: &'static str) -> InvalidConfig {
         MissingFieldSnafu { path: self.item_path(), field: self.field_path(field), expected }.build()
     }
 
-    /// The error of a field whose value, as JSON, is not the expected one.
+    /// Returns the error for a field that has the unexpected value `json`.
     pub(crate) fn unexpected_value(&self, field: &str, json: &str, expected: &'static str) -> InvalidConfig {
         let (path, field, value) = (self.item_path(), self.field_path(field), excerpt(json));
         UnexpectedValueSnafu { path, field, value, expected }.build()
@@ -84,16 +85,17 @@
     }
 }
 
-/// The beginning of a text that the operator wrote, without control characters: it fits on one line of a message.
+/// Truncates a text that the operator wrote and replaces its control characters, so that it fits on one line of a
+/// message.
 pub(crate) fn excerpt(text: &str) -> String {
-    let mut excerpt: String = text.chars().take(MAX_EXCERPT_CHARS).map(without_control).collect();
+    let mut excerpt: String = text.chars().take(MAX_EXCERPT_CHARS).map(replace_control).collect();
     if text.chars().nth(MAX_EXCERPT_CHARS).is_some() {
         excerpt.push_str("...");
     }
     excerpt
 }
 
-fn without_control(character: char) -> char {
+fn replace_control(character: char) -> char {
     if character.is_control() {
         char::REPLACEMENT_CHARACTER
     } else {
--- a/configuration/src/json/precheck.rs
+++ b/configuration/src/json/precheck.rs
@@ -1,13 +1,13 @@
-//! Checks that the JSON parser leaves out: the depth of nesting, and the digits of `\u` escapes.
+//! Checks that the JSON parser does not make: the nesting depth, and the digits of `\u` escapes.
 
 use crate::error::{InvalidConfig, NotJsonSnafu, TooDeepSnafu};
 
-/// The greatest depth of nesting. The parser recurses once a level, so that its stack needs a bound.
+/// Maximum nesting depth. The parser recurses once per level, so the limit bounds its stack use.
 const MAX_DEPTH: usize = 64;
 /// Number of hexadecimal digits after `\u`.
 const ESCAPE_DIGITS: usize = 4;
 
-/// Checks nesting and escapes of a text, which need not be valid JSON otherwise.
+/// Checks the nesting depth and the `\u` escapes of a text. It need not be valid JSON otherwise.
 pub(crate) fn check(text: &[u8]) -> Result<(), InvalidConfig> {
     let mut depth = 0_usize;
     let mut bytes = text.iter().enumerate();
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// Advances past the closing quote of a string, or to the end of the text if there is none.
+/// Advances past the closing quote of a string, or to the end of the text if the string is not closed.
 fn skip_string<'a>(bytes: &mut impl Iterator<Item = (usize, &'a u8)>) -> Result<(), InvalidConfig> {
     while let Some((_, byte)) = bytes.next() {
         match byte {
--- a/configuration/src/keys.rs
+++ b/configuration/src/keys.rs
@@ -1,12 +1,12 @@
-//! JSON keys of the configuration that this crate gives a meaning to.
+//! JSON keys of the configuration that several modules of this crate interpret.
 
-/// The version of a configuration.
+/// Version of the configuration.
 pub(crate) const VERSION: &str = "version";
-/// The list of routes.
+/// List of routes.
 pub(crate) const ROUTES: &str = "routes";
-/// The list of services.
+/// List of services.
 pub(crate) const SERVICES: &str = "services";
-/// The limits for clients: an object, not a list.
+/// Client limits: an object, not a list.
 pub(crate) const LIMITS: &str = "limits";
-/// The field that names an item of a list.
+/// Field of an item that holds its name, which is unique within its list.
 pub(crate) const NAME: &str = "name";
