--- a/configuration/src/content_hash.rs
+++ b/configuration/src/content_hash.rs
@@ -1,13 +1,14 @@
-//! The identity of a change: a hash of its content, by which a repeated call is recognised.
+//! The hash of a change's content. It identifies the change, so that a retried call is recognized as a duplicate.
 
 use crate::change::ChangeKind;
 
 /// 128-bit FNV-1a hash of a change's kind, base version and body.
 ///
-/// The algorithm is fixed by its definition, so that replicas of different builds and machines agree on it.
+/// FNV-1a gives the same result on every build and machine, which replicas need to agree on duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, bitcode::Encode, bitcode::Decode)]
 pub(crate) struct ContentHash(u128);
 
+// The standard parameters of 128-bit FNV-1a.
 const OFFSET_BASIS: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
 const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
 
--- a/configuration/src/dedup_window.rs
+++ b/configuration/src/dedup_window.rs
@@ -1,4 +1,4 @@
-//! Which of the latest changes were applied, so that a repeated call is acknowledged again and not refused.
+//! The most recently applied changes, so that a retry of an applied change is acknowledged again instead of rejected.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -6,46 +6,49 @@
 
 use crate::content_hash::ContentHash;
 
-/// Number of changes in the window.
+/// Capacity of the window.
 const MAX_CHANGES: usize = 4096;
 
-/// A change that was applied.
+/// An entry of the window: a change that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct AppliedChange {
-    /// The version that it built on; rises from one applied change to the next.
+    /// The version that the change was based on; strictly increasing from one applied change to the next.
     pub(crate) base_version: u64,
-    /// Its identity.
+    /// The hash that identifies the change.
     pub(crate) content_hash: ContentHash,
 }
 
-/// The latest changes that were applied.
+/// The most recently applied changes, up to [`MAX_CHANGES`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct DedupWindow {
     /// Oldest first.
     changes: VecDeque<AppliedChange>,
     content_hashes: HashSet<ContentHash>,
+    /// Base version of the change that was evicted last; `None` if none was evicted.
     newest_evicted_base: Option<u64>,
 }
 
 impl DedupWindow {
-    /// The window from its [`iter`](DedupWindow::iter) and [`newest_evicted_base`](DedupWindow::newest_evicted_base).
+    /// Restores a window from the values of [`iter`](DedupWindow::iter) and
+    /// [`newest_evicted_base`](DedupWindow::newest_evicted_base).
     pub(crate) fn restore(changes: Vec<AppliedChange>, newest_evicted_base: Option<u64>) -> Self {
         let mut window = DedupWindow { newest_evicted_base, ..DedupWindow::default() };
         changes.into_iter().for_each(|change| window.push(change));
         window
     }
 
-    /// Whether a change was applied and is in the window.
+    /// Returns whether the change with this hash is in the window, that is, was applied recently.
     pub(crate) fn contains(&self, content_hash: ContentHash) -> bool {
         self.content_hashes.contains(&content_hash)
     }
 
-    /// Whether a change that built on `base_version` may have been applied and evicted since.
+    /// Returns whether a change based on `base_version` may have been applied and evicted since. Base versions increase
+    /// with each applied change, so this holds for all versions up to the newest evicted base.
     pub(crate) fn may_have_evicted(&self, base_version: u64) -> bool {
         self.newest_evicted_base.is_some_and(|newest| base_version <= newest)
     }
 
-    /// Adds a change, and evicts the oldest one if the window is full.
+    /// Adds a change and evicts the oldest one if the window is full.
     pub(crate) fn push(&mut self, change: AppliedChange) {
         if !self.content_hashes.insert(change.content_hash) {
             return;
@@ -59,12 +62,12 @@
         }
     }
 
-    /// All changes in the window, oldest first.
+    /// Returns all changes in the window, oldest first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = AppliedChange> + '_ {
         self.changes.iter().copied()
     }
 
-    /// The version that the newest evicted change built on; `None` if none was evicted.
+    /// Returns the base version of the change that was evicted last, or `None` if none was evicted.
     pub(crate) fn newest_evicted_base(&self) -> Option<u64> {
         self.newest_evicted_base
     }
--- a/configuration/src/diff.rs
+++ b/configuration/src/diff.rs
@@ -1,4 +1,4 @@
-//! The items that differ between the current configuration and the one that a change leads to.
+//! The difference between the current configuration and the configuration after a change, item by item.
 
 use std::borrow::Cow;
 use std::collections::{BTreeSet, HashSet};
@@ -11,7 +11,7 @@
 use crate::item::Item;
 use crate::keys::ROUTES;
 
-/// Items to add, replace and remove. No key is in both lists.
+/// Items to add, replace and remove. No key occurs in both fields.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigDiff<'a> {
     /// Items to add or replace.
@@ -21,7 +21,7 @@
 }
 
 impl<'a> ConfigDiff<'a> {
-    /// Compares a change with the configuration that it builds on.
+    /// Computes the difference that a change makes to the configuration that it is based on.
     pub(crate) fn between(document: &Document, change: &'a Change) -> ConfigDiff<'a> {
         let mut diff = ConfigDiff::default();
         for section in &change.sections {
@@ -34,23 +34,23 @@
         diff
     }
 
-    /// Keys of all items that differ.
+    /// Returns the keys of all items that are added, replaced or removed.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &ItemKey> {
         self.upsert.iter().map(|item| &item.key).chain(self.remove.iter())
     }
 
-    /// Names of the items of a list that are added or replaced.
+    /// Returns the names of the items of `list` that are added or replaced.
     pub(crate) fn upserted_names<'b>(&'b self, list: &'b str) -> impl Iterator<Item = &'b str> {
         let keys = self.upsert.iter().map(|item| &item.key);
         keys.filter(move |key| key.list == list).map(|key| key.name.as_str())
     }
 
-    /// Names of the items of a list that are removed.
+    /// Returns the names of the items of `list` that are removed.
     pub(crate) fn removed_names<'b>(&'b self, list: &'b str) -> impl Iterator<Item = &'b str> {
         self.remove.iter().filter(move |key| key.list == list).map(|key| key.name.as_str())
     }
 
-    /// Names of the routes that are added, replaced or removed.
+    /// Returns the names of the routes that are added, replaced or removed.
     pub(crate) fn changed_route_names(&self) -> impl Iterator<Item = &str> {
         self.removed_names(ROUTES).chain(self.upserted_names(ROUTES))
     }
@@ -68,9 +68,9 @@
                 let differs = |item: &&Item| list.get(&item.key.name) != Some(item.json.as_str());
                 self.upsert.extend(items.iter().filter(differs));
                 if kind == ChangeKind::Replace {
-                    let names = names(items);
+                    let names = item_names(items);
                     let removed = list.iter().map(|(name, _)| name).filter(|name| !names.contains(name));
-                    self.remove.to_mut().extend(removed.map(|name| key(&section.key, name)));
+                    self.remove.to_mut().extend(removed.map(|name| item_key(&section.key, name)));
                 }
             }
             (SectionContent::List(items), current) => {
@@ -87,29 +87,29 @@
         self.remove.to_mut().extend(removed.flat_map(|(key, section)| section.item_keys(key)));
     }
 
-    /// Removes the items that an update names, unless the same update upserts them.
+    /// Adds the removals that an update names, except of items that the same update upserts.
     fn remove_named_items(&mut self, document: &Document, change: &Change) {
         for removal in &change.removals {
             let Some(StoredSection::List(list)) = document.section(&removal.list) else { continue };
             let section = change.sections.iter().find(|section| section.key == removal.list);
             let upserted = match section.map(|section| &section.content) {
-                Some(SectionContent::List(items)) => names(items),
+                Some(SectionContent::List(items)) => item_names(items),
                 Some(SectionContent::Value(_)) => continue,
                 None => HashSet::new(),
             };
-            // Sorted and distinct, so that all replicas compute the same difference.
+            // Sorted and without duplicates, so that all replicas compute the same difference.
             let names: BTreeSet<&str> = removal.names.iter().map(String::as_str).collect();
             let is_removed = |name: &&str| list.get(name).is_some() && !upserted.contains(name);
             let removed = names.into_iter().filter(is_removed);
-            self.remove.to_mut().extend(removed.map(|name| key(&removal.list, name)));
+            self.remove.to_mut().extend(removed.map(|name| item_key(&removal.list, name)));
         }
     }
 }
 
-fn names(items: &[Item]) -> HashSet<&str> {
+fn item_names(items: &[Item]) -> HashSet<&str> {
     items.iter().map(|item| item.key.name.as_str()).collect()
 }
 
-fn key(list: &str, name: &str) -> ItemKey {
+fn item_key(list: &str, name: &str) -> ItemKey {
     ItemKey { list: list.to_owned(), name: name.to_owned() }
 }
