--- a/configuration/src/change.rs
+++ b/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! One call of the operator, checked as far as it can be without the configuration that it builds on.
+//! One operator call, validated as far as possible without the configuration that it is based on.
 
 use bitcode::{Decode, Encode};
 use snafu::ResultExt;
@@ -7,17 +7,17 @@
 use crate::content_hash::ContentHash;
 use crate::error::{DecodeError, InvalidConfig, InvalidContentSnafu, NotJsonSnafu, UndecodableSnafu};
 
-/// Which of the two calls a change is.
+/// The operator call that a change comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// `Config.Replace`: the body is the new configuration, and all else is removed.
+    /// `Config.Replace`: the body is the complete new configuration; everything that it leaves out is removed.
     Replace,
-    /// `Config.Update`: the body names items to add, replace or remove, and all else stays.
+    /// `Config.Update`: the body lists items to add, replace or remove; everything else is kept.
     Update,
 }
 
 impl ChangeKind {
-    /// The kind from the flag that messages and log entries have for it.
+    /// Converts the `replace` flag of messages and log entries: `true` is [`Replace`](ChangeKind::Replace).
     pub fn from_replace_flag(replace: bool) -> ChangeKind {
         if replace {
             ChangeKind::Replace
@@ -31,7 +31,7 @@
     }
 }
 
-/// A change of the configuration.
+/// A change of the configuration, valid by itself but not yet checked against the current configuration.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub(crate) kind: ChangeKind,
@@ -43,7 +43,7 @@
     body: String,
 }
 
-/// A change as it is stored in the log: the call, which is parsed again when it is decoded.
+/// The encoding of a change in the log. It holds the call as it was received; decoding parses the body again.
 #[derive(Encode, Decode)]
 struct EncodedChange<'a> {
     replace: bool,
@@ -52,11 +52,12 @@
 }
 
 impl Change {
-    /// Parses the body of a call. `base_version` is the call's `Base-Version`: the version that the change builds on.
+    /// Parses the body of a call. `base_version` is the value of the call's `Base-Version` header, the version that the
+    /// change is based on.
     ///
     /// # Errors
     ///
-    /// If the body is invalid on any configuration.
+    /// If the body is invalid regardless of the current configuration.
     pub fn parse(kind: ChangeKind, base_version: u64, body: &[u8]) -> Result<Change, InvalidConfig> {
         let body = std::str::from_utf8(body);
         let body = body.map_err(|error| NotJsonSnafu { offset: error.valid_up_to() }.build())?;
@@ -69,22 +70,22 @@
         Ok(Change { kind, base_version, version, content_hash, sections, removals, body: body.to_owned() })
     }
 
-    /// The version that the change leads to.
+    /// Returns the version of the configuration after the change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The version that the change builds on.
+    /// Returns the version that the change is based on; it must be the current one when the change is applied.
     pub fn base_version(&self) -> u64 {
         self.base_version
     }
 
-    /// Size of the call's body, in bytes.
-    pub(crate) fn body_bytes(&self) -> usize {
+    /// Returns the size of the call's body, in bytes.
+    pub(crate) fn body_size(&self) -> usize {
         self.body.len()
     }
 
-    /// Encodes the change as an entry of the configuration shard's log.
+    /// Encodes the change as a log entry of the configuration shard.
     pub fn encode(&self) -> Vec<u8> {
         bitcode::encode(&EncodedChange {
             replace: self.kind.replaces_all(),
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Decodes what [`encode`](Change::encode) returned.
+    /// Decodes a log entry that [`encode`](Change::encode) produced.
     pub fn decode(bytes: &[u8]) -> Result<Change, DecodeError> {
         let decoded: Result<EncodedChange<'_>, _> = bitcode::decode(bytes);
         let Ok(EncodedChange { replace, base_version, body }) = decoded else {
--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration as the operator wrote it, by section and item.
+//! The stored configuration: the JSON that the operator wrote, by section and item.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,15 @@
 use crate::item_list::ItemList;
 use crate::keys::VERSION;
 
-/// All sections of the configuration: its keys with their values, but for the version.
+/// All sections of the configuration, that is, its top-level keys and values except for the version.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Document {
     sections: BTreeMap<String, StoredSection>,
-    bytes: usize,
+    /// Size of all keys and values, in bytes.
+    size_bytes: usize,
 }
 
-/// A list of named items, or any other value as JSON.
+/// The value of a section: a list of named items, or any other value as JSON.
 #[derive(Clone, Debug)]
 pub(crate) enum StoredSection {
     List(ItemList),
@@ -23,12 +24,12 @@
 }
 
 impl StoredSection {
-    /// Keys of the items, where `list` is the key of the section itself.
+    /// Returns the keys of the section's items. `list` is the key of the section itself.
     pub(crate) fn item_keys<'a>(&'a self, list: &'a str) -> impl Iterator<Item = ItemKey> + 'a {
         self.items().map(move |(name, _)| ItemKey { list: list.to_owned(), name: name.to_owned() })
     }
 
-    /// Names and JSON of the items; a value that is no list is one item with an empty name.
+    /// Returns the name and JSON of each item. A value that is not a list counts as one item with an empty name.
     pub(crate) fn items(&self) -> impl Iterator<Item = (&str, &str)> {
         let (list, value) = match self {
             StoredSection::List(list) => (Some(list), None),
@@ -37,26 +38,26 @@
         list.into_iter().flat_map(ItemList::iter).chain(value)
     }
 
-    fn bytes(&self) -> usize {
+    fn size_bytes(&self) -> usize {
         match self {
-            StoredSection::List(list) => list.bytes(),
+            StoredSection::List(list) => list.size_bytes(),
             StoredSection::Value(json) => json.len(),
         }
     }
 }
 
 impl Document {
-    /// The section of a key.
+    /// Returns the section at a key, or `None` if the configuration does not have it.
     pub(crate) fn section(&self, key: &str) -> Option<&StoredSection> {
         self.sections.get(key)
     }
 
-    /// All sections with their keys, sorted.
+    /// Returns all sections with their keys, sorted by key.
     pub(crate) fn sections(&self) -> impl Iterator<Item = (&str, &StoredSection)> {
         self.sections.iter().map(|(key, section)| (key.as_str(), section))
     }
 
-    /// An item, as updates hold it.
+    /// Returns the item with this key in the form that updates contain, or `None` if it does not exist.
     pub(crate) fn item(&self, key: &ItemKey) -> Option<ConfigItem> {
         let json = match self.sections.get(&key.list)? {
             StoredSection::List(list) => list.get(&key.name)?,
@@ -66,29 +67,30 @@
         Some(ConfigItem { key: key.clone(), json: json.to_owned() })
     }
 
-    /// Size of keys and values, in bytes: near to that of [`to_json`](Document::to_json).
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
+    /// Returns the size of all keys and values, in bytes. This is close to the size of the result
+    /// of [`to_json`](Document::to_json).
+    pub(crate) fn size_bytes(&self) -> usize {
+        self.size_bytes
     }
 
-    /// Adds or replaces a section as a whole.
+    /// Adds a section, or replaces it completely.
     pub(crate) fn insert(&mut self, key: String, section: StoredSection) {
-        self.bytes += section.bytes();
+        self.size_bytes += section.size_bytes();
         let key_bytes = key.len();
         match self.sections.insert(key, section) {
-            Some(replaced) => self.bytes -= replaced.bytes(),
-            None => self.bytes += key_bytes,
+            Some(replaced) => self.size_bytes -= replaced.size_bytes(),
+            None => self.size_bytes += key_bytes,
         }
     }
 
-    /// Removes items by name. A list that this empties stays.
+    /// Removes items by name. A list that becomes empty is kept.
     pub(crate) fn remove(&mut self, removal: &Removal) {
         if let Some(StoredSection::List(list)) = self.sections.get_mut(&removal.list) {
-            self.bytes -= removal.names.iter().map(|name| list.remove(name)).sum::<usize>();
+            self.size_bytes -= removal.names.iter().map(|name| list.remove(name)).sum::<usize>();
         }
     }
 
-    /// Adds or replaces the items of a section; other items of the same list stay.
+    /// Adds or replaces the items of a section; other items of the same list are kept.
     pub(crate) fn upsert(&mut self, section: Section) {
         let items = match section.content {
             SectionContent::Value(item) => {
@@ -101,19 +103,19 @@
         }
         if let Some(StoredSection::List(list)) = self.sections.get_mut(&section.key) {
             for item in items {
-                self.bytes += item.json.len();
-                self.bytes -= list.insert(item.key.name, item.json);
+                self.size_bytes += item.json.len();
+                self.size_bytes -= list.insert(item.key.name, item.json);
             }
         }
     }
 
-    /// The configuration with its version as JSON.
+    /// Returns the complete configuration, including its version, as JSON.
     pub(crate) fn to_json(&self, version: u64) -> Vec<u8> {
         let mut text = format!("{{\"{VERSION}\":{version}");
-        text.reserve(self.bytes);
+        text.reserve(self.size_bytes);
         for (key, section) in self.sections() {
             text.push(',');
-            text.push_str(&quoted(key));
+            text.push_str(&json_string(key));
             text.push(':');
             match section {
                 StoredSection::Value(json) => text.push_str(json),
@@ -136,17 +138,17 @@
     text.push(']');
 }
 
-/// A text as a JSON string.
-fn quoted(text: &str) -> String {
-    let mut quoted = String::with_capacity(text.len() + 2);
-    quoted.push('"');
+/// Returns the text as a JSON string literal.
+fn json_string(text: &str) -> String {
+    let mut literal = String::with_capacity(text.len() + 2);
+    literal.push('"');
     for character in text.chars() {
         match character {
-            '"' | '\\' => quoted.extend(['\\', character]),
-            control if control < ' ' => quoted.push_str(&format!("\\u{:04x}", u32::from(control))),
-            other => quoted.push(other),
+            '"' | '\\' => literal.extend(['\\', character]),
+            control if control < ' ' => literal.push_str(&format!("\\u{:04x}", u32::from(control))),
+            other => literal.push(other),
         }
     }
-    quoted.push('"');
-    quoted
+    literal.push('"');
+    literal
 }
--- a/configuration/src/item_list.rs
+++ b/configuration/src/item_list.rs
@@ -1,8 +1,8 @@
-//! A list of named items, stored as JSON.
+//! An ordered list of named items, stored as JSON.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Items in the order in which they were added; a replaced item keeps its position.
+/// Items in the order in which they were added. A replaced item keeps its position.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ItemList {
     items_by_position: BTreeMap<u64, StoredItem>,
@@ -17,18 +17,18 @@
 }
 
 impl ItemList {
-    /// The JSON of an item.
+    /// Returns the JSON of the item with this name, or `None` if it does not exist.
     pub(crate) fn get(&self, name: &str) -> Option<&str> {
         let position = self.positions.get(name)?;
         self.items_by_position.get(position).map(|item| item.json.as_str())
     }
 
-    /// Names and JSON of all items, in order.
+    /// Returns the name and JSON of each item, in order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.items_by_position.values().map(|item| (item.name.as_str(), item.json.as_str()))
     }
 
-    /// Adds or replaces an item. Returns the size of the replaced JSON, in bytes.
+    /// Adds or replaces an item. Returns the size of the replaced JSON, in bytes; 0 if the item is new.
     pub(crate) fn insert(&mut self, name: String, json: String) -> usize {
         let position = *self.positions.entry(name.clone()).or_insert(self.next_position);
         self.next_position = self.next_position.max(position + 1);
@@ -43,8 +43,8 @@
         removed.map_or(0, |item| item.json.len())
     }
 
-    /// Size of the JSON of all items together, in bytes.
-    pub(crate) fn bytes(&self) -> usize {
+    /// Returns the total size of the JSON of all items, in bytes.
+    pub(crate) fn size_bytes(&self) -> usize {
         self.items_by_position.values().map(|item| item.json.len()).sum()
     }
 }
--- a/configuration/src/snapshot.rs
+++ b/configuration/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encoding of the state machine for snapshots of the configuration's shard.
+//! Encoding of the state machine in snapshots of the configuration shard.
 
 use bitcode::{Decode, Encode};
 use snafu::ResultExt;
@@ -10,7 +10,7 @@
 use crate::item_list::ItemList;
 use crate::state::ConfigState;
 
-/// The state, but for what is derived from the document.
+/// The encoded state, without the parts that are derived from the document.
 #[derive(Encode, Decode)]
 struct Snapshot<'a> {
     version: u64,
@@ -65,7 +65,7 @@
 }
 
 impl ConfigState {
-    /// Encodes the state; equal states give equal bytes.
+    /// Encodes the state. Equal states have equal encodings.
     pub fn snapshot(&self) -> Vec<u8> {
         let sections = self.document().sections();
         let sections = sections.map(|(key, section)| SnapshotSection { key, content: section.into() });
@@ -78,7 +78,11 @@
         })
     }
 
-    /// Decodes what [`snapshot`](ConfigState::snapshot) returned, and checks the configuration in it.
+    /// Restores the state from the bytes that [`snapshot`](ConfigState::snapshot) returned.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes cannot be decoded, or the configuration in them is invalid.
     pub fn restore(bytes: &[u8]) -> Result<Self, DecodeError> {
         let decoded: Result<Snapshot<'_>, _> = bitcode::decode(bytes);
         let Ok(snapshot) = decoded else {
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -14,33 +14,33 @@
 use crate::service_references::ServiceReferences;
 use crate::view::View;
 
-/// Maximum size of the configuration, in bytes. A full update of that size fits into one message between nodes.
+/// Maximum size of the configuration, in bytes. A full update of this size fits into one message between nodes.
 ///
-/// A snapshot, with the deduplication window (100 KB), stays below the largest record of the journal, 16 MB: a state
-/// that no disk accepts could not be persisted.
+/// A snapshot also holds the deduplication window (100 KB). It must stay below the maximum size of a journal record
+/// (16 MB), as a larger state could not be persisted.
 pub const MAX_CONFIGURATION_BYTES: usize = 12 << 20;
 
-/// The outcome of a change.
+/// The result of validating or applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is valid on the current version and is applied.
+    /// The change is valid on the current version, so [`apply`](ConfigState::apply) applies it.
     Accepted,
-    /// It was applied before and is acknowledged again.
+    /// The change was applied before. It is not applied again, but must be acknowledged.
     Duplicate,
-    /// It builds on a version so old that it may have been applied and evicted from the deduplication window since. It
-    /// is not applied, and must be neither acknowledged nor refused.
+    /// The change is based on a version so old that it may have been applied and since been evicted from the
+    /// deduplication window. It is not applied, and must be neither acknowledged nor rejected.
     Expired,
-    /// It builds on another version than the current one, and was not applied.
+    /// The change is based on a version other than the current one, and has not been applied.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// It would lead to an invalid configuration.
+    /// The change would result in an invalid configuration.
     Invalid(InvalidConfig),
 }
 
-/// The configuration, the items that the latest changes touched, and which changes were applied. Equal on all
-/// replicas that have applied the same log entries.
+/// The replicated state: the configuration, the items that recent changes modified, and the recently applied changes.
+/// It is equal on all replicas that have applied the same log entries.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
     version: u64,
@@ -54,9 +54,9 @@
 }
 
 impl ConfigState {
-    /// The outcome that a change would have if it were applied now.
+    /// Returns the outcome that a change would have if it were applied now.
     pub fn validate(&self, change: &Change) -> ChangeOutcome {
-        // A repeated call must be recognised first: the version that it builds on is no longer the current one.
+        // A retry must be recognized first, because the version that it is based on is no longer the current one.
         if self.dedup_window.contains(change.content_hash) {
             return ChangeOutcome::Duplicate;
         }
@@ -72,19 +72,19 @@
         }
     }
 
-    /// Applies a committed log entry ([`Change::encode`]): validates the change, and applies it if it is accepted.
+    /// Decodes a committed log entry ([`Change::encode`]), validates the change, and applies it if it is accepted.
     pub fn apply(&mut self, entry: &[u8]) -> ChangeOutcome {
         let Ok(change) = Change::decode(entry) else {
             return ChangeOutcome::Invalid(InvalidConfig::NotAChange);
         };
         let outcome = self.validate(&change);
         if outcome == ChangeOutcome::Accepted {
-            self.commit(change);
+            self.apply_accepted(change);
         }
         outcome
     }
 
-    /// The current version; 0 before the first configuration.
+    /// Returns the current version; 0 before the first configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -101,19 +101,19 @@
         &self.dedup_window
     }
 
-    /// The configuration as JSON, its items as they were written.
+    /// Returns the configuration as JSON, with each item as the operator wrote it.
     pub fn read(&self) -> Vec<u8> {
         self.document.to_json(self.version)
     }
 
-    /// The typed form of the configuration.
+    /// Returns the typed form of the current configuration.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The update for a node whose view is at `version`: the items that changed since, or a full update if that version
-    /// is no longer in the change log; `None` if there is nothing newer. It holds only items that are part of a
-    /// [`View`].
+    /// Returns the update for a node whose view is at `version`, or `None` if there is no newer version. The update
+    /// contains the items that changed since `version`, or all items if that version is 0 or not in the change log.
+    /// Items that are not part of a [`View`] are left out.
     pub fn updates_since(&self, version: u64) -> Option<ConfigUpdate> {
         if version >= self.version {
             return None;
@@ -141,7 +141,7 @@
         ConfigUpdate { version: self.version, upsert: items.collect(), ..ConfigUpdate::default() }
     }
 
-    /// Checks the configuration that a change on the current version would lead to.
+    /// Checks the configuration that would result from a change based on the current version.
     fn check(&self, change: &Change) -> Result<(), InvalidConfig> {
         if change.version <= self.version {
             return VersionNotHigherSnafu { version: change.version, current: self.version }.fail();
@@ -151,11 +151,11 @@
     }
 
     fn check_size(&self, change: &Change) -> Result<(), InvalidConfig> {
-        let remaining_bytes = match change.kind {
+        let kept_bytes = match change.kind {
             ChangeKind::Replace => 0,
-            ChangeKind::Update => self.document.bytes(),
+            ChangeKind::Update => self.document.size_bytes(),
         };
-        let bytes = remaining_bytes + change.body_bytes();
+        let bytes = kept_bytes + change.body_size();
         if bytes > MAX_CONFIGURATION_BYTES {
             return TooLargeSnafu { bytes, max_bytes: MAX_CONFIGURATION_BYTES }.fail();
         }
@@ -167,8 +167,8 @@
         self.service_references.check(diff, &self.view)
     }
 
-    /// Applies a change that was validated.
-    fn commit(&mut self, change: Change) {
+    /// Applies a change that [`validate`](ConfigState::validate) has accepted.
+    fn apply_accepted(&mut self, change: Change) {
         let diff = ConfigDiff::between(&self.document, &change);
         let keys = diff.keys().filter(|key| View::includes(key)).cloned().collect();
         self.change_log.push(ChangeLogEntry { base_version: self.version, keys });
@@ -187,13 +187,14 @@
         }
     }
 
-    /// Brings what is derived from the document up to date.
+    /// Updates the fields that are derived from the document.
     fn apply_diff(&mut self, diff: &ConfigDiff<'_>, version: u64) {
         self.service_references.apply(diff);
         self.view.apply_diff(diff, version);
     }
 
-    /// The state from the parts that a snapshot holds. What is derived from the document is checked and built anew.
+    /// Builds the state from the parts that a snapshot holds. Checks the document and rebuilds the fields that are
+    /// derived from it.
     pub(crate) fn from_parts(
         version: u64,
         document: Document,
