--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -1,18 +1,20 @@
 //! The operator's configuration: parsing, validation, the replicated state machine, updates since a version, and the
-//! typed view that requests are routed by.
+//! typed view that is used to route requests.
 //!
-//! A [`Change`] is one call of the operator (`Config.Replace` or `Config.Update`), parsed and checked on its own.
-//! [`ConfigState`] is the state machine that the coordinators replicate: it validates changes against the current
-//! version, applies them, returns the configuration as it was written, and computes what changed since a version.
-//! [`View`] is the typed form that requests are routed by; data-plane nodes keep theirs up to date with
-//! [`ConfigUpdate`](shaletrail_protocol::internal::ConfigUpdate).
+//! - [`Change`] is one operator call (`Config.Replace` or `Config.Update`), parsed and validated as far as possible
+//!   without the current configuration.
+//! - [`ConfigState`] is the state machine that the coordinators replicate. It validates changes against the current
+//!   version, applies them, returns the configuration as the operator wrote it, and computes the update from an earlier
+//!   version to the current one.
+//! - [`View`] is the typed form of the configuration, which is used to route requests. Data-plane nodes keep their view
+//!   up to date by applying each [`ConfigUpdate`](shaletrail_protocol::internal::ConfigUpdate) that they receive.
 //!
-//! Items are stored as the operator wrote them: the spelling of numbers is kept, and so are unknown fields.
+//! Items are stored as the operator wrote them: numbers keep their notation, and unknown fields are preserved.
 //!
-//! The way of a change through the modules: `change` and `change_body` parse a call with the help of `json` and
-//! `item`; `diff` compares it with the `document`; `view` and `service_references` check the difference; `state` puts
-//! these together and records the change in `change_log` (for updates) and `dedup_window` (for repeated calls).
-//! `snapshot` encodes the state.
+//! A change passes through the modules as follows: `change` and `change_body` parse the call, using `json` and `item`;
+//! `diff` compares it with the current `document`; `view` and `service_references` check the difference; `state` runs
+//! these steps and records the change in `change_log` (to compute updates) and in `dedup_window` (to recognize retried
+//! calls). `snapshot` encodes and decodes the state.
 
 mod change;
 mod change_body;
--- a/configuration/src/route_table.rs
+++ b/configuration/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes by name, and by host and path prefix.
+//! The table of routes, indexed by name and by host and path prefix.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct HostRoutes {
     by_prefix: HashMap<String, Arc<Route>>,
-    /// Number of prefixes by their length in bytes. A look-up tries one prefix for each length, and configurations have
-    /// few lengths.
+    /// Number of prefixes of each length, in bytes. A lookup tries one prefix per length, which is fast because
+    /// configurations use few different lengths.
     prefix_lengths: BTreeMap<usize, usize>,
 }
 
 impl HostRoutes {
-    /// The route with the longest prefix of `path`.
+    /// Returns the route with the longest prefix that matches `path`.
     fn find(&self, path: &str) -> Option<&Arc<Route>> {
         let longest_first = self.prefix_lengths.range(..=path.len()).rev();
         let mut prefixes = longest_first.filter_map(|(length, _)| path.get(..*length));
@@ -55,17 +55,18 @@
 }
 
 impl RouteTable {
-    /// The route of a request: of the host's routes, the one with the longest prefix of the path.
+    /// Returns the route of a request: among the routes of its host, the one with the longest prefix that matches the
+    /// path.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.by_host.get(normalize_host(host).as_ref())?.find(path)
     }
 
-    /// All routes, sorted by name.
+    /// Returns all routes, sorted by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_name.values()
     }
 
-    /// Checks that no two routes have the same host and prefix once `diff` is applied.
+    /// Checks that no two routes will have the same host and prefix after `diff` is applied.
     pub(crate) fn check(&self, diff: &ConfigDiff<'_>) -> Result<(), InvalidConfig> {
         let changed: HashSet<&str> = diff.changed_route_names().collect();
         let mut added: HashMap<(&str, &str), &str> = HashMap::new();
@@ -81,9 +82,9 @@
         Ok(())
     }
 
-    /// Applies a difference that was checked.
+    /// Applies a difference that [`check`](RouteTable::check) has accepted.
     pub(crate) fn apply(&mut self, diff: &ConfigDiff<'_>) {
-        // All changed routes leave before any comes in: an update may swap the prefixes of two routes.
+        // All changed routes are removed before any is inserted, because an update may swap the prefixes of two routes.
         for name in diff.changed_route_names() {
             self.remove(name);
         }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The route with exactly this host and prefix.
+    /// Returns the route with exactly this host and prefix.
     fn get(&self, host: &str, path_prefix: &str) -> Option<&Arc<Route>> {
         self.by_host.get(host)?.by_prefix.get(path_prefix)
     }
--- a/configuration/src/schema.rs
+++ b/configuration/src/schema.rs
@@ -1,120 +1,122 @@
-//! Routes, services and limits as typed values.
+//! The typed form of routes, services and client limits.
 
-/// How often requests of a route may run, and in which form they are answered.
+/// How often a request of a route may be executed, and the form of its response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// A request may be executed more than once.
     Idempotent,
-    /// A request may run at most once; also the kind of routes whose type this version does not know.
+    /// A request may be executed at most once. Routes of an unknown type are also of this kind.
     #[default]
     NonIdempotent,
-    /// A request is answered with a stream of events.
+    /// The response to a request is a stream of events.
     Streaming {
-        /// Whether another server may resume a stream; if not, a request may run at most once.
+        /// Whether another server may resume a stream. If not, a request may be executed at most once.
         resumable: bool,
-        /// Target for the longest gap between two events, in milliseconds.
+        /// Target for the longest gap between two events of a stream, in milliseconds; at most one year.
         gap_target_ms: u64,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may run more than once, so that it can be retried after it may have reached a server.
+    /// Returns whether a request may be executed more than once, so that it can be retried even if a server may already
+    /// have executed it.
     pub fn is_idempotent(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::Streaming { resumable: true, .. })
     }
 }
 
-/// How requests for one host and path prefix are routed.
+/// The routing rule for requests to one host and path prefix.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// Name of the route, unique among routes.
+    /// Name of the route; unique.
     pub name: String,
-    /// Host of the requests, in lower case and without a port.
+    /// Host that requests must have, in lower case and without a port.
     pub host: String,
-    /// Prefix of the requests' paths.
+    /// Prefix that request paths must have.
     pub path_prefix: String,
-    /// How often its requests may run, and in which form they are answered.
+    /// How often a request may be executed, and the form of its response.
     pub kind: RouteKind,
-    /// Longest time that a request may take, in milliseconds; over 0, at most one year.
+    /// Time-out of a request, in milliseconds; above 0 and at most one year.
     pub timeout_ms: u64,
-    /// Latency within which a response counts in full, in milliseconds; at most one year.
+    /// Latency up to which a response counts in full, in milliseconds; at most one year.
     pub target_latency_ms: u64,
     /// Priority class; 0 is the highest.
     pub priority: u8,
-    /// Services that its requests are split among; at least one.
+    /// Services that receive the requests of the route, with their weights; at least one.
     pub traffic_split: Vec<WeightedService>,
-    /// Maximum number of servers that one request is sent to; 1 or more.
+    /// Maximum number of servers that one request is sent to; at least 1.
     pub max_attempts: u32,
-    /// Whether its requests name a model and prompt prefix, by which a server is preferred.
+    /// Whether requests name a model and a prompt prefix, which are used to prefer a server.
     pub affinity: bool,
 }
 
-/// A service's share in the traffic of a route.
+/// A service's share of the traffic of a route.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Weight relative to the route's other services; over 0 and finite.
+    /// Weight relative to the other services of the route; above 0 and finite.
     pub weight: f64,
 }
 
-/// A group of servers that are interchangeable.
+/// A group of interchangeable servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Name of the service, unique among services.
+    /// Name of the service; unique.
     pub name: String,
-    /// Path of its health checks.
+    /// URL path of the health check.
     pub health_path: String,
-    /// Maximum number of connections that one of its servers accepts from all clients together.
+    /// Maximum number of connections that each server accepts from all clients together.
     pub max_connections: u32,
-    /// Capacity and models of its servers; `None` for a service without models.
+    /// Capacity and models of the servers; `None` if the service does not run models.
     pub runtime: Option<Runtime>,
 }
 
-/// Capacity of each server of a service that runs models, and the models to choose from.
+/// The capacity of each server of a service that runs models, and the models that the servers can load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Runtime {
-    /// Requests that a server works on at once.
+    /// Number of requests that a server processes concurrently.
     pub slots: u32,
     /// Capacity of a server's KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     pub stride: u32,
-    /// Models that servers can load.
+    /// Models that the servers can load.
     pub models: Vec<Model>,
-    /// A server's memory for the weights of models and adapters together, in MB.
+    /// Memory of a server for the weights of models and adapters together, in MB.
     pub weights_mb: f64,
-    /// Maximum number of adapters that a server has loaded.
+    /// Maximum number of adapters that a server can have loaded at a time.
     pub adapter_capacity: u32,
-    /// Rate limit of the weight store for loads by all servers together, in loads a second; 0 for no limit.
+    /// Rate limit of the weight store for loads by all servers together, in loads per second; 0 if the
+    /// configuration does not give one.
     pub load_per_s: f64,
 }
 
-/// A model that servers can be ordered to load.
+/// A model that the coordinator can order servers to load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// Name of the model.
+    /// Name by which requests and orders refer to the model.
     pub name: String,
-    /// Size of its weights, in MB.
+    /// Size of the model's weights, in MB.
     pub weights_mb: f64,
-    /// Duration of a load from the weight store, in seconds.
+    /// Time to load the model from the weight store, in seconds.
     pub load_time_s: f64,
-    /// Number of its adapters, which are named `a1`, `a2` and so on.
+    /// Number of adapters of the model; they are named `a1`, `a2` and so on.
     pub adapters: u32,
     /// Size of each adapter, in MB.
     pub adapter_size_mb: f64,
 }
 
-/// Limits for the requests and connections of clients.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Maximum size of a request's head, in bytes.
+    /// Maximum size of a request head (request line and header fields), in bytes.
     pub max_header_bytes: u64,
-    /// Maximum size of a request's body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Time-out for receiving a request's head, in milliseconds.
+    /// Time-out for receiving a request head, in milliseconds; at most one year.
     pub header_timeout_ms: u64,
-    /// Time-out of an idle connection between two requests, in milliseconds.
+    /// Time-out of a connection that is idle between two requests, in milliseconds; at most one year.
     pub idle_timeout_ms: u64,
 }
 
--- a/configuration/src/service_references.rs
+++ b/configuration/src/service_references.rs
@@ -1,4 +1,4 @@
-//! Which services each route references, so that no route is left without one of its services.
+//! The services that each route references, so that no change removes a service that is still referenced.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -8,14 +8,14 @@
 use crate::keys::{ROUTES, SERVICES};
 use crate::view::View;
 
-/// The services that routes name, also those of weight 0, which a [`Route`](crate::Route) does not hold.
+/// The services that each route references, including those of weight 0, which [`Route`](crate::Route) omits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceReferences {
     services_by_route: BTreeMap<String, Vec<String>>,
 }
 
 impl ServiceReferences {
-    /// Checks that all referenced services exist once `diff` is applied to these references and to `view`.
+    /// Checks that all referenced services will exist after `diff` is applied to these references and to `view`.
     pub(crate) fn check(&self, diff: &ConfigDiff<'_>, view: &View) -> Result<(), InvalidConfig> {
         let added: HashSet<&str> = diff.upserted_names(SERVICES).collect();
         let removed: HashSet<&str> = diff.removed_names(SERVICES).collect();
@@ -34,7 +34,7 @@
         unchanged.try_for_each(|(route, services)| check_route(route, services, exists))
     }
 
-    /// Applies a difference that was checked.
+    /// Applies a difference that [`check`](ServiceReferences::check) has accepted.
     pub(crate) fn apply(&mut self, diff: &ConfigDiff<'_>) {
         for route in diff.removed_names(ROUTES) {
             self.services_by_route.remove(route);
--- a/configuration/src/view.rs
+++ b/configuration/src/view.rs
@@ -1,4 +1,4 @@
-//! The typed form of a configuration, by which requests are routed.
+//! The typed form of the configuration, which is used to route requests.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -14,24 +14,24 @@
 use crate::route_table::RouteTable;
 use crate::schema::{ClientLimits, Route, Service};
 
-/// A version of the configuration as requests see it. Clones share their content, so that a request can keep the
-/// version that it began with.
+/// One version of the configuration in typed form. Clones are cheap because they share their content, so a request can
+/// keep the version that it started with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Version of the configuration; 0 before the first.
+    /// Version of the configuration; 0 before the first one.
     pub version: u64,
-    /// Limits for clients.
+    /// Limits on client requests and connections.
     pub limits: ClientLimits,
     routes: Arc<RouteTable>,
     services: Arc<BTreeMap<String, Arc<Service>>>,
 }
 
 impl View {
-    /// Applies an update as a whole or not at all. The version never goes back.
+    /// Applies an update completely or not at all. The version never decreases.
     ///
     /// # Errors
     ///
-    /// If the update is not newer, builds on another version than the view's, or is invalid.
+    /// If the update is not newer than the view, is based on a version other than the view's, or is invalid.
     pub fn apply(&mut self, update: &ConfigUpdate) -> Result<(), ViewError> {
         if update.version <= self.version {
             return NotNewerSnafu { current: self.version, update: update.version }.fail();
@@ -56,28 +56,28 @@
         Ok(())
     }
 
-    /// The route of a request: of the host's routes (with or without a port, in any case), the one with the longest
-    /// prefix of the path.
+    /// Returns the route of a request: among the routes of its host, the one with the longest prefix that matches the
+    /// path. The port and the letter case of `host` are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.find(host, path)
     }
 
-    /// All routes, sorted by name.
+    /// Returns all routes, sorted by name.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.iter()
     }
 
-    /// A service by its name.
+    /// Returns the service with this name, or `None` if it does not exist.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services, sorted by name.
+    /// Returns all services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Whether an item is part of views.
+    /// Returns whether the item with this key is part of views.
     pub(crate) fn includes(key: &ItemKey) -> bool {
         match key.list.as_str() {
             ROUTES | SERVICES => !key.name.is_empty(),
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Checks that no two routes have the same host and prefix once `diff` is applied.
+    /// Checks that no two routes will have the same host and prefix after `diff` is applied.
     pub(crate) fn check(&self, diff: &ConfigDiff<'_>) -> Result<(), InvalidConfig> {
         self.routes.check(diff)
     }
 
-    /// Applies a difference that was checked.
+    /// Applies a difference that [`check`](View::check) has accepted, and sets the version.
     pub(crate) fn apply_diff(&mut self, diff: &ConfigDiff<'_>, version: u64) {
         self.version = version;
         if diff.changed_route_names().next().is_some() {
@@ -118,7 +118,7 @@
     }
 }
 
-/// The update's items that are part of views.
+/// Parses the upserted items of an update, leaving out those that are not part of views.
 fn parse_items(update: &ConfigUpdate) -> Result<Vec<Item>, InvalidConfig> {
     let items = update.upsert.iter().filter(|item| View::includes(&item.key));
     items.map(|item| Item::parse_stored(&item.key.list, &item.key.name, &item.json)).collect()
