--- a/configuration/tests/changes.rs
+++ b/configuration/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes that are accepted, repeated, in conflict or expired; and what is read back.
+//! Outcomes of changes (accepted, duplicate, conflict, expired), and the configuration that is read afterwards.
 
 mod common;
 
@@ -25,7 +25,7 @@
 
 #[test]
 fn configuration_is_read_back_verbatim() {
-    // given: numbers that floating point would change, unknown fields, escapes, and spaces within items
+    // given: numbers that a conversion to floating point would change, unknown fields, escapes, and spaces within items
     let body = r#"{"version":7,"remark":"tab\there","routes":[{"name":"r","host":"h","service":"s","timeoutMs":5e3,
         "later":{"a":[1.10,0.1e-7]}}],"services":[{"name":"s","runtime":{"models":[{"name":"m",
         "weightsMb":65099.99999999999}]}}],"tenants":[],"ratio":100000000000000000000.5,"empty":{}}"#;
@@ -124,11 +124,11 @@
     let change = removal(3, "r-one");
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
     let after = state.snapshot();
-    // when, then: at once
+    // when, then: retried immediately
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
     assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Duplicate);
     assert_eq!(state.snapshot(), after, "a duplicate changes nothing");
-    // when, then: after another change
+    // when, then: retried after another change
     assert_eq!(update(&mut state, 3, &removal(8, "r-two")), ChangeOutcome::Accepted);
     assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Duplicate);
     assert_eq!(state.version(), 8);
@@ -169,7 +169,7 @@
 
 #[test]
 fn first_committed_of_two_valid_changes_wins() {
-    // given: two changes that a leader finds valid before either is applied
+    // given: two changes that are both valid at the leader because neither is applied yet
     let (mut leader, mut follower) = (state_with_two_routes(), state_with_two_routes());
     let first =
         Change::parse(ChangeKind::Update, 1, removal(2, "r-one").to_string().as_bytes()).expect("valid");
@@ -200,10 +200,10 @@
     assert_eq!(decoded.encode(), change.encode());
 }
 
-/// Number of changes in the deduplication window.
-const WINDOW: u64 = 4096;
+/// Capacity of the deduplication window, in changes.
+const DEDUP_WINDOW: u64 = 4096;
 
-/// Applies empty updates, each on the one before, until a version is reached.
+/// Applies empty updates, each raising the version by 1, until the state is at `version`.
 fn advance_to(state: &mut ConfigState, version: u64) {
     for next in state.version() + 1..=version {
         assert_eq!(update(state, next - 1, &json!({"version": next})), ChangeOutcome::Accepted);
@@ -212,7 +212,7 @@
 
 #[test]
 fn duplicates_are_recognized_within_the_window() {
-    for other_changes in [5, 500, WINDOW - 2] {
+    for other_changes in [5, 500, DEDUP_WINDOW - 2] {
         let mut state = state_with_two_routes();
         let change = removal(2, "r-one");
         assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Accepted);
@@ -233,16 +233,19 @@
     let restored = ConfigState::restore(&state.snapshot()).expect("a snapshot");
     for mut state in [state, restored] {
         let before = state.snapshot();
-        // when, then: whether a change on an evicted version was applied is unknown, so that it gets no result
+        // when, then: it is unknown whether a change based on an evicted version was applied, so it gets no final result
         assert_eq!(update(&mut state, 1, &change), ChangeOutcome::Expired);
         assert_eq!(update(&mut state, 1, &removal(2, "r-two")), ChangeOutcome::Expired);
         assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Expired);
-        // then: changes on a version within the window are either duplicates or conflicts
-        let oldest = 5002 - WINDOW;
-        let other = removal(oldest + 1, "r-two");
-        assert_eq!(update(&mut state, oldest - 1, &other), ChangeOutcome::Expired);
-        assert_eq!(update(&mut state, oldest, &other), ChangeOutcome::Conflict { current: 5002 });
-        assert_eq!(update(&mut state, oldest, &json!({"version": oldest + 1})), ChangeOutcome::Duplicate);
+        // then: changes based on a version within the window are either duplicates or conflicts
+        let oldest_base = 5002 - DEDUP_WINDOW;
+        let other = removal(oldest_base + 1, "r-two");
+        assert_eq!(update(&mut state, oldest_base - 1, &other), ChangeOutcome::Expired);
+        assert_eq!(update(&mut state, oldest_base, &other), ChangeOutcome::Conflict { current: 5002 });
+        assert_eq!(
+            update(&mut state, oldest_base, &json!({"version": oldest_base + 1})),
+            ChangeOutcome::Duplicate
+        );
         assert_eq!(state.snapshot(), before, "the state is unchanged");
     }
 }
@@ -250,8 +253,8 @@
 #[test]
 fn snapshot_with_a_full_window_stays_small() {
     let mut state = state_with_two_routes();
-    advance_to(&mut state, WINDOW + 10);
+    advance_to(&mut state, DEDUP_WINDOW + 10);
     let bytes = state.snapshot().len() as u64;
-    // The coordinator takes a snapshot after each change while the state is below 96 KiB.
+    // The coordinator takes a snapshot after each change as long as the state is smaller than 96 KiB.
     assert!(bytes < 96 << 10, "{bytes} bytes");
 }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! Configurations and calls that the tests of this crate share.
+//! Sample configurations and operator calls for the tests of this crate.
 
-#![allow(dead_code)] // each test file uses some of it
+#![allow(dead_code)] // each test file uses only some of these items
 
 use serde_json::{json, Value};
 use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, InvalidConfig, View};
 
-/// A route to one service.
+/// Returns an idempotent route to one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
     json!({"name": name, "host": host, "pathPrefix": prefix, "type": "idempotent", "timeoutMs": 6000,
            "targetLatencyMs": 1500, "priority": 1, "service": service, "maxAttempts": 2, "affinity": false})
 }
 
-/// A service without models.
+/// Returns a service without models.
 pub fn service(name: &str) -> Value {
     json!({"name": name, "healthPath": "/healthz", "maxConnections": 96, "protocol": "h1", "tls": false})
 }
 
-/// A configuration with two routes and two services.
+/// Returns a configuration with two routes and two services.
 pub fn two_routes(version: u64) -> Value {
     json!({
         "version": version,
@@ -27,22 +27,23 @@
     })
 }
 
-/// The first item of a list.
+/// Returns the first item of a list.
 pub fn first_item<'a>(configuration: &'a mut Value, list: &str) -> &'a mut Value {
     &mut configuration[list][0]
 }
 
-/// Sends `Config.Replace` as coordinators do: parsed, validated, encoded for the log, applied.
+/// Makes the call `Config.Replace`; see [`send`].
 pub fn replace(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
     send(state, ChangeKind::Replace, base, body.to_string().as_bytes())
 }
 
-/// Sends `Config.Update`.
+/// Makes the call `Config.Update`; see [`send`].
 pub fn update(state: &mut ConfigState, base: u64, body: &Value) -> ChangeOutcome {
     send(state, ChangeKind::Update, base, body.to_string().as_bytes())
 }
 
-/// Sends a call with any body.
+/// Makes a call in the steps of a coordinator: parses the body, validates the change, encodes it as a log entry and
+/// applies that entry. Checks that validation predicts the outcome.
 pub fn send(state: &mut ConfigState, kind: ChangeKind, base_version: u64, body: &[u8]) -> ChangeOutcome {
     let change = match Change::parse(kind, base_version, body) {
         Ok(change) => change,
@@ -54,34 +55,34 @@
     outcome
 }
 
-/// A state with [`two_routes`] as version 1.
+/// Returns a state with [`two_routes`] as version 1.
 pub fn state_with_two_routes() -> ConfigState {
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, &two_routes(1)), ChangeOutcome::Accepted);
     state
 }
 
-/// The configuration as it is read back.
+/// Reads the configuration.
 pub fn read(state: &ConfigState) -> Value {
-    serde_json::from_slice(&state.read()).expect("what is read back is JSON")
+    serde_json::from_slice(&state.read()).expect("the configuration is JSON")
 }
 
-/// The error text of an invalid change.
+/// Returns the error text of an invalid change.
 pub fn error_text(outcome: ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Invalid(invalid) => checked_text(&invalid),
-        other => panic!("not invalid: {other:?}"),
+        other => panic!("expected an invalid change, got {other:?}"),
     }
 }
 
-/// An error's text, checked to be one short line.
+/// Returns the text of an error after checking that it is one short line.
 pub fn checked_text(invalid: &InvalidConfig) -> String {
     let text = invalid.to_string();
     assert!(!text.contains('\n') && text.len() < 500, "{text:?}");
     text
 }
 
-/// Name of the route that a request takes.
+/// Returns the name of the route of a request.
 pub fn route_name<'a>(view: &'a View, host: &str, path: &str) -> Option<&'a str> {
     view.route(host, path).map(|route| route.name.as_str())
 }
--- a/configuration/tests/concurrent_operators.rs
+++ b/configuration/tests/concurrent_operators.rs
@@ -1,5 +1,9 @@
-//! Random races of two operators over a replicated log: duplicated and delayed proposals, lost responses, leaders that
-//! are deposed with proposals uncommitted, replicas that lag and restart from snapshots.
+//! Randomized simulation of two operators that change the configuration concurrently through a replicated log.
+//! Proposals are duplicated, delayed or lost when a leader is deposed, responses are lost, and replicas lag and restart
+//! from snapshots.
+//!
+//! The tests guard against two accepted changes on one version, and against a call that is first acknowledged and later
+//! rejected, or the reverse.
 
 mod common;
 
@@ -10,7 +14,7 @@
 use serde_json::json;
 use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState};
 
-/// Number of histories, each with a seed of its own.
+/// Number of histories, each with its own seed.
 const HISTORIES: u64 = 200;
 /// Steps in each history.
 const STEPS: u32 = 150;
@@ -19,17 +23,17 @@
 /// Number of replicas of the log.
 const REPLICAS: usize = 3;
 
-/// Author of the changes that both operators send.
+/// Author in the changes that both operators send identically.
 const COMMON_AUTHOR: usize = 9;
 
-/// The result of a call.
+/// The final result of a call, as an operator sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallResult {
     Acknowledged,
     Rejected,
 }
 
-/// A call without a result yet.
+/// A call that has no result yet.
 #[derive(Clone, Debug)]
 struct PendingCall {
     entry: Vec<u8>,
@@ -44,13 +48,13 @@
     applied: usize,
 }
 
-struct Race {
+struct Simulation {
     random: Pcg32,
-    /// Committed entries.
+    /// Committed entries, in the order of the log.
     log: Vec<Vec<u8>>,
-    /// Outcome of each entry that a replica has applied.
+    /// Outcome of each entry that at least one replica has applied.
     outcomes: Vec<ChangeOutcome>,
-    /// Proposals that are not committed yet, and some of which never will be.
+    /// Proposals that are not committed; some of them never will be.
     in_flight: Vec<Vec<u8>>,
     replicas: Vec<Replica>,
     pending_calls: Vec<Option<PendingCall>>,
@@ -58,13 +62,13 @@
     results: BTreeMap<Vec<u8>, CallResult>,
     /// Entries of the changes that were accepted.
     accepted: BTreeSet<Vec<u8>>,
-    /// The entry that was acknowledged on each base version.
+    /// For each base version, the entry that was acknowledged.
     winners: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Race {
-    fn new(seed: u64) -> Race {
-        Race {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
             random: Pcg32::seed_from_u64(seed),
             log: Vec::new(),
             outcomes: Vec::new(),
@@ -77,18 +81,19 @@
         }
     }
 
-    /// True with a probability in percent.
-    fn happens(&mut self, percent: u32) -> bool {
+    /// Returns true with a probability of `percent` %.
+    fn chance(&mut self, percent: u32) -> bool {
         self.random.random_ratio(percent, 100)
     }
 
-    /// An operator reads the current version and sends a change on it, or retries its pending call.
+    /// An operator retries its pending call. If it has none, it reads the newest version and sends a change based on
+    /// that version.
     fn send(&mut self, operator: usize) {
         if self.pending_calls[operator].is_none() {
             let base = self.newest_state().version();
             let version = base + self.random.random_range(1..3);
-            // At times both operators send the same change.
-            let author = if self.happens(20) { COMMON_AUTHOR } else { operator };
+            // Sometimes both operators send the same change.
+            let author = if self.chance(20) { COMMON_AUTHOR } else { operator };
             let body = json!({"version": version, "upsert": {"author": author}}).to_string();
             let change = Change::parse(ChangeKind::Update, base, body.as_bytes()).expect("a valid body");
             self.pending_calls[operator] = Some(PendingCall { entry: change.encode(), base });
@@ -103,24 +108,24 @@
         &newest.expect("there are replicas").state
     }
 
-    /// A proposal is committed, lost with a deposed leader, or duplicated.
+    /// A random proposal is committed or lost with a deposed leader; sometimes another copy of it remains in flight.
     fn commit(&mut self) {
         if self.in_flight.is_empty() {
             return;
         }
         let index = self.random.random_range(0..self.in_flight.len());
         let proposal = self.in_flight[index].clone();
-        if !self.happens(30) {
+        if !self.chance(30) {
             self.in_flight.swap_remove(index);
         }
-        if !self.happens(20) {
+        if !self.chance(20) {
             self.log.push(proposal);
         }
     }
 
-    /// A replica applies the next entry, at times after a restart from a snapshot.
+    /// A replica applies the next entry, sometimes after a restart from a snapshot.
     fn apply(&mut self, replica: usize) {
-        let restarts = self.happens(20);
+        let restarts = self.chance(20);
         let replica = &mut self.replicas[replica];
         if restarts {
             replica.state = ConfigState::restore(&replica.state.snapshot()).expect("a snapshot");
@@ -129,27 +134,33 @@
         let outcome = replica.state.apply(entry);
         replica.applied += 1;
         match self.outcomes.get(replica.applied - 1) {
-            Some(known) => assert_eq!(*known, outcome, "replicas agree on the outcome"),
+            Some(known) => assert_eq!(*known, outcome, "replicas disagree on the outcome"),
             None => self.record_outcome(entry.clone(), outcome),
         }
     }
 
-    /// The first replica that applies an entry responds to its operators, unless the response is lost.
+    /// Checks the outcome of an entry that is applied for the first time, and responds to the operators that wait for
+    /// it unless the response is lost.
     fn record_outcome(&mut self, entry: Vec<u8>, outcome: ChangeOutcome) {
         let result = match &outcome {
             ChangeOutcome::Accepted | ChangeOutcome::Duplicate => CallResult::Acknowledged,
             ChangeOutcome::Conflict { .. } => CallResult::Rejected,
-            other => panic!("a valid change on a version that was read has the outcome {other:?}"),
+            other => {
+                panic!("unexpected outcome of a valid change based on a version that was read: {other:?}")
+            }
         };
         if outcome == ChangeOutcome::Accepted {
             self.accepted.insert(entry.clone());
         }
         let acknowledged = result == CallResult::Acknowledged;
-        assert!(acknowledged || !self.accepted.contains(&entry), "an accepted change is rejected");
+        assert!(
+            acknowledged || !self.accepted.contains(&entry),
+            "an accepted change was rejected on a retry"
+        );
         if let Some(known) = self.results.get(&entry) {
-            assert_eq!(*known, result, "the result of a call is final");
+            assert_eq!(*known, result, "the result of a call changed");
         }
-        if !self.happens(40) {
+        if !self.chance(40) {
             self.respond(&entry, result);
         }
         self.outcomes.push(outcome);
@@ -161,7 +172,7 @@
             self.results.insert(entry.to_vec(), result);
             if result == CallResult::Acknowledged {
                 let winner = self.winners.entry(call.base).or_insert_with(|| entry.to_vec());
-                assert_eq!(winner, entry, "two winners on version {}", call.base);
+                assert_eq!(winner, entry, "two changes were acknowledged on version {}", call.base);
             }
         }
     }
@@ -186,23 +197,24 @@
     let (mut acknowledged, mut rejected) = (0, 0);
     for seed in 0..HISTORIES {
         println!("seed {seed}");
-        let mut race = Race::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            race.step();
+            simulation.step();
         }
-        // In the end all proposals are committed, and all replicas catch up.
-        while let Some(proposal) = race.in_flight.pop() {
-            race.log.push(proposal);
+        // Finally, all proposals are committed and all replicas catch up.
+        while let Some(proposal) = simulation.in_flight.pop() {
+            simulation.log.push(proposal);
         }
         for replica in 0..REPLICAS {
-            while race.replicas[replica].applied < race.log.len() {
-                race.apply(replica);
+            while simulation.replicas[replica].applied < simulation.log.len() {
+                simulation.apply(replica);
             }
         }
-        let states = race.replicas.iter().map(|replica| replica.state.snapshot());
-        assert!(states.collect::<Vec<_>>().windows(2).all(|pair| pair[0] == pair[1]), "replicas are equal");
-        acknowledged += race.results.values().filter(|result| **result == CallResult::Acknowledged).count();
-        rejected += race.results.values().filter(|result| **result == CallResult::Rejected).count();
+        let states = simulation.replicas.iter().map(|replica| replica.state.snapshot());
+        assert!(states.collect::<Vec<_>>().windows(2).all(|pair| pair[0] == pair[1]), "replicas differ");
+        acknowledged +=
+            simulation.results.values().filter(|result| **result == CallResult::Acknowledged).count();
+        rejected += simulation.results.values().filter(|result| **result == CallResult::Rejected).count();
     }
     assert!(acknowledged > 500 && rejected > 200, "{acknowledged} acknowledged, {rejected} rejected");
 }
--- a/configuration/tests/random_histories.rs
+++ b/configuration/tests/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of changes, compared with a reference model that works on JSON trees.
+//! Random histories of changes, compared with a simple reference model that works on JSON values.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use serde_json::{json, Map, Value};
 use shaletrail_configuration::{ChangeKind, ChangeOutcome, ConfigState, View};
 
-/// Number of histories, each with a seed of its own.
+/// Number of histories, each with its own seed.
 const HISTORIES: u64 = 60;
 /// Calls in each history.
 const CALLS: usize = 60;
-/// Views that receive updates at different times.
+/// Number of views, which receive updates at different times.
 const VIEWS: usize = 4;
 const ROUTE_TYPES: [&str; 3] = ["idempotent", "non_idempotent", "streaming"];
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A call of the operator.
+/// An operator call.
 #[derive(Clone, Debug, PartialEq)]
 struct Call {
     kind: ChangeKind,
@@ -48,7 +48,7 @@
     body: Value,
 }
 
-/// The reference model of the state machine.
+/// Reference model of the state machine.
 struct Model {
     current: Value,
     applied: Vec<Call>,
@@ -83,7 +83,7 @@
     configuration[list].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The configuration that an update leads to.
+/// Returns the configuration that results from an update.
 fn updated(current: &Value, update: &Value) -> Value {
     let mut next = current.clone();
     next["version"] = update["version"].clone();
@@ -127,23 +127,23 @@
     })
 }
 
-/// Generates calls of the operator.
+/// Generates random operator calls.
 struct CallGenerator {
     random: Pcg32,
 }
 
 impl CallGenerator {
-    /// A number from 0 to below `end`.
+    /// Returns a random number from 0 up to but excluding `end`.
     fn below(&mut self, end: u64) -> u64 {
         self.random.random_range(0..end)
     }
 
-    /// True with a probability in percent.
-    fn happens(&mut self, percent: u64) -> bool {
+    /// Returns true with a probability of `percent` %.
+    fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// One of `count` names.
+    /// Returns `prefix` with a random number below `count`.
     fn name(&mut self, prefix: &str, count: u64) -> String {
         format!("{prefix}{}", self.below(count))
     }
@@ -152,13 +152,12 @@
         let mut route = json!({
             "name": name, "host": self.name("host-", 3), "pathPrefix": format!("/{}/", self.name("p", 12)),
             "type": ROUTE_TYPES.choose(&mut self.random),
-            "timeoutMs": if self.happens(3) { 0 } else { 100 + self.below(3) },
+            "timeoutMs": if self.chance(3) { 0 } else { 100 + self.below(3) },
         });
-        if self.happens(70) {
+        if self.chance(70) {
             route["service"] = json!(self.name("s", 5));
         } else {
-            let weighted =
-                |calls: &mut Self| json!({"service": calls.name("s", 5), "weight": calls.below(3)});
+            let weighted = |generator: &mut Self| json!({"service": generator.name("s", 5), "weight": generator.below(3)});
             route["trafficSplit"] = json!([weighted(self), weighted(self)]);
         }
         route
@@ -168,7 +167,8 @@
         json!({"name": name, "maxConnections": self.below(3), "runtime": {"models": [{"name": "m"}]}})
     }
 
-    /// Up to `max_items` items whose names are distinct and among `names`, in any order.
+    /// Returns up to `max_items` items in ascending or descending order of their numbers. Their names are distinct:
+    /// `prefix` with a number below `names`.
     fn list(
         &mut self,
         prefix: &str,
@@ -179,7 +179,7 @@
         let names: HashSet<u64> = (0..max_items).map(|_| self.below(names)).collect();
         let mut names: Vec<u64> = names.into_iter().collect();
         names.sort_unstable();
-        if self.happens(50) {
+        if self.chance(50) {
             names.reverse();
         }
         Value::Array(names.into_iter().map(|name| item(self, format!("{prefix}{name}"))).collect())
@@ -190,14 +190,15 @@
         let routes = self.below(routes_end);
         sections.insert("routes".to_owned(), self.list("r", 15, routes, Self::route));
         sections.insert("services".to_owned(), self.list("s", 5, max_services, Self::service));
-        if self.happens(40) {
+        if self.chance(40) {
             sections.insert("limits".to_owned(), json!({"maxBodyBytes": self.below(5)}));
         }
-        if self.happens(40) {
-            let tenants = self.list("t", 3, 2, |calls, name| json!({"name": name, "x": calls.below(4)}));
+        if self.chance(40) {
+            let tenants =
+                self.list("t", 3, 2, |generator, name| json!({"name": name, "x": generator.below(4)}));
             sections.insert("tenants".to_owned(), tenants);
         }
-        if self.happens(20) {
+        if self.chance(20) {
             sections.insert("remark".to_owned(), json!(self.below(4)));
         }
         sections
@@ -212,30 +213,30 @@
     fn update(&mut self, version: u64) -> Value {
         let max_services = self.below(2);
         let mut upsert = self.sections(max_services, 3);
-        upsert.retain(|_, _| self.happens(80));
+        upsert.retain(|_, _| self.chance(80));
         let mut remove = Map::new();
-        if self.happens(50) {
+        if self.chance(50) {
             remove.insert("routes".to_owned(), json!([self.name("r", 15), self.name("r", 15)]));
         }
-        if self.happens(20) {
+        if self.chance(20) {
             remove.insert("services".to_owned(), json!([self.name("s", 5)]));
         }
-        if self.happens(20) {
+        if self.chance(20) {
             remove.insert("tenants".to_owned(), json!([self.name("t", 3)]));
         }
         json!({"version": version, "upsert": upsert, "remove": remove})
     }
 
     fn call(&mut self, model: &Model) -> Call {
-        if self.happens(15) {
+        if self.chance(15) {
             if let Some(call) = model.applied.choose(&mut self.random) {
                 return call.clone();
             }
         }
         let current = model.version();
-        let base = if self.happens(90) { current } else { current.saturating_sub(self.below(3)) };
-        let version = if self.happens(95) { current + 1 + self.below(4) } else { current };
-        let replaces = current == 0 || self.happens(15);
+        let base = if self.chance(90) { current } else { current.saturating_sub(self.below(3)) };
+        let version = if self.chance(95) { current + 1 + self.below(4) } else { current };
+        let replaces = current == 0 || self.chance(15);
         let (kind, body) = if replaces {
             (ChangeKind::Replace, self.replacement(version))
         } else {
@@ -249,39 +250,41 @@
 fn random_changes_agree_with_reference_model() {
     let mut outcomes_seen = [0_u32; 4];
     for seed in 0..HISTORIES {
-        let mut calls = CallGenerator { random: Pcg32::seed_from_u64(seed) };
+        let mut generator = CallGenerator { random: Pcg32::seed_from_u64(seed) };
         let mut model = Model { current: json!({"version": 0}), applied: Vec::new() };
         let mut state = ConfigState::default();
         let mut views = vec![View::default(); VIEWS];
         for _ in 0..CALLS {
-            let call = calls.call(&model);
+            let call = generator.call(&model);
             // when
             let outcome = send(&mut state, call.kind, call.base, call.body.to_string().as_bytes());
-            // then: the outcome and the configuration are the model's
+            // then: the outcome and the configuration equal those of the model
             let outcome_kind = OutcomeKind::from(outcome.clone());
             match model.apply(&call) {
-                // A body that is invalid by itself is rejected before its base version is looked at.
+                // A body that is invalid regardless of the configuration is rejected before its base version is checked.
                 OutcomeKind::Conflict if outcome_kind == OutcomeKind::Invalid => {}
-                expected => assert_eq!(outcome_kind, expected, "seed {seed}: {call:?} gave {outcome:?}"),
+                expected => {
+                    assert_eq!(outcome_kind, expected, "seed {seed}: {call:?} had the outcome {outcome:?}")
+                }
             }
             outcomes_seen[outcome_kind as usize] += 1;
             assert_eq!(read(&state), model.current, "seed {seed}: after {call:?}");
-            // then: a view that lags behind catches up to what a new view receives
+            // then: a view that lags behind catches up and equals a new view
             for view in &mut views {
-                if calls.happens(30) {
+                if generator.chance(30) {
                     catch_up(view, &state);
                 }
             }
-            if calls.happens(10) {
+            if generator.chance(10) {
                 state = ConfigState::restore(&state.snapshot()).expect("a snapshot");
             }
         }
         views.iter_mut().for_each(|view| catch_up(view, &state));
     }
-    assert!(outcomes_seen.iter().all(|count| *count > 100), "each outcome is frequent: {outcomes_seen:?}");
+    assert!(outcomes_seen.iter().all(|count| *count > 100), "an outcome is too rare: {outcomes_seen:?}");
 }
 
-/// Brings a view up to date, and compares it with a new one and with the state's.
+/// Brings a view up to date, and compares it with a new view and with the view of the state.
 fn catch_up(view: &mut View, state: &ConfigState) {
     if let Some(update) = state.updates_since(view.version) {
         let is_delta = update.base.is_some();
@@ -297,14 +300,14 @@
 }
 
 #[test]
-fn random_routes_are_found_like_by_linear_search() {
+fn random_route_lookups_match_a_linear_search() {
     let (hosts, prefixes) = (3, 12);
     for seed in 0..HISTORIES {
-        let mut calls = CallGenerator { random: Pcg32::seed_from_u64(seed) };
+        let mut generator = CallGenerator { random: Pcg32::seed_from_u64(seed) };
         let mut model = Model { current: json!({"version": 0}), applied: Vec::new() };
         let mut state = ConfigState::default();
         for _ in 0..CALLS {
-            let call = calls.call(&model);
+            let call = generator.call(&model);
             send(&mut state, call.kind, call.base, call.body.to_string().as_bytes());
             model.apply(&call);
         }
--- a/configuration/tests/snapshots.rs
+++ b/configuration/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state machine, and states restored from them.
+//! Snapshots of the state machine, and restoring the state from them.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 use shaletrail_configuration::{ChangeOutcome, ConfigState};
 
-/// A state with a few changes in its log.
+/// Returns a state with a few applied changes.
 fn state_with_history() -> ConfigState {
     let mut state = state_with_two_routes();
     let changed = route("r-one", "b.example", "/one/", "web");
--- a/configuration/tests/stored_format.rs
+++ b/configuration/tests/stored_format.rs
@@ -1,10 +1,10 @@
-//! The stored bytes of changes, which are entries of the configuration shard's log, and of snapshots.
+//! Stability of the stored format of changes, which are log entries of the configuration shard, and of snapshots.
 //!
-//! Both are read from disk by the next version, and by coordinators of two versions while a release is rolled out.
-//! These tests compare the current format with bytes that an earlier build wrote.
+//! Both are read from disk after an upgrade, and by coordinators of two releases during a rolling upgrade. These tests
+//! compare the current encoding with bytes that an earlier build wrote.
 //!
-//! If one fails, the format has changed. Don't store new bytes: restore the types, or give the new format a version of
-//! its own and keep decoding the old one.
+//! If a test fails, the format has changed. Do not replace the stored bytes: restore the types, or give the new format
+//! its own version and keep decoding the old one.
 
 mod common;
 #[path = "../../protocol/tests/support/stored.rs"]
@@ -19,7 +19,7 @@
     StoredBytes::read(include_str!("fixtures/stored_format.txt"), prefix)
 }
 
-/// Compares the encoding of a change with its stored bytes, and decodes those.
+/// Compares the encoding of a change with its stored bytes, and checks that these decode to the same change.
 fn check_change(stored: &mut StoredBytes, name: &str, kind: ChangeKind, base: u64, body: &str) -> Vec<u8> {
     let change = Change::parse(kind, base, body.as_bytes()).expect("a valid change");
     let bytes = stored.bytes(name, &change.encode());
@@ -33,7 +33,8 @@
     bytes
 }
 
-/// The stored changes: a replacement, and an update that adds, replaces and removes.
+/// Checks the stored changes and returns their bytes: a replacement, and an update that adds, replaces and removes
+/// items.
 fn check_changes(stored: &mut StoredBytes) -> [Vec<u8>; 2] {
     let changed = route("r-one", "b.example", "/one/", "web");
     let update = json!({"version": 8,
@@ -64,7 +65,7 @@
 
     // when
     let bytes = stored.bytes("snapshot", &state.snapshot());
-    let restored = ConfigState::restore(&bytes).expect("stored snapshots are restored");
+    let restored = ConfigState::restore(&bytes).expect("the stored snapshot is restored");
 
     // then
     assert_eq!((restored.version(), restored.read()), (8, state.read()));
--- a/configuration/tests/updates.rs
+++ b/configuration/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Updates since a version, and how they change a view.
+//! Updates since a version, and their effect on a view.
 
 mod common;
 
@@ -23,7 +23,7 @@
     let body = json!({"version": 1, "services": [service("s")], "routes": routes});
     assert_eq!(replace(&mut state, 0, &body), ChangeOutcome::Accepted);
     let mut view = state.view().clone();
-    // when: one route is changed by an update, and back by a replacement
+    // when: an update changes one route, and a replacement changes it back
     let moved = route("r-77", "h.example", "/new/", "s");
     assert_eq!(
         update(&mut state, 1, &json!({"version": 2, "upsert": {"routes": [moved]}})),
@@ -66,7 +66,7 @@
     }
     let bases = [0, 1, 2, 4, 5].map(|version| state.updates_since(version).expect("an update").base);
     assert_eq!(bases, [None, Some(1), None, Some(4), None]);
-    // when: a change touches more items than the change log holds
+    // when: a change modifies more items than the change log can hold
     let routes: Vec<Value> =
         (0..5000).map(|n| route(&format!("r-{n}"), "h.example", &format!("/{n}/"), "llm")).collect();
     let body = json!({"version": 9, "upsert": {"routes": routes}});
@@ -111,7 +111,8 @@
     assert_eq!(&view, state.view());
 }
 
-/// The error text of an update with a valid item and one that may be invalid.
+/// Applies an update with valid limits and the given item, and returns its error text. Checks that the view, including
+/// its limits, is unchanged.
 fn error_of_update(view: &mut View, base: Option<u64>, list: &str, name: &str, json: &str) -> String {
     let before = view.clone();
     let key = ItemKey { list: list.to_owned(), name: name.to_owned() };
--- a/configuration/tests/validation.rs
+++ b/configuration/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of changes, and the texts of its errors.
+//! Validation of changes, and the error texts that operators receive.
 
 mod common;
 
@@ -9,18 +9,18 @@
 use serde_json::{json, Value};
 use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
 
-/// The error text of a replacement of [`state_with_two_routes`] that `spoil` makes invalid.
-fn error_of_replacement(spoil: impl FnOnce(&mut Value)) -> String {
+/// Returns the error text of a replacement of [`state_with_two_routes`] by a body that `make_invalid` has edited.
+fn error_of_replacement(make_invalid: impl FnOnce(&mut Value)) -> String {
     let mut state = state_with_two_routes();
     let before = state.snapshot();
     let mut body = two_routes(2);
-    spoil(&mut body);
+    make_invalid(&mut body);
     let text = error_text(replace(&mut state, 1, &body));
     assert_eq!(state.snapshot(), before, "a rejected change changes nothing");
     text
 }
 
-/// The error text of an update of [`state_with_two_routes`].
+/// Returns the error text of an update of [`state_with_two_routes`].
 fn error_of_update(body: Value) -> String {
     let mut state = state_with_two_routes();
     let before = state.snapshot();
@@ -29,7 +29,7 @@
     text
 }
 
-/// The error text of a replacement with any body.
+/// Returns the error text of a replacement with the given body.
 fn error_of_body(body: &[u8]) -> String {
     error_text(send(&mut state_with_two_routes(), ChangeKind::Replace, 1, body))
 }
@@ -111,8 +111,8 @@
     insta::assert_snapshot!(error_of_replacement(|body| body["services"] = json!([])), @"routes/r-one: service: llm is not among the services");
     let split = json!([{"service": "llm", "weight": 1}, {"service": "nobody", "weight": 0}]);
     insta::assert_snapshot!(error_of_replacement(|body| first_item(body, "routes")["trafficSplit"] = split), @"routes/r-one: service: nobody is not among the services");
-    let stray = route("r-three", "a.example", "/three/", "nobody");
-    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": [stray]}})), @"routes/r-three: service: nobody is not among the services");
+    let dangling_route = route("r-three", "a.example", "/three/", "nobody");
+    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": [dangling_route]}})), @"routes/r-three: service: nobody is not among the services");
 }
 
 #[test]
@@ -153,8 +153,8 @@
     insta::assert_snapshot!(error_of_replacement(upper_case), @"routes/r-two: pathPrefix: r-one has the host a.example and the prefix /one/ too");
     let third = route("r-three", "a.example", "/two/", "llm");
     insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": [third]}})), @"routes/r-three: pathPrefix: r-two has the host a.example and the prefix /two/ too");
-    let twins = [route("r-3", "b.example", "/", "llm"), route("r-4", "b.example", "/", "web")];
-    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": twins}})), @"routes/r-4: pathPrefix: r-3 has the host b.example and the prefix / too");
+    let same_pattern = [route("r-3", "b.example", "/", "llm"), route("r-4", "b.example", "/", "web")];
+    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": same_pattern}})), @"routes/r-4: pathPrefix: r-3 has the host b.example and the prefix / too");
 }
 
 #[test]
@@ -169,8 +169,8 @@
 #[test]
 fn removed_route_frees_its_prefix() {
     let mut state = state_with_two_routes();
-    let successor = route("r-three", "a.example", "/one/", "web");
-    let body = json!({"version": 2, "upsert": {"routes": [successor]}, "remove": {"routes": ["r-one"]}});
+    let replacement = route("r-three", "a.example", "/one/", "web");
+    let body = json!({"version": 2, "upsert": {"routes": [replacement]}, "remove": {"routes": ["r-one"]}});
     assert_eq!(update(&mut state, 1, &body), ChangeOutcome::Accepted);
     assert_eq!(state.view().route("a.example", "/one/").map(|route| route.name.as_str()), Some("r-three"));
 }
@@ -205,9 +205,9 @@
     insta::assert_snapshot!(error_of_replacement(|body| first_item(body, "routes")["timeoutMs"] = json!(0.0)), @"routes/r-one: timeoutMs: 0 found, expected a number over 0");
     insta::assert_snapshot!(error_of_replacement(|body| first_item(body, "routes")["timeoutMs"] = json!(-5)), @"routes/r-one: timeoutMs: -5 found, expected a number of 0 or more");
     insta::assert_snapshot!(error_of_replacement(|body| first_item(body, "routes")["timeoutMs"] = json!("6 s")), @"routes/r-one: timeoutMs: \"6 s\" found, expected a number of 0 or more");
-    let mut instant = route("r-one", "a.example", "/one/", "llm");
-    instant["timeoutMs"] = json!(0);
-    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": [instant]}})), @"routes/r-one: timeoutMs: 0 found, expected a number over 0");
+    let mut zero_timeout = route("r-one", "a.example", "/one/", "llm");
+    zero_timeout["timeoutMs"] = json!(0);
+    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"routes": [zero_timeout]}})), @"routes/r-one: timeoutMs: 0 found, expected a number over 0");
 }
 
 #[test]
@@ -215,8 +215,8 @@
     insta::assert_snapshot!(error_of_replacement(|body| body["routes"][1]["name"] = json!("r-one")), @"routes/r-one: name: another item of the list has it too");
     insta::assert_snapshot!(error_of_replacement(|body| body["services"][1]["name"] = json!("llm")), @"services/llm: name: another item of the list has it too");
     insta::assert_snapshot!(error_of_replacement(|body| body["tenants"] = json!([{"name": "a"}, {"name": "a"}])), @"tenants/a: name: another item of the list has it too");
-    let twins = [service("third"), service("third")];
-    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"services": twins}})), @"services/third: name: another item of the list has it too");
+    let same_name = [service("third"), service("third")];
+    insta::assert_snapshot!(error_of_update(json!({"version": 2, "upsert": {"services": same_name}})), @"services/third: name: another item of the list has it too");
     insta::assert_snapshot!(error_of_body(b"{\"version\":2,\"version\":3}"), @"body: the key version stands there twice");
     insta::assert_snapshot!(error_of_body(b"{\"version\":2,\"routes\":[],\"r\\u006futes\":[]}"), @"body: the key routes stands there twice");
     let twice = "{\"version\":2,\"services\":[{\"name\":\"s\",\"tls\":false,\"tls\":true}]}";
@@ -264,11 +264,11 @@
 
 #[test]
 fn size_limit_covers_the_resulting_configuration() {
-    // given: a state close to the limit
+    // given: a configuration just below the size limit
     let mut state = ConfigState::default();
     let filler = "x".repeat(MAX_CONFIGURATION_BYTES - 100);
     assert_eq!(replace(&mut state, 0, &json!({"version": 1, "filler": filler})), ChangeOutcome::Accepted);
-    // when, then: more is rejected, and fits once something was removed
+    // when, then: an addition is rejected, and is accepted after the large value was removed
     let more = json!({"version": 2, "upsert": {"more": "y".repeat(200)}});
     let text = error_text(update(&mut state, 1, &more));
     assert!(text.starts_with("body: the configuration would have"), "{text}");
@@ -284,9 +284,11 @@
 fn undecodable_entry_changes_nothing() {
     let mut state = state_with_two_routes();
     let before = state.snapshot();
-    let error = Change::decode(b"nonsense").expect_err("no change");
+    let error = Change::decode(b"nonsense").expect_err("not a change");
     insta::assert_snapshot!(error, @"8 bytes are not a change");
-    let ChangeOutcome::Invalid(invalid) = state.apply(b"nonsense") else { panic!("it was accepted") };
+    let ChangeOutcome::Invalid(invalid) = state.apply(b"nonsense") else {
+        panic!("the entry was not rejected as invalid")
+    };
     insta::assert_snapshot!(checked_text(&invalid), @"body: not an encoded change");
     assert_eq!(state.snapshot(), before);
 }
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -1,4 +1,4 @@
-//! The typed view: its fields, and the route of a request.
+//! The typed view: its fields and defaults, and the lookup of the route of a request.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use shaletrail_configuration::{ChangeOutcome, ConfigState, RouteKind, View};
 
-/// The view of a node that received a configuration.
+/// Returns the view of a node that has received a configuration.
 fn view_of(configuration: &Value) -> View {
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, configuration), ChangeOutcome::Accepted);
@@ -16,7 +16,7 @@
     view
 }
 
-/// The example of the operators' page, with all fields that are interpreted.
+/// Returns the example from the operator documentation, which has all fields that are interpreted.
 fn operators_example() -> Value {
     json!({
         "version": 7,
