--- a/configuration/src/item/service.rs
+++ b/configuration/src/item/service.rs
@@ -34,7 +34,7 @@
         models: parse_models(object)?,
         slots: object.optional_u32("slots")?.unwrap_or(1),
         kv_capacity: object.optional_u64("kvCapacity")?.unwrap_or(0),
-        stride: object.optional_u32("stride")?.unwrap_or(1),
+        tokens_per_event: object.optional_u32("stride")?.unwrap_or(1),
         weights_mb: object.optional_f64(WEIGHTS_MB)?.unwrap_or(0.0),
         adapter_capacity: object.optional_u32("adapterCapacity")?.unwrap_or(0),
         load_per_s: object.optional_f64("loadPerS")?.unwrap_or(0.0),
--- a/configuration/src/schema.rs
+++ b/configuration/src/schema.rs
@@ -80,7 +80,7 @@
     /// Capacity of a server's KV cache, in tokens.
     pub kv_capacity: u64,
     /// Number of tokens in each event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
     /// Models that the servers can load.
     pub models: Vec<Model>,
     /// Memory of a server for the weights of models and adapters together, in MB.
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -98,7 +98,7 @@
                 Runtime {
                     slots: 64,
                     kv_capacity: 233278,
-                    stride: 5,
+                    tokens_per_event: 5,
                     models: [
                         Model {
                             name: "daka510000",
@@ -172,7 +172,7 @@
             Runtime {
                 slots: 1,
                 kv_capacity: 0,
-                stride: 1,
+                tokens_per_event: 1,
                 models: [
                     Model {
                         name: "x",
