--- a/configuration/src/error.rs
+++ b/configuration/src/error.rs
@@ -100,7 +100,7 @@
     /// A committed log entry cannot be decoded as a change. Changes are validated before they are proposed, so this
     /// error indicates a bug.
     #[snafu(display("body: not an encoded change"))]
-    NotAChange,
+    UndecodableEntry,
 }
 
 /// Why an encoded change or snapshot cannot be decoded.
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -75,7 +75,7 @@
     /// Decodes a committed log entry ([`Change::encode`]), validates the change, and applies it if it is accepted.
     pub fn apply(&mut self, entry: &[u8]) -> ChangeOutcome {
         let Ok(change) = Change::decode(entry) else {
-            return ChangeOutcome::Invalid(InvalidConfig::NotAChange);
+            return ChangeOutcome::Invalid(InvalidConfig::UndecodableEntry);
         };
         let outcome = self.validate(&change);
         if outcome == ChangeOutcome::Accepted {
