--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_protocol::{Incarnation, Millis};
 use shaletrail_routing::interface::{Action, Event};
@@ -27,7 +27,7 @@
     /// The production router.
     pub router: Router,
     /// The configuration in force.
-    pub view: Arc<View>,
+    pub view: Arc<ConfigView>,
 }
 
 /// A machine with an edge's process.
--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_dataplane::coordinators::Coordinators;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
@@ -297,7 +297,7 @@
             return;
         };
         let timer = CpuTimer::start();
-        let mut view = View::clone(&routing.view);
+        let mut view = ConfigView::clone(&routing.view);
         let applied = view.apply(update);
         self.usage.record_cpu(activity, timer.elapsed());
         if applied.is_err() {
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -6,8 +6,9 @@
 //! - [`ConfigState`] is the state machine that the coordinators replicate. It validates changes against the current
 //!   version, applies them, returns the configuration as the operator wrote it, and computes the update from an earlier
 //!   version to the current one.
-//! - [`View`] is the typed form of the configuration, which is used to route requests. Data-plane nodes keep their view
-//!   up to date by applying each [`ConfigUpdate`](shaletrail_protocol::internal::ConfigUpdate) that they receive.
+//! - [`ConfigView`] is the typed form of the configuration, which is used to route requests. Data-plane nodes keep
+//!   their view up to date by applying each [`ConfigUpdate`](shaletrail_protocol::internal::ConfigUpdate) that they
+//!   receive.
 //!
 //! Items are stored as the operator wrote them: numbers keep their notation, and unknown fields are preserved.
 //!
@@ -40,4 +41,4 @@
 pub use error::{DecodeError, InvalidConfig, ViewError};
 pub use schema::{ClientLimits, Model, Route, RouteKind, Runtime, Service, WeightedService};
 pub use state::{ChangeOutcome, ConfigState, MAX_CONFIGURATION_BYTES};
-pub use view::View;
+pub use view::ConfigView;
--- a/configuration/src/service_references.rs
+++ b/configuration/src/service_references.rs
@@ -6,7 +6,7 @@
 use crate::error::{InvalidConfig, UnknownServiceSnafu};
 use crate::json::{excerpt, JsonPath};
 use crate::keys::{ROUTES, SERVICES};
-use crate::view::View;
+use crate::view::ConfigView;
 
 /// The services that each route references, including those of weight 0, which [`Route`](crate::Route) omits.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl ServiceReferences {
     /// Checks that all referenced services will exist after `diff` is applied to these references and to `view`.
-    pub(crate) fn check(&self, diff: &ConfigDiff<'_>, view: &View) -> Result<(), InvalidConfig> {
+    pub(crate) fn check(&self, diff: &ConfigDiff<'_>, view: &ConfigView) -> Result<(), InvalidConfig> {
         let added: HashSet<&str> = diff.upserted_names(SERVICES).collect();
         let removed: HashSet<&str> = diff.removed_names(SERVICES).collect();
         let exists = |service: &str| {
--- a/configuration/src/state.rs
+++ b/configuration/src/state.rs
@@ -12,7 +12,7 @@
 use crate::error::{InvalidConfig, TooLargeSnafu, VersionNotHigherSnafu};
 use crate::item::Item;
 use crate::service_references::ServiceReferences;
-use crate::view::View;
+use crate::view::ConfigView;
 
 /// Maximum size of the configuration, in bytes. A full update of this size fits into one message between nodes.
 ///
@@ -48,7 +48,7 @@
     change_log: ChangeLog,
     dedup_window: DedupWindow,
     /// Derived from the document.
-    view: View,
+    view: ConfigView,
     /// Derived from the document.
     service_references: ServiceReferences,
 }
@@ -107,13 +107,13 @@
     }
 
     /// Returns the typed form of the current configuration.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &ConfigView {
         &self.view
     }
 
     /// Returns the update for a node whose view is at `version`, or `None` if there is no newer version. The update
     /// contains the items that changed since `version`, or all items if that version is 0 or not in the change log.
-    /// Items that are not part of a [`View`] are left out.
+    /// Items that are not part of a [`ConfigView`] are left out.
     pub fn updates_since(&self, version: u64) -> Option<ConfigUpdate> {
         if version >= self.version {
             return None;
@@ -137,7 +137,7 @@
 
     fn full_update(&self) -> ConfigUpdate {
         let keys = self.document.sections().flat_map(|(list, section)| section.item_keys(list));
-        let items = keys.filter(View::includes).filter_map(|key| self.document.item(&key));
+        let items = keys.filter(ConfigView::includes).filter_map(|key| self.document.item(&key));
         ConfigUpdate { version: self.version, upsert: items.collect(), ..ConfigUpdate::default() }
     }
 
@@ -170,7 +170,7 @@
     /// Applies a change that [`validate`](ConfigState::validate) has accepted.
     fn apply_accepted(&mut self, change: Change) {
         let diff = ConfigDiff::between(&self.document, &change);
-        let keys = diff.keys().filter(|key| View::includes(key)).cloned().collect();
+        let keys = diff.keys().filter(|key| ConfigView::includes(key)).cloned().collect();
         self.change_log.push(ChangeLogEntry { base_version: self.version, keys });
         let content_hash = change.content_hash;
         self.dedup_window.push(AppliedChange { base_version: self.version, content_hash });
--- a/configuration/src/view.rs
+++ b/configuration/src/view.rs
@@ -17,7 +17,7 @@
 /// One version of the configuration in typed form. Clones are cheap because they share their content, so a request can
 /// keep the version that it started with.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct ConfigView {
     /// Version of the configuration; 0 before the first one.
     pub version: u64,
     /// Limits on client requests and connections.
@@ -26,7 +26,7 @@
     services: Arc<BTreeMap<String, Arc<Service>>>,
 }
 
-impl View {
+impl ConfigView {
     /// Applies an update completely or not at all. The version never decreases.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
             Some(base) if base != self.version => BaseMismatchSnafu { current: self.version, base }.fail(),
             Some(_) => self.check_and_apply(&diff, update.version),
             None => {
-                let mut next = View::default();
+                let mut next = ConfigView::default();
                 next.check_and_apply(&diff, update.version)?;
                 *self = next;
                 Ok(())
@@ -91,7 +91,7 @@
         self.routes.check(diff)
     }
 
-    /// Applies a difference that [`check`](View::check) has accepted, and sets the version.
+    /// Applies a difference that [`check`](ConfigView::check) has accepted, and sets the version.
     pub(crate) fn apply_diff(&mut self, diff: &ConfigDiff<'_>, version: u64) {
         self.version = version;
         if diff.changed_route_names().next().is_some() {
@@ -120,6 +120,6 @@
 
 /// Parses the upserted items of an update, leaving out those that are not part of views.
 fn parse_items(update: &ConfigUpdate) -> Result<Vec<Item>, InvalidConfig> {
-    let items = update.upsert.iter().filter(|item| View::includes(&item.key));
+    let items = update.upsert.iter().filter(|item| ConfigView::includes(&item.key));
     items.map(|item| Item::parse_stored(&item.key.list, &item.key.name, &item.json)).collect()
 }
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses only some of these items
 
 use serde_json::{json, Value};
-use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, InvalidConfig, View};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, ConfigView, InvalidConfig};
 
 /// Returns an idempotent route to one service.
 pub fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
@@ -83,6 +83,6 @@
 }
 
 /// Returns the name of the route of a request.
-pub fn route_name<'a>(view: &'a View, host: &str, path: &str) -> Option<&'a str> {
+pub fn route_name<'a>(view: &'a ConfigView, host: &str, path: &str) -> Option<&'a str> {
     view.route(host, path).map(|route| route.name.as_str())
 }
--- a/configuration/tests/random_histories.rs
+++ b/configuration/tests/random_histories.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{json, Map, Value};
-use shaletrail_configuration::{ChangeKind, ChangeOutcome, ConfigState, View};
+use shaletrail_configuration::{ChangeKind, ChangeOutcome, ConfigState, ConfigView};
 
 /// Number of histories, each with its own seed.
 const HISTORIES: u64 = 60;
@@ -253,7 +253,7 @@
         let mut generator = CallGenerator { random: Pcg32::seed_from_u64(seed) };
         let mut model = Model { current: json!({"version": 0}), applied: Vec::new() };
         let mut state = ConfigState::default();
-        let mut views = vec![View::default(); VIEWS];
+        let mut views = vec![ConfigView::default(); VIEWS];
         for _ in 0..CALLS {
             let call = generator.call(&model);
             // when
@@ -285,13 +285,13 @@
 }
 
 /// Brings a view up to date, and compares it with a new view and with the view of the state.
-fn catch_up(view: &mut View, state: &ConfigState) {
+fn catch_up(view: &mut ConfigView, state: &ConfigState) {
     if let Some(update) = state.updates_since(view.version) {
         let is_delta = update.base.is_some();
         assert_eq!(is_delta, view.version > 0, "the change log holds the whole history");
         view.apply(&update).expect("a valid update");
     }
-    let mut new_view = View::default();
+    let mut new_view = ConfigView::default();
     if let Some(update) = state.updates_since(0) {
         new_view.apply(&update).expect("a valid update");
     }
--- a/configuration/tests/stored_format.rs
+++ b/configuration/tests/stored_format.rs
@@ -12,7 +12,7 @@
 
 use common::{route, service, two_routes};
 use serde_json::json;
-use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, View};
+use shaletrail_configuration::{Change, ChangeKind, ChangeOutcome, ConfigState, ConfigView};
 use stored::StoredBytes;
 
 fn stored_bytes(prefix: &str) -> StoredBytes {
@@ -88,7 +88,7 @@
         assert_eq!(state.apply(&change), ChangeOutcome::Accepted);
     }
     let update = state.updates_since(0).expect("there is a configuration");
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&update).expect("a valid update");
     insta::assert_snapshot!(view.apply(&update).expect_err("not newer"), @"version 8 is not newer than 8");
 }
--- a/configuration/tests/updates.rs
+++ b/configuration/tests/updates.rs
@@ -4,7 +4,7 @@
 
 use common::{replace, route, route_name, service, state_with_two_routes, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{ChangeOutcome, ConfigState, View, ViewError};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, ConfigView, ViewError};
 use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey};
 
 #[test]
@@ -85,7 +85,7 @@
         update(&mut state, 1, &json!({"version": 5, "remove": {"routes": ["r-one"]}})),
         ChangeOutcome::Accepted
     );
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&state.updates_since(0).expect("an update")).expect("a valid update");
     let before = view.clone();
     for stale in
@@ -113,7 +113,7 @@
 
 /// Applies an update with valid limits and the given item, and returns its error text. Checks that the view, including
 /// its limits, is unchanged.
-fn error_of_update(view: &mut View, base: Option<u64>, list: &str, name: &str, json: &str) -> String {
+fn error_of_update(view: &mut ConfigView, base: Option<u64>, list: &str, name: &str, json: &str) -> String {
     let before = view.clone();
     let key = ItemKey { list: list.to_owned(), name: name.to_owned() };
     let limits = ConfigItem {
@@ -163,6 +163,6 @@
     assert_eq!(view.limits.max_body_bytes, 10);
     assert_eq!(replace(&mut state, 2, &json!({"version": 3})), ChangeOutcome::Accepted);
     view.apply(&state.updates_since(2).expect("an update")).expect("a valid update");
-    assert_eq!(view.limits, View::default().limits);
+    assert_eq!(view.limits, ConfigView::default().limits);
     assert_eq!((view.routes().count(), view.services().count()), (0, 0));
 }
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -4,13 +4,13 @@
 
 use common::{replace, route, route_name, service};
 use serde_json::{json, Value};
-use shaletrail_configuration::{ChangeOutcome, ConfigState, RouteKind, View};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, ConfigView, RouteKind};
 
 /// Returns the view of a node that has received a configuration.
-fn view_of(configuration: &Value) -> View {
+fn view_of(configuration: &Value) -> ConfigView {
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, configuration), ChangeOutcome::Accepted);
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&state.updates_since(0).expect("an update")).expect("a valid update");
     assert_eq!(&view, state.view());
     view
@@ -189,7 +189,7 @@
         ),
     }
     "#);
-    assert_eq!(view.limits, View::default().limits);
+    assert_eq!(view.limits, ConfigView::default().limits);
 }
 
 #[test]
--- a/coordinator/src/core/orders.rs
+++ b/coordinator/src/core/orders.rs
@@ -16,7 +16,7 @@
 mod planners;
 
 use shaletrail_cluster::Directory;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_placement::PlannedOrder;
 use shaletrail_protocol::external::{Operation, Order, ServerReport};
 use shaletrail_protocol::internal::{EdgeReport, PlacementOverlay};
@@ -113,7 +113,7 @@
     }
 
     /// Passes a newly applied version of the configuration to the planners.
-    pub fn on_configuration(&mut self, view: &View) {
+    pub fn on_configuration(&mut self, view: &ConfigView) {
         self.planners.on_configuration(view);
     }
 
--- a/coordinator/src/core/orders/planners.rs
+++ b/coordinator/src/core/orders/planners.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use shaletrail_cluster::Directory;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_placement::{Catalogue, Options, OrderNumber, Planner};
 use shaletrail_protocol::external::ServerReport;
 use shaletrail_protocol::internal::EdgeReport;
@@ -34,7 +34,7 @@
     }
 
     /// Updates the catalogues of models from a newly applied version of the configuration.
-    pub fn on_configuration(&mut self, view: &View) {
+    pub fn on_configuration(&mut self, view: &ConfigView) {
         self.catalogues = view
             .services()
             .filter_map(|service| Some((service.name.clone(), catalogue(service.runtime.as_ref()?))))
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -9,7 +9,7 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::internal::{
     ConfigUpdate, Demand, DirectoryCursor, EdgeIdentity, EdgeRequest, PollRequest, PollResponse,
     ServerOutcomes,
@@ -202,7 +202,7 @@
             self.needs_full_config = false;
             return;
         }
-        let mut view = View::clone(&current);
+        let mut view = ConfigView::clone(&current);
         match view.apply(update) {
             Ok(()) => {
                 self.needs_full_config = false;
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::Millis;
 use shaletrail_routing::interface::{Action, Event, RequestId};
@@ -39,7 +39,7 @@
     pub load_update_ready: Notify,
     router: RefCell<Router>,
     actions: RefCell<Vec<Action>>,
-    view: RefCell<Arc<View>>,
+    view: RefCell<Arc<ConfigView>>,
     shutdown_window: Cell<Option<ShutdownWindow>>,
     next_request: Cell<u64>,
     timer_at: Cell<Option<Millis>>,
@@ -70,7 +70,7 @@
     }
 
     /// The configuration in force; version 0 while none is known.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<ConfigView> {
         self.view.borrow().clone()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Puts a newer configuration in force.
-    pub fn set_view(&self, view: Arc<View>) {
+    pub fn set_view(&self, view: Arc<ConfigView>) {
         *self.view.borrow_mut() = view.clone();
         self.handle(Event::ConfigurationUpdated(view));
     }
--- a/routing/src/discovery.rs
+++ b/routing/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::internal::ServerRecord;
 use shaletrail_protocol::Millis;
 
@@ -18,7 +18,7 @@
     pub(crate) fn on_configuration_updated(
         &mut self,
         now: Millis,
-        view: Arc<View>,
+        view: Arc<ConfigView>,
         actions: &mut Vec<Action>,
     ) {
         let options = &self.options;
--- a/routing/src/interface.rs
+++ b/routing/src/interface.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use shaletrail_configuration::{Route, View};
+use shaletrail_configuration::{ConfigView, Route};
 use shaletrail_protocol::internal::{EdgeServerLoad, LoadScope, ServerRecord};
 use shaletrail_protocol::{Millis, NodeId, ServerId};
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A newer configuration has come into force.
-    ConfigurationUpdated(Arc<View>),
+    ConfigurationUpdated(Arc<ConfigView>),
     /// Server records changed. If `complete` is set, all servers without a record in this event become
     /// unlisted.
     ServersUpdated {
--- a/routing/src/router.rs
+++ b/routing/src/router.rs
@@ -5,7 +5,7 @@
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::internal::{Demand, ServerOutcomes};
 use shaletrail_protocol::Millis;
 
@@ -23,7 +23,7 @@
 pub struct Router {
     pub(crate) options: Options,
     pub(crate) random: Pcg64Mcg,
-    pub(crate) view: Option<Arc<View>>,
+    pub(crate) view: Option<Arc<ConfigView>>,
     pub(crate) edge_count: u32,
     /// When this edge's share of the retry slack expires; `None` before the first poll was answered.
     pub(crate) budget_share_until: Option<Millis>,
--- a/routing/tests/common/mod.rs
+++ b/routing/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use shaletrail_configuration::{Route, RouteKind, View, WeightedService};
+use shaletrail_configuration::{ConfigView, Route, RouteKind, WeightedService};
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, ServerState};
 use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey, Presence, ServerRecord};
 use shaletrail_protocol::Millis;
@@ -250,7 +250,7 @@
 }
 
 /// A configuration with both services. The service with models has `m0` to `m39` with three adapters each.
-pub fn view(version: u64) -> Arc<View> {
+pub fn view(version: u64) -> Arc<ConfigView> {
     let models: Vec<String> = (0..40)
         .map(|number| {
             format!(r#"{{"name":"m{number}","weightsMb":1000.0,"loadTimeS":0.6,"adapters":3,"adapterSizeMb":10.0}}"#)
@@ -269,7 +269,7 @@
     };
     let update =
         ConfigUpdate { base: None, version, upsert: vec![item(LLM, &llm), item(WEB, web)], remove: vec![] };
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&update).expect("the configuration is applied");
     Arc::new(view)
 }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use rand::Rng;
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_dataplane::coordinators::Coordinators;
 use shaletrail_dataplane::load_datagrams::LoadDatagrams;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
@@ -53,7 +53,7 @@
     identity: EdgeIdentity,
     pub(crate) router: Router,
     requests: Requests,
-    view: Arc<View>,
+    view: Arc<ConfigView>,
     started: Millis,
     poll_timeouts: PollTimeouts,
     coordinators: Coordinators,
@@ -108,7 +108,7 @@
     }
 
     /// The applied configuration.
-    pub fn view(&self) -> &Arc<View> {
+    pub fn view(&self) -> &Arc<ConfigView> {
         &self.view
     }
 
@@ -383,7 +383,7 @@
             self.wants_full_config = false;
             return;
         }
-        let mut view = View::clone(&self.view);
+        let mut view = ConfigView::clone(&self.view);
         match view.apply(update) {
             Ok(()) => {
                 self.wants_full_config = false;
--- a/simulation/src/fixtures.rs
+++ b/simulation/src/fixtures.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde_json::{json, Value};
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::NodeId;
 
 /// The service with models.
@@ -104,7 +104,7 @@
 }
 
 /// The change that a view's marker route names; `None` without a configuration.
-pub fn change_in_view(view: &View) -> Option<u64> {
+pub fn change_in_view(view: &ConfigView) -> Option<u64> {
     let route = view.routes().find(|route| route.name == MARKER_ROUTE)?;
     change_in_host(&route.host)
 }
