--- a/configuration/src/schema.rs
+++ b/configuration/src/schema.rs
@@ -38,7 +38,7 @@
     pub kind: RouteKind,
     /// Time-out of a request, in milliseconds; above 0 and at most one year.
     pub timeout_ms: u64,
-    /// Latency up to which a response counts in full, in milliseconds; at most one year.
+    /// Latency up to which a response has its full value, in milliseconds; at most one year.
     pub target_latency_ms: u64,
     /// Priority class; 0 is the highest.
     pub priority: u8,
