--- a/configuration/tests/updates.rs
+++ b/configuration/tests/updates.rs
@@ -1,10 +1,10 @@
-//! Updates since a version, and how they change a view.
+//! Updates since a version, and their effect on a view.
 
 mod common;
 
 use common::{replace, route, route_name, service, state_with_two_routes, two_routes, update};
 use serde_json::{json, Value};
-use shaletrail_configuration::{ChangeOutcome, ConfigState, View, ViewError};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, ConfigView, ViewError};
 use shaletrail_protocol::internal::{ConfigItem, ConfigUpdate, ItemKey};
 
 #[test]
@@ -23,7 +23,7 @@
     let body = json!({"version": 1, "services": [service("s")], "routes": routes});
     assert_eq!(replace(&mut state, 0, &body), ChangeOutcome::Accepted);
     let mut view = state.view().clone();
-    // when: one route is changed by an update, and back by a replacement
+    // when: an update changes one route, and a replacement changes it back
     let moved = route("r-77", "h.example", "/new/", "s");
     assert_eq!(
         update(&mut state, 1, &json!({"version": 2, "upsert": {"routes": [moved]}})),
@@ -66,7 +66,7 @@
     }
     let bases = [0, 1, 2, 4, 5].map(|version| state.updates_since(version).expect("an update").base);
     assert_eq!(bases, [None, Some(1), None, Some(4), None]);
-    // when: a change touches more items than the change log holds
+    // when: a change modifies more items than the change log can hold
     let routes: Vec<Value> =
         (0..5000).map(|n| route(&format!("r-{n}"), "h.example", &format!("/{n}/"), "llm")).collect();
     let body = json!({"version": 9, "upsert": {"routes": routes}});
@@ -85,7 +85,7 @@
         update(&mut state, 1, &json!({"version": 5, "remove": {"routes": ["r-one"]}})),
         ChangeOutcome::Accepted
     );
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&state.updates_since(0).expect("an update")).expect("a valid update");
     let before = view.clone();
     for stale in
@@ -111,8 +111,9 @@
     assert_eq!(&view, state.view());
 }
 
-/// The error text of an update with a valid item and one that may be invalid.
-fn error_of_update(view: &mut View, base: Option<u64>, list: &str, name: &str, json: &str) -> String {
+/// Applies an update with valid limits and the given item, and returns its error text. Checks that the view, including
+/// its limits, is unchanged.
+fn error_of_update(view: &mut ConfigView, base: Option<u64>, list: &str, name: &str, json: &str) -> String {
     let before = view.clone();
     let key = ItemKey { list: list.to_owned(), name: name.to_owned() };
     let limits = ConfigItem {
@@ -131,12 +132,12 @@
     let mut view = state_with_two_routes().view().clone();
     let view = &mut view;
     let duplicate = route("r-3", "a.example", "/one/", "llm").to_string();
-    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", "{\"name\":\"r-3\""), @"invalid news: body: not JSON from byte 12 on");
-    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", "{\"name\":\"r-4\",\"host\":\"h\",\"service\":\"s\"}"), @"invalid news: routes/r-3: name: {\"name\":\"r-4\",\"host\":\"h\",\"service\":\"s\"} found, expected the item's name");
-    insta::assert_snapshot!(error_of_update(view, Some(1), "services", "s", "{\"name\":\"s\",\"runtime\":5}"), @"invalid news: services/s: runtime: 5 found, expected an object");
-    insta::assert_snapshot!(error_of_update(view, None, "routes", "r-3", "{\"name\":\"r-3\",\"timeoutMs\":0}"), @"invalid news: routes/r-3: timeoutMs: 0 found, expected a number over 0");
-    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", &duplicate), @"invalid news: routes/r-3: pathPrefix: r-one has the host a.example and the prefix /one/ too");
-    insta::assert_snapshot!(error_of_update(view, Some(2), "routes", "r-3", &duplicate), @"news since version 2 cannot be applied to version 1");
+    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", "{\"name\":\"r-3\""), @"invalid update: body: not JSON from byte 12 on");
+    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", "{\"name\":\"r-4\",\"host\":\"h\",\"service\":\"s\"}"), @"invalid update: routes/r-3: name: {\"name\":\"r-4\",\"host\":\"h\",\"service\":\"s\"} found, expected the item's name");
+    insta::assert_snapshot!(error_of_update(view, Some(1), "services", "s", "{\"name\":\"s\",\"runtime\":5}"), @"invalid update: services/s: runtime: 5 found, expected an object");
+    insta::assert_snapshot!(error_of_update(view, None, "routes", "r-3", "{\"name\":\"r-3\",\"timeoutMs\":0}"), @"invalid update: routes/r-3: timeoutMs: 0 found, expected a number over 0");
+    insta::assert_snapshot!(error_of_update(view, Some(1), "routes", "r-3", &duplicate), @"invalid update: routes/r-3: pathPrefix: r-one has the host a.example and the prefix /one/ too");
+    insta::assert_snapshot!(error_of_update(view, Some(2), "routes", "r-3", &duplicate), @"update since version 2 cannot be applied to version 1");
 }
 
 #[test]
@@ -162,6 +163,6 @@
     assert_eq!(view.limits.max_body_bytes, 10);
     assert_eq!(replace(&mut state, 2, &json!({"version": 3})), ChangeOutcome::Accepted);
     view.apply(&state.updates_since(2).expect("an update")).expect("a valid update");
-    assert_eq!(view.limits, View::default().limits);
+    assert_eq!(view.limits, ConfigView::default().limits);
     assert_eq!((view.routes().count(), view.services().count()), (0, 0));
 }
--- a/configuration/tests/view.rs
+++ b/configuration/tests/view.rs
@@ -1,22 +1,22 @@
-//! The typed view: its fields, and the route of a request.
+//! The typed view: its fields and defaults, and the lookup of the route of a request.
 
 mod common;
 
 use common::{replace, route, route_name, service};
 use serde_json::{json, Value};
-use shaletrail_configuration::{ChangeOutcome, ConfigState, RouteKind, View};
+use shaletrail_configuration::{ChangeOutcome, ConfigState, ConfigView, RouteKind};
 
-/// The view of a node that received a configuration.
-fn view_of(configuration: &Value) -> View {
+/// Returns the view of a node that has received a configuration.
+fn view_of(configuration: &Value) -> ConfigView {
     let mut state = ConfigState::default();
     assert_eq!(replace(&mut state, 0, configuration), ChangeOutcome::Accepted);
-    let mut view = View::default();
+    let mut view = ConfigView::default();
     view.apply(&state.updates_since(0).expect("an update")).expect("a valid update");
     assert_eq!(&view, state.view());
     view
 }
 
-/// The example of the operators' page, with all fields that are interpreted.
+/// Returns the example from the operator documentation, which has all fields that are interpreted.
 fn operators_example() -> Value {
     json!({
         "version": 7,
@@ -98,7 +98,7 @@
                 Runtime {
                     slots: 64,
                     kv_capacity: 233278,
-                    stride: 5,
+                    tokens_per_event: 5,
                     models: [
                         Model {
                             name: "daka510000",
@@ -172,7 +172,7 @@
             Runtime {
                 slots: 1,
                 kv_capacity: 0,
-                stride: 1,
+                tokens_per_event: 1,
                 models: [
                     Model {
                         name: "x",
@@ -189,7 +189,7 @@
         ),
     }
     "#);
-    assert_eq!(view.limits, View::default().limits);
+    assert_eq!(view.limits, ConfigView::default().limits);
 }
 
 #[test]
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shaletrail_configuration::View;
+use shaletrail_configuration::ConfigView;
 use shaletrail_protocol::settings::Settings;
 use shaletrail_protocol::Millis;
 use shaletrail_routing::interface::{Action, Event, RequestId};
@@ -37,7 +37,7 @@
     /// Buffer for the router's actions, kept to reuse its allocation.
     actions: RefCell<Vec<Action>>,
     /// The configuration in force.
-    view: RefCell<Arc<View>>,
+    view: RefCell<Arc<ConfigView>>,
     shutdown_window: Cell<Option<ShutdownWindow>>,
     next_request: Cell<u64>,
     /// When the router's timer fires next.
@@ -69,7 +69,7 @@
     }
 
     /// The configuration in force. Its version is 0 until a configuration has been received.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<ConfigView> {
         self.view.borrow().clone()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Replaces the configuration in force and informs the router.
-    pub fn set_view(&self, view: Arc<View>) {
+    pub fn set_view(&self, view: Arc<ConfigView>) {
         *self.view.borrow_mut() = view.clone();
         self.handle(Event::ConfigurationUpdated(view));
     }
