--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -1,4 +1,5 @@
-//! Calls about duties: work that one process holds at a time. Source: `docs/duties.md`.
+//! Requests and answers about duties: tasks that at most one process performs at a time. Source:
+//! `docs/duties.md`.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,25 +8,29 @@
 
 use crate::{check_id, Invalid};
 
-/// Where duties are found, at the operators' address.
+/// Path of the duties at the operators' address.
 pub const DUTIES: &str = "/registry/duties";
-/// Shortest and longest lease of a duty, in seconds. After a restore nothing is granted for the longest.
+/// Shortest and longest lease of a duty, in seconds. After a restore no duty is granted until the longest
+/// lease has passed.
 pub const LEASE_S: RangeInclusive<f64> = 0.5..=30.0;
-/// Longest that a renewal waits for news.
+/// The longest time for which a renewal waits for a change of the candidate's status.
 pub const LONGEST_HOLD: Duration = Duration::from_secs(3);
-/// Most bytes of a checkpoint.
+/// The largest checkpoint, in bytes.
 pub const LONGEST_CHECKPOINT: usize = 16 << 10;
-/// Duties at once, and candidates for one of them. More are refused.
+/// The most duties that may exist, and the most candidates that may wait for one of them. Further ones are
+/// refused.
 pub const MOST_DUTIES: usize = 2048;
 pub const MOST_WAITERS: usize = 1000;
-/// Lives, fencing numbers and versions stay below this, so that every reader of JSON keeps them exact.
+/// Incarnations, fencing numbers and versions stay below this value, so that every JSON reader represents
+/// them exactly.
 pub const MOST_EXACT: u64 = 1 << 53;
-/// Which duty a change is made for, and under which fencing number.
+/// Request headers that name the duty for which a change is made, and the fencing number under which it is
+/// made.
 pub const DUTY_HEADER: &str = "x-duty";
 pub const FENCE_HEADER: &str = "x-fence";
 
-/// Who stands in line: a name that operators know, and one of its lives. A process that begins anew is another
-/// life, as what its last one started may still run.
+/// A process in the queue for a duty: a name that operators know, and the incarnation of the process. A
+/// restarted process is a new incarnation, because work that the previous one started may still be running.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Candidate {
@@ -35,7 +40,7 @@
 
 impl Candidate {
     /// # Errors
-    /// Names the field.
+    /// Names the invalid field.
     pub fn check(&self) -> Result<(), Invalid> {
         check_id(&self.id)?;
         if self.life >= MOST_EXACT {
@@ -45,7 +50,7 @@
     }
 }
 
-/// `POST …/NAME/acquire`: into the line, or the standing of who is in it.
+/// `POST …/NAME/acquire`: joins the queue. A candidate that is queued already gets its current status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Acquire {
@@ -54,7 +59,7 @@
 }
 
 impl Acquire {
-    /// The lease.
+    /// Returns the lease.
     ///
     /// # Errors
     /// Names the field that is out of bounds.
@@ -65,7 +70,7 @@
 }
 
 /// # Errors
-/// Says which leases may be.
+/// States the allowed range of leases.
 pub fn check_lease(lease_s: f64) -> Result<Duration, Invalid> {
     if !LEASE_S.contains(&lease_s) {
         let (least, most) = (LEASE_S.start(), LEASE_S.end());
@@ -74,38 +79,38 @@
     Ok(Duration::from_secs_f64(lease_s))
 }
 
-/// `POST …/NAME/renew`: a sign of life. It is answered when the candidate's standing is no longer the one it knows,
-/// or after `hold_ms`.
+/// `POST …/NAME/renew`: a heartbeat. It is answered as soon as the candidate's status differs from the one
+/// that it knows, or after `hold_ms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Renew {
     pub who: Candidate,
     pub hold_ms: u64,
-    /// What it knows.
+    /// What the candidate knows: whether it holds the duty, and whether it was asked to release it.
     #[serde(default)]
     pub holds: bool,
     #[serde(default)]
     pub give_way: bool,
 }
 
-/// How a candidate stands.
+/// A candidate's place in the queue for a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
     pub holds: bool,
-    /// Its fencing number, where it holds.
+    /// The holder's fencing number; 0 for a waiting candidate.
     pub fence: u64,
-    /// It is asked to stop and to release the duty.
+    /// The candidate is asked to stop its work and to release the duty.
     pub give_way: bool,
-    /// Candidates before it, the holder among them.
+    /// Candidates in front of this one, including the holder.
     pub before: usize,
     pub checkpoint_version: u64,
-    /// The answer came from the leader itself, which alone lets renewals wait. Passed on, they are answered at once: they
-    /// share the replicas' own connections.
+    /// The answer came from the leader itself. Only the leader lets renewals wait: forwarded ones are
+    /// answered at once, because they share the connections between replicas.
     #[serde(default)]
     pub direct: bool,
 }
 
-/// `POST …/NAME/release`: out of the line. Whoever held has stopped.
+/// `POST …/NAME/release`: leaves the queue. A holder has stopped its work before it sends this.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Release {
@@ -119,27 +124,28 @@
 pub enum Why {
     /// Nobody held it.
     Free,
-    /// The holder was done.
+    /// The holder had finished.
     Released,
-    /// The holder was asked to.
+    /// The holder was asked to release it.
     Asked,
     /// The holder's command failed too often.
     Failed,
-    /// The holder was silent for a lease.
+    /// The holder's lease expired without a renewal.
     Lapsed,
 }
 
-/// `POST …/NAME/transfer`: asks the holder of this tenure to stop, for this candidate or the next in line.
+/// `POST …/NAME/transfer`: asks the holder with this fencing number to stop, in favour of the named candidate
+/// or of the next in the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transfer {
-    /// The tenure that the caller has seen; the next one is not asked by a call that comes late.
+    /// The fencing number that the caller has seen. A delayed request has no effect on the next holder.
     pub fence: u64,
     #[serde(default)]
     pub to: Option<String>,
 }
 
-/// `PUT …/NAME/checkpoint`: what the next holder goes on from.
+/// `PUT …/NAME/checkpoint`: stores the state from which the next holder continues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
@@ -149,11 +155,11 @@
     pub data: String,
 }
 
-/// Its answer, and `GET …/NAME/checkpoint`.
+/// The answer to `PUT …/NAME/checkpoint` and `GET …/NAME/checkpoint`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     pub version: u64,
-    /// Under which it was written.
+    /// The fencing number under which it was written.
     pub fence: u64,
     pub data: String,
 }
@@ -164,7 +170,7 @@
     pub from: Option<String>,
     pub to: Option<String>,
     pub why: Why,
-    /// Unix time by the leader's clock; a label that nothing decides by.
+    /// Unix time by the leader's clock, for display only: no decision depends on it.
     pub at_ms: u64,
 }
 
@@ -173,14 +179,14 @@
 pub struct Duty {
     pub name: String,
     pub holder: Option<String>,
-    /// Of the holder, or of the last one.
+    /// The fencing number of the holder, or of the last holder if there is none now.
     pub fence: u64,
-    /// When the holder got it: Unix time by the leader's clock, 0 where there is none.
+    /// When the holder obtained the duty: Unix time by the leader's clock, 0 if there is no holder.
     pub since_ms: u64,
     pub lease_ms: u64,
-    /// In order.
+    /// Ids of the waiting candidates, in the order of the queue.
     pub waiters: Vec<String>,
-    /// The holder is asked to stop.
+    /// The holder is asked to stop its work and to release the duty.
     pub give_way: bool,
     pub checkpoint_version: u64,
     pub last: Option<HandOver>,
@@ -190,11 +196,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duties {
     pub duties: Vec<Duty>,
-    /// Nothing is granted yet, as the service was restored from a backup.
+    /// No duty is granted yet, because the service was restored from a backup.
     pub quiet: bool,
 }
 
-/// A change is made for a duty, under a fencing number.
+/// The duty and the fencing number under which a change is made. The change is rejected once another holder
+/// has the duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     pub duty: String,
@@ -202,10 +209,11 @@
 }
 
 impl Fence {
-    /// From the two headers of a call; none where neither is there.
+    /// Reads the two headers of a request; `None` if neither is present.
     ///
     /// # Errors
-    /// Half a fence is none: a guarded change must not pass as an unguarded one.
+    /// Only one of the headers is present, or a value is invalid: a fenced change must not be executed as an
+    /// unfenced one.
     pub fn read(duty: Option<&str>, fence: Option<&str>) -> Result<Option<Fence>, Invalid> {
         match (duty, fence) {
             (None, None) => Ok(None),
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -1,6 +1,7 @@
-//! The list's form and every call's JSON. Nowhere else do names on the wire stand.
+//! The list of instances and the JSON of every call to the registry. All names on the wire are defined here.
 //!
-//! Sources: the platform's protocol, "Discovery", for [`List`] and [`Entry`]; `docs/registry.md` for the rest.
+//! Sources: the platform's protocol, "Discovery", for [`List`] and [`Entry`]; `docs/registry.md` for the
+//! rest.
 
 #![deny(unsafe_code)]
 
@@ -14,22 +15,22 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 
-/// Longest id, zone or kind, in bytes.
+/// The longest id, zone or kind, in bytes.
 pub const LONGEST_NAME: usize = 128;
-/// Shortest and longest lease, in seconds.
+/// Shortest and longest lease of an entry, in seconds.
 pub const LEASE_S: std::ops::RangeInclusive<f64> = 0.1..=86_400.0;
-/// Longest a watch may wait, by the protocol.
+/// The longest time for which a watch may wait, as the platform's protocol states it.
 pub const LONGEST_HOLD: Duration = Duration::from_secs(60);
-/// Set on a refusal of a change that surely has not happened.
+/// Response header that marks a change as certainly not executed.
 pub const NOT_RUN: &str = "x-not-run";
-/// Most ids that one call renews.
+/// The most ids that one call may renew.
 pub const MOST_RENEWED: usize = 10_000;
-/// Most bytes of a changing call's body: a renewal of [`MOST_RENEWED`] ids of usual length fits.
+/// The largest request body, in bytes: a renewal of [`MOST_RENEWED`] ids of usual length fits.
 pub const LONGEST_CALL: usize = 2 << 20;
-/// Most bytes of a list.
+/// The largest list, in bytes.
 pub const LONGEST_LIST: usize = 16 << 20;
 
-/// Where the list is read.
+/// Path of the list of instances.
 pub const INSTANCES: &str = "/registry/instances";
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -37,14 +38,15 @@
 pub enum State {
     #[default]
     Active,
-    /// Finishes the work that it has, and wants nothing new.
+    /// The instance finishes the work that it has and accepts no new work.
     Leaving,
-    /// Only among changes.
+    /// The instance was removed. This state only occurs among changes.
     Left,
 }
 
-/// One cache server, or the origin. Read with patience, as lists come from the platform too: only an id and an
-/// address must be there, and a state that nobody knows wants nothing new.
+/// One cache server, or the origin. Decoding is lenient, because lists come from the platform too: only the
+/// id and the address are required, and an unknown state counts as [`State::Leaving`], so that the instance
+/// gets no new work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub id: String,
@@ -59,7 +61,8 @@
     pub state: State,
     #[serde(default = "one", deserialize_with = "patient_weight")]
     pub weight: f64,
-    /// Its process's start in Unix time, in milliseconds; 0 is long ago.
+    /// Start of the instance's process in Unix time, in milliseconds; 0 if unknown, which counts as older
+    /// than any other start.
     #[serde(default, deserialize_with = "patient_ms")]
     pub started_ms: u64,
 }
@@ -88,12 +91,12 @@
     or(from, one())
 }
 
-/// Whole or not, as some write it.
+/// Some writers send the start time as a number with a fraction.
 fn patient_ms<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     Ok(or(from, 0.0_f64)?.max(0.0) as u64)
 }
 
-/// The whole list, or the entries that changed.
+/// The complete list if `full` is set, otherwise the entries that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
     pub version: u64,
@@ -101,29 +104,30 @@
     pub servers: Vec<Entry>,
 }
 
-/// What orders the lives of one id: a later start, or the same start and a higher incarnation, is newer.
+/// Orders the processes that have used one id: the later start is newer, and at the same start the higher
+/// incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stamp {
     #[serde(default)]
     pub started_ms: u64,
-    /// For lives that have no start of their own.
+    /// For instances that have no start time of their own.
     #[serde(default)]
     pub incarnation: u64,
 }
 
 impl Stamp {
-    /// The caller gave nothing to go by.
+    /// The caller gave neither a start time nor an incarnation.
     pub fn is_none(self) -> bool {
         self == Stamp::default()
     }
 }
 
-/// `PUT /registry/instances/ID`: an entry, and for how long it stands without a renewal.
+/// `PUT /registry/instances/ID`: an entry, and the lease after which it expires without a renewal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Register {
-    /// May stand here as well as in the path.
+    /// May be given here as well as in the path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
     pub addr: SocketAddr,
@@ -141,7 +145,7 @@
     pub started_ms: u64,
     #[serde(default)]
     pub incarnation: u64,
-    /// Seconds; without it the entry stands until it is removed.
+    /// In seconds; without a lease the entry stays until it is removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_s: Option<f64>,
 }
@@ -162,7 +166,7 @@
         }
     }
 
-    /// The entry as it is listed, its stamp and its lease.
+    /// Returns the entry as it is listed, its stamp and its lease.
     ///
     /// # Errors
     /// Names the first field that is out of bounds.
@@ -205,7 +209,7 @@
 }
 
 /// # Errors
-/// Says what an id is made of.
+/// States which ids are valid.
 pub fn check_id(id: &str) -> Result<(), Invalid> {
     let fits =
         (1..=LONGEST_NAME).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
@@ -215,7 +219,7 @@
     Err(Invalid(format!("id: 1 to {LONGEST_NAME} visible ASCII characters without `/` expected")))
 }
 
-/// A field that can't be used: which, and what was expected.
+/// An invalid field: its name, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid(pub String);
 
@@ -227,7 +231,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// A change holds at every version from this one on.
+/// The answer to a change, which is included in the list from this version on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changed {
     pub version: u64,
@@ -252,7 +256,8 @@
     pub renewals: Vec<Renewal>,
 }
 
-/// Its answer. Who is unknown must register; who is stale has been followed by a newer life.
+/// The answer to [`RenewMany`]. An unknown id has to register again; for a stale one a newer process is
+/// registered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewed {
     pub version: u64,
@@ -261,11 +266,12 @@
     pub stale: Vec<String>,
 }
 
-/// `POST /registry/expiry/confirm`: how many the operator has seen to be due and lets go.
+/// `POST /registry/expiry/confirm`: lets entries expire whose expiry was stopped, after the caller has
+/// checked that their servers are gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Confirm {
-    /// No more than so many expire by this word.
+    /// The most entries that expire by this confirmation.
     pub most: usize,
 }
 
@@ -275,21 +281,22 @@
     pub expired: usize,
 }
 
-/// `GET /registry/expiry`: whose expiry is stopped, and some others to tell a cut from an end by.
+/// `GET /registry/expiry`: the entries whose expiry is stopped, and a few other entries. Probing both tells a
+/// network partition from servers that have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Expiry {
     pub stopped: Vec<Listed>,
     pub others: Vec<Listed>,
 }
 
-/// One entry by name and address.
+/// The id and the address of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     pub id: String,
     pub addr: SocketAddr,
 }
 
-/// `POST /registry/replicas`: add this replica.
+/// `POST /registry/replicas`: adds this replica to the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Join {
@@ -297,14 +304,14 @@
     pub replica: SocketAddr,
 }
 
-/// One replica as the answering one sees it.
+/// One replica, as seen by the replica that answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
     pub id: u64,
     pub name: String,
     pub replica: String,
     pub voter: bool,
-    /// Log entries that it lacks, where the leader answers.
+    /// The number of log entries that the replica lacks; `None` unless the leader answers.
     pub behind: Option<u64>,
 }
 
@@ -320,14 +327,14 @@
     pub last_log: u64,
     pub applied: u64,
     pub snapshot: u64,
-    /// Why it answers no lists, if so.
+    /// Why the replica answers no lists; `None` if it does.
     pub not_ready: Option<String>,
-    /// Entries whose expiry is stopped.
+    /// The number of entries whose expiry is stopped.
     pub expiry_held: usize,
     pub replicas: Vec<Replica>,
 }
 
-/// Every refusal's body.
+/// The body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     pub error: String,
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -1,10 +1,11 @@
-//! The JSON of the service registry's calls, in both directions, as other processes send and read it.
+//! The JSON of the registry's calls, in both directions, as other processes send and read it.
 //!
-//! Replicas, agents, nodes and operators' tools of different releases talk to each other during an upgrade, and the
-//! platform reads the list. The texts here were written by a release in use: each must be encoded byte for byte and
-//! be read back into an equal value. If a test turns red, a name, an order or a default on the wire has changed.
-//! Put the old form back (`#[serde(rename = "...")]` for a renamed field or variant). A wanted change of form is a new
-//! version of the protocol, read beside the old one; it is not a new text here.
+//! Replicas, agents, nodes and operators' tools of different releases talk to each other during an upgrade,
+//! and the platform reads the list. The texts here were written by a release in use: each value must be
+//! encoded byte for byte, and the text must be read back into an equal value. A failure means that a name, an
+//! order or a default on the wire has changed. Restore the old form (`#[serde(rename = "...")]` for a renamed
+//! field or variant). An intended change of the form is a new version of the protocol, read beside the old
+//! one, and not a new text here.
 
 use std::fmt::Debug;
 use std::time::Duration;
