--- a/registry/src/catalogue.rs
+++ b/registry/src/catalogue.rs
@@ -1,5 +1,6 @@
-//! The pure core: the list, changed by commands in the log's order. The same commands give the same list and the
-//! same versions everywhere. No clock, no randomness, no input or output.
+//! The list of instances as a deterministic state machine, changed by commands in the order of the log. The
+//! same commands give the same list and the same versions on every replica: there is no clock, randomness or
+//! I/O here.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,14 +9,16 @@
 use shaletrail_registry_protocol::duty::Fence;
 use shaletrail_registry_protocol::{Entry, List, Stamp, State};
 
-use crate::duties::{DutyCommand, DutyOutcome, DutyRefused};
+use crate::duties::{DutyCommand, DutyOutcome, DutyRejection};
 
-/// Entries at once. More are refused.
-pub const MOST_ENTRIES: usize = 20_000;
-/// Entries that have left and are still told as changes. Older watches get the whole list.
-pub const MOST_LEFT: usize = 10_000;
+/// The most entries at once. Further registrations are refused.
+pub const MAX_ENTRIES: usize = 20_000;
+/// The most tombstones: entries that were removed, but are still reported to watches as changes. A watch from
+/// an older version gets the full list.
+pub const MAX_TOMBSTONES: usize = 10_000;
 
-/// One entry of the log. Names stay and fields are only added: later versions read older logs.
+/// One command in the log. Serialized names must not change and fields are only added, because later versions
+/// read older logs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     Register {
@@ -31,23 +34,26 @@
         id: String,
         stamp: Stamp,
     },
-    /// Each with the version at which it was seen silent: whoever has registered since stays.
+    /// Removes entries whose leases expired. Each comes with the version at which it was found silent, so
+    /// that an instance that has registered again since then stays.
     Expire {
         silent: Vec<(String, u64)>,
     },
-    /// A number for a new replica, never given twice.
-    NumberReplica {
+    /// Assigns an id, which is never reused, to a new replica.
+    #[serde(rename = "NumberReplica")]
+    AssignReplicaId {
         name: String,
     },
     Duty(DutyCommand),
-    /// Holds only while this tenure does.
+    /// Executes `change` only while the duty's holder has this fencing number.
     Fenced {
-        under: Fence,
+        #[serde(rename = "under")]
+        fence: Fence,
         change: Box<Command>,
     },
 }
 
-/// What a command came to. It holds from `version` on.
+/// The result of a command. It is included in the list from `version` on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Done {
@@ -60,62 +66,68 @@
     Numbered {
         id: u64,
     },
-    Refused(Refused),
+    Refused(Rejection),
     Duty(DutyOutcome),
-    /// The log entry was none of the list's.
+    /// The log entry was not a command of the registry.
     Nothing,
 }
 
 /// Why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refused {
+pub enum Rejection {
     #[error("a newer life of this id is listed: started_ms {started_ms}, incarnation {incarnation}")]
     Stale { started_ms: u64, incarnation: u64 },
     #[error("this life of the id is leaving; only a newer one comes back")]
     Leaving,
     #[error("no such id")]
     Unknown,
-    #[error("the list holds {MOST_ENTRIES} entries, the most it may")]
+    #[error("the list holds {MAX_ENTRIES} entries, the most it may")]
     Full,
     #[error("duty {duty}: {why}")]
-    Fenced { duty: String, why: DutyRefused },
+    Fenced { duty: String, why: DutyRejection },
 }
 
-/// An entry as it is kept.
+/// An entry with its bookkeeping, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct InstanceRecord {
     pub entry: Entry,
     pub stamp: Stamp,
     pub lease: Option<Duration>,
-    /// At which version it last changed.
+    /// The version at which the entry last changed.
     pub version: u64,
-    /// It left by its own word, not by its lease.
-    #[serde(default)]
-    pub parted: bool,
+    /// The instance was removed on request and not by an expired lease.
+    #[serde(default, rename = "parted")]
+    pub left_on_request: bool,
 }
 
-/// The list with its versions. Its invariants: a version names one state; it never falls; applying the changes
-/// since any version from the floor on gives the whole list.
+/// The list with its versions.
+///
+/// Invariants: a version identifies one state; versions never decrease; the changes since any version from
+/// `oldest_diff_base` on, applied to the list of that version, give the current list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
     version: u64,
-    /// Changes since older versions are not known whole.
-    floor: u64,
-    /// Entries and those that have left.
-    held: HashMap<String, Held>,
-    /// By the version of their last change; several may have changed together.
-    order: BTreeSet<(u64, String)>,
-    left: usize,
-    replicas: u64,
+    /// Changes since versions older than this one are no longer known completely.
+    oldest_diff_base: u64,
+    /// Entries and tombstones.
+    records: HashMap<String, InstanceRecord>,
+    /// Ids by the version of their last change. One command may change several entries, which then share a
+    /// version.
+    by_version: BTreeSet<(u64, String)>,
+    tombstones: usize,
+    last_replica_id: u64,
 }
 
-/// As it is kept in a snapshot: ordered, so that equal states are equal bytes.
+/// The catalogue as stored in a snapshot. The records are ordered, so that equal states give equal bytes.
 #[derive(Serialize, Deserialize)]
-pub struct Kept {
+pub struct CatalogueSnapshot {
     version: u64,
-    floor: u64,
-    replicas: u64,
-    held: Vec<Held>,
+    #[serde(rename = "floor")]
+    oldest_diff_base: u64,
+    #[serde(rename = "replicas")]
+    last_replica_id: u64,
+    #[serde(rename = "held")]
+    records: Vec<InstanceRecord>,
 }
 
 impl Catalogue {
@@ -123,105 +135,105 @@
         self.version
     }
 
-    /// Entries that the list has.
+    /// The number of entries, without tombstones.
     pub fn len(&self) -> usize {
-        self.held.len() - self.left
+        self.records.len() - self.tombstones
     }
 
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    pub fn get(&self, id: &str) -> Option<&Held> {
-        self.held.get(id).filter(|held| held.entry.state != State::Left)
+    pub fn get(&self, id: &str) -> Option<&InstanceRecord> {
+        self.records.get(id).filter(|record| record.entry.state != State::Left)
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = &Held> {
-        self.held.values().filter(|held| held.entry.state != State::Left)
+    pub fn entries(&self) -> impl Iterator<Item = &InstanceRecord> {
+        self.records.values().filter(|record| record.entry.state != State::Left)
     }
 
-    /// The one way in which the list changes.
+    /// Executes one command. This is the only way to change the list.
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Register { entry, stamp, lease } => self.register(entry, stamp, lease),
-            Command::Leaving { id, stamp } => self.depart(&id, stamp, State::Leaving),
-            Command::Remove { id, stamp } => self.depart(&id, stamp, State::Left),
+            Command::Leaving { id, stamp } => self.set_state(&id, stamp, State::Leaving),
+            Command::Remove { id, stamp } => self.set_state(&id, stamp, State::Left),
             Command::Expire { silent } => self.expire(silent),
-            Command::NumberReplica { .. } => {
-                self.replicas += 1;
-                Outcome::Numbered { id: self.replicas }
+            Command::AssignReplicaId { .. } => {
+                self.last_replica_id += 1;
+                Outcome::Numbered { id: self.last_replica_id }
             }
-            // None of the list's: the machine above has taken them apart.
+            // The replicated state machine handles these two itself.
             Command::Duty(_) | Command::Fenced { .. } => Outcome::Nothing,
         }
     }
 
-    /// Replicas that began together have the numbers up to this one.
-    pub fn number_replicas(&mut self, highest: u64) {
-        self.replicas = self.replicas.max(highest);
+    /// The replicas that formed the service together have the ids up to this one.
+    pub fn reserve_replica_ids(&mut self, highest: u64) {
+        self.last_replica_id = self.last_replica_id.max(highest);
     }
 
     fn register(&mut self, entry: Entry, stamp: Stamp, lease: Option<Duration>) -> Outcome {
-        if let Some(old) = self.held.get(&entry.id) {
+        if let Some(old) = self.records.get(&entry.id) {
             if stamp < old.stamp {
-                return Outcome::Refused(Refused::stale(old.stamp));
+                return Outcome::Refused(Rejection::stale(old.stamp));
             }
-            // A repeat that comes late must not call back who has said goodbye since. Without a stamp there is
-            // nothing to tell a repeat by, and the last word counts.
-            let same_life = stamp == old.stamp && !stamp.is_none();
-            let parting = match old.entry.state {
+            // A delayed repeat must not bring back an instance that has announced its departure since.
+            // Without a stamp a repeat can't be recognized, and the last command wins.
+            let same_incarnation = stamp == old.stamp && !stamp.is_none();
+            let departed = match old.entry.state {
                 State::Active => false,
                 State::Leaving => entry.state == State::Active,
-                State::Left => old.parted,
+                State::Left => old.left_on_request,
             };
-            if same_life && parting {
-                return Outcome::Refused(Refused::Leaving);
+            if same_incarnation && departed {
+                return Outcome::Refused(Rejection::Leaving);
             }
             if old.entry == entry && old.stamp == stamp && old.lease == lease {
                 return Outcome::Done { version: old.version };
             }
         }
-        if self.get(&entry.id).is_none() && self.len() >= MOST_ENTRIES {
-            return Outcome::Refused(Refused::Full);
+        if self.get(&entry.id).is_none() && self.len() >= MAX_ENTRIES {
+            return Outcome::Refused(Rejection::Full);
         }
         self.version += 1;
         let version = self.version;
-        self.put(Held { entry, stamp, lease, version, parted: false });
+        self.store(InstanceRecord { entry, stamp, lease, version, left_on_request: false });
         Outcome::Done { version }
     }
 
-    /// A stamp of none means whatever life is listed.
-    fn depart(&mut self, id: &str, stamp: Stamp, to: State) -> Outcome {
-        let Some(old) = self.held.get(id) else { return Outcome::Refused(Refused::Unknown) };
+    /// An empty stamp means whichever process is listed.
+    fn set_state(&mut self, id: &str, stamp: Stamp, to: State) -> Outcome {
+        let Some(old) = self.records.get(id) else { return Outcome::Refused(Rejection::Unknown) };
         if !stamp.is_none() && stamp < old.stamp {
-            return Outcome::Refused(Refused::stale(old.stamp));
+            return Outcome::Refused(Rejection::stale(old.stamp));
         }
-        let gone = old.entry.state == State::Left;
-        if gone && to == State::Leaving {
-            return Outcome::Refused(Refused::Unknown);
+        let removed = old.entry.state == State::Left;
+        if removed && to == State::Leaving {
+            return Outcome::Refused(Rejection::Unknown);
         }
         if old.entry.state == to {
             return Outcome::Done { version: old.version };
         }
-        let mut held = old.clone();
+        let mut record = old.clone();
         self.version += 1;
-        held.version = self.version;
-        held.entry.state = to;
-        held.parted = to == State::Left;
-        let version = held.version;
-        self.put(held);
+        record.version = self.version;
+        record.entry.state = to;
+        record.left_on_request = to == State::Left;
+        let version = record.version;
+        self.store(record);
         Outcome::Done { version }
     }
 
     fn expire(&mut self, silent: Vec<(String, u64)>) -> Outcome {
         let next = self.version + 1;
         let mut ids = Vec::new();
-        for (id, seen) in silent {
-            let Some(old) = self.get(&id).filter(|held| held.version == seen) else { continue };
-            let mut held = old.clone();
-            held.entry.state = State::Left;
-            held.version = next;
-            self.put(held);
+        for (id, seen_version) in silent {
+            let Some(old) = self.get(&id).filter(|record| record.version == seen_version) else { continue };
+            let mut record = old.clone();
+            record.entry.state = State::Left;
+            record.version = next;
+            self.store(record);
             ids.push(id);
         }
         if !ids.is_empty() {
@@ -230,84 +242,92 @@
         Outcome::Expired { version: self.version, ids }
     }
 
-    fn put(&mut self, held: Held) {
-        let id = held.entry.id.clone();
-        self.order.insert((held.version, id.clone()));
-        self.left += usize::from(held.entry.state == State::Left);
-        if let Some(old) = self.held.insert(id, held) {
-            self.left -= usize::from(old.entry.state == State::Left);
-            self.order.remove(&(old.version, old.entry.id));
+    fn store(&mut self, record: InstanceRecord) {
+        let id = record.entry.id.clone();
+        self.by_version.insert((record.version, id.clone()));
+        self.tombstones += usize::from(record.entry.state == State::Left);
+        if let Some(old) = self.records.insert(id, record) {
+            self.tombstones -= usize::from(old.entry.state == State::Left);
+            self.by_version.remove(&(old.version, old.entry.id));
         }
-        if self.left > MOST_LEFT {
-            self.forget();
+        if self.tombstones > MAX_TOMBSTONES {
+            self.prune_tombstones();
         }
     }
 
-    /// Drops the older half of those that have left, and with them the versions that told of them.
-    fn forget(&mut self) {
-        let left = |(_, id): &&(u64, String)| self.held[id].entry.state == State::Left;
-        let gone: Vec<_> = self.order.iter().filter(left).take(self.left / 2).cloned().collect();
-        for key in gone {
-            self.floor = self.floor.max(key.0);
-            self.held.remove(&key.1);
-            self.order.remove(&key);
-            self.left -= 1;
+    /// Drops the older half of the tombstones. Changes since versions before theirs are no longer known
+    /// afterwards.
+    fn prune_tombstones(&mut self) {
+        let is_tombstone = |(_, id): &&(u64, String)| self.records[id].entry.state == State::Left;
+        let oldest: Vec<_> =
+            self.by_version.iter().filter(is_tombstone).take(self.tombstones / 2).cloned().collect();
+        for key in oldest {
+            self.oldest_diff_base = self.oldest_diff_base.max(key.0);
+            self.records.remove(&key.1);
+            self.by_version.remove(&key);
+            self.tombstones -= 1;
         }
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> List {
-        let mut servers: Vec<Entry> = self.entries().map(|held| held.entry.clone()).collect();
+    /// The full list.
+    pub fn full_list(&self) -> List {
+        let mut servers: Vec<Entry> = self.entries().map(|record| record.entry.clone()).collect();
         servers.sort_by(|a, b| a.id.cmp(&b.id));
         List { version: self.version, full: true, servers }
     }
 
-    /// What has changed since a version, or the whole list where that is no longer known. `None` for a version
+    /// The changes since a version, or the full list where they are no longer known. `None` for a version
     /// that this list has not reached.
-    pub fn since(&self, from: u64) -> Option<List> {
+    pub fn changes_since(&self, from: u64) -> Option<List> {
         if from > self.version {
             return None;
         }
-        if from < self.floor {
-            return Some(self.whole());
+        if from < self.oldest_diff_base {
+            return Some(self.full_list());
         }
-        let changed = self.order.range((from + 1, String::new())..);
-        let servers = changed.map(|(_, id)| self.held[id].entry.clone()).collect();
+        let changed = self.by_version.range((from + 1, String::new())..);
+        let servers = changed.map(|(_, id)| self.records[id].entry.clone()).collect();
         Some(List { version: self.version, full: false, servers })
     }
 
-    pub fn keep(&self) -> Kept {
-        let held = self.order.iter().map(|(_, id)| self.held[id].clone()).collect();
-        Kept { version: self.version, floor: self.floor, replicas: self.replicas, held }
+    pub fn snapshot(&self) -> CatalogueSnapshot {
+        let records = self.by_version.iter().map(|(_, id)| self.records[id].clone()).collect();
+        CatalogueSnapshot {
+            version: self.version,
+            oldest_diff_base: self.oldest_diff_base,
+            last_replica_id: self.last_replica_id,
+            records,
+        }
     }
 
-    pub fn kept(kept: Kept) -> Self {
+    pub fn from_snapshot(snapshot: CatalogueSnapshot) -> Self {
         let mut catalogue = Catalogue {
-            version: kept.version,
-            floor: kept.floor,
-            replicas: kept.replicas,
+            version: snapshot.version,
+            oldest_diff_base: snapshot.oldest_diff_base,
+            last_replica_id: snapshot.last_replica_id,
             ..Catalogue::default()
         };
-        for held in kept.held {
-            catalogue.put(held);
+        for record in snapshot.records {
+            catalogue.store(record);
         }
         catalogue
     }
 
-    /// The list of a backup goes on beyond every version ever told: nobody's older version is known here.
+    /// Continues the list of a backup at a version above every version ever reported. Nobody's older version
+    /// is known here, so every watch gets the full list.
     pub fn restored(mut self, version: u64) -> Self {
         self.version = version.max(self.version + 1);
-        self.floor = self.version;
-        self.held.retain(|_, held| held.entry.state != State::Left);
-        self.order.retain(|(_, id)| self.held.contains_key(id));
-        self.left = 0;
-        self.replicas = 1;
+        self.oldest_diff_base = self.version;
+        self.records.retain(|_, record| record.entry.state != State::Left);
+        self.by_version.retain(|(_, id)| self.records.contains_key(id));
+        self.tombstones = 0;
+        self.last_replica_id = 1;
         self
     }
 }
 
-impl Refused {
+impl Rejection {
     fn stale(stamp: Stamp) -> Self {
-        Refused::Stale { started_ms: stamp.started_ms, incarnation: stamp.incarnation }
+        Rejection::Stale { started_ms: stamp.started_ms, incarnation: stamp.incarnation }
     }
 }
--- a/registry/src/discovery_api.rs
+++ b/registry/src/discovery_api.rs
@@ -1,4 +1,5 @@
-//! The nodes' address: the platform's protocol, "Discovery", and nothing else.
+//! The nodes' address: the list of instances as the platform's protocol describes it ("Discovery"), and
+//! nothing else.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,52 +10,53 @@
 use shaletrail_registry_protocol::{INSTANCES, LONGEST_HOLD};
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::http::{raw, refusal, Reply};
-use crate::replica::{add, NotReady, Replica};
+use crate::http::{error_reply, reply_with, Reply};
+use crate::replica::{increment, NotReady, Replica};
 
-/// A replica behind a watch's version waits so long to get there; then another is the better one to ask.
-const CATCH_UP: Duration = Duration::from_millis(1000);
+/// How long a replica whose list is older than the watcher's version waits to reach it. After that, another
+/// replica is the better one to ask.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What a call asks for.
-struct Ask {
+/// The parameters of a request for the list.
+struct ListQuery {
     from: Option<u64>,
     hold: Duration,
 }
 
-fn ask(query: Option<&str>) -> Result<Ask, String> {
-    let mut ask = Ask { from: None, hold: Duration::ZERO };
-    for pair in query.unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
+fn parse_query(text: Option<&str>) -> Result<ListQuery, String> {
+    let mut query = ListQuery { from: None, hold: Duration::ZERO };
+    for pair in text.unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
         let number =
             || value.parse::<u64>().map_err(|_| format!("{name}: a whole number expected, got `{value}`"));
         match name {
-            "from" => ask.from = Some(number()?),
-            "hold_ms" => ask.hold = Duration::from_millis(number()?).min(LONGEST_HOLD),
-            // The protocol may grow.
+            "from" => query.from = Some(number()?),
+            "hold_ms" => query.hold = Duration::from_millis(number()?).min(LONGEST_HOLD),
+            // Unknown parameters are ignored, so that the protocol may be extended.
             _ => {}
         }
     }
-    Ok(ask)
+    Ok(query)
 }
 
-pub async fn answer(replica: Arc<Replica>, request: Request<Incoming>) -> Reply {
+pub async fn handle(replica: Arc<Replica>, request: Request<Incoming>) -> Reply {
     if request.uri().path() != INSTANCES {
-        return refusal(StatusCode::NOT_FOUND, format!("GET {INSTANCES} expected"));
+        return error_reply(StatusCode::NOT_FOUND, format!("GET {INSTANCES} expected"));
     }
     if request.method() != Method::GET {
         let mut reply =
-            refusal(StatusCode::METHOD_NOT_ALLOWED, "changes are taken at the operators' address");
+            error_reply(StatusCode::METHOD_NOT_ALLOWED, "changes are taken at the operators' address");
         reply.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET"));
         return reply;
     }
-    match ask(request.uri().query()) {
-        Err(what) => refusal(StatusCode::BAD_REQUEST, what),
-        Ok(ask) => {
-            let reply = list(&replica, ask).await;
-            add(if reply.status() == StatusCode::OK {
-                &replica.counts.lists
+    match parse_query(request.uri().query()) {
+        Err(reason) => error_reply(StatusCode::BAD_REQUEST, reason),
+        Ok(query) => {
+            let reply = list_reply(&replica, query).await;
+            increment(if reply.status() == StatusCode::OK {
+                &replica.counters.lists
             } else {
-                &replica.counts.lists_refused
+                &replica.counters.lists_refused
             });
             reply
         }
@@ -62,36 +64,37 @@
 }
 
 fn unavailable(why: &str) -> Reply {
-    refusal(StatusCode::SERVICE_UNAVAILABLE, why)
+    error_reply(StatusCode::SERVICE_UNAVAILABLE, why)
 }
 
-async fn list(replica: &Replica, ask: Ask) -> Reply {
+async fn list_reply(replica: &Replica, query: ListQuery) -> Reply {
     let mut state = replica.not_ready();
     if let Some(why) = &*state.borrow_and_update() {
-        return unavailable(why.words());
+        return unavailable(why.message());
     }
-    match ask.from {
-        // Not known is not empty: told to nodes, an empty list would end all that they serve.
+    match query.from {
+        // An unknown list must not be reported as an empty one: nodes that get an empty list stop using all
+        // their servers.
         None if replica.view.version() == 0 => return unavailable("nothing was ever registered here"),
         None => {}
         Some(from) => {
-            let _watching = Watching::new(replica);
+            let _watching = WatchGuard::new(replica);
             let reached = async {
                 let mut versions = replica.view.versions();
-                let catch_up = ask.hold.min(CATCH_UP);
+                let catch_up = query.hold.min(CATCH_UP_TIMEOUT);
                 if timeout(catch_up, versions.wait_for(|version| *version >= from)).await.is_err() {
                     return false;
                 }
-                // At the end of the wait the answer is that nothing changed.
-                let _ =
-                    timeout_at(Instant::now() + ask.hold, versions.wait_for(|version| *version > from)).await;
+                // If the time runs out, the answer is that nothing changed.
+                let _ = timeout_at(Instant::now() + query.hold, versions.wait_for(|version| *version > from))
+                    .await;
                 true
             };
             let reached = tokio::select! {
                 reached = reached => reached,
-                // Who waits here moves on to a replica that knows more.
+                // The watcher moves on to a replica that is up to date.
                 Ok(why) = state.wait_for(Option::is_some) => {
-                    return unavailable(why.as_ref().map_or("", NotReady::words));
+                    return unavailable(why.as_ref().map_or("", NotReady::message));
                 }
             };
             if !reached {
@@ -99,27 +102,27 @@
             }
         }
     }
-    if !replica.fresh() {
-        return unavailable(NotReady::Stale.words());
+    if !replica.is_current() {
+        return unavailable(NotReady::Stale.message());
     }
-    match replica.view.answer(ask.from) {
-        Some(bytes) => raw(StatusCode::OK, "application/json", bytes),
+    match replica.view.encoded_list(query.from) {
+        Some(bytes) => reply_with(StatusCode::OK, "application/json", bytes),
         None => unavailable("this replica has not got so far"),
     }
 }
 
-/// Counts a watch for as long as it lasts, also where its caller goes away.
-struct Watching<'a>(&'a Replica);
+/// Counts a watch until it ends, also when the client disconnects.
+struct WatchGuard<'a>(&'a Replica);
 
-impl<'a> Watching<'a> {
+impl<'a> WatchGuard<'a> {
     fn new(replica: &'a Replica) -> Self {
-        add(&replica.counts.watching);
-        Watching(replica)
+        increment(&replica.counters.watching);
+        WatchGuard(replica)
     }
 }
 
-impl Drop for Watching<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
-        self.0.counts.watching.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        self.0.counters.watching.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 }
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -1,19 +1,21 @@
-//! The pure cores of duties. [`Duties`] is what the replicas agree on: who holds, who waits, which fencing number;
-//! changed by commands in the log's order, without a clock. [`Signs`] is the leader's own: who was heard when. What
-//! silence comes to is one command; signs of life never reach the log.
+//! Duties, as two cores without I/O. [`Duties`] is the replicated state: holders, waiting candidates and
+//! fencing numbers, changed by commands in the order of the log and without a clock. [`DutyLeases`] is kept
+//! by the leader alone: when it last heard from each candidate. Renewals never reach the log; only an expired
+//! lease is proposed, as one command.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_protocol::duty::{
-    Candidate, Duty as Told, HandOver, Kept, Standing, Why, LEASE_S, LONGEST_CHECKPOINT, MOST_DUTIES,
+    Candidate, Duty as DutyInfo, HandOver, Kept, Standing, Why, LEASE_S, LONGEST_CHECKPOINT, MOST_DUTIES,
     MOST_WAITERS,
 };
 
-use crate::leases::Time;
+use crate::leases::MonotonicTime;
 
-/// One entry of the log about duties. Names stay and fields are only added. `at_ms` is a label for operators.
+/// One command about duties in the log. Serialized names must not change and fields are only added. `at_ms`
+/// is shown to operators; no decision depends on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DutyCommand {
     Acquire {
@@ -28,9 +30,11 @@
         why: Why,
         at_ms: u64,
     },
-    /// These were silent for their lease. A holder is named with its fencing number, a waiter with 0.
+    /// Removes candidates whose leases expired. A holder is given with its fencing number, a waiting
+    /// candidate with 0.
     Lapse {
-        gone: Vec<Gone>,
+        #[serde(rename = "gone")]
+        lapsed: Vec<LapsedCandidate>,
         at_ms: u64,
     },
     Transfer {
@@ -47,34 +51,35 @@
     Remove {
         name: String,
     },
-    /// Whoever held without being known from the backup has stopped by now.
-    Settle {
+    /// Resumes granting after a restore. By now every holder that the backup does not contain has stopped.
+    #[serde(rename = "Settle")]
+    EndGracePeriod {
         at_ms: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Gone {
+pub struct LapsedCandidate {
     pub name: String,
     pub who: Candidate,
     pub fence: u64,
 }
 
-/// What a command came to.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DutyOutcome {
     Done,
     Kept(Kept),
-    Refused(DutyRefused),
+    Refused(DutyRejection),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum DutyRefused {
+pub enum DutyRejection {
     #[error("no such duty")]
     Unknown,
     #[error("{0} is not in line for it")]
     NotInLine(String),
-    #[error("fencing number {fence} is not the holder's: {}", held(*.current))]
+    #[error("fencing number {fence} is not the holder's: {}", describe_current(*.current))]
     Fenced { fence: u64, current: Option<u64> },
     #[error("checkpoint version {expect} is not the last: that is {current}")]
     Version { expect: u64, current: u64 },
@@ -88,75 +93,81 @@
     TooManyWaiters,
 }
 
-fn held(current: Option<u64>) -> String {
+fn describe_current(current: Option<u64>) -> String {
     current.map_or("nobody holds it".to_owned(), |fence| format!("that is {fence}"))
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Place {
+struct Claim {
     who: Candidate,
     lease: Duration,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Duty {
-    holder: Option<Place>,
-    /// Of the last grant.
+    holder: Option<Claim>,
+    /// The fencing number of the last grant.
     fence: u64,
     since_ms: u64,
-    waiters: Vec<Place>,
+    waiters: Vec<Claim>,
     give_way: bool,
-    checkpoint: u64,
-    written_under: u64,
+    #[serde(rename = "checkpoint")]
+    checkpoint_version: u64,
+    #[serde(rename = "written_under")]
+    checkpoint_fence: u64,
     data: String,
     last: Option<HandOver>,
 }
 
-/// All duties. Its invariants: every grant has a fencing number above all earlier ones, of whatever duty; a duty has
-/// one holder at the most; a candidate stands in one place of a duty; only the holder's fencing number writes.
+/// All duties.
+///
+/// Invariants: each grant has a higher fencing number than every earlier grant of any duty; a duty has at
+/// most one holder; a candidate occurs at most once in a duty; a write is accepted only under the holder's
+/// fencing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Duties {
-    /// The last fencing number given.
+    /// The last fencing number that was assigned.
     fence: u64,
-    /// Restored and not settled: nothing is granted.
-    quiet: bool,
+    /// Set by a restore, until `EndGracePeriod`: no duty is granted.
+    #[serde(rename = "quiet")]
+    grants_paused: bool,
     duties: BTreeMap<String, Duty>,
 }
 
 impl Duty {
-    fn place(&self, who: &Candidate) -> Option<usize> {
+    fn position(&self, who: &Candidate) -> Option<usize> {
         if self.holder.as_ref().is_some_and(|holder| holder.who == *who) {
             return Some(0);
         }
-        let at = self.waiters.iter().position(|place| place.who == *who)?;
+        let at = self.waiters.iter().position(|claim| claim.who == *who)?;
         Some(at + usize::from(self.holder.is_some()))
     }
 
-    /// Takes the holder away.
-    fn vacate(&mut self) -> Option<String> {
+    /// Removes the holder and returns its id.
+    fn remove_holder(&mut self) -> Option<String> {
         self.give_way = false;
         self.since_ms = 0;
-        self.holder.take().map(|place| place.who.id)
+        self.holder.take().map(|claim| claim.who.id)
     }
 }
 
 impl Duties {
-    /// The one way in which duties change.
+    /// Executes one command. This is the only way to change duties.
     pub fn apply(&mut self, command: DutyCommand) -> DutyOutcome {
-        let done = match command {
+        let result = match command {
             DutyCommand::Acquire { name, who, lease, at_ms } => self.acquire(name, who, lease, at_ms),
             DutyCommand::Release { name, who, why, at_ms } => self.release(&name, &who, why, at_ms),
-            DutyCommand::Lapse { gone, at_ms } => {
-                self.lapse(&gone, at_ms);
+            DutyCommand::Lapse { lapsed, at_ms } => {
+                self.lapse(&lapsed, at_ms);
                 Ok(DutyOutcome::Done)
             }
             DutyCommand::Transfer { name, fence, to } => self.transfer(&name, fence, to),
             DutyCommand::Checkpoint { name, fence, expect, data } => {
-                self.checkpoint(&name, fence, expect, data)
+                self.write_checkpoint(&name, fence, expect, data)
             }
             DutyCommand::Remove { name } => self.remove(&name),
-            DutyCommand::Settle { at_ms } => {
-                self.quiet = false;
+            DutyCommand::EndGracePeriod { at_ms } => {
+                self.grants_paused = false;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
                     self.grant(&name, None, Why::Free, at_ms);
@@ -164,11 +175,11 @@
                 Ok(DutyOutcome::Done)
             }
         };
-        done.unwrap_or_else(DutyOutcome::Refused)
+        result.unwrap_or_else(DutyOutcome::Refused)
     }
 
-    fn find(&mut self, name: &str) -> Result<&mut Duty, DutyRefused> {
-        self.duties.get_mut(name).ok_or(DutyRefused::Unknown)
+    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, DutyRejection> {
+        self.duties.get_mut(name).ok_or(DutyRejection::Unknown)
     }
 
     fn acquire(
@@ -177,162 +188,163 @@
         who: Candidate,
         lease: Duration,
         at_ms: u64,
-    ) -> Result<DutyOutcome, DutyRefused> {
+    ) -> Result<DutyOutcome, DutyRejection> {
         if !self.duties.contains_key(&name) && self.duties.len() >= MOST_DUTIES {
-            return Err(DutyRefused::TooManyDuties);
+            return Err(DutyRejection::TooManyDuties);
         }
         let duty = self.duties.entry(name.clone()).or_default();
-        if duty.place(&who).is_none() {
+        if duty.position(&who).is_none() {
             if duty.waiters.len() >= MOST_WAITERS {
-                return Err(DutyRefused::TooManyWaiters);
+                return Err(DutyRejection::TooManyWaiters);
             }
-            duty.waiters.push(Place { who, lease });
+            duty.waiters.push(Claim { who, lease });
             self.grant(&name, None, Why::Free, at_ms);
         }
         Ok(DutyOutcome::Done)
     }
 
-    /// Gives a duty that nobody holds to the first in line.
+    /// Grants a duty without a holder to the first candidate in the queue.
     fn grant(&mut self, name: &str, from: Option<String>, why: Why, at_ms: u64) {
         let Some(duty) = self.duties.get_mut(name) else { return };
         if duty.holder.is_some() {
             return;
         }
-        let next = (!self.quiet && !duty.waiters.is_empty()).then(|| duty.waiters.remove(0));
-        let to = next.as_ref().map(|place| place.who.id.clone());
+        let next = (!self.grants_paused && !duty.waiters.is_empty()).then(|| duty.waiters.remove(0));
+        let to = next.as_ref().map(|claim| claim.who.id.clone());
         if from.is_some() || to.is_some() {
             duty.last = Some(HandOver { from, to, why, at_ms });
         }
-        if let Some(place) = next {
+        if let Some(claim) = next {
             self.fence += 1;
             assert!(self.fence > duty.fence, "fencing numbers only grow");
-            (duty.holder, duty.fence, duty.since_ms) = (Some(place), self.fence, at_ms);
+            (duty.holder, duty.fence, duty.since_ms) = (Some(claim), self.fence, at_ms);
         }
     }
 
-    /// Whoever is not in line has left it already.
+    /// Idempotent: a candidate that is not in the queue has left it already.
     fn release(
         &mut self,
         name: &str,
         who: &Candidate,
         why: Why,
         at_ms: u64,
-    ) -> Result<DutyOutcome, DutyRefused> {
-        let duty = self.find(name)?;
-        duty.waiters.retain(|place| place.who != *who);
+    ) -> Result<DutyOutcome, DutyRejection> {
+        let duty = self.duty_mut(name)?;
+        duty.waiters.retain(|claim| claim.who != *who);
         if duty.holder.as_ref().is_some_and(|holder| holder.who == *who) {
-            let from = duty.vacate();
+            let from = duty.remove_holder();
             self.grant(name, from, why, at_ms);
         }
         Ok(DutyOutcome::Done)
     }
 
-    /// Waiters first: a duty does not pass to one that is known to be gone.
-    fn lapse(&mut self, gone: &[Gone], at_ms: u64) {
-        for one in gone.iter().filter(|one| one.fence == 0) {
-            if let Some(duty) = self.duties.get_mut(&one.name) {
-                duty.waiters.retain(|place| place.who != one.who);
+    /// Removes waiting candidates first, so that a duty does not pass to one that is known to be gone.
+    fn lapse(&mut self, lapsed: &[LapsedCandidate], at_ms: u64) {
+        for candidate in lapsed.iter().filter(|candidate| candidate.fence == 0) {
+            if let Some(duty) = self.duties.get_mut(&candidate.name) {
+                duty.waiters.retain(|claim| claim.who != candidate.who);
             }
         }
-        for one in gone.iter().filter(|one| one.fence > 0) {
-            let Some(duty) = self.duties.get_mut(&one.name) else { continue };
-            let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == one.who);
-            if holds && duty.fence == one.fence {
-                let from = duty.vacate();
-                self.grant(&one.name, from, Why::Lapsed, at_ms);
+        for candidate in lapsed.iter().filter(|candidate| candidate.fence > 0) {
+            let Some(duty) = self.duties.get_mut(&candidate.name) else { continue };
+            let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == candidate.who);
+            if holds && duty.fence == candidate.fence {
+                let from = duty.remove_holder();
+                self.grant(&candidate.name, from, Why::Lapsed, at_ms);
             }
         }
     }
 
-    fn transfer(&mut self, name: &str, fence: u64, to: Option<String>) -> Result<DutyOutcome, DutyRefused> {
-        self.guard(name, fence)?;
-        let duty = self.find(name)?;
+    fn transfer(&mut self, name: &str, fence: u64, to: Option<String>) -> Result<DutyOutcome, DutyRejection> {
+        self.check_fence(name, fence)?;
+        let duty = self.duty_mut(name)?;
         if let Some(id) = to {
             if duty.holder.as_ref().is_some_and(|holder| holder.who.id == id) {
                 return Ok(DutyOutcome::Done);
             }
-            let at = duty.waiters.iter().position(|place| place.who.id == id);
-            let first = duty.waiters.remove(at.ok_or(DutyRefused::NotInLine(id))?);
+            let at = duty.waiters.iter().position(|claim| claim.who.id == id);
+            let first = duty.waiters.remove(at.ok_or(DutyRejection::NotInLine(id))?);
             duty.waiters.insert(0, first);
         }
         duty.give_way = true;
         Ok(DutyOutcome::Done)
     }
 
-    fn checkpoint(
+    fn write_checkpoint(
         &mut self,
         name: &str,
         fence: u64,
         expect: u64,
         data: String,
-    ) -> Result<DutyOutcome, DutyRefused> {
+    ) -> Result<DutyOutcome, DutyRejection> {
         if data.len() > LONGEST_CHECKPOINT {
-            return Err(DutyRefused::TooLong(data.len()));
+            return Err(DutyRejection::TooLong(data.len()));
         }
-        self.guard(name, fence)?;
-        let duty = self.find(name)?;
-        let repeat = duty.checkpoint == expect + 1 && duty.written_under == fence && duty.data == data;
+        self.check_fence(name, fence)?;
+        let duty = self.duty_mut(name)?;
+        let repeat =
+            duty.checkpoint_version == expect + 1 && duty.checkpoint_fence == fence && duty.data == data;
         if !repeat {
-            if duty.checkpoint != expect {
-                return Err(DutyRefused::Version { expect, current: duty.checkpoint });
+            if duty.checkpoint_version != expect {
+                return Err(DutyRejection::Version { expect, current: duty.checkpoint_version });
             }
-            duty.checkpoint += 1;
-            (duty.written_under, duty.data) = (fence, data);
+            duty.checkpoint_version += 1;
+            (duty.checkpoint_fence, duty.data) = (fence, data);
         }
-        Ok(DutyOutcome::Kept(duty.kept()))
+        Ok(DutyOutcome::Kept(duty.stored_checkpoint()))
     }
 
-    fn remove(&mut self, name: &str) -> Result<DutyOutcome, DutyRefused> {
+    fn remove(&mut self, name: &str) -> Result<DutyOutcome, DutyRejection> {
         if self.duties.get(name).is_some_and(|duty| duty.holder.is_some() || !duty.waiters.is_empty()) {
-            return Err(DutyRefused::InUse);
+            return Err(DutyRejection::InUse);
         }
         self.duties.remove(name);
         Ok(DutyOutcome::Done)
     }
 
-    /// Whether a change under this fencing number is the holder's.
+    /// Checks that a change under this fencing number is made by the current holder.
     ///
     /// # Errors
-    /// An old holder's, or nobody's.
-    pub fn guard(&self, name: &str, fence: u64) -> Result<(), DutyRefused> {
-        let duty = self.duties.get(name).ok_or(DutyRefused::Unknown)?;
+    /// The number is a former holder's, or nobody holds the duty.
+    pub fn check_fence(&self, name: &str, fence: u64) -> Result<(), DutyRejection> {
+        let duty = self.duties.get(name).ok_or(DutyRejection::Unknown)?;
         let current = duty.holder.as_ref().map(|_| duty.fence);
         if current == Some(fence) {
             return Ok(());
         }
-        Err(DutyRefused::Fenced { fence, current })
+        Err(DutyRejection::Fenced { fence, current })
     }
 
-    /// How a candidate stands; none where it is not in line.
+    /// The candidate's status; `None` if it is not in the queue.
     pub fn standing(&self, name: &str, who: &Candidate) -> Option<Standing> {
         let duty = self.duties.get(name)?;
-        let before = duty.place(who)?;
+        let before = duty.position(who)?;
         let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == *who);
         Some(Standing {
             holds,
             fence: if holds { duty.fence } else { 0 },
             give_way: holds && duty.give_way,
             before,
-            checkpoint_version: duty.checkpoint,
+            checkpoint_version: duty.checkpoint_version,
             direct: false,
         })
     }
 
-    pub fn kept(&self, name: &str) -> Option<Kept> {
-        self.duties.get(name).map(Duty::kept)
+    pub fn stored_checkpoint(&self, name: &str) -> Option<Kept> {
+        self.duties.get(name).map(Duty::stored_checkpoint)
     }
 
-    pub fn show(&self, name: &str) -> Option<Told> {
+    pub fn describe(&self, name: &str) -> Option<DutyInfo> {
         let duty = self.duties.get(name)?;
-        Some(Told {
+        Some(DutyInfo {
             name: name.to_owned(),
-            holder: duty.holder.as_ref().map(|place| place.who.id.clone()),
+            holder: duty.holder.as_ref().map(|claim| claim.who.id.clone()),
             fence: duty.fence,
             since_ms: duty.since_ms,
-            lease_ms: duty.holder.as_ref().map_or(0, |place| place.lease.as_millis() as u64),
-            waiters: duty.waiters.iter().map(|place| place.who.id.clone()).collect(),
+            lease_ms: duty.holder.as_ref().map_or(0, |claim| claim.lease.as_millis() as u64),
+            waiters: duty.waiters.iter().map(|claim| claim.who.id.clone()).collect(),
             give_way: duty.give_way,
-            checkpoint_version: duty.checkpoint,
+            checkpoint_version: duty.checkpoint_version,
             last: duty.last.clone(),
         })
     }
@@ -349,100 +361,106 @@
         self.duties.is_empty()
     }
 
-    pub fn is_quiet(&self) -> bool {
-        self.quiet
+    pub fn are_grants_paused(&self) -> bool {
+        self.grants_paused
     }
 
-    /// Everybody in line, with the fencing number of those who hold.
-    fn line(&self) -> impl Iterator<Item = (&String, &Place, u64)> {
+    /// Holders with their fencing numbers, and waiting candidates with 0.
+    fn claims(&self) -> impl Iterator<Item = (&String, &Claim, u64)> {
         self.duties.iter().flat_map(|(name, duty)| {
-            let holder = duty.holder.iter().map(move |place| (name, place, duty.fence));
-            holder.chain(duty.waiters.iter().map(move |place| (name, place, 0)))
+            let holder = duty.holder.iter().map(move |claim| (name, claim, duty.fence));
+            holder.chain(duty.waiters.iter().map(move |claim| (name, claim, 0)))
         })
     }
 
-    /// Those of a backup go on with fencing numbers beyond every one that was given, and nothing is granted until
-    /// holders that the backup does not know have surely stopped.
-    pub fn restored(mut self, fence: u64, leap: u64) -> Self {
-        self.fence = fence.max(self.fence + leap);
-        self.quiet = true;
+    /// Continues the duties of a backup with fencing numbers above every one that was ever assigned. Nothing
+    /// is granted until all holders that the backup does not contain have stopped for certain.
+    pub fn restored(mut self, fence: u64, min_skip: u64) -> Self {
+        self.fence = fence.max(self.fence + min_skip);
+        self.grants_paused = true;
         self
     }
 }
 
 impl Duty {
-    fn kept(&self) -> Kept {
-        Kept { version: self.checkpoint, fence: self.written_under, data: self.data.clone() }
+    fn stored_checkpoint(&self) -> Kept {
+        Kept { version: self.checkpoint_version, fence: self.checkpoint_fence, data: self.data.clone() }
     }
 }
 
-/// What a sign of life came to at this leader.
+/// The result of a renewal at this leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    Noted,
-    /// It is not in line.
+pub enum DutyRenewal {
+    Recorded,
+    /// The candidate is not in the queue.
     Unknown,
-    /// Its lapse is proposed, and may be agreed on at any time: what it is told must not prolong its belief.
+    /// The leader has proposed the expiry of this lease, and it may be committed at any time. The answer must
+    /// not let the candidate believe that it still holds the duty.
     Lapsing,
 }
 
-/// When this leader heard from whom. Invariant: nobody is proposed to lapse sooner than a full lease after the last
-/// sign that was noted here, and no sign is noted of whom a proposed lapse may still take.
+/// When this leader last heard from each candidate.
+///
+/// Invariants: the expiry of a lease is proposed no sooner than one full lease after the last renewal
+/// recorded here; no renewal is recorded while a proposed expiry may still remove the candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Signs {
-    began: Time,
-    heard: BTreeMap<(String, Candidate), Time>,
-    lapsing: BTreeSet<Gone>,
+pub struct DutyLeases {
+    started: MonotonicTime,
+    last_heard: BTreeMap<(String, Candidate), MonotonicTime>,
+    proposed: BTreeSet<LapsedCandidate>,
 }
 
-impl Signs {
-    /// From now on this process leads: whoever is in line has a full lease.
-    pub fn begin(now: Time) -> Self {
-        Signs { began: now, heard: BTreeMap::new(), lapsing: BTreeSet::new() }
+impl DutyLeases {
+    /// Starts a new term of leadership: each candidate in the queue gets a full lease.
+    pub fn new(now: MonotonicTime) -> Self {
+        DutyLeases { started: now, last_heard: BTreeMap::new(), proposed: BTreeSet::new() }
     }
 
-    pub fn sign(&mut self, name: &str, who: &Candidate, duties: &Duties, now: Time) -> Sign {
+    pub fn renew(&mut self, name: &str, who: &Candidate, duties: &Duties, now: MonotonicTime) -> DutyRenewal {
         if duties.standing(name, who).is_none() {
-            return Sign::Unknown;
+            return DutyRenewal::Unknown;
         }
-        if self.lapsing.iter().any(|gone| gone.name == name && gone.who == *who) {
-            return Sign::Lapsing;
+        if self.proposed.iter().any(|lapsed| lapsed.name == name && lapsed.who == *who) {
+            return DutyRenewal::Lapsing;
         }
-        self.heard.insert((name.to_owned(), who.clone()), now);
-        Sign::Noted
+        self.last_heard.insert((name.to_owned(), who.clone()), now);
+        DutyRenewal::Recorded
     }
 
-    /// Who is to be proposed as lapsed. Calls come some times a lease.
-    pub fn look(&mut self, duties: &Duties, now: Time) -> Vec<Gone> {
-        // Agreed on, or overtaken: a candidate that lapsed as a waiter may hold since.
-        self.lapsing.retain(|gone| {
-            let standing = duties.standing(&gone.name, &gone.who);
-            standing.is_some_and(|standing| standing.fence == gone.fence)
+    /// Returns the candidates whose expiry is to be proposed. Called several times within one lease.
+    pub fn take_expired(&mut self, duties: &Duties, now: MonotonicTime) -> Vec<LapsedCandidate> {
+        // Drop proposals that were committed, and those that no longer apply: a candidate proposed as waiting
+        // may hold the duty since then.
+        self.proposed.retain(|lapsed| {
+            let standing = duties.standing(&lapsed.name, &lapsed.who);
+            standing.is_some_and(|standing| standing.fence == lapsed.fence)
         });
-        let (mut gone, mut heard) = (Vec::new(), BTreeMap::new());
-        for (name, place, fence) in duties.line() {
-            let key = (name.clone(), place.who.clone());
-            // Not seen before: heard now. Who is in line no more is left behind.
-            let at = self.heard.get(&key).copied().unwrap_or(now);
-            if now.saturating_sub(at) >= place.lease {
-                gone.push(Gone { name: name.clone(), who: place.who.clone(), fence });
+        let (mut lapsed, mut last_heard) = (Vec::new(), BTreeMap::new());
+        for (name, claim, fence) in duties.claims() {
+            let key = (name.clone(), claim.who.clone());
+            // A new candidate counts as heard now. Candidates that left the queue are dropped.
+            let at = self.last_heard.get(&key).copied().unwrap_or(now);
+            if now.saturating_sub(at) >= claim.lease {
+                lapsed.push(LapsedCandidate { name: name.clone(), who: claim.who.clone(), fence });
             }
-            heard.insert(key, at);
+            last_heard.insert(key, at);
         }
-        self.heard = heard;
-        gone.retain(|one| self.lapsing.insert(one.clone()));
-        gone
+        self.last_heard = last_heard;
+        lapsed.retain(|candidate| self.proposed.insert(candidate.clone()));
+        lapsed
     }
 
-    /// The proposal surely came to nothing.
-    pub fn not_proposed(&mut self, gone: &[Gone]) {
-        for one in gone {
-            self.lapsing.remove(one);
+    /// The proposal failed for certain, so the candidates may renew again.
+    pub fn proposal_failed(&mut self, lapsed: &[LapsedCandidate]) {
+        for candidate in lapsed {
+            self.proposed.remove(candidate);
         }
     }
 
-    /// The longest lease has passed since this leader began: after a restore nobody unknown holds any more.
-    pub fn settles(&self, duties: &Duties, now: Time) -> bool {
-        duties.is_quiet() && now.saturating_sub(self.began) >= Duration::from_secs_f64(*LEASE_S.end())
+    /// Whether granting may resume after a restore. It may once the longest lease has passed since this
+    /// leader began: no holder unknown to the backup can still be active then.
+    pub fn grace_period_over(&self, duties: &Duties, now: MonotonicTime) -> bool {
+        duties.are_grants_paused()
+            && now.saturating_sub(self.started) >= Duration::from_secs_f64(*LEASE_S.end())
     }
 }
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -1,23 +1,23 @@
-//! Calls about duties, at the operators' address.
+//! Requests about duties, at the operators' address.
 
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_protocol::duty::{
-    Acquire, Candidate, Checkpoint, Duties as All, Release, Renew, Standing, Transfer, LONGEST_HOLD,
+    Acquire, Candidate, Checkpoint, Duties as DutyList, Release, Renew, Standing, Transfer, LONGEST_HOLD,
 };
 use tokio::time::{timeout_at, Instant};
 
 use crate::catalogue::{Command, Outcome};
-use crate::changing::{named, no_leases, Done, No};
-use crate::duties::{DutyCommand, DutyOutcome, DutyRefused, Sign};
-use crate::http::{json, not_run, parse, refusal, Reply};
-use crate::replica::{add, Replica};
+use crate::duties::{DutyCommand, DutyOutcome, DutyRejection, DutyRenewal};
+use crate::http::{error_reply, json_reply, not_executed_reply, parse_json, Reply};
+use crate::operator_api::{leases_unavailable, parse_id, HandlerError, HandlerResult};
+use crate::replica::{increment, Replica};
 
-/// What a path under the duties' names.
+/// The resource that a path below the duties' path names.
 #[derive(Clone, Copy)]
-pub enum Call {
+pub enum DutyRoute {
     All,
     One,
     Acquire,
@@ -27,99 +27,107 @@
     Checkpoint,
 }
 
-impl Call {
-    /// The call and the duty's name, from what stands behind the duties' own path.
-    pub fn of(rest: &str) -> Option<(Call, &str)> {
+impl DutyRoute {
+    /// Returns the route and the duty's name from the part of the path that follows the duties' path.
+    pub fn parse(rest: &str) -> Option<(DutyRoute, &str)> {
         if rest.is_empty() {
-            return Some((Call::All, ""));
+            return Some((DutyRoute::All, ""));
         }
         let rest = rest.strip_prefix('/')?;
-        let Some((name, call)) = rest.split_once('/') else { return Some((Call::One, rest)) };
-        let call = match call {
-            "acquire" => Call::Acquire,
-            "renew" => Call::Renew,
-            "release" => Call::Release,
-            "transfer" => Call::Transfer,
-            "checkpoint" => Call::Checkpoint,
+        let Some((name, action)) = rest.split_once('/') else { return Some((DutyRoute::One, rest)) };
+        let route = match action {
+            "acquire" => DutyRoute::Acquire,
+            "renew" => DutyRoute::Renew,
+            "release" => DutyRoute::Release,
+            "transfer" => DutyRoute::Transfer,
+            "checkpoint" => DutyRoute::Checkpoint,
             _ => return None,
         };
-        Some((call, name))
+        Some((route, name))
     }
 
     pub fn methods(self) -> &'static [Method] {
         match self {
-            Call::All => &[Method::GET],
-            Call::One => &[Method::GET, Method::DELETE],
-            Call::Checkpoint => &[Method::GET, Method::PUT],
+            DutyRoute::All => &[Method::GET],
+            DutyRoute::One => &[Method::GET, Method::DELETE],
+            DutyRoute::Checkpoint => &[Method::GET, Method::PUT],
             _ => &[Method::POST],
         }
     }
 }
 
-fn bad(e: impl ToString) -> Reply {
-    refusal(StatusCode::BAD_REQUEST, e)
+fn bad_request(e: impl ToString) -> Reply {
+    error_reply(StatusCode::BAD_REQUEST, e)
 }
 
-fn refused(why: &DutyRefused) -> Reply {
+fn rejection_reply(why: &DutyRejection) -> Reply {
     let status = match why {
-        DutyRefused::Unknown => StatusCode::NOT_FOUND,
-        DutyRefused::Fenced { .. } | DutyRefused::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        DutyRefused::NotInLine(_) | DutyRefused::InUse => StatusCode::CONFLICT,
-        DutyRefused::TooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
-        DutyRefused::TooManyDuties | DutyRefused::TooManyWaiters => return not_run(why),
+        DutyRejection::Unknown => StatusCode::NOT_FOUND,
+        DutyRejection::Fenced { .. } | DutyRejection::Version { .. } => StatusCode::PRECONDITION_FAILED,
+        DutyRejection::NotInLine(_) | DutyRejection::InUse => StatusCode::CONFLICT,
+        DutyRejection::TooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
+        DutyRejection::TooManyDuties | DutyRejection::TooManyWaiters => return not_executed_reply(why),
     };
-    refusal(status, why)
+    error_reply(status, why)
 }
 
-/// `passed` on by another replica, or put here by the candidate itself.
-pub async fn answer(
+/// Executes a request. `forwarded` is set if another replica forwarded it, and not set if it came from the
+/// candidate itself.
+pub async fn handle(
     replica: &Replica,
-    call: Call,
+    route: DutyRoute,
     name: &str,
     method: &Method,
     body: &[u8],
-    passed: bool,
-) -> Done {
-    add(&replica.counts.duty_calls);
-    if matches!(call, Call::All) {
-        let all = replica.view.duties(|duties| All {
-            duties: duties.names().filter_map(|name| duties.show(name)).collect(),
-            quiet: duties.is_quiet(),
+    forwarded: bool,
+) -> HandlerResult {
+    increment(&replica.counters.duty_calls);
+    if matches!(route, DutyRoute::All) {
+        let all = replica.view.with_duties(|duties| DutyList {
+            duties: duties.names().filter_map(|name| duties.describe(name)).collect(),
+            quiet: duties.are_grants_paused(),
         });
-        return fresh(replica, json(StatusCode::OK, &all));
+        return if_current(replica, json_reply(StatusCode::OK, &all));
     }
-    let name = named(name)?;
-    match call {
-        Call::Acquire => acquire(replica, name, body, passed).await,
-        Call::Renew => renew(replica, name, body, passed).await,
-        Call::Release => {
-            let asked: Release = parse(body)?;
-            asked.who.check().map_err(bad)?;
-            let command =
-                DutyCommand::Release { name: name.clone(), who: asked.who, why: asked.why, at_ms: now_ms() };
+    let name = parse_id(name)?;
+    match route {
+        DutyRoute::Acquire => acquire(replica, name, body, forwarded).await,
+        DutyRoute::Renew => renew(replica, name, body, forwarded).await,
+        DutyRoute::Release => {
+            let request: Release = parse_json(body)?;
+            request.who.check().map_err(bad_request)?;
+            let command = DutyCommand::Release {
+                name: name.clone(),
+                who: request.who,
+                why: request.why,
+                at_ms: now_ms(),
+            };
             change(replica, &name, command).await
         }
-        Call::Transfer => {
-            let asked: Transfer = parse(body)?;
-            let command = DutyCommand::Transfer { name: name.clone(), fence: asked.fence, to: asked.to };
+        DutyRoute::Transfer => {
+            let request: Transfer = parse_json(body)?;
+            let command = DutyCommand::Transfer { name: name.clone(), fence: request.fence, to: request.to };
             change(replica, &name, command).await
         }
-        Call::Checkpoint if *method == Method::PUT => {
-            let asked: Checkpoint = parse(body)?;
-            let Checkpoint { fence, expect, data } = asked;
+        DutyRoute::Checkpoint if *method == Method::PUT => {
+            let request: Checkpoint = parse_json(body)?;
+            let Checkpoint { fence, expect, data } = request;
             change(replica, &name, DutyCommand::Checkpoint { name: name.clone(), fence, expect, data }).await
         }
-        Call::Checkpoint => {
-            let kept = replica.view.duties(|duties| duties.kept(&name));
-            fresh(
+        DutyRoute::Checkpoint => {
+            let checkpoint = replica.view.with_duties(|duties| duties.stored_checkpoint(&name));
+            if_current(
                 replica,
-                kept.map_or_else(|| refused(&DutyRefused::Unknown), |kept| json(StatusCode::OK, &kept)),
+                checkpoint.map_or_else(
+                    || rejection_reply(&DutyRejection::Unknown),
+                    |checkpoint| json_reply(StatusCode::OK, &checkpoint),
+                ),
             )
         }
-        Call::One if *method == Method::DELETE => {
+        DutyRoute::One if *method == Method::DELETE => {
             change(replica, &name, DutyCommand::Remove { name: name.clone() }).await
         }
-        Call::One | Call::All => fresh(replica, show(replica, &name)),
+        DutyRoute::One | DutyRoute::All => if_current(replica, duty_reply(replica, &name)),
     }
 }
 
@@ -127,92 +135,97 @@
     unix().as_millis() as u64
 }
 
-/// What is read may be old where a majority has not been heard of for long.
-fn fresh(replica: &Replica, reply: Reply) -> Done {
+/// Refuses a read while this replica has had no contact to a majority for too long: its state may be
+/// outdated.
+fn if_current(replica: &Replica, reply: Reply) -> HandlerResult {
     match &*replica.not_ready().borrow() {
-        Some(why) => Ok(not_run(why.words())),
+        Some(why) => Ok(not_executed_reply(why.message())),
         None => Ok(reply),
     }
 }
 
-fn show(replica: &Replica, name: &str) -> Reply {
-    let duty = replica.view.duties(|duties| duties.show(name));
-    duty.map_or_else(|| refused(&DutyRefused::Unknown), |duty| json(StatusCode::OK, &duty))
+fn duty_reply(replica: &Replica, name: &str) -> Reply {
+    let duty = replica.view.with_duties(|duties| duties.describe(name));
+    duty.map_or_else(|| rejection_reply(&DutyRejection::Unknown), |duty| json_reply(StatusCode::OK, &duty))
 }
 
-/// Puts the command into the log; answers with the duty, or what it keeps.
-async fn change(replica: &Replica, name: &str, command: DutyCommand) -> Done {
-    let before = replica.view.duties(|duties| duties.show(name));
-    let outcome = replica.change(Command::Duty(command)).await?;
-    add(&replica.counts.changes);
-    let after = replica.view.duties(|duties| duties.show(name));
+/// Commits the command; the answer shows the duty, or its stored checkpoint.
+async fn change(replica: &Replica, name: &str, command: DutyCommand) -> HandlerResult {
+    let before = replica.view.with_duties(|duties| duties.describe(name));
+    let outcome = replica.propose(Command::Duty(command)).await?;
+    increment(&replica.counters.changes);
+    let after = replica.view.with_duties(|duties| duties.describe(name));
     if let Some(duty) = after.as_ref().filter(|duty| before.is_none_or(|before| before.fence != duty.fence)) {
         let holder = duty.holder.as_deref().unwrap_or("nobody");
         tracing::info!("duty {name}: held by {holder} under fence {}", duty.fence);
     }
     match outcome {
         Outcome::Duty(DutyOutcome::Done) => Ok(match after {
-            Some(duty) => json(StatusCode::OK, &duty),
-            None => json(StatusCode::OK, &serde_json::json!({"removed": name})),
+            Some(duty) => json_reply(StatusCode::OK, &duty),
+            None => json_reply(StatusCode::OK, &serde_json::json!({"removed": name})),
         }),
-        Outcome::Duty(DutyOutcome::Kept(kept)) => Ok(json(StatusCode::OK, &kept)),
-        Outcome::Duty(DutyOutcome::Refused(why)) => Ok(refused(&why)),
-        other => Ok(refusal(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
+        Outcome::Duty(DutyOutcome::Kept(checkpoint)) => Ok(json_reply(StatusCode::OK, &checkpoint)),
+        Outcome::Duty(DutyOutcome::Refused(why)) => Ok(rejection_reply(&why)),
+        other => Ok(error_reply(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
     }
 }
 
-async fn acquire(replica: &Replica, name: String, body: &[u8], passed: bool) -> Done {
-    let asked: Acquire = parse(body)?;
-    let lease = asked.check().map_err(bad)?;
-    let command = DutyCommand::Acquire { name: name.clone(), who: asked.who.clone(), lease, at_ms: now_ms() };
+async fn acquire(replica: &Replica, name: String, body: &[u8], forwarded: bool) -> HandlerResult {
+    let request: Acquire = parse_json(body)?;
+    let lease = request.check().map_err(bad_request)?;
+    let command =
+        DutyCommand::Acquire { name: name.clone(), who: request.who.clone(), lease, at_ms: now_ms() };
     let reply = change(replica, &name, command).await?;
     if !reply.status().is_success() {
         return Ok(reply);
     }
-    // A lapse that was proposed before this call may come behind it in the log.
-    noted(replica, &name, &asked.who)?;
-    let standing = replica.view.duties(|duties| duties.standing(&name, &asked.who));
-    Ok(standing.map_or_else(|| unknown(&asked.who), |standing| told(standing, passed)))
+    // An expiry that was proposed before this call may be committed after it.
+    record_renewal(replica, &name, &request.who)?;
+    let standing = replica.view.with_duties(|duties| duties.standing(&name, &request.who));
+    Ok(standing.map_or_else(|| not_queued_reply(&request.who), |standing| status_reply(standing, forwarded)))
 }
 
-fn told(standing: Standing, passed: bool) -> Reply {
-    json(StatusCode::OK, &Standing { direct: !passed, ..standing })
+fn status_reply(standing: Standing, forwarded: bool) -> Reply {
+    json_reply(StatusCode::OK, &Standing { direct: !forwarded, ..standing })
 }
 
-fn unknown(who: &Candidate) -> Reply {
-    refused(&DutyRefused::NotInLine(who.id.clone()))
+fn not_queued_reply(who: &Candidate) -> Reply {
+    rejection_reply(&DutyRejection::NotInLine(who.id.clone()))
 }
 
-/// Notes a sign of life at this leader.
-fn noted(replica: &Replica, name: &str, who: &Candidate) -> Result<(), No> {
-    match replica.signs(|signs, duties, now| signs.sign(name, who, duties, now)) {
-        None => Err(no_leases(replica)),
-        Some(Sign::Noted) => Ok(()),
-        Some(Sign::Unknown) => Err(unknown(who).into()),
-        Some(Sign::Lapsing) => Err(not_run("its lease is over here, and its lapse being agreed on").into()),
+/// Records a renewal at this leader.
+fn record_renewal(replica: &Replica, name: &str, who: &Candidate) -> Result<(), HandlerError> {
+    match replica.with_duty_leases(|leases, duties, now| leases.renew(name, who, duties, now)) {
+        None => Err(leases_unavailable(replica)),
+        Some(DutyRenewal::Recorded) => Ok(()),
+        Some(DutyRenewal::Unknown) => Err(not_queued_reply(who).into()),
+        Some(DutyRenewal::Lapsing) => {
+            Err(not_executed_reply("its lease is over here, and its lapse being agreed on").into())
+        }
     }
 }
 
-async fn renew(replica: &Replica, name: String, body: &[u8], passed: bool) -> Done {
-    let asked: Renew = parse(body)?;
-    asked.who.check().map_err(bad)?;
-    replica.may_change()?;
+async fn renew(replica: &Replica, name: String, body: &[u8], forwarded: bool) -> HandlerResult {
+    let request: Renew = parse_json(body)?;
+    request.who.check().map_err(bad_request)?;
+    replica.check_can_change()?;
     let mut changes = replica.view.duty_changes();
-    noted(replica, &name, &asked.who)?;
-    replica.confirm_lead().await?;
-    // Those for which there is no place are answered at once, and ask again after as long.
-    let place = replica.waiting.try_acquire().ok().filter(|_| !passed);
-    let hold = place.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(asked.hold_ms));
-    let until = Instant::now() + hold.min(LONGEST_HOLD);
-    let news = |standing: &Standing| standing.holds != asked.holds || standing.give_way != asked.give_way;
+    record_renewal(replica, &name, &request.who)?;
+    replica.confirm_leadership().await?;
+    // Renewals without a permit to wait are answered at once; the agents repeat them after the same time.
+    let permit = replica.renewal_wait_permits.try_acquire().ok().filter(|_| !forwarded);
+    let hold = permit.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(request.hold_ms));
+    let deadline = Instant::now() + hold.min(LONGEST_HOLD);
+    let changed_for_caller =
+        |standing: &Standing| standing.holds != request.holds || standing.give_way != request.give_way;
     loop {
         changes.borrow_and_update();
-        match replica.view.duties(|duties| duties.standing(&name, &asked.who)) {
-            None => return Ok(unknown(&asked.who)),
+        match replica.view.with_duties(|duties| duties.standing(&name, &request.who)) {
+            None => return Ok(not_queued_reply(&request.who)),
             Some(standing) => {
-                // The sender is at hand for as long as the replica is.
-                if news(&standing) || timeout_at(until, changes.changed()).await.is_err() {
-                    return Ok(told(standing, passed));
+                // The sender lives as long as the replica, so the only error is the time-out.
+                if changed_for_caller(&standing) || timeout_at(deadline, changes.changed()).await.is_err() {
+                    return Ok(status_reply(standing, forwarded));
                 }
             }
         }
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,4 +1,5 @@
-//! What the service's three addresses share: connections within a bound, heads and bodies within time and size.
+//! HTTP serving shared by the three addresses: limits on connections, on the time and on the size of
+//! requests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,32 +21,33 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// For a body once its head has come.
-const BODY_TIME: Duration = Duration::from_secs(5);
-const LONGEST_HEAD: usize = 16 << 10;
-/// Pause when no descriptor is left for a connection.
+/// Limit for reading a body once its head has arrived.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Pause after a failed accept, usually because no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 pub type Reply = Response<Full<Bytes>>;
 
-/// What one address lets its callers have.
+/// Limits of one listening address.
 #[derive(Clone, Copy)]
-pub struct Bounds {
-    /// Connections at once. More wait to be accepted.
+pub struct ConnectionLimits {
+    /// Connections at once. Further ones wait to be accepted.
     pub connections: usize,
-    /// For the head of a call, also of the next one on a kept connection: idle ones end by it.
+    /// Limit for reading the head of a request, including the next one on a kept connection: idle connections
+    /// are closed after it.
     pub idle: Duration,
 }
 
-/// Answers calls for as long as the process runs, each connection in a task of its own.
-pub async fn serve<H, F>(listener: TcpListener, bounds: Bounds, handle: H)
+/// Serves requests for as long as the process runs, with a task for each connection.
+pub async fn serve<H, F>(listener: TcpListener, limits: ConnectionLimits, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Reply> + Send,
 {
-    let places = Arc::new(Semaphore::new(bounds.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
@@ -57,65 +59,69 @@
                 let reply = handle(request);
                 async move { Ok::<_, Infallible>(reply.await) }
             });
-            // An error is the caller's, who has gone or has been told.
+            // An error means that the client has disconnected or was answered with an error already.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(bounds.idle)
-                .max_buf_size(LONGEST_HEAD)
+                .header_read_timeout(limits.idle)
+                .max_buf_size(MAX_HEAD_BYTES)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-/// A call's body.
+/// Reads the body of a request.
 ///
 /// # Errors
-/// The answer to give instead.
-pub async fn body(request: Request<Incoming>, most: usize) -> Result<Bytes, Reply> {
-    let read = timeout(BODY_TIME, Limited::new(request.into_body(), most).collect()).await;
+/// The response to send instead.
+pub async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Reply> {
+    let read = timeout(BODY_TIMEOUT, Limited::new(request.into_body(), max_bytes).collect()).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<hyper::Error>() => Err(refusal(StatusCode::BAD_REQUEST, "the body broke off")),
-        Ok(Err(_)) => {
-            Err(refusal(StatusCode::PAYLOAD_TOO_LARGE, format!("a body of at most {most} bytes expected")))
+        Ok(Err(e)) if e.is::<hyper::Error>() => {
+            Err(error_reply(StatusCode::BAD_REQUEST, "the body broke off"))
         }
-        Err(_) => Err(refusal(
+        Ok(Err(_)) => Err(error_reply(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("a body of at most {max_bytes} bytes expected"),
+        )),
+        Err(_) => Err(error_reply(
             StatusCode::REQUEST_TIMEOUT,
-            format!("no whole body within {} s", BODY_TIME.as_secs()),
+            format!("no whole body within {} s", BODY_TIMEOUT.as_secs()),
         )),
     }
 }
 
 /// # Errors
-/// The answer names what in the body is not as expected.
-pub fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reply> {
-    serde_json::from_slice(body).map_err(|e| refusal(StatusCode::BAD_REQUEST, format!("body: {e}")))
+/// The response to send instead, which names the invalid part of the body.
+pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reply> {
+    serde_json::from_slice(body).map_err(|e| error_reply(StatusCode::BAD_REQUEST, format!("body: {e}")))
 }
 
-pub fn raw(status: StatusCode, kind: &'static str, body: Bytes) -> Reply {
+pub fn reply_with(status: StatusCode, content_type: &'static str, body: Bytes) -> Reply {
     let mut reply = Response::new(Full::new(body));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     reply
 }
 
-pub fn json(status: StatusCode, body: &impl Serialize) -> Reply {
+pub fn json_reply(status: StatusCode, body: &impl Serialize) -> Reply {
     match serde_json::to_vec(body) {
-        Ok(bytes) => raw(status, "application/json", bytes.into()),
-        Err(e) => refusal(StatusCode::INTERNAL_SERVER_ERROR, e),
+        Ok(bytes) => reply_with(status, "application/json", bytes.into()),
+        Err(e) => error_reply(StatusCode::INTERNAL_SERVER_ERROR, e),
     }
 }
 
-pub fn refusal(status: StatusCode, error: impl ToString) -> Reply {
+pub fn error_reply(status: StatusCode, error: impl ToString) -> Reply {
     let body = serde_json::to_vec(&Refusal { error: error.to_string() }).unwrap_or_default();
-    raw(status, "application/json", body.into())
+    reply_with(status, "application/json", body.into())
 }
 
-/// A change that surely has not happened; it may be put again, here or elsewhere.
-pub fn not_run(error: impl ToString) -> Reply {
-    let mut reply = refusal(StatusCode::SERVICE_UNAVAILABLE, error);
+/// The answer for a change that was certainly not executed. The client may repeat it, here or at another
+/// replica.
+pub fn not_executed_reply(error: impl ToString) -> Reply {
+    let mut reply = error_reply(StatusCode::SERVICE_UNAVAILABLE, error);
     reply.headers_mut().insert(NOT_RUN, HeaderValue::from_static("1"));
     reply
 }
--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -1,139 +1,144 @@
-//! The pure core of leases: kept by the leader alone, in memory. Renewals never reach the log; what they come to
-//! when they stay away does, as one command. Time is a value on one monotonic clock of the host's choice.
+//! Leases of entries, without I/O: kept by the leader alone, in memory. Renewals never reach the log; only an
+//! expired lease is proposed, as one command. Time is passed in as a value of the host's monotonic clock.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use shaletrail_registry_protocol::Stamp;
 
-use crate::catalogue::{Catalogue, Held};
+use crate::catalogue::{Catalogue, InstanceRecord};
 
-/// Who has not renewed for this part of a lease has missed at least one renewal: agents renew each third.
-const SILENT: f64 = 2.0 / 3.0;
+/// An entry that was not renewed for this part of its lease has missed at least one renewal, because agents
+/// renew after each third of a lease.
+const SILENT_LEASE_SHARE: f64 = 2.0 / 3.0;
 
 /// A time on the host's monotonic clock.
-pub type Time = Duration;
+pub type MonotonicTime = Duration;
 
-/// What a renewal came to.
+/// The result of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Renewal {
+pub enum RenewalOutcome {
     Done,
     Unknown,
-    /// A newer life of the id is listed.
+    /// A newer process is listed under this id.
     Stale,
 }
 
-/// What is to be done about leases now.
+/// What is to be done about expired leases now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Due {
-    /// To be proposed as expired, each with the version at which it was seen.
+pub struct ExpiryCheck {
+    /// Entries whose expiry is to be proposed, each with the version at which it was found silent.
     pub expire: Vec<(String, u64)>,
-    /// Due, but too many are silent at once.
-    pub held: usize,
-    /// Who they are.
-    pub stopped: Vec<String>,
-    /// Silent for most of a lease, those included.
+    /// The number of expired leases whose expiry is stopped, because too many entries are silent at once.
+    pub withheld: usize,
+    /// The ids of those entries.
+    pub withheld_ids: Vec<String>,
+    /// Entries that are silent for most of a lease, including the expired ones.
     pub silent: usize,
-    /// So many may be silent before expiry stops.
-    pub most: usize,
+    /// The most entries that may be silent before expiry stops.
+    pub silent_limit: usize,
 }
 
 struct Lease {
-    renewed: Time,
-    /// The entry's version when it was last looked at: a registration renews.
+    renewed: MonotonicTime,
+    /// The entry's version at the last check: a registration changes it and counts as a renewal.
     version: u64,
 }
 
-/// Invariants: nobody expires sooner than a full lease after the last sign of life *at this leader*; nobody
-/// expires while more than the stated share of the list is silent, but by an operator's word; the last entry of
-/// the list never does by itself.
+/// The leases of all entries, at the leader.
+///
+/// Invariants: no entry expires sooner than one full lease after the last renewal *recorded at this leader*;
+/// no entry expires while more than the configured share of the list is silent, unless an operator confirms
+/// it; the last entry of the list never expires without a confirmation.
 pub struct Leases {
-    /// The part of the list that may fall silent within one lease.
-    share: f64,
+    /// The part of the list that may become silent within one lease.
+    max_silent_share: f64,
     leases: HashMap<String, Lease>,
-    /// When the last ones expired, for as long as one of the leases they had.
-    lapsed: Vec<(Time, Duration)>,
-    /// Let go by an operator.
+    /// The times of recent expiries, each with the entry's lease and kept for that long.
+    recently_expired: Vec<(MonotonicTime, Duration)>,
+    /// The number of expiries that an operator has confirmed.
     confirmed: usize,
 }
 
 impl Leases {
-    /// From now on this process keeps the leases: whoever is listed has a full one.
-    pub fn begin(share: f64) -> Self {
-        Leases { share, leases: HashMap::new(), lapsed: Vec::new(), confirmed: 0 }
+    /// Starts a new term of leadership: each listed entry gets a full lease.
+    pub fn new(max_silent_share: f64) -> Self {
+        Leases { max_silent_share, leases: HashMap::new(), recently_expired: Vec::new(), confirmed: 0 }
     }
 
-    pub fn renew(&mut self, id: &str, stamp: Stamp, list: &Catalogue, now: Time) -> Renewal {
-        let Some(held) = list.get(id) else { return Renewal::Unknown };
-        if !stamp.is_none() && stamp < held.stamp {
-            return Renewal::Stale;
+    pub fn renew(&mut self, id: &str, stamp: Stamp, list: &Catalogue, now: MonotonicTime) -> RenewalOutcome {
+        let Some(record) = list.get(id) else { return RenewalOutcome::Unknown };
+        if !stamp.is_none() && stamp < record.stamp {
+            return RenewalOutcome::Stale;
         }
-        // Registered as another life, this one is not known.
-        if stamp > held.stamp {
-            return Renewal::Unknown;
+        // A newer process than the listed one has to register first.
+        if stamp > record.stamp {
+            return RenewalOutcome::Unknown;
         }
-        let lease = Lease { renewed: now, version: held.version };
+        let lease = Lease { renewed: now, version: record.version };
         match self.leases.get_mut(id) {
             Some(old) => *old = lease,
             None => {
                 self.leases.insert(id.to_owned(), lease);
             }
         }
-        Renewal::Done
+        RenewalOutcome::Done
     }
 
-    /// An operator has seen that so many are due, and lets them go.
-    pub fn confirm(&mut self, most: usize) {
-        self.confirmed = most;
+    /// Lets this many entries expire although expiry is stopped: an operator has checked that their servers
+    /// are gone.
+    pub fn confirm(&mut self, count: usize) {
+        self.confirmed = count;
     }
 
-    /// Looks through all leases. Calls come some times a lease.
-    pub fn look(&mut self, list: &Catalogue, now: Time) -> Due {
+    /// Checks all leases. Called several times within one lease.
+    pub fn check(&mut self, list: &Catalogue, now: MonotonicTime) -> ExpiryCheck {
         self.leases.retain(|id, _| list.get(id).is_some());
-        self.lapsed.retain(|(at, lease)| now.saturating_sub(*at) < *lease);
-        let (mut due, mut silent) = (Vec::new(), 0);
-        for held in list.entries() {
-            let Some(lease) = held.lease else { continue };
-            let quiet = now.saturating_sub(self.last_sign(held, now));
-            silent += usize::from(quiet >= lease.mul_f64(SILENT));
-            if quiet >= lease {
-                due.push((held.entry.id.clone(), held.version, lease, quiet));
+        self.recently_expired.retain(|(at, lease)| now.saturating_sub(*at) < *lease);
+        let (mut expired, mut silent) = (Vec::new(), 0);
+        for record in list.entries() {
+            let Some(lease) = record.lease else { continue };
+            let silence = now.saturating_sub(self.last_renewal(record, now));
+            silent += usize::from(silence >= lease.mul_f64(SILENT_LEASE_SHARE));
+            if silence >= lease {
+                expired.push((record.entry.id.clone(), record.version, lease, silence));
             }
         }
-        // The longest silent first, by name where equal: the same each time.
-        due.sort_by(|a, b| b.3.cmp(&a.3).then_with(|| a.0.cmp(&b.0)));
-        // One may always go where there are more: a short list must get rid of a dead server too.
-        let whole = list.len() + self.lapsed.len();
-        let most = ((whole as f64 * self.share) as usize).max(1).min(list.len().max(1) - 1);
-        let mut go = due.len();
-        if silent + self.lapsed.len() > most {
-            go = self.confirmed.min(go);
+        // The longest silent first, and by id where equal, so that the order is deterministic.
+        expired.sort_by(|a, b| b.3.cmp(&a.3).then_with(|| a.0.cmp(&b.0)));
+        // One entry may always expire while others remain: a short list must get rid of a dead server too.
+        let total = list.len() + self.recently_expired.len();
+        let silent_limit =
+            ((total as f64 * self.max_silent_share) as usize).max(1).min(list.len().max(1) - 1);
+        let mut allowed = expired.len();
+        if silent + self.recently_expired.len() > silent_limit {
+            allowed = self.confirmed.min(allowed);
         }
-        self.confirmed -= go.min(self.confirmed);
-        if due.is_empty() {
-            // The word was for those that were due then.
+        self.confirmed -= allowed.min(self.confirmed);
+        if expired.is_empty() {
+            // The confirmation was meant for the leases that were expired then.
             self.confirmed = 0;
         }
-        let held = due.len() - go;
-        let stopped = due.split_off(go).into_iter().map(|(id, ..)| id).collect();
-        let mut expire = Vec::with_capacity(go);
-        for (id, version, lease, _) in due {
-            self.lapsed.push((now, lease));
-            // Proposed once a lease, should the proposal come to nothing.
+        let withheld = expired.len() - allowed;
+        let withheld_ids = expired.split_off(allowed).into_iter().map(|(id, ..)| id).collect();
+        let mut expire = Vec::with_capacity(allowed);
+        for (id, version, lease, _) in expired {
+            self.recently_expired.push((now, lease));
+            // If the proposal fails, it is repeated after one more lease.
             self.leases.insert(id.clone(), Lease { renewed: now, version });
             expire.push((id, version));
         }
-        Due { expire, held, stopped, silent, most }
+        ExpiryCheck { expire, withheld, withheld_ids, silent, silent_limit }
     }
 
-    fn last_sign(&mut self, held: &Held, now: Time) -> Time {
-        let version = held.version;
-        // Not seen before, or changed since: a sign of life now.
-        let first = Lease { renewed: now, version };
-        match self.leases.get_mut(&held.entry.id) {
+    fn last_renewal(&mut self, record: &InstanceRecord, now: MonotonicTime) -> MonotonicTime {
+        let version = record.version;
+        // A new or changed entry counts as renewed now.
+        let renewed_now = Lease { renewed: now, version };
+        match self.leases.get_mut(&record.entry.id) {
             Some(lease) if lease.version == version => return lease.renewed,
-            Some(lease) => *lease = first,
-            None => _ = self.leases.insert(held.entry.id.clone(), first),
+            Some(lease) => *lease = renewed_now,
+            None => _ = self.leases.insert(record.entry.id.clone(), renewed_now),
         }
         now
     }
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,21 +1,24 @@
-//! The list service. `catalogue`, `leases` and `duties` are its pure cores; the rest gives them a log, replicas and sockets.
+//! The service registry: a replicated list of instances, and duties that one process holds at a time.
+//! `catalogue`, `leases` and `duties` contain the logic without I/O; the other modules add the log,
+//! replication and the network.
 
 #![deny(unsafe_code)]
-// The error of a call is the answer to give instead, whole; it is made once a refused call and passed one level up.
+// The error of a request is the response to send instead. It is created once for a failed request and
+// returned through one or two functions.
 #![allow(clippy::result_large_err)]
 
 pub mod catalogue;
-mod changing;
+mod discovery_api;
 pub mod duties;
-mod duty_calls;
+mod duty_api;
 mod http;
 pub mod leases;
-mod links;
 mod log;
-mod machine;
-mod reading;
+mod operator_api;
+mod raft_network;
 mod replica;
 mod service;
+mod state_machine;
 mod types;
 
 pub use log::OpenError;
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' and agents' address: changes, renewals, the replicas, and the door's two calls.
+//! The address for operators and agents: changes, renewals, membership of replicas, readiness and metrics.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -18,45 +18,46 @@
     INSTANCES, LONGEST_CALL, MOST_RENEWED, NOT_RUN,
 };
 
-use crate::catalogue::{Command, Outcome, Refused};
-use crate::duty_calls;
-use crate::http::{body, json, not_run, parse, raw, refusal, Reply};
-use crate::leases::Renewal;
-use crate::replica::{add, backup, Replica, Unacknowledged};
+use crate::catalogue::{Command, Outcome, Rejection};
+use crate::duty_api;
+use crate::http::{error_reply, json_reply, not_executed_reply, parse_json, read_body, reply_with, Reply};
+use crate::leases::RenewalOutcome;
+use crate::replica::{backup, increment, ChangeError, Replica};
 use crate::types::Member;
 
-/// In front of a call's path where one replica passes it on to another.
-pub const FORWARD: &str = "/forward";
+/// Prefix of the path when one replica forwards a request to another.
+pub const FORWARD_PREFIX: &str = "/forward";
 
-/// A call that came whole.
-pub struct Asked {
+/// A request that has been received completely.
+pub struct ApiRequest {
     pub method: Method,
-    /// Without what stands in front of it where it was passed on.
+    /// The path without [`FORWARD_PREFIX`].
     pub path: String,
     pub body: Bytes,
-    /// Under which the change is made, if under any.
+    /// The duty and fencing number under which the change is made, if any.
     pub fence: Option<Fence>,
-    /// Passed on already, and not to be again: two replicas may each take the other for the leader.
-    pub passed: bool,
+    /// The request was forwarded once already. It is not forwarded again, because two replicas may each take
+    /// the other for the leader.
+    pub forwarded: bool,
 }
 
-pub async fn answer(replica: Arc<Replica>, request: Request<Incoming>, passed: bool) -> Reply {
+pub async fn handle(replica: Arc<Replica>, request: Request<Incoming>, forwarded: bool) -> Reply {
     let path = request.uri().path();
-    let path = if passed { path.strip_prefix(FORWARD).unwrap_or(path) } else { path }.to_owned();
+    let path = if forwarded { path.strip_prefix(FORWARD_PREFIX).unwrap_or(path) } else { path }.to_owned();
     let method = request.method().clone();
     let header = |name| request.headers().get(name).map(|value| value.to_str().unwrap_or("not text"));
     let fence = match Fence::read(header(DUTY_HEADER), header(FENCE_HEADER)) {
         Ok(fence) => fence,
-        Err(e) => return refusal(StatusCode::BAD_REQUEST, e),
+        Err(e) => return error_reply(StatusCode::BAD_REQUEST, e),
     };
-    match body(request, LONGEST_CALL).await {
+    match read_body(request, LONGEST_CALL).await {
         Err(reply) => reply,
-        Ok(body) => respond(&replica, Asked { method, path, body, fence, passed }).await,
+        Ok(body) => dispatch(&replica, ApiRequest { method, path, body, fence, forwarded }).await,
     }
 }
 
-/// What a path names.
-enum Named<'a> {
+/// The resource that a path names.
+enum Route<'a> {
     Ready,
     Metrics,
     Status,
@@ -70,36 +71,36 @@
     Instance(&'a str),
     Renew(&'a str),
     Leaving(&'a str),
-    Duty(duty_calls::Call, &'a str),
+    Duty(duty_api::DutyRoute, &'a str),
 }
 
-impl<'a> Named<'a> {
-    fn of(path: &'a str) -> Option<Self> {
+impl<'a> Route<'a> {
+    fn parse(path: &'a str) -> Option<Self> {
         Some(match path {
-            "/-/ready" => Named::Ready,
-            "/-/metrics" => Named::Metrics,
-            "/registry/status" => Named::Status,
-            "/registry/backup" => Named::Backup,
-            "/registry/renew" => Named::RenewMany,
-            "/registry/expiry/confirm" => Named::Confirm,
-            "/registry/expiry" => Named::Expiry,
-            "/registry/replicas" => Named::Replicas,
+            "/-/ready" => Route::Ready,
+            "/-/metrics" => Route::Metrics,
+            "/registry/status" => Route::Status,
+            "/registry/backup" => Route::Backup,
+            "/registry/renew" => Route::RenewMany,
+            "/registry/expiry/confirm" => Route::Confirm,
+            "/registry/expiry" => Route::Expiry,
+            "/registry/replicas" => Route::Replicas,
             path => {
                 if let Some(rest) = path.strip_prefix("/registry/replicas/") {
                     return Some(match rest.strip_suffix("/promote") {
-                        Some(id) => Named::Promote(id),
-                        None => Named::Replica(rest),
+                        Some(id) => Route::Promote(id),
+                        None => Route::Replica(rest),
                     });
                 }
                 if let Some(rest) = path.strip_prefix(DUTIES) {
-                    let (call, name) = duty_calls::Call::of(rest)?;
-                    return Some(Named::Duty(call, name));
+                    let (duty_route, name) = duty_api::DutyRoute::parse(rest)?;
+                    return Some(Route::Duty(duty_route, name));
                 }
                 let rest = path.strip_prefix(INSTANCES)?.strip_prefix('/')?;
                 match rest.split_once('/') {
-                    None => Named::Instance(rest),
-                    Some((id, "renew")) => Named::Renew(id),
-                    Some((id, "leaving")) => Named::Leaving(id),
+                    None => Route::Instance(rest),
+                    Some((id, "renew")) => Route::Renew(id),
+                    Some((id, "leaving")) => Route::Leaving(id),
                     Some(_) => return None,
                 }
             }
@@ -110,404 +111,417 @@
         const GET: &[Method] = &[Method::GET];
         const POST: &[Method] = &[Method::POST];
         match self {
-            Named::Ready | Named::Metrics | Named::Status | Named::Backup | Named::Expiry => GET,
-            Named::RenewMany | Named::Confirm | Named::Replicas | Named::Promote(_) => POST,
-            Named::Renew(_) | Named::Leaving(_) => POST,
-            Named::Replica(_) => &[Method::DELETE],
-            Named::Instance(_) => &[Method::PUT, Method::DELETE],
-            Named::Duty(call, _) => call.methods(),
+            Route::Ready | Route::Metrics | Route::Status | Route::Backup | Route::Expiry => GET,
+            Route::RenewMany | Route::Confirm | Route::Replicas | Route::Promote(_) => POST,
+            Route::Renew(_) | Route::Leaving(_) => POST,
+            Route::Replica(_) => &[Method::DELETE],
+            Route::Instance(_) => &[Method::PUT, Method::DELETE],
+            Route::Duty(route, _) => route.methods(),
         }
     }
 
-    /// Whether it can be made under a fencing number.
-    fn guarded(&self) -> bool {
-        matches!(self, Named::Instance(_) | Named::Leaving(_) | Named::Confirm)
+    /// Whether the request may carry a fencing number.
+    fn accepts_fence(&self) -> bool {
+        matches!(self, Route::Instance(_) | Route::Leaving(_) | Route::Confirm)
     }
 }
 
-async fn respond(replica: &Arc<Replica>, asked: Asked) -> Reply {
-    let Some(named) = Named::of(&asked.path) else {
-        return refusal(StatusCode::NOT_FOUND, format!("no such call: {}", asked.path));
+async fn dispatch(replica: &Arc<Replica>, request: ApiRequest) -> Reply {
+    let Some(route) = Route::parse(&request.path) else {
+        return error_reply(StatusCode::NOT_FOUND, format!("no such call: {}", request.path));
     };
-    let methods = named.methods();
-    if !methods.contains(&asked.method) {
+    let methods = route.methods();
+    if !methods.contains(&request.method) {
         let allowed = methods.iter().map(Method::as_str).collect::<Vec<_>>().join(", ");
-        let mut reply = refusal(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed} expected"));
+        let mut reply = error_reply(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed} expected"));
         if let Ok(allowed) = HeaderValue::from_str(&allowed) {
             reply.headers_mut().insert(header::ALLOW, allowed);
         }
         return reply;
     }
-    if asked.fence.is_some() && !named.guarded() {
-        let what = format!("{DUTY_HEADER}: this call is not made under a duty");
-        return refusal(StatusCode::BAD_REQUEST, what);
+    if request.fence.is_some() && !route.accepts_fence() {
+        let reason = format!("{DUTY_HEADER}: this call is not made under a duty");
+        return error_reply(StatusCode::BAD_REQUEST, reason);
     }
-    let fence = asked.fence.as_ref();
-    let done = match named {
-        Named::Duty(call, name) => {
-            duty_calls::answer(replica, call, name, &asked.method, &asked.body, asked.passed).await
+    let fence = request.fence.as_ref();
+    let result = match route {
+        Route::Duty(duty_route, name) => {
+            duty_api::handle(replica, duty_route, name, &request.method, &request.body, request.forwarded)
+                .await
         }
-        Named::Ready => return ready(replica),
-        Named::Metrics => return metrics(replica),
-        Named::Status => return json(StatusCode::OK, &replica.status()),
-        Named::Backup => return backed_up(replica),
-        Named::Instance(id) if asked.method == Method::PUT => register(replica, id, &asked.body, fence).await,
-        Named::Instance(id) => {
-            depart(replica, id, &asked.body, fence, |id, stamp| Command::Remove { id, stamp }).await
+        Route::Ready => return ready(replica),
+        Route::Metrics => return metrics(replica),
+        Route::Status => return json_reply(StatusCode::OK, &replica.status()),
+        Route::Backup => return backup_reply(replica),
+        Route::Instance(id) if request.method == Method::PUT => {
+            register(replica, id, &request.body, fence).await
         }
-        Named::Leaving(id) => {
-            depart(replica, id, &asked.body, fence, |id, stamp| Command::Leaving { id, stamp }).await
+        Route::Instance(id) => {
+            change_state(replica, id, &request.body, fence, |id, stamp| Command::Remove { id, stamp }).await
         }
-        Named::Renew(id) => renew(replica, id, &asked.body),
-        Named::RenewMany => renew_many(replica, &asked.body),
-        Named::Confirm => confirm(replica, &asked.body, fence).await,
-        Named::Expiry => expiry(replica),
-        Named::Replicas => number(replica, &asked.body).await,
-        Named::Promote(id) => promote(replica, id, &asked.body).await,
-        Named::Replica(name) => remove(replica, name).await,
+        Route::Leaving(id) => {
+            change_state(replica, id, &request.body, fence, |id, stamp| Command::Leaving { id, stamp }).await
+        }
+        Route::Renew(id) => renew(replica, id, &request.body),
+        Route::RenewMany => renew_many(replica, &request.body),
+        Route::Confirm => confirm(replica, &request.body, fence).await,
+        Route::Expiry => expiry(replica),
+        Route::Replicas => assign_replica_id(replica, &request.body).await,
+        Route::Promote(id) => promote(replica, id, &request.body).await,
+        Route::Replica(name) => remove(replica, name).await,
     };
-    match done {
+    match result {
         Ok(reply) => reply,
-        Err(No::Reply(reply)) => reply,
-        Err(No::Unacknowledged(Unacknowledged::NotRun { leader: Some(leader), .. })) if !asked.passed => {
-            pass_on(replica, &leader, asked).await
+        Err(HandlerError::Reply(reply)) => reply,
+        Err(HandlerError::NotAcknowledged(ChangeError::NotExecuted { leader: Some(leader), .. }))
+            if !request.forwarded =>
+        {
+            forward(replica, &leader, request).await
         }
-        Err(No::Unacknowledged(e)) => unacknowledged(replica, e),
+        Err(HandlerError::NotAcknowledged(e)) => change_error_reply(replica, e),
     }
 }
 
-/// Why a call is not done here.
-pub enum No {
+/// Why a request is not completed here.
+pub enum HandlerError {
     Reply(Reply),
-    Unacknowledged(Unacknowledged),
+    NotAcknowledged(ChangeError),
 }
 
-impl From<Reply> for No {
+impl From<Reply> for HandlerError {
     fn from(reply: Reply) -> Self {
-        No::Reply(reply)
+        HandlerError::Reply(reply)
     }
 }
 
-impl From<Unacknowledged> for No {
-    fn from(e: Unacknowledged) -> Self {
-        No::Unacknowledged(e)
+impl From<ChangeError> for HandlerError {
+    fn from(e: ChangeError) -> Self {
+        HandlerError::NotAcknowledged(e)
     }
 }
 
-pub type Done = Result<Reply, No>;
+pub type HandlerResult = Result<Reply, HandlerError>;
 
-fn unacknowledged(replica: &Replica, e: Unacknowledged) -> Reply {
+fn change_error_reply(replica: &Replica, e: ChangeError) -> Reply {
     match e {
-        Unacknowledged::NotRun { why, .. } => {
-            add(&replica.counts.refused);
-            not_run(why)
+        ChangeError::NotExecuted { why, .. } => {
+            increment(&replica.counters.refused);
+            not_executed_reply(why)
         }
-        Unacknowledged::Unknown(why) => {
-            add(&replica.counts.unknown);
-            refusal(StatusCode::INTERNAL_SERVER_ERROR, format!("it may have happened, or may yet: {why}"))
+        ChangeError::Unknown(why) => {
+            increment(&replica.counters.unknown);
+            error_reply(StatusCode::INTERNAL_SERVER_ERROR, format!("it may have happened, or may yet: {why}"))
         }
     }
 }
 
-/// The leader's answer, as it is.
-async fn pass_on(replica: &Replica, leader: &Member, asked: Asked) -> Reply {
+/// Forwards the request to the leader and returns its answer unchanged.
+async fn forward(replica: &Replica, leader: &Member, request: ApiRequest) -> Reply {
     let Some(addr) = replica.links.addr(leader) else {
-        return not_run(format!("{leader} leads, and has no address"));
+        return not_executed_reply(format!("{leader} leads, and has no address"));
     };
-    let path = format!("{FORWARD}{}", asked.path);
-    let number = asked.fence.as_ref().map(|fence| fence.fence.to_string());
-    let headers = match (&asked.fence, &number) {
+    let path = format!("{FORWARD_PREFIX}{}", request.path);
+    let number = request.fence.as_ref().map(|fence| fence.fence.to_string());
+    let headers = match (&request.fence, &number) {
         (Some(fence), Some(number)) => vec![(DUTY_HEADER, fence.duty.as_str()), (FENCE_HEADER, number)],
         _ => Vec::new(),
     };
     let call = Call {
-        method: asked.method,
+        method: request.method,
         path: &path,
         headers: &headers,
-        body: asked.body,
+        body: request.body,
         most: LONGEST_CALL,
         last: true,
     };
-    let time = Duration::from_millis(replica.settings.change_ms + replica.settings.change_ms / 4);
-    match Line::new(addr).within(time, call).await {
+    let timeout = Duration::from_millis(replica.settings.change_ms + replica.settings.change_ms / 4);
+    match Line::new(addr).within(timeout, call).await {
         Ok(answer) => {
-            let mut reply = raw(answer.status, "application/json", answer.body);
-            if let Some(word) = answer.headers.get(NOT_RUN) {
-                reply.headers_mut().insert(NOT_RUN, word.clone());
+            let mut reply = reply_with(answer.status, "application/json", answer.body);
+            if let Some(value) = answer.headers.get(NOT_RUN) {
+                reply.headers_mut().insert(NOT_RUN, value.clone());
             }
             reply
         }
-        Err(e) if e.not_run() => unacknowledged(
+        Err(e) if e.not_run() => change_error_reply(
             replica,
-            Unacknowledged::NotRun { why: format!("{leader} leads, and is {e}"), leader: None },
+            ChangeError::NotExecuted { why: format!("{leader} leads, and is {e}"), leader: None },
         ),
-        Err(e) => unacknowledged(replica, Unacknowledged::Unknown(format!("{leader}: {e}"))),
+        Err(e) => change_error_reply(replica, ChangeError::Unknown(format!("{leader}: {e}"))),
     }
 }
 
-// ---- The list -----------------------------------------------------------------------------------------
+// ---- Instances ---------------------------------------------------------------------------------------
 
-pub fn named(id: &str) -> Result<String, Reply> {
-    let bad = |what: String| refusal(StatusCode::BAD_REQUEST, what);
-    let id = percent_decode_str(id).decode_utf8().map_err(|_| bad("id: UTF-8 expected".into()))?;
-    check_id(&id).map_err(|e| bad(e.to_string()))?;
+pub fn parse_id(id: &str) -> Result<String, Reply> {
+    let invalid = |reason: String| error_reply(StatusCode::BAD_REQUEST, reason);
+    let id = percent_decode_str(id).decode_utf8().map_err(|_| invalid("id: UTF-8 expected".into()))?;
+    check_id(&id).map_err(|e| invalid(e.to_string()))?;
     Ok(id.into_owned())
 }
 
-fn stamp(body: &[u8]) -> Result<Stamp, Reply> {
+fn parse_stamp(body: &[u8]) -> Result<Stamp, Reply> {
     if body.is_empty() {
         return Ok(Stamp::default());
     }
-    parse(body)
+    parse_json(body)
 }
 
-/// The command, to hold only while the tenure does under which it is put.
-fn under(fence: Option<&Fence>, change: Command) -> Command {
+/// Makes the command conditional on the fencing number, if there is one.
+fn with_fence(fence: Option<&Fence>, change: Command) -> Command {
     match fence {
-        Some(under) => Command::Fenced { under: under.clone(), change: Box::new(change) },
+        Some(fence) => Command::Fenced { fence: fence.clone(), change: Box::new(change) },
         None => change,
     }
 }
 
-async fn register(replica: &Replica, id: &str, body: &[u8], fence: Option<&Fence>) -> Done {
-    let id = named(id)?;
-    let entry = parse::<Register>(body)?.check(&id);
-    let (entry, stamp, lease) = entry.map_err(|e| refusal(StatusCode::BAD_REQUEST, e))?;
-    let done = replica.change(under(fence, Command::Register { entry, stamp, lease })).await?;
-    let reply = changed(replica, &id, done);
-    // Registering again is a sign of life, also where nothing changed.
-    replica.leases(|leases, list, now| leases.renew(&id, stamp, list, now));
+async fn register(replica: &Replica, id: &str, body: &[u8], fence: Option<&Fence>) -> HandlerResult {
+    let id = parse_id(id)?;
+    let entry = parse_json::<Register>(body)?.check(&id);
+    let (entry, stamp, lease) = entry.map_err(|e| error_reply(StatusCode::BAD_REQUEST, e))?;
+    let result = replica.propose(with_fence(fence, Command::Register { entry, stamp, lease })).await?;
+    let reply = change_reply(replica, &id, result);
+    // A registration renews the lease, even if the entry did not change.
+    replica.with_leases(|leases, list, now| leases.renew(&id, stamp, list, now));
     reply
 }
 
-async fn depart(
+async fn change_state(
     replica: &Replica,
     id: &str,
     body: &[u8],
     fence: Option<&Fence>,
     command: fn(String, Stamp) -> Command,
-) -> Done {
-    let id = named(id)?;
-    let done = replica.change(under(fence, command(id.clone(), stamp(body)?))).await?;
-    changed(replica, &id, done)
+) -> HandlerResult {
+    let id = parse_id(id)?;
+    let result = replica.propose(with_fence(fence, command(id.clone(), parse_stamp(body)?))).await?;
+    change_reply(replica, &id, result)
 }
 
-fn changed(replica: &Replica, id: &str, outcome: Outcome) -> Done {
-    add(&replica.counts.changes);
+fn change_reply(replica: &Replica, id: &str, outcome: Outcome) -> HandlerResult {
+    increment(&replica.counters.changes);
     match outcome {
-        Outcome::Done { version } => Ok(json(StatusCode::OK, &Changed { version, id: id.to_owned() })),
-        Outcome::Refused(why) => Ok(refused(&why)),
-        other => Ok(refusal(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
+        Outcome::Done { version } => Ok(json_reply(StatusCode::OK, &Changed { version, id: id.to_owned() })),
+        Outcome::Refused(why) => Ok(rejection_reply(&why)),
+        other => Ok(error_reply(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
     }
 }
 
-fn refused(why: &Refused) -> Reply {
+fn rejection_reply(why: &Rejection) -> Reply {
     match why {
-        Refused::Stale { .. } | Refused::Leaving => refusal(StatusCode::CONFLICT, why),
-        Refused::Unknown => refusal(StatusCode::NOT_FOUND, why),
-        Refused::Full => not_run(why),
-        Refused::Fenced { .. } => refusal(StatusCode::PRECONDITION_FAILED, why),
+        Rejection::Stale { .. } | Rejection::Leaving => error_reply(StatusCode::CONFLICT, why),
+        Rejection::Unknown => error_reply(StatusCode::NOT_FOUND, why),
+        Rejection::Full => not_executed_reply(why),
+        Rejection::Fenced { .. } => error_reply(StatusCode::PRECONDITION_FAILED, why),
     }
 }
 
 // ---- Leases -------------------------------------------------------------------------------------------
 
-/// Why leases can't be kept here.
-pub fn no_leases(replica: &Replica) -> No {
-    match replica.may_change() {
+/// Why no leases are available on this replica.
+pub fn leases_unavailable(replica: &Replica) -> HandlerError {
+    match replica.check_can_change() {
         Err(e) => e.into(),
-        Ok(()) => not_run("this replica only begins to lead").into(),
+        Ok(()) => not_executed_reply("this replica only begins to lead").into(),
     }
 }
 
-fn renew(replica: &Replica, id: &str, body: &[u8]) -> Done {
-    let id = named(id)?;
-    let stamp = stamp(body)?;
-    replica.may_change()?;
-    let renewed = replica.leases(|leases, list, now| leases.renew(&id, stamp, list, now));
-    add(&replica.counts.renewals);
+fn renew(replica: &Replica, id: &str, body: &[u8]) -> HandlerResult {
+    let id = parse_id(id)?;
+    let stamp = parse_stamp(body)?;
+    replica.check_can_change()?;
+    let renewed = replica.with_leases(|leases, list, now| leases.renew(&id, stamp, list, now));
+    increment(&replica.counters.renewals);
     let version = replica.view.version();
-    match renewed.ok_or_else(|| no_leases(replica))? {
-        Renewal::Done => Ok(json(StatusCode::OK, &Changed { version, id })),
-        Renewal::Unknown => Ok(refused(&Refused::Unknown)),
-        Renewal::Stale => Ok(refusal(StatusCode::CONFLICT, "a newer life of this id is listed")),
+    match renewed.ok_or_else(|| leases_unavailable(replica))? {
+        RenewalOutcome::Done => Ok(json_reply(StatusCode::OK, &Changed { version, id })),
+        RenewalOutcome::Unknown => Ok(rejection_reply(&Rejection::Unknown)),
+        RenewalOutcome::Stale => Ok(error_reply(StatusCode::CONFLICT, "a newer life of this id is listed")),
     }
 }
 
-fn renew_many(replica: &Replica, body: &[u8]) -> Done {
-    let asked: RenewMany = parse(body)?;
-    if asked.renewals.len() > MOST_RENEWED {
-        let what = format!("renewals: at most {MOST_RENEWED} expected, got {}", asked.renewals.len());
-        return Ok(refusal(StatusCode::BAD_REQUEST, what));
+fn renew_many(replica: &Replica, body: &[u8]) -> HandlerResult {
+    let request: RenewMany = parse_json(body)?;
+    if request.renewals.len() > MOST_RENEWED {
+        let reason = format!("renewals: at most {MOST_RENEWED} expected, got {}", request.renewals.len());
+        return Ok(error_reply(StatusCode::BAD_REQUEST, reason));
     }
-    replica.may_change()?;
-    let renewed = replica.leases(|leases, list, now| {
-        let mut told =
+    replica.check_can_change()?;
+    let renewed = replica.with_leases(|leases, list, now| {
+        let mut answer =
             Renewed { version: list.version(), renewed: 0, unknown: Vec::new(), stale: Vec::new() };
-        for renewal in asked.renewals {
+        for renewal in request.renewals {
             let stamp = Stamp { started_ms: renewal.started_ms, incarnation: renewal.incarnation };
             match leases.renew(&renewal.id, stamp, list, now) {
-                Renewal::Done => told.renewed += 1,
-                Renewal::Unknown => told.unknown.push(renewal.id),
-                Renewal::Stale => told.stale.push(renewal.id),
+                RenewalOutcome::Done => answer.renewed += 1,
+                RenewalOutcome::Unknown => answer.unknown.push(renewal.id),
+                RenewalOutcome::Stale => answer.stale.push(renewal.id),
             }
         }
-        told
+        answer
     });
-    let renewed = renewed.ok_or_else(|| no_leases(replica))?;
-    replica.counts.renewals.fetch_add(renewed.renewed as u64, Ordering::Relaxed);
-    Ok(json(StatusCode::OK, &renewed))
+    let renewed = renewed.ok_or_else(|| leases_unavailable(replica))?;
+    replica.counters.renewals.fetch_add(renewed.renewed as u64, Ordering::Relaxed);
+    Ok(json_reply(StatusCode::OK, &renewed))
 }
 
-/// Others that a call on stopped expiry names.
-const OTHERS: usize = 8;
+/// The most other entries that `GET /registry/expiry` reports.
+const MAX_OTHERS: usize = 8;
 
-fn expiry(replica: &Replica) -> Done {
-    replica.may_change()?;
-    let stopped = replica.due().stopped;
-    let told = replica.view.look(|list| {
+fn expiry(replica: &Replica) -> HandlerResult {
+    replica.check_can_change()?;
+    let withheld_ids = replica.expiry_check().withheld_ids;
+    let answer = replica.view.with_catalogue(|list| {
         let listed = |entry: &Entry| Listed { id: entry.id.clone(), addr: entry.addr };
-        let named = stopped.iter().filter_map(|id| list.get(id)).map(|held| listed(&held.entry));
-        let others = list.entries().map(|held| &held.entry).filter(|entry| !stopped.contains(&entry.id));
-        Expiry { stopped: named.collect(), others: others.take(OTHERS).map(listed).collect() }
+        let withheld = withheld_ids.iter().filter_map(|id| list.get(id)).map(|record| listed(&record.entry));
+        let others =
+            list.entries().map(|record| &record.entry).filter(|entry| !withheld_ids.contains(&entry.id));
+        Expiry { stopped: withheld.collect(), others: others.take(MAX_OTHERS).map(listed).collect() }
     });
-    Ok(json(StatusCode::OK, &told))
+    Ok(json_reply(StatusCode::OK, &answer))
 }
 
-async fn confirm(replica: &Replica, body: &[u8], fence: Option<&Fence>) -> Done {
-    let asked: Confirm = parse(body)?;
-    replica.may_change()?;
-    if let Some(under) = fence {
-        // The word is kept in this leader's memory alone: that it leads, and what it knows, is made sure of first.
-        replica.confirm_lead().await?;
-        let guarded = replica.view.duties(|duties| duties.guard(&under.duty, under.fence));
-        if let Err(why) = guarded {
-            return Ok(refused(&Refused::Fenced { duty: under.duty.clone(), why }));
+async fn confirm(replica: &Replica, body: &[u8], fence: Option<&Fence>) -> HandlerResult {
+    let request: Confirm = parse_json(body)?;
+    replica.check_can_change()?;
+    if let Some(fence) = fence {
+        // The confirmation is kept only in this leader's memory. So first make sure that this replica still
+        // leads and that its state is current.
+        replica.confirm_leadership().await?;
+        let checked = replica.view.with_duties(|duties| duties.check_fence(&fence.duty, fence.fence));
+        if let Err(why) = checked {
+            return Ok(rejection_reply(&Rejection::Fenced { duty: fence.duty.clone(), why }));
         }
     }
-    let due = replica.due().held.min(asked.most);
-    let told = replica.leases(|leases, list, _| {
-        leases.confirm(due);
-        Confirmed { version: list.version(), expired: due }
+    let count = replica.expiry_check().withheld.min(request.most);
+    let answer = replica.with_leases(|leases, list, _| {
+        leases.confirm(count);
+        Confirmed { version: list.version(), expired: count }
     });
-    let told = told.ok_or_else(|| no_leases(replica))?;
-    tracing::warn!("{due} silent entries are let go by {}", fence.map_or("an operator", |under| &under.duty));
-    Ok(json(StatusCode::OK, &told))
+    let answer = answer.ok_or_else(|| leases_unavailable(replica))?;
+    tracing::warn!(
+        "{count} silent entries expire as confirmed by {}",
+        fence.map_or("an operator", |fence| &fence.duty)
+    );
+    Ok(json_reply(StatusCode::OK, &answer))
 }
 
-// ---- Replicas -----------------------------------------------------------------------------------------
+// ---- Replicas ----------------------------------------------------------------------------------------
 
-/// A number for a new replica. Whoever had its name is removed first.
-async fn number(replica: &Replica, body: &[u8]) -> Done {
-    let asked: Join = parse(body)?;
-    check_id(&asked.name).map_err(|e| refusal(StatusCode::BAD_REQUEST, format!("name: {e}")))?;
-    replica.may_change()?;
-    let Ok(_one) = replica.members.try_lock() else {
-        return Ok(refusal(StatusCode::CONFLICT, "another change of the replicas is not done yet"));
+/// Assigns an id to a new replica. An earlier replica of the same name is removed first.
+async fn assign_replica_id(replica: &Replica, body: &[u8]) -> HandlerResult {
+    let request: Join = parse_json(body)?;
+    check_id(&request.name).map_err(|e| error_reply(StatusCode::BAD_REQUEST, format!("name: {e}")))?;
+    replica.check_can_change()?;
+    let Ok(_guard) = replica.membership_change.try_lock() else {
+        return Ok(error_reply(StatusCode::CONFLICT, "another change of the replicas is not done yet"));
     };
-    replica.remove(&asked.name).await?;
-    match replica.change(Command::NumberReplica { name: asked.name }).await? {
-        Outcome::Numbered { id } => Ok(json(StatusCode::OK, &json!({"id": id}))),
-        other => Ok(refusal(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
+    replica.remove_member(&request.name).await?;
+    match replica.propose(Command::AssignReplicaId { name: request.name }).await? {
+        Outcome::Numbered { id } => Ok(json_reply(StatusCode::OK, &json!({"id": id}))),
+        other => Ok(error_reply(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
     }
 }
 
-async fn promote(replica: &Arc<Replica>, id: &str, body: &[u8]) -> Done {
-    let id: u64 = id.parse().map_err(|_| refusal(StatusCode::BAD_REQUEST, "a replica's number expected"))?;
-    let asked: Join = parse(body)?;
-    replica.may_change()?;
-    let member = Member { name: asked.name, replica: asked.replica.to_string() };
-    let one = Arc::clone(replica);
-    // Goes on when its caller does not wait: half of a change would stand in the way of the next.
+async fn promote(replica: &Arc<Replica>, id: &str, body: &[u8]) -> HandlerResult {
+    let id: u64 =
+        id.parse().map_err(|_| error_reply(StatusCode::BAD_REQUEST, "a replica's number expected"))?;
+    let request: Join = parse_json(body)?;
+    replica.check_can_change()?;
+    let member = Member { name: request.name, replica: request.replica.to_string() };
+    let target = Arc::clone(replica);
+    // Runs in a task of its own, so that it completes if the caller disconnects: a membership change that is
+    // half done would block the next one.
     let work = tokio::spawn(async move {
-        let Ok(_one) = one.members.try_lock() else {
+        let Ok(_guard) = target.membership_change.try_lock() else {
             let why = "another change of the replicas is not done yet".to_owned();
-            return Err(Unacknowledged::NotRun { why, leader: None });
+            return Err(ChangeError::NotExecuted { why, leader: None });
         };
-        one.promote(id, member).await
+        target.promote(id, member).await
     });
-    work.await.map_err(|e| Unacknowledged::Unknown(e.to_string()))??;
-    Ok(json(StatusCode::OK, &json!({"id": id})))
+    work.await.map_err(|e| ChangeError::Unknown(e.to_string()))??;
+    Ok(json_reply(StatusCode::OK, &json!({"id": id})))
 }
 
-async fn remove(replica: &Replica, name: &str) -> Done {
-    let name = named(name)?;
-    replica.may_change()?;
-    let Ok(_one) = replica.members.try_lock() else {
-        return Ok(refusal(StatusCode::CONFLICT, "another change of the replicas is not done yet"));
+async fn remove(replica: &Replica, name: &str) -> HandlerResult {
+    let name = parse_id(name)?;
+    replica.check_can_change()?;
+    let Ok(_guard) = replica.membership_change.try_lock() else {
+        return Ok(error_reply(StatusCode::CONFLICT, "another change of the replicas is not done yet"));
     };
     let status = replica.status();
-    let others = status.replicas.iter().filter(|one| one.voter && one.name != name).count();
-    if status.replicas.iter().all(|one| one.name != name) {
-        // So it may be put twice.
-        return Ok(json(StatusCode::OK, &json!({"removed": false})));
+    let others = status.replicas.iter().filter(|replica| replica.voter && replica.name != name).count();
+    if status.replicas.iter().all(|replica| replica.name != name) {
+        // Removing an unknown replica succeeds, so that the request can be repeated.
+        return Ok(json_reply(StatusCode::OK, &json!({"removed": false})));
     }
     if others == 0 {
-        return Ok(refusal(StatusCode::CONFLICT, "it is the only replica"));
+        return Ok(error_reply(StatusCode::CONFLICT, "it is the only replica"));
     }
-    match replica.remove(&name).await {
-        Err(Unacknowledged::NotRun { why, .. }) => Ok(refusal(StatusCode::CONFLICT, why)),
+    match replica.remove_member(&name).await {
+        Err(ChangeError::NotExecuted { why, .. }) => Ok(error_reply(StatusCode::CONFLICT, why)),
         Err(e) => Err(e.into()),
-        Ok(()) => Ok(json(StatusCode::OK, &json!({"removed": true}))),
+        Ok(()) => Ok(json_reply(StatusCode::OK, &json!({"removed": true}))),
     }
 }
 
-// ---- The door -----------------------------------------------------------------------------------------
+// ---- Readiness, backup and metrics -------------------------------------------------------------------
 
 fn ready(replica: &Replica) -> Reply {
-    let text = |status, text: &str| raw(status, "text/plain", Bytes::from(format!("{text}\n")));
-    if let Some(what) = replica.log_failed() {
-        return text(StatusCode::SERVICE_UNAVAILABLE, &format!("no change is taken: {what}"));
+    let text = |status, text: &str| reply_with(status, "text/plain", Bytes::from(format!("{text}\n")));
+    if let Some(reason) = replica.log_failed() {
+        return text(StatusCode::SERVICE_UNAVAILABLE, &format!("no change is taken: {reason}"));
     }
     match &*replica.not_ready().borrow() {
         None => text(StatusCode::OK, "ready"),
-        Some(why) => text(StatusCode::SERVICE_UNAVAILABLE, why.words()),
+        Some(why) => text(StatusCode::SERVICE_UNAVAILABLE, why.message()),
     }
 }
 
-fn backed_up(replica: &Replica) -> Reply {
+fn backup_reply(replica: &Replica) -> Reply {
     if let Some(why) = &*replica.not_ready().borrow() {
-        return not_run(why.words());
+        return not_executed_reply(why.message());
     }
     match backup(&replica.view) {
-        Ok(bytes) => raw(StatusCode::OK, "application/octet-stream", bytes.into()),
-        Err(e) => refusal(StatusCode::INTERNAL_SERVER_ERROR, e),
+        Ok(bytes) => reply_with(StatusCode::OK, "application/octet-stream", bytes.into()),
+        Err(e) => error_reply(StatusCode::INTERNAL_SERVER_ERROR, e),
     }
 }
 
 fn metrics(replica: &Replica) -> Reply {
     let status = replica.status();
-    let due = replica.due();
-    let counts = &replica.counts;
+    let check = replica.expiry_check();
+    let counters = &replica.counters;
     let count = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
-    json(
+    json_reply(
         StatusCode::OK,
         &json!({
             "name": status.name, "role": status.role, "leader": status.leader, "term": status.term,
             "ready": status.not_ready.is_none(), "version": status.version, "entries": status.entries,
             "log_last": status.last_log, "log_applied": status.applied, "snapshot": status.snapshot,
             "log_failed": replica.log_failed(),
-            "quorum_age_ms": replica.quorum_age().filter(|_| replica.leads()).map(|age| age.as_millis() as u64),
-            "changes": count(&counts.changes), "changes_refused": count(&counts.refused),
-            "changes_unknown": count(&counts.unknown), "renewals": count(&counts.renewals),
-            "lists": count(&counts.lists), "lists_refused": count(&counts.lists_refused),
-            "watching": count(&counts.watching), "expired": count(&counts.expired),
-            "elections_won": count(&counts.elections),
-            "duties": replica.view.duties(|duties| duties.len()), "duty_calls": count(&counts.duty_calls),
-            "duties_lapsed": count(&counts.duties_lapsed),
-            "silent": due.silent, "silent_most": due.most, "expiry_held": due.held,
+            "quorum_age_ms": replica.quorum_age().filter(|_| replica.is_leader()).map(|age| age.as_millis() as u64),
+            "changes": count(&counters.changes), "changes_refused": count(&counters.refused),
+            "changes_unknown": count(&counters.unknown), "renewals": count(&counters.renewals),
+            "lists": count(&counters.lists), "lists_refused": count(&counters.lists_refused),
+            "watching": count(&counters.watching), "expired": count(&counters.expired),
+            "elections_won": count(&counters.elections),
+            "duties": replica.view.with_duties(|duties| duties.len()), "duty_calls": count(&counters.duty_calls),
+            "duties_lapsed": count(&counters.duties_lapsed),
+            "silent": check.silent, "silent_most": check.silent_limit, "expiry_held": check.withheld,
         }),
     )
 }
 
-/// Where a replica that joins puts its calls: at the operators' address of some, or passed on by another replica.
-pub struct Door {
+/// Where a joining replica sends its requests: to an operators' address, or to another replica's address,
+/// which forwards them.
+pub struct JoinTarget {
     pub addr: SocketAddr,
-    pub passed: bool,
+    pub forwarded: bool,
 }
 
-impl Door {
+impl JoinTarget {
     pub fn path(&self, path: &str) -> String {
-        format!("{}{path}", if self.passed { FORWARD } else { "" })
+        format!("{}{path}", if self.forwarded { FORWARD_PREFIX } else { "" })
     }
 }
--- a/registry/src/raft_network.rs
+++ b/registry/src/raft_network.rs
@@ -1,5 +1,5 @@
-//! Calls between replicas, as the protocol wants them: one kept connection to each, JSON, and a memory of who has
-//! answered lately.
+//! Calls between replicas for openraft: one kept connection to each peer, JSON bodies, and a record of when
+//! each peer last answered.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,102 +19,116 @@
 
 use crate::types::{Member, Types};
 
-/// Most bytes of a call between replicas, and of its answer.
-pub const LONGEST: usize = 32 << 20;
-/// Pause after a replica could not be reached.
-const PAUSE: Duration = Duration::from_millis(150);
+/// The largest message between replicas, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
+/// Pause after a peer could not be reached.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
 
-/// What all links of one replica share.
+/// State shared by this replica's links to all its peers.
 #[derive(Default)]
-pub struct Links {
-    /// Where this replica reaches others, by name, if not where they say.
-    by_name: HashMap<String, SocketAddr>,
-    answered: Mutex<HashMap<u64, Instant>>,
-    /// Until when this replica sends no entries: see [`Links::hush`].
-    hushed: Mutex<Option<Instant>>,
+pub struct PeerLinks {
+    /// Addresses at which this replica reaches its peers, by name, where they differ from the advertised
+    /// ones.
+    addr_overrides: HashMap<String, SocketAddr>,
+    last_answers: Mutex<HashMap<u64, Instant>>,
+    /// Until this time the replica sends no log entries: see [`PeerLinks::mute`].
+    muted_until: Mutex<Option<Instant>>,
 }
 
-impl Links {
-    pub fn new(by_name: HashMap<String, SocketAddr>) -> Arc<Self> {
-        Arc::new(Links { by_name, ..Links::default() })
+impl PeerLinks {
+    pub fn new(addr_overrides: HashMap<String, SocketAddr>) -> Arc<Self> {
+        Arc::new(PeerLinks { addr_overrides, ..PeerLinks::default() })
     }
 
     pub fn addr(&self, member: &Member) -> Option<SocketAddr> {
-        self.by_name.get(&member.name).copied().or_else(|| member.replica.parse().ok())
+        self.addr_overrides.get(&member.name).copied().or_else(|| member.replica.parse().ok())
     }
 
-    /// Who has answered within this time.
+    /// Whether the peer has answered within this time.
     pub fn answered_within(&self, id: u64, time: Duration) -> bool {
-        let answered = self.answered.lock().unwrap_or_else(PoisonError::into_inner);
-        answered.get(&id).is_some_and(|at| at.elapsed() < time)
+        let last_answers = self.last_answers.lock().unwrap_or_else(PoisonError::into_inner);
+        last_answers.get(&id).is_some_and(|at| at.elapsed() < time)
     }
 
-    /// A leader that is heard but hears nobody must fall silent, or the others would never elect one.
-    pub fn hush(&self, time: Duration) {
-        *self.hushed.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + time);
+    /// Stops sending log entries and heartbeats for a while. A leader whose messages arrive, but who gets no
+    /// answers, must stop sending: otherwise its followers would never start an election.
+    pub fn mute(&self, time: Duration) {
+        *self.muted_until.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + time);
     }
 
-    pub fn hushed(&self) -> bool {
-        self.hushed.lock().unwrap_or_else(PoisonError::into_inner).is_some_and(|until| Instant::now() < until)
+    pub fn is_muted(&self) -> bool {
+        self.muted_until
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .is_some_and(|until| Instant::now() < until)
     }
 }
 
-/// Makes links for openraft.
-pub struct Maker(pub Arc<Links>);
+/// Creates the links for openraft.
+pub struct LinkFactory(pub Arc<PeerLinks>);
 
-impl RaftNetworkFactory<Types> for Maker {
-    type Network = Link;
+impl RaftNetworkFactory<Types> for LinkFactory {
+    type Network = PeerLink;
 
-    async fn new_client(&mut self, target: u64, node: &Member) -> Link {
+    async fn new_client(&mut self, target: u64, node: &Member) -> PeerLink {
         let addr = self.0.addr(node);
-        Link {
+        PeerLink {
             target,
             node: node.clone(),
-            line: addr.map(|addr| Mutex::new(Line::new(addr))),
+            connection: addr.map(|addr| Mutex::new(Line::new(addr))),
             links: Arc::clone(&self.0),
         }
     }
 }
 
-pub struct Link {
+pub struct PeerLink {
     target: u64,
     node: Member,
-    /// Behind a lock only because the protocol wants links that threads can share; they never do.
-    line: Option<Mutex<Line>>,
-    links: Arc<Links>,
+    /// The lock is never contended. It is needed because openraft requires `Sync`.
+    connection: Option<Mutex<Line>>,
+    links: Arc<PeerLinks>,
 }
 
-type Failed<E> = RPCError<u64, Member, RaftError<u64, E>>;
+type RpcError<E> = RPCError<u64, Member, RaftError<u64, E>>;
 
-impl Link {
-    async fn call<Q, A, E>(&mut self, path: &str, question: &Q, time: Duration) -> Result<A, Failed<E>>
+impl PeerLink {
+    async fn call<Q, A, E>(&mut self, path: &str, request: &Q, time: Duration) -> Result<A, RpcError<E>>
     where
         Q: Serialize,
         A: DeserializeOwned,
         E: std::error::Error + DeserializeOwned,
     {
         let network = |e: &(dyn std::error::Error + 'static)| {
-            RPCError::Network(NetworkError::new(&Text(e.to_string())))
+            RPCError::Network(NetworkError::new(&TextError(e.to_string())))
+        };
+        let Some(connection) = &mut self.connection else {
+            return Err(RPCError::Unreachable(Unreachable::new(&TextError(format!(
+                "{}: no address",
+                self.node
+            )))));
         };
-        let Some(line) = &mut self.line else {
-            return Err(RPCError::Unreachable(Unreachable::new(&Text(format!("{}: no address", self.node)))));
+        let body = serde_json::to_vec(request).map_err(|e| network(&e))?;
+        let call = Call {
+            method: Method::POST,
+            path,
+            headers: &[],
+            body: body.into(),
+            most: MAX_MESSAGE_BYTES,
+            last: false,
         };
-        let body = serde_json::to_vec(question).map_err(|e| network(&e))?;
-        let call =
-            Call { method: Method::POST, path, headers: &[], body: body.into(), most: LONGEST, last: false };
-        let line = line.get_mut().unwrap_or_else(PoisonError::into_inner);
-        let answer = line.within(time, call).await.map_err(|e| match e {
+        let connection = connection.get_mut().unwrap_or_else(PoisonError::into_inner);
+        let answer = connection.within(time, call).await.map_err(|e| match e {
             CallError::NotReached(e) => RPCError::Unreachable(Unreachable::new(&e)),
             e => network(&e),
         })?;
         if answer.status != StatusCode::OK {
-            let said = String::from_utf8_lossy(&answer.body).into_owned();
-            return Err(RPCError::Unreachable(Unreachable::new(&Text(said))));
+            let reason = String::from_utf8_lossy(&answer.body).into_owned();
+            return Err(RPCError::Unreachable(Unreachable::new(&TextError(reason))));
         }
         let result: Result<A, RaftError<u64, E>> =
             serde_json::from_slice(&answer.body).map_err(|e| network(&e))?;
         self.links
-            .answered
+            .last_answers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(self.target, Instant::now());
@@ -122,19 +136,19 @@
     }
 }
 
-/// An error of which only the words are left.
+/// An error of which only the text is known.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-struct Text(String);
+struct TextError(String);
 
-impl RaftNetwork<Types> for Link {
+impl RaftNetwork<Types> for PeerLink {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, Failed<openraft::error::Infallible>> {
-        if self.links.hushed() {
-            return Err(RPCError::Unreachable(Unreachable::new(&Text(
+    ) -> Result<AppendEntriesResponse<u64>, RpcError<openraft::error::Infallible>> {
+        if self.links.is_muted() {
+            return Err(RPCError::Unreachable(Unreachable::new(&TextError(
                 "no majority answers: silent for now".into(),
             ))));
         }
@@ -145,7 +159,7 @@
         &mut self,
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Failed<InstallSnapshotError>> {
+    ) -> Result<InstallSnapshotResponse<u64>, RpcError<InstallSnapshotError>> {
         self.call("/raft/snapshot", &rpc, option.hard_ttl()).await
     }
 
@@ -153,11 +167,11 @@
         &mut self,
         rpc: VoteRequest<u64>,
         option: RPCOption,
-    ) -> Result<VoteResponse<u64>, Failed<openraft::error::Infallible>> {
+    ) -> Result<VoteResponse<u64>, RpcError<openraft::error::Infallible>> {
         self.call("/raft/vote", &rpc, option.hard_ttl()).await
     }
 
     fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(PAUSE))
+        Backoff::new(std::iter::repeat(RECONNECT_PAUSE))
     }
 }
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its data folder, its place among the others, and what it knows of being up to date.
+//! One replica: its data folder, its membership in the group of replicas, and whether its state is current.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fs::{self, File, TryLockError};
@@ -13,38 +13,39 @@
 use openraft::{ChangeMembers, ServerState, SnapshotPolicy};
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_client::clock::unix;
-use shaletrail_registry_protocol::{Replica as Told, Status};
+use shaletrail_registry_protocol::{Replica as ReplicaInfo, Status};
 use tokio::sync::watch;
 
-use crate::catalogue::{Catalogue, Command, Kept, Outcome};
-use crate::duties::{Duties, DutyCommand, Gone, Signs};
-use crate::leases::{Due, Leases};
-use crate::links::{Links, Maker};
-use crate::log::{seal, unseal, Damaged, Log, OpenError};
-use crate::machine::{self, Machine, View, Whole};
+use crate::catalogue::{Catalogue, CatalogueSnapshot, Command, Outcome};
+use crate::duties::{Duties, DutyCommand, DutyLeases, LapsedCandidate};
+use crate::leases::{ExpiryCheck, Leases};
+use crate::log::{decode_record, encode_record, Damaged, Log, OpenError};
+use crate::raft_network::{LinkFactory, PeerLinks};
+use crate::state_machine::{self, RegistryStateMachine, SnapshotContent, StateView};
 use crate::types::{LogId, Member, Raft, SnapshotMeta, StoredMembership};
 
-const IDENTITY: &str = "replica";
-const LOCK: &str = "lock";
-/// How often leases, freshness and the leader's majority are looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// Commits told by the leader that wait to be applied here. One more is not noted; the next one is.
-const MOST_AWAITED: usize = 256;
+const IDENTITY_FILE: &str = "replica";
+const LOCK_FILE: &str = "lock";
+/// How often leases, freshness and the leader's contact to a majority are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Commit indexes reported by the leader that are not applied here yet. When the limit is reached, reports
+/// are skipped until some are applied.
+const MAX_PENDING_COMMITS: usize = 256;
 
-/// How a replica is set. Times are whole milliseconds.
+/// Settings of a replica. Times are in whole milliseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The leader's pulse, and the longest that one call with entries may take: links slower than this don't carry.
-    /// A new leader is elected after 3.8 to 4.8 of these.
+    /// The leader's heartbeat interval, and the limit for one message with log entries: slower links can't
+    /// carry the replication. A new leader is elected after 3.8 to 4.8 intervals.
     pub heartbeat_ms: u64,
-    /// Without news of a majority for so long, lists are not answered.
+    /// Without contact to a majority for this long, no lists are answered.
     pub stale_ms: u64,
-    /// Longest wait for a change to be acknowledged.
+    /// The longest wait for a change to be acknowledged.
     pub change_ms: u64,
-    /// Entries of the log between snapshots, and how many of them stay for replicas that are a little behind.
+    /// Log entries between two snapshots, and entries kept for replicas that are slightly behind.
     pub snapshot_every: u64,
     pub keep_entries: u64,
-    /// Part of the list that may fall silent within one lease before expiry stops.
+    /// The part of the list that may become silent within one lease before expiry stops.
     pub expiry_share: f64,
 }
 
@@ -61,29 +62,32 @@
     }
 }
 
-/// Who a replica is, by its data folder.
+/// The identity stored in a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its number in the protocol. A rebuilt replica has a new one, as it does not know what the old one promised.
+    /// The replica's Raft node id. A rebuilt replica gets a new one, because it does not know which votes and
+    /// entries the old one acknowledged.
     pub id: u64,
     pub name: String,
-    /// It was given its number by a running service, and is not known to be a voter yet.
+    /// A running service assigned the id, and the replica is not known to be a voter yet.
     pub joining: bool,
 }
 
-/// A data folder that this process holds.
+/// A data folder that this process has locked.
 pub struct Folder {
     pub path: PathBuf,
     _lock: File,
 }
 
 impl Folder {
+    /// Creates the folder if needed, and locks it.
+    ///
     /// # Errors
-    /// Names the folder and what stands in the way.
+    /// Names the folder and the reason.
     pub fn hold(path: &Path) -> Result<Folder, OpenError> {
         let failed = |error| OpenError::Io { file: path.to_owned(), error };
         fs::create_dir_all(path).map_err(failed)?;
-        let lock = File::create(path.join(LOCK)).map_err(failed)?;
+        let lock = File::create(path.join(LOCK_FILE)).map_err(failed)?;
         match lock.try_lock() {
             Ok(()) => Ok(Folder { path: path.to_owned(), _lock: lock }),
             Err(TryLockError::WouldBlock) => Err(OpenError::InUse { file: path.to_owned() }),
@@ -91,38 +95,38 @@
         }
     }
 
-    /// Who lives here; `None` in a folder without a life.
+    /// The stored identity; `None` in an empty folder.
     ///
     /// # Errors
-    /// Data without an owner is damage.
+    /// Data without an identity is damage.
     pub fn identity(&self) -> Result<Option<Identity>, OpenError> {
-        let file = self.path.join(IDENTITY);
+        let file = self.path.join(IDENTITY_FILE);
         match fs::read(&file) {
             Ok(bytes) => {
-                let identity = unseal(&bytes).map_err(|e| Damaged { file, what: e.to_string() })?;
+                let identity = decode_record(&bytes).map_err(|e| Damaged { file, reason: e.to_string() })?;
                 Ok(Some(identity))
             }
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(OpenError::Io { file, error: e }),
             Err(_) if self.is_empty()? => Ok(None),
-            Err(_) => Err(Damaged { file, what: "missing beside other data".into() }.into()),
+            Err(_) => Err(Damaged { file, reason: "missing beside other data".into() }.into()),
         }
     }
 
-    pub fn identify(&self, identity: &Identity) -> Result<(), OpenError> {
-        let bytes = seal(identity);
-        let written = bytes.and_then(|bytes| machine::replace(&self.path, IDENTITY, &bytes));
-        written.map_err(|error| OpenError::Io { file: self.path.join(IDENTITY), error })
+    pub fn write_identity(&self, identity: &Identity) -> Result<(), OpenError> {
+        let bytes = encode_record(identity);
+        let written = bytes.and_then(|bytes| state_machine::replace_file(&self.path, IDENTITY_FILE, &bytes));
+        written.map_err(|error| OpenError::Io { file: self.path.join(IDENTITY_FILE), error })
     }
 
     fn contents(&self) -> Result<Vec<PathBuf>, OpenError> {
         let read = || -> io::Result<Vec<PathBuf>> {
             let paths = fs::read_dir(&self.path)?.map(|entry| entry.map(|e| e.path()));
             let paths = paths.collect::<io::Result<Vec<_>>>()?;
-            let aside = |path: &PathBuf| {
+            let ignored = |path: &PathBuf| {
                 let name = path.file_name().unwrap_or_default().to_string_lossy();
-                name == LOCK || name.starts_with("damaged-") || name.ends_with(".new")
+                name == LOCK_FILE || name.starts_with("damaged-") || name.ends_with(".new")
             };
-            Ok(paths.into_iter().filter(|path| !aside(path)).collect())
+            Ok(paths.into_iter().filter(|path| !ignored(path)).collect())
         };
         read().map_err(|error| OpenError::Io { file: self.path.clone(), error })
     }
@@ -131,28 +135,28 @@
         Ok(self.contents()?.is_empty())
     }
 
-    /// Moves what is here into a folder beside it, for whoever wants to look into the damage.
-    pub fn set_aside(&self) -> Result<PathBuf, OpenError> {
-        let aside = (0..).map(|n| self.path.join(format!("damaged-{n}"))).find(|path| !path.exists());
-        let aside = aside.unwrap_or_default();
-        let failed = |error| OpenError::Io { file: aside.clone(), error };
-        fs::create_dir(&aside).map_err(failed)?;
+    /// Moves the folder's contents into a subfolder, so that the damage can be examined.
+    pub fn quarantine(&self) -> Result<PathBuf, OpenError> {
+        let quarantined = (0..).map(|n| self.path.join(format!("damaged-{n}"))).find(|path| !path.exists());
+        let quarantined = quarantined.unwrap_or_default();
+        let failed = |error| OpenError::Io { file: quarantined.clone(), error };
+        fs::create_dir(&quarantined).map_err(failed)?;
         for path in self.contents()? {
             if let Some(name) = path.file_name() {
-                fs::rename(&path, aside.join(name)).map_err(failed)?;
+                fs::rename(&path, quarantined.join(name)).map_err(failed)?;
             }
         }
-        Ok(aside)
+        Ok(quarantined)
     }
 }
 
 /// Why a change was not acknowledged.
 #[derive(Debug, thiserror::Error)]
-pub enum Unacknowledged {
-    /// The change surely has not happened; the leader, if known, can be asked.
+pub enum ChangeError {
+    /// The change was certainly not executed. The leader, if known, can be asked instead.
     #[error("{why}")]
-    NotRun { why: String, leader: Option<Member> },
-    /// It may have, or may yet.
+    NotExecuted { why: String, leader: Option<Member> },
+    /// The change may have been executed, or may still be.
     #[error("{0}")]
     Unknown(String),
 }
@@ -161,12 +165,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotReady {
     Stopping,
-    /// No word of a majority for too long.
+    /// No contact to a majority for too long.
     Stale,
 }
 
 impl NotReady {
-    pub fn words(&self) -> &'static str {
+    pub fn message(&self) -> &'static str {
         match self {
             NotReady::Stopping => "stopping",
             NotReady::Stale => "no news of a majority: what is known here may be old",
@@ -174,21 +178,21 @@
     }
 }
 
-/// When a commit was told by the leader, and which.
-type Word = (Instant, u64);
+/// When the leader reported a commit index, and the index.
+type ReportedCommit = (Instant, u64);
 
-/// How sure this replica may be of what it knows.
+/// How current this replica's state is.
 #[derive(Default)]
 struct Freshness {
-    /// What the leader had committed when it called, until applied here.
-    awaited: VecDeque<Word>,
-    /// When all that was committed then was last known here.
-    fresh: Option<Instant>,
+    /// Commit indexes reported by the leader that are not applied here yet.
+    pending_commits: VecDeque<ReportedCommit>,
+    /// This replica has applied everything that was committed at this time.
+    current_at: Option<Instant>,
 }
 
-/// Figures that only count up.
+/// Counters for the metrics.
 #[derive(Default)]
-pub struct Counts {
+pub struct Counters {
     pub changes: AtomicU64,
     pub refused: AtomicU64,
     pub unknown: AtomicU64,
@@ -202,7 +206,7 @@
     pub elections: AtomicU64,
 }
 
-pub fn add(count: &AtomicU64) {
+pub fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -212,66 +216,67 @@
     pub id: u64,
     pub settings: Settings,
     pub raft: Raft,
-    pub view: View,
-    pub links: Arc<Links>,
-    pub counts: Counts,
+    pub view: StateView,
+    pub links: Arc<PeerLinks>,
+    pub counters: Counters,
     log: Log,
     freshness: Mutex<Freshness>,
-    /// Of the term in which this replica leads.
-    leases: Mutex<Option<(u64, Leases, Signs)>>,
-    /// One confirmation of the leader after the other serves all that came before it.
-    confirming: tokio::sync::Mutex<Confirmed>,
-    due: Mutex<Due>,
-    began: Instant,
+    /// The leases of the term in which this replica leads, with that term.
+    leases: Mutex<Option<(u64, Leases, DutyLeases)>>,
+    /// Confirmations of leadership run one after the other. Each serves all calls that came before it began.
+    leadership_check: tokio::sync::Mutex<LeadershipCheck>,
+    expiry_check: Mutex<ExpiryCheck>,
+    started: Instant,
     not_ready: watch::Sender<Option<NotReady>>,
-    /// One change of the replicas at a time.
-    pub members: tokio::sync::Mutex<()>,
-    /// Changes that may be out at once.
-    changing: tokio::sync::Semaphore,
-    /// Renewals of duties that may wait for news here.
-    pub waiting: tokio::sync::Semaphore,
+    /// Held during a membership change, so that there is one at a time.
+    pub membership_change: tokio::sync::Mutex<()>,
+    /// Limits the changes in flight.
+    change_permits: tokio::sync::Semaphore,
+    /// Limits the renewals of duties that wait for a change of status.
+    pub renewal_wait_permits: tokio::sync::Semaphore,
 }
 
-/// Of the operators' connections, half are left for calls that don't wait.
-const MOST_WAITING: usize = 512;
+/// Half as many as the operators' address has connections: the other half stays free for requests that don't
+/// wait.
+const MAX_WAITING_RENEWALS: usize = 512;
 
-/// When the last confirmation began, and how it came out. Also a failure is shared: those that wait must not each
-/// wait for one of their own.
+/// When the last confirmation began, and its result. A failure is shared too, so that waiting calls don't
+/// each run into a time-out of their own.
 #[derive(Default)]
-struct Confirmed(Option<(Instant, Result<(), String>)>);
+struct LeadershipCheck(Option<(Instant, Result<(), String>)>);
 
-/// Changes out at once at one leader; more are refused.
-const MOST_CHANGING: usize = 1024;
+/// Changes in flight at one leader; further ones are refused.
+const MAX_CHANGES_IN_FLIGHT: usize = 1024;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Replica {
-    /// Opens the folder's data and starts the protocol.
+    /// Opens the folder's data and starts openraft.
     ///
     /// # Errors
-    /// Damage is told from what only prevents the start now.
+    /// Distinguishes damage from a failure that only prevents the start now.
     pub async fn open(
         folder: &Folder,
         identity: &Identity,
         settings: Settings,
-        by_name: HashMap<String, SocketAddr>,
+        addr_overrides: HashMap<String, SocketAddr>,
     ) -> Result<Arc<Replica>, OpenError> {
         let path = folder.path.clone();
         let opened = tokio::task::spawn_blocking(move || {
-            Ok::<_, OpenError>((Log::open(&path)?, Machine::open(&path)?))
+            Ok::<_, OpenError>((Log::open(&path)?, RegistryStateMachine::open(&path)?))
         });
         let failed =
-            |what: String| OpenError::Io { file: folder.path.clone(), error: io::Error::other(what) };
-        let (log, (machine, view)) = opened.await.map_err(|e| failed(e.to_string()))??;
-        let beat = settings.heartbeat_ms;
+            |reason: String| OpenError::Io { file: folder.path.clone(), error: io::Error::other(reason) };
+        let (log, (state_machine, view)) = opened.await.map_err(|e| failed(e.to_string()))??;
+        let heartbeat = settings.heartbeat_ms;
         let config = openraft::Config {
             cluster_name: "registry".into(),
-            heartbeat_interval: beat,
-            election_timeout_min: beat * 14 / 10,
-            election_timeout_max: beat * 24 / 10,
-            install_snapshot_timeout: (beat * 8).max(2000),
+            heartbeat_interval: heartbeat,
+            election_timeout_min: heartbeat * 14 / 10,
+            election_timeout_max: heartbeat * 24 / 10,
+            install_snapshot_timeout: (heartbeat * 8).max(2000),
             snapshot_policy: SnapshotPolicy::LogsSinceLast(settings.snapshot_every),
             max_in_snapshot_log_to_keep: settings.keep_entries,
             purge_batch_size: 256,
@@ -279,9 +284,9 @@
             ..openraft::Config::default()
         };
         let config = config.validate().map_err(|e| failed(e.to_string()))?;
-        let links = Links::new(by_name);
-        let maker = Maker(Arc::clone(&links));
-        let raft = Raft::new(identity.id, Arc::new(config), maker, log.clone(), machine).await;
+        let links = PeerLinks::new(addr_overrides);
+        let link_factory = LinkFactory(Arc::clone(&links));
+        let raft = Raft::new(identity.id, Arc::new(config), link_factory, log.clone(), state_machine).await;
         let raft = raft.map_err(|e| failed(e.to_string()))?;
         let replica = Arc::new(Replica {
             name: identity.name.clone(),
@@ -290,36 +295,36 @@
             raft,
             view,
             links,
-            counts: Counts::default(),
+            counters: Counters::default(),
             log,
             freshness: Mutex::default(),
             leases: Mutex::default(),
-            confirming: tokio::sync::Mutex::default(),
-            due: Mutex::default(),
-            began: Instant::now(),
+            leadership_check: tokio::sync::Mutex::default(),
+            expiry_check: Mutex::default(),
+            started: Instant::now(),
             not_ready: watch::Sender::new(Some(NotReady::Stale)),
-            members: tokio::sync::Mutex::default(),
-            changing: tokio::sync::Semaphore::new(MOST_CHANGING),
-            waiting: tokio::sync::Semaphore::new(MOST_WAITING),
+            membership_change: tokio::sync::Mutex::default(),
+            change_permits: tokio::sync::Semaphore::new(MAX_CHANGES_IN_FLIGHT),
+            renewal_wait_permits: tokio::sync::Semaphore::new(MAX_WAITING_RENEWALS),
         });
-        tokio::spawn(Arc::clone(&replica).tend());
+        tokio::spawn(Arc::clone(&replica).maintain());
         Ok(replica)
     }
 
-    /// The log holds something: the replica is part of a service.
-    pub fn is_begun(&self) -> bool {
-        self.log.is_begun()
+    /// Whether the log has ever held entries, so that the replica is part of a service.
+    pub fn has_log(&self) -> bool {
+        self.log.has_held_entries()
     }
 
     pub fn log_failed(&self) -> Option<String> {
         self.log.failed()
     }
 
-    /// Begins a service of these replicas.
+    /// Forms a new service of these replicas.
     ///
     /// # Errors
-    /// The protocol's words where it refuses.
-    pub async fn begin(&self, members: BTreeMap<u64, Member>) -> Result<(), String> {
+    /// The reason openraft gives for refusing.
+    pub async fn initialize(&self, members: BTreeMap<u64, Member>) -> Result<(), String> {
         self.raft.initialize(members).await.map_err(|e| e.to_string())
     }
 
@@ -327,79 +332,86 @@
         self.not_ready.send_replace(Some(NotReady::Stopping));
     }
 
-    /// Why it answers no lists, for as long as that is so.
+    /// Why the replica answers no lists now; `None` while it does.
     pub fn not_ready(&self) -> watch::Receiver<Option<NotReady>> {
         self.not_ready.subscribe()
     }
 
-    /// Waits until it answers lists for the first time.
+    /// Waits until the replica answers lists for the first time.
     pub async fn ready(&self) {
-        // The sender is at hand, so that there is no error.
+        // `self` owns the sender, so this can't fail.
         let _ = self.not_ready.subscribe().wait_for(Option::is_none).await;
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
     // ---- Freshness ------------------------------------------------------------------------------------
 
-    /// The leader has called: what it had committed then is known here once it is applied.
-    pub fn heard(&self, committed: u64) {
+    /// Records a message from the leader. Everything that it had committed by then is known here once that
+    /// index is applied.
+    pub fn record_leader_contact(&self, committed: u64) {
         let mut freshness = lock(&self.freshness);
-        if freshness.awaited.len() < MOST_AWAITED {
-            freshness.awaited.push_back((Instant::now(), committed));
+        if freshness.pending_commits.len() < MAX_PENDING_COMMITS {
+            freshness.pending_commits.push_back((Instant::now(), committed));
         }
     }
 
-    /// What is known here is no older than `stale_ms`. Asked before each list: a process that was stopped must not
-    /// answer from before.
-    pub fn fresh(&self) -> bool {
+    /// Whether the state is no older than `stale_ms`. Checked before each list: a process that was paused
+    /// must not answer with state from before the pause.
+    pub fn is_current(&self) -> bool {
         let stale = Duration::from_millis(self.settings.stale_ms);
-        if self.alone() {
-            // Nobody else can change anything: what was fresh stays so, also when nothing can be written any more.
-            let was = || self.log_failed().is_some() && self.not_ready.borrow().is_none();
-            return (self.leads() && self.led_commits()) || was();
+        if self.is_only_voter() {
+            // No other replica can change anything, so state that was current stays current, even when the
+            // log can no longer be written.
+            let was_current = || self.log_failed().is_some() && self.not_ready.borrow().is_none();
+            return (self.is_leader() && self.has_committed_in_term()) || was_current();
         }
-        if self.leads() {
-            return self.quorum_age().is_some_and(|age| age < stale) && self.led_commits();
+        if self.is_leader() {
+            return self.quorum_age().is_some_and(|age| age < stale) && self.has_committed_in_term();
         }
         let applied = self.view.applied();
         let mut freshness = lock(&self.freshness);
-        while let Some((at, _)) = freshness.awaited.front().filter(|(_, commit)| *commit <= applied).copied()
+        while let Some((at, _)) =
+            freshness.pending_commits.front().filter(|(_, commit)| *commit <= applied).copied()
         {
-            freshness.awaited.pop_front();
-            freshness.fresh = Some(at);
+            freshness.pending_commits.pop_front();
+            freshness.current_at = Some(at);
         }
-        freshness.fresh.is_some_and(|at| at.elapsed() < stale)
+        freshness.current_at.is_some_and(|at| at.elapsed() < stale)
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raft.metrics().borrow().state == ServerState::Leader
     }
 
-    /// A new leader knows all that was acknowledged before once an entry of its own term is applied.
-    fn led_commits(&self) -> bool {
+    /// A new leader knows all acknowledged changes once an entry of its own term is applied.
+    fn has_committed_in_term(&self) -> bool {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         metrics.last_applied.is_some_and(|id| id.leader_id.term == metrics.current_term)
     }
 
-    fn alone(&self) -> bool {
+    fn is_only_voter(&self) -> bool {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         let mut voters = metrics.membership_config.voter_ids();
         voters.next() == Some(self.id) && voters.next().is_none()
     }
 
-    /// How long ago a majority last answered, at the leader.
+    /// An upper bound of the time since a majority last answered this leader; `None` if it is above
+    /// `stale_ms`.
+    ///
+    /// 0 for a replica that is the only voter.
     pub fn quorum_age(&self) -> Option<Duration> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         if metrics.membership_config.voter_ids().count() == 1 {
             return Some(Duration::ZERO);
         }
-        // The figure is as old as the last change of any: who has answered since tells more.
+        // openraft's own figure only changes with its metrics. The time of the last answer from each peer is
+        // more precise.
         let voters: Vec<u64> = metrics.membership_config.voter_ids().collect();
         drop(metrics);
         let within = |time| {
@@ -413,90 +425,97 @@
             .find(|time| within(*time))
     }
 
-    // ---- Tending --------------------------------------------------------------------------------------
+    // ---- Maintenance ---------------------------------------------------------------------------------
 
-    /// Looks after freshness, leases and the leader's voice for as long as the process runs.
-    async fn tend(self: Arc<Self>) {
-        let beat = Duration::from_millis(self.settings.heartbeat_ms);
-        let mut led = 0;
-        let mut unheard_since: Option<Instant> = None;
+    /// Checks freshness, leases and the leader's contact to a majority for as long as the process runs.
+    async fn maintain(self: Arc<Self>) {
+        let heartbeat = Duration::from_millis(self.settings.heartbeat_ms);
+        let mut last_led_term = 0;
+        let mut no_majority_since: Option<Instant> = None;
         loop {
-            tokio::time::sleep(LOOK).await;
-            let fresh = self.fresh();
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let current = self.is_current();
             self.not_ready.send_if_modified(|now| {
                 let next = match now {
                     Some(NotReady::Stopping) => return false,
-                    _ => (!fresh).then_some(NotReady::Stale),
+                    _ => (!current).then_some(NotReady::Stale),
                 };
                 let changed = *now != next;
                 if changed {
                     match &next {
-                        Some(why) => tracing::warn!("answers no lists: {}", why.words()),
-                        None => tracing::info!("answers lists, version {}", self.view.version()),
+                        Some(why) => tracing::warn!("not answering lists: {}", why.message()),
+                        None => tracing::info!("answering lists at version {}", self.view.version()),
                     }
                 }
                 *now = next;
                 changed
             });
-            if !self.leads() {
+            if !self.is_leader() {
                 *lock(&self.leases) = None;
-                *lock(&self.due) = Due::default();
-                unheard_since = None;
+                *lock(&self.expiry_check) = ExpiryCheck::default();
+                no_majority_since = None;
                 continue;
             }
             let term = self.raft.metrics().borrow().current_term;
-            if led != term {
-                led = term;
-                add(&self.counts.elections);
-                tracing::info!("leads from term {term} on; every lease begins anew");
+            if last_led_term != term {
+                last_led_term = term;
+                increment(&self.counters.elections);
+                tracing::info!("became leader in term {term}; all leases restart");
             }
-            let heard = self.quorum_age().is_some_and(|age| age < beat * 6);
-            if heard {
-                unheard_since = None;
-                self.expire(term);
-                self.lapse();
-            } else if unheard_since.get_or_insert_with(Instant::now).elapsed() > beat * 6
-                && !self.links.hushed()
+            let majority_answers = self.quorum_age().is_some_and(|age| age < heartbeat * 6);
+            if majority_answers {
+                no_majority_since = None;
+                self.propose_expiry(term);
+                self.propose_lapses();
+            } else if no_majority_since.get_or_insert_with(Instant::now).elapsed() > heartbeat * 6
+                && !self.links.is_muted()
             {
-                tracing::warn!("no majority answers this leader: it falls silent so that others may lead");
-                self.links.hush(beat * 10);
-                unheard_since = None;
+                tracing::warn!(
+                    "no majority answers this leader: it falls silent, so that another replica can be elected"
+                );
+                self.links.mute(heartbeat * 10);
+                no_majority_since = None;
             }
         }
     }
 
-    /// Runs a look at the leases of this leader's term.
-    pub fn leases<T>(&self, look: impl FnOnce(&mut Leases, &Catalogue, Duration) -> T) -> Option<T> {
-        self.in_term(|leases, _| self.view.look(|list| look(leases, list, self.now())))
+    /// Gives access to the leases of the current term; `None` unless this replica leads.
+    pub fn with_leases<T>(&self, access: impl FnOnce(&mut Leases, &Catalogue, Duration) -> T) -> Option<T> {
+        self.with_term_leases(|leases, _| self.view.with_catalogue(|list| access(leases, list, self.now())))
     }
 
-    /// The same at the duties, and at who was heard.
-    pub fn signs<T>(&self, look: impl FnOnce(&mut Signs, &Duties, Duration) -> T) -> Option<T> {
-        self.in_term(|_, signs| self.view.duties(|duties| look(signs, duties, self.now())))
+    /// Gives access to the duties and their leases in the current term; `None` unless this replica leads.
+    pub fn with_duty_leases<T>(
+        &self,
+        access: impl FnOnce(&mut DutyLeases, &Duties, Duration) -> T,
+    ) -> Option<T> {
+        self.with_term_leases(|_, duty_leases| {
+            self.view.with_duties(|duties| access(duty_leases, duties, self.now()))
+        })
     }
 
-    fn in_term<T>(&self, look: impl FnOnce(&mut Leases, &mut Signs) -> T) -> Option<T> {
-        if !self.leads() || !self.led_commits() {
+    fn with_term_leases<T>(&self, access: impl FnOnce(&mut Leases, &mut DutyLeases) -> T) -> Option<T> {
+        if !self.is_leader() || !self.has_committed_in_term() {
             return None;
         }
         let term = self.raft.metrics().borrow().current_term;
         let mut leases = lock(&self.leases);
         if leases.as_ref().is_none_or(|(of, ..)| *of != term) {
-            *leases = Some((term, Leases::begin(self.settings.expiry_share), Signs::begin(self.now())));
+            *leases = Some((term, Leases::new(self.settings.expiry_share), DutyLeases::new(self.now())));
         }
-        let (_, leases, signs) = leases.as_mut()?;
-        Some(look(leases, signs))
+        let (_, leases, duty_leases) = leases.as_mut()?;
+        Some(access(leases, duty_leases))
     }
 
-    /// A majority has taken this replica for its leader since the call began: nobody else can have begun to count
-    /// leases before it.
+    /// Confirms that a majority has accepted this replica as the leader since this call began. So no other
+    /// replica can have started to count leases before it.
     ///
     /// # Errors
-    /// It may lead no more.
-    pub async fn confirm_lead(&self) -> Result<(), Unacknowledged> {
-        let asked = Instant::now();
-        let mut last = self.confirming.lock().await;
-        if last.0.as_ref().is_none_or(|(began, _)| *began < asked) {
+    /// The replica may no longer be the leader.
+    pub async fn confirm_leadership(&self) -> Result<(), ChangeError> {
+        let called_at = Instant::now();
+        let mut last = self.leadership_check.lock().await;
+        if last.0.as_ref().is_none_or(|(began, _)| *began < called_at) {
             let began = Instant::now();
             let time = Duration::from_millis(self.settings.heartbeat_ms * 4);
             let confirmed = match tokio::time::timeout(time, self.raft.ensure_linearizable()).await {
@@ -507,84 +526,89 @@
             last.0 = Some((began, confirmed));
         }
         let confirmed = last.0.as_ref().map_or(Ok(()), |(_, confirmed)| confirmed.clone());
-        confirmed.map_err(|why| Unacknowledged::NotRun { why, leader: None })
+        confirmed.map_err(|why| ChangeError::NotExecuted { why, leader: None })
     }
 
-    /// Proposes what silence at duties comes to.
-    fn lapse(self: &Arc<Self>) {
+    /// Proposes the expiry of duty leases, and the end of the grace period after a restore.
+    fn propose_lapses(self: &Arc<Self>) {
         let at_ms = unix().as_millis() as u64;
-        let looked = self.signs(|signs, duties, now| (signs.look(duties, now), signs.settles(duties, now)));
-        let Some((gone, settles)) = looked else { return };
-        if settles {
+        let checked = self.with_duty_leases(|leases, duties, now| {
+            (leases.take_expired(duties, now), leases.grace_period_over(duties, now))
+        });
+        let Some((lapsed, grace_period_over)) = checked else { return };
+        if grace_period_over {
             let replica = Arc::clone(self);
             tokio::spawn(async move {
-                match replica.change(Command::Duty(DutyCommand::Settle { at_ms })).await {
-                    Ok(_) => tracing::info!("duties are granted again after the restore"),
-                    Err(e) => tracing::warn!("duties stay ungranted after the restore: {e}"),
+                match replica.propose(Command::Duty(DutyCommand::EndGracePeriod { at_ms })).await {
+                    Ok(_) => tracing::info!("grace period after the restore ended: duties are granted again"),
+                    Err(e) => {
+                        tracing::warn!("grace period after the restore not ended, duties stay ungranted: {e}")
+                    }
                 }
             });
         }
-        if gone.is_empty() {
+        if lapsed.is_empty() {
             return;
         }
         let replica = Arc::clone(self);
         tokio::spawn(async move {
-            let command = DutyCommand::Lapse { gone: gone.clone(), at_ms };
-            match replica.change(Command::Duty(command)).await {
-                Ok(_) => replica.say_lapsed(&gone),
-                // Whom it named may be renewed again.
-                Err(Unacknowledged::NotRun { .. }) => {
-                    replica.signs(|signs, _, _| signs.not_proposed(&gone));
+            let command = DutyCommand::Lapse { lapsed: lapsed.clone(), at_ms };
+            match replica.propose(Command::Duty(command)).await {
+                Ok(_) => replica.log_lapsed(&lapsed),
+                // The candidates may renew again.
+                Err(ChangeError::NotExecuted { .. }) => {
+                    replica.with_duty_leases(|leases, _, _| leases.proposal_failed(&lapsed));
                 }
-                Err(e @ Unacknowledged::Unknown(_)) => tracing::warn!("lapse of duties: {e}"),
+                Err(e @ ChangeError::Unknown(_)) => tracing::warn!("expiry of duty leases: {e}"),
             }
         });
     }
 
-    fn say_lapsed(&self, gone: &[Gone]) {
-        for one in gone {
-            add(&self.counts.duties_lapsed);
-            let (name, id) = (&one.name, &one.who.id);
-            if one.fence > 0 {
-                let next = self.view.duties(|duties| duties.show(name)).and_then(|duty| duty.holder);
+    fn log_lapsed(&self, lapsed: &[LapsedCandidate]) {
+        for candidate in lapsed {
+            increment(&self.counters.duties_lapsed);
+            let (name, id) = (&candidate.name, &candidate.who.id);
+            if candidate.fence > 0 {
+                let next = self.view.with_duties(|duties| duties.describe(name)).and_then(|duty| duty.holder);
                 let next = next.as_deref().unwrap_or("nobody");
                 tracing::warn!(
                     "duty {name}: {id} was silent for its lease (fence {}); held by {next}",
-                    one.fence
+                    candidate.fence
                 );
             } else {
-                tracing::info!("duty {name}: {id} was silent for its lease, and waits no more");
+                tracing::info!("duty {name}: {id} was silent for its lease; removed from the queue");
             }
         }
     }
 
-    pub fn due(&self) -> Due {
-        lock(&self.due).clone()
+    pub fn expiry_check(&self) -> ExpiryCheck {
+        lock(&self.expiry_check).clone()
     }
 
-    fn expire(self: &Arc<Self>, term: u64) {
-        let Some(due) = self.leases(|leases, list, now| leases.look(list, now)) else { return };
-        let held = std::mem::replace(&mut *lock(&self.due), due.clone()).held;
-        if due.held > 0 && held == 0 {
+    fn propose_expiry(self: &Arc<Self>, term: u64) {
+        let Some(check) = self.with_leases(|leases, list, now| leases.check(list, now)) else { return };
+        let withheld_before = std::mem::replace(&mut *lock(&self.expiry_check), check.clone()).withheld;
+        if check.withheld > 0 && withheld_before == 0 {
             tracing::error!(
-                "EXPIRY STOPPED: {} entries are silent, {} of them due, more than the {} that may go within one \
-                 lease. Are agents cut off? `shaletrail-fleet registry confirm` lets them go",
-                due.silent,
-                due.held,
-                due.most
+                "EXPIRY STOPPED: {} entries are silent, {} of them with expired leases; at most {} may \
+                 expire within one lease. Check for a network partition; \
+                 `shaletrail-fleet registry confirm` lets them expire",
+                check.silent,
+                check.withheld,
+                check.silent_limit
             );
-        } else if due.held == 0 && held > 0 {
-            tracing::warn!("expiry goes on");
+        } else if check.withheld == 0 && withheld_before > 0 {
+            tracing::warn!("expiry resumed");
         }
-        if due.expire.is_empty() {
+        if check.expire.is_empty() {
             return;
         }
-        // Not waited for here: what else is looked at must not stand still with it.
+        // Runs in a task of its own, so that the other checks are not delayed.
         let replica = Arc::clone(self);
         tokio::spawn(async move {
-            match replica.change(Command::Expire { silent: due.expire }).await {
+            match replica.propose(Command::Expire { silent: check.expire }).await {
                 Ok(Outcome::Expired { ids, version }) => {
-                    replica.counts.expired.fetch_add(ids.len() as u64, Ordering::Relaxed);
+                    replica.counters.expired.fetch_add(ids.len() as u64, Ordering::Relaxed);
                     tracing::warn!("expired at version {version}: {}", ids.join(" "));
                 }
                 Ok(_) => {}
@@ -602,46 +626,46 @@
         metrics.membership_config.membership().get_node(&leader).cloned()
     }
 
-    /// Whether a change can be put here at all.
+    /// Checks whether a change can be proposed on this replica at all.
     ///
     /// # Errors
-    /// It surely has not happened.
-    pub fn may_change(&self) -> Result<(), Unacknowledged> {
-        let not_run = |why: String, leader| Err(Unacknowledged::NotRun { why, leader });
-        if let Some(what) = self.log_failed() {
-            return not_run(format!("the log can't be written: {what}"), None);
+    /// The change was certainly not executed.
+    pub fn check_can_change(&self) -> Result<(), ChangeError> {
+        let not_executed = |why: String, leader| Err(ChangeError::NotExecuted { why, leader });
+        if let Some(reason) = self.log_failed() {
+            return not_executed(format!("the log can't be written: {reason}"), None);
         }
-        if !self.leads() {
+        if !self.is_leader() {
             let leader = self.leader();
             let why = if leader.is_some() { "another replica leads" } else { "no replica leads now" };
-            return not_run(why.into(), leader);
+            return not_executed(why.into(), leader);
         }
-        // A leader that nobody hears would take changes that may never come to anything.
+        // A leader without contact to a majority would accept changes that may never be committed.
         if self.quorum_age().is_none_or(|age| age >= Duration::from_millis(self.settings.heartbeat_ms * 6)) {
-            return not_run("cut off from a majority".into(), None);
+            return not_executed("cut off from a majority".into(), None);
         }
         Ok(())
     }
 
-    /// Puts a command into the log and waits until it holds.
+    /// Commits a command and waits until it is applied.
     ///
     /// # Errors
-    /// Tells what surely has not happened from what may have.
-    pub async fn change(&self, command: Command) -> Result<Outcome, Unacknowledged> {
-        self.may_change()?;
-        let not_run = |why: &str| Unacknowledged::NotRun { why: why.into(), leader: None };
-        let _place = self.changing.try_acquire().map_err(|_| not_run("too many changes at once"))?;
+    /// Distinguishes a change that was certainly not executed from one that may have been.
+    pub async fn propose(&self, command: Command) -> Result<Outcome, ChangeError> {
+        self.check_can_change()?;
+        let not_executed = |why: &str| ChangeError::NotExecuted { why: why.into(), leader: None };
+        let _permit =
+            self.change_permits.try_acquire().map_err(|_| not_executed("too many changes at once"))?;
         let time = Duration::from_millis(self.settings.change_ms);
         match tokio::time::timeout(time, self.raft.client_write(command)).await {
             Ok(Ok(written)) => Ok(written.data),
-            // Also what a new leader cut from the log here, which another replica may still bring back.
+            // This also covers an entry that a new leader removed from the log here: another replica may
+            // still commit it.
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_)))) => {
-                Err(Unacknowledged::Unknown("leadership was lost meanwhile".into()))
-            }
-            Ok(Err(e)) => Err(Unacknowledged::Unknown(self.log_failed().unwrap_or_else(|| e.to_string()))),
-            Err(_) => {
-                Err(Unacknowledged::Unknown(format!("no majority agreed within {} ms", time.as_millis())))
+                Err(ChangeError::Unknown("leadership was lost meanwhile".into()))
             }
+            Ok(Err(e)) => Err(ChangeError::Unknown(self.log_failed().unwrap_or_else(|| e.to_string()))),
+            Err(_) => Err(ChangeError::Unknown(format!("no majority agreed within {} ms", time.as_millis()))),
         }
     }
 
@@ -655,29 +679,29 @@
         config.nodes().filter(|(id, _)| voters.contains(id)).map(|(id, node)| (*id, node.clone())).collect()
     }
 
-    /// Removes whoever has this name.
+    /// Removes the replica of this name.
     ///
     /// # Errors
-    /// Refused where those that stay would not be a majority that answers.
-    pub async fn remove(&self, name: &str) -> Result<(), Unacknowledged> {
-        let refused = |why: String| Unacknowledged::NotRun { why, leader: None };
+    /// Refused if no majority of the remaining replicas answers.
+    pub async fn remove_member(&self, name: &str) -> Result<(), ChangeError> {
+        let refused = |why: String| ChangeError::NotExecuted { why, leader: None };
         let voters = self.voters();
         let all: Vec<u64> = {
             let metrics = self.raft.metrics();
             let metrics = metrics.borrow();
             metrics.membership_config.nodes().filter(|(_, n)| n.name == name).map(|(id, _)| *id).collect()
         };
-        let gone: BTreeSet<u64> = all.iter().copied().filter(|id| voters.contains_key(id)).collect();
-        let stay: Vec<u64> = voters.keys().copied().filter(|id| !gone.contains(id)).collect();
-        let recent = Duration::from_millis(self.settings.heartbeat_ms * 8);
-        let answer = |id: &&u64| **id == self.id || self.links.answered_within(**id, recent);
-        if !gone.is_empty() && stay.iter().filter(answer).count() * 2 <= stay.len() {
+        let removed: BTreeSet<u64> = all.iter().copied().filter(|id| voters.contains_key(id)).collect();
+        let remaining: Vec<u64> = voters.keys().copied().filter(|id| !removed.contains(id)).collect();
+        let answer_window = Duration::from_millis(self.settings.heartbeat_ms * 8);
+        let answer = |id: &&u64| **id == self.id || self.links.answered_within(**id, answer_window);
+        if !removed.is_empty() && remaining.iter().filter(answer).count() * 2 <= remaining.len() {
             let why = format!("without {name} no majority of the others would answer");
             return Err(refused(why));
         }
-        let unknown = |e: &dyn std::fmt::Display| Unacknowledged::Unknown(e.to_string());
-        if !gone.is_empty() {
-            let change = ChangeMembers::RemoveVoters(gone);
+        let unknown = |e: &dyn std::fmt::Display| ChangeError::Unknown(e.to_string());
+        if !removed.is_empty() {
+            let change = ChangeMembers::RemoveVoters(removed);
             self.raft.change_membership(change, false).await.map_err(|e| unknown(&e))?;
         }
         let learners: BTreeSet<u64> = all.into_iter().filter(|id| !voters.contains_key(id)).collect();
@@ -688,23 +712,23 @@
         Ok(())
     }
 
-    /// Lets a replica that has its number and waits take part, once it has caught up.
+    /// Makes a replica that has an id a voter, once it has caught up.
     ///
     /// # Errors
-    /// May be asked for again until it is a voter.
-    pub async fn promote(&self, id: u64, member: Member) -> Result<(), Unacknowledged> {
+    /// The call may be repeated until the replica is a voter.
+    pub async fn promote(&self, id: u64, member: Member) -> Result<(), ChangeError> {
         if self.voters().contains_key(&id) {
             return Ok(());
         }
-        let unknown = |e: &dyn std::fmt::Display| Unacknowledged::Unknown(e.to_string());
+        let unknown = |e: &dyn std::fmt::Display| ChangeError::Unknown(e.to_string());
         self.raft.add_learner(id, member, true).await.map_err(|e| unknown(&e))?;
         let change = ChangeMembers::AddVoterIds(BTreeSet::from([id]));
         self.raft.change_membership(change, false).await.map_err(|e| unknown(&e))?;
         Ok(())
     }
 
-    /// This replica is known to be a voter.
-    pub fn votes(&self) -> bool {
+    /// Whether this replica is known to be a voter.
+    pub fn is_voter(&self) -> bool {
         self.voters().contains_key(&self.id)
     }
 
@@ -720,7 +744,7 @@
             let matched = metrics.replication.as_ref()?.get(id)?;
             Some(last - index(*matched).min(last))
         };
-        let replicas = config.nodes().map(|(id, node)| Told {
+        let replicas = config.nodes().map(|(id, node)| ReplicaInfo {
             id: *id,
             name: node.name.clone(),
             replica: node.replica.clone(),
@@ -729,7 +753,7 @@
         });
         let replicas = replicas.collect();
         let role = format!("{:?}", metrics.state).to_lowercase();
-        let (version, entries) = self.view.look(|list| (list.version(), list.len()));
+        let (version, entries) = self.view.with_catalogue(|list| (list.version(), list.len()));
         Status {
             name: self.name.clone(),
             version,
@@ -740,8 +764,8 @@
             last_log: last,
             applied: index(metrics.last_applied),
             snapshot: index(metrics.snapshot),
-            not_ready: self.not_ready.borrow().as_ref().map(|why| why.words().to_owned()),
-            expiry_held: self.due().held,
+            not_ready: self.not_ready.borrow().as_ref().map(|why| why.message().to_owned()),
+            expiry_held: self.expiry_check().withheld,
             replicas,
         }
     }
@@ -749,40 +773,41 @@
 
 // ---- Backups ------------------------------------------------------------------------------------------
 
-/// What a backup holds.
+/// The contents of a backup.
 #[derive(Serialize, Deserialize)]
 struct Backup {
     format: u32,
-    made_ms: u64,
-    list: Kept,
-    /// Format 1 has none.
+    #[serde(rename = "made_ms")]
+    created_ms: u64,
+    list: CatalogueSnapshot,
+    /// Missing in format 1.
     #[serde(default)]
     duties: Duties,
 }
 
-/// The newest, and the oldest that is read. A reader from before duties must refuse a backup that has them: it would
-/// let their fencing numbers go back.
+/// The newest format, and the oldest that can be read. Programs from before duties existed must refuse a
+/// backup with duties: they would let fencing numbers decrease.
 const BACKUP_FORMAT: u32 = 2;
 const OLDEST_BACKUP: u32 = 1;
-/// Versions that a restored list leaves out at the least: more than were ever told since the backup.
-const LEAP: u64 = 1 << 32;
-/// Versions left for each second of Unix time: a later restore begins beyond an earlier one's.
-const PER_SECOND: u64 = 1 << 20;
+/// The least number of versions that a restored list skips: more than were ever reported since the backup.
+const RESTORE_VERSION_SKIP: u64 = 1 << 32;
+/// Versions reserved for each second of Unix time, so that a later restore starts above an earlier one.
+const VERSIONS_PER_SECOND: u64 = 1 << 20;
 
-/// The list as a backup.
+/// The list and the duties as a backup.
 ///
 /// # Errors
-/// Only if it can't be written as JSON.
-pub fn backup(view: &View) -> io::Result<Vec<u8>> {
-    let (list, duties) = view.both(|list, duties| (list.keep(), duties.clone()));
-    seal(&Backup { format: BACKUP_FORMAT, made_ms: unix().as_millis() as u64, list, duties })
+/// They can't be encoded as JSON.
+pub fn backup(view: &StateView) -> io::Result<Vec<u8>> {
+    let (list, duties) = view.with_catalogue_and_duties(|list, duties| (list.snapshot(), duties.clone()));
+    encode_record(&Backup { format: BACKUP_FORMAT, created_ms: unix().as_millis() as u64, list, duties })
 }
 
-/// Makes a data folder for one replica from a backup. Its list begins beyond every version ever told; `beyond` is
-/// one that the operator knows to have been told. Returns that version.
+/// Creates a data folder for one replica from a backup. Its list starts above every version ever reported;
+/// `beyond` is a version that the operator knows to have been reported. Returns the new version.
 ///
 /// # Errors
-/// The folder must be empty, and the backup as it was made.
+/// The folder is not empty, or the backup is damaged.
 pub fn restore(
     folder: &Folder,
     name: &str,
@@ -800,16 +825,17 @@
         )));
     }
     let bytes = fs::read(backup).map_err(io(backup))?;
-    let damaged = |what: String| Damaged { file: backup.to_owned(), what };
-    let read: Backup = unseal(&bytes).map_err(|e| damaged(e.to_string()))?;
+    let damaged = |reason: String| Damaged { file: backup.to_owned(), reason };
+    let read: Backup = decode_record(&bytes).map_err(|e| damaged(e.to_string()))?;
     if !(OLDEST_BACKUP..=BACKUP_FORMAT).contains(&read.format) {
-        let what = format!("format {OLDEST_BACKUP} to {BACKUP_FORMAT} expected, got {}", read.format);
-        return Err(damaged(what).into());
+        let reason = format!("format {OLDEST_BACKUP} to {BACKUP_FORMAT} expected, got {}", read.format);
+        return Err(damaged(reason).into());
     }
-    let list = Catalogue::kept(read.list);
-    let version = (list.version() + LEAP).max(unix().as_secs() * PER_SECOND).max(beyond + 1);
+    let list = Catalogue::from_snapshot(read.list);
+    let version =
+        (list.version() + RESTORE_VERSION_SKIP).max(unix().as_secs() * VERSIONS_PER_SECOND).max(beyond + 1);
     let list = list.restored(version);
-    let duties = read.duties.restored(version, LEAP);
+    let duties = read.duties.restored(version, RESTORE_VERSION_SKIP);
     let id = LogId::new(openraft::CommittedLeaderId::new(1, 1), 1);
     let members = BTreeMap::from([(1, Member { name: name.to_owned(), replica: replica.to_owned() })]);
     let membership = openraft::Membership::new(vec![BTreeSet::from([1])], members);
@@ -818,9 +844,11 @@
         last_membership: StoredMembership::new(Some(id), membership),
         snapshot_id: format!("restored-{version}"),
     };
-    let whole = seal(&Whole { meta, kept: list.keep(), duties });
-    let written = whole.and_then(|whole| machine::replace(&folder.path, machine::FILE, &whole));
+    let content = encode_record(&SnapshotContent { meta, catalogue: list.snapshot(), duties });
+    let written = content.and_then(|content| {
+        state_machine::replace_file(&folder.path, state_machine::SNAPSHOT_FILE, &content)
+    });
     written.map_err(io(&folder.path))?;
-    folder.identify(&Identity { id: 1, name: name.to_owned(), joining: false })?;
+    folder.write_identity(&Identity { id: 1, name: name.to_owned(), joining: false })?;
     Ok(version)
 }
