--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The list as the log's state machine: in memory, kept in snapshots. What is read is always what the log says.
+//! The replicated state machine of openraft: the list and the duties, in memory and in snapshots. Readers
+//! only see state that was applied from the log.
 
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -13,28 +14,29 @@
 use shaletrail_registry_protocol::List;
 use tokio::sync::watch;
 
-use crate::catalogue::{Catalogue, Command, Kept, Outcome, Refused};
+use crate::catalogue::{Catalogue, CatalogueSnapshot, Command, Outcome, Rejection};
 use crate::duties::Duties;
-use crate::log::{seal, unseal, Damaged, OpenError};
+use crate::log::{decode_record, encode_record, Damaged, OpenError};
 use crate::types::{LogEntry, LogId, SnapshotMeta, StorageError, StoredMembership, Types};
 
-pub const FILE: &str = "snapshot";
-/// Answers kept ready: watchers of one list mostly come from the same few versions.
-const MOST_READY: usize = 64;
+pub const SNAPSHOT_FILE: &str = "snapshot";
+/// Encoded answers that are cached: the watchers of one list mostly ask from the same few versions.
+const MAX_CACHED_ANSWERS: usize = 64;
 
-/// All that a snapshot holds.
+/// The contents of a snapshot.
 #[derive(Serialize, Deserialize)]
-pub struct Whole {
+pub struct SnapshotContent {
     pub meta: SnapshotMeta,
-    pub kept: Kept,
-    /// Snapshots from before duties have none.
+    #[serde(rename = "kept")]
+    pub catalogue: CatalogueSnapshot,
+    /// Missing in snapshots written before duties existed.
     #[serde(default)]
     pub duties: Duties,
 }
 
-/// The list, the duties, and how far the log has been applied to them.
+/// The list, the duties, and the last log entry applied to them.
 #[derive(Default)]
-struct Now {
+struct State {
     catalogue: Catalogue,
     duties: Duties,
     duties_changed: bool,
@@ -42,47 +44,47 @@
     membership: StoredMembership,
 }
 
-/// Answers in bytes, for one version.
+/// Encoded answers, for one version of the list.
 #[derive(Default)]
-struct Ready {
+struct AnswerCache {
     version: u64,
-    /// By the version asked from; `None` is the whole list.
+    /// Keyed by the version from which changes are asked for; `None` is the full list.
     answers: HashMap<Option<u64>, Bytes>,
 }
 
-/// The list as readers see it. Clones see the same.
+/// Read access to the replicated state. Clones share the same state.
 #[derive(Clone)]
-pub struct View {
-    now: Arc<RwLock<Now>>,
-    ready: Arc<Mutex<Ready>>,
+pub struct StateView {
+    state: Arc<RwLock<State>>,
+    cache: Arc<Mutex<AnswerCache>>,
     version: watch::Sender<u64>,
-    /// How many commands have changed a duty here.
-    duties: watch::Sender<u64>,
+    /// The number of commands that have changed a duty on this replica.
+    duty_changes: watch::Sender<u64>,
 }
 
-impl View {
-    /// Runs a look at the list as it is between two commands.
-    pub fn look<T>(&self, look: impl FnOnce(&Catalogue) -> T) -> T {
-        self.read(|now| look(&now.catalogue))
+impl StateView {
+    /// Reads the list, consistently between two commands.
+    pub fn with_catalogue<T>(&self, read: impl FnOnce(&Catalogue) -> T) -> T {
+        self.with_state(|state| read(&state.catalogue))
     }
 
-    /// The list and the duties of one moment.
-    pub fn both<T>(&self, look: impl FnOnce(&Catalogue, &Duties) -> T) -> T {
-        self.read(|now| look(&now.catalogue, &now.duties))
+    /// Reads the list and the duties of the same moment.
+    pub fn with_catalogue_and_duties<T>(&self, read: impl FnOnce(&Catalogue, &Duties) -> T) -> T {
+        self.with_state(|state| read(&state.catalogue, &state.duties))
     }
 
-    /// The same at the duties.
-    pub fn duties<T>(&self, look: impl FnOnce(&Duties) -> T) -> T {
-        self.read(|now| look(&now.duties))
+    /// Reads the duties, consistently between two commands.
+    pub fn with_duties<T>(&self, read: impl FnOnce(&Duties) -> T) -> T {
+        self.with_state(|state| read(&state.duties))
     }
 
-    /// Told of each change of a duty.
+    /// Notified of each change of a duty.
     pub fn duty_changes(&self) -> watch::Receiver<u64> {
-        self.duties.subscribe()
+        self.duty_changes.subscribe()
     }
 
-    fn read<T>(&self, read: impl FnOnce(&Now) -> T) -> T {
-        read(&self.now.read().unwrap_or_else(std::sync::PoisonError::into_inner))
+    fn with_state<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+        read(&self.state.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     pub fn version(&self) -> u64 {
@@ -93,82 +95,85 @@
         self.version.subscribe()
     }
 
-    /// Up to which entry the log has been applied.
+    /// Index of the last log entry that was applied; 0 if there is none.
     pub fn applied(&self) -> u64 {
-        self.read(|now| now.applied.map_or(0, |id| id.index))
+        self.with_state(|state| state.applied.map_or(0, |id| id.index))
     }
 
-    /// The answer to a call for the whole list or for changes; `None` where the list has not got so far.
-    pub fn answer(&self, from: Option<u64>) -> Option<Bytes> {
-        let mut ready = self.ready.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        self.look(|list| {
-            if ready.version != list.version() {
-                *ready = Ready { version: list.version(), answers: HashMap::new() };
+    /// The encoded full list, or the changes since a version; `None` if the list has not reached that
+    /// version.
+    pub fn encoded_list(&self, from: Option<u64>) -> Option<Bytes> {
+        let mut cache = self.cache.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        self.with_catalogue(|list| {
+            if cache.version != list.version() {
+                *cache = AnswerCache { version: list.version(), answers: HashMap::new() };
             }
-            if let Some(bytes) = ready.answers.get(&from) {
+            if let Some(bytes) = cache.answers.get(&from) {
                 return Some(bytes.clone());
             }
             let answer: List = match from {
-                None => list.whole(),
-                Some(from) => list.since(from)?,
+                None => list.full_list(),
+                Some(from) => list.changes_since(from)?,
             };
             let bytes = Bytes::from(serde_json::to_vec(&answer).ok()?);
-            if ready.answers.len() < MOST_READY {
-                ready.answers.insert(from, bytes.clone());
+            if cache.answers.len() < MAX_CACHED_ANSWERS {
+                cache.answers.insert(from, bytes.clone());
             }
             Some(bytes)
         })
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut Now) -> T) -> T {
-        let mut now = self.now.write().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let result = change(&mut now);
-        let (version, changed) = (now.catalogue.version(), std::mem::take(&mut now.duties_changed));
-        drop(now);
+    fn update<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
+        let mut state = self.state.write().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let result = update(&mut state);
+        let (version, changed) = (state.catalogue.version(), std::mem::take(&mut state.duties_changed));
+        drop(state);
         if changed {
-            self.duties.send_modify(|count| *count += 1);
+            self.duty_changes.send_modify(|count| *count += 1);
         }
-        self.version.send_if_modified(|told| std::mem::replace(told, version) != version);
+        self.version.send_if_modified(|current| std::mem::replace(current, version) != version);
         result
     }
 }
 
-/// The state machine that the log drives.
-pub struct Machine {
-    view: View,
+/// The state machine that openraft applies the log to.
+pub struct RegistryStateMachine {
+    view: StateView,
     folder: PathBuf,
 }
 
-impl Machine {
-    /// Begins with the folder's snapshot, or with nothing.
+impl RegistryStateMachine {
+    /// Loads the folder's snapshot, or starts empty if there is none.
     ///
     /// # Errors
-    /// A snapshot that is not as it was written is damage, not nothing.
-    pub fn open(folder: &Path) -> Result<(Machine, View), OpenError> {
-        let file = folder.join(FILE);
-        let now = match fs::read(&file) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Now::default(),
+    /// A snapshot that does not match its checksum is reported as damage and never taken for a missing one.
+    pub fn open(folder: &Path) -> Result<(RegistryStateMachine, StateView), OpenError> {
+        let file = folder.join(SNAPSHOT_FILE);
+        let state = match fs::read(&file) {
+            Err(e) if e.kind() == io::ErrorKind::NotFound => State::default(),
             Err(error) => return Err(OpenError::Io { file, error }),
             Ok(bytes) => {
-                let whole: Whole = unseal(&bytes).map_err(|e| Damaged { file, what: e.to_string() })?;
-                Now::of(whole)
+                let content: SnapshotContent =
+                    decode_record(&bytes).map_err(|e| Damaged { file, reason: e.to_string() })?;
+                State::from_snapshot(content)
             }
         };
-        let version = watch::Sender::new(now.catalogue.version());
-        let duties = watch::Sender::new(0);
-        let view = View { now: Arc::new(RwLock::new(now)), ready: Arc::default(), version, duties };
-        Ok((Machine { view: view.clone(), folder: folder.to_owned() }, view))
+        let version = watch::Sender::new(state.catalogue.version());
+        let duty_changes = watch::Sender::new(0);
+        let view =
+            StateView { state: Arc::new(RwLock::new(state)), cache: Arc::default(), version, duty_changes };
+        Ok((RegistryStateMachine { view: view.clone(), folder: folder.to_owned() }, view))
     }
 }
 
-impl Now {
-    fn of(whole: Whole) -> Self {
-        Now {
-            catalogue: Catalogue::kept(whole.kept),
-            duties: whole.duties,
+impl State {
+    fn from_snapshot(content: SnapshotContent) -> Self {
+        State {
+            catalogue: Catalogue::from_snapshot(content.catalogue),
+            duties: content.duties,
             duties_changed: true,
-            applied: whole.meta.last_log_id,
-            membership: whole.meta.last_membership,
+            applied: content.meta.last_log_id,
+            membership: content.meta.last_membership,
         }
     }
 
@@ -178,23 +183,23 @@
                 self.duties_changed = true;
                 Outcome::Duty(self.duties.apply(command))
             }
-            // Check and change are one: between them no other holder can come.
-            Command::Fenced { under, change } => match self.duties.guard(&under.duty, under.fence) {
+            // Check and change are one step, so the holder can't change between them.
+            Command::Fenced { fence, change } => match self.duties.check_fence(&fence.duty, fence.fence) {
                 Ok(()) => self.apply(*change),
-                Err(why) => Outcome::Refused(Refused::Fenced { duty: under.duty, why }),
+                Err(why) => Outcome::Refused(Rejection::Fenced { duty: fence.duty, why }),
             },
             command => self.catalogue.apply(command),
         }
     }
 }
 
-/// Replaces a file whole, so that whoever reads it finds the old or the new one, also after a loss of power.
-pub fn replace(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
-    let (new, file) = (folder.join(format!("{name}.new")), folder.join(name));
-    let mut writing = File::create(&new)?;
-    writing.write_all(bytes)?;
-    writing.sync_all()?;
-    fs::rename(&new, &file)?;
+/// Replaces a file atomically: a reader sees the old or the new contents, even after a power loss.
+pub fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+    let (new_path, path) = (folder.join(format!("{name}.new")), folder.join(name));
+    let mut new_file = File::create(&new_path)?;
+    new_file.write_all(bytes)?;
+    new_file.sync_all()?;
+    fs::rename(&new_path, &path)?;
     File::open(folder)?.sync_all()
 }
 
@@ -206,28 +211,29 @@
     StorageIOError::read_snapshot(None, AnyError::new(e)).into()
 }
 
-/// Writes the list as it was when the protocol asked.
-pub struct Builder {
-    whole: Whole,
+/// Writes the state as it was when openraft asked for the snapshot.
+pub struct SnapshotWriter {
+    content: SnapshotContent,
     folder: PathBuf,
 }
 
-impl RaftSnapshotBuilder<Types> for Builder {
+impl RaftSnapshotBuilder<Types> for SnapshotWriter {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, StorageError> {
-        let meta = self.whole.meta.clone();
-        let bytes = seal(&self.whole).map_err(|e| write_error(&meta, &e))?;
-        let (folder, kept) = (self.folder.clone(), bytes.clone());
-        let written = tokio::task::spawn_blocking(move || replace(&folder, FILE, &kept)).await;
+        let meta = self.content.meta.clone();
+        let bytes = encode_record(&self.content).map_err(|e| write_error(&meta, &e))?;
+        let (folder, stored_bytes) = (self.folder.clone(), bytes.clone());
+        let written =
+            tokio::task::spawn_blocking(move || replace_file(&folder, SNAPSHOT_FILE, &stored_bytes)).await;
         written.map_err(io::Error::other).and_then(|w| w).map_err(|e| write_error(&meta, &e))?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) })
     }
 }
 
-impl RaftStateMachine<Types> for Machine {
-    type SnapshotBuilder = Builder;
+impl RaftStateMachine<Types> for RegistryStateMachine {
+    type SnapshotBuilder = SnapshotWriter;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId>, StoredMembership), StorageError> {
-        Ok(self.view.read(|now| (now.applied, now.membership.clone())))
+        Ok(self.view.with_state(|state| (state.applied, state.membership.clone())))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Outcome>, StorageError>
@@ -235,16 +241,16 @@
         I: IntoIterator<Item = LogEntry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        Ok(self.view.change(|now| {
+        Ok(self.view.update(|state| {
             let apply = |entry: LogEntry| {
-                now.applied = Some(entry.log_id);
+                state.applied = Some(entry.log_id);
                 match entry.payload {
                     EntryPayload::Blank => Outcome::Nothing,
-                    EntryPayload::Normal(command) => now.apply(command),
+                    EntryPayload::Normal(command) => state.apply(command),
                     EntryPayload::Membership(membership) => {
                         let highest = membership.nodes().map(|(id, _)| *id).max().unwrap_or(0);
-                        now.catalogue.number_replicas(highest);
-                        now.membership = StoredMembership::new(Some(entry.log_id), membership);
+                        state.catalogue.reserve_replica_ids(highest);
+                        state.membership = StoredMembership::new(Some(entry.log_id), membership);
                         Outcome::Nothing
                     }
                 }
@@ -253,17 +259,17 @@
         }))
     }
 
-    async fn get_snapshot_builder(&mut self) -> Builder {
-        let whole = self.view.read(|now| {
-            let last = now.applied.map_or(0, |id| id.index);
+    async fn get_snapshot_builder(&mut self) -> SnapshotWriter {
+        let content = self.view.with_state(|state| {
+            let last = state.applied.map_or(0, |id| id.index);
             let meta = SnapshotMeta {
-                last_log_id: now.applied,
-                last_membership: now.membership.clone(),
-                snapshot_id: format!("{last}-{}", now.catalogue.version()),
+                last_log_id: state.applied,
+                last_membership: state.membership.clone(),
+                snapshot_id: format!("{last}-{}", state.catalogue.version()),
             };
-            Whole { meta, kept: now.catalogue.keep(), duties: now.duties.clone() }
+            SnapshotContent { meta, catalogue: state.catalogue.snapshot(), duties: state.duties.clone() }
         });
-        Builder { whole, folder: self.folder.clone() }
+        SnapshotWriter { content, folder: self.folder.clone() }
     }
 
     async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StorageError> {
@@ -276,20 +282,20 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
         let bytes = snapshot.into_inner();
-        let whole: Whole = unseal(&bytes).map_err(|e| read_error(&e))?;
+        let content: SnapshotContent = decode_record(&bytes).map_err(|e| read_error(&e))?;
         let folder = self.folder.clone();
-        let written = tokio::task::spawn_blocking(move || replace(&folder, FILE, &bytes)).await;
+        let written = tokio::task::spawn_blocking(move || replace_file(&folder, SNAPSHOT_FILE, &bytes)).await;
         written.map_err(io::Error::other).and_then(|w| w).map_err(|e| write_error(meta, &e))?;
-        self.view.change(|now| *now = Now::of(whole));
+        self.view.update(|state| *state = State::from_snapshot(content));
         Ok(())
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, StorageError> {
-        let bytes = match fs::read(self.folder.join(FILE)) {
+        let bytes = match fs::read(self.folder.join(SNAPSHOT_FILE)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             read => read.map_err(|e| read_error(&e))?,
         };
-        let whole: Whole = unseal(&bytes).map_err(|e| read_error(&e))?;
-        Ok(Some(Snapshot { meta: whole.meta, snapshot: Box::new(Cursor::new(bytes)) }))
+        let content: SnapshotContent = decode_record(&bytes).map_err(|e| read_error(&e))?;
+        Ok(Some(Snapshot { meta: content.meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
 }
--- a/registry/src/types.rs
+++ b/registry/src/types.rs
@@ -1,4 +1,4 @@
-//! What the replicas agree on, in openraft's terms.
+//! The types with which openraft is parameterized.
 
 use std::io::Cursor;
 
@@ -6,11 +6,11 @@
 
 use crate::catalogue::{Command, Outcome};
 
-/// A replica as the others know it.
+/// A replica's entry in the membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
-    /// Where it listens for replicas; empty for one that stands alone.
+    /// The address at which it listens for other replicas; empty for a replica that runs alone.
     pub replica: String,
 }
 
--- a/registry/tests/common/mod.rs
+++ b/registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A replica that runs alone inside the test's process, and calls to it.
+//! Runs a single replica inside the test's process, and sends requests to it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -12,13 +12,13 @@
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
 
-/// The name of the replica in all stored data.
+/// The replica's name in all stored data.
 pub const REPLICA_NAME: &str = "r1";
-/// Longest wait for one answer, and for the replica to begin.
-const PATIENCE: Duration = Duration::from_secs(20);
-const LONGEST_ANSWER: usize = 1 << 20;
+/// Limit for one answer, and for the start of the replica.
+const TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// A folder of this test alone, empty, and removed at the end.
+/// An empty folder for one test, removed when the test ends.
 pub struct TestFolder(pub PathBuf);
 
 impl TestFolder {
@@ -44,7 +44,7 @@
     pub replica: SocketAddr,
 }
 
-/// An answer: its status and its body.
+/// The status and the body of a response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     pub status: u16,
@@ -57,7 +57,7 @@
     }
 }
 
-/// One call, made under a duty's fencing number where `fence` is given.
+/// Sends one request, under a duty's fencing number if `fence` is given.
 pub async fn call_under(
     addr: SocketAddr,
     method: Method,
@@ -69,8 +69,8 @@
     let headers: Vec<_> =
         fence.iter().flat_map(|(duty, _)| [(DUTY_HEADER, *duty), (FENCE_HEADER, number.as_str())]).collect();
     let body = Bytes::copy_from_slice(body.as_bytes());
-    let call = Call { method, path, headers: &headers, body, most: LONGEST_ANSWER, last: true };
-    let answer = Line::new(addr).within(PATIENCE, call).await.expect("an answer");
+    let call = Call { method, path, headers: &headers, body, most: MAX_ANSWER_BYTES, last: true };
+    let answer = Line::new(addr).within(TIMEOUT, call).await.expect("an answer");
     Reply { status: answer.status.as_u16(), body: answer.body }
 }
 
@@ -87,7 +87,7 @@
     listener.local_addr().expect("its address")
 }
 
-/// Runs a replica on the folder while `calls` runs, and ends it.
+/// Runs a replica on the folder while `calls` runs, and stops it afterwards.
 pub fn with_service<F, T>(folder: &Path, settings: Settings, calls: impl FnOnce(Service) -> F) -> T
 where
     F: std::future::Future<Output = T>,
@@ -105,16 +105,16 @@
         settings,
     };
     let result = runtime.block_on(async {
-        let (begun, begins) = oneshot::channel();
+        let (ready_sender, ready_receiver) = oneshot::channel();
         let (stop, stopped) = oneshot::channel::<()>();
-        let ready = move || begun.send(()).expect("the test waits");
+        let ready = move || ready_sender.send(()).expect("the test waits");
         let running = tokio::spawn(run(options, ready, async { drop(stopped.await) }));
-        tokio::time::timeout(PATIENCE, begins).await.expect("in time").expect("the replica begins");
+        tokio::time::timeout(TIMEOUT, ready_receiver).await.expect("in time").expect("the replica starts");
         let result = calls(service).await;
         drop(stop);
-        running.await.expect("the replica ends").expect("without an error");
+        running.await.expect("the replica stops").expect("without an error");
         result
     });
-    runtime.shutdown_timeout(PATIENCE);
+    runtime.shutdown_timeout(TIMEOUT);
     result
 }
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -1,12 +1,14 @@
-//! The model checker on the pure cores of duties, as they run: a holder whose signs and answers are lost, late or overtaken,
-//! whose clock loses time and who may pause anywhere; leaders that follow each other, the old ones still answering;
-//! proposals that come to something late or never. The second candidate is the worst that there can be: it believes and
-//! acts from the moment of the grant on, so that whatever a slower one could do is covered.
+//! Model checking of the real code of duties ([`Duties`], [`DutyLeases`], [`Tenure`]). The first candidate's
+//! renewals and answers may be lost, delayed or reordered, its clock may run slow, and it may pause anywhere.
+//! Leaders follow each other, and former leaders still answer; proposals are committed late or never.
+//!
+//! The second candidate is the worst case: it believes that it holds the duty, and acts, from the moment of
+//! the grant. This covers whatever a slower candidate could do.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use shaletrail_registry::duties::{Duties, DutyCommand, Sign, Signs};
+use shaletrail_registry::duties::{Duties, DutyCommand, DutyLeases, DutyRenewal};
 use shaletrail_registry_client::fences::Book;
 use shaletrail_registry_client::tenure::Tenure;
 use shaletrail_registry_protocol::duty::{Candidate, Fence, Standing, Why};
@@ -15,7 +17,7 @@
 /// A lease in ticks. The holder's clock loses up to one tick in a lease; the margin is one tick.
 const LEASE: u64 = 5;
 const NAME: &str = "d";
-/// Signs and answers under way at once. More change nothing but how long the check takes.
+/// Renewals and answers in flight at once. More only make the check longer.
 const MESSAGES: usize = 2;
 
 fn ticks(n: u64) -> Duration {
@@ -26,27 +28,33 @@
     Candidate { id: format!("c{n}"), life: 0 }
 }
 
-/// What is checked: the program as it is, or without one of its parts.
+/// The parts to check: the program as it is, or without one of its protections.
 #[derive(Clone, Copy)]
-struct Cores {
+struct Protections {
     margin: u64,
-    /// The guarded thing refuses old fencing numbers.
-    guard: bool,
-    /// Signs are answered only by whom a majority takes for the leader.
-    confirm: bool,
-    /// Whom a lapse was proposed for is told nothing that prolongs its belief.
-    lapsing: bool,
-    /// Ticks played, and changes of the leader among them.
-    length: u64,
-    successions: usize,
+    /// The guarded resource rejects old fencing numbers.
+    check_fence: bool,
+    /// A renewal is answered only by a leader that a majority confirms.
+    confirm_leader: bool,
+    /// A candidate whose expiry was proposed gets no answer that would extend its belief.
+    withhold_lapsing: bool,
+    /// The number of ticks, and of leader changes among them.
+    max_ticks: u64,
+    leader_changes: usize,
 }
 
-const WHOLE: Cores =
-    Cores { margin: 1, guard: true, confirm: true, lapsing: true, length: 6, successions: 1 };
+const ALL: Protections = Protections {
+    margin: 1,
+    check_fence: true,
+    confirm_leader: true,
+    withhold_lapsing: true,
+    max_ticks: 6,
+    leader_changes: 1,
+};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Sign { sent: u64, term: usize, joined: bool },
+    Renewal { sent: u64, term: usize, joined: bool },
     Answer { sent: u64, fence: Option<u64> },
 }
 
@@ -54,18 +62,19 @@
 struct World {
     now: u64,
     duties: Duties,
-    /// Of each leader so far; the last one leads, the others may not know.
-    terms: Vec<Signs>,
-    /// A lapse that is proposed by the last one.
+    /// The leases of each leader so far. The last one leads; the former ones may not know that.
+    terms: Vec<DutyLeases>,
+    /// An expiry that the last leader has proposed.
     proposed: Option<DutyCommand>,
     clock: u64,
-    slipped: Option<u64>,
+    last_slip: Option<u64>,
     tenure: Tenure,
     joined: bool,
     sent: bool,
     released: bool,
     messages: BTreeSet<Message>,
-    /// The holder's change, looked up at its clock and then under way.
+    /// A change by the first candidate: the fencing number that it read while it believed, until the change
+    /// arrives; 0 afterwards.
     change: Option<u64>,
     book: Book,
     accepted: u64,
@@ -74,17 +83,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// Time goes on; the holder's clock too, or not.
+    /// Time advances; the first candidate's clock advances only if set.
     Tick(bool),
     Send(usize),
     Deliver(Message),
     Lose(Message),
-    Look,
-    Agree,
-    /// Another replica leads; what was proposed came to something, or not.
-    Succeed(bool),
-    Act,
-    ChangeComes,
+    CheckLeases,
+    Commit,
+    /// Another replica becomes the leader. A pending proposal is committed only if set.
+    ChangeLeader(bool),
+    StartChange,
+    ChangeArrives,
     SecondChanges,
     Release,
 }
@@ -99,10 +108,10 @@
         World {
             now: 0,
             duties,
-            terms: vec![Signs::begin(ticks(0))],
+            terms: vec![DutyLeases::new(ticks(0))],
             proposed: None,
             clock: 0,
-            slipped: None,
+            last_slip: None,
             tenure: Tenure::with_margin(ticks(LEASE), ticks(margin)),
             joined: false,
             sent: false,
@@ -119,22 +128,22 @@
         self.tenure.holds(ticks(self.clock))
     }
 
-    fn second(&self) -> Option<u64> {
+    fn second_holds(&self) -> Option<u64> {
         self.duties.standing(NAME, &who(1)).filter(|standing| standing.holds).map(|standing| standing.fence)
     }
 
-    fn accept(&mut self, fence: u64, guard: bool) {
+    fn accept(&mut self, fence: u64, check_fence: bool) {
         let admitted = self.book.admit(&Fence { duty: NAME.into(), fence }).is_ok();
-        if admitted || !guard {
+        if admitted || !check_fence {
             self.out_of_order |= fence < self.accepted;
             self.accepted = self.accepted.max(fence);
         }
     }
 
-    fn look(&mut self) -> Option<DutyCommand> {
+    fn check_leases(&mut self) -> Option<DutyCommand> {
         let now = ticks(self.now);
-        let gone = self.terms.last_mut()?.look(&self.duties, now);
-        (!gone.is_empty()).then_some(DutyCommand::Lapse { gone, at_ms: 0 })
+        let lapsed = self.terms.last_mut()?.take_expired(&self.duties, now);
+        (!lapsed.is_empty()).then_some(DutyCommand::Lapse { lapsed, at_ms: 0 })
     }
 }
 
@@ -146,24 +155,24 @@
     Standing { holds: true, fence, give_way: false, before: 0, checkpoint_version: 0, direct: true }
 }
 
-impl Cores {
+impl Protections {
     fn deliver(&self, world: &mut World, message: &Message) {
         match message {
-            Message::Sign { sent, term, joined } => {
+            Message::Renewal { sent, term, joined } => {
                 let leads = term + 1 == world.terms.len();
                 if !joined {
-                    // Agreed on by a majority, or not done.
+                    // A request to join needs a majority, which a former leader does not have.
                     if !leads {
                         return;
                     }
-                    // What was proposed before stands before it in the log.
+                    // A pending proposal is ahead of this command in the log.
                     if let Some(command) = world.proposed.take() {
                         world.duties.apply(command);
                     }
                     world.duties.apply(acquire(0));
                 }
-                let sign = world.terms[*term].sign(NAME, &who(0), &world.duties, ticks(world.now));
-                if sign == Sign::Lapsing && self.lapsing || !leads && self.confirm {
+                let renewal = world.terms[*term].renew(NAME, &who(0), &world.duties, ticks(world.now));
+                if renewal == DutyRenewal::Lapsing && self.withhold_lapsing || !leads && self.confirm_leader {
                     return;
                 }
                 let standing = world.duties.standing(NAME, &who(0));
@@ -179,7 +188,7 @@
     }
 }
 
-impl Model for Cores {
+impl Model for Protections {
     type State = World;
     type Action = Step;
 
@@ -192,36 +201,36 @@
             steps.extend([Step::Deliver(message.clone()), Step::Lose(message.clone())]);
         }
         if !world.sent && !world.released && world.messages.len() < MESSAGES {
-            // An old leader's silence is the same as a loss.
-            let first = if self.confirm { world.terms.len() - 1 } else { 0 };
+            // A former leader that does not answer is the same as a lost message.
+            let first = if self.confirm_leader { world.terms.len() - 1 } else { 0 };
             steps.extend((first..world.terms.len()).map(Step::Send));
         }
         if world.proposed.is_some() {
-            steps.push(Step::Agree);
-        } else if world.clone().look().is_some() {
-            steps.push(Step::Look);
+            steps.push(Step::Commit);
+        } else if world.clone().check_leases().is_some() {
+            steps.push(Step::CheckLeases);
         }
-        if world.terms.len() <= self.successions {
-            steps.push(Step::Succeed(false));
+        if world.terms.len() <= self.leader_changes {
+            steps.push(Step::ChangeLeader(false));
             if world.proposed.is_some() {
-                steps.push(Step::Succeed(true));
+                steps.push(Step::ChangeLeader(true));
             }
         }
         if world.believes().is_some() {
             if world.change.is_none() {
-                steps.push(Step::Act);
+                steps.push(Step::StartChange);
             }
             steps.push(Step::Release);
         }
         if world.change.is_some_and(|fence| fence > 0) {
-            steps.push(Step::ChangeComes);
+            steps.push(Step::ChangeArrives);
         }
-        if world.second().is_some_and(|fence| fence > world.accepted) {
+        if world.second_holds().is_some_and(|fence| fence > world.accepted) {
             steps.push(Step::SecondChanges);
         }
-        if world.now < self.length {
+        if world.now < self.max_ticks {
             steps.push(Step::Tick(true));
-            if world.slipped.is_none_or(|at| world.now >= at + LEASE) {
+            if world.last_slip.is_none_or(|at| world.now >= at + LEASE) {
                 steps.push(Step::Tick(false));
             }
         }
@@ -236,42 +245,42 @@
                 if clock_too {
                     world.clock += 1;
                 } else {
-                    world.slipped = Some(world.now - 1);
+                    world.last_slip = Some(world.now - 1);
                 }
-                // What is so old prolongs nothing any more.
+                // Messages this old can't extend a belief any more.
                 let clock = world.clock;
                 world.messages.retain(|message| match message {
-                    Message::Sign { sent, .. } | Message::Answer { sent, .. } => clock < sent + LEASE,
+                    Message::Renewal { sent, .. } | Message::Answer { sent, .. } => clock < sent + LEASE,
                 });
             }
             Step::Send(term) => {
                 world.sent = true;
-                world.messages.insert(Message::Sign { sent: world.clock, term, joined: world.joined });
+                world.messages.insert(Message::Renewal { sent: world.clock, term, joined: world.joined });
             }
             Step::Lose(message) => _ = world.messages.remove(&message),
             Step::Deliver(message) => {
                 world.messages.remove(&message);
                 self.deliver(&mut world, &message);
             }
-            Step::Look => world.proposed = world.look(),
-            Step::Agree => _ = world.duties.apply(world.proposed.take()?),
-            Step::Succeed(came) => {
-                if let Some(command) = world.proposed.take().filter(|_| came) {
+            Step::CheckLeases => world.proposed = world.check_leases(),
+            Step::Commit => _ = world.duties.apply(world.proposed.take()?),
+            Step::ChangeLeader(committed) => {
+                if let Some(command) = world.proposed.take().filter(|_| committed) {
                     world.duties.apply(command);
                 }
-                world.terms.push(Signs::begin(ticks(world.now)));
+                world.terms.push(DutyLeases::new(ticks(world.now)));
             }
-            Step::Act => world.change = world.believes(),
-            Step::ChangeComes => {
+            Step::StartChange => world.change = world.believes(),
+            Step::ChangeArrives => {
                 let fence = world.change.replace(0)?;
-                world.accept(fence, self.guard);
+                world.accept(fence, self.check_fence);
             }
-            Step::SecondChanges => world.accept(world.second()?, self.guard),
+            Step::SecondChanges => world.accept(world.second_holds()?, self.check_fence),
             Step::Release => {
-                // It has stopped; its next candidacy is another life.
+                // The candidate has stopped. Its next candidacy is a new incarnation.
                 world.released = true;
                 world.tenure = Tenure::with_margin(ticks(LEASE), ticks(self.margin));
-                world.messages.retain(|message| matches!(message, Message::Sign { .. }));
+                world.messages.retain(|message| matches!(message, Message::Renewal { .. }));
                 world.duties.apply(DutyCommand::Release {
                     name: NAME.into(),
                     who: who(0),
@@ -281,7 +290,7 @@
             }
         }
         if world.released {
-            world.messages.retain(|message| matches!(message, Message::Sign { .. }));
+            world.messages.retain(|message| matches!(message, Message::Renewal { .. }));
         }
         Some(world)
     }
@@ -289,12 +298,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(ORDER, |_, world: &World| !world.out_of_order),
-            Property::always(ONE, |_, world: &World| world.believes().is_none() || world.second().is_none()),
-            // The check sees hand-overs of each kind at all.
-            Property::sometimes("passed on after silence", |_, world: &World| {
-                !world.released && world.second().is_some()
+            Property::always(ONE, |_, world: &World| {
+                world.believes().is_none() || world.second_holds().is_none()
             }),
-            Property::sometimes("an old change comes late", |_, world: &World| {
+            // These states must be reachable, so that the check covers both kinds of handover.
+            Property::sometimes("handed over after an expired lease", |_, world: &World| {
+                !world.released && world.second_holds().is_some()
+            }),
+            Property::sometimes("a former holder's change arrives late", |_, world: &World| {
                 world.accepted > 1 && world.change.is_some_and(|fence| fence == 1)
             }),
         ]
@@ -302,73 +313,81 @@
 }
 
 const ORDER: &str = "changes are accepted in order";
-const ONE: &str = "one believes";
+const ONE: &str = "at most one candidate believes that it holds the duty";
 
-fn check(cores: Cores, until: HasDiscoveries) -> impl Checker<Cores> {
+fn check(protections: Protections, until: HasDiscoveries) -> impl Checker<Protections> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker = cores.checker().threads(threads).finish_when(until).spawn_dfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    let checker = protections.checker().threads(threads).finish_when(until).spawn_dfs().join();
+    println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     checker
 }
 
 #[test]
-fn one_believes_and_changes_are_accepted_in_order_whatever_is_lost_or_late() {
-    check(WHOLE, HasDiscoveries::AnyFailures).assert_properties();
+fn at_most_one_candidate_believes_and_changes_stay_in_order_under_message_faults() {
+    check(ALL, HasDiscoveries::AnyFailures).assert_properties();
 }
 
-/// The same for longer, with a second change of the leader: some minutes, and 8 GB.
+/// The same with one more tick and a second leader change; takes some minutes and 8 GB.
 #[test]
 #[ignore = "takes minutes"]
-fn and_in_longer_plays() {
-    check(Cores { length: 7, successions: 2, ..WHOLE }, HasDiscoveries::AnyFailures).assert_properties();
+fn the_same_holds_in_longer_runs() {
+    check(Protections { max_ticks: 7, leader_changes: 2, ..ALL }, HasDiscoveries::AnyFailures)
+        .assert_properties();
 }
 
-/// Without one of the parts the check finds how it goes wrong.
+/// Without any one of the protections, the checker finds a violation.
 #[test]
-fn each_part_is_needed() {
+fn each_protection_is_needed() {
     let without = [
-        ("margin", Cores { margin: 0, ..WHOLE }, ONE),
-        ("fence", Cores { guard: false, ..WHOLE }, ORDER),
-        ("confirmation", Cores { confirm: false, ..WHOLE }, ONE),
-        ("lapsing", Cores { lapsing: false, ..WHOLE }, ONE),
+        ("margin", Protections { margin: 0, ..ALL }, ONE),
+        ("fence", Protections { check_fence: false, ..ALL }, ORDER),
+        ("confirmation", Protections { confirm_leader: false, ..ALL }, ONE),
+        ("lapsing", Protections { withhold_lapsing: false, ..ALL }, ONE),
     ];
-    for (part, cores, broken) in without {
-        let found = check(cores, HasDiscoveries::AnyFailures);
-        assert!(found.discovery(broken).is_some(), "without the {part} `{broken}` still holds");
+    for (protection, protections, broken) in without {
+        let found = check(protections, HasDiscoveries::AnyFailures);
+        assert!(found.discovery(broken).is_some(), "without the {protection} `{broken}` still holds");
     }
 }
 
-/// The holder dies, leaders follow each other, and then nothing fails any more: the waiter obtains it.
+/// After the holder dies and leaders change, without further failures, the waiting candidate obtains the
+/// duty.
 #[test]
-fn a_waiter_obtains_it_in_the_end() {
-    for dies in 0..LEASE {
-        for successions in [vec![], vec![dies + 1], vec![0, dies + 2], vec![dies + LEASE - 1, dies + LEASE]] {
+fn a_waiting_candidate_obtains_the_duty_in_the_end() {
+    for dies_at in 0..LEASE {
+        for leader_changes in
+            [vec![], vec![dies_at + 1], vec![0, dies_at + 2], vec![dies_at + LEASE - 1, dies_at + LEASE]]
+        {
             let mut world = World::begin(1);
             let mut second = Tenure::with_margin(ticks(LEASE), ticks(1));
-            // An ordinary waiter here, which is told of its standing.
+            // Here the second candidate is an ordinary one, which learns of the grant by an answer.
             world.duties = Duties::default();
             world.duties.apply(acquire(0));
             world.duties.apply(acquire(1));
-            let end = dies + 3 * LEASE + 1;
+            let end = dies_at + 3 * LEASE + 1;
             for now in 0..=end {
                 world.now = now;
-                if successions.contains(&now) {
-                    world.terms.push(Signs::begin(ticks(now)));
+                if leader_changes.contains(&now) {
+                    world.terms.push(DutyLeases::new(ticks(now)));
                 }
-                let alive = if now < dies { 0..2 } else { 1..2 };
+                let alive = if now < dies_at { 0..2 } else { 1..2 };
                 for n in alive {
-                    let signs = world.terms.last_mut().expect("a leader");
-                    let sign = signs.sign(NAME, &who(n), &world.duties, ticks(now));
-                    let told = world.duties.standing(NAME, &who(n)).filter(|_| sign == Sign::Noted);
+                    let leases = world.terms.last_mut().expect("a leader");
+                    let renewal = leases.renew(NAME, &who(n), &world.duties, ticks(now));
+                    let status =
+                        world.duties.standing(NAME, &who(n)).filter(|_| renewal == DutyRenewal::Recorded);
                     if n == 1 {
-                        second.told(ticks(now), told.as_ref(), ticks(now));
+                        second.told(ticks(now), status.as_ref(), ticks(now));
                     }
                 }
-                if let Some(command) = world.look() {
+                if let Some(command) = world.check_leases() {
                     world.duties.apply(command);
                 }
             }
-            assert!(second.holds(ticks(end)).is_some(), "dies at {dies}, successions at {successions:?}");
+            assert!(
+                second.holds(ticks(end)).is_some(),
+                "dies at {dies_at}, leader changes at {leader_changes:?}"
+            );
         }
     }
 }
--- a/registry/tests/wire_format.rs
+++ b/registry/tests/wire_format.rs
@@ -1,10 +1,10 @@
-//! What a replica answers at its three addresses, as text: nodes, agents, operators' tools and other replicas of
-//! other releases read it.
+//! The exact answers of a replica at its three addresses. Nodes, agents, operators' tools and other replicas,
+//! all of different releases, read them.
 //!
-//! The forms of the calls themselves are held in the tests of `shaletrail-registry-protocol`; here are the answers that the
-//! service composes: errors, figures, the greeting between replicas. If a test turns red, a key, a path, a status or
-//! a text that others read has changed. Put it back; a wanted change is an added key or a new path, read beside the
-//! old one, and not a new text here.
+//! The requests and answers that have types are tested in `shaletrail-registry-protocol`. This file tests the
+//! answers that the service composes: errors, metrics, and the hello between replicas. A failure means that a
+//! key, a path, a status or a text that others read has changed. Restore it; an intended change is an added
+//! key or a new path beside the old one, and not a new text here.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use hyper::Method;
 use shaletrail_registry::Settings;
 
-/// The answers of a call: the expected status and body.
+/// Sends the request and compares the status and the body of the response.
 async fn expect(service: Service, method: Method, path: &str, body: &str, status: u16, text: &str) {
     let reply = call(service.ops, method.clone(), path, body).await;
     assert_eq!((reply.status, reply.text()), (status, text), "{method} {path} {body}");
@@ -136,11 +136,11 @@
 }
 
 #[test]
-fn figures() {
-    run_calls("figures", |service| async move {
+fn metrics() {
+    run_calls("metrics", |service| async move {
         let reply = get(service.ops, "/-/metrics").await;
-        let figures: serde_json::Value = serde_json::from_str(reply.text()).expect("figures in JSON");
-        let names: Vec<_> = figures.as_object().expect("an object").keys().map(String::as_str).collect();
+        let metrics: serde_json::Value = serde_json::from_str(reply.text()).expect("metrics in JSON");
+        let names: Vec<_> = metrics.as_object().expect("an object").keys().map(String::as_str).collect();
         let mut expected = [
             "name",
             "role",
@@ -172,7 +172,7 @@
         ];
         expected.sort_unstable();
         assert_eq!(names, expected);
-        assert_eq!((&figures["name"], &figures["role"]), (&"r1".into(), &"leader".into()));
+        assert_eq!((&metrics["name"], &metrics["role"]), (&"r1".into(), &"leader".into()));
     });
 }
 
@@ -197,7 +197,7 @@
         let none = call(service.replica, Method::POST, "/raft/none", "").await;
         let error = r#"{"error":"no such call between replicas"}"#;
         assert_eq!((none.status, none.text()), (404, error));
-        // A vote, an append and a snapshot of an older term, as another replica puts them.
+        // A vote, an append and a snapshot of an older term, as another replica sends them.
         let vote = r#"{"vote":{"leader_id":{"term":0,"node_id":2},"committed":false},"last_log_id":null}"#;
         let reply = call(service.replica, Method::POST, "/raft/vote", vote).await;
         let current = r#"{"leader_id":{"term":1,"node_id":1},"committed":true}"#;
