--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -8,7 +8,7 @@
 
 use clap::Subcommand;
 use serde_json::{json, Value};
-use shaletrail_registry::{restore, Folder, Options, ServiceError};
+use shaletrail_registry::{restore, DataFolder, Options, ServiceError};
 use shaletrail_registry_client::changes::{ChangeError, Changes};
 use shaletrail_registry_client::duty::{serve, Seat};
 use shaletrail_registry_client::keeper::{self, Backups};
@@ -202,7 +202,7 @@
         }
         Some(Verb::Backup { file, service }) => backup(&file, service).await,
         Some(Verb::Restore { file, data, name, replica, beyond }) => {
-            let folder = Folder::hold(&data).map_err(Failure::failed)?;
+            let folder = DataFolder::lock(&data).map_err(Failure::failed)?;
             let replica = replica.map_or(String::new(), |addr| addr.to_string());
             let version = restore(&folder, &name, &replica, &file, beyond).map_err(Failure::failed)?;
             println!("{}: the list of {} as version {version}", data.display(), file.display());
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -22,5 +22,5 @@
 mod types;
 
 pub use log::OpenError;
-pub use replica::{restore, Folder, Settings};
+pub use replica::{restore, DataFolder, Settings};
 pub use service::{run, Options, ServiceError};
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -74,22 +74,22 @@
 }
 
 /// A data folder that this process has locked.
-pub struct Folder {
+pub struct DataFolder {
     pub path: PathBuf,
     _lock: File,
 }
 
-impl Folder {
+impl DataFolder {
     /// Creates the folder if needed, and locks it.
     ///
     /// # Errors
     /// Names the folder and the reason.
-    pub fn hold(path: &Path) -> Result<Folder, OpenError> {
+    pub fn lock(path: &Path) -> Result<DataFolder, OpenError> {
         let failed = |error| OpenError::Io { file: path.to_owned(), error };
         fs::create_dir_all(path).map_err(failed)?;
         let lock = File::create(path.join(LOCK_FILE)).map_err(failed)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_owned(), _lock: lock }),
+            Ok(()) => Ok(DataFolder { path: path.to_owned(), _lock: lock }),
             Err(TryLockError::WouldBlock) => Err(OpenError::InUse { file: path.to_owned() }),
             Err(TryLockError::Error(error)) => Err(failed(error)),
         }
@@ -258,7 +258,7 @@
     /// # Errors
     /// Distinguishes damage from a failure that only prevents the start now.
     pub async fn open(
-        folder: &Folder,
+        folder: &DataFolder,
         identity: &Identity,
         settings: Settings,
         addr_overrides: HashMap<String, SocketAddr>,
@@ -809,7 +809,7 @@
 /// # Errors
 /// The folder is not empty, or the backup is damaged.
 pub fn restore(
-    folder: &Folder,
+    folder: &DataFolder,
     name: &str,
     replica: &str,
     backup: &Path,
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -25,7 +25,7 @@
 use crate::log::OpenError;
 use crate::operator_api::{self, JoinTarget, FORWARD_PREFIX};
 use crate::raft_network::MAX_MESSAGE_BYTES;
-use crate::replica::{Folder, Identity, Replica, Settings};
+use crate::replica::{DataFolder, Identity, Replica, Settings};
 use crate::types::{Member, Types};
 
 /// The most connections at each address. Nodes hold one each.
@@ -116,7 +116,7 @@
     stop: impl std::future::Future<Output = ()>,
 ) -> Result<(), ServiceError> {
     check(&options)?;
-    let folder = Folder::hold(&options.data)?;
+    let folder = DataFolder::lock(&options.data)?;
     let discovery = listen(options.discovery)?;
     let ops = listen(options.ops)?;
     let endpoint = ReplicaEndpoint {
@@ -208,7 +208,7 @@
 /// service.
 async fn start_replica(
     options: &Options,
-    folder: &Folder,
+    folder: &DataFolder,
     endpoint: &ReplicaEndpoint,
 ) -> Result<Arc<Replica>, ServiceError> {
     let identity = match folder.identity() {
@@ -241,7 +241,7 @@
 /// and fails.
 fn quarantine_damaged(
     options: &Options,
-    folder: &Folder,
+    folder: &DataFolder,
     damage: OpenError,
 ) -> Result<Option<Identity>, ServiceError> {
     tracing::error!("{damage}");
@@ -259,7 +259,7 @@
 
 async fn open(
     options: &Options,
-    folder: &Folder,
+    folder: &DataFolder,
     endpoint: &ReplicaEndpoint,
     identity: &Identity,
 ) -> Result<Arc<Replica>, OpenError> {
@@ -378,7 +378,7 @@
 /// Joins or forms the service, if that is not done yet.
 async fn join_or_form(
     options: &Options,
-    folder: &Folder,
+    folder: &DataFolder,
     endpoint: &ReplicaEndpoint,
     replica: Arc<Replica>,
     identity: Identity,
