--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -233,7 +233,7 @@
         let _ = std::io::stdout().flush();
     };
     shaletrail_registry::run(options, ready, stopped()).await.map_err(|e| match e {
-        ServiceError::Wrong(what) => Failure::Wrong(what),
+        ServiceError::Invalid(what) => Failure::Wrong(what),
         e => Failure::failed(e),
     })
 }
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -76,7 +76,7 @@
     #[error("listen on {addr}: {error}")]
     Listen { addr: SocketAddr, error: std::io::Error },
     #[error("{0}")]
-    Wrong(String),
+    Invalid(String),
 }
 
 /// How far the start of a replica has got.
@@ -174,7 +174,7 @@
 }
 
 fn check(options: &Options) -> Result<(), ServiceError> {
-    let invalid = |reason: String| Err(ServiceError::Wrong(reason));
+    let invalid = |reason: String| Err(ServiceError::Invalid(reason));
     if let Err(e) = shaletrail_registry_protocol::check_id(&options.name) {
         return invalid(format!("name: {e}"));
     }
@@ -215,7 +215,7 @@
         Ok(Some(identity)) if identity.name != options.name => {
             let reason =
                 format!("{}: belongs to {}, not {}", folder.path.display(), identity.name, options.name);
-            return Err(ServiceError::Wrong(reason));
+            return Err(ServiceError::Invalid(reason));
         }
         Ok(Some(identity)) => match open(options, folder, endpoint, &identity).await {
             Ok(replica) => return join_or_form(options, folder, endpoint, replica, identity).await,
@@ -407,7 +407,10 @@
     if options.peers.is_empty() {
         let replica_addr = options.replica.map_or(String::new(), |_| own.to_string());
         let own_member = Member { name: options.name.clone(), replica: replica_addr };
-        replica.initialize(BTreeMap::from([(identity.id, own_member)])).await.map_err(ServiceError::Wrong)?;
+        replica
+            .initialize(BTreeMap::from([(identity.id, own_member)]))
+            .await
+            .map_err(ServiceError::Invalid)?;
     } else if identity.id == 1 {
         while peer_phases(options).await.iter().any(|phase| matches!(phase, None | Some(Phase::NoData))) {
             sleep(RETRY_INTERVAL).await;
@@ -415,7 +418,7 @@
         let members = options.peers.iter().enumerate().map(|(index, (name, addr))| {
             (index as u64 + 1, Member { name: name.clone(), replica: addr.to_string() })
         });
-        replica.initialize(members.collect()).await.map_err(ServiceError::Wrong)?;
+        replica.initialize(members.collect()).await.map_err(ServiceError::Invalid)?;
     }
     Ok(replica)
 }
