--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -17,7 +17,7 @@
 use shaletrail_registry_client::duty::{DutyError, Seat};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
-    Checkpoint, Duties, Duty, Kept, Transfer, Why, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
+    Checkpoint, Duties, Duty, HandoverReason, Kept, Transfer, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
 
@@ -221,11 +221,11 @@
     text += &format!(", {} waiting, checkpoint {}", duty.waiters.len(), duty.checkpoint_version);
     if let Some(last) = &duty.last {
         let why = match last.why {
-            Why::Free => "it was free",
-            Why::Released => "the holder was done",
-            Why::Asked => "an operator asked",
-            Why::Failed => "its command failed",
-            Why::Lapsed => "the holder was silent",
+            HandoverReason::Free => "it was free",
+            HandoverReason::Released => "the holder was done",
+            HandoverReason::Asked => "an operator asked",
+            HandoverReason::Failed => "its command failed",
+            HandoverReason::Lapsed => "the holder was silent",
         };
         let (from, to) = (last.from.as_ref().unwrap_or(&nobody), last.to.as_ref().unwrap_or(&nobody));
         text += &format!("; last from {from} to {to} {} ago: {why}", age(last.at_ms));
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -683,7 +683,7 @@
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
-                seat.release(shaletrail_registry_protocol::duty::Why::Released).await;
+                seat.release(shaletrail_registry_protocol::duty::HandoverReason::Released).await;
             }
         });
     }
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -8,7 +8,7 @@
 
 use hyper::{Method, StatusCode};
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, Kept, Release, Renew, Standing, Why,
+    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, HandoverReason, Kept, Release, Renew, Standing,
     LONGEST_HOLD, MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
@@ -220,7 +220,7 @@
             match self.sign(hold).await {
                 // Won, and stood still until that was over before it could act on it.
                 Ok(News::Lost) => {
-                    self.release(Why::Lapsed).await;
+                    self.release(HandoverReason::Lapsed).await;
                     hold = Duration::ZERO;
                 }
                 Ok(_) => {
@@ -277,7 +277,7 @@
 
     /// Out of the line; whatever ran under the tenure has stopped. Tried for as long as it is of use: the lease does
     /// the same. The next candidacy is another life.
-    pub async fn release(&mut self, why: Why) {
+    pub async fn release(&mut self, why: HandoverReason) {
         self.until.store(0, Ordering::Release);
         let question = Release { who: self.who.clone(), why };
         let (path, lease) = (duty_path(&self.name, "release"), self.tenure.lease());
@@ -366,7 +366,7 @@
             () = &mut stop => None,
         };
         let Some(held) = won.and_then(|_| seat.held()) else {
-            seat.release(Why::Released).await;
+            seat.release(HandoverReason::Released).await;
             if won.is_none() {
                 return Ok(());
             }
@@ -377,15 +377,15 @@
             ended = seat.keep(|_, _| {}) => Some(ended),
             () = work(held) => None,
             () = &mut stop => {
-                seat.release(Why::Released).await;
+                seat.release(HandoverReason::Released).await;
                 return Ok(());
             }
         };
         say(format!("{}: {}", seat.name(), ended.map_or("done", Ended::words)));
         seat.release(match ended {
-            Some(Ended::Asked) => Why::Asked,
-            Some(_) => Why::Lapsed,
-            None => Why::Released,
+            Some(Ended::Asked) => HandoverReason::Asked,
+            Some(_) => HandoverReason::Lapsed,
+            None => HandoverReason::Released,
         })
         .await;
     }
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use rustix::process::{getpgrp, getpid, kill_process_group, Pid, Signal};
-use shaletrail_registry_protocol::duty::Why;
+use shaletrail_registry_protocol::duty::HandoverReason;
 use tokio::process::{Child, ChildStdin};
 use tokio::time::{sleep, timeout};
 
@@ -226,14 +226,14 @@
         let fence = tokio::select! {
             fence = seat.win(&mut say) => fence?,
             () = &mut stop => {
-                seat.release(Why::Released).await;
+                seat.release(HandoverReason::Released).await;
                 return Ok(Finished::Stopped);
             }
         };
         say(format!("{name}: held under fence {fence}"));
         match tenure(seat, work, fence, stop.as_mut(), &mut say).await {
             Err(error) => {
-                seat.release(Why::Failed).await;
+                seat.release(HandoverReason::Failed).await;
                 return Err(error.into());
             }
             Ok(Over::Finished(why, finished)) => {
@@ -242,7 +242,12 @@
             }
             Ok(Over::Ended(ended)) => {
                 say(format!("{name}: {}", ended.words()));
-                seat.release(if ended == Ended::Asked { Why::Asked } else { Why::Lapsed }).await;
+                seat.release(if ended == Ended::Asked {
+                    HandoverReason::Asked
+                } else {
+                    HandoverReason::Lapsed
+                })
+                .await;
             }
         }
     }
@@ -258,7 +263,7 @@
 }
 
 enum Over {
-    Finished(Why, Finished),
+    Finished(HandoverReason, Finished),
     Ended(Ended),
 }
 
@@ -289,16 +294,16 @@
             }
             Step::Stop => {
                 supervisor.end(orders, kill.get()).await;
-                return Ok(Over::Finished(Why::Released, Finished::Stopped));
+                return Ok(Over::Finished(HandoverReason::Released, Finished::Stopped));
             }
-            Step::Command(0) => return Ok(Over::Finished(Why::Released, Finished::Done)),
+            Step::Command(0) => return Ok(Over::Finished(HandoverReason::Released, Finished::Done)),
             Step::Command(code) => {
                 if boot().saturating_sub(began) >= WELL {
                     (pause, failures) = (FIRST_PAUSE, 0);
                 }
                 failures += 1;
                 if failures >= work.failures {
-                    return Ok(Over::Finished(Why::Failed, Finished::Failed(code)));
+                    return Ok(Over::Finished(HandoverReason::Failed, Finished::Failed(code)));
                 }
                 say(format!(
                     "{}: the command ended with {code}; again in {} ms",
@@ -308,7 +313,7 @@
                 tokio::select! {
                     ended = seat.keep(|_, _| {}) => return Ok(Over::Ended(ended)),
                     () = sleep(pause) => {}
-                    () = &mut stop => return Ok(Over::Finished(Why::Released, Finished::Stopped)),
+                    () = &mut stop => return Ok(Over::Finished(HandoverReason::Released, Finished::Stopped)),
                 }
                 pause = (pause * 2).min(LONGEST_PAUSE);
             }
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -115,13 +115,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Release {
     pub who: Candidate,
-    pub why: Why,
+    pub why: HandoverReason,
 }
 
 /// Why a duty changed hands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
+pub enum HandoverReason {
     /// Nobody held it.
     Free,
     /// The holder had finished.
@@ -166,10 +166,10 @@
 
 /// The last time that a duty changed hands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HandOver {
+pub struct Handover {
     pub from: Option<String>,
     pub to: Option<String>,
-    pub why: Why,
+    pub why: HandoverReason,
     /// Unix time by the leader's clock, for display only: no decision depends on it.
     pub at_ms: u64,
 }
@@ -189,7 +189,7 @@
     /// The holder is asked to stop its work and to release the duty.
     pub give_way: bool,
     pub checkpoint_version: u64,
-    pub last: Option<HandOver>,
+    pub last: Option<Handover>,
 }
 
 /// `GET /registry/duties`.
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -13,8 +13,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, HandOver, Kept, Release, Renew,
-    Standing, Transfer, Why,
+    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, Handover, HandoverReason, Kept,
+    Release, Renew, Standing, Transfer,
 };
 use shaletrail_registry_protocol::{
     check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
@@ -304,11 +304,11 @@
 #[test]
 fn duty_release() {
     let reasons = [
-        (Why::Free, "free"),
-        (Why::Released, "released"),
-        (Why::Asked, "asked"),
-        (Why::Failed, "failed"),
-        (Why::Lapsed, "lapsed"),
+        (HandoverReason::Free, "free"),
+        (HandoverReason::Released, "released"),
+        (HandoverReason::Asked, "asked"),
+        (HandoverReason::Failed, "failed"),
+        (HandoverReason::Lapsed, "lapsed"),
     ];
     for (why, name) in reasons {
         let release = Release { who: candidate(), why };
@@ -340,10 +340,11 @@
 
 #[test]
 fn duties() {
-    let last = HandOver { from: Some("a".into()), to: Some("b".into()), why: Why::Asked, at_ms: 41 };
+    let last =
+        Handover { from: Some("a".into()), to: Some("b".into()), why: HandoverReason::Asked, at_ms: 41 };
     let last_text = r#"{"from":"a","to":"b","why":"asked","at_ms":41}"#;
     assert_format(&last, last_text);
-    let nobody = HandOver { from: None, to: None, why: Why::Free, at_ms: 42 };
+    let nobody = Handover { from: None, to: None, why: HandoverReason::Free, at_ms: 42 };
     assert_format(&nobody, r#"{"from":null,"to":null,"why":"free","at_ms":42}"#);
     let held = Duty {
         name: "sweep".into(),
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_protocol::duty::{
-    Candidate, Duty as DutyInfo, HandOver, Kept, Standing, Why, LEASE_S, LONGEST_CHECKPOINT, MOST_DUTIES,
-    MOST_WAITERS,
+    Candidate, Duty as DutyInfo, Handover, HandoverReason, Kept, Standing, LEASE_S, LONGEST_CHECKPOINT,
+    MOST_DUTIES, MOST_WAITERS,
 };
 
 use crate::leases::MonotonicTime;
@@ -27,7 +27,7 @@
     Release {
         name: String,
         who: Candidate,
-        why: Why,
+        why: HandoverReason,
         at_ms: u64,
     },
     /// Removes candidates whose leases expired. A holder is given with its fencing number, a waiting
@@ -116,7 +116,7 @@
     #[serde(rename = "written_under")]
     checkpoint_fence: u64,
     data: String,
-    last: Option<HandOver>,
+    last: Option<Handover>,
 }
 
 /// All duties.
@@ -170,7 +170,7 @@
                 self.grants_paused = false;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
-                    self.grant(&name, None, Why::Free, at_ms);
+                    self.grant(&name, None, HandoverReason::Free, at_ms);
                 }
                 Ok(DutyOutcome::Done)
             }
@@ -198,13 +198,13 @@
                 return Err(DutyRejection::TooManyWaiters);
             }
             duty.waiters.push(Claim { who, lease });
-            self.grant(&name, None, Why::Free, at_ms);
+            self.grant(&name, None, HandoverReason::Free, at_ms);
         }
         Ok(DutyOutcome::Done)
     }
 
     /// Grants a duty without a holder to the first candidate in the queue.
-    fn grant(&mut self, name: &str, from: Option<String>, why: Why, at_ms: u64) {
+    fn grant(&mut self, name: &str, from: Option<String>, why: HandoverReason, at_ms: u64) {
         let Some(duty) = self.duties.get_mut(name) else { return };
         if duty.holder.is_some() {
             return;
@@ -212,7 +212,7 @@
         let next = (!self.grants_paused && !duty.waiters.is_empty()).then(|| duty.waiters.remove(0));
         let to = next.as_ref().map(|claim| claim.who.id.clone());
         if from.is_some() || to.is_some() {
-            duty.last = Some(HandOver { from, to, why, at_ms });
+            duty.last = Some(Handover { from, to, why, at_ms });
         }
         if let Some(claim) = next {
             self.fence += 1;
@@ -226,7 +226,7 @@
         &mut self,
         name: &str,
         who: &Candidate,
-        why: Why,
+        why: HandoverReason,
         at_ms: u64,
     ) -> Result<DutyOutcome, DutyRejection> {
         let duty = self.duty_mut(name)?;
@@ -250,7 +250,7 @@
             let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == candidate.who);
             if holds && duty.fence == candidate.fence {
                 let from = duty.remove_holder();
-                self.grant(&candidate.name, from, Why::Lapsed, at_ms);
+                self.grant(&candidate.name, from, HandoverReason::Lapsed, at_ms);
             }
         }
     }
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry::duties::{Duties, DutyCommand, DutyLeases, DutyRenewal};
 use shaletrail_registry_client::fences::Book;
 use shaletrail_registry_client::tenure::Tenure;
-use shaletrail_registry_protocol::duty::{Candidate, Fence, Standing, Why};
+use shaletrail_registry_protocol::duty::{Candidate, Fence, HandoverReason, Standing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A lease in ticks. The holder's clock loses up to one tick in a lease; the margin is one tick.
@@ -284,7 +284,7 @@
                 world.duties.apply(DutyCommand::Release {
                     name: NAME.into(),
                     who: who(0),
-                    why: Why::Released,
+                    why: HandoverReason::Released,
                     at_ms: 0,
                 });
             }
--- a/registry/tests/histories.rs
+++ b/registry/tests/histories.rs
@@ -8,7 +8,7 @@
 use shaletrail_registry::catalogue::{Catalogue, Command, Outcome, Rejection, MAX_TOMBSTONES};
 use shaletrail_registry::duties::{Duties, DutyCommand, DutyOutcome, LapsedCandidate};
 use shaletrail_registry::leases::Leases;
-use shaletrail_registry_protocol::duty::{Candidate, Why};
+use shaletrail_registry_protocol::duty::{Candidate, HandoverReason};
 use shaletrail_registry_protocol::{Entry, List, Stamp, State};
 
 fn entry(id: &str, weight: u64, state: State, started_ms: u64) -> Entry {
@@ -195,7 +195,7 @@
     let who = (0..4u64, 0..2u64).prop_map(|(n, life)| Candidate { id: format!("c{n}"), life });
     (name, who, 0..12u8, 0..12u64, 0..3u64).prop_map(|(name, who, what, fence, expect)| match what {
         0..=3 => DutyCommand::Acquire { name, who, lease: Duration::from_secs(5), at_ms: fence },
-        4 => DutyCommand::Release { name, who, why: Why::Released, at_ms: fence },
+        4 => DutyCommand::Release { name, who, why: HandoverReason::Released, at_ms: fence },
         5 => DutyCommand::Lapse { lapsed: vec![LapsedCandidate { name, who, fence: 0 }], at_ms: fence },
         6 | 7 => DutyCommand::Lapse { lapsed: vec![LapsedCandidate { name, who, fence }], at_ms: fence },
         8 => DutyCommand::Transfer { name, fence, to: Some(who.id) },
