--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -17,7 +17,8 @@
 use shaletrail_registry_client::duty::{DutyError, Seat};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
-    Checkpoint, Duties, Duty, HandoverReason, Kept, Transfer, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
+    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES, LONGEST_CHECKPOINT,
+    MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
 
@@ -252,7 +253,7 @@
 async fn checkpoint(args: CheckpointArgs) -> Result<(), Failure> {
     let path = path(&args.name, "checkpoint")?;
     let Some(file) = args.set else {
-        let kept: Kept = get(&args.service.registry, &path).await?;
+        let kept: StoredCheckpoint = get(&args.service.registry, &path).await?;
         if args.json {
             return print_json(&kept);
         }
@@ -274,7 +275,7 @@
         return Err(Failure::Wrong(format!("--set: at most {LONGEST_CHECKPOINT} bytes expected")));
     }
     let data = String::from_utf8(bytes).map_err(|_| Failure::Wrong("--set: UTF-8 expected".into()))?;
-    let kept: Kept =
+    let kept: StoredCheckpoint =
         put(args.service.registry, Method::PUT, &path, &Checkpoint { fence, expect, data }).await?;
     if args.json {
         return print_json(&kept);
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -8,8 +8,8 @@
 
 use hyper::{Method, StatusCode};
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, HandoverReason, Kept, Release, Renew, Standing,
-    LONGEST_HOLD, MOST_EXACT,
+    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, HandoverReason, Release, Renew, Standing,
+    StoredCheckpoint, LONGEST_HOLD, MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
 use tokio::time::sleep;
@@ -323,7 +323,7 @@
     ///
     /// # Errors
     /// The last endpoint's trouble.
-    pub async fn left(&mut self) -> Result<Kept, DutyError> {
+    pub async fn left(&mut self) -> Result<StoredCheckpoint, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
         self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
     }
@@ -332,7 +332,7 @@
     ///
     /// # Errors
     /// An old holder, or another version than the last.
-    pub async fn leave(&mut self, expect: u64, data: &str) -> Result<Kept, DutyError> {
+    pub async fn leave(&mut self, expect: u64, data: &str) -> Result<StoredCheckpoint, DutyError> {
         if !self.holds() {
             return Err(DutyError::Over(self.fence.duty.clone()));
         }
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -157,7 +157,7 @@
 
 /// The answer to `PUT …/NAME/checkpoint` and `GET …/NAME/checkpoint`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredCheckpoint {
     pub version: u64,
     /// The fencing number under which it was written.
     pub fence: u64,
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -13,8 +13,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, Handover, HandoverReason, Kept,
-    Release, Renew, Standing, Transfer,
+    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, Handover, HandoverReason, Release,
+    Renew, Standing, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
     check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
@@ -334,7 +334,7 @@
         r#"{"x":1}"#,
         "unknown field `x`, expected one of `fence`, `expect`, `data`",
     );
-    let kept = Kept { version: 25, fence: 26, data: "at 27".into() };
+    let kept = StoredCheckpoint { version: 25, fence: 26, data: "at 27".into() };
     assert_format(&kept, r#"{"version":25,"fence":26,"data":"at 27"}"#);
 }
 
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_protocol::duty::{
-    Candidate, Duty as DutyInfo, Handover, HandoverReason, Kept, Standing, LEASE_S, LONGEST_CHECKPOINT,
-    MOST_DUTIES, MOST_WAITERS,
+    Candidate, Duty as DutyInfo, Handover, HandoverReason, Standing, StoredCheckpoint, LEASE_S,
+    LONGEST_CHECKPOINT, MOST_DUTIES, MOST_WAITERS,
 };
 
 use crate::leases::MonotonicTime;
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DutyOutcome {
     Done,
-    Kept(Kept),
+    Kept(StoredCheckpoint),
     Refused(DutyRejection),
 }
 
@@ -330,7 +330,7 @@
         })
     }
 
-    pub fn stored_checkpoint(&self, name: &str) -> Option<Kept> {
+    pub fn stored_checkpoint(&self, name: &str) -> Option<StoredCheckpoint> {
         self.duties.get(name).map(Duty::stored_checkpoint)
     }
 
@@ -383,8 +383,12 @@
 }
 
 impl Duty {
-    fn stored_checkpoint(&self) -> Kept {
-        Kept { version: self.checkpoint_version, fence: self.checkpoint_fence, data: self.data.clone() }
+    fn stored_checkpoint(&self) -> StoredCheckpoint {
+        StoredCheckpoint {
+            version: self.checkpoint_version,
+            fence: self.checkpoint_fence,
+            data: self.data.clone(),
+        }
     }
 }
 
