--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -8,8 +8,8 @@
 
 use hyper::{Method, StatusCode};
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, HandoverReason, Release, Renew, Standing,
-    StoredCheckpoint, LONGEST_HOLD, MOST_EXACT,
+    check_lease, Acquire, Candidate, CandidateStatus, Checkpoint, Duty, Fence, HandoverReason, Release,
+    Renew, StoredCheckpoint, LONGEST_HOLD, MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
 use tokio::time::sleep;
@@ -183,7 +183,7 @@
         let lease = self.tenure.lease();
         let time = hold + (lease / CALL_PART).max(LEAST_CALL);
         let who = self.who.clone();
-        let standing: Result<Standing, ChangeError> = if self.joined {
+        let standing: Result<CandidateStatus, ChangeError> = if self.joined {
             let holds = self.tenure.holds(sent).is_some();
             let question = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
             let body = serde_json::to_vec(&question)?.into();
--- a/registry-client/src/tenure.rs
+++ b/registry-client/src/tenure.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use shaletrail_registry_protocol::duty::Standing;
+use shaletrail_registry_protocol::duty::CandidateStatus;
 
 /// A time on the holder's clock.
 pub type Time = Duration;
@@ -67,7 +67,7 @@
     }
 
     /// The answer to a sign of life that was sent at `sent`: the standing, or none for who is not in line.
-    pub fn told(&mut self, sent: Time, standing: Option<&Standing>, now: Time) -> News {
+    pub fn told(&mut self, sent: Time, standing: Option<&CandidateStatus>, now: Time) -> News {
         if self.held.is_some() && self.holds(now).is_none() {
             self.over = true;
         }
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -95,7 +95,7 @@
 
 /// A candidate's place in the queue for a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct CandidateStatus {
     pub holds: bool,
     /// The holder's fencing number; 0 for a waiting candidate.
     pub fence: u64,
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -13,8 +13,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, Handover, HandoverReason, Release,
-    Renew, Standing, StoredCheckpoint, Transfer,
+    check_lease, Acquire, Candidate, CandidateStatus, Checkpoint, Duties, Duty, Fence, Handover,
+    HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
     check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
@@ -280,7 +280,7 @@
 
 #[test]
 fn duty_standing() {
-    let standing = |holds, give_way, direct| Standing {
+    let standing = |holds, give_way, direct| CandidateStatus {
         holds,
         fence: 11,
         give_way,
@@ -298,7 +298,7 @@
         r#"{"holds":false,"fence":11,"give_way":false,"before":12,"checkpoint_version":13,"direct":true}"#;
     assert_format(&standing(false, false, true), direct);
     let older = r#"{"holds":true,"fence":11,"give_way":false,"before":12,"checkpoint_version":13}"#;
-    assert_eq!(read::<Standing>(older), standing(true, false, false));
+    assert_eq!(read::<CandidateStatus>(older), standing(true, false, false));
 }
 
 #[test]
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_protocol::duty::{
-    Candidate, Duty as DutyInfo, Handover, HandoverReason, Standing, StoredCheckpoint, LEASE_S,
+    Candidate, CandidateStatus, Duty as DutyInfo, Handover, HandoverReason, StoredCheckpoint, LEASE_S,
     LONGEST_CHECKPOINT, MOST_DUTIES, MOST_WAITERS,
 };
 
@@ -316,11 +316,11 @@
     }
 
     /// The candidate's status; `None` if it is not in the queue.
-    pub fn standing(&self, name: &str, who: &Candidate) -> Option<Standing> {
+    pub fn status(&self, name: &str, who: &Candidate) -> Option<CandidateStatus> {
         let duty = self.duties.get(name)?;
         let before = duty.position(who)?;
         let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == *who);
-        Some(Standing {
+        Some(CandidateStatus {
             holds,
             fence: if holds { duty.fence } else { 0 },
             give_way: holds && duty.give_way,
@@ -421,7 +421,7 @@
     }
 
     pub fn renew(&mut self, name: &str, who: &Candidate, duties: &Duties, now: MonotonicTime) -> DutyRenewal {
-        if duties.standing(name, who).is_none() {
+        if duties.status(name, who).is_none() {
             return DutyRenewal::Unknown;
         }
         if self.proposed.iter().any(|lapsed| lapsed.name == name && lapsed.who == *who) {
@@ -436,8 +436,8 @@
         // Drop proposals that were committed, and those that no longer apply: a candidate proposed as waiting
         // may hold the duty since then.
         self.proposed.retain(|lapsed| {
-            let standing = duties.standing(&lapsed.name, &lapsed.who);
-            standing.is_some_and(|standing| standing.fence == lapsed.fence)
+            let status = duties.status(&lapsed.name, &lapsed.who);
+            status.is_some_and(|status| status.fence == lapsed.fence)
         });
         let (mut lapsed, mut last_heard) = (Vec::new(), BTreeMap::new());
         for (name, claim, fence) in duties.claims() {
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -5,7 +5,8 @@
 use hyper::{Method, StatusCode};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_protocol::duty::{
-    Acquire, Candidate, Checkpoint, Duties as DutyList, Release, Renew, Standing, Transfer, LONGEST_HOLD,
+    Acquire, Candidate, CandidateStatus, Checkpoint, Duties as DutyList, Release, Renew, Transfer,
+    LONGEST_HOLD,
 };
 use tokio::time::{timeout_at, Instant};
 
@@ -181,12 +182,12 @@
     }
     // An expiry that was proposed before this call may be committed after it.
     record_renewal(replica, &name, &request.who)?;
-    let standing = replica.view.with_duties(|duties| duties.standing(&name, &request.who));
-    Ok(standing.map_or_else(|| not_queued_reply(&request.who), |standing| status_reply(standing, forwarded)))
+    let status = replica.view.with_duties(|duties| duties.status(&name, &request.who));
+    Ok(status.map_or_else(|| not_queued_reply(&request.who), |status| status_reply(status, forwarded)))
 }
 
-fn status_reply(standing: Standing, forwarded: bool) -> Reply {
-    json_reply(StatusCode::OK, &Standing { direct: !forwarded, ..standing })
+fn status_reply(status: CandidateStatus, forwarded: bool) -> Reply {
+    json_reply(StatusCode::OK, &CandidateStatus { direct: !forwarded, ..status })
 }
 
 fn not_queued_reply(who: &Candidate) -> Reply {
@@ -217,15 +218,15 @@
     let hold = permit.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(request.hold_ms));
     let deadline = Instant::now() + hold.min(LONGEST_HOLD);
     let changed_for_caller =
-        |standing: &Standing| standing.holds != request.holds || standing.give_way != request.give_way;
+        |status: &CandidateStatus| status.holds != request.holds || status.give_way != request.give_way;
     loop {
         changes.borrow_and_update();
-        match replica.view.with_duties(|duties| duties.standing(&name, &request.who)) {
+        match replica.view.with_duties(|duties| duties.status(&name, &request.who)) {
             None => return Ok(not_queued_reply(&request.who)),
-            Some(standing) => {
+            Some(status) => {
                 // The sender lives as long as the replica, so the only error is the time-out.
-                if changed_for_caller(&standing) || timeout_at(deadline, changes.changed()).await.is_err() {
-                    return Ok(status_reply(standing, forwarded));
+                if changed_for_caller(&status) || timeout_at(deadline, changes.changed()).await.is_err() {
+                    return Ok(status_reply(status, forwarded));
                 }
             }
         }
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry::duties::{Duties, DutyCommand, DutyLeases, DutyRenewal};
 use shaletrail_registry_client::fences::Book;
 use shaletrail_registry_client::tenure::Tenure;
-use shaletrail_registry_protocol::duty::{Candidate, Fence, HandoverReason, Standing};
+use shaletrail_registry_protocol::duty::{Candidate, CandidateStatus, Fence, HandoverReason};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A lease in ticks. The holder's clock loses up to one tick in a lease; the margin is one tick.
@@ -129,7 +129,7 @@
     }
 
     fn second_holds(&self) -> Option<u64> {
-        self.duties.standing(NAME, &who(1)).filter(|standing| standing.holds).map(|standing| standing.fence)
+        self.duties.status(NAME, &who(1)).filter(|status| status.holds).map(|status| status.fence)
     }
 
     fn accept(&mut self, fence: u64, check_fence: bool) {
@@ -151,8 +151,8 @@
     DutyCommand::Acquire { name: NAME.into(), who: who(n), lease: ticks(LEASE), at_ms: 0 }
 }
 
-fn standing(fence: u64) -> Standing {
-    Standing { holds: true, fence, give_way: false, before: 0, checkpoint_version: 0, direct: true }
+fn status(fence: u64) -> CandidateStatus {
+    CandidateStatus { holds: true, fence, give_way: false, before: 0, checkpoint_version: 0, direct: true }
 }
 
 impl Protections {
@@ -175,14 +175,14 @@
                 if renewal == DutyRenewal::Lapsing && self.withhold_lapsing || !leads && self.confirm_leader {
                     return;
                 }
-                let standing = world.duties.standing(NAME, &who(0));
-                let fence = standing.filter(|standing| standing.holds).map(|standing| standing.fence);
+                let status = world.duties.status(NAME, &who(0));
+                let fence = status.filter(|status| status.holds).map(|status| status.fence);
                 world.messages.insert(Message::Answer { sent: *sent, fence });
             }
             Message::Answer { sent, fence } => {
                 world.joined = fence.is_some();
-                let standing = fence.map(standing);
-                world.tenure.told(ticks(*sent), standing.as_ref(), ticks(world.clock));
+                let status = fence.map(status);
+                world.tenure.told(ticks(*sent), status.as_ref(), ticks(world.clock));
             }
         }
     }
@@ -375,7 +375,7 @@
                     let leases = world.terms.last_mut().expect("a leader");
                     let renewal = leases.renew(NAME, &who(n), &world.duties, ticks(now));
                     let status =
-                        world.duties.standing(NAME, &who(n)).filter(|_| renewal == DutyRenewal::Recorded);
+                        world.duties.status(NAME, &who(n)).filter(|_| renewal == DutyRenewal::Recorded);
                     if n == 1 {
                         second.told(ticks(now), status.as_ref(), ticks(now));
                     }
--- a/registry/tests/histories.rs
+++ b/registry/tests/histories.rs
@@ -249,8 +249,8 @@
                 for life in 0..2 {
                     let who = Candidate { id: format!("c{n}"), life };
                     for name in ["d0", "d1"] {
-                        let standing = duties.standing(name, &who);
-                        prop_assert!(standing.is_none_or(|s| s.holds == (s.fence > 0) && (!s.holds || s.before == 0)));
+                        let status = duties.status(name, &who);
+                        prop_assert!(status.is_none_or(|s| s.holds == (s.fence > 0) && (!s.holds || s.before == 0)));
                     }
                 }
             }
