--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -17,7 +17,7 @@
 use shaletrail_registry_client::duty::{DutyError, Seat};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
-    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES, LONGEST_CHECKPOINT,
+    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES_PATH, LONGEST_CHECKPOINT,
     MOST_EXACT,
 };
 use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
@@ -191,7 +191,7 @@
 }
 
 async fn list(service: Service, as_json: bool) -> Result<(), Failure> {
-    let all: Duties = get(&service.registry, DUTIES).await?;
+    let all: Duties = get(&service.registry, DUTIES_PATH).await?;
     if as_json {
         return print_json(&all);
     }
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::ask;
 use shaletrail_registry_client::follow::Ask;
-use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
+use shaletrail_registry_protocol::{Changed, Register, INSTANCES_PATH, LONGEST_LIST};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -219,7 +219,7 @@
         watchers.push(tokio::spawn(async move {
             let mut line = Line::new(addr);
             while !stop.load(Ordering::Relaxed) {
-                let path = format!("{INSTANCES}?from={version}&hold_ms=20000");
+                let path = format!("{INSTANCES_PATH}?from={version}&hold_ms=20000");
                 let call = Call { last: false, ..Call::get(&path, LONGEST_LIST) };
                 let answer = line.within(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
@@ -275,8 +275,9 @@
             all += 1;
             let mut answered = false;
             for addr in &discovery {
-                let answer =
-                    Line::new(*addr).within(Duration::from_secs(1), Call::get(INSTANCES, LONGEST_LIST)).await;
+                let answer = Line::new(*addr)
+                    .within(Duration::from_secs(1), Call::get(INSTANCES_PATH, LONGEST_LIST))
+                    .await;
                 answered |= answer.is_ok_and(|answer| answer.status.is_success());
                 if answered {
                     break;
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES, LONGEST_HOLD};
+use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES_PATH, LONGEST_HOLD};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -112,8 +112,13 @@
     }
 
     async fn put(self, request: Request<Incoming>) -> Reply {
-        let id =
-            request.uri().path().strip_prefix(INSTANCES).unwrap_or_default().trim_matches('/').to_owned();
+        let id = request
+            .uri()
+            .path()
+            .strip_prefix(INSTANCES_PATH)
+            .unwrap_or_default()
+            .trim_matches('/')
+            .to_owned();
         let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
         let Ok(body) = body else { return reply(StatusCode::BAD_REQUEST, "") };
         let checked =
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -8,8 +8,8 @@
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_registry_protocol::{Refusal, INSTANCES, LONGEST_CALL};
+use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_protocol::{Refusal, INSTANCES_PATH, LONGEST_CALL};
 
 use crate::call::{Call, Line};
 
@@ -174,12 +174,12 @@
 
 /// The path of one entry's call: none, `renew` or `leaving`.
 pub fn entry_path(id: &str, call: &str) -> String {
-    path_of(INSTANCES, id, call)
+    path_of(INSTANCES_PATH, id, call)
 }
 
 /// The path of one duty's call.
 pub fn duty_path(name: &str, call: &str) -> String {
-    path_of(DUTIES, name, call)
+    path_of(DUTIES_PATH, name, call)
 }
 
 fn path_of(all: &str, name: &str, call: &str) -> String {
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::StatusCode;
-use shaletrail_registry_protocol::{List, INSTANCES, LONGEST_LIST};
+use shaletrail_registry_protocol::{List, INSTANCES_PATH, LONGEST_LIST};
 use tokio::time::sleep_until;
 
 use crate::call::{Call, CallError, Line};
@@ -63,8 +63,8 @@
 
 async fn ask_on(line: &mut Line, ask: Ask, last: bool) -> Result<List, NoList> {
     let path = match ask {
-        Ask::Whole => INSTANCES.to_owned(),
-        Ask::Changes { from, hold } => format!("{INSTANCES}?from={from}&hold_ms={}", hold.as_millis()),
+        Ask::Whole => INSTANCES_PATH.to_owned(),
+        Ask::Changes { from, hold } => format!("{INSTANCES_PATH}?from={from}&hold_ms={}", hold.as_millis()),
     };
     let (kept, began) = (line.is_open(), Instant::now());
     let call = Call { last, ..Call::get(&path, LONGEST_LIST) };
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -9,7 +9,7 @@
 use crate::{check_id, Invalid};
 
 /// Path of the duties at the operators' address.
-pub const DUTIES: &str = "/registry/duties";
+pub const DUTIES_PATH: &str = "/registry/duties";
 /// Shortest and longest lease of a duty, in seconds. After a restore no duty is granted until the longest
 /// lease has passed.
 pub const LEASE_S: RangeInclusive<f64> = 0.5..=30.0;
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -31,7 +31,7 @@
 pub const LONGEST_LIST: usize = 16 << 20;
 
 /// Path of the list of instances.
-pub const INSTANCES: &str = "/registry/instances";
+pub const INSTANCES_PATH: &str = "/registry/instances";
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
--- a/registry/src/discovery_api.rs
+++ b/registry/src/discovery_api.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
-use shaletrail_registry_protocol::{INSTANCES, LONGEST_HOLD};
+use shaletrail_registry_protocol::{INSTANCES_PATH, LONGEST_HOLD};
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::http::{error_reply, reply_with, Reply};
@@ -40,8 +40,8 @@
 }
 
 pub async fn handle(replica: Arc<Replica>, request: Request<Incoming>) -> Reply {
-    if request.uri().path() != INSTANCES {
-        return error_reply(StatusCode::NOT_FOUND, format!("GET {INSTANCES} expected"));
+    if request.uri().path() != INSTANCES_PATH {
+        return error_reply(StatusCode::NOT_FOUND, format!("GET {INSTANCES_PATH} expected"));
     }
     if request.method() != Method::GET {
         let mut reply =
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -12,10 +12,10 @@
 use percent_encoding::percent_decode_str;
 use serde_json::json;
 use shaletrail_registry_client::call::{Call, Line};
-use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
     check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
-    INSTANCES, LONGEST_CALL, MOST_RENEWED, NOT_RUN,
+    INSTANCES_PATH, LONGEST_CALL, MOST_RENEWED, NOT_RUN,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -92,11 +92,11 @@
                         None => Route::Replica(rest),
                     });
                 }
-                if let Some(rest) = path.strip_prefix(DUTIES) {
+                if let Some(rest) = path.strip_prefix(DUTIES_PATH) {
                     let (duty_route, name) = duty_api::DutyRoute::parse(rest)?;
                     return Some(Route::Duty(duty_route, name));
                 }
-                let rest = path.strip_prefix(INSTANCES)?.strip_prefix('/')?;
+                let rest = path.strip_prefix(INSTANCES_PATH)?.strip_prefix('/')?;
                 match rest.split_once('/') {
                     None => Route::Instance(rest),
                     Some((id, "renew")) => Route::Renew(id),
