--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -17,10 +17,10 @@
 use shaletrail_registry_client::duty::{DutyError, Seat};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
-    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES_PATH, LONGEST_CHECKPOINT,
-    MOST_EXACT,
+    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES_PATH, MAX_CHECKPOINT_BYTES,
+    MAX_EXACT_INTEGER,
 };
-use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
+use shaletrail_registry_protocol::{check_id, MAX_LIST_BYTES};
 
 use crate::{stopped, Failure};
 
@@ -177,7 +177,7 @@
 }
 
 async fn get<A: DeserializeOwned>(registry: &[SocketAddr], path: &str) -> Result<A, Failure> {
-    Changes::new(registry.to_vec()).read(path, LONGEST_LIST).await.map_err(Failure::failed)
+    Changes::new(registry.to_vec()).read(path, MAX_LIST_BYTES).await.map_err(Failure::failed)
 }
 
 async fn show(registry: &[SocketAddr], name: &str) -> Result<Duty, Failure> {
@@ -264,15 +264,15 @@
     let expect = args.expect.unwrap_or(0);
     let mut bytes = Vec::new();
     let failed = |e| Failure::Failed(format!("{}: {e}", file.display()));
-    let most = LONGEST_CHECKPOINT as u64 + 1;
+    let most = MAX_CHECKPOINT_BYTES as u64 + 1;
     let read = if file.as_os_str() == "-" {
         std::io::stdin().lock().take(most).read_to_end(&mut bytes)
     } else {
         std::fs::File::open(&file).and_then(|opened| opened.take(most).read_to_end(&mut bytes))
     };
     read.map_err(failed)?;
-    if bytes.len() > LONGEST_CHECKPOINT {
-        return Err(Failure::Wrong(format!("--set: at most {LONGEST_CHECKPOINT} bytes expected")));
+    if bytes.len() > MAX_CHECKPOINT_BYTES {
+        return Err(Failure::Wrong(format!("--set: at most {MAX_CHECKPOINT_BYTES} bytes expected")));
     }
     let data = String::from_utf8(bytes).map_err(|_| Failure::Wrong("--set: UTF-8 expected".into()))?;
     let kept: StoredCheckpoint =
@@ -288,7 +288,7 @@
 pub fn life() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
-    hasher.finish() % MOST_EXACT
+    hasher.finish() % MAX_EXACT_INTEGER
 }
 
 pub fn own_id() -> String {
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{ChangeError, Changes};
 use shaletrail_registry_client::duty::{serve, Seat};
 use shaletrail_registry_client::keeper::{self, Backups};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
+use shaletrail_registry_protocol::{Confirm, Confirmed, Status, MAX_LIST_BYTES};
 
 use crate::{config, duty, stopped, Failure};
 
@@ -252,7 +252,7 @@
 }
 
 async fn status(service: Service, as_json: bool) -> Result<(), Failure> {
-    let status = Changes::new(service.registry).read("/registry/status", LONGEST_LIST).await;
+    let status = Changes::new(service.registry).read("/registry/status", MAX_LIST_BYTES).await;
     let status: Status = status.map_err(Failure::failed)?;
     if as_json {
         println!("{}", serde_json::to_string(&status).map_err(Failure::failed)?);
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::ask;
 use shaletrail_registry_client::follow::Ask;
-use shaletrail_registry_protocol::{Changed, Register, INSTANCES_PATH, LONGEST_LIST};
+use shaletrail_registry_protocol::{Changed, Register, INSTANCES_PATH, MAX_LIST_BYTES};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -171,7 +171,7 @@
                     path: &path,
                     headers: &[],
                     body,
-                    most: LONGEST_LIST,
+                    most: MAX_LIST_BYTES,
                     last: false,
                 };
                 let answer = line.within(Duration::from_secs(10), call).await;
@@ -220,7 +220,7 @@
             let mut line = Line::new(addr);
             while !stop.load(Ordering::Relaxed) {
                 let path = format!("{INSTANCES_PATH}?from={version}&hold_ms=20000");
-                let call = Call { last: false, ..Call::get(&path, LONGEST_LIST) };
+                let call = Call { last: false, ..Call::get(&path, MAX_LIST_BYTES) };
                 let answer = line.within(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
                 let list = serde_json::from_slice::<shaletrail_registry_protocol::List>(&answer.body);
@@ -276,7 +276,7 @@
             let mut answered = false;
             for addr in &discovery {
                 let answer = Line::new(*addr)
-                    .within(Duration::from_secs(1), Call::get(INSTANCES_PATH, LONGEST_LIST))
+                    .within(Duration::from_secs(1), Call::get(INSTANCES_PATH, MAX_LIST_BYTES))
                     .await;
                 answered |= answer.is_ok_and(|answer| answer.status.is_success());
                 if answered {
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES_PATH, LONGEST_HOLD};
+use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES_PATH, MAX_HOLD};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -100,7 +100,7 @@
             |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
         let from = number("from=");
         if let Some(from) = from {
-            let hold = Duration::from_millis(number("hold_ms=").unwrap_or(0)).min(LONGEST_HOLD);
+            let hold = Duration::from_millis(number("hold_ms=").unwrap_or(0)).min(MAX_HOLD);
             let mut versions = self.version.subscribe();
             let _ = timeout(hold, versions.wait_for(|version| *version > from)).await;
         }
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_registry_protocol::{Refusal, INSTANCES_PATH, LONGEST_CALL};
+use shaletrail_registry_protocol::{Refusal, INSTANCES_PATH, MAX_REQUEST_BYTES};
 
 use crate::call::{Call, Line};
 
@@ -79,7 +79,7 @@
             Some((duty, fence)) => vec![(DUTY_HEADER, duty.as_str()), (FENCE_HEADER, fence.as_str())],
             None => Vec::new(),
         };
-        let call = Call { method, path, headers: &headers, body, most: LONGEST_CALL, last: true };
+        let call = Call { method, path, headers: &headers, body, most: MAX_REQUEST_BYTES, last: true };
         let done = match Line::new(addr).within(time, call).await {
             Ok(answer) if answer.status.is_success() => match serde_json::from_slice(&answer.body) {
                 Ok(told) => return Ok(told),
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 use hyper::StatusCode;
-use shaletrail_registry_protocol::{List, INSTANCES_PATH, LONGEST_LIST};
+use shaletrail_registry_protocol::{List, INSTANCES_PATH, MAX_LIST_BYTES};
 use tokio::time::sleep_until;
 
 use crate::call::{Call, CallError, Line};
 use crate::follow::{Action, Ask, CallId, Follower, Retry, Told};
 
 /// Far above what the core allows: it gives calls up itself.
-const LONGEST_CALL: Duration = Duration::from_secs(120);
+const MAX_REQUEST_BYTES: Duration = Duration::from_secs(120);
 
 /// A call on a kept connection that ends sooner than this, without an answer, met a closed one.
 const STALE: Duration = Duration::from_millis(50);
@@ -67,8 +67,8 @@
         Ask::Changes { from, hold } => format!("{INSTANCES_PATH}?from={from}&hold_ms={}", hold.as_millis()),
     };
     let (kept, began) = (line.is_open(), Instant::now());
-    let call = Call { last, ..Call::get(&path, LONGEST_LIST) };
-    let answer = line.within(LONGEST_CALL, call).await.map_err(|e| match e {
+    let call = Call { last, ..Call::get(&path, MAX_LIST_BYTES) };
+    let answer = line.within(MAX_REQUEST_BYTES, call).await.map_err(|e| match e {
         CallError::Broken(_) if kept && began.elapsed() < STALE => NoList::Stale,
         e => NoList::Call(e),
     })?;
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -9,9 +9,9 @@
 use hyper::{Method, StatusCode};
 use shaletrail_registry_protocol::duty::{
     check_lease, Acquire, Candidate, CandidateStatus, Checkpoint, Duty, Fence, HandoverReason, Release,
-    Renew, StoredCheckpoint, LONGEST_HOLD, MOST_EXACT,
+    Renew, StoredCheckpoint, MAX_EXACT_INTEGER, MAX_HOLD,
 };
-use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
+use shaletrail_registry_protocol::{check_id, Invalid, MAX_REQUEST_BYTES};
 use tokio::time::sleep;
 
 use crate::changes::{duty_path, ChangeError, Changes};
@@ -96,7 +96,7 @@
         lease_s: f64,
     ) -> Result<Seat, DutyError> {
         check_id(name).map_err(|Invalid(what)| Invalid(format!("duty: {what}")))?;
-        let who = Candidate { id: id.to_owned(), life: life % MOST_EXACT };
+        let who = Candidate { id: id.to_owned(), life: life % MAX_EXACT_INTEGER };
         who.check()?;
         let lease = check_lease(lease_s)?;
         Ok(Seat {
@@ -227,7 +227,7 @@
                     if let Some(fence) = self.holds() {
                         return Ok(fence);
                     }
-                    hold = (self.tenure.lease() / 4).min(LONGEST_HOLD);
+                    hold = (self.tenure.lease() / 4).min(MAX_HOLD);
                     if !said.is_empty() {
                         say(format!("{}: in line again", self.name));
                         said.clear();
@@ -256,7 +256,7 @@
             let Some((until, kill)) = self.ends() else { return Ended::Lost };
             renewed(until, kill);
             let told = tokio::select! {
-                told = self.sign(hold.min(LONGEST_HOLD)) => told,
+                told = self.sign(hold.min(MAX_HOLD)) => told,
                 () = passed(until) => return Ended::Clock,
             };
             match told {
@@ -284,7 +284,7 @@
         if self.asked {
             let _ = self.changes.put::<Duty>(Method::POST, &path, &question, lease / 2).await;
         }
-        self.who.life = (self.who.life + 1) % MOST_EXACT;
+        self.who.life = (self.who.life + 1) % MAX_EXACT_INTEGER;
         (self.asked, self.joined, self.give_way) = (false, false, false);
         self.tenure = Tenure::new(lease);
         // Handles of the last tenure keep what they have: that it is over.
@@ -325,7 +325,7 @@
     /// The last endpoint's trouble.
     pub async fn left(&mut self) -> Result<StoredCheckpoint, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
-        self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
+        self.changes.read(&path, MAX_REQUEST_BYTES).await.map_err(|e| self.failed(e))
     }
 
     /// Leaves this in place of the version `expect`. May be put twice.
--- a/registry-client/src/follow.rs
+++ b/registry-client/src/follow.rs
@@ -14,7 +14,7 @@
 /// watches that began together and fall silent together are not to be opened anew together, at a service that works
 /// through new ones in turn.
 const LEAST_HOLD: Duration = Duration::from_secs(4);
-const LONGEST_HOLD: Duration = Duration::from_secs(20);
+const MAX_HOLD: Duration = Duration::from_secs(20);
 /// The answer to a call that opens a watch may have to wait for its turn, and is not waited for alone for longer.
 const OPEN_SILENCE: Duration = Duration::from_millis(1900);
 /// The same where a call should be answered at once and others were not, grown with each up to a half more.
@@ -341,7 +341,7 @@
             }
             Some(from) if self.first => Ask::Changes { from, hold: FIRST_HOLD },
             Some(from) => {
-                let more = (LONGEST_HOLD - LEAST_HOLD).mul_f64(self.random());
+                let more = (MAX_HOLD - LEAST_HOLD).mul_f64(self.random());
                 Ask::Changes { from, hold: Duration::from_millis((LEAST_HOLD + more).as_millis() as u64) }
             }
         };
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, LONGEST_LIST};
+use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, MAX_LIST_BYTES};
 use tokio::time::sleep;
 
 use crate::agent::answers;
@@ -20,7 +20,7 @@
 pub const EXPIRY: &str = "registry-expiry";
 
 /// Most bytes of a backup.
-const LONGEST_BACKUP: usize = LONGEST_LIST * 4;
+const LONGEST_BACKUP: usize = MAX_LIST_BYTES * 4;
 /// How often it is looked whether a backup is due, at the least, and the pause after one that failed.
 const LOOK: Duration = Duration::from_secs(30);
 const AGAIN: Duration = Duration::from_secs(10);
@@ -187,7 +187,7 @@
     let mut said = String::new();
     loop {
         sleep(PROBE_PAUSE).await;
-        let expiry: Expiry = match held.changes.read("/registry/expiry", LONGEST_LIST).await {
+        let expiry: Expiry = match held.changes.read("/registry/expiry", MAX_LIST_BYTES).await {
             Ok(expiry) => expiry,
             Err(e) => {
                 say(format!("{EXPIRY}: {e}"));
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -14,16 +14,16 @@
 /// lease has passed.
 pub const LEASE_S: RangeInclusive<f64> = 0.5..=30.0;
 /// The longest time for which a renewal waits for a change of the candidate's status.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(3);
+pub const MAX_HOLD: Duration = Duration::from_secs(3);
 /// The largest checkpoint, in bytes.
-pub const LONGEST_CHECKPOINT: usize = 16 << 10;
+pub const MAX_CHECKPOINT_BYTES: usize = 16 << 10;
 /// The most duties that may exist, and the most candidates that may wait for one of them. Further ones are
 /// refused.
-pub const MOST_DUTIES: usize = 2048;
-pub const MOST_WAITERS: usize = 1000;
+pub const MAX_DUTIES: usize = 2048;
+pub const MAX_WAITERS: usize = 1000;
 /// Incarnations, fencing numbers and versions stay below this value, so that every JSON reader represents
 /// them exactly.
-pub const MOST_EXACT: u64 = 1 << 53;
+pub const MAX_EXACT_INTEGER: u64 = 1 << 53;
 /// Request headers that name the duty for which a change is made, and the fencing number under which it is
 /// made.
 pub const DUTY_HEADER: &str = "x-duty";
@@ -43,8 +43,8 @@
     /// Names the invalid field.
     pub fn check(&self) -> Result<(), Invalid> {
         check_id(&self.id)?;
-        if self.life >= MOST_EXACT {
-            return Err(Invalid(format!("life: a whole number below {MOST_EXACT} expected")));
+        if self.life >= MAX_EXACT_INTEGER {
+            return Err(Invalid(format!("life: a whole number below {MAX_EXACT_INTEGER} expected")));
         }
         Ok(())
     }
@@ -219,7 +219,7 @@
             (None, None) => Ok(None),
             (Some(duty), Some(fence)) => {
                 check_id(duty).map_err(|e| Invalid(format!("{DUTY_HEADER}: {e}")))?;
-                let number = fence.parse().ok().filter(|n| (1..MOST_EXACT).contains(n));
+                let number = fence.parse().ok().filter(|n| (1..MAX_EXACT_INTEGER).contains(n));
                 let number = number.ok_or_else(|| {
                     Invalid(format!("{FENCE_HEADER}: a fencing number expected, got `{fence}`"))
                 })?;
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -16,19 +16,19 @@
 use serde_json::Value;
 
 /// The longest id, zone or kind, in bytes.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Shortest and longest lease of an entry, in seconds.
 pub const LEASE_S: std::ops::RangeInclusive<f64> = 0.1..=86_400.0;
 /// The longest time for which a watch may wait, as the platform's protocol states it.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(60);
+pub const MAX_HOLD: Duration = Duration::from_secs(60);
 /// Response header that marks a change as certainly not executed.
 pub const NOT_RUN: &str = "x-not-run";
 /// The most ids that one call may renew.
-pub const MOST_RENEWED: usize = 10_000;
-/// The largest request body, in bytes: a renewal of [`MOST_RENEWED`] ids of usual length fits.
-pub const LONGEST_CALL: usize = 2 << 20;
+pub const MAX_RENEWALS: usize = 10_000;
+/// The largest request body, in bytes: a renewal of [`MAX_RENEWALS`] ids of usual length fits.
+pub const MAX_REQUEST_BYTES: usize = 2 << 20;
 /// The largest list, in bytes.
-pub const LONGEST_LIST: usize = 16 << 20;
+pub const MAX_LIST_BYTES: usize = 16 << 20;
 
 /// Path of the list of instances.
 pub const INSTANCES_PATH: &str = "/registry/instances";
@@ -176,8 +176,8 @@
             return Err(Invalid("id: the path's id expected, or none".into()));
         }
         for (name, text) in [("zone", &self.zone), ("kind", &self.kind)] {
-            if text.len() > LONGEST_NAME || text.chars().any(char::is_control) {
-                return Err(Invalid(format!("{name}: at most {LONGEST_NAME} bytes of text expected")));
+            if text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
+                return Err(Invalid(format!("{name}: at most {MAX_NAME_BYTES} bytes of text expected")));
             }
         }
         if self.state == State::Left {
@@ -212,11 +212,11 @@
 /// States which ids are valid.
 pub fn check_id(id: &str) -> Result<(), Invalid> {
     let fits =
-        (1..=LONGEST_NAME).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+        (1..=MAX_NAME_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
     if fits {
         return Ok(());
     }
-    Err(Invalid(format!("id: 1 to {LONGEST_NAME} visible ASCII characters without `/` expected")))
+    Err(Invalid(format!("id: 1 to {MAX_NAME_BYTES} visible ASCII characters without `/` expected")))
 }
 
 /// An invalid field: its name, and what was expected.
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -66,18 +66,18 @@
 
 #[test]
 fn limits() {
-    assert_eq!(shaletrail_registry_protocol::LONGEST_NAME, 128);
+    assert_eq!(shaletrail_registry_protocol::MAX_NAME_BYTES, 128);
     assert_eq!(shaletrail_registry_protocol::LEASE_S, 0.1..=86_400.0);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_HOLD, Duration::from_secs(60));
-    assert_eq!(shaletrail_registry_protocol::MOST_RENEWED, 10_000);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_CALL, 2_097_152);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_LIST, 16_777_216);
+    assert_eq!(shaletrail_registry_protocol::MAX_HOLD, Duration::from_secs(60));
+    assert_eq!(shaletrail_registry_protocol::MAX_RENEWALS, 10_000);
+    assert_eq!(shaletrail_registry_protocol::MAX_REQUEST_BYTES, 2_097_152);
+    assert_eq!(shaletrail_registry_protocol::MAX_LIST_BYTES, 16_777_216);
     assert_eq!(duty::LEASE_S, 0.5..=30.0);
-    assert_eq!(duty::LONGEST_HOLD, Duration::from_secs(3));
-    assert_eq!(duty::LONGEST_CHECKPOINT, 16_384);
-    assert_eq!(duty::MOST_DUTIES, 2048);
-    assert_eq!(duty::MOST_WAITERS, 1000);
-    assert_eq!(duty::MOST_EXACT, 9_007_199_254_740_992);
+    assert_eq!(duty::MAX_HOLD, Duration::from_secs(3));
+    assert_eq!(duty::MAX_CHECKPOINT_BYTES, 16_384);
+    assert_eq!(duty::MAX_DUTIES, 2048);
+    assert_eq!(duty::MAX_WAITERS, 1000);
+    assert_eq!(duty::MAX_EXACT_INTEGER, 9_007_199_254_740_992);
 }
 
 #[test]
@@ -247,7 +247,7 @@
 fn duty_candidate() {
     assert_format(&candidate(), r#"{"id":"agent-2","life":31}"#);
     assert_refused::<Candidate>(r#"{"x":1}"#, "unknown field `x`, expected `id` or `life`");
-    let wrong = Candidate { id: "a".into(), life: duty::MOST_EXACT };
+    let wrong = Candidate { id: "a".into(), life: duty::MAX_EXACT_INTEGER };
     assert_eq!(
         wrong.check().expect_err("the life is refused").to_string(),
         "life: a whole number below 9007199254740992 expected"
--- a/registry/src/discovery_api.rs
+++ b/registry/src/discovery_api.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
-use shaletrail_registry_protocol::{INSTANCES_PATH, LONGEST_HOLD};
+use shaletrail_registry_protocol::{INSTANCES_PATH, MAX_HOLD};
 use tokio::time::{timeout, timeout_at, Instant};
 
 use crate::http::{error_reply, reply_with, Reply};
@@ -31,7 +31,7 @@
             || value.parse::<u64>().map_err(|_| format!("{name}: a whole number expected, got `{value}`"));
         match name {
             "from" => query.from = Some(number()?),
-            "hold_ms" => query.hold = Duration::from_millis(number()?).min(LONGEST_HOLD),
+            "hold_ms" => query.hold = Duration::from_millis(number()?).min(MAX_HOLD),
             // Unknown parameters are ignored, so that the protocol may be extended.
             _ => {}
         }
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_protocol::duty::{
     Candidate, CandidateStatus, Duty as DutyInfo, Handover, HandoverReason, StoredCheckpoint, LEASE_S,
-    LONGEST_CHECKPOINT, MOST_DUTIES, MOST_WAITERS,
+    MAX_CHECKPOINT_BYTES, MAX_DUTIES, MAX_WAITERS,
 };
 
 use crate::leases::MonotonicTime;
@@ -83,13 +83,13 @@
     Fenced { fence: u64, current: Option<u64> },
     #[error("checkpoint version {expect} is not the last: that is {current}")]
     Version { expect: u64, current: u64 },
-    #[error("a checkpoint of at most {LONGEST_CHECKPOINT} bytes expected, got {0}")]
+    #[error("a checkpoint of at most {MAX_CHECKPOINT_BYTES} bytes expected, got {0}")]
     TooLong(usize),
     #[error("held or waited for: release it first")]
     InUse,
-    #[error("{MOST_DUTIES} duties, the most there may be")]
+    #[error("{MAX_DUTIES} duties, the most there may be")]
     TooManyDuties,
-    #[error("{MOST_WAITERS} candidates wait, the most that may")]
+    #[error("{MAX_WAITERS} candidates wait, the most that may")]
     TooManyWaiters,
 }
 
@@ -189,12 +189,12 @@
         lease: Duration,
         at_ms: u64,
     ) -> Result<DutyOutcome, DutyRejection> {
-        if !self.duties.contains_key(&name) && self.duties.len() >= MOST_DUTIES {
+        if !self.duties.contains_key(&name) && self.duties.len() >= MAX_DUTIES {
             return Err(DutyRejection::TooManyDuties);
         }
         let duty = self.duties.entry(name.clone()).or_default();
         if duty.position(&who).is_none() {
-            if duty.waiters.len() >= MOST_WAITERS {
+            if duty.waiters.len() >= MAX_WAITERS {
                 return Err(DutyRejection::TooManyWaiters);
             }
             duty.waiters.push(Claim { who, lease });
@@ -277,7 +277,7 @@
         expect: u64,
         data: String,
     ) -> Result<DutyOutcome, DutyRejection> {
-        if data.len() > LONGEST_CHECKPOINT {
+        if data.len() > MAX_CHECKPOINT_BYTES {
             return Err(DutyRejection::TooLong(data.len()));
         }
         self.check_fence(name, fence)?;
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -5,8 +5,7 @@
 use hyper::{Method, StatusCode};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_protocol::duty::{
-    Acquire, Candidate, CandidateStatus, Checkpoint, Duties as DutyList, Release, Renew, Transfer,
-    LONGEST_HOLD,
+    Acquire, Candidate, CandidateStatus, Checkpoint, Duties as DutyList, Release, Renew, Transfer, MAX_HOLD,
 };
 use tokio::time::{timeout_at, Instant};
 
@@ -216,7 +215,7 @@
     // Renewals without a permit to wait are answered at once; the agents repeat them after the same time.
     let permit = replica.renewal_wait_permits.try_acquire().ok().filter(|_| !forwarded);
     let hold = permit.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(request.hold_ms));
-    let deadline = Instant::now() + hold.min(LONGEST_HOLD);
+    let deadline = Instant::now() + hold.min(MAX_HOLD);
     let changed_for_caller =
         |status: &CandidateStatus| status.holds != request.holds || status.give_way != request.give_way;
     loop {
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -15,7 +15,7 @@
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
     check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
-    INSTANCES_PATH, LONGEST_CALL, MOST_RENEWED, NOT_RUN,
+    INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_RUN,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -50,7 +50,7 @@
         Ok(fence) => fence,
         Err(e) => return error_reply(StatusCode::BAD_REQUEST, e),
     };
-    match read_body(request, LONGEST_CALL).await {
+    match read_body(request, MAX_REQUEST_BYTES).await {
         Err(reply) => reply,
         Ok(body) => dispatch(&replica, ApiRequest { method, path, body, fence, forwarded }).await,
     }
@@ -231,7 +231,7 @@
         path: &path,
         headers: &headers,
         body: request.body,
-        most: LONGEST_CALL,
+        most: MAX_REQUEST_BYTES,
         last: true,
     };
     let timeout = Duration::from_millis(replica.settings.change_ms + replica.settings.change_ms / 4);
@@ -342,8 +342,8 @@
 
 fn renew_many(replica: &Replica, body: &[u8]) -> HandlerResult {
     let request: RenewMany = parse_json(body)?;
-    if request.renewals.len() > MOST_RENEWED {
-        let reason = format!("renewals: at most {MOST_RENEWED} expected, got {}", request.renewals.len());
+    if request.renewals.len() > MAX_RENEWALS {
+        let reason = format!("renewals: at most {MAX_RENEWALS} expected, got {}", request.renewals.len());
         return Ok(error_reply(StatusCode::BAD_REQUEST, reason));
     }
     replica.check_can_change()?;
