--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -92,7 +92,7 @@
                     return Err(ChangeError::Refused { status: answer.status, why });
                 }
                 let trouble = format!("{addr}: {} {why}", answer.status);
-                match answer.headers.contains_key(shaletrail_registry_protocol::NOT_RUN) {
+                match answer.headers.contains_key(shaletrail_registry_protocol::NOT_EXECUTED_HEADER) {
                     true => Err(ChangeError::NotDone(trouble)),
                     false => Err(ChangeError::Unknown(trouble)),
                 }
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -22,7 +22,7 @@
 /// The longest time for which a watch may wait, as the platform's protocol states it.
 pub const MAX_HOLD: Duration = Duration::from_secs(60);
 /// Response header that marks a change as certainly not executed.
-pub const NOT_RUN: &str = "x-not-run";
+pub const NOT_EXECUTED_HEADER: &str = "x-not-run";
 /// The most ids that one call may renew.
 pub const MAX_RENEWALS: usize = 10_000;
 /// The largest request body, in bytes: a renewal of [`MAX_RENEWALS`] ids of usual length fits.
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -58,7 +58,7 @@
 #[test]
 fn paths_and_headers() {
     assert_eq!(shaletrail_registry_protocol::INSTANCES_PATH, "/registry/instances");
-    assert_eq!(shaletrail_registry_protocol::NOT_RUN, "x-not-run");
+    assert_eq!(shaletrail_registry_protocol::NOT_EXECUTED_HEADER, "x-not-run");
     assert_eq!(duty::DUTIES_PATH, "/registry/duties");
     assert_eq!(duty::DUTY_HEADER, "x-duty");
     assert_eq!(duty::FENCE_HEADER, "x-fence");
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_protocol::{Refusal, NOT_RUN};
+use shaletrail_registry_protocol::{Refusal, NOT_EXECUTED_HEADER};
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
@@ -122,6 +122,6 @@
 /// replica.
 pub fn not_executed_reply(error: impl ToString) -> Reply {
     let mut reply = error_reply(StatusCode::SERVICE_UNAVAILABLE, error);
-    reply.headers_mut().insert(NOT_RUN, HeaderValue::from_static("1"));
+    reply.headers_mut().insert(NOT_EXECUTED_HEADER, HeaderValue::from_static("1"));
     reply
 }
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -15,7 +15,7 @@
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
     check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
-    INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_RUN,
+    INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -238,8 +238,8 @@
     match Line::new(addr).within(timeout, call).await {
         Ok(answer) => {
             let mut reply = reply_with(answer.status, "application/json", answer.body);
-            if let Some(value) = answer.headers.get(NOT_RUN) {
-                reply.headers_mut().insert(NOT_RUN, value.clone());
+            if let Some(value) = answer.headers.get(NOT_EXECUTED_HEADER) {
+                reply.headers_mut().insert(NOT_EXECUTED_HEADER, value.clone());
             }
             reply
         }
