--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, MAX_LIST_BYTES};
+use shaletrail_registry_protocol::{Confirm, Confirmed, EntryAddress, Expiry, MAX_LIST_BYTES};
 use tokio::time::sleep;
 
 use crate::agent::answers;
@@ -169,7 +169,7 @@
     Judgement::Gone
 }
 
-async fn ask(servers: &[Listed]) -> Vec<bool> {
+async fn ask(servers: &[EntryAddress]) -> Vec<bool> {
     let mut answered = Vec::with_capacity(servers.len());
     for some in servers.chunks(TOGETHER) {
         let asked: Vec<_> = some.iter().map(|server| tokio::spawn(answers(server.addr))).collect();
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -285,13 +285,13 @@
 /// network partition from servers that have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Expiry {
-    pub stopped: Vec<Listed>,
-    pub others: Vec<Listed>,
+    pub stopped: Vec<EntryAddress>,
+    pub others: Vec<EntryAddress>,
 }
 
 /// The id and the address of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct EntryAddress {
     pub id: String,
     pub addr: SocketAddr,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -17,7 +17,7 @@
     HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
+    check_id, duty, Changed, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, List, Refusal, Register,
     RenewMany, Renewal, Renewed, Replica, Stamp, State, Status,
 };
 
@@ -196,7 +196,8 @@
     assert_format(&Confirm { most: 12 }, r#"{"most":12}"#);
     assert_refused::<Confirm>(r#"{"x":1}"#, "unknown field `x`, expected `most`");
     assert_format(&Confirmed { version: 13, expired: 14 }, r#"{"version":13,"expired":14}"#);
-    let listed = |id: &str, addr: &str| Listed { id: id.into(), addr: addr.parse().expect("an address") };
+    let listed =
+        |id: &str, addr: &str| EntryAddress { id: id.into(), addr: addr.parse().expect("an address") };
     let expiry = Expiry { stopped: vec![listed("a", "1.1.1.1:1")], others: vec![listed("b", "2.2.2.2:2")] };
     let text = r#"{"stopped":[{"id":"a","addr":"1.1.1.1:1"}],"others":[{"id":"b","addr":"2.2.2.2:2"}]}"#;
     assert_format(&expiry, text);
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -14,8 +14,8 @@
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
-    check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
-    INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
+    check_id, Changed, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, Register, RenewMany, Renewed,
+    Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -372,7 +372,7 @@
     replica.check_can_change()?;
     let withheld_ids = replica.expiry_check().withheld_ids;
     let answer = replica.view.with_catalogue(|list| {
-        let listed = |entry: &Entry| Listed { id: entry.id.clone(), addr: entry.addr };
+        let listed = |entry: &Entry| EntryAddress { id: entry.id.clone(), addr: entry.addr };
         let withheld = withheld_ids.iter().filter_map(|id| list.get(id)).map(|record| listed(&record.entry));
         let others =
             list.entries().map(|record| &record.entry).filter(|entry| !withheld_ids.contains(&entry.id));
