--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::ask;
 use shaletrail_registry_client::follow::Ask;
-use shaletrail_registry_protocol::{Changed, Register, INSTANCES_PATH, MAX_LIST_BYTES};
+use shaletrail_registry_protocol::{ChangeResult, Register, INSTANCES_PATH, MAX_LIST_BYTES};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -142,7 +142,7 @@
 
 async fn put(changes: &mut Changes, id: &str, number: u64) -> Result<u64, Failed> {
     let question = Register { incarnation: 0, ..numbered(id, number) };
-    let changed: Changed =
+    let changed: ChangeResult =
         changes.put(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
     Ok(changed.version)
 }
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -10,7 +10,7 @@
 use shaletrail_registry_client::changes::{entry_path, ChangeError, Changes};
 use shaletrail_registry_client::driver::{Following, News};
 use shaletrail_registry_client::follow::Retry;
-use shaletrail_registry_protocol::{Changed, Entry, Register, State};
+use shaletrail_registry_protocol::{ChangeResult, Entry, Register, State};
 
 use crate::checker::{Acknowledged, Seen};
 use crate::process::wait_for;
@@ -142,7 +142,7 @@
     id: &str,
     number: u64,
     time: Duration,
-) -> Result<Changed, ChangeError> {
+) -> Result<ChangeResult, ChangeError> {
     changes.put(Method::PUT, &entry_path(id, ""), &numbered(id, number), time).await
 }
 
@@ -155,7 +155,7 @@
     method: Method,
     path: &str,
     body: &serde_json::Value,
-) -> Result<Changed, ChangeError> {
+) -> Result<ChangeResult, ChangeError> {
     send(endpoints, method, path, body)
 }
 
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES_PATH, MAX_HOLD};
+use shaletrail_registry_protocol::{ChangeResult, Entry, List, Register, Stamp, INSTANCES_PATH, MAX_HOLD};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -132,6 +132,6 @@
             version
         };
         self.version.send_replace(version);
-        reply(StatusCode::OK, serde_json::to_vec(&Changed { version, id }).unwrap_or_default())
+        reply(StatusCode::OK, serde_json::to_vec(&ChangeResult { version, id }).unwrap_or_default())
     }
 }
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use shaletrail_registry_protocol::{Changed, Entry, Register, Stamp, State};
+use shaletrail_registry_protocol::{ChangeResult, Entry, Register, Stamp, State};
 use tokio::time::sleep;
 
 use crate::call::{Call, Line};
@@ -127,7 +127,7 @@
     let id = duty.entry.id.clone();
     let entry = Entry { state: State::Active, ..duty.entry.clone() };
     let question = Register::new(&entry, Some(duty.lease.as_secs_f64()));
-    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &question, duty.lease).await {
+    match changes.put::<ChangeResult>(Method::PUT, &entry_path(&id, ""), &question, duty.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -138,7 +138,7 @@
 }
 
 async fn renew(id: &str, stamp: Stamp, changes: &mut Changes, time: Duration) -> Result<(), ChangeError> {
-    changes.put::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
+    changes.put::<ChangeResult>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
 }
 
 /// `leaving`, the time for what is under way, and `left`. Somebody else's `left` is as good.
@@ -150,14 +150,15 @@
 ) -> Result<(), AgentError> {
     let id = &duty.entry.id;
     let gone = |e: &ChangeError| matches!(e, ChangeError::Refused { status: StatusCode::NOT_FOUND, .. });
-    let leaving = changes.put::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, duty.lease).await;
+    let leaving =
+        changes.put::<ChangeResult>(Method::POST, &entry_path(id, "leaving"), &stamp, duty.lease).await;
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
         Err(e) => say(format!("{id}: leaving: {e}")),
     }
     sleep(duty.drain).await;
-    match changes.put::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, duty.lease).await {
+    match changes.put::<ChangeResult>(Method::DELETE, &entry_path(id, ""), &stamp, duty.lease).await {
         Ok(changed) => say(format!("{id} left at version {}", changed.version)),
         Err(e) if gone(&e) => {}
         Err(e) => return Err(e.into()),
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -233,7 +233,7 @@
 
 /// The answer to a change, which is included in the list from this version on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangeResult {
     pub version: u64,
     pub id: String,
 }
@@ -259,7 +259,7 @@
 /// The answer to [`RenewMany`]. An unknown id has to register again; for a stale one a newer process is
 /// registered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Renewed {
+pub struct RenewManyResult {
     pub version: u64,
     pub renewed: usize,
     pub unknown: Vec<String>,
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -17,8 +17,8 @@
     HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, Changed, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, List, Refusal, Register,
-    RenewMany, Renewal, Renewed, Replica, Stamp, State, Status,
+    check_id, duty, ChangeResult, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, List, Refusal,
+    Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
 };
 
 /// The value is encoded as `text`, and `text` is read as the value.
@@ -172,7 +172,7 @@
 
 #[test]
 fn change_answer() {
-    assert_format(&Changed { version: 3, id: "a".into() }, r#"{"version":3,"id":"a"}"#);
+    assert_format(&ChangeResult { version: 3, id: "a".into() }, r#"{"version":3,"id":"a"}"#);
     assert_format(&Refusal { error: "no such id".into() }, r#"{"error":"no such id"}"#);
 }
 
@@ -183,7 +183,8 @@
     assert_format(&renewal, text);
     let many = RenewMany { renewals: vec![renewal] };
     assert_format(&many, &format!(r#"{{"renewals":[{text}]}}"#));
-    let renewed = Renewed { version: 4, renewed: 5, unknown: vec!["u".into()], stale: vec!["s".into()] };
+    let renewed =
+        RenewManyResult { version: 4, renewed: 5, unknown: vec!["u".into()], stale: vec!["s".into()] };
     assert_format(&renewed, r#"{"version":4,"renewed":5,"unknown":["u"],"stale":["s"]}"#);
     let short: Renewal = read(r#"{"id":"a"}"#);
     assert_eq!(short, Renewal { id: "a".into(), started_ms: 0, incarnation: 0 });
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -14,8 +14,8 @@
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
-    check_id, Changed, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, Register, RenewMany, Renewed,
-    Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
+    check_id, ChangeResult, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, Register, RenewMany,
+    RenewManyResult, Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -301,7 +301,9 @@
 fn change_reply(replica: &Replica, id: &str, outcome: Outcome) -> HandlerResult {
     increment(&replica.counters.changes);
     match outcome {
-        Outcome::Done { version } => Ok(json_reply(StatusCode::OK, &Changed { version, id: id.to_owned() })),
+        Outcome::Done { version } => {
+            Ok(json_reply(StatusCode::OK, &ChangeResult { version, id: id.to_owned() }))
+        }
         Outcome::Refused(why) => Ok(rejection_reply(&why)),
         other => Ok(error_reply(StatusCode::INTERNAL_SERVER_ERROR, format!("{other:?}"))),
     }
@@ -334,7 +336,7 @@
     increment(&replica.counters.renewals);
     let version = replica.view.version();
     match renewed.ok_or_else(|| leases_unavailable(replica))? {
-        RenewalOutcome::Done => Ok(json_reply(StatusCode::OK, &Changed { version, id })),
+        RenewalOutcome::Done => Ok(json_reply(StatusCode::OK, &ChangeResult { version, id })),
         RenewalOutcome::Unknown => Ok(rejection_reply(&Rejection::Unknown)),
         RenewalOutcome::Stale => Ok(error_reply(StatusCode::CONFLICT, "a newer life of this id is listed")),
     }
@@ -349,7 +351,7 @@
     replica.check_can_change()?;
     let renewed = replica.with_leases(|leases, list, now| {
         let mut answer =
-            Renewed { version: list.version(), renewed: 0, unknown: Vec::new(), stale: Vec::new() };
+            RenewManyResult { version: list.version(), renewed: 0, unknown: Vec::new(), stale: Vec::new() };
         for renewal in request.renewals {
             let stamp = Stamp { started_ms: renewal.started_ms, incarnation: renewal.incarnation };
             match leases.renew(&renewal.id, stamp, list, now) {
