--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{ChangeError, Changes};
 use shaletrail_registry_client::duty::{serve, Seat};
 use shaletrail_registry_client::keeper::{self, Backups};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Status, MAX_LIST_BYTES};
+use shaletrail_registry_protocol::{ConfirmExpiry, ConfirmExpiryResult, Status, MAX_LIST_BYTES};
 
 use crate::{config, duty, stopped, Failure};
 
@@ -165,7 +165,8 @@
         Some(Verb::Status { service, json }) => status(service, json).await,
         Some(Verb::Confirm { most, service }) => {
             let path = "/registry/expiry/confirm";
-            let told: Confirmed = put(service, hyper::Method::POST, path, &Confirm { most }).await?;
+            let told: ConfirmExpiryResult =
+                put(service, hyper::Method::POST, path, &ConfirmExpiry { most }).await?;
             println!("{} entries may expire", told.expired);
             Ok(())
         }
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -7,7 +7,9 @@
 
 use hyper::Method;
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_protocol::{Confirm, Confirmed, EntryAddress, Expiry, MAX_LIST_BYTES};
+use shaletrail_registry_protocol::{
+    ConfirmExpiry, ConfirmExpiryResult, EntryAddress, Expiry, MAX_LIST_BYTES,
+};
 use tokio::time::sleep;
 
 use crate::agent::answers;
@@ -214,9 +216,9 @@
                 if !held.holds() {
                     return;
                 }
-                let word = Confirm { most: ids.len() };
+                let word = ConfirmExpiry { most: ids.len() };
                 let path = "/registry/expiry/confirm";
-                match held.changes.put::<Confirmed>(Method::POST, path, &word, PROBE_PAUSE).await {
+                match held.changes.put::<ConfirmExpiryResult>(Method::POST, path, &word, PROBE_PAUSE).await {
                     Ok(told) => {
                         format!("{} servers are gone and may expire: {}", told.expired, ids.join(" "))
                     }
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -270,13 +270,13 @@
 /// checked that their servers are gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Confirm {
+pub struct ConfirmExpiry {
     /// The most entries that expire by this confirmation.
     pub most: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Confirmed {
+pub struct ConfirmExpiryResult {
     pub version: u64,
     pub expired: usize,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -17,8 +17,8 @@
     HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, ChangeResult, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, List, Refusal,
-    Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
+    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, Join,
+    List, Refusal, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
 };
 
 /// The value is encoded as `text`, and `text` is read as the value.
@@ -194,9 +194,9 @@
 
 #[test]
 fn expiry() {
-    assert_format(&Confirm { most: 12 }, r#"{"most":12}"#);
-    assert_refused::<Confirm>(r#"{"x":1}"#, "unknown field `x`, expected `most`");
-    assert_format(&Confirmed { version: 13, expired: 14 }, r#"{"version":13,"expired":14}"#);
+    assert_format(&ConfirmExpiry { most: 12 }, r#"{"most":12}"#);
+    assert_refused::<ConfirmExpiry>(r#"{"x":1}"#, "unknown field `x`, expected `most`");
+    assert_format(&ConfirmExpiryResult { version: 13, expired: 14 }, r#"{"version":13,"expired":14}"#);
     let listed =
         |id: &str, addr: &str| EntryAddress { id: id.into(), addr: addr.parse().expect("an address") };
     let expiry = Expiry { stopped: vec![listed("a", "1.1.1.1:1")], others: vec![listed("b", "2.2.2.2:2")] };
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -14,8 +14,8 @@
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
-    check_id, ChangeResult, Confirm, Confirmed, Entry, EntryAddress, Expiry, Join, Register, RenewMany,
-    RenewManyResult, Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
+    check_id, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, Join, Register,
+    RenewMany, RenewManyResult, Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -384,7 +384,7 @@
 }
 
 async fn confirm(replica: &Replica, body: &[u8], fence: Option<&Fence>) -> HandlerResult {
-    let request: Confirm = parse_json(body)?;
+    let request: ConfirmExpiry = parse_json(body)?;
     replica.check_can_change()?;
     if let Some(fence) = fence {
         // The confirmation is kept only in this leader's memory. So first make sure that this replica still
@@ -398,7 +398,7 @@
     let count = replica.expiry_check().withheld.min(request.most);
     let answer = replica.with_leases(|leases, list, _| {
         leases.confirm(count);
-        Confirmed { version: list.version(), expired: count }
+        ConfirmExpiryResult { version: list.version(), expired: count }
     });
     let answer = answer.ok_or_else(|| leases_unavailable(replica))?;
     tracing::warn!(
