--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -299,7 +299,7 @@
 /// `POST /registry/replicas`: adds this replica to the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Join {
+pub struct JoinRequest {
     pub name: String,
     pub replica: SocketAddr,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -17,8 +17,8 @@
     HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, Join,
-    List, Refusal, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
+    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry,
+    JoinRequest, List, Refusal, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
 };
 
 /// The value is encoded as `text`, and `text` is read as the value.
@@ -206,9 +206,9 @@
 
 #[test]
 fn replicas() {
-    let join = Join { name: "r4".into(), replica: "10.0.0.4:77".parse().expect("an address") };
+    let join = JoinRequest { name: "r4".into(), replica: "10.0.0.4:77".parse().expect("an address") };
     assert_format(&join, r#"{"name":"r4","replica":"10.0.0.4:77"}"#);
-    assert_refused::<Join>(r#"{"x":1}"#, "unknown field `x`, expected `name` or `replica`");
+    assert_refused::<JoinRequest>(r#"{"x":1}"#, "unknown field `x`, expected `name` or `replica`");
     let replica =
         Replica { id: 4, name: "r4".into(), replica: "host:77".into(), voter: true, behind: Some(5) };
     assert_format(&replica, r#"{"id":4,"name":"r4","replica":"host:77","voter":true,"behind":5}"#);
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -14,8 +14,9 @@
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
-    check_id, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, Join, Register,
-    RenewMany, RenewManyResult, Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES, NOT_EXECUTED_HEADER,
+    check_id, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, JoinRequest,
+    Register, RenewMany, RenewManyResult, Stamp, INSTANCES_PATH, MAX_RENEWALS, MAX_REQUEST_BYTES,
+    NOT_EXECUTED_HEADER,
 };
 
 use crate::catalogue::{Command, Outcome, Rejection};
@@ -412,7 +413,7 @@
 
 /// Assigns an id to a new replica. An earlier replica of the same name is removed first.
 async fn assign_replica_id(replica: &Replica, body: &[u8]) -> HandlerResult {
-    let request: Join = parse_json(body)?;
+    let request: JoinRequest = parse_json(body)?;
     check_id(&request.name).map_err(|e| error_reply(StatusCode::BAD_REQUEST, format!("name: {e}")))?;
     replica.check_can_change()?;
     let Ok(_guard) = replica.membership_change.try_lock() else {
@@ -428,7 +429,7 @@
 async fn promote(replica: &Arc<Replica>, id: &str, body: &[u8]) -> HandlerResult {
     let id: u64 =
         id.parse().map_err(|_| error_reply(StatusCode::BAD_REQUEST, "a replica's number expected"))?;
-    let request: Join = parse_json(body)?;
+    let request: JoinRequest = parse_json(body)?;
     replica.check_can_change()?;
     let member = Member { name: request.name, replica: request.replica.to_string() };
     let target = Arc::clone(replica);
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -13,7 +13,7 @@
 use openraft::raft::{AppendEntriesRequest, AppendEntriesResponse};
 use serde::{Deserialize, Serialize};
 use shaletrail_registry_client::call::{Call, Line};
-use shaletrail_registry_protocol::Join;
+use shaletrail_registry_protocol::JoinRequest;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{watch, OnceCell};
 use tokio::time::sleep;
@@ -324,7 +324,7 @@
 async fn call_until_accepted<A: serde::de::DeserializeOwned>(
     targets: &[JoinTarget],
     path: &str,
-    request: &Join,
+    request: &JoinRequest,
     action: &str,
 ) -> A {
     let mut last_error = String::new();
@@ -362,11 +362,11 @@
     id: u64,
 }
 
-fn join_request(options: &Options) -> Join {
+fn join_request(options: &Options) -> JoinRequest {
     // `check` has made sure that a replica with peers has this address.
     let replica = options.replica.unwrap_or(options.ops);
     let replica = options.peers.get(&options.name).copied().unwrap_or(replica);
-    Join { name: options.name.clone(), replica }
+    JoinRequest { name: options.name.clone(), replica }
 }
 
 async fn request_replica_id(options: &Options, targets: &[JoinTarget]) -> u64 {
