--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_registry_protocol::{Refusal, INSTANCES_PATH, MAX_REQUEST_BYTES};
+use shaletrail_registry_protocol::{ErrorBody, INSTANCES_PATH, MAX_REQUEST_BYTES};
 
 use crate::call::{Call, Line};
 
@@ -86,7 +86,7 @@
                 Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
             },
             Ok(answer) => {
-                let refusal = serde_json::from_slice::<Refusal>(&answer.body);
+                let refusal = serde_json::from_slice::<ErrorBody>(&answer.body);
                 let why = refusal.map_or_else(|_| String::new(), |refusal| refusal.error);
                 if answer.status.is_client_error() {
                     return Err(ChangeError::Refused { status: answer.status, why });
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -336,6 +336,6 @@
 
 /// The body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     pub error: String,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -17,8 +17,8 @@
     HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry,
-    JoinRequest, List, Refusal, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
+    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, ErrorBody, Expiry,
+    JoinRequest, List, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
 };
 
 /// The value is encoded as `text`, and `text` is read as the value.
@@ -173,7 +173,7 @@
 #[test]
 fn change_answer() {
     assert_format(&ChangeResult { version: 3, id: "a".into() }, r#"{"version":3,"id":"a"}"#);
-    assert_format(&Refusal { error: "no such id".into() }, r#"{"error":"no such id"}"#);
+    assert_format(&ErrorBody { error: "no such id".into() }, r#"{"error":"no such id"}"#);
 }
 
 #[test]
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_protocol::{Refusal, NOT_EXECUTED_HEADER};
+use shaletrail_registry_protocol::{ErrorBody, NOT_EXECUTED_HEADER};
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
@@ -114,7 +114,7 @@
 }
 
 pub fn error_reply(status: StatusCode, error: impl ToString) -> Reply {
-    let body = serde_json::to_vec(&Refusal { error: error.to_string() }).unwrap_or_default();
+    let body = serde_json::to_vec(&ErrorBody { error: error.to_string() }).unwrap_or_default();
     reply_with(status, "application/json", body.into())
 }
 
