--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -84,7 +84,7 @@
 }
 
 impl Seat {
-    /// `life` is drawn anew for each process: what an earlier one started may still run.
+    /// `incarnation` is drawn anew for each process: what an earlier one started may still run.
     ///
     /// # Errors
     /// Names what is out of bounds.
@@ -92,11 +92,11 @@
         endpoints: Vec<SocketAddr>,
         name: &str,
         id: &str,
-        life: u64,
+        incarnation: u64,
         lease_s: f64,
     ) -> Result<Seat, DutyError> {
         check_id(name).map_err(|Invalid(what)| Invalid(format!("duty: {what}")))?;
-        let who = Candidate { id: id.to_owned(), life: life % MAX_EXACT_INTEGER };
+        let who = Candidate { id: id.to_owned(), incarnation: incarnation % MAX_EXACT_INTEGER };
         who.check()?;
         let lease = check_lease(lease_s)?;
         Ok(Seat {
@@ -105,7 +105,7 @@
             tenure: Tenure::new(lease),
             asked: false,
             joined: false,
-            chance: who.life | 1,
+            chance: who.incarnation | 1,
             who,
             give_way: false,
             seek: 0,
@@ -284,7 +284,7 @@
         if self.asked {
             let _ = self.changes.put::<Duty>(Method::POST, &path, &question, lease / 2).await;
         }
-        self.who.life = (self.who.life + 1) % MAX_EXACT_INTEGER;
+        self.who.incarnation = (self.who.incarnation + 1) % MAX_EXACT_INTEGER;
         (self.asked, self.joined, self.give_way) = (false, false, false);
         self.tenure = Tenure::new(lease);
         // Handles of the last tenure keep what they have: that it is over.
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -35,7 +35,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Candidate {
     pub id: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Candidate {
@@ -43,7 +44,7 @@
     /// Names the invalid field.
     pub fn check(&self) -> Result<(), Invalid> {
         check_id(&self.id)?;
-        if self.life >= MAX_EXACT_INTEGER {
+        if self.incarnation >= MAX_EXACT_INTEGER {
             return Err(Invalid(format!("life: a whole number below {MAX_EXACT_INTEGER} expected")));
         }
         Ok(())
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -52,7 +52,7 @@
 const ENTRY: &str = r#"{"id":"cache-7","addr":"10.1.2.3:4005","zone":"north","kind":"cache","cell":6,"state":"leaving","weight":0.75,"started_ms":1700000000008}"#;
 
 fn candidate() -> Candidate {
-    Candidate { id: "agent-2".into(), life: 31 }
+    Candidate { id: "agent-2".into(), incarnation: 31 }
 }
 
 #[test]
@@ -249,7 +249,7 @@
 fn duty_candidate() {
     assert_format(&candidate(), r#"{"id":"agent-2","life":31}"#);
     assert_refused::<Candidate>(r#"{"x":1}"#, "unknown field `x`, expected `id` or `life`");
-    let wrong = Candidate { id: "a".into(), life: duty::MAX_EXACT_INTEGER };
+    let wrong = Candidate { id: "a".into(), incarnation: duty::MAX_EXACT_INTEGER };
     assert_eq!(
         wrong.check().expect_err("the life is refused").to_string(),
         "life: a whole number below 9007199254740992 expected"
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -25,7 +25,7 @@
 }
 
 fn who(n: usize) -> Candidate {
-    Candidate { id: format!("c{n}"), life: 0 }
+    Candidate { id: format!("c{n}"), incarnation: 0 }
 }
 
 /// The parts to check: the program as it is, or without one of its protections.
--- a/registry/tests/histories.rs
+++ b/registry/tests/histories.rs
@@ -192,7 +192,7 @@
 
 fn duty_command() -> impl Strategy<Value = DutyCommand> {
     let name = (0..2u8).prop_map(|n| format!("d{n}"));
-    let who = (0..4u64, 0..2u64).prop_map(|(n, life)| Candidate { id: format!("c{n}"), life });
+    let who = (0..4u64, 0..2u64).prop_map(|(n, incarnation)| Candidate { id: format!("c{n}"), incarnation });
     (name, who, 0..12u8, 0..12u64, 0..3u64).prop_map(|(name, who, what, fence, expect)| match what {
         0..=3 => DutyCommand::Acquire { name, who, lease: Duration::from_secs(5), at_ms: fence },
         4 => DutyCommand::Release { name, who, why: HandoverReason::Released, at_ms: fence },
@@ -246,8 +246,8 @@
                 prop_assert!(duties.check_fence(name, duty.fence).is_ok() && duties.check_fence(name, old).is_err());
             }
             for n in 0..4u64 {
-                for life in 0..2 {
-                    let who = Candidate { id: format!("c{n}"), life };
+                for incarnation in 0..2 {
+                    let who = Candidate { id: format!("c{n}"), incarnation };
                     for name in ["d0", "d1"] {
                         let status = duties.status(name, &who);
                         prop_assert!(status.is_none_or(|s| s.holds == (s.fence > 0) && (!s.holds || s.before == 0)));
