--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -216,7 +216,7 @@
         }
         None => text += &format!("held by nobody, last fence {}", duty.fence),
     }
-    if duty.give_way {
+    if duty.release_requested {
         text += ", asked to stop";
     }
     text += &format!(", {} waiting, checkpoint {}", duty.waiters.len(), duty.checkpoint_version);
@@ -241,7 +241,7 @@
     };
     let question = Transfer { fence: seen.fence, to };
     let asked: Duty = put(service.registry, Method::POST, &path(name, "transfer")?, &question).await?;
-    if asked.give_way {
+    if asked.release_requested {
         let next = asked.waiters.first().map_or("nobody waits", String::as_str);
         println!("{name}: {holder} is asked to stop; next: {next}");
     } else {
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -75,7 +75,7 @@
     joined: bool,
     /// Draws pauses.
     chance: u64,
-    give_way: bool,
+    release_requested: bool,
     /// Endpoints still to be tried for the leader, and when that begins anew.
     seek: usize,
     seek_again: Time,
@@ -107,7 +107,7 @@
             joined: false,
             chance: who.incarnation | 1,
             who,
-            give_way: false,
+            release_requested: false,
             seek: 0,
             seek_again: Time::ZERO,
             until: Arc::default(),
@@ -185,7 +185,12 @@
         let who = self.who.clone();
         let standing: Result<CandidateStatus, ChangeError> = if self.joined {
             let holds = self.tenure.holds(sent).is_some();
-            let question = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
+            let question = Renew {
+                who,
+                hold_ms: hold.as_millis() as u64,
+                holds,
+                release_requested: self.release_requested,
+            };
             let body = serde_json::to_vec(&question)?.into();
             self.changes.once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
         } else {
@@ -197,7 +202,7 @@
         match standing {
             Ok(standing) => {
                 self.joined = true;
-                self.give_way = standing.give_way;
+                self.release_requested = standing.release_requested;
                 self.seek(standing.direct);
                 Ok(self.tenure.told(sent, Some(&standing), boot()))
             }
@@ -285,7 +290,7 @@
             let _ = self.changes.put::<Duty>(Method::POST, &path, &question, lease / 2).await;
         }
         self.who.incarnation = (self.who.incarnation + 1) % MAX_EXACT_INTEGER;
-        (self.asked, self.joined, self.give_way) = (false, false, false);
+        (self.asked, self.joined, self.release_requested) = (false, false, false);
         self.tenure = Tenure::new(lease);
         // Handles of the last tenure keep what they have: that it is over.
         self.until = Arc::default();
--- a/registry-client/src/tenure.rs
+++ b/registry-client/src/tenure.rs
@@ -91,7 +91,7 @@
                 return News::Won;
             }
         }
-        match standing.is_some_and(|standing| standing.give_way) {
+        match standing.is_some_and(|standing| standing.release_requested) {
             true => News::GiveWay,
             false => News::None,
         }
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -90,8 +90,8 @@
     /// What the candidate knows: whether it holds the duty, and whether it was asked to release it.
     #[serde(default)]
     pub holds: bool,
-    #[serde(default)]
-    pub give_way: bool,
+    #[serde(default, rename = "give_way")]
+    pub release_requested: bool,
 }
 
 /// A candidate's place in the queue for a duty.
@@ -101,7 +101,8 @@
     /// The holder's fencing number; 0 for a waiting candidate.
     pub fence: u64,
     /// The candidate is asked to stop its work and to release the duty.
-    pub give_way: bool,
+    #[serde(rename = "give_way")]
+    pub release_requested: bool,
     /// Candidates in front of this one, including the holder.
     pub before: usize,
     pub checkpoint_version: u64,
@@ -188,7 +189,8 @@
     /// Ids of the waiting candidates, in the order of the queue.
     pub waiters: Vec<String>,
     /// The holder is asked to stop its work and to release the duty.
-    pub give_way: bool,
+    #[serde(rename = "give_way")]
+    pub release_requested: bool,
     pub checkpoint_version: u64,
     pub last: Option<Handover>,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -269,7 +269,7 @@
 
 #[test]
 fn duty_renew() {
-    let renew = |holds, give_way| Renew { who: candidate(), hold_ms: 250, holds, give_way };
+    let renew = |holds, release_requested| Renew { who: candidate(), hold_ms: 250, holds, release_requested };
     let text = |known: &str| format!(r#"{{"who":{{"id":"agent-2","life":31}},"hold_ms":250{known}}}"#);
     assert_format(&renew(true, false), &text(r#","holds":true,"give_way":false"#));
     assert_format(&renew(false, true), &text(r#","holds":false,"give_way":true"#));
@@ -282,10 +282,10 @@
 
 #[test]
 fn duty_standing() {
-    let standing = |holds, give_way, direct| CandidateStatus {
+    let standing = |holds, release_requested, direct| CandidateStatus {
         holds,
         fence: 11,
-        give_way,
+        release_requested,
         before: 12,
         checkpoint_version: 13,
         direct,
@@ -355,7 +355,7 @@
         since_ms: 44,
         lease_ms: 45,
         waiters: vec!["c".into(), "d".into()],
-        give_way: true,
+        release_requested: true,
         checkpoint_version: 46,
         last: Some(last),
     };
@@ -365,7 +365,7 @@
     assert_format(&held, &held_text);
     let all = Duties { duties: vec![held.clone()], quiet: true };
     assert_format(&all, &format!(r#"{{"duties":[{held_text}],"quiet":true}}"#));
-    let free = Duty { holder: None, waiters: Vec::new(), give_way: false, last: None, ..held };
+    let free = Duty { holder: None, waiters: Vec::new(), release_requested: false, last: None, ..held };
     let free_text = r#"{"name":"sweep","holder":null,"fence":43,"since_ms":44,"lease_ms":45,"waiters":[],"give_way":false,"checkpoint_version":46,"last":null}"#;
     assert_format(&free, free_text);
 }
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -110,7 +110,8 @@
     fence: u64,
     since_ms: u64,
     waiters: Vec<Claim>,
-    give_way: bool,
+    #[serde(rename = "give_way")]
+    release_requested: bool,
     #[serde(rename = "checkpoint")]
     checkpoint_version: u64,
     #[serde(rename = "written_under")]
@@ -145,7 +146,7 @@
 
     /// Removes the holder and returns its id.
     fn remove_holder(&mut self) -> Option<String> {
-        self.give_way = false;
+        self.release_requested = false;
         self.since_ms = 0;
         self.holder.take().map(|claim| claim.who.id)
     }
@@ -266,7 +267,7 @@
             let first = duty.waiters.remove(at.ok_or(DutyRejection::NotInLine(id))?);
             duty.waiters.insert(0, first);
         }
-        duty.give_way = true;
+        duty.release_requested = true;
         Ok(DutyOutcome::Done)
     }
 
@@ -323,7 +324,7 @@
         Some(CandidateStatus {
             holds,
             fence: if holds { duty.fence } else { 0 },
-            give_way: holds && duty.give_way,
+            release_requested: holds && duty.release_requested,
             before,
             checkpoint_version: duty.checkpoint_version,
             direct: false,
@@ -343,7 +344,7 @@
             since_ms: duty.since_ms,
             lease_ms: duty.holder.as_ref().map_or(0, |claim| claim.lease.as_millis() as u64),
             waiters: duty.waiters.iter().map(|claim| claim.who.id.clone()).collect(),
-            give_way: duty.give_way,
+            release_requested: duty.release_requested,
             checkpoint_version: duty.checkpoint_version,
             last: duty.last.clone(),
         })
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -216,8 +216,9 @@
     let permit = replica.renewal_wait_permits.try_acquire().ok().filter(|_| !forwarded);
     let hold = permit.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(request.hold_ms));
     let deadline = Instant::now() + hold.min(MAX_HOLD);
-    let changed_for_caller =
-        |status: &CandidateStatus| status.holds != request.holds || status.give_way != request.give_way;
+    let changed_for_caller = |status: &CandidateStatus| {
+        status.holds != request.holds || status.release_requested != request.release_requested
+    };
     loop {
         changes.borrow_and_update();
         match replica.view.with_duties(|duties| duties.status(&name, &request.who)) {
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -152,7 +152,14 @@
 }
 
 fn status(fence: u64) -> CandidateStatus {
-    CandidateStatus { holds: true, fence, give_way: false, before: 0, checkpoint_version: 0, direct: true }
+    CandidateStatus {
+        holds: true,
+        fence,
+        release_requested: false,
+        before: 0,
+        checkpoint_version: 0,
+        direct: true,
+    }
 }
 
 impl Protections {
