--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -195,7 +195,7 @@
     if as_json {
         return print_json(&all);
     }
-    if all.quiet {
+    if all.grants_paused {
         println!(
             "RESTORED FROM A BACKUP: nothing is granted until holders that it does not know have stopped"
         );
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -200,7 +200,8 @@
 pub struct Duties {
     pub duties: Vec<Duty>,
     /// No duty is granted yet, because the service was restored from a backup.
-    pub quiet: bool,
+    #[serde(rename = "quiet")]
+    pub grants_paused: bool,
 }
 
 /// The duty and the fencing number under which a change is made. The change is rejected once another holder
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -363,7 +363,7 @@
         r#"{{"name":"sweep","holder":"b","fence":43,"since_ms":44,"lease_ms":45,"waiters":["c","d"],"give_way":true,"checkpoint_version":46,"last":{last_text}}}"#
     );
     assert_format(&held, &held_text);
-    let all = Duties { duties: vec![held.clone()], quiet: true };
+    let all = Duties { duties: vec![held.clone()], grants_paused: true };
     assert_format(&all, &format!(r#"{{"duties":[{held_text}],"quiet":true}}"#));
     let free = Duty { holder: None, waiters: Vec::new(), release_requested: false, last: None, ..held };
     let free_text = r#"{"name":"sweep","holder":null,"fence":43,"since_ms":44,"lease_ms":45,"waiters":[],"give_way":false,"checkpoint_version":46,"last":null}"#;
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -85,7 +85,7 @@
     if matches!(route, DutyRoute::All) {
         let all = replica.view.with_duties(|duties| DutyList {
             duties: duties.names().filter_map(|name| duties.describe(name)).collect(),
-            quiet: duties.are_grants_paused(),
+            grants_paused: duties.are_grants_paused(),
         });
         return if_current(replica, json_reply(StatusCode::OK, &all));
     }
