--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// `POST …/NAME/acquire`: joins the queue. A candidate that is queued already gets its current status.
+/// `POST …/NAME/acquire`: joins the queue. Repeating it only returns the current status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Acquire {
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -51,23 +51,23 @@
 pub struct Entry {
     pub id: String,
     pub addr: SocketAddr,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub zone: String,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub kind: String,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub cell: u64,
-    #[serde(default = "unknown_state", deserialize_with = "patient_state")]
+    #[serde(default = "unknown_state", deserialize_with = "lenient_state")]
     pub state: State,
-    #[serde(default = "one", deserialize_with = "patient_weight")]
+    #[serde(default = "default_weight", deserialize_with = "lenient_weight")]
     pub weight: f64,
     /// Start of the instance's process in Unix time, in milliseconds; 0 if unknown, which counts as older
     /// than any other start.
-    #[serde(default, deserialize_with = "patient_ms")]
+    #[serde(default, deserialize_with = "lenient_ms")]
     pub started_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -75,25 +75,25 @@
     State::Leaving
 }
 
-fn or<'de, D: Deserializer<'de>, T: DeserializeOwned>(from: D, otherwise: T) -> Result<T, D::Error> {
-    Ok(serde_json::from_value(Value::deserialize(from)?).unwrap_or(otherwise))
+fn decode_or<'de, D: Deserializer<'de>, T: DeserializeOwned>(from: D, default: T) -> Result<T, D::Error> {
+    Ok(serde_json::from_value(Value::deserialize(from)?).unwrap_or(default))
 }
 
-fn patient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(from: D) -> Result<T, D::Error> {
-    or(from, T::default())
+fn lenient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(from: D) -> Result<T, D::Error> {
+    decode_or(from, T::default())
 }
 
-fn patient_state<'de, D: Deserializer<'de>>(from: D) -> Result<State, D::Error> {
-    or(from, unknown_state())
+fn lenient_state<'de, D: Deserializer<'de>>(from: D) -> Result<State, D::Error> {
+    decode_or(from, unknown_state())
 }
 
-fn patient_weight<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    or(from, one())
+fn lenient_weight<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    decode_or(from, default_weight())
 }
 
 /// Some writers send the start time as a number with a fraction.
-fn patient_ms<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    Ok(or(from, 0.0_f64)?.max(0.0) as u64)
+fn lenient_ms<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+    Ok(decode_or(from, 0.0_f64)?.max(0.0) as u64)
 }
 
 /// The complete list if `full` is set, otherwise the entries that changed.
@@ -118,7 +118,7 @@
 
 impl Stamp {
     /// The caller gave neither a start time nor an incarnation.
-    pub fn is_none(self) -> bool {
+    pub fn is_unset(self) -> bool {
         self == Stamp::default()
     }
 }
@@ -139,7 +139,7 @@
     pub cell: u64,
     #[serde(default)]
     pub state: State,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     #[serde(default)]
     pub started_ms: u64,
@@ -172,7 +172,7 @@
     /// Names the first field that is out of bounds.
     pub fn check(self, id: &str) -> Result<(Entry, Stamp, Option<Duration>), Invalid> {
         check_id(id)?;
-        if self.id.as_deref().is_some_and(|own| own != id) {
+        if self.id.as_deref().is_some_and(|given| given != id) {
             return Err(Invalid("id: the path's id expected, or none".into()));
         }
         for (name, text) in [("zone", &self.zone), ("kind", &self.kind)] {
@@ -211,9 +211,9 @@
 /// # Errors
 /// States which ids are valid.
 pub fn check_id(id: &str) -> Result<(), Invalid> {
-    let fits =
+    let valid =
         (1..=MAX_NAME_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-    if fits {
+    if valid {
         return Ok(());
     }
     Err(Invalid(format!("id: 1 to {MAX_NAME_BYTES} visible ASCII characters without `/` expected")))
@@ -231,7 +231,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// The answer to a change, which is included in the list from this version on.
+/// The answer to a change: lists contain it from this version on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeResult {
     pub version: u64,
--- a/registry/src/catalogue.rs
+++ b/registry/src/catalogue.rs
@@ -180,7 +180,7 @@
             }
             // A delayed repeat must not bring back an instance that has announced its departure since.
             // Without a stamp a repeat can't be recognized, and the last command wins.
-            let same_incarnation = stamp == old.stamp && !stamp.is_none();
+            let same_incarnation = stamp == old.stamp && !stamp.is_unset();
             let departed = match old.entry.state {
                 State::Active => false,
                 State::Leaving => entry.state == State::Active,
@@ -205,7 +205,7 @@
     /// An empty stamp means whichever process is listed.
     fn set_state(&mut self, id: &str, stamp: Stamp, to: State) -> Outcome {
         let Some(old) = self.records.get(id) else { return Outcome::Refused(Rejection::Unknown) };
-        if !stamp.is_none() && stamp < old.stamp {
+        if !stamp.is_unset() && stamp < old.stamp {
             return Outcome::Refused(Rejection::stale(old.stamp));
         }
         let removed = old.entry.state == State::Left;
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -212,7 +212,8 @@
     let mut changes = replica.view.duty_changes();
     record_renewal(replica, &name, &request.who)?;
     replica.confirm_leadership().await?;
-    // Renewals without a permit to wait are answered at once; the agents repeat them after the same time.
+    // A renewal without a permit to wait is answered at once. The agent repeats it after the time that it asked
+    // to wait.
     let permit = replica.renewal_wait_permits.try_acquire().ok().filter(|_| !forwarded);
     let hold = permit.as_ref().map_or(Duration::ZERO, |_| Duration::from_millis(request.hold_ms));
     let deadline = Instant::now() + hold.min(MAX_HOLD);
--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -68,7 +68,7 @@
 
     pub fn renew(&mut self, id: &str, stamp: Stamp, list: &Catalogue, now: MonotonicTime) -> RenewalOutcome {
         let Some(record) = list.get(id) else { return RenewalOutcome::Unknown };
-        if !stamp.is_none() && stamp < record.stamp {
+        if !stamp.is_unset() && stamp < record.stamp {
             return RenewalOutcome::Stale;
         }
         // A newer process than the listed one has to register first.
