--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -104,7 +104,8 @@
     #[serde(rename = "give_way")]
     pub release_requested: bool,
     /// Candidates in front of this one, including the holder.
-    pub before: usize,
+    #[serde(rename = "before")]
+    pub candidates_ahead: usize,
     pub checkpoint_version: u64,
     /// The answer came from the leader itself. Only the leader lets renewals wait: forwarded ones are
     /// answered at once, because they share the connections between replicas.
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -286,7 +286,7 @@
         holds,
         fence: 11,
         release_requested,
-        before: 12,
+        candidates_ahead: 12,
         checkpoint_version: 13,
         direct,
     };
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -319,13 +319,13 @@
     /// The candidate's status; `None` if it is not in the queue.
     pub fn status(&self, name: &str, who: &Candidate) -> Option<CandidateStatus> {
         let duty = self.duties.get(name)?;
-        let before = duty.position(who)?;
+        let candidates_ahead = duty.position(who)?;
         let holds = duty.holder.as_ref().is_some_and(|holder| holder.who == *who);
         Some(CandidateStatus {
             holds,
             fence: if holds { duty.fence } else { 0 },
             release_requested: holds && duty.release_requested,
-            before,
+            candidates_ahead,
             checkpoint_version: duty.checkpoint_version,
             direct: false,
         })
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -156,7 +156,7 @@
         holds: true,
         fence,
         release_requested: false,
-        before: 0,
+        candidates_ahead: 0,
         checkpoint_version: 0,
         direct: true,
     }
--- a/registry/tests/histories.rs
+++ b/registry/tests/histories.rs
@@ -250,7 +250,7 @@
                     let who = Candidate { id: format!("c{n}"), incarnation };
                     for name in ["d0", "d1"] {
                         let status = duties.status(name, &who);
-                        prop_assert!(status.is_none_or(|s| s.holds == (s.fence > 0) && (!s.holds || s.before == 0)));
+                        prop_assert!(status.is_none_or(|s| s.holds == (s.fence > 0) && (!s.holds || s.candidates_ahead == 0)));
                     }
                 }
             }
