--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -89,7 +89,7 @@
 
 async fn answer(thing: Arc<Mutex<Thing>>, request: Request<Incoming>, guard: bool) -> Reply {
     let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
-    let fence = Fence::read(header(DUTY_HEADER), header(FENCE_HEADER));
+    let fence = Fence::from_headers(header(DUTY_HEADER), header(FENCE_HEADER));
     let method = request.method().clone();
     let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
     let value = body.ok().and_then(|body| String::from_utf8_lossy(&body.to_bytes()).parse::<u64>().ok());
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -164,7 +164,7 @@
     /// The refusal of a change under a duty's old fencing number. Calls without one are an operator's own.
     fn barred(&self, request: &Request<Incoming>) -> Option<Response<Full<Bytes>>> {
         let header = |name| request.headers().get(name).map(|value| value.to_str().unwrap_or("not text"));
-        let fence = match Fence::read(header(DUTY_HEADER), header(FENCE_HEADER)) {
+        let fence = match Fence::from_headers(header(DUTY_HEADER), header(FENCE_HEADER)) {
             Ok(fence) => fence?,
             Err(e) => return Some(answer(StatusCode::BAD_REQUEST, format!("{e}\n"))),
         };
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -219,7 +219,7 @@
     /// # Errors
     /// Only one of the headers is present, or a value is invalid: a fenced change must not be executed as an
     /// unfenced one.
-    pub fn read(duty: Option<&str>, fence: Option<&str>) -> Result<Option<Fence>, Invalid> {
+    pub fn from_headers(duty: Option<&str>, fence: Option<&str>) -> Result<Option<Fence>, Invalid> {
         match (duty, fence) {
             (None, None) => Ok(None),
             (Some(duty), Some(fence)) => {
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -374,9 +374,10 @@
 fn fence_headers() {
     let fence = Fence { duty: "sweep".into(), fence: 51 };
     assert_format(&fence, r#"{"duty":"sweep","fence":51}"#);
-    assert_eq!(Fence::read(None, None), Ok(None));
-    assert_eq!(Fence::read(Some("sweep"), Some("51")), Ok(Some(fence)));
-    let error = |duty, number| Fence::read(duty, number).expect_err("the headers are refused").to_string();
+    assert_eq!(Fence::from_headers(None, None), Ok(None));
+    assert_eq!(Fence::from_headers(Some("sweep"), Some("51")), Ok(Some(fence)));
+    let error =
+        |duty, number| Fence::from_headers(duty, number).expect_err("the headers are refused").to_string();
     assert_eq!(error(Some("sweep"), None), "x-duty and x-fence: both expected, or none");
     assert_eq!(error(Some("sweep"), Some("0")), "x-fence: a fencing number expected, got `0`");
     assert_eq!(
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -47,7 +47,7 @@
     let path = if forwarded { path.strip_prefix(FORWARD_PREFIX).unwrap_or(path) } else { path }.to_owned();
     let method = request.method().clone();
     let header = |name| request.headers().get(name).map(|value| value.to_str().unwrap_or("not text"));
-    let fence = match Fence::read(header(DUTY_HEADER), header(FENCE_HEADER)) {
+    let fence = match Fence::from_headers(header(DUTY_HEADER), header(FENCE_HEADER)) {
         Ok(fence) => fence,
         Err(e) => return error_reply(StatusCode::BAD_REQUEST, e),
     };
