--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -135,7 +135,7 @@
     unix().as_millis() as u64
 }
 
-/// Refuses a read while this replica has had no contact to a majority for too long: its state may be
+/// Refuses a read while this replica has had no contact with a majority for too long: its state may be
 /// outdated.
 fn if_current(replica: &Replica, reply: Reply) -> HandlerResult {
     match &*replica.not_ready().borrow() {
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -26,7 +26,7 @@
 
 const IDENTITY_FILE: &str = "replica";
 const LOCK_FILE: &str = "lock";
-/// How often leases, freshness and the leader's contact to a majority are checked.
+/// How often leases, freshness and the leader's contact with a majority are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Commit indexes reported by the leader that are not applied here yet. When the limit is reached, reports
 /// are skipped until some are applied.
@@ -38,7 +38,7 @@
     /// The leader's heartbeat interval, and the limit for one message with log entries: slower links can't
     /// carry the replication. A new leader is elected after 3.8 to 4.8 intervals.
     pub heartbeat_ms: u64,
-    /// Without contact to a majority for this long, no lists are answered.
+    /// Without contact with a majority for this long, no lists are answered.
     pub stale_ms: u64,
     /// The longest wait for a change to be acknowledged.
     pub change_ms: u64,
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotReady {
     Stopping,
-    /// No contact to a majority for too long.
+    /// No contact with a majority for too long.
     Stale,
 }
 
@@ -427,7 +427,7 @@
 
     // ---- Maintenance ---------------------------------------------------------------------------------
 
-    /// Checks freshness, leases and the leader's contact to a majority for as long as the process runs.
+    /// Checks freshness, leases and the leader's contact with a majority for as long as the process runs.
     async fn maintain(self: Arc<Self>) {
         let heartbeat = Duration::from_millis(self.settings.heartbeat_ms);
         let mut last_led_term = 0;
@@ -640,7 +640,7 @@
             let why = if leader.is_some() { "another replica leads" } else { "no replica leads now" };
             return not_executed(why.into(), leader);
         }
-        // A leader without contact to a majority would accept changes that may never be committed.
+        // A leader without contact with a majority would accept changes that may never be committed.
         if self.quorum_age().is_none_or(|age| age >= Duration::from_millis(self.settings.heartbeat_ms * 6)) {
             return not_executed("cut off from a majority".into(), None);
         }
