--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -58,6 +58,7 @@
     },
 }
 
+/// A candidate whose lease on the duty `name` expired. `fence` is 0 unless it held the duty.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LapsedCandidate {
     pub name: String,
