--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -32,7 +32,7 @@
 impl Peers {
     /// Returns `None` if messages between nodes are disabled.
     pub async fn bind(config: &Config) -> io::Result<Option<Self>> {
-        let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peers) else {
+        let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peer_messages) else {
             return Ok(None);
         };
         let socket = match UdpSocket::bind(listen).await {
