--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -17,9 +17,10 @@
 use shaletrail_registry_client::duty::{DutyError, Seat};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
-    Checkpoint, Duties, Duty, Kept, Transfer, Why, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
+    Checkpoint, Duties, Duty, HandoverReason, StoredCheckpoint, Transfer, DUTIES_PATH, MAX_CHECKPOINT_BYTES,
+    MAX_EXACT_INTEGER,
 };
-use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
+use shaletrail_registry_protocol::{check_id, MAX_LIST_BYTES};
 
 use crate::{stopped, Failure};
 
@@ -176,7 +177,7 @@
 }
 
 async fn get<A: DeserializeOwned>(registry: &[SocketAddr], path: &str) -> Result<A, Failure> {
-    Changes::new(registry.to_vec()).read(path, LONGEST_LIST).await.map_err(Failure::failed)
+    Changes::new(registry.to_vec()).read(path, MAX_LIST_BYTES).await.map_err(Failure::failed)
 }
 
 async fn show(registry: &[SocketAddr], name: &str) -> Result<Duty, Failure> {
@@ -190,11 +191,11 @@
 }
 
 async fn list(service: Service, as_json: bool) -> Result<(), Failure> {
-    let all: Duties = get(&service.registry, DUTIES).await?;
+    let all: Duties = get(&service.registry, DUTIES_PATH).await?;
     if as_json {
         return print_json(&all);
     }
-    if all.quiet {
+    if all.grants_paused {
         println!(
             "RESTORED FROM A BACKUP: nothing is granted until holders that it does not know have stopped"
         );
@@ -215,17 +216,17 @@
         }
         None => text += &format!("held by nobody, last fence {}", duty.fence),
     }
-    if duty.give_way {
+    if duty.release_requested {
         text += ", asked to stop";
     }
     text += &format!(", {} waiting, checkpoint {}", duty.waiters.len(), duty.checkpoint_version);
     if let Some(last) = &duty.last {
         let why = match last.why {
-            Why::Free => "it was free",
-            Why::Released => "the holder was done",
-            Why::Asked => "an operator asked",
-            Why::Failed => "its command failed",
-            Why::Lapsed => "the holder was silent",
+            HandoverReason::Free => "it was free",
+            HandoverReason::Released => "the holder was done",
+            HandoverReason::Asked => "an operator asked",
+            HandoverReason::Failed => "its command failed",
+            HandoverReason::Lapsed => "the holder was silent",
         };
         let (from, to) = (last.from.as_ref().unwrap_or(&nobody), last.to.as_ref().unwrap_or(&nobody));
         text += &format!("; last from {from} to {to} {} ago: {why}", age(last.at_ms));
@@ -240,7 +241,7 @@
     };
     let question = Transfer { fence: seen.fence, to };
     let asked: Duty = put(service.registry, Method::POST, &path(name, "transfer")?, &question).await?;
-    if asked.give_way {
+    if asked.release_requested {
         let next = asked.waiters.first().map_or("nobody waits", String::as_str);
         println!("{name}: {holder} is asked to stop; next: {next}");
     } else {
@@ -252,7 +253,7 @@
 async fn checkpoint(args: CheckpointArgs) -> Result<(), Failure> {
     let path = path(&args.name, "checkpoint")?;
     let Some(file) = args.set else {
-        let kept: Kept = get(&args.service.registry, &path).await?;
+        let kept: StoredCheckpoint = get(&args.service.registry, &path).await?;
         if args.json {
             return print_json(&kept);
         }
@@ -263,18 +264,18 @@
     let expect = args.expect.unwrap_or(0);
     let mut bytes = Vec::new();
     let failed = |e| Failure::Failed(format!("{}: {e}", file.display()));
-    let most = LONGEST_CHECKPOINT as u64 + 1;
+    let most = MAX_CHECKPOINT_BYTES as u64 + 1;
     let read = if file.as_os_str() == "-" {
         std::io::stdin().lock().take(most).read_to_end(&mut bytes)
     } else {
         std::fs::File::open(&file).and_then(|opened| opened.take(most).read_to_end(&mut bytes))
     };
     read.map_err(failed)?;
-    if bytes.len() > LONGEST_CHECKPOINT {
-        return Err(Failure::Wrong(format!("--set: at most {LONGEST_CHECKPOINT} bytes expected")));
+    if bytes.len() > MAX_CHECKPOINT_BYTES {
+        return Err(Failure::Wrong(format!("--set: at most {MAX_CHECKPOINT_BYTES} bytes expected")));
     }
     let data = String::from_utf8(bytes).map_err(|_| Failure::Wrong("--set: UTF-8 expected".into()))?;
-    let kept: Kept =
+    let kept: StoredCheckpoint =
         put(args.service.registry, Method::PUT, &path, &Checkpoint { fence, expect, data }).await?;
     if args.json {
         return print_json(&kept);
@@ -287,7 +288,7 @@
 pub fn life() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
-    hasher.finish() % MOST_EXACT
+    hasher.finish() % MAX_EXACT_INTEGER
 }
 
 pub fn own_id() -> String {
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -8,11 +8,11 @@
 
 use clap::Subcommand;
 use serde_json::{json, Value};
-use shaletrail_registry::{restore, Folder, Options, ServiceError};
+use shaletrail_registry::{restore, DataFolder, Options, ServiceError};
 use shaletrail_registry_client::changes::{ChangeError, Changes};
 use shaletrail_registry_client::duty::{serve, Seat};
 use shaletrail_registry_client::keeper::{self, Backups};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
+use shaletrail_registry_protocol::{ConfirmExpiry, ConfirmExpiryResult, Status, MAX_LIST_BYTES};
 
 use crate::{config, duty, stopped, Failure};
 
@@ -165,7 +165,8 @@
         Some(Verb::Status { service, json }) => status(service, json).await,
         Some(Verb::Confirm { most, service }) => {
             let path = "/registry/expiry/confirm";
-            let told: Confirmed = put(service, hyper::Method::POST, path, &Confirm { most }).await?;
+            let told: ConfirmExpiryResult =
+                put(service, hyper::Method::POST, path, &ConfirmExpiry { most }).await?;
             println!("{} entries may expire", told.expired);
             Ok(())
         }
@@ -202,7 +203,7 @@
         }
         Some(Verb::Backup { file, service }) => backup(&file, service).await,
         Some(Verb::Restore { file, data, name, replica, beyond }) => {
-            let folder = Folder::hold(&data).map_err(Failure::failed)?;
+            let folder = DataFolder::lock(&data).map_err(Failure::failed)?;
             let replica = replica.map_or(String::new(), |addr| addr.to_string());
             let version = restore(&folder, &name, &replica, &file, beyond).map_err(Failure::failed)?;
             println!("{}: the list of {} as version {version}", data.display(), file.display());
@@ -233,7 +234,7 @@
         let _ = std::io::stdout().flush();
     };
     shaletrail_registry::run(options, ready, stopped()).await.map_err(|e| match e {
-        ServiceError::Wrong(what) => Failure::Wrong(what),
+        ServiceError::Invalid(what) => Failure::Wrong(what),
         e => Failure::failed(e),
     })
 }
@@ -252,7 +253,7 @@
 }
 
 async fn status(service: Service, as_json: bool) -> Result<(), Failure> {
-    let status = Changes::new(service.registry).read("/registry/status", LONGEST_LIST).await;
+    let status = Changes::new(service.registry).read("/registry/status", MAX_LIST_BYTES).await;
     let status: Status = status.map_err(Failure::failed)?;
     if as_json {
         println!("{}", serde_json::to_string(&status).map_err(Failure::failed)?);
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::ask;
 use shaletrail_registry_client::follow::Ask;
-use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
+use shaletrail_registry_protocol::{ChangeResult, Register, INSTANCES_PATH, MAX_LIST_BYTES};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -142,7 +142,7 @@
 
 async fn put(changes: &mut Changes, id: &str, number: u64) -> Result<u64, Failed> {
     let question = Register { incarnation: 0, ..numbered(id, number) };
-    let changed: Changed =
+    let changed: ChangeResult =
         changes.put(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
     Ok(changed.version)
 }
@@ -171,7 +171,7 @@
                     path: &path,
                     headers: &[],
                     body,
-                    most: LONGEST_LIST,
+                    most: MAX_LIST_BYTES,
                     last: false,
                 };
                 let answer = line.within(Duration::from_secs(10), call).await;
@@ -219,8 +219,8 @@
         watchers.push(tokio::spawn(async move {
             let mut line = Line::new(addr);
             while !stop.load(Ordering::Relaxed) {
-                let path = format!("{INSTANCES}?from={version}&hold_ms=20000");
-                let call = Call { last: false, ..Call::get(&path, LONGEST_LIST) };
+                let path = format!("{INSTANCES_PATH}?from={version}&hold_ms=20000");
+                let call = Call { last: false, ..Call::get(&path, MAX_LIST_BYTES) };
                 let answer = line.within(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
                 let list = serde_json::from_slice::<shaletrail_registry_protocol::List>(&answer.body);
@@ -275,8 +275,9 @@
             all += 1;
             let mut answered = false;
             for addr in &discovery {
-                let answer =
-                    Line::new(*addr).within(Duration::from_secs(1), Call::get(INSTANCES, LONGEST_LIST)).await;
+                let answer = Line::new(*addr)
+                    .within(Duration::from_secs(1), Call::get(INSTANCES_PATH, MAX_LIST_BYTES))
+                    .await;
                 answered |= answer.is_ok_and(|answer| answer.status.is_success());
                 if answered {
                     break;
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaletrail_registry_protocol::{Changed, Entry, List, Register, Stamp, INSTANCES, LONGEST_HOLD};
+use shaletrail_registry_protocol::{ChangeResult, Entry, List, Register, Stamp, INSTANCES_PATH, MAX_HOLD};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -100,7 +100,7 @@
             |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
         let from = number("from=");
         if let Some(from) = from {
-            let hold = Duration::from_millis(number("hold_ms=").unwrap_or(0)).min(LONGEST_HOLD);
+            let hold = Duration::from_millis(number("hold_ms=").unwrap_or(0)).min(MAX_HOLD);
             let mut versions = self.version.subscribe();
             let _ = timeout(hold, versions.wait_for(|version| *version > from)).await;
         }
@@ -112,8 +112,13 @@
     }
 
     async fn put(self, request: Request<Incoming>) -> Reply {
-        let id =
-            request.uri().path().strip_prefix(INSTANCES).unwrap_or_default().trim_matches('/').to_owned();
+        let id = request
+            .uri()
+            .path()
+            .strip_prefix(INSTANCES_PATH)
+            .unwrap_or_default()
+            .trim_matches('/')
+            .to_owned();
         let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
         let Ok(body) = body else { return reply(StatusCode::BAD_REQUEST, "") };
         let checked =
@@ -127,6 +132,6 @@
             version
         };
         self.version.send_replace(version);
-        reply(StatusCode::OK, serde_json::to_vec(&Changed { version, id }).unwrap_or_default())
+        reply(StatusCode::OK, serde_json::to_vec(&ChangeResult { version, id }).unwrap_or_default())
     }
 }
--- a/node/src/operator_api.rs
+++ b/node/src/operator_api.rs
@@ -167,7 +167,7 @@
     /// operators themselves and are always admitted.
     fn fence_refusal(&self, request: &Request<Incoming>) -> Option<Response<Full<Bytes>>> {
         let header = |name| request.headers().get(name).map(|value| value.to_str().unwrap_or("not text"));
-        let fence = match Fence::read(header(DUTY_HEADER), header(FENCE_HEADER)) {
+        let fence = match Fence::from_headers(header(DUTY_HEADER), header(FENCE_HEADER)) {
             Ok(fence) => fence?,
             Err(e) => return Some(text_response(StatusCode::BAD_REQUEST, format!("{e}\n"))),
         };
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -8,8 +8,8 @@
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
-use shaletrail_registry_protocol::{Refusal, INSTANCES, LONGEST_CALL};
+use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
+use shaletrail_registry_protocol::{ErrorBody, INSTANCES_PATH, MAX_REQUEST_BYTES};
 
 use crate::call::{Call, Line};
 
@@ -79,20 +79,20 @@
             Some((duty, fence)) => vec![(DUTY_HEADER, duty.as_str()), (FENCE_HEADER, fence.as_str())],
             None => Vec::new(),
         };
-        let call = Call { method, path, headers: &headers, body, most: LONGEST_CALL, last: true };
+        let call = Call { method, path, headers: &headers, body, most: MAX_REQUEST_BYTES, last: true };
         let done = match Line::new(addr).within(time, call).await {
             Ok(answer) if answer.status.is_success() => match serde_json::from_slice(&answer.body) {
                 Ok(told) => return Ok(told),
                 Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
             },
             Ok(answer) => {
-                let refusal = serde_json::from_slice::<Refusal>(&answer.body);
+                let refusal = serde_json::from_slice::<ErrorBody>(&answer.body);
                 let why = refusal.map_or_else(|_| String::new(), |refusal| refusal.error);
                 if answer.status.is_client_error() {
                     return Err(ChangeError::Refused { status: answer.status, why });
                 }
                 let trouble = format!("{addr}: {} {why}", answer.status);
-                match answer.headers.contains_key(shaletrail_registry_protocol::NOT_RUN) {
+                match answer.headers.contains_key(shaletrail_registry_protocol::NOT_EXECUTED_HEADER) {
                     true => Err(ChangeError::NotDone(trouble)),
                     false => Err(ChangeError::Unknown(trouble)),
                 }
@@ -174,12 +174,12 @@
 
 /// The path of one entry's call: none, `renew` or `leaving`.
 pub fn entry_path(id: &str, call: &str) -> String {
-    path_of(INSTANCES, id, call)
+    path_of(INSTANCES_PATH, id, call)
 }
 
 /// The path of one duty's call.
 pub fn duty_path(name: &str, call: &str) -> String {
-    path_of(DUTIES, name, call)
+    path_of(DUTIES_PATH, name, call)
 }
 
 fn path_of(all: &str, name: &str, call: &str) -> String {
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -8,10 +8,10 @@
 
 use hyper::{Method, StatusCode};
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duty, Fence, Kept, Release, Renew, Standing, Why,
-    LONGEST_HOLD, MOST_EXACT,
+    check_lease, Acquire, Candidate, CandidateStatus, Checkpoint, Duty, Fence, HandoverReason, Release,
+    Renew, StoredCheckpoint, MAX_EXACT_INTEGER, MAX_HOLD,
 };
-use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
+use shaletrail_registry_protocol::{check_id, Invalid, MAX_REQUEST_BYTES};
 use tokio::time::sleep;
 
 use crate::changes::{duty_path, ChangeError, Changes};
@@ -75,7 +75,7 @@
     joined: bool,
     /// Draws pauses.
     chance: u64,
-    give_way: bool,
+    release_requested: bool,
     /// Endpoints still to be tried for the leader, and when that begins anew.
     seek: usize,
     seek_again: Time,
@@ -84,7 +84,7 @@
 }
 
 impl Seat {
-    /// `life` is drawn anew for each process: what an earlier one started may still run.
+    /// `incarnation` is drawn anew for each process: what an earlier one started may still run.
     ///
     /// # Errors
     /// Names what is out of bounds.
@@ -92,11 +92,11 @@
         endpoints: Vec<SocketAddr>,
         name: &str,
         id: &str,
-        life: u64,
+        incarnation: u64,
         lease_s: f64,
     ) -> Result<Seat, DutyError> {
         check_id(name).map_err(|Invalid(what)| Invalid(format!("duty: {what}")))?;
-        let who = Candidate { id: id.to_owned(), life: life % MOST_EXACT };
+        let who = Candidate { id: id.to_owned(), incarnation: incarnation % MAX_EXACT_INTEGER };
         who.check()?;
         let lease = check_lease(lease_s)?;
         Ok(Seat {
@@ -105,9 +105,9 @@
             tenure: Tenure::new(lease),
             asked: false,
             joined: false,
-            chance: who.life | 1,
+            chance: who.incarnation | 1,
             who,
-            give_way: false,
+            release_requested: false,
             seek: 0,
             seek_again: Time::ZERO,
             until: Arc::default(),
@@ -183,9 +183,14 @@
         let lease = self.tenure.lease();
         let time = hold + (lease / CALL_PART).max(LEAST_CALL);
         let who = self.who.clone();
-        let standing: Result<Standing, ChangeError> = if self.joined {
+        let standing: Result<CandidateStatus, ChangeError> = if self.joined {
             let holds = self.tenure.holds(sent).is_some();
-            let question = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
+            let question = Renew {
+                who,
+                hold_ms: hold.as_millis() as u64,
+                holds,
+                release_requested: self.release_requested,
+            };
             let body = serde_json::to_vec(&question)?.into();
             self.changes.once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
         } else {
@@ -197,7 +202,7 @@
         match standing {
             Ok(standing) => {
                 self.joined = true;
-                self.give_way = standing.give_way;
+                self.release_requested = standing.release_requested;
                 self.seek(standing.direct);
                 Ok(self.tenure.told(sent, Some(&standing), boot()))
             }
@@ -220,14 +225,14 @@
             match self.sign(hold).await {
                 // Won, and stood still until that was over before it could act on it.
                 Ok(News::Lost) => {
-                    self.release(Why::Lapsed).await;
+                    self.release(HandoverReason::Lapsed).await;
                     hold = Duration::ZERO;
                 }
                 Ok(_) => {
                     if let Some(fence) = self.holds() {
                         return Ok(fence);
                     }
-                    hold = (self.tenure.lease() / 4).min(LONGEST_HOLD);
+                    hold = (self.tenure.lease() / 4).min(MAX_HOLD);
                     if !said.is_empty() {
                         say(format!("{}: in line again", self.name));
                         said.clear();
@@ -256,7 +261,7 @@
             let Some((until, kill)) = self.ends() else { return Ended::Lost };
             renewed(until, kill);
             let told = tokio::select! {
-                told = self.sign(hold.min(LONGEST_HOLD)) => told,
+                told = self.sign(hold.min(MAX_HOLD)) => told,
                 () = passed(until) => return Ended::Clock,
             };
             match told {
@@ -277,15 +282,15 @@
 
     /// Out of the line; whatever ran under the tenure has stopped. Tried for as long as it is of use: the lease does
     /// the same. The next candidacy is another life.
-    pub async fn release(&mut self, why: Why) {
+    pub async fn release(&mut self, why: HandoverReason) {
         self.until.store(0, Ordering::Release);
         let question = Release { who: self.who.clone(), why };
         let (path, lease) = (duty_path(&self.name, "release"), self.tenure.lease());
         if self.asked {
             let _ = self.changes.put::<Duty>(Method::POST, &path, &question, lease / 2).await;
         }
-        self.who.life = (self.who.life + 1) % MOST_EXACT;
-        (self.asked, self.joined, self.give_way) = (false, false, false);
+        self.who.incarnation = (self.who.incarnation + 1) % MAX_EXACT_INTEGER;
+        (self.asked, self.joined, self.release_requested) = (false, false, false);
         self.tenure = Tenure::new(lease);
         // Handles of the last tenure keep what they have: that it is over.
         self.until = Arc::default();
@@ -323,16 +328,16 @@
     ///
     /// # Errors
     /// The last endpoint's trouble.
-    pub async fn left(&mut self) -> Result<Kept, DutyError> {
+    pub async fn left(&mut self) -> Result<StoredCheckpoint, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
-        self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
+        self.changes.read(&path, MAX_REQUEST_BYTES).await.map_err(|e| self.failed(e))
     }
 
     /// Leaves this in place of the version `expect`. May be put twice.
     ///
     /// # Errors
     /// An old holder, or another version than the last.
-    pub async fn leave(&mut self, expect: u64, data: &str) -> Result<Kept, DutyError> {
+    pub async fn leave(&mut self, expect: u64, data: &str) -> Result<StoredCheckpoint, DutyError> {
         if !self.holds() {
             return Err(DutyError::Over(self.fence.duty.clone()));
         }
@@ -366,7 +371,7 @@
             () = &mut stop => None,
         };
         let Some(held) = won.and_then(|_| seat.held()) else {
-            seat.release(Why::Released).await;
+            seat.release(HandoverReason::Released).await;
             if won.is_none() {
                 return Ok(());
             }
@@ -377,15 +382,15 @@
             ended = seat.keep(|_, _| {}) => Some(ended),
             () = work(held) => None,
             () = &mut stop => {
-                seat.release(Why::Released).await;
+                seat.release(HandoverReason::Released).await;
                 return Ok(());
             }
         };
         say(format!("{}: {}", seat.name(), ended.map_or("done", Ended::words)));
         seat.release(match ended {
-            Some(Ended::Asked) => Why::Asked,
-            Some(_) => Why::Lapsed,
-            None => Why::Released,
+            Some(Ended::Asked) => HandoverReason::Asked,
+            Some(_) => HandoverReason::Lapsed,
+            None => HandoverReason::Released,
         })
         .await;
     }
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -7,7 +7,9 @@
 
 use hyper::Method;
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, LONGEST_LIST};
+use shaletrail_registry_protocol::{
+    ConfirmExpiry, ConfirmExpiryResult, EntryAddress, Expiry, MAX_LIST_BYTES,
+};
 use tokio::time::sleep;
 
 use crate::agent::answers;
@@ -20,7 +22,7 @@
 pub const EXPIRY: &str = "registry-expiry";
 
 /// Most bytes of a backup.
-const LONGEST_BACKUP: usize = LONGEST_LIST * 4;
+const LONGEST_BACKUP: usize = MAX_LIST_BYTES * 4;
 /// How often it is looked whether a backup is due, at the least, and the pause after one that failed.
 const LOOK: Duration = Duration::from_secs(30);
 const AGAIN: Duration = Duration::from_secs(10);
@@ -169,7 +171,7 @@
     Judgement::Gone
 }
 
-async fn ask(servers: &[Listed]) -> Vec<bool> {
+async fn ask(servers: &[EntryAddress]) -> Vec<bool> {
     let mut answered = Vec::with_capacity(servers.len());
     for some in servers.chunks(TOGETHER) {
         let asked: Vec<_> = some.iter().map(|server| tokio::spawn(answers(server.addr))).collect();
@@ -187,7 +189,7 @@
     let mut said = String::new();
     loop {
         sleep(PROBE_PAUSE).await;
-        let expiry: Expiry = match held.changes.read("/registry/expiry", LONGEST_LIST).await {
+        let expiry: Expiry = match held.changes.read("/registry/expiry", MAX_LIST_BYTES).await {
             Ok(expiry) => expiry,
             Err(e) => {
                 say(format!("{EXPIRY}: {e}"));
@@ -214,9 +216,9 @@
                 if !held.holds() {
                     return;
                 }
-                let word = Confirm { most: ids.len() };
+                let word = ConfirmExpiry { most: ids.len() };
                 let path = "/registry/expiry/confirm";
-                match held.changes.put::<Confirmed>(Method::POST, path, &word, PROBE_PAUSE).await {
+                match held.changes.put::<ConfirmExpiryResult>(Method::POST, path, &word, PROBE_PAUSE).await {
                     Ok(told) => {
                         format!("{} servers are gone and may expire: {}", told.expired, ids.join(" "))
                     }
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -1,6 +1,7 @@
-//! The list's form and every call's JSON. Nowhere else do names on the wire stand.
+//! The list of instances and the JSON of every call to the registry. All names on the wire are defined here.
 //!
-//! Sources: the platform's protocol, "Discovery", for [`List`] and [`Entry`]; `docs/registry.md` for the rest.
+//! Sources: the platform's protocol, "Discovery", for [`List`] and [`Entry`]; `docs/registry.md` for the
+//! rest.
 
 #![deny(unsafe_code)]
 
@@ -14,57 +15,59 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 
-/// Longest id, zone or kind, in bytes.
-pub const LONGEST_NAME: usize = 128;
-/// Shortest and longest lease, in seconds.
+/// The longest id, zone or kind, in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
+/// Shortest and longest lease of an entry, in seconds.
 pub const LEASE_S: std::ops::RangeInclusive<f64> = 0.1..=86_400.0;
-/// Longest a watch may wait, by the protocol.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(60);
-/// Set on a refusal of a change that surely has not happened.
-pub const NOT_RUN: &str = "x-not-run";
-/// Most ids that one call renews.
-pub const MOST_RENEWED: usize = 10_000;
-/// Most bytes of a changing call's body: a renewal of [`MOST_RENEWED`] ids of usual length fits.
-pub const LONGEST_CALL: usize = 2 << 20;
-/// Most bytes of a list.
-pub const LONGEST_LIST: usize = 16 << 20;
-
-/// Where the list is read.
-pub const INSTANCES: &str = "/registry/instances";
+/// The longest time for which a watch may wait, as the platform's protocol states it.
+pub const MAX_HOLD: Duration = Duration::from_secs(60);
+/// Response header that marks a change as certainly not executed.
+pub const NOT_EXECUTED_HEADER: &str = "x-not-run";
+/// The most ids that one call may renew.
+pub const MAX_RENEWALS: usize = 10_000;
+/// The largest request body, in bytes: a renewal of [`MAX_RENEWALS`] ids of usual length fits.
+pub const MAX_REQUEST_BYTES: usize = 2 << 20;
+/// The largest list, in bytes.
+pub const MAX_LIST_BYTES: usize = 16 << 20;
+
+/// Path of the list of instances.
+pub const INSTANCES_PATH: &str = "/registry/instances";
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     #[default]
     Active,
-    /// Finishes the work that it has, and wants nothing new.
+    /// The instance finishes the work that it has and accepts no new work.
     Leaving,
-    /// Only among changes.
+    /// The instance was removed. This state only occurs among changes.
     Left,
 }
 
-/// One cache server, or the origin. Read with patience, as lists come from the platform too: only an id and an
-/// address must be there, and a state that nobody knows wants nothing new.
+/// One cache server, or the origin. Decoding is lenient, because lists come from the platform too: only the
+/// id and the address are required, and an unknown state counts as [`State::Leaving`], so that the instance
+/// gets no new work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub id: String,
     pub addr: SocketAddr,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub zone: String,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub kind: String,
-    #[serde(default, deserialize_with = "patient")]
+    #[serde(default, deserialize_with = "lenient")]
     pub cell: u64,
-    #[serde(default = "unknown_state", deserialize_with = "patient_state")]
+    #[serde(default = "unknown_state", deserialize_with = "lenient_state")]
     pub state: State,
-    #[serde(default = "one", deserialize_with = "patient_weight")]
+    #[serde(default = "default_weight", deserialize_with = "lenient_weight")]
     pub weight: f64,
-    /// Its process's start in Unix time, in milliseconds; 0 is long ago.
-    #[serde(default, deserialize_with = "patient_ms")]
+    /// Start of the instance's process in Unix time, in milliseconds; 0 if unknown, which counts as older
+    /// than any other start.
+    #[serde(default, deserialize_with = "lenient_ms")]
     pub started_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -72,28 +75,28 @@
     State::Leaving
 }
 
-fn or<'de, D: Deserializer<'de>, T: DeserializeOwned>(from: D, otherwise: T) -> Result<T, D::Error> {
-    Ok(serde_json::from_value(Value::deserialize(from)?).unwrap_or(otherwise))
+fn decode_or<'de, D: Deserializer<'de>, T: DeserializeOwned>(from: D, default: T) -> Result<T, D::Error> {
+    Ok(serde_json::from_value(Value::deserialize(from)?).unwrap_or(default))
 }
 
-fn patient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(from: D) -> Result<T, D::Error> {
-    or(from, T::default())
+fn lenient<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(from: D) -> Result<T, D::Error> {
+    decode_or(from, T::default())
 }
 
-fn patient_state<'de, D: Deserializer<'de>>(from: D) -> Result<State, D::Error> {
-    or(from, unknown_state())
+fn lenient_state<'de, D: Deserializer<'de>>(from: D) -> Result<State, D::Error> {
+    decode_or(from, unknown_state())
 }
 
-fn patient_weight<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    or(from, one())
+fn lenient_weight<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    decode_or(from, default_weight())
 }
 
-/// Whole or not, as some write it.
-fn patient_ms<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    Ok(or(from, 0.0_f64)?.max(0.0) as u64)
+/// Some writers send the start time as a number with a fraction.
+fn lenient_ms<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+    Ok(decode_or(from, 0.0_f64)?.max(0.0) as u64)
 }
 
-/// The whole list, or the entries that changed.
+/// The complete list if `full` is set, otherwise the entries that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
     pub version: u64,
@@ -101,29 +104,30 @@
     pub servers: Vec<Entry>,
 }
 
-/// What orders the lives of one id: a later start, or the same start and a higher incarnation, is newer.
+/// Orders the processes that have used one id: the later start is newer, and at the same start the higher
+/// incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stamp {
     #[serde(default)]
     pub started_ms: u64,
-    /// For lives that have no start of their own.
+    /// For instances that have no start time of their own.
     #[serde(default)]
     pub incarnation: u64,
 }
 
 impl Stamp {
-    /// The caller gave nothing to go by.
-    pub fn is_none(self) -> bool {
+    /// The caller gave neither a start time nor an incarnation.
+    pub fn is_unset(self) -> bool {
         self == Stamp::default()
     }
 }
 
-/// `PUT /registry/instances/ID`: an entry, and for how long it stands without a renewal.
+/// `PUT /registry/instances/ID`: an entry, and the lease after which it expires without a renewal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Register {
-    /// May stand here as well as in the path.
+    /// May be given here as well as in the path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
     pub addr: SocketAddr,
@@ -135,13 +139,13 @@
     pub cell: u64,
     #[serde(default)]
     pub state: State,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     #[serde(default)]
     pub started_ms: u64,
     #[serde(default)]
     pub incarnation: u64,
-    /// Seconds; without it the entry stands until it is removed.
+    /// In seconds; without a lease the entry stays until it is removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_s: Option<f64>,
 }
@@ -162,18 +166,18 @@
         }
     }
 
-    /// The entry as it is listed, its stamp and its lease.
+    /// Returns the entry as it is listed, its stamp and its lease.
     ///
     /// # Errors
     /// Names the first field that is out of bounds.
     pub fn check(self, id: &str) -> Result<(Entry, Stamp, Option<Duration>), Invalid> {
         check_id(id)?;
-        if self.id.as_deref().is_some_and(|own| own != id) {
+        if self.id.as_deref().is_some_and(|given| given != id) {
             return Err(Invalid("id: the path's id expected, or none".into()));
         }
         for (name, text) in [("zone", &self.zone), ("kind", &self.kind)] {
-            if text.len() > LONGEST_NAME || text.chars().any(char::is_control) {
-                return Err(Invalid(format!("{name}: at most {LONGEST_NAME} bytes of text expected")));
+            if text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
+                return Err(Invalid(format!("{name}: at most {MAX_NAME_BYTES} bytes of text expected")));
             }
         }
         if self.state == State::Left {
@@ -205,17 +209,17 @@
 }
 
 /// # Errors
-/// Says what an id is made of.
+/// States which ids are valid.
 pub fn check_id(id: &str) -> Result<(), Invalid> {
-    let fits =
-        (1..=LONGEST_NAME).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-    if fits {
+    let valid =
+        (1..=MAX_NAME_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+    if valid {
         return Ok(());
     }
-    Err(Invalid(format!("id: 1 to {LONGEST_NAME} visible ASCII characters without `/` expected")))
+    Err(Invalid(format!("id: 1 to {MAX_NAME_BYTES} visible ASCII characters without `/` expected")))
 }
 
-/// A field that can't be used: which, and what was expected.
+/// An invalid field: its name, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid(pub String);
 
@@ -227,9 +231,9 @@
 
 impl std::error::Error for Invalid {}
 
-/// A change holds at every version from this one on.
+/// The answer to a change: lists contain it from this version on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangeResult {
     pub version: u64,
     pub id: String,
 }
@@ -252,59 +256,62 @@
     pub renewals: Vec<Renewal>,
 }
 
-/// Its answer. Who is unknown must register; who is stale has been followed by a newer life.
+/// The answer to [`RenewMany`]. An unknown id has to register again; for a stale one a newer process is
+/// registered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Renewed {
+pub struct RenewManyResult {
     pub version: u64,
     pub renewed: usize,
     pub unknown: Vec<String>,
     pub stale: Vec<String>,
 }
 
-/// `POST /registry/expiry/confirm`: how many the operator has seen to be due and lets go.
+/// `POST /registry/expiry/confirm`: lets entries expire whose expiry was stopped, after the caller has
+/// checked that their servers are gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Confirm {
-    /// No more than so many expire by this word.
+pub struct ConfirmExpiry {
+    /// The most entries that expire by this confirmation.
     pub most: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Confirmed {
+pub struct ConfirmExpiryResult {
     pub version: u64,
     pub expired: usize,
 }
 
-/// `GET /registry/expiry`: whose expiry is stopped, and some others to tell a cut from an end by.
+/// `GET /registry/expiry`: the entries whose expiry is stopped, and a few other entries. Probing both tells a
+/// network partition from servers that have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Expiry {
-    pub stopped: Vec<Listed>,
-    pub others: Vec<Listed>,
+    pub stopped: Vec<EntryAddress>,
+    pub others: Vec<EntryAddress>,
 }
 
-/// One entry by name and address.
+/// The id and the address of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct EntryAddress {
     pub id: String,
     pub addr: SocketAddr,
 }
 
-/// `POST /registry/replicas`: add this replica.
+/// `POST /registry/replicas`: adds this replica to the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Join {
+pub struct JoinRequest {
     pub name: String,
     pub replica: SocketAddr,
 }
 
-/// One replica as the answering one sees it.
+/// One replica, as seen by the replica that answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
     pub id: u64,
     pub name: String,
     pub replica: String,
     pub voter: bool,
-    /// Log entries that it lacks, where the leader answers.
+    /// The number of log entries that the replica lacks; `None` unless the leader answers.
     pub behind: Option<u64>,
 }
 
@@ -320,15 +327,15 @@
     pub last_log: u64,
     pub applied: u64,
     pub snapshot: u64,
-    /// Why it answers no lists, if so.
+    /// Why the replica answers no lists; `None` if it does.
     pub not_ready: Option<String>,
-    /// Entries whose expiry is stopped.
+    /// The number of entries whose expiry is stopped.
     pub expiry_held: usize,
     pub replicas: Vec<Replica>,
 }
 
-/// Every refusal's body.
+/// The body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     pub error: String,
 }
--- a/registry-protocol/tests/wire_format.rs
+++ b/registry-protocol/tests/wire_format.rs
@@ -1,10 +1,11 @@
-//! The JSON of the service registry's calls, in both directions, as other processes send and read it.
+//! The JSON of the registry's calls, in both directions, as other processes send and read it.
 //!
-//! Replicas, agents, nodes and operators' tools of different releases talk to each other during an upgrade, and the
-//! platform reads the list. The texts here were written by a release in use: each must be encoded byte for byte and
-//! be read back into an equal value. If a test turns red, a name, an order or a default on the wire has changed.
-//! Put the old form back (`#[serde(rename = "...")]` for a renamed field or variant). A wanted change of form is a new
-//! version of the protocol, read beside the old one; it is not a new text here.
+//! Replicas, agents, nodes and operators' tools of different releases talk to each other during an upgrade,
+//! and the platform reads the list. The texts here were written by a release in use: each value must be
+//! encoded byte for byte, and the text must be read back into an equal value. A failure means that a name, an
+//! order or a default on the wire has changed. Restore the old form (`#[serde(rename = "...")]` for a renamed
+//! field or variant). An intended change of the form is a new version of the protocol, read beside the old
+//! one, and not a new text here.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shaletrail_registry_protocol::duty::{
-    check_lease, Acquire, Candidate, Checkpoint, Duties, Duty, Fence, HandOver, Kept, Release, Renew,
-    Standing, Transfer, Why,
+    check_lease, Acquire, Candidate, CandidateStatus, Checkpoint, Duties, Duty, Fence, Handover,
+    HandoverReason, Release, Renew, StoredCheckpoint, Transfer,
 };
 use shaletrail_registry_protocol::{
-    check_id, duty, Changed, Confirm, Confirmed, Entry, Expiry, Join, List, Listed, Refusal, Register,
-    RenewMany, Renewal, Renewed, Replica, Stamp, State, Status,
+    check_id, duty, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, ErrorBody, Expiry,
+    JoinRequest, List, Register, RenewMany, RenewManyResult, Renewal, Replica, Stamp, State, Status,
 };
 
 /// The value is encoded as `text`, and `text` is read as the value.
@@ -51,32 +52,32 @@
 const ENTRY: &str = r#"{"id":"cache-7","addr":"10.1.2.3:4005","zone":"north","kind":"cache","cell":6,"state":"leaving","weight":0.75,"started_ms":1700000000008}"#;
 
 fn candidate() -> Candidate {
-    Candidate { id: "agent-2".into(), life: 31 }
+    Candidate { id: "agent-2".into(), incarnation: 31 }
 }
 
 #[test]
 fn paths_and_headers() {
-    assert_eq!(shaletrail_registry_protocol::INSTANCES, "/registry/instances");
-    assert_eq!(shaletrail_registry_protocol::NOT_RUN, "x-not-run");
-    assert_eq!(duty::DUTIES, "/registry/duties");
+    assert_eq!(shaletrail_registry_protocol::INSTANCES_PATH, "/registry/instances");
+    assert_eq!(shaletrail_registry_protocol::NOT_EXECUTED_HEADER, "x-not-run");
+    assert_eq!(duty::DUTIES_PATH, "/registry/duties");
     assert_eq!(duty::DUTY_HEADER, "x-duty");
     assert_eq!(duty::FENCE_HEADER, "x-fence");
 }
 
 #[test]
 fn limits() {
-    assert_eq!(shaletrail_registry_protocol::LONGEST_NAME, 128);
+    assert_eq!(shaletrail_registry_protocol::MAX_NAME_BYTES, 128);
     assert_eq!(shaletrail_registry_protocol::LEASE_S, 0.1..=86_400.0);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_HOLD, Duration::from_secs(60));
-    assert_eq!(shaletrail_registry_protocol::MOST_RENEWED, 10_000);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_CALL, 2_097_152);
-    assert_eq!(shaletrail_registry_protocol::LONGEST_LIST, 16_777_216);
+    assert_eq!(shaletrail_registry_protocol::MAX_HOLD, Duration::from_secs(60));
+    assert_eq!(shaletrail_registry_protocol::MAX_RENEWALS, 10_000);
+    assert_eq!(shaletrail_registry_protocol::MAX_REQUEST_BYTES, 2_097_152);
+    assert_eq!(shaletrail_registry_protocol::MAX_LIST_BYTES, 16_777_216);
     assert_eq!(duty::LEASE_S, 0.5..=30.0);
-    assert_eq!(duty::LONGEST_HOLD, Duration::from_secs(3));
-    assert_eq!(duty::LONGEST_CHECKPOINT, 16_384);
-    assert_eq!(duty::MOST_DUTIES, 2048);
-    assert_eq!(duty::MOST_WAITERS, 1000);
-    assert_eq!(duty::MOST_EXACT, 9_007_199_254_740_992);
+    assert_eq!(duty::MAX_HOLD, Duration::from_secs(3));
+    assert_eq!(duty::MAX_CHECKPOINT_BYTES, 16_384);
+    assert_eq!(duty::MAX_DUTIES, 2048);
+    assert_eq!(duty::MAX_WAITERS, 1000);
+    assert_eq!(duty::MAX_EXACT_INTEGER, 9_007_199_254_740_992);
 }
 
 #[test]
@@ -171,8 +172,8 @@
 
 #[test]
 fn change_answer() {
-    assert_format(&Changed { version: 3, id: "a".into() }, r#"{"version":3,"id":"a"}"#);
-    assert_format(&Refusal { error: "no such id".into() }, r#"{"error":"no such id"}"#);
+    assert_format(&ChangeResult { version: 3, id: "a".into() }, r#"{"version":3,"id":"a"}"#);
+    assert_format(&ErrorBody { error: "no such id".into() }, r#"{"error":"no such id"}"#);
 }
 
 #[test]
@@ -182,7 +183,8 @@
     assert_format(&renewal, text);
     let many = RenewMany { renewals: vec![renewal] };
     assert_format(&many, &format!(r#"{{"renewals":[{text}]}}"#));
-    let renewed = Renewed { version: 4, renewed: 5, unknown: vec!["u".into()], stale: vec!["s".into()] };
+    let renewed =
+        RenewManyResult { version: 4, renewed: 5, unknown: vec!["u".into()], stale: vec!["s".into()] };
     assert_format(&renewed, r#"{"version":4,"renewed":5,"unknown":["u"],"stale":["s"]}"#);
     let short: Renewal = read(r#"{"id":"a"}"#);
     assert_eq!(short, Renewal { id: "a".into(), started_ms: 0, incarnation: 0 });
@@ -192,10 +194,11 @@
 
 #[test]
 fn expiry() {
-    assert_format(&Confirm { most: 12 }, r#"{"most":12}"#);
-    assert_refused::<Confirm>(r#"{"x":1}"#, "unknown field `x`, expected `most`");
-    assert_format(&Confirmed { version: 13, expired: 14 }, r#"{"version":13,"expired":14}"#);
-    let listed = |id: &str, addr: &str| Listed { id: id.into(), addr: addr.parse().expect("an address") };
+    assert_format(&ConfirmExpiry { most: 12 }, r#"{"most":12}"#);
+    assert_refused::<ConfirmExpiry>(r#"{"x":1}"#, "unknown field `x`, expected `most`");
+    assert_format(&ConfirmExpiryResult { version: 13, expired: 14 }, r#"{"version":13,"expired":14}"#);
+    let listed =
+        |id: &str, addr: &str| EntryAddress { id: id.into(), addr: addr.parse().expect("an address") };
     let expiry = Expiry { stopped: vec![listed("a", "1.1.1.1:1")], others: vec![listed("b", "2.2.2.2:2")] };
     let text = r#"{"stopped":[{"id":"a","addr":"1.1.1.1:1"}],"others":[{"id":"b","addr":"2.2.2.2:2"}]}"#;
     assert_format(&expiry, text);
@@ -203,9 +206,9 @@
 
 #[test]
 fn replicas() {
-    let join = Join { name: "r4".into(), replica: "10.0.0.4:77".parse().expect("an address") };
+    let join = JoinRequest { name: "r4".into(), replica: "10.0.0.4:77".parse().expect("an address") };
     assert_format(&join, r#"{"name":"r4","replica":"10.0.0.4:77"}"#);
-    assert_refused::<Join>(r#"{"x":1}"#, "unknown field `x`, expected `name` or `replica`");
+    assert_refused::<JoinRequest>(r#"{"x":1}"#, "unknown field `x`, expected `name` or `replica`");
     let replica =
         Replica { id: 4, name: "r4".into(), replica: "host:77".into(), voter: true, behind: Some(5) };
     assert_format(&replica, r#"{"id":4,"name":"r4","replica":"host:77","voter":true,"behind":5}"#);
@@ -246,7 +249,7 @@
 fn duty_candidate() {
     assert_format(&candidate(), r#"{"id":"agent-2","life":31}"#);
     assert_refused::<Candidate>(r#"{"x":1}"#, "unknown field `x`, expected `id` or `life`");
-    let wrong = Candidate { id: "a".into(), life: duty::MOST_EXACT };
+    let wrong = Candidate { id: "a".into(), incarnation: duty::MAX_EXACT_INTEGER };
     assert_eq!(
         wrong.check().expect_err("the life is refused").to_string(),
         "life: a whole number below 9007199254740992 expected"
@@ -266,7 +269,7 @@
 
 #[test]
 fn duty_renew() {
-    let renew = |holds, give_way| Renew { who: candidate(), hold_ms: 250, holds, give_way };
+    let renew = |holds, release_requested| Renew { who: candidate(), hold_ms: 250, holds, release_requested };
     let text = |known: &str| format!(r#"{{"who":{{"id":"agent-2","life":31}},"hold_ms":250{known}}}"#);
     assert_format(&renew(true, false), &text(r#","holds":true,"give_way":false"#));
     assert_format(&renew(false, true), &text(r#","holds":false,"give_way":true"#));
@@ -279,11 +282,11 @@
 
 #[test]
 fn duty_standing() {
-    let standing = |holds, give_way, direct| Standing {
+    let standing = |holds, release_requested, direct| CandidateStatus {
         holds,
         fence: 11,
-        give_way,
-        before: 12,
+        release_requested,
+        candidates_ahead: 12,
         checkpoint_version: 13,
         direct,
     };
@@ -297,17 +300,17 @@
         r#"{"holds":false,"fence":11,"give_way":false,"before":12,"checkpoint_version":13,"direct":true}"#;
     assert_format(&standing(false, false, true), direct);
     let older = r#"{"holds":true,"fence":11,"give_way":false,"before":12,"checkpoint_version":13}"#;
-    assert_eq!(read::<Standing>(older), standing(true, false, false));
+    assert_eq!(read::<CandidateStatus>(older), standing(true, false, false));
 }
 
 #[test]
 fn duty_release() {
     let reasons = [
-        (Why::Free, "free"),
-        (Why::Released, "released"),
-        (Why::Asked, "asked"),
-        (Why::Failed, "failed"),
-        (Why::Lapsed, "lapsed"),
+        (HandoverReason::Free, "free"),
+        (HandoverReason::Released, "released"),
+        (HandoverReason::Asked, "asked"),
+        (HandoverReason::Failed, "failed"),
+        (HandoverReason::Lapsed, "lapsed"),
     ];
     for (why, name) in reasons {
         let release = Release { who: candidate(), why };
@@ -333,16 +336,17 @@
         r#"{"x":1}"#,
         "unknown field `x`, expected one of `fence`, `expect`, `data`",
     );
-    let kept = Kept { version: 25, fence: 26, data: "at 27".into() };
+    let kept = StoredCheckpoint { version: 25, fence: 26, data: "at 27".into() };
     assert_format(&kept, r#"{"version":25,"fence":26,"data":"at 27"}"#);
 }
 
 #[test]
 fn duties() {
-    let last = HandOver { from: Some("a".into()), to: Some("b".into()), why: Why::Asked, at_ms: 41 };
+    let last =
+        Handover { from: Some("a".into()), to: Some("b".into()), why: HandoverReason::Asked, at_ms: 41 };
     let last_text = r#"{"from":"a","to":"b","why":"asked","at_ms":41}"#;
     assert_format(&last, last_text);
-    let nobody = HandOver { from: None, to: None, why: Why::Free, at_ms: 42 };
+    let nobody = Handover { from: None, to: None, why: HandoverReason::Free, at_ms: 42 };
     assert_format(&nobody, r#"{"from":null,"to":null,"why":"free","at_ms":42}"#);
     let held = Duty {
         name: "sweep".into(),
@@ -351,7 +355,7 @@
         since_ms: 44,
         lease_ms: 45,
         waiters: vec!["c".into(), "d".into()],
-        give_way: true,
+        release_requested: true,
         checkpoint_version: 46,
         last: Some(last),
     };
@@ -359,9 +363,9 @@
         r#"{{"name":"sweep","holder":"b","fence":43,"since_ms":44,"lease_ms":45,"waiters":["c","d"],"give_way":true,"checkpoint_version":46,"last":{last_text}}}"#
     );
     assert_format(&held, &held_text);
-    let all = Duties { duties: vec![held.clone()], quiet: true };
+    let all = Duties { duties: vec![held.clone()], grants_paused: true };
     assert_format(&all, &format!(r#"{{"duties":[{held_text}],"quiet":true}}"#));
-    let free = Duty { holder: None, waiters: Vec::new(), give_way: false, last: None, ..held };
+    let free = Duty { holder: None, waiters: Vec::new(), release_requested: false, last: None, ..held };
     let free_text = r#"{"name":"sweep","holder":null,"fence":43,"since_ms":44,"lease_ms":45,"waiters":[],"give_way":false,"checkpoint_version":46,"last":null}"#;
     assert_format(&free, free_text);
 }
@@ -370,9 +374,10 @@
 fn fence_headers() {
     let fence = Fence { duty: "sweep".into(), fence: 51 };
     assert_format(&fence, r#"{"duty":"sweep","fence":51}"#);
-    assert_eq!(Fence::read(None, None), Ok(None));
-    assert_eq!(Fence::read(Some("sweep"), Some("51")), Ok(Some(fence)));
-    let error = |duty, number| Fence::read(duty, number).expect_err("the headers are refused").to_string();
+    assert_eq!(Fence::from_headers(None, None), Ok(None));
+    assert_eq!(Fence::from_headers(Some("sweep"), Some("51")), Ok(Some(fence)));
+    let error =
+        |duty, number| Fence::from_headers(duty, number).expect_err("the headers are refused").to_string();
     assert_eq!(error(Some("sweep"), None), "x-duty and x-fence: both expected, or none");
     assert_eq!(error(Some("sweep"), Some("0")), "x-fence: a fencing number expected, got `0`");
     assert_eq!(
