--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -443,7 +443,7 @@
                 let changed = *now != next;
                 if changed {
                     match &next {
-                        Some(why) => tracing::warn!("not answering lists: {}", why.message()),
+                        Some(why) => tracing::warn!("answers no lists: {}", why.message()),
                         None => tracing::info!("answering lists at version {}", self.view.version()),
                     }
                 }
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -289,7 +289,7 @@
     loop {
         let phases = peer_phases(options).await;
         if phases.contains(&Some(Phase::Started)) {
-            tracing::warn!("the other replicas are running already: this replica joins them with a new id");
+            tracing::warn!("the others are at work already: this replica joins them with a new id");
             let targets: Vec<_> =
                 others(options).map(|(_, addr)| JoinTarget { addr: *addr, forwarded: true }).collect();
             return Ok(named(request_replica_id(options, &targets).await, true));
@@ -298,7 +298,7 @@
             let index = options.peers.keys().position(|name| *name == options.name).unwrap_or(0);
             return Ok(named(index as u64 + 1, false));
         }
-        tracing::debug!("waiting for all peers to answer; phase {:?}", endpoint.phase.borrow());
+        tracing::debug!("waits for all peers, phase {:?}", endpoint.phase.borrow());
         sleep(RETRY_INTERVAL).await;
     }
 }
