--- a/fault-lab/src/chance.rs
+++ b/fault-lab/src/chance.rs
@@ -1,27 +1,27 @@
-//! The one seed of a play.
+//! The seeded random number generator of a test run.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Where a seed to replay from is given.
+/// Environment variable that overrides the seed, to replay an earlier run.
 pub const VARIABLE: &str = "LAB_SEED";
 
-/// All chance in a play comes from here.
+/// The only source of randomness in a test run, so that a run can be replayed from its seed.
 pub struct Chance {
     pub seed: u64,
     generator: StdRng,
 }
 
 impl Chance {
-    /// Draws from `LAB_SEED` if that is set, else from this seed. Prints which.
+    /// Uses the seed from `LAB_SEED` if that is set, and `seed` otherwise. Prints the seed that is used.
     pub fn new(play: &str, seed: u64) -> Self {
         let seed = std::env::var(VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(seed);
-        // Beside what a program says for others to read.
+        // Standard error, because callers may parse the standard output.
         eprintln!("{play}: seed {seed}; replay it with {VARIABLE}={seed}");
         Chance { seed, generator: StdRng::seed_from_u64(seed) }
     }
 
-    /// One of `0..n`.
+    /// A uniformly distributed number in `0..n`.
     pub fn below(&mut self, n: usize) -> usize {
         self.generator.random_range(0..n)
     }
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Processes of the fleet with faults between them. Everything is drawn from one seed, which is printed; checkers
-//! see only what clients saw.
+//! Runs the processes of the fleet and injects faults into them and into the links between them. All random choices
+//! come from one seed, which is printed. The checkers judge a run only by what its clients observed.
 
 #![deny(unsafe_code)]
 
--- a/fault-lab/src/link.rs
+++ b/fault-lab/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can fail: a relay on loopback, each way by itself.
+//! A TCP relay on loopback that injects network faults between two processes, in each direction separately.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,66 +6,70 @@
 use std::thread;
 use std::time::Duration;
 
-/// What happens to bytes on their way.
+/// What the relay does with the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Way {
     #[default]
     Open,
-    /// Nothing passes, and nobody is told: a machine that vanished.
+    /// Nothing passes and no connection is closed, as when the remote machine has lost power.
     Cut,
-    /// So many milliseconds later.
+    /// Each chunk is delayed by this many milliseconds.
     Slow(u64),
-    /// One piece in so many is lost and comes after a retransmission's time, as TCP has it; now and then the
-    /// connection breaks.
+    /// One chunk in this many is lost: it arrives late, by the time of a TCP retransmission. Every fifth loss closes
+    /// the connection instead.
     Lossy(u64),
 }
 
 #[derive(Default)]
-struct State {
-    there: Way,
-    back: Way,
-    /// Connections that a change of the link breaks.
+struct LinkState {
+    forward: Way,
+    backward: Way,
+    /// Both sockets of each open connection, to be shut down when a cut link is restored.
     open: Vec<TcpStream>,
 }
 
-/// One direction of connecting: who connects to `addr` reaches the target, as far as the link lets it.
+/// A relay in front of one listener. Connections to `addr` reach the target, subject to the injected faults.
 pub struct Link {
     pub addr: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<LinkState>>,
 }
 
-const PIECE: usize = 16 << 10;
-/// How often a cut way looks whether it is open again.
-const LOOK: Duration = Duration::from_millis(10);
-const RETRANSMISSION: Duration = Duration::from_millis(200);
-/// Of lost pieces, one in so many breaks its connection.
-const BREAKS: u64 = 5;
+const CHUNK_BYTES: usize = 16 << 10;
+/// How often a cut direction checks whether it has been restored.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
+/// One lost chunk in this many closes its connection.
+const LOSSES_PER_CLOSE: u64 = 5;
 
 impl Link {
+    /// Starts a relay to `target` on a free port. Its threads run until the process ends.
+    ///
     /// # Panics
     /// When no port is free.
     pub fn to(target: SocketAddr) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("an address");
-        let state = Arc::new(Mutex::new(State::default()));
+        let state = Arc::new(Mutex::new(LinkState::default()));
         let shared = Arc::clone(&state);
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 let state = Arc::clone(&shared);
-                thread::spawn(move || relay(&near, target, &state));
+                thread::spawn(move || relay(&client, target, &state));
             }
         });
         Link { addr, state }
     }
 
-    /// Sets both ways. Connections that are open stay so, unless both ways are cut and come back: then they have
-    /// been given up.
-    pub fn set(&self, there: Way, back: Way) {
+    /// Sets both directions, from the connecting side to the target and back. Open connections stay open, except
+    /// when the link comes back from a cut in either direction: those are shut down, because their ends have given
+    /// them up.
+    pub fn set(&self, forward: Way, backward: Way) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let healed =
-            (state.there == Way::Cut || state.back == Way::Cut) && there != Way::Cut && back != Way::Cut;
-        (state.there, state.back) = (there, back);
-        if healed {
+        let restored = (state.forward == Way::Cut || state.backward == Way::Cut)
+            && forward != Way::Cut
+            && backward != Way::Cut;
+        (state.forward, state.backward) = (forward, backward);
+        if restored {
             for stream in state.open.drain(..) {
                 let _ = stream.shutdown(Shutdown::Both);
             }
@@ -77,51 +81,51 @@
     }
 }
 
-fn relay(near: &TcpStream, target: SocketAddr, state: &Arc<Mutex<State>>) {
-    // A cut link accepts nothing: whoever connects waits.
-    while way(state, true) == Way::Cut {
-        thread::sleep(LOOK);
+fn relay(client: &TcpStream, target: SocketAddr, state: &Arc<Mutex<LinkState>>) {
+    // While the forward direction is cut, no connection to the target is opened and the connecting process waits.
+    while direction(state, true) == Way::Cut {
+        thread::sleep(POLL_INTERVAL);
     }
-    let Ok(far) = TcpStream::connect(target) else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let clones = (near.try_clone(), far.try_clone(), near.try_clone(), far.try_clone());
-    let (Ok(near_in), Ok(far_out), Ok(near_kept), Ok(far_kept)) = clones else { return };
+    let Ok(server) = TcpStream::connect(target) else { return };
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let cloned = (client.try_clone(), server.try_clone(), client.try_clone(), server.try_clone());
+    let (Ok(client_in), Ok(server_out), Ok(client_kept), Ok(server_kept)) = cloned else { return };
     {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
         state.open.retain(|stream| stream.peer_addr().is_ok());
-        state.open.extend([near_kept, far_kept]);
+        state.open.extend([client_kept, server_kept]);
     }
-    let there = Arc::clone(state);
-    let forth = thread::spawn(move || pass(near_in, far_out, &there, true));
-    if let (Ok(far_in), Ok(near_out)) = (far.try_clone(), near.try_clone()) {
-        pass(far_in, near_out, state, false);
+    let forward_state = Arc::clone(state);
+    let forward_thread = thread::spawn(move || copy_bytes(client_in, server_out, &forward_state, true));
+    if let (Ok(server_in), Ok(client_out)) = (server.try_clone(), client.try_clone()) {
+        copy_bytes(server_in, client_out, state, false);
     }
-    let _ = forth.join();
+    let _ = forward_thread.join();
 }
 
-fn way(state: &Mutex<State>, there: bool) -> Way {
+fn direction(state: &Mutex<LinkState>, forward: bool) -> Way {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
-    if there {
-        state.there
+    if forward {
+        state.forward
     } else {
-        state.back
+        state.backward
     }
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, state: &Mutex<State>, there: bool) {
-    let mut piece = vec![0; PIECE];
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, state: &Mutex<LinkState>, forward: bool) {
+    let mut chunk = vec![0; CHUNK_BYTES];
     let mut count = 0;
-    while let Ok(n) = from.read(&mut piece) {
-        while way(state, there) == Way::Cut {
-            thread::sleep(LOOK);
+    while let Ok(n) = from.read(&mut chunk) {
+        while direction(state, forward) == Way::Cut {
+            thread::sleep(POLL_INTERVAL);
         }
-        match way(state, there) {
+        match direction(state, forward) {
             Way::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
             Way::Lossy(one_in) => {
                 count += 1;
                 if count % one_in == 0 {
-                    thread::sleep(RETRANSMISSION);
-                    if count % (one_in * BREAKS) == 0 {
+                    thread::sleep(RETRANSMISSION_DELAY);
+                    if count % (one_in * LOSSES_PER_CLOSE) == 0 {
                         let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
                         return;
                     }
@@ -129,7 +133,7 @@
             }
             Way::Open | Way::Cut => {}
         }
-        if n == 0 || to.write_all(&piece[..n]).is_err() {
+        if n == 0 || to.write_all(&chunk[..n]).is_err() {
             break;
         }
     }
