--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -329,7 +329,7 @@
         let zone = self.node_zones[node];
         let zones = self.book.scenario.fleet.zones.len();
         let mut link = self.parties.links().between(zone, replica % zones);
-        let open = |link: &crate::net::Link| !link.there.cut && !link.back.cut;
+        let open = |link: &crate::net::Link| !link.forward.cut && !link.reverse.cut;
         link.wait_for(open).await.ok()?;
         let call = Call::get(path, LONGEST_LIST);
         let answer = Line::new(self.replicas[replica]).within(LONGEST_WATCH, call).await.ok()?;
@@ -421,7 +421,7 @@
             continue;
         }
         for (to, from, addr) in &targets {
-            let way = views.parties.links().now(zone, *to).there;
+            let way = views.parties.links().now(zone, *to).forward;
             let Some(late) = message_delay(&way, loss, &dice) else { continue };
             let (from, addr, message) = (Arc::clone(from), *addr, message[..n].to_vec());
             let due = Instant::now() + late;
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -16,7 +16,7 @@
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
 use crate::link::Link;
-use crate::party::{lock, reply, serve, Reply, LONGEST_BODY};
+use crate::party::{lock, reply, serve, Reply, MAX_BODY_BYTES};
 use crate::process::{children, Process};
 
 /// One change that the thing accepted.
@@ -91,7 +91,7 @@
     let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
     let fence = Fence::read(header(DUTY_HEADER), header(FENCE_HEADER));
     let method = request.method().clone();
-    let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     let value = body.ok().and_then(|body| String::from_utf8_lossy(&body.to_bytes()).parse::<u64>().ok());
     let Ok(Some(fence)) = fence else { return reply(StatusCode::BAD_REQUEST, "a fence expected") };
     let mut thing = lock(&thing);
@@ -125,7 +125,7 @@
     let headers: &[(&'static str, &str)] = &[(DUTY_HEADER, &duty), (FENCE_HEADER, &fence)];
     let mut line = Line::new(at);
     loop {
-        let read = Call { headers, ..Call::get("/", LONGEST_BODY) };
+        let read = Call { headers, ..Call::get("/", MAX_BODY_BYTES) };
         if let Ok(answer) = line.within(Duration::from_secs(5), read).await {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             if answer.status != StatusCode::OK {
@@ -134,7 +134,7 @@
             let next = text.parse::<u64>().map_err(|e| e.to_string())? + 1;
             tokio::time::sleep(between).await;
             let body = next.to_string().into();
-            let set = Call { method: Method::PUT, headers, body, ..Call::get("/", LONGEST_BODY) };
+            let set = Call { method: Method::PUT, headers, body, ..Call::get("/", MAX_BODY_BYTES) };
             match line.within(Duration::from_secs(5), set).await {
                 Ok(answer) if answer.status != StatusCode::OK => {
                     return Err(String::from_utf8_lossy(&answer.body).into_owned());
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -1,8 +1,9 @@
-//! Doors: where an emulated party listens for the callers of one zone, with the link between the two zones in it.
+//! Listeners of the emulated backends. Each backend has one listener for the callers of each zone, which applies the
+//! network impairments between the two zones to its connections.
 //!
-//! A silent door keeps its accept queue full with connections of its own, so that the system drops the opening of
-//! further ones: a caller's connection does not come up, as when a machine has vanished, and no privileges are
-//! needed.
+//! An unresponsive listener keeps its accept queue full with connections of its own, so that the kernel drops the SYN
+//! of every further connection. A caller then sees a connect time-out, as with a machine that has lost power. This
+//! needs no privileges, unlike packet filter rules.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,53 +20,55 @@
 
 use crate::plan::log_normal;
 
-/// One way of a link.
+/// Network conditions in one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Way {
     pub delay_ms: f64,
     pub jitter_ms: f64,
-    /// Share of pieces lost; each comes after a retransmission's time.
+    /// Share of chunks lost. A lost chunk arrives late, by the time of a TCP retransmission.
     pub loss: f64,
+    /// Bandwidth of each connection; `None` is unlimited.
     pub kb_per_s: Option<f64>,
-    /// Nothing passes and nobody is told.
+    /// Nothing passes and no connection is closed.
     pub cut: bool,
-    /// Connections break after so many milliseconds at the latest.
+    /// Connections are reset after at most this many milliseconds. Only the forward direction's value counts.
     pub reset_ms: Option<u64>,
 }
 
-/// Both ways between two zones, from the caller's to the party's and back.
+/// Both directions between two zones: from the caller's zone to the backend's, and the reverse.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Link {
-    pub there: Way,
-    pub back: Way,
+    pub forward: Way,
+    pub reverse: Way,
 }
 
 impl Link {
     fn is_cut(&self) -> bool {
-        self.there.cut || self.back.cut
+        self.forward.cut || self.reverse.cut
     }
 }
 
-/// How a party's process stands.
+/// Whether a backend runs, and how its failure looks to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Life {
     #[default]
     Up,
-    /// The process is gone: connections are reset, new ones refused.
+    /// The process has died: open connections are reset and new ones are refused.
     Dead,
-    /// The machine is gone: it says nothing.
+    /// The machine is unreachable: no connection is reset, refused or accepted.
     Vanished,
 }
 
-const RETRANSMISSION: Duration = Duration::from_millis(200);
-const PIECE: usize = 16 << 10;
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
+const CHUNK_BYTES: usize = 16 << 10;
 const BACKLOG: u32 = 1_024;
-/// Connections of its own that fill a queue of length 0, with some to spare.
-const FILL: usize = 3;
-/// How long one of them may take to come up; the last does not.
-const FILLING: Duration = Duration::from_millis(50);
+/// Connections that an unresponsive listener opens to itself. This is more than an accept queue of length 0 holds.
+const FILLER_CONNECTIONS: usize = 3;
+/// Time limit for opening one of these connections. The last ones time out because the queue is full.
+const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Drawn apart for each party, so that tasks don't wait for one another.
+/// A seeded random number generator that tasks share. Each backend has its own, so that the tasks of different
+/// backends don't contend for one lock.
 #[derive(Clone)]
 pub struct Dice(Arc<Mutex<StdRng>>);
 
@@ -74,29 +77,29 @@
         Dice(Arc::new(Mutex::new(StdRng::seed_from_u64(seed))))
     }
 
-    /// From 0 to 1.
+    /// A uniformly distributed number from 0 to 1.
     pub fn roll(&self) -> f64 {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).random_range(0.0..1.0)
     }
 
-    /// Log-normal with mean 1 and this coefficient of variation.
+    /// A log-normally distributed number with mean 1 and this coefficient of variation.
     pub fn log_normal(&self, cv: f64) -> f64 {
         log_normal(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner), cv)
     }
 }
 
-/// What lies between a door and whoever comes to it.
+/// What the connections of one listener are subject to. Changes take effect on open connections too.
 #[derive(Clone)]
-pub struct Passage {
+pub struct PathConditions {
     pub link: watch::Receiver<Link>,
     pub life: watch::Receiver<Life>,
     pub dice: Dice,
 }
 
-/// Binds so that the address can be had again at once.
+/// Binds with `SO_REUSEADDR`, so that the address can be bound again as soon as the listener is closed.
 ///
 /// # Errors
-/// Where the address is taken.
+/// The address is in use.
 pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -104,49 +107,55 @@
     socket.listen(BACKLOG)
 }
 
-/// Listens as long as the runtime lives; whoever comes in is given to `serve` with the far end of the link.
-pub async fn door<S>(addr: SocketAddr, mut way: Passage, serve: S)
+/// Listens until the senders of `path` are dropped, and rebinds after each time that the process was dead. `serve` gets
+/// the backend's end of each connection, behind the emulated link.
+pub async fn run_listener<S>(addr: SocketAddr, mut path: PathConditions, serve: S)
 where
     S: Fn(DuplexStream) + Send + 'static,
 {
     loop {
-        if way.life.wait_for(|life| *life != Life::Dead).await.is_err() {
+        if path.life.wait_for(|life| *life != Life::Dead).await.is_err() {
             return;
         }
         let Ok(listener) = bind(addr) else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        listen(addr, &listener, &mut way, &serve).await;
+        accept_until_dead(addr, &listener, &mut path, &serve).await;
     }
 }
 
-fn silent(way: &Passage) -> bool {
-    way.link.borrow().is_cut() || *way.life.borrow() == Life::Vanished
+fn is_unresponsive(path: &PathConditions) -> bool {
+    path.link.borrow().is_cut() || *path.life.borrow() == Life::Vanished
 }
 
-/// Until the process is dead.
-async fn listen<S: Fn(DuplexStream)>(addr: SocketAddr, listener: &TcpListener, way: &mut Passage, serve: &S) {
+/// Accepts connections until the process is dead.
+async fn accept_until_dead<S: Fn(DuplexStream)>(
+    addr: SocketAddr,
+    listener: &TcpListener,
+    path: &mut PathConditions,
+    serve: &S,
+) {
     let mut fillers = Vec::new();
     loop {
-        if *way.life.borrow_and_update() == Life::Dead {
+        if *path.life.borrow_and_update() == Life::Dead {
             return;
         }
-        way.link.borrow_and_update();
-        if silent(way) && fillers.is_empty() {
+        path.link.borrow_and_update();
+        if is_unresponsive(path) && fillers.is_empty() {
             let _ = SockRef::from(listener).listen(0);
-            for _ in 0..FILL {
-                if let Ok(Ok(filler)) = timeout(FILLING, TcpStream::connect(addr)).await {
+            for _ in 0..FILLER_CONNECTIONS {
+                if let Ok(Ok(filler)) = timeout(FILLER_CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
                     fillers.push(filler);
                 }
             }
             continue;
         }
-        if !silent(way) && !fillers.is_empty() {
+        if !is_unresponsive(path) && !fillers.is_empty() {
             fillers.clear();
             let _ = SockRef::from(listener).listen(BACKLOG as i32);
         }
-        let open = !silent(way);
+        let open = !is_unresponsive(path);
         tokio::select! {
             accepted = listener.accept(), if open => {
                 let Ok((stream, _)) = accepted else {
@@ -154,155 +163,159 @@
                     continue;
                 };
                 let _ = stream.set_nodelay(true);
-                let (near, far) = tokio::io::duplex(PIECE);
-                tokio::spawn(carry(stream, near, way.clone()));
-                serve(far);
+                let (relay_end, backend_end) = tokio::io::duplex(CHUNK_BYTES);
+                tokio::spawn(relay_connection(stream, relay_end, path.clone()));
+                serve(backend_end);
             }
-            changed = way.life.changed() => if changed.is_err() { return },
-            changed = way.link.changed() => if changed.is_err() { return },
+            changed = path.life.changed() => if changed.is_err() { return },
+            changed = path.link.changed() => if changed.is_err() { return },
         }
     }
 }
 
-/// One connection's life: both ways until one side ends, the process dies, or the link has been cut and is back.
-async fn carry(stream: TcpStream, near: DuplexStream, way: Passage) {
-    // Whatever ends it, the caller sees a reset unless all was said.
+/// Relays one connection in both directions until both have ended or the connection is reset.
+async fn relay_connection(stream: TcpStream, relay_end: DuplexStream, path: PathConditions) {
+    // Dropping the socket sends a reset, unless everything has been sent and both directions are shut down.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     let (mut from_caller, mut to_caller) = stream.into_split();
-    let (mut from_party, mut to_party) = tokio::io::split(near);
-    let there = async {
-        let ended = pass(&mut from_caller, &mut to_party, &way, true).await;
-        let _ = to_party.shutdown().await;
+    let (mut from_backend, mut to_backend) = tokio::io::split(relay_end);
+    let forward = async {
+        let ended = copy_bytes(&mut from_caller, &mut to_backend, &path, true).await;
+        let _ = to_backend.shutdown().await;
         ended
     };
-    let back = async {
-        let ended = pass(&mut from_party, &mut to_caller, &way, false).await;
+    let reverse = async {
+        let ended = copy_bytes(&mut from_backend, &mut to_caller, &path, false).await;
         let _ = to_caller.shutdown().await;
         ended
     };
-    let mut ends = way.clone();
-    let until = way.link.borrow().there.reset_ms.map(|most| most as f64 * (0.2 + 0.8 * way.dice.roll()));
-    let broken = async {
-        match until {
+    let mut reset_watch = path.clone();
+    let reset_after_ms =
+        path.link.borrow().forward.reset_ms.map(|most| most as f64 * (0.2 + 0.8 * path.dice.roll()));
+    let reset_timer = async {
+        match reset_after_ms {
             Some(ms) => sleep(Duration::from_secs_f64(ms / 1e3)).await,
             None => std::future::pending().await,
         }
     };
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
-        () = broken => {}
-        () = over(&mut ends) => {}
+        () = async { tokio::join!(forward, reverse); } => {}
+        () = reset_timer => {}
+        () = wait_for_reset(&mut reset_watch) => {}
     }
 }
 
-/// Ends when connections are reset: the process is dead, or a silence is over, or breaking begins.
-async fn over(way: &mut Passage) {
-    let breaks = |way: &Passage| way.link.borrow().there.reset_ms.is_some();
-    let (mut was_silent, broke) = (silent(way), breaks(way));
+/// Completes when the connection must be reset: the process has died, the link or the machine is back after it was
+/// unreachable, or connection resets have been switched on.
+async fn wait_for_reset(path: &mut PathConditions) {
+    let resets = |path: &PathConditions| path.link.borrow().forward.reset_ms.is_some();
+    let (mut was_unresponsive, resets_at_start) = (is_unresponsive(path), resets(path));
     loop {
         tokio::select! {
-            changed = way.life.changed() => if changed.is_err() { return },
-            changed = way.link.changed() => if changed.is_err() { return },
+            changed = path.life.changed() => if changed.is_err() { return },
+            changed = path.link.changed() => if changed.is_err() { return },
         }
-        if *way.life.borrow() == Life::Dead || (!broke && breaks(way)) {
+        if *path.life.borrow() == Life::Dead || (!resets_at_start && resets(path)) {
             return;
         }
-        if was_silent && !silent(way) {
+        if was_unresponsive && !is_unresponsive(path) {
             return;
         }
-        was_silent |= silent(way);
+        was_unresponsive |= is_unresponsive(path);
     }
 }
 
-async fn pass<R, W>(from: &mut R, to: &mut W, way: &Passage, there: bool)
+async fn copy_bytes<R, W>(from: &mut R, to: &mut W, path: &PathConditions, forward: bool)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
 {
-    let mut piece = vec![0; 4 << 10];
-    let (mut link, mut life) = (way.link.clone(), way.life.clone());
+    let mut chunk = vec![0; 4 << 10];
+    let (mut link, mut life) = (path.link.clone(), path.life.clone());
     loop {
-        let Ok(n) = from.read(&mut piece).await else { return };
+        let Ok(n) = from.read(&mut chunk).await else { return };
         let now = *link.borrow();
-        let now = if there { now.there } else { now.back };
-        let mut late = now.delay_ms / 1e3;
+        let now = if forward { now.forward } else { now.reverse };
+        let mut delay_s = now.delay_ms / 1e3;
         if now.jitter_ms > 0.0 {
-            late += now.jitter_ms * way.dice.roll() / 1e3;
+            delay_s += now.jitter_ms * path.dice.roll() / 1e3;
         }
         if let Some(kb) = now.kb_per_s {
-            late += n as f64 / (kb * 1e3);
+            delay_s += n as f64 / (kb * 1e3);
         }
-        if now.loss > 0.0 && way.dice.roll() < now.loss {
-            late += RETRANSMISSION.as_secs_f64();
+        if now.loss > 0.0 && path.dice.roll() < now.loss {
+            delay_s += RETRANSMISSION_DELAY.as_secs_f64();
         }
-        if late > 0.0 {
-            sleep(Duration::from_secs_f64(late)).await;
+        if delay_s > 0.0 {
+            sleep(Duration::from_secs_f64(delay_s)).await;
         }
-        // What is on its way when the link is cut is held until it is back; then the connection is reset.
-        let cut = |link: &Link| if there { link.there.cut } else { link.back.cut };
+        // Bytes in flight when the link is cut are held until it is restored; then the connection is reset.
+        let cut = |link: &Link| if forward { link.forward.cut } else { link.reverse.cut };
         if link.wait_for(|link| !cut(link)).await.is_err()
             || life.wait_for(|life| *life != Life::Vanished).await.is_err()
         {
             return;
         }
-        if n == 0 || to.write_all(&piece[..n]).await.is_err() {
+        if n == 0 || to.write_all(&chunk[..n]).await.is_err() {
             return;
         }
     }
 }
 
-/// The links of a fleet's zones, and what faults have made of them.
+/// The links between all pairs of zones, with their normal and their current conditions.
 pub struct Links {
     zones: usize,
-    usual: Vec<Link>,
-    tell: Vec<watch::Sender<Link>>,
+    normal: Vec<Link>,
+    senders: Vec<watch::Sender<Link>>,
 }
 
 impl Links {
     pub fn new(zones: usize, same: Way, cross: Way) -> Self {
-        let usual: Vec<Link> = (0..zones * zones)
+        let normal: Vec<Link> = (0..zones * zones)
             .map(|n| if n / zones == n % zones { same } else { cross })
-            .map(|way| Link { there: way, back: way })
+            .map(|path| Link { forward: path, reverse: path })
             .collect();
-        let tell = usual.iter().map(|link| watch::Sender::new(*link)).collect();
-        Links { zones, usual, tell }
+        let senders = normal.iter().map(|link| watch::Sender::new(*link)).collect();
+        Links { zones, normal, senders }
     }
 
-    /// From callers of one zone to parties of another.
+    /// The current conditions from callers in one zone to backends in another, followed as they change.
     pub fn between(&self, from: usize, to: usize) -> watch::Receiver<Link> {
-        self.tell[from * self.zones + to].subscribe()
+        self.senders[from * self.zones + to].subscribe()
     }
 
+    /// The current conditions from one zone to another.
     pub fn now(&self, from: usize, to: usize) -> Link {
-        *self.tell[from * self.zones + to].borrow()
+        *self.senders[from * self.zones + to].borrow()
     }
 
-    /// Changes all ways out of a zone and into it: `out` and `into` are given the usual way.
+    /// Sets the conditions on all links of a zone to other zones. `out` and `into` compute the outbound and the
+    /// inbound direction from its normal conditions.
     pub fn change(&self, zone: usize, out: impl Fn(Way) -> Way, into: impl Fn(Way) -> Way) {
         for other in (0..self.zones).filter(|other| *other != zone) {
             for (from, to) in [(zone, other), (other, zone)] {
-                let usual = self.usual[from * self.zones + to];
-                // Calls go `there` from the caller's zone, answers `back` into it.
+                let normal = self.normal[from * self.zones + to];
+                // Requests leave the caller's zone in the forward direction; responses return in the reverse one.
                 let link = if from == zone {
-                    Link { there: out(usual.there), back: into(usual.back) }
+                    Link { forward: out(normal.forward), reverse: into(normal.reverse) }
                 } else {
-                    Link { there: into(usual.there), back: out(usual.back) }
+                    Link { forward: into(normal.forward), reverse: out(normal.reverse) }
                 };
-                self.tell[from * self.zones + to].send_replace(link);
+                self.senders[from * self.zones + to].send_replace(link);
             }
         }
     }
 }
 
-/// How long a message between nodes takes on this way; `None` if it does not come.
-pub fn message_delay(way: &Way, loss: f64, dice: &Dice) -> Option<Duration> {
-    if way.cut || dice.roll() < loss || (way.loss > 0.0 && dice.roll() < way.loss) {
+/// Delay of one datagram between two nodes; `None` if it is lost. `loss` is added to the link's own loss.
+pub fn message_delay(path: &Way, loss: f64, dice: &Dice) -> Option<Duration> {
+    if path.cut || dice.roll() < loss || (path.loss > 0.0 && dice.roll() < path.loss) {
         return None;
     }
-    Some(Duration::from_secs_f64((way.delay_ms + way.jitter_ms * dice.roll()) / 1e3))
+    Some(Duration::from_secs_f64((path.delay_ms + path.jitter_ms * dice.roll()) / 1e3))
 }
 
-/// When something planned for a time of the run is due.
+/// The instant that is `seconds` after the start of the run; negative values count as 0.
 pub fn at(start: Instant, seconds: f64) -> Instant {
     start + Duration::from_secs_f64(seconds.max(0.0))
 }
@@ -313,7 +326,6 @@
     use crate::service::free;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    /// Echoes what comes.
     fn echo(stream: DuplexStream) {
         tokio::spawn(async move {
             let (mut from, mut to) = tokio::io::split(stream);
@@ -321,48 +333,49 @@
         });
     }
 
-    async fn says(stream: &mut TcpStream) -> Option<bool> {
+    async fn echoes(stream: &mut TcpStream) -> Option<bool> {
         stream.write_all(b"x").await.ok()?;
         let read = timeout(Duration::from_millis(400), stream.read(&mut [0; 8])).await;
         Some(matches!(read, Ok(Ok(1))))
     }
 
     #[tokio::test]
-    async fn a_silent_door_lets_no_connection_come_up_and_resets_those_it_had_when_it_is_back() {
+    async fn an_unresponsive_listener_times_out_connects_and_resets_old_connections_when_it_returns() {
         let addr = free();
         let links = Links::new(2, Way::default(), Way::default());
         let life = watch::Sender::new(Life::Up);
-        let way = Passage { link: links.between(0, 1), life: life.subscribe(), dice: Dice::new(1) };
-        tokio::spawn(door(addr, way, echo));
+        let path = PathConditions { link: links.between(0, 1), life: life.subscribe(), dice: Dice::new(1) };
+        tokio::spawn(run_listener(addr, path, echo));
         let connect = || timeout(Duration::from_millis(700), TcpStream::connect(addr));
         let mut old = loop {
             if let Ok(Ok(stream)) = connect().await {
                 break stream;
             }
         };
-        assert_eq!(says(&mut old).await, Some(true));
-        let cut = |way: Way| Way { cut: true, ..way };
+        assert_eq!(echoes(&mut old).await, Some(true));
+        let cut = |path: Way| Way { cut: true, ..path };
         for (out, into) in [(true, true), (true, false), (false, true)] {
-            let usual = |way: Way| way;
-            links.change(0, if out { cut } else { usual }, if into { cut } else { usual });
+            let normal = |path: Way| path;
+            links.change(0, if out { cut } else { normal }, if into { cut } else { normal });
             sleep(Duration::from_millis(300)).await;
-            assert!(connect().await.is_err(), "it neither comes up nor is refused");
-            assert_eq!(says(&mut old).await, Some(false), "nothing passes");
-            links.change(0, usual, usual);
+            assert!(connect().await.is_err(), "the connection must neither open nor be refused");
+            assert_eq!(echoes(&mut old).await, Some(false), "no bytes must pass");
+            links.change(0, normal, normal);
             let mut new = loop {
                 if let Ok(Ok(stream)) = connect().await {
                     break stream;
                 }
             };
-            assert_eq!(says(&mut new).await, Some(true));
+            assert_eq!(echoes(&mut new).await, Some(true));
             let mut byte = [0; 1];
-            // What was on its way may still come, then the reset.
+            // Bytes that were in flight may still arrive before the reset.
             while matches!(timeout(Duration::from_secs(30), old.read(&mut byte)).await, Ok(Ok(1))) {}
             old = new;
         }
         life.send_replace(Life::Dead);
-        let dead = timeout(Duration::from_secs(30), old.read(&mut [0; 1])).await.expect("told");
+        let dead =
+            timeout(Duration::from_secs(30), old.read(&mut [0; 1])).await.expect("the connection is closed");
         assert!(matches!(dead, Ok(0) | Err(_)));
-        assert!(matches!(connect().await, Ok(Err(_))), "refused");
+        assert!(matches!(connect().await, Ok(Err(_))), "new connections must be refused");
     }
 }
--- a/fault-lab/src/parties.rs
+++ b/fault-lab/src/parties.rs
@@ -1,4 +1,5 @@
-//! Emulated cache servers and the origin on sockets, by the platform's protocol.
+//! The emulated backends: cache servers and the origin. They listen on sockets and speak the platform's protocol; a
+//! [`Machine`] models the time that each takes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -17,46 +18,46 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::time::Instant;
 
-use crate::machine::{Build, Entry, Machine};
-use crate::net::{at, door, Dice, Life, Links, Passage};
-use crate::party::{lock, reply, Reply, LONGEST_BODY};
+use crate::machine::{Admission, Machine, MachineSpec};
+use crate::net::{at, run_listener, Dice, Life, Links, PathConditions};
+use crate::party::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
 use crate::service::free;
 
-/// The origin's number among the parties.
+/// The origin's backend number.
 pub const ORIGIN: u16 = u16::MAX;
-/// A read that missed counts as being fetched for so long.
-const FETCHING_S: f64 = 0.4;
-/// Servers at which an object is stored that missed for one request.
-const STORED_AT: usize = 2;
-/// Reads whose misses are remembered until the origin answers them.
-const MOST_MISSED: usize = 100_000;
-
-/// How an attempt ended, as the party knows it.
+/// How long after a miss a key counts as being fetched.
+const FETCH_WINDOW_S: f64 = 0.4;
+/// Maximum number of cache servers that store the object after a request that missed at them.
+const MAX_STORING_SERVERS: usize = 2;
+/// Maximum number of reads whose misses are remembered until the origin answers them.
+const MAX_TRACKED_MISSES: usize = 100_000;
+
+/// How an attempt ended, as the backend knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Hit,
     Miss,
-    /// By the origin: a value read, or a write carried out.
+    /// The origin returned a value or applied a write.
     Served,
-    /// A write of a guarded class that was a repeat, and dropped.
+    /// A write of a guarded class that was dropped as a duplicate.
     Repeat,
     Error,
     TurnedAway,
-    /// The caller had gone, or the machine fell, before it was done.
+    /// The caller disconnected or the machine crashed before the work was done.
     GivenUp,
 }
 
-/// One attempt at a party.
+/// One attempt at a request, recorded by the backend that received it.
 #[derive(Clone, Copy, Debug)]
 pub struct Seen {
-    /// From the start of the run.
+    /// Time of arrival, in seconds from the start of the run.
     pub at_s: f64,
     pub server: u16,
     /// The `X-Request-Id`.
     pub id: u64,
-    /// Of the calling node.
+    /// Zone of the calling node.
     pub zone: u8,
     pub write: bool,
     /// The server was not warm yet.
@@ -64,27 +65,27 @@
     pub end: End,
 }
 
-/// A machine that was pushed over: when, which, and whether it was cold.
+/// A machine that crashed from overload.
 #[derive(Clone, Copy, Debug)]
 pub struct Fall {
     pub at_s: f64,
     pub server: u16,
 }
 
-/// What all parties share: the plan, which try asks what, and what was seen.
+/// State of a run that clients and backends share: its scenario, plan, clock and observations.
 pub struct Book {
     start: OnceLock<Instant>,
     pub scenario: Scenario,
     pub plan: Vec<Asked>,
-    /// By request id: the request's number in the plan.
+    /// Index of the request in the plan, by the request id of each of its tries.
     tries: Mutex<HashMap<u64, u32>>,
     pub seen: Mutex<Vec<Seen>>,
     pub falls: Mutex<Vec<Fall>>,
-    /// Ids that no client sent.
+    /// Number of requests with an id that no client sent.
     pub foreign: AtomicUsize,
-    /// While caches fill.
+    /// Set during the warm-up, in which the caches fill and the origin answers at once.
     pub leading: AtomicBool,
-    /// Whether others than the lab's clients may send requests.
+    /// Whether clients outside the test bench may send requests.
     pub open: AtomicBool,
 }
 
@@ -103,12 +104,12 @@
         }
     }
 
-    /// The run begins now.
+    /// Starts the clock of the run; a second call has no effect. Returns when it started.
     pub fn begin(&self) -> Instant {
         *self.start.get_or_init(Instant::now)
     }
 
-    /// When the run began; before it has, now.
+    /// When the clock was started; the current time if it has not been.
     pub fn start(&self) -> Instant {
         self.start.get().copied().unwrap_or_else(Instant::now)
     }
@@ -118,12 +119,14 @@
         self.start.get().map_or(0.0, |start| start.elapsed().as_secs_f64())
     }
 
+    /// Records that the try with this request id belongs to this request of the plan.
     pub fn sends(&self, id: u64, request: u32) {
         lock(&self.tries).insert(id, request);
     }
 
-    /// What the request with this id asks; of one that the lab did not send, by its path, where that is allowed.
-    fn asked(&self, id: u64, path: &str) -> Option<Asked> {
+    /// The planned request of this request id. For a request of an outside client, where those are allowed, one is made
+    /// up from its path.
+    fn find_request(&self, id: u64, path: &str) -> Option<Asked> {
         if let Some(request) = lock(&self.tries).get(&id) {
             return self.plan.get(*request as usize).cloned();
         }
@@ -140,50 +143,50 @@
     }
 }
 
-/// Keys kept; the one used longest ago goes.
+/// Keys that a cache server holds, with LRU eviction.
 #[derive(Default)]
-struct Store {
-    most: usize,
-    clock: u64,
-    used: HashMap<u32, u64>,
-    order: BTreeMap<u64, u32>,
+struct Cache {
+    capacity: usize,
+    use_counter: u64,
+    last_use: HashMap<u32, u64>,
+    lru_order: BTreeMap<u64, u32>,
     fetching: HashMap<u32, f64>,
 }
 
-impl Store {
-    fn touch(&mut self, key: u32) -> bool {
-        let Some(used) = self.used.get_mut(&key) else { return false };
-        self.clock += 1;
-        self.order.remove(used);
-        *used = self.clock;
-        self.order.insert(self.clock, key);
+impl Cache {
+    fn mark_used(&mut self, key: u32) -> bool {
+        let Some(last_use) = self.last_use.get_mut(&key) else { return false };
+        self.use_counter += 1;
+        self.lru_order.remove(last_use);
+        *last_use = self.use_counter;
+        self.lru_order.insert(self.use_counter, key);
         true
     }
 
     fn put(&mut self, key: u32) {
         self.fetching.remove(&key);
-        if self.touch(key) {
+        if self.mark_used(key) {
             return;
         }
-        self.clock += 1;
-        self.used.insert(key, self.clock);
-        self.order.insert(self.clock, key);
-        if self.used.len() > self.most {
-            if let Some((_, old)) = self.order.pop_first() {
-                self.used.remove(&old);
+        self.use_counter += 1;
+        self.last_use.insert(key, self.use_counter);
+        self.lru_order.insert(self.use_counter, key);
+        if self.last_use.len() > self.capacity {
+            if let Some((_, old)) = self.lru_order.pop_first() {
+                self.last_use.remove(&old);
             }
         }
     }
 
-    fn void(&mut self, key: u32) {
-        if let Some(used) = self.used.remove(&key) {
-            self.order.remove(&used);
+    fn invalidate(&mut self, key: u32) {
+        if let Some(last_use) = self.last_use.remove(&key) {
+            self.lru_order.remove(&last_use);
         }
     }
 
-    /// Whether another fetch of it is out.
-    fn misses(&mut self, key: u32, now: f64) -> bool {
-        self.fetching.retain(|_, since| now - *since < FETCHING_S);
+    /// Records a miss. Returns whether an earlier miss of the key is still being fetched.
+    fn record_miss(&mut self, key: u32, now: f64) -> bool {
+        self.fetching.retain(|_, since| now - *since < FETCH_WINDOW_S);
         self.fetching.insert(key, now).is_some()
     }
 }
@@ -194,35 +197,35 @@
     pub number: u16,
     pub zone: usize,
     pub started_ms: AtomicU64,
-    /// Where callers of each zone reach it.
+    /// Addresses at which callers reach it, by the zone of the caller.
     pub addrs: Vec<SocketAddr>,
     pub life: watch::Sender<Life>,
     machine: Mutex<Machine>,
-    changed: Notify,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<()>>>,
-    store: Mutex<Store>,
+    machine_changed: Notify,
+    completions: Mutex<HashMap<u64, oneshot::Sender<()>>>,
+    cache: Mutex<Cache>,
     /// Share of reads answered with 500, of all classes or of one.
     errors: Mutex<(f64, Option<u8>)>,
     connections: AtomicUsize,
-    /// Load report and when it was made.
+    /// Time and text of the latest load report.
     report: Mutex<(f64, String)>,
     next_job: AtomicU64,
 }
 
-/// All parties of a run.
+/// All backends of a run.
 pub struct Parties {
     pub book: Arc<Book>,
     links: Links,
     all: Mutex<Vec<Arc<Party>>>,
     pub origin: Arc<Party>,
-    /// By request id: where it missed.
+    /// Servers at which a read missed, by request id.
     missed: Mutex<HashMap<u64, Vec<Arc<Party>>>>,
-    /// By idempotency key: when its write was carried out.
-    written: Mutex<HashMap<u64, f64>>,
+    /// When a write was applied, by idempotency key.
+    applied_writes: Mutex<HashMap<u64, f64>>,
     dice: Dice,
 }
 
-/// What a request's first connection costs, and a count of those open.
+/// One open connection to a backend. Dropping it releases its place in the connection limit.
 struct Connection {
     party: Arc<Party>,
     zone: u8,
@@ -235,32 +238,32 @@
     }
 }
 
-/// Gives the work up when the request's future is dropped.
-struct Job {
+/// Cancels the machine's work when the request's future is dropped early.
+struct JobGuard {
     party: Arc<Party>,
     parties: Arc<Parties>,
     job: u64,
     seen: Option<Seen>,
 }
 
-impl Drop for Job {
+impl Drop for JobGuard {
     fn drop(&mut self) {
         if let Some(seen) = self.seen.take() {
-            lock(&self.party.waiting).remove(&self.job);
+            lock(&self.party.completions).remove(&self.job);
             lock(&self.party.machine).cancel(self.job);
-            self.party.changed.notify_one();
+            self.party.machine_changed.notify_one();
             lock(&self.parties.book.seen).push(Seen { end: End::GivenUp, ..seen });
         }
     }
 }
 
-fn not_run() -> Reply {
+fn not_run_reply() -> Reply {
     let mut reply = reply(StatusCode::SERVICE_UNAVAILABLE, "");
     reply.headers_mut().insert("x-not-run", HeaderValue::from_static("1"));
     reply
 }
 
-/// The value of a key, made for one request: nobody else's answer passes for it.
+/// The response body for a key. It contains the request id, so that a response to another request is recognised.
 pub fn value(id: u64, key: u32) -> String {
     format!("{id:016x} key {key:016x} {}", "v".repeat(160))
 }
@@ -268,27 +271,28 @@
 impl Parties {
     pub fn new(book: Arc<Book>, links: Links, seed: u64) -> Arc<Self> {
         let origin = &book.scenario.origin;
-        let takes = origin.takes_ms / 1e3;
-        let build = Build {
-            cores: origin.per_s * takes,
+        let fetch_s = origin.takes_ms / 1e3;
+        let machine_spec = MachineSpec {
+            cores: origin.per_s * fetch_s,
             speed: 1.0,
-            slots: (origin.per_s * takes).ceil() as usize * 4,
-            waiting: (origin.per_s * origin.queue_s) as usize,
+            slots: (origin.per_s * fetch_s).ceil() as usize * 4,
+            queue_limit: (origin.per_s * origin.queue_s) as usize,
             cold_from: 1.0,
             cold_s: 1.0,
-            warm_by_work_s: None,
-            fall_multiple: origin.fall_multiple,
-            fall_s: origin.fall_s,
-            falls_warm: true,
+            warm_after_work_s: None,
+            crash_multiple: origin.fall_multiple,
+            crash_window_s: origin.fall_s,
+            crashes_when_warm: true,
         };
-        let party = Parties::party(&book.scenario, "origin".to_owned(), ORIGIN, 0, 0, build, (0.0, true));
+        let party =
+            Parties::party(&book.scenario, "origin".to_owned(), ORIGIN, 0, 0, machine_spec, (0.0, true));
         Arc::new(Parties {
             book,
             links,
             all: Mutex::default(),
             origin: Arc::new(party),
             missed: Mutex::default(),
-            written: Mutex::default(),
+            applied_writes: Mutex::default(),
             dice: Dice::new(seed),
         })
     }
@@ -299,10 +303,10 @@
         number: u16,
         zone: usize,
         started_ms: u64,
-        build: Build,
+        machine_spec: MachineSpec,
         (now, warm): (f64, bool),
     ) -> Party {
-        let store = Store { most: scenario.servers.keeps, ..Store::default() };
+        let cache = Cache { capacity: scenario.servers.keeps, ..Cache::default() };
         Party {
             id,
             number,
@@ -310,10 +314,10 @@
             started_ms: AtomicU64::new(started_ms),
             addrs: scenario.fleet.zones.iter().map(|_| free()).collect(),
             life: watch::Sender::new(Life::Up),
-            machine: Mutex::new(Machine::new(build, now, warm)),
-            changed: Notify::new(),
-            waiting: Mutex::default(),
-            store: Mutex::new(store),
+            machine: Mutex::new(Machine::new(machine_spec, now, warm)),
+            machine_changed: Notify::new(),
+            completions: Mutex::default(),
+            cache: Mutex::new(cache),
             errors: Mutex::new((scenario.servers.errors, None)),
             connections: AtomicUsize::new(0),
             report: Mutex::new((f64::NEG_INFINITY, String::new())),
@@ -321,46 +325,47 @@
         }
     }
 
-    /// One more cache server: of those at the start warm, a later one cold.
+    /// Adds a cache server. `place` sets its speed and zone; those of the initial fleet start warm, later ones cold.
     pub fn add(self: &Arc<Self>, id: String, place: usize, started_ms: u64, warm: bool) -> Arc<Party> {
         let scenario = &self.book.scenario;
         let spec = &scenario.servers;
         let speed = scenario.speed(place);
-        let warm_by_work_s = (spec.warm_by_requests > 0).then(|| {
+        let warm_after_work_s = (spec.warm_by_requests > 0).then(|| {
             let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
             let work: f64 = scenario.classes.iter().map(|c| c.share * c.work_ms).sum::<f64>() / shares / 1e3;
             spec.warm_by_requests as f64 * work
         });
-        let build = Build {
+        let machine_spec = MachineSpec {
             cores: spec.cores,
             speed,
             slots: spec.slots,
-            waiting: spec.waiting,
+            queue_limit: spec.waiting,
             cold_from: spec.cold_from,
             cold_s: spec.cold_s,
-            warm_by_work_s,
-            fall_multiple: FALL_MULTIPLE,
-            fall_s: FALL_S,
-            falls_warm: false,
+            warm_after_work_s,
+            crash_multiple: FALL_MULTIPLE,
+            crash_window_s: FALL_S,
+            crashes_when_warm: false,
         };
         let mut all = lock(&self.all);
         let zone = place % scenario.fleet.zones.len();
         let now = (self.book.now(), warm);
-        let party = Arc::new(Parties::party(scenario, id, all.len() as u16, zone, started_ms, build, now));
+        let party =
+            Arc::new(Parties::party(scenario, id, all.len() as u16, zone, started_ms, machine_spec, now));
         all.push(Arc::clone(&party));
         drop(all);
         self.open(&party);
         party
     }
 
-    /// A server starts anew under its name: cold, empty, with none of its troubles.
+    /// Restarts a server under its name, with a cold machine and an empty cache.
     pub fn restart(&self, party: &Party, started_ms: u64) {
         lock(&party.machine).restart(self.book.now());
-        let most = self.book.scenario.servers.keeps;
-        *lock(&party.store) = Store { most, ..Store::default() };
-        lock(&party.waiting).clear();
+        let capacity = self.book.scenario.servers.keeps;
+        *lock(&party.cache) = Cache { capacity, ..Cache::default() };
+        lock(&party.completions).clear();
         party.started_ms.store(started_ms, Ordering::Relaxed);
-        party.changed.notify_one();
+        party.machine_changed.notify_one();
         party.life.send_replace(Life::Up);
     }
 
@@ -372,10 +377,10 @@
         &self.links
     }
 
-    /// Opens a party's doors and starts its machine.
+    /// Starts a backend's listeners and its machine.
     pub fn open(self: &Arc<Self>, party: &Arc<Party>) {
         for (zone, addr) in party.addrs.iter().enumerate() {
-            let way = Passage {
+            let path = PathConditions {
                 link: self.links.between(zone, party.zone),
                 life: party.life.subscribe(),
                 dice: Dice::new(u64::from(party.number) * 64 + zone as u64),
@@ -396,15 +401,15 @@
                         let (parties, connection) = (Arc::clone(&parties), Arc::clone(&connection));
                         async move { Ok::<_, Infallible>(parties.answer(request, &connection).await) }
                     });
-                    // An error is the caller's, who has gone.
+                    // An error only means that the caller has closed the connection.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             };
-            tokio::spawn(door(*addr, way, serve));
+            tokio::spawn(run_listener(*addr, path, serve));
         }
-        tokio::spawn(run_machine(Arc::clone(self), Arc::clone(party)));
+        tokio::spawn(drive_machine(Arc::clone(self), Arc::clone(party)));
         if self.book.scenario.servers.pause_every_s > 0.0 && party.number != ORIGIN {
-            tokio::spawn(pauses(Arc::clone(self), Arc::clone(party)));
+            tokio::spawn(pause_periodically(Arc::clone(self), Arc::clone(party)));
         }
     }
 
@@ -412,20 +417,21 @@
         let party = &connection.party;
         let path = request.uri().path().to_owned();
         if request.method() == Method::GET && (path == "/health/live" || path == "/stats") {
-            return self.probe(party, &path).await;
+            return self.answer_probe(party, &path).await;
         }
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return reply(StatusCode::NOT_FOUND, "") };
-        let known = u64::from_str_radix(id, 16).ok().and_then(|id| Some((id, self.book.asked(id, &path)?)));
+        let known =
+            u64::from_str_radix(id, 16).ok().and_then(|id| Some((id, self.book.find_request(id, &path)?)));
         let Some((id, asked)) = known else {
             self.book.foreign.fetch_add(1, Ordering::Relaxed);
             return reply(StatusCode::BAD_REQUEST, "no client sent this id");
         };
         let expired =
             header("x-deadline-ms").and_then(|ms| ms.parse::<f64>().ok()).is_some_and(|ms| ms <= 0.0);
-        let idempotency = header("idempotency-key").and_then(|key| u64::from_str_radix(key, 16).ok());
+        let idempotency_key = header("idempotency-key").and_then(|key| u64::from_str_radix(key, 16).ok());
         let write = request.method() == Method::PUT;
-        if write && Limited::new(request.into_body(), LONGEST_BODY).collect().await.is_err() {
+        if write && Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_err() {
             return reply(StatusCode::BAD_REQUEST, "a body of at most 64 KiB expected");
         }
         let asked = &asked;
@@ -434,19 +440,19 @@
         let seen = Seen { at_s, server, id, zone, write, cold, end: End::TurnedAway };
         if expired {
             lock(&self.book.seen).push(seen);
-            return not_run();
+            return not_run_reply();
         }
         let spec = &self.book.scenario.servers;
         let key = asked.key;
         let (end, mut work) = if server == ORIGIN {
             let origin = &self.book.scenario.origin;
-            let takes = origin.takes_ms / 1e3 * self.dice.log_normal(origin.takes_cv);
-            (End::Served, takes * asked.work_s / self.mean_work(asked))
+            let fetch_s = origin.takes_ms / 1e3 * self.dice.log_normal(origin.takes_cv);
+            (End::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
         } else if write {
             (End::Miss, spec.miss_ms / 1e3)
-        } else if party.errs(asked.class, self.dice.roll()) {
+        } else if party.draws_error(asked.class, self.dice.roll()) {
             (End::Error, spec.miss_ms / 1e3)
-        } else if lock(&party.store).touch(key) {
+        } else if lock(&party.cache).mark_used(key) {
             (End::Hit, asked.work_s)
         } else {
             (End::Miss, spec.miss_ms / 1e3)
@@ -455,69 +461,69 @@
             work += spec.handshake_ms / 1e3;
         }
         if server == ORIGIN && self.book.leading.load(Ordering::Relaxed) {
-            return self.finish(seen, End::Served, party, idempotency, asked);
+            return self.finish(seen, End::Served, party, idempotency_key, asked);
         }
-        let Some((done, mut guard)) = self.begin(party, work, seen) else {
+        let Some((done, mut guard)) = self.start_job(party, work, seen) else {
             lock(&self.book.seen).push(seen);
-            return not_run();
+            return not_run_reply();
         };
         if done.await.is_err() {
-            // The machine fell; the guard notes it.
+            // The machine crashed. Dropping the guard records the attempt as aborted.
             return reply(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
         guard.seen = None;
-        self.finish(seen, end, party, idempotency, asked)
+        self.finish(seen, end, party, idempotency_key, asked)
     }
 
-    fn mean_work(&self, asked: &Asked) -> f64 {
+    fn mean_work_s(&self, asked: &Asked) -> f64 {
         self.book.scenario.classes[asked.class as usize].work_ms / 1e3
     }
 
-    /// Gives the machine the work; `None` if it turned the request away.
-    fn begin(
+    /// Offers the work to the machine; `None` if the machine rejected it or crashed.
+    fn start_job(
         self: &Arc<Self>,
         party: &Arc<Party>,
         work: f64,
         seen: Seen,
-    ) -> Option<(oneshot::Receiver<()>, Job)> {
+    ) -> Option<(oneshot::Receiver<()>, JobGuard)> {
         let job = party.next_job.fetch_add(1, Ordering::Relaxed);
-        let (tell, done) = oneshot::channel();
-        lock(&party.waiting).insert(job, tell);
+        let (completion, done) = oneshot::channel();
+        lock(&party.completions).insert(job, completion);
         let now = self.book.now();
         let (entry, finished) = {
             let mut machine = lock(&party.machine);
             let finished = machine.advance(now);
             (machine.offer(job, work), finished)
         };
-        self.tell(party, finished);
-        party.changed.notify_one();
+        self.notify_finished(party, finished);
+        party.machine_changed.notify_one();
         match entry {
-            Entry::Taken => {
+            Admission::Accepted => {
                 let (party, parties) = (Arc::clone(party), Arc::clone(self));
-                Some((done, Job { party, parties, job, seen: Some(seen) }))
+                Some((done, JobGuard { party, parties, job, seen: Some(seen) }))
             }
-            Entry::TurnedAway => {
-                lock(&party.waiting).remove(&job);
+            Admission::Rejected => {
+                lock(&party.completions).remove(&job);
                 None
             }
-            Entry::Fell => {
-                lock(&party.waiting).clear();
-                self.fell(party);
+            Admission::Crashed => {
+                lock(&party.completions).clear();
+                self.handle_crash(party);
                 None
             }
         }
     }
 
-    fn tell(&self, party: &Party, finished: Vec<u64>) {
-        let mut waiting = lock(&party.waiting);
+    fn notify_finished(&self, party: &Party, finished: Vec<u64>) {
+        let mut completions = lock(&party.completions);
         for job in finished {
-            if let Some(tell) = waiting.remove(&job) {
-                let _ = tell.send(());
+            if let Some(completion) = completions.remove(&job) {
+                let _ = completion.send(());
             }
         }
     }
 
-    fn fell(self: &Arc<Self>, party: &Arc<Party>) {
+    fn handle_crash(self: &Arc<Self>, party: &Arc<Party>) {
         lock(&self.book.falls).push(Fall { at_s: self.book.now(), server: party.number });
         party.life.send_replace(Life::Dead);
         if party.number == ORIGIN {
@@ -534,28 +540,30 @@
         seen: Seen,
         end: End,
         party: &Arc<Party>,
-        idempotency: Option<u64>,
+        idempotency_key: Option<u64>,
         asked: &Asked,
     ) -> Reply {
         let (id, key) = (seen.id, asked.key);
         let (mut end, mut answer) = (end, None);
         match (party.number, end) {
             (ORIGIN, _) if seen.write => {
-                end = self.write(asked, idempotency, seen.at_s);
+                end = self.write(asked, idempotency_key, seen.at_s);
             }
             (ORIGIN, _) => {
-                for party in lock(&self.missed).remove(&id).unwrap_or_default().iter().take(STORED_AT) {
+                for party in
+                    lock(&self.missed).remove(&id).unwrap_or_default().iter().take(MAX_STORING_SERVERS)
+                {
                     if *party.life.borrow() == Life::Up {
-                        lock(&party.store).put(key);
+                        lock(&party.cache).put(key);
                     }
                 }
-                // It keeps nothing: as the platform's does, it says miss to all.
+                // The origin has no cache, so it reports a miss for every read, like the platform's origin.
                 answer = Some((StatusCode::OK, "miss"));
             }
             (_, End::Miss) => {
-                let pending = !seen.write && lock(&party.store).misses(key, seen.at_s);
+                let pending = !seen.write && lock(&party.cache).record_miss(key, seen.at_s);
                 let mut missed = lock(&self.missed);
-                if !seen.write && missed.len() < MOST_MISSED {
+                if !seen.write && missed.len() < MAX_TRACKED_MISSES {
                     missed.entry(id).or_default().push(Arc::clone(party));
                 }
                 answer = Some((StatusCode::NOT_FOUND, if pending { "pending" } else { "miss" }));
@@ -573,23 +581,23 @@
         reply
     }
 
-    /// Carries a write out: copies go void, a repeat within the class's window is dropped.
-    fn write(&self, asked: &Asked, idempotency: Option<u64>, now: f64) -> End {
+    /// Applies a write and invalidates the cached copies. A duplicate within the class's idempotency window is dropped.
+    fn write(&self, asked: &Asked, idempotency_key: Option<u64>, now: f64) -> End {
         let class = &self.book.scenario.classes[asked.class as usize];
-        if let (Effect::Guarded, Some(key)) = (class.effect, idempotency) {
-            let mut written = lock(&self.written);
-            if written.get(&key).is_some_and(|before| now - before < class.key_ttl_s) {
+        if let (Effect::Guarded, Some(key)) = (class.effect, idempotency_key) {
+            let mut applied_writes = lock(&self.applied_writes);
+            if applied_writes.get(&key).is_some_and(|before| now - before < class.key_ttl_s) {
                 return End::Repeat;
             }
-            written.insert(key, now);
+            applied_writes.insert(key, now);
         }
         for party in self.all() {
-            lock(&party.store).void(asked.key);
+            lock(&party.cache).invalidate(asked.key);
         }
         End::Served
     }
 
-    /// Changes a machine, after all that it did until now.
+    /// Changes a machine, after advancing it to the current time.
     fn change(&self, party: &Party, change: impl FnOnce(&mut Machine)) {
         let finished = {
             let mut machine = lock(&party.machine);
@@ -597,37 +605,37 @@
             change(&mut machine);
             finished
         };
-        self.tell(party, finished);
-        party.changed.notify_one();
+        self.notify_finished(party, finished);
+        party.machine_changed.notify_one();
     }
 
-    /// So many times slower than usual.
+    /// Makes a backend this many times slower than usual.
     pub fn slow(&self, party: &Party, times: f64) {
-        self.change(party, |machine| machine.slow = times);
+        self.change(party, |machine| machine.slowdown = times);
     }
 
     pub fn pause(&self, party: &Party, paused: bool) {
         self.change(party, |machine| machine.paused = paused);
     }
 
-    async fn probe(self: &Arc<Self>, party: &Arc<Party>, path: &str) -> Reply {
+    async fn answer_probe(self: &Arc<Self>, party: &Arc<Party>, path: &str) -> Reply {
         let work = self.book.scenario.servers.probe_ms / 1e3;
         let now = self.book.now();
         let report = {
             let mut machine = lock(&party.machine);
             let finished = machine.advance(now);
-            let held = machine.held();
-            let (queue, service) = (machine.queue(), machine.service_s);
+            let in_flight = machine.in_flight();
+            let (queue, service) = (machine.queue_len(), machine.mean_service_s);
             drop(machine);
-            self.tell(party, finished);
-            party.changed.notify_one();
+            self.notify_finished(party, finished);
+            party.machine_changed.notify_one();
             let mut report = lock(&party.report);
             if now - report.0 > self.book.scenario.servers.report_ms / 1e3 {
-                *report = (now, format!("svc_ms={:.2},busy_reqs={held},pending={queue}", service * 1e3));
+                *report = (now, format!("svc_ms={:.2},busy_reqs={in_flight},pending={queue}", service * 1e3));
             }
             report.1.clone()
         };
-        // Beside the queue, as the platform's probes are; a machine that stands still answers none.
+        // Probes bypass the request queue, like the platform's. A paused machine does not answer them.
         while lock(&party.machine).paused {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -641,40 +649,41 @@
 }
 
 impl Party {
-    /// Sets the share of reads that it answers with 500.
+    /// Sets the share of reads that are answered with 500, for one class or for all.
     pub fn set_errors(&self, share: f64, class: Option<u8>) {
         *lock(&self.errors) = (share, class);
     }
 
-    fn errs(&self, class: u8, roll: f64) -> bool {
+    fn draws_error(&self, class: u8, uniform: f64) -> bool {
         let (share, only) = *lock(&self.errors);
-        only.is_none_or(|only| only == class) && roll < share
+        only.is_none_or(|only| only == class) && uniform < share
     }
 }
 
-/// The rule on cold servers, as nodes are told it.
+/// A cold server crashes when it is sent more than this multiple of its capacity. Nodes learn it from their settings.
 pub const FALL_MULTIPLE: f64 = 2.5;
+/// Time window of [`COLD_CRASH_MULTIPLE`].
 pub const FALL_S: f64 = 3.0;
 
-async fn run_machine(parties: Arc<Parties>, party: Arc<Party>) {
+async fn drive_machine(parties: Arc<Parties>, party: Arc<Party>) {
     loop {
         let (finished, next) = {
             let mut machine = lock(&party.machine);
             let finished = machine.advance(parties.book.now());
-            (finished, machine.next())
+            (finished, machine.next_event_s())
         };
-        parties.tell(&party, finished);
+        parties.notify_finished(&party, finished);
         match next {
-            None => party.changed.notified().await,
+            None => party.machine_changed.notified().await,
             Some(next) => tokio::select! {
                 () = tokio::time::sleep_until(at(parties.book.start(), next)) => {}
-                () = party.changed.notified() => {}
+                () = party.machine_changed.notified() => {}
             },
         }
     }
 }
 
-async fn pauses(parties: Arc<Parties>, party: Arc<Party>) {
+async fn pause_periodically(parties: Arc<Parties>, party: Arc<Party>) {
     let spec = &parties.book.scenario.servers;
     loop {
         let wait = spec.pause_every_s * (0.5 + parties.dice.roll());
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/party.rs
@@ -1,4 +1,4 @@
-//! A server of ours on loopback, and a plain list: what the list service is measured against.
+//! A small HTTP server on loopback, and an in-memory registry that is the baseline in benchmarks of the real one.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -21,16 +21,17 @@
 
 pub(crate) type Reply = Response<Full<Bytes>>;
 
-pub(crate) const LONGEST_BODY: usize = 64 << 10;
+/// Maximum size of a request body.
+pub(crate) const MAX_BODY_BYTES: usize = 64 << 10;
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves on a free port of loopback for as long as the runtime lives.
+/// Serves on a free port of the loopback interface until the runtime ends.
 ///
 /// # Errors
-/// Where no port is free.
+/// No port is free.
 pub async fn serve<H, F>(handle: H) -> std::io::Result<SocketAddr>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -51,7 +52,7 @@
                     let reply = handle(request);
                     async move { Ok::<_, Infallible>(reply.await) }
                 });
-                // An error is the caller's, who has gone.
+                // An error only means that the caller has closed the connection.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -65,9 +66,10 @@
     reply
 }
 
-// ---- A plain list -------------------------------------------------------------------------------------
+// ---- The baseline registry ----------------------------------------------------------------------------
 
-/// A list in memory, without log, replicas, leases or checks: what a registry costs is told against it.
+/// A registry in memory, without a log, replicas, leases or health checks. The benchmark compares the real registry's
+/// cost with it.
 #[derive(Clone)]
 pub struct PlainList {
     entries: Arc<Mutex<Entries>>,
@@ -77,15 +79,15 @@
 #[derive(Default)]
 struct Entries {
     version: u64,
-    /// With the version of each one's last change.
+    /// Each entry with the version of its last change.
     by_id: HashMap<String, (u64, Entry)>,
 }
 
 impl PlainList {
-    /// Its one address, for reading and changing.
+    /// Starts the registry. Returns its address, which serves both reads and changes.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// No port is free.
     pub async fn start() -> std::io::Result<SocketAddr> {
         let list = PlainList { entries: Arc::default(), version: watch::Sender::new(0) };
         serve(move |request| list.clone().answer(request)).await
@@ -114,7 +116,7 @@
     async fn put(self, request: Request<Incoming>) -> Reply {
         let id =
             request.uri().path().strip_prefix(INSTANCES).unwrap_or_default().trim_matches('/').to_owned();
-        let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
         let Ok(body) = body else { return reply(StatusCode::BAD_REQUEST, "") };
         let checked =
             serde_json::from_slice::<Register>(&body.to_bytes()).ok().and_then(|r| r.check(&id).ok());
