--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -1,33 +1,34 @@
-//! A scenario: what fleet runs, under what load, what fails when, and what must hold. A TOML file.
+//! Scenario files (TOML): the fleet, its load, the faults to inject and the conditions for a pass.
 //!
-//! Times are in seconds from the start of the judged part unless a name says otherwise.
+//! Times are in seconds from the start of the measured period, which follows the warm-up, unless a name says otherwise.
 
 use std::fmt;
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
-/// Most requests that one run may hold; they are all kept until it is judged.
-pub const MOST_REQUESTS: f64 = 1_000_000.0;
-const MOST_SERVERS: usize = 400;
-const MOST_NODES: usize = 60;
-const LONGEST_S: f64 = 1_800.0;
+/// Maximum number of requests of one run. All of them are kept in memory until the run is judged.
+pub const MAX_REQUESTS: f64 = 1_000_000.0;
+const MAX_SERVERS: usize = 400;
+const MAX_NODES: usize = 60;
+const MAX_MEASURED_S: f64 = 1_800.0;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// One sentence on what it shows.
+    /// One sentence about what the scenario tests.
     pub about: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Length of the judged part.
+    /// Length of the measured period.
     pub seconds: f64,
-    /// Load before the judged part, in which caches fill; the origin is as quick as can be meanwhile.
-    #[serde(default = "lead")]
+    /// Length of the warm-up before the measured period, in which the caches fill. The origin answers at once
+    /// during it.
+    #[serde(default = "default_lead_s")]
     pub lead_s: f64,
-    /// A run whose own lateness (planned against actual send, p99) is over this many milliseconds is void.
-    #[serde(default = "lateness")]
+    /// The run is void if its clients sent later than planned by more than this many milliseconds (p99).
+    #[serde(default = "default_lateness_ms")]
     pub lateness_ms: f64,
     #[serde(default)]
     pub fleet: FleetSpec,
@@ -39,9 +40,9 @@
     pub load: Load,
     #[serde(default)]
     pub link: LinkSpec,
-    #[serde(default = "classes", rename = "class")]
+    #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<Class>,
-    #[serde(default = "tenants", rename = "tenant")]
+    #[serde(default = "default_tenants", rename = "tenant")]
     pub tenants: Vec<Tenant>,
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
@@ -53,18 +54,21 @@
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSpec {
     pub zones: Vec<String>,
-    /// Nodes of the whole fleet, dealt out over the zones; servers likewise.
+    /// Nodes of the whole fleet, spread evenly over the zones.
     pub nodes: usize,
+    /// Cache servers of the whole fleet, spread evenly over the zones.
     pub servers: usize,
+    /// Replicas of the registry.
     pub replicas: usize,
-    /// Whether nodes may send each other messages.
+    /// Whether the nodes may send messages to one another.
     pub peers: bool,
-    /// Lease of a server's entry in the list.
+    /// Lease of a server's registration.
     pub lease_s: f64,
-    /// Each server has an agent that is a process of its own, instead of the agent's library in the lab.
+    /// Whether each server's registration agent is a separate process. Otherwise it runs inside the test bench.
     pub agent_processes: bool,
-    /// What a node may use.
+    /// Memory limit of each node.
     pub memory_mb: u32,
+    /// Maximum number of open sockets of each node.
     pub sockets: u32,
 }
 
@@ -84,39 +88,42 @@
     }
 }
 
-/// A cache server. Kinds differ in speed only.
+/// The cache servers. They differ only in speed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerSpec {
     pub cores: f64,
-    /// Speeds, dealt out in turn; a core of speed 1 does a second of work in a second.
+    /// Speeds, assigned to the servers in rotation. A core of speed 1 does one second of work in a second.
     pub speeds: Vec<f64>,
-    /// Requests in work at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Requests waiting beside those.
+    /// Maximum number of requests that wait in the queue.
     pub waiting: usize,
-    /// Connections that it holds; more are refused.
+    /// Maximum number of open connections; further ones are closed.
     pub connections: usize,
-    /// Work of a new connection, which its first request bears.
+    /// Work of opening a connection, added to the first request on it.
     pub handshake_ms: f64,
-    /// Work of telling that a key is not kept, and of a probe.
+    /// Work of a request for a key that is not cached, of a write and of an error response.
     pub miss_ms: f64,
+    /// Time to answer a health probe.
     pub probe_ms: f64,
-    /// Values kept; the one used longest ago goes.
+    /// Cache size in values, with LRU eviction.
     pub keeps: usize,
-    /// Share of its capacity at its start, and how long until it is warm when it does nothing.
+    /// Share of its capacity right after a start.
     pub cold_from: f64,
+    /// Time until it is warm when it serves no requests.
     pub cold_s: f64,
-    /// Requests served that warm it whatever the time; 0: only time does.
+    /// Number of served requests that also makes it warm. 0: only time does.
     pub warm_by_requests: u64,
-    /// Stands still for `pause_ms` every `pause_every_s` (0: never).
+    /// Mean time between pauses; the actual time varies from half of it to one and a half times. 0: no pauses.
     pub pause_every_s: f64,
+    /// Length of a pause.
     pub pause_ms: f64,
     /// Share of reads answered with 500.
     pub errors: f64,
-    /// How old its load report may be.
+    /// Longest age of its load report.
     pub report_ms: f64,
-    /// How long it finishes what it has after it said goodbye.
+    /// How long it goes on serving after it has announced that it leaves.
     pub drain_s: f64,
 }
 
@@ -147,15 +154,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OriginSpec {
-    /// Fetches that it can do.
+    /// Fetches per second that it can do.
     pub per_s: f64,
-    /// Mean time of one fetch when it has room.
+    /// Mean time of one fetch without queueing.
     pub takes_ms: f64,
-    /// Spread of that time beyond the request's own work (coefficient of variation, log-normal). 0: none.
+    /// Variation of that time beyond the request's own work: coefficient of variation of a log-normal factor. 0: none.
     pub takes_cv: f64,
-    /// Requests waiting, counted in seconds of its capacity.
+    /// Queue limit, in seconds of its capacity.
     pub queue_s: f64,
-    /// Sent more than this multiple of its capacity for `fall_s`, it stops for `down_s`. 0: never.
+    /// It crashes for `down_s` when it is sent more than this multiple of its capacity over `fall_s`. 0: never.
     pub fall_multiple: f64,
     pub fall_s: f64,
     pub down_s: f64,
@@ -172,26 +179,28 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// First tries a second, of the whole fleet; without it `of_capacity` decides.
+    /// Requests per second of the whole fleet, without retries. If absent, `of_capacity` sets the rate.
     pub per_s: Option<f64>,
-    /// Share of the cores' capacity if every read were a hit.
+    /// Load as a share of the cores' capacity if every read were a cache hit.
     pub of_capacity: f64,
     pub keys: usize,
-    /// Zipf exponent of the keys' popularity.
+    /// Zipf exponent of the key popularity.
     pub zipf: f64,
-    /// Ranks by which popularity moves on each second.
+    /// Ranks per second by which the popularity shifts over the keys.
     pub drift: f64,
-    /// Spread of a request's work about its class's mean (coefficient of variation).
+    /// Coefficient of variation of a request's work around its class's mean.
     pub work_cv: f64,
-    /// Retries of a client, at most; share of those that honour `Retry-After`.
+    /// Maximum number of retries of a request.
     pub retries: u32,
+    /// Wait before the first retry.
     pub backoff_ms: f64,
-    /// Each wait is twice the last.
+    /// Whether the wait doubles with each retry.
     pub backoff_grows: bool,
+    /// Share of retries that honour `Retry-After`.
     pub honour: f64,
-    /// A try is given up after this share of the class's give-up time.
+    /// Time-out of a try, as a share of the class's `give_up_ms`.
     pub try_share: f64,
-    /// How late a zone's front notices that a node has died.
+    /// How long a zone's connection balancer takes to notice that a node has died.
     pub notice_s: f64,
 }
 
@@ -217,11 +226,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkSpec {
-    /// One way, within a zone and between two, and how much more at random.
+    /// One-way delay within a zone.
     pub same_ms: f64,
+    /// One-way delay between two zones.
     pub cross_ms: f64,
+    /// Largest random addition to the delay between two zones.
     pub jitter_ms: f64,
-    /// Share of messages between nodes that are lost.
+    /// Share of the messages between nodes that is lost.
     pub peer_loss: f64,
 }
 
@@ -231,11 +242,15 @@
     }
 }
 
+/// What a request of a class changes, and so when a client may retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
+    /// A read: may be retried at any time.
     Free,
+    /// A write with an idempotency key: may be retried while duplicates are dropped.
     Guarded,
+    /// A write without one: may be retried only if it can't have run.
     SingleShot,
 }
 
@@ -243,16 +258,21 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
-    /// Of all requests, counted against the other classes' shares.
+    /// Weight of the class among all requests; the weights need not add up to 1.
     pub share: f64,
+    /// Mean work of a request on a core of speed 1.
     pub work_ms: f64,
+    /// Latency target: a response within it earns the full `worth`.
     pub wanted_ms: f64,
+    /// Deadline of the request over all its tries.
     pub give_up_ms: f64,
+    /// Value of a served request per unit of work, relative to the other classes.
     pub worth: f64,
+    /// Share of `worth` that a response between target and deadline earns.
     pub late_worth: f64,
     pub effect: Effect,
-    /// A guarded class: how long repeats are dropped.
-    #[serde(default = "window")]
+    /// For a guarded class: how long duplicates of a write are dropped.
+    #[serde(default = "default_key_ttl_s")]
     pub key_ttl_s: f64,
 }
 
@@ -263,8 +283,8 @@
     pub share: f64,
 }
 
-/// Whom a fault strikes: `all`, `zone:NAME`, `share:0.5` (drawn from the seed), `count:3` (the first three) or a
-/// name (`cache-4`, `n0`, `r1`).
+/// The targets of a fault: `all`, `zone:NAME`, `share:0.5` (chosen at random by the seed), `count:3` (the first three)
+/// or a name (`cache-4`, `n0`, `r1`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Whom {
@@ -309,30 +329,31 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fault {
     pub at_s: f64,
-    /// After so long it is taken back: restarted (servers cold), continued, healed. Without it, never.
+    /// Duration after which the fault is reverted: processes restart (servers cold) or resume, and links are restored.
+    /// If absent, it lasts until the end.
     #[serde(default)]
     pub for_s: Option<f64>,
     #[serde(flatten)]
     pub what: What,
 }
 
-fn everyone() -> Whom {
+fn all_targets() -> Whom {
     Whom::All
 }
 
-/// What fails, or what an operator does.
+/// The kind of a fault, or an operator's action.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 pub enum What {
-    /// Processes of cache servers die; their agents die with them.
+    /// The processes of cache servers die, and their agents with them.
     KillServers {
         whom: Whom,
     },
-    /// Their machines vanish: nothing is reset, nothing answers.
+    /// The machines of cache servers become unreachable: they answer nothing and reset no connection.
     SilenceServers {
         whom: Whom,
     },
-    /// They stand still and go on where they were.
+    /// Cache servers pause, and later continue where they stopped.
     PauseServers {
         whom: Whom,
     },
@@ -340,27 +361,27 @@
         whom: Whom,
         times: f64,
     },
-    /// They answer this share of reads with 500.
+    /// Cache servers answer this share of reads with 500.
     ServerErrors {
         whom: Whom,
         share: f64,
-        /// Of this class only.
+        /// Only reads of this class; all classes if absent.
         #[serde(default)]
         class: Option<String>,
     },
-    /// They restart at once, empty and cold.
+    /// Cache servers restart immediately, empty and cold.
     ColdServers {
         whom: Whom,
     },
-    /// They say goodbye and come back when it ends.
+    /// Cache servers drain and leave the registry, and return when the fault ends.
     DrainServers {
         whom: Whom,
     },
-    /// `disable` at every node's door, `enable` when it ends.
+    /// Calls `disable` for cache servers on every node's operations port, and `enable` when the fault ends.
     DisableServers {
         whom: Whom,
     },
-    /// A share of the servers is replaced by new, cold ones over `for_s`, so many at a time.
+    /// A share of the cache servers is replaced by new, cold ones over `for_s`, in batches of this size.
     Replace {
         share: f64,
         batch: usize,
@@ -375,31 +396,32 @@
     StopNodes {
         whom: Whom,
     },
-    /// One after the other: a new process on the same socket, then SIGTERM to the old.
+    /// Upgrades the nodes one after another: a new process starts on the same socket, then the old one gets SIGTERM.
     UpgradeNodes {},
     KillReplicas {
-        #[serde(default = "everyone")]
+        #[serde(default = "all_targets")]
         whom: Whom,
     },
     StopReplicas {
-        #[serde(default = "everyone")]
+        #[serde(default = "all_targets")]
         whom: Whom,
     },
-    /// Nodes read discovery at other addresses, told by file and SIGHUP.
+    /// The discovery addresses change. The nodes learn the new ones from their configuration file after a SIGHUP.
     MoveDiscovery {},
-    /// A whole zone: its servers, and its nodes with `nodes`.
+    /// A zone fails: its cache servers become unreachable and, with `nodes`, its nodes die.
     LoseZone {
         zone: String,
         #[serde(default)]
         nodes: bool,
     },
-    /// All ways between this zone and the others, or only those out of it.
+    /// Cuts all links between this zone and the others, or with `one_way` only the outbound direction.
     CutZone {
         zone: String,
         #[serde(default)]
         one_way: bool,
     },
-    /// So much later each way between this zone and the others, and this share of pieces lost and sent again.
+    /// Adds delay, jitter, loss with retransmission and a bandwidth limit in both directions between this zone and the
+    /// others.
     SlowZone {
         zone: String,
         #[serde(default)]
@@ -411,56 +433,60 @@
         #[serde(default)]
         kb_per_s: Option<f64>,
     },
-    /// Connections between this zone and the others break again and again.
+    /// Connections between this zone and the others are reset repeatedly.
     ResetZone {
         zone: String,
     },
-    /// Load times this.
+    /// Multiplies the load by this factor.
     Surge {
         times: f64,
     },
-    /// This share of all reads is about one key that nobody asked for before.
+    /// This share of all reads goes to one key that was not requested before.
     FlashCrowd {
         share: f64,
     },
-    /// Clients retry so often, at once and without waiting as told.
+    /// Clients retry this often, without back-off and ignoring `Retry-After`.
     RetryStorm {
         retries: u32,
     },
 }
 
+/// The conditions for a pass.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hold {
-    /// Breaches of all rules together, at most; 0 unless said.
+    /// Maximum number of violations of all rules together; 0 by default.
     pub breaches: u64,
+    /// Minimum share of the worth that must be served.
     pub served_worth: Option<f64>,
-    /// From the end of a fault until the served share is back for good.
+    /// Longest time from the end of a fault until the served share has recovered.
     pub recovery_s: Option<f64>,
+    /// Maximum number of attempts at servers per request.
     pub attempts_per_request: Option<f64>,
+    /// Maximum number of fetches from the origin per request.
     pub origin_fetches_per_request: Option<f64>,
-    /// Served share of the worst class.
+    /// Minimum served share of the worst class.
     pub worst_class: Option<f64>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn lead() -> f64 {
+fn default_lead_s() -> f64 {
     6.0
 }
 
-fn lateness() -> f64 {
+fn default_lateness_ms() -> f64 {
     5.0
 }
 
-fn window() -> f64 {
+fn default_key_ttl_s() -> f64 {
     2.0
 }
 
-/// Athens' classes.
-fn classes() -> Vec<Class> {
+/// The request classes of the Athens deployment.
+fn default_classes() -> Vec<Class> {
     let class = |name: &str, share, work_ms, wanted_ms, give_up_ms, worth, late_worth, effect| {
         let key_ttl_s = if effect == Effect::Guarded { 2.0 } else { 5.0 };
         let name = name.to_owned();
@@ -474,13 +500,13 @@
     ]
 }
 
-fn tenants() -> Vec<Tenant> {
+fn default_tenants() -> Vec<Tenant> {
     [("kyma-energy", 0.48), ("aktis-power", 0.28), ("thalos-solar", 0.16), ("fotis-install", 0.08)]
         .map(|(name, share)| Tenant { name: name.to_owned(), share })
         .to_vec()
 }
 
-/// Why a file is no scenario: where, what, and what was expected.
+/// A scenario could not be read. The message names the place, the value and what was expected.
 #[derive(Debug)]
 pub struct ScenarioError(String);
 
@@ -498,7 +524,7 @@
 
 impl std::error::Error for ScenarioError {}
 
-/// The scenarios that come with the program.
+/// The texts of the built-in scenarios.
 pub const CATALOGUE: &[&str] = &[
     include_str!("../scenarios/calm.toml"),
     include_str!("../scenarios/overload.toml"),
@@ -526,10 +552,11 @@
 ];
 
 impl Scenario {
-    /// A scenario of the catalogue by its name, else a file.
+    /// Loads a built-in scenario by its name, or else a file.
     ///
     /// # Errors
-    /// Says file and line, or the setting, and what was expected.
+    /// The file can't be read, or a setting is invalid. The message names the file and line, or the setting, and what
+    /// was expected.
     pub fn load(name: &str) -> Result<Scenario, ScenarioError> {
         for text in CATALOGUE {
             let scenario = Scenario::parse("catalogue", text)?;
@@ -545,8 +572,10 @@
         Scenario::parse(name, &text)
     }
 
+    /// Parses and checks a scenario. `file` only names the text in errors.
+    ///
     /// # Errors
-    /// As [`Scenario::load`].
+    /// The same as [`Scenario::load`].
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)
             .map_err(|e| ScenarioError(format!("{file}: {}", e.to_string().trim_end())))?;
@@ -555,61 +584,61 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let within = |name: &str, value: f64, least: f64, most: f64| {
-            if (least..=most).contains(&value) {
+        let check_range = |name: &str, value: f64, min: f64, max: f64| {
+            if (min..=max).contains(&value) {
                 return Ok(());
             }
-            Err(format!("{name}: {least} to {most} expected, got {value}"))
+            Err(format!("{name}: {min} to {max} expected, got {value}"))
         };
-        within("seconds", self.seconds, 1.0, LONGEST_S)?;
-        within("lead_s", self.lead_s, 0.0, 120.0)?;
-        within("lateness_ms", self.lateness_ms, 0.1, 1_000.0)?;
+        check_range("seconds", self.seconds, 1.0, MAX_MEASURED_S)?;
+        check_range("lead_s", self.lead_s, 0.0, 120.0)?;
+        check_range("lateness_ms", self.lateness_ms, 0.1, 1_000.0)?;
         let fleet = &self.fleet;
-        within("fleet.zones", fleet.zones.len() as f64, 1.0, 8.0)?;
-        within("fleet.nodes", fleet.nodes as f64, 1.0, MOST_NODES as f64)?;
-        within("fleet.servers", fleet.servers as f64, 1.0, MOST_SERVERS as f64)?;
-        within("fleet.replicas", fleet.replicas as f64, 1.0, 7.0)?;
-        within("fleet.lease_s", fleet.lease_s, 1.0, 600.0)?;
+        check_range("fleet.zones", fleet.zones.len() as f64, 1.0, 8.0)?;
+        check_range("fleet.nodes", fleet.nodes as f64, 1.0, MAX_NODES as f64)?;
+        check_range("fleet.servers", fleet.servers as f64, 1.0, MAX_SERVERS as f64)?;
+        check_range("fleet.replicas", fleet.replicas as f64, 1.0, 7.0)?;
+        check_range("fleet.lease_s", fleet.lease_s, 1.0, 600.0)?;
         let server = &self.servers;
-        within("servers.cores", server.cores, 0.1, 256.0)?;
-        within("servers.speeds", server.speeds.len() as f64, 1.0, 64.0)?;
+        check_range("servers.cores", server.cores, 0.1, 256.0)?;
+        check_range("servers.speeds", server.speeds.len() as f64, 1.0, 64.0)?;
         for speed in &server.speeds {
-            within("servers.speeds", *speed, 0.01, 100.0)?;
+            check_range("servers.speeds", *speed, 0.01, 100.0)?;
         }
-        within("servers.slots", server.slots as f64, 1.0, 10_000.0)?;
-        within("servers.cold_from", server.cold_from, 0.01, 1.0)?;
-        within("servers.keeps", server.keeps as f64, 1.0, 1e6)?;
-        within("servers.errors", server.errors, 0.0, 1.0)?;
-        within("servers.cold_s", server.cold_s, 0.01, 3_600.0)?;
-        within("origin.per_s", self.origin.per_s, 0.1, 1e6)?;
-        within("origin.takes_ms", self.origin.takes_ms, 0.1, 60_000.0)?;
-        within("origin.takes_cv", self.origin.takes_cv, 0.0, 3.0)?;
+        check_range("servers.slots", server.slots as f64, 1.0, 10_000.0)?;
+        check_range("servers.cold_from", server.cold_from, 0.01, 1.0)?;
+        check_range("servers.keeps", server.keeps as f64, 1.0, 1e6)?;
+        check_range("servers.errors", server.errors, 0.0, 1.0)?;
+        check_range("servers.cold_s", server.cold_s, 0.01, 3_600.0)?;
+        check_range("origin.per_s", self.origin.per_s, 0.1, 1e6)?;
+        check_range("origin.takes_ms", self.origin.takes_ms, 0.1, 60_000.0)?;
+        check_range("origin.takes_cv", self.origin.takes_cv, 0.0, 3.0)?;
         let load = &self.load;
-        within("load.of_capacity", load.of_capacity, 0.0, 20.0)?;
-        within("load.keys", load.keys as f64, 1.0, 1e6)?;
-        within("load.zipf", load.zipf, 0.0, 4.0)?;
-        within("load.work_cv", load.work_cv, 0.0, 3.0)?;
-        within("load.retries", f64::from(load.retries), 0.0, 20.0)?;
-        within("load.honour", load.honour, 0.0, 1.0)?;
-        within("load.try_share", load.try_share, 0.05, 1.0)?;
-        within("classes", self.classes.len() as f64, 1.0, 32.0)?;
+        check_range("load.of_capacity", load.of_capacity, 0.0, 20.0)?;
+        check_range("load.keys", load.keys as f64, 1.0, 1e6)?;
+        check_range("load.zipf", load.zipf, 0.0, 4.0)?;
+        check_range("load.work_cv", load.work_cv, 0.0, 3.0)?;
+        check_range("load.retries", f64::from(load.retries), 0.0, 20.0)?;
+        check_range("load.honour", load.honour, 0.0, 1.0)?;
+        check_range("load.try_share", load.try_share, 0.05, 1.0)?;
+        check_range("classes", self.classes.len() as f64, 1.0, 32.0)?;
         for class in &self.classes {
-            within(&format!("class {}: work_ms", class.name), class.work_ms, 0.01, 60_000.0)?;
-            within(&format!("class {}: share", class.name), class.share, 0.0, 1e6)?;
-            within(&format!("class {}: give_up_ms", class.name), class.give_up_ms, 10.0, 60_000.0)?;
-            within(&format!("class {}: wanted_ms", class.name), class.wanted_ms, 1.0, class.give_up_ms)?;
+            check_range(&format!("class {}: work_ms", class.name), class.work_ms, 0.01, 60_000.0)?;
+            check_range(&format!("class {}: share", class.name), class.share, 0.0, 1e6)?;
+            check_range(&format!("class {}: give_up_ms", class.name), class.give_up_ms, 10.0, 60_000.0)?;
+            check_range(&format!("class {}: wanted_ms", class.name), class.wanted_ms, 1.0, class.give_up_ms)?;
         }
-        within("shares of all classes", self.classes.iter().map(|c| c.share).sum(), 1e-6, 1e9)?;
-        within("tenants", self.tenants.len() as f64, 1.0, 1_000.0)?;
-        within("shares of all tenants", self.tenants.iter().map(|t| t.share).sum(), 0.5, 1.5)?;
+        check_range("shares of all classes", self.classes.iter().map(|c| c.share).sum(), 1e-6, 1e9)?;
+        check_range("tenants", self.tenants.len() as f64, 1.0, 1_000.0)?;
+        check_range("shares of all tenants", self.tenants.iter().map(|t| t.share).sum(), 0.5, 1.5)?;
         let surge = self.faults.iter().map(|f| if let What::Surge { times } = f.what { times } else { 1.0 });
-        let most = self.per_s() * (self.seconds + self.lead_s) * surge.fold(1.0, f64::max);
-        within("requests of the whole run", most, 1.0, MOST_REQUESTS)?;
+        let requests = self.per_s() * (self.seconds + self.lead_s) * surge.fold(1.0, f64::max);
+        check_range("requests of the whole run", requests, 1.0, MAX_REQUESTS)?;
         for (n, fault) in self.faults.iter().enumerate() {
-            let place = |what: &str| format!("fault {}: {what}", n + 1);
-            within(&place("at_s"), fault.at_s, 0.0, self.seconds)?;
-            within(&place("for_s"), fault.for_s.unwrap_or(0.0), 0.0, self.seconds - fault.at_s)?;
-            self.check_names(&fault.what).map_err(|what| place(&what))?;
+            let in_fault = |what: &str| format!("fault {}: {what}", n + 1);
+            check_range(&in_fault("at_s"), fault.at_s, 0.0, self.seconds)?;
+            check_range(&in_fault("for_s"), fault.for_s.unwrap_or(0.0), 0.0, self.seconds - fault.at_s)?;
+            self.check_names(&fault.what).map_err(|what| in_fault(&what))?;
         }
         Ok(())
     }
@@ -662,12 +691,12 @@
         }
     }
 
-    /// Speed of the server with this number.
+    /// Speed of this cache server.
     pub fn speed(&self, server: usize) -> f64 {
         self.servers.speeds[server % self.servers.speeds.len()]
     }
 
-    /// Requests a second that the cores could do if all reads were hits.
+    /// Requests per second that all cores could serve if every read were a cache hit.
     pub fn capacity(&self) -> f64 {
         let cores: f64 = (0..self.fleet.servers).map(|n| self.servers.cores * self.speed(n)).sum();
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
@@ -675,7 +704,7 @@
         cores / work
     }
 
-    /// First tries a second.
+    /// Requests per second, without retries and surges.
     pub fn per_s(&self) -> f64 {
         self.load.per_s.unwrap_or(self.load.of_capacity * self.capacity())
     }
