--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients in an open loop: requests go at their planned times whatever becomes of those before, through a plain
-//! front in each zone that deals connections out and notices a dead node late.
+//! Open-loop clients: each request is sent at its planned time, whatever happened to the earlier ones. In each zone a
+//! simple connection balancer spreads the connections over the nodes round-robin; it notices a dead node late.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
@@ -22,79 +22,79 @@
 use crate::party::lock;
 use crate::scenario::Effect;
 
-/// How a try ended, as its client saw it.
+/// How a try ended, from its client's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Served,
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
     Failed,
-    /// 200 with a body that was not made for this request.
+    /// Status 200 with a body that belongs to another request.
     Foreign,
-    /// No connection came up.
+    /// No connection could be opened.
     Unreachable,
-    /// The connection ended with no whole answer.
+    /// The connection was closed before the response was complete.
     Broken,
-    /// Nothing in time.
+    /// No response arrived before the time-out.
     None,
 }
 
-/// One try of a request.
+/// One try of a request: the first sending or a retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
     pub request: u32,
     pub id: u64,
-    /// Which of the request's tries, from 0.
+    /// Number of the try within its request, from 0.
     pub n: u8,
     pub node: u16,
     pub sent_s: f64,
-    /// When its client gives up.
+    /// When the client gives up waiting.
     pub give_up_s: f64,
     pub end_s: f64,
     pub answer: Answer,
 }
 
-/// Beyond the platform's limit for an answer, as on real sockets.
+/// Added to the platform's limit for an answer, for the delay of real sockets.
 const SOCKET_GRACE_S: f64 = 0.05;
-/// How much longer the lab listens, so that what is late is seen as late and not as missing.
-const LISTEN_S: f64 = 0.08;
-const CONNECT: Duration = Duration::from_millis(250);
-const LONGEST_ANSWER: usize = 1 << 20;
-const LONGEST_WAIT_S: f64 = 1.0;
-/// Idle connections kept to one node from one zone.
-const MOST_IDLE: usize = 256;
+/// How much longer the test bench waits for a response, so that a late one is recorded as late and not as missing.
+const LATE_RESPONSE_WINDOW_S: f64 = 0.08;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+const MAX_RETRY_WAIT_S: f64 = 1.0;
+/// Maximum number of idle connections that are kept to one node.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 type Connection = SendRequest<Full<Bytes>>;
 
 pub struct Clients {
     book: Arc<Book>,
     nodes: Vec<Arc<Node>>,
-    /// By zone: how many connections its front has dealt out.
-    fronts: Vec<AtomicUsize>,
-    /// By node.
+    /// Round-robin counter of each zone's connection balancer.
+    next_node: Vec<AtomicUsize>,
+    /// Idle connections by node.
     idle: Vec<Mutex<Vec<Connection>>>,
     pub tries: Mutex<Vec<Try>>,
-    /// Planned against actual send, microseconds.
+    /// Delay of the actual against the planned time of sending, in microseconds. First tries only.
     pub lateness: Mutex<Histogram<u64>>,
-    /// Set while a retry storm goes on.
+    /// Retries of each request while a retry storm is injected; 0 otherwise.
     pub storm: AtomicU32,
     dice: Dice,
     seed: u64,
 }
 
-/// What came back, and how long the client should stay away.
-struct Told {
+/// Result of a try, with the `Retry-After` of its response.
+struct TryResult {
     answer: Answer,
     retry_after_s: Option<f64>,
 }
 
 impl Clients {
     pub fn new(book: Arc<Book>, nodes: Vec<Arc<Node>>, seed: u64) -> Arc<Self> {
-        let fronts = (0..book.scenario.fleet.zones.len()).map(AtomicUsize::new);
+        let next_node = (0..book.scenario.fleet.zones.len()).map(AtomicUsize::new);
         let lateness =
             Histogram::new_with_max(60_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"));
         Arc::new(Clients {
-            fronts: fronts.collect(),
+            next_node: next_node.collect(),
             idle: nodes.iter().map(|_| Mutex::default()).collect(),
             book,
             nodes,
@@ -106,129 +106,131 @@
         })
     }
 
-    /// Sends all that is planned and waits for the last answer.
+    /// Sends all planned requests and waits until the last one has ended. `progress` gets the planned time of each
+    /// request when it is sent.
     pub async fn run(self: &Arc<Self>, mut progress: impl FnMut(f64)) {
-        let mut out = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         for number in 0..self.book.plan.len() {
             let due = at(self.book.start(), self.book.plan[number].at_s);
             if due > Instant::now() {
                 sleep_until(due).await;
             }
             let clients = Arc::clone(self);
-            out.spawn(async move { clients.request(number as u32).await });
-            while out.try_join_next().is_some() {}
+            in_flight.spawn(async move { clients.request(number as u32).await });
+            while in_flight.try_join_next().is_some() {}
             progress(self.book.plan[number].at_s);
         }
-        while out.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
     async fn request(&self, number: u32) {
-        let asked = &self.book.plan[number as usize];
-        let class = &self.book.scenario.classes[asked.class as usize];
+        let planned = &self.book.plan[number as usize];
+        let class = &self.book.scenario.classes[planned.class as usize];
         let load = &self.book.scenario.load;
-        let give_up = asked.at_s + class.give_up_ms / 1e3;
-        let mut wait = load.backoff_ms / 1e3;
+        let deadline_s = planned.at_s + class.give_up_ms / 1e3;
+        let mut backoff_s = load.backoff_ms / 1e3;
         for n in 0..=u8::MAX {
             let storm = self.storm.load(Ordering::Relaxed);
             let now = self.book.now();
-            let try_until = (now + class.give_up_ms / 1e3 * load.try_share).min(give_up);
-            let told = self.attempt(number, n, try_until).await;
-            let may = match class.effect {
-                Effect::Free => told.answer != Answer::Served,
+            let try_deadline_s = (now + class.give_up_ms / 1e3 * load.try_share).min(deadline_s);
+            let result = self.attempt(number, n, try_deadline_s).await;
+            let may_retry = match class.effect {
+                Effect::Free => result.answer != Answer::Served,
                 Effect::Guarded => {
-                    told.answer != Answer::Served && self.book.now() - asked.at_s < class.key_ttl_s * 0.9
+                    result.answer != Answer::Served && self.book.now() - planned.at_s < class.key_ttl_s * 0.9
                 }
-                Effect::SingleShot => matches!(told.answer, Answer::Refused | Answer::Unreachable),
+                Effect::SingleShot => matches!(result.answer, Answer::Refused | Answer::Unreachable),
             };
-            let most = if storm > 0 { storm } else { load.retries };
-            if !may || told.answer == Answer::Foreign || u32::from(n) >= most {
+            let max_retries = if storm > 0 { storm } else { load.retries };
+            if !may_retry || result.answer == Answer::Foreign || u32::from(n) >= max_retries {
                 return;
             }
             if storm == 0 {
-                let honoured = told.retry_after_s.filter(|_| self.dice.roll() < load.honour);
-                let away = honoured.unwrap_or(wait).min(LONGEST_WAIT_S);
-                wait *= if load.backoff_grows { 2.0 } else { 1.0 };
-                sleep(Duration::from_secs_f64(away)).await;
+                let honoured_s = result.retry_after_s.filter(|_| self.dice.roll() < load.honour);
+                let wait_s = honoured_s.unwrap_or(backoff_s).min(MAX_RETRY_WAIT_S);
+                backoff_s *= if load.backoff_grows { 2.0 } else { 1.0 };
+                sleep(Duration::from_secs_f64(wait_s)).await;
             }
-            if self.book.now() + 0.01 >= give_up {
+            if self.book.now() + 0.01 >= deadline_s {
                 return;
             }
         }
     }
 
-    /// The node to which the zone's front gives the next connection.
-    fn pick(&self, zone: usize) -> Option<usize> {
-        let in_use = |node: &&Arc<Node>| node.in_use.load(Ordering::Relaxed);
-        let own: Vec<_> = self.nodes.iter().filter(in_use).filter(|n| n.zone == zone).collect();
-        let any: Vec<_> = if own.is_empty() { self.nodes.iter().filter(in_use).collect() } else { own };
-        let turn = self.fronts[zone].fetch_add(1, Ordering::Relaxed);
-        Some(any.get(turn % any.len().max(1))?.number)
+    /// The node that the zone's balancer picks next: one in the zone if any is in use, otherwise any in use.
+    fn pick_node(&self, zone: usize) -> Option<usize> {
+        let is_in_use = |node: &&Arc<Node>| node.in_use.load(Ordering::Relaxed);
+        let same_zone: Vec<_> = self.nodes.iter().filter(is_in_use).filter(|n| n.zone == zone).collect();
+        let candidates: Vec<_> =
+            if same_zone.is_empty() { self.nodes.iter().filter(is_in_use).collect() } else { same_zone };
+        let counter = self.next_node[zone].fetch_add(1, Ordering::Relaxed);
+        Some(candidates.get(counter % candidates.len().max(1))?.number)
     }
 
-    async fn attempt(&self, request: u32, n: u8, give_up_s: f64) -> Told {
-        let asked = &self.book.plan[request as usize];
+    async fn attempt(&self, request: u32, n: u8, give_up_s: f64) -> TryResult {
+        let planned = &self.book.plan[request as usize];
         let id = mix(self.seed ^ (u64::from(request) << 8 | u64::from(n)));
         self.book.sends(id, request);
         let sent_s = self.book.now();
         if n == 0 {
-            let late = ((sent_s - asked.at_s).max(0.0) * 1e6) as u64;
+            let late = ((sent_s - planned.at_s).max(0.0) * 1e6) as u64;
             lock(&self.lateness).saturating_record(late);
         }
-        let (node, told) = match self.pick(usize::from(asked.zone)) {
-            None => (u16::MAX, Told { answer: Answer::Unreachable, retry_after_s: None }),
+        let (node, result) = match self.pick_node(usize::from(planned.zone)) {
+            None => (u16::MAX, TryResult { answer: Answer::Unreachable, retry_after_s: None }),
             Some(node) => {
-                let until = give_up_s + ANSWER_GRACE_S + SOCKET_GRACE_S + LISTEN_S;
+                let until = give_up_s + ANSWER_GRACE_S + SOCKET_GRACE_S + LATE_RESPONSE_WINDOW_S;
                 let call = self.call(node, request, id, give_up_s);
                 let left = Duration::from_secs_f64((until - sent_s).max(0.0));
-                let none = Told { answer: Answer::None, retry_after_s: None };
+                let none = TryResult { answer: Answer::None, retry_after_s: None };
                 (node as u16, timeout(left, call).await.unwrap_or(none))
             }
         };
         let end_s = self.book.now();
-        let answer = told.answer;
+        let answer = result.answer;
         lock(&self.tries).push(Try { request, id, n, node, sent_s, give_up_s, end_s, answer });
-        told
+        result
     }
 
-    async fn call(&self, node: usize, request: u32, id: u64, give_up_s: f64) -> Told {
-        let asked = &self.book.plan[request as usize];
+    async fn call(&self, node: usize, request: u32, id: u64, give_up_s: f64) -> TryResult {
+        let planned = &self.book.plan[request as usize];
         let scenario = &self.book.scenario;
-        let class = &scenario.classes[asked.class as usize];
-        let write = class.effect != Effect::Free;
-        let (name, tenant) = (&class.name, &scenario.tenants[asked.tenant as usize].name);
+        let class = &scenario.classes[planned.class as usize];
+        let is_write = class.effect != Effect::Free;
+        let (name, tenant) = (&class.name, &scenario.tenants[planned.tenant as usize].name);
         let build = || {
             let left = ((give_up_s - self.book.now()) * 1e3).max(1.0) as u64;
-            let mut question = Request::builder()
-                .method(if write { Method::PUT } else { Method::GET })
-                .uri(format!("/{name}/{:016x}", asked.key))
+            let mut builder = Request::builder()
+                .method(if is_write { Method::PUT } else { Method::GET })
+                .uri(format!("/{name}/{:016x}", planned.key))
                 .header("host", "backend.local")
                 .header("x-request-id", format!("{id:016x}"))
                 .header("x-class", name)
                 .header("x-tenant", tenant)
                 .header("x-deadline-ms", left)
-                .header("x-cost-hint", asked.hint_us);
+                .header("x-cost-hint", planned.hint_us);
             if class.effect == Effect::Guarded {
-                question =
-                    question.header("idempotency-key", format!("{:016x}", idempotency(self.seed, request)));
+                builder = builder
+                    .header("idempotency-key", format!("{:016x}", idempotency_key(self.seed, request)));
             }
-            let body = if write { Bytes::from_static(b"a new value") } else { Bytes::new() };
-            question.body(Full::new(body))
+            let body = if is_write { Bytes::from_static(b"a new value") } else { Bytes::new() };
+            builder.body(Full::new(body))
         };
-        let told = |answer| Told { answer, retry_after_s: None };
-        // A connection that the node has closed between two requests: once more on a new one.
+        let result = |answer| TryResult { answer, retry_after_s: None };
+        // The node may have closed an idle connection. In that case the request is sent once more on a new one.
         for fresh in [false, true] {
-            let idle = if fresh { None } else { self.idle(node) };
+            let idle = if fresh { None } else { self.take_idle(node) };
             let reused = idle.is_some();
             let connection = match idle {
                 Some(connection) => Some(connection),
                 None => connect(self.nodes[node].listen).await,
             };
-            let Some(mut connection) = connection else { return told(Answer::Unreachable) };
-            let Ok(question) = build() else { return told(Answer::Failed) };
-            let answer = match connection.send_request(question).await {
+            let Some(mut connection) = connection else { return result(Answer::Unreachable) };
+            let Ok(request) = build() else { return result(Answer::Failed) };
+            let answer = match connection.send_request(request).await {
                 Ok(answer) => answer,
                 Err(_) if reused => continue,
-                Err(_) => return told(Answer::Broken),
+                Err(_) => return result(Answer::Broken),
             };
             let status = answer.status();
             let retry_after_s = answer
@@ -236,26 +238,26 @@
                 .get("retry-after")
                 .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
                 .filter(|s| s.is_finite() && *s >= 0.0);
-            let Ok(body) = Limited::new(answer.into_body(), LONGEST_ANSWER).collect().await else {
-                return told(Answer::Broken);
+            let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
+                return result(Answer::Broken);
             };
             let mut idle = lock(&self.idle[node]);
-            if idle.len() < MOST_IDLE {
+            if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(connection);
             }
             drop(idle);
             let answer = match status {
-                StatusCode::OK if body.to_bytes() == value(id, asked.key) => Answer::Served,
+                StatusCode::OK if body.to_bytes() == value(id, planned.key) => Answer::Served,
                 StatusCode::OK => Answer::Foreign,
                 StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Refused,
                 _ => Answer::Failed,
             };
-            return Told { answer, retry_after_s };
+            return TryResult { answer, retry_after_s };
         }
-        told(Answer::Broken)
+        result(Answer::Broken)
     }
 
-    fn idle(&self, node: usize) -> Option<Connection> {
+    fn take_idle(&self, node: usize) -> Option<Connection> {
         let mut idle = lock(&self.idle[node]);
         while let Some(connection) = idle.pop() {
             if connection.is_ready() {
@@ -267,7 +269,7 @@
 }
 
 async fn connect(addr: SocketAddr) -> Option<Connection> {
-    let stream = timeout(CONNECT, TcpStream::connect(addr)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let (connection, driver) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
@@ -276,12 +278,12 @@
     Some(connection)
 }
 
-/// The key under which all tries of a guarded request go.
-pub fn idempotency(seed: u64, request: u32) -> u64 {
+/// The idempotency key, which all tries of a guarded request share.
+pub fn idempotency_key(seed: u64, request: u32) -> u64 {
     mix(!seed ^ u64::from(request))
 }
 
-/// Spreads the bits of a number (splitmix64), each to one other.
+/// The splitmix64 mixing function. It is a bijection, so different inputs give different ids.
 fn mix(n: u64) -> u64 {
     let n = n.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -1,4 +1,4 @@
-//! Replicas of the list service as processes, each link between two of them one that can fail.
+//! A registry that runs as one process per replica, with a fault-injecting relay in each link between two replicas.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -13,11 +13,11 @@
 use crate::observer::get;
 use crate::process::{wait_for, Folder, Process};
 
-/// An address that a process can have again and again: below the ports that the system gives to connections by
-/// itself, so that none of those takes it between two of its processes, and given once.
+/// A loopback address that successive processes can bind. Its port is below the kernel's ephemeral range, so that no
+/// outgoing connection takes it between two of these processes. This process gets each address only once.
 ///
 /// # Panics
-/// When no port is free.
+/// No port is free.
 pub fn free() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = (std::process::id() % 1_000 * 1_009 % 20_000) as u16;
@@ -31,41 +31,45 @@
     panic!("no port is free");
 }
 
-/// The replicas' common configuration file.
-const SETTINGS: &str = "service.toml";
+/// Name of the configuration file that all replicas share.
+const CONFIG_FILE: &str = "service.toml";
 
-/// One replica's place: its addresses and its data outlive its process.
+/// One replica. Its addresses and its data outlive its process.
 pub struct Place {
     pub name: String,
+    /// Where nodes read the list of servers.
     pub discovery: SocketAddr,
+    /// Where changes and operators' requests go.
     pub ops: SocketAddr,
+    /// Where other replicas connect.
     pub replica: SocketAddr,
     pub data: PathBuf,
+    /// `None` while it is not running.
     pub process: Option<Process>,
 }
 
-/// A service of some replicas.
+/// A registry of one or more replicas.
 pub struct Service {
     program: PathBuf,
     pub folder: Folder,
     pub places: Vec<Place>,
-    /// From one replica to another, by their places.
+    /// The link from one replica to another, by their indices.
     pub links: BTreeMap<(usize, usize), Link>,
 }
 
 impl Service {
-    /// Starts so many replicas and waits until all answer.
+    /// Starts this many replicas and waits until all are ready.
     pub fn start(program: &Path, name: &str, replicas: usize) -> Service {
         Service::start_with(program, name, replicas, "")
     }
 
-    /// The same with settings of a configuration file.
+    /// Like [`Service::start`], with the text of the configuration file.
     ///
     /// # Panics
-    /// When the file can't be written.
+    /// The file can't be written.
     pub fn start_with(program: &Path, name: &str, replicas: usize, settings: &str) -> Service {
         let folder = Folder::new(name);
-        std::fs::write(folder.0.join(SETTINGS), settings).expect("a configuration");
+        std::fs::write(folder.0.join(CONFIG_FILE), settings).expect("the configuration file can be written");
         let place = |n: usize| {
             let name = format!("r{}", n + 1);
             let data = folder.0.join(&name);
@@ -92,7 +96,7 @@
     pub fn command(&self, n: usize) -> Command {
         let place = &self.places[n];
         let mut command = Command::new(&self.program);
-        command.args(["registry", "--config"]).arg(self.folder.0.join(SETTINGS));
+        command.args(["registry", "--config"]).arg(self.folder.0.join(CONFIG_FILE));
         command.args(["--name", &place.name, "--data"]).arg(&place.data);
         command.env(WALL_STEP, self.wall(n));
         command.args(["--discovery", &place.discovery.to_string(), "--ops", &place.ops.to_string()]);
@@ -107,7 +111,7 @@
         command
     }
 
-    /// Where a play steps the wall clock of this replica.
+    /// The file through which a test shifts the wall clock of this replica.
     pub fn wall(&self, n: usize) -> PathBuf {
         self.folder.0.join(format!("{}.wall", self.places[n].name))
     }
@@ -122,7 +126,7 @@
     }
 
     pub fn process(&self, n: usize) -> &Process {
-        self.places[n].process.as_ref().expect("a running replica")
+        self.places[n].process.as_ref().expect("the replica is running")
     }
 
     pub fn ready(&self, n: usize) {
@@ -141,7 +145,7 @@
         self.places.iter().map(|place| place.discovery).collect()
     }
 
-    /// Whoever says that it leads and is ready.
+    /// The replica that reports to be the leader and ready.
     pub fn leader(&self) -> Option<usize> {
         (0..self.places.len()).find(|n| {
             let status = self.places[*n].process.as_ref().and_then(|_| self.status(*n));
@@ -154,10 +158,10 @@
     }
 
     pub fn wait_for_leader(&self) -> usize {
-        wait_for("a leader", || self.leader())
+        wait_for("the registry has a leader", || self.leader())
     }
 
-    /// Sets the ways from one replica to another and back, whoever of them connects.
+    /// Sets the conditions from `a` to `b` and from `b` to `a`, on the connections that either of them opens.
     pub fn between(&self, a: usize, b: usize, there: Way, back: Way) {
         if let Some(link) = self.links.get(&(a, b)) {
             link.set(there, back);
@@ -167,14 +171,14 @@
         }
     }
 
-    /// Cuts one replica off from all others, one way or both.
+    /// Sets the conditions from one replica to all others, and from them back to it.
     pub fn isolate(&self, n: usize, out: Way, back: Way) {
         for other in (0..self.places.len()).filter(|other| *other != n) {
             self.between(n, other, out, back);
         }
     }
 
-    /// All links as good as new, and every replica running and ready.
+    /// Restores all links, starts or resumes every replica and waits until all are ready.
     pub fn heal(&mut self) {
         for link in self.links.values() {
             link.heal();
@@ -194,7 +198,7 @@
     }
 }
 
-/// Between two looks of a play at what happens.
+/// Blocks the thread for this many milliseconds.
 pub fn pause(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
