--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -7,11 +7,11 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_fault_lab::chance::Chance;
 use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
+use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_fault_lab::service::{pause, Service};
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
@@ -562,7 +562,7 @@
     Fault::StepClocks,
 ];
 
-fn inject(play: &mut Play, fault: Fault, chance: &mut Chance) {
+fn inject(play: &mut Play, fault: Fault, rng: &mut SeededRng) {
     let n = play.holder();
     let leader = play.service.wait_for_leader();
     let links =
@@ -583,11 +583,11 @@
         Fault::DeafHolder => links(play, Way::Open, Way::Cut),
         Fault::MuteHolder => links(play, Way::Cut, Way::Open),
         Fault::SlowHolder => {
-            let ms = 50 + chance.below(300) as u64;
+            let ms = 50 + rng.below(300) as u64;
             links(play, Way::Slow(ms), Way::Slow(ms));
         }
         Fault::LossyHolder => {
-            let one_in = 2 + chance.below(6) as u64;
+            let one_in = 2 + rng.below(6) as u64;
             links(play, Way::Lossy(one_in), Way::Lossy(one_in));
         }
         Fault::KillLeader => play.service.kill(leader),
@@ -601,7 +601,7 @@
         }
         Fault::StepClocks => {
             for n in 0..3 {
-                let step = (chance.below(7_200_000) as i64 - 3_600_000).to_string();
+                let step = (rng.below(7_200_000) as i64 - 3_600_000).to_string();
                 std::fs::write(play.service.wall(n), step).expect("a step");
             }
         }
@@ -611,30 +611,30 @@
 /// Random faults for so long, or each fault once; `LAB_MINUTES` asks for longer.
 #[test]
 fn whatever_fails_the_counter_misses_no_step_and_repeats_none() {
-    let mut chance = Chance::new("duties", 8201);
+    let mut rng = SeededRng::new("duties", 8201);
     let mut play = Play::new("faults", 3, 4, 1.0, true, 2);
     let minutes = std::env::var("LAB_MINUTES").ok().and_then(|text| text.parse::<f64>().ok());
     let end = minutes.map(|minutes| Instant::now() + Duration::from_secs_f64(minutes * 60.0));
     let mut left = FAULTS.to_vec();
     let mut played = 0;
     while !left.is_empty() && end.is_none_or(|end| Instant::now() < end) {
-        let fault = left.swap_remove(chance.below(left.len()));
+        let fault = left.swap_remove(rng.below(left.len()));
         if left.is_empty() && end.is_some() {
             left = FAULTS.to_vec();
         }
         let before = play.fence();
-        inject(&mut play, fault, &mut chance);
+        inject(&mut play, fault, &mut rng);
         // A second one into the first, now and then.
-        if chance.below(3) == 0 {
-            let second = [Fault::KillLeader, Fault::StopHolder, Fault::Transfer][chance.below(3)];
+        if rng.below(3) == 0 {
+            let second = [Fault::KillLeader, Fault::StopHolder, Fault::Transfer][rng.below(3)];
             if play.service.leader().is_some() && play.show().is_some_and(|duty| duty["holder"].is_string()) {
                 println!("{fault:?} and {second:?}");
-                inject(&mut play, second, &mut chance);
+                inject(&mut play, second, &mut rng);
             }
         } else {
             println!("{fault:?}");
         }
-        pause(200 + chance.below(2500) as u64);
+        pause(200 + rng.below(2500) as u64);
         play.service.heal();
         for n in 0..play.runners.len() {
             play.runners[n].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
@@ -645,7 +645,7 @@
             play.runners[n].process.signal("CONT");
         }
         play.goes_on(&format!("the counter goes on after {fault:?}"));
-        play.judge(&format!("seed {}, {fault:?}", chance.seed));
+        play.judge(&format!("seed {}, {fault:?}", rng.seed));
         assert!(play.fence() >= before, "fencing numbers only grow");
         played += 1;
     }
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use shaletrail_fault_lab::chance::Chance;
 use shaletrail_fault_lab::checker::check;
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
+use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_fault_lab::service::{pause, Service};
 
 fn program() -> &'static Path {
@@ -51,9 +51,9 @@
     !matches!(fault, Fault::KillAll | Fault::SlowLinks | Fault::LossyLinks)
 }
 
-fn inject(service: &mut Service, fault: Fault, chance: &mut Chance) {
+fn inject(service: &mut Service, fault: Fault, rng: &mut SeededRng) {
     let leader = service.wait_for_leader();
-    let follower = (leader + 1 + chance.below(service.places.len() - 1)) % service.places.len();
+    let follower = (leader + 1 + rng.below(service.places.len() - 1)) % service.places.len();
     match fault {
         Fault::KillLeader => service.kill(leader),
         Fault::KillFollower => service.kill(follower),
@@ -64,11 +64,11 @@
         Fault::DeafLeader => service.isolate(leader, Way::Open, Way::Cut),
         Fault::MuteLeader => service.isolate(leader, Way::Cut, Way::Open),
         Fault::SlowLinks => {
-            let ms = 10 + chance.below(60) as u64;
+            let ms = 10 + rng.below(60) as u64;
             (0..service.places.len()).for_each(|n| service.isolate(n, Way::Slow(ms), Way::Slow(ms)));
         }
         Fault::LossyLinks => {
-            let one_in = 10 + chance.below(20) as u64;
+            let one_in = 10 + rng.below(20) as u64;
             (0..service.places.len())
                 .for_each(|n| service.isolate(n, Way::Lossy(one_in), Way::Lossy(one_in)));
         }
@@ -92,7 +92,7 @@
 
 /// Plays the faults in an order drawn from the seed under changes, and lets the checkers judge.
 fn play(name: &str, replicas: usize, faults: &[Fault], seed: u64) {
-    let mut chance = Chance::new(name, seed);
+    let mut rng = SeededRng::new(name, seed);
     let mut service = Service::start(program(), name, replicas);
     let (ops, discovery) = (service.ops(), service.discovery());
     let writers: Vec<Writer> =
@@ -101,22 +101,22 @@
         .map(|n| {
             // One of them knows a single replica only.
             let known = if n == 3 { vec![discovery[0]] } else { discovery.clone() };
-            Observer::start(&format!("observer {n}"), known, chance.seed + n)
+            Observer::start(&format!("observer {n}"), known, rng.seed + n)
         })
         .collect();
     let mut left: Vec<Fault> = faults.to_vec();
     while !left.is_empty() {
-        let fault = left.swap_remove(chance.below(left.len()));
+        let fault = left.swap_remove(rng.below(left.len()));
         let before = Instant::now();
         println!("{fault:?}");
-        inject(&mut service, fault, &mut chance);
+        inject(&mut service, fault, &mut rng);
         if goes_on(fault) {
             let after = Instant::now();
             wait_for(&format!("a change is acknowledged in spite of {fault:?}"), || {
                 writers.iter().any(|writer| writer.since(after) > 0).then_some(())
             });
         }
-        pause(200 + chance.below(800) as u64);
+        pause(200 + rng.below(800) as u64);
         service.heal();
         let healed = Instant::now();
         wait_for("changes go on", || writers.iter().all(|writer| writer.since(healed) > 0).then_some(()));
@@ -126,7 +126,7 @@
     let last = acknowledged.iter().map(|ack| ack.version).max().expect("some changes held");
     let seen: Vec<_> = observers.into_iter().map(|observer| observer.end_at(last)).collect();
     let breaches = check(&seen, &acknowledged);
-    assert!(breaches.is_empty(), "seed {}: {breaches:#?}", chance.seed);
+    assert!(breaches.is_empty(), "seed {}: {breaches:#?}", rng.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
     let whole = |n: usize| get(service.places[n].discovery, "/registry/instances").expect("a list");
     let version = |list: &serde_json::Value| list["version"].as_u64();
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -16,9 +16,9 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::chance::Chance;
 use crate::observer::numbered;
 use crate::party::PlainList;
+use crate::rng::SeededRng;
 use crate::service::Service;
 
 /// How much is measured.
@@ -195,7 +195,7 @@
     seed: u64,
 ) -> Result<Form, Failed> {
     let mut changes = Changes::new(ops.clone());
-    let mut chance = Chance::new(name, seed);
+    let mut rng = SeededRng::new(name, seed);
     for n in 0..size.servers {
         // Enough at once to be quick; each id once.
         if n % 64 == 0 {
@@ -237,7 +237,7 @@
     let (mut last, mut bytes) = (Vec::new(), 0);
     for number in 0..size.changes as u64 {
         let began = Instant::now();
-        let version = put(&mut changes, &format!("s{}", chance.below(size.servers)), number + 2).await?;
+        let version = put(&mut changes, &format!("s{}", rng.below(size.servers)), number + 2).await?;
         let mut reached = 0;
         while reached < size.watchers {
             let news = tokio::time::timeout(Duration::from_secs(30), heard.recv()).await?;
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -9,11 +9,11 @@
 use shaletrail_registry_protocol::duty::Transfer;
 
 use crate::bench::{machine, Spread};
-use crate::chance::Chance;
 use crate::guarded::{Guarded, Runner};
 use crate::link::Way;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
+use crate::rng::SeededRng;
 use crate::service::Service;
 
 /// How much is measured.
@@ -114,7 +114,7 @@
 }
 
 fn hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
-    let mut chance = Chance::new(cause.name(), size.seed);
+    let mut rng = SeededRng::new(cause.name(), size.seed);
     let mut service = Service::start(program, "bench-duty", 3);
     let guarded = Guarded::start(true);
     let at = guarded.addr.to_string();
@@ -141,7 +141,7 @@
         });
         fence = newest;
         // At whatever point of a renewal.
-        std::thread::sleep(Duration::from_millis(300 + chance.below(400) as u64));
+        std::thread::sleep(Duration::from_millis(300 + rng.below(400) as u64));
         let leader = service.wait_for_leader();
         let began = Instant::now();
         match cause {
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -5,7 +5,6 @@
 
 pub mod bench;
 pub mod bench_duty;
-pub mod chance;
 pub mod checker;
 pub mod clients;
 pub mod experiment;
@@ -22,5 +21,6 @@
 pub mod plan;
 pub mod process;
 pub mod report;
+pub mod rng;
 pub mod scenario;
 pub mod service;
--- a/fault-lab/src/chance.rs
+++ b/fault-lab/src/rng.rs
@@ -4,21 +4,21 @@
 use rand::{RngExt, SeedableRng};
 
 /// Environment variable that overrides the seed, to replay an earlier run.
-pub const VARIABLE: &str = "LAB_SEED";
+pub const SEED_VARIABLE: &str = "LAB_SEED";
 
 /// The only source of randomness in a test run, so that a run can be replayed from its seed.
-pub struct Chance {
+pub struct SeededRng {
     pub seed: u64,
     generator: StdRng,
 }
 
-impl Chance {
+impl SeededRng {
     /// Uses the seed from `LAB_SEED` if that is set, and `seed` otherwise. Prints the seed that is used.
-    pub fn new(play: &str, seed: u64) -> Self {
-        let seed = std::env::var(VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(seed);
+    pub fn new(run: &str, seed: u64) -> Self {
+        let seed = std::env::var(SEED_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(seed);
         // Standard error, because callers may parse the standard output.
-        eprintln!("{play}: seed {seed}; replay it with {VARIABLE}={seed}");
-        Chance { seed, generator: StdRng::seed_from_u64(seed) }
+        eprintln!("{run}: seed {seed}; replay it with {SEED_VARIABLE}={seed}");
+        SeededRng { seed, generator: StdRng::seed_from_u64(seed) }
     }
 
     /// A uniformly distributed number in `0..n`.
