--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
+use crate::loopback::InMemoryRegistry;
 use crate::observer::numbered;
-use crate::party::PlainList;
 use crate::rng::SeededRng;
 use crate::service::Service;
 
@@ -90,7 +90,7 @@
 pub async fn registry(program: &Path, size: Size, seed: u64, say: impl Fn(&str)) -> Result<Report, Failed> {
     let mut forms = Vec::new();
     say("a plain list in memory");
-    let plain = PlainList::start().await?;
+    let plain = InMemoryRegistry::start().await?;
     forms.push(form("plain list in memory", vec![plain], vec![plain], &size, seed).await?);
     for replicas in [1, 3] {
         say(&format!("{replicas} replica(s): watchers and changes"));
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -17,9 +17,9 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 use crate::fleet::{Node, ANSWER_GRACE_S};
+use crate::loopback::lock;
 use crate::net::{at, Dice};
 use crate::parties::{value, Book};
-use crate::party::lock;
 use crate::scenario::Effect;
 
 /// How a try ended, from its client's view.
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -20,9 +20,9 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
+use crate::loopback::{lock, serve};
 use crate::net::{message_delay, Dice};
 use crate::parties::{Book, Parties, FALL_MULTIPLE, FALL_S};
-use crate::party::{lock, serve};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
 use crate::scenario::{Effect, Scenario, What};
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -16,7 +16,7 @@
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
 use crate::link::Link;
-use crate::party::{lock, reply, serve, Reply, MAX_BODY_BYTES};
+use crate::loopback::{lock, reply, serve, Reply, MAX_BODY_BYTES};
 use crate::process::{children, Process};
 
 /// One change that the thing accepted.
--- a/fault-lab/src/party.rs
+++ b/fault-lab/src/loopback.rs
@@ -71,7 +71,7 @@
 /// A registry in memory, without a log, replicas, leases or health checks. The benchmark compares the real registry's
 /// cost with it.
 #[derive(Clone)]
-pub struct PlainList {
+pub struct InMemoryRegistry {
     entries: Arc<Mutex<Entries>>,
     version: watch::Sender<u64>,
 }
@@ -83,13 +83,13 @@
     by_id: HashMap<String, (u64, Entry)>,
 }
 
-impl PlainList {
+impl InMemoryRegistry {
     /// Starts the registry. Returns its address, which serves both reads and changes.
     ///
     /// # Errors
     /// No port is free.
     pub async fn start() -> std::io::Result<SocketAddr> {
-        let list = PlainList { entries: Arc::default(), version: watch::Sender::new(0) };
+        let list = InMemoryRegistry { entries: Arc::default(), version: watch::Sender::new(0) };
         serve(move |request| list.clone().answer(request)).await
     }
 
--- a/fault-lab/src/parties.rs
+++ b/fault-lab/src/parties.rs
@@ -18,9 +18,9 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::time::Instant;
 
+use crate::loopback::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::machine::{Admission, Machine, MachineSpec};
 use crate::net::{at, run_listener, Dice, Life, Links, PathConditions};
-use crate::party::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
 use crate::service::free;
