--- a/fault-lab/src/parties.rs
+++ b/fault-lab/src/backends.rs
@@ -192,7 +192,7 @@
 }
 
 /// One emulated cache server, or the origin.
-pub struct Party {
+pub struct Backend {
     pub id: String,
     pub number: u16,
     pub zone: usize,
@@ -213,13 +213,13 @@
 }
 
 /// All backends of a run.
-pub struct Parties {
+pub struct Backends {
     pub book: Arc<Book>,
     links: Links,
-    all: Mutex<Vec<Arc<Party>>>,
-    pub origin: Arc<Party>,
+    all: Mutex<Vec<Arc<Backend>>>,
+    pub origin: Arc<Backend>,
     /// Servers at which a read missed, by request id.
-    missed: Mutex<HashMap<u64, Vec<Arc<Party>>>>,
+    missed: Mutex<HashMap<u64, Vec<Arc<Backend>>>>,
     /// When a write was applied, by idempotency key.
     applied_writes: Mutex<HashMap<u64, f64>>,
     dice: Dice,
@@ -227,21 +227,21 @@
 
 /// One open connection to a backend. Dropping it releases its place in the connection limit.
 struct Connection {
-    party: Arc<Party>,
+    backend: Arc<Backend>,
     zone: u8,
     fresh: AtomicBool,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.party.connections.fetch_sub(1, Ordering::Relaxed);
+        self.backend.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Cancels the machine's work when the request's future is dropped early.
 struct JobGuard {
-    party: Arc<Party>,
-    parties: Arc<Parties>,
+    backend: Arc<Backend>,
+    backends: Arc<Backends>,
     job: u64,
     seen: Option<Seen>,
 }
@@ -249,10 +249,10 @@
 impl Drop for JobGuard {
     fn drop(&mut self) {
         if let Some(seen) = self.seen.take() {
-            lock(&self.party.completions).remove(&self.job);
-            lock(&self.party.machine).cancel(self.job);
-            self.party.machine_changed.notify_one();
-            lock(&self.parties.book.seen).push(Seen { end: End::GivenUp, ..seen });
+            lock(&self.backend.completions).remove(&self.job);
+            lock(&self.backend.machine).cancel(self.job);
+            self.backend.machine_changed.notify_one();
+            lock(&self.backends.book.seen).push(Seen { end: End::GivenUp, ..seen });
         }
     }
 }
@@ -268,7 +268,7 @@
     format!("{id:016x} key {key:016x} {}", "v".repeat(160))
 }
 
-impl Parties {
+impl Backends {
     pub fn new(book: Arc<Book>, links: Links, seed: u64) -> Arc<Self> {
         let origin = &book.scenario.origin;
         let fetch_s = origin.takes_ms / 1e3;
@@ -284,20 +284,27 @@
             crash_window_s: origin.fall_s,
             crashes_when_warm: true,
         };
-        let party =
-            Parties::party(&book.scenario, "origin".to_owned(), ORIGIN, 0, 0, machine_spec, (0.0, true));
-        Arc::new(Parties {
+        let backend = Backends::new_backend(
+            &book.scenario,
+            "origin".to_owned(),
+            ORIGIN,
+            0,
+            0,
+            machine_spec,
+            (0.0, true),
+        );
+        Arc::new(Backends {
             book,
             links,
             all: Mutex::default(),
-            origin: Arc::new(party),
+            origin: Arc::new(backend),
             missed: Mutex::default(),
             applied_writes: Mutex::default(),
             dice: Dice::new(seed),
         })
     }
 
-    fn party(
+    fn new_backend(
         scenario: &Scenario,
         id: String,
         number: u16,
@@ -305,9 +312,9 @@
         started_ms: u64,
         machine_spec: MachineSpec,
         (now, warm): (f64, bool),
-    ) -> Party {
+    ) -> Backend {
         let cache = Cache { capacity: scenario.servers.keeps, ..Cache::default() };
-        Party {
+        Backend {
             id,
             number,
             zone,
@@ -326,7 +333,7 @@
     }
 
     /// Adds a cache server. `place` sets its speed and zone; those of the initial fleet start warm, later ones cold.
-    pub fn add(self: &Arc<Self>, id: String, place: usize, started_ms: u64, warm: bool) -> Arc<Party> {
+    pub fn add(self: &Arc<Self>, id: String, place: usize, started_ms: u64, warm: bool) -> Arc<Backend> {
         let scenario = &self.book.scenario;
         let spec = &scenario.servers;
         let speed = scenario.speed(place);
@@ -350,26 +357,33 @@
         let mut all = lock(&self.all);
         let zone = place % scenario.fleet.zones.len();
         let now = (self.book.now(), warm);
-        let party =
-            Arc::new(Parties::party(scenario, id, all.len() as u16, zone, started_ms, machine_spec, now));
-        all.push(Arc::clone(&party));
+        let backend = Arc::new(Backends::new_backend(
+            scenario,
+            id,
+            all.len() as u16,
+            zone,
+            started_ms,
+            machine_spec,
+            now,
+        ));
+        all.push(Arc::clone(&backend));
         drop(all);
-        self.open(&party);
-        party
+        self.open(&backend);
+        backend
     }
 
     /// Restarts a server under its name, with a cold machine and an empty cache.
-    pub fn restart(&self, party: &Party, started_ms: u64) {
-        lock(&party.machine).restart(self.book.now());
+    pub fn restart(&self, backend: &Backend, started_ms: u64) {
+        lock(&backend.machine).restart(self.book.now());
         let capacity = self.book.scenario.servers.keeps;
-        *lock(&party.cache) = Cache { capacity, ..Cache::default() };
-        lock(&party.completions).clear();
-        party.started_ms.store(started_ms, Ordering::Relaxed);
-        party.machine_changed.notify_one();
-        party.life.send_replace(Life::Up);
+        *lock(&backend.cache) = Cache { capacity, ..Cache::default() };
+        lock(&backend.completions).clear();
+        backend.started_ms.store(started_ms, Ordering::Relaxed);
+        backend.machine_changed.notify_one();
+        backend.life.send_replace(Life::Up);
     }
 
-    pub fn all(&self) -> Vec<Arc<Party>> {
+    pub fn all(&self) -> Vec<Arc<Backend>> {
         lock(&self.all).clone()
     }
 
@@ -378,28 +392,29 @@
     }
 
     /// Starts a backend's listeners and its machine.
-    pub fn open(self: &Arc<Self>, party: &Arc<Party>) {
-        for (zone, addr) in party.addrs.iter().enumerate() {
+    pub fn open(self: &Arc<Self>, backend: &Arc<Backend>) {
+        for (zone, addr) in backend.addrs.iter().enumerate() {
             let path = PathConditions {
-                link: self.links.between(zone, party.zone),
-                life: party.life.subscribe(),
-                dice: Dice::new(u64::from(party.number) * 64 + zone as u64),
+                link: self.links.between(zone, backend.zone),
+                life: backend.life.subscribe(),
+                dice: Dice::new(u64::from(backend.number) * 64 + zone as u64),
             };
-            let (parties, party) = (Arc::clone(self), Arc::clone(party));
+            let (backends, backend) = (Arc::clone(self), Arc::clone(backend));
             let serve = move |stream| {
-                if party.connections.fetch_add(1, Ordering::Relaxed)
-                    >= parties.book.scenario.servers.connections
+                if backend.connections.fetch_add(1, Ordering::Relaxed)
+                    >= backends.book.scenario.servers.connections
                 {
-                    party.connections.fetch_sub(1, Ordering::Relaxed);
+                    backend.connections.fetch_sub(1, Ordering::Relaxed);
                     return;
                 }
                 let fresh = AtomicBool::new(true);
-                let connection = Arc::new(Connection { party: Arc::clone(&party), zone: zone as u8, fresh });
-                let parties = Arc::clone(&parties);
+                let connection =
+                    Arc::new(Connection { backend: Arc::clone(&backend), zone: zone as u8, fresh });
+                let backends = Arc::clone(&backends);
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
-                        let (parties, connection) = (Arc::clone(&parties), Arc::clone(&connection));
-                        async move { Ok::<_, Infallible>(parties.answer(request, &connection).await) }
+                        let (backends, connection) = (Arc::clone(&backends), Arc::clone(&connection));
+                        async move { Ok::<_, Infallible>(backends.answer(request, &connection).await) }
                     });
                     // An error only means that the caller has closed the connection.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -407,17 +422,17 @@
             };
             tokio::spawn(run_listener(*addr, path, serve));
         }
-        tokio::spawn(drive_machine(Arc::clone(self), Arc::clone(party)));
-        if self.book.scenario.servers.pause_every_s > 0.0 && party.number != ORIGIN {
-            tokio::spawn(pause_periodically(Arc::clone(self), Arc::clone(party)));
+        tokio::spawn(drive_machine(Arc::clone(self), Arc::clone(backend)));
+        if self.book.scenario.servers.pause_every_s > 0.0 && backend.number != ORIGIN {
+            tokio::spawn(pause_periodically(Arc::clone(self), Arc::clone(backend)));
         }
     }
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>, connection: &Connection) -> Reply {
-        let party = &connection.party;
+        let backend = &connection.backend;
         let path = request.uri().path().to_owned();
         if request.method() == Method::GET && (path == "/health/live" || path == "/stats") {
-            return self.answer_probe(party, &path).await;
+            return self.answer_probe(backend, &path).await;
         }
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return reply(StatusCode::NOT_FOUND, "") };
@@ -435,8 +450,8 @@
             return reply(StatusCode::BAD_REQUEST, "a body of at most 64 KiB expected");
         }
         let asked = &asked;
-        let (at_s, server, zone) = (self.book.now(), party.number, connection.zone);
-        let cold = !lock(&party.machine).is_warm();
+        let (at_s, server, zone) = (self.book.now(), backend.number, connection.zone);
+        let cold = !lock(&backend.machine).is_warm();
         let seen = Seen { at_s, server, id, zone, write, cold, end: End::TurnedAway };
         if expired {
             lock(&self.book.seen).push(seen);
@@ -450,9 +465,9 @@
             (End::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
         } else if write {
             (End::Miss, spec.miss_ms / 1e3)
-        } else if party.draws_error(asked.class, self.dice.roll()) {
+        } else if backend.draws_error(asked.class, self.dice.roll()) {
             (End::Error, spec.miss_ms / 1e3)
-        } else if lock(&party.cache).mark_used(key) {
+        } else if lock(&backend.cache).mark_used(key) {
             (End::Hit, asked.work_s)
         } else {
             (End::Miss, spec.miss_ms / 1e3)
@@ -461,9 +476,9 @@
             work += spec.handshake_ms / 1e3;
         }
         if server == ORIGIN && self.book.leading.load(Ordering::Relaxed) {
-            return self.finish(seen, End::Served, party, idempotency_key, asked);
+            return self.finish(seen, End::Served, backend, idempotency_key, asked);
         }
-        let Some((done, mut guard)) = self.start_job(party, work, seen) else {
+        let Some((done, mut guard)) = self.start_job(backend, work, seen) else {
             lock(&self.book.seen).push(seen);
             return not_run_reply();
         };
@@ -472,7 +487,7 @@
             return reply(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
         guard.seen = None;
-        self.finish(seen, end, party, idempotency_key, asked)
+        self.finish(seen, end, backend, idempotency_key, asked)
     }
 
     fn mean_work_s(&self, asked: &Asked) -> f64 {
@@ -482,40 +497,40 @@
     /// Offers the work to the machine; `None` if the machine rejected it or crashed.
     fn start_job(
         self: &Arc<Self>,
-        party: &Arc<Party>,
+        backend: &Arc<Backend>,
         work: f64,
         seen: Seen,
     ) -> Option<(oneshot::Receiver<()>, JobGuard)> {
-        let job = party.next_job.fetch_add(1, Ordering::Relaxed);
+        let job = backend.next_job.fetch_add(1, Ordering::Relaxed);
         let (completion, done) = oneshot::channel();
-        lock(&party.completions).insert(job, completion);
+        lock(&backend.completions).insert(job, completion);
         let now = self.book.now();
         let (entry, finished) = {
-            let mut machine = lock(&party.machine);
+            let mut machine = lock(&backend.machine);
             let finished = machine.advance(now);
             (machine.offer(job, work), finished)
         };
-        self.notify_finished(party, finished);
-        party.machine_changed.notify_one();
+        self.notify_finished(backend, finished);
+        backend.machine_changed.notify_one();
         match entry {
             Admission::Accepted => {
-                let (party, parties) = (Arc::clone(party), Arc::clone(self));
-                Some((done, JobGuard { party, parties, job, seen: Some(seen) }))
+                let (backend, backends) = (Arc::clone(backend), Arc::clone(self));
+                Some((done, JobGuard { backend, backends, job, seen: Some(seen) }))
             }
             Admission::Rejected => {
-                lock(&party.completions).remove(&job);
+                lock(&backend.completions).remove(&job);
                 None
             }
             Admission::Crashed => {
-                lock(&party.completions).clear();
-                self.handle_crash(party);
+                lock(&backend.completions).clear();
+                self.handle_crash(backend);
                 None
             }
         }
     }
 
-    fn notify_finished(&self, party: &Party, finished: Vec<u64>) {
-        let mut completions = lock(&party.completions);
+    fn notify_finished(&self, backend: &Backend, finished: Vec<u64>) {
+        let mut completions = lock(&backend.completions);
         for job in finished {
             if let Some(completion) = completions.remove(&job) {
                 let _ = completion.send(());
@@ -523,14 +538,14 @@
         }
     }
 
-    fn handle_crash(self: &Arc<Self>, party: &Arc<Party>) {
-        lock(&self.book.falls).push(Fall { at_s: self.book.now(), server: party.number });
-        party.life.send_replace(Life::Dead);
-        if party.number == ORIGIN {
-            let (down, party) = (self.book.scenario.origin.down_s, Arc::clone(party));
+    fn handle_crash(self: &Arc<Self>, backend: &Arc<Backend>) {
+        lock(&self.book.falls).push(Fall { at_s: self.book.now(), server: backend.number });
+        backend.life.send_replace(Life::Dead);
+        if backend.number == ORIGIN {
+            let (down, backend) = (self.book.scenario.origin.down_s, Arc::clone(backend));
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_secs_f64(down)).await;
-                party.life.send_replace(Life::Up);
+                backend.life.send_replace(Life::Up);
             });
         }
     }
@@ -539,32 +554,32 @@
         &self,
         seen: Seen,
         end: End,
-        party: &Arc<Party>,
+        backend: &Arc<Backend>,
         idempotency_key: Option<u64>,
         asked: &Asked,
     ) -> Reply {
         let (id, key) = (seen.id, asked.key);
         let (mut end, mut answer) = (end, None);
-        match (party.number, end) {
+        match (backend.number, end) {
             (ORIGIN, _) if seen.write => {
                 end = self.write(asked, idempotency_key, seen.at_s);
             }
             (ORIGIN, _) => {
-                for party in
+                for backend in
                     lock(&self.missed).remove(&id).unwrap_or_default().iter().take(MAX_STORING_SERVERS)
                 {
-                    if *party.life.borrow() == Life::Up {
-                        lock(&party.cache).put(key);
+                    if *backend.life.borrow() == Life::Up {
+                        lock(&backend.cache).put(key);
                     }
                 }
                 // The origin has no cache, so it reports a miss for every read, like the platform's origin.
                 answer = Some((StatusCode::OK, "miss"));
             }
             (_, End::Miss) => {
-                let pending = !seen.write && lock(&party.cache).record_miss(key, seen.at_s);
+                let pending = !seen.write && lock(&backend.cache).record_miss(key, seen.at_s);
                 let mut missed = lock(&self.missed);
                 if !seen.write && missed.len() < MAX_TRACKED_MISSES {
-                    missed.entry(id).or_default().push(Arc::clone(party));
+                    missed.entry(id).or_default().push(Arc::clone(backend));
                 }
                 answer = Some((StatusCode::NOT_FOUND, if pending { "pending" } else { "miss" }));
             }
@@ -591,52 +606,52 @@
             }
             applied_writes.insert(key, now);
         }
-        for party in self.all() {
-            lock(&party.cache).invalidate(asked.key);
+        for backend in self.all() {
+            lock(&backend.cache).invalidate(asked.key);
         }
         End::Served
     }
 
     /// Changes a machine, after advancing it to the current time.
-    fn change(&self, party: &Party, change: impl FnOnce(&mut Machine)) {
+    fn change(&self, backend: &Backend, change: impl FnOnce(&mut Machine)) {
         let finished = {
-            let mut machine = lock(&party.machine);
+            let mut machine = lock(&backend.machine);
             let finished = machine.advance(self.book.now());
             change(&mut machine);
             finished
         };
-        self.notify_finished(party, finished);
-        party.machine_changed.notify_one();
+        self.notify_finished(backend, finished);
+        backend.machine_changed.notify_one();
     }
 
     /// Makes a backend this many times slower than usual.
-    pub fn slow(&self, party: &Party, times: f64) {
-        self.change(party, |machine| machine.slowdown = times);
+    pub fn slow(&self, backend: &Backend, times: f64) {
+        self.change(backend, |machine| machine.slowdown = times);
     }
 
-    pub fn pause(&self, party: &Party, paused: bool) {
-        self.change(party, |machine| machine.paused = paused);
+    pub fn pause(&self, backend: &Backend, paused: bool) {
+        self.change(backend, |machine| machine.paused = paused);
     }
 
-    async fn answer_probe(self: &Arc<Self>, party: &Arc<Party>, path: &str) -> Reply {
+    async fn answer_probe(self: &Arc<Self>, backend: &Arc<Backend>, path: &str) -> Reply {
         let work = self.book.scenario.servers.probe_ms / 1e3;
         let now = self.book.now();
         let report = {
-            let mut machine = lock(&party.machine);
+            let mut machine = lock(&backend.machine);
             let finished = machine.advance(now);
             let in_flight = machine.in_flight();
             let (queue, service) = (machine.queue_len(), machine.mean_service_s);
             drop(machine);
-            self.notify_finished(party, finished);
-            party.machine_changed.notify_one();
-            let mut report = lock(&party.report);
+            self.notify_finished(backend, finished);
+            backend.machine_changed.notify_one();
+            let mut report = lock(&backend.report);
             if now - report.0 > self.book.scenario.servers.report_ms / 1e3 {
                 *report = (now, format!("svc_ms={:.2},busy_reqs={in_flight},pending={queue}", service * 1e3));
             }
             report.1.clone()
         };
         // Probes bypass the request queue, like the platform's. A paused machine does not answer them.
-        while lock(&party.machine).paused {
+        while lock(&backend.machine).paused {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         tokio::time::sleep(Duration::from_secs_f64(work)).await;
@@ -648,7 +663,7 @@
     }
 }
 
-impl Party {
+impl Backend {
     /// Sets the share of reads that are answered with 500, for one class or for all.
     pub fn set_errors(&self, share: f64, class: Option<u8>) {
         *lock(&self.errors) = (share, class);
@@ -665,31 +680,31 @@
 /// Time window of [`COLD_CRASH_MULTIPLE`].
 pub const FALL_S: f64 = 3.0;
 
-async fn drive_machine(parties: Arc<Parties>, party: Arc<Party>) {
+async fn drive_machine(backends: Arc<Backends>, backend: Arc<Backend>) {
     loop {
         let (finished, next) = {
-            let mut machine = lock(&party.machine);
-            let finished = machine.advance(parties.book.now());
+            let mut machine = lock(&backend.machine);
+            let finished = machine.advance(backends.book.now());
             (finished, machine.next_event_s())
         };
-        parties.notify_finished(&party, finished);
+        backends.notify_finished(&backend, finished);
         match next {
-            None => party.machine_changed.notified().await,
+            None => backend.machine_changed.notified().await,
             Some(next) => tokio::select! {
-                () = tokio::time::sleep_until(at(parties.book.start(), next)) => {}
-                () = party.machine_changed.notified() => {}
+                () = tokio::time::sleep_until(at(backends.book.start(), next)) => {}
+                () = backend.machine_changed.notified() => {}
             },
         }
     }
 }
 
-async fn pause_periodically(parties: Arc<Parties>, party: Arc<Party>) {
-    let spec = &parties.book.scenario.servers;
+async fn pause_periodically(backends: Arc<Backends>, backend: Arc<Backend>) {
+    let spec = &backends.book.scenario.servers;
     loop {
-        let wait = spec.pause_every_s * (0.5 + parties.dice.roll());
+        let wait = spec.pause_every_s * (0.5 + backends.dice.roll());
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
-        parties.pause(&party, true);
+        backends.pause(&backend, true);
         tokio::time::sleep(Duration::from_secs_f64(spec.pause_ms / 1e3)).await;
-        parties.pause(&party, false);
+        backends.pause(&backend, false);
     }
 }
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -16,10 +16,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
+use crate::backends::{value, Book};
 use crate::fleet::{Node, ANSWER_GRACE_S};
 use crate::loopback::lock;
 use crate::net::{at, Dice};
-use crate::parties::{value, Book};
 use crate::scenario::Effect;
 
 /// How a try ended, from its client's view.
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -20,9 +20,9 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
+use crate::backends::{Backends, Book, FALL_MULTIPLE, FALL_S};
 use crate::loopback::{lock, serve};
 use crate::net::{message_delay, Dice};
-use crate::parties::{Book, Parties, FALL_MULTIPLE, FALL_S};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
 use crate::scenario::{Effect, Scenario, What};
@@ -72,7 +72,7 @@
 /// What the views share.
 pub struct Views {
     book: Arc<Book>,
-    parties: Arc<Parties>,
+    backends: Arc<Backends>,
     replicas: Vec<SocketAddr>,
     node_zones: Vec<usize>,
     pub told: Mutex<Vec<Told>>,
@@ -99,7 +99,7 @@
     /// Where the system has no room.
     pub async fn start(
         book: &Arc<Book>,
-        parties: &Arc<Parties>,
+        backends: &Arc<Backends>,
         command: &Path,
         node: &Path,
     ) -> io::Result<Fleet> {
@@ -110,7 +110,7 @@
         let zones = scenario.fleet.zones.len();
         let views = Arc::new(Views {
             book: Arc::clone(book),
-            parties: Arc::clone(parties),
+            backends: Arc::clone(backends),
             replicas: service.discovery(),
             node_zones: (0..scenario.fleet.nodes).map(|n| n % zones).collect(),
             told: Mutex::default(),
@@ -328,7 +328,7 @@
     async fn forward(&self, node: usize, replica: usize, path: &str) -> Option<Response<Full<Bytes>>> {
         let zone = self.node_zones[node];
         let zones = self.book.scenario.fleet.zones.len();
-        let mut link = self.parties.links().between(zone, replica % zones);
+        let mut link = self.backends.links().between(zone, replica % zones);
         let open = |link: &crate::net::Link| !link.forward.cut && !link.reverse.cut;
         link.wait_for(open).await.ok()?;
         let call = Call::get(path, LONGEST_LIST);
@@ -337,21 +337,21 @@
             return None;
         }
         let mut list: List = serde_json::from_slice(&answer.body).ok()?;
-        let parties = self.parties.all();
+        let backends = self.backends.all();
         let known: HashMap<&str, usize> =
-            parties.iter().enumerate().map(|(n, party)| (party.id.as_str(), n)).collect();
+            backends.iter().enumerate().map(|(n, backend)| (backend.id.as_str(), n)).collect();
         link.wait_for(open).await.ok()?;
         let at_s = self.book.now();
         let mut told = Vec::new();
         for entry in &mut list.servers {
-            if entry.id == self.parties.origin.id {
-                entry.addr = self.parties.origin.addrs[zone];
+            if entry.id == self.backends.origin.id {
+                entry.addr = self.backends.origin.addrs[zone];
                 continue;
             }
-            let Some(party) = known.get(entry.id.as_str()).map(|n| &parties[*n]) else { continue };
-            entry.addr = party.addrs[zone];
+            let Some(backend) = known.get(entry.id.as_str()).map(|n| &backends[*n]) else { continue };
+            entry.addr = backend.addrs[zone];
             let leaves = entry.state != State::Active;
-            told.push(Told { node: node as u16, server: party.number, leaves, at_s });
+            told.push(Told { node: node as u16, server: backend.number, leaves, at_s });
         }
         lock(&self.told).extend(told);
         let mut versions = lock(&self.versions);
@@ -421,7 +421,7 @@
             continue;
         }
         for (to, from, addr) in &targets {
-            let way = views.parties.links().now(zone, *to).forward;
+            let way = views.backends.links().now(zone, *to).forward;
             let Some(late) = message_delay(&way, loss, &dice) else { continue };
             let (from, addr, message) = (Arc::clone(from), *addr, message[..n].to_vec());
             let due = Instant::now() + late;
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -5,9 +5,9 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
+use crate::backends::{End, Fall, Seen, ORIGIN};
 use crate::clients::{Answer, Try};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
-use crate::parties::{End, Fall, Seen, ORIGIN};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
 
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -3,6 +3,7 @@
 
 #![deny(unsafe_code)]
 
+pub mod backends;
 pub mod bench;
 pub mod bench_duty;
 pub mod checker;
@@ -17,7 +18,6 @@
 pub mod net;
 pub mod observer;
 pub mod orchestrator;
-pub mod parties;
 pub mod plan;
 pub mod process;
 pub mod report;
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -21,12 +21,12 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
+use crate::backends::{Backend, Backends, Book, End, ORIGIN};
 use crate::clients::{Answer, Clients};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
 use crate::loopback::lock;
 use crate::net::{at, Life, Links, Way};
-use crate::parties::{Book, End, Parties, Party, ORIGIN};
 use crate::plan::draw;
 use crate::process::{cpu_s, guard};
 use crate::scenario::{Fault, Scenario, What, Whom};
@@ -55,7 +55,7 @@
 
 struct Orchestrator {
     book: Arc<Book>,
-    parties: Arc<Parties>,
+    backends: Arc<Backends>,
     fleet: Arc<Fleet>,
     clients: Arc<Clients>,
     programs: Programs,
@@ -113,9 +113,9 @@
 
     /// The cache servers and the origin.
     pub fn servers(&self) -> Vec<(String, SocketAddr)> {
-        let mut all = self.orchestrator.parties.all();
-        all.push(Arc::clone(&self.orchestrator.parties.origin));
-        all.iter().map(|party| (party.id.clone(), party.addrs[party.zone])).collect()
+        let mut all = self.orchestrator.backends.all();
+        all.push(Arc::clone(&self.orchestrator.backends.origin));
+        all.iter().map(|backend| (backend.id.clone(), backend.addrs[backend.zone])).collect()
     }
 
     /// Figures since the last call.
@@ -188,13 +188,13 @@
         let plan = draw(scenario, seed);
         // The run begins when the fleet is ready; everything reads the time from then on.
         let book = Arc::new(Book::new(scenario.clone(), plan));
-        let parties = Parties::new(Arc::clone(&book), links, seed);
-        let fleet = Arc::new(Fleet::start(&book, &parties, &programs.command, &programs.node).await?);
+        let backends = Backends::new(Arc::clone(&book), links, seed);
+        let fleet = Arc::new(Fleet::start(&book, &backends, &programs.command, &programs.node).await?);
         let clients = Clients::new(Arc::clone(&book), fleet.nodes.clone(), seed);
         let ops = lock(&fleet.service).ops();
         let orchestrator = Arc::new(Orchestrator {
             book: Arc::clone(&book),
-            parties: Arc::clone(&parties),
+            backends: Arc::clone(&backends),
             fleet: Arc::clone(&fleet),
             clients: Arc::clone(&clients),
             programs: programs.clone(),
@@ -202,11 +202,11 @@
             agents: Mutex::default(),
             seed,
         });
-        parties.open(&parties.origin);
-        orchestrator.list(&parties.origin);
+        backends.open(&backends.origin);
+        orchestrator.list(&backends.origin);
         for n in 0..scenario.fleet.servers {
-            let party = parties.add(format!("cache-{n}"), n, 0, true);
-            orchestrator.list(&party);
+            let backend = backends.add(format!("cache-{n}"), n, 0, true);
+            orchestrator.list(&backend);
         }
         orchestrator.wait_for_list(scenario.fleet.servers + 1).await?;
         fleet.start_nodes().await?;
@@ -228,8 +228,8 @@
 
     /// All that was seen.
     fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
-        let Orchestrator { book, parties, fleet, clients, seed, .. } = self;
-        let zones: Vec<u8> = parties.all().iter().map(|party| party.zone as u8).collect();
+        let Orchestrator { book, backends, fleet, clients, seed, .. } = self;
+        let zones: Vec<u8> = backends.all().iter().map(|backend| backend.zone as u8).collect();
         let take = |away: &Mutex<Vec<(f64, f64)>>| lock(away).clone();
         let panics =
             fleet.logs().into_iter().filter(|(_, log)| log.contains("panicked")).map(|(name, _)| name);
@@ -258,24 +258,24 @@
     // ---- Agents ------------------------------------------------------------------------------------------
 
     /// Starts a party's agent.
-    fn list(self: &Arc<Self>, party: &Arc<Party>) {
+    fn list(self: &Arc<Self>, backend: &Arc<Backend>) {
         let spec = &self.book.scenario;
-        let kind = if party.id == self.parties.origin.id { "origin" } else { "box" };
-        let addr = party.addrs[party.zone];
+        let kind = if backend.id == self.backends.origin.id { "origin" } else { "box" };
+        let addr = backend.addrs[backend.zone];
         let entry = Entry {
-            id: party.id.clone(),
+            id: backend.id.clone(),
             addr,
-            zone: spec.fleet.zones[party.zone].clone(),
+            zone: spec.fleet.zones[backend.zone].clone(),
             kind: kind.to_owned(),
             cell: 0,
             state: State::Active,
             weight: 1.0,
-            started_ms: party.started_ms.load(Ordering::Relaxed),
+            started_ms: backend.started_ms.load(Ordering::Relaxed),
         };
         let lease = Duration::from_secs_f64(spec.fleet.lease_s);
         let drain = Duration::from_secs_f64(spec.servers.drain_s);
         let (tell, mut told) = watch::channel(Agent::On);
-        lock(&self.agents).insert(party.id.clone(), tell);
+        lock(&self.agents).insert(backend.id.clone(), tell);
         if spec.fleet.agent_processes {
             let started = self.start_agent(&entry);
             tokio::spawn(async move {
@@ -296,7 +296,7 @@
             });
             return;
         }
-        let (ops, id) = (self.ops.clone(), party.id.clone());
+        let (ops, id) = (self.ops.clone(), backend.id.clone());
         tokio::spawn(async move {
             let duty = Duty { entry, lease, drain, check: addr };
             let mut stop = told.clone();
@@ -384,8 +384,8 @@
         }
     }
 
-    fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Party>> {
-        let all = self.parties.all();
+    fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Backend>> {
+        let all = self.backends.all();
         let count = self.book.scenario.fleet.servers;
         let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
@@ -449,26 +449,26 @@
             What::KillServers { whom } => self.lose(&self.servers(whom, n), Life::Dead),
             What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Life::Vanished),
             What::PauseServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, true));
+                self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, true));
             }
             What::SlowServers { whom, times } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.slow(party, *times));
+                self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, *times));
             }
             What::ServerErrors { whom, share, class } => {
                 let classes = &self.book.scenario.classes;
                 let class = class.as_ref().and_then(|name| classes.iter().position(|c| c.name == *name));
                 let class = class.map(|n| n as u8);
-                self.servers(whom, n).iter().for_each(|party| party.set_errors(*share, class));
+                self.servers(whom, n).iter().for_each(|backend| backend.set_errors(*share, class));
             }
             What::ColdServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
             What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.tell_agent(&party.id, Agent::Goodbye));
+                self.servers(whom, n).iter().for_each(|backend| self.tell_agent(&backend.id, Agent::Goodbye));
             }
             What::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
-            What::SlowOrigin { times } => self.parties.slow(&self.parties.origin, *times),
-            What::StopOrigin {} => self.parties.pause(&self.parties.origin, true),
+            What::SlowOrigin { times } => self.backends.slow(&self.backends.origin, *times),
+            What::StopOrigin {} => self.backends.pause(&self.backends.origin, true),
             What::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
             What::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
@@ -493,7 +493,7 @@
                 }
             }
             What::CutZone { zone, one_way } => {
-                let links = self.parties.links();
+                let links = self.backends.links();
                 links.change(self.zone(zone), cut, if *one_way { usual } else { cut });
             }
             What::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
@@ -504,11 +504,11 @@
                     kb_per_s: *kb_per_s,
                     ..way
                 };
-                self.parties.links().change(self.zone(zone), slow, slow);
+                self.backends.links().change(self.zone(zone), slow, slow);
             }
             What::ResetZone { zone } => {
                 let breaks = |way: Way| Way { reset_ms: Some(RESETS_MS), ..way };
-                self.parties.links().change(self.zone(zone), breaks, breaks);
+                self.backends.links().change(self.zone(zone), breaks, breaks);
             }
             What::RetryStorm { retries } => self.clients.storm.store(*retries, Ordering::Relaxed),
             // The plan has them, or they are played above.
@@ -521,21 +521,21 @@
         let usual = |way: Way| way;
         match what {
             What::KillServers { whom } | What::SilenceServers { whom } | What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
             What::PauseServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, false));
+                self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, false));
             }
             What::SlowServers { whom, .. } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.slow(party, 1.0));
+                self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, 1.0));
             }
             What::ServerErrors { whom, .. } => {
                 let usual = self.book.scenario.servers.errors;
-                self.servers(whom, n).iter().for_each(|party| party.set_errors(usual, None));
+                self.servers(whom, n).iter().for_each(|backend| backend.set_errors(usual, None));
             }
             What::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
-            What::SlowOrigin { .. } => self.parties.slow(&self.parties.origin, 1.0),
-            What::StopOrigin {} => self.parties.pause(&self.parties.origin, false),
+            What::SlowOrigin { .. } => self.backends.slow(&self.backends.origin, 1.0),
+            What::StopOrigin {} => self.backends.pause(&self.backends.origin, false),
             What::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
             What::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
@@ -553,15 +553,15 @@
             }
             What::LoseZone { zone, nodes } => {
                 let whom = Whom::Zone(zone.clone());
-                for party in self.servers(&whom, n) {
-                    self.restart(&party);
+                for backend in self.servers(&whom, n) {
+                    self.restart(&backend);
                 }
                 if *nodes {
                     self.start_nodes(self.nodes(&whom, n)).await?;
                 }
             }
             What::CutZone { zone, .. } | What::SlowZone { zone, .. } | What::ResetZone { zone } => {
-                self.parties.links().change(self.zone(zone), usual, usual);
+                self.backends.links().change(self.zone(zone), usual, usual);
             }
             What::RetryStorm { .. } => self.clients.storm.store(0, Ordering::Relaxed),
             What::ColdServers { .. }
@@ -575,30 +575,30 @@
     }
 
     /// Processes or machines are gone, their agents with them.
-    fn lose(&self, parties: &[Arc<Party>], how: Life) {
-        for party in parties {
-            self.tell_agent(&party.id, Agent::Gone);
-            party.life.send_replace(how);
+    fn lose(&self, backends: &[Arc<Backend>], how: Life) {
+        for backend in backends {
+            self.tell_agent(&backend.id, Agent::Gone);
+            backend.life.send_replace(how);
         }
     }
 
     /// A process ends, if it had not, and the next one of its name starts.
-    fn renew(self: &Arc<Self>, party: &Arc<Party>) {
-        self.lose(std::slice::from_ref(party), Life::Dead);
-        self.restart(party);
+    fn renew(self: &Arc<Self>, backend: &Arc<Backend>) {
+        self.lose(std::slice::from_ref(backend), Life::Dead);
+        self.restart(backend);
     }
 
     /// A server of this name starts anew, cold and empty, and is listed again.
-    fn restart(self: &Arc<Self>, party: &Arc<Party>) {
-        self.parties.restart(party, unix_ms());
-        self.list(party);
+    fn restart(self: &Arc<Self>, backend: &Arc<Backend>) {
+        self.backends.restart(backend, unix_ms());
+        self.list(backend);
     }
 
     async fn by_hand(&self, whom: &Whom, n: usize, call: &str) {
-        for party in self.servers(whom, n) {
+        for backend in self.servers(whom, n) {
             for node in &self.fleet.nodes {
-                if !self.fleet.by_hand(node, &party.id, call).await {
-                    tracing::warn!("{}: {call} {} did not go through", node.name, party.id);
+                if !self.fleet.by_hand(node, &backend.id, call).await {
+                    tracing::warn!("{}: {call} {} did not go through", node.name, backend.id);
                 }
             }
         }
@@ -647,17 +647,17 @@
         let batches = count.div_ceil(batch).max(1);
         let pause = Duration::from_secs_f64(over_s / batches as f64);
         let drain = Duration::from_secs_f64(self.book.scenario.servers.drain_s);
-        let old = self.parties.all();
+        let old = self.backends.all();
         let mut work = tokio::task::JoinSet::new();
         for batch in old[..count].chunks(batch) {
-            for party in batch {
-                self.tell_agent(&party.id, Agent::Goodbye);
-                let (orchestrator, party) = (Arc::clone(self), Arc::clone(party));
+            for backend in batch {
+                self.tell_agent(&backend.id, Agent::Goodbye);
+                let (orchestrator, backend) = (Arc::clone(self), Arc::clone(backend));
                 work.spawn(async move {
                     sleep(drain).await;
-                    party.life.send_replace(Life::Dead);
-                    let place = usize::from(party.number);
-                    let new = orchestrator.parties.add(format!("{}b", party.id), place, unix_ms(), false);
+                    backend.life.send_replace(Life::Dead);
+                    let place = usize::from(backend.number);
+                    let new = orchestrator.backends.add(format!("{}b", backend.id), place, unix_ms(), false);
                     orchestrator.list(&new);
                 });
             }
