--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
 use shaletrail_fault_lab::rng::SeededRng;
@@ -150,7 +150,11 @@
     wait_for("its group has ended", || group(supervisor).is_empty().then_some(()));
     wait_for("counts on", || (play.guarded.accepted().len() > before + 3).then_some(()));
     // Cut off from all, in both ways, or in one: it ends its command by its own clock.
-    for (there, back) in [(Way::Cut, Way::Cut), (Way::Open, Way::Cut), (Way::Cut, Way::Open)] {
+    for (there, back) in [
+        (LinkCondition::Cut, LinkCondition::Cut),
+        (LinkCondition::Open, LinkCondition::Cut),
+        (LinkCondition::Cut, LinkCondition::Open),
+    ] {
         let n = play.holder();
         seen = seen.max(play.fence());
         play.goes_on("the holder counts");
@@ -161,7 +165,7 @@
     }
     // Cut off from the leader alone, it is heard through another replica.
     let (n, leader, fence) = (play.holder(), play.service.wait_for_leader(), play.fence());
-    play.runners[n].links[leader].set(Way::Cut, Way::Cut);
+    play.runners[n].links[leader].set(LinkCondition::Cut, LinkCondition::Cut);
     pause(3000);
     play.goes_on("the holder counts");
     if play.service.leader() == Some(leader) && play.fence() != fence {
@@ -173,11 +177,11 @@
     play.goes_on("the holder counts");
     let (n, leader) = (play.holder(), play.service.wait_for_leader());
     seen = play.fence();
-    play.service.isolate(leader, Way::Cut, Way::Cut);
+    play.service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut);
     for (m, runner) in play.runners.iter().enumerate() {
         for (replica, link) in runner.links.iter().enumerate() {
             if (m == n) != (replica == leader) {
-                link.set(Way::Cut, Way::Cut);
+                link.set(LinkCondition::Cut, LinkCondition::Cut);
             }
         }
     }
@@ -263,7 +267,7 @@
     let fence = play.fence();
     wait_for("nobody holds", || play.line().is_empty().then_some(()));
     let lost = play.runner(7);
-    lost.links.iter().for_each(|link| link.set(Way::Open, Way::Cut));
+    lost.links.iter().for_each(|link| link.set(LinkCondition::Open, LinkCondition::Cut));
     play.runners = vec![lost];
     wait_for("granted without its knowing", || (play.fence() > fence).then_some(()));
     play.runners[0].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
@@ -579,21 +583,21 @@
             play.runners[n].process.signal("STOP");
             play.runners[n].signal_group("STOP");
         }
-        Fault::CutHolder => links(play, Way::Cut, Way::Cut),
-        Fault::DeafHolder => links(play, Way::Open, Way::Cut),
-        Fault::MuteHolder => links(play, Way::Cut, Way::Open),
+        Fault::CutHolder => links(play, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafHolder => links(play, LinkCondition::Open, LinkCondition::Cut),
+        Fault::MuteHolder => links(play, LinkCondition::Cut, LinkCondition::Open),
         Fault::SlowHolder => {
             let ms = 50 + rng.below(300) as u64;
-            links(play, Way::Slow(ms), Way::Slow(ms));
+            links(play, LinkCondition::Slow(ms), LinkCondition::Slow(ms));
         }
         Fault::LossyHolder => {
             let one_in = 2 + rng.below(6) as u64;
-            links(play, Way::Lossy(one_in), Way::Lossy(one_in));
+            links(play, LinkCondition::Lossy(one_in), LinkCondition::Lossy(one_in));
         }
         Fault::KillLeader => play.service.kill(leader),
         Fault::StopLeader => play.service.process(leader).signal("STOP"),
-        Fault::CutLeader => play.service.isolate(leader, Way::Cut, Way::Cut),
-        Fault::DeafLeader => play.service.isolate(leader, Way::Open, Way::Cut),
+        Fault::CutLeader => play.service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafLeader => play.service.isolate(leader, LinkCondition::Open, LinkCondition::Cut),
         Fault::KillRegistry => (0..3).for_each(|n| play.service.kill(n)),
         Fault::Transfer => {
             let ops = play.service.ops();
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use shaletrail_fault_lab::checker::check;
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
 use shaletrail_fault_lab::rng::SeededRng;
@@ -60,17 +60,18 @@
         Fault::KillAll => (0..service.places.len()).for_each(|n| service.kill(n)),
         Fault::StopLeader => service.process(leader).signal("STOP"),
         Fault::StopFollower => service.process(follower).signal("STOP"),
-        Fault::CutLeader => service.isolate(leader, Way::Cut, Way::Cut),
-        Fault::DeafLeader => service.isolate(leader, Way::Open, Way::Cut),
-        Fault::MuteLeader => service.isolate(leader, Way::Cut, Way::Open),
+        Fault::CutLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafLeader => service.isolate(leader, LinkCondition::Open, LinkCondition::Cut),
+        Fault::MuteLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Open),
         Fault::SlowLinks => {
             let ms = 10 + rng.below(60) as u64;
-            (0..service.places.len()).for_each(|n| service.isolate(n, Way::Slow(ms), Way::Slow(ms)));
+            (0..service.places.len())
+                .for_each(|n| service.isolate(n, LinkCondition::Slow(ms), LinkCondition::Slow(ms)));
         }
         Fault::LossyLinks => {
             let one_in = 10 + rng.below(20) as u64;
             (0..service.places.len())
-                .for_each(|n| service.isolate(n, Way::Lossy(one_in), Way::Lossy(one_in)));
+                .for_each(|n| service.isolate(n, LinkCondition::Lossy(one_in), LinkCondition::Lossy(one_in)));
         }
         Fault::RollingRestart => {
             for n in 0..service.places.len() {
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
 use shaletrail_fault_lab::service::{free, pause, Service};
@@ -431,7 +431,7 @@
         match round {
             0 => service.kill(leader),
             1 => service.process(leader).signal("STOP"),
-            2 => service.isolate(leader, Way::Cut, Way::Cut),
+            2 => service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
             _ => (0..3).for_each(|n| service.kill(n)),
         }
         if round < 3 {
@@ -466,7 +466,7 @@
     }
     let leader = before.wait_for_leader();
     before.kill(leader);
-    before.isolate((leader + 1) % 3, Way::Cut, Way::Cut);
+    before.isolate((leader + 1) % 3, LinkCondition::Cut, LinkCondition::Cut);
     let file = before.folder.0.join("n0.json");
     let mut config: Value = serde_json::from_slice(&std::fs::read(&file).expect("read")).expect("JSON");
     config["discovery"] = json!(after.discovery()[0].to_string());
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -10,7 +10,7 @@
 
 use crate::bench::{machine, Spread};
 use crate::guarded::{Guarded, Runner};
-use crate::link::Way;
+use crate::link::LinkCondition;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
 use crate::rng::SeededRng;
@@ -157,7 +157,9 @@
             }
             Cause::Kill => runners[holder].process.kill(),
             Cause::Stop => runners[holder].process.signal("STOP"),
-            Cause::Cut => runners[holder].links.iter().for_each(|link| link.set(Way::Cut, Way::Cut)),
+            Cause::Cut => {
+                runners[holder].links.iter().for_each(|link| link.set(LinkCondition::Cut, LinkCondition::Cut))
+            }
             Cause::KillWithLeader => {
                 runners[holder].process.kill();
                 service.kill(leader);
--- a/fault-lab/src/link.rs
+++ b/fault-lab/src/link.rs
@@ -8,7 +8,7 @@
 
 /// What the relay does with the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Way {
+pub enum LinkCondition {
     #[default]
     Open,
     /// Nothing passes and no connection is closed, as when the remote machine has lost power.
@@ -22,8 +22,8 @@
 
 #[derive(Default)]
 struct LinkState {
-    forward: Way,
-    backward: Way,
+    forward: LinkCondition,
+    backward: LinkCondition,
     /// Both sockets of each open connection, to be shut down when a cut link is restored.
     open: Vec<TcpStream>,
 }
@@ -63,11 +63,11 @@
     /// Sets both directions, from the connecting side to the target and back. Open connections stay open, except
     /// when the link comes back from a cut in either direction: those are shut down, because their ends have given
     /// them up.
-    pub fn set(&self, forward: Way, backward: Way) {
+    pub fn set(&self, forward: LinkCondition, backward: LinkCondition) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let restored = (state.forward == Way::Cut || state.backward == Way::Cut)
-            && forward != Way::Cut
-            && backward != Way::Cut;
+        let restored = (state.forward == LinkCondition::Cut || state.backward == LinkCondition::Cut)
+            && forward != LinkCondition::Cut
+            && backward != LinkCondition::Cut;
         (state.forward, state.backward) = (forward, backward);
         if restored {
             for stream in state.open.drain(..) {
@@ -77,13 +77,13 @@
     }
 
     pub fn heal(&self) {
-        self.set(Way::Open, Way::Open);
+        self.set(LinkCondition::Open, LinkCondition::Open);
     }
 }
 
 fn relay(client: &TcpStream, target: SocketAddr, state: &Arc<Mutex<LinkState>>) {
     // While the forward direction is cut, no connection to the target is opened and the connecting process waits.
-    while direction(state, true) == Way::Cut {
+    while direction(state, true) == LinkCondition::Cut {
         thread::sleep(POLL_INTERVAL);
     }
     let Ok(server) = TcpStream::connect(target) else { return };
@@ -103,7 +103,7 @@
     let _ = forward_thread.join();
 }
 
-fn direction(state: &Mutex<LinkState>, forward: bool) -> Way {
+fn direction(state: &Mutex<LinkState>, forward: bool) -> LinkCondition {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
     if forward {
         state.forward
@@ -116,12 +116,12 @@
     let mut chunk = vec![0; CHUNK_BYTES];
     let mut count = 0;
     while let Ok(n) = from.read(&mut chunk) {
-        while direction(state, forward) == Way::Cut {
+        while direction(state, forward) == LinkCondition::Cut {
             thread::sleep(POLL_INTERVAL);
         }
         match direction(state, forward) {
-            Way::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
-            Way::Lossy(one_in) => {
+            LinkCondition::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
+            LinkCondition::Lossy(one_in) => {
                 count += 1;
                 if count % one_in == 0 {
                     thread::sleep(RETRANSMISSION_DELAY);
@@ -131,7 +131,7 @@
                     }
                 }
             }
-            Way::Open | Way::Cut => {}
+            LinkCondition::Open | LinkCondition::Cut => {}
         }
         if n == 0 || to.write_all(&chunk[..n]).is_err() {
             break;
--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -9,7 +9,7 @@
 
 use shaletrail_registry_client::clock::WALL_STEP;
 
-use crate::link::{Link, Way};
+use crate::link::{Link, LinkCondition};
 use crate::observer::get;
 use crate::process::{wait_for, Folder, Process};
 
@@ -162,7 +162,7 @@
     }
 
     /// Sets the conditions from `a` to `b` and from `b` to `a`, on the connections that either of them opens.
-    pub fn between(&self, a: usize, b: usize, there: Way, back: Way) {
+    pub fn between(&self, a: usize, b: usize, there: LinkCondition, back: LinkCondition) {
         if let Some(link) = self.links.get(&(a, b)) {
             link.set(there, back);
         }
@@ -172,7 +172,7 @@
     }
 
     /// Sets the conditions from one replica to all others, and from them back to it.
-    pub fn isolate(&self, n: usize, out: Way, back: Way) {
+    pub fn isolate(&self, n: usize, out: LinkCondition, back: LinkCondition) {
         for other in (0..self.places.len()).filter(|other| *other != n) {
             self.between(n, other, out, back);
         }
