--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -22,7 +22,7 @@
 
 /// Network conditions in one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub struct Way {
+pub struct Impairments {
     pub delay_ms: f64,
     pub jitter_ms: f64,
     /// Share of chunks lost. A lost chunk arrives late, by the time of a TCP retransmission.
@@ -38,8 +38,8 @@
 /// Both directions between two zones: from the caller's zone to the backend's, and the reverse.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Link {
-    pub forward: Way,
-    pub reverse: Way,
+    pub forward: Impairments,
+    pub reverse: Impairments,
 }
 
 impl Link {
@@ -270,7 +270,7 @@
 }
 
 impl Links {
-    pub fn new(zones: usize, same: Way, cross: Way) -> Self {
+    pub fn new(zones: usize, same: Impairments, cross: Impairments) -> Self {
         let normal: Vec<Link> = (0..zones * zones)
             .map(|n| if n / zones == n % zones { same } else { cross })
             .map(|path| Link { forward: path, reverse: path })
@@ -291,7 +291,12 @@
 
     /// Sets the conditions on all links of a zone to other zones. `out` and `into` compute the outbound and the
     /// inbound direction from its normal conditions.
-    pub fn change(&self, zone: usize, out: impl Fn(Way) -> Way, into: impl Fn(Way) -> Way) {
+    pub fn change(
+        &self,
+        zone: usize,
+        out: impl Fn(Impairments) -> Impairments,
+        into: impl Fn(Impairments) -> Impairments,
+    ) {
         for other in (0..self.zones).filter(|other| *other != zone) {
             for (from, to) in [(zone, other), (other, zone)] {
                 let normal = self.normal[from * self.zones + to];
@@ -308,7 +313,7 @@
 }
 
 /// Delay of one datagram between two nodes; `None` if it is lost. `loss` is added to the link's own loss.
-pub fn message_delay(path: &Way, loss: f64, dice: &Dice) -> Option<Duration> {
+pub fn message_delay(path: &Impairments, loss: f64, dice: &Dice) -> Option<Duration> {
     if path.cut || dice.roll() < loss || (path.loss > 0.0 && dice.roll() < path.loss) {
         return None;
     }
@@ -342,7 +347,7 @@
     #[tokio::test]
     async fn an_unresponsive_listener_times_out_connects_and_resets_old_connections_when_it_returns() {
         let addr = free();
-        let links = Links::new(2, Way::default(), Way::default());
+        let links = Links::new(2, Impairments::default(), Impairments::default());
         let life = watch::Sender::new(Life::Up);
         let path = PathConditions { link: links.between(0, 1), life: life.subscribe(), dice: Dice::new(1) };
         tokio::spawn(run_listener(addr, path, echo));
@@ -353,9 +358,9 @@
             }
         };
         assert_eq!(echoes(&mut old).await, Some(true));
-        let cut = |path: Way| Way { cut: true, ..path };
+        let cut = |path: Impairments| Impairments { cut: true, ..path };
         for (out, into) in [(true, true), (true, false), (false, true)] {
-            let normal = |path: Way| path;
+            let normal = |path: Impairments| path;
             links.change(0, if out { cut } else { normal }, if into { cut } else { normal });
             sleep(Duration::from_millis(300)).await;
             assert!(connect().await.is_err(), "the connection must neither open nor be refused");
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -26,7 +26,7 @@
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
 use crate::loopback::lock;
-use crate::net::{at, Life, Links, Way};
+use crate::net::{at, Impairments, Life, Links};
 use crate::plan::draw;
 use crate::process::{cpu_s, guard};
 use crate::scenario::{Fault, Scenario, What, Whom};
@@ -182,8 +182,8 @@
     /// Starts all parties and processes, and waits until every node is ready.
     async fn start(scenario: &Scenario, seed: u64, programs: &Programs) -> io::Result<Arc<Orchestrator>> {
         let link = &scenario.link;
-        let way = |delay_ms| Way { delay_ms, jitter_ms: link.jitter_ms, ..Way::default() };
-        let same = Way { jitter_ms: 0.0, ..way(link.same_ms) };
+        let way = |delay_ms| Impairments { delay_ms, jitter_ms: link.jitter_ms, ..Impairments::default() };
+        let same = Impairments { jitter_ms: 0.0, ..way(link.same_ms) };
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
         let plan = draw(scenario, seed);
         // The run begins when the fleet is ready; everything reads the time from then on.
@@ -443,8 +443,8 @@
     }
 
     async fn strike(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
-        let cut = |way: Way| Way { cut: true, ..way };
-        let usual = |way: Way| way;
+        let cut = |way: Impairments| Impairments { cut: true, ..way };
+        let usual = |way: Impairments| way;
         match what {
             What::KillServers { whom } => self.lose(&self.servers(whom, n), Life::Dead),
             What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Life::Vanished),
@@ -497,7 +497,7 @@
                 links.change(self.zone(zone), cut, if *one_way { usual } else { cut });
             }
             What::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
-                let slow = |way: Way| Way {
+                let slow = |way: Impairments| Impairments {
                     delay_ms: way.delay_ms + delay_ms,
                     jitter_ms: way.jitter_ms + jitter_ms,
                     loss: *loss,
@@ -507,7 +507,7 @@
                 self.backends.links().change(self.zone(zone), slow, slow);
             }
             What::ResetZone { zone } => {
-                let breaks = |way: Way| Way { reset_ms: Some(RESETS_MS), ..way };
+                let breaks = |way: Impairments| Impairments { reset_ms: Some(RESETS_MS), ..way };
                 self.backends.links().change(self.zone(zone), breaks, breaks);
             }
             What::RetryStorm { retries } => self.clients.storm.store(*retries, Ordering::Relaxed),
@@ -518,7 +518,7 @@
     }
 
     async fn take_back(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
-        let usual = |way: Way| way;
+        let usual = |way: Impairments| way;
         match what {
             What::KillServers { whom } | What::SilenceServers { whom } | What::DrainServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
