--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -20,7 +20,7 @@
 
 use crate::loopback::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::machine::{Admission, Machine, MachineSpec};
-use crate::net::{at, run_listener, Dice, Life, Links, PathConditions};
+use crate::net::{at, run_listener, Dice, Links, Liveness, PathConditions};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
 use crate::service::free;
@@ -199,7 +199,7 @@
     pub started_ms: AtomicU64,
     /// Addresses at which callers reach it, by the zone of the caller.
     pub addrs: Vec<SocketAddr>,
-    pub life: watch::Sender<Life>,
+    pub liveness: watch::Sender<Liveness>,
     machine: Mutex<Machine>,
     machine_changed: Notify,
     completions: Mutex<HashMap<u64, oneshot::Sender<()>>>,
@@ -320,7 +320,7 @@
             zone,
             started_ms: AtomicU64::new(started_ms),
             addrs: scenario.fleet.zones.iter().map(|_| free()).collect(),
-            life: watch::Sender::new(Life::Up),
+            liveness: watch::Sender::new(Liveness::Up),
             machine: Mutex::new(Machine::new(machine_spec, now, warm)),
             machine_changed: Notify::new(),
             completions: Mutex::default(),
@@ -380,7 +380,7 @@
         lock(&backend.completions).clear();
         backend.started_ms.store(started_ms, Ordering::Relaxed);
         backend.machine_changed.notify_one();
-        backend.life.send_replace(Life::Up);
+        backend.liveness.send_replace(Liveness::Up);
     }
 
     pub fn all(&self) -> Vec<Arc<Backend>> {
@@ -396,7 +396,7 @@
         for (zone, addr) in backend.addrs.iter().enumerate() {
             let path = PathConditions {
                 link: self.links.between(zone, backend.zone),
-                life: backend.life.subscribe(),
+                liveness: backend.liveness.subscribe(),
                 dice: Dice::new(u64::from(backend.number) * 64 + zone as u64),
             };
             let (backends, backend) = (Arc::clone(self), Arc::clone(backend));
@@ -540,12 +540,12 @@
 
     fn handle_crash(self: &Arc<Self>, backend: &Arc<Backend>) {
         lock(&self.book.falls).push(Fall { at_s: self.book.now(), server: backend.number });
-        backend.life.send_replace(Life::Dead);
+        backend.liveness.send_replace(Liveness::Dead);
         if backend.number == ORIGIN {
             let (down, backend) = (self.book.scenario.origin.down_s, Arc::clone(backend));
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_secs_f64(down)).await;
-                backend.life.send_replace(Life::Up);
+                backend.liveness.send_replace(Liveness::Up);
             });
         }
     }
@@ -568,7 +568,7 @@
                 for backend in
                     lock(&self.missed).remove(&id).unwrap_or_default().iter().take(MAX_STORING_SERVERS)
                 {
-                    if *backend.life.borrow() == Life::Up {
+                    if *backend.liveness.borrow() == Liveness::Up {
                         lock(&backend.cache).put(key);
                     }
                 }
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -50,13 +50,13 @@
 
 /// Whether a backend runs, and how its failure looks to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Life {
+pub enum Liveness {
     #[default]
     Up,
     /// The process has died: open connections are reset and new ones are refused.
     Dead,
     /// The machine is unreachable: no connection is reset, refused or accepted.
-    Vanished,
+    Unreachable,
 }
 
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
@@ -92,7 +92,7 @@
 #[derive(Clone)]
 pub struct PathConditions {
     pub link: watch::Receiver<Link>,
-    pub life: watch::Receiver<Life>,
+    pub liveness: watch::Receiver<Liveness>,
     pub dice: Dice,
 }
 
@@ -114,7 +114,7 @@
     S: Fn(DuplexStream) + Send + 'static,
 {
     loop {
-        if path.life.wait_for(|life| *life != Life::Dead).await.is_err() {
+        if path.liveness.wait_for(|liveness| *liveness != Liveness::Dead).await.is_err() {
             return;
         }
         let Ok(listener) = bind(addr) else {
@@ -126,7 +126,7 @@
 }
 
 fn is_unresponsive(path: &PathConditions) -> bool {
-    path.link.borrow().is_cut() || *path.life.borrow() == Life::Vanished
+    path.link.borrow().is_cut() || *path.liveness.borrow() == Liveness::Unreachable
 }
 
 /// Accepts connections until the process is dead.
@@ -138,7 +138,7 @@
 ) {
     let mut fillers = Vec::new();
     loop {
-        if *path.life.borrow_and_update() == Life::Dead {
+        if *path.liveness.borrow_and_update() == Liveness::Dead {
             return;
         }
         path.link.borrow_and_update();
@@ -167,7 +167,7 @@
                 tokio::spawn(relay_connection(stream, relay_end, path.clone()));
                 serve(backend_end);
             }
-            changed = path.life.changed() => if changed.is_err() { return },
+            changed = path.liveness.changed() => if changed.is_err() { return },
             changed = path.link.changed() => if changed.is_err() { return },
         }
     }
@@ -212,10 +212,10 @@
     let (mut was_unresponsive, resets_at_start) = (is_unresponsive(path), resets(path));
     loop {
         tokio::select! {
-            changed = path.life.changed() => if changed.is_err() { return },
+            changed = path.liveness.changed() => if changed.is_err() { return },
             changed = path.link.changed() => if changed.is_err() { return },
         }
-        if *path.life.borrow() == Life::Dead || (!resets_at_start && resets(path)) {
+        if *path.liveness.borrow() == Liveness::Dead || (!resets_at_start && resets(path)) {
             return;
         }
         if was_unresponsive && !is_unresponsive(path) {
@@ -231,7 +231,7 @@
     W: AsyncWriteExt + Unpin,
 {
     let mut chunk = vec![0; 4 << 10];
-    let (mut link, mut life) = (path.link.clone(), path.life.clone());
+    let (mut link, mut liveness) = (path.link.clone(), path.liveness.clone());
     loop {
         let Ok(n) = from.read(&mut chunk).await else { return };
         let now = *link.borrow();
@@ -252,7 +252,7 @@
         // Bytes in flight when the link is cut are held until it is restored; then the connection is reset.
         let cut = |link: &Link| if forward { link.forward.cut } else { link.reverse.cut };
         if link.wait_for(|link| !cut(link)).await.is_err()
-            || life.wait_for(|life| *life != Life::Vanished).await.is_err()
+            || liveness.wait_for(|liveness| *liveness != Liveness::Unreachable).await.is_err()
         {
             return;
         }
@@ -348,8 +348,9 @@
     async fn an_unresponsive_listener_times_out_connects_and_resets_old_connections_when_it_returns() {
         let addr = free();
         let links = Links::new(2, Impairments::default(), Impairments::default());
-        let life = watch::Sender::new(Life::Up);
-        let path = PathConditions { link: links.between(0, 1), life: life.subscribe(), dice: Dice::new(1) };
+        let liveness = watch::Sender::new(Liveness::Up);
+        let path =
+            PathConditions { link: links.between(0, 1), liveness: liveness.subscribe(), dice: Dice::new(1) };
         tokio::spawn(run_listener(addr, path, echo));
         let connect = || timeout(Duration::from_millis(700), TcpStream::connect(addr));
         let mut old = loop {
@@ -377,7 +378,7 @@
             while matches!(timeout(Duration::from_secs(30), old.read(&mut byte)).await, Ok(Ok(1))) {}
             old = new;
         }
-        life.send_replace(Life::Dead);
+        liveness.send_replace(Liveness::Dead);
         let dead =
             timeout(Duration::from_secs(30), old.read(&mut [0; 1])).await.expect("the connection is closed");
         assert!(matches!(dead, Ok(0) | Err(_)));
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -26,7 +26,7 @@
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
 use crate::loopback::lock;
-use crate::net::{at, Impairments, Life, Links};
+use crate::net::{at, Impairments, Links, Liveness};
 use crate::plan::draw;
 use crate::process::{cpu_s, guard};
 use crate::scenario::{Fault, Scenario, What, Whom};
@@ -446,8 +446,8 @@
         let cut = |way: Impairments| Impairments { cut: true, ..way };
         let usual = |way: Impairments| way;
         match what {
-            What::KillServers { whom } => self.lose(&self.servers(whom, n), Life::Dead),
-            What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Life::Vanished),
+            What::KillServers { whom } => self.lose(&self.servers(whom, n), Liveness::Dead),
+            What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Liveness::Unreachable),
             What::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, true));
             }
@@ -487,7 +487,7 @@
             What::MoveDiscovery {} => self.fleet.move_discovery().await?,
             What::LoseZone { zone, nodes } => {
                 let whom = Whom::Zone(zone.clone());
-                self.lose(&self.servers(&whom, n), Life::Vanished);
+                self.lose(&self.servers(&whom, n), Liveness::Unreachable);
                 if *nodes {
                     self.kill_nodes(&self.nodes(&whom, n));
                 }
@@ -575,16 +575,16 @@
     }
 
     /// Processes or machines are gone, their agents with them.
-    fn lose(&self, backends: &[Arc<Backend>], how: Life) {
+    fn lose(&self, backends: &[Arc<Backend>], how: Liveness) {
         for backend in backends {
             self.tell_agent(&backend.id, Agent::Gone);
-            backend.life.send_replace(how);
+            backend.liveness.send_replace(how);
         }
     }
 
     /// A process ends, if it had not, and the next one of its name starts.
     fn renew(self: &Arc<Self>, backend: &Arc<Backend>) {
-        self.lose(std::slice::from_ref(backend), Life::Dead);
+        self.lose(std::slice::from_ref(backend), Liveness::Dead);
         self.restart(backend);
     }
 
@@ -655,7 +655,7 @@
                 let (orchestrator, backend) = (Arc::clone(self), Arc::clone(backend));
                 work.spawn(async move {
                     sleep(drain).await;
-                    backend.life.send_replace(Life::Dead);
+                    backend.liveness.send_replace(Liveness::Dead);
                     let place = usize::from(backend.number);
                     let new = orchestrator.backends.add(format!("{}b", backend.id), place, unix_ms(), false);
                     orchestrator.list(&new);
