--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -20,7 +20,7 @@
 
 use crate::loopback::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::machine::{Admission, Machine, MachineSpec};
-use crate::net::{at, run_listener, Dice, Links, Liveness, PathConditions};
+use crate::net::{at, run_listener, Links, Liveness, PathConditions, SharedRng};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
 use crate::service::free;
@@ -222,7 +222,7 @@
     missed: Mutex<HashMap<u64, Vec<Arc<Backend>>>>,
     /// When a write was applied, by idempotency key.
     applied_writes: Mutex<HashMap<u64, f64>>,
-    dice: Dice,
+    rng: SharedRng,
 }
 
 /// One open connection to a backend. Dropping it releases its place in the connection limit.
@@ -300,7 +300,7 @@
             origin: Arc::new(backend),
             missed: Mutex::default(),
             applied_writes: Mutex::default(),
-            dice: Dice::new(seed),
+            rng: SharedRng::new(seed),
         })
     }
 
@@ -397,7 +397,7 @@
             let path = PathConditions {
                 link: self.links.between(zone, backend.zone),
                 liveness: backend.liveness.subscribe(),
-                dice: Dice::new(u64::from(backend.number) * 64 + zone as u64),
+                rng: SharedRng::new(u64::from(backend.number) * 64 + zone as u64),
             };
             let (backends, backend) = (Arc::clone(self), Arc::clone(backend));
             let serve = move |stream| {
@@ -461,11 +461,11 @@
         let key = asked.key;
         let (end, mut work) = if server == ORIGIN {
             let origin = &self.book.scenario.origin;
-            let fetch_s = origin.takes_ms / 1e3 * self.dice.log_normal(origin.takes_cv);
+            let fetch_s = origin.takes_ms / 1e3 * self.rng.log_normal(origin.takes_cv);
             (End::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
         } else if write {
             (End::Miss, spec.miss_ms / 1e3)
-        } else if backend.draws_error(asked.class, self.dice.roll()) {
+        } else if backend.draws_error(asked.class, self.rng.uniform()) {
             (End::Error, spec.miss_ms / 1e3)
         } else if lock(&backend.cache).mark_used(key) {
             (End::Hit, asked.work_s)
@@ -701,7 +701,7 @@
 async fn pause_periodically(backends: Arc<Backends>, backend: Arc<Backend>) {
     let spec = &backends.book.scenario.servers;
     loop {
-        let wait = spec.pause_every_s * (0.5 + backends.dice.roll());
+        let wait = spec.pause_every_s * (0.5 + backends.rng.uniform());
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
         backends.pause(&backend, true);
         tokio::time::sleep(Duration::from_secs_f64(spec.pause_ms / 1e3)).await;
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -19,7 +19,7 @@
 use crate::backends::{value, Book};
 use crate::fleet::{Node, ANSWER_GRACE_S};
 use crate::loopback::lock;
-use crate::net::{at, Dice};
+use crate::net::{at, SharedRng};
 use crate::scenario::Effect;
 
 /// How a try ended, from its client's view.
@@ -78,7 +78,7 @@
     pub lateness: Mutex<Histogram<u64>>,
     /// Retries of each request while a retry storm is injected; 0 otherwise.
     pub storm: AtomicU32,
-    dice: Dice,
+    rng: SharedRng,
     seed: u64,
 }
 
@@ -101,7 +101,7 @@
             tries: Mutex::default(),
             lateness: Mutex::new(lateness),
             storm: AtomicU32::new(0),
-            dice: Dice::new(seed ^ 0xc11e),
+            rng: SharedRng::new(seed ^ 0xc11e),
             seed,
         })
     }
@@ -146,7 +146,7 @@
                 return;
             }
             if storm == 0 {
-                let honoured_s = result.retry_after_s.filter(|_| self.dice.roll() < load.honour);
+                let honoured_s = result.retry_after_s.filter(|_| self.rng.uniform() < load.honour);
                 let wait_s = honoured_s.unwrap_or(backoff_s).min(MAX_RETRY_WAIT_S);
                 backoff_s *= if load.backoff_grows { 2.0 } else { 1.0 };
                 sleep(Duration::from_secs_f64(wait_s)).await;
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -22,7 +22,7 @@
 
 use crate::backends::{Backends, Book, FALL_MULTIPLE, FALL_S};
 use crate::loopback::{lock, serve};
-use crate::net::{message_delay, Dice};
+use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
 use crate::scenario::{Effect, Scenario, What};
@@ -409,7 +409,7 @@
     targets: Vec<(usize, Arc<UdpSocket>, SocketAddr)>,
 ) {
     let loss = views.book.scenario.link.peer_loss;
-    let dice = Dice::new(zone as u64);
+    let rng = SharedRng::new(zone as u64);
     let mut message = vec![0; LONGEST_MESSAGE];
     loop {
         let Ok((n, _)) = socket.recv_from(&mut message).await else {
@@ -422,7 +422,7 @@
         }
         for (to, from, addr) in &targets {
             let way = views.backends.links().now(zone, *to).forward;
-            let Some(late) = message_delay(&way, loss, &dice) else { continue };
+            let Some(late) = message_delay(&way, loss, &rng) else { continue };
             let (from, addr, message) = (Arc::clone(from), *addr, message[..n].to_vec());
             let due = Instant::now() + late;
             tokio::spawn(async move {
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -70,15 +70,15 @@
 /// A seeded random number generator that tasks share. Each backend has its own, so that the tasks of different
 /// backends don't contend for one lock.
 #[derive(Clone)]
-pub struct Dice(Arc<Mutex<StdRng>>);
+pub struct SharedRng(Arc<Mutex<StdRng>>);
 
-impl Dice {
+impl SharedRng {
     pub fn new(seed: u64) -> Self {
-        Dice(Arc::new(Mutex::new(StdRng::seed_from_u64(seed))))
+        SharedRng(Arc::new(Mutex::new(StdRng::seed_from_u64(seed))))
     }
 
     /// A uniformly distributed number from 0 to 1.
-    pub fn roll(&self) -> f64 {
+    pub fn uniform(&self) -> f64 {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).random_range(0.0..1.0)
     }
 
@@ -93,7 +93,7 @@
 pub struct PathConditions {
     pub link: watch::Receiver<Link>,
     pub liveness: watch::Receiver<Liveness>,
-    pub dice: Dice,
+    pub rng: SharedRng,
 }
 
 /// Binds with `SO_REUSEADDR`, so that the address can be bound again as soon as the listener is closed.
@@ -191,7 +191,7 @@
     };
     let mut reset_watch = path.clone();
     let reset_after_ms =
-        path.link.borrow().forward.reset_ms.map(|most| most as f64 * (0.2 + 0.8 * path.dice.roll()));
+        path.link.borrow().forward.reset_ms.map(|most| most as f64 * (0.2 + 0.8 * path.rng.uniform()));
     let reset_timer = async {
         match reset_after_ms {
             Some(ms) => sleep(Duration::from_secs_f64(ms / 1e3)).await,
@@ -238,12 +238,12 @@
         let now = if forward { now.forward } else { now.reverse };
         let mut delay_s = now.delay_ms / 1e3;
         if now.jitter_ms > 0.0 {
-            delay_s += now.jitter_ms * path.dice.roll() / 1e3;
+            delay_s += now.jitter_ms * path.rng.uniform() / 1e3;
         }
         if let Some(kb) = now.kb_per_s {
             delay_s += n as f64 / (kb * 1e3);
         }
-        if now.loss > 0.0 && path.dice.roll() < now.loss {
+        if now.loss > 0.0 && path.rng.uniform() < now.loss {
             delay_s += RETRANSMISSION_DELAY.as_secs_f64();
         }
         if delay_s > 0.0 {
@@ -313,11 +313,11 @@
 }
 
 /// Delay of one datagram between two nodes; `None` if it is lost. `loss` is added to the link's own loss.
-pub fn message_delay(path: &Impairments, loss: f64, dice: &Dice) -> Option<Duration> {
-    if path.cut || dice.roll() < loss || (path.loss > 0.0 && dice.roll() < path.loss) {
+pub fn message_delay(path: &Impairments, loss: f64, rng: &SharedRng) -> Option<Duration> {
+    if path.cut || rng.uniform() < loss || (path.loss > 0.0 && rng.uniform() < path.loss) {
         return None;
     }
-    Some(Duration::from_secs_f64((path.delay_ms + path.jitter_ms * dice.roll()) / 1e3))
+    Some(Duration::from_secs_f64((path.delay_ms + path.jitter_ms * rng.uniform()) / 1e3))
 }
 
 /// The instant that is `seconds` after the start of the run; negative values count as 0.
@@ -349,8 +349,11 @@
         let addr = free();
         let links = Links::new(2, Impairments::default(), Impairments::default());
         let liveness = watch::Sender::new(Liveness::Up);
-        let path =
-            PathConditions { link: links.between(0, 1), liveness: liveness.subscribe(), dice: Dice::new(1) };
+        let path = PathConditions {
+            link: links.between(0, 1),
+            liveness: liveness.subscribe(),
+            rng: SharedRng::new(1),
+        };
         tokio::spawn(run_listener(addr, path, echo));
         let connect = || timeout(Duration::from_millis(700), TcpStream::connect(addr));
         let mut old = loop {
