--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -73,7 +73,7 @@
 }
 
 /// State of a run that clients and backends share: its scenario, plan, clock and observations.
-pub struct Book {
+pub struct RunState {
     start: OnceLock<Instant>,
     pub scenario: Scenario,
     pub plan: Vec<Asked>,
@@ -82,45 +82,45 @@
     pub seen: Mutex<Vec<Seen>>,
     pub falls: Mutex<Vec<Fall>>,
     /// Number of requests with an id that no client sent.
-    pub foreign: AtomicUsize,
+    pub unknown_ids: AtomicUsize,
     /// Set during the warm-up, in which the caches fill and the origin answers at once.
-    pub leading: AtomicBool,
+    pub warming_up: AtomicBool,
     /// Whether clients outside the test bench may send requests.
-    pub open: AtomicBool,
+    pub accepts_outside_clients: AtomicBool,
 }
 
-impl Book {
+impl RunState {
     pub fn new(scenario: Scenario, plan: Vec<Asked>) -> Self {
-        Book {
+        RunState {
             start: OnceLock::new(),
             scenario,
             plan,
             tries: Mutex::default(),
             seen: Mutex::default(),
             falls: Mutex::default(),
-            foreign: AtomicUsize::new(0),
-            leading: AtomicBool::new(true),
-            open: AtomicBool::new(false),
+            unknown_ids: AtomicUsize::new(0),
+            warming_up: AtomicBool::new(true),
+            accepts_outside_clients: AtomicBool::new(false),
         }
     }
 
     /// Starts the clock of the run; a second call has no effect. Returns when it started.
-    pub fn begin(&self) -> Instant {
+    pub fn start_clock(&self) -> Instant {
         *self.start.get_or_init(Instant::now)
     }
 
     /// When the clock was started; the current time if it has not been.
-    pub fn start(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.start.get().copied().unwrap_or_else(Instant::now)
     }
 
     /// Seconds since the start of the run; 0 before it.
-    pub fn now(&self) -> f64 {
+    pub fn elapsed_s(&self) -> f64 {
         self.start.get().map_or(0.0, |start| start.elapsed().as_secs_f64())
     }
 
     /// Records that the try with this request id belongs to this request of the plan.
-    pub fn sends(&self, id: u64, request: u32) {
+    pub fn record_try(&self, id: u64, request: u32) {
         lock(&self.tries).insert(id, request);
     }
 
@@ -130,7 +130,7 @@
         if let Some(request) = lock(&self.tries).get(&id) {
             return self.plan.get(*request as usize).cloned();
         }
-        if !self.open.load(Ordering::Relaxed) {
+        if !self.accepts_outside_clients.load(Ordering::Relaxed) {
             return None;
         }
         let class =
@@ -138,7 +138,7 @@
         let class = class.unwrap_or(0);
         let key = path.bytes().fold(0_u32, |hash, byte| hash.wrapping_mul(31).wrapping_add(u32::from(byte)));
         let work_s = self.scenario.classes[class].work_ms / 1e3;
-        let (at_s, class, hint_us) = (self.now(), class as u8, 0);
+        let (at_s, class, hint_us) = (self.elapsed_s(), class as u8, 0);
         Some(Asked { at_s, zone: 0, class, tenant: 0, key, work_s, hint_us, over_share: false })
     }
 }
@@ -214,7 +214,7 @@
 
 /// All backends of a run.
 pub struct Backends {
-    pub book: Arc<Book>,
+    pub run_state: Arc<RunState>,
     links: Links,
     all: Mutex<Vec<Arc<Backend>>>,
     pub origin: Arc<Backend>,
@@ -252,7 +252,7 @@
             lock(&self.backend.completions).remove(&self.job);
             lock(&self.backend.machine).cancel(self.job);
             self.backend.machine_changed.notify_one();
-            lock(&self.backends.book.seen).push(Seen { end: End::GivenUp, ..seen });
+            lock(&self.backends.run_state.seen).push(Seen { end: End::GivenUp, ..seen });
         }
     }
 }
@@ -269,8 +269,8 @@
 }
 
 impl Backends {
-    pub fn new(book: Arc<Book>, links: Links, seed: u64) -> Arc<Self> {
-        let origin = &book.scenario.origin;
+    pub fn new(run_state: Arc<RunState>, links: Links, seed: u64) -> Arc<Self> {
+        let origin = &run_state.scenario.origin;
         let fetch_s = origin.takes_ms / 1e3;
         let machine_spec = MachineSpec {
             cores: origin.per_s * fetch_s,
@@ -285,7 +285,7 @@
             crashes_when_warm: true,
         };
         let backend = Backends::new_backend(
-            &book.scenario,
+            &run_state.scenario,
             "origin".to_owned(),
             ORIGIN,
             0,
@@ -294,7 +294,7 @@
             (0.0, true),
         );
         Arc::new(Backends {
-            book,
+            run_state,
             links,
             all: Mutex::default(),
             origin: Arc::new(backend),
@@ -334,7 +334,7 @@
 
     /// Adds a cache server. `place` sets its speed and zone; those of the initial fleet start warm, later ones cold.
     pub fn add(self: &Arc<Self>, id: String, place: usize, started_ms: u64, warm: bool) -> Arc<Backend> {
-        let scenario = &self.book.scenario;
+        let scenario = &self.run_state.scenario;
         let spec = &scenario.servers;
         let speed = scenario.speed(place);
         let warm_after_work_s = (spec.warm_by_requests > 0).then(|| {
@@ -356,7 +356,7 @@
         };
         let mut all = lock(&self.all);
         let zone = place % scenario.fleet.zones.len();
-        let now = (self.book.now(), warm);
+        let now = (self.run_state.elapsed_s(), warm);
         let backend = Arc::new(Backends::new_backend(
             scenario,
             id,
@@ -374,8 +374,8 @@
 
     /// Restarts a server under its name, with a cold machine and an empty cache.
     pub fn restart(&self, backend: &Backend, started_ms: u64) {
-        lock(&backend.machine).restart(self.book.now());
-        let capacity = self.book.scenario.servers.keeps;
+        lock(&backend.machine).restart(self.run_state.elapsed_s());
+        let capacity = self.run_state.scenario.servers.keeps;
         *lock(&backend.cache) = Cache { capacity, ..Cache::default() };
         lock(&backend.completions).clear();
         backend.started_ms.store(started_ms, Ordering::Relaxed);
@@ -402,7 +402,7 @@
             let (backends, backend) = (Arc::clone(self), Arc::clone(backend));
             let serve = move |stream| {
                 if backend.connections.fetch_add(1, Ordering::Relaxed)
-                    >= backends.book.scenario.servers.connections
+                    >= backends.run_state.scenario.servers.connections
                 {
                     backend.connections.fetch_sub(1, Ordering::Relaxed);
                     return;
@@ -423,7 +423,7 @@
             tokio::spawn(run_listener(*addr, path, serve));
         }
         tokio::spawn(drive_machine(Arc::clone(self), Arc::clone(backend)));
-        if self.book.scenario.servers.pause_every_s > 0.0 && backend.number != ORIGIN {
+        if self.run_state.scenario.servers.pause_every_s > 0.0 && backend.number != ORIGIN {
             tokio::spawn(pause_periodically(Arc::clone(self), Arc::clone(backend)));
         }
     }
@@ -436,10 +436,11 @@
         }
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return reply(StatusCode::NOT_FOUND, "") };
-        let known =
-            u64::from_str_radix(id, 16).ok().and_then(|id| Some((id, self.book.find_request(id, &path)?)));
+        let known = u64::from_str_radix(id, 16)
+            .ok()
+            .and_then(|id| Some((id, self.run_state.find_request(id, &path)?)));
         let Some((id, asked)) = known else {
-            self.book.foreign.fetch_add(1, Ordering::Relaxed);
+            self.run_state.unknown_ids.fetch_add(1, Ordering::Relaxed);
             return reply(StatusCode::BAD_REQUEST, "no client sent this id");
         };
         let expired =
@@ -450,17 +451,17 @@
             return reply(StatusCode::BAD_REQUEST, "a body of at most 64 KiB expected");
         }
         let asked = &asked;
-        let (at_s, server, zone) = (self.book.now(), backend.number, connection.zone);
+        let (at_s, server, zone) = (self.run_state.elapsed_s(), backend.number, connection.zone);
         let cold = !lock(&backend.machine).is_warm();
         let seen = Seen { at_s, server, id, zone, write, cold, end: End::TurnedAway };
         if expired {
-            lock(&self.book.seen).push(seen);
+            lock(&self.run_state.seen).push(seen);
             return not_run_reply();
         }
-        let spec = &self.book.scenario.servers;
+        let spec = &self.run_state.scenario.servers;
         let key = asked.key;
         let (end, mut work) = if server == ORIGIN {
-            let origin = &self.book.scenario.origin;
+            let origin = &self.run_state.scenario.origin;
             let fetch_s = origin.takes_ms / 1e3 * self.rng.log_normal(origin.takes_cv);
             (End::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
         } else if write {
@@ -475,11 +476,11 @@
         if connection.fresh.swap(false, Ordering::Relaxed) {
             work += spec.handshake_ms / 1e3;
         }
-        if server == ORIGIN && self.book.leading.load(Ordering::Relaxed) {
+        if server == ORIGIN && self.run_state.warming_up.load(Ordering::Relaxed) {
             return self.finish(seen, End::Served, backend, idempotency_key, asked);
         }
         let Some((done, mut guard)) = self.start_job(backend, work, seen) else {
-            lock(&self.book.seen).push(seen);
+            lock(&self.run_state.seen).push(seen);
             return not_run_reply();
         };
         if done.await.is_err() {
@@ -491,7 +492,7 @@
     }
 
     fn mean_work_s(&self, asked: &Asked) -> f64 {
-        self.book.scenario.classes[asked.class as usize].work_ms / 1e3
+        self.run_state.scenario.classes[asked.class as usize].work_ms / 1e3
     }
 
     /// Offers the work to the machine; `None` if the machine rejected it or crashed.
@@ -504,7 +505,7 @@
         let job = backend.next_job.fetch_add(1, Ordering::Relaxed);
         let (completion, done) = oneshot::channel();
         lock(&backend.completions).insert(job, completion);
-        let now = self.book.now();
+        let now = self.run_state.elapsed_s();
         let (entry, finished) = {
             let mut machine = lock(&backend.machine);
             let finished = machine.advance(now);
@@ -539,10 +540,10 @@
     }
 
     fn handle_crash(self: &Arc<Self>, backend: &Arc<Backend>) {
-        lock(&self.book.falls).push(Fall { at_s: self.book.now(), server: backend.number });
+        lock(&self.run_state.falls).push(Fall { at_s: self.run_state.elapsed_s(), server: backend.number });
         backend.liveness.send_replace(Liveness::Dead);
         if backend.number == ORIGIN {
-            let (down, backend) = (self.book.scenario.origin.down_s, Arc::clone(backend));
+            let (down, backend) = (self.run_state.scenario.origin.down_s, Arc::clone(backend));
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_secs_f64(down)).await;
                 backend.liveness.send_replace(Liveness::Up);
@@ -586,7 +587,7 @@
             (_, End::Error) => answer = Some((StatusCode::INTERNAL_SERVER_ERROR, "miss")),
             _ => answer = Some((StatusCode::OK, "hit")),
         }
-        lock(&self.book.seen).push(Seen { end, ..seen });
+        lock(&self.run_state.seen).push(Seen { end, ..seen });
         let (status, word) = answer.unwrap_or((StatusCode::OK, ""));
         let body = if status == StatusCode::OK { value(id, key) } else { String::new() };
         let mut reply = reply(status, body);
@@ -598,7 +599,7 @@
 
     /// Applies a write and invalidates the cached copies. A duplicate within the class's idempotency window is dropped.
     fn write(&self, asked: &Asked, idempotency_key: Option<u64>, now: f64) -> End {
-        let class = &self.book.scenario.classes[asked.class as usize];
+        let class = &self.run_state.scenario.classes[asked.class as usize];
         if let (Effect::Guarded, Some(key)) = (class.effect, idempotency_key) {
             let mut applied_writes = lock(&self.applied_writes);
             if applied_writes.get(&key).is_some_and(|before| now - before < class.key_ttl_s) {
@@ -616,7 +617,7 @@
     fn change(&self, backend: &Backend, change: impl FnOnce(&mut Machine)) {
         let finished = {
             let mut machine = lock(&backend.machine);
-            let finished = machine.advance(self.book.now());
+            let finished = machine.advance(self.run_state.elapsed_s());
             change(&mut machine);
             finished
         };
@@ -634,8 +635,8 @@
     }
 
     async fn answer_probe(self: &Arc<Self>, backend: &Arc<Backend>, path: &str) -> Reply {
-        let work = self.book.scenario.servers.probe_ms / 1e3;
-        let now = self.book.now();
+        let work = self.run_state.scenario.servers.probe_ms / 1e3;
+        let now = self.run_state.elapsed_s();
         let report = {
             let mut machine = lock(&backend.machine);
             let finished = machine.advance(now);
@@ -645,7 +646,7 @@
             self.notify_finished(backend, finished);
             backend.machine_changed.notify_one();
             let mut report = lock(&backend.report);
-            if now - report.0 > self.book.scenario.servers.report_ms / 1e3 {
+            if now - report.0 > self.run_state.scenario.servers.report_ms / 1e3 {
                 *report = (now, format!("svc_ms={:.2},busy_reqs={in_flight},pending={queue}", service * 1e3));
             }
             report.1.clone()
@@ -684,14 +685,14 @@
     loop {
         let (finished, next) = {
             let mut machine = lock(&backend.machine);
-            let finished = machine.advance(backends.book.now());
+            let finished = machine.advance(backends.run_state.elapsed_s());
             (finished, machine.next_event_s())
         };
         backends.notify_finished(&backend, finished);
         match next {
             None => backend.machine_changed.notified().await,
             Some(next) => tokio::select! {
-                () = tokio::time::sleep_until(at(backends.book.start(), next)) => {}
+                () = tokio::time::sleep_until(at(backends.run_state.started_at(), next)) => {}
                 () = backend.machine_changed.notified() => {}
             },
         }
@@ -699,7 +700,7 @@
 }
 
 async fn pause_periodically(backends: Arc<Backends>, backend: Arc<Backend>) {
-    let spec = &backends.book.scenario.servers;
+    let spec = &backends.run_state.scenario.servers;
     loop {
         let wait = spec.pause_every_s * (0.5 + backends.rng.uniform());
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::backends::{value, Book};
+use crate::backends::{value, RunState};
 use crate::fleet::{Node, ANSWER_GRACE_S};
 use crate::loopback::lock;
 use crate::net::{at, SharedRng};
@@ -67,7 +67,7 @@
 type Connection = SendRequest<Full<Bytes>>;
 
 pub struct Clients {
-    book: Arc<Book>,
+    run_state: Arc<RunState>,
     nodes: Vec<Arc<Node>>,
     /// Round-robin counter of each zone's connection balancer.
     next_node: Vec<AtomicUsize>,
@@ -89,14 +89,14 @@
 }
 
 impl Clients {
-    pub fn new(book: Arc<Book>, nodes: Vec<Arc<Node>>, seed: u64) -> Arc<Self> {
-        let next_node = (0..book.scenario.fleet.zones.len()).map(AtomicUsize::new);
+    pub fn new(run_state: Arc<RunState>, nodes: Vec<Arc<Node>>, seed: u64) -> Arc<Self> {
+        let next_node = (0..run_state.scenario.fleet.zones.len()).map(AtomicUsize::new);
         let lateness =
             Histogram::new_with_max(60_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"));
         Arc::new(Clients {
             next_node: next_node.collect(),
             idle: nodes.iter().map(|_| Mutex::default()).collect(),
-            book,
+            run_state,
             nodes,
             tries: Mutex::default(),
             lateness: Mutex::new(lateness),
@@ -110,34 +110,35 @@
     /// request when it is sent.
     pub async fn run(self: &Arc<Self>, mut progress: impl FnMut(f64)) {
         let mut in_flight = JoinSet::new();
-        for number in 0..self.book.plan.len() {
-            let due = at(self.book.start(), self.book.plan[number].at_s);
+        for number in 0..self.run_state.plan.len() {
+            let due = at(self.run_state.started_at(), self.run_state.plan[number].at_s);
             if due > Instant::now() {
                 sleep_until(due).await;
             }
             let clients = Arc::clone(self);
             in_flight.spawn(async move { clients.request(number as u32).await });
             while in_flight.try_join_next().is_some() {}
-            progress(self.book.plan[number].at_s);
+            progress(self.run_state.plan[number].at_s);
         }
         while in_flight.join_next().await.is_some() {}
     }
 
     async fn request(&self, number: u32) {
-        let planned = &self.book.plan[number as usize];
-        let class = &self.book.scenario.classes[planned.class as usize];
-        let load = &self.book.scenario.load;
+        let planned = &self.run_state.plan[number as usize];
+        let class = &self.run_state.scenario.classes[planned.class as usize];
+        let load = &self.run_state.scenario.load;
         let deadline_s = planned.at_s + class.give_up_ms / 1e3;
         let mut backoff_s = load.backoff_ms / 1e3;
         for n in 0..=u8::MAX {
             let storm = self.storm.load(Ordering::Relaxed);
-            let now = self.book.now();
+            let now = self.run_state.elapsed_s();
             let try_deadline_s = (now + class.give_up_ms / 1e3 * load.try_share).min(deadline_s);
             let result = self.attempt(number, n, try_deadline_s).await;
             let may_retry = match class.effect {
                 Effect::Free => result.answer != Answer::Served,
                 Effect::Guarded => {
-                    result.answer != Answer::Served && self.book.now() - planned.at_s < class.key_ttl_s * 0.9
+                    result.answer != Answer::Served
+                        && self.run_state.elapsed_s() - planned.at_s < class.key_ttl_s * 0.9
                 }
                 Effect::SingleShot => matches!(result.answer, Answer::Refused | Answer::Unreachable),
             };
@@ -151,7 +152,7 @@
                 backoff_s *= if load.backoff_grows { 2.0 } else { 1.0 };
                 sleep(Duration::from_secs_f64(wait_s)).await;
             }
-            if self.book.now() + 0.01 >= deadline_s {
+            if self.run_state.elapsed_s() + 0.01 >= deadline_s {
                 return;
             }
         }
@@ -168,10 +169,10 @@
     }
 
     async fn attempt(&self, request: u32, n: u8, give_up_s: f64) -> TryResult {
-        let planned = &self.book.plan[request as usize];
+        let planned = &self.run_state.plan[request as usize];
         let id = mix(self.seed ^ (u64::from(request) << 8 | u64::from(n)));
-        self.book.sends(id, request);
-        let sent_s = self.book.now();
+        self.run_state.record_try(id, request);
+        let sent_s = self.run_state.elapsed_s();
         if n == 0 {
             let late = ((sent_s - planned.at_s).max(0.0) * 1e6) as u64;
             lock(&self.lateness).saturating_record(late);
@@ -186,20 +187,20 @@
                 (node as u16, timeout(left, call).await.unwrap_or(none))
             }
         };
-        let end_s = self.book.now();
+        let end_s = self.run_state.elapsed_s();
         let answer = result.answer;
         lock(&self.tries).push(Try { request, id, n, node, sent_s, give_up_s, end_s, answer });
         result
     }
 
     async fn call(&self, node: usize, request: u32, id: u64, give_up_s: f64) -> TryResult {
-        let planned = &self.book.plan[request as usize];
-        let scenario = &self.book.scenario;
+        let planned = &self.run_state.plan[request as usize];
+        let scenario = &self.run_state.scenario;
         let class = &scenario.classes[planned.class as usize];
         let is_write = class.effect != Effect::Free;
         let (name, tenant) = (&class.name, &scenario.tenants[planned.tenant as usize].name);
         let build = || {
-            let left = ((give_up_s - self.book.now()) * 1e3).max(1.0) as u64;
+            let left = ((give_up_s - self.run_state.elapsed_s()) * 1e3).max(1.0) as u64;
             let mut builder = Request::builder()
                 .method(if is_write { Method::PUT } else { Method::GET })
                 .uri(format!("/{name}/{:016x}", planned.key))
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -20,7 +20,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::backends::{Backends, Book, FALL_MULTIPLE, FALL_S};
+use crate::backends::{Backends, RunState, FALL_MULTIPLE, FALL_S};
 use crate::loopback::{lock, serve};
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
@@ -71,7 +71,7 @@
 
 /// What the views share.
 pub struct Views {
-    book: Arc<Book>,
+    run_state: Arc<RunState>,
     backends: Arc<Backends>,
     replicas: Vec<SocketAddr>,
     node_zones: Vec<usize>,
@@ -98,18 +98,18 @@
     /// # Errors
     /// Where the system has no room.
     pub async fn start(
-        book: &Arc<Book>,
+        run_state: &Arc<RunState>,
         backends: &Arc<Backends>,
         command: &Path,
         node: &Path,
     ) -> io::Result<Fleet> {
-        let scenario = &book.scenario;
+        let scenario = &run_state.scenario;
         let (program, replicas) = (command.to_owned(), scenario.fleet.replicas);
         let service = tokio::task::spawn_blocking(move || Service::start(&program, "lab", replicas));
         let service = service.await.map_err(io::Error::other)?;
         let zones = scenario.fleet.zones.len();
         let views = Arc::new(Views {
-            book: Arc::clone(book),
+            run_state: Arc::clone(run_state),
             backends: Arc::clone(backends),
             replicas: service.discovery(),
             node_zones: (0..scenario.fleet.nodes).map(|n| n % zones).collect(),
@@ -327,7 +327,7 @@
     /// A replica's answer, with the addresses that this node's zone has.
     async fn forward(&self, node: usize, replica: usize, path: &str) -> Option<Response<Full<Bytes>>> {
         let zone = self.node_zones[node];
-        let zones = self.book.scenario.fleet.zones.len();
+        let zones = self.run_state.scenario.fleet.zones.len();
         let mut link = self.backends.links().between(zone, replica % zones);
         let open = |link: &crate::net::Link| !link.forward.cut && !link.reverse.cut;
         link.wait_for(open).await.ok()?;
@@ -341,7 +341,7 @@
         let known: HashMap<&str, usize> =
             backends.iter().enumerate().map(|(n, backend)| (backend.id.as_str(), n)).collect();
         link.wait_for(open).await.ok()?;
-        let at_s = self.book.now();
+        let at_s = self.run_state.elapsed_s();
         let mut told = Vec::new();
         for entry in &mut list.servers {
             if entry.id == self.backends.origin.id {
@@ -408,7 +408,7 @@
     socket: Arc<UdpSocket>,
     targets: Vec<(usize, Arc<UdpSocket>, SocketAddr)>,
 ) {
-    let loss = views.book.scenario.link.peer_loss;
+    let loss = views.run_state.scenario.link.peer_loss;
     let rng = SharedRng::new(zone as u64);
     let mut message = vec![0; LONGEST_MESSAGE];
     loop {
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::backends::{Backend, Backends, Book, End, ORIGIN};
+use crate::backends::{Backend, Backends, End, RunState, ORIGIN};
 use crate::clients::{Answer, Clients};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
@@ -54,7 +54,7 @@
 }
 
 struct Orchestrator {
-    book: Arc<Book>,
+    run_state: Arc<RunState>,
     backends: Arc<Backends>,
     fleet: Arc<Fleet>,
     clients: Arc<Clients>,
@@ -93,9 +93,9 @@
     /// Where the fleet does not start.
     pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<Standing> {
         let orchestrator = Orchestrator::start(scenario, scenario.seed, programs).await?;
-        orchestrator.book.open.store(true, Ordering::Relaxed);
-        orchestrator.book.leading.store(false, Ordering::Relaxed);
-        orchestrator.book.begin();
+        orchestrator.run_state.accepts_outside_clients.store(true, Ordering::Relaxed);
+        orchestrator.run_state.warming_up.store(false, Ordering::Relaxed);
+        orchestrator.run_state.start_clock();
         let clients = Arc::clone(&orchestrator.clients);
         tokio::spawn(async move { clients.run(|_| {}).await });
         Ok(Standing { orchestrator })
@@ -121,7 +121,7 @@
     /// Figures since the last call.
     pub fn live(&self) -> Live {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
-        let seen = std::mem::take(&mut *lock(&self.orchestrator.book.seen));
+        let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.seen));
         lock(&self.orchestrator.fleet.views.told).clear();
         let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
@@ -148,14 +148,14 @@
 ) -> io::Result<Run> {
     scenario.seed = seed;
     let orchestrator = Orchestrator::start(&scenario, seed, programs).await?;
-    let Orchestrator { book, clients, .. } = &*orchestrator;
-    let begin = book.begin();
+    let Orchestrator { run_state, clients, .. } = &*orchestrator;
+    let begin = run_state.start_clock();
     let used = orchestrator.cpu_s();
     let lead = {
-        let (book, lead) = (Arc::clone(book), scenario.lead_s);
+        let (run_state, lead) = (Arc::clone(run_state), scenario.lead_s);
         tokio::spawn(async move {
             sleep_until(at(begin, lead)).await;
-            book.leading.store(false, Ordering::Relaxed);
+            run_state.warming_up.store(false, Ordering::Relaxed);
         })
     };
     let mut playing = Vec::new();
@@ -187,13 +187,13 @@
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
         let plan = draw(scenario, seed);
         // The run begins when the fleet is ready; everything reads the time from then on.
-        let book = Arc::new(Book::new(scenario.clone(), plan));
-        let backends = Backends::new(Arc::clone(&book), links, seed);
-        let fleet = Arc::new(Fleet::start(&book, &backends, &programs.command, &programs.node).await?);
-        let clients = Clients::new(Arc::clone(&book), fleet.nodes.clone(), seed);
+        let run_state = Arc::new(RunState::new(scenario.clone(), plan));
+        let backends = Backends::new(Arc::clone(&run_state), links, seed);
+        let fleet = Arc::new(Fleet::start(&run_state, &backends, &programs.command, &programs.node).await?);
+        let clients = Clients::new(Arc::clone(&run_state), fleet.nodes.clone(), seed);
         let ops = lock(&fleet.service).ops();
         let orchestrator = Arc::new(Orchestrator {
-            book: Arc::clone(&book),
+            run_state: Arc::clone(&run_state),
             backends: Arc::clone(&backends),
             fleet: Arc::clone(&fleet),
             clients: Arc::clone(&clients),
@@ -228,7 +228,7 @@
 
     /// All that was seen.
     fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
-        let Orchestrator { book, backends, fleet, clients, seed, .. } = self;
+        let Orchestrator { run_state, backends, fleet, clients, seed, .. } = self;
         let zones: Vec<u8> = backends.all().iter().map(|backend| backend.zone as u8).collect();
         let take = |away: &Mutex<Vec<(f64, f64)>>| lock(away).clone();
         let panics =
@@ -236,15 +236,15 @@
         let mut crashed = fleet.crashed();
         crashed.extend(panics);
         Run {
-            scenario: book.scenario.clone(),
+            scenario: run_state.scenario.clone(),
             seed: *seed,
-            plan: book.plan.clone(),
+            plan: run_state.plan.clone(),
             tries: std::mem::take(&mut lock(&clients.tries)),
-            seen: std::mem::take(&mut lock(&book.seen)),
-            falls: std::mem::take(&mut lock(&book.falls)),
+            seen: std::mem::take(&mut lock(&run_state.seen)),
+            falls: std::mem::take(&mut lock(&run_state.falls)),
             told: std::mem::take(&mut lock(&fleet.views.told)),
             versions: std::mem::take(&mut lock(&fleet.views.versions)),
-            foreign_ids: book.foreign.load(Ordering::Relaxed) as u64,
+            foreign_ids: run_state.unknown_ids.load(Ordering::Relaxed) as u64,
             long_messages: fleet.views.long_messages.load(Ordering::Relaxed) as u64,
             away: fleet.nodes.iter().map(|node| take(&node.away)).collect(),
             crashed,
@@ -259,7 +259,7 @@
 
     /// Starts a party's agent.
     fn list(self: &Arc<Self>, backend: &Arc<Backend>) {
-        let spec = &self.book.scenario;
+        let spec = &self.run_state.scenario;
         let kind = if backend.id == self.backends.origin.id { "origin" } else { "box" };
         let addr = backend.addrs[backend.zone];
         let entry = Entry {
@@ -317,7 +317,7 @@
 
     fn start_agent(&self, entry: &Entry) -> io::Result<Child> {
         let list: Vec<String> = self.ops.iter().map(ToString::to_string).collect();
-        let spec = &self.book.scenario;
+        let spec = &self.run_state.scenario;
         let mut command = Command::new(&self.programs.command);
         command.args(["agent", "--registry", &list.join(","), "--id", &entry.id]);
         command.args(["--addr", &entry.addr.to_string(), "--zone", &entry.zone, "--kind", &entry.kind]);
@@ -386,7 +386,7 @@
 
     fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Backend>> {
         let all = self.backends.all();
-        let count = self.book.scenario.fleet.servers;
+        let count = self.run_state.scenario.fleet.servers;
         let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
@@ -398,26 +398,26 @@
     }
 
     fn replicas(&self, whom: &Whom, fault: usize) -> Vec<usize> {
-        let zones = self.book.scenario.fleet.zones.len();
+        let zones = self.run_state.scenario.fleet.zones.len();
         self.struck(whom, fault, self.ops.len(), |n| n % zones, 1)
     }
 
     fn zone(&self, name: &str) -> usize {
-        self.book.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
+        self.run_state.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
     // ---- Faults ------------------------------------------------------------------------------------------
 
     /// Plays one fault and takes it back; when it was in force, in the run's time.
     async fn fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
-        let lead = self.book.scenario.lead_s;
-        sleep_until(at(self.book.start(), lead + fault.at_s)).await;
-        let from_s = self.book.now();
+        let lead = self.run_state.scenario.lead_s;
+        sleep_until(at(self.run_state.started_at(), lead + fault.at_s)).await;
+        let from_s = self.run_state.elapsed_s();
         let name = format!("{:?}", fault.what);
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
         if let What::Replace { share, batch } = fault.what {
             self.replace(share, batch, fault.for_s.unwrap_or(0.0)).await;
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
         if let What::UpgradeNodes {} = fault.what {
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
@@ -430,16 +430,16 @@
                 self.fleet.upgrade(node).await?;
                 sleep_until(next).await;
             }
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
         self.strike(n, &fault.what).await?;
         let Some(length) = fault.for_s else {
             let passes = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
-            return Ok(Band { name, from_s, to_s: passes.then(|| self.book.now()) });
+            return Ok(Band { name, from_s, to_s: passes.then(|| self.run_state.elapsed_s()) });
         };
-        sleep_until(at(self.book.start(), lead + fault.at_s + length)).await;
+        sleep_until(at(self.run_state.started_at(), lead + fault.at_s + length)).await;
         self.take_back(n, &fault.what).await?;
-        Ok(Band { name, from_s, to_s: Some(self.book.now()) })
+        Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) })
     }
 
     async fn strike(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
@@ -455,7 +455,7 @@
                 self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, *times));
             }
             What::ServerErrors { whom, share, class } => {
-                let classes = &self.book.scenario.classes;
+                let classes = &self.run_state.scenario.classes;
                 let class = class.as_ref().and_then(|name| classes.iter().position(|c| c.name == *name));
                 let class = class.map(|n| n as u8);
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(*share, class));
@@ -530,7 +530,7 @@
                 self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, 1.0));
             }
             What::ServerErrors { whom, .. } => {
-                let usual = self.book.scenario.servers.errors;
+                let usual = self.run_state.scenario.servers.errors;
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(usual, None));
             }
             What::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
@@ -606,8 +606,8 @@
 
     /// The node does not answer from now on; its front notices later.
     fn leave(self: &Arc<Self>, node: &Arc<Node>) {
-        lock(&node.away).push((self.book.now(), f64::INFINITY));
-        let (node, late) = (Arc::clone(node), self.book.scenario.load.notice_s);
+        lock(&node.away).push((self.run_state.elapsed_s(), f64::INFINITY));
+        let (node, late) = (Arc::clone(node), self.run_state.scenario.load.notice_s);
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(late)).await;
             if lock(&node.away).last().is_some_and(|(_, to)| to.is_infinite()) {
@@ -618,7 +618,7 @@
 
     fn back(&self, node: &Node) {
         if let Some(last) = lock(&node.away).last_mut() {
-            last.1 = self.book.now();
+            last.1 = self.run_state.elapsed_s();
         }
         node.in_use.store(true, Ordering::Relaxed);
     }
@@ -643,10 +643,10 @@
 
     /// Replaces servers by new ones, in batches over the time given: goodbye, drain, then a new one in its place.
     async fn replace(self: &Arc<Self>, share: f64, batch: usize, over_s: f64) {
-        let count = (self.book.scenario.fleet.servers as f64 * share).round() as usize;
+        let count = (self.run_state.scenario.fleet.servers as f64 * share).round() as usize;
         let batches = count.div_ceil(batch).max(1);
         let pause = Duration::from_secs_f64(over_s / batches as f64);
-        let drain = Duration::from_secs_f64(self.book.scenario.servers.drain_s);
+        let drain = Duration::from_secs_f64(self.run_state.scenario.servers.drain_s);
         let old = self.backends.all();
         let mut work = tokio::task::JoinSet::new();
         for batch in old[..count].chunks(batch) {
