--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -51,7 +51,7 @@
 
 /// One attempt at a request, recorded by the backend that received it.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct AttemptRecord {
     /// Time of arrival, in seconds from the start of the run.
     pub at_s: f64,
     pub server: u16,
@@ -79,7 +79,7 @@
     pub plan: Vec<Asked>,
     /// Index of the request in the plan, by the request id of each of its tries.
     tries: Mutex<HashMap<u64, u32>>,
-    pub seen: Mutex<Vec<Seen>>,
+    pub attempts: Mutex<Vec<AttemptRecord>>,
     pub falls: Mutex<Vec<Fall>>,
     /// Number of requests with an id that no client sent.
     pub unknown_ids: AtomicUsize,
@@ -96,7 +96,7 @@
             scenario,
             plan,
             tries: Mutex::default(),
-            seen: Mutex::default(),
+            attempts: Mutex::default(),
             falls: Mutex::default(),
             unknown_ids: AtomicUsize::new(0),
             warming_up: AtomicBool::new(true),
@@ -243,16 +243,16 @@
     backend: Arc<Backend>,
     backends: Arc<Backends>,
     job: u64,
-    seen: Option<Seen>,
+    record: Option<AttemptRecord>,
 }
 
 impl Drop for JobGuard {
     fn drop(&mut self) {
-        if let Some(seen) = self.seen.take() {
+        if let Some(record) = self.record.take() {
             lock(&self.backend.completions).remove(&self.job);
             lock(&self.backend.machine).cancel(self.job);
             self.backend.machine_changed.notify_one();
-            lock(&self.backends.run_state.seen).push(Seen { end: End::GivenUp, ..seen });
+            lock(&self.backends.run_state.attempts).push(AttemptRecord { end: End::GivenUp, ..record });
         }
     }
 }
@@ -453,9 +453,9 @@
         let asked = &asked;
         let (at_s, server, zone) = (self.run_state.elapsed_s(), backend.number, connection.zone);
         let cold = !lock(&backend.machine).is_warm();
-        let seen = Seen { at_s, server, id, zone, write, cold, end: End::TurnedAway };
+        let record = AttemptRecord { at_s, server, id, zone, write, cold, end: End::TurnedAway };
         if expired {
-            lock(&self.run_state.seen).push(seen);
+            lock(&self.run_state.attempts).push(record);
             return not_run_reply();
         }
         let spec = &self.run_state.scenario.servers;
@@ -477,18 +477,18 @@
             work += spec.handshake_ms / 1e3;
         }
         if server == ORIGIN && self.run_state.warming_up.load(Ordering::Relaxed) {
-            return self.finish(seen, End::Served, backend, idempotency_key, asked);
+            return self.finish(record, End::Served, backend, idempotency_key, asked);
         }
-        let Some((done, mut guard)) = self.start_job(backend, work, seen) else {
-            lock(&self.run_state.seen).push(seen);
+        let Some((done, mut guard)) = self.start_job(backend, work, record) else {
+            lock(&self.run_state.attempts).push(record);
             return not_run_reply();
         };
         if done.await.is_err() {
             // The machine crashed. Dropping the guard records the attempt as aborted.
             return reply(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
-        guard.seen = None;
-        self.finish(seen, end, backend, idempotency_key, asked)
+        guard.record = None;
+        self.finish(record, end, backend, idempotency_key, asked)
     }
 
     fn mean_work_s(&self, asked: &Asked) -> f64 {
@@ -500,7 +500,7 @@
         self: &Arc<Self>,
         backend: &Arc<Backend>,
         work: f64,
-        seen: Seen,
+        record: AttemptRecord,
     ) -> Option<(oneshot::Receiver<()>, JobGuard)> {
         let job = backend.next_job.fetch_add(1, Ordering::Relaxed);
         let (completion, done) = oneshot::channel();
@@ -516,7 +516,7 @@
         match entry {
             Admission::Accepted => {
                 let (backend, backends) = (Arc::clone(backend), Arc::clone(self));
-                Some((done, JobGuard { backend, backends, job, seen: Some(seen) }))
+                Some((done, JobGuard { backend, backends, job, record: Some(record) }))
             }
             Admission::Rejected => {
                 lock(&backend.completions).remove(&job);
@@ -553,17 +553,17 @@
 
     fn finish(
         &self,
-        seen: Seen,
+        record: AttemptRecord,
         end: End,
         backend: &Arc<Backend>,
         idempotency_key: Option<u64>,
         asked: &Asked,
     ) -> Reply {
-        let (id, key) = (seen.id, asked.key);
+        let (id, key) = (record.id, asked.key);
         let (mut end, mut answer) = (end, None);
         match (backend.number, end) {
-            (ORIGIN, _) if seen.write => {
-                end = self.write(asked, idempotency_key, seen.at_s);
+            (ORIGIN, _) if record.write => {
+                end = self.write(asked, idempotency_key, record.at_s);
             }
             (ORIGIN, _) => {
                 for backend in
@@ -577,9 +577,9 @@
                 answer = Some((StatusCode::OK, "miss"));
             }
             (_, End::Miss) => {
-                let pending = !seen.write && lock(&backend.cache).record_miss(key, seen.at_s);
+                let pending = !record.write && lock(&backend.cache).record_miss(key, record.at_s);
                 let mut missed = lock(&self.missed);
-                if !seen.write && missed.len() < MAX_TRACKED_MISSES {
+                if !record.write && missed.len() < MAX_TRACKED_MISSES {
                     missed.entry(id).or_default().push(Arc::clone(backend));
                 }
                 answer = Some((StatusCode::NOT_FOUND, if pending { "pending" } else { "miss" }));
@@ -587,7 +587,7 @@
             (_, End::Error) => answer = Some((StatusCode::INTERNAL_SERVER_ERROR, "miss")),
             _ => answer = Some((StatusCode::OK, "hit")),
         }
-        lock(&self.run_state.seen).push(Seen { end, ..seen });
+        lock(&self.run_state.attempts).push(AttemptRecord { end, ..record });
         let (status, word) = answer.unwrap_or((StatusCode::OK, ""));
         let body = if status == StatusCode::OK { value(id, key) } else { String::new() };
         let mut reply = reply(status, body);
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::backends::{End, Fall, Seen, ORIGIN};
+use crate::backends::{AttemptRecord, End, Fall, ORIGIN};
 use crate::clients::{Answer, Try};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
 use crate::plan::Asked;
@@ -18,7 +18,7 @@
     pub seed: u64,
     pub plan: Vec<Asked>,
     pub tries: Vec<Try>,
-    pub seen: Vec<Seen>,
+    pub seen: Vec<AttemptRecord>,
     pub falls: Vec<Fall>,
     pub told: Vec<Told>,
     /// When each version of the list was first told.
@@ -236,7 +236,7 @@
         told.entry((one.node, one.server)).or_default().push((one.at_s, one.leaves));
     }
     let most = DRAIN_GRACE_S + SOCKET_GRACE_S + OWN_S;
-    let late = |seen: &&Seen| {
+    let late = |seen: &&AttemptRecord| {
         let Some(told) = node.get(&seen.id).and_then(|node| told.get(&(*node, seen.server))) else {
             return false;
         };
@@ -415,8 +415,8 @@
     let served: Vec<f64> =
         per_s.get("all").map(|all| all.iter().map(Count::share).collect()).unwrap_or_default();
 
-    let judged = |seen: &&Seen| second(seen.at_s).is_some();
-    let seen: Vec<&Seen> = run.seen.iter().filter(judged).collect();
+    let judged = |seen: &&AttemptRecord| second(seen.at_s).is_some();
+    let seen: Vec<&AttemptRecord> = run.seen.iter().filter(judged).collect();
     let (mut attempts_per_s, mut origin_per_s) = (vec![0; seconds], vec![0; seconds]);
     let mut zone_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     let (mut crossings, mut hits, mut misses, mut fetches) = (0, 0_u64, 0_u64, 0);
@@ -573,7 +573,7 @@
             let (give_up_s, end_s) = (at_s + 0.5, at_s + 0.1);
             run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, answer });
             let (server, end) = if write { (ORIGIN, End::Served) } else { ((n % 2) as u16, End::Hit) };
-            run.seen.push(Seen { at_s: at_s + 0.01, server, id, zone: 0, write, cold: false, end });
+            run.seen.push(AttemptRecord { at_s: at_s + 0.01, server, id, zone: 0, write, cold: false, end });
         }
         run
     }
@@ -604,13 +604,13 @@
         planted("late", |run| run.tries[7].answer = Answer::None);
         // approval-number, sent again though the first may have run.
         planted("repeated_effect", |run| {
-            let again = Seen { end: End::GivenUp, at_s: run.seen[3].at_s + 0.1, ..run.seen[3] };
+            let again = AttemptRecord { end: End::GivenUp, at_s: run.seen[3].at_s + 0.1, ..run.seen[3] };
             run.seen.push(again);
         });
         // install-filing, carried out by two tries of one request.
         planted("repeated_effect", |run| {
             run.tries.push(Try { id: 9_000, n: 1, ..run.tries[2] });
-            run.seen.push(Seen { id: 9_000, ..run.seen[2] });
+            run.seen.push(AttemptRecord { id: 9_000, ..run.seen[2] });
         });
         planted("after_drain", |run| {
             run.told.push(Told { node: 0, server: 0, leaves: true, at_s: run.seen[476].at_s - 0.6 });
@@ -618,7 +618,8 @@
         planted("cold_pushed_over", |run| run.falls.push(Fall { at_s: 3.0, server: 1 }));
         planted("origin_by_cold", |run| {
             for n in (2..40).step_by(4) {
-                let miss = Seen { server: 0, write: false, cold: true, end: End::Miss, ..run.seen[n] };
+                let miss =
+                    AttemptRecord { server: 0, write: false, cold: true, end: End::Miss, ..run.seen[n] };
                 run.seen.push(miss);
             }
             run.falls.push(Fall { at_s: 2.0, server: ORIGIN });
@@ -635,8 +636,8 @@
         // turned away may be sent again; a server that came back may be sent to.
         run.away[1] = vec![(0.0, 2.0)];
         run.tries[7].answer = Answer::Broken;
-        run.seen.push(Seen { end: End::Repeat, ..run.seen[2] });
-        run.seen.push(Seen { end: End::TurnedAway, ..run.seen[3] });
+        run.seen.push(AttemptRecord { end: End::Repeat, ..run.seen[2] });
+        run.seen.push(AttemptRecord { end: End::TurnedAway, ..run.seen[3] });
         run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
         run.told.push(Told { node: 0, server: 0, leaves: false, at_s: 1.2 });
         assert_eq!(judge(&run).rules.values().sum::<u64>(), 0);
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -121,7 +121,7 @@
     /// Figures since the last call.
     pub fn live(&self) -> Live {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
-        let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.seen));
+        let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.attempts));
         lock(&self.orchestrator.fleet.views.told).clear();
         let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
@@ -240,7 +240,7 @@
             seed: *seed,
             plan: run_state.plan.clone(),
             tries: std::mem::take(&mut lock(&clients.tries)),
-            seen: std::mem::take(&mut lock(&run_state.seen)),
+            seen: std::mem::take(&mut lock(&run_state.attempts)),
             falls: std::mem::take(&mut lock(&run_state.falls)),
             told: std::mem::take(&mut lock(&fleet.views.told)),
             versions: std::mem::take(&mut lock(&fleet.views.versions)),
