--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -36,17 +36,17 @@
 
 /// How an attempt ended, as the backend knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     Hit,
     Miss,
     /// The origin returned a value or applied a write.
     Served,
     /// A write of a guarded class that was dropped as a duplicate.
-    Repeat,
+    Duplicate,
     Error,
-    TurnedAway,
+    Rejected,
     /// The caller disconnected or the machine crashed before the work was done.
-    GivenUp,
+    Aborted,
 }
 
 /// One attempt at a request, recorded by the backend that received it.
@@ -62,7 +62,7 @@
     pub write: bool,
     /// The server was not warm yet.
     pub cold: bool,
-    pub end: End,
+    pub outcome: AttemptOutcome,
 }
 
 /// A machine that crashed from overload.
@@ -252,7 +252,8 @@
             lock(&self.backend.completions).remove(&self.job);
             lock(&self.backend.machine).cancel(self.job);
             self.backend.machine_changed.notify_one();
-            lock(&self.backends.run_state.attempts).push(AttemptRecord { end: End::GivenUp, ..record });
+            lock(&self.backends.run_state.attempts)
+                .push(AttemptRecord { outcome: AttemptOutcome::Aborted, ..record });
         }
     }
 }
@@ -453,31 +454,31 @@
         let asked = &asked;
         let (at_s, server, zone) = (self.run_state.elapsed_s(), backend.number, connection.zone);
         let cold = !lock(&backend.machine).is_warm();
-        let record = AttemptRecord { at_s, server, id, zone, write, cold, end: End::TurnedAway };
+        let record = AttemptRecord { at_s, server, id, zone, write, cold, outcome: AttemptOutcome::Rejected };
         if expired {
             lock(&self.run_state.attempts).push(record);
             return not_run_reply();
         }
         let spec = &self.run_state.scenario.servers;
         let key = asked.key;
-        let (end, mut work) = if server == ORIGIN {
+        let (outcome, mut work) = if server == ORIGIN {
             let origin = &self.run_state.scenario.origin;
             let fetch_s = origin.takes_ms / 1e3 * self.rng.log_normal(origin.takes_cv);
-            (End::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
+            (AttemptOutcome::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
         } else if write {
-            (End::Miss, spec.miss_ms / 1e3)
+            (AttemptOutcome::Miss, spec.miss_ms / 1e3)
         } else if backend.draws_error(asked.class, self.rng.uniform()) {
-            (End::Error, spec.miss_ms / 1e3)
+            (AttemptOutcome::Error, spec.miss_ms / 1e3)
         } else if lock(&backend.cache).mark_used(key) {
-            (End::Hit, asked.work_s)
+            (AttemptOutcome::Hit, asked.work_s)
         } else {
-            (End::Miss, spec.miss_ms / 1e3)
+            (AttemptOutcome::Miss, spec.miss_ms / 1e3)
         };
         if connection.fresh.swap(false, Ordering::Relaxed) {
             work += spec.handshake_ms / 1e3;
         }
         if server == ORIGIN && self.run_state.warming_up.load(Ordering::Relaxed) {
-            return self.finish(record, End::Served, backend, idempotency_key, asked);
+            return self.finish(record, AttemptOutcome::Served, backend, idempotency_key, asked);
         }
         let Some((done, mut guard)) = self.start_job(backend, work, record) else {
             lock(&self.run_state.attempts).push(record);
@@ -488,7 +489,7 @@
             return reply(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
         guard.record = None;
-        self.finish(record, end, backend, idempotency_key, asked)
+        self.finish(record, outcome, backend, idempotency_key, asked)
     }
 
     fn mean_work_s(&self, asked: &Asked) -> f64 {
@@ -554,16 +555,16 @@
     fn finish(
         &self,
         record: AttemptRecord,
-        end: End,
+        outcome: AttemptOutcome,
         backend: &Arc<Backend>,
         idempotency_key: Option<u64>,
         asked: &Asked,
     ) -> Reply {
         let (id, key) = (record.id, asked.key);
-        let (mut end, mut answer) = (end, None);
-        match (backend.number, end) {
+        let (mut outcome, mut answer) = (outcome, None);
+        match (backend.number, outcome) {
             (ORIGIN, _) if record.write => {
-                end = self.write(asked, idempotency_key, record.at_s);
+                outcome = self.write(asked, idempotency_key, record.at_s);
             }
             (ORIGIN, _) => {
                 for backend in
@@ -576,7 +577,7 @@
                 // The origin has no cache, so it reports a miss for every read, like the platform's origin.
                 answer = Some((StatusCode::OK, "miss"));
             }
-            (_, End::Miss) => {
+            (_, AttemptOutcome::Miss) => {
                 let pending = !record.write && lock(&backend.cache).record_miss(key, record.at_s);
                 let mut missed = lock(&self.missed);
                 if !record.write && missed.len() < MAX_TRACKED_MISSES {
@@ -584,10 +585,10 @@
                 }
                 answer = Some((StatusCode::NOT_FOUND, if pending { "pending" } else { "miss" }));
             }
-            (_, End::Error) => answer = Some((StatusCode::INTERNAL_SERVER_ERROR, "miss")),
+            (_, AttemptOutcome::Error) => answer = Some((StatusCode::INTERNAL_SERVER_ERROR, "miss")),
             _ => answer = Some((StatusCode::OK, "hit")),
         }
-        lock(&self.run_state.attempts).push(AttemptRecord { end, ..record });
+        lock(&self.run_state.attempts).push(AttemptRecord { outcome, ..record });
         let (status, word) = answer.unwrap_or((StatusCode::OK, ""));
         let body = if status == StatusCode::OK { value(id, key) } else { String::new() };
         let mut reply = reply(status, body);
@@ -598,19 +599,19 @@
     }
 
     /// Applies a write and invalidates the cached copies. A duplicate within the class's idempotency window is dropped.
-    fn write(&self, asked: &Asked, idempotency_key: Option<u64>, now: f64) -> End {
+    fn write(&self, asked: &Asked, idempotency_key: Option<u64>, now: f64) -> AttemptOutcome {
         let class = &self.run_state.scenario.classes[asked.class as usize];
         if let (Effect::Guarded, Some(key)) = (class.effect, idempotency_key) {
             let mut applied_writes = lock(&self.applied_writes);
             if applied_writes.get(&key).is_some_and(|before| now - before < class.key_ttl_s) {
-                return End::Repeat;
+                return AttemptOutcome::Duplicate;
             }
             applied_writes.insert(key, now);
         }
         for backend in self.all() {
             lock(&backend.cache).invalidate(asked.key);
         }
-        End::Served
+        AttemptOutcome::Served
     }
 
     /// Changes a machine, after advancing it to the current time.
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::backends::{AttemptRecord, End, Fall, ORIGIN};
+use crate::backends::{AttemptOutcome, AttemptRecord, Fall, ORIGIN};
 use crate::clients::{Answer, Try};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
 use crate::plan::Asked;
@@ -218,8 +218,11 @@
         let class = &run.scenario.classes[run.plan[*number as usize].class as usize];
         let counts = match class.effect {
             Effect::Free => false,
-            Effect::Guarded => seen.end == End::Served,
-            Effect::SingleShot => matches!(seen.end, End::Served | End::Error | End::GivenUp),
+            Effect::Guarded => seen.outcome == AttemptOutcome::Served,
+            Effect::SingleShot => matches!(
+                seen.outcome,
+                AttemptOutcome::Served | AttemptOutcome::Error | AttemptOutcome::Aborted
+            ),
         };
         if counts {
             *ran.entry(*number).or_default() += 1;
@@ -254,7 +257,7 @@
 /// Stops of the origin that came of misses at cold servers.
 fn origin_by_cold(run: &Run) -> u64 {
     let cold: HashMap<u64, bool> =
-        run.seen.iter().filter(|s| s.end == End::Miss).map(|s| (s.id, s.cold)).collect();
+        run.seen.iter().filter(|s| s.outcome == AttemptOutcome::Miss).map(|s| (s.id, s.cold)).collect();
     let by_cold = |fall: &&Fall| {
         let window = fall.at_s - run.scenario.origin.fall_s..=fall.at_s;
         let load = run.seen.iter().filter(|s| s.server == ORIGIN && window.contains(&s.at_s));
@@ -423,8 +426,8 @@
     for seen in &seen {
         let Some(second) = second(seen.at_s) else { continue };
         attempts_per_s[second] += 1;
-        hits += u64::from(seen.end == End::Hit);
-        misses += u64::from(seen.end == End::Miss && !seen.write);
+        hits += u64::from(seen.outcome == AttemptOutcome::Hit);
+        misses += u64::from(seen.outcome == AttemptOutcome::Miss && !seen.write);
         if seen.server == ORIGIN {
             fetches += u64::from(!seen.write);
             origin_per_s[second] += u64::from(!seen.write);
@@ -572,8 +575,17 @@
             let (id, node, answer) = (u64::from(n), (n % 2) as u16, Answer::Served);
             let (give_up_s, end_s) = (at_s + 0.5, at_s + 0.1);
             run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, answer });
-            let (server, end) = if write { (ORIGIN, End::Served) } else { ((n % 2) as u16, End::Hit) };
-            run.seen.push(AttemptRecord { at_s: at_s + 0.01, server, id, zone: 0, write, cold: false, end });
+            let (server, outcome) =
+                if write { (ORIGIN, AttemptOutcome::Served) } else { ((n % 2) as u16, AttemptOutcome::Hit) };
+            run.seen.push(AttemptRecord {
+                at_s: at_s + 0.01,
+                server,
+                id,
+                zone: 0,
+                write,
+                cold: false,
+                outcome,
+            });
         }
         run
     }
@@ -604,7 +616,11 @@
         planted("late", |run| run.tries[7].answer = Answer::None);
         // approval-number, sent again though the first may have run.
         planted("repeated_effect", |run| {
-            let again = AttemptRecord { end: End::GivenUp, at_s: run.seen[3].at_s + 0.1, ..run.seen[3] };
+            let again = AttemptRecord {
+                outcome: AttemptOutcome::Aborted,
+                at_s: run.seen[3].at_s + 0.1,
+                ..run.seen[3]
+            };
             run.seen.push(again);
         });
         // install-filing, carried out by two tries of one request.
@@ -618,8 +634,13 @@
         planted("cold_pushed_over", |run| run.falls.push(Fall { at_s: 3.0, server: 1 }));
         planted("origin_by_cold", |run| {
             for n in (2..40).step_by(4) {
-                let miss =
-                    AttemptRecord { server: 0, write: false, cold: true, end: End::Miss, ..run.seen[n] };
+                let miss = AttemptRecord {
+                    server: 0,
+                    write: false,
+                    cold: true,
+                    outcome: AttemptOutcome::Miss,
+                    ..run.seen[n]
+                };
                 run.seen.push(miss);
             }
             run.falls.push(Fall { at_s: 2.0, server: ORIGIN });
@@ -636,8 +657,8 @@
         // turned away may be sent again; a server that came back may be sent to.
         run.away[1] = vec![(0.0, 2.0)];
         run.tries[7].answer = Answer::Broken;
-        run.seen.push(AttemptRecord { end: End::Repeat, ..run.seen[2] });
-        run.seen.push(AttemptRecord { end: End::TurnedAway, ..run.seen[3] });
+        run.seen.push(AttemptRecord { outcome: AttemptOutcome::Duplicate, ..run.seen[2] });
+        run.seen.push(AttemptRecord { outcome: AttemptOutcome::Rejected, ..run.seen[3] });
         run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
         run.told.push(Told { node: 0, server: 0, leaves: false, at_s: 1.2 });
         assert_eq!(judge(&run).rules.values().sum::<u64>(), 0);
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::backends::{Backend, Backends, End, RunState, ORIGIN};
+use crate::backends::{AttemptOutcome, Backend, Backends, RunState, ORIGIN};
 use crate::clients::{Answer, Clients};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
@@ -123,14 +123,16 @@
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
         let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.attempts));
         lock(&self.orchestrator.fleet.views.told).clear();
-        let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
+        let ends = |outcome: AttemptOutcome| {
+            seen.iter().filter(|seen| seen.outcome == outcome && !seen.write).count()
+        };
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
         Live {
             asked: tries.len(),
             served: answers(Answer::Served),
             refused: answers(Answer::Refused),
-            hits: ends(End::Hit),
-            misses: ends(End::Miss),
+            hits: ends(AttemptOutcome::Hit),
+            misses: ends(AttemptOutcome::Miss),
             fetches: seen.iter().filter(|seen| seen.server == ORIGIN).count(),
         }
     }
