--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -67,7 +67,7 @@
 
 /// A machine that crashed from overload.
 #[derive(Clone, Copy, Debug)]
-pub struct Fall {
+pub struct OverloadCrash {
     pub at_s: f64,
     pub server: u16,
 }
@@ -80,7 +80,7 @@
     /// Index of the request in the plan, by the request id of each of its tries.
     tries: Mutex<HashMap<u64, u32>>,
     pub attempts: Mutex<Vec<AttemptRecord>>,
-    pub falls: Mutex<Vec<Fall>>,
+    pub overload_crashes: Mutex<Vec<OverloadCrash>>,
     /// Number of requests with an id that no client sent.
     pub unknown_ids: AtomicUsize,
     /// Set during the warm-up, in which the caches fill and the origin answers at once.
@@ -97,7 +97,7 @@
             plan,
             tries: Mutex::default(),
             attempts: Mutex::default(),
-            falls: Mutex::default(),
+            overload_crashes: Mutex::default(),
             unknown_ids: AtomicUsize::new(0),
             warming_up: AtomicBool::new(true),
             accepts_outside_clients: AtomicBool::new(false),
@@ -351,8 +351,8 @@
             cold_from: spec.cold_from,
             cold_s: spec.cold_s,
             warm_after_work_s,
-            crash_multiple: FALL_MULTIPLE,
-            crash_window_s: FALL_S,
+            crash_multiple: COLD_CRASH_MULTIPLE,
+            crash_window_s: COLD_CRASH_WINDOW_S,
             crashes_when_warm: false,
         };
         let mut all = lock(&self.all);
@@ -541,7 +541,8 @@
     }
 
     fn handle_crash(self: &Arc<Self>, backend: &Arc<Backend>) {
-        lock(&self.run_state.falls).push(Fall { at_s: self.run_state.elapsed_s(), server: backend.number });
+        lock(&self.run_state.overload_crashes)
+            .push(OverloadCrash { at_s: self.run_state.elapsed_s(), server: backend.number });
         backend.liveness.send_replace(Liveness::Dead);
         if backend.number == ORIGIN {
             let (down, backend) = (self.run_state.scenario.origin.down_s, Arc::clone(backend));
@@ -678,9 +679,9 @@
 }
 
 /// A cold server crashes when it is sent more than this multiple of its capacity. Nodes learn it from their settings.
-pub const FALL_MULTIPLE: f64 = 2.5;
+pub const COLD_CRASH_MULTIPLE: f64 = 2.5;
 /// Time window of [`COLD_CRASH_MULTIPLE`].
-pub const FALL_S: f64 = 3.0;
+pub const COLD_CRASH_WINDOW_S: f64 = 3.0;
 
 async fn drive_machine(backends: Arc<Backends>, backend: Arc<Backend>) {
     loop {
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -20,7 +20,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::backends::{Backends, RunState, FALL_MULTIPLE, FALL_S};
+use crate::backends::{Backends, RunState, COLD_CRASH_MULTIPLE, COLD_CRASH_WINDOW_S};
 use crate::loopback::{lock, serve};
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
@@ -458,7 +458,7 @@
         "goal": {"whole": 0.35, "worst-class": 0.4, "worst-tenant": 0.1, "worst-window": 0.15},
         "grades": scenario.classes.iter().map(grade).collect::<Vec<_>>(),
         "guarantees": {"ask-every-s": 10.0, "cold-from": server.cold_from, "drain-grace-s": DRAIN_GRACE_S,
-                       "fall-multiple": FALL_MULTIPLE, "fall-s": FALL_S,
+                       "fall-multiple": COLD_CRASH_MULTIPLE, "fall-s": COLD_CRASH_WINDOW_S,
                        "grace-to-answer-s": ANSWER_GRACE_S, "ramp-time-s": server.cold_s},
         "limits": {"cancel": true, "cpu-us-per-request": 0.0, "cpu-us-per-s": 400_000,
                    "dial-timeout-s": 0.12, "idle-close-s": 60.0, "max-attempts": 3, "max-open": 20_000,
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::backends::{AttemptOutcome, AttemptRecord, Fall, ORIGIN};
+use crate::backends::{AttemptOutcome, AttemptRecord, OverloadCrash, ORIGIN};
 use crate::clients::{Answer, Try};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
 use crate::plan::Asked;
@@ -19,7 +19,7 @@
     pub plan: Vec<Asked>,
     pub tries: Vec<Try>,
     pub seen: Vec<AttemptRecord>,
-    pub falls: Vec<Fall>,
+    pub falls: Vec<OverloadCrash>,
     pub told: Vec<Told>,
     /// When each version of the list was first told.
     pub versions: Vec<(f64, u64)>,
@@ -258,7 +258,7 @@
 fn origin_by_cold(run: &Run) -> u64 {
     let cold: HashMap<u64, bool> =
         run.seen.iter().filter(|s| s.outcome == AttemptOutcome::Miss).map(|s| (s.id, s.cold)).collect();
-    let by_cold = |fall: &&Fall| {
+    let by_cold = |fall: &&OverloadCrash| {
         let window = fall.at_s - run.scenario.origin.fall_s..=fall.at_s;
         let load = run.seen.iter().filter(|s| s.server == ORIGIN && window.contains(&s.at_s));
         let (all, of_cold) = load.fold((0, 0), |(all, of_cold), seen| {
@@ -631,7 +631,7 @@
         planted("after_drain", |run| {
             run.told.push(Told { node: 0, server: 0, leaves: true, at_s: run.seen[476].at_s - 0.6 });
         });
-        planted("cold_pushed_over", |run| run.falls.push(Fall { at_s: 3.0, server: 1 }));
+        planted("cold_pushed_over", |run| run.falls.push(OverloadCrash { at_s: 3.0, server: 1 }));
         planted("origin_by_cold", |run| {
             for n in (2..40).step_by(4) {
                 let miss = AttemptRecord {
@@ -643,7 +643,7 @@
                 };
                 run.seen.push(miss);
             }
-            run.falls.push(Fall { at_s: 2.0, server: ORIGIN });
+            run.falls.push(OverloadCrash { at_s: 2.0, server: ORIGIN });
         });
         planted("foreign_ids", |run| run.foreign_ids = 1);
         planted("long_messages", |run| run.long_messages = 1);
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -243,7 +243,7 @@
             plan: run_state.plan.clone(),
             tries: std::mem::take(&mut lock(&clients.tries)),
             seen: std::mem::take(&mut lock(&run_state.attempts)),
-            falls: std::mem::take(&mut lock(&run_state.falls)),
+            falls: std::mem::take(&mut lock(&run_state.overload_crashes)),
             told: std::mem::take(&mut lock(&fleet.views.told)),
             versions: std::mem::take(&mut lock(&fleet.views.versions)),
             foreign_ids: run_state.unknown_ids.load(Ordering::Relaxed) as u64,
