--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -24,19 +24,19 @@
 
 /// How a try ended, from its client's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum TryOutcome {
     Served,
     /// Status 429 or 503.
     Refused,
     Failed,
     /// Status 200 with a body that belongs to another request.
-    Foreign,
+    WrongBody,
     /// No connection could be opened.
     Unreachable,
     /// The connection was closed before the response was complete.
-    Broken,
+    ConnectionLost,
     /// No response arrived before the time-out.
-    None,
+    TimedOut,
 }
 
 /// One try of a request: the first sending or a retry.
@@ -51,7 +51,7 @@
     /// When the client gives up waiting.
     pub give_up_s: f64,
     pub end_s: f64,
-    pub answer: Answer,
+    pub outcome: TryOutcome,
 }
 
 /// Added to the platform's limit for an answer, for the delay of real sockets.
@@ -77,14 +77,14 @@
     /// Delay of the actual against the planned time of sending, in microseconds. First tries only.
     pub lateness: Mutex<Histogram<u64>>,
     /// Retries of each request while a retry storm is injected; 0 otherwise.
-    pub storm: AtomicU32,
+    pub storm_retries: AtomicU32,
     rng: SharedRng,
     seed: u64,
 }
 
 /// Result of a try, with the `Retry-After` of its response.
 struct TryResult {
-    answer: Answer,
+    outcome: TryOutcome,
     retry_after_s: Option<f64>,
 }
 
@@ -100,7 +100,7 @@
             nodes,
             tries: Mutex::default(),
             lateness: Mutex::new(lateness),
-            storm: AtomicU32::new(0),
+            storm_retries: AtomicU32::new(0),
             rng: SharedRng::new(seed ^ 0xc11e),
             seed,
         })
@@ -130,20 +130,20 @@
         let deadline_s = planned.at_s + class.give_up_ms / 1e3;
         let mut backoff_s = load.backoff_ms / 1e3;
         for n in 0..=u8::MAX {
-            let storm = self.storm.load(Ordering::Relaxed);
+            let storm = self.storm_retries.load(Ordering::Relaxed);
             let now = self.run_state.elapsed_s();
             let try_deadline_s = (now + class.give_up_ms / 1e3 * load.try_share).min(deadline_s);
             let result = self.attempt(number, n, try_deadline_s).await;
             let may_retry = match class.effect {
-                Effect::Free => result.answer != Answer::Served,
+                Effect::Free => result.outcome != TryOutcome::Served,
                 Effect::Guarded => {
-                    result.answer != Answer::Served
+                    result.outcome != TryOutcome::Served
                         && self.run_state.elapsed_s() - planned.at_s < class.key_ttl_s * 0.9
                 }
-                Effect::SingleShot => matches!(result.answer, Answer::Refused | Answer::Unreachable),
+                Effect::SingleShot => matches!(result.outcome, TryOutcome::Refused | TryOutcome::Unreachable),
             };
             let max_retries = if storm > 0 { storm } else { load.retries };
-            if !may_retry || result.answer == Answer::Foreign || u32::from(n) >= max_retries {
+            if !may_retry || result.outcome == TryOutcome::WrongBody || u32::from(n) >= max_retries {
                 return;
             }
             if storm == 0 {
@@ -178,18 +178,18 @@
             lock(&self.lateness).saturating_record(late);
         }
         let (node, result) = match self.pick_node(usize::from(planned.zone)) {
-            None => (u16::MAX, TryResult { answer: Answer::Unreachable, retry_after_s: None }),
+            None => (u16::MAX, TryResult { outcome: TryOutcome::Unreachable, retry_after_s: None }),
             Some(node) => {
                 let until = give_up_s + ANSWER_GRACE_S + SOCKET_GRACE_S + LATE_RESPONSE_WINDOW_S;
                 let call = self.call(node, request, id, give_up_s);
                 let left = Duration::from_secs_f64((until - sent_s).max(0.0));
-                let none = TryResult { answer: Answer::None, retry_after_s: None };
+                let none = TryResult { outcome: TryOutcome::TimedOut, retry_after_s: None };
                 (node as u16, timeout(left, call).await.unwrap_or(none))
             }
         };
         let end_s = self.run_state.elapsed_s();
-        let answer = result.answer;
-        lock(&self.tries).push(Try { request, id, n, node, sent_s, give_up_s, end_s, answer });
+        let outcome = result.outcome;
+        lock(&self.tries).push(Try { request, id, n, node, sent_s, give_up_s, end_s, outcome });
         result
     }
 
@@ -217,7 +217,7 @@
             let body = if is_write { Bytes::from_static(b"a new value") } else { Bytes::new() };
             builder.body(Full::new(body))
         };
-        let result = |answer| TryResult { answer, retry_after_s: None };
+        let without_retry_after = |outcome| TryResult { outcome, retry_after_s: None };
         // The node may have closed an idle connection. In that case the request is sent once more on a new one.
         for fresh in [false, true] {
             let idle = if fresh { None } else { self.take_idle(node) };
@@ -226,36 +226,38 @@
                 Some(connection) => Some(connection),
                 None => connect(self.nodes[node].listen).await,
             };
-            let Some(mut connection) = connection else { return result(Answer::Unreachable) };
-            let Ok(request) = build() else { return result(Answer::Failed) };
-            let answer = match connection.send_request(request).await {
-                Ok(answer) => answer,
+            let Some(mut connection) = connection else {
+                return without_retry_after(TryOutcome::Unreachable);
+            };
+            let Ok(request) = build() else { return without_retry_after(TryOutcome::Failed) };
+            let response = match connection.send_request(request).await {
+                Ok(response) => response,
                 Err(_) if reused => continue,
-                Err(_) => return result(Answer::Broken),
+                Err(_) => return without_retry_after(TryOutcome::ConnectionLost),
             };
-            let status = answer.status();
-            let retry_after_s = answer
+            let status = response.status();
+            let retry_after_s = response
                 .headers()
                 .get("retry-after")
                 .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
                 .filter(|s| s.is_finite() && *s >= 0.0);
-            let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
-                return result(Answer::Broken);
+            let Ok(body) = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await else {
+                return without_retry_after(TryOutcome::ConnectionLost);
             };
             let mut idle = lock(&self.idle[node]);
             if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(connection);
             }
             drop(idle);
-            let answer = match status {
-                StatusCode::OK if body.to_bytes() == value(id, planned.key) => Answer::Served,
-                StatusCode::OK => Answer::Foreign,
-                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Refused,
-                _ => Answer::Failed,
+            let outcome = match status {
+                StatusCode::OK if body.to_bytes() == value(id, planned.key) => TryOutcome::Served,
+                StatusCode::OK => TryOutcome::WrongBody,
+                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => TryOutcome::Refused,
+                _ => TryOutcome::Failed,
             };
-            return TryResult { answer, retry_after_s };
+            return TryResult { outcome, retry_after_s };
         }
-        result(Answer::Broken)
+        without_retry_after(TryOutcome::ConnectionLost)
     }
 
     fn take_idle(&self, node: usize) -> Option<Connection> {
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::backends::{AttemptOutcome, AttemptRecord, OverloadCrash, ORIGIN};
-use crate::clients::{Answer, Try};
+use crate::clients::{Try, TryOutcome};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
@@ -156,7 +156,7 @@
 
 /// How a request ended, its retries folded in.
 struct Ended {
-    answer: Answer,
+    answer: TryOutcome,
     after_s: f64,
     tries: u64,
 }
@@ -168,7 +168,7 @@
     for one in order {
         let after_s = one.end_s - run.plan[one.request as usize].at_s;
         let tries = u64::from(one.n) + 1;
-        all[one.request as usize] = Some(Ended { answer: one.answer, after_s, tries });
+        all[one.request as usize] = Some(Ended { answer: one.outcome, after_s, tries });
     }
     all
 }
@@ -177,8 +177,8 @@
 fn earned(scenario: &Scenario, asked: &Asked, ended: Option<&Ended>) -> f64 {
     let class = &scenario.classes[asked.class as usize];
     match ended {
-        Some(e) if e.answer == Answer::Served && e.after_s <= class.wanted_ms / 1e3 => 1.0,
-        Some(e) if e.answer == Answer::Served && e.after_s <= class.give_up_ms / 1e3 => class.late_worth,
+        Some(e) if e.answer == TryOutcome::Served && e.after_s <= class.wanted_ms / 1e3 => 1.0,
+        Some(e) if e.answer == TryOutcome::Served && e.after_s <= class.give_up_ms / 1e3 => class.late_worth,
         _ => 0.0,
     }
 }
@@ -193,8 +193,8 @@
 /// One final answer each, whole and made for the request.
 fn lost(run: &Run) -> u64 {
     let broken = |one: &&Try| {
-        one.answer == Answer::Foreign
-            || one.answer == Answer::Broken && !away(run, one.node, one.sent_s, one.end_s)
+        one.outcome == TryOutcome::WrongBody
+            || one.outcome == TryOutcome::ConnectionLost && !away(run, one.node, one.sent_s, one.end_s)
     };
     run.tries.iter().filter(broken).count() as u64
 }
@@ -203,8 +203,8 @@
 fn late(run: &Run) -> u64 {
     let most = ANSWER_GRACE_S + SOCKET_GRACE_S + OWN_S;
     let late = |one: &&Try| {
-        let over = one.answer == Answer::None || one.end_s > one.give_up_s + most;
-        over && one.answer != Answer::Unreachable && !away(run, one.node, one.sent_s, one.end_s)
+        let over = one.outcome == TryOutcome::TimedOut || one.end_s > one.give_up_s + most;
+        over && one.outcome != TryOutcome::Unreachable && !away(run, one.node, one.sent_s, one.end_s)
     };
     run.tries.iter().filter(late).count() as u64
 }
@@ -387,18 +387,18 @@
         }
         requests += 1;
         tries += ended.as_ref().map_or(0, |e| e.tries);
-        let answer = ended.as_ref().map_or(Answer::None, |e| e.answer);
+        let answer = ended.as_ref().map_or(TryOutcome::TimedOut, |e| e.answer);
         let zone = &scenario.fleet.zones[usize::from(asked.zone)];
         for name in ["all".to_owned(), format!("class {}", class.name), format!("zone {zone}")] {
             let count = &mut per_s.entry(name).or_insert_with(|| vec![Count::default(); seconds])[second];
             count.asked += 1;
             match answer {
-                Answer::Served => count.served += 1,
-                Answer::Refused => count.refused += 1,
+                TryOutcome::Served => count.served += 1,
+                TryOutcome::Refused => count.refused += 1,
                 _ => count.failed += 1,
             }
         }
-        if let (Answer::Served, Some(ended)) = (answer, ended) {
+        if let (TryOutcome::Served, Some(ended)) = (answer, ended) {
             times.entry(class.name.clone()).or_default().push(ended.after_s);
             times.entry("all".to_owned()).or_default().push(ended.after_s);
         }
@@ -535,7 +535,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::clients::Answer;
+    use crate::clients::TryOutcome;
 
     /// Two nodes, two servers, one request of each class a tenth of a second, all served at once.
     fn good() -> Run {
@@ -572,9 +572,9 @@
                 hint_us: 70_000,
                 over_share: false,
             });
-            let (id, node, answer) = (u64::from(n), (n % 2) as u16, Answer::Served);
+            let (id, node, outcome) = (u64::from(n), (n % 2) as u16, TryOutcome::Served);
             let (give_up_s, end_s) = (at_s + 0.5, at_s + 0.1);
-            run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, answer });
+            run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, outcome });
             let (server, outcome) =
                 if write { (ORIGIN, AttemptOutcome::Served) } else { ((n % 2) as u16, AttemptOutcome::Hit) };
             run.seen.push(AttemptRecord {
@@ -610,10 +610,10 @@
 
     #[test]
     fn each_planted_violation_is_caught_by_its_rule() {
-        planted("lost", |run| run.tries[7].answer = Answer::Broken);
-        planted("lost", |run| run.tries[7].answer = Answer::Foreign);
+        planted("lost", |run| run.tries[7].outcome = TryOutcome::ConnectionLost);
+        planted("lost", |run| run.tries[7].outcome = TryOutcome::WrongBody);
         planted("late", |run| run.tries[7].end_s = run.tries[7].give_up_s + 0.11);
-        planted("late", |run| run.tries[7].answer = Answer::None);
+        planted("late", |run| run.tries[7].outcome = TryOutcome::TimedOut);
         // approval-number, sent again though the first may have run.
         planted("repeated_effect", |run| {
             let again = AttemptRecord {
@@ -656,7 +656,7 @@
         // A node that was killed owes nothing; a repeat that the origin dropped had no effect; an attempt that was
         // turned away may be sent again; a server that came back may be sent to.
         run.away[1] = vec![(0.0, 2.0)];
-        run.tries[7].answer = Answer::Broken;
+        run.tries[7].outcome = TryOutcome::ConnectionLost;
         run.seen.push(AttemptRecord { outcome: AttemptOutcome::Duplicate, ..run.seen[2] });
         run.seen.push(AttemptRecord { outcome: AttemptOutcome::Rejected, ..run.seen[3] });
         run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
@@ -675,14 +675,14 @@
         let mut run = good();
         for one in &mut run.tries {
             if (6.0..10.0).contains(&one.sent_s) {
-                one.answer = Answer::Refused;
+                one.outcome = TryOutcome::Refused;
             }
         }
         run.bands.push(Band { name: "f".to_owned(), from_s: 6.0, to_s: Some(8.0) });
         assert_eq!(judge(&run).recovery_s, Some(2.0));
         for one in &mut run.tries {
             if one.sent_s >= 10.0 {
-                one.answer = Answer::Failed;
+                one.outcome = TryOutcome::Failed;
             }
         }
         run.scenario.hold.recovery_s = Some(3.0);
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::backends::{AttemptOutcome, Backend, Backends, RunState, ORIGIN};
-use crate::clients::{Answer, Clients};
+use crate::clients::{Clients, TryOutcome};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
 use crate::loopback::lock;
@@ -126,11 +126,11 @@
         let ends = |outcome: AttemptOutcome| {
             seen.iter().filter(|seen| seen.outcome == outcome && !seen.write).count()
         };
-        let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
+        let answers = |outcome: TryOutcome| tries.iter().filter(|one| one.outcome == outcome).count();
         Live {
             asked: tries.len(),
-            served: answers(Answer::Served),
-            refused: answers(Answer::Refused),
+            served: answers(TryOutcome::Served),
+            refused: answers(TryOutcome::Refused),
             hits: ends(AttemptOutcome::Hit),
             misses: ends(AttemptOutcome::Miss),
             fetches: seen.iter().filter(|seen| seen.server == ORIGIN).count(),
@@ -512,7 +512,7 @@
                 let breaks = |way: Impairments| Impairments { reset_ms: Some(RESETS_MS), ..way };
                 self.backends.links().change(self.zone(zone), breaks, breaks);
             }
-            What::RetryStorm { retries } => self.clients.storm.store(*retries, Ordering::Relaxed),
+            What::RetryStorm { retries } => self.clients.storm_retries.store(*retries, Ordering::Relaxed),
             // The plan has them, or they are played above.
             What::Surge { .. } | What::FlashCrowd { .. } | What::Replace { .. } | What::UpgradeNodes {} => {}
         }
@@ -565,7 +565,7 @@
             What::CutZone { zone, .. } | What::SlowZone { zone, .. } | What::ResetZone { zone } => {
                 self.backends.links().change(self.zone(zone), usual, usual);
             }
-            What::RetryStorm { .. } => self.clients.storm.store(0, Ordering::Relaxed),
+            What::RetryStorm { .. } => self.clients.storm_retries.store(0, Ordering::Relaxed),
             What::ColdServers { .. }
             | What::MoveDiscovery {}
             | What::Surge { .. }
