--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -45,11 +45,11 @@
     pub request: u32,
     pub id: u64,
     /// Number of the try within its request, from 0.
-    pub n: u8,
+    pub try_index: u8,
     pub node: u16,
     pub sent_s: f64,
     /// When the client gives up waiting.
-    pub give_up_s: f64,
+    pub deadline_s: f64,
     pub end_s: f64,
     pub outcome: TryOutcome,
 }
@@ -129,11 +129,11 @@
         let load = &self.run_state.scenario.load;
         let deadline_s = planned.at_s + class.give_up_ms / 1e3;
         let mut backoff_s = load.backoff_ms / 1e3;
-        for n in 0..=u8::MAX {
+        for try_index in 0..=u8::MAX {
             let storm = self.storm_retries.load(Ordering::Relaxed);
             let now = self.run_state.elapsed_s();
             let try_deadline_s = (now + class.give_up_ms / 1e3 * load.try_share).min(deadline_s);
-            let result = self.attempt(number, n, try_deadline_s).await;
+            let result = self.attempt(number, try_index, try_deadline_s).await;
             let may_retry = match class.effect {
                 Effect::Free => result.outcome != TryOutcome::Served,
                 Effect::Guarded => {
@@ -143,7 +143,7 @@
                 Effect::SingleShot => matches!(result.outcome, TryOutcome::Refused | TryOutcome::Unreachable),
             };
             let max_retries = if storm > 0 { storm } else { load.retries };
-            if !may_retry || result.outcome == TryOutcome::WrongBody || u32::from(n) >= max_retries {
+            if !may_retry || result.outcome == TryOutcome::WrongBody || u32::from(try_index) >= max_retries {
                 return;
             }
             if storm == 0 {
@@ -168,20 +168,20 @@
         Some(candidates.get(counter % candidates.len().max(1))?.number)
     }
 
-    async fn attempt(&self, request: u32, n: u8, give_up_s: f64) -> TryResult {
+    async fn attempt(&self, request: u32, try_index: u8, deadline_s: f64) -> TryResult {
         let planned = &self.run_state.plan[request as usize];
-        let id = mix(self.seed ^ (u64::from(request) << 8 | u64::from(n)));
+        let id = mix(self.seed ^ (u64::from(request) << 8 | u64::from(try_index)));
         self.run_state.record_try(id, request);
         let sent_s = self.run_state.elapsed_s();
-        if n == 0 {
+        if try_index == 0 {
             let late = ((sent_s - planned.at_s).max(0.0) * 1e6) as u64;
             lock(&self.lateness).saturating_record(late);
         }
         let (node, result) = match self.pick_node(usize::from(planned.zone)) {
             None => (u16::MAX, TryResult { outcome: TryOutcome::Unreachable, retry_after_s: None }),
             Some(node) => {
-                let until = give_up_s + ANSWER_GRACE_S + SOCKET_GRACE_S + LATE_RESPONSE_WINDOW_S;
-                let call = self.call(node, request, id, give_up_s);
+                let until = deadline_s + ANSWER_GRACE_S + SOCKET_GRACE_S + LATE_RESPONSE_WINDOW_S;
+                let call = self.call(node, request, id, deadline_s);
                 let left = Duration::from_secs_f64((until - sent_s).max(0.0));
                 let none = TryResult { outcome: TryOutcome::TimedOut, retry_after_s: None };
                 (node as u16, timeout(left, call).await.unwrap_or(none))
@@ -189,18 +189,18 @@
         };
         let end_s = self.run_state.elapsed_s();
         let outcome = result.outcome;
-        lock(&self.tries).push(Try { request, id, n, node, sent_s, give_up_s, end_s, outcome });
+        lock(&self.tries).push(Try { request, id, try_index, node, sent_s, deadline_s, end_s, outcome });
         result
     }
 
-    async fn call(&self, node: usize, request: u32, id: u64, give_up_s: f64) -> TryResult {
+    async fn call(&self, node: usize, request: u32, id: u64, deadline_s: f64) -> TryResult {
         let planned = &self.run_state.plan[request as usize];
         let scenario = &self.run_state.scenario;
         let class = &scenario.classes[planned.class as usize];
         let is_write = class.effect != Effect::Free;
         let (name, tenant) = (&class.name, &scenario.tenants[planned.tenant as usize].name);
         let build = || {
-            let left = ((give_up_s - self.run_state.elapsed_s()) * 1e3).max(1.0) as u64;
+            let left = ((deadline_s - self.run_state.elapsed_s()) * 1e3).max(1.0) as u64;
             let mut builder = Request::builder()
                 .method(if is_write { Method::PUT } else { Method::GET })
                 .uri(format!("/{name}/{:016x}", planned.key))
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -164,10 +164,10 @@
 fn ended(run: &Run) -> Vec<Option<Ended>> {
     let mut all: Vec<Option<Ended>> = run.plan.iter().map(|_| None).collect();
     let mut order: Vec<&Try> = run.tries.iter().collect();
-    order.sort_by_key(|one| (one.request, one.n));
+    order.sort_by_key(|one| (one.request, one.try_index));
     for one in order {
         let after_s = one.end_s - run.plan[one.request as usize].at_s;
-        let tries = u64::from(one.n) + 1;
+        let tries = u64::from(one.try_index) + 1;
         all[one.request as usize] = Some(Ended { answer: one.outcome, after_s, tries });
     }
     all
@@ -203,7 +203,7 @@
 fn late(run: &Run) -> u64 {
     let most = ANSWER_GRACE_S + SOCKET_GRACE_S + OWN_S;
     let late = |one: &&Try| {
-        let over = one.outcome == TryOutcome::TimedOut || one.end_s > one.give_up_s + most;
+        let over = one.outcome == TryOutcome::TimedOut || one.end_s > one.deadline_s + most;
         over && one.outcome != TryOutcome::Unreachable && !away(run, one.node, one.sent_s, one.end_s)
     };
     run.tries.iter().filter(late).count() as u64
@@ -573,8 +573,17 @@
                 over_share: false,
             });
             let (id, node, outcome) = (u64::from(n), (n % 2) as u16, TryOutcome::Served);
-            let (give_up_s, end_s) = (at_s + 0.5, at_s + 0.1);
-            run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, outcome });
+            let (deadline_s, end_s) = (at_s + 0.5, at_s + 0.1);
+            run.tries.push(Try {
+                request: n,
+                id,
+                try_index: 0,
+                node,
+                sent_s: at_s,
+                deadline_s,
+                end_s,
+                outcome,
+            });
             let (server, outcome) =
                 if write { (ORIGIN, AttemptOutcome::Served) } else { ((n % 2) as u16, AttemptOutcome::Hit) };
             run.seen.push(AttemptRecord {
@@ -612,7 +621,7 @@
     fn each_planted_violation_is_caught_by_its_rule() {
         planted("lost", |run| run.tries[7].outcome = TryOutcome::ConnectionLost);
         planted("lost", |run| run.tries[7].outcome = TryOutcome::WrongBody);
-        planted("late", |run| run.tries[7].end_s = run.tries[7].give_up_s + 0.11);
+        planted("late", |run| run.tries[7].end_s = run.tries[7].deadline_s + 0.11);
         planted("late", |run| run.tries[7].outcome = TryOutcome::TimedOut);
         // approval-number, sent again though the first may have run.
         planted("repeated_effect", |run| {
@@ -625,7 +634,7 @@
         });
         // install-filing, carried out by two tries of one request.
         planted("repeated_effect", |run| {
-            run.tries.push(Try { id: 9_000, n: 1, ..run.tries[2] });
+            run.tries.push(Try { id: 9_000, try_index: 1, ..run.tries[2] });
             run.seen.push(AttemptRecord { id: 9_000, ..run.seen[2] });
         });
         planted("after_drain", |run| {
