--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -21,7 +21,7 @@
 use crate::loopback::{lock, reply, Reply, MAX_BODY_BYTES};
 use crate::machine::{Admission, Machine, MachineSpec};
 use crate::net::{at, run_listener, Links, Liveness, PathConditions, SharedRng};
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::scenario::{Effect, Scenario};
 use crate::service::free;
 
@@ -76,7 +76,7 @@
 pub struct RunState {
     start: OnceLock<Instant>,
     pub scenario: Scenario,
-    pub plan: Vec<Asked>,
+    pub plan: Vec<PlannedRequest>,
     /// Index of the request in the plan, by the request id of each of its tries.
     tries: Mutex<HashMap<u64, u32>>,
     pub attempts: Mutex<Vec<AttemptRecord>>,
@@ -90,7 +90,7 @@
 }
 
 impl RunState {
-    pub fn new(scenario: Scenario, plan: Vec<Asked>) -> Self {
+    pub fn new(scenario: Scenario, plan: Vec<PlannedRequest>) -> Self {
         RunState {
             start: OnceLock::new(),
             scenario,
@@ -126,7 +126,7 @@
 
     /// The planned request of this request id. For a request of an outside client, where those are allowed, one is made
     /// up from its path.
-    fn find_request(&self, id: u64, path: &str) -> Option<Asked> {
+    fn find_request(&self, id: u64, path: &str) -> Option<PlannedRequest> {
         if let Some(request) = lock(&self.tries).get(&id) {
             return self.plan.get(*request as usize).cloned();
         }
@@ -139,7 +139,7 @@
         let key = path.bytes().fold(0_u32, |hash, byte| hash.wrapping_mul(31).wrapping_add(u32::from(byte)));
         let work_s = self.scenario.classes[class].work_ms / 1e3;
         let (at_s, class, hint_us) = (self.elapsed_s(), class as u8, 0);
-        Some(Asked { at_s, zone: 0, class, tenant: 0, key, work_s, hint_us, over_share: false })
+        Some(PlannedRequest { at_s, zone: 0, class, tenant: 0, key, work_s, hint_us, over_share: false })
     }
 }
 
@@ -440,7 +440,7 @@
         let known = u64::from_str_radix(id, 16)
             .ok()
             .and_then(|id| Some((id, self.run_state.find_request(id, &path)?)));
-        let Some((id, asked)) = known else {
+        let Some((id, planned)) = known else {
             self.run_state.unknown_ids.fetch_add(1, Ordering::Relaxed);
             return reply(StatusCode::BAD_REQUEST, "no client sent this id");
         };
@@ -451,7 +451,7 @@
         if write && Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_err() {
             return reply(StatusCode::BAD_REQUEST, "a body of at most 64 KiB expected");
         }
-        let asked = &asked;
+        let planned = &planned;
         let (at_s, server, zone) = (self.run_state.elapsed_s(), backend.number, connection.zone);
         let cold = !lock(&backend.machine).is_warm();
         let record = AttemptRecord { at_s, server, id, zone, write, cold, outcome: AttemptOutcome::Rejected };
@@ -460,17 +460,17 @@
             return not_run_reply();
         }
         let spec = &self.run_state.scenario.servers;
-        let key = asked.key;
+        let key = planned.key;
         let (outcome, mut work) = if server == ORIGIN {
             let origin = &self.run_state.scenario.origin;
             let fetch_s = origin.takes_ms / 1e3 * self.rng.log_normal(origin.takes_cv);
-            (AttemptOutcome::Served, fetch_s * asked.work_s / self.mean_work_s(asked))
+            (AttemptOutcome::Served, fetch_s * planned.work_s / self.mean_work_s(planned))
         } else if write {
             (AttemptOutcome::Miss, spec.miss_ms / 1e3)
-        } else if backend.draws_error(asked.class, self.rng.uniform()) {
+        } else if backend.draws_error(planned.class, self.rng.uniform()) {
             (AttemptOutcome::Error, spec.miss_ms / 1e3)
         } else if lock(&backend.cache).mark_used(key) {
-            (AttemptOutcome::Hit, asked.work_s)
+            (AttemptOutcome::Hit, planned.work_s)
         } else {
             (AttemptOutcome::Miss, spec.miss_ms / 1e3)
         };
@@ -478,7 +478,7 @@
             work += spec.handshake_ms / 1e3;
         }
         if server == ORIGIN && self.run_state.warming_up.load(Ordering::Relaxed) {
-            return self.finish(record, AttemptOutcome::Served, backend, idempotency_key, asked);
+            return self.finish(record, AttemptOutcome::Served, backend, idempotency_key, planned);
         }
         let Some((done, mut guard)) = self.start_job(backend, work, record) else {
             lock(&self.run_state.attempts).push(record);
@@ -489,11 +489,11 @@
             return reply(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
         guard.record = None;
-        self.finish(record, outcome, backend, idempotency_key, asked)
+        self.finish(record, outcome, backend, idempotency_key, planned)
     }
 
-    fn mean_work_s(&self, asked: &Asked) -> f64 {
-        self.run_state.scenario.classes[asked.class as usize].work_ms / 1e3
+    fn mean_work_s(&self, planned: &PlannedRequest) -> f64 {
+        self.run_state.scenario.classes[planned.class as usize].work_ms / 1e3
     }
 
     /// Offers the work to the machine; `None` if the machine rejected it or crashed.
@@ -559,13 +559,13 @@
         outcome: AttemptOutcome,
         backend: &Arc<Backend>,
         idempotency_key: Option<u64>,
-        asked: &Asked,
+        planned: &PlannedRequest,
     ) -> Reply {
-        let (id, key) = (record.id, asked.key);
+        let (id, key) = (record.id, planned.key);
         let (mut outcome, mut answer) = (outcome, None);
         match (backend.number, outcome) {
             (ORIGIN, _) if record.write => {
-                outcome = self.write(asked, idempotency_key, record.at_s);
+                outcome = self.write(planned, idempotency_key, record.at_s);
             }
             (ORIGIN, _) => {
                 for backend in
@@ -600,8 +600,8 @@
     }
 
     /// Applies a write and invalidates the cached copies. A duplicate within the class's idempotency window is dropped.
-    fn write(&self, asked: &Asked, idempotency_key: Option<u64>, now: f64) -> AttemptOutcome {
-        let class = &self.run_state.scenario.classes[asked.class as usize];
+    fn write(&self, planned: &PlannedRequest, idempotency_key: Option<u64>, now: f64) -> AttemptOutcome {
+        let class = &self.run_state.scenario.classes[planned.class as usize];
         if let (Effect::Guarded, Some(key)) = (class.effect, idempotency_key) {
             let mut applied_writes = lock(&self.applied_writes);
             if applied_writes.get(&key).is_some_and(|before| now - before < class.key_ttl_s) {
@@ -610,7 +610,7 @@
             applied_writes.insert(key, now);
         }
         for backend in self.all() {
-            lock(&backend.cache).invalidate(asked.key);
+            lock(&backend.cache).invalidate(planned.key);
         }
         AttemptOutcome::Served
     }
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -8,7 +8,7 @@
 use crate::backends::{AttemptOutcome, AttemptRecord, OverloadCrash, ORIGIN};
 use crate::clients::{Try, TryOutcome};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::scenario::{Effect, Scenario};
 
 /// All that was seen of one run. Times in seconds from its start, the lead included.
@@ -16,7 +16,7 @@
 pub struct Run {
     pub scenario: Scenario,
     pub seed: u64,
-    pub plan: Vec<Asked>,
+    pub plan: Vec<PlannedRequest>,
     pub tries: Vec<Try>,
     pub seen: Vec<AttemptRecord>,
     pub falls: Vec<OverloadCrash>,
@@ -174,7 +174,7 @@
 }
 
 /// What a request earned, of 1.
-fn earned(scenario: &Scenario, asked: &Asked, ended: Option<&Ended>) -> f64 {
+fn earned(scenario: &Scenario, asked: &PlannedRequest, ended: Option<&Ended>) -> f64 {
     let class = &scenario.classes[asked.class as usize];
     match ended {
         Some(e) if e.answer == TryOutcome::Served && e.after_s <= class.wanted_ms / 1e3 => 1.0,
@@ -562,7 +562,7 @@
         for n in 0..480_u32 {
             let (class, at_s) = ((n % 4) as u8, 1.0 + f64::from(n / 4) * 0.1);
             let write = class > 1;
-            run.plan.push(Asked {
+            run.plan.push(PlannedRequest {
                 at_s,
                 zone: 0,
                 class,
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -27,7 +27,7 @@
 use crate::judge::{Band, Cpu, Run};
 use crate::loopback::lock;
 use crate::net::{at, Impairments, Links, Liveness};
-use crate::plan::draw;
+use crate::plan::generate;
 use crate::process::{cpu_s, guard};
 use crate::scenario::{Fault, Scenario, What, Whom};
 
@@ -187,7 +187,7 @@
         let way = |delay_ms| Impairments { delay_ms, jitter_ms: link.jitter_ms, ..Impairments::default() };
         let same = Impairments { jitter_ms: 0.0, ..way(link.same_ms) };
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
-        let plan = draw(scenario, seed);
+        let plan = generate(scenario, seed);
         // The run begins when the fleet is ready; everything reads the time from then on.
         let run_state = Arc::new(RunState::new(scenario.clone(), plan));
         let backends = Backends::new(Arc::clone(&run_state), links, seed);
--- a/fault-lab/src/plan.rs
+++ b/fault-lab/src/plan.rs
@@ -8,7 +8,7 @@
 
 /// One planned request. Its retries are not planned: they depend on the answers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct PlannedRequest {
     /// Time to send it, in seconds from the start of the run, including the warm-up.
     pub at_s: f64,
     pub zone: u8,
@@ -73,7 +73,7 @@
 }
 
 /// Generates the plan in order of time, with exponentially distributed gaps between the requests.
-pub fn draw(scenario: &Scenario, seed: u64) -> Vec<Asked> {
+pub fn generate(scenario: &Scenario, seed: u64) -> Vec<PlannedRequest> {
     let mut rng = StdRng::seed_from_u64(seed);
     let classes = WeightedIndex::new(scenario.classes.iter().map(|c| c.share));
     let tenants = WeightedIndex::new(scenario.tenants.iter().map(|t| t.share));
@@ -115,7 +115,7 @@
         }
         let zone = rng.random_range(0..zones) as u8;
         let (class, tenant) = (class as u8, tenant as u16);
-        plan.push(Asked { at_s: at, zone, class, tenant, key, work_s, hint_us, over_share });
+        plan.push(PlannedRequest { at_s: at, zone, class, tenant, key, work_s, hint_us, over_share });
     }
 }
 
@@ -129,9 +129,9 @@
                     [[fault]]\ndo='surge'\ntimes=3.0\nat_s=20.0\nfor_s=10.0\n\
                     [[fault]]\ndo='flash_crowd'\nshare=0.5\nat_s=0.0\nfor_s=10.0\n";
         let scenario = Scenario::parse("t", text).expect("a scenario");
-        let plan = draw(&scenario, 7);
-        assert_eq!(plan, draw(&scenario, 7));
-        assert_ne!(plan[..20], draw(&scenario, 8)[..20]);
+        let plan = generate(&scenario, 7);
+        assert_eq!(plan, generate(&scenario, 7));
+        assert_ne!(plan[..20], generate(&scenario, 8)[..20]);
         let count = |from: f64, to: f64| plan.iter().filter(|a| (from..to).contains(&a.at_s)).count() as f64;
         assert!(
             (count(0.0, 20.0) / 4_000.0 - 1.0).abs() < 0.1 && (count(20.0, 30.0) / 6_000.0 - 1.0).abs() < 0.1
