--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -25,7 +25,7 @@
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
-use crate::scenario::{Effect, Scenario, What};
+use crate::scenario::{Effect, FaultKind, Scenario};
 use crate::service::{free, Service};
 
 /// Nodes may send to a server for so long after they have been told that it leaves.
@@ -118,7 +118,7 @@
             long_messages: AtomicUsize::new(0),
         });
         let folder = Folder::new("lab-nodes");
-        let upgrades = scenario.faults.iter().any(|fault| matches!(fault.what, What::UpgradeNodes {}));
+        let upgrades = scenario.faults.iter().any(|fault| matches!(fault.kind, FaultKind::UpgradeNodes {}));
         let mut nodes = Vec::new();
         for number in 0..scenario.fleet.nodes {
             let name = format!("n{number}");
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -29,7 +29,7 @@
 use crate::net::{at, Impairments, Links, Liveness};
 use crate::plan::generate;
 use crate::process::{cpu_s, guard};
-use crate::scenario::{Fault, Scenario, What, Whom};
+use crate::scenario::{Fault, FaultKind, Scenario, Target};
 
 /// The programs that are run.
 #[derive(Clone, Debug)]
@@ -359,7 +359,7 @@
     /// Those of `0..count` that are meant, the same ones each time for the same fault.
     fn struck(
         &self,
-        whom: &Whom,
+        whom: &Target,
         fault: usize,
         count: usize,
         zone: impl Fn(usize) -> usize,
@@ -367,39 +367,39 @@
     ) -> Vec<usize> {
         let all = 0..count;
         match whom {
-            Whom::All => all.collect(),
-            Whom::Zone(name) => {
+            Target::All => all.collect(),
+            Target::Zone(name) => {
                 let wanted = self.zone(name);
                 all.filter(|n| zone(*n) == wanted).collect()
             }
-            Whom::Share(share) => {
+            Target::Share(share) => {
                 let mut order: Vec<usize> = all.collect();
                 order.shuffle(&mut StdRng::seed_from_u64(self.seed ^ (fault as u64 + 1)));
                 order.truncate((count as f64 * share).round() as usize);
                 order
             }
-            Whom::Count(n) => all.take(*n).collect(),
-            Whom::Name(name) => {
+            Target::Count(n) => all.take(*n).collect(),
+            Target::Name(name) => {
                 let digits = name.trim_start_matches(|c: char| !c.is_ascii_digit());
                 digits.parse::<usize>().ok().and_then(|n| n.checked_sub(first)).into_iter().collect()
             }
         }
     }
 
-    fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Backend>> {
+    fn servers(&self, whom: &Target, fault: usize) -> Vec<Arc<Backend>> {
         let all = self.backends.all();
         let count = self.run_state.scenario.fleet.servers;
         let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
-    fn nodes(&self, whom: &Whom, fault: usize) -> Vec<Arc<Node>> {
+    fn nodes(&self, whom: &Target, fault: usize) -> Vec<Arc<Node>> {
         let all = &self.fleet.nodes;
         let struck = self.struck(whom, fault, all.len(), |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
-    fn replicas(&self, whom: &Whom, fault: usize) -> Vec<usize> {
+    fn replicas(&self, whom: &Target, fault: usize) -> Vec<usize> {
         let zones = self.run_state.scenario.fleet.zones.len();
         self.struck(whom, fault, self.ops.len(), |n| n % zones, 1)
     }
@@ -415,13 +415,13 @@
         let lead = self.run_state.scenario.lead_s;
         sleep_until(at(self.run_state.started_at(), lead + fault.at_s)).await;
         let from_s = self.run_state.elapsed_s();
-        let name = format!("{:?}", fault.what);
+        let name = format!("{:?}", fault.kind);
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
-        if let What::Replace { share, batch } = fault.what {
+        if let FaultKind::Replace { share, batch } = fault.kind {
             self.replace(share, batch, fault.for_s.unwrap_or(0.0)).await;
             return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
-        if let What::UpgradeNodes {} = fault.what {
+        if let FaultKind::UpgradeNodes {} = fault.kind {
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
             for node in &self.fleet.nodes {
                 let next = Instant::now() + Duration::from_secs_f64(pause);
@@ -434,71 +434,71 @@
             }
             return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
-        self.strike(n, &fault.what).await?;
+        self.strike(n, &fault.kind).await?;
         let Some(length) = fault.for_s else {
-            let passes = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
+            let passes = matches!(fault.kind, FaultKind::ColdServers { .. } | FaultKind::MoveDiscovery {});
             return Ok(Band { name, from_s, to_s: passes.then(|| self.run_state.elapsed_s()) });
         };
         sleep_until(at(self.run_state.started_at(), lead + fault.at_s + length)).await;
-        self.take_back(n, &fault.what).await?;
+        self.take_back(n, &fault.kind).await?;
         Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) })
     }
 
-    async fn strike(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
+    async fn strike(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
         let cut = |way: Impairments| Impairments { cut: true, ..way };
         let usual = |way: Impairments| way;
         match what {
-            What::KillServers { whom } => self.lose(&self.servers(whom, n), Liveness::Dead),
-            What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Liveness::Unreachable),
-            What::PauseServers { whom } => {
+            FaultKind::KillServers { whom } => self.lose(&self.servers(whom, n), Liveness::Dead),
+            FaultKind::SilenceServers { whom } => self.lose(&self.servers(whom, n), Liveness::Unreachable),
+            FaultKind::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, true));
             }
-            What::SlowServers { whom, times } => {
+            FaultKind::SlowServers { whom, times } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, *times));
             }
-            What::ServerErrors { whom, share, class } => {
+            FaultKind::ServerErrors { whom, share, class } => {
                 let classes = &self.run_state.scenario.classes;
                 let class = class.as_ref().and_then(|name| classes.iter().position(|c| c.name == *name));
                 let class = class.map(|n| n as u8);
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(*share, class));
             }
-            What::ColdServers { whom } => {
+            FaultKind::ColdServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
-            What::DrainServers { whom } => {
+            FaultKind::DrainServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.tell_agent(&backend.id, Agent::Goodbye));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
-            What::SlowOrigin { times } => self.backends.slow(&self.backends.origin, *times),
-            What::StopOrigin {} => self.backends.pause(&self.backends.origin, true),
-            What::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
-            What::StopNodes { whom } => {
+            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
+            FaultKind::SlowOrigin { times } => self.backends.slow(&self.backends.origin, *times),
+            FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, true),
+            FaultKind::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
+            FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.leave(&node);
                     self.fleet.signal(&node, "STOP");
                 }
             }
-            What::KillReplicas { whom } => {
+            FaultKind::KillReplicas { whom } => {
                 self.replicas(whom, n).into_iter().for_each(|n| lock(&self.fleet.service).kill(n));
             }
-            What::StopReplicas { whom } => {
+            FaultKind::StopReplicas { whom } => {
                 for n in self.replicas(whom, n) {
                     lock(&self.fleet.service).process(n).signal("STOP");
                 }
             }
-            What::MoveDiscovery {} => self.fleet.move_discovery().await?,
-            What::LoseZone { zone, nodes } => {
-                let whom = Whom::Zone(zone.clone());
+            FaultKind::MoveDiscovery {} => self.fleet.move_discovery().await?,
+            FaultKind::LoseZone { zone, nodes } => {
+                let whom = Target::Zone(zone.clone());
                 self.lose(&self.servers(&whom, n), Liveness::Unreachable);
                 if *nodes {
                     self.kill_nodes(&self.nodes(&whom, n));
                 }
             }
-            What::CutZone { zone, one_way } => {
+            FaultKind::CutZone { zone, one_way } => {
                 let links = self.backends.links();
                 links.change(self.zone(zone), cut, if *one_way { usual } else { cut });
             }
-            What::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
+            FaultKind::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
                 let slow = |way: Impairments| Impairments {
                     delay_ms: way.delay_ms + delay_ms,
                     jitter_ms: way.jitter_ms + jitter_ms,
@@ -508,53 +508,60 @@
                 };
                 self.backends.links().change(self.zone(zone), slow, slow);
             }
-            What::ResetZone { zone } => {
+            FaultKind::ResetZone { zone } => {
                 let breaks = |way: Impairments| Impairments { reset_ms: Some(RESETS_MS), ..way };
                 self.backends.links().change(self.zone(zone), breaks, breaks);
             }
-            What::RetryStorm { retries } => self.clients.storm_retries.store(*retries, Ordering::Relaxed),
+            FaultKind::RetryStorm { retries } => {
+                self.clients.storm_retries.store(*retries, Ordering::Relaxed)
+            }
             // The plan has them, or they are played above.
-            What::Surge { .. } | What::FlashCrowd { .. } | What::Replace { .. } | What::UpgradeNodes {} => {}
+            FaultKind::Surge { .. }
+            | FaultKind::FlashCrowd { .. }
+            | FaultKind::Replace { .. }
+            | FaultKind::UpgradeNodes {} => {}
         }
         Ok(())
     }
 
-    async fn take_back(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
+    async fn take_back(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
         let usual = |way: Impairments| way;
         match what {
-            What::KillServers { whom } | What::SilenceServers { whom } | What::DrainServers { whom } => {
+            FaultKind::KillServers { whom }
+            | FaultKind::SilenceServers { whom }
+            | FaultKind::DrainServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
-            What::PauseServers { whom } => {
+            FaultKind::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, false));
             }
-            What::SlowServers { whom, .. } => {
+            FaultKind::SlowServers { whom, .. } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, 1.0));
             }
-            What::ServerErrors { whom, .. } => {
+            FaultKind::ServerErrors { whom, .. } => {
                 let usual = self.run_state.scenario.servers.errors;
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(usual, None));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
-            What::SlowOrigin { .. } => self.backends.slow(&self.backends.origin, 1.0),
-            What::StopOrigin {} => self.backends.pause(&self.backends.origin, false),
-            What::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
-            What::StopNodes { whom } => {
+            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
+            FaultKind::SlowOrigin { .. } => self.backends.slow(&self.backends.origin, 1.0),
+            FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, false),
+            FaultKind::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
+            FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.fleet.signal(&node, "CONT");
                     self.back(&node);
                 }
             }
-            What::KillReplicas { whom } => {
+            FaultKind::KillReplicas { whom } => {
                 self.replicas(whom, n).into_iter().for_each(|n| lock(&self.fleet.service).launch(n));
             }
-            What::StopReplicas { whom } => {
+            FaultKind::StopReplicas { whom } => {
                 for n in self.replicas(whom, n) {
                     lock(&self.fleet.service).process(n).signal("CONT");
                 }
             }
-            What::LoseZone { zone, nodes } => {
-                let whom = Whom::Zone(zone.clone());
+            FaultKind::LoseZone { zone, nodes } => {
+                let whom = Target::Zone(zone.clone());
                 for backend in self.servers(&whom, n) {
                     self.restart(&backend);
                 }
@@ -562,16 +569,18 @@
                     self.start_nodes(self.nodes(&whom, n)).await?;
                 }
             }
-            What::CutZone { zone, .. } | What::SlowZone { zone, .. } | What::ResetZone { zone } => {
+            FaultKind::CutZone { zone, .. }
+            | FaultKind::SlowZone { zone, .. }
+            | FaultKind::ResetZone { zone } => {
                 self.backends.links().change(self.zone(zone), usual, usual);
             }
-            What::RetryStorm { .. } => self.clients.storm_retries.store(0, Ordering::Relaxed),
-            What::ColdServers { .. }
-            | What::MoveDiscovery {}
-            | What::Surge { .. }
-            | What::FlashCrowd { .. }
-            | What::Replace { .. }
-            | What::UpgradeNodes {} => {}
+            FaultKind::RetryStorm { .. } => self.clients.storm_retries.store(0, Ordering::Relaxed),
+            FaultKind::ColdServers { .. }
+            | FaultKind::MoveDiscovery {}
+            | FaultKind::Surge { .. }
+            | FaultKind::FlashCrowd { .. }
+            | FaultKind::Replace { .. }
+            | FaultKind::UpgradeNodes {} => {}
         }
         Ok(())
     }
@@ -596,7 +605,7 @@
         self.list(backend);
     }
 
-    async fn by_hand(&self, whom: &Whom, n: usize, call: &str) {
+    async fn by_hand(&self, whom: &Target, n: usize, call: &str) {
         for backend in self.servers(whom, n) {
             for node in &self.fleet.nodes {
                 if !self.fleet.by_hand(node, &backend.id, call).await {
--- a/fault-lab/src/plan.rs
+++ b/fault-lab/src/plan.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::scenario::{Effect, Scenario, What};
+use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// One planned request. Its retries are not planned: they depend on the answers.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,7 +56,7 @@
 /// Factor by which surges multiply the load at this time of the measured period.
 fn load_multiplier(scenario: &Scenario, at_s: f64) -> f64 {
     let now = scenario.faults.iter().filter(|fault| is_active(fault.at_s, fault.for_s, at_s));
-    now.map(|fault| if let What::Surge { times } = fault.what { times } else { 1.0 }).product()
+    now.map(|fault| if let FaultKind::Surge { times } = fault.kind { times } else { 1.0 }).product()
 }
 
 /// Whether a period that starts at `from` contains `at`. Without a length it never ends.
@@ -97,7 +97,7 @@
         let crowd = rng.random_range(0.0..1.0);
         let measured_s = at - scenario.lead_s;
         for (n, fault) in scenario.faults.iter().enumerate() {
-            let What::FlashCrowd { share } = fault.what else { continue };
+            let FaultKind::FlashCrowd { share } = fault.kind else { continue };
             let read = scenario.classes[class].effect == Effect::Free;
             if read && crowd < share && is_active(fault.at_s, fault.for_s, measured_s) {
                 key = FIRST_CROWD_KEY + n as u32;
--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -47,7 +47,7 @@
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
     #[serde(default)]
-    pub hold: Hold,
+    pub hold: PassConditions,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -287,7 +287,7 @@
 /// or a name (`cache-4`, `n0`, `r1`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub enum Whom {
+pub enum Target {
     All,
     Zone(String),
     Share(f64),
@@ -295,33 +295,33 @@
     Name(String),
 }
 
-impl TryFrom<String> for Whom {
+impl TryFrom<String> for Target {
     type Error = String;
     fn try_from(text: String) -> Result<Self, String> {
         let number = |text: &str| text.parse::<f64>().ok().filter(|n| (0.0..=1.0).contains(n));
         Ok(match text.split_once(':') {
-            None if text == "all" => Whom::All,
-            None if !text.is_empty() => Whom::Name(text),
-            Some(("zone", zone)) => Whom::Zone(zone.to_owned()),
+            None if text == "all" => Target::All,
+            None if !text.is_empty() => Target::Name(text),
+            Some(("zone", zone)) => Target::Zone(zone.to_owned()),
             Some(("share", share)) => {
-                Whom::Share(number(share).ok_or_else(|| format!("{share}: a share from 0 to 1 expected"))?)
+                Target::Share(number(share).ok_or_else(|| format!("{share}: a share from 0 to 1 expected"))?)
             }
             Some(("count", n)) => {
-                Whom::Count(n.parse().map_err(|_| format!("{n}: a whole number expected"))?)
+                Target::Count(n.parse().map_err(|_| format!("{n}: a whole number expected"))?)
             }
             _ => return Err(format!("`{text}`: all, zone:NAME, share:PART, count:N or a name expected")),
         })
     }
 }
 
-impl From<Whom> for String {
-    fn from(whom: Whom) -> String {
+impl From<Target> for String {
+    fn from(whom: Target) -> String {
         match whom {
-            Whom::All => "all".to_owned(),
-            Whom::Zone(zone) => format!("zone:{zone}"),
-            Whom::Share(share) => format!("share:{share}"),
-            Whom::Count(n) => format!("count:{n}"),
-            Whom::Name(name) => name,
+            Target::All => "all".to_owned(),
+            Target::Zone(zone) => format!("zone:{zone}"),
+            Target::Share(share) => format!("share:{share}"),
+            Target::Count(n) => format!("count:{n}"),
+            Target::Name(name) => name,
         }
     }
 }
@@ -334,36 +334,36 @@
     #[serde(default)]
     pub for_s: Option<f64>,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
-fn all_targets() -> Whom {
-    Whom::All
+fn all_targets() -> Target {
+    Target::All
 }
 
 /// The kind of a fault, or an operator's action.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// The processes of cache servers die, and their agents with them.
     KillServers {
-        whom: Whom,
+        whom: Target,
     },
     /// The machines of cache servers become unreachable: they answer nothing and reset no connection.
     SilenceServers {
-        whom: Whom,
+        whom: Target,
     },
     /// Cache servers pause, and later continue where they stopped.
     PauseServers {
-        whom: Whom,
+        whom: Target,
     },
     SlowServers {
-        whom: Whom,
+        whom: Target,
         times: f64,
     },
     /// Cache servers answer this share of reads with 500.
     ServerErrors {
-        whom: Whom,
+        whom: Target,
         share: f64,
         /// Only reads of this class; all classes if absent.
         #[serde(default)]
@@ -371,15 +371,15 @@
     },
     /// Cache servers restart immediately, empty and cold.
     ColdServers {
-        whom: Whom,
+        whom: Target,
     },
     /// Cache servers drain and leave the registry, and return when the fault ends.
     DrainServers {
-        whom: Whom,
+        whom: Target,
     },
     /// Calls `disable` for cache servers on every node's operations port, and `enable` when the fault ends.
     DisableServers {
-        whom: Whom,
+        whom: Target,
     },
     /// A share of the cache servers is replaced by new, cold ones over `for_s`, in batches of this size.
     Replace {
@@ -391,20 +391,20 @@
     },
     StopOrigin {},
     KillNodes {
-        whom: Whom,
+        whom: Target,
     },
     StopNodes {
-        whom: Whom,
+        whom: Target,
     },
     /// Upgrades the nodes one after another: a new process starts on the same socket, then the old one gets SIGTERM.
     UpgradeNodes {},
     KillReplicas {
         #[serde(default = "all_targets")]
-        whom: Whom,
+        whom: Target,
     },
     StopReplicas {
         #[serde(default = "all_targets")]
-        whom: Whom,
+        whom: Target,
     },
     /// The discovery addresses change. The nodes learn the new ones from their configuration file after a SIGHUP.
     MoveDiscovery {},
@@ -454,7 +454,7 @@
 /// The conditions for a pass.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Hold {
+pub struct PassConditions {
     /// Maximum number of violations of all rules together; 0 by default.
     pub breaches: u64,
     /// Minimum share of the worth that must be served.
@@ -631,60 +631,63 @@
         check_range("shares of all classes", self.classes.iter().map(|c| c.share).sum(), 1e-6, 1e9)?;
         check_range("tenants", self.tenants.len() as f64, 1.0, 1_000.0)?;
         check_range("shares of all tenants", self.tenants.iter().map(|t| t.share).sum(), 0.5, 1.5)?;
-        let surge = self.faults.iter().map(|f| if let What::Surge { times } = f.what { times } else { 1.0 });
+        let surge =
+            self.faults.iter().map(|f| if let FaultKind::Surge { times } = f.kind { times } else { 1.0 });
         let requests = self.per_s() * (self.seconds + self.lead_s) * surge.fold(1.0, f64::max);
         check_range("requests of the whole run", requests, 1.0, MAX_REQUESTS)?;
         for (n, fault) in self.faults.iter().enumerate() {
             let in_fault = |what: &str| format!("fault {}: {what}", n + 1);
             check_range(&in_fault("at_s"), fault.at_s, 0.0, self.seconds)?;
             check_range(&in_fault("for_s"), fault.for_s.unwrap_or(0.0), 0.0, self.seconds - fault.at_s)?;
-            self.check_names(&fault.what).map_err(|what| in_fault(&what))?;
+            self.check_names(&fault.kind).map_err(|what| in_fault(&what))?;
         }
         Ok(())
     }
 
-    fn check_names(&self, what: &What) -> Result<(), String> {
+    fn check_names(&self, kind: &FaultKind) -> Result<(), String> {
         let zone = |name: &str| {
             if self.fleet.zones.iter().any(|zone| zone == name) {
                 return Ok(());
             }
             Err(format!("zone `{name}`: one of {} expected", self.fleet.zones.join(", ")))
         };
-        let whom = |whom: &Whom, prefix: &str, count: usize, first: usize| match whom {
-            Whom::Zone(name) => zone(name),
-            Whom::Name(name) => {
+        let whom = |whom: &Target, prefix: &str, count: usize, first: usize| match whom {
+            Target::Zone(name) => zone(name),
+            Target::Name(name) => {
                 let number = name.strip_prefix(prefix).and_then(|n| n.parse::<usize>().ok());
                 if number.is_some_and(|n| (first..first + count).contains(&n)) {
                     return Ok(());
                 }
                 Err(format!("`{name}`: {prefix}{first} to {prefix}{} expected", first + count - 1))
             }
-            Whom::All | Whom::Share(_) | Whom::Count(_) => Ok(()),
+            Target::All | Target::Share(_) | Target::Count(_) => Ok(()),
         };
-        match what {
-            What::ServerErrors { class: Some(name), .. }
+        match kind {
+            FaultKind::ServerErrors { class: Some(name), .. }
                 if !self.classes.iter().any(|class| class.name == *name) =>
             {
                 let names: Vec<&str> = self.classes.iter().map(|class| class.name.as_str()).collect();
                 Err(format!("class `{name}`: one of {} expected", names.join(", ")))
             }
-            What::KillServers { whom: w }
-            | What::SilenceServers { whom: w }
-            | What::PauseServers { whom: w }
-            | What::SlowServers { whom: w, .. }
-            | What::ServerErrors { whom: w, .. }
-            | What::ColdServers { whom: w }
-            | What::DrainServers { whom: w }
-            | What::DisableServers { whom: w } => whom(w, "cache-", self.fleet.servers, 0),
-            What::KillNodes { whom: w } | What::StopNodes { whom: w } => whom(w, "n", self.fleet.nodes, 0),
-            What::KillReplicas { whom: w } | What::StopReplicas { whom: w } => {
+            FaultKind::KillServers { whom: w }
+            | FaultKind::SilenceServers { whom: w }
+            | FaultKind::PauseServers { whom: w }
+            | FaultKind::SlowServers { whom: w, .. }
+            | FaultKind::ServerErrors { whom: w, .. }
+            | FaultKind::ColdServers { whom: w }
+            | FaultKind::DrainServers { whom: w }
+            | FaultKind::DisableServers { whom: w } => whom(w, "cache-", self.fleet.servers, 0),
+            FaultKind::KillNodes { whom: w } | FaultKind::StopNodes { whom: w } => {
+                whom(w, "n", self.fleet.nodes, 0)
+            }
+            FaultKind::KillReplicas { whom: w } | FaultKind::StopReplicas { whom: w } => {
                 whom(w, "r", self.fleet.replicas, 1)
             }
-            What::LoseZone { zone: z, .. }
-            | What::CutZone { zone: z, .. }
-            | What::SlowZone { zone: z, .. }
-            | What::ResetZone { zone: z } => zone(z),
-            What::Replace { share, batch } if *share > 1.0 || *batch == 0 => {
+            FaultKind::LoseZone { zone: z, .. }
+            | FaultKind::CutZone { zone: z, .. }
+            | FaultKind::SlowZone { zone: z, .. }
+            | FaultKind::ResetZone { zone: z } => zone(z),
+            FaultKind::Replace { share, batch } if *share > 1.0 || *batch == 0 => {
                 Err("share up to 1 and a batch of 1 or more expected".to_owned())
             }
             _ => Ok(()),
