--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -11,8 +11,8 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
+use shaletrail_fault_lab::registry::{pause, Service};
 use shaletrail_fault_lab::rng::SeededRng;
-use shaletrail_fault_lab::service::{pause, Service};
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -435,7 +435,7 @@
     play.runners = vec![play.runner(1)];
     let unknown = play.counted_after(1);
     play.service.kill(0);
-    let data = play.service.places[0].data.clone();
+    let data = play.service.replicas[0].data.clone();
     std::fs::rename(&data, play.service.folder.0.join("lost")).expect("moved");
     let out =
         run(&["registry", "restore", &backup.display().to_string(), "--data", &data.display().to_string()]);
@@ -496,7 +496,7 @@
     assert!(out.status.success(), "{}", said(&out));
     // Servers that answer while their agents are silent stay; those that are gone go, with a keeper's word.
     let there = Guarded::start(true);
-    let gone = shaletrail_fault_lab::service::free();
+    let gone = shaletrail_fault_lab::registry::free();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
         if let Some(lease) = lease {
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -7,8 +7,8 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
+use shaletrail_fault_lab::registry::{pause, Service};
 use shaletrail_fault_lab::rng::SeededRng;
-use shaletrail_fault_lab::service::{pause, Service};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -53,11 +53,11 @@
 
 fn inject(service: &mut Service, fault: Fault, rng: &mut SeededRng) {
     let leader = service.wait_for_leader();
-    let follower = (leader + 1 + rng.below(service.places.len() - 1)) % service.places.len();
+    let follower = (leader + 1 + rng.below(service.replicas.len() - 1)) % service.replicas.len();
     match fault {
         Fault::KillLeader => service.kill(leader),
         Fault::KillFollower => service.kill(follower),
-        Fault::KillAll => (0..service.places.len()).for_each(|n| service.kill(n)),
+        Fault::KillAll => (0..service.replicas.len()).for_each(|n| service.kill(n)),
         Fault::StopLeader => service.process(leader).signal("STOP"),
         Fault::StopFollower => service.process(follower).signal("STOP"),
         Fault::CutLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
@@ -65,19 +65,19 @@
         Fault::MuteLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Open),
         Fault::SlowLinks => {
             let ms = 10 + rng.below(60) as u64;
-            (0..service.places.len())
+            (0..service.replicas.len())
                 .for_each(|n| service.isolate(n, LinkCondition::Slow(ms), LinkCondition::Slow(ms)));
         }
         Fault::LossyLinks => {
             let one_in = 10 + rng.below(20) as u64;
-            (0..service.places.len())
+            (0..service.replicas.len())
                 .for_each(|n| service.isolate(n, LinkCondition::Lossy(one_in), LinkCondition::Lossy(one_in)));
         }
         Fault::RollingRestart => {
-            for n in 0..service.places.len() {
+            for n in 0..service.replicas.len() {
                 service.process(n).signal("TERM");
                 wait_for("a replica ends on SIGTERM", || {
-                    service.places[n].process.as_mut().map(|p| p.exit())
+                    service.replicas[n].process.as_mut().map(|p| p.exit())
                 });
                 service.launch(n);
                 service.ready(n);
@@ -85,7 +85,7 @@
         }
         Fault::WipeFollower => {
             service.kill(follower);
-            std::fs::remove_dir_all(&service.places[follower].data).expect("its data can be removed");
+            std::fs::remove_dir_all(&service.replicas[follower].data).expect("its data can be removed");
             service.launch(follower);
         }
     }
@@ -129,7 +129,7 @@
     let breaches = check(&seen, &acknowledged);
     assert!(breaches.is_empty(), "seed {}: {breaches:#?}", rng.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
-    let whole = |n: usize| get(service.places[n].discovery, "/registry/instances").expect("a list");
+    let whole = |n: usize| get(service.replicas[n].discovery, "/registry/instances").expect("a list");
     let version = |list: &serde_json::Value| list["version"].as_u64();
     wait_for("all replicas tell the same list", || {
         let lists: Vec<_> = (0..replicas).map(whole).collect();
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -10,7 +10,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
-use shaletrail_fault_lab::service::{free, pause, Service};
+use shaletrail_fault_lab::registry::{free, pause, Service};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -92,12 +92,12 @@
                 .all(|n| {
                     service
                         .status(n)
-                        .is_some_and(|s| s["version"] == whole(service.places[0].discovery)["version"])
+                        .is_some_and(|s| s["version"] == whole(service.replicas[0].discovery)["version"])
                 })
                 .then_some(())
         });
         service.kill(victim);
-        let file = service.places[victim].data.join(name);
+        let file = service.replicas[victim].data.join(name);
         damage(&file, &how);
         add(&ops, "while:away?", round as u64 + 1);
         service.launch(victim);
@@ -105,7 +105,8 @@
         let log = service.process(victim).log();
         assert!(log.contains(&format!("{}: damaged", file.display())), "round {round}: {log}");
         assert!(log.contains("rebuilt from the others"), "{log}");
-        let (rebuilt, other) = (service.places[victim].discovery, service.places[(victim + 1) % 3].discovery);
+        let (rebuilt, other) =
+            (service.replicas[victim].discovery, service.replicas[(victim + 1) % 3].discovery);
         wait_for("it tells the same list", || (whole(rebuilt) == whole(other)).then_some(()));
     }
 }
@@ -115,7 +116,7 @@
     let mut service = Service::start(program(), "alone", 1);
     add(&service.ops(), "s7", 1);
     service.kill(0);
-    let log = service.places[0].data.join("log.redb");
+    let log = service.replicas[0].data.join("log.redb");
     let at = record(&log);
     let whole_file = std::fs::read(&log).expect("the log");
     // Cut at many bytes, and with one bit of the record changed: never silently less than was acknowledged.
@@ -133,7 +134,7 @@
     std::fs::write(&log, whole_file).expect("mended");
     service.launch(0);
     service.ready(0);
-    assert_eq!(ids(&whole(service.places[0].discovery)), ["s7"]);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)), ["s7"]);
 }
 
 #[test]
@@ -142,7 +143,7 @@
     add(&service.ops(), "first", 1);
     service.kill(0);
     // The system's own limit on a file's size, in KiB: writes beyond it fail.
-    let size = std::fs::metadata(service.places[0].data.join("log.redb")).expect("the log").len() / 1024;
+    let size = std::fs::metadata(service.replicas[0].data.join("log.redb")).expect("the log").len() / 1024;
     let start = service.command(0);
     let words = std::iter::once(start.get_program()).chain(start.get_args());
     let words: Vec<_> = words.map(|word| format!("'{}'", word.to_string_lossy())).collect();
@@ -170,12 +171,12 @@
     assert_eq!(once(ops[0], "PUT", "/registry/instances/more", br#"{"addr":"127.0.0.1:1"}"#), (503, true));
     assert_eq!(once(ops[0], "GET", "/-/ready", b"").0, 503);
     assert!(process.log().contains("the log can't be written"), "{}", process.log());
-    let told = whole(service.places[0].discovery);
+    let told = whole(service.replicas[0].discovery);
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "reading goes on");
     drop(process);
     service.launch(0);
     service.ready(0);
-    let told = whole(service.places[0].discovery);
+    let told = whole(service.replicas[0].discovery);
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "all that was acknowledged is there");
     add(&ops, "after", 1);
 }
@@ -214,27 +215,27 @@
     // One of ten falls silent: it goes, and nobody else.
     let told = wait_for("one expires", || {
         renew(&[0, 1, 2, 3, 4, 5, 6, 7, 8]);
-        let told = whole(service.places[0].discovery);
+        let told = whole(service.replicas[0].discovery);
         (ids(&told).len() < 10).then_some(told)
     });
     assert_eq!(ids(&told), ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"]);
     // All fall silent: nobody goes, and it is said.
     let leader = wait_for("expiry stops", || (0..3).find(|n| figure(ops[*n], "expiry_held") == 9));
     assert!(service.process(leader).log().contains("EXPIRY STOPPED"));
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 9);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)).len(), 9);
     // An operator lets two of them go.
     let list = ops.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let out = run(&["registry", "confirm", "--most", "2", "--registry", &list]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    wait_for("two go", || (ids(&whole(service.places[0].discovery)).len() == 7).then_some(()));
+    wait_for("two go", || (ids(&whole(service.replicas[0].discovery)).len() == 7).then_some(()));
     pause(500);
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 7);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)).len(), 7);
 }
 
 #[test]
 fn an_agent_registers_its_server_while_it_answers_and_says_goodbye_for_it() {
     let service = Service::start(program(), "agent", 1);
-    let (ops, discovery) = (service.ops(), service.places[0].discovery);
+    let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
     let server = free();
     let log = service.folder.0.join("agent.log");
     let mut command = Command::new(program());
@@ -275,7 +276,7 @@
 #[test]
 fn a_restored_list_goes_on_beyond_every_version_that_was_told() {
     let mut service = Service::start(program(), "backup", 1);
-    let (ops, discovery) = (service.ops(), service.places[0].discovery);
+    let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
     let observer = Observer::start("observer", vec![discovery], 1);
     add(&ops, "kept", 1);
     let file = service.folder.0.join("list.backup");
@@ -285,7 +286,7 @@
     let later = add(&ops, "after", 1);
     wait_for("the last version is told", || (observer.version() == later).then_some(()));
     service.kill(0);
-    let data = service.places[0].data.to_str().expect("a path").to_owned();
+    let data = service.replicas[0].data.to_str().expect("a path").to_owned();
     let refused = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
     assert_eq!(refused.status.code(), Some(1), "nothing is replaced");
     std::fs::remove_dir_all(&data).expect("lost");
@@ -358,17 +359,17 @@
         add(&ops, &format!("s{}", number % 40), number);
     }
     wait_for("a snapshot is taken", || (figure(ops[leader], "snapshot") > before + 300).then_some(()));
-    let data = service.places[away].data.join("snapshot");
+    let data = service.replicas[away].data.join("snapshot");
     let had = data.exists();
     service.launch(away);
     service.ready(away);
     assert!(data.exists() && !had, "the entries that it lacked are gone from the others' logs");
-    assert_eq!(whole(service.places[away].discovery), whole(service.places[leader].discovery));
+    assert_eq!(whole(service.replicas[away].discovery), whole(service.replicas[leader].discovery));
     // And all of it again from the disk.
-    let version = whole(service.places[leader].discovery)["version"].clone();
+    let version = whole(service.replicas[leader].discovery)["version"].clone();
     (0..3).for_each(|n| service.kill(n));
     service.heal();
-    assert_eq!(whole(service.places[away].discovery)["version"], version);
+    assert_eq!(whole(service.replicas[away].discovery)["version"], version);
 }
 
 // ---- Nodes ----------------------------------------------------------------------------------------------
@@ -494,7 +495,7 @@
     let file = file.to_str().expect("a path").to_owned();
     assert!(run(&["registry", "backup", &file, "--registry", &ops[0].to_string()]).status.success());
     service.kill(0);
-    let data = service.places[0].data.clone();
+    let data = service.replicas[0].data.clone();
     std::fs::remove_dir_all(&data).expect("lost");
     service.launch(0);
     service.ready(0);
--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -22,8 +22,8 @@
 use crate::machine::{Admission, Machine, MachineSpec};
 use crate::net::{at, run_listener, Links, Liveness, PathConditions, SharedRng};
 use crate::plan::PlannedRequest;
+use crate::registry::free;
 use crate::scenario::{Effect, Scenario};
-use crate::service::free;
 
 /// The origin's backend number.
 pub const ORIGIN: u16 = u16::MAX;
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -18,8 +18,8 @@
 
 use crate::loopback::InMemoryRegistry;
 use crate::observer::numbered;
+use crate::registry::Service;
 use crate::rng::SeededRng;
-use crate::service::Service;
 
 /// How much is measured.
 #[derive(Clone, Debug, Serialize)]
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -13,8 +13,8 @@
 use crate::link::LinkCondition;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
+use crate::registry::Service;
 use crate::rng::SeededRng;
-use crate::service::Service;
 
 /// How much is measured.
 #[derive(Clone, Debug, Serialize)]
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -25,8 +25,8 @@
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
+use crate::registry::{free, Service};
 use crate::scenario::{Effect, FaultKind, Scenario};
-use crate::service::{free, Service};
 
 /// Nodes may send to a server for so long after they have been told that it leaves.
 pub const DRAIN_GRACE_S: f64 = 0.5;
@@ -220,7 +220,7 @@
         let of = |process: &Process| cpu_s(process.id()).unwrap_or(0.0);
         let nodes = self.nodes.iter().filter_map(|node| lock(&node.process).as_ref().map(of)).sum();
         let service = lock(&self.service);
-        let replicas = service.places.iter().filter_map(|place| place.process.as_ref().map(of)).sum();
+        let replicas = service.replicas.iter().filter_map(|replica| replica.process.as_ref().map(of)).sum();
         (nodes, replicas)
     }
 
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod orchestrator;
 pub mod plan;
 pub mod process;
+pub mod registry;
 pub mod report;
 pub mod rng;
 pub mod scenario;
-pub mod service;
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -328,7 +328,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::service::free;
+    use crate::registry::free;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     fn echo(stream: DuplexStream) {
--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/registry.rs
@@ -35,14 +35,14 @@
 const CONFIG_FILE: &str = "service.toml";
 
 /// One replica. Its addresses and its data outlive its process.
-pub struct Place {
+pub struct Replica {
     pub name: String,
     /// Where nodes read the list of servers.
     pub discovery: SocketAddr,
     /// Where changes and operators' requests go.
     pub ops: SocketAddr,
     /// Where other replicas connect.
-    pub replica: SocketAddr,
+    pub replica_addr: SocketAddr,
     pub data: PathBuf,
     /// `None` while it is not running.
     pub process: Option<Process>,
@@ -52,41 +52,41 @@
 pub struct Service {
     program: PathBuf,
     pub folder: Folder,
-    pub places: Vec<Place>,
+    pub replicas: Vec<Replica>,
     /// The link from one replica to another, by their indices.
     pub links: BTreeMap<(usize, usize), Link>,
 }
 
 impl Service {
     /// Starts this many replicas and waits until all are ready.
-    pub fn start(program: &Path, name: &str, replicas: usize) -> Service {
-        Service::start_with(program, name, replicas, "")
+    pub fn start(program: &Path, name: &str, count: usize) -> Service {
+        Service::start_with(program, name, count, "")
     }
 
     /// Like [`Service::start`], with the text of the configuration file.
     ///
     /// # Panics
     /// The file can't be written.
-    pub fn start_with(program: &Path, name: &str, replicas: usize, settings: &str) -> Service {
+    pub fn start_with(program: &Path, name: &str, count: usize, settings: &str) -> Service {
         let folder = Folder::new(name);
         std::fs::write(folder.0.join(CONFIG_FILE), settings).expect("the configuration file can be written");
-        let place = |n: usize| {
+        let new_replica = |n: usize| {
             let name = format!("r{}", n + 1);
             let data = folder.0.join(&name);
-            Place { name, discovery: free(), ops: free(), replica: free(), data, process: None }
+            Replica { name, discovery: free(), ops: free(), replica_addr: free(), data, process: None }
         };
-        let places: Vec<Place> = (0..replicas).map(place).collect();
+        let replicas: Vec<Replica> = (0..count).map(new_replica).collect();
         let mut links = BTreeMap::new();
-        for from in 0..replicas {
-            for to in (0..replicas).filter(|to| *to != from) {
-                links.insert((from, to), Link::to(places[to].replica));
+        for from in 0..count {
+            for to in (0..count).filter(|to| *to != from) {
+                links.insert((from, to), Link::to(replicas[to].replica_addr));
             }
         }
-        let mut service = Service { program: program.to_owned(), folder, places, links };
-        for n in 0..replicas {
+        let mut service = Service { program: program.to_owned(), folder, replicas, links };
+        for n in 0..count {
             service.launch(n);
         }
-        for n in 0..replicas {
+        for n in 0..count {
             service.ready(n);
         }
         service
@@ -94,39 +94,39 @@
 
     /// The command that starts a replica.
     pub fn command(&self, n: usize) -> Command {
-        let place = &self.places[n];
+        let replica = &self.replicas[n];
         let mut command = Command::new(&self.program);
         command.args(["registry", "--config"]).arg(self.folder.0.join(CONFIG_FILE));
-        command.args(["--name", &place.name, "--data"]).arg(&place.data);
+        command.args(["--name", &replica.name, "--data"]).arg(&replica.data);
         command.env(WALL_STEP, self.wall(n));
-        command.args(["--discovery", &place.discovery.to_string(), "--ops", &place.ops.to_string()]);
-        if self.places.len() > 1 {
+        command.args(["--discovery", &replica.discovery.to_string(), "--ops", &replica.ops.to_string()]);
+        if self.replicas.len() > 1 {
             let peer = |to: usize| {
-                let addr = self.links.get(&(n, to)).map_or(place.replica, |link| link.addr);
-                format!("{}={addr}", self.places[to].name)
+                let addr = self.links.get(&(n, to)).map_or(replica.replica_addr, |link| link.addr);
+                format!("{}={addr}", self.replicas[to].name)
             };
-            let peers: Vec<String> = (0..self.places.len()).map(peer).collect();
-            command.args(["--replica", &place.replica.to_string(), "--peers", &peers.join(",")]);
+            let peers: Vec<String> = (0..self.replicas.len()).map(peer).collect();
+            command.args(["--replica", &replica.replica_addr.to_string(), "--peers", &peers.join(",")]);
         }
         command
     }
 
     /// The file through which a test shifts the wall clock of this replica.
     pub fn wall(&self, n: usize) -> PathBuf {
-        self.folder.0.join(format!("{}.wall", self.places[n].name))
+        self.folder.0.join(format!("{}.wall", self.replicas[n].name))
     }
 
     pub fn log(&self, n: usize) -> PathBuf {
-        self.folder.0.join(format!("{}.log", self.places[n].name))
+        self.folder.0.join(format!("{}.log", self.replicas[n].name))
     }
 
     pub fn launch(&mut self, n: usize) {
         let process = Process::start(&mut self.command(n), &self.log(n));
-        self.places[n].process = Some(process);
+        self.replicas[n].process = Some(process);
     }
 
     pub fn process(&self, n: usize) -> &Process {
-        self.places[n].process.as_ref().expect("the replica is running")
+        self.replicas[n].process.as_ref().expect("the replica is running")
     }
 
     pub fn ready(&self, n: usize) {
@@ -134,27 +134,27 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.places[n].process = None;
+        self.replicas[n].process = None;
     }
 
     pub fn ops(&self) -> Vec<SocketAddr> {
-        self.places.iter().map(|place| place.ops).collect()
+        self.replicas.iter().map(|replica| replica.ops).collect()
     }
 
     pub fn discovery(&self) -> Vec<SocketAddr> {
-        self.places.iter().map(|place| place.discovery).collect()
+        self.replicas.iter().map(|replica| replica.discovery).collect()
     }
 
     /// The replica that reports to be the leader and ready.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.places.len()).find(|n| {
-            let status = self.places[*n].process.as_ref().and_then(|_| self.status(*n));
+        (0..self.replicas.len()).find(|n| {
+            let status = self.replicas[*n].process.as_ref().and_then(|_| self.status(*n));
             status.is_some_and(|s| s["role"] == "leader" && s["not_ready"].is_null())
         })
     }
 
     pub fn status(&self, n: usize) -> Option<serde_json::Value> {
-        get(self.places[n].ops, "/registry/status").ok()
+        get(self.replicas[n].ops, "/registry/status").ok()
     }
 
     pub fn wait_for_leader(&self) -> usize {
@@ -173,7 +173,7 @@
 
     /// Sets the conditions from one replica to all others, and from them back to it.
     pub fn isolate(&self, n: usize, out: LinkCondition, back: LinkCondition) {
-        for other in (0..self.places.len()).filter(|other| *other != n) {
+        for other in (0..self.replicas.len()).filter(|other| *other != n) {
             self.between(n, other, out, back);
         }
     }
@@ -183,14 +183,14 @@
         for link in self.links.values() {
             link.heal();
         }
-        for n in 0..self.places.len() {
-            match &self.places[n].process {
+        for n in 0..self.replicas.len() {
+            match &self.replicas[n].process {
                 Some(process) => process.signal("CONT"),
                 None => self.launch(n),
             }
         }
-        for n in 0..self.places.len() {
-            wait_for(&format!("{} is ready", self.places[n].name), || {
+        for n in 0..self.replicas.len() {
+            wait_for(&format!("{} is ready", self.replicas[n].name), || {
                 let status = self.status(n)?;
                 status["not_ready"].is_null().then_some(())
             });
