--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -11,7 +11,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
-use shaletrail_fault_lab::registry::{pause, Service};
+use shaletrail_fault_lab::registry::{pause, RegistryCluster};
 use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
@@ -30,7 +30,7 @@
 /// A service, a guarded counter, and candidates that count on it.
 struct Play {
     runners: Vec<Runner>,
-    service: Service,
+    service: RegistryCluster,
     guarded: Guarded,
     lease_s: f64,
     between_ms: u64,
@@ -38,7 +38,7 @@
 
 impl Play {
     fn new(name: &str, replicas: usize, runners: usize, lease_s: f64, guard: bool, between_ms: u64) -> Play {
-        let service = Service::start(program(), name, replicas);
+        let service = RegistryCluster::start(program(), name, replicas);
         let guarded = Guarded::start(guard);
         let mut play = Play { runners: Vec::new(), service, guarded, lease_s, between_ms };
         for n in 0..runners {
@@ -369,7 +369,7 @@
 
 #[test]
 fn a_command_that_is_done_ends_the_duty_and_one_that_fails_is_tried_again_and_then_handed_on() {
-    let service = Service::start(program(), "commands", 1);
+    let service = RegistryCluster::start(program(), "commands", 1);
     let ops = service.ops()[0].to_string();
     let with = |args: &[&str], command: &str| {
         let begin = ["duty", "run", "job", "--registry", &ops, "--lease-s", "1"];
@@ -459,7 +459,7 @@
 
 #[test]
 fn keepers_take_backups_one_at_a_time_and_let_only_those_expire_that_are_gone() {
-    let service = Service::start(program(), "keepers", 3);
+    let service = RegistryCluster::start(program(), "keepers", 3);
     let ops = service.ops();
     let addrs: Vec<String> = ops.iter().map(ToString::to_string).collect();
     let folder = service.folder.0.join("backups");
@@ -668,7 +668,7 @@
 #[test]
 fn a_line_of_200_is_no_herd() {
     const WAITERS: usize = 200;
-    let service = Service::start(program(), "herd", 1);
+    let service = RegistryCluster::start(program(), "herd", 1);
     let ops: SocketAddr = service.ops()[0];
     let calls =
         || get(ops, "/-/metrics").ok().and_then(|figures| figures["duty_calls"].as_u64()).expect("figures");
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -7,7 +7,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
-use shaletrail_fault_lab::registry::{pause, Service};
+use shaletrail_fault_lab::registry::{pause, RegistryCluster};
 use shaletrail_fault_lab::rng::SeededRng;
 
 fn program() -> &'static Path {
@@ -51,7 +51,7 @@
     !matches!(fault, Fault::KillAll | Fault::SlowLinks | Fault::LossyLinks)
 }
 
-fn inject(service: &mut Service, fault: Fault, rng: &mut SeededRng) {
+fn inject(service: &mut RegistryCluster, fault: Fault, rng: &mut SeededRng) {
     let leader = service.wait_for_leader();
     let follower = (leader + 1 + rng.below(service.replicas.len() - 1)) % service.replicas.len();
     match fault {
@@ -94,7 +94,7 @@
 /// Plays the faults in an order drawn from the seed under changes, and lets the checkers judge.
 fn play(name: &str, replicas: usize, faults: &[Fault], seed: u64) {
     let mut rng = SeededRng::new(name, seed);
-    let mut service = Service::start(program(), name, replicas);
+    let mut service = RegistryCluster::start(program(), name, replicas);
     let (ops, discovery) = (service.ops(), service.discovery());
     let writers: Vec<Writer> =
         (0..3).map(|n| Writer::start(&format!("w{n}"), ops.clone(), Duration::from_millis(15))).collect();
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -10,7 +10,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
-use shaletrail_fault_lab::registry::{free, pause, Service};
+use shaletrail_fault_lab::registry::{free, pause, RegistryCluster};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_damaged_replica_names_the_file_and_is_rebuilt_from_the_others() {
-    let mut service = Service::start(program(), "damage", 3);
+    let mut service = RegistryCluster::start(program(), "damage", 3);
     let ops = service.ops();
     for n in 0..20 {
         add(&ops, &format!("s{n}"), 1);
@@ -113,7 +113,7 @@
 
 #[test]
 fn alone_a_damaged_replica_says_so_and_does_not_start() {
-    let mut service = Service::start(program(), "alone", 1);
+    let mut service = RegistryCluster::start(program(), "alone", 1);
     add(&service.ops(), "s7", 1);
     service.kill(0);
     let log = service.replicas[0].data.join("log.redb");
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_full_disk_ends_changes_and_not_reading_and_nothing_acknowledged_is_lost() {
-    let mut service = Service::start(program(), "full", 1);
+    let mut service = RegistryCluster::start(program(), "full", 1);
     add(&service.ops(), "first", 1);
     service.kill(0);
     // The system's own limit on a file's size, in KiB: writes beyond it fail.
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_cut_between_agents_and_registry_does_not_empty_the_list() {
-    let service = Service::start(program(), "leases", 3);
+    let service = RegistryCluster::start(program(), "leases", 3);
     let ops = service.ops();
     let lease = |id: &str, port: u16| json!({"addr": format!("127.0.0.1:{port}"), "lease_s": 2.0, "id": id});
     for n in 0..10 {
@@ -234,7 +234,7 @@
 
 #[test]
 fn an_agent_registers_its_server_while_it_answers_and_says_goodbye_for_it() {
-    let service = Service::start(program(), "agent", 1);
+    let service = RegistryCluster::start(program(), "agent", 1);
     let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
     let server = free();
     let log = service.folder.0.join("agent.log");
@@ -275,7 +275,7 @@
 
 #[test]
 fn a_restored_list_goes_on_beyond_every_version_that_was_told() {
-    let mut service = Service::start(program(), "backup", 1);
+    let mut service = RegistryCluster::start(program(), "backup", 1);
     let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
     let observer = Observer::start("observer", vec![discovery], 1);
     add(&ops, "kept", 1);
@@ -311,7 +311,7 @@
 
 #[test]
 fn replicas_join_and_are_removed_but_never_so_that_no_majority_is_left() {
-    let mut service = Service::start(program(), "members", 3);
+    let mut service = RegistryCluster::start(program(), "members", 3);
     let ops = service.ops();
     add(&ops, "s1", 1);
     let (discovery, own_ops, replica) = (free().to_string(), free().to_string(), free().to_string());
@@ -348,7 +348,7 @@
 #[test]
 fn a_replica_far_behind_is_sent_a_snapshot_and_logs_stay_short() {
     let settings = "[registry]\nsnapshot_every = 50\nkeep_entries = 10\n";
-    let mut service = Service::start_with(program(), "snapshot", 3, settings);
+    let mut service = RegistryCluster::start_with(program(), "snapshot", 3, settings);
     let ops = service.ops();
     add(&ops, "s", 1);
     let leader = service.wait_for_leader();
@@ -409,7 +409,7 @@
 
 #[test]
 fn nodes_follow_the_list_through_failures_of_the_service() {
-    let mut service = Service::start(program(), "nodes", 3);
+    let mut service = RegistryCluster::start(program(), "nodes", 3);
     let (ops, discovery) = (service.ops(), service.discovery());
     for n in 0..3 {
         add(&ops, &format!("s{n}"), 1);
@@ -452,8 +452,8 @@
 
 #[test]
 fn a_node_is_moved_to_another_service_in_the_middle_of_a_failover() {
-    let mut before = Service::start(program(), "before", 3);
-    let after = Service::start(program(), "after", 1);
+    let mut before = RegistryCluster::start(program(), "before", 3);
+    let after = RegistryCluster::start(program(), "after", 1);
     add(&before.ops(), "old", 1);
     // The other list is at lower versions, and is followed all the same.
     for number in 2..7 {
@@ -486,7 +486,7 @@
 /// Measured before: such a node never followed a change again.
 #[test]
 fn a_service_that_lost_its_data_ends_no_list_and_a_restored_one_is_followed() {
-    let mut service = Service::start(program(), "lost", 1);
+    let mut service = RegistryCluster::start(program(), "lost", 1);
     let (ops, discovery) = (service.ops(), service.discovery());
     let version = (0..5).map(|n| add(&ops, &format!("s{n}"), 1)).max();
     let (node, door) = start_node(&service.folder, "n0", &discovery, &Value::Null);
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -18,7 +18,7 @@
 
 use crate::loopback::InMemoryRegistry;
 use crate::observer::numbered;
-use crate::registry::Service;
+use crate::registry::RegistryCluster;
 use crate::rng::SeededRng;
 
 /// How much is measured.
@@ -119,12 +119,12 @@
 }
 
 /// The harness's processes are waited for by blocking.
-async fn start(program: &Path, replicas: usize) -> Result<Service, Failed> {
+async fn start(program: &Path, replicas: usize) -> Result<RegistryCluster, Failed> {
     let program = program.to_owned();
-    Ok(tokio::task::spawn_blocking(move || Service::start(&program, "bench", replicas)).await?)
+    Ok(tokio::task::spawn_blocking(move || RegistryCluster::start(&program, "bench", replicas)).await?)
 }
 
-async fn end(service: Service) -> Result<(), Failed> {
+async fn end(service: RegistryCluster) -> Result<(), Failed> {
     Ok(tokio::task::spawn_blocking(move || drop(service)).await?)
 }
 
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -13,7 +13,7 @@
 use crate::link::LinkCondition;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
-use crate::registry::Service;
+use crate::registry::RegistryCluster;
 use crate::rng::SeededRng;
 
 /// How much is measured.
@@ -115,7 +115,7 @@
 
 fn hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
     let mut rng = SeededRng::new(cause.name(), size.seed);
-    let mut service = Service::start(program, "bench-duty", 3);
+    let mut service = RegistryCluster::start(program, "bench-duty", 3);
     let guarded = Guarded::start(true);
     let at = guarded.addr.to_string();
     let log = service.folder.0.join("runners.log");
@@ -184,7 +184,7 @@
 }
 
 fn count(program: &Path, duties: usize, candidates: usize, size: &Size) -> Calls {
-    let service = Service::start(program, "bench-calls", 3);
+    let service = RegistryCluster::start(program, "bench-calls", 3);
     let leader = service.wait_for_leader();
     let ops = service.ops();
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -25,7 +25,7 @@
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
-use crate::registry::{free, Service};
+use crate::registry::{free, RegistryCluster};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// Nodes may send to a server for so long after they have been told that it leaves.
@@ -84,7 +84,7 @@
 
 pub struct Fleet {
     pub nodes: Vec<Arc<Node>>,
-    pub service: Mutex<Service>,
+    pub service: Mutex<RegistryCluster>,
     pub views: Arc<Views>,
     program: PathBuf,
     pub folder: Folder,
@@ -105,7 +105,7 @@
     ) -> io::Result<Fleet> {
         let scenario = &run_state.scenario;
         let (program, replicas) = (command.to_owned(), scenario.fleet.replicas);
-        let service = tokio::task::spawn_blocking(move || Service::start(&program, "lab", replicas));
+        let service = tokio::task::spawn_blocking(move || RegistryCluster::start(&program, "lab", replicas));
         let service = service.await.map_err(io::Error::other)?;
         let zones = scenario.fleet.zones.len();
         let views = Arc::new(Views {
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -49,7 +49,7 @@
 }
 
 /// A registry of one or more replicas.
-pub struct Service {
+pub struct RegistryCluster {
     program: PathBuf,
     pub folder: Folder,
     pub replicas: Vec<Replica>,
@@ -57,17 +57,17 @@
     pub links: BTreeMap<(usize, usize), Link>,
 }
 
-impl Service {
+impl RegistryCluster {
     /// Starts this many replicas and waits until all are ready.
-    pub fn start(program: &Path, name: &str, count: usize) -> Service {
-        Service::start_with(program, name, count, "")
+    pub fn start(program: &Path, name: &str, count: usize) -> RegistryCluster {
+        RegistryCluster::start_with(program, name, count, "")
     }
 
-    /// Like [`Service::start`], with the text of the configuration file.
+    /// Like [`RegistryCluster::start`], with the text of the configuration file.
     ///
     /// # Panics
     /// The file can't be written.
-    pub fn start_with(program: &Path, name: &str, count: usize, settings: &str) -> Service {
+    pub fn start_with(program: &Path, name: &str, count: usize, settings: &str) -> RegistryCluster {
         let folder = Folder::new(name);
         std::fs::write(folder.0.join(CONFIG_FILE), settings).expect("the configuration file can be written");
         let new_replica = |n: usize| {
@@ -82,14 +82,14 @@
                 links.insert((from, to), Link::to(replicas[to].replica_addr));
             }
         }
-        let mut service = Service { program: program.to_owned(), folder, replicas, links };
+        let mut cluster = RegistryCluster { program: program.to_owned(), folder, replicas, links };
         for n in 0..count {
-            service.launch(n);
+            cluster.launch(n);
         }
         for n in 0..count {
-            service.ready(n);
+            cluster.ready(n);
         }
-        service
+        cluster
     }
 
     /// The command that starts a replica.
