--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -11,7 +11,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
-use shaletrail_fault_lab::registry::{pause, RegistryCluster};
+use shaletrail_fault_lab::registry::{sleep_ms, RegistryCluster};
 use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
@@ -166,7 +166,7 @@
     // Cut off from the leader alone, it is heard through another replica.
     let (n, leader, fence) = (play.holder(), play.service.wait_for_leader(), play.fence());
     play.runners[n].links[leader].set(LinkCondition::Cut, LinkCondition::Cut);
-    pause(3000);
+    sleep_ms(3000);
     play.goes_on("the holder counts");
     if play.service.leader() == Some(leader) && play.fence() != fence {
         // On a busy machine a lease of a second may end all the same; never without a hand-over in order.
@@ -254,7 +254,7 @@
         let fence = play.show().map_or(0, |duty| duty["fence"].as_u64().unwrap_or(0));
         play.runners.iter_mut().for_each(|runner| runner.process.kill());
         play.runners = vec![play.runner(2 * n), play.runner(2 * n + 1)];
-        pause(20 * n as u64);
+        sleep_ms(20 * n as u64);
         play.service.kill(leader);
         let next = play.counted_after(fence);
         assert!(next > fence);
@@ -282,8 +282,8 @@
     // An hour forth and back, at all replicas, the leader's labels among them.
     let fence = play.fence();
     for step in ["3600000", "-3600000", "0"] {
-        (0..3).for_each(|n| std::fs::write(play.service.wall(n), step).expect("a step"));
-        pause(1500);
+        (0..3).for_each(|n| std::fs::write(play.service.wall_clock_file(n), step).expect("a step"));
+        sleep_ms(1500);
         play.goes_on("counts whatever the wall clock shows");
     }
     assert_eq!(play.fence(), fence, "no lease ended by a clock that jumped");
@@ -441,14 +441,14 @@
         run(&["registry", "restore", &backup.display().to_string(), "--data", &data.display().to_string()]);
     assert!(out.status.success(), "{}", said(&out));
     play.service.launch(0);
-    play.service.ready(0);
+    play.service.wait_until_ready(0);
     let restored = Instant::now();
     let out = run(&["duty", "list", "--registry", &ops[0].to_string()]);
     assert!(said(&out).contains("RESTORED FROM A BACKUP"), "{}", said(&out));
     let end = Instant::now() + Duration::from_secs(120);
     while play.guarded.newest() <= unknown {
         assert!(Instant::now() < end, "granted again after the longest lease: {:?}", play.show());
-        pause(100);
+        sleep_ms(100);
     }
     let (newest, first) = (play.guarded.newest(), play.guarded.newest());
     let granted = play.guarded.calls(first).expect("it called").0;
@@ -496,7 +496,7 @@
     assert!(out.status.success(), "{}", said(&out));
     // Servers that answer while their agents are silent stay; those that are gone go, with a keeper's word.
     let there = Guarded::start(true);
-    let gone = shaletrail_fault_lab::registry::free();
+    let gone = shaletrail_fault_lab::registry::free_addr();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
         if let Some(lease) = lease {
@@ -606,7 +606,7 @@
         Fault::StepClocks => {
             for n in 0..3 {
                 let step = (rng.below(7_200_000) as i64 - 3_600_000).to_string();
-                std::fs::write(play.service.wall(n), step).expect("a step");
+                std::fs::write(play.service.wall_clock_file(n), step).expect("a step");
             }
         }
     }
@@ -638,7 +638,7 @@
         } else {
             println!("{fault:?}");
         }
-        pause(200 + rng.below(2500) as u64);
+        sleep_ms(200 + rng.below(2500) as u64);
         play.service.heal();
         for n in 0..play.runners.len() {
             play.runners[n].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -7,7 +7,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
-use shaletrail_fault_lab::registry::{pause, RegistryCluster};
+use shaletrail_fault_lab::registry::{sleep_ms, RegistryCluster};
 use shaletrail_fault_lab::rng::SeededRng;
 
 fn program() -> &'static Path {
@@ -80,7 +80,7 @@
                     service.replicas[n].process.as_mut().map(|p| p.exit())
                 });
                 service.launch(n);
-                service.ready(n);
+                service.wait_until_ready(n);
             }
         }
         Fault::WipeFollower => {
@@ -117,7 +117,7 @@
                 writers.iter().any(|writer| writer.since(after) > 0).then_some(())
             });
         }
-        pause(200 + rng.below(800) as u64);
+        sleep_ms(200 + rng.below(800) as u64);
         service.heal();
         let healed = Instant::now();
         wait_for("changes go on", || writers.iter().all(|writer| writer.since(healed) > 0).then_some(()));
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -10,7 +10,7 @@
 use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
-use shaletrail_fault_lab::registry::{free, pause, RegistryCluster};
+use shaletrail_fault_lab::registry::{free_addr, sleep_ms, RegistryCluster};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -101,7 +101,7 @@
         damage(&file, &how);
         add(&ops, "while:away?", round as u64 + 1);
         service.launch(victim);
-        service.ready(victim);
+        service.wait_until_ready(victim);
         let log = service.process(victim).log();
         assert!(log.contains(&format!("{}: damaged", file.display())), "round {round}: {log}");
         assert!(log.contains("rebuilt from the others"), "{log}");
@@ -133,7 +133,7 @@
     }
     std::fs::write(&log, whole_file).expect("mended");
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     assert_eq!(ids(&whole(service.replicas[0].discovery)), ["s7"]);
 }
 
@@ -175,7 +175,7 @@
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "reading goes on");
     drop(process);
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     let told = whole(service.replicas[0].discovery);
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "all that was acknowledged is there");
     add(&ops, "after", 1);
@@ -228,7 +228,7 @@
     let out = run(&["registry", "confirm", "--most", "2", "--registry", &list]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     wait_for("two go", || (ids(&whole(service.replicas[0].discovery)).len() == 7).then_some(()));
-    pause(500);
+    sleep_ms(500);
     assert_eq!(ids(&whole(service.replicas[0].discovery)).len(), 7);
 }
 
@@ -236,13 +236,13 @@
 fn an_agent_registers_its_server_while_it_answers_and_says_goodbye_for_it() {
     let service = RegistryCluster::start(program(), "agent", 1);
     let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
-    let server = free();
+    let server = free_addr();
     let log = service.folder.0.join("agent.log");
     let mut command = Command::new(program());
     command.args(["agent", "--registry", &ops[0].to_string(), "--id", "s-1", "--addr", &server.to_string()]);
     command.args(["--lease-s", "1", "--drain-s", "0.3"]);
     let mut agent = Process::start(&mut command, &log);
-    pause(400);
+    sleep_ms(400);
     assert_eq!(once(discovery, "GET", "/registry/instances", b"").0, 503, "its server does not answer yet");
     let listener = std::net::TcpListener::bind(server).expect("the server's address");
     std::thread::spawn(move || {
@@ -260,8 +260,8 @@
     let mut service = service;
     service.kill(0);
     service.launch(0);
-    service.ready(0);
-    pause(2500);
+    service.wait_until_ready(0);
+    sleep_ms(2500);
     assert_eq!(ids(&whole(discovery)), ["s-1"]);
     let version = whole(discovery)["version"].as_u64().expect("a version");
     agent.signal("TERM");
@@ -293,7 +293,7 @@
     let restored = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
     assert!(restored.status.success(), "{}", String::from_utf8_lossy(&restored.stderr));
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     let list = whole(discovery);
     assert_eq!(ids(&list), ["kept"]);
     let version = list["version"].as_u64().expect("a version");
@@ -314,7 +314,8 @@
     let mut service = RegistryCluster::start(program(), "members", 3);
     let ops = service.ops();
     add(&ops, "s1", 1);
-    let (discovery, own_ops, replica) = (free().to_string(), free().to_string(), free().to_string());
+    let (discovery, own_ops, replica) =
+        (free_addr().to_string(), free_addr().to_string(), free_addr().to_string());
     let list = ops.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let data = service.folder.0.join("r4");
     let log = service.folder.0.join("r4.log");
@@ -330,7 +331,7 @@
     service.kill(0);
     // Of r2, r3 and r4 one is dead: without another no majority would answer.
     service.kill(2);
-    pause(2500);
+    sleep_ms(2500);
     let left = format!("{},{own_ops}", ops[1]);
     let refused = run(&["registry", "remove", "r2", "--registry", &left]);
     assert_eq!(refused.status.code(), Some(1));
@@ -362,7 +363,7 @@
     let data = service.replicas[away].data.join("snapshot");
     let had = data.exists();
     service.launch(away);
-    service.ready(away);
+    service.wait_until_ready(away);
     assert!(data.exists() && !had, "the entries that it lacked are gone from the others' logs");
     assert_eq!(whole(service.replicas[away].discovery), whole(service.replicas[leader].discovery));
     // And all of it again from the disk.
@@ -382,7 +383,7 @@
 }
 
 fn start_node(folder: &Folder, name: &str, discovery: &[SocketAddr], known: &Value) -> (Process, SocketAddr) {
-    let ops = free();
+    let ops = free_addr();
     let settings = json!({
         "balancers": 1, "locality": "here", "membership-mode": "on_request", "round-s": 0.005,
         "weight-source": "off", "skus": ["box", "origin"],
@@ -498,16 +499,16 @@
     let data = service.replicas[0].data.clone();
     std::fs::remove_dir_all(&data).expect("lost");
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     add(&ops, "new", 1);
     assert!(whole(discovery[0])["version"].as_u64() < version);
-    pause(3000);
+    sleep_ms(3000);
     assert_eq!(figure(door, "hosts_listed"), 5, "the last good list stands");
     service.kill(0);
     std::fs::remove_dir_all(&data).expect("cleared");
     assert!(run(&["registry", "restore", &file, "--data", data.to_str().expect("a path")]).status.success());
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     add(&ops, "newer", 1);
     wait_for("it follows again", || (figure(door, "hosts_listed") == 6).then_some(()));
     drop(node);
--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -22,7 +22,7 @@
 use crate::machine::{Admission, Machine, MachineSpec};
 use crate::net::{at, run_listener, Links, Liveness, PathConditions, SharedRng};
 use crate::plan::PlannedRequest;
-use crate::registry::free;
+use crate::registry::free_addr;
 use crate::scenario::{Effect, Scenario};
 
 /// The origin's backend number.
@@ -320,7 +320,7 @@
             number,
             zone,
             started_ms: AtomicU64::new(started_ms),
-            addrs: scenario.fleet.zones.iter().map(|_| free()).collect(),
+            addrs: scenario.fleet.zones.iter().map(|_| free_addr()).collect(),
             liveness: watch::Sender::new(Liveness::Up),
             machine: Mutex::new(Machine::new(machine_spec, now, warm)),
             machine_changed: Notify::new(),
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -319,7 +319,7 @@
             service.kill(0);
             let began = Instant::now();
             service.launch(0);
-            service.ready(0);
+            service.wait_until_ready(0);
             (service, began.elapsed())
         })
         .await?;
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -25,7 +25,7 @@
 use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
-use crate::registry::{free, RegistryCluster};
+use crate::registry::{free_addr, RegistryCluster};
 use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// Nodes may send to a server for so long after they have been told that it leaves.
@@ -122,14 +122,14 @@
         let mut nodes = Vec::new();
         for number in 0..scenario.fleet.nodes {
             let name = format!("n{number}");
-            let listen = free();
+            let listen = free_addr();
             let own = folder.0.join(&name);
             std::fs::create_dir_all(&own)?;
             nodes.push(Arc::new(Node {
                 number,
                 zone: number % zones,
                 listen,
-                ops: Mutex::new(free()),
+                ops: Mutex::new(free_addr()),
                 config: own.join("config.json"),
                 folder: own,
                 process: Mutex::default(),
@@ -229,7 +229,7 @@
     /// # Errors
     /// Where the new one does not get ready; the old one stays.
     pub async fn upgrade(&self, node: &Arc<Node>) -> io::Result<()> {
-        *lock(&node.ops) = free();
+        *lock(&node.ops) = free_addr();
         let door = *lock(&node.ops);
         let new = self.spawn(node)?;
         ready(door, "/-/ready").await?;
@@ -369,7 +369,7 @@
     nodes: &[Arc<Node>],
 ) -> io::Result<HashMap<usize, (SocketAddr, Vec<SocketAddr>, SocketAddr)>> {
     let any = || UdpSocket::bind("127.0.0.1:0");
-    let own: Vec<SocketAddr> = nodes.iter().map(|_| free()).collect();
+    let own: Vec<SocketAddr> = nodes.iter().map(|_| free_addr()).collect();
     // between[i][j]: where node i reaches node j; from it, j hears i's answers too.
     let mut between = Vec::new();
     for _ in nodes {
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -328,7 +328,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::registry::free;
+    use crate::registry::free_addr;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     fn echo(stream: DuplexStream) {
@@ -346,7 +346,7 @@
 
     #[tokio::test]
     async fn an_unresponsive_listener_times_out_connects_and_resets_old_connections_when_it_returns() {
-        let addr = free();
+        let addr = free_addr();
         let links = Links::new(2, Impairments::default(), Impairments::default());
         let liveness = watch::Sender::new(Liveness::Up);
         let path = PathConditions {
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -18,7 +18,7 @@
 ///
 /// # Panics
 /// No port is free.
-pub fn free() -> SocketAddr {
+pub fn free_addr() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = (std::process::id() % 1_000 * 1_009 % 20_000) as u16;
     for _ in 0..20_000 {
@@ -73,7 +73,14 @@
         let new_replica = |n: usize| {
             let name = format!("r{}", n + 1);
             let data = folder.0.join(&name);
-            Replica { name, discovery: free(), ops: free(), replica_addr: free(), data, process: None }
+            Replica {
+                name,
+                discovery: free_addr(),
+                ops: free_addr(),
+                replica_addr: free_addr(),
+                data,
+                process: None,
+            }
         };
         let replicas: Vec<Replica> = (0..count).map(new_replica).collect();
         let mut links = BTreeMap::new();
@@ -87,7 +94,7 @@
             cluster.launch(n);
         }
         for n in 0..count {
-            cluster.ready(n);
+            cluster.wait_until_ready(n);
         }
         cluster
     }
@@ -98,7 +105,7 @@
         let mut command = Command::new(&self.program);
         command.args(["registry", "--config"]).arg(self.folder.0.join(CONFIG_FILE));
         command.args(["--name", &replica.name, "--data"]).arg(&replica.data);
-        command.env(WALL_STEP, self.wall(n));
+        command.env(WALL_STEP, self.wall_clock_file(n));
         command.args(["--discovery", &replica.discovery.to_string(), "--ops", &replica.ops.to_string()]);
         if self.replicas.len() > 1 {
             let peer = |to: usize| {
@@ -112,7 +119,7 @@
     }
 
     /// The file through which a test shifts the wall clock of this replica.
-    pub fn wall(&self, n: usize) -> PathBuf {
+    pub fn wall_clock_file(&self, n: usize) -> PathBuf {
         self.folder.0.join(format!("{}.wall", self.replicas[n].name))
     }
 
@@ -129,7 +136,7 @@
         self.replicas[n].process.as_ref().expect("the replica is running")
     }
 
-    pub fn ready(&self, n: usize) {
+    pub fn wait_until_ready(&self, n: usize) {
         self.process(n).says("ready");
     }
 
@@ -162,7 +169,7 @@
     }
 
     /// Sets the conditions from `a` to `b` and from `b` to `a`, on the connections that either of them opens.
-    pub fn between(&self, a: usize, b: usize, there: LinkCondition, back: LinkCondition) {
+    pub fn set_link(&self, a: usize, b: usize, there: LinkCondition, back: LinkCondition) {
         if let Some(link) = self.links.get(&(a, b)) {
             link.set(there, back);
         }
@@ -174,7 +181,7 @@
     /// Sets the conditions from one replica to all others, and from them back to it.
     pub fn isolate(&self, n: usize, out: LinkCondition, back: LinkCondition) {
         for other in (0..self.replicas.len()).filter(|other| *other != n) {
-            self.between(n, other, out, back);
+            self.set_link(n, other, out, back);
         }
     }
 
@@ -199,6 +206,6 @@
 }
 
 /// Blocks the thread for this many milliseconds.
-pub fn pause(ms: u64) {
+pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
