--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -44,6 +44,7 @@
     /// A write of a guarded class that was dropped as a duplicate.
     Duplicate,
     Error,
+    /// The deadline had passed on arrival, or the machine was full or crashed on arrival. The request did not run.
     Rejected,
     /// The caller disconnected or the machine crashed before the work was done.
     Aborted,
@@ -60,7 +61,7 @@
     /// Zone of the calling node.
     pub zone: u8,
     pub write: bool,
-    /// The server was not warm yet.
+    /// Whether the machine was still cold when the attempt arrived.
     pub cold: bool,
     pub outcome: AttemptOutcome,
 }
@@ -148,8 +149,11 @@
 struct Cache {
     capacity: usize,
     use_counter: u64,
+    /// Value of `use_counter` at the last use, by key.
     last_use: HashMap<u32, u64>,
+    /// The same pairs in order of use, the least recently used key first.
     lru_order: BTreeMap<u64, u32>,
+    /// Time of the latest miss, by key, within [`FETCH_WINDOW_S`].
     fetching: HashMap<u32, f64>,
 }
 
@@ -202,6 +206,7 @@
     pub liveness: watch::Sender<Liveness>,
     machine: Mutex<Machine>,
     machine_changed: Notify,
+    /// Signals to the request handlers that wait for the machine, by job id.
     completions: Mutex<HashMap<u64, oneshot::Sender<()>>>,
     cache: Mutex<Cache>,
     /// Share of reads answered with 500, of all classes or of one.
@@ -228,7 +233,9 @@
 /// One open connection to a backend. Dropping it releases its place in the connection limit.
 struct Connection {
     backend: Arc<Backend>,
+    /// Zone of the caller.
     zone: u8,
+    /// Whether no request has arrived on it yet.
     fresh: AtomicBool,
 }
 
@@ -333,11 +340,11 @@
         }
     }
 
-    /// Adds a cache server. `place` sets its speed and zone; those of the initial fleet start warm, later ones cold.
-    pub fn add(self: &Arc<Self>, id: String, place: usize, started_ms: u64, warm: bool) -> Arc<Backend> {
+    /// Adds a cache server. `index` sets its speed and zone; those of the initial fleet start warm, later ones cold.
+    pub fn add(self: &Arc<Self>, id: String, index: usize, started_ms: u64, warm: bool) -> Arc<Backend> {
         let scenario = &self.run_state.scenario;
         let spec = &scenario.servers;
-        let speed = scenario.speed(place);
+        let speed = scenario.speed(index);
         let warm_after_work_s = (spec.warm_by_requests > 0).then(|| {
             let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
             let work: f64 = scenario.classes.iter().map(|c| c.share * c.work_ms).sum::<f64>() / shares / 1e3;
@@ -356,7 +363,7 @@
             crashes_when_warm: false,
         };
         let mut all = lock(&self.all);
-        let zone = place % scenario.fleet.zones.len();
+        let zone = index % scenario.fleet.zones.len();
         let now = (self.run_state.elapsed_s(), warm);
         let backend = Arc::new(Backends::new_backend(
             scenario,
@@ -507,14 +514,14 @@
         let (completion, done) = oneshot::channel();
         lock(&backend.completions).insert(job, completion);
         let now = self.run_state.elapsed_s();
-        let (entry, finished) = {
+        let (admission, finished) = {
             let mut machine = lock(&backend.machine);
             let finished = machine.advance(now);
             (machine.offer(job, work), finished)
         };
         self.notify_finished(backend, finished);
         backend.machine_changed.notify_one();
-        match entry {
+        match admission {
             Admission::Accepted => {
                 let (backend, backends) = (Arc::clone(backend), Arc::clone(self));
                 Some((done, JobGuard { backend, backends, job, record: Some(record) }))
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -29,7 +29,7 @@
     /// Status 429 or 503.
     Refused,
     Failed,
-    /// Status 200 with a body that belongs to another request.
+    /// Status 200 with a body that was not made for this request.
     WrongBody,
     /// No connection could be opened.
     Unreachable,
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -41,7 +41,7 @@
 /// what they had used, are left out.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Cpu {
-    /// All emulated parties, clients and links.
+    /// All emulated backends, clients and links.
     pub lab: f64,
     pub nodes: f64,
     pub replicas: f64,
--- a/fault-lab/src/link.rs
+++ b/fault-lab/src/link.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct LinkState {
     forward: LinkCondition,
-    backward: LinkCondition,
+    reverse: LinkCondition,
     /// Both sockets of each open connection, to be shut down when a cut link is restored.
     open: Vec<TcpStream>,
 }
@@ -45,7 +45,7 @@
     /// Starts a relay to `target` on a free port. Its threads run until the process ends.
     ///
     /// # Panics
-    /// When no port is free.
+    /// No port is free.
     pub fn to(target: SocketAddr) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("an address");
@@ -63,12 +63,12 @@
     /// Sets both directions, from the connecting side to the target and back. Open connections stay open, except
     /// when the link comes back from a cut in either direction: those are shut down, because their ends have given
     /// them up.
-    pub fn set(&self, forward: LinkCondition, backward: LinkCondition) {
+    pub fn set(&self, forward: LinkCondition, reverse: LinkCondition) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let restored = (state.forward == LinkCondition::Cut || state.backward == LinkCondition::Cut)
+        let restored = (state.forward == LinkCondition::Cut || state.reverse == LinkCondition::Cut)
             && forward != LinkCondition::Cut
-            && backward != LinkCondition::Cut;
-        (state.forward, state.backward) = (forward, backward);
+            && reverse != LinkCondition::Cut;
+        (state.forward, state.reverse) = (forward, reverse);
         if restored {
             for stream in state.open.drain(..) {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -83,7 +83,7 @@
 
 fn relay(client: &TcpStream, target: SocketAddr, state: &Arc<Mutex<LinkState>>) {
     // While the forward direction is cut, no connection to the target is opened and the connecting process waits.
-    while direction(state, true) == LinkCondition::Cut {
+    while condition(state, true) == LinkCondition::Cut {
         thread::sleep(POLL_INTERVAL);
     }
     let Ok(server) = TcpStream::connect(target) else { return };
@@ -103,12 +103,12 @@
     let _ = forward_thread.join();
 }
 
-fn direction(state: &Mutex<LinkState>, forward: bool) -> LinkCondition {
+fn condition(state: &Mutex<LinkState>, forward: bool) -> LinkCondition {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
     if forward {
         state.forward
     } else {
-        state.backward
+        state.reverse
     }
 }
 
@@ -116,10 +116,10 @@
     let mut chunk = vec![0; CHUNK_BYTES];
     let mut count = 0;
     while let Ok(n) = from.read(&mut chunk) {
-        while direction(state, forward) == LinkCondition::Cut {
+        while condition(state, forward) == LinkCondition::Cut {
             thread::sleep(POLL_INTERVAL);
         }
-        match direction(state, forward) {
+        match condition(state, forward) {
             LinkCondition::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
             LinkCondition::Lossy(one_in) => {
                 count += 1;
--- a/fault-lab/src/machine.rs
+++ b/fault-lab/src/machine.rs
@@ -47,7 +47,9 @@
 /// What happened to an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// It runs or waits in the queue.
     Accepted,
+    /// All slots and the queue are full.
     Rejected,
     /// The request overloaded the machine. The machine has crashed and lost all requests that it held.
     Crashed,
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -45,7 +45,7 @@
 /// A way's breaking, in a zone whose connections are reset.
 const RESETS_MS: u64 = 300;
 
-/// Tells the agents of one party: go on, say goodbye, or be gone at once.
+/// Tells the agents of one backend: go on, say goodbye, or be gone at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Agent {
     On,
@@ -181,7 +181,7 @@
 }
 
 impl Orchestrator {
-    /// Starts all parties and processes, and waits until every node is ready.
+    /// Starts all backends and processes, and waits until every node is ready.
     async fn start(scenario: &Scenario, seed: u64, programs: &Programs) -> io::Result<Arc<Orchestrator>> {
         let link = &scenario.link;
         let way = |delay_ms| Impairments { delay_ms, jitter_ms: link.jitter_ms, ..Impairments::default() };
@@ -259,7 +259,7 @@
 
     // ---- Agents ------------------------------------------------------------------------------------------
 
-    /// Starts a party's agent.
+    /// Starts a backend's agent.
     fn list(self: &Arc<Self>, backend: &Arc<Backend>) {
         let spec = &self.run_state.scenario;
         let kind = if backend.id == self.backends.origin.id { "origin" } else { "box" };
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -169,19 +169,19 @@
     }
 
     /// Sets the conditions from `a` to `b` and from `b` to `a`, on the connections that either of them opens.
-    pub fn set_link(&self, a: usize, b: usize, there: LinkCondition, back: LinkCondition) {
+    pub fn set_link(&self, a: usize, b: usize, a_to_b: LinkCondition, b_to_a: LinkCondition) {
         if let Some(link) = self.links.get(&(a, b)) {
-            link.set(there, back);
+            link.set(a_to_b, b_to_a);
         }
         if let Some(link) = self.links.get(&(b, a)) {
-            link.set(back, there);
+            link.set(b_to_a, a_to_b);
         }
     }
 
     /// Sets the conditions from one replica to all others, and from them back to it.
-    pub fn isolate(&self, n: usize, out: LinkCondition, back: LinkCondition) {
+    pub fn isolate(&self, n: usize, outbound: LinkCondition, inbound: LinkCondition) {
         for other in (0..self.replicas.len()).filter(|other| *other != n) {
-            self.set_link(n, other, out, back);
+            self.set_link(n, other, outbound, inbound);
         }
     }
 
--- a/fault-lab/src/rng.rs
+++ b/fault-lab/src/rng.rs
@@ -6,7 +6,7 @@
 /// Environment variable that overrides the seed, to replay an earlier run.
 pub const SEED_VARIABLE: &str = "LAB_SEED";
 
-/// The only source of randomness in a test run, so that a run can be replayed from its seed.
+/// The random number generator of a test or benchmark. The same seed replays the same choices.
 pub struct SeededRng {
     pub seed: u64,
     generator: StdRng,
--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -280,6 +280,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
+    /// Share of all requests, and of the capacity that the quotas divide.
     pub share: f64,
 }
 
