--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -7,12 +7,12 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_fault_lab::chance::Chance;
 use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
-use shaletrail_fault_lab::service::{pause, Service};
+use shaletrail_fault_lab::registry::{sleep_ms, RegistryCluster};
+use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -30,7 +30,7 @@
 /// A service, a guarded counter, and candidates that count on it.
 struct Play {
     runners: Vec<Runner>,
-    service: Service,
+    service: RegistryCluster,
     guarded: Guarded,
     lease_s: f64,
     between_ms: u64,
@@ -38,7 +38,7 @@
 
 impl Play {
     fn new(name: &str, replicas: usize, runners: usize, lease_s: f64, guard: bool, between_ms: u64) -> Play {
-        let service = Service::start(program(), name, replicas);
+        let service = RegistryCluster::start(program(), name, replicas);
         let guarded = Guarded::start(guard);
         let mut play = Play { runners: Vec::new(), service, guarded, lease_s, between_ms };
         for n in 0..runners {
@@ -150,7 +150,11 @@
     wait_for("its group has ended", || group(supervisor).is_empty().then_some(()));
     wait_for("counts on", || (play.guarded.accepted().len() > before + 3).then_some(()));
     // Cut off from all, in both ways, or in one: it ends its command by its own clock.
-    for (there, back) in [(Way::Cut, Way::Cut), (Way::Open, Way::Cut), (Way::Cut, Way::Open)] {
+    for (there, back) in [
+        (LinkCondition::Cut, LinkCondition::Cut),
+        (LinkCondition::Open, LinkCondition::Cut),
+        (LinkCondition::Cut, LinkCondition::Open),
+    ] {
         let n = play.holder();
         seen = seen.max(play.fence());
         play.goes_on("the holder counts");
@@ -161,8 +165,8 @@
     }
     // Cut off from the leader alone, it is heard through another replica.
     let (n, leader, fence) = (play.holder(), play.service.wait_for_leader(), play.fence());
-    play.runners[n].links[leader].set(Way::Cut, Way::Cut);
-    pause(3000);
+    play.runners[n].links[leader].set(LinkCondition::Cut, LinkCondition::Cut);
+    sleep_ms(3000);
     play.goes_on("the holder counts");
     if play.service.leader() == Some(leader) && play.fence() != fence {
         // On a busy machine a lease of a second may end all the same; never without a hand-over in order.
@@ -173,11 +177,11 @@
     play.goes_on("the holder counts");
     let (n, leader) = (play.holder(), play.service.wait_for_leader());
     seen = play.fence();
-    play.service.isolate(leader, Way::Cut, Way::Cut);
+    play.service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut);
     for (m, runner) in play.runners.iter().enumerate() {
         for (replica, link) in runner.links.iter().enumerate() {
             if (m == n) != (replica == leader) {
-                link.set(Way::Cut, Way::Cut);
+                link.set(LinkCondition::Cut, LinkCondition::Cut);
             }
         }
     }
@@ -250,7 +254,7 @@
         let fence = play.show().map_or(0, |duty| duty["fence"].as_u64().unwrap_or(0));
         play.runners.iter_mut().for_each(|runner| runner.process.kill());
         play.runners = vec![play.runner(2 * n), play.runner(2 * n + 1)];
-        pause(20 * n as u64);
+        sleep_ms(20 * n as u64);
         play.service.kill(leader);
         let next = play.counted_after(fence);
         assert!(next > fence);
@@ -263,7 +267,7 @@
     let fence = play.fence();
     wait_for("nobody holds", || play.line().is_empty().then_some(()));
     let lost = play.runner(7);
-    lost.links.iter().for_each(|link| link.set(Way::Open, Way::Cut));
+    lost.links.iter().for_each(|link| link.set(LinkCondition::Open, LinkCondition::Cut));
     play.runners = vec![lost];
     wait_for("granted without its knowing", || (play.fence() > fence).then_some(()));
     play.runners[0].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
@@ -278,8 +282,8 @@
     // An hour forth and back, at all replicas, the leader's labels among them.
     let fence = play.fence();
     for step in ["3600000", "-3600000", "0"] {
-        (0..3).for_each(|n| std::fs::write(play.service.wall(n), step).expect("a step"));
-        pause(1500);
+        (0..3).for_each(|n| std::fs::write(play.service.wall_clock_file(n), step).expect("a step"));
+        sleep_ms(1500);
         play.goes_on("counts whatever the wall clock shows");
     }
     assert_eq!(play.fence(), fence, "no lease ended by a clock that jumped");
@@ -365,7 +369,7 @@
 
 #[test]
 fn a_command_that_is_done_ends_the_duty_and_one_that_fails_is_tried_again_and_then_handed_on() {
-    let service = Service::start(program(), "commands", 1);
+    let service = RegistryCluster::start(program(), "commands", 1);
     let ops = service.ops()[0].to_string();
     let with = |args: &[&str], command: &str| {
         let begin = ["duty", "run", "job", "--registry", &ops, "--lease-s", "1"];
@@ -431,20 +435,20 @@
     play.runners = vec![play.runner(1)];
     let unknown = play.counted_after(1);
     play.service.kill(0);
-    let data = play.service.places[0].data.clone();
+    let data = play.service.replicas[0].data.clone();
     std::fs::rename(&data, play.service.folder.0.join("lost")).expect("moved");
     let out =
         run(&["registry", "restore", &backup.display().to_string(), "--data", &data.display().to_string()]);
     assert!(out.status.success(), "{}", said(&out));
     play.service.launch(0);
-    play.service.ready(0);
+    play.service.wait_until_ready(0);
     let restored = Instant::now();
     let out = run(&["duty", "list", "--registry", &ops[0].to_string()]);
     assert!(said(&out).contains("RESTORED FROM A BACKUP"), "{}", said(&out));
     let end = Instant::now() + Duration::from_secs(120);
     while play.guarded.newest() <= unknown {
         assert!(Instant::now() < end, "granted again after the longest lease: {:?}", play.show());
-        pause(100);
+        sleep_ms(100);
     }
     let (newest, first) = (play.guarded.newest(), play.guarded.newest());
     let granted = play.guarded.calls(first).expect("it called").0;
@@ -455,7 +459,7 @@
 
 #[test]
 fn keepers_take_backups_one_at_a_time_and_let_only_those_expire_that_are_gone() {
-    let service = Service::start(program(), "keepers", 3);
+    let service = RegistryCluster::start(program(), "keepers", 3);
     let ops = service.ops();
     let addrs: Vec<String> = ops.iter().map(ToString::to_string).collect();
     let folder = service.folder.0.join("backups");
@@ -492,7 +496,7 @@
     assert!(out.status.success(), "{}", said(&out));
     // Servers that answer while their agents are silent stay; those that are gone go, with a keeper's word.
     let there = Guarded::start(true);
-    let gone = shaletrail_fault_lab::service::free();
+    let gone = shaletrail_fault_lab::registry::free_addr();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
         if let Some(lease) = lease {
@@ -562,7 +566,7 @@
     Fault::StepClocks,
 ];
 
-fn inject(play: &mut Play, fault: Fault, chance: &mut Chance) {
+fn inject(play: &mut Play, fault: Fault, rng: &mut SeededRng) {
     let n = play.holder();
     let leader = play.service.wait_for_leader();
     let links =
@@ -579,21 +583,21 @@
             play.runners[n].process.signal("STOP");
             play.runners[n].signal_group("STOP");
         }
-        Fault::CutHolder => links(play, Way::Cut, Way::Cut),
-        Fault::DeafHolder => links(play, Way::Open, Way::Cut),
-        Fault::MuteHolder => links(play, Way::Cut, Way::Open),
+        Fault::CutHolder => links(play, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafHolder => links(play, LinkCondition::Open, LinkCondition::Cut),
+        Fault::MuteHolder => links(play, LinkCondition::Cut, LinkCondition::Open),
         Fault::SlowHolder => {
-            let ms = 50 + chance.below(300) as u64;
-            links(play, Way::Slow(ms), Way::Slow(ms));
+            let ms = 50 + rng.below(300) as u64;
+            links(play, LinkCondition::Slow(ms), LinkCondition::Slow(ms));
         }
         Fault::LossyHolder => {
-            let one_in = 2 + chance.below(6) as u64;
-            links(play, Way::Lossy(one_in), Way::Lossy(one_in));
+            let one_in = 2 + rng.below(6) as u64;
+            links(play, LinkCondition::Lossy(one_in), LinkCondition::Lossy(one_in));
         }
         Fault::KillLeader => play.service.kill(leader),
         Fault::StopLeader => play.service.process(leader).signal("STOP"),
-        Fault::CutLeader => play.service.isolate(leader, Way::Cut, Way::Cut),
-        Fault::DeafLeader => play.service.isolate(leader, Way::Open, Way::Cut),
+        Fault::CutLeader => play.service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafLeader => play.service.isolate(leader, LinkCondition::Open, LinkCondition::Cut),
         Fault::KillRegistry => (0..3).for_each(|n| play.service.kill(n)),
         Fault::Transfer => {
             let ops = play.service.ops();
@@ -601,8 +605,8 @@
         }
         Fault::StepClocks => {
             for n in 0..3 {
-                let step = (chance.below(7_200_000) as i64 - 3_600_000).to_string();
-                std::fs::write(play.service.wall(n), step).expect("a step");
+                let step = (rng.below(7_200_000) as i64 - 3_600_000).to_string();
+                std::fs::write(play.service.wall_clock_file(n), step).expect("a step");
             }
         }
     }
@@ -611,30 +615,30 @@
 /// Random faults for so long, or each fault once; `LAB_MINUTES` asks for longer.
 #[test]
 fn whatever_fails_the_counter_misses_no_step_and_repeats_none() {
-    let mut chance = Chance::new("duties", 8201);
+    let mut rng = SeededRng::new("duties", 8201);
     let mut play = Play::new("faults", 3, 4, 1.0, true, 2);
     let minutes = std::env::var("LAB_MINUTES").ok().and_then(|text| text.parse::<f64>().ok());
     let end = minutes.map(|minutes| Instant::now() + Duration::from_secs_f64(minutes * 60.0));
     let mut left = FAULTS.to_vec();
     let mut played = 0;
     while !left.is_empty() && end.is_none_or(|end| Instant::now() < end) {
-        let fault = left.swap_remove(chance.below(left.len()));
+        let fault = left.swap_remove(rng.below(left.len()));
         if left.is_empty() && end.is_some() {
             left = FAULTS.to_vec();
         }
         let before = play.fence();
-        inject(&mut play, fault, &mut chance);
+        inject(&mut play, fault, &mut rng);
         // A second one into the first, now and then.
-        if chance.below(3) == 0 {
-            let second = [Fault::KillLeader, Fault::StopHolder, Fault::Transfer][chance.below(3)];
+        if rng.below(3) == 0 {
+            let second = [Fault::KillLeader, Fault::StopHolder, Fault::Transfer][rng.below(3)];
             if play.service.leader().is_some() && play.show().is_some_and(|duty| duty["holder"].is_string()) {
                 println!("{fault:?} and {second:?}");
-                inject(&mut play, second, &mut chance);
+                inject(&mut play, second, &mut rng);
             }
         } else {
             println!("{fault:?}");
         }
-        pause(200 + chance.below(2500) as u64);
+        sleep_ms(200 + rng.below(2500) as u64);
         play.service.heal();
         for n in 0..play.runners.len() {
             play.runners[n].links.iter().for_each(shaletrail_fault_lab::link::Link::heal);
@@ -645,7 +649,7 @@
             play.runners[n].process.signal("CONT");
         }
         play.goes_on(&format!("the counter goes on after {fault:?}"));
-        play.judge(&format!("seed {}, {fault:?}", chance.seed));
+        play.judge(&format!("seed {}, {fault:?}", rng.seed));
         assert!(play.fence() >= before, "fencing numbers only grow");
         played += 1;
     }
@@ -664,7 +668,7 @@
 #[test]
 fn a_line_of_200_is_no_herd() {
     const WAITERS: usize = 200;
-    let service = Service::start(program(), "herd", 1);
+    let service = RegistryCluster::start(program(), "herd", 1);
     let ops: SocketAddr = service.ops()[0];
     let calls =
         || get(ops, "/-/metrics").ok().and_then(|figures| figures["duty_calls"].as_u64()).expect("figures");
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use shaletrail_fault_lab::chance::Chance;
 use shaletrail_fault_lab::checker::check;
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, Observer, Writer};
 use shaletrail_fault_lab::process::wait_for;
-use shaletrail_fault_lab::service::{pause, Service};
+use shaletrail_fault_lab::registry::{sleep_ms, RegistryCluster};
+use shaletrail_fault_lab::rng::SeededRng;
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -51,40 +51,41 @@
     !matches!(fault, Fault::KillAll | Fault::SlowLinks | Fault::LossyLinks)
 }
 
-fn inject(service: &mut Service, fault: Fault, chance: &mut Chance) {
+fn inject(service: &mut RegistryCluster, fault: Fault, rng: &mut SeededRng) {
     let leader = service.wait_for_leader();
-    let follower = (leader + 1 + chance.below(service.places.len() - 1)) % service.places.len();
+    let follower = (leader + 1 + rng.below(service.replicas.len() - 1)) % service.replicas.len();
     match fault {
         Fault::KillLeader => service.kill(leader),
         Fault::KillFollower => service.kill(follower),
-        Fault::KillAll => (0..service.places.len()).for_each(|n| service.kill(n)),
+        Fault::KillAll => (0..service.replicas.len()).for_each(|n| service.kill(n)),
         Fault::StopLeader => service.process(leader).signal("STOP"),
         Fault::StopFollower => service.process(follower).signal("STOP"),
-        Fault::CutLeader => service.isolate(leader, Way::Cut, Way::Cut),
-        Fault::DeafLeader => service.isolate(leader, Way::Open, Way::Cut),
-        Fault::MuteLeader => service.isolate(leader, Way::Cut, Way::Open),
+        Fault::CutLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
+        Fault::DeafLeader => service.isolate(leader, LinkCondition::Open, LinkCondition::Cut),
+        Fault::MuteLeader => service.isolate(leader, LinkCondition::Cut, LinkCondition::Open),
         Fault::SlowLinks => {
-            let ms = 10 + chance.below(60) as u64;
-            (0..service.places.len()).for_each(|n| service.isolate(n, Way::Slow(ms), Way::Slow(ms)));
+            let ms = 10 + rng.below(60) as u64;
+            (0..service.replicas.len())
+                .for_each(|n| service.isolate(n, LinkCondition::Slow(ms), LinkCondition::Slow(ms)));
         }
         Fault::LossyLinks => {
-            let one_in = 10 + chance.below(20) as u64;
-            (0..service.places.len())
-                .for_each(|n| service.isolate(n, Way::Lossy(one_in), Way::Lossy(one_in)));
+            let one_in = 10 + rng.below(20) as u64;
+            (0..service.replicas.len())
+                .for_each(|n| service.isolate(n, LinkCondition::Lossy(one_in), LinkCondition::Lossy(one_in)));
         }
         Fault::RollingRestart => {
-            for n in 0..service.places.len() {
+            for n in 0..service.replicas.len() {
                 service.process(n).signal("TERM");
                 wait_for("a replica ends on SIGTERM", || {
-                    service.places[n].process.as_mut().map(|p| p.exit())
+                    service.replicas[n].process.as_mut().map(|p| p.exit())
                 });
                 service.launch(n);
-                service.ready(n);
+                service.wait_until_ready(n);
             }
         }
         Fault::WipeFollower => {
             service.kill(follower);
-            std::fs::remove_dir_all(&service.places[follower].data).expect("its data can be removed");
+            std::fs::remove_dir_all(&service.replicas[follower].data).expect("its data can be removed");
             service.launch(follower);
         }
     }
@@ -92,8 +93,8 @@
 
 /// Plays the faults in an order drawn from the seed under changes, and lets the checkers judge.
 fn play(name: &str, replicas: usize, faults: &[Fault], seed: u64) {
-    let mut chance = Chance::new(name, seed);
-    let mut service = Service::start(program(), name, replicas);
+    let mut rng = SeededRng::new(name, seed);
+    let mut service = RegistryCluster::start(program(), name, replicas);
     let (ops, discovery) = (service.ops(), service.discovery());
     let writers: Vec<Writer> =
         (0..3).map(|n| Writer::start(&format!("w{n}"), ops.clone(), Duration::from_millis(15))).collect();
@@ -101,22 +102,22 @@
         .map(|n| {
             // One of them knows a single replica only.
             let known = if n == 3 { vec![discovery[0]] } else { discovery.clone() };
-            Observer::start(&format!("observer {n}"), known, chance.seed + n)
+            Observer::start(&format!("observer {n}"), known, rng.seed + n)
         })
         .collect();
     let mut left: Vec<Fault> = faults.to_vec();
     while !left.is_empty() {
-        let fault = left.swap_remove(chance.below(left.len()));
+        let fault = left.swap_remove(rng.below(left.len()));
         let before = Instant::now();
         println!("{fault:?}");
-        inject(&mut service, fault, &mut chance);
+        inject(&mut service, fault, &mut rng);
         if goes_on(fault) {
             let after = Instant::now();
             wait_for(&format!("a change is acknowledged in spite of {fault:?}"), || {
                 writers.iter().any(|writer| writer.since(after) > 0).then_some(())
             });
         }
-        pause(200 + chance.below(800) as u64);
+        sleep_ms(200 + rng.below(800) as u64);
         service.heal();
         let healed = Instant::now();
         wait_for("changes go on", || writers.iter().all(|writer| writer.since(healed) > 0).then_some(()));
@@ -126,9 +127,9 @@
     let last = acknowledged.iter().map(|ack| ack.version).max().expect("some changes held");
     let seen: Vec<_> = observers.into_iter().map(|observer| observer.end_at(last)).collect();
     let breaches = check(&seen, &acknowledged);
-    assert!(breaches.is_empty(), "seed {}: {breaches:#?}", chance.seed);
+    assert!(breaches.is_empty(), "seed {}: {breaches:#?}", rng.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
-    let whole = |n: usize| get(service.places[n].discovery, "/registry/instances").expect("a list");
+    let whole = |n: usize| get(service.replicas[n].discovery, "/registry/instances").expect("a list");
     let version = |list: &serde_json::Value| list["version"].as_u64();
     wait_for("all replicas tell the same list", || {
         let lists: Vec<_> = (0..replicas).map(whole).collect();
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -7,10 +7,10 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_fault_lab::link::Way;
+use shaletrail_fault_lab::link::LinkCondition;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
-use shaletrail_fault_lab::service::{free, pause, Service};
+use shaletrail_fault_lab::registry::{free_addr, sleep_ms, RegistryCluster};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_damaged_replica_names_the_file_and_is_rebuilt_from_the_others() {
-    let mut service = Service::start(program(), "damage", 3);
+    let mut service = RegistryCluster::start(program(), "damage", 3);
     let ops = service.ops();
     for n in 0..20 {
         add(&ops, &format!("s{n}"), 1);
@@ -92,30 +92,31 @@
                 .all(|n| {
                     service
                         .status(n)
-                        .is_some_and(|s| s["version"] == whole(service.places[0].discovery)["version"])
+                        .is_some_and(|s| s["version"] == whole(service.replicas[0].discovery)["version"])
                 })
                 .then_some(())
         });
         service.kill(victim);
-        let file = service.places[victim].data.join(name);
+        let file = service.replicas[victim].data.join(name);
         damage(&file, &how);
         add(&ops, "while:away?", round as u64 + 1);
         service.launch(victim);
-        service.ready(victim);
+        service.wait_until_ready(victim);
         let log = service.process(victim).log();
         assert!(log.contains(&format!("{}: damaged", file.display())), "round {round}: {log}");
         assert!(log.contains("rebuilt from the others"), "{log}");
-        let (rebuilt, other) = (service.places[victim].discovery, service.places[(victim + 1) % 3].discovery);
+        let (rebuilt, other) =
+            (service.replicas[victim].discovery, service.replicas[(victim + 1) % 3].discovery);
         wait_for("it tells the same list", || (whole(rebuilt) == whole(other)).then_some(()));
     }
 }
 
 #[test]
 fn alone_a_damaged_replica_says_so_and_does_not_start() {
-    let mut service = Service::start(program(), "alone", 1);
+    let mut service = RegistryCluster::start(program(), "alone", 1);
     add(&service.ops(), "s7", 1);
     service.kill(0);
-    let log = service.places[0].data.join("log.redb");
+    let log = service.replicas[0].data.join("log.redb");
     let at = record(&log);
     let whole_file = std::fs::read(&log).expect("the log");
     // Cut at many bytes, and with one bit of the record changed: never silently less than was acknowledged.
@@ -132,17 +133,17 @@
     }
     std::fs::write(&log, whole_file).expect("mended");
     service.launch(0);
-    service.ready(0);
-    assert_eq!(ids(&whole(service.places[0].discovery)), ["s7"]);
+    service.wait_until_ready(0);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)), ["s7"]);
 }
 
 #[test]
 fn a_full_disk_ends_changes_and_not_reading_and_nothing_acknowledged_is_lost() {
-    let mut service = Service::start(program(), "full", 1);
+    let mut service = RegistryCluster::start(program(), "full", 1);
     add(&service.ops(), "first", 1);
     service.kill(0);
     // The system's own limit on a file's size, in KiB: writes beyond it fail.
-    let size = std::fs::metadata(service.places[0].data.join("log.redb")).expect("the log").len() / 1024;
+    let size = std::fs::metadata(service.replicas[0].data.join("log.redb")).expect("the log").len() / 1024;
     let start = service.command(0);
     let words = std::iter::once(start.get_program()).chain(start.get_args());
     let words: Vec<_> = words.map(|word| format!("'{}'", word.to_string_lossy())).collect();
@@ -170,12 +171,12 @@
     assert_eq!(once(ops[0], "PUT", "/registry/instances/more", br#"{"addr":"127.0.0.1:1"}"#), (503, true));
     assert_eq!(once(ops[0], "GET", "/-/ready", b"").0, 503);
     assert!(process.log().contains("the log can't be written"), "{}", process.log());
-    let told = whole(service.places[0].discovery);
+    let told = whole(service.replicas[0].discovery);
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "reading goes on");
     drop(process);
     service.launch(0);
-    service.ready(0);
-    let told = whole(service.places[0].discovery);
+    service.wait_until_ready(0);
+    let told = whole(service.replicas[0].discovery);
     assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "all that was acknowledged is there");
     add(&ops, "after", 1);
 }
@@ -197,7 +198,7 @@
 
 #[test]
 fn a_cut_between_agents_and_registry_does_not_empty_the_list() {
-    let service = Service::start(program(), "leases", 3);
+    let service = RegistryCluster::start(program(), "leases", 3);
     let ops = service.ops();
     let lease = |id: &str, port: u16| json!({"addr": format!("127.0.0.1:{port}"), "lease_s": 2.0, "id": id});
     for n in 0..10 {
@@ -214,34 +215,34 @@
     // One of ten falls silent: it goes, and nobody else.
     let told = wait_for("one expires", || {
         renew(&[0, 1, 2, 3, 4, 5, 6, 7, 8]);
-        let told = whole(service.places[0].discovery);
+        let told = whole(service.replicas[0].discovery);
         (ids(&told).len() < 10).then_some(told)
     });
     assert_eq!(ids(&told), ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"]);
     // All fall silent: nobody goes, and it is said.
     let leader = wait_for("expiry stops", || (0..3).find(|n| figure(ops[*n], "expiry_held") == 9));
     assert!(service.process(leader).log().contains("EXPIRY STOPPED"));
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 9);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)).len(), 9);
     // An operator lets two of them go.
     let list = ops.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let out = run(&["registry", "confirm", "--most", "2", "--registry", &list]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    wait_for("two go", || (ids(&whole(service.places[0].discovery)).len() == 7).then_some(()));
-    pause(500);
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 7);
+    wait_for("two go", || (ids(&whole(service.replicas[0].discovery)).len() == 7).then_some(()));
+    sleep_ms(500);
+    assert_eq!(ids(&whole(service.replicas[0].discovery)).len(), 7);
 }
 
 #[test]
 fn an_agent_registers_its_server_while_it_answers_and_says_goodbye_for_it() {
-    let service = Service::start(program(), "agent", 1);
-    let (ops, discovery) = (service.ops(), service.places[0].discovery);
-    let server = free();
+    let service = RegistryCluster::start(program(), "agent", 1);
+    let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
+    let server = free_addr();
     let log = service.folder.0.join("agent.log");
     let mut command = Command::new(program());
     command.args(["agent", "--registry", &ops[0].to_string(), "--id", "s-1", "--addr", &server.to_string()]);
     command.args(["--lease-s", "1", "--drain-s", "0.3"]);
     let mut agent = Process::start(&mut command, &log);
-    pause(400);
+    sleep_ms(400);
     assert_eq!(once(discovery, "GET", "/registry/instances", b"").0, 503, "its server does not answer yet");
     let listener = std::net::TcpListener::bind(server).expect("the server's address");
     std::thread::spawn(move || {
@@ -259,8 +260,8 @@
     let mut service = service;
     service.kill(0);
     service.launch(0);
-    service.ready(0);
-    pause(2500);
+    service.wait_until_ready(0);
+    sleep_ms(2500);
     assert_eq!(ids(&whole(discovery)), ["s-1"]);
     let version = whole(discovery)["version"].as_u64().expect("a version");
     agent.signal("TERM");
@@ -274,8 +275,8 @@
 
 #[test]
 fn a_restored_list_goes_on_beyond_every_version_that_was_told() {
-    let mut service = Service::start(program(), "backup", 1);
-    let (ops, discovery) = (service.ops(), service.places[0].discovery);
+    let mut service = RegistryCluster::start(program(), "backup", 1);
+    let (ops, discovery) = (service.ops(), service.replicas[0].discovery);
     let observer = Observer::start("observer", vec![discovery], 1);
     add(&ops, "kept", 1);
     let file = service.folder.0.join("list.backup");
@@ -285,14 +286,14 @@
     let later = add(&ops, "after", 1);
     wait_for("the last version is told", || (observer.version() == later).then_some(()));
     service.kill(0);
-    let data = service.places[0].data.to_str().expect("a path").to_owned();
+    let data = service.replicas[0].data.to_str().expect("a path").to_owned();
     let refused = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
     assert_eq!(refused.status.code(), Some(1), "nothing is replaced");
     std::fs::remove_dir_all(&data).expect("lost");
     let restored = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
     assert!(restored.status.success(), "{}", String::from_utf8_lossy(&restored.stderr));
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     let list = whole(discovery);
     assert_eq!(ids(&list), ["kept"]);
     let version = list["version"].as_u64().expect("a version");
@@ -310,10 +311,11 @@
 
 #[test]
 fn replicas_join_and_are_removed_but_never_so_that_no_majority_is_left() {
-    let mut service = Service::start(program(), "members", 3);
+    let mut service = RegistryCluster::start(program(), "members", 3);
     let ops = service.ops();
     add(&ops, "s1", 1);
-    let (discovery, own_ops, replica) = (free().to_string(), free().to_string(), free().to_string());
+    let (discovery, own_ops, replica) =
+        (free_addr().to_string(), free_addr().to_string(), free_addr().to_string());
     let list = ops.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let data = service.folder.0.join("r4");
     let log = service.folder.0.join("r4.log");
@@ -329,7 +331,7 @@
     service.kill(0);
     // Of r2, r3 and r4 one is dead: without another no majority would answer.
     service.kill(2);
-    pause(2500);
+    sleep_ms(2500);
     let left = format!("{},{own_ops}", ops[1]);
     let refused = run(&["registry", "remove", "r2", "--registry", &left]);
     assert_eq!(refused.status.code(), Some(1));
@@ -347,7 +349,7 @@
 #[test]
 fn a_replica_far_behind_is_sent_a_snapshot_and_logs_stay_short() {
     let settings = "[registry]\nsnapshot_every = 50\nkeep_entries = 10\n";
-    let mut service = Service::start_with(program(), "snapshot", 3, settings);
+    let mut service = RegistryCluster::start_with(program(), "snapshot", 3, settings);
     let ops = service.ops();
     add(&ops, "s", 1);
     let leader = service.wait_for_leader();
@@ -358,17 +360,17 @@
         add(&ops, &format!("s{}", number % 40), number);
     }
     wait_for("a snapshot is taken", || (figure(ops[leader], "snapshot") > before + 300).then_some(()));
-    let data = service.places[away].data.join("snapshot");
+    let data = service.replicas[away].data.join("snapshot");
     let had = data.exists();
     service.launch(away);
-    service.ready(away);
+    service.wait_until_ready(away);
     assert!(data.exists() && !had, "the entries that it lacked are gone from the others' logs");
-    assert_eq!(whole(service.places[away].discovery), whole(service.places[leader].discovery));
+    assert_eq!(whole(service.replicas[away].discovery), whole(service.replicas[leader].discovery));
     // And all of it again from the disk.
-    let version = whole(service.places[leader].discovery)["version"].clone();
+    let version = whole(service.replicas[leader].discovery)["version"].clone();
     (0..3).for_each(|n| service.kill(n));
     service.heal();
-    assert_eq!(whole(service.places[away].discovery)["version"], version);
+    assert_eq!(whole(service.replicas[away].discovery)["version"], version);
 }
 
 // ---- Nodes ----------------------------------------------------------------------------------------------
@@ -381,7 +383,7 @@
 }
 
 fn start_node(folder: &Folder, name: &str, discovery: &[SocketAddr], known: &Value) -> (Process, SocketAddr) {
-    let ops = free();
+    let ops = free_addr();
     let settings = json!({
         "balancers": 1, "locality": "here", "membership-mode": "on_request", "round-s": 0.005,
         "weight-source": "off", "skus": ["box", "origin"],
@@ -408,7 +410,7 @@
 
 #[test]
 fn nodes_follow_the_list_through_failures_of_the_service() {
-    let mut service = Service::start(program(), "nodes", 3);
+    let mut service = RegistryCluster::start(program(), "nodes", 3);
     let (ops, discovery) = (service.ops(), service.discovery());
     for n in 0..3 {
         add(&ops, &format!("s{n}"), 1);
@@ -431,7 +433,7 @@
         match round {
             0 => service.kill(leader),
             1 => service.process(leader).signal("STOP"),
-            2 => service.isolate(leader, Way::Cut, Way::Cut),
+            2 => service.isolate(leader, LinkCondition::Cut, LinkCondition::Cut),
             _ => (0..3).for_each(|n| service.kill(n)),
         }
         if round < 3 {
@@ -451,8 +453,8 @@
 
 #[test]
 fn a_node_is_moved_to_another_service_in_the_middle_of_a_failover() {
-    let mut before = Service::start(program(), "before", 3);
-    let after = Service::start(program(), "after", 1);
+    let mut before = RegistryCluster::start(program(), "before", 3);
+    let after = RegistryCluster::start(program(), "after", 1);
     add(&before.ops(), "old", 1);
     // The other list is at lower versions, and is followed all the same.
     for number in 2..7 {
@@ -466,7 +468,7 @@
     }
     let leader = before.wait_for_leader();
     before.kill(leader);
-    before.isolate((leader + 1) % 3, Way::Cut, Way::Cut);
+    before.isolate((leader + 1) % 3, LinkCondition::Cut, LinkCondition::Cut);
     let file = before.folder.0.join("n0.json");
     let mut config: Value = serde_json::from_slice(&std::fs::read(&file).expect("read")).expect("JSON");
     config["discovery"] = json!(after.discovery()[0].to_string());
@@ -485,7 +487,7 @@
 /// Measured before: such a node never followed a change again.
 #[test]
 fn a_service_that_lost_its_data_ends_no_list_and_a_restored_one_is_followed() {
-    let mut service = Service::start(program(), "lost", 1);
+    let mut service = RegistryCluster::start(program(), "lost", 1);
     let (ops, discovery) = (service.ops(), service.discovery());
     let version = (0..5).map(|n| add(&ops, &format!("s{n}"), 1)).max();
     let (node, door) = start_node(&service.folder, "n0", &discovery, &Value::Null);
@@ -494,19 +496,19 @@
     let file = file.to_str().expect("a path").to_owned();
     assert!(run(&["registry", "backup", &file, "--registry", &ops[0].to_string()]).status.success());
     service.kill(0);
-    let data = service.places[0].data.clone();
+    let data = service.replicas[0].data.clone();
     std::fs::remove_dir_all(&data).expect("lost");
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     add(&ops, "new", 1);
     assert!(whole(discovery[0])["version"].as_u64() < version);
-    pause(3000);
+    sleep_ms(3000);
     assert_eq!(figure(door, "hosts_listed"), 5, "the last good list stands");
     service.kill(0);
     std::fs::remove_dir_all(&data).expect("cleared");
     assert!(run(&["registry", "restore", &file, "--data", data.to_str().expect("a path")]).status.success());
     service.launch(0);
-    service.ready(0);
+    service.wait_until_ready(0);
     add(&ops, "newer", 1);
     wait_for("it follows again", || (figure(door, "hosts_listed") == 6).then_some(()));
     drop(node);
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::chance::Chance;
+use crate::loopback::InMemoryRegistry;
 use crate::observer::numbered;
-use crate::party::PlainList;
-use crate::service::Service;
+use crate::registry::RegistryCluster;
+use crate::rng::SeededRng;
 
 /// How much is measured.
 #[derive(Clone, Debug, Serialize)]
@@ -90,7 +90,7 @@
 pub async fn registry(program: &Path, size: Size, seed: u64, say: impl Fn(&str)) -> Result<Report, Failed> {
     let mut forms = Vec::new();
     say("a plain list in memory");
-    let plain = PlainList::start().await?;
+    let plain = InMemoryRegistry::start().await?;
     forms.push(form("plain list in memory", vec![plain], vec![plain], &size, seed).await?);
     for replicas in [1, 3] {
         say(&format!("{replicas} replica(s): watchers and changes"));
@@ -119,12 +119,12 @@
 }
 
 /// The harness's processes are waited for by blocking.
-async fn start(program: &Path, replicas: usize) -> Result<Service, Failed> {
+async fn start(program: &Path, replicas: usize) -> Result<RegistryCluster, Failed> {
     let program = program.to_owned();
-    Ok(tokio::task::spawn_blocking(move || Service::start(&program, "bench", replicas)).await?)
+    Ok(tokio::task::spawn_blocking(move || RegistryCluster::start(&program, "bench", replicas)).await?)
 }
 
-async fn end(service: Service) -> Result<(), Failed> {
+async fn end(service: RegistryCluster) -> Result<(), Failed> {
     Ok(tokio::task::spawn_blocking(move || drop(service)).await?)
 }
 
@@ -195,7 +195,7 @@
     seed: u64,
 ) -> Result<Form, Failed> {
     let mut changes = Changes::new(ops.clone());
-    let mut chance = Chance::new(name, seed);
+    let mut rng = SeededRng::new(name, seed);
     for n in 0..size.servers {
         // Enough at once to be quick; each id once.
         if n % 64 == 0 {
@@ -237,7 +237,7 @@
     let (mut last, mut bytes) = (Vec::new(), 0);
     for number in 0..size.changes as u64 {
         let began = Instant::now();
-        let version = put(&mut changes, &format!("s{}", chance.below(size.servers)), number + 2).await?;
+        let version = put(&mut changes, &format!("s{}", rng.below(size.servers)), number + 2).await?;
         let mut reached = 0;
         while reached < size.watchers {
             let news = tokio::time::timeout(Duration::from_secs(30), heard.recv()).await?;
@@ -320,7 +320,7 @@
             service.kill(0);
             let began = Instant::now();
             service.launch(0);
-            service.ready(0);
+            service.wait_until_ready(0);
             (service, began.elapsed())
         })
         .await?;
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -9,12 +9,12 @@
 use shaletrail_registry_protocol::duty::Transfer;
 
 use crate::bench::{machine, Spread};
-use crate::chance::Chance;
 use crate::guarded::{Guarded, Runner};
-use crate::link::Way;
+use crate::link::LinkCondition;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
-use crate::service::Service;
+use crate::registry::RegistryCluster;
+use crate::rng::SeededRng;
 
 /// How much is measured.
 #[derive(Clone, Debug, Serialize)]
@@ -114,8 +114,8 @@
 }
 
 fn hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
-    let mut chance = Chance::new(cause.name(), size.seed);
-    let mut service = Service::start(program, "bench-duty", 3);
+    let mut rng = SeededRng::new(cause.name(), size.seed);
+    let mut service = RegistryCluster::start(program, "bench-duty", 3);
     let guarded = Guarded::start(true);
     let at = guarded.addr.to_string();
     let log = service.folder.0.join("runners.log");
@@ -141,7 +141,7 @@
         });
         fence = newest;
         // At whatever point of a renewal.
-        std::thread::sleep(Duration::from_millis(300 + chance.below(400) as u64));
+        std::thread::sleep(Duration::from_millis(300 + rng.below(400) as u64));
         let leader = service.wait_for_leader();
         let began = Instant::now();
         match cause {
@@ -157,7 +157,9 @@
             }
             Cause::Kill => runners[holder].process.kill(),
             Cause::Stop => runners[holder].process.signal("STOP"),
-            Cause::Cut => runners[holder].links.iter().for_each(|link| link.set(Way::Cut, Way::Cut)),
+            Cause::Cut => {
+                runners[holder].links.iter().for_each(|link| link.set(LinkCondition::Cut, LinkCondition::Cut))
+            }
             Cause::KillWithLeader => {
                 runners[holder].process.kill();
                 service.kill(leader);
@@ -182,7 +184,7 @@
 }
 
 fn count(program: &Path, duties: usize, candidates: usize, size: &Size) -> Calls {
-    let service = Service::start(program, "bench-calls", 3);
+    let service = RegistryCluster::start(program, "bench-calls", 3);
     let leader = service.wait_for_leader();
     let ops = service.ops();
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -20,13 +20,13 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::net::{message_delay, Dice};
-use crate::parties::{Book, Parties, FALL_MULTIPLE, FALL_S};
-use crate::party::{lock, serve};
+use crate::backends::{Backends, RunState, COLD_CRASH_MULTIPLE, COLD_CRASH_WINDOW_S};
+use crate::loopback::{lock, serve};
+use crate::net::{message_delay, SharedRng};
 use crate::plan::quota;
 use crate::process::{cpu_s, Folder, Process};
-use crate::scenario::{Effect, Scenario, What};
-use crate::service::{free, Service};
+use crate::registry::{free_addr, RegistryCluster};
+use crate::scenario::{Effect, FaultKind, Scenario};
 
 /// Nodes may send to a server for so long after they have been told that it leaves.
 pub const DRAIN_GRACE_S: f64 = 0.5;
@@ -71,8 +71,8 @@
 
 /// What the views share.
 pub struct Views {
-    book: Arc<Book>,
-    parties: Arc<Parties>,
+    run_state: Arc<RunState>,
+    backends: Arc<Backends>,
     replicas: Vec<SocketAddr>,
     node_zones: Vec<usize>,
     pub told: Mutex<Vec<Told>>,
@@ -84,7 +84,7 @@
 
 pub struct Fleet {
     pub nodes: Vec<Arc<Node>>,
-    pub service: Mutex<Service>,
+    pub service: Mutex<RegistryCluster>,
     pub views: Arc<Views>,
     program: PathBuf,
     pub folder: Folder,
@@ -98,19 +98,19 @@
     /// # Errors
     /// Where the system has no room.
     pub async fn start(
-        book: &Arc<Book>,
-        parties: &Arc<Parties>,
+        run_state: &Arc<RunState>,
+        backends: &Arc<Backends>,
         command: &Path,
         node: &Path,
     ) -> io::Result<Fleet> {
-        let scenario = &book.scenario;
+        let scenario = &run_state.scenario;
         let (program, replicas) = (command.to_owned(), scenario.fleet.replicas);
-        let service = tokio::task::spawn_blocking(move || Service::start(&program, "lab", replicas));
+        let service = tokio::task::spawn_blocking(move || RegistryCluster::start(&program, "lab", replicas));
         let service = service.await.map_err(io::Error::other)?;
         let zones = scenario.fleet.zones.len();
         let views = Arc::new(Views {
-            book: Arc::clone(book),
-            parties: Arc::clone(parties),
+            run_state: Arc::clone(run_state),
+            backends: Arc::clone(backends),
             replicas: service.discovery(),
             node_zones: (0..scenario.fleet.nodes).map(|n| n % zones).collect(),
             told: Mutex::default(),
@@ -118,18 +118,18 @@
             long_messages: AtomicUsize::new(0),
         });
         let folder = Folder::new("lab-nodes");
-        let upgrades = scenario.faults.iter().any(|fault| matches!(fault.what, What::UpgradeNodes {}));
+        let upgrades = scenario.faults.iter().any(|fault| matches!(fault.kind, FaultKind::UpgradeNodes {}));
         let mut nodes = Vec::new();
         for number in 0..scenario.fleet.nodes {
             let name = format!("n{number}");
-            let listen = free();
+            let listen = free_addr();
             let own = folder.0.join(&name);
             std::fs::create_dir_all(&own)?;
             nodes.push(Arc::new(Node {
                 number,
                 zone: number % zones,
                 listen,
-                ops: Mutex::new(free()),
+                ops: Mutex::new(free_addr()),
                 config: own.join("config.json"),
                 folder: own,
                 process: Mutex::default(),
@@ -220,7 +220,7 @@
         let of = |process: &Process| cpu_s(process.id()).unwrap_or(0.0);
         let nodes = self.nodes.iter().filter_map(|node| lock(&node.process).as_ref().map(of)).sum();
         let service = lock(&self.service);
-        let replicas = service.places.iter().filter_map(|place| place.process.as_ref().map(of)).sum();
+        let replicas = service.replicas.iter().filter_map(|replica| replica.process.as_ref().map(of)).sum();
         (nodes, replicas)
     }
 
@@ -229,7 +229,7 @@
     /// # Errors
     /// Where the new one does not get ready; the old one stays.
     pub async fn upgrade(&self, node: &Arc<Node>) -> io::Result<()> {
-        *lock(&node.ops) = free();
+        *lock(&node.ops) = free_addr();
         let door = *lock(&node.ops);
         let new = self.spawn(node)?;
         ready(door, "/-/ready").await?;
@@ -327,9 +327,9 @@
     /// A replica's answer, with the addresses that this node's zone has.
     async fn forward(&self, node: usize, replica: usize, path: &str) -> Option<Response<Full<Bytes>>> {
         let zone = self.node_zones[node];
-        let zones = self.book.scenario.fleet.zones.len();
-        let mut link = self.parties.links().between(zone, replica % zones);
-        let open = |link: &crate::net::Link| !link.there.cut && !link.back.cut;
+        let zones = self.run_state.scenario.fleet.zones.len();
+        let mut link = self.backends.links().between(zone, replica % zones);
+        let open = |link: &crate::net::Link| !link.forward.cut && !link.reverse.cut;
         link.wait_for(open).await.ok()?;
         let call = Call::get(path, LONGEST_LIST);
         let answer = Line::new(self.replicas[replica]).within(LONGEST_WATCH, call).await.ok()?;
@@ -337,21 +337,21 @@
             return None;
         }
         let mut list: List = serde_json::from_slice(&answer.body).ok()?;
-        let parties = self.parties.all();
+        let backends = self.backends.all();
         let known: HashMap<&str, usize> =
-            parties.iter().enumerate().map(|(n, party)| (party.id.as_str(), n)).collect();
+            backends.iter().enumerate().map(|(n, backend)| (backend.id.as_str(), n)).collect();
         link.wait_for(open).await.ok()?;
-        let at_s = self.book.now();
+        let at_s = self.run_state.elapsed_s();
         let mut told = Vec::new();
         for entry in &mut list.servers {
-            if entry.id == self.parties.origin.id {
-                entry.addr = self.parties.origin.addrs[zone];
+            if entry.id == self.backends.origin.id {
+                entry.addr = self.backends.origin.addrs[zone];
                 continue;
             }
-            let Some(party) = known.get(entry.id.as_str()).map(|n| &parties[*n]) else { continue };
-            entry.addr = party.addrs[zone];
+            let Some(backend) = known.get(entry.id.as_str()).map(|n| &backends[*n]) else { continue };
+            entry.addr = backend.addrs[zone];
             let leaves = entry.state != State::Active;
-            told.push(Told { node: node as u16, server: party.number, leaves, at_s });
+            told.push(Told { node: node as u16, server: backend.number, leaves, at_s });
         }
         lock(&self.told).extend(told);
         let mut versions = lock(&self.versions);
@@ -369,7 +369,7 @@
     nodes: &[Arc<Node>],
 ) -> io::Result<HashMap<usize, (SocketAddr, Vec<SocketAddr>, SocketAddr)>> {
     let any = || UdpSocket::bind("127.0.0.1:0");
-    let own: Vec<SocketAddr> = nodes.iter().map(|_| free()).collect();
+    let own: Vec<SocketAddr> = nodes.iter().map(|_| free_addr()).collect();
     // between[i][j]: where node i reaches node j; from it, j hears i's answers too.
     let mut between = Vec::new();
     for _ in nodes {
@@ -408,8 +408,8 @@
     socket: Arc<UdpSocket>,
     targets: Vec<(usize, Arc<UdpSocket>, SocketAddr)>,
 ) {
-    let loss = views.book.scenario.link.peer_loss;
-    let dice = Dice::new(zone as u64);
+    let loss = views.run_state.scenario.link.peer_loss;
+    let rng = SharedRng::new(zone as u64);
     let mut message = vec![0; LONGEST_MESSAGE];
     loop {
         let Ok((n, _)) = socket.recv_from(&mut message).await else {
@@ -421,8 +421,8 @@
             continue;
         }
         for (to, from, addr) in &targets {
-            let way = views.parties.links().now(zone, *to).there;
-            let Some(late) = message_delay(&way, loss, &dice) else { continue };
+            let way = views.backends.links().now(zone, *to).forward;
+            let Some(late) = message_delay(&way, loss, &rng) else { continue };
             let (from, addr, message) = (Arc::clone(from), *addr, message[..n].to_vec());
             let due = Instant::now() + late;
             tokio::spawn(async move {
@@ -458,7 +458,7 @@
         "goal": {"whole": 0.35, "worst-class": 0.4, "worst-tenant": 0.1, "worst-window": 0.15},
         "grades": scenario.classes.iter().map(grade).collect::<Vec<_>>(),
         "guarantees": {"ask-every-s": 10.0, "cold-from": server.cold_from, "drain-grace-s": DRAIN_GRACE_S,
-                       "fall-multiple": FALL_MULTIPLE, "fall-s": FALL_S,
+                       "fall-multiple": COLD_CRASH_MULTIPLE, "fall-s": COLD_CRASH_WINDOW_S,
                        "grace-to-answer-s": ANSWER_GRACE_S, "ramp-time-s": server.cold_s},
         "limits": {"cancel": true, "cpu-us-per-request": 0.0, "cpu-us-per-s": 400_000,
                    "dial-timeout-s": 0.12, "idle-close-s": 60.0, "max-attempts": 3, "max-open": 20_000,
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/judge.rs
@@ -5,10 +5,10 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::clients::{Answer, Try};
+use crate::backends::{AttemptOutcome, AttemptRecord, OverloadCrash, ORIGIN};
+use crate::clients::{Try, TryOutcome};
 use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
-use crate::parties::{End, Fall, Seen, ORIGIN};
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::scenario::{Effect, Scenario};
 
 /// All that was seen of one run. Times in seconds from its start, the lead included.
@@ -16,10 +16,10 @@
 pub struct Run {
     pub scenario: Scenario,
     pub seed: u64,
-    pub plan: Vec<Asked>,
+    pub plan: Vec<PlannedRequest>,
     pub tries: Vec<Try>,
-    pub seen: Vec<Seen>,
-    pub falls: Vec<Fall>,
+    pub seen: Vec<AttemptRecord>,
+    pub falls: Vec<OverloadCrash>,
     pub told: Vec<Told>,
     /// When each version of the list was first told.
     pub versions: Vec<(f64, u64)>,
@@ -41,7 +41,7 @@
 /// what they had used, are left out.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Cpu {
-    /// All emulated parties, clients and links.
+    /// All emulated backends, clients and links.
     pub lab: f64,
     pub nodes: f64,
     pub replicas: f64,
@@ -156,7 +156,7 @@
 
 /// How a request ended, its retries folded in.
 struct Ended {
-    answer: Answer,
+    answer: TryOutcome,
     after_s: f64,
     tries: u64,
 }
@@ -164,21 +164,21 @@
 fn ended(run: &Run) -> Vec<Option<Ended>> {
     let mut all: Vec<Option<Ended>> = run.plan.iter().map(|_| None).collect();
     let mut order: Vec<&Try> = run.tries.iter().collect();
-    order.sort_by_key(|one| (one.request, one.n));
+    order.sort_by_key(|one| (one.request, one.try_index));
     for one in order {
         let after_s = one.end_s - run.plan[one.request as usize].at_s;
-        let tries = u64::from(one.n) + 1;
-        all[one.request as usize] = Some(Ended { answer: one.answer, after_s, tries });
+        let tries = u64::from(one.try_index) + 1;
+        all[one.request as usize] = Some(Ended { answer: one.outcome, after_s, tries });
     }
     all
 }
 
 /// What a request earned, of 1.
-fn earned(scenario: &Scenario, asked: &Asked, ended: Option<&Ended>) -> f64 {
+fn earned(scenario: &Scenario, asked: &PlannedRequest, ended: Option<&Ended>) -> f64 {
     let class = &scenario.classes[asked.class as usize];
     match ended {
-        Some(e) if e.answer == Answer::Served && e.after_s <= class.wanted_ms / 1e3 => 1.0,
-        Some(e) if e.answer == Answer::Served && e.after_s <= class.give_up_ms / 1e3 => class.late_worth,
+        Some(e) if e.answer == TryOutcome::Served && e.after_s <= class.wanted_ms / 1e3 => 1.0,
+        Some(e) if e.answer == TryOutcome::Served && e.after_s <= class.give_up_ms / 1e3 => class.late_worth,
         _ => 0.0,
     }
 }
@@ -193,8 +193,8 @@
 /// One final answer each, whole and made for the request.
 fn lost(run: &Run) -> u64 {
     let broken = |one: &&Try| {
-        one.answer == Answer::Foreign
-            || one.answer == Answer::Broken && !away(run, one.node, one.sent_s, one.end_s)
+        one.outcome == TryOutcome::WrongBody
+            || one.outcome == TryOutcome::ConnectionLost && !away(run, one.node, one.sent_s, one.end_s)
     };
     run.tries.iter().filter(broken).count() as u64
 }
@@ -203,8 +203,8 @@
 fn late(run: &Run) -> u64 {
     let most = ANSWER_GRACE_S + SOCKET_GRACE_S + OWN_S;
     let late = |one: &&Try| {
-        let over = one.answer == Answer::None || one.end_s > one.give_up_s + most;
-        over && one.answer != Answer::Unreachable && !away(run, one.node, one.sent_s, one.end_s)
+        let over = one.outcome == TryOutcome::TimedOut || one.end_s > one.deadline_s + most;
+        over && one.outcome != TryOutcome::Unreachable && !away(run, one.node, one.sent_s, one.end_s)
     };
     run.tries.iter().filter(late).count() as u64
 }
@@ -218,8 +218,11 @@
         let class = &run.scenario.classes[run.plan[*number as usize].class as usize];
         let counts = match class.effect {
             Effect::Free => false,
-            Effect::Guarded => seen.end == End::Served,
-            Effect::SingleShot => matches!(seen.end, End::Served | End::Error | End::GivenUp),
+            Effect::Guarded => seen.outcome == AttemptOutcome::Served,
+            Effect::SingleShot => matches!(
+                seen.outcome,
+                AttemptOutcome::Served | AttemptOutcome::Error | AttemptOutcome::Aborted
+            ),
         };
         if counts {
             *ran.entry(*number).or_default() += 1;
@@ -236,7 +239,7 @@
         told.entry((one.node, one.server)).or_default().push((one.at_s, one.leaves));
     }
     let most = DRAIN_GRACE_S + SOCKET_GRACE_S + OWN_S;
-    let late = |seen: &&Seen| {
+    let late = |seen: &&AttemptRecord| {
         let Some(told) = node.get(&seen.id).and_then(|node| told.get(&(*node, seen.server))) else {
             return false;
         };
@@ -254,8 +257,8 @@
 /// Stops of the origin that came of misses at cold servers.
 fn origin_by_cold(run: &Run) -> u64 {
     let cold: HashMap<u64, bool> =
-        run.seen.iter().filter(|s| s.end == End::Miss).map(|s| (s.id, s.cold)).collect();
-    let by_cold = |fall: &&Fall| {
+        run.seen.iter().filter(|s| s.outcome == AttemptOutcome::Miss).map(|s| (s.id, s.cold)).collect();
+    let by_cold = |fall: &&OverloadCrash| {
         let window = fall.at_s - run.scenario.origin.fall_s..=fall.at_s;
         let load = run.seen.iter().filter(|s| s.server == ORIGIN && window.contains(&s.at_s));
         let (all, of_cold) = load.fold((0, 0), |(all, of_cold), seen| {
@@ -384,18 +387,18 @@
         }
         requests += 1;
         tries += ended.as_ref().map_or(0, |e| e.tries);
-        let answer = ended.as_ref().map_or(Answer::None, |e| e.answer);
+        let answer = ended.as_ref().map_or(TryOutcome::TimedOut, |e| e.answer);
         let zone = &scenario.fleet.zones[usize::from(asked.zone)];
         for name in ["all".to_owned(), format!("class {}", class.name), format!("zone {zone}")] {
             let count = &mut per_s.entry(name).or_insert_with(|| vec![Count::default(); seconds])[second];
             count.asked += 1;
             match answer {
-                Answer::Served => count.served += 1,
-                Answer::Refused => count.refused += 1,
+                TryOutcome::Served => count.served += 1,
+                TryOutcome::Refused => count.refused += 1,
                 _ => count.failed += 1,
             }
         }
-        if let (Answer::Served, Some(ended)) = (answer, ended) {
+        if let (TryOutcome::Served, Some(ended)) = (answer, ended) {
             times.entry(class.name.clone()).or_default().push(ended.after_s);
             times.entry("all".to_owned()).or_default().push(ended.after_s);
         }
@@ -415,16 +418,16 @@
     let served: Vec<f64> =
         per_s.get("all").map(|all| all.iter().map(Count::share).collect()).unwrap_or_default();
 
-    let judged = |seen: &&Seen| second(seen.at_s).is_some();
-    let seen: Vec<&Seen> = run.seen.iter().filter(judged).collect();
+    let judged = |seen: &&AttemptRecord| second(seen.at_s).is_some();
+    let seen: Vec<&AttemptRecord> = run.seen.iter().filter(judged).collect();
     let (mut attempts_per_s, mut origin_per_s) = (vec![0; seconds], vec![0; seconds]);
     let mut zone_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     let (mut crossings, mut hits, mut misses, mut fetches) = (0, 0_u64, 0_u64, 0);
     for seen in &seen {
         let Some(second) = second(seen.at_s) else { continue };
         attempts_per_s[second] += 1;
-        hits += u64::from(seen.end == End::Hit);
-        misses += u64::from(seen.end == End::Miss && !seen.write);
+        hits += u64::from(seen.outcome == AttemptOutcome::Hit);
+        misses += u64::from(seen.outcome == AttemptOutcome::Miss && !seen.write);
         if seen.server == ORIGIN {
             fetches += u64::from(!seen.write);
             origin_per_s[second] += u64::from(!seen.write);
@@ -532,7 +535,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::clients::Answer;
+    use crate::clients::TryOutcome;
 
     /// Two nodes, two servers, one request of each class a tenth of a second, all served at once.
     fn good() -> Run {
@@ -559,7 +562,7 @@
         for n in 0..480_u32 {
             let (class, at_s) = ((n % 4) as u8, 1.0 + f64::from(n / 4) * 0.1);
             let write = class > 1;
-            run.plan.push(Asked {
+            run.plan.push(PlannedRequest {
                 at_s,
                 zone: 0,
                 class,
@@ -569,11 +572,29 @@
                 hint_us: 70_000,
                 over_share: false,
             });
-            let (id, node, answer) = (u64::from(n), (n % 2) as u16, Answer::Served);
-            let (give_up_s, end_s) = (at_s + 0.5, at_s + 0.1);
-            run.tries.push(Try { request: n, id, n: 0, node, sent_s: at_s, give_up_s, end_s, answer });
-            let (server, end) = if write { (ORIGIN, End::Served) } else { ((n % 2) as u16, End::Hit) };
-            run.seen.push(Seen { at_s: at_s + 0.01, server, id, zone: 0, write, cold: false, end });
+            let (id, node, outcome) = (u64::from(n), (n % 2) as u16, TryOutcome::Served);
+            let (deadline_s, end_s) = (at_s + 0.5, at_s + 0.1);
+            run.tries.push(Try {
+                request: n,
+                id,
+                try_index: 0,
+                node,
+                sent_s: at_s,
+                deadline_s,
+                end_s,
+                outcome,
+            });
+            let (server, outcome) =
+                if write { (ORIGIN, AttemptOutcome::Served) } else { ((n % 2) as u16, AttemptOutcome::Hit) };
+            run.seen.push(AttemptRecord {
+                at_s: at_s + 0.01,
+                server,
+                id,
+                zone: 0,
+                write,
+                cold: false,
+                outcome,
+            });
         }
         run
     }
@@ -598,30 +619,40 @@
 
     #[test]
     fn each_planted_violation_is_caught_by_its_rule() {
-        planted("lost", |run| run.tries[7].answer = Answer::Broken);
-        planted("lost", |run| run.tries[7].answer = Answer::Foreign);
-        planted("late", |run| run.tries[7].end_s = run.tries[7].give_up_s + 0.11);
-        planted("late", |run| run.tries[7].answer = Answer::None);
+        planted("lost", |run| run.tries[7].outcome = TryOutcome::ConnectionLost);
+        planted("lost", |run| run.tries[7].outcome = TryOutcome::WrongBody);
+        planted("late", |run| run.tries[7].end_s = run.tries[7].deadline_s + 0.11);
+        planted("late", |run| run.tries[7].outcome = TryOutcome::TimedOut);
         // approval-number, sent again though the first may have run.
         planted("repeated_effect", |run| {
-            let again = Seen { end: End::GivenUp, at_s: run.seen[3].at_s + 0.1, ..run.seen[3] };
+            let again = AttemptRecord {
+                outcome: AttemptOutcome::Aborted,
+                at_s: run.seen[3].at_s + 0.1,
+                ..run.seen[3]
+            };
             run.seen.push(again);
         });
         // install-filing, carried out by two tries of one request.
         planted("repeated_effect", |run| {
-            run.tries.push(Try { id: 9_000, n: 1, ..run.tries[2] });
-            run.seen.push(Seen { id: 9_000, ..run.seen[2] });
+            run.tries.push(Try { id: 9_000, try_index: 1, ..run.tries[2] });
+            run.seen.push(AttemptRecord { id: 9_000, ..run.seen[2] });
         });
         planted("after_drain", |run| {
             run.told.push(Told { node: 0, server: 0, leaves: true, at_s: run.seen[476].at_s - 0.6 });
         });
-        planted("cold_pushed_over", |run| run.falls.push(Fall { at_s: 3.0, server: 1 }));
+        planted("cold_pushed_over", |run| run.falls.push(OverloadCrash { at_s: 3.0, server: 1 }));
         planted("origin_by_cold", |run| {
             for n in (2..40).step_by(4) {
-                let miss = Seen { server: 0, write: false, cold: true, end: End::Miss, ..run.seen[n] };
+                let miss = AttemptRecord {
+                    server: 0,
+                    write: false,
+                    cold: true,
+                    outcome: AttemptOutcome::Miss,
+                    ..run.seen[n]
+                };
                 run.seen.push(miss);
             }
-            run.falls.push(Fall { at_s: 2.0, server: ORIGIN });
+            run.falls.push(OverloadCrash { at_s: 2.0, server: ORIGIN });
         });
         planted("foreign_ids", |run| run.foreign_ids = 1);
         planted("long_messages", |run| run.long_messages = 1);
@@ -634,9 +665,9 @@
         // A node that was killed owes nothing; a repeat that the origin dropped had no effect; an attempt that was
         // turned away may be sent again; a server that came back may be sent to.
         run.away[1] = vec![(0.0, 2.0)];
-        run.tries[7].answer = Answer::Broken;
-        run.seen.push(Seen { end: End::Repeat, ..run.seen[2] });
-        run.seen.push(Seen { end: End::TurnedAway, ..run.seen[3] });
+        run.tries[7].outcome = TryOutcome::ConnectionLost;
+        run.seen.push(AttemptRecord { outcome: AttemptOutcome::Duplicate, ..run.seen[2] });
+        run.seen.push(AttemptRecord { outcome: AttemptOutcome::Rejected, ..run.seen[3] });
         run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
         run.told.push(Told { node: 0, server: 0, leaves: false, at_s: 1.2 });
         assert_eq!(judge(&run).rules.values().sum::<u64>(), 0);
@@ -653,14 +684,14 @@
         let mut run = good();
         for one in &mut run.tries {
             if (6.0..10.0).contains(&one.sent_s) {
-                one.answer = Answer::Refused;
+                one.outcome = TryOutcome::Refused;
             }
         }
         run.bands.push(Band { name: "f".to_owned(), from_s: 6.0, to_s: Some(8.0) });
         assert_eq!(judge(&run).recovery_s, Some(2.0));
         for one in &mut run.tries {
             if one.sent_s >= 10.0 {
-                one.answer = Answer::Failed;
+                one.outcome = TryOutcome::Failed;
             }
         }
         run.scenario.hold.recovery_s = Some(3.0);
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -1,11 +1,11 @@
-//! Processes of the fleet with faults between them. Everything is drawn from one seed, which is printed; checkers
-//! see only what clients saw.
+//! Runs the processes of the fleet and injects faults into them and into the links between them. All random choices
+//! come from one seed, which is printed. The checkers judge a run only by what its clients observed.
 
 #![deny(unsafe_code)]
 
+pub mod backends;
 pub mod bench;
 pub mod bench_duty;
-pub mod chance;
 pub mod checker;
 pub mod clients;
 pub mod experiment;
@@ -13,14 +13,14 @@
 pub mod guarded;
 pub mod judge;
 pub mod link;
+pub mod loopback;
 pub mod machine;
 pub mod net;
 pub mod observer;
 pub mod orchestrator;
-pub mod parties;
-pub mod party;
 pub mod plan;
 pub mod process;
+pub mod registry;
 pub mod report;
+pub mod rng;
 pub mod scenario;
-pub mod service;
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -21,15 +21,15 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::clients::{Answer, Clients};
+use crate::backends::{AttemptOutcome, Backend, Backends, RunState, ORIGIN};
+use crate::clients::{Clients, TryOutcome};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
 use crate::judge::{Band, Cpu, Run};
-use crate::net::{at, Life, Links, Way};
-use crate::parties::{Book, End, Parties, Party, ORIGIN};
-use crate::party::lock;
-use crate::plan::draw;
+use crate::loopback::lock;
+use crate::net::{at, Impairments, Links, Liveness};
+use crate::plan::generate;
 use crate::process::{cpu_s, guard};
-use crate::scenario::{Fault, Scenario, What, Whom};
+use crate::scenario::{Fault, FaultKind, Scenario, Target};
 
 /// The programs that are run.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 /// A way's breaking, in a zone whose connections are reset.
 const RESETS_MS: u64 = 300;
 
-/// Tells the agents of one party: go on, say goodbye, or be gone at once.
+/// Tells the agents of one backend: go on, say goodbye, or be gone at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Agent {
     On,
@@ -54,8 +54,8 @@
 }
 
 struct Orchestrator {
-    book: Arc<Book>,
-    parties: Arc<Parties>,
+    run_state: Arc<RunState>,
+    backends: Arc<Backends>,
     fleet: Arc<Fleet>,
     clients: Arc<Clients>,
     programs: Programs,
@@ -93,9 +93,9 @@
     /// Where the fleet does not start.
     pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<Standing> {
         let orchestrator = Orchestrator::start(scenario, scenario.seed, programs).await?;
-        orchestrator.book.open.store(true, Ordering::Relaxed);
-        orchestrator.book.leading.store(false, Ordering::Relaxed);
-        orchestrator.book.begin();
+        orchestrator.run_state.accepts_outside_clients.store(true, Ordering::Relaxed);
+        orchestrator.run_state.warming_up.store(false, Ordering::Relaxed);
+        orchestrator.run_state.start_clock();
         let clients = Arc::clone(&orchestrator.clients);
         tokio::spawn(async move { clients.run(|_| {}).await });
         Ok(Standing { orchestrator })
@@ -113,24 +113,26 @@
 
     /// The cache servers and the origin.
     pub fn servers(&self) -> Vec<(String, SocketAddr)> {
-        let mut all = self.orchestrator.parties.all();
-        all.push(Arc::clone(&self.orchestrator.parties.origin));
-        all.iter().map(|party| (party.id.clone(), party.addrs[party.zone])).collect()
+        let mut all = self.orchestrator.backends.all();
+        all.push(Arc::clone(&self.orchestrator.backends.origin));
+        all.iter().map(|backend| (backend.id.clone(), backend.addrs[backend.zone])).collect()
     }
 
     /// Figures since the last call.
     pub fn live(&self) -> Live {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
-        let seen = std::mem::take(&mut *lock(&self.orchestrator.book.seen));
+        let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.attempts));
         lock(&self.orchestrator.fleet.views.told).clear();
-        let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
-        let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
+        let ends = |outcome: AttemptOutcome| {
+            seen.iter().filter(|seen| seen.outcome == outcome && !seen.write).count()
+        };
+        let answers = |outcome: TryOutcome| tries.iter().filter(|one| one.outcome == outcome).count();
         Live {
             asked: tries.len(),
-            served: answers(Answer::Served),
-            refused: answers(Answer::Refused),
-            hits: ends(End::Hit),
-            misses: ends(End::Miss),
+            served: answers(TryOutcome::Served),
+            refused: answers(TryOutcome::Refused),
+            hits: ends(AttemptOutcome::Hit),
+            misses: ends(AttemptOutcome::Miss),
             fetches: seen.iter().filter(|seen| seen.server == ORIGIN).count(),
         }
     }
@@ -148,14 +150,14 @@
 ) -> io::Result<Run> {
     scenario.seed = seed;
     let orchestrator = Orchestrator::start(&scenario, seed, programs).await?;
-    let Orchestrator { book, clients, .. } = &*orchestrator;
-    let begin = book.begin();
+    let Orchestrator { run_state, clients, .. } = &*orchestrator;
+    let begin = run_state.start_clock();
     let used = orchestrator.cpu_s();
     let lead = {
-        let (book, lead) = (Arc::clone(book), scenario.lead_s);
+        let (run_state, lead) = (Arc::clone(run_state), scenario.lead_s);
         tokio::spawn(async move {
             sleep_until(at(begin, lead)).await;
-            book.leading.store(false, Ordering::Relaxed);
+            run_state.warming_up.store(false, Ordering::Relaxed);
         })
     };
     let mut playing = Vec::new();
@@ -179,22 +181,22 @@
 }
 
 impl Orchestrator {
-    /// Starts all parties and processes, and waits until every node is ready.
+    /// Starts all backends and processes, and waits until every node is ready.
     async fn start(scenario: &Scenario, seed: u64, programs: &Programs) -> io::Result<Arc<Orchestrator>> {
         let link = &scenario.link;
-        let way = |delay_ms| Way { delay_ms, jitter_ms: link.jitter_ms, ..Way::default() };
-        let same = Way { jitter_ms: 0.0, ..way(link.same_ms) };
+        let way = |delay_ms| Impairments { delay_ms, jitter_ms: link.jitter_ms, ..Impairments::default() };
+        let same = Impairments { jitter_ms: 0.0, ..way(link.same_ms) };
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
-        let plan = draw(scenario, seed);
+        let plan = generate(scenario, seed);
         // The run begins when the fleet is ready; everything reads the time from then on.
-        let book = Arc::new(Book::new(scenario.clone(), plan));
-        let parties = Parties::new(Arc::clone(&book), links, seed);
-        let fleet = Arc::new(Fleet::start(&book, &parties, &programs.command, &programs.node).await?);
-        let clients = Clients::new(Arc::clone(&book), fleet.nodes.clone(), seed);
+        let run_state = Arc::new(RunState::new(scenario.clone(), plan));
+        let backends = Backends::new(Arc::clone(&run_state), links, seed);
+        let fleet = Arc::new(Fleet::start(&run_state, &backends, &programs.command, &programs.node).await?);
+        let clients = Clients::new(Arc::clone(&run_state), fleet.nodes.clone(), seed);
         let ops = lock(&fleet.service).ops();
         let orchestrator = Arc::new(Orchestrator {
-            book: Arc::clone(&book),
-            parties: Arc::clone(&parties),
+            run_state: Arc::clone(&run_state),
+            backends: Arc::clone(&backends),
             fleet: Arc::clone(&fleet),
             clients: Arc::clone(&clients),
             programs: programs.clone(),
@@ -202,11 +204,11 @@
             agents: Mutex::default(),
             seed,
         });
-        parties.open(&parties.origin);
-        orchestrator.list(&parties.origin);
+        backends.open(&backends.origin);
+        orchestrator.list(&backends.origin);
         for n in 0..scenario.fleet.servers {
-            let party = parties.add(format!("cache-{n}"), n, 0, true);
-            orchestrator.list(&party);
+            let backend = backends.add(format!("cache-{n}"), n, 0, true);
+            orchestrator.list(&backend);
         }
         orchestrator.wait_for_list(scenario.fleet.servers + 1).await?;
         fleet.start_nodes().await?;
@@ -228,23 +230,23 @@
 
     /// All that was seen.
     fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
-        let Orchestrator { book, parties, fleet, clients, seed, .. } = self;
-        let zones: Vec<u8> = parties.all().iter().map(|party| party.zone as u8).collect();
+        let Orchestrator { run_state, backends, fleet, clients, seed, .. } = self;
+        let zones: Vec<u8> = backends.all().iter().map(|backend| backend.zone as u8).collect();
         let take = |away: &Mutex<Vec<(f64, f64)>>| lock(away).clone();
         let panics =
             fleet.logs().into_iter().filter(|(_, log)| log.contains("panicked")).map(|(name, _)| name);
         let mut crashed = fleet.crashed();
         crashed.extend(panics);
         Run {
-            scenario: book.scenario.clone(),
+            scenario: run_state.scenario.clone(),
             seed: *seed,
-            plan: book.plan.clone(),
+            plan: run_state.plan.clone(),
             tries: std::mem::take(&mut lock(&clients.tries)),
-            seen: std::mem::take(&mut lock(&book.seen)),
-            falls: std::mem::take(&mut lock(&book.falls)),
+            seen: std::mem::take(&mut lock(&run_state.attempts)),
+            falls: std::mem::take(&mut lock(&run_state.overload_crashes)),
             told: std::mem::take(&mut lock(&fleet.views.told)),
             versions: std::mem::take(&mut lock(&fleet.views.versions)),
-            foreign_ids: book.foreign.load(Ordering::Relaxed) as u64,
+            foreign_ids: run_state.unknown_ids.load(Ordering::Relaxed) as u64,
             long_messages: fleet.views.long_messages.load(Ordering::Relaxed) as u64,
             away: fleet.nodes.iter().map(|node| take(&node.away)).collect(),
             crashed,
@@ -257,25 +259,25 @@
 
     // ---- Agents ------------------------------------------------------------------------------------------
 
-    /// Starts a party's agent.
-    fn list(self: &Arc<Self>, party: &Arc<Party>) {
-        let spec = &self.book.scenario;
-        let kind = if party.id == self.parties.origin.id { "origin" } else { "box" };
-        let addr = party.addrs[party.zone];
+    /// Starts a backend's agent.
+    fn list(self: &Arc<Self>, backend: &Arc<Backend>) {
+        let spec = &self.run_state.scenario;
+        let kind = if backend.id == self.backends.origin.id { "origin" } else { "box" };
+        let addr = backend.addrs[backend.zone];
         let entry = Entry {
-            id: party.id.clone(),
+            id: backend.id.clone(),
             addr,
-            zone: spec.fleet.zones[party.zone].clone(),
+            zone: spec.fleet.zones[backend.zone].clone(),
             kind: kind.to_owned(),
             cell: 0,
             state: State::Active,
             weight: 1.0,
-            started_ms: party.started_ms.load(Ordering::Relaxed),
+            started_ms: backend.started_ms.load(Ordering::Relaxed),
         };
         let lease = Duration::from_secs_f64(spec.fleet.lease_s);
         let drain = Duration::from_secs_f64(spec.servers.drain_s);
         let (tell, mut told) = watch::channel(Agent::On);
-        lock(&self.agents).insert(party.id.clone(), tell);
+        lock(&self.agents).insert(backend.id.clone(), tell);
         if spec.fleet.agent_processes {
             let started = self.start_agent(&entry);
             tokio::spawn(async move {
@@ -296,7 +298,7 @@
             });
             return;
         }
-        let (ops, id) = (self.ops.clone(), party.id.clone());
+        let (ops, id) = (self.ops.clone(), backend.id.clone());
         tokio::spawn(async move {
             let duty = Duty { entry, lease, drain, check: addr };
             let mut stop = told.clone();
@@ -317,7 +319,7 @@
 
     fn start_agent(&self, entry: &Entry) -> io::Result<Child> {
         let list: Vec<String> = self.ops.iter().map(ToString::to_string).collect();
-        let spec = &self.book.scenario;
+        let spec = &self.run_state.scenario;
         let mut command = Command::new(&self.programs.command);
         command.args(["agent", "--registry", &list.join(","), "--id", &entry.id]);
         command.args(["--addr", &entry.addr.to_string(), "--zone", &entry.zone, "--kind", &entry.kind]);
@@ -357,7 +359,7 @@
     /// Those of `0..count` that are meant, the same ones each time for the same fault.
     fn struck(
         &self,
-        whom: &Whom,
+        whom: &Target,
         fault: usize,
         count: usize,
         zone: impl Fn(usize) -> usize,
@@ -365,61 +367,61 @@
     ) -> Vec<usize> {
         let all = 0..count;
         match whom {
-            Whom::All => all.collect(),
-            Whom::Zone(name) => {
+            Target::All => all.collect(),
+            Target::Zone(name) => {
                 let wanted = self.zone(name);
                 all.filter(|n| zone(*n) == wanted).collect()
             }
-            Whom::Share(share) => {
+            Target::Share(share) => {
                 let mut order: Vec<usize> = all.collect();
                 order.shuffle(&mut StdRng::seed_from_u64(self.seed ^ (fault as u64 + 1)));
                 order.truncate((count as f64 * share).round() as usize);
                 order
             }
-            Whom::Count(n) => all.take(*n).collect(),
-            Whom::Name(name) => {
+            Target::Count(n) => all.take(*n).collect(),
+            Target::Name(name) => {
                 let digits = name.trim_start_matches(|c: char| !c.is_ascii_digit());
                 digits.parse::<usize>().ok().and_then(|n| n.checked_sub(first)).into_iter().collect()
             }
         }
     }
 
-    fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Party>> {
-        let all = self.parties.all();
-        let count = self.book.scenario.fleet.servers;
+    fn servers(&self, whom: &Target, fault: usize) -> Vec<Arc<Backend>> {
+        let all = self.backends.all();
+        let count = self.run_state.scenario.fleet.servers;
         let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
-    fn nodes(&self, whom: &Whom, fault: usize) -> Vec<Arc<Node>> {
+    fn nodes(&self, whom: &Target, fault: usize) -> Vec<Arc<Node>> {
         let all = &self.fleet.nodes;
         let struck = self.struck(whom, fault, all.len(), |n| all[n].zone, 0);
         struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
-    fn replicas(&self, whom: &Whom, fault: usize) -> Vec<usize> {
-        let zones = self.book.scenario.fleet.zones.len();
+    fn replicas(&self, whom: &Target, fault: usize) -> Vec<usize> {
+        let zones = self.run_state.scenario.fleet.zones.len();
         self.struck(whom, fault, self.ops.len(), |n| n % zones, 1)
     }
 
     fn zone(&self, name: &str) -> usize {
-        self.book.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
+        self.run_state.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
     // ---- Faults ------------------------------------------------------------------------------------------
 
     /// Plays one fault and takes it back; when it was in force, in the run's time.
     async fn fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
-        let lead = self.book.scenario.lead_s;
-        sleep_until(at(self.book.start(), lead + fault.at_s)).await;
-        let from_s = self.book.now();
-        let name = format!("{:?}", fault.what);
+        let lead = self.run_state.scenario.lead_s;
+        sleep_until(at(self.run_state.started_at(), lead + fault.at_s)).await;
+        let from_s = self.run_state.elapsed_s();
+        let name = format!("{:?}", fault.kind);
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
-        if let What::Replace { share, batch } = fault.what {
+        if let FaultKind::Replace { share, batch } = fault.kind {
             self.replace(share, batch, fault.for_s.unwrap_or(0.0)).await;
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
-        if let What::UpgradeNodes {} = fault.what {
+        if let FaultKind::UpgradeNodes {} = fault.kind {
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
             for node in &self.fleet.nodes {
                 let next = Instant::now() + Duration::from_secs_f64(pause);
@@ -430,175 +432,184 @@
                 self.fleet.upgrade(node).await?;
                 sleep_until(next).await;
             }
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
-        self.strike(n, &fault.what).await?;
+        self.strike(n, &fault.kind).await?;
         let Some(length) = fault.for_s else {
-            let passes = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
-            return Ok(Band { name, from_s, to_s: passes.then(|| self.book.now()) });
+            let passes = matches!(fault.kind, FaultKind::ColdServers { .. } | FaultKind::MoveDiscovery {});
+            return Ok(Band { name, from_s, to_s: passes.then(|| self.run_state.elapsed_s()) });
         };
-        sleep_until(at(self.book.start(), lead + fault.at_s + length)).await;
-        self.take_back(n, &fault.what).await?;
-        Ok(Band { name, from_s, to_s: Some(self.book.now()) })
+        sleep_until(at(self.run_state.started_at(), lead + fault.at_s + length)).await;
+        self.take_back(n, &fault.kind).await?;
+        Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) })
     }
 
-    async fn strike(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
-        let cut = |way: Way| Way { cut: true, ..way };
-        let usual = |way: Way| way;
+    async fn strike(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
+        let cut = |way: Impairments| Impairments { cut: true, ..way };
+        let usual = |way: Impairments| way;
         match what {
-            What::KillServers { whom } => self.lose(&self.servers(whom, n), Life::Dead),
-            What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Life::Vanished),
-            What::PauseServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, true));
+            FaultKind::KillServers { whom } => self.lose(&self.servers(whom, n), Liveness::Dead),
+            FaultKind::SilenceServers { whom } => self.lose(&self.servers(whom, n), Liveness::Unreachable),
+            FaultKind::PauseServers { whom } => {
+                self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, true));
             }
-            What::SlowServers { whom, times } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.slow(party, *times));
+            FaultKind::SlowServers { whom, times } => {
+                self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, *times));
             }
-            What::ServerErrors { whom, share, class } => {
-                let classes = &self.book.scenario.classes;
+            FaultKind::ServerErrors { whom, share, class } => {
+                let classes = &self.run_state.scenario.classes;
                 let class = class.as_ref().and_then(|name| classes.iter().position(|c| c.name == *name));
                 let class = class.map(|n| n as u8);
-                self.servers(whom, n).iter().for_each(|party| party.set_errors(*share, class));
+                self.servers(whom, n).iter().for_each(|backend| backend.set_errors(*share, class));
             }
-            What::ColdServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+            FaultKind::ColdServers { whom } => {
+                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
-            What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.tell_agent(&party.id, Agent::Goodbye));
+            FaultKind::DrainServers { whom } => {
+                self.servers(whom, n).iter().for_each(|backend| self.tell_agent(&backend.id, Agent::Goodbye));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
-            What::SlowOrigin { times } => self.parties.slow(&self.parties.origin, *times),
-            What::StopOrigin {} => self.parties.pause(&self.parties.origin, true),
-            What::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
-            What::StopNodes { whom } => {
+            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
+            FaultKind::SlowOrigin { times } => self.backends.slow(&self.backends.origin, *times),
+            FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, true),
+            FaultKind::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
+            FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.leave(&node);
                     self.fleet.signal(&node, "STOP");
                 }
             }
-            What::KillReplicas { whom } => {
+            FaultKind::KillReplicas { whom } => {
                 self.replicas(whom, n).into_iter().for_each(|n| lock(&self.fleet.service).kill(n));
             }
-            What::StopReplicas { whom } => {
+            FaultKind::StopReplicas { whom } => {
                 for n in self.replicas(whom, n) {
                     lock(&self.fleet.service).process(n).signal("STOP");
                 }
             }
-            What::MoveDiscovery {} => self.fleet.move_discovery().await?,
-            What::LoseZone { zone, nodes } => {
-                let whom = Whom::Zone(zone.clone());
-                self.lose(&self.servers(&whom, n), Life::Vanished);
+            FaultKind::MoveDiscovery {} => self.fleet.move_discovery().await?,
+            FaultKind::LoseZone { zone, nodes } => {
+                let whom = Target::Zone(zone.clone());
+                self.lose(&self.servers(&whom, n), Liveness::Unreachable);
                 if *nodes {
                     self.kill_nodes(&self.nodes(&whom, n));
                 }
             }
-            What::CutZone { zone, one_way } => {
-                let links = self.parties.links();
+            FaultKind::CutZone { zone, one_way } => {
+                let links = self.backends.links();
                 links.change(self.zone(zone), cut, if *one_way { usual } else { cut });
             }
-            What::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
-                let slow = |way: Way| Way {
+            FaultKind::SlowZone { zone, delay_ms, jitter_ms, loss, kb_per_s } => {
+                let slow = |way: Impairments| Impairments {
                     delay_ms: way.delay_ms + delay_ms,
                     jitter_ms: way.jitter_ms + jitter_ms,
                     loss: *loss,
                     kb_per_s: *kb_per_s,
                     ..way
                 };
-                self.parties.links().change(self.zone(zone), slow, slow);
+                self.backends.links().change(self.zone(zone), slow, slow);
+            }
+            FaultKind::ResetZone { zone } => {
+                let breaks = |way: Impairments| Impairments { reset_ms: Some(RESETS_MS), ..way };
+                self.backends.links().change(self.zone(zone), breaks, breaks);
             }
-            What::ResetZone { zone } => {
-                let breaks = |way: Way| Way { reset_ms: Some(RESETS_MS), ..way };
-                self.parties.links().change(self.zone(zone), breaks, breaks);
+            FaultKind::RetryStorm { retries } => {
+                self.clients.storm_retries.store(*retries, Ordering::Relaxed)
             }
-            What::RetryStorm { retries } => self.clients.storm.store(*retries, Ordering::Relaxed),
             // The plan has them, or they are played above.
-            What::Surge { .. } | What::FlashCrowd { .. } | What::Replace { .. } | What::UpgradeNodes {} => {}
+            FaultKind::Surge { .. }
+            | FaultKind::FlashCrowd { .. }
+            | FaultKind::Replace { .. }
+            | FaultKind::UpgradeNodes {} => {}
         }
         Ok(())
     }
 
-    async fn take_back(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
-        let usual = |way: Way| way;
+    async fn take_back(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
+        let usual = |way: Impairments| way;
         match what {
-            What::KillServers { whom } | What::SilenceServers { whom } | What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+            FaultKind::KillServers { whom }
+            | FaultKind::SilenceServers { whom }
+            | FaultKind::DrainServers { whom } => {
+                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
             }
-            What::PauseServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, false));
+            FaultKind::PauseServers { whom } => {
+                self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, false));
             }
-            What::SlowServers { whom, .. } => {
-                self.servers(whom, n).iter().for_each(|party| self.parties.slow(party, 1.0));
+            FaultKind::SlowServers { whom, .. } => {
+                self.servers(whom, n).iter().for_each(|backend| self.backends.slow(backend, 1.0));
             }
-            What::ServerErrors { whom, .. } => {
-                let usual = self.book.scenario.servers.errors;
-                self.servers(whom, n).iter().for_each(|party| party.set_errors(usual, None));
+            FaultKind::ServerErrors { whom, .. } => {
+                let usual = self.run_state.scenario.servers.errors;
+                self.servers(whom, n).iter().for_each(|backend| backend.set_errors(usual, None));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
-            What::SlowOrigin { .. } => self.parties.slow(&self.parties.origin, 1.0),
-            What::StopOrigin {} => self.parties.pause(&self.parties.origin, false),
-            What::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
-            What::StopNodes { whom } => {
+            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
+            FaultKind::SlowOrigin { .. } => self.backends.slow(&self.backends.origin, 1.0),
+            FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, false),
+            FaultKind::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
+            FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.fleet.signal(&node, "CONT");
                     self.back(&node);
                 }
             }
-            What::KillReplicas { whom } => {
+            FaultKind::KillReplicas { whom } => {
                 self.replicas(whom, n).into_iter().for_each(|n| lock(&self.fleet.service).launch(n));
             }
-            What::StopReplicas { whom } => {
+            FaultKind::StopReplicas { whom } => {
                 for n in self.replicas(whom, n) {
                     lock(&self.fleet.service).process(n).signal("CONT");
                 }
             }
-            What::LoseZone { zone, nodes } => {
-                let whom = Whom::Zone(zone.clone());
-                for party in self.servers(&whom, n) {
-                    self.restart(&party);
+            FaultKind::LoseZone { zone, nodes } => {
+                let whom = Target::Zone(zone.clone());
+                for backend in self.servers(&whom, n) {
+                    self.restart(&backend);
                 }
                 if *nodes {
                     self.start_nodes(self.nodes(&whom, n)).await?;
                 }
             }
-            What::CutZone { zone, .. } | What::SlowZone { zone, .. } | What::ResetZone { zone } => {
-                self.parties.links().change(self.zone(zone), usual, usual);
+            FaultKind::CutZone { zone, .. }
+            | FaultKind::SlowZone { zone, .. }
+            | FaultKind::ResetZone { zone } => {
+                self.backends.links().change(self.zone(zone), usual, usual);
             }
-            What::RetryStorm { .. } => self.clients.storm.store(0, Ordering::Relaxed),
-            What::ColdServers { .. }
-            | What::MoveDiscovery {}
-            | What::Surge { .. }
-            | What::FlashCrowd { .. }
-            | What::Replace { .. }
-            | What::UpgradeNodes {} => {}
+            FaultKind::RetryStorm { .. } => self.clients.storm_retries.store(0, Ordering::Relaxed),
+            FaultKind::ColdServers { .. }
+            | FaultKind::MoveDiscovery {}
+            | FaultKind::Surge { .. }
+            | FaultKind::FlashCrowd { .. }
+            | FaultKind::Replace { .. }
+            | FaultKind::UpgradeNodes {} => {}
         }
         Ok(())
     }
 
     /// Processes or machines are gone, their agents with them.
-    fn lose(&self, parties: &[Arc<Party>], how: Life) {
-        for party in parties {
-            self.tell_agent(&party.id, Agent::Gone);
-            party.life.send_replace(how);
+    fn lose(&self, backends: &[Arc<Backend>], how: Liveness) {
+        for backend in backends {
+            self.tell_agent(&backend.id, Agent::Gone);
+            backend.liveness.send_replace(how);
         }
     }
 
     /// A process ends, if it had not, and the next one of its name starts.
-    fn renew(self: &Arc<Self>, party: &Arc<Party>) {
-        self.lose(std::slice::from_ref(party), Life::Dead);
-        self.restart(party);
+    fn renew(self: &Arc<Self>, backend: &Arc<Backend>) {
+        self.lose(std::slice::from_ref(backend), Liveness::Dead);
+        self.restart(backend);
     }
 
     /// A server of this name starts anew, cold and empty, and is listed again.
-    fn restart(self: &Arc<Self>, party: &Arc<Party>) {
-        self.parties.restart(party, unix_ms());
-        self.list(party);
+    fn restart(self: &Arc<Self>, backend: &Arc<Backend>) {
+        self.backends.restart(backend, unix_ms());
+        self.list(backend);
     }
 
-    async fn by_hand(&self, whom: &Whom, n: usize, call: &str) {
-        for party in self.servers(whom, n) {
+    async fn by_hand(&self, whom: &Target, n: usize, call: &str) {
+        for backend in self.servers(whom, n) {
             for node in &self.fleet.nodes {
-                if !self.fleet.by_hand(node, &party.id, call).await {
-                    tracing::warn!("{}: {call} {} did not go through", node.name, party.id);
+                if !self.fleet.by_hand(node, &backend.id, call).await {
+                    tracing::warn!("{}: {call} {} did not go through", node.name, backend.id);
                 }
             }
         }
@@ -606,8 +617,8 @@
 
     /// The node does not answer from now on; its front notices later.
     fn leave(self: &Arc<Self>, node: &Arc<Node>) {
-        lock(&node.away).push((self.book.now(), f64::INFINITY));
-        let (node, late) = (Arc::clone(node), self.book.scenario.load.notice_s);
+        lock(&node.away).push((self.run_state.elapsed_s(), f64::INFINITY));
+        let (node, late) = (Arc::clone(node), self.run_state.scenario.load.notice_s);
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(late)).await;
             if lock(&node.away).last().is_some_and(|(_, to)| to.is_infinite()) {
@@ -618,7 +629,7 @@
 
     fn back(&self, node: &Node) {
         if let Some(last) = lock(&node.away).last_mut() {
-            last.1 = self.book.now();
+            last.1 = self.run_state.elapsed_s();
         }
         node.in_use.store(true, Ordering::Relaxed);
     }
@@ -643,21 +654,21 @@
 
     /// Replaces servers by new ones, in batches over the time given: goodbye, drain, then a new one in its place.
     async fn replace(self: &Arc<Self>, share: f64, batch: usize, over_s: f64) {
-        let count = (self.book.scenario.fleet.servers as f64 * share).round() as usize;
+        let count = (self.run_state.scenario.fleet.servers as f64 * share).round() as usize;
         let batches = count.div_ceil(batch).max(1);
         let pause = Duration::from_secs_f64(over_s / batches as f64);
-        let drain = Duration::from_secs_f64(self.book.scenario.servers.drain_s);
-        let old = self.parties.all();
+        let drain = Duration::from_secs_f64(self.run_state.scenario.servers.drain_s);
+        let old = self.backends.all();
         let mut work = tokio::task::JoinSet::new();
         for batch in old[..count].chunks(batch) {
-            for party in batch {
-                self.tell_agent(&party.id, Agent::Goodbye);
-                let (orchestrator, party) = (Arc::clone(self), Arc::clone(party));
+            for backend in batch {
+                self.tell_agent(&backend.id, Agent::Goodbye);
+                let (orchestrator, backend) = (Arc::clone(self), Arc::clone(backend));
                 work.spawn(async move {
                     sleep(drain).await;
-                    party.life.send_replace(Life::Dead);
-                    let place = usize::from(party.number);
-                    let new = orchestrator.parties.add(format!("{}b", party.id), place, unix_ms(), false);
+                    backend.liveness.send_replace(Liveness::Dead);
+                    let place = usize::from(backend.number);
+                    let new = orchestrator.backends.add(format!("{}b", backend.id), place, unix_ms(), false);
                     orchestrator.list(&new);
                 });
             }
