--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -130,11 +130,11 @@
             for _ in 0..count {
                 entries.push(parse_entry(&lines.next()?.ok_or("expected a list entry")?)?);
             }
-            Event::Roster(match mode {
-                Some("delta") => RosterUpdate::Delta(entries),
-                Some("full") => RosterUpdate::Full(entries),
-                Some("cached") => RosterUpdate::Cached(entries),
-                Some("failed") => RosterUpdate::Failed,
+            Event::Membership(match mode {
+                Some("delta") => MembershipUpdate::Delta(entries),
+                Some("full") => MembershipUpdate::Full(entries),
+                Some("cached") => MembershipUpdate::Cached(entries),
+                Some("failed") => MembershipUpdate::Failed,
                 _ => return Err("expected delta, full, cached or failed".into()),
             })
         }
@@ -200,7 +200,7 @@
         .collect()
 }
 
-fn parse_entry(line: &str) -> Result<RosterEntry, String> {
+fn parse_entry(line: &str) -> Result<ServerEntry, String> {
     let mut f = Fields { rest: Some(line) };
     if f.text() != Some("m") {
         return Err("expected a list entry (`m`)".into());
@@ -210,7 +210,7 @@
         Some("Gone") => ServerState::Gone,
         _ => ServerState::Draining,
     };
-    Ok(RosterEntry {
+    Ok(ServerEntry {
         state,
         server: f.server()?,
         zone: f.text().unwrap_or("").into(),
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -154,7 +154,7 @@
     let required_number = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
     Ok(Guarantees {
         answer_grace: required_number("grace-to-answer-s")?,
-        // With a pushed roster nobody has to ask for it.
+        // Where changes are pushed, the node does not have to request the server list.
         ask_every: match membership {
             Membership::Pushed => number(from, "ask-every-s")?.unwrap_or(0.0),
             Membership::OnRequest => required_number("ask-every-s")?,
@@ -238,7 +238,7 @@
     }
 
     #[test]
-    fn ask_every_is_required_only_where_the_roster_is_requested() {
+    fn ask_every_is_required_only_where_the_server_list_is_requested() {
         for (membership, named) in [("pushed", None), ("on_request", Some("guarantees.ask-every-s"))] {
             let mut setup = minimal(membership);
             setup["guarantees"].as_object_mut().unwrap().remove("ask-every-s");
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::Value;
-use shaletrail_policy::{RosterEntry, Seconds, ServerId, ServerState, Settings};
+use shaletrail_policy::{Seconds, ServerEntry, ServerId, ServerState, Settings};
 use shaletrail_registry_protocol::State;
 
 /// File descriptors reserved for everything but clients and upstreams: standard streams, the reactor,
@@ -211,7 +211,7 @@
     /// Whether `servers` is the whole list; otherwise it holds the changed entries only.
     pub full: bool,
     /// Each entry with the address at which this node reaches the server.
-    pub servers: Vec<(RosterEntry, SocketAddr)>,
+    pub servers: Vec<(ServerEntry, SocketAddr)>,
 }
 
 impl From<shaletrail_registry_protocol::List> for ServerList {
@@ -219,26 +219,26 @@
         ServerList {
             version: list.version,
             full: list.full,
-            servers: list.servers.into_iter().map(roster_entry).collect(),
+            servers: list.servers.into_iter().map(server_entry).collect(),
         }
     }
 }
 
-fn roster_entry(roster_entry: shaletrail_registry_protocol::Entry) -> (RosterEntry, SocketAddr) {
-    let addr = roster_entry.addr;
-    let roster = RosterEntry {
-        server: ServerId(roster_entry.id.into()),
-        state: match roster_entry.state {
+fn server_entry(entry: shaletrail_registry_protocol::Entry) -> (ServerEntry, SocketAddr) {
+    let addr = entry.addr;
+    let server_entry = ServerEntry {
+        server: ServerId(entry.id.into()),
+        state: match entry.state {
             State::Active => ServerState::Ready,
             State::Left => ServerState::Gone,
             State::Leaving => ServerState::Draining,
         },
-        zone: roster_entry.zone,
-        weight: roster_entry.weight,
-        kind: roster_entry.kind,
+        zone: entry.zone,
+        weight: entry.weight,
+        kind: entry.kind,
         // Unix time, as `Clock` uses it; 0 means unknown or long ago.
-        started: (roster_entry.started_ms > 0).then_some(roster_entry.started_ms as f64 / 1000.0),
-        cell: roster_entry.cell,
+        started: (entry.started_ms > 0).then_some(entry.started_ms as f64 / 1000.0),
+        cell: entry.cell,
     };
-    (roster, addr)
+    (server_entry, addr)
 }
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -10,8 +10,8 @@
 
 use hyper::header::HeaderValue;
 use shaletrail_policy::{
-    Action, AttemptId, Balancer, ClassId, Event, Key, NewRequest, Outcome, RequestId, RosterUpdate, Seconds,
-    ServerCounts, ServerId, Status, TenantId, TimerToken,
+    Action, AttemptId, Balancer, ClassId, Event, Key, MembershipUpdate, NewRequest, Outcome, RequestId,
+    Seconds, ServerCounts, ServerId, Status, TenantId, TimerToken,
 };
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -183,10 +183,10 @@
     fn on_list(self: &Rc<Self>, list: ServerList, cached: bool) {
         self.upstreams.update(&list);
         let entries = list.servers.into_iter().map(|(entry, _)| entry).collect();
-        self.handle_event(Event::Roster(match (list.full, cached) {
-            (_, true) => RosterUpdate::Cached(entries),
-            (true, false) => RosterUpdate::Full(entries),
-            (false, false) => RosterUpdate::Delta(entries),
+        self.handle_event(Event::Membership(match (list.full, cached) {
+            (_, true) => MembershipUpdate::Cached(entries),
+            (true, false) => MembershipUpdate::Full(entries),
+            (false, false) => MembershipUpdate::Delta(entries),
         }));
     }
 
@@ -194,7 +194,7 @@
     pub fn on_event(self: &Rc<Self>, event: HostEvent) {
         match event {
             HostEvent::List(list) => self.on_list(list, false),
-            HostEvent::ListFailed => self.handle_event(Event::Roster(RosterUpdate::Failed)),
+            HostEvent::ListFailed => self.handle_event(Event::Membership(MembershipUpdate::Failed)),
             HostEvent::PeerMessage { from, bytes } => self.handle_event(Event::Message { from, bytes }),
         }
     }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -600,14 +600,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use shaletrail_policy::RosterEntry;
+    use shaletrail_policy::ServerEntry;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpListener;
     use tokio::task::LocalSet;
 
     fn list(addr: SocketAddr, state: ServerState) -> ServerList {
         let server = ServerId("s-1".into());
-        let entry = RosterEntry { server, state, ..RosterEntry::default() };
+        let entry = ServerEntry { server, state, ..ServerEntry::default() };
         ServerList { version: 1, full: true, servers: vec![(entry, addr)] }
     }
 
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -5,12 +5,12 @@
 //! of the next attempt's slot. Each exception to this path states when it applies.
 
 mod admission;
-mod figures;
+mod estimates;
 mod lifecycle;
+mod membership;
 mod outcomes;
 mod placement;
 mod request;
-mod roster;
 mod server;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -18,9 +18,9 @@
 use shaletrail_ring::{hash_of_name, mix, SlotArray};
 
 use self::admission::{RetryWindow, TokenBucket, BURST, DEFAULT_BUDGET};
-use self::figures::{Average, ConcurrencyLimit, DecayingCount, RETENTION};
+use self::estimates::{Average, ConcurrencyLimit, DecayingCount, RETENTION};
 use self::{lifecycle::HOLD_FRACTION, outcomes::CROWDED_DELAY};
-use self::{request::Request, roster::Subscription, server::Server};
+use self::{membership::Subscription, request::Request, server::Server};
 use crate::interface::*;
 
 /// Bounds of the housekeeping interval, long compared with `Settings::round`.
@@ -47,7 +47,7 @@
     pub(crate) actions: Vec<Action>,
     first_event: Option<Seconds>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// Servers that operators took out of service, whatever the roster says, and since when.
+    /// Servers that operators took out of service, whatever the server list says, and since when.
     pub(crate) out_of_service: BTreeMap<ServerId, Seconds>,
     slots: SlotArray<ServerId>,
     /// Number of servers that may be sent to, and the sums of their sizes and capacities.
@@ -88,7 +88,7 @@
     stale_after: Option<(Seconds, Seconds)>,
     next_close: Seconds,
     tenants: Vec<TokenBucket>,
-    roster: Subscription,
+    subscription: Subscription,
 }
 
 impl Node {
@@ -124,7 +124,7 @@
             self.subscribe_if_due();
         }
         match event {
-            Event::Roster(update) => self.on_roster(update),
+            Event::Membership(update) => self.on_membership(update),
             Event::Request(new) => self.on_request(new),
             Event::BodyReceived { request, time_left } => self.on_body_received(request, time_left),
             Event::BodyConsumed(request) => {
--- a/src/balance/roster.rs
+++ b/src/balance/membership.rs
@@ -1,12 +1,12 @@
 //! Server discovery, and servers that operators take out of service.
 
-use super::{figures::ConcurrencyLimit, placement::FLEET_CAP_FLOOR, server::Server, Node, MIN_LIMIT};
+use super::{estimates::ConcurrencyLimit, placement::FLEET_CAP_FLOOR, server::Server, Node, MIN_LIMIT};
 use crate::interface::*;
 
-/// First back-off, before jitter, after a failed call for the roster; doubled at most three times.
+/// First back-off, before jitter, after a failed call for the server list; doubled at most three times.
 const CALL_BACKOFF: Seconds = 0.2;
 
-/// State of the subscription, where the roster must be requested.
+/// State of the subscription, where the server list must be requested.
 #[derive(Default)]
 pub(super) struct Subscription {
     pub(super) subscribed: bool,
@@ -17,31 +17,34 @@
 
 impl Node {
     pub(super) fn subscribe_if_due(&mut self) {
-        let roster = &self.roster;
+        let subscription = &self.subscription;
         // A call without an answer counts as failed early enough to repeat it within `ask_every`.
-        let lost = roster.called.is_some_and(|at| self.now - at > self.settings.guarantees.ask_every * 0.5);
-        let due = lost || (roster.called.is_none() && self.now >= roster.next_call);
-        if due && !roster.subscribed && self.settings.membership == Membership::OnRequest {
-            self.roster.called = Some(self.now);
+        let lost =
+            subscription.called.is_some_and(|at| self.now - at > self.settings.guarantees.ask_every * 0.5);
+        let due = lost || (subscription.called.is_none() && self.now >= subscription.next_call);
+        if due && !subscription.subscribed && self.settings.membership == Membership::OnRequest {
+            self.subscription.called = Some(self.now);
             self.actions.push(Action::Subscribe);
         }
     }
 
-    pub(super) fn on_roster(&mut self, update: RosterUpdate) {
-        if update == RosterUpdate::Failed {
+    pub(super) fn on_membership(&mut self, update: MembershipUpdate) {
+        if update == MembershipUpdate::Failed {
             // Jittered, so that calls that failed together are not repeated together; bounded by `ask_every`.
             let max_backoff = self.settings.guarantees.ask_every.max(CALL_BACKOFF);
-            let delay = (CALL_BACKOFF * f64::from(1u32 << self.roster.failures.min(3))).min(max_backoff);
-            let (next_call, failures) = (self.now + delay * (0.5 + self.random()), self.roster.failures + 1);
-            self.roster = Subscription { next_call, failures, ..Subscription::default() };
+            let delay =
+                (CALL_BACKOFF * f64::from(1u32 << self.subscription.failures.min(3))).min(max_backoff);
+            let (next_call, failures) =
+                (self.now + delay * (0.5 + self.random()), self.subscription.failures + 1);
+            self.subscription = Subscription { next_call, failures, ..Subscription::default() };
             return;
         }
-        if !matches!(update, RosterUpdate::Cached(_)) {
-            self.roster.subscribed |= self.roster.called.take().is_some();
-            self.roster.failures = 0;
+        if !matches!(update, MembershipUpdate::Cached(_)) {
+            self.subscription.subscribed |= self.subscription.called.take().is_some();
+            self.subscription.failures = 0;
         }
-        let full_list = !matches!(update, RosterUpdate::Delta(_));
-        use RosterUpdate::{Cached, Delta, Full};
+        let full_list = !matches!(update, MembershipUpdate::Delta(_));
+        use MembershipUpdate::{Cached, Delta, Full};
         let (Delta(entries) | Full(entries) | Cached(entries)) = update else { return };
         let has_left = |id: &ServerId| full_list && !entries.iter().any(|e| e.server == *id);
         for (_, s) in self.servers.iter_mut().filter(|(id, _)| has_left(id)) {
@@ -54,7 +57,7 @@
         self.route_pending();
     }
 
-    fn on_entry(&mut self, entry: RosterEntry) {
+    fn on_entry(&mut self, entry: ServerEntry) {
         // Random, so that many nodes don't all send their first attempt at once.
         let (now, allowance, min) = (self.now, self.random(), self.node_share(1.0).min(MIN_LIMIT));
         let (value, last_cut) = (self.node_share(2.0 * FLEET_CAP_FLOOR), 0.0);
@@ -66,18 +69,18 @@
             (s.ejected_until, s.allowance, s.entry.started) = (0.0, allowance, entry.started);
             s.limit.value = s.limit.value.max(value);
         }
-        s.entry = RosterEntry { started: s.entry.started, ..entry };
+        s.entry = ServerEntry { started: s.entry.started, ..entry };
     }
 
     /// Takes a server out of service or puts it back. Its process was restarted meanwhile: it warms up from
-    /// the start time that the roster reported since, or else from the time when it was put back.
+    /// the start time that the server list reported since, or else from the time when it was put back.
     pub(super) fn on_service_change(&mut self, server: ServerId, restored_at: Option<Seconds>) {
         match restored_at {
             Some(at) => {
                 let removed = self.out_of_service.remove(&server).unwrap_or(at);
                 let entry = self.servers.get(&server).map(|s| s.entry.clone());
                 if let Some(entry) = entry.filter(|e| e.started.is_none_or(|t| t < removed)) {
-                    self.on_entry(RosterEntry { started: Some(at), ..entry });
+                    self.on_entry(ServerEntry { started: Some(at), ..entry });
                 }
             }
             None => {
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -1,7 +1,7 @@
 //! What an outcome says about its server, its connection and the origin, and what its request does next.
 
 use super::server::{EJECTION_TIME, FAILURE_WINDOW};
-use super::{figures::RARE_INTERVAL, placement::MIN_STALE_IDLE, Location, Node, MAX_TICK};
+use super::{estimates::RARE_INTERVAL, placement::MIN_STALE_IDLE, Location, Node, MAX_TICK};
 use crate::interface::*;
 
 /// Delay of a hit beyond its work, as a fraction of the latency target, above which its server is crowded.
--- a/src/balance/request.rs
+++ b/src/balance/request.rs
@@ -7,7 +7,7 @@
     pub(super) server: ServerId,
     pub(super) sent: Seconds,
     pub(super) to_origin: bool,
-    /// How long this node's connections to the server had been idle.
+    /// How long this node's connections to the server had been idle when it was sent.
     pub(super) idle: Seconds,
     /// Counted in flight: from when the server has the whole request until its answer begins.
     pub(super) counted: bool,
@@ -46,8 +46,7 @@
         self.attempts.iter().filter(|a| a.status.is_none()).count()
     }
 
-    /// Whether the next attempt costs retry budget: neither the first, nor one after `Absent`, nor an exempt
-    /// one.
+    /// Whether the next attempt counts as a retry: not the first, nor one after `Absent`, nor an exempt one.
     pub(super) fn costs_budget(&self) -> bool {
         !self.budget_exempt && self.attempts.last().is_some_and(|a| a.status != Some(Status::Absent))
     }
--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{figures::ConcurrencyLimit, MAX_TICK};
+use super::{estimates::ConcurrencyLimit, MAX_TICK};
 use crate::interface::*;
 
 /// A server with two failures within `FAILURE_WINDOW` is ejected for about `EJECTION_TIME`, by all nodes that
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub(crate) entry: RosterEntry,
+    pub(crate) entry: ServerEntry,
     pub(super) in_flight: u32,
     /// Determines its points in the slot array; 0 when it has none.
     pub(super) size: f64,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -29,12 +29,12 @@
         ServerCounts { listed: servers.count(), avoided: avoided.count() }
     }
 
-    /// Whether the roster lists a cache server under this name.
+    /// Whether the server list lists a cache server under this name.
     pub fn has_server(&self, server: &ServerId) -> bool {
         self.0.servers.get(server).is_some_and(|s| self.is_listed(&s.entry))
     }
 
-    fn is_listed(&self, entry: &RosterEntry) -> bool {
+    fn is_listed(&self, entry: &ServerEntry) -> bool {
         entry.state != ServerState::Gone && !self.0.settings.is_origin(entry)
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -88,7 +88,7 @@
     pub quota: f64,
 }
 
-/// How the roster reaches the node.
+/// How the server list reaches the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
     /// Changes are pushed to the node.
@@ -104,15 +104,15 @@
     /// Read- and write-through: servers fetch the key from the origin and forward writes to it.
     #[default]
     Through,
-    /// Cache-aside: servers answer [`Status::Absent`], and the node asks the origin, a roster entry of this
+    /// Cache-aside: servers answer [`Status::Absent`], and the node asks the origin, a server entry of this
     /// kind.
     Aside {
-        /// Value of [`RosterEntry::kind`] that marks the origin.
+        /// Value of [`ServerEntry::kind`] that marks the origin.
         origin_kind: String,
     },
 }
 
-/// Meaning of [`RosterEntry::weight`].
+/// Meaning of [`ServerEntry::weight`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     /// A constant; weights carry no information.
@@ -122,7 +122,7 @@
     Nominal,
     /// An approximate size.
     Rough,
-    /// Size divided by load; changes with every update of the roster.
+    /// Size divided by load; changes with every update of the server list.
     Live,
 }
 
@@ -142,7 +142,7 @@
 pub struct Guarantees {
     /// A final answer counts until this long after the client's deadline.
     pub answer_grace: Seconds,
-    /// Longest time that a node may go without a subscription or a request for the roster.
+    /// Longest time that a node may go without a subscription or a request for the server list.
     pub ask_every: Seconds,
     /// Least fraction of its capacity that a server has when it starts.
     pub cold_capacity: f64,
@@ -203,11 +203,11 @@
     pub classes: Vec<Class>,
     /// Tenants with a quota; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How the roster reaches the node.
+    /// How the server list reaches the node.
     pub membership: Membership,
     /// What servers do with a key that they have not cached.
     pub cache: CacheMode,
-    /// Meaning of the weights in the roster.
+    /// Meaning of the weights in the server list.
     pub weights: WeightSource,
     /// Parameters of the rules.
     pub guarantees: Guarantees,
@@ -221,7 +221,7 @@
 
 impl Settings {
     /// Whether the entry is the origin beside the caches ([`CacheMode::Aside`]).
-    pub fn is_origin(&self, entry: &RosterEntry) -> bool {
+    pub fn is_origin(&self, entry: &ServerEntry) -> bool {
         matches!(&self.cache, CacheMode::Aside { origin_kind } if *origin_kind == entry.kind)
     }
 
@@ -311,14 +311,14 @@
     /// Finishes its requests and must be sent no new ones. Unknown states are treated as this one.
     #[default]
     Draining,
-    /// No longer in the roster.
+    /// No longer in the server list.
     Gone,
 }
 
-/// One server in the roster.
+/// One server in the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RosterEntry {
-    /// Unique in the roster.
+pub struct ServerEntry {
+    /// Unique in the server list.
     pub server: ServerId,
     /// Lifecycle state.
     pub state: ServerState,
@@ -334,16 +334,16 @@
     pub cell: u64,
 }
 
-/// An update of the roster.
+/// An update of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterUpdate {
+pub enum MembershipUpdate {
     /// Only the entries that changed.
-    Delta(Vec<RosterEntry>),
-    /// The whole roster: servers that are not in it have left.
-    Full(Vec<RosterEntry>),
-    /// The whole roster as this node last stored it; it may be out of date.
-    Cached(Vec<RosterEntry>),
-    /// A call failed or the subscription ended; the current roster stays in use.
+    Delta(Vec<ServerEntry>),
+    /// The whole server list: servers that are not in it have left.
+    Full(Vec<ServerEntry>),
+    /// The whole server list as this node last stored it; it may be out of date.
+    Cached(Vec<ServerEntry>),
+    /// A call failed or the subscription ended; the current server list stays in use.
     Failed,
 }
 
@@ -431,8 +431,8 @@
 /// An event that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The roster changed, or a call for it failed.
-    Roster(RosterUpdate),
+    /// The server list changed, or a call for it failed.
+    Membership(MembershipUpdate),
     /// A client's request has arrived.
     Request(NewRequest),
     /// The last byte of a request's body has arrived and was forwarded to the attempt in flight.
@@ -526,16 +526,16 @@
     CloseIdle(ServerId),
     /// Send a message to all other nodes.
     NotifyPeers(Vec<u8>),
-    /// Subscribe to changes of the roster.
+    /// Subscribe to changes of the server list.
     Subscribe,
     /// Write a line to the operators' log.
     Log(String),
 }
 
-/// Numbers of servers in the roster, without the origin.
+/// Numbers of servers in the server list, without the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// All servers in the roster.
+    /// All servers in the server list.
     pub listed: usize,
     /// Those that the node does not send to now: ejected, or taken out of service by operators.
     pub avoided: usize,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -45,13 +45,13 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! let server = RosterEntry {
+//! let server = ServerEntry {
 //!     server: ServerId("10.0.0.1:8080".into()),
 //!     state: ServerState::Ready,
 //!     weight: 1.0,
-//!     ..RosterEntry::default()
+//!     ..ServerEntry::default()
 //! };
-//! balancer.handle(0.0, Event::Roster(RosterUpdate::Full(vec![server.clone()])), &mut actions);
+//! balancer.handle(0.0, Event::Membership(MembershipUpdate::Full(vec![server.clone()])), &mut actions);
 //!
 //! // A request arrives, and the balancer asks the host to send it to the server.
 //! let request = NewRequest {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -8,19 +8,19 @@
 use common::*;
 use shaletrail_policy::*;
 
-fn fleet(n: u64) -> Vec<RosterEntry> {
+fn fleet(n: u64) -> Vec<ServerEntry> {
     (1..=n).map(entry).collect()
 }
 
-fn homes(entries: Vec<RosterEntry>, seed: u64) -> Vec<ServerId> {
-    let mut node = Node::with_roster(settings(), seed, entries);
+fn homes(entries: Vec<ServerEntry>, seed: u64) -> Vec<ServerId> {
+    let mut node = Node::with_servers(settings(), seed, entries);
     (0..2000).map(|n| node.home(n, n * 7919)).collect()
 }
 
 // ---- Placement ----
 
 #[test]
-fn nodes_agree_on_homes_whatever_their_seeds_and_roster_order() {
+fn nodes_agree_on_homes_whatever_their_seeds_and_the_order_of_servers() {
     let mut reversed = fleet(10);
     reversed.reverse();
     assert_eq!(homes(fleet(10), 1), homes(reversed, 2));
@@ -52,14 +52,14 @@
     let mut entries = fleet(10);
     entries[0].weight = 300.0;
     entries[1..].iter_mut().for_each(|e| e.weight = 100.0);
-    let mut node = Node::with_roster(Settings { weights: WeightSource::Nominal, ..settings() }, 1, entries);
+    let mut node = Node::with_servers(Settings { weights: WeightSource::Nominal, ..settings() }, 1, entries);
     let heavy = (0..2000).filter(|&n| node.home(n, n * 7919) == id(1)).count();
     assert!((380..620).contains(&heavy), "expected a quarter of 2000, got {heavy}");
 }
 
 #[test]
 fn a_full_home_overflows_by_key_to_many_servers_and_no_server_passes_its_cap() {
-    let mut node = Node::with_roster(settings(), 1, fleet(10));
+    let mut node = Node::with_servers(settings(), 1, fleet(10));
     let home = node.home(1, 1);
     let mut load: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut overflow = BTreeSet::new();
@@ -83,7 +83,7 @@
 /// its second, all in step.
 #[test]
 fn a_hot_key_is_spread_over_servers_and_other_keys_stay_at_home() {
-    let mut node = Node::with_roster(settings(), 1, fleet(10));
+    let mut node = Node::with_servers(settings(), 1, fleet(10));
     let (mut hot, mut cool) = (BTreeMap::new(), BTreeSet::new());
     for n in 0..600 {
         // Three in ten requests are for one key, one in a hundred for another.
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_request_without_a_key_or_with_an_unknown_class_is_sent() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(NewRequest { key: None, ..read(1, 0) })).len(), 1);
     assert_eq!(sent(&node.request(NewRequest { class: None, ..read(2, 0) })).len(), 1);
     // A request of unknown class is never run twice.
@@ -126,7 +126,7 @@
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
-    let actions = node.event(Event::Roster(RosterUpdate::Full(fleet(2))));
+    let actions = node.event(Event::Membership(MembershipUpdate::Full(fleet(2))));
     assert_eq!(sent(&actions).len(), 1);
 }
 
@@ -136,7 +136,7 @@
 /// target.
 #[test]
 fn a_request_is_held_for_at_most_part_of_its_clients_time() {
-    let mut node = Node::with_roster(settings(), 1, vec![]);
+    let mut node = Node::with_servers(settings(), 1, vec![]);
     assert!(!refused(&node.request(NewRequest { time_left: 0.2, ..read(1, 1) })));
     assert!(refused(&node.advance(0.06)), "a quarter of its time has passed, but not of the latency target");
 }
@@ -155,7 +155,7 @@
             });
             ticks.next().expect("the housekeeping timer is set again")
         };
-        let mut after = tick(&node.event(Event::Roster(RosterUpdate::Full(vec![]))));
+        let mut after = tick(&node.event(Event::Membership(MembershipUpdate::Full(vec![]))));
         assert!(after <= 0.05, "{after}");
         let asked = node.now;
         assert!(!refused(&node.request(NewRequest { time_left: 2.0 * target, ..read(1, 1) })));
@@ -174,7 +174,7 @@
 #[test]
 fn every_request_is_answered_before_its_deadline_even_if_nothing_answers() {
     for class in [READ, KEYED, UNSAFE] {
-        let mut node = Node::with_roster(settings(), 1, fleet(4));
+        let mut node = Node::with_servers(settings(), 1, fleet(4));
         node.request(NewRequest { class: Some(class), ..read(1, 1) });
         node.now += 1.0 - 0.01;
         let actions = node.event(Event::Timer(TimerToken(2)));
@@ -189,7 +189,7 @@
 
 #[test]
 fn events_for_unknown_or_ended_requests_are_ignored() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     assert!(node.event(Event::Withdrawn(RequestId(7))).is_empty());
     assert!(node.event(Event::Timer(TimerToken(77))).is_empty());
     assert!(node.event(Event::Probed { server: id(200), status: Status::Success }).is_empty());
@@ -211,7 +211,7 @@
 
 #[test]
 fn a_started_stream_is_left_alone() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     node.request(read(1, 1));
     node.event(stream_started(1));
     node.now += 5.0;
@@ -225,7 +225,7 @@
 /// Guards against counting the transfer of long answers as load, and their length as latency.
 #[test]
 fn a_long_answer_neither_counts_in_flight_nor_indicates_crowding() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     let home = node.home(0, 1);
     let keys: Vec<u64> = (0..4000).filter(|&key| node.home(100 + key, key) == home).take(30).collect();
     for (n, key) in keys.iter().enumerate() {
@@ -243,7 +243,7 @@
 
 #[test]
 fn an_answer_that_breaks_before_it_reaches_the_client_is_retried_in_time() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     for (n, again) in [(1, true), (2, false)] {
         node.request(read(n, n));
         node.event(stream_started(n));
@@ -257,7 +257,7 @@
 #[test]
 fn the_time_of_a_long_request_starts_with_its_last_byte() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_servers(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
     let write = |n| NewRequest {
         class: Some(KEYED),
         write: true,
@@ -293,12 +293,12 @@
 #[test]
 fn a_body_that_is_not_kept_is_sent_once_and_refused_only_if_it_never_ran() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let origins = [origin(), RosterEntry { server: id(999), ..origin() }];
+    let origins = [origin(), ServerEntry { server: id(999), ..origin() }];
     for (status, refused) in
         [(Status::Unreachable, true), (Status::Broken, false), (Status::Overloaded, true)]
     {
         for spent in [false, true] {
-            let mut node = Node::with_roster(aside.clone(), 1, origins.to_vec());
+            let mut node = Node::with_servers(aside.clone(), 1, origins.to_vec());
             let new = NewRequest {
                 class: Some(UNSAFE),
                 write: true,
@@ -339,7 +339,7 @@
 fn every_effect_is_retried_and_refused_by_the_rules_for_every_status() {
     for status in ALL {
         for class in [READ, KEYED, UNSAFE] {
-            let mut node = Node::with_roster(settings(), 1, fleet(6));
+            let mut node = Node::with_servers(settings(), 1, fleet(6));
             let first = sent(&node.request(NewRequest { class: Some(class), ..read(1, 5) }))[0].clone();
             node.now += 0.01;
             let actions = node.outcome(1, status, None);
@@ -361,7 +361,7 @@
 
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     node.request(NewRequest { class: Some(KEYED), time_left: 2.0, ..read(1, 5) });
     node.now += 1.2;
     let actions = node.outcome(1, Status::Broken, None);
@@ -373,10 +373,10 @@
 #[test]
 fn nothing_is_sent_to_a_server_that_has_just_started_to_drain() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        let mut node = Node::with_roster(settings(), 1, fleet(4));
+        let mut node = Node::with_servers(settings(), 1, fleet(4));
         let home = node.home(1, 9);
         let n = (1..=4).find(|&n| id(n) == home).unwrap();
-        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry { state, ..entry(n) }])));
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![ServerEntry { state, ..entry(n) }])));
         for request in 2..40 {
             assert!(sent(&node.request(read(request, 9))).iter().all(|s| *s != home));
         }
@@ -384,18 +384,18 @@
 }
 
 #[test]
-fn a_server_missing_from_a_full_roster_has_left() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
-    node.event(Event::Roster(RosterUpdate::Full(fleet(3))));
+fn a_server_missing_from_a_full_list_has_left() {
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
+    node.event(Event::Membership(MembershipUpdate::Full(fleet(3))));
     assert!((1..200).all(|n| node.home(n, n) != id(4)));
 }
 
 #[test]
-fn an_empty_roster_sends_nothing_and_a_new_one_serves_again() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
-    node.event(Event::Roster(RosterUpdate::Full(vec![])));
+fn an_empty_server_list_sends_nothing_and_a_new_one_serves_again() {
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
+    node.event(Event::Membership(MembershipUpdate::Full(vec![])));
     assert!(sent(&node.request(read(1, 1))).is_empty());
-    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
+    node.event(Event::Membership(MembershipUpdate::Full(fleet(4))));
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
@@ -421,7 +421,7 @@
     let owned = |age: Seconds| {
         let mut entries = fleet(8);
         entries[0].started = Some(100.0 - age);
-        let mut node = Node::with_roster(settings(), 1, entries);
+        let mut node = Node::with_servers(settings(), 1, entries);
         at_once(&mut node, 0, 3000).len()
     };
     let (cold, half, warm) = (owned(0.0), owned(4.0), owned(9.0));
@@ -433,9 +433,9 @@
 fn a_cold_server_takes_no_overflow() {
     let mut entries = fleet(4);
     entries[0].started = Some(100.0);
-    let mut node = Node::with_roster(settings(), 1, entries.clone());
+    let mut node = Node::with_servers(settings(), 1, entries.clone());
     let cold_home: BTreeSet<u64> = (0..4000).filter(|&n| node.home(n, n) == id(1)).collect();
-    let mut node = Node::with_roster(settings(), 1, entries);
+    let mut node = Node::with_servers(settings(), 1, entries);
     for n in (0..600).filter(|n| !cold_home.contains(n)) {
         assert!(sent(&node.request(read(n, n))).iter().all(|s| *s != id(1)), "key {n}");
     }
@@ -449,7 +449,7 @@
 fn retries_keep_to_the_budget_in_any_window() {
     let mut stated = settings();
     stated.guarantees.budget = Some(Budget { span: 5.0, free: 2.0, ratio: 0.1 });
-    let mut node = Node::with_roster(stated, 1, fleet(8));
+    let mut node = Node::with_servers(stated, 1, fleet(8));
     let (mut taken, mut extra) = (Vec::new(), Vec::new());
     for n in 0..600 {
         // A busy start, a pause in which the window empties, and a burst of failures.
@@ -477,7 +477,7 @@
     aside.guarantees.budget = Some(Budget { span: 5.0, free: 0.0, ratio: 0.0 });
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with_roster(aside, 1, entries);
+    let mut node = Node::with_servers(aside, 1, entries);
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Absent, None)), [origin().server]);
     let after = node.outcome(1, Status::Overloaded, None);
@@ -489,21 +489,24 @@
     let mut closing = settings();
     closing.guarantees.close_on_drain = Some(1.0);
     let closes = |actions: &[Action], n| actions.contains(&Action::CloseIdle(id(n)));
-    let mut node = Node::with_roster(closing, 1, fleet(4));
+    let mut node = Node::with_servers(closing, 1, fleet(4));
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     node.request(NewRequest { time_left: 1.9, ..read(900, key) });
-    let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
-    assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain.clone()]))), 1));
+    let drain = ServerEntry { state: ServerState::Draining, ..entry(1) };
+    assert!(closes(&node.event(Event::Membership(MembershipUpdate::Delta(vec![drain.clone()]))), 1));
     // With answers in order, a connection may become idle unnoticed, so closing is repeated while it is
     // listed.
     assert!(closes(&node.advance(0.4), 1));
-    assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
     assert!(
-        closes(&node.event(Event::Roster(RosterUpdate::Full(fleet(4)[1..].to_vec()))), 1),
-        "it left the roster"
+        closes(&node.event(Event::Membership(MembershipUpdate::Delta(vec![drain]))), 1),
+        "a repeated notice"
+    );
+    assert!(
+        closes(&node.event(Event::Membership(MembershipUpdate::Full(fleet(4)[1..].to_vec()))), 1),
+        "it left the server list"
     );
     node.advance(1.0);
-    assert!(closes(&node.serve(900), 1), "an outcome after it left the roster");
+    assert!(closes(&node.serve(900), 1), "an outcome after it left the server list");
     assert!(!closes(&node.advance(2.0), 2), "connections to other servers stay open");
 }
 
@@ -520,25 +523,25 @@
 #[test]
 fn a_node_subscribes_at_once_and_repeats_failed_calls() {
     let mut node = Node::new(on_request_settings(), 1);
-    assert_eq!(subscribe_calls(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
+    assert_eq!(subscribe_calls(&node.event(Event::Membership(MembershipUpdate::Cached(fleet(4))))), 1);
     for _ in 0..5 {
-        node.event(Event::Roster(RosterUpdate::Failed));
+        node.event(Event::Membership(MembershipUpdate::Failed));
         assert_eq!(subscribe_calls(&node.advance(3.0)), 1);
     }
-    node.event(Event::Roster(RosterUpdate::Delta(vec![])));
+    node.event(Event::Membership(MembershipUpdate::Delta(vec![])));
     assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a subscribed node does not subscribe again");
-    node.event(Event::Roster(RosterUpdate::Failed));
+    node.event(Event::Membership(MembershipUpdate::Failed));
     assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken subscription is renewed");
 }
 
 #[test]
 fn an_unanswered_call_is_repeated_within_ask_every() {
     let mut node = Node::new(on_request_settings(), 1);
-    node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
+    node.event(Event::Membership(MembershipUpdate::Cached(fleet(4))));
     assert!(subscribe_calls(&node.advance(9.0)) >= 1);
 }
 
-/// After a failed call, the roster that a node holds is valid for four times `ask_every`, so the back-off
+/// After a failed call, the server list that a node holds is valid for four times `ask_every`, so the back-off
 /// must scale with it.
 #[test]
 fn failed_calls_are_repeated_within_the_configured_time() {
@@ -546,9 +549,9 @@
         let mut settings = on_request_settings();
         settings.guarantees.ask_every = ask_every;
         let mut node = Node::new(settings, 1);
-        node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
+        node.event(Event::Membership(MembershipUpdate::Cached(fleet(4))));
         for _ in 0..20 {
-            node.event(Event::Roster(RosterUpdate::Failed));
+            node.event(Event::Membership(MembershipUpdate::Failed));
             assert!(subscribe_calls(&node.advance(2.0 * ask_every)) >= 1, "{ask_every}");
         }
     }
@@ -568,7 +571,7 @@
 /// Two failures eject a server for some seconds.
 #[test]
 fn a_failing_server_is_ejected_and_tried_again_later() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(20).collect();
     learn_hit_latency(&mut node);
     let sent_to_first = |node: &mut Node, from: u64, status| {
@@ -601,7 +604,7 @@
 /// keys to servers that had not cached them.
 #[test]
 fn a_connection_idle_for_as_long_as_a_dead_one_was_is_closed_before_the_next_send() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     let key = (0..400).find(|&n| node.home(n, n) == id(1)).unwrap();
     let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     node.advance(2.0);
@@ -626,7 +629,7 @@
 /// The same without a reset: an attempt on an idle connection gets no answer, while later ones do.
 #[test]
 fn a_time_out_on_an_idle_connection_of_an_answering_server_closes_idle_connections() {
-    let mut node = Node::with_roster(settings(), 1, fleet(1));
+    let mut node = Node::with_servers(settings(), 1, fleet(1));
     node.home(1, 1);
     node.advance(1.0);
     node.request(read(2, 1));
@@ -642,7 +645,7 @@
 /// each node held one that it seldom used.
 #[test]
 fn idle_connections_are_closed_where_connections_are_scarce() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     let closed = |node: &mut Node, n| {
         node.request(read(n, n));
         node.serve(n).iter().any(|a| matches!(a, Action::CloseIdle(_)))
@@ -661,7 +664,7 @@
 /// fetches, and a few in a thousand shut the limit.
 #[test]
 fn rare_errors_do_not_shut_the_fetch_limit_where_caches_report_no_hits() {
-    let mut node = Node::with_roster(settings(), 1, fleet(8));
+    let mut node = Node::with_servers(settings(), 1, fleet(8));
     let mut held = 0;
     for n in 0..3000 {
         held += usize::from(sent(&node.request(read(n, n))).is_empty());
@@ -677,7 +680,7 @@
 #[test]
 fn heavy_requests_do_not_count_as_crowding() {
     let at_once = |work| {
-        let mut node = Node::with_roster(settings(), 1, fleet(1));
+        let mut node = Node::with_servers(settings(), 1, fleet(1));
         for n in 0..40 {
             node.request(NewRequest { work, ..read(n, 1) });
             node.now += 0.4;
@@ -698,7 +701,7 @@
 fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
     let mut with_peers = settings();
     with_peers.limits.peer_messages = true;
-    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    let mut node = Node::with_servers(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(3).collect();
     node.request(read(1000, keys[0]));
@@ -726,7 +729,7 @@
     let mut with_peers = settings();
     with_peers.cache = CacheMode::Aside { origin_kind: "origin".into() };
     with_peers.limits.peer_messages = true;
-    let mut node = Node::with_roster(with_peers, 1, fleet(6).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_servers(with_peers, 1, fleet(6).into_iter().chain([origin()]).collect());
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     let mut told = 0;
@@ -756,7 +759,7 @@
 #[test]
 fn a_lost_attempt_does_not_lower_the_limit_of_a_server_that_answers_later_ones() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with_roster(aside, 1, fleet(6).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_servers(aside, 1, fleet(6).into_iter().chain([origin()]).collect());
     let fetch = |node: &mut Node, n: u64| {
         node.request(NewRequest { time_left: 0.9, ..read(n, n) });
         sent(&node.outcome(n, Status::Absent, None)) == [id(998)]
@@ -781,7 +784,7 @@
 fn connection_resets_do_not_eject_a_server_that_answers() {
     let mut with_peers = settings();
     with_peers.limits.peer_messages = true;
-    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    let mut node = Node::with_servers(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).collect();
     for (n, keys) in (2_000..).step_by(4).zip(keys.chunks_exact(4)).take(8) {
@@ -799,7 +802,7 @@
 /// Guards against a request that waits for an attempt lost by its server until no time is left to retry.
 #[test]
 fn a_lost_attempt_is_cancelled_and_retried_while_there_is_time() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(2).collect();
     node.request(read(2_000, keys[0]));
@@ -834,7 +837,7 @@
 /// classes.
 #[test]
 fn a_class_that_a_server_keeps_losing_goes_elsewhere_for_a_while_and_other_classes_stay() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(4).collect();
     let other = |n, key| NewRequest { class: Some(KEYED), ..read(n, key) };
@@ -862,7 +865,7 @@
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut entries = fleet(6);
     entries.push(origin());
-    let mut node = Node::with_roster(aside.clone(), 1, entries.clone());
+    let mut node = Node::with_servers(aside.clone(), 1, entries.clone());
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(4).collect();
     for n in 0..2 {
         assert_eq!(sent(&node.request(read(2_000 + n, keys[n as usize]))), [id(1)]);
@@ -873,7 +876,7 @@
     node.advance(3.0);
     assert_eq!(node.home(3_001, keys[2]), id(1), "the server is tried again");
 
-    let mut node = Node::with_roster(aside, 1, entries);
+    let mut node = Node::with_servers(aside, 1, entries);
     for n in 0..200 {
         node.request(read(4_000 + n, n));
         for _ in 0..3 {
@@ -893,7 +896,7 @@
         aside.guarantees.budget = stated.then_some(Budget { span: 10.0, free: 5.0, ratio: 0.1 });
         let mut entries = fleet(6);
         entries.push(origin());
-        let mut node = Node::with_roster(aside, 1, entries);
+        let mut node = Node::with_servers(aside, 1, entries);
         let mut served = 0;
         for n in 0..100 {
             node.request(read(2_000 + n, n));
@@ -913,7 +916,7 @@
 fn a_cancelled_attempt_is_no_sign_of_life() {
     let mut with_peers = settings();
     with_peers.limits.peer_messages = true;
-    let mut node = Node::with_roster(with_peers, 1, fleet(6));
+    let mut node = Node::with_servers(with_peers, 1, fleet(6));
     learn_hit_latency(&mut node);
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(1_000 + n, n) == id(1)).take(2).collect();
     node.request(read(2_000, keys[0]));
@@ -935,11 +938,11 @@
     aside.limits.max_attempts = 2;
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with_roster(aside.clone(), 1, entries.clone());
+    let mut node = Node::with_servers(aside.clone(), 1, entries.clone());
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
     aside.limits.max_attempts = 3;
-    let mut node = Node::with_roster(aside, 1, entries);
+    let mut node = Node::with_servers(aside, 1, entries);
     node.request(read(1, 3));
     assert_ne!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
 }
@@ -949,7 +952,7 @@
 #[test]
 fn in_aside_mode_reads_that_meet_at_their_home_stay_there() {
     let together = |cache| {
-        let mut node = Node::with_roster(Settings { balancers: 8, cache, ..settings() }, 1, fleet(6));
+        let mut node = Node::with_servers(Settings { balancers: 8, cache, ..settings() }, 1, fleet(6));
         let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(2).collect();
         (0..2)
             .flat_map(|n| sent(&node.request(read(900 + n, keys[n as usize]))))
@@ -963,7 +966,7 @@
 /// Without peer messages, each node acts only on what it sees itself.
 #[test]
 fn peers_are_not_notified_where_messages_are_not_allowed() {
-    let mut node = Node::with_roster(settings(), 1, fleet(1));
+    let mut node = Node::with_servers(settings(), 1, fleet(1));
     node.request(read(1, 1));
     node.now += 0.9;
     assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::NotifyPeers(_))));
@@ -973,7 +976,7 @@
 #[test]
 fn errors_of_the_whole_fleet_eject_few_servers_but_errors_of_one_server_eject_it() {
     let ejections = |bad: &dyn Fn(&ServerId) -> bool| {
-        let mut node = Node::with_roster(settings(), 1, fleet(6));
+        let mut node = Node::with_servers(settings(), 1, fleet(6));
         let mut taken_out = 0;
         for n in 0..3000 {
             let mut actions = node.request(read(n, n % 100));
@@ -996,7 +999,7 @@
 #[test]
 fn while_a_through_fleet_is_slow_a_server_at_its_limit_holds_requests() {
     let sent_of_four = |cache| {
-        let mut node = Node::with_roster(Settings { cache, ..settings() }, 1, fleet(6));
+        let mut node = Node::with_servers(Settings { cache, ..settings() }, 1, fleet(6));
         let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).collect();
         for n in 1000..1072 {
             let key = if n < 1060 { n } else { keys[n as usize % 4] };
@@ -1012,7 +1015,7 @@
 
 #[test]
 fn reads_of_one_key_share_a_fetch() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(read(1, 3))).len(), 1);
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheNote::Miss));
@@ -1023,7 +1026,7 @@
 
 #[test]
 fn failed_fetches_limit_reads_of_uncached_keys_and_not_of_cached_ones() {
-    let mut node = Node::with_roster(settings(), 1, fleet(8));
+    let mut node = Node::with_servers(settings(), 1, fleet(8));
     for n in 0..50 {
         node.home(n, n);
     }
@@ -1041,7 +1044,7 @@
 
 #[test]
 fn retries_are_limited_by_the_default_budget() {
-    let mut node = Node::with_roster(settings(), 1, fleet(8));
+    let mut node = Node::with_servers(settings(), 1, fleet(8));
     let mut repeats = 0;
     for n in 0..1000 {
         let mut actions = node.request(read(n, n));
@@ -1059,7 +1062,7 @@
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
     let mut entries = fleet(4);
     entries.push(origin());
-    let mut node = Node::with_roster(aside, 1, entries);
+    let mut node = Node::with_servers(aside, 1, entries);
     let home = sent(&node.request(read(1, 3)))[0].clone();
     assert_ne!(home, origin().server);
     assert_eq!(sent(&node.request(NewRequest { write: true, ..read(9, 4) })), [origin().server]);
@@ -1092,7 +1095,7 @@
             aside.limits.cancel = cancel;
             let mut entries = fleet(4);
             entries.push(origin());
-            let mut node = Node::with_roster(aside, 1, entries);
+            let mut node = Node::with_servers(aside, 1, entries);
             for n in 1..=3 {
                 node.request(read(n, 3));
             }
@@ -1120,7 +1123,7 @@
 #[test]
 fn a_tenant_over_its_quota_is_limited_first() {
     let tenants = ["a", "b"].map(|n| Tenant { name: n.into(), quota: 20.0 }).to_vec();
-    let mut node = Node::with_roster(Settings { tenants, ..settings() }, 1, fleet(2));
+    let mut node = Node::with_servers(Settings { tenants, ..settings() }, 1, fleet(2));
     let mut served = [0; 2];
     for n in 0..60 {
         let tenant = usize::from(n % 6 == 0);
@@ -1150,7 +1153,7 @@
 /// Writes reach the origin too: while it fails, they must not keep it overloaded.
 #[test]
 fn while_the_origin_fails_writes_are_limited_too() {
-    let mut node = Node::with_roster(settings(), 1, fleet(8));
+    let mut node = Node::with_servers(settings(), 1, fleet(8));
     for n in 0..400 {
         if !sent(&node.request(read(n, n))).is_empty() {
             node.now += 0.002;
@@ -1167,7 +1170,7 @@
 /// be cut from what is in use, or it takes tens of cuts to have an effect.
 #[test]
 fn a_fetch_limit_far_above_what_is_in_flight_falls_fast() {
-    let mut node = Node::with_roster(settings(), 1, fleet(8));
+    let mut node = Node::with_servers(settings(), 1, fleet(8));
     for n in 0..25 {
         for m in 0..4 {
             node.request(read(n * 4 + m, n * 4 + m));
@@ -1187,7 +1190,7 @@
 /// in time and half far too late, such a limit fell to nothing and refused most reads for twenty seconds.
 #[test]
 fn the_fetch_limit_stays_while_half_of_the_fetches_are_in_time() {
-    let mut node = Node::with_roster(settings(), 1, fleet(16));
+    let mut node = Node::with_servers(settings(), 1, fleet(16));
     for n in 0..300 {
         node.request(read(n, n));
         node.now += if n % 2 == 0 { 0.9 } else { 0.3 };
@@ -1200,7 +1203,7 @@
 /// Many nodes crowd a small server even with one request each.
 #[test]
 fn sends_to_a_server_that_keeps_rejecting_requests_are_paced() {
-    let mut node = Node::with_roster(settings(), 1, fleet(1));
+    let mut node = Node::with_servers(settings(), 1, fleet(1));
     let mut sends = 0;
     for n in 0..1000 {
         let actions = node.request(read(n, n));
@@ -1213,18 +1216,18 @@
     assert!((2..60).contains(&sends), "{sends} sends in 5 s");
 }
 
-/// A restarted node has only its stored roster. It uses it, subscribes at once, and warms up a server from
+/// A restarted node has only its stored server list. It uses it, subscribes at once, and warms up a server from
 /// its start time when that is reported later.
 #[test]
-fn a_restarted_node_uses_its_stored_roster_until_it_gets_updates() {
+fn a_restarted_node_uses_its_stored_server_list_until_it_gets_updates() {
     let mut node = Node::new(on_request_settings(), 7);
-    let first = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
+    let first = node.event(Event::Membership(MembershipUpdate::Cached(fleet(8))));
     assert_eq!(subscribe_calls(&first), 1);
     let owned = |node: &mut Node, from: u64| at_once(node, from, 2000).len();
     let before = owned(&mut node, 0);
-    let started = RosterEntry { started: Some(99.0), ..entry(1) };
-    let gone = RosterEntry { state: ServerState::Gone, ..entry(2) };
-    node.event(Event::Roster(RosterUpdate::Delta(vec![started, gone])));
+    let started = ServerEntry { started: Some(99.0), ..entry(1) };
+    let gone = ServerEntry { state: ServerState::Gone, ..entry(2) };
+    node.event(Event::Membership(MembershipUpdate::Delta(vec![started, gone])));
     let after = owned(&mut node, 10_000);
     assert!(after > 0 && after * 2 < before, "{after} of {before}");
     assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
@@ -1233,7 +1236,7 @@
 /// A later start time means a new process, and clears the failures of the old one.
 #[test]
 fn a_restart_clears_the_failures_of_a_server() {
-    let mut node = Node::with_roster(settings(), 1, fleet(6));
+    let mut node = Node::with_servers(settings(), 1, fleet(6));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(5).collect();
     learn_hit_latency(&mut node);
     for (n, &key) in keys.iter().enumerate() {
@@ -1246,8 +1249,8 @@
         (0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2,
         "hardly any request is sent to it"
     );
-    let started = RosterEntry { started: Some(node.now), ..entry(1) };
-    node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
+    let started = ServerEntry { started: Some(node.now), ..entry(1) };
+    node.event(Event::Membership(MembershipUpdate::Delta(vec![started])));
     assert!(!at_once(&mut node, 3000, 400).is_empty());
 }
 
@@ -1255,19 +1258,19 @@
 /// popular keys with the same home pushed it over.
 #[test]
 fn popular_keys_from_many_nodes_do_not_overload_a_cold_server() {
-    let mut other = Node::with_roster(settings(), 1, fleet(10));
+    let mut other = Node::with_servers(settings(), 1, fleet(10));
     let keys: Vec<u64> = (0..4000).filter(|&n| other.home(n, n) == id(1)).take(60).collect();
     let asked: usize = (0..100)
         .map(|seed| {
-            let mut node = Node::with_roster(Settings { balancers: 100, ..settings() }, seed, fleet(10));
+            let mut node = Node::with_servers(Settings { balancers: 100, ..settings() }, seed, fleet(10));
             // Twenty reads per second of keys with the same home server, which then restarts.
             let mut second = |from: usize| {
                 let step =
                     |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.advance(0.05)).0;
                 let asked = (0..20).map(step).filter(|server| *server == id(1)).count();
                 if from == 80 {
-                    let started = RosterEntry { started: Some(node.now), ..entry(1) };
-                    node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
+                    let started = ServerEntry { started: Some(node.now), ..entry(1) };
+                    node.event(Event::Membership(MembershipUpdate::Delta(vec![started])));
                 }
                 asked
             };
@@ -1282,7 +1285,7 @@
 /// With many nodes one request each is a crowd: a node's share of a server's limit is then below one.
 #[test]
 fn with_hundreds_of_nodes_sends_to_a_server_are_paced() {
-    let mut node = Node::with_roster(Settings { balancers: 300, ..settings() }, 1, fleet(1));
+    let mut node = Node::with_servers(Settings { balancers: 300, ..settings() }, 1, fleet(1));
     let sends = |node: &mut Node, n: u64| {
         let count = sent(&node.request(read(n, n))).len();
         if count == 1 {
@@ -1300,7 +1303,7 @@
 /// thirds of all reads were refused.
 #[test]
 fn time_outs_of_a_silent_server_do_not_lower_the_fetch_limit() {
-    let mut node = Node::with_roster(Settings { balancers: 10, ..settings() }, 1, fleet(8));
+    let mut node = Node::with_servers(Settings { balancers: 10, ..settings() }, 1, fleet(8));
     let mut silent = 0;
     for n in 0..60 {
         let server = sent(&node.request(read(n, n)));
@@ -1315,7 +1318,7 @@
     }
     assert!(silent > 0);
     node.advance(5.0);
-    let mut other = Node::with_roster(settings(), 1, fleet(8));
+    let mut other = Node::with_servers(settings(), 1, fleet(8));
     let sent_at_once = (100..160)
         .filter(|&n| other.home(n, n) != id(1))
         .take(10)
@@ -1337,7 +1340,7 @@
 fn idle_connections_are_closed_where_they_cost_more_than_new_ones() {
     let closes = |balancers| {
         let prices = Prices { connection: 0.1, handshake: 0.1 };
-        let mut node = Node::with_roster(Settings { balancers, prices, ..settings() }, 1, fleet(4));
+        let mut node = Node::with_servers(Settings { balancers, prices, ..settings() }, 1, fleet(4));
         node.request(read(1, 1));
         node.serve(1).contains(&Action::CloseIdle(node.sends[&RequestId(1)][0].0.clone()))
     };
@@ -1348,7 +1351,7 @@
 #[test]
 fn a_refusal_gives_a_retry_delay_that_clients_comply_with() {
     let advice = |limits: Limits| {
-        let mut node = Node::with_roster(Settings { limits, ..settings() }, 1, vec![]);
+        let mut node = Node::with_servers(Settings { limits, ..settings() }, 1, vec![]);
         node.request(read(1, 1));
         node.advance(0.5).iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -1370,14 +1373,14 @@
 
 #[test]
 fn a_server_out_of_service_is_sent_nothing_whatever_its_state_and_returns_cold() {
-    let mut node = Node::with_roster(settings(), 1, fleet(4));
+    let mut node = Node::with_servers(settings(), 1, fleet(4));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).collect();
     let told = set_out_of_service(&mut node, id(1), None);
     assert!(told.contains(&Action::CloseIdle(id(1))));
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 1 });
     for (n, state) in [ServerState::Ready, ServerState::Gone, ServerState::Ready].into_iter().enumerate() {
-        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry { state, ..entry(1) }])));
-        node.event(Event::Roster(RosterUpdate::Delta(vec![RosterEntry {
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![ServerEntry { state, ..entry(1) }])));
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![ServerEntry {
             started: Some(node.now),
             ..entry(2)
         }])));
@@ -1402,14 +1405,14 @@
 /// Guards against a second warm-up: putting a server back used to count as its start, so that one with a
 /// third of its warm-up behind it stayed nearly unused.
 #[test]
-fn a_server_put_back_warms_up_from_the_start_time_in_the_roster() {
+fn a_server_put_back_warms_up_from_the_start_time_in_the_server_list() {
     let keys_of_one = |started: f64| {
-        let mut node = Node::with_roster(settings(), 1, fleet(4));
+        let mut node = Node::with_servers(settings(), 1, fleet(4));
         let keys: Vec<u64> = (0..1000).filter(|&n| node.home(n, n) == id(1)).collect();
         set_out_of_service(&mut node, id(1), None);
         node.advance(6.0);
-        let entry = RosterEntry { started: Some(node.now - started), ..entry(1) };
-        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
+        let entry = ServerEntry { started: Some(node.now - started), ..entry(1) };
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![entry])));
         let at = node.now;
         set_out_of_service(&mut node, id(1), Some(at));
         // Paced so that a cold server's allowance keeps up.
@@ -1427,18 +1430,18 @@
 
 #[test]
 fn a_server_out_of_service_may_be_unlisted_and_stays_out_when_listed() {
-    let mut node = Node::with_roster(settings(), 1, fleet(3));
+    let mut node = Node::with_servers(settings(), 1, fleet(3));
     set_out_of_service(&mut node, id(4), None);
     assert!(!node.balancer.has_server(&id(4)) && node.balancer.has_server(&id(3)));
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 3, avoided: 0 });
-    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
+    node.event(Event::Membership(MembershipUpdate::Full(fleet(4))));
     assert!((0..400).all(|n| node.home(n, n) != id(4)));
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 1 });
-    // Put back while unlisted, it is used as soon as the roster lists it.
-    node.event(Event::Roster(RosterUpdate::Full(fleet(3))));
+    // Put back while unlisted, it is used as soon as the server list lists it.
+    node.event(Event::Membership(MembershipUpdate::Full(fleet(3))));
     let at = node.now;
     set_out_of_service(&mut node, id(4), Some(at));
-    node.event(Event::Roster(RosterUpdate::Full(fleet(4))));
+    node.event(Event::Membership(MembershipUpdate::Full(fleet(4))));
     node.advance(10.0);
     assert!((1000..1400).any(|n| node.home(n, n) == id(4)));
 }
@@ -1446,7 +1449,7 @@
 #[test]
 fn without_cache_servers_reads_go_to_the_origin_within_its_limit() {
     let aside = Settings { cache: CacheMode::Aside { origin_kind: "origin".into() }, ..settings() };
-    let mut node = Node::with_roster(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
+    let mut node = Node::with_servers(aside, 1, fleet(2).into_iter().chain([origin()]).collect());
     for server in [id(1), id(2)] {
         set_out_of_service(&mut node, server, None);
     }
@@ -1464,7 +1467,7 @@
 #[test]
 fn a_node_that_has_just_started_sends_cold_servers_as_much_as_one_that_has_run() {
     let cold = |ran: f64| {
-        let mut node = Node::with_roster(settings(), 1, fleet(10));
+        let mut node = Node::with_servers(settings(), 1, fleet(10));
         let mut next = 0;
         let mut second = |node: &mut Node| {
             (0..200)
@@ -1482,8 +1485,8 @@
         for _ in 0..ran as u64 {
             second(&mut node);
         }
-        let entry = RosterEntry { started: Some(node.now), ..entry(1) };
-        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
+        let entry = ServerEntry { started: Some(node.now), ..entry(1) };
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![entry])));
         second(&mut node) + second(&mut node)
     };
     let (new, old) = (cold(1.0), cold(40.0));
@@ -1495,7 +1498,7 @@
     let tries = |shared: bool| {
         let mut tight = settings();
         tight.guarantees.budget = Some(Budget { span: 10.0, free: 8.0, ratio: 0.0 });
-        let mut node = Node::with_roster(tight, 1, fleet(4));
+        let mut node = Node::with_servers(tight, 1, fleet(4));
         node.event(Event::SecondProcess(true));
         node.event(Event::SecondProcess(shared));
         let again = |n: u64| {
@@ -1506,10 +1509,10 @@
     };
     assert_eq!((tries(true), tries(false)), (4, 8));
     let cold = |shared: bool| {
-        let mut node = Node::with_roster(settings(), 1, fleet(2));
+        let mut node = Node::with_servers(settings(), 1, fleet(2));
         (0..400).for_each(|n| drop(node.home(n, n)));
-        let entry = RosterEntry { started: Some(node.now), ..entry(1) };
-        node.event(Event::Roster(RosterUpdate::Delta(vec![entry])));
+        let entry = ServerEntry { started: Some(node.now), ..entry(1) };
+        node.event(Event::Membership(MembershipUpdate::Delta(vec![entry])));
         node.event(Event::SecondProcess(shared));
         // Long enough to fill the allowance, too short to warm up.
         node.advance(2.0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -64,8 +64,8 @@
     ServerId(format!("10.0.{}.{}:80", n / 256, n % 256).as_str().into())
 }
 
-pub fn entry(n: u64) -> RosterEntry {
-    RosterEntry {
+pub fn entry(n: u64) -> ServerEntry {
+    ServerEntry {
         server: id(n),
         state: ServerState::Ready,
         zone: if n.is_multiple_of(2) { "here" } else { "there" }.into(),
@@ -76,8 +76,8 @@
     }
 }
 
-pub fn origin() -> RosterEntry {
-    RosterEntry { server: id(998), kind: "origin".into(), ..entry(0) }
+pub fn origin() -> ServerEntry {
+    ServerEntry { server: id(998), kind: "origin".into(), ..entry(0) }
 }
 
 pub fn read(n: u64, key: u64) -> NewRequest {
@@ -106,9 +106,9 @@
         Node { balancer, now: 100.0, sends: BTreeMap::new() }
     }
 
-    pub fn with_roster(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
+    pub fn with_servers(settings: Settings, seed: u64, entries: Vec<ServerEntry>) -> Self {
         let mut node = Node::new(settings, seed);
-        node.event(Event::Roster(RosterUpdate::Full(entries)));
+        node.event(Event::Membership(MembershipUpdate::Full(entries)));
         node
     }
 
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -32,8 +32,8 @@
 fn run_minute(node: &mut Node, next: &mut u64) {
     for second in 0..60 {
         let first = *next / 100;
-        let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
-        node.event(Event::Roster(RosterUpdate::Full(fleet)));
+        let fleet = (first..first + 8).map(|n| ServerEntry { started: Some(n as f64), ..entry(n) }).collect();
+        node.event(Event::Membership(MembershipUpdate::Full(fleet)));
         for n in 0..100 {
             *next += 1;
             let key = if n % 2 == 0 { *next } else { n };
@@ -69,7 +69,7 @@
 
 #[test]
 fn memory_does_not_grow_over_simulated_minutes() {
-    let mut node = Node::with_roster(settings(), 1, vec![]);
+    let mut node = Node::with_servers(settings(), 1, vec![]);
     let mut next = 0;
     run_minute(&mut node, &mut next);
     let after_one = ALLOCATED.load(Ordering::Relaxed);
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -148,9 +148,9 @@
     let mut checker = Checker::default();
     let mut timers: Vec<(Seconds, TimerToken)> = Vec::new();
     let (mut now, mut next_id, mut sends) = (50.0, 0, 0);
-    let mut list: Vec<RosterEntry> = (1..=8).map(entry).collect();
+    let mut list: Vec<ServerEntry> = (1..=8).map(entry).collect();
     list.push(origin());
-    let mut events = vec![Event::Roster(RosterUpdate::Full(list.clone()))];
+    let mut events = vec![Event::Membership(MembershipUpdate::Full(list.clone()))];
     for _ in 0..steps {
         now += rng.below(8) as f64 * 0.001;
         timers.retain(|&(at, token)| {
@@ -229,7 +229,7 @@
                 } else {
                     checker.draining.entry(list[index].server.clone()).or_insert(now);
                 }
-                events.push(Event::Roster(RosterUpdate::Delta(vec![list[index].clone()])));
+                events.push(Event::Membership(MembershipUpdate::Delta(vec![list[index].clone()])));
             }
             7 if rng.below(4) == 0 && next_id > 0 => {
                 let id = RequestId(1 + rng.below(next_id));
