--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -224,7 +224,7 @@
         })
     }
 
-    /// A setting that is absent disallows, costs nothing, or takes the strictest value of its kind.
+    /// Absent capabilities are not allowed, absent prices are 0, and other values are the strictest ones.
     #[test]
     fn absent_settings_take_the_strictest_values() {
         let settings = parse(&minimal("on_request")).expect("minimal settings are valid");
--- a/ring/src/lib.rs
+++ b/ring/src/lib.rs
@@ -9,7 +9,7 @@
 pub const SLOTS: usize = 1 << 16;
 /// Points of a member of size 1; the shares that members own vary by about 1/sqrt(128), 9 %.
 pub const POINTS: f64 = 128.0;
-/// Points examined at most in the search for one that takes a key.
+/// Largest number of points examined in the search for a member that takes a key.
 pub const MAX_JUMPS: u64 = 32;
 /// Attempts evaluated by [`SlotArray::sequence`]; members that own none of their slots follow in slot order.
 pub const MAX_ATTEMPTS: u64 = 64;
@@ -46,13 +46,13 @@
         Key(hash_of_name(name))
     }
 
-    /// The key of several names in order. Boundaries count: `["ab", "c"]` and `["a", "bc"]` differ.
+    /// The key of several names in order. Their boundaries matter: `["ab", "c"]` and `["a", "bc"]` differ.
     pub fn of_parts(parts: &[&str]) -> Key {
         Key(parts.iter().fold(0, |hash, part| mix(fold(hash, part) ^ part.len() as u64)))
     }
 }
 
-/// A point of a member. Ordered by slot, then hash: where two points collide the smaller hash comes first.
+/// A point of a member. Ordered by slot, then hash: of two points in one slot, the smaller hash is first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Point {
     slot: u16,
@@ -92,7 +92,7 @@
                 Point { slot, hash: (hash >> 32) as u32, member: free as u16 }
             }));
         }
-        // The stable sort takes one merge where most points are sorted already.
+        // The stable sort needs only one merge, as most points are sorted already.
         self.points.sort();
     }
 
@@ -135,7 +135,7 @@
         self.len() == 0
     }
 
-    /// All points, each once, clockwise from a slot.
+    /// All points in clockwise order from a slot, each once.
     fn clockwise(&self, slot: usize) -> impl Iterator<Item = &Point> {
         let (before, after) =
             self.points.split_at(self.points.partition_point(|p| usize::from(p.slot) < slot));
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -182,11 +182,11 @@
         self.route_pending();
     }
 
-    /// Updates the points in the slot array, which servers keep while listed, and the capacities.
+    /// Updates capacities, and the points in the slot array, which servers keep while they are listed.
     fn refresh_slots(&mut self) {
         let by_weight = matches!(self.settings.weights, WeightSource::Nominal | WeightSource::Rough);
         let max_weight = self.servers.values().map(|s| s.entry.weight).fold(0.0, f64::max);
-        // Relative to the largest weight's power of two: sizes stay put while similar servers come and go.
+        // Scaled by the power of two below the largest weight: sizes stay as similar servers come and go.
         let scale = if by_weight && max_weight > 0.0 { max_weight.log2().floor().exp2() } else { 1.0 };
         let mut resized = Vec::new();
         (self.ready_count, self.total_size, self.total_capacity) = (0.0, 0.0, 0.0);
--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -5,9 +5,9 @@
 use super::Node;
 use crate::interface::*;
 
-/// Burst, in requests, of a tenant's quota and of a cold server's allowance: sparse requests come unevenly.
+/// Burst, in requests, of a tenant's quota and of a cold server's allowance: sparse arrivals are uneven.
 pub(super) const BURST: f64 = 4.0;
-/// Retry budget where the settings state none: retries must not become a retry storm.
+/// Retry budget where the settings state none; prevents retry storms.
 pub(super) const DEFAULT_BUDGET: Budget = Budget { span: 10.0, free: 20.0, ratio: 0.1 };
 
 /// A tenant's token bucket at this node, and its requests per second, smoothed over the warm-up time.
@@ -18,7 +18,7 @@
     pub(super) rate: f64,
 }
 
-/// Rule 5: requests and retries within the budget's span, exact where a token bucket would let bursts pass.
+/// Rule 5: a log of requests and retries over the budget's span. A token bucket would let bursts exceed it.
 #[derive(Default)]
 pub(super) struct RetryWindow {
     pub(super) requests: VecDeque<Seconds>,
@@ -54,7 +54,7 @@
         over
     }
 
-    /// Each of two processes of one node gets half of what does not grow with its own requests.
+    /// While two processes of one node run, each gets half of the amounts that don't scale with its requests.
     pub(super) fn on_second_process(&mut self, shared: bool) {
         let share = if shared { 0.5 } else { 1.0 };
         let budget = self.settings.guarantees.budget.unwrap_or(DEFAULT_BUDGET);
--- a/src/balance/estimates.rs
+++ b/src/balance/estimates.rs
@@ -2,13 +2,13 @@
 
 use crate::interface::*;
 
-/// Least weight of a new sample in an average, and the time that gaps between samples are relative to.
+/// A sample's weight in an average is the gap before it / `RARE_INTERVAL`, but at least this.
 const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 pub(super) const RARE_INTERVAL: Seconds = 10.0;
 /// How long a key is presumed cached where it was last served; also the time constant of decaying counts.
 pub(super) const RETENTION: Seconds = 15.0;
 
-/// Exponentially weighted moving average. Sparse samples weigh more, as each of many nodes sees few.
+/// Exponentially weighted moving average. A sample after a long gap weighs more: each of many nodes sees few.
 #[derive(Debug, Default)]
 pub(super) struct Average {
     pub(super) value: f64,
@@ -49,14 +49,14 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit that is not in use does not grow: fast answers then say nothing about it.
+    /// Does not raise a limit that is less than half used: fast answers then say nothing about it.
     pub(super) fn raise(&mut self, load: f64) {
         if load >= self.value / 2.0 {
             self.value += (self.value / 2.0).min(1.0 / self.value);
         }
     }
 
-    /// Ignores attempts sent before the last cut: they say nothing about the limit that it set.
+    /// Ignores attempts sent before the last cut: they say nothing about the limit since then.
     pub(super) fn cut(&mut self, to: f64, load: f64, now: Seconds, sent: Seconds) {
         if sent > self.last_cut {
             self.value = (load.clamp(self.value / 2.0, self.value) * to).max(self.min);
--- a/src/balance/lifecycle.rs
+++ b/src/balance/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Life of a request: routed, sent, held or ended.
+//! Lifecycle of a request: it is routed, sent, held back or ended.
 
 use shaletrail_ring::mix;
 
@@ -88,7 +88,7 @@
         if let (false, true, Some((_, waiters))) = (r.write, to_origin, self.fetches.get_mut(&key)) {
             return waiters.push(id);
         }
-        // Limits what reaches the origin, writes less strictly than reads: hits must not queue behind it.
+        // Limits requests to the origin, writes less strictly than reads: hits must not queue behind them.
         let has_room = aside || !to_origin || self.origin_has_room(if r.write { 2.0 } else { 1.0 });
         if let Some(server) = target.filter(|_| has_room) {
             return self.send(id, &server, to_origin);
@@ -114,7 +114,7 @@
         let busy = |s: &Server| s.in_flight > 0 || s.last_used == 0.0;
         let idle =
             self.servers.get(server).map_or(0.0, |s| if busy(s) { 0.0 } else { self.now - s.last_used });
-        // Guards against connections dropped unnoticed, by reset or silently; costs handshakes after a crash.
+        // The server may have dropped the idle connections unnoticed. After a crash this costs handshakes.
         if idle >= stale_after {
             self.actions.push(Action::CloseIdle(server.clone()));
         }
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -3,10 +3,10 @@
 use super::{estimates::ConcurrencyLimit, placement::FLEET_CAP_FLOOR, server::Server, Node, MIN_LIMIT};
 use crate::interface::*;
 
-/// First back-off, before jitter, after a failed call for the server list; doubled at most three times.
+/// Back-off, before jitter, after the first failed call for the server list; doubled at most three times.
 const CALL_BACKOFF: Seconds = 0.2;
 
-/// State of the subscription, where the server list must be requested.
+/// State of the subscription to the server list, for [`Membership::OnRequest`].
 #[derive(Default)]
 pub(super) struct Subscription {
     pub(super) subscribed: bool,
@@ -58,7 +58,7 @@
     }
 
     fn on_entry(&mut self, entry: ServerEntry) {
-        // Random, so that many nodes don't all send their first attempt at once.
+        // A random allowance, so that many nodes don't all send their first attempt at once.
         let (now, allowance, min) = (self.now, self.random(), self.node_share(1.0).min(MIN_LIMIT));
         let (value, last_cut) = (self.node_share(2.0 * FLEET_CAP_FLOOR), 0.0);
         let limit = ConcurrencyLimit { value, min, last_cut };
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -4,19 +4,19 @@
 use super::{estimates::RARE_INTERVAL, placement::MIN_STALE_IDLE, Location, Node, MAX_TICK};
 use crate::interface::*;
 
-/// Delay of a hit beyond its work, as a fraction of the latency target, above which its server is crowded.
+/// A server is crowded if a hit's delay beyond its work exceeds this fraction of the latency target.
 pub(super) const CROWDED_DELAY: f64 = 0.5;
-/// The same for the mean delay of the fleet: above it, jumps to other servers make things worse.
+/// The same bound for the mean delay of all servers: above it, a jump finds no less loaded server.
 pub(super) const SLOW_FLEET_DELAY: f64 = 0.35;
-/// Fraction of attempts without a connection above which connections are scarce; one dead server causes less.
+/// Connections are scarce above this fraction of unreachable attempts; one dead server causes less.
 const SCARCE: f64 = 0.05;
-/// Factor by which a slow core may exceed the hinted work: heavy requests must not look like crowding.
+/// Allowance for slow cores, as a factor of the hinted work: heavy requests must not look like crowding.
 const SLOW_CORE_FACTOR: f64 = 1.5;
-/// Fraction of late fetches above which the origin is slow. Single ones vary much, and still fill a cache.
+/// The origin is slow above this fraction of late fetches. A few are normal, and they still fill caches.
 const SLOW_ORIGIN: f64 = 0.6;
-/// Factor of a cut of a server's limit, which happens at most once for the attempts then in flight.
+/// A cut multiplies a server's limit by this, at most once for the attempts that are then in flight.
 const LIMIT_CUT: f64 = 0.8;
-/// The same for the fetch limit: slow fetches end late, so cuts are few and must be deep.
+/// The same for the fetch limit: slow fetches end late, so that cuts are rare and must be deep.
 const FETCH_LIMIT_CUT: f64 = 0.5;
 /// A server that has answered within this time is alive, however many of its connections are reset.
 const LIVENESS_WINDOW: Seconds = 0.25;
@@ -41,8 +41,7 @@
         self.route_pending();
     }
 
-    /// Updates a server when an attempt ends or its answer begins, and resumes reads that waited for its
-    /// fetch.
+    /// Updates the server when an attempt ends or its answer begins; resumes reads that waited for its fetch.
     pub(super) fn settle(&mut self, outcome: &Outcome) {
         let Some(r) = self.requests.get_mut(&outcome.request) else { return };
         let Some(attempt) = r.attempts.get_mut(outcome.attempt.0 as usize) else { return };
@@ -61,8 +60,8 @@
         self.unreachable.add(f64::from(outcome.status == Status::Unreachable), self.now);
         self.observe(&location, &outcome, known, write, idle, delay);
         let fetching = !known && self.settings.cache == CacheMode::Through;
-        // In aside mode the origin answers for itself, so an error of a cache server is its own. If a class
-        // fails at all servers, all of them lose it and its keys stay at their home servers.
+        // In aside mode the node itself asks the origin, so a cache server's errors are its own. If a class
+        // fails at all servers, all are ejected for it, and its keys stay at their home servers.
         let own_error =
             outcome.status == Status::Error && !at_origin && self.settings.cache != CacheMode::Through;
         if let Some(s) = self.servers.get_mut(&location.1) {
@@ -78,7 +77,7 @@
             }
         }
         if self.fetches.get(&key).is_some_and(|(leader, _)| to_origin && *leader == outcome.request) {
-            // The fetch is over, however it ended: the reads that waited for it ask their cache server.
+            // Whether the fetch succeeded or failed, the reads that waited for it now ask their cache server.
             for waiter in self.fetches.remove(&key).unwrap_or_default().1 {
                 self.requests.entry(waiter).and_modify(|w| w.missed = false);
                 self.route(waiter);
@@ -99,8 +98,8 @@
         }
     }
 
-    /// Rule 6: closes at the drain notice, after each outcome (`close_idle`) and while a server is listed, as
-    /// a connection may become idle after its outcome: a time-out leaves it busy, answers may come in order.
+    /// Rule 6: closes idle connections to draining servers, also between outcomes (`close_idle`), as some
+    /// become idle only later: after a time-out, or where answers on one connection must come in order.
     pub(super) fn close_drained(&mut self) {
         let Some(within) = self.settings.guarantees.close_on_drain else { return };
         self.next_close = self.now + (within / 4.0).max(MAX_TICK);
@@ -116,7 +115,7 @@
         }
         // The last attempt goes to the origin, which has every key (aside mode).
         let last_attempt = r.attempts.len() + 1 >= self.settings.limits.max_attempts as usize;
-        // The keys of a class that a server keeps failing go to the origin, as after a miss. The origin's
+        // If a server keeps failing a class, its requests go on to the origin, as after a miss. The origin's
         // limit bounds this load; the default retry budget would refuse requests that the origin can serve.
         let server = r.attempts.last().and_then(|a| self.servers.get(&a.server));
         let own_error =
@@ -126,7 +125,7 @@
         r.missed |= last_attempt || r.budget_exempt || outcome.status == Status::Absent;
         match outcome.status {
             Status::NotSent => self.end(id),
-            // A fetch that failed would fail through another server too.
+            // The origin failed, and it would fail through another server too.
             Status::Error if to_origin => self.end(id),
             _ => self.route(id),
         }
@@ -161,7 +160,7 @@
         }
     }
 
-    /// Idle time from which a connection is presumed dead; doubles per `RARE_INTERVAL` without evidence.
+    /// Idle time from which a connection is presumed dead; doubles per `RARE_INTERVAL` without new evidence.
     pub(super) fn stale_after(&self) -> Seconds {
         self.stale_after.map_or(f64::MAX, |(from, at)| from * ((self.now - at) / RARE_INTERVAL).exp2())
     }
@@ -173,9 +172,9 @@
         let fetched = outcome.note == Some(CacheNote::Miss);
         let stale_after = self.stale_after();
         let Some(s) = self.servers.get_mut(&at.1) else { return };
-        // Some clients wait for less than the usual latency: their time-outs say nothing about the server.
+        // The time-out of a client that waits for less than the usual latency says nothing about the server.
         let unanswered = status == Status::TimedOut && delay > CROWDED_DELAY;
-        // Lost rather than delayed by crowding, as the server has answered attempts that were sent later.
+        // The attempt was lost, not delayed by crowding: the server has answered attempts sent after it.
         let lost = unanswered && s.newest_answered > now - time;
         let stale = idle >= MIN_STALE_IDLE && (lost || status == Status::Broken);
         if stale {
@@ -190,11 +189,11 @@
             // Capped at about twice the mean: a few slow servers must not look like a slow fleet.
             self.delay.add(delay.min((2.0 * self.delay.value).max(SLOW_FLEET_DELAY / 4.0)), now);
         }
-        // One reset concerns its connection only; repeated ones with no answer in between concern the server.
+        // One reset is a fault of its connection; a second one with no answer in between, of the server.
         let reset = status == Status::Broken && !stale;
-        // A time-out counts against a server that has answered nobody since, otherwise against the origin.
+        // A time-out counts against a server that has answered nothing since then, else against the origin.
         let alive = s.last_answer > now - time;
-        // Errors of uncached keys or while fetches fail are the origin's; connections may just be scarce.
+        // Errors for uncached keys or while fetches fail are the origin's; connections may just be scarce.
         let failed = (status == Status::Error && known && !write && self.late_ratio.value <= SLOW_ORIGIN)
             || (reset && s.last_answer <= s.last_reset && now - s.last_answer > LIVENESS_WINDOW)
             || (status == Status::Unreachable && !scarce)
@@ -224,8 +223,8 @@
         } else if !failed && answer {
             s.last_answer = now;
         }
-        // Where caches don't report hits, answers of uncached keys count as fetches: if only errors did, a
-        // few of them would shut the fetch limit for good.
+        // Where caches don't report hits, answers for uncached keys count as fetches: if only errors did, a
+        // few of them would keep the fetch limit at its minimum for good.
         let fetched = fetched || (outcome.note.is_none() && !known);
         if outcome.note.is_some() && !known && !write {
             self.miss_ratio.add(f64::from(outcome.note != Some(CacheNote::Hit)), now);
@@ -253,7 +252,7 @@
         }
     }
 
-    /// This node or, where messages are allowed, another one got no answer or a failure from a server.
+    /// Handles a failure or missing answer of a server, seen by this node or reported in a peer's message.
     pub(super) fn on_server_failure(&mut self, id: &ServerId) {
         let duration = EJECTION_TIME * (0.75 + 0.5 * self.random());
         let Some(s) = self.servers.get_mut(id).filter(|s| self.now >= s.ejected_until) else { return };
--- a/src/balance/placement.rs
+++ b/src/balance/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of a server: the cap and the jumps of RJ-CH, and the exceptions to them.
+//! Choice of a server by RJ-CH: its load cap, its jumps, and the exceptions to both.
 
 use shaletrail_ring::{mix, MAX_JUMPS};
 
@@ -6,7 +6,7 @@
 use super::{outcomes::SLOW_FLEET_DELAY, server::Server, Node, MIN_LIMIT};
 use crate::interface::*;
 
-/// ε of the cap. A jump costs a miss at the slow origin: the cap prevents crowding, not uneven load.
+/// ε of the cap. A jump costs a miss at the slow origin, so the cap prevents crowding, not uneven load.
 const EPSILON: f64 = 0.7;
 /// Requests in flight at one server that the cap always allows: over all nodes (a few per core), and per node
 /// in aside mode, where a jump into a miss costs attempts and a fetch from the origin.
@@ -34,7 +34,7 @@
             .max(self.node_share(FLEET_CAP_FLOOR).ceil().max(floor))
     }
 
-    /// A cold server accepts a stable part of its own keys, by capacity and allowance, and no overflow.
+    /// A cold server accepts a fixed subset of its own keys, by capacity and allowance, and no overflow.
     fn accepts(&self, server: &Server, key: Key, jump: u64, hash: u32) -> bool {
         let draw = mix(key.0 ^ u64::from(hash)) as f64 / u64::MAX as f64;
         let cold = server.capacity < server.size;
--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -22,7 +22,7 @@
     pub(super) allowance: f64,
     /// Number in flight above which answers get slow, learnt from latencies.
     pub(super) limit: ConcurrencyLimit,
-    /// With a limit below 1, end of the pauses after what it was sent; up to two pauses may be saved up.
+    /// With a limit below 1: end of the pauses after earlier sends; up to two pauses may be saved up.
     pub(super) paced_until: Seconds,
     /// When any node last saw it fail, and until when it is ejected.
     pub(super) last_failure: Seconds,
@@ -34,7 +34,7 @@
     pub(super) newest_answered: Seconds,
     /// When a connection to it was last reset while in use.
     pub(super) last_reset: Seconds,
-    /// Classes whose last attempts failed: how many, and until when the class is sent elsewhere.
+    /// Per class: failures since its last answer, and until when the class is sent elsewhere.
     pub(super) class_failures: BTreeMap<usize, (u32, Seconds)>,
 }
 
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -29,7 +29,7 @@
         ServerCounts { listed: servers.count(), avoided: avoided.count() }
     }
 
-    /// Whether the server list lists a cache server under this name.
+    /// Whether the server list contains a cache server with this name.
     pub fn has_server(&self, server: &ServerId) -> bool {
         self.0.servers.get(server).is_some_and(|s| self.is_listed(&s.entry))
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Chosen by the balancer; the host returns it when the timer expires.
+/// Identifies a timer. Chosen by the balancer; the host returns it when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
@@ -104,8 +104,8 @@
     /// Read- and write-through: servers fetch the key from the origin and forward writes to it.
     #[default]
     Through,
-    /// Cache-aside: servers answer [`Status::Absent`], and the node asks the origin, a server entry of this
-    /// kind.
+    /// Cache-aside: servers answer [`Status::Absent`], and the node itself asks the origin, which is listed
+    /// as a server of this kind.
     Aside {
         /// Value of [`ServerEntry::kind`] that marks the origin.
         origin_kind: String,
@@ -142,7 +142,7 @@
 pub struct Guarantees {
     /// A final answer counts until this long after the client's deadline.
     pub answer_grace: Seconds,
-    /// Longest time that a node may go without a subscription or a request for the server list.
+    /// Longest time that a node may be without a subscription and without a request for the server list.
     pub ask_every: Seconds,
     /// Least fraction of its capacity that a server has when it starts.
     pub cold_capacity: f64,
@@ -315,7 +315,7 @@
     Gone,
 }
 
-/// One server in the server list.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
     /// Unique in the server list.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load balancing decisions of a proxy that spreads keys over cache servers in front of a slow origin.
+//! Load-balancing policy of a proxy that distributes keys over cache servers in front of a slow origin.
 //!
 //! The crate is a sans-IO state machine: a host passes [`Event`]s to a [`Balancer`] and carries out the
 //! [`Action`]s that it returns. It has no clock, no threads and no I/O, and is deterministic: the same events
@@ -68,7 +68,7 @@
 //! balancer.handle(0.1, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: s, .. } if *s == server.server)));
 //!
-//! // The server has answered and the client has its answer, so that nothing is left to do.
+//! // The server has answered and the client has received the answer, so nothing is left to do.
 //! let outcome = Outcome {
 //!     request: RequestId(1),
 //!     attempt: AttemptId(0),
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1073,7 +1073,7 @@
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// However a fetch ends, and whether or not its own client has time_left: the reads that wait for it go on, once,
+/// However a fetch ends, and whether or not its own client has time left: the reads that wait for it go on, once,
 /// except those whose client has left.
 #[test]
 fn reads_that_wait_for_a_fetch_go_on_however_it_ends() {
@@ -1437,7 +1437,7 @@
     node.event(Event::Membership(MembershipUpdate::Full(fleet(4))));
     assert!((0..400).all(|n| node.home(n, n) != id(4)));
     assert_eq!(node.balancer.server_counts(), ServerCounts { listed: 4, avoided: 1 });
-    // Put back while unlisted, it is used as soon as the server list lists it.
+    // Put back while unlisted, it is used as soon as the server list contains it.
     node.event(Event::Membership(MembershipUpdate::Full(fleet(3))));
     let at = node.now;
     set_out_of_service(&mut node, id(4), Some(at));
