--- a/src/balance/server.rs
+++ b/src/balance/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{figures::ConcurrencyLimit, MAX_TICK};
+use super::{estimates::ConcurrencyLimit, MAX_TICK};
 use crate::interface::*;
 
 /// A server with two failures within `FAILURE_WINDOW` is ejected for about `EJECTION_TIME`, by all nodes that
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub(crate) entry: RosterEntry,
+    pub(crate) entry: ServerEntry,
     pub(super) in_flight: u32,
     /// Determines its points in the slot array; 0 when it has none.
     pub(super) size: f64,
@@ -22,7 +22,7 @@
     pub(super) allowance: f64,
     /// Number in flight above which answers get slow, learnt from latencies.
     pub(super) limit: ConcurrencyLimit,
-    /// With a limit below 1, end of the pauses after what it was sent; up to two pauses may be saved up.
+    /// With a limit below 1: end of the pauses after earlier sends; up to two pauses may be saved up.
     pub(super) paced_until: Seconds,
     /// When any node last saw it fail, and until when it is ejected.
     pub(super) last_failure: Seconds,
@@ -34,7 +34,7 @@
     pub(super) newest_answered: Seconds,
     /// When a connection to it was last reset while in use.
     pub(super) last_reset: Seconds,
-    /// Classes whose last attempts failed: how many, and until when the class is sent elsewhere.
+    /// Per class: failures since its last answer, and until when the class is sent elsewhere.
     pub(super) class_failures: BTreeMap<usize, (u32, Seconds)>,
 }
 
