--- a/model-checker/src/cluster_state.rs
+++ b/model-checker/src/cluster_state.rs
@@ -1,4 +1,4 @@
-//! The state of the whole group, and the transitions that it allows.
+//! The state of the whole group, and the transitions possible from it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use crate::transition::{FaultBudget, Transition};
 use crate::transition_cache::TransitionCache;
 
-/// Nodes that found the group.
-pub(crate) const FOUNDERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
-/// A node that does not vote at the start.
+/// The voters of a newly bootstrapped group.
+pub(crate) const INITIAL_VOTERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
+/// A node that is not a voter at the start.
 pub(crate) const LEARNER: NodeId = NodeId(4);
-/// The voters after a change: the learner replaces the third founder.
+/// The voters after a voter change: the learner replaces the third initial voter.
 pub(crate) const VOTERS_AFTER_CHANGE: [NodeId; 3] = [NodeId(1), NodeId(2), LEARNER];
 
-/// A state of the group: its nodes, the messages in flight, and what was observed on the path to it.
+/// A state of the group: its nodes, the messages in flight, and the observations made on the path to it.
 #[derive(Clone, Debug)]
 pub struct ClusterState {
     pub(crate) now: Millis,
@@ -35,10 +35,10 @@
 }
 
 impl ClusterState {
-    /// A group that has just been founded, and a learner.
-    pub(crate) fn founded(options: GroupOptions) -> ClusterState {
-        let ids = FOUNDERS.into_iter().chain([LEARNER]);
-        let nodes = ids.map(|id| Arc::new(Node::new(id, options, &FOUNDERS, 0)));
+    /// A newly bootstrapped group and one learner.
+    pub(crate) fn bootstrapped(options: GroupOptions) -> ClusterState {
+        let ids = INITIAL_VOTERS.into_iter().chain([LEARNER]);
+        let nodes = ids.map(|id| Arc::new(Node::new(id, options, &INITIAL_VOTERS, 0)));
         ClusterState {
             now: 0,
             nodes: nodes.collect(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Of the whole state.
+    /// Hash of the complete state.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let nodes: Vec<Fingerprint> = self.nodes.iter().map(|node| node.fingerprint).collect();
         let in_flight: Vec<Fingerprint> =
@@ -57,7 +57,7 @@
         fingerprint::of(&(self.now, nodes, in_flight, &*self.invariants, self.budget, self.next_read_token))
     }
 
-    /// All transitions that the state and its budget allow.
+    /// All transitions that the state and its remaining fault budget allow.
     pub(crate) fn transitions(&self) -> Vec<Transition> {
         let mut transitions = self.deliveries();
         for node in &self.nodes {
@@ -69,7 +69,7 @@
         transitions
     }
 
-    /// Deliveries of each message in flight. Of equal messages the first stands for all.
+    /// One delivery per distinct message in flight; delivering any of several equal messages leads to the same state.
     fn deliveries(&self) -> Vec<Transition> {
         let is_first_of_equals = |position: &usize| {
             *position == 0
@@ -78,7 +78,7 @@
         let positions: Vec<usize> = (0..self.in_flight.len()).filter(is_first_of_equals).collect();
         let mut transitions: Vec<Transition> = positions.iter().copied().map(Transition::Deliver).collect();
         if self.budget.duplicates > 0 {
-            transitions.extend(positions.into_iter().map(Transition::DeliverAndKeep));
+            transitions.extend(positions.into_iter().map(Transition::DeliverAndDuplicate));
         }
         transitions
     }
@@ -121,7 +121,7 @@
         transitions.extend(changes.map(|change| Transition::Propose { node: leader, change }));
     }
 
-    /// The state after a transition; `None` where a message was delivered and did nothing, which is the same as its loss.
+    /// Returns the state after a transition; `None` if a delivered message had no effect, which equals its loss.
     pub(crate) fn apply(
         &self,
         transition: &Transition,
@@ -134,7 +134,7 @@
             return Some(Ok(next));
         }
         let (node, input) = next.take_input(transition)?;
-        let is_delivery = matches!(transition, Transition::Deliver(_) | Transition::DeliverAndKeep(_));
+        let is_delivery = matches!(transition, Transition::Deliver(_) | Transition::DeliverAndDuplicate(_));
         match next.step_node(node, &input, cache) {
             Ok(changed) if is_delivery && !changed => None,
             Ok(_) => Some(Ok(next)),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The node that a transition concerns and its input; `None` if it concerns no node.
+    /// Returns the node that a transition acts on and its input; `None` if the transition acts on no node.
     fn take_input(&mut self, transition: &Transition) -> Option<(NodeId, Input)> {
         let node_and_input = match transition {
             Transition::AdvanceClock => return None,
@@ -150,7 +150,7 @@
                 let envelope = self.in_flight.remove(*position);
                 (envelope.to, Input::Receive(envelope))
             }
-            Transition::DeliverAndKeep(position) => {
+            Transition::DeliverAndDuplicate(position) => {
                 let envelope = self.in_flight[*position].clone();
                 (envelope.to, Input::Receive(envelope))
             }
@@ -173,7 +173,7 @@
         token
     }
 
-    /// Gives a node an input and checks the invariants; whether the node changed or sent anything.
+    /// Applies an input to a node and checks the invariants. Returns whether the node changed or sent a message.
     pub(crate) fn step_node(
         &mut self,
         node: NodeId,
@@ -220,11 +220,13 @@
         &self.nodes[self.position_of(id)]
     }
 
-    /// A transition from this state as a line of a path.
+    /// Describes a transition from this state as one line of a path.
     pub(crate) fn describe(&self, transition: &Transition) -> String {
         match transition {
             Transition::Deliver(position) => self.describe_delivery("deliver", *position),
-            Transition::DeliverAndKeep(position) => self.describe_delivery("deliver and keep", *position),
+            Transition::DeliverAndDuplicate(position) => {
+                self.describe_delivery("deliver and duplicate", *position)
+            }
             Transition::Propose { node, change } => {
                 format!("operator proposes change {change} to {}", node.0)
             }
--- a/model-checker/src/config_changes.rs
+++ b/model-checker/src/config_changes.rs
@@ -1,25 +1,24 @@
-//! The changes of the configuration that operators of the scenarios propose.
+//! The configuration changes that operators propose in the scenarios.
 
 use std::sync::OnceLock;
 
 use shaletrail_configuration::{Change, ChangeKind};
 
-/// A change, by its index in [`CHANGES`].
+/// Index of a change in [`CHANGES`].
 pub(crate) type ChangeId = usize;
 
-/// How many changes there are.
 pub(crate) const CHANGE_COUNT: usize = CHANGES.len();
 
-/// The first change; proposed again, it is the retry of an operator whose response was lost.
+/// The first change. Proposing it again models the retry of an operator whose response was lost.
 pub(crate) const FIRST: ChangeId = 0;
-/// Another operator's change that makes the same version as [`FIRST`].
+/// Another operator's change that creates the same version as [`FIRST`].
 pub(crate) const CONFLICTING: ChangeId = 1;
-/// Another change on the same base version that makes a later version.
+/// A change on the same base version as [`FIRST`] that skips a version.
 pub(crate) const SKIPPING: ChangeId = 2;
-/// A change whose base is the version that [`FIRST`] or [`CONFLICTING`] makes.
+/// A change based on the version that [`FIRST`] or [`CONFLICTING`] creates.
 pub(crate) const SUCCESSOR: ChangeId = 3;
 
-/// Base versions and bodies of the changes.
+/// Base version and JSON body of each change.
 const CHANGES: [(u64, &str); 4] = [
     (0, r#"{"version":1,"limits":{},"services":[{"name":"first"}],"routes":[]}"#),
     (0, r#"{"version":1,"limits":{},"services":[{"name":"second"}],"routes":[]}"#),
@@ -27,7 +26,7 @@
     (1, r#"{"version":2,"limits":{},"services":[{"name":"fourth"}],"routes":[]}"#),
 ];
 
-fn parsed() -> &'static [Change] {
+fn parsed_changes() -> &'static [Change] {
     static PARSED: OnceLock<Vec<Change>> = OnceLock::new();
     PARSED.get_or_init(|| {
         let parse = |(base, body): &(u64, &str)| Change::parse(ChangeKind::Replace, *base, body.as_bytes());
@@ -35,14 +34,13 @@
     })
 }
 
-/// The change of an id.
 pub(crate) fn get(id: ChangeId) -> &'static Change {
-    &parsed()[id]
+    &parsed_changes()[id]
 }
 
-/// The id of an encoded change; `None` if it is none of these.
+/// The id of an encoded change; `None` if it is not in [`CHANGES`].
 pub(crate) fn find(command: &[u8]) -> Option<ChangeId> {
     let change = Change::decode(command).ok()?;
     let encoded = change.encode();
-    parsed().iter().position(|known| known.encode() == encoded)
+    parsed_changes().iter().position(|known| known.encode() == encoded)
 }
--- a/model-checker/src/explorer.rs
+++ b/model-checker/src/explorer.rs
@@ -1,4 +1,4 @@
-//! Breadth-first exploration of all states that are reachable from an initial state.
+//! Breadth-first exploration of all states reachable from an initial state.
 
 use std::collections::hash_map::Entry;
 use std::collections::HashMap;
@@ -12,40 +12,41 @@
 use crate::transition::Transition;
 use crate::transition_cache::TransitionCache;
 
-/// Where an exploration ends.
+/// Bounds of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The most transitions on one path.
+    /// The maximum number of transitions on a path.
     pub depth: usize,
-    /// The most states: the exploration ends before a depth that would have more.
+    /// The maximum number of states. The exploration stops before it completes a depth that would exceed this number.
     pub states: usize,
 }
 
-/// What an exploration visited and found.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The scenario's name.
+    /// The name of the explored scenario.
     pub scenario: &'static str,
-    /// The number of distinct states, by their fingerprints.
+    /// The number of distinct states, counted by fingerprint.
     pub states: usize,
-    /// The number of transitions between them.
+    /// The number of transitions applied, including those to states already visited.
     pub transitions: usize,
-    /// The depth to which all states were visited.
+    /// The depth up to which all states were visited.
     pub depth: usize,
-    /// Whether the frontier was empty at the end.
+    /// Whether every reachable state was visited.
     pub exhausted: bool,
-    /// The first violation.
+    /// The first violation found; `None` if all invariants held.
     pub violation: Option<Violation>,
-    /// How long it took.
+    /// Wall-clock time of the exploration.
     pub elapsed: Duration,
 }
 
 /// A path to a state in which an invariant does not hold.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The invariant, and what contradicts it.
+    /// The violated invariant and the observation that contradicts it.
     pub cause: InvariantViolation,
-    /// The initial state, the transitions, of which the last one violates the invariant, and the state before that.
+    /// One line each for the initial state, every transition up to the one that violates the invariant, and the state
+    /// before that last transition.
     pub path: Vec<String>,
 }
 
@@ -53,11 +54,11 @@
 #[derive(Clone, Copy)]
 struct Predecessor {
     state: Fingerprint,
-    /// The transition's position in [`ClusterState::transitions`] of the predecessor.
+    /// Index into [`ClusterState::transitions`] of the predecessor.
     transition: u16,
 }
 
-/// Visits all states from a scenario's initial state within the limits.
+/// Visits all states within the limits, starting from a scenario's initial state.
 pub fn explore(scenario: &Scenario, initial_state: ClusterState, limits: Limits) -> Report {
     let started_at = Instant::now();
     let mut exploration = Exploration::from(&initial_state);
@@ -90,18 +91,18 @@
 
 struct Exploration {
     cache: TransitionCache,
-    /// Visited states; the initial one is its own predecessor.
+    /// Visited states with their predecessors; the initial state is its own predecessor.
     visited: HashMap<Fingerprint, Predecessor>,
     transitions: usize,
 }
 
-/// What lies one transition beyond a frontier.
+/// The result of applying all transitions to a frontier.
 enum Expansion {
     /// States that were not visited before.
     Frontier(Vec<ClusterState>),
-    /// More states than the limit allows.
+    /// The state limit was reached before the frontier was fully expanded.
     StateLimitReached,
-    /// A transition that violates an invariant, and the state that it starts from.
+    /// A transition that violates an invariant, with the state to which it was applied.
     Violated { state: Fingerprint, transition: Transition, cause: InvariantViolation },
 }
 
@@ -135,7 +136,7 @@
         Expansion::Frontier(next_frontier)
     }
 
-    /// The path from the initial state to a visited state and one transition further, a line each.
+    /// Describes the path from the initial state to a visited state and one further transition, one line per step.
     fn path(
         &mut self,
         initial_state: &ClusterState,
@@ -148,14 +149,14 @@
             let transition = state.transitions().swap_remove(usize::from(position));
             path.push(state.describe(&transition));
             let next = state.apply(&transition, &mut self.cache).expect("the transition was applied before");
-            state = next.expect("the transition violated nothing before");
+            state = next.expect("the transition violated no invariant before");
         }
         path.push(state.describe(last_transition));
         path.push(state.to_string());
         path
     }
 
-    /// The positions of the transitions between two states, the first one first.
+    /// The indices of the transitions from the initial state to another state, in path order.
     fn transitions_to(&self, initial_state: Fingerprint, last_state: Fingerprint) -> Vec<u16> {
         let mut positions = Vec::new();
         let mut state = last_state;
--- a/model-checker/src/fingerprint.rs
+++ b/model-checker/src/fingerprint.rs
@@ -1,26 +1,26 @@
-//! Fingerprints of states, by which the exploration recognises a state that it has visited.
+//! Fingerprints, by which the exploration recognises states that it has already visited.
 
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::{Debug, Write};
 use std::hash::{Hash, Hasher};
 
-/// A 64-bit hash that stands for a state, an input or a message. Equal values have equal fingerprints in each run.
+/// A 64-bit hash that identifies a state, an input or a message. Equal values have equal fingerprints in every run.
 pub(crate) type Fingerprint = u64;
 
-/// Start of the replica's random generator in its debug text. The generator is no part of the state: every time-out is
-/// drawn from a range of one value.
+/// Text before the replica's random generator in its debug output. The generator is excluded from fingerprints because
+/// it does not affect behaviour: every time-out is drawn from a range that contains a single value.
 const GENERATOR_START: &str = ", random: ";
-/// End of the replica's random generator in its debug text.
+/// Text after the replica's random generator in its debug output.
 const GENERATOR_END: &str = " }, ";
 
-/// The fingerprint of a value. The hasher's keys are fixed.
+/// Hashes a value. The hasher uses fixed keys, so the result is the same in every run.
 pub(crate) fn of(value: &impl Hash) -> Fingerprint {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The fingerprint of a value's debug text, without a random generator in it.
+/// Hashes the debug output of a value, without any random generator in it.
 pub(crate) fn of_debug(value: &impl Debug) -> Fingerprint {
     let mut text = String::new();
     write!(text, "{value:?}").expect("writing to a string does not fail");
--- a/model-checker/src/input.rs
+++ b/model-checker/src/input.rs
@@ -1,4 +1,4 @@
-//! Messages in flight, and what may happen to a node.
+//! Messages in flight between nodes, and the inputs that a node can receive.
 
 use std::sync::Arc;
 
@@ -14,33 +14,33 @@
     pub from: NodeId,
     pub to: NodeId,
     pub message: Message,
-    /// Of sender, recipient and message.
+    /// Hash of sender, recipient and message.
     pub fingerprint: Fingerprint,
 }
 
 impl Envelope {
-    /// Addresses a message.
+    /// Wraps a message with its sender, its recipient and its fingerprint.
     pub fn new(from: NodeId, to: NodeId, message: Message) -> Envelope {
         let fingerprint = fingerprint::of_debug(&(from, to, &message));
         Envelope { from, to, message, fingerprint }
     }
 }
 
-/// What happens to a node.
+/// An input to one node.
 #[derive(Clone, Debug)]
 pub(crate) enum Input {
     /// A message arrives.
     Receive(Arc<Envelope>),
     /// The oldest pending sync completes.
     Sync,
-    /// The node does what is due.
+    /// The node runs its timers: election time-out, heartbeat or loss of leadership, whichever is due.
     Tick,
-    /// The process loses what isn't synced and starts again.
+    /// The process loses all records that are not synced and restarts.
     Crash {
-        /// Whether the first record of the next sync is kept: a torn write.
+        /// Whether the first record of the oldest pending write survives, as after a torn write.
         torn_write: bool,
     },
-    /// The node loses its disk and starts again.
+    /// The node loses its disk and restarts with an empty one.
     LoseDisk,
     /// The leader transfers its leadership.
     TransferLeadership,
@@ -48,14 +48,14 @@
     AddLearner(NodeId),
     /// The leader changes the voters.
     ChangeVoters(Vec<NodeId>),
-    /// An operator proposes a change.
+    /// An operator proposes a configuration change.
     Propose(ChangeId),
-    /// An operator reads; the token names the read.
+    /// An operator starts a read with this unique token.
     Read(u64),
 }
 
 impl Input {
-    /// Of the input and the moment at which it happens.
+    /// Hash of the input and the time at which it happens.
     pub fn fingerprint(&self, now: Millis) -> Fingerprint {
         match self {
             Input::Receive(envelope) => fingerprint::of(&(envelope.fingerprint, now)),
--- a/model-checker/src/invariants.rs
+++ b/model-checker/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants that hold in every state, checked against what was observed on the way there.
+//! Invariants that must hold in every state, checked against the observations made on the path to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,39 +12,39 @@
 use crate::group_options::ORDER_LEASE_MS;
 use crate::observation::{EvaluatedOutcome, Observation};
 
-/// What must hold.
+/// The invariants that are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A term has one leader at most.
+    /// A term has at most one leader.
     ElectionSafety,
-    /// A leader's log has every entry that any replica has applied.
+    /// A leader's log contains every entry that any replica has applied.
     LeaderCompleteness,
-    /// Replicas apply the same entry at an index, and are in the same state after it.
+    /// All replicas apply the same entry at an index and are in the same state afterwards.
     StateMachineSafety,
-    /// The state of an installed snapshot is the one at its index.
+    /// An installed snapshot contains the state that the other replicas had at its index.
     SnapshotConsistency,
-    /// One node at most has a leader lease.
+    /// At most one node holds a leader lease at any time.
     LeaseExclusivity,
-    /// A read is no older than what any operator had learned when the read began.
+    /// A read returns a state at least as new as what any operator knew when the read began.
     LinearizableRead,
-    /// Of changes with one version or one base version, one is accepted at most.
+    /// Of several changes with the same version or the same base version, at most one is accepted.
     UniqueVersion,
-    /// A change that is in force is never rejected.
+    /// A change that is already in force is never rejected when it is retried.
     IdempotentChange,
-    /// A change that was acknowledged was accepted.
+    /// An acknowledged change was accepted.
     AcknowledgedIsAccepted,
-    /// A change that was rejected is not in force.
+    /// A rejected change is not in force.
     RejectedIsNotInForce,
-    /// Between the orders of two lease holders lies the lease of orders at least.
+    /// Orders of two different lease holders are at least one order-lease duration apart.
     OrderLeaseSeparation,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolation {
-    /// The invariant that was violated.
+    /// Which invariant was violated.
     pub invariant: Invariant,
-    /// The observation that contradicts it, in words.
+    /// A description of the observation that contradicts the invariant.
     pub details: String,
 }
 
@@ -61,44 +61,44 @@
 struct AppliedEntry {
     term: Term,
     payload: Fingerprint,
-    /// Of the state after it.
+    /// Hash of the state after the entry.
     state: Fingerprint,
 }
 
-/// A lease of orders that was acquired.
+/// An order lease that a node acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OrderLease {
     node: NodeId,
-    /// When the lease holder may send its first order.
+    /// The earliest time at which the holder may send an order.
     orders_from: Millis,
-    /// Until when orders may have been written; 0 before any.
+    /// The latest time at which the holder may have written an order; 0 if it could not write any yet.
     orders_until: Millis,
 }
 
-/// Records what was observed on a path, and finds what contradicts it.
+/// Records the observations made on a path and reports contradictions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InvariantChecker {
     applied: BTreeMap<Index, AppliedEntry>,
     leaders: BTreeMap<Term, NodeId>,
-    /// The newest index of which an operator knows, by an acknowledgement or a read.
+    /// The newest index known to any operator through an acknowledgement or a read.
     max_known_index: Index,
-    /// Reads in flight, with `max_known_index` at the moment when they began.
+    /// Reads in progress, by token, with the value of `max_known_index` when each began.
     reads: BTreeMap<u64, Index>,
-    /// Changes that were accepted, with their entry.
+    /// Accepted changes, with the index of the accepting entry.
     accepted: BTreeMap<ChangeId, Index>,
     acknowledged: BTreeSet<ChangeId>,
-    /// Changes that a response rejected, with the entry that was evaluated.
+    /// Changes that an operator was told were rejected, with the index of the evaluated entry.
     rejected: BTreeMap<ChangeId, Index>,
     order_leases: BTreeMap<Term, OrderLease>,
 }
 
 impl InvariantChecker {
-    /// A read begins.
+    /// Records the start of a read.
     pub(crate) fn begin_read(&mut self, token: u64) {
         self.reads.insert(token, self.max_known_index);
     }
 
-    /// Checks what a node shows.
+    /// Checks an observation of a node against those made before.
     pub(crate) fn observe(
         &mut self,
         node: NodeId,
@@ -115,7 +115,7 @@
             Observation::InstalledSnapshot { index, state } => {
                 let known = self.applied.get(index).map(|entry| entry.state);
                 check(Invariant::SnapshotConsistency, known == Some(*state), || {
-                    format!("{node} installs another state at index {index}")
+                    format!("{node} installs a snapshot at index {index} whose state differs from the applied one")
                 })
             }
             Observation::EvaluatedChange { index, change, outcome } => {
@@ -145,9 +145,11 @@
         }
     }
 
-    /// Checks the nodes that have a leader lease at one moment.
+    /// Checks that at most one node holds a leader lease at this time.
     pub(crate) fn check_leader_leases(now: Millis, holders: &[NodeId]) -> Result<(), InvariantViolation> {
-        check(Invariant::LeaseExclusivity, holders.len() < 2, || format!("two leases at {now}: {holders:?}"))
+        check(Invariant::LeaseExclusivity, holders.len() < 2, || {
+            format!("two leader leases at {now} ms: {holders:?}")
+        })
     }
 
     fn on_became_leader(
@@ -178,7 +180,7 @@
     ) -> Result<(), InvariantViolation> {
         let known = *self.applied.entry(index).or_insert(entry);
         check(Invariant::StateMachineSafety, known == entry, || {
-            format!("{node} applies {entry:?} at index {index}, others {known:?}")
+            format!("{node} applies {entry:?} at index {index}, another replica applied {known:?}")
         })
     }
 
@@ -186,7 +188,9 @@
         let min_index = self.reads.remove(&token).unwrap_or_default();
         self.max_known_index = self.max_known_index.max(index);
         check(Invariant::LinearizableRead, index >= min_index, || {
-            format!("{node} serves a read at index {index}, {min_index} was known before")
+            format!(
+                "{node} serves a read at index {index}, but index {min_index} was known when the read began"
+            )
         })
     }
 
@@ -199,7 +203,7 @@
         let in_force = self.accepted.get(&id).is_some_and(|accepted| *accepted < index);
         let rejected = outcome == EvaluatedOutcome::Rejected;
         check(Invariant::IdempotentChange, !(rejected && in_force), || {
-            format!("change {id}, in force, is rejected at index {index}")
+            format!("change {id} is in force but rejected at index {index}")
         })?;
         if outcome != EvaluatedOutcome::Accepted {
             return Ok(());
@@ -210,7 +214,7 @@
             let is_distinct =
                 other.version() != change.version() && other.base_version() != change.base_version();
             check(Invariant::UniqueVersion, is_distinct, || {
-                format!("changes {other_id} and {id} are both accepted for one version or base version")
+                format!("changes {other_id} and {id} are both accepted although they share a version or base version")
             })?;
         }
         self.accepted.insert(id, index);
@@ -227,25 +231,26 @@
             self.max_known_index = self.max_known_index.max(index);
             self.acknowledged.insert(id);
             return check(Invariant::AcknowledgedIsAccepted, self.accepted.contains_key(&id), || {
-                format!("change {id} is acknowledged and not accepted")
+                format!("change {id} is acknowledged but was not accepted")
             });
         }
         self.rejected.insert(id, index);
         self.check_rejected(id)
     }
 
-    /// A rejected change may come into force only by a later entry, and never if its base is version 0.
+    /// A rejected change may come into force only through a later entry, and never if its base version is 0.
     fn check_rejected(&self, id: ChangeId) -> Result<(), InvariantViolation> {
         let (Some(rejected), Some(accepted)) = (self.rejected.get(&id), self.accepted.get(&id)) else {
             return Ok(());
         };
         let may_be_in_force = accepted > rejected && config_changes::get(id).base_version() > 0;
         check(Invariant::RejectedIsNotInForce, may_be_in_force, || {
-            format!("change {id} was rejected and is in force")
+            format!("change {id} was rejected but is in force")
         })
     }
 
-    /// Between orders of different lease holders lies the lease of orders, even if one is written as late as it may be.
+    /// Checks that orders of different holders are at least one order lease apart, even if the earlier holder writes
+    /// its last order as late as possible.
     fn check_order_leases(&self) -> Result<(), InvariantViolation> {
         for (token, lease) in &self.order_leases {
             for (later_token, later) in self.order_leases.range(token + 1..) {
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -1,8 +1,10 @@
-//! Explores scenarios from the command line:
+//! Explores the scenarios named on the command line, or all of them:
 //! `shaletrail-model-checker [--few-faults] [--depth N] [--states N] [--threads N] [SCENARIO ...]`.
 //!
-//! Without `--few-faults` one more fault of each kind is allowed than in the tests. Each scenario is explored to the depth
-//! whose states would be more than `--states` in all; two million take about a minute and 1 GB.
+//! Without `--few-faults`, one more fault of each kind is allowed than in the tests. Each scenario is explored up to
+//! the
+//! last depth at which the total number of states stays within `--states`; two million states take about a minute and
+//! 1 GB.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,22 +12,21 @@
 
 use shaletrail_model_checker::{explore, Limits, Scenario, SCENARIOS};
 
-/// States of one scenario, where nothing else is asked for.
+/// The default of `--states`, per scenario.
 const DEFAULT_MAX_STATES: usize = 2_000_000;
-/// Scenarios explored at once, where nothing else is asked for.
+/// The default of `--threads`: scenarios explored in parallel.
 const DEFAULT_THREADS: usize = 2;
 
-/// The command line.
 struct Arguments {
     limits: Limits,
     threads: usize,
     few_faults: bool,
-    /// Names of scenarios; none stands for all.
+    /// Names of the selected scenarios; empty selects all.
     scenarios: Vec<String>,
 }
 
 impl Arguments {
-    /// `None` if the arguments are not valid.
+    /// Parses the arguments; `None` if they are invalid.
     fn parse(mut arguments: impl Iterator<Item = String>) -> Option<Arguments> {
         let limits = Limits { depth: usize::MAX, states: DEFAULT_MAX_STATES };
         let mut parsed =
@@ -62,7 +63,7 @@
     }
 }
 
-/// Explores the selected scenarios; whether all invariants hold.
+/// Explores the selected scenarios. Returns whether all invariants hold.
 fn explore_all(arguments: &Arguments) -> bool {
     let selected = SCENARIOS.into_iter().filter(|scenario| arguments.selects(scenario));
     let queue: Mutex<Vec<Scenario>> = Mutex::new(selected.rev().collect());
@@ -70,7 +71,7 @@
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads {
             scope.spawn(|| {
-                while let Some(scenario) = next(&queue) {
+                while let Some(scenario) = pop_scenario(&queue) {
                     if !explore_one(&scenario, arguments) {
                         all_hold.store(false, Ordering::Relaxed);
                     }
@@ -95,6 +96,6 @@
     report.violation.is_none()
 }
 
-fn next(queue: &Mutex<Vec<Scenario>>) -> Option<Scenario> {
+fn pop_scenario(queue: &Mutex<Vec<Scenario>>) -> Option<Scenario> {
     queue.lock().expect("no thread panics while it holds the lock").pop()
 }
--- a/model-checker/src/node.rs
+++ b/model-checker/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: a replica, its disk and its state machine, driven as a coordinator drives them.
+//! One node: a replica, its disk and its state machine, connected in the same way as in a coordinator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,21 +19,21 @@
 use crate::order_leadership::Leadership;
 use crate::state_machine::{CommandResult, StateMachine};
 
-/// A node after an input, with what it sent and what it showed.
+/// The result of applying an input to a node.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeTransition {
     /// The node's next state.
     pub node: Arc<Node>,
-    /// What the transition put out.
+    /// The messages and observations that the transition produced.
     pub output: NodeOutput,
 }
 
-/// What a node puts out during a transition.
+/// Messages and observations produced by a transition.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeOutput {
     /// Messages to other nodes.
     pub sent: Vec<Arc<Envelope>>,
-    /// What the invariants are checked against.
+    /// What the node did, for the invariant checks.
     pub observations: Vec<Observation>,
 }
 
@@ -42,27 +42,27 @@
 pub(crate) struct Node {
     pub id: NodeId,
     pub replica: Replica,
-    /// Of the whole node.
+    /// Hash of the complete state of the node.
     pub fingerprint: Fingerprint,
     options: GroupOptions,
-    /// How often the process has started again.
+    /// The number of times the process has restarted.
     restarts: u64,
     disk: Disk,
     state_machine: StateMachine,
     leadership: Option<Leadership>,
-    /// Changes proposed in the present leadership, by their index, with the term of the proposal.
+    /// Changes proposed during the current leadership, by index, with the term of the proposal.
     proposals: BTreeMap<Index, (Term, ChangeId)>,
     /// Whether it has ever lost a disk.
     has_lost_disk: bool,
 }
 
 impl Node {
-    /// A node that starts for the first time, as a founder of the group if it is among the founders.
-    pub fn new(id: NodeId, options: GroupOptions, founders: &[NodeId], now: Millis) -> Node {
-        let is_founder = founders.contains(&id);
-        let mut replica = Replica::new(replica_options(id, 0, &options, !is_founder), Vec::new(), now);
-        if is_founder {
-            replica.bootstrap(now, founders);
+    /// A node that starts for the first time, as a member of the new group if it is one of the initial voters.
+    pub fn new(id: NodeId, options: GroupOptions, initial_voters: &[NodeId], now: Millis) -> Node {
+        let is_initial_voter = initial_voters.contains(&id);
+        let mut replica = Replica::new(replica_options(id, 0, &options, !is_initial_voter), Vec::new(), now);
+        if is_initial_voter {
+            replica.bootstrap(now, initial_voters);
         }
         let mut node = Node {
             id,
@@ -84,22 +84,22 @@
         node
     }
 
-    /// Whether a sync is pending.
+    /// Whether a disk write is pending.
     pub fn is_syncing(&self) -> bool {
         self.disk.is_syncing()
     }
 
-    /// Whether a crash may tear the next write.
+    /// Whether a crash can tear the next write to be synced.
     pub fn can_tear_write(&self) -> bool {
         self.disk.can_tear()
     }
 
-    /// Whether it has lost its disk and no leader has let it rejoin, as far as that is synced.
+    /// Whether the node has lost its disk and has not synced a leader's permission to rejoin.
     pub fn is_recovering_disk(&self) -> bool {
         self.has_lost_disk && self.disk.is_recovering().unwrap_or(true)
     }
 
-    /// The node after an input, with what it put out.
+    /// Returns the node after an input, with its output.
     pub fn step(&self, now: Millis, input: &Input) -> NodeTransition {
         let mut node = self.clone();
         let mut output = NodeOutput::default();
@@ -126,7 +126,7 @@
     }
 
     fn handle(&mut self, now: Millis, input: &Input) {
-        // A call that the replica rejects changes nothing, so its error is of no interest.
+        // Errors are ignored: a call that the replica rejects leaves it unchanged.
         match input {
             Input::Receive(envelope) => {
                 self.replica.receive(now, envelope.from, envelope.message.clone());
@@ -172,7 +172,7 @@
         self.replica = Replica::new(options, self.disk.synced().to_vec(), now);
     }
 
-    /// Completes the oldest write; false if none is pending.
+    /// Completes the oldest write. Returns false if none is pending.
     fn sync(&mut self, now: Millis) -> bool {
         let Some(ticket) = self.disk.sync() else { return false };
         self.replica.persisted(now, ticket);
@@ -183,7 +183,7 @@
         self.options.slow_disks & (1 << self.id.0) != 0
     }
 
-    /// Processes effects until there are none. A disk that isn't slow syncs as soon as there are none.
+    /// Processes effects until none remain. A disk that is not slow syncs whenever no effects remain.
     fn process_effects(&mut self, now: Millis, output: &mut NodeOutput) {
         loop {
             let effects = self.replica.take_effects();
@@ -259,7 +259,8 @@
         }
     }
 
-    /// Responds to the operator, if this leadership has proposed the change at this position.
+    /// Records the evaluation of a change. Also records the response to the operator, if this node proposed the change
+    /// at this position during its current leadership.
     fn on_change_evaluated(
         &mut self,
         position: LogPosition,
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Asks the coordinator's leases of orders when orders may be sent.
+    /// Determines through the coordinator's `OrderLeases` when this leader may send orders.
     fn on_lease_epoch(&mut self, now: Millis, epoch: LeaseEpoch, output: &mut NodeOutput) {
         let Some(leadership) = &mut self.leadership else { return };
         let leads = self.replica.is_leader() && self.replica.term() == epoch.holder.fencing_token;
@@ -289,8 +290,8 @@
         output.observations.push(Observation::AcquiredOrderLease { fencing_token, orders_from });
     }
 
-    /// Proposes the entry that records the end of the wait for another holder's lease, as the coordinator does after
-    /// each event; whether it was proposed.
+    /// Proposes the entry that records that the wait for the previous holder's lease is over, as the coordinator does
+    /// after each event. Returns whether the entry was proposed.
     fn record_completed_wait(&mut self, now: Millis) -> bool {
         let Some(leadership) = &mut self.leadership else { return false };
         if !leadership.wait_completed(now) {
@@ -302,7 +303,7 @@
         proposed
     }
 
-    /// Observes that a lease of orders ended between this state and the next.
+    /// Adds an observation if an order lease ended between this state and the next.
     fn observe_lost_order_lease(&self, now: Millis, next: &Node, output: &mut NodeOutput) {
         let Some(previous) = self.leadership.filter(|previous| previous.orders_from.is_some()) else {
             return;
--- a/model-checker/src/observation.rs
+++ b/model-checker/src/observation.rs
@@ -1,4 +1,4 @@
-//! What a transition of a node shows to the invariants.
+//! Observations that a transition reports to the invariant checker.
 
 use shaletrail_consensus::{Index, LogPosition, Term};
 use shaletrail_protocol::Millis;
@@ -6,89 +6,89 @@
 use crate::config_changes::ChangeId;
 use crate::fingerprint::Fingerprint;
 
-/// Something that a node did in a transition.
+/// Something that a node did during a transition.
 #[derive(Clone, Debug)]
 pub(crate) enum Observation {
-    /// It became leader.
+    /// The node became leader.
     BecameLeader {
-        /// The term that it leads.
+        /// The term of the leadership.
         term: Term,
-        /// The last entry that its snapshot covers.
+        /// Index of the last entry covered by its snapshot.
         snapshot_index: Index,
-        /// The entries that its log holds after the snapshot.
+        /// Positions of the entries in its log after the snapshot.
         log: Vec<LogPosition>,
     },
-    /// It applied an entry.
+    /// The node applied an entry.
     Applied {
-        /// Where the entry stands in the log.
+        /// Index and term of the entry.
         position: LogPosition,
-        /// Of the entry's payload.
+        /// Hash of the entry's payload.
         payload: Fingerprint,
-        /// Of the state after it.
+        /// Hash of the state after the entry.
         state: Fingerprint,
     },
-    /// It installed a snapshot.
+    /// The node installed a snapshot.
     InstalledSnapshot {
-        /// The last entry that the snapshot covers.
+        /// Index of the last entry covered by the snapshot.
         index: Index,
-        /// Of the state in it.
+        /// Hash of the state in the snapshot.
         state: Fingerprint,
     },
-    /// Its state machine evaluated a change.
+    /// The node's state machine evaluated a change.
     EvaluatedChange {
-        /// The entry of the change.
+        /// Index of the entry that contains the change.
         index: Index,
         /// The change that was evaluated.
         change: ChangeId,
-        /// What came of it.
+        /// The result of the evaluation.
         outcome: EvaluatedOutcome,
     },
-    /// It responded to the operator's proposal.
+    /// The node responded to an operator's proposal.
     RespondedToChange {
-        /// The entry of the change.
+        /// Index of the entry that contains the change.
         index: Index,
         /// The change that was proposed.
         change: ChangeId,
-        /// Whether the response acknowledges the change; otherwise it rejects it.
+        /// True if the response acknowledges the change, false if it rejects it.
         acknowledged: bool,
     },
-    /// It served a read from its state.
+    /// The node served a read from its applied state.
     ServedRead {
-        /// The id of the read.
+        /// The token of the read.
         token: u64,
-        /// The last entry applied to that state.
+        /// Index of the last entry applied to the state that was read.
         index: Index,
     },
-    /// It acquired the lease of orders.
+    /// The node acquired the order lease.
     AcquiredOrderLease {
-        /// The term, which fences orders of older holders.
+        /// The leader's term, which fences off orders of earlier holders.
         fencing_token: Term,
-        /// When it may send its first order.
+        /// The earliest time at which the node may send an order.
         orders_from: Millis,
     },
-    /// It may write orders, unless it loses its leadership before.
+    /// The node may write orders until the given time, unless it loses leadership earlier.
     MayWriteOrders {
-        /// The term of the holder.
+        /// The term in which the node holds the order lease.
         fencing_token: Term,
-        /// The end of its leader lease.
+        /// The end of the node's leader lease.
         until: Millis,
     },
-    /// It lost its leadership, after which it writes no order.
+    /// The node lost leadership and writes no further orders.
     LostOrderLease {
-        /// The term that it led.
+        /// The term of the lost leadership.
         fencing_token: Term,
-        /// When it lost it.
+        /// When leadership was lost.
         at: Millis,
     },
 }
 
-/// What came of a change that a state machine evaluated.
+/// The result of evaluating a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvaluatedOutcome {
-    /// It is in force from this entry on.
+    /// The change comes into force with this entry.
     Accepted,
-    /// It was in force already.
+    /// The change was already in force.
     Duplicate,
-    /// It is not in force.
+    /// The change was rejected.
     Rejected,
 }
--- a/model-checker/src/order_leadership.rs
+++ b/model-checker/src/order_leadership.rs
@@ -1,4 +1,4 @@
-//! A leadership of a node, and the lease of orders that goes with it in a service shard.
+//! A leadership of a node, and the order lease that belongs to it in a service shard.
 
 use std::time::Duration;
 
@@ -10,29 +10,30 @@
 
 use crate::group_options::ORDER_LEASE_MS;
 
-/// The service shard of the group, as the coordinator numbers it.
+/// The coordinator's number for the service shard that the group replicates.
 const SERVICE_SHARD: u32 = 1;
 
-/// A leadership of this node.
+/// A period in which this node leads.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Leadership {
-    /// The term that it leads.
+    /// The term of the leadership.
     pub term: Term,
-    /// When it was elected.
+    /// When the node was elected.
     pub since: Millis,
-    /// When it may send its first order; `None` before its epoch of the lease of orders has begun.
+    /// The earliest time at which the node may send an order; `None` until its epoch of the order lease has begun.
     pub orders_from: Option<Millis>,
-    /// Whether an entry must still record that it has waited for the lease of another holder to expire.
+    /// Whether an entry must still record that the node has waited for the previous holder's lease to expire.
     pub must_record_wait: bool,
 }
 
 impl Leadership {
-    /// A leadership that has just begun.
+    /// A leadership that begins with an election at `since`.
     pub fn new(term: Term, since: Millis) -> Leadership {
         Leadership { term, since, orders_from: None, must_record_wait: false }
     }
 
-    /// Begins an epoch of the lease of orders; when orders may be sent, where the coordinator allows it.
+    /// Begins an epoch of the order lease. Returns when orders may be sent; `None` if the coordinator does not allow
+    /// any.
     pub fn begin_epoch(
         &mut self,
         now: Millis,
@@ -50,7 +51,7 @@
         Some(orders_from)
     }
 
-    /// Whether the wait for another holder's lease is over and not recorded yet.
+    /// Whether the wait for the previous holder's lease is over but not yet recorded.
     pub fn wait_completed(&self, now: Millis) -> bool {
         self.must_record_wait && self.orders_from.is_some_and(|orders_from| orders_from <= now)
     }
--- a/model-checker/src/scenario_builder.rs
+++ b/model-checker/src/scenario_builder.rs
@@ -1,4 +1,4 @@
-//! Builds the initial state of a scenario from a leader's first heartbeat on, one input after the other.
+//! Builds the initial state of a scenario: elects node 1 in a new group and then applies inputs one by one.
 
 use std::sync::Arc;
 
@@ -10,37 +10,39 @@
 use crate::transition::FaultBudget;
 use crate::transition_cache::TransitionCache;
 
-/// A state that is under construction. An invariant that does not hold on the way panics.
+/// An initial state under construction. Panics if an invariant is violated while it is built.
 pub(crate) struct ScenarioBuilder {
     state: ClusterState,
     cache: TransitionCache,
 }
 
 impl ScenarioBuilder {
-    /// A group that has just been founded and that node 1 leads, with no message in flight.
+    /// A newly bootstrapped group led by node 1, with no message in flight.
     pub fn led_by_1(options: GroupOptions) -> ScenarioBuilder {
         let mut builder =
-            ScenarioBuilder { state: ClusterState::founded(options), cache: TransitionCache::default() };
+            ScenarioBuilder { state: ClusterState::bootstrapped(options), cache: TransitionCache::default() };
         builder.advance(BOOTSTRAP_ELECTION_TIMEOUT_MS).input(1, Input::Tick).deliver_all();
-        // A heartbeat tells all followers of the last commit, and its responses tell the leader that they know of it.
+        // The heartbeat tells all followers the last commit index; their responses tell the leader that they have it.
         builder.advance(HEARTBEAT_INTERVAL_MS).input(1, Input::Tick).deliver_all();
         builder
     }
 
-    /// Advances the clock.
+    /// Advances the clock by a number of milliseconds.
     pub fn advance(&mut self, ms: Millis) -> &mut Self {
         self.state.now += ms;
         self
     }
 
-    /// Gives a node an input.
+    /// Applies one input to a node.
     pub fn input(&mut self, node: u32, input: Input) -> &mut Self {
         let result = self.state.step_node(NodeId(node), &input, &mut self.cache);
-        result.unwrap_or_else(|violation| panic!("in the initial state: {violation}"));
+        result.unwrap_or_else(|violation| {
+            panic!("invariant violated while building the initial state: {violation}")
+        });
         self
     }
 
-    /// Delivers all messages of a kind that are in flight between two nodes now.
+    /// Delivers all messages of a kind that are currently in flight between two nodes.
     pub fn deliver(&mut self, from: u32, to: u32, kind: &str) -> &mut Self {
         let is_selected = |envelope: &Arc<Envelope>| {
             (envelope.from.0, envelope.to.0, envelope.message.name()) == (from, to, kind)
@@ -49,7 +51,7 @@
         let (mut selected, others): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(is_selected);
         self.state.in_flight = others;
         assert!(!selected.is_empty(), "no {kind} from {from} to {to} is in flight");
-        // Sorted by their text, appends arrive in the order of their entries.
+        // Sorting by debug text delivers appends in the order of their entries.
         selected.sort_by_key(|envelope| format!("{:?}", envelope.message));
         for envelope in selected {
             self.input(to, Input::Receive(envelope));
@@ -57,7 +59,7 @@
         self
     }
 
-    /// Delivers appends, snapshots and their responses between two nodes until none is in flight.
+    /// Delivers appends, snapshots and their responses between two nodes until none are in flight.
     pub fn replicate(&mut self, leader: u32, follower: u32) -> &mut Self {
         let is_replication = |envelope: &Arc<Envelope>| {
             let (from, to, kind) = (envelope.from.0, envelope.to.0, envelope.message.name());
@@ -83,13 +85,13 @@
         self
     }
 
-    /// Drops all messages to a node.
+    /// Drops all messages addressed to a node.
     pub fn drop_all_to(&mut self, node: u32) -> &mut Self {
         self.state.in_flight.retain(|envelope| envelope.to.0 != node);
         self
     }
 
-    /// Completes syncs and delivers messages until there are none.
+    /// Completes syncs and delivers messages until none are pending.
     pub fn deliver_all(&mut self) -> &mut Self {
         loop {
             let syncing = self.state.nodes.iter().find(|node| node.is_syncing());
@@ -103,7 +105,7 @@
         }
     }
 
-    /// The initial state, from which paths have this budget.
+    /// Returns the initial state with this fault budget.
     pub fn build(&self, budget: FaultBudget) -> ClusterState {
         let mut initial_state = self.state.clone();
         initial_state.budget = budget;
--- a/model-checker/src/scenarios.rs
+++ b/model-checker/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios.
+//! The scenarios that are explored.
 
 use crate::cluster_state::{ClusterState, LEARNER, VOTERS_AFTER_CHANGE};
 use crate::config_changes;
@@ -8,11 +8,11 @@
 use crate::scenario_builder::ScenarioBuilder;
 use crate::transition::FaultBudget;
 
-/// A slow disk at node 1.
+/// Only node 1 has a slow disk.
 const SLOW_DISK_1: u8 = 1 << 1;
-/// A slow disk at node 3.
+/// Only node 3 has a slow disk.
 const SLOW_DISK_3: u8 = 1 << 3;
-/// Slow disks at all nodes.
+/// All nodes have slow disks.
 const ALL_DISKS_SLOW: u8 = 0b11110;
 
 /// The bits of the changes in [`FaultBudget::proposals`].
@@ -21,117 +21,117 @@
 const PROPOSE_SKIPPING: u8 = 1 << config_changes::SKIPPING;
 const PROPOSE_SUCCESSOR: u8 = 1 << config_changes::SUCCESSOR;
 
-/// All scenarios, in the order in which they are explored.
+/// All scenarios, in exploration order.
 pub const SCENARIOS: [Scenario; 18] = [
     Scenario {
         name: "follower_crash_before_sync",
-        danger: "processes crash while a change is replicated to two followers, one with a slow disk",
+        hazard: "processes crash while a change is replicated to two followers, one with a slow disk",
         test_depth: 8,
         initial_state: follower_crash_before_sync,
     },
     Scenario {
         name: "leader_crash_before_sync",
-        danger: "the leader crashes while a change is replicated, and its slow disk loses the change",
+        hazard: "the leader crashes while a change is replicated, and its slow disk loses the change",
         test_depth: 9,
         initial_state: leader_crash_before_sync,
     },
     Scenario {
         name: "any_crash_before_sync",
-        danger: "any process crashes while a change is replicated, and every sync may be late or lost",
+        hazard: "any process crashes while a change is replicated, and every sync may be late or lost",
         test_depth: 8,
         initial_state: any_crash_before_sync,
     },
     Scenario {
         name: "concurrent_candidates",
-        danger: "two candidates request the vote of one voter in one term; its disk is slow and it may crash",
+        hazard: "two candidates request the vote of one voter in one term; its disk is slow and it may crash",
         test_depth: 6,
         initial_state: concurrent_candidates,
     },
     Scenario {
         name: "vote_during_leader_lease",
-        danger: "a heartbeat is late and a candidate has its pre-votes while the leader still has a lease",
+        hazard: "a heartbeat is late and a candidate has its pre-votes while the leader still has a lease",
         test_depth: 9,
         initial_state: vote_during_leader_lease,
     },
     Scenario {
         name: "voter_restart_during_leader_lease",
-        danger: "a voter responds to the leader, restarts and is asked for its vote",
+        hazard: "a voter responds to the leader, restarts and is asked for its vote",
         test_depth: 7,
         initial_state: voter_restart_during_leader_lease,
     },
     Scenario {
         name: "order_lease_transfer",
-        danger: "a holder of the lease of orders transfers its leadership, crashes, or loses an election",
+        hazard: "a holder of the lease of orders transfers its leadership, crashes, or loses an election",
         test_depth: 8,
         initial_state: order_lease_transfer,
     },
     Scenario {
         name: "reelected_order_lease_holder",
-        danger:
+        hazard:
             "a leader that has not waited for another holder's lease of orders crashes and is elected again",
         test_depth: 8,
         initial_state: reelected_order_lease_holder,
     },
     Scenario {
         name: "voter_disk_loss",
-        danger: "a voter that is asked for its vote acknowledges an entry and loses its disk",
+        hazard: "a voter that is asked for its vote acknowledges an entry and loses its disk",
         test_depth: 6,
         initial_state: voter_disk_loss,
     },
     Scenario {
         name: "vote_before_disk_loss",
-        danger:
+        hazard:
             "a voter grants a vote, loses its disk and receives the former leader before the vote is counted",
         test_depth: 7,
         initial_state: vote_before_disk_loss,
     },
     Scenario {
         name: "rejoin_point_not_committed",
-        danger: "the same, once the voter has all entries and no majority has committed its rejoin point",
+        hazard: "the same, once the voter has all entries and no majority has committed its rejoin point",
         test_depth: 6,
         initial_state: rejoin_point_not_committed,
     },
     Scenario {
         name: "disk_loss_after_rejoin",
-        danger: "a voter rejoins after the loss of its disk, and then another one loses its own",
+        hazard: "a voter rejoins after the loss of its disk, and then another one loses its own",
         test_depth: 9,
         initial_state: disk_loss_after_rejoin,
     },
     Scenario {
         name: "joint_voter_change",
-        danger: "a voter is replaced by a learner",
+        hazard: "a voter is replaced by a learner",
         test_depth: 8,
         initial_state: joint_voter_change,
     },
     Scenario {
         name: "leaving_voter_holds_entry",
-        danger: "the voter that leaves holds one of two replicas of an entry, and a disk is lost",
+        hazard: "the voter that leaves holds one of two replicas of an entry, and a disk is lost",
         test_depth: 7,
         initial_state: leaving_voter_holds_entry,
     },
     Scenario {
         name: "concurrent_changes",
-        danger:
+        hazard:
             "a leader that is replaced without knowing it and its successor get changes for the same version",
         test_depth: 6,
         initial_state: concurrent_changes,
     },
     Scenario {
         name: "retried_change",
-        danger:
+        hazard:
             "the response to a change was lost, another node leads, and the change is retried among others",
         test_depth: 6,
         initial_state: retried_change,
     },
     Scenario {
         name: "reads_of_new_leader",
-        danger: "reads from a leader just elected and from one that is replaced without knowing it",
+        hazard: "reads from a leader just elected and from one that is replaced without knowing it",
         test_depth: 6,
         initial_state: reads_of_new_leader,
     },
     Scenario {
         name: "entry_of_older_term",
-        danger: "a leader replicates an entry of an older term while another log ends in a later term",
+        hazard: "a leader replicates an entry of an older term while another log ends in a later term",
         test_depth: 9,
         initial_state: entry_of_older_term,
     },
@@ -142,12 +142,12 @@
     GroupOptions { state_machine: StateMachineKind::Configuration, single_entry_appends: false, slow_disks }
 }
 
-/// A group that replicates the lease of orders of a service shard.
+/// A group that replicates the order lease of a service shard.
 fn order_lease_group() -> GroupOptions {
     GroupOptions { state_machine: StateMachineKind::OrderLease, ..configuration_group(0) }
 }
 
-/// The clock may advance by an election time-out so many times.
+/// A budget that allows the clock to advance `count` times by one election time-out.
 fn clock_advances(count: u8) -> FaultBudget {
     FaultBudget {
         clock_advances: count,
@@ -226,7 +226,8 @@
     group.build(FaultBudget { disk_losses: 1, ..FaultBudget::default() })
 }
 
-/// Node 3 has voted for node 2 and lost its disk; node 1, whom node 2 is about to replace as leader, learns of the loss.
+/// Node 3 has voted for node 2 and lost its disk. Node 1, the leader that node 2 is about to replace, learns of the
+/// loss.
 fn disk_lost_after_vote() -> ScenarioBuilder {
     let mut group = ScenarioBuilder::led_by_1(configuration_group(0));
     group
@@ -267,7 +268,7 @@
     group.build(FaultBudget { disk_losses: 1, election_timeouts: 1, ..clock_advances(1) })
 }
 
-/// Node 4 is a learner that has all entries.
+/// Node 4 is a learner that has received all entries.
 fn with_caught_up_learner() -> ScenarioBuilder {
     let mut group = ScenarioBuilder::led_by_1(configuration_group(0));
     group.input(1, Input::AddLearner(LEARNER)).deliver_all();
@@ -291,7 +292,7 @@
     group.build(FaultBudget { disk_losses: 1, election_timeouts: 1, voter_changes: 1, ..clock_advances(1) })
 }
 
-/// Node 2 is elected with the help of node 3; node 1 knows nothing of it.
+/// Elects node 2 with the vote of node 3, without node 1 learning of it.
 fn elect_2_unknown_to_1(group: &mut ScenarioBuilder) {
     group.advance(ELECTION_TIMEOUT_MS).input(2, Input::Tick);
     group.deliver(2, 3, "PreVoteRequest").deliver(3, 2, "PreVoteResponse");
@@ -320,7 +321,7 @@
     })
 }
 
-/// Node 3 lacks a change that was acknowledged, and node 2 does not know that it is committed.
+/// An acknowledged change that node 3 lacks, and that node 2 has but does not know to be committed.
 fn replicated_to_1_and_2() -> ScenarioBuilder {
     let mut group = ScenarioBuilder::led_by_1(configuration_group(0));
     group
@@ -338,7 +339,7 @@
     group.build(FaultBudget { reads: 1, proposals: PROPOSE_SUCCESSOR, ..FaultBudget::default() })
 }
 
-/// Node 1 leads term 4 with an entry of term 2 that only it holds; node 3 holds one of term 3 in its place.
+/// Node 1 leads term 4 with an entry of term 2 that no other node has; node 3 has an entry of term 3 at the same index.
 fn entry_of_older_term() -> ClusterState {
     let options = GroupOptions { single_entry_appends: true, ..configuration_group(0) };
     let mut group = ScenarioBuilder::led_by_1(options);
@@ -347,7 +348,7 @@
     group.deliver(3, 2, "PreVoteRequest").deliver(2, 3, "PreVoteResponse");
     group.deliver(3, 2, "VoteRequest").deliver(2, 3, "VoteResponse").drop_all();
     group.input(3, Input::Crash { torn_write: false });
-    // Node 1 loses its leadership for lack of a quorum, and learns of the newer term.
+    // Node 1 steps down because it lost its quorum, and learns of the newer term.
     group.input(1, Input::Tick).advance(ELECTION_TIMEOUT_MS).input(1, Input::Tick);
     group.deliver(1, 2, "PreVoteRequest").deliver(2, 1, "PreVoteResponse").drop_all();
     group.advance(ELECTION_TIMEOUT_MS).input(1, Input::Tick);
--- a/model-checker/src/state_machine.rs
+++ b/model-checker/src/state_machine.rs
@@ -11,22 +11,22 @@
 pub(crate) enum StateMachine {
     /// The configuration, which operators change.
     Configuration(Box<ConfigState>),
-    /// The lease of orders of a service shard.
+    /// The order lease of a service shard.
     OrderLease(LeaseState),
 }
 
-/// What came of a command.
+/// The result of applying a command.
 pub(crate) enum CommandResult {
     /// A change was evaluated.
     Change(ChangeId, ChangeOutcome),
-    /// An epoch of the lease of orders began.
+    /// A new epoch of the order lease began.
     LeaseEpoch(LeaseEpoch),
-    /// Nothing that the caller acts on.
+    /// The command requires no action of the caller.
     Nothing,
 }
 
 impl StateMachine {
-    /// A state machine to which nothing was applied.
+    /// A state machine in its initial state.
     pub fn new(kind: StateMachineKind) -> Self {
         match kind {
             StateMachineKind::Configuration => StateMachine::Configuration(Box::default()),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The encoded state.
+    /// The encoded state, as stored in a snapshot.
     pub fn snapshot(&self) -> Vec<u8> {
         match self {
             StateMachine::Configuration(state) => state.snapshot(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state with that of a snapshot.
     pub fn restore(&mut self, snapshot: &[u8]) {
         match self {
             StateMachine::Configuration(state) => {
--- a/model-checker/src/transition.rs
+++ b/model-checker/src/transition.rs
@@ -1,67 +1,67 @@
-//! Transitions between states of the group, and how many of each kind a path may hold.
+//! Transitions between states of the group, and the budget that limits how many of each kind occur on a path.
 
 use shaletrail_protocol::NodeId;
 
 use crate::config_changes::ChangeId;
 
-/// How many transitions of each kind a path may hold. Deliveries and syncs are not limited.
+/// How many more transitions of each kind a path may contain. Deliveries and syncs are unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FaultBudget {
-    /// Messages that are delivered twice.
+    /// Messages that may be delivered a second time.
     pub duplicates: u8,
-    /// Crashes of processes.
+    /// Process crashes.
     pub crashes: u8,
-    /// Losses of a disk, of which only one at a time is not repaired.
+    /// Disk losses. A second node can lose its disk only after the first has recovered.
     pub disk_losses: u8,
-    /// Ticks of nodes that don't lead: election time-outs.
+    /// Ticks of nodes that do not lead, which start elections.
     pub election_timeouts: u8,
-    /// Ticks of leaders: heartbeats, or the loss of leadership.
+    /// Ticks of leaders, which send heartbeats or end the leadership.
     pub leader_ticks: u8,
     /// Advances of the clock by [`FaultBudget::clock_advance_ms`].
     pub clock_advances: u8,
-    /// How far the clock advances at once, in milliseconds.
+    /// The duration of one clock advance, in milliseconds.
     pub clock_advance_ms: u16,
-    /// Transfers of leadership.
+    /// Leadership transfers.
     pub leadership_transfers: u8,
-    /// Changes of voters.
+    /// Voter changes.
     pub voter_changes: u8,
-    /// Reads by operators.
+    /// Reads started by operators.
     pub reads: u8,
-    /// Changes that operators may still propose, as a bit for each id: see [`Transition::Propose`].
+    /// Bit set of the change ids that operators may still propose; see [`Transition::Propose`].
     pub proposals: u8,
 }
 
 /// A transition from one state of the group to the next.
 #[derive(Clone, Debug)]
 pub enum Transition {
-    /// A message arrives, by its position among those in flight.
+    /// Delivers the message at this index among those in flight.
     Deliver(usize),
-    /// A message arrives and will arrive once more.
-    DeliverAndKeep(usize),
+    /// Delivers the message at this index and leaves a duplicate in flight.
+    DeliverAndDuplicate(usize),
     /// The oldest pending sync of a node completes.
     Sync(NodeId),
-    /// A node does what is due.
+    /// A node runs its timers.
     Tick(NodeId),
     /// The clock advances.
     AdvanceClock,
-    /// A process loses what wasn't synced and starts again.
+    /// A process loses all records that are not synced and restarts.
     Crash {
-        /// The node of the process.
+        /// The node whose process crashes.
         node: NodeId,
-        /// Whether the first record of the pending sync is kept.
+        /// Whether the first record of the pending write survives.
         torn_write: bool,
     },
-    /// A node loses its disk and starts again.
+    /// A node loses its disk and restarts with an empty one.
     LoseDisk(NodeId),
     /// A leader transfers its leadership.
     TransferLeadership(NodeId),
-    /// A leader replaces the third founder by the learner.
+    /// A leader replaces the third initial voter with the learner.
     ChangeVoters(NodeId),
     /// An operator proposes a change to a leader.
     Propose {
-        /// The leader that gets the proposal.
+        /// The leader that receives the proposal.
         node: NodeId,
-        /// The change, by its bit in [`FaultBudget::proposals`].
+        /// The id of the change, which is its bit number in [`FaultBudget::proposals`].
         change: ChangeId,
     },
     /// An operator reads from a leader.
@@ -69,11 +69,11 @@
 }
 
 impl FaultBudget {
-    /// Takes a transition out of the budget.
+    /// Deducts a transition from the budget.
     pub(crate) fn spend(&mut self, transition: &Transition, is_leader: impl Fn(NodeId) -> bool) {
         match transition {
             Transition::Deliver(_) | Transition::Sync(_) => {}
-            Transition::DeliverAndKeep(_) => self.duplicates -= 1,
+            Transition::DeliverAndDuplicate(_) => self.duplicates -= 1,
             Transition::Tick(node) if is_leader(*node) => self.leader_ticks -= 1,
             Transition::Tick(_) => self.election_timeouts -= 1,
             Transition::AdvanceClock => self.clock_advances -= 1,
--- a/model-checker/src/transition_cache.rs
+++ b/model-checker/src/transition_cache.rs
@@ -1,4 +1,4 @@
-//! Results of transitions that were computed before.
+//! A cache of node transitions that were already computed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::input::Input;
 use crate::node::{Node, NodeTransition};
 
-/// Results by the node's state and its input, and one shared copy of each state of a node.
+/// Node transitions by the fingerprints of node and input, and one shared copy of each node state.
 #[derive(Default)]
 pub(crate) struct TransitionCache {
     transitions: HashMap<(Fingerprint, Fingerprint), Arc<NodeTransition>>,
@@ -17,7 +17,7 @@
 }
 
 impl TransitionCache {
-    /// What an input makes of a node.
+    /// Returns the result of applying an input to a node, computing it only once.
     pub fn step(&mut self, node: &Node, now: Millis, input: &Input) -> Arc<NodeTransition> {
         let key = (node.fingerprint, input.fingerprint(now));
         if let Some(known) = self.transitions.get(&key) {
--- a/model-checker/tests/scenarios.rs
+++ b/model-checker/tests/scenarios.rs
@@ -1,13 +1,13 @@
-//! Explores every scenario to the depth that takes a moment, and further where that is asked for.
+//! Explores every scenario to a depth that takes seconds; an ignored test explores further.
 
 use shaletrail_model_checker::{explore, Limits, SCENARIOS};
 
-/// More states than any scenario has within its test depth.
+/// An upper bound on the number of states of any scenario within its test depth.
 const MAX_TEST_STATES: usize = 400_000;
-/// States of one scenario in the long exploration.
+/// States per scenario in the ignored test.
 const MAX_LONG_STATES: usize = 2_000_000;
 
-fn holds_within_test_depth(name: &str) {
+fn assert_invariants_hold_within_test_depth(name: &str) {
     // given
     let scenario = SCENARIOS.iter().find(|scenario| scenario.name == name).expect("a scenario of that name");
     let limits = Limits { depth: scenario.test_depth, states: MAX_TEST_STATES };
@@ -16,18 +16,18 @@
     // then
     println!("{report}");
     if let Some(violation) = report.violation {
-        panic!("{}: {violation}", scenario.danger);
+        panic!("{}: {violation}", scenario.hazard);
     }
     let is_complete = report.depth == limits.depth || report.exhausted;
-    assert!(is_complete, "the depth has more states than it should have");
+    assert!(is_complete, "the state limit was reached before the test depth");
 }
 
-/// One test for each scenario, so that they run in parallel.
+/// Declares one test per scenario, so that they run in parallel.
 macro_rules! every_interleaving_holds {
     ($($scenario:ident),* $(,)?) => {
         $(#[test]
         fn $scenario() {
-            holds_within_test_depth(stringify!($scenario));
+            assert_invariants_hold_within_test_depth(stringify!($scenario));
         })*
 
         #[test]
@@ -62,12 +62,12 @@
 );
 
 #[test]
-#[ignore = "takes minutes: as `cargo run --release -p shaletrail-model-checker` does"]
+#[ignore = "takes minutes; `cargo run --release -p shaletrail-model-checker` explores the same"]
 fn all_scenarios_hold_in_depth() {
     for scenario in &SCENARIOS {
         let limits = Limits { depth: usize::MAX, states: MAX_LONG_STATES };
         let report = explore(scenario, scenario.initial_state_with_more_faults(), limits);
         println!("{report}");
-        assert!(report.violation.is_none(), "{}", report.violation.expect("there is one"));
+        assert!(report.violation.is_none(), "{}", report.violation.expect("the report has a violation"));
     }
 }
