--- a/capacity-emulator/src/activity.rs
+++ b/capacity-emulator/src/activity.rs
@@ -1,55 +1,55 @@
-//! Kinds of activity of a node, by which its messages and its processor time are counted.
+//! Activities of a node, by which its messages and its CPU time are counted.
 
 use shaletrail_cluster::directory::DirectoryMessage;
 use shaletrail_protocol::internal::{CoordinatorMessage, EdgeRequest, PollResponse};
 
-/// What a message is for, or what processor time was spent on.
+/// The purpose of a message or of CPU time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Activity {
-    /// Pings and acknowledgements of the coordinators' failure detection, and their configuration versions.
+    /// Pings and acknowledgements of the coordinators' failure detector, including their configuration versions.
     Membership,
-    /// Consensus on the configuration.
+    /// Consensus in the configuration shard.
     ConfigurationShard,
-    /// Consensus on the holders of the leases of orders.
+    /// Consensus in the service shards, on the holders of the order leases.
     ServiceShard,
-    /// Records of servers between coordinators.
+    /// Server records exchanged between coordinators.
     DirectoryBatch,
-    /// Digests of the heartbeats that a coordinator received, to the others.
+    /// Digests of received heartbeats, sent to the other coordinators.
     DirectoryDigest,
-    /// Requests for records, and acknowledgements of batches.
+    /// Requests for server records, and acknowledgements of record batches.
     DirectoryControl,
-    /// Calls of the operator that a coordinator forwards to another one, and the responses.
+    /// Operator calls that one coordinator forwards to another, and the responses.
     ForwardedCall,
-    /// Demand and outcomes of requests, between coordinators.
+    /// Demand and request outcomes exchanged between coordinators.
     Demand,
-    /// Polls by edges.
+    /// Polls sent by edges.
     Poll,
-    /// Responses to polls without records and without a configuration.
+    /// Poll responses that contain neither records nor a configuration.
     EmptyResponse,
-    /// Responses to polls with records of servers that changed.
+    /// Poll responses that contain changed server records.
     DirectoryResponse,
-    /// Responses to polls with changes of the configuration.
+    /// Poll responses that contain configuration changes.
     ConfigResponse,
-    /// Responses to polls with the complete directory or the complete configuration.
+    /// Poll responses that contain the complete directory or the complete configuration.
     FullResponse,
     /// Demand that an edge reports without waiting for its next poll.
     DemandReport,
-    /// Datagrams by which edges tell each other their loads.
+    /// Datagrams by which edges inform each other of their load.
     LoadDatagram,
-    /// Heartbeats of servers; bodies only.
+    /// Heartbeats of servers, counted by their bodies only.
     Heartbeat,
-    /// Orders to servers and their outcomes; bodies only.
+    /// Orders to servers and their outcomes, counted by their bodies only.
     Order,
-    /// Servers' reports of the models that they have; bodies only.
+    /// Servers' reports of their loaded models, counted by their bodies only.
     ServerReport,
-    /// Calls of the operator; bodies only.
+    /// Operator calls, counted by their bodies only.
     OperatorCall,
-    /// Ticks of a coordinator's clock.
+    /// Periodic ticks of a coordinator.
     Tick,
-    /// What a coordinator does once records are synced.
+    /// Work that a coordinator does after records are synced.
     Persisted,
-    /// Requests of clients: work of the data plane, and none of the control plane.
+    /// Client requests. They belong to the data plane, not to the control plane.
     ClientRequest,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The activity of a request by an edge.
+    /// The activity of a request from an edge.
     pub fn of_edge_request(request: &EdgeRequest) -> Activity {
         match request {
             EdgeRequest::Poll(_) => Activity::Poll,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The activity of a response to a poll, by its most expensive content.
+    /// The activity of a poll response, determined by the most expensive content in it.
     pub fn of_poll_response(response: &PollResponse) -> Activity {
         match &response.config {
             _ if response.complete => Activity::FullResponse,
--- a/capacity-emulator/src/coordinator_node.rs
+++ b/capacity-emulator/src/coordinator_node.rs
@@ -1,4 +1,4 @@
-//! A coordinator: the production state machine, a journal, and counts of what both cost.
+//! A coordinator node: the production state machine and a journal, with counts of the resources they use.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -24,22 +24,22 @@
 use crate::topology::{latency, zone_of};
 use crate::usage::ResourceUsage;
 
-/// The first moment of a process's clock, as in the production driver.
+/// Clock value at which a process starts, as in the production driver.
 const CLOCK_START_MS: Millis = 1_000_000;
-/// The interval between ticks of a coordinator's clock, as in the production driver.
+/// The interval between ticks of a coordinator, as in the production driver.
 const TICK_INTERVAL_MS: Millis = 50;
-/// How long a write takes with its sync.
+/// The duration of a journal write, including its sync.
 const SYNC_DURATION_MS: Millis = 2;
-/// One-way latencies until the body of a request reaches a server: two for the connection, one for the request.
-const REQUEST_LATENCIES: Millis = 3;
-/// The validity of orders, as in the production settings.
-const ORDER_LEASE: Duration = Duration::from_secs(3);
-/// How long responses to retried calls are kept, as in the production settings.
+/// One-way trips until a server has received a request on a new connection: two to connect, one for the request.
+const REQUEST_ONE_WAY_TRIPS: Millis = 3;
+/// The duration of the order lease, as in the production settings.
+const ORDER_LEASE_DURATION: Duration = Duration::from_secs(3);
+/// How long responses are kept for retried calls, as in the production settings.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Spreads the ids of incarnations over all 64 bits: 2^64 divided by the golden ratio.
+/// Spreads incarnation ids over all 64 bits: 2^64 divided by the golden ratio (Fibonacci hashing).
 const INCARNATION_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Who awaits the response to a call.
+/// The sender of a call that awaits a response.
 #[derive(Clone, Copy, Debug)]
 enum Caller {
     /// An edge that polls.
@@ -50,7 +50,7 @@
     Operator,
 }
 
-/// A machine with a coordinator's process.
+/// A machine that runs a coordinator process.
 pub struct CoordinatorNode {
     index: usize,
     coordinator: Option<Coordinator>,
@@ -59,14 +59,14 @@
     journal: Journal,
     pending_calls: HashMap<CallId, Caller>,
     next_call_id: u64,
-    /// What it has used since the counts were last set to zero.
+    /// Resources used since the counts were last reset.
     pub usage: ResourceUsage,
-    /// The most polls that were pending at once.
+    /// The highest number of polls that were pending at the same time.
     pub max_pending_polls: usize,
 }
 
 impl CoordinatorNode {
-    /// A machine with an empty disk, whose process does not run yet.
+    /// A machine with an empty disk, on which the process is not running yet.
     pub fn new(index: usize) -> Self {
         CoordinatorNode {
             index,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// The production state machine; `None` while the process does not run.
+    /// The production state machine; `None` while the process is not running.
     pub fn coordinator(&self) -> Option<&Coordinator> {
         self.coordinator.as_ref()
     }
 
-    /// Takes the production state machine out, so that its memory can be freed and counted.
+    /// Removes and returns the production state machine, so that its memory can be freed and measured.
     pub fn take_coordinator(&mut self) -> Option<Coordinator> {
         self.coordinator.take()
     }
@@ -96,7 +96,7 @@
         self.journal.synced_bytes()
     }
 
-    /// Starts the process and returns the processor time that it took to replay the journal.
+    /// Starts the process and returns the CPU time spent on replaying the journal.
     pub fn start(&mut self, environment: &mut Environment, bootstrap: bool) -> Duration {
         self.incarnation = environment.start_coordinator(self.index);
         self.started_at = environment.scheduler.now;
@@ -124,15 +124,15 @@
             seeds: environment.seeds(),
             bootstrap,
             journal_was_erased: false,
-            tolerated_host_losses: environment.options.hosts_lost,
+            tolerated_host_losses: environment.options.tolerated_host_losses,
             heartbeat_interval: Duration::from_millis(environment.options.heartbeat_ms),
-            order_lease: ORDER_LEASE,
+            order_lease: ORDER_LEASE_DURATION,
             placement: shaletrail_placement::Options::default(),
             seed: incarnation.0,
         }
     }
 
-    /// Kills the process: pending polls are reset, and records that were not synced are lost.
+    /// Kills the process: pending polls fail with a connection reset, and records that are not synced are lost.
     pub fn kill(&mut self, environment: &mut Environment) {
         self.coordinator = None;
         environment.stop_coordinator(self.index);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Handles an event; nothing happens while the process does not run.
+    /// Handles an event. Ignored while the process is not running.
     pub fn handle(&mut self, environment: &mut Environment, event: CoordinatorEvent) {
         if self.coordinator.is_none() {
             return;
@@ -266,7 +266,7 @@
         }
     }
 
-    /// The number of polls that await a response here.
+    /// The number of polls that currently await a response from this coordinator.
     fn pending_polls(&self) -> usize {
         self.pending_calls.values().filter(|caller| matches!(caller, Caller::Edge { .. })).count()
     }
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Gives the production state machine an event, counts its processor time and executes its actions.
+    /// Passes an event to the production state machine, records the CPU time used, and executes the resulting actions.
     fn dispatch(&mut self, environment: &mut Environment, activity: Activity, event: Event) {
         let Some(coordinator) = &mut self.coordinator else { return };
         let now = CLOCK_START_MS + environment.scheduler.now - self.started_at;
@@ -348,7 +348,7 @@
         self.usage.record_sent(Activity::Order, bytes, here != there);
         let (coordinator, incarnation, body) = (self.index, self.incarnation, Box::new(body));
         let event = ServerEvent::Order { coordinator, incarnation, order, expected, body };
-        let delay = REQUEST_LATENCIES * latency(here, there);
+        let delay = REQUEST_ONE_WAY_TRIPS * latency(here, there);
         environment.scheduler.schedule_after(delay, ScheduledEvent::Server(server, event));
     }
 
@@ -358,7 +358,7 @@
         self.usage.record_sent(Activity::ServerReport, 0, here != there);
         let (coordinator, incarnation) = (self.index, self.incarnation);
         let event = ServerEvent::FetchReport { coordinator, incarnation, expected };
-        let delay = REQUEST_LATENCIES * latency(here, there);
+        let delay = REQUEST_ONE_WAY_TRIPS * latency(here, there);
         environment.scheduler.schedule_after(delay, ScheduledEvent::Server(server, event));
     }
 
@@ -377,7 +377,7 @@
             .schedule_after(latency(here, there), ScheduledEvent::Coordinator(index, incarnation, event));
     }
 
-    /// Begins a write of all pending records, unless one is in flight.
+    /// Starts a write of all pending records, unless a write is already in flight.
     fn begin_write(&mut self, environment: &mut Environment) {
         if let Some(ticket) = self.journal.begin_write() {
             self.schedule_event(environment, SYNC_DURATION_MS, CoordinatorEvent::Synced(ticket));
--- a/capacity-emulator/src/cpu_timer.rs
+++ b/capacity-emulator/src/cpu_timer.rs
@@ -1,20 +1,21 @@
-//! Processor time of the present thread.
+//! CPU time of the current thread.
 
 use std::time::Duration;
 
-/// Measures the processor time of this thread, to which other processes on the machine add nothing.
+/// Measures the CPU time of the current thread. Unlike wall-clock time, it does not include the time of other
+/// processes.
 #[derive(Clone, Copy, Debug)]
 pub struct CpuTimer {
     started_at: Duration,
 }
 
 impl CpuTimer {
-    /// A timer that starts now.
+    /// Starts a timer.
     pub fn start() -> Self {
         CpuTimer { started_at: thread_time() }
     }
 
-    /// Processor time since the start.
+    /// CPU time that the thread has used since the start.
     pub fn elapsed(self) -> Duration {
         thread_time().saturating_sub(self.started_at)
     }
--- a/capacity-emulator/src/edge_node.rs
+++ b/capacity-emulator/src/edge_node.rs
@@ -1,4 +1,4 @@
-//! An edge: the production router, polls as the production poller makes them, and counts of what both cost.
+//! An edge node: the production router and a model of the production poller, with counts of the resources they use.
 
 mod client_requests;
 mod load_updates;
@@ -22,7 +22,7 @@
 use crate::events::{EdgeEvent, ScheduledEvent};
 use crate::usage::ResourceUsage;
 
-/// The state by which an edge routes requests.
+/// The state from which an edge routes requests.
 pub struct RoutingState {
     /// The production router.
     pub router: Router,
@@ -30,24 +30,24 @@
     pub view: Arc<ConfigView>,
 }
 
-/// A machine with an edge's process.
+/// A machine that runs an edge process.
 pub struct EdgeNode {
     index: usize,
     incarnation: u64,
-    /// `None` in an edge without a router, which only polls.
+    /// `None` for an edge without a router, which only polls.
     routing: Option<RoutingState>,
-    /// Requests of its clients.
+    /// Requests of this edge's clients.
     pub requests: ClientRequests,
     poller: Poller,
     datagrams: LoadDatagramEncoder,
-    /// The earliest scheduled call of the router.
+    /// The time of the earliest scheduled wake-up of the router.
     router_wake_at: Option<Millis>,
-    /// What it has used since the counts were last set to zero.
+    /// Resources used since the counts were last reset.
     pub usage: ResourceUsage,
 }
 
 impl EdgeNode {
-    /// A machine whose process does not run yet.
+    /// A machine on which the process is not running yet.
     pub fn new(index: usize) -> Self {
         EdgeNode {
             index,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Starts or restarts the process, which has no state but the counts of its usage.
+    /// Starts or restarts the process. All state except the usage counts is reset.
     pub fn start(&mut self, environment: &mut Environment) {
         let usage = std::mem::take(&mut self.usage);
         *self = EdgeNode::new(self.index);
@@ -79,22 +79,22 @@
         self.schedule_event(environment, 0, EdgeEvent::Poll);
     }
 
-    /// Its routing state; `None` in an edge without a router.
+    /// The routing state; `None` for an edge without a router.
     pub fn routing(&self) -> Option<&RoutingState> {
         self.routing.as_ref()
     }
 
-    /// Takes its routing state out, so that its memory can be freed and counted.
+    /// Removes and returns the routing state, so that its memory can be freed and measured.
     pub fn take_routing(&mut self) -> Option<RoutingState> {
         self.routing.take()
     }
 
-    /// The version of the configuration in force; 0 before the first.
+    /// The version of the configuration in force; 0 if there is none yet.
     pub fn version(&self) -> u64 {
         self.poller.config_version()
     }
 
-    /// When it last received a response to a poll from a coordinator that was not isolated.
+    /// When a coordinator that was not isolated last responded to a poll; `None` if none has.
     pub fn last_response_at(&self) -> Option<Millis> {
         self.poller.last_response_at()
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Gives the router an event, counts its processor time and executes its actions.
+    /// Passes an event to the router, records the CPU time used, and executes the resulting actions.
     fn dispatch(&mut self, environment: &mut Environment, activity: Activity, event: Event) {
         let Some(routing) = &mut self.routing else { return };
         let mut actions: Vec<Action> = Vec::new();
--- a/capacity-emulator/src/edge_node/client_requests.rs
+++ b/capacity-emulator/src/edge_node/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests at an edge, from the router's actions to the servers and back, without sockets.
+//! Client requests at an edge: from the router's actions to the model servers and back, without sockets.
 
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
@@ -17,31 +17,31 @@
 use crate::options::{ADAPTERS_PER_MODEL, BUSY_ADAPTERS};
 use crate::topology::{latency, zone_of};
 
-/// How long a server works on a request.
+/// The range of the random duration of a request on a server.
 const REQUEST_DURATION_MS: RangeInclusive<Millis> = 20..=250;
-/// The fraction of requests that ask for an adapter.
+/// The fraction of requests to busy models that ask for an adapter.
 const ADAPTER_FRACTION: f64 = 0.5;
-/// The number of shared prefixes of prompts.
+/// The number of different prompt prefixes that requests share.
 const SHARED_PREFIXES: u64 = 8;
-/// The fraction of a prompt that its shared prefix makes up.
+/// The fraction of a prompt's tokens that belong to its shared prefix.
 const SHARED_PREFIX_FRACTION: f64 = 0.75;
-/// The HTTP status of a response to a request that was served.
+/// The HTTP status of a successful response.
 const STATUS_OK: u16 = 200;
 
-/// The requests of an edge's clients, and counts of them.
+/// The client requests of an edge, and their counts.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequests {
     /// Requests that await a response.
     pending: HashMap<RequestId, RequestedModel>,
-    /// Requests that were received.
+    /// The number of requests received.
     pub received: u64,
-    /// Requests that were served.
+    /// The number of requests served.
     pub served: u64,
-    /// Requests that were rejected, or whose response was a failure or was aborted.
+    /// The number of requests that were rejected, or whose response failed or was aborted.
     pub failed: u64,
 }
 
-/// What a request asks for.
+/// The model and the adapter that a request asks for.
 #[derive(Clone, Debug)]
 struct RequestedModel {
     model: String,
@@ -49,9 +49,9 @@
 }
 
 impl EdgeNode {
-    /// Gives the router a new request whose body has been read.
+    /// Passes a new request, whose body has been read, to the router.
     pub(super) fn on_client_request(&mut self, environment: &mut Environment) {
-        let (model, adapter) = pick_model(environment);
+        let (model, adapter) = draw_model(environment);
         let service = deployment::service_of_model(&environment.options, model);
         let route =
             environment.scheduler.rng.random_range(0..deployment::routes_per_service(&environment.options));
@@ -114,7 +114,7 @@
         let Some(requested) = self.requests.pending.get(&request) else { return };
         let Some(server) = environment.servers.get_mut(index) else { return };
         let round_trip = 2 * latency(zone_of(self.index), zone_of(index));
-        let accepted = server.accept_request(expected, &requested.model, requested.adapter.as_deref());
+        let accepted = server.check_request(expected, &requested.model, requested.adapter.as_deref());
         let (status, duration) = match accepted {
             Ok(()) => {
                 server.active_requests += 1;
@@ -127,7 +127,7 @@
         self.schedule_event(environment, round_trip + duration, event);
     }
 
-    /// Gives the router the response of a server to an attempt.
+    /// Passes a server's response to an attempt to the router.
     pub(super) fn on_server_response(
         &mut self,
         environment: &mut Environment,
@@ -167,7 +167,7 @@
         self.dispatch(environment, Activity::ClientRequest, Event::AttemptEnded(request, attempt, outcome));
     }
 
-    /// Completes a request whose client has its response.
+    /// Completes a request that is still pending and counts its outcome.
     fn complete_request(&mut self, environment: &mut Environment, request: RequestId, served: bool) {
         if self.requests.pending.remove(&request).is_some() {
             self.requests.served += u64::from(served);
@@ -177,14 +177,14 @@
     }
 }
 
-/// Draws the model that a request asks for, and perhaps the number of one of its adapters.
-fn pick_model(environment: &mut Environment) -> (usize, Option<u32>) {
+/// Draws the model of a request and, for some requests, the number of one of the model's adapters.
+fn draw_model(environment: &mut Environment) -> (usize, Option<u32>) {
     let rng = &mut environment.scheduler.rng;
     if rng.random::<f64>() < environment.options.idle_model_fraction() {
         let model = rng.random_range(0..environment.options.models);
         return (model, Some(rng.random_range(BUSY_ADAPTERS + 1..=ADAPTERS_PER_MODEL)));
     }
-    let model = environment.popularity.pick(rng.random());
+    let model = environment.popularity.rank_at_quantile(rng.random());
     let has_adapter = rng.random::<f64>() < ADAPTER_FRACTION;
     (model, has_adapter.then(|| rng.random_range(1..=BUSY_ADAPTERS)))
 }
--- a/capacity-emulator/src/edge_node/load_updates.rs
+++ b/capacity-emulator/src/edge_node/load_updates.rs
@@ -1,4 +1,4 @@
-//! Loads that edges tell each other in datagrams.
+//! Datagrams by which edges inform each other of their load.
 
 use std::rc::Rc;
 
@@ -14,11 +14,11 @@
 use crate::events::{EdgeEvent, ScheduledEvent};
 use crate::topology::{latency, zone_of};
 
-/// The interval at which the router is asked for load updates, as in the data plane.
+/// The interval at which the router is asked for load updates, as in the production data plane.
 pub(super) const LOAD_UPDATE_INTERVAL_MS: Millis = 100;
 
 impl EdgeNode {
-    /// Sends the router's load updates to the edges that they are for.
+    /// Sends the router's load updates to their destination edges.
     pub(super) fn send_load_updates(&mut self, environment: &mut Environment) {
         let Some(routing) = &mut self.routing else { return };
         let timer = CpuTimer::start();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Gives the router the loads of another edge.
+    /// Passes the load update of another edge to the router.
     pub(super) fn on_load_datagram(&mut self, environment: &mut Environment, datagram: &[u8]) {
         let timer = CpuTimer::start();
         let loads = bitcode::decode::<EdgeLoadReport>(datagram);
--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -1,4 +1,4 @@
-//! Polls of the coordinators, as the production poller makes them, and the reports that go with them.
+//! Polls that an edge sends to coordinators in the same way as the production poller, and the reports sent with them.
 
 use std::ops::RangeInclusive;
 use std::sync::Arc;
@@ -24,35 +24,35 @@
 use crate::frames::decode;
 use crate::topology::{latency, zone_of};
 
-/// The shortest time between the starts of two polls that succeeded, as in the production poller.
+/// The minimum time between the starts of two successful polls, as in the production poller.
 const MIN_POLL_INTERVAL_MS: Millis = 20;
-/// The shortest time between two reports, as in the production poller.
+/// The minimum time between two reports, as in the production poller.
 const REPORT_INTERVAL_MS: Millis = 250;
-/// How long an urgent report waits for others to go with it, as in the production poller.
+/// The delay in which urgent reports are batched before they are sent, as in the production poller.
 const URGENT_REPORT_DELAY_MS: Millis = 5;
-/// The shortest and longest delay after all coordinators have failed, as in the production poller.
+/// The range of the random delay after all coordinators have failed, as in the production poller.
 const RETRY_DELAY_MS: RangeInclusive<Millis> = 100..=300;
-/// Within this time a configuration must be in force everywhere.
-const CONFIG_CONVERGENCE: Duration = Duration::from_secs(19);
-/// After this time no request may be sent to a server that leaves.
-const SERVER_DRAIN: Duration = Duration::from_secs(2);
-/// The id of a poll in a frame that is no poll.
+/// The time within which a new configuration must be in force at every node.
+const CONFIG_CONVERGENCE_BOUND: Duration = Duration::from_secs(19);
+/// The time after which no request may be sent to a server that is shutting down.
+const SERVER_DRAIN_BOUND: Duration = Duration::from_secs(2);
+/// The poll id of frames that are not polls.
 const NO_POLL: u64 = 0;
 
-/// The state of an edge's polls.
+/// The state of an edge's poller.
 pub(super) struct Poller {
     timeouts: PollTimeouts,
     coordinators: CoordinatorSelector,
     pending_poll: Option<PendingPoll>,
     config_version: u64,
-    /// Whether an update did not apply, so that the next poll asks for the complete configuration.
+    /// Whether a configuration update could not be applied, so that the next poll requests the complete configuration.
     needs_full_config: bool,
     cursor: DirectoryCursor,
     edge_count: u32,
     edge_list_hash: u64,
-    /// Demand that has not reached a coordinator yet.
+    /// Demand that no coordinator has received yet.
     demand: Vec<Demand>,
-    /// Outcomes of requests that have not reached a coordinator yet.
+    /// Request outcomes that no coordinator has received yet.
     server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     urgent_report_pending: bool,
@@ -68,10 +68,10 @@
 }
 
 impl Poller {
-    /// A poller that knows the seeds and nothing else.
+    /// A poller that knows only the seed coordinators.
     pub fn new(edge: usize, seeds: Vec<NodeId>) -> Self {
         Poller {
-            timeouts: PollTimeouts::from_bounds(CONFIG_CONVERGENCE, SERVER_DRAIN),
+            timeouts: PollTimeouts::from_bounds(CONFIG_CONVERGENCE_BOUND, SERVER_DRAIN_BOUND),
             coordinators: CoordinatorSelector::new(deployment::edge_node(edge), seeds),
             pending_poll: None,
             config_version: 0,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// The version of the configuration in force; 0 before the first.
+    /// The version of the configuration in force; 0 if there is none yet.
     pub fn config_version(&self) -> u64 {
         self.config_version
     }
 
-    /// When a coordinator that was not isolated last responded.
+    /// When a coordinator that was not isolated last responded; `None` if none has.
     pub fn last_response_at(&self) -> Option<Millis> {
         self.last_response_at
     }
@@ -110,21 +110,21 @@
 }
 
 impl EdgeNode {
-    /// Polls, unless a poll is pending.
+    /// Starts a poll, unless one is pending.
     pub(super) fn poll_unless_pending(&mut self, environment: &mut Environment) {
         if self.poller.pending_poll.is_none() {
             self.poll(environment);
         }
     }
 
-    /// Polls again after all coordinators have failed.
+    /// Starts a new round of polls after all coordinators have failed.
     pub(super) fn retry_coordinators(&mut self, environment: &mut Environment) {
         self.poller.coordinators.set_seeds(environment.seeds());
         self.poller.coordinators.begin_round();
         self.poll(environment);
     }
 
-    /// Schedules a report of the router's demand that does not wait for the next poll.
+    /// Schedules a report of the router's demand without waiting for the next poll.
     pub(super) fn request_urgent_report(&mut self, environment: &mut Environment) {
         if !self.poller.urgent_report_pending {
             self.poller.urgent_report_pending = true;
@@ -147,7 +147,7 @@
             Some(PendingPoll { id, coordinator, started_at: environment.scheduler.now });
         let (here, there) = (zone_of(self.index), zone_of(coordinator));
         let Some(incarnation) = environment.running_coordinator(coordinator) else {
-            // The connection is refused after one round trip.
+            // The refused connection is noticed after one round trip.
             return self.schedule_event(environment, 2 * latency(here, there), EdgeEvent::PollFailed(id));
         };
         self.usage.record_sent(Activity::Poll, frame.len(), here != there);
@@ -161,7 +161,8 @@
         self.schedule_urgent_report(environment);
     }
 
-    /// Takes a new report from the router. A report that has not reached a coordinator yet is sent again instead.
+    /// Takes a new report from the router. If a previous report has not reached a coordinator, that one is kept and
+    /// sent again.
     fn gather_report(&mut self, environment: &mut Environment) {
         let now = environment.scheduler.now;
         let is_due = self.poller.reported_at.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL_MS);
@@ -200,7 +201,8 @@
         self.poller.demand.clear();
         self.poller.server_outcomes.clear();
         if response.isolated {
-            // An edge that has no configuration takes what an isolated coordinator has, rather than serve nothing.
+            // An edge without a configuration accepts that of an isolated coordinator, because it could serve no
+            // request otherwise.
             if self.poller.config_version == 0 {
                 self.apply_response(environment, activity, response);
             }
--- a/capacity-emulator/src/environment.rs
+++ b/capacity-emulator/src/environment.rs
@@ -1,4 +1,4 @@
-//! What all nodes of a fleet share: time, the model servers, which processes run, and the operator's progress.
+//! State shared by all nodes of a fleet: virtual time, model servers, running processes, and the operator's progress.
 
 use shaletrail_protocol::internal::{Demand, OperatorResponse, ServerOutcomes};
 use shaletrail_protocol::{Millis, NodeId};
@@ -11,37 +11,37 @@
 use crate::scheduler::Scheduler;
 use crate::server_node::ServerNode;
 
-/// The number of coordinators that every node knows from its settings file.
-const SEEDS: usize = 3;
-/// The delay after which the operator sends a change again that failed.
+/// The number of seed coordinators, which every node knows from its settings file.
+const SEED_COORDINATORS: usize = 3;
+/// The delay before the operator retries a failed change.
 pub const OPERATOR_RETRY_MS: Millis = 200;
 
-/// What an edge reports to its coordinator.
+/// The contents of an edge's report to its coordinator.
 #[derive(Clone, Debug, Default)]
 pub struct EdgeReport {
     /// Demand for models.
     pub demand: Vec<Demand>,
-    /// Outcomes of requests, by server.
+    /// Request outcomes by server.
     pub server_outcomes: Vec<ServerOutcomes>,
 }
 
-/// What all nodes share.
+/// State that all nodes share.
 pub struct Environment {
     /// Sizes and rates of the run.
     pub options: Options,
     /// Virtual time, scheduled events and randomness.
     pub scheduler: Scheduler,
-    /// The model servers.
+    /// The model servers, by index.
     pub servers: Vec<ServerNode>,
-    /// The present incarnation of each edge.
+    /// The current incarnation of each edge.
     pub edge_incarnations: Vec<u64>,
-    /// How requests spread over the busy models.
+    /// The distribution of requests over busy models.
     pub popularity: Popularity,
-    /// Heartbeats that a coordinator rejected.
+    /// The number of heartbeats rejected by coordinators.
     pub rejected_heartbeats: u64,
-    /// Requests of clients that edges received.
+    /// The number of client requests received by edges.
     pub client_requests: u64,
-    /// Loads of models and adapters that servers completed.
+    /// The number of model and adapter loads completed by servers since the counts were last reset.
     pub completed_loads: u64,
     coordinator_incarnations: Vec<u64>,
     coordinator_running: Vec<bool>,
@@ -51,7 +51,7 @@
 }
 
 impl Environment {
-    /// An environment in which no process runs yet.
+    /// An environment in which no process is running.
     pub fn new(options: Options) -> Self {
         let models_by_server = initial_models(&options).into_iter().enumerate();
         let servers = models_by_server.map(|(index, models)| ServerNode::new(&options, index, models));
@@ -71,42 +71,43 @@
         }
     }
 
-    /// The coordinators that every node knows from its settings file.
+    /// The seed coordinators, which every node knows from its settings file.
     pub fn seeds(&self) -> Vec<NodeId> {
-        (0..SEEDS.min(self.options.coordinators)).map(deployment::coordinator_node).collect()
+        (0..SEED_COORDINATORS.min(self.options.coordinators)).map(deployment::coordinator_node).collect()
     }
 
-    /// Starts a coordinator's process and returns its incarnation.
+    /// Marks a coordinator's process as running and returns its new incarnation.
     pub fn start_coordinator(&mut self, index: usize) -> u64 {
         self.coordinator_running[index] = true;
         self.coordinator_incarnations[index] += 1;
         self.coordinator_incarnations[index]
     }
 
-    /// Ends a coordinator's process; events for its incarnation are dropped from now on.
+    /// Marks a coordinator's process as stopped; from now on, events for its incarnation are dropped.
     pub fn stop_coordinator(&mut self, index: usize) {
         self.coordinator_running[index] = false;
         self.coordinator_incarnations[index] += 1;
     }
 
-    /// The present incarnation of a coordinator; `None` if it does not run.
+    /// The current incarnation of a coordinator; `None` if it is not running.
     pub fn running_coordinator(&self, index: usize) -> Option<u64> {
         let is_running = self.coordinator_running.get(index).copied().unwrap_or_default();
         is_running.then(|| self.coordinator_incarnations[index])
     }
 
-    /// Starts an edge's process and returns its incarnation.
+    /// Starts a new incarnation of an edge and returns it.
     pub fn start_edge(&mut self, index: usize) -> u64 {
         self.edge_incarnations[index] += 1;
         self.edge_incarnations[index]
     }
 
-    /// The version of the newest change that a coordinator acknowledged.
+    /// The version of the newest change acknowledged by a coordinator; 0 before the first.
     pub fn acknowledged_version(&self) -> u64 {
         self.acknowledged_version
     }
 
-    /// Schedules the operator's next change, or the same one again if it was rejected; whether it was accepted.
+    /// Handles the response to the operator's change. Schedules the next change, or a retry if it was rejected. Returns
+    /// whether the change was accepted.
     pub fn on_operator_response(&mut self, response: &OperatorResponse) -> bool {
         let accepted = matches!(response, OperatorResponse::Done { .. });
         if accepted {
@@ -120,7 +121,7 @@
         accepted
     }
 
-    /// Records the report of an edge that has a router, for edges that have none.
+    /// Stores the report of an edge that has a router, as a template for edges that have none.
     pub fn record_report(&mut self, edge: usize, demand: &[Demand], server_outcomes: &[ServerOutcomes]) {
         if self.options.routing_edges < self.options.edges {
             let report = EdgeReport { demand: demand.to_vec(), server_outcomes: server_outcomes.to_vec() };
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The report that an edge without a router sends: the last one of an edge that has a router.
+    /// The report that an edge without a router sends: a copy of the last report of an edge that has one.
     pub fn recorded_report(&self, edge: usize) -> EdgeReport {
         self.reports.get(edge % self.options.routing_edges.max(1)).cloned().unwrap_or_default()
     }
--- a/capacity-emulator/src/events.rs
+++ b/capacity-emulator/src/events.rs
@@ -1,4 +1,4 @@
-//! Events that are scheduled for a later moment of virtual time, by the kind of node that handles them.
+//! Events scheduled in virtual time, grouped by the kind of node that handles them.
 
 use std::rc::Rc;
 
@@ -7,130 +7,130 @@
 use shaletrail_protocol::ServerId;
 use shaletrail_routing::interface::{Attempt, RequestId};
 
-/// An event of a coordinator.
+/// An event that a coordinator handles.
 #[derive(Clone, Debug)]
 pub enum CoordinatorEvent {
-    /// The coordinator's clock advances.
+    /// The periodic tick of the coordinator's clock.
     Tick,
-    /// The disk has synced all records up to a ticket.
+    /// The disk has synced all records up to this ticket.
     Synced(u64),
-    /// A frame of another coordinator arrives.
+    /// A frame from another coordinator arrives.
     CoordinatorFrame {
-        /// The index of the sender.
+        /// Index of the sending coordinator.
         from: usize,
         /// The encoded message with its length prefix.
         frame: Rc<[u8]>,
     },
-    /// A frame of an edge arrives.
+    /// A frame from an edge arrives.
     EdgeFrame {
-        /// The index of the edge.
+        /// Index of the edge.
         edge: usize,
-        /// The id of the poll; of no meaning if the frame is no poll.
+        /// Id of the poll; unused if the frame is not a poll.
         poll: u64,
         /// The encoded message with its length prefix.
         frame: Vec<u8>,
     },
-    /// An edge has cancelled the poll of this id.
+    /// An edge has cancelled the poll with this id.
     PollCancelled(u64),
-    /// A server's heartbeat arrives.
+    /// A heartbeat from a server arrives.
     Heartbeat {
-        /// The index of the server.
+        /// Index of the server.
         server: usize,
-        /// The id of the server's present incarnation.
+        /// Id of the server's current incarnation.
         id: ServerId,
-        /// The body of the request, in JSON.
+        /// Body of the request, as JSON.
         body: Vec<u8>,
     },
-    /// A change by the operator arrives; its body, in JSON.
+    /// A configuration change from the operator arrives, with its JSON body.
     OperatorChange(Vec<u8>),
-    /// An order to a server has completed.
+    /// An order to a server has completed with this outcome.
     OrderCompleted(OrderId, OrderOutcome),
-    /// A server has responded to a request for its report; `None` if it is another incarnation now.
+    /// A server has responded to a request for its report; `None` if the server has been restarted since.
     ReportReceived(ServerId, Option<Box<ServerReport>>),
 }
 
-/// An event of an edge.
+/// An event that an edge handles.
 #[derive(Clone, Debug)]
 pub enum EdgeEvent {
-    /// The edge polls, unless a poll is pending.
+    /// Starts a poll, unless one is pending.
     Poll,
     /// The response to a poll arrives.
     PollResponse {
-        /// The id of the poll.
+        /// Id of the poll.
         poll: u64,
         /// The encoded message with its length prefix.
         frame: Vec<u8>,
     },
-    /// The poll of this id timed out, or its connection was refused or reset.
+    /// The poll with this id timed out, or its connection was refused or reset.
     PollFailed(u64),
-    /// All coordinators have failed, and the delay before they are tried again is over.
+    /// The back-off after the failure of all coordinators is over.
     RetryCoordinators,
-    /// Demand that cannot wait for the next poll is sent.
+    /// Sends demand that cannot wait for the next poll.
     SendUrgentReport,
-    /// The edge sends updates of its loads to other edges.
+    /// Sends load updates to other edges.
     SendLoadUpdates,
-    /// A load datagram of another edge arrives.
+    /// A load datagram from another edge arrives.
     LoadDatagram(Rc<[u8]>),
-    /// The time at which the router asked to be called.
+    /// The time at which the router asked to be woken up.
     RouterWake,
-    /// A client's request arrives.
+    /// A request from a client arrives.
     ClientRequest,
-    /// A server's response to a client's request arrives.
+    /// A server's response to a client request arrives.
     ServerResponse {
-        /// The client's request.
+        /// The client request.
         request: RequestId,
-        /// The attempt at it.
+        /// The attempt to which the server responded.
         attempt: Attempt,
-        /// The index of the server.
+        /// Index of the server.
         server: usize,
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
 }
 
-/// An event of a model server.
+/// An event that a model server handles.
 #[derive(Clone, Debug)]
 pub enum ServerEvent {
     /// The server sends its next heartbeat.
     Heartbeat,
-    /// An order of a coordinator arrives.
+    /// An order from a coordinator arrives.
     Order {
-        /// The index of the coordinator.
+        /// Index of the coordinator.
         coordinator: usize,
-        /// The incarnation of the coordinator that sent it.
+        /// Incarnation of the coordinator that sent the order.
         incarnation: u64,
-        /// The id of the order.
+        /// Id of the order.
         order: OrderId,
-        /// The incarnation of the server that the order is for.
+        /// Id of the server incarnation that the order is addressed to.
         expected: ServerId,
-        /// What is ordered.
+        /// Body of the order.
         body: Box<Order>,
     },
-    /// The server completes the order in flight.
+    /// The order in progress completes.
     OrderCompleted,
     /// A coordinator's request for the server's report arrives.
     FetchReport {
-        /// The index of the coordinator.
+        /// Index of the coordinator.
         coordinator: usize,
-        /// The incarnation of the coordinator that sent it.
+        /// Incarnation of the coordinator that sent the request.
         incarnation: u64,
-        /// The incarnation of the server that the request is for.
+        /// Id of the server incarnation that the request is addressed to.
         expected: ServerId,
     },
 }
 
-/// An event of any node or of the outside. Nodes are named by their index in their class; an event for a former
-/// incarnation of a process is dropped.
+/// A scheduled event. Nodes are identified by their index within their class. An event for an earlier incarnation of a
+/// process is dropped.
 #[derive(Clone, Debug)]
 pub enum ScheduledEvent {
-    /// Of a coordinator, by its index and incarnation.
+    /// An event of a coordinator, with the coordinator's index and incarnation.
     Coordinator(usize, u64, CoordinatorEvent),
-    /// Of an edge, by its index and incarnation.
+    /// An event of an edge, with the edge's index and incarnation.
     Edge(usize, u64, EdgeEvent),
-    /// Of a server, by its index.
+    /// An event of a server, with the server's index.
     Server(usize, ServerEvent),
-    /// The operator sends a change.
+    /// The operator sends a configuration change.
     OperatorChange,
-    /// The machine of a random server restarts.
+    /// The machine of a randomly chosen server restarts.
     ServerRestart,
 }
--- a/capacity-emulator/src/fleet.rs
+++ b/capacity-emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of coordinators, edges and model servers, and how virtual time passes for them.
+//! A fleet of coordinators, edges and model servers, and the event loop that advances their virtual time.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,35 +12,35 @@
 use crate::edge_node::EdgeNode;
 use crate::environment::{Environment, OPERATOR_RETRY_MS};
 use crate::events::{CoordinatorEvent, ScheduledEvent, ServerEvent};
-use crate::options::{Options, RESTARTS_PER_SERVER};
+use crate::options::{Options, RESTARTS_PER_SECOND_PER_SERVER};
 use crate::topology::{latency, zone_of};
 use crate::usage::ResourceUsage;
 
-/// The earliest moment of a server's first heartbeat.
+/// The earliest time of a server's first heartbeat.
 const FIRST_HEARTBEAT_DELAY_MS: Millis = 300;
-/// When the operator sends the first configuration.
+/// The time at which the operator sends the first configuration.
 const FIRST_CONFIG_DELAY_MS: Millis = 1_500;
-/// How long a server's machine is down when it restarts.
+/// How long a server's machine is down during a restart.
 const SERVER_DOWNTIME_MS: Millis = 5_000;
-/// The delay before a server sends its heartbeat to another coordinator.
+/// The delay before a server resends a heartbeat to another coordinator because its own is down.
 const HEARTBEAT_RETRY_MS: Millis = 50;
-/// One change in this many replaces a service with all its models, the others a route.
+/// One in this many changes replaces a service with all its models; the others replace a route.
 const CHANGES_PER_SERVICE_CHANGE: u64 = 10;
 
 /// All nodes of an emulated fleet.
 pub struct Fleet {
-    /// What the nodes share.
+    /// State that the nodes share.
     pub environment: Environment,
-    /// The coordinators, by their index.
+    /// The coordinators, by index.
     pub coordinators: Vec<CoordinatorNode>,
-    /// The edges, by their index.
+    /// The edges, by index.
     pub edges: Vec<EdgeNode>,
-    /// Servers whose machine is down, with the end of that.
+    /// Servers whose machine is down, with the time at which it is up again.
     restarting_servers: BTreeMap<usize, Millis>,
 }
 
 impl Fleet {
-    /// A fleet whose processes start at time 0.
+    /// A fleet whose processes all start at time 0.
     pub fn new(options: Options) -> Self {
         let environment = Environment::new(options);
         let coordinators = (0..environment.options.coordinators).map(CoordinatorNode::new).collect();
@@ -66,7 +66,8 @@
         self.schedule_server_restart();
     }
 
-    /// Advances the clock to `until` and handles all events on the way; false if the real time was past `deadline` before.
+    /// Handles all events up to `until` and advances the clock to it. Returns false if the wall clock reached
+    /// `deadline` first.
     pub fn run_until(&mut self, until: Millis, deadline: Option<Instant>) -> bool {
         let is_late = || deadline.is_some_and(|deadline| Instant::now() >= deadline);
         while let Some(event) = self.environment.scheduler.pop_until(until) {
@@ -104,15 +105,15 @@
         }
     }
 
-    /// Restarts a server's machine. Requests in flight there get no response.
+    /// Restarts a server's machine. Requests in progress on it get no response.
     fn restart_server(&mut self, index: usize) {
         self.environment.servers[index].restart();
-        // The heartbeat that is scheduled comes while the machine is down, and is put off until it is up again.
+        // The heartbeat already scheduled falls into the downtime and is postponed until the machine is up again.
         self.restarting_servers.insert(index, self.environment.scheduler.now + SERVER_DOWNTIME_MS);
     }
 
     fn schedule_server_restart(&mut self) {
-        let rate = RESTARTS_PER_SERVER * self.environment.options.servers as f64;
+        let rate = RESTARTS_PER_SECOND_PER_SERVER * self.environment.options.servers as f64;
         if let Some(interval) = self.environment.scheduler.sample_interval(rate) {
             self.schedule(interval, ScheduledEvent::ServerRestart);
         }
@@ -212,13 +213,13 @@
         self.coordinators[index].kill(&mut self.environment);
     }
 
-    /// Starts a coordinator's process with the synced records of its journal, and returns the processor time that it took
-    /// to replay them.
+    /// Starts a coordinator's process with the synced records of its journal. Returns the CPU time spent on replaying
+    /// them.
     pub fn start_coordinator(&mut self, index: usize) -> Duration {
         self.coordinators[index].start(&mut self.environment, false)
     }
 
-    /// Whether an edge can route requests; of an edge without a router, whether it has a configuration.
+    /// Whether an edge can route requests. An edge without a router is usable once it has a configuration.
     pub fn edge_is_usable(&self, index: usize) -> bool {
         let edge = &self.edges[index];
         let now = self.environment.scheduler.now;
@@ -228,31 +229,31 @@
         }
     }
 
-    /// Whether all edges are usable and all coordinators have all servers in their directory.
-    pub fn is_complete(&self) -> bool {
+    /// Whether all edges are usable and every coordinator has all servers in its directory.
+    pub fn is_ready(&self) -> bool {
         let servers = self.environment.options.servers;
         (0..self.edges.len()).all(|edge| self.edge_is_usable(edge))
             && (0..self.coordinators.len()).all(|coordinator| self.known_servers(coordinator) >= servers)
     }
 
-    /// The version of the configuration in force at a coordinator; 0 while it does not run.
+    /// The version of the configuration in force at a coordinator; 0 while it is not running.
     pub fn config_version_of(&self, index: usize) -> u64 {
         self.coordinators[index].coordinator().map_or(0, |coordinator| coordinator.configuration_version())
     }
 
-    /// Sets all counts of usage to zero.
+    /// Resets all usage counts to zero.
     pub fn reset_usage(&mut self) {
         self.coordinators.iter_mut().for_each(|coordinator| coordinator.usage = ResourceUsage::default());
         self.edges.iter_mut().for_each(|edge| edge.usage = ResourceUsage::default());
         self.environment.completed_loads = 0;
     }
 
-    /// Requests of clients that edges received since the start of the run.
+    /// The number of client requests received by edges since the start of the run.
     pub fn client_requests(&self) -> u64 {
         self.environment.client_requests
     }
 
-    /// The index of the coordinator that leads a shard, if one does.
+    /// The index of the coordinator that leads a shard; `None` if the shard has no leader.
     pub fn leader_of(&self, shard: u32) -> Option<usize> {
         self.coordinators.iter().position(|coordinator| {
             let shard = coordinator.coordinator().and_then(|coordinator| coordinator.shards().get(shard));
@@ -260,7 +261,7 @@
         })
     }
 
-    /// The number of servers that are ready according to a coordinator's directory.
+    /// The number of servers that are ready according to a coordinator's directory; 0 while it is not running.
     pub fn known_servers(&self, coordinator: usize) -> usize {
         let Some(coordinator) = self.coordinators[coordinator].coordinator() else { return 0 };
         coordinator.directory().records().filter(|record| record.presence == Presence::Ready).count()
--- a/capacity-emulator/src/growth.rs
+++ b/capacity-emulator/src/growth.rs
@@ -1,55 +1,55 @@
-//! Metrics of runs at several sizes, and the exponents by which they grow.
+//! Metrics of runs at several fleet sizes, and the exponents of their growth.
 
 use crate::activity::Activity;
 use crate::measurement::{Measurement, Phase};
 use crate::usage::Traffic;
 
-/// A metric of a run whose growth with the size of the fleet matters.
+/// A metric whose growth with the fleet size is of interest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Metric {
-    /// Bytes a second that an edge receives for the control plane, load datagrams left out (mean).
+    /// Control-plane bytes per second received by an edge, without load datagrams (mean).
     EdgeBytesIn,
-    /// Bytes a second that an edge sends for the control plane, load datagrams left out (mean).
+    /// Control-plane bytes per second sent by an edge, without load datagrams (mean).
     EdgeBytesOut,
-    /// Messages a second in and out of an edge for the control plane, load datagrams left out (mean).
+    /// Control-plane messages per second sent and received by an edge, without load datagrams (mean).
     EdgeMessages,
-    /// Bytes a second of load datagrams in and out of an edge (mean).
+    /// Bytes per second of load datagrams sent and received by an edge (mean).
     EdgeLoadBytes,
-    /// Processor time of an edge for the control plane, in milliseconds a second (mean).
+    /// CPU time of an edge for the control plane, in milliseconds per second (mean).
     EdgeControlTime,
-    /// Processor time of an edge for its clients' requests, in microseconds a request.
+    /// CPU time of an edge for client requests, in microseconds per request.
     EdgeRequestTime,
-    /// Bytes a second that a coordinator receives (mean).
+    /// Bytes per second received by a coordinator (mean).
     CoordinatorBytesIn,
-    /// Bytes a second that a coordinator sends (mean).
+    /// Bytes per second sent by a coordinator (mean).
     CoordinatorBytesOut,
-    /// Messages a second in and out of a coordinator (mean).
+    /// Messages per second sent and received by a coordinator (mean).
     CoordinatorMessages,
-    /// Processor time of a coordinator, in milliseconds a second (mean).
+    /// CPU time of a coordinator, in milliseconds per second (mean).
     CoordinatorTime,
-    /// Processor time of the busiest coordinator, in milliseconds a second.
+    /// CPU time of the busiest coordinator, in milliseconds per second.
     BusiestCoordinatorTime,
-    /// Bytes a second that a coordinator writes to its journal (mean).
+    /// Bytes per second that a coordinator writes to its journal (mean).
     DiskBytes,
-    /// Syncs a second of a coordinator's journal (mean).
+    /// Syncs per second of a coordinator's journal (mean).
     Syncs,
-    /// Allocated bytes of an edge: router and configuration.
+    /// Allocated bytes of an edge's router and configuration.
     EdgeMemory,
     /// Allocated bytes of a coordinator that leads no shard (mean).
     CoordinatorMemory,
-    /// Allocated bytes of the largest coordinator.
+    /// Allocated bytes of the coordinator that uses most memory.
     LargestCoordinatorMemory,
-    /// Bytes that the busiest coordinator sent in the phase with the thundering herd.
+    /// Bytes sent by the busiest coordinator during the thundering-herd phase.
     HerdBytes,
 }
 
 impl Metric {
-    /// The metric's value in a run; `None` if the run ended before or did not measure it.
-    pub fn of(self, measurement: &Measurement) -> Option<f64> {
+    /// The value of the metric in a run; `None` if the run ended too early or did not measure it.
+    pub fn value_in(self, measurement: &Measurement) -> Option<f64> {
         let memory = measurement.memory.as_ref();
         match self {
-            Metric::EdgeMemory => memory.map(|memory| (memory.router + memory.view) as f64),
+            Metric::EdgeMemory => memory.map(|memory| (memory.router + memory.config_view) as f64),
             Metric::CoordinatorMemory => memory.map(|memory| memory.coordinator as f64),
             Metric::LargestCoordinatorMemory => memory.map(|memory| memory.largest_coordinator as f64),
             Metric::HerdBytes => {
@@ -59,11 +59,11 @@
                     .map(|coordinator| coordinator.all_sent().bytes as f64)
                     .max_by(f64::total_cmp)
             }
-            _ => self.of_steady(measurement.phases.first()?),
+            _ => self.value_in_steady_phase(measurement.phases.first()?),
         }
     }
 
-    fn of_steady(self, phase: &Phase) -> Option<f64> {
+    fn value_in_steady_phase(self, phase: &Phase) -> Option<f64> {
         let (edges, coordinators) = (phase.all_edges(), phase.all_coordinators());
         let edge_seconds = phase.seconds * phase.edges.len() as f64;
         let coordinator_seconds = phase.seconds * phase.coordinators.len() as f64;
@@ -83,17 +83,21 @@
                 others as f64 / edge_seconds
             }
             Metric::EdgeLoadBytes => (loads_in.bytes + loads_out.bytes) as f64 / edge_seconds,
-            Metric::EdgeControlTime => edges.control_time().as_secs_f64() * 1e3 / edge_seconds,
+            Metric::EdgeControlTime => edges.control_plane_time().as_secs_f64() * 1e3 / edge_seconds,
             Metric::EdgeRequestTime => time(Activity::ClientRequest) * 1e6 / phase.requests.max(1) as f64,
             Metric::CoordinatorBytesIn => coordinator_in.bytes as f64 / coordinator_seconds,
             Metric::CoordinatorBytesOut => coordinator_out.bytes as f64 / coordinator_seconds,
             Metric::CoordinatorMessages => {
                 (coordinator_in.messages + coordinator_out.messages) as f64 / coordinator_seconds
             }
-            Metric::CoordinatorTime => coordinators.control_time().as_secs_f64() * 1e3 / coordinator_seconds,
+            Metric::CoordinatorTime => {
+                coordinators.control_plane_time().as_secs_f64() * 1e3 / coordinator_seconds
+            }
             Metric::BusiestCoordinatorTime => {
-                let times =
-                    phase.coordinators.iter().map(|coordinator| coordinator.control_time().as_secs_f64());
+                let times = phase
+                    .coordinators
+                    .iter()
+                    .map(|coordinator| coordinator.control_plane_time().as_secs_f64());
                 times.fold(0.0, f64::max) * 1e3 / phase.seconds
             }
             Metric::DiskBytes => coordinators.journal.bytes as f64 / coordinator_seconds,
@@ -107,25 +111,27 @@
     }
 }
 
-/// The exponent by which a value grows from one size to another: 1 if it grows in proportion to the size. `None` unless all
-/// four are positive and the second size is the larger one.
+/// The exponent of a power law through two points: 1 if the value grows in proportion to the size. `None` unless all
+/// four
+/// numbers are positive and the second size is larger than the first.
 pub fn growth_exponent(sizes: (f64, f64), values: (f64, f64)) -> Option<f64> {
     let has_exponent = sizes.0 > 0.0 && sizes.1 > sizes.0 && values.0 > 0.0 && values.1 > 0.0;
     has_exponent.then(|| (values.1 / values.0).ln() / (sizes.1 / sizes.0).ln())
 }
 
-/// How fast a metric may grow: exponents of the number of edges, of servers, and of both together.
+/// Upper bounds of a metric's growth, as exponents of the number of edges, of servers, and of both together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrowthExponents {
-    /// With the number of edges, at the same number of servers.
+    /// Growth with the number of edges at a fixed number of servers.
     pub with_edges: f64,
-    /// With the number of servers, at the same number of edges.
+    /// Growth with the number of servers at a fixed number of edges.
     pub with_servers: f64,
-    /// With both numbers, in proportion.
+    /// Growth when both numbers increase by the same factor.
     pub with_both: f64,
 }
 
-/// The exponents that `docs/CAPACITY.md` states for a metric; `None` for times and memory, which no test checks.
+/// The growth exponents stated for a metric in `docs/CAPACITY.md`; `None` for CPU times and memory, which no test
+/// checks.
 pub fn stated_exponents(metric: Metric) -> Option<GrowthExponents> {
     let exponents =
         |with_edges, with_servers, with_both| Some(GrowthExponents { with_edges, with_servers, with_both });
--- a/capacity-emulator/src/initial_models.rs
+++ b/capacity-emulator/src/initial_models.rs
@@ -6,23 +6,25 @@
 use crate::options::{Options, BUSY_ADAPTERS};
 use crate::popularity::Popularity;
 
-/// The number of models that fit into a server beside its adapters.
+/// The number of models that fit into a server's memory beside its adapters.
 pub const MODELS_PER_SERVER: usize = 3;
-/// One server in this many starts with a spare slot for a model, as the planner keeps capacity ahead of demand.
+/// One in this many servers starts with a free slot for a model, because the planner keeps spare capacity for new
+/// demand.
 const SERVERS_PER_SPARE_SLOT: usize = 5;
 
-/// The models that each server has loaded at the start, by the server's index, with their busy adapters. Slots go to models
-/// by their popularity; each model has one replica at least where there are enough slots.
+/// The models and busy adapters that each server has loaded at the start, by server index. Slots are assigned to models
+/// by
+/// popularity. Every model gets at least one replica if there are enough slots.
 pub fn initial_models(options: &Options) -> Vec<Vec<LoadedModel>> {
     let mut models_by_server: Vec<Vec<usize>> = vec![Vec::new(); options.servers];
     let popularity = Popularity::of(options.busy_models());
     for service in 0..options.services {
-        place_models_of_service(options, &popularity, service, &mut models_by_server);
+        assign_models_of_service(options, &popularity, service, &mut models_by_server);
     }
     models_by_server.into_iter().map(|models| with_busy_adapters(&models)).collect()
 }
 
-fn place_models_of_service(
+fn assign_models_of_service(
     options: &Options,
     popularity: &Popularity,
     service: usize,
@@ -33,13 +35,13 @@
     let models: Vec<usize> =
         (0..options.models).filter(|model| service_of_model(options, *model) == service).collect();
     let slots: usize = servers.iter().map(|server| initial_slots(options, *server)).sum();
-    let total_share: f64 = models.iter().map(|model| popularity.share(*model)).sum();
+    let total_fraction: f64 = models.iter().map(|model| popularity.request_fraction(*model)).sum();
     let spare_slots = slots.saturating_sub(models.len()) as f64;
     let mut next = 0;
     for model in models {
-        let replicas = 1 + (spare_slots * popularity.share(model) / total_share) as usize;
+        let replicas = 1 + (spare_slots * popularity.request_fraction(model) / total_fraction) as usize;
         let mut unplaced = replicas.min(servers.len());
-        // One round over the servers is enough, as each server takes a model once.
+        // One pass over the servers is enough, because a server holds at most one replica of a model.
         for _ in 0..servers.len() {
             if unplaced == 0 {
                 break;
@@ -54,7 +56,7 @@
     }
 }
 
-/// The number of models that a server has loaded at the start, at most.
+/// The maximum number of models that a server has loaded at the start.
 fn initial_slots(options: &Options, server: usize) -> usize {
     let has_spare_slot = (server / options.services).is_multiple_of(SERVERS_PER_SPARE_SLOT);
     if has_spare_slot {
--- a/capacity-emulator/src/main.rs
+++ b/capacity-emulator/src/main.rs
@@ -1,4 +1,5 @@
-//! `shaletrail-capacity-emulator`: measures what coordinators and edges cost at sizes that no test site has.
+//! `shaletrail-capacity-emulator`: measures the resources that coordinators and edges use at fleet sizes that no test
+//! environment has.
 #![allow(unsafe_code, reason = "a global allocator that counts has to be `unsafe`")]
 
 mod counting_allocator;
@@ -14,7 +15,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Measures what coordinators and edges cost.
+/// Measures the resources that coordinators and edges use.
 #[derive(FromArgs, Debug)]
 struct Arguments {
     #[argh(subcommand)]
@@ -27,51 +28,51 @@
     Measure(Measure),
 }
 
-/// Run an emulated fleet through steady load, a herd of restarted edges and the restart of a coordinator.
+/// Run an emulated fleet through steady load, the restart of all edges in a zone, and the restart of a coordinator.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "measure")]
 struct Measure {
-    /// data-plane nodes
+    /// number of edges (data-plane nodes)
     #[argh(option, default = "30")]
     edges: usize,
-    /// of these, with a router and requests (default: 100 at most)
+    /// number of edges that have a router and client requests (default: 100 at most)
     #[argh(option, long = "full-edges")]
     routing_edges: Option<usize>,
-    /// model servers
+    /// number of model servers
     #[argh(option, default = "1000")]
     servers: usize,
-    /// coordinators
+    /// number of coordinators
     #[argh(option, long = "cores", default = "12")]
     coordinators: usize,
-    /// services, over which servers and models are spread
+    /// number of services, over which servers and models are spread
     #[argh(option, default = "4")]
     services: usize,
-    /// steady virtual seconds
+    /// duration of the steady phase in virtual seconds
     #[argh(option, default = "10")]
     seconds: u64,
-    /// real seconds after which a run ends
+    /// wall-clock limit for a run in seconds
     #[argh(option, long = "patience", default = "240")]
     time_limit_s: u64,
     /// seed of the random generator
     #[argh(option, default = "1")]
     seed: u64,
-    /// sweeps over all sizes, and the exponents by which metrics grow
+    /// run the sweeps over all sizes and print the growth exponents of all metrics
     #[argh(switch)]
     all: bool,
 }
 
-/// Edges with routers, where nothing else is asked for.
+/// Edges that have a router, unless an option states the number.
 const DEFAULT_ROUTING_EDGES: usize = 100;
-/// Edges with routers in sweeps over something else than edges.
+/// Edges that have a router in sweeps over a size other than the number of edges.
 const FEW_ROUTING_EDGES: usize = 10;
-/// Edges with routers in the sweep over edges.
+/// Edges that have a router in the sweep over the number of edges.
 const SWEEP_ROUTING_EDGES: usize = 30;
 /// Numbers of edges in the sweep over edges.
-const EDGES: [usize; 4] = [30, 100, 300, 880];
+const EDGE_COUNTS: [usize; 4] = [30, 100, 300, 880];
 /// Numbers of servers in the sweep over servers.
-const SERVERS: [usize; 4] = [1_000, 3_000, 4_000, 10_000];
+const SERVER_COUNTS: [usize; 4] = [1_000, 3_000, 4_000, 10_000];
 /// Numbers of coordinators in the sweep over coordinators.
-const COORDINATORS: [usize; 3] = [5, 12, 28];
+const COORDINATOR_COUNTS: [usize; 3] = [5, 12, 28];
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
@@ -81,7 +82,8 @@
         .all(|size| *size > 0);
     if !sizes_are_positive || arguments.servers < arguments.services {
         eprintln!(
-            "shaletrail-capacity-emulator: sizes must be over 0, and there must be a server for each service"
+            "shaletrail-capacity-emulator: --edges, --servers, --cores and --services must be at \
+             least 1, and --servers at least --services"
         );
         return ExitCode::from(2);
     }
@@ -114,15 +116,16 @@
 }
 
 fn measure_all(arguments: &Measure) {
-    let (servers, coordinators) = (SERVERS[0], COORDINATORS[1]);
+    let (servers, coordinators) = (SERVER_COUNTS[0], COORDINATOR_COUNTS[1]);
     let few = Some(FEW_ROUTING_EDGES);
-    let by_edges = EDGES.map(|edges| run(arguments, edges, servers, coordinators, Some(SWEEP_ROUTING_EDGES)));
-    print_sweep("edges", &EDGES, &by_edges);
+    let by_edges =
+        EDGE_COUNTS.map(|edges| run(arguments, edges, servers, coordinators, Some(SWEEP_ROUTING_EDGES)));
+    print_sweep("edges", &EDGE_COUNTS, &by_edges);
     let by_coordinators =
-        COORDINATORS.map(|coordinators| run(arguments, EDGES[1], servers, coordinators, few));
-    print_sweep("coordinators", &COORDINATORS, &by_coordinators);
-    let by_servers = SERVERS.map(|servers| run(arguments, EDGES[0], servers, coordinators, few));
-    print_sweep("servers", &SERVERS, &by_servers);
+        COORDINATOR_COUNTS.map(|coordinators| run(arguments, EDGE_COUNTS[1], servers, coordinators, few));
+    print_sweep("coordinators", &COORDINATOR_COUNTS, &by_coordinators);
+    let by_servers = SERVER_COUNTS.map(|servers| run(arguments, EDGE_COUNTS[0], servers, coordinators, few));
+    print_sweep("servers", &SERVER_COUNTS, &by_servers);
 }
 
 fn print_sweep(dimension: &str, sizes: &[usize], runs: &[Measurement]) {
--- a/capacity-emulator/src/measurement.rs
+++ b/capacity-emulator/src/measurement.rs
@@ -1,4 +1,4 @@
-//! One run through its phases: warm-up, steady load, a thundering herd of restarted edges, and the restart of a
+//! Runs a fleet through all phases: warm-up, steady load, a thundering herd of restarted edges, and the restart of a
 //! coordinator.
 
 use std::time::{Duration, Instant};
@@ -11,43 +11,43 @@
 use crate::topology::zone_of;
 use crate::usage::ResourceUsage;
 
-/// Virtual time from the first start to the steady phase.
+/// Virtual time from the start of the processes to the start of the steady phase.
 const WARM_UP_MS: Millis = 6_000;
-/// Virtual time of the phase with the thundering herd.
+/// The duration of the thundering-herd phase in virtual time.
 const HERD_PHASE_MS: Millis = 2_000;
-/// The zone whose edges restart at once.
+/// The zone whose edges all restart at the same time.
 const HERD_ZONE: usize = 0;
-/// How long a coordinator's process is down.
+/// How long the restarted coordinator is down.
 const COORDINATOR_DOWNTIME_MS: Millis = 1_000;
-/// The longest time after its restart in which the coordinator's recovery is observed.
+/// The longest time for which the coordinator's recovery is observed after its restart.
 const MAX_RECOVERY_MS: Millis = 12_000;
-/// The interval between checks of a condition.
+/// The interval at which recovery conditions are checked.
 const CHECK_INTERVAL_MS: Millis = 20;
 
-/// What nodes used in a phase of a run.
+/// Resources used by nodes during one phase of a run.
 #[derive(Clone, Debug)]
 pub struct Phase {
-    /// The name in the report.
+    /// Name of the phase in the report.
     pub name: &'static str,
-    /// The length in virtual seconds.
+    /// Duration of the phase in virtual seconds.
     pub seconds: f64,
-    /// The usage of each coordinator.
+    /// The usage of each coordinator, by index.
     pub coordinators: Vec<ResourceUsage>,
     /// The usage of each edge that has a router.
     pub edges: Vec<ResourceUsage>,
-    /// Loads of models and adapters that servers completed.
+    /// The number of model and adapter loads completed by servers.
     pub completed_loads: u64,
-    /// Requests of clients that those edges received.
+    /// The number of client requests received by these edges.
     pub requests: u64,
 }
 
 impl Phase {
-    /// The usage of all edges together.
+    /// The combined usage of the edges that have a router.
     pub fn all_edges(&self) -> ResourceUsage {
         merged(&self.edges)
     }
 
-    /// The usage of all coordinators together.
+    /// The combined usage of all coordinators.
     pub fn all_coordinators(&self) -> ResourceUsage {
         merged(&self.coordinators)
     }
@@ -60,72 +60,73 @@
     })
 }
 
-/// Times to recover, in virtual milliseconds; `None` where no recovery was observed.
+/// Recovery times in virtual milliseconds; `None` if the recovery was not observed in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// From the first start until all edges were usable and all coordinators had all servers in their directory.
+    /// From the start of the processes until all edges were usable and all coordinators had all servers in their
+    /// directory.
     pub first_start: Option<Millis>,
-    /// From the restart of a zone's edges until all were usable.
+    /// From the restart of one zone's edges until all of them were usable.
     pub herd: Option<Millis>,
-    /// From the end of a coordinator's process until all edges had a response of another one.
+    /// From the kill of a coordinator until every edge had received a response from another coordinator.
     pub edges_reconnected: Option<Millis>,
-    /// From its restart until it had the configuration in force.
+    /// From the coordinator's restart until it had the configuration in force.
     pub configuration: Option<Millis>,
-    /// From its restart until it had as many servers in its directory as before.
+    /// From the coordinator's restart until it had as many servers in its directory as before.
     pub directory: Option<Millis>,
-    /// Processor time that it took to replay its journal.
+    /// CPU time that the coordinator spent on replaying its journal.
     pub replay: Duration,
 }
 
-/// What one run measured.
+/// The results of one run.
 #[derive(Clone, Debug)]
 pub struct Measurement {
-    /// Sizes and rates of the run.
+    /// The options of the run.
     pub options: Options,
-    /// The phases that were completed.
+    /// The completed phases.
     pub phases: Vec<Phase>,
-    /// Times to recover.
+    /// Recovery times after the restarts of the run.
     pub recovery: Recovery,
-    /// The most polls that were pending at one coordinator.
+    /// The highest number of polls that were pending at one coordinator at the same time.
     pub max_pending_polls: usize,
-    /// Servers that the first coordinator has in its directory at the end of the run.
+    /// The number of servers that coordinator 0 considers ready at the end of the run.
     pub known_servers: usize,
-    /// Encoded sizes of what nodes keep.
+    /// Encoded sizes of the state that nodes keep.
     pub encoded: EncodedSizes,
-    /// Allocated bytes of what nodes keep; `None` if the process does not count its allocations.
+    /// Allocated sizes of the state that nodes keep; `None` if the process does not count its allocations.
     pub memory: Option<MemoryUsage>,
-    /// Requests of clients at all edges.
+    /// Client requests at all edges.
     pub requests: RequestCounts,
-    /// The virtual time at the end of the run, in milliseconds.
+    /// Virtual time at the end of the run, in milliseconds.
     pub virtual_time: Millis,
-    /// Real time that the run took.
+    /// Wall-clock duration of the run.
     pub real_time: Duration,
-    /// Whether the run ended before its last phase, as its limit of real time was reached.
+    /// Whether the run reached its wall-clock limit before the end of the last phase.
     pub timed_out: bool,
 }
 
-/// Requests of clients, by their outcome.
+/// Counts of client requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests that edges received.
+    /// Requests received by edges.
     pub received: u64,
     /// Requests that were served.
     pub served: u64,
-    /// Requests that were rejected, or whose response was a failure or was aborted.
+    /// Requests that were rejected, or whose response failed or was aborted.
     pub failed: u64,
 }
 
-/// A run that is in progress.
+/// The state of a run in progress.
 struct Run {
     fleet: Fleet,
     deadline: Instant,
     phases: Vec<Phase>,
     recovery: Recovery,
-    /// Requests that edges received before the present phase.
+    /// The number of client requests received before the current phase.
     requests_before_phase: u64,
 }
 
-/// Runs a fleet through all phases. Memory is measured if `allocated_bytes` is given.
+/// Runs a fleet through all phases. Memory is measured only if `allocated_bytes` is given.
 pub fn run(options: Options, allocated_bytes: Option<AllocatedBytes>) -> Measurement {
     let started_at = Instant::now();
     let deadline = started_at + Duration::from_secs(options.time_limit_s);
@@ -163,12 +164,12 @@
 }
 
 impl Run {
-    /// Runs all phases; `None` if the real time ran out.
+    /// Runs all phases; `None` if the wall-clock limit was reached.
     fn run_phases(&mut self) -> Option<()> {
-        self.recovery.first_start = self.advance_until(WARM_UP_MS, Fleet::is_complete)?;
+        self.recovery.first_start = self.advance_until(WARM_UP_MS, Fleet::is_ready)?;
         self.advance_to(WARM_UP_MS)?;
-        self.steady()?;
-        self.herd()?;
+        self.run_steady_phase()?;
+        self.restart_zone_edges()?;
         self.restart_coordinator()
     }
 
@@ -176,13 +177,14 @@
         self.fleet.environment.scheduler.now
     }
 
-    /// Advances the clock; `None` if the real time ran out.
+    /// Advances virtual time; `None` if the wall-clock limit was reached.
     fn advance_to(&mut self, until: Millis) -> Option<()> {
         self.fleet.run_until(until, Some(self.deadline)).then_some(())
     }
 
-    /// Advances the clock until a condition holds, and returns how long that took; the inner `None` if it did not hold
-    /// within `max_wait`, the outer one if the real time ran out.
+    /// Advances virtual time until a condition holds, and returns how long that took. The inner `Option` is `None` if
+    /// the
+    /// condition did not hold within `max_wait`, the outer one if the wall-clock limit was reached.
     fn advance_until(&mut self, max_wait: Millis, holds: impl Fn(&Fleet) -> bool) -> Option<Option<Millis>> {
         let from = self.now();
         while self.now() < from + max_wait {
@@ -214,7 +216,7 @@
         self.fleet.reset_usage();
     }
 
-    fn steady(&mut self) -> Option<()> {
+    fn run_steady_phase(&mut self) -> Option<()> {
         self.fleet.reset_usage();
         self.requests_before_phase = self.fleet.client_requests();
         let from = self.now();
@@ -223,7 +225,7 @@
         Some(())
     }
 
-    fn herd(&mut self) -> Option<()> {
+    fn restart_zone_edges(&mut self) -> Option<()> {
         let from = self.now();
         let herd: Vec<usize> =
             (0..self.fleet.edges.len()).filter(|edge| zone_of(*edge) == HERD_ZONE).collect();
@@ -237,7 +239,7 @@
         Some(())
     }
 
-    /// Kills the leader of the configuration's shard and starts it again.
+    /// Kills the leader of the configuration shard and restarts it after its downtime.
     fn restart_coordinator(&mut self) -> Option<()> {
         let Some(index) = self.fleet.leader_of(0) else { return Some(()) };
         let from = self.now();
--- a/capacity-emulator/src/report.rs
+++ b/capacity-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of what a run or a sweep measured.
+//! Text tables of the results of a run or a sweep.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 use crate::measurement::{Measurement, RequestCounts};
 use crate::usage::{CpuUsage, ResourceUsage, Traffic};
 
-/// Width of the column with the names of metrics.
+/// Width of the column of metric names, in characters.
 const METRIC_WIDTH: usize = 26;
 
 /// The tables of one run.
@@ -40,19 +40,25 @@
     for phase in &measurement.phases {
         let _ = writeln!(text, "-- {}: {:.2} s, {} loads", phase.name, phase.seconds, phase.completed_loads);
         let edges = phase.edges.len().max(1) as f64;
-        usage_table(&mut text, "edge (mean)", &phase.all_edges(), phase.seconds * edges);
+        write_usage_table(&mut text, "edge (mean)", &phase.all_edges(), phase.seconds * edges);
         let coordinators = phase.coordinators.len().max(1) as f64;
-        usage_table(&mut text, "coordinator (mean)", &phase.all_coordinators(), phase.seconds * coordinators);
-        if let Some(busiest) = phase.coordinators.iter().max_by_key(|coordinator| coordinator.control_time())
+        write_usage_table(
+            &mut text,
+            "coordinator (mean)",
+            &phase.all_coordinators(),
+            phase.seconds * coordinators,
+        );
+        if let Some(busiest) =
+            phase.coordinators.iter().max_by_key(|coordinator| coordinator.control_plane_time())
         {
-            usage_table(&mut text, "coordinator (busiest)", busiest, phase.seconds);
+            write_usage_table(&mut text, "coordinator (busiest)", busiest, phase.seconds);
         }
     }
-    sizes(&mut text, measurement);
+    write_sizes(&mut text, measurement);
     text
 }
 
-fn usage_table(text: &mut String, title: &str, usage: &ResourceUsage, seconds: f64) {
+fn write_usage_table(text: &mut String, title: &str, usage: &ResourceUsage, seconds: f64) {
     let _ = writeln!(
         text,
         "{title:24} {:>10} {:>12} {:>10} {:>12} {:>12} {:>10} {:>10}",
@@ -65,12 +71,12 @@
         let (received, sent) = (traffic(&usage.received), traffic(&usage.sent));
         let cpu = usage.cpu.get(&activity).copied().unwrap_or_default();
         if received.messages + sent.messages + cpu.events > 0 {
-            row(text, &activity.to_string(), received, sent, cpu, seconds);
+            write_usage_row(text, &activity.to_string(), received, sent, cpu, seconds);
         }
     }
     let longest = usage.cpu.values().map(|cpu| cpu.longest).max().unwrap_or_default();
-    let cpu = CpuUsage { time: usage.control_time(), longest, ..CpuUsage::default() };
-    row(text, "all (time: control)", usage.all_received(), usage.all_sent(), cpu, seconds);
+    let cpu = CpuUsage { time: usage.control_plane_time(), longest, ..CpuUsage::default() };
+    write_usage_row(text, "all (time: control)", usage.all_received(), usage.all_sent(), cpu, seconds);
     let journal = &usage.journal;
     if journal.syncs > 0 {
         let _ = writeln!(
@@ -85,7 +91,14 @@
     }
 }
 
-fn row(text: &mut String, name: &str, received: Traffic, sent: Traffic, cpu: CpuUsage, seconds: f64) {
+fn write_usage_row(
+    text: &mut String,
+    name: &str,
+    received: Traffic,
+    sent: Traffic,
+    cpu: CpuUsage,
+    seconds: f64,
+) {
     let _ = writeln!(
         text,
         "  {name:22} {:>10.2} {:>12.0} {:>10.2} {:>12.0} {:>12.0} {:>10.3} {:>10.2}",
@@ -99,7 +112,7 @@
     );
 }
 
-fn sizes(text: &mut String, measurement: &Measurement) {
+fn write_sizes(text: &mut String, measurement: &Measurement) {
     let encoded = &measurement.encoded;
     let _ = writeln!(
         text,
@@ -113,7 +126,7 @@
              (records {} B, configuration {} B)",
             memory.router,
             memory.router_with_servers_only,
-            memory.view,
+            memory.config_view,
             memory.coordinator,
             memory.largest_coordinator,
             memory.records,
@@ -127,7 +140,7 @@
     );
 }
 
-/// The table of a sweep: metrics at sizes that differ in one dimension, and the exponents between neighbouring sizes.
+/// The table of a sweep: metrics at sizes that differ in one dimension, and growth exponents between consecutive sizes.
 pub fn sweep(dimension: &str, runs: &[(f64, &Measurement)]) -> String {
     let mut text = format!("== growth with {dimension}\n{:METRIC_WIDTH$}", "");
     for (size, _) in runs {
@@ -135,16 +148,16 @@
     }
     text.push('\n');
     for metric in Metric::iter() {
-        sweep_row(&mut text, metric, runs);
+        write_sweep_row(&mut text, metric, runs);
     }
     text
 }
 
-fn sweep_row(text: &mut String, metric: Metric, runs: &[(f64, &Measurement)]) {
+fn write_sweep_row(text: &mut String, metric: Metric, runs: &[(f64, &Measurement)]) {
     let _ = write!(text, "{:METRIC_WIDTH$}", metric.to_string());
     let mut previous: Option<(f64, f64)> = None;
     for (size, measurement) in runs {
-        let value = metric.of(measurement);
+        let value = metric.value_in(measurement);
         let exponent = match (previous, value) {
             (Some((previous_size, previous_value)), Some(value)) => {
                 growth_exponent((previous_size, *size), (previous_value, value))
--- a/capacity-emulator/src/scheduler.rs
+++ b/capacity-emulator/src/scheduler.rs
@@ -11,7 +11,7 @@
 
 struct Entry {
     at: Millis,
-    /// Orders entries of one moment by when they were scheduled.
+    /// Orders entries with the same time by when they were scheduled.
     sequence: u64,
     event: ScheduledEvent,
 }
@@ -36,9 +36,9 @@
     }
 }
 
-/// The discrete-event scheduler that all nodes share. Equal seeds give equal runs.
+/// The discrete-event scheduler shared by all nodes. Runs with equal seeds are identical.
 pub struct Scheduler {
-    /// The present virtual time, in milliseconds since the start of the run.
+    /// The current virtual time, in milliseconds since the start of the run.
     pub now: Millis,
     /// The only source of randomness in a run.
     pub rng: Pcg64,
@@ -47,18 +47,19 @@
 }
 
 impl Scheduler {
-    /// A scheduler at time 0 with nothing scheduled.
+    /// A scheduler at time 0 with an empty queue.
     pub fn new(seed: u64) -> Self {
         Scheduler { now: 0, rng: Pcg64::seed_from_u64(seed), queue: BinaryHeap::new(), last_id: 0 }
     }
 
-    /// Schedules an event after a delay, behind those that were scheduled for the same moment before.
+    /// Schedules an event after a delay. It comes after all events already scheduled for the same time.
     pub fn schedule_after(&mut self, delay: Millis, event: ScheduledEvent) {
         let entry = Entry { at: self.now + delay, sequence: self.next_id(), event };
         self.queue.push(Reverse(entry));
     }
 
-    /// Removes the next event up to a time and advances the clock to it; without one the clock advances to that time.
+    /// Removes the next event up to a time and advances the clock to it. If there is none, advances the clock to that
+    /// time.
     pub fn pop_until(&mut self, until: Millis) -> Option<ScheduledEvent> {
         if self.queue.peek().is_none_or(|Reverse(entry)| entry.at > until) {
             self.now = until;
@@ -69,13 +70,14 @@
         Some(entry.event)
     }
 
-    /// An id that was not given before.
+    /// Returns a new unique id.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Draws the interval to the next event of a Poisson process, in milliseconds. `rate` is events a second; `None` at 0.
+    /// Draws the time in milliseconds to the next event of a Poisson process with `rate` events per second; `None` if
+    /// the rate is 0.
     pub fn sample_interval(&mut self, rate: f64) -> Option<Millis> {
         if rate <= 0.0 {
             return None;
--- a/capacity-emulator/src/server_node.rs
+++ b/capacity-emulator/src/server_node.rs
@@ -1,5 +1,4 @@
-//! A model server, as far as the control plane sees it: heartbeats, orders, reports, and whether it would accept a
-//! request.
+//! A model server as seen by the control plane: its heartbeats, orders and reports, and whether it accepts a request.
 
 use shaletrail_coordinator::interface::OrderOutcome;
 use shaletrail_protocol::external::{Heartbeat, LoadedModel, Operation, Order, ServerReport, ServerState};
@@ -9,13 +8,13 @@
 use crate::options::Options;
 use crate::topology::zone_of;
 
-/// The HTTP status of a request for another incarnation, or for a model or adapter that is not loaded.
+/// HTTP status for a request to another incarnation, or for a model or adapter that is not loaded.
 const MISDIRECTED_REQUEST: u16 = 421;
-/// The HTTP status of a request for a model that is being loaded or evicted.
+/// HTTP status for a request to a model that is being loaded or evicted.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// How long the load of an adapter takes.
+/// The time to load an adapter.
 const ADAPTER_LOAD_MS: Millis = 20;
-/// How long the eviction of a model takes.
+/// The time to evict a model.
 const MODEL_EVICTION_MS: Millis = 200;
 
 /// A model server.
@@ -24,21 +23,21 @@
     index: usize,
     service: String,
     restarts: u32,
-    /// The id of the present incarnation.
+    /// Id of the current incarnation.
     pub id: ServerId,
-    /// The models that are loaded, with their adapters.
+    /// The loaded models, with their adapters.
     pub models: Vec<LoadedModel>,
     order_in_flight: Option<Order>,
     revision: u64,
     sequence: u64,
-    /// The index of the coordinator to which it sends its heartbeats.
+    /// Index of the coordinator that receives the server's heartbeats.
     pub coordinator: usize,
     /// The number of requests in progress.
     pub active_requests: u32,
 }
 
 impl ServerNode {
-    /// A server that has models loaded from its first start.
+    /// A server that has these models loaded from its first start.
     pub fn new(options: &Options, index: usize, models: Vec<LoadedModel>) -> Self {
         let service = deployment::service_name(deployment::service_of_server(options, index));
         let coordinator = index % options.coordinators;
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Restarts the machine: it is another incarnation now, without models.
+    /// Restarts the machine: the server gets a new incarnation without any models.
     pub fn restart(&mut self) {
         self.restarts += 1;
         self.id = incarnation_id(self.index, self.restarts);
@@ -68,7 +67,7 @@
         self.active_requests = 0;
     }
 
-    /// The body of the next heartbeat, in JSON.
+    /// The body of the next heartbeat, as JSON.
     pub fn heartbeat(&mut self) -> Vec<u8> {
         self.sequence += 1;
         let heartbeat = Heartbeat {
@@ -86,13 +85,14 @@
         sonic_rs::to_vec(&heartbeat).unwrap_or_default()
     }
 
-    /// Whether it would run a request.
+    /// Checks whether the server would run a request.
     ///
     /// # Errors
     ///
-    /// The HTTP status with which it rejects the request: 421 if it is another incarnation or lacks the model or adapter, 503
-    /// while it loads or evicts the model.
-    pub fn accept_request(&self, expected: &str, model: &str, adapter: Option<&str>) -> Result<(), u16> {
+    /// The HTTP status with which it rejects the request: 421 if the request is for another incarnation, or for a model
+    /// or
+    /// adapter that is not loaded; 503 while it loads or evicts the model.
+    pub fn check_request(&self, expected: &str, model: &str, adapter: Option<&str>) -> Result<(), u16> {
         if expected != self.id {
             return Err(MISDIRECTED_REQUEST);
         }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Accepts or rejects an order; if it accepts, with the time that it takes to complete.
+    /// Accepts or rejects an order. An accepted order is returned with the time until it completes.
     pub fn on_order(&mut self, expected: &str, order: Order) -> (OrderOutcome, Option<Millis>) {
         if expected != self.id {
             return (OrderOutcome::WrongInstance, None);
@@ -124,7 +124,7 @@
         self.revision += 1;
         let duration = match (&order.adapter, order.operation) {
             (Some(_), _) => ADAPTER_LOAD_MS,
-            (None, Operation::Load) => (deployment::LOAD_TIME_S * 1_000.0) as Millis,
+            (None, Operation::Load) => (deployment::MODEL_LOAD_TIME_S * 1_000.0) as Millis,
             (None, Operation::Evict) => MODEL_EVICTION_MS,
         };
         self.order_in_flight = Some(order);
@@ -140,7 +140,7 @@
         is_loaded == (order.operation == Operation::Load)
     }
 
-    /// Completes the order in flight; whether it loaded a model or an adapter.
+    /// Completes the order in progress. Returns whether it loaded a model or an adapter.
     pub fn complete_order(&mut self) -> bool {
         let Some(order) = self.order_in_flight.take() else { return false };
         let loads = order.operation == Operation::Load;
@@ -162,7 +162,7 @@
         loads
     }
 
-    /// The response to `GET /report`.
+    /// The body of the response to `GET /report`.
     pub fn report(&self) -> ServerReport {
         ServerReport {
             models: self.models.clone(),
--- a/capacity-emulator/src/state_sizes.rs
+++ b/capacity-emulator/src/state_sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes of what nodes keep: encoded, and in memory if the process counts its allocations.
+//! Sizes of the state that nodes keep: encoded, and in memory if the process counts its allocations.
 
 use shaletrail_configuration::ConfigState;
 use shaletrail_protocol::frame;
@@ -8,44 +8,44 @@
 
 use crate::fleet::Fleet;
 
-/// Returns how many bytes are allocated at the moment of the call.
+/// A function that returns the number of currently allocated bytes.
 pub type AllocatedBytes = fn() -> usize;
 
-/// Encoded sizes, in bytes. Equal seeds give equal sizes.
+/// Encoded sizes in bytes. Runs with equal seeds give equal sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EncodedSizes {
-    /// The number of servers in the directory that was encoded.
+    /// The number of servers in the encoded directory.
     pub servers: usize,
-    /// A server's record in a response with all records (mean).
+    /// The mean size of a server's record in a response that contains all records.
     pub record: f64,
-    /// A response to a poll with the complete directory and the complete configuration.
+    /// A poll response that contains the complete directory and the complete configuration.
     pub full_response: usize,
-    /// A snapshot of the configuration's state machine, with its deduplication window.
+    /// A snapshot of the configuration state machine, including its deduplication window.
     pub configuration: usize,
-    /// The largest journal among the coordinators.
+    /// The largest journal of any coordinator.
     pub journal: usize,
 }
 
-/// Allocated sizes, in bytes.
+/// Allocated sizes in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemoryUsage {
-    /// The router of an edge after the run.
+    /// The router of an edge at the end of the run.
     pub router: usize,
-    /// A router that has the records of the servers and no configuration.
+    /// A router that has all server records but no configuration.
     pub router_with_servers_only: usize,
     /// The typed configuration of an edge.
-    pub view: usize,
-    /// A coordinator that leads no shard (mean).
+    pub config_view: usize,
+    /// The mean size of a coordinator that leads no shard.
     pub coordinator: usize,
-    /// The coordinator that allocates most.
+    /// The coordinator that uses most memory.
     pub largest_coordinator: usize,
-    /// The records of a coordinator's directory.
+    /// The server records of a coordinator's directory.
     pub records: usize,
-    /// The state machine of the configuration.
+    /// The configuration state machine.
     pub configuration: usize,
 }
 
-/// The encoded sizes in a fleet; zeros if no coordinator runs.
+/// Determines the encoded sizes in a fleet; all zero if no coordinator is running.
 pub fn encoded(fleet: &Fleet) -> EncodedSizes {
     let journal =
         fleet.coordinators.iter().map(|coordinator| coordinator.journal_bytes()).max().unwrap_or_default();
@@ -73,7 +73,7 @@
     }
 }
 
-/// The allocated sizes in a fleet. Measured by what is freed as the fleet is taken apart.
+/// Determines the allocated sizes in a fleet, mostly by how many bytes are freed when its parts are dropped.
 pub fn memory(mut fleet: Fleet, allocated_bytes: AllocatedBytes) -> MemoryUsage {
     let mut state = MemoryUsage::default();
     if let Some(coordinator) = fleet.coordinators.iter().find_map(|coordinator| coordinator.coordinator()) {
@@ -91,7 +91,7 @@
     if let Some(routing) = fleet.edges.first_mut().and_then(|edge| edge.take_routing()) {
         let (router, view) = (routing.router, routing.view);
         state.router = freed(allocated_bytes, router);
-        state.view = freed(allocated_bytes, view);
+        state.config_view = freed(allocated_bytes, view);
     }
     let leaders: Vec<Option<usize>> = (0..3).map(|shard| fleet.leader_of(shard)).collect();
     let mut non_leaders = Vec::new();
@@ -107,7 +107,7 @@
     state
 }
 
-/// The bytes that a value allocates.
+/// The number of bytes that remain allocated after a value is created.
 fn allocated<T>(allocated_bytes: AllocatedBytes, make_value: impl FnOnce() -> T) -> usize {
     let before = allocated_bytes();
     let value = make_value();
@@ -116,7 +116,7 @@
     bytes
 }
 
-/// The bytes that dropping a value frees.
+/// The number of bytes freed by dropping a value.
 fn freed<T>(allocated_bytes: AllocatedBytes, value: T) -> usize {
     let before = allocated_bytes();
     drop(value);
--- a/capacity-emulator/src/usage.rs
+++ b/capacity-emulator/src/usage.rs
@@ -1,18 +1,18 @@
-//! Resource usage of a node: messages, processor time and writes to its journal.
+//! Resource usage of a node: messages, CPU time and journal writes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::activity::Activity;
 
-/// Messages of one activity.
+/// Messages sent or received for one activity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// The number of messages.
     pub messages: u64,
-    /// Their size, in bytes; frames with their length prefix.
+    /// Their total size in bytes. The size of a frame includes its length prefix.
     pub bytes: u64,
-    /// Bytes of messages between nodes of different zones.
+    /// Bytes of the messages between nodes in different zones.
     pub cross_zone_bytes: u64,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// Processor time of one activity.
+/// CPU time spent on one activity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CpuUsage {
-    /// The number of events that were handled.
+    /// The number of events handled.
     pub events: u64,
-    /// The time that all of them took.
+    /// The total CPU time of these events.
     pub time: Duration,
-    /// The longest time that one event took, during which the node handles no other.
+    /// The longest CPU time of a single event. The node handles no other event in that time.
     pub longest: Duration,
 }
 
@@ -46,41 +46,41 @@
 pub struct JournalUsage {
     /// Writes, each of which ends with a sync.
     pub syncs: u64,
-    /// Records that were appended.
+    /// Records appended.
     pub records: u64,
-    /// Bytes of the records and of checkpoints.
+    /// Bytes of records and of checkpoints.
     pub bytes: u64,
-    /// Bytes of records that persist the directory of servers.
+    /// Bytes of the records that persist the server directory.
     pub directory_bytes: u64,
-    /// Checkpoints that replaced the journal.
+    /// Checkpoints, each of which replaces the whole journal.
     pub checkpoints: u64,
 }
 
-/// What one node, or several together, sent, received and computed.
+/// Resource usage of one node, or the sum over several nodes.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceUsage {
-    /// Messages that were sent, by their activity.
+    /// Messages sent, by activity.
     pub sent: BTreeMap<Activity, Traffic>,
-    /// Messages that were received, by their activity.
+    /// Messages received, by activity.
     pub received: BTreeMap<Activity, Traffic>,
-    /// Processor time, by the activity of the event that was handled.
+    /// CPU time, by the activity to which the handled event belongs.
     pub cpu: BTreeMap<Activity, CpuUsage>,
-    /// Writes to the journal; none for edges.
+    /// Journal writes; always zero for edges.
     pub journal: JournalUsage,
 }
 
 impl ResourceUsage {
-    /// Counts a message that was sent, with its size in bytes.
+    /// Counts a sent message and its size in bytes.
     pub fn record_sent(&mut self, activity: Activity, bytes: usize, crosses_zones: bool) {
         self.sent.entry(activity).or_default().add(bytes, crosses_zones);
     }
 
-    /// Counts a message that was received, with its size in bytes.
+    /// Counts a received message and its size in bytes.
     pub fn record_received(&mut self, activity: Activity, bytes: usize, crosses_zones: bool) {
         self.received.entry(activity).or_default().add(bytes, crosses_zones);
     }
 
-    /// Counts an event and the processor time that it took.
+    /// Counts a handled event and its CPU time.
     pub fn record_cpu(&mut self, activity: Activity, time: Duration) {
         let work = self.cpu.entry(activity).or_default();
         work.events += 1;
@@ -109,18 +109,18 @@
         self.journal.checkpoints += other.journal.checkpoints;
     }
 
-    /// All messages that were sent.
+    /// The total of all messages sent.
     pub fn all_sent(&self) -> Traffic {
         sum(&self.sent)
     }
 
-    /// All messages that were received.
+    /// The total of all messages received.
     pub fn all_received(&self) -> Traffic {
         sum(&self.received)
     }
 
-    /// Processor time of the control plane: all but that for clients' requests.
-    pub fn control_time(&self) -> Duration {
+    /// CPU time of the control plane: the total without client requests.
+    pub fn control_plane_time(&self) -> Duration {
         self.cpu
             .iter()
             .filter(|(activity, _)| **activity != Activity::ClientRequest)
--- a/capacity-emulator/tests/common/mod.rs
+++ b/capacity-emulator/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Small fleets for tests.
+//! Options of small fleets for tests.
 
 use shaletrail_capacity_emulator::Options;
 
-/// Requests a second for idle models, for each server: far more than at the target size, so that random variation is small.
+/// Requests per second for idle models, per server. Far above the rate at the target size, to reduce random variation.
 const IDLE_MODEL_RATE_PER_SERVER: f64 = 0.05;
 
-/// The options of a fleet that is small enough for a test: few models, few requests, five coordinators.
-pub fn small(edges: usize, servers: usize) -> Options {
+/// The options of a fleet small enough for a test: few models, few requests and five coordinators.
+pub fn small_fleet_options(edges: usize, servers: usize) -> Options {
     Options {
         models: 40,
         services: 2,
--- a/capacity-emulator/tests/fleet.rs
+++ b/capacity-emulator/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! An emulated fleet behaves like a real one, as far as its measurements depend on that.
+//! Tests that the emulated fleet behaves like a real one in the respects on which its measurements depend.
 
 mod common;
 
-use common::small;
+use common::small_fleet_options;
 use shaletrail_capacity_emulator::activity::Activity;
 use shaletrail_capacity_emulator::initial_models::{initial_models, MODELS_PER_SERVER};
 use shaletrail_capacity_emulator::popularity::Popularity;
@@ -11,11 +11,11 @@
 #[test]
 fn a_started_fleet_serves_requests_and_knows_all_servers() {
     // given
-    let mut fleet = Fleet::new(small(6, 30));
+    let mut fleet = Fleet::new(small_fleet_options(6, 30));
     // when
     assert!(fleet.run_until(6_000, None));
     // then
-    assert!(fleet.is_complete());
+    assert!(fleet.is_ready());
     assert!((0..3).all(|shard| fleet.leader_of(shard).is_some()), "each shard has a leader");
     let (received, served) = fleet
         .edges
@@ -30,7 +30,7 @@
 fn equal_seeds_give_equal_counts() {
     // given
     let counts = || {
-        let mut fleet = Fleet::new(small(6, 30));
+        let mut fleet = Fleet::new(small_fleet_options(6, 30));
         // when
         assert!(fleet.run_until(5_000, None));
         let coordinators = fleet
@@ -47,7 +47,7 @@
 #[test]
 fn every_sent_message_is_received() {
     // given
-    let mut fleet = Fleet::new(small(6, 30));
+    let mut fleet = Fleet::new(small_fleet_options(6, 30));
     assert!(fleet.run_until(4_000, None));
     // when
     fleet.reset_usage();
@@ -59,7 +59,8 @@
         sent += coordinator.usage.sent.get(&Activity::Demand).map_or(0, |traffic| traffic.messages);
         received += coordinator.usage.received.get(&Activity::Demand).map_or(0, |traffic| traffic.messages);
     }
-    // Messages in flight at both ends of the interval are counted once: one for each pair of coordinators.
+    // At either end of the interval, at most one message per ordered pair of coordinators is in flight and counted
+    // once.
     let pairs = 5 * 4;
     assert!(sent > 0 && sent.abs_diff(received) <= pairs, "{sent} sent, {received} received");
 }
@@ -67,7 +68,7 @@
 #[test]
 fn operator_changes_reach_all_edges() {
     // given
-    let mut fleet = Fleet::new(Options { change_rate: 5.0, ..small(6, 30) });
+    let mut fleet = Fleet::new(Options { change_rate: 5.0, ..small_fleet_options(6, 30) });
     // when
     assert!(fleet.run_until(8_000, None));
     // then
@@ -80,7 +81,7 @@
 #[test]
 fn requests_for_idle_models_lead_to_loads() {
     // given
-    let mut fleet = Fleet::new(Options { idle_model_rate: 2.0, ..small(6, 30) });
+    let mut fleet = Fleet::new(Options { idle_model_rate: 2.0, ..small_fleet_options(6, 30) });
     assert!(fleet.run_until(6_000, None));
     let before = fleet.environment.completed_loads;
     // when
@@ -93,7 +94,7 @@
 #[test]
 fn fleet_recovers_from_restarts_of_edges_and_leader() {
     // when a run goes through all phases
-    let measurement = measurement::run(small(24, 48), None);
+    let measurement = measurement::run(small_fleet_options(24, 48), None);
     // then
     assert!(!measurement.timed_out);
     assert_eq!(measurement.phases.len(), 3);
@@ -112,7 +113,8 @@
 fn edges_without_routers_report_like_those_with_one() {
     // given
     let polls = |routing_edges| {
-        let mut fleet = Fleet::new(Options { routing_edges, idle_model_rate: 0.0, ..small(12, 30) });
+        let mut fleet =
+            Fleet::new(Options { routing_edges, idle_model_rate: 0.0, ..small_fleet_options(12, 30) });
         assert!(fleet.run_until(4_000, None));
         fleet.reset_usage();
         // when
@@ -131,7 +133,7 @@
 #[test]
 fn initial_models_cover_all_models_without_duplicates() {
     // given
-    let options = small(1, 60);
+    let options = small_fleet_options(1, 60);
     // when
     let models_by_server = initial_models(&options);
     // then
@@ -150,12 +152,13 @@
     // given
     let popularity = Popularity::of(10);
     // when
-    let picked: Vec<usize> = (0..1_000).map(|part| popularity.pick(f64::from(part) / 1_000.0)).collect();
+    let picked: Vec<usize> =
+        (0..1_000).map(|part| popularity.rank_at_quantile(f64::from(part) / 1_000.0)).collect();
     // then
     let count = |rank: usize| picked.iter().filter(|picked| **picked == rank).count();
     assert!((0..9).all(|rank| count(rank) >= count(rank + 1)));
     assert!(count(9) > 0);
-    assert_eq!(popularity.share(10), 0.0);
-    let shares: f64 = (0..10).map(|rank| popularity.share(rank)).sum();
+    assert_eq!(popularity.request_fraction(10), 0.0);
+    let shares: f64 = (0..10).map(|rank| popularity.request_fraction(rank)).sum();
     assert!((shares - 1.0).abs() < 1e-9);
 }
--- a/capacity-emulator/tests/growth.rs
+++ b/capacity-emulator/tests/growth.rs
@@ -1,32 +1,32 @@
-//! What a node sends and receives grows no faster with the fleet than `docs/CAPACITY.md` states. Checks counts, never
-//! times.
+//! Tests that the traffic of a node grows no faster with the fleet size than `docs/CAPACITY.md` states. Only counts are
+//! checked, never times.
 
 mod common;
 
 use std::sync::OnceLock;
 
-use common::small;
+use common::small_fleet_options;
 use shaletrail_capacity_emulator::growth::{growth_exponent, stated_exponents, GrowthExponents, Metric};
 use shaletrail_capacity_emulator::measurement::{self, Measurement};
 use strum::IntoEnumIterator;
 
-/// By how much a measured exponent may exceed the stated one: small fleets have constant parts and random variation.
-const SLACK: f64 = 0.15;
-/// The ratio of the larger sizes to the smallest.
+/// How far a measured exponent may exceed the stated one. Small fleets have constant costs and random variation.
+const EXPONENT_TOLERANCE: f64 = 0.15;
+/// The ratio of the larger sizes to the smallest one.
 const SIZE_RATIO: f64 = 4.0;
 
-fn smallest() -> &'static Measurement {
+fn smallest_fleet_measurement() -> &'static Measurement {
     static RUN: OnceLock<Measurement> = OnceLock::new();
-    RUN.get_or_init(|| measurement::run(small(30, 60), None))
+    RUN.get_or_init(|| measurement::run(small_fleet_options(30, 60), None))
 }
 
 fn assert_growth_within_stated(larger: &Measurement, exponent: impl Fn(GrowthExponents) -> f64) {
-    assert!(!smallest().timed_out && !larger.timed_out);
+    assert!(!smallest_fleet_measurement().timed_out && !larger.timed_out);
     let mut exceeded = Vec::new();
     for (metric, stated) in Metric::iter().filter_map(|metric| Some((metric, stated_exponents(metric)?))) {
-        let values = (metric.of(smallest()), metric.of(larger));
+        let values = (metric.value_in(smallest_fleet_measurement()), metric.value_in(larger));
         let (Some(smaller_value), Some(larger_value)) = values else { panic!("{metric} is not measured") };
-        let allowed = exponent(stated) + SLACK;
+        let allowed = exponent(stated) + EXPONENT_TOLERANCE;
         let measured = growth_exponent((1.0, SIZE_RATIO), (smaller_value, larger_value));
         if measured.is_some_and(|measured| measured > allowed) {
             exceeded.push(format!(
@@ -40,17 +40,23 @@
 
 #[test]
 fn metrics_grow_with_edges_as_stated() {
-    assert_growth_within_stated(&measurement::run(small(120, 60), None), |stated| stated.with_edges);
+    assert_growth_within_stated(&measurement::run(small_fleet_options(120, 60), None), |stated| {
+        stated.with_edges
+    });
 }
 
 #[test]
 fn metrics_grow_with_servers_as_stated() {
-    assert_growth_within_stated(&measurement::run(small(30, 240), None), |stated| stated.with_servers);
+    assert_growth_within_stated(&measurement::run(small_fleet_options(30, 240), None), |stated| {
+        stated.with_servers
+    });
 }
 
 #[test]
 fn metrics_grow_with_edges_and_servers_as_stated() {
-    assert_growth_within_stated(&measurement::run(small(120, 240), None), |stated| stated.with_both);
+    assert_growth_within_stated(&measurement::run(small_fleet_options(120, 240), None), |stated| {
+        stated.with_both
+    });
 }
 
 #[test]
--- a/model-checker/src/scenarios.rs
+++ b/model-checker/src/scenarios.rs
@@ -61,14 +61,13 @@
     },
     Scenario {
         name: "order_lease_transfer",
-        hazard: "a holder of the lease of orders transfers its leadership, crashes, or loses an election",
+        hazard: "a holder of the order lease transfers its leadership, crashes, or loses an election",
         test_depth: 8,
         initial_state: order_lease_transfer,
     },
     Scenario {
         name: "reelected_order_lease_holder",
-        hazard:
-            "a leader that has not waited for another holder's lease of orders crashes and is elected again",
+        hazard: "a leader that has not waited for another holder's order lease crashes and is elected again",
         test_depth: 8,
         initial_state: reelected_order_lease_holder,
     },
