--- a/capacity-emulator/src/growth.rs
+++ b/capacity-emulator/src/growth.rs
@@ -112,8 +112,7 @@
 }
 
 /// The exponent of a power law through two points: 1 if the value grows in proportion to the size. `None` unless all
-/// four
-/// numbers are positive and the second size is larger than the first.
+/// four numbers are positive and the second size is larger than the first.
 pub fn growth_exponent(sizes: (f64, f64), values: (f64, f64)) -> Option<f64> {
     let has_exponent = sizes.0 > 0.0 && sizes.1 > sizes.0 && values.0 > 0.0 && values.1 > 0.0;
     has_exponent.then(|| (values.1 / values.0).ln() / (sizes.1 / sizes.0).ln())
--- a/capacity-emulator/src/initial_models.rs
+++ b/capacity-emulator/src/initial_models.rs
@@ -13,8 +13,7 @@
 const SERVERS_PER_SPARE_SLOT: usize = 5;
 
 /// The models and busy adapters that each server has loaded at the start, by server index. Slots are assigned to models
-/// by
-/// popularity. Every model gets at least one replica if there are enough slots.
+/// by popularity. Every model gets at least one replica if there are enough slots.
 pub fn initial_models(options: &Options) -> Vec<Vec<LoadedModel>> {
     let mut models_by_server: Vec<Vec<usize>> = vec![Vec::new(); options.servers];
     let popularity = Popularity::of(options.busy_models());
--- a/capacity-emulator/src/measurement.rs
+++ b/capacity-emulator/src/measurement.rs
@@ -37,7 +37,7 @@
     pub edges: Vec<ResourceUsage>,
     /// The number of model and adapter loads completed by servers.
     pub completed_loads: u64,
-    /// The number of client requests received by these edges.
+    /// The number of client requests received by edges.
     pub requests: u64,
 }
 
@@ -183,8 +183,7 @@
     }
 
     /// Advances virtual time until a condition holds, and returns how long that took. The inner `Option` is `None` if
-    /// the
-    /// condition did not hold within `max_wait`, the outer one if the wall-clock limit was reached.
+    /// the condition did not hold within `max_wait`, the outer one if the wall-clock limit was reached.
     fn advance_until(&mut self, max_wait: Millis, holds: impl Fn(&Fleet) -> bool) -> Option<Option<Millis>> {
         let from = self.now();
         while self.now() < from + max_wait {
--- a/capacity-emulator/src/options.rs
+++ b/capacity-emulator/src/options.rs
@@ -29,8 +29,7 @@
     /// The number of edges, the nodes of the data plane.
     pub edges: usize,
     /// The number of edges that have a router and client requests. The other edges keep no routing state. They poll in
-    /// the
-    /// same way and report what one of these edges reports, so that coordinators see no difference.
+    /// the same way and report what one of these edges reports, so that coordinators see no difference.
     pub routing_edges: usize,
     /// The number of model servers.
     pub servers: usize,
--- a/capacity-emulator/src/server_node.rs
+++ b/capacity-emulator/src/server_node.rs
@@ -90,8 +90,7 @@
     /// # Errors
     ///
     /// The HTTP status with which it rejects the request: 421 if the request is for another incarnation, or for a model
-    /// or
-    /// adapter that is not loaded; 503 while it loads or evicts the model.
+    /// or adapter that is not loaded; 503 while it loads or evicts the model.
     pub fn check_request(&self, expected: &str, model: &str, adapter: Option<&str>) -> Result<(), u16> {
         if expected != self.id {
             return Err(MISDIRECTED_REQUEST);
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -2,9 +2,8 @@
 //! `shaletrail-model-checker [--few-faults] [--depth N] [--states N] [--threads N] [SCENARIO ...]`.
 //!
 //! Without `--few-faults`, one more fault of each kind is allowed than in the tests. Each scenario is explored up to
-//! the
-//! last depth at which the total number of states stays within `--states`; two million states take about a minute and
-//! 1 GB.
+//! the last depth at which the total number of states stays within `--states`; two million states take about a minute
+//! and 1 GB.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
