--- a/simulation/days/play.py
+++ b/simulation/days/play.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Plays the days of this folder on deployments, with a bench that is given by its path, and lists broken rules.
+"""Runs the fault scenarios ("days") of this directory on deployments with the given bench, and lists broken rules.
 
-    simulation/days/play.py --bench PATH --why "one sentence" SITE [SITE ...] [--only TEXT] [--seeds N,...] [--jobs N] [--full]
+    simulation/days/play.py --bench PATH --why "one sentence" SITE [SITE ...] [--only TEXT] [--seeds N,...] [--jobs N]
 
-Exit code 1 where a day broke a rule or was not played.
+Exits with 1 if a scenario broke a rule or could not be run.
 """
 
 import argparse
@@ -14,77 +14,79 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-DAYS = Path(__file__).resolve().parent
-REPOSITORY = DAYS.parent.parent
-# A day is under 40 s long and takes seconds to play; a machine at its limits takes longer.
-SECONDS_FOR_A_DAY = 300
+SCENARIO_DIR = Path(__file__).resolve().parent
+REPOSITORY = SCENARIO_DIR.parent.parent
+# A scenario covers less than 40 s of simulated time and runs within seconds, but takes longer on a busy machine.
+SCENARIO_TIMEOUT_S = 300
 RULES = (
     "MIXED UNASKED TWICE REFUSED DENIED BUDGET ROUTE DRAIN LOST CONFIG ORDER RECOVER ONE LIMIT CEILING GONE Fault"
 ).split()
-BROKEN = re.compile(r"\b(" + "|".join(RULES) + r")\b")
+BROKEN_RULE = re.compile(r"\b(" + "|".join(RULES) + r")\b")
 
 
 @dataclass
-class Play:
-    """One day on one deployment."""
+class ScenarioRun:
+    """One scenario on one deployment. Without a seed, the bench uses the one in the scenario's file."""
 
     site: Path
-    day: Path
+    scenario: Path
     seed: str | None
 
     @property
     def name(self) -> str:
-        return f"{self.site.stem} {self.day.stem}" + (f" seed {self.seed}" if self.seed else "")
+        return f"{self.site.stem} {self.scenario.stem}" + (f" seed {self.seed}" if self.seed else "")
 
 
 @dataclass
-class Outcome:
-    """What the bench said of a play."""
+class RunResult:
+    """The bench's summary row of a scenario, and the report lines that name broken rules or explain a failed run."""
 
-    play: Play
+    run: ScenarioRun
     row: str
-    broken: list[str]
+    broken_rules: list[str]
 
 
-def play(bench: str, why: str, play: Play) -> Outcome:
-    """Runs one day and reads the bench's report of it."""
-    command = [bench, "run", str(play.site), str(play.day), "--why", why]
-    if play.seed:
-        command += ["--seed", play.seed]
+def run_scenario(bench: str, why: str, run: ScenarioRun) -> RunResult:
+    """Runs one scenario and parses the bench's report."""
+    command = [bench, "run", str(run.site), str(run.scenario), "--why", why]
+    if run.seed:
+        command += ["--seed", run.seed]
     try:
-        done = subprocess.run(
-            command, cwd=REPOSITORY, capture_output=True, text=True, timeout=SECONDS_FOR_A_DAY, check=False
+        process = subprocess.run(
+            command, cwd=REPOSITORY, capture_output=True, text=True, timeout=SCENARIO_TIMEOUT_S, check=False
         )
     except subprocess.TimeoutExpired:
-        return Outcome(play, "", [f"not played within {SECONDS_FOR_A_DAY} s"])
-    lines = done.stdout.splitlines()
-    row = next((line for line in lines if line.startswith(play.day.stem)), "")
-    broken = [line for line in lines if BROKEN.search(line)]
-    if not row or done.returncode != 0:
-        broken += lines[:12] + done.stderr.splitlines()[-4:]
-    return Outcome(play, row, broken)
+        return RunResult(run, "", [f"not finished within {SCENARIO_TIMEOUT_S} s"])
+    lines = process.stdout.splitlines()
+    row = next((line for line in lines if line.startswith(run.scenario.stem)), "")
+    broken_rules = [line for line in lines if BROKEN_RULE.search(line)]
+    if not row or process.returncode != 0:
+        broken_rules += lines[:12] + process.stderr.splitlines()[-4:]
+    return RunResult(run, row, broken_rules)
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--bench", required=True, help="path of the bench's program")
-    parser.add_argument("--why", required=True, help="a sentence for the journal")
-    parser.add_argument("--only", default="", help="only days whose path holds this text")
-    parser.add_argument("--seeds", default="", help="seeds to play each day with; without it, the day's own")
-    parser.add_argument("--jobs", type=int, default=3, help="days played at once")
-    parser.add_argument("sites", nargs="+", type=Path)
+    parser.add_argument("--bench", required=True, help="path of the bench executable")
+    parser.add_argument("--why", required=True, help="reason of the run, one sentence for the journal")
+    parser.add_argument("--only", default="", help="only scenarios whose path contains this text")
+    parser.add_argument("--seeds", default="", help="comma-separated seeds for each scenario (default: its own)")
+    parser.add_argument("--jobs", type=int, default=3, help="scenarios to run in parallel (default 3)")
+    parser.add_argument("sites", metavar="SITE", nargs="+", type=Path, help="file that describes a deployment")
     arguments = parser.parse_args()
-    days = [day for day in sorted(DAYS.glob("*/*.toml")) if arguments.only in str(day.relative_to(DAYS))]
+    scenarios = [
+        path for path in sorted(SCENARIO_DIR.glob("*/*.toml")) if arguments.only in str(path.relative_to(SCENARIO_DIR))
+    ]
     seeds = [seed for seed in arguments.seeds.split(",") if seed] or [None]
-    plays = [Play(site, day, seed) for site in arguments.sites for day in days for seed in seeds]
+    runs = [ScenarioRun(site, scenario, seed) for site in arguments.sites for scenario in scenarios for seed in seeds]
     failed = 0
     with ThreadPoolExecutor(arguments.jobs) as pool:
-        for outcome in pool.map(lambda one: play(arguments.bench, arguments.why, one), plays):
-            failed += bool(outcome.broken)
-            print(("BROKEN " if outcome.broken else "ok     ") + outcome.play.name, outcome.row[24:80], flush=True)
-            for line in outcome.broken:
+        for outcome in pool.map(lambda run: run_scenario(arguments.bench, arguments.why, run), runs):
+            failed += bool(outcome.broken_rules)
+            print(("BROKEN " if outcome.broken_rules else "ok     ") + outcome.run.name, outcome.row[24:80], flush=True)
+            for line in outcome.broken_rules:
                 print("    " + line, flush=True)
-    print(f"{len(plays)} days played, {failed} with a broken rule")
+    print(f"{len(runs)} scenarios run, {failed} failed")
     return 1 if failed else 0
 
 
