--- a/simulation/src/bin/histories.rs
+++ b/simulation/src/bin/histories.rs
@@ -1,4 +1,4 @@
-//! Plays random histories of the whole system in memory and prints those in which an invariant is violated.
+//! Plays randomized histories of the simulated system and prints those that violate an invariant or do not return to service.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
@@ -32,14 +32,14 @@
     full_reports: usize,
 }
 
-/// A history in which an invariant was violated or service did not return.
+/// A history that violated an invariant or did not return to service.
 struct Failure {
     scenario: Scenario,
     seed: u64,
     message: String,
 }
 
-/// The histories to play and the progress of the worker threads.
+/// The histories to play, and the results so far; shared by the worker threads.
 struct Plan {
     scenarios: Vec<Scenario>,
     count: u64,
@@ -53,7 +53,7 @@
         self.count * self.scenarios.len() as u64
     }
 
-    /// Plays histories until none is left.
+    /// Takes and plays one history after another until all have been taken.
     fn run(&self) {
         loop {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -71,12 +71,13 @@
     }
 }
 
-fn scenarios(asked: &str) -> Option<Vec<Scenario>> {
-    if asked == "all" {
+/// The scenarios that an argument selects; `None` if there is no such scenario.
+fn scenarios(argument: &str) -> Option<Vec<Scenario>> {
+    if argument == "all" {
         return Some(Scenario::iter().collect());
     }
-    let numbered = Scenario::iter().find(|scenario| scenario.number().to_string() == asked);
-    numbered.or_else(|| Scenario::from_str(asked).ok()).map(|scenario| vec![scenario])
+    let numbered = Scenario::iter().find(|scenario| scenario.number().to_string() == argument);
+    numbered.or_else(|| Scenario::from_str(argument).ok()).map(|scenario| vec![scenario])
 }
 
 fn main() -> ExitCode {
@@ -85,7 +86,7 @@
         eprintln!("no such point: {}", arguments.scenario);
         return ExitCode::from(2);
     };
-    // The panics of failed histories are printed at the end.
+    // Panics of failed histories are collected and printed at the end, so the default hook stays silent.
     std::panic::set_hook(Box::new(|_| {}));
     let Arguments { count, seed, threads, full_reports, .. } = arguments;
     let plan = Plan { scenarios, count, seed, next: AtomicU64::new(0), failures: Mutex::default() };
@@ -95,7 +96,7 @@
             scope.spawn(|| plan.run());
         }
     });
-    let took = started_at.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     let mut failures = plan.failures.into_inner().unwrap_or_else(PoisonError::into_inner);
     failures.sort_by_key(|failure| (failure.scenario.number(), failure.seed));
     for (number, Failure { scenario, seed, message }) in failures.iter().enumerate() {
@@ -111,7 +112,10 @@
         );
     }
     let total = count * plan.scenarios.len() as u64;
-    println!("{total} histories in {took:.1} s on {threads} threads, {:.1} a second", total as f64 / took);
+    println!(
+        "{total} histories in {elapsed_s:.1} s on {threads} threads, {:.1} a second",
+        total as f64 / elapsed_s
+    );
     if failures.is_empty() {
         ExitCode::SUCCESS
     } else {
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -1,5 +1,5 @@
-//! Random histories: faults of all kinds, within the limits that the system must tolerate, and an end without faults in which
-//! it must return to service.
+//! Randomized histories: faults of all kinds, never more at once than the system must tolerate. At the end all faults are
+//! repaired, and the system must return to service.
 
 mod crashes;
 mod disorder;
@@ -30,42 +30,43 @@
 use crate::network::Conditions;
 use crate::world::World;
 
-/// How long a restarted machine still counts as unavailable (`syncS`).
-const SYNC: Millis = 4_000;
+/// How long a machine counts as unavailable after its restart, in milliseconds (`syncS`).
+const CATCH_UP_PERIOD: Millis = 4_000;
 /// Interval between two steps of a history, in milliseconds.
 const STEP_INTERVAL: std::ops::RangeInclusive<Millis> = 20..=120;
-/// Most calls of the operator in flight at once.
+/// Upper bound of concurrent calls of the operator.
 const MAX_PENDING_CALLS: usize = 8;
-/// Time without faults in which the system must return to service, in milliseconds.
+/// Time without faults within which the system must return to service, in milliseconds.
 const RECOVERY_TIME: Millis = 8_000;
 /// `ackTimeoutMs`, in milliseconds.
-const ACKNOWLEDGED_WITHIN: Millis = 4_000;
+const ACK_TIMEOUT: Millis = 4_000;
 
-/// One kind of thing that happens.
+/// Injects one event of a kind into a history.
 type Step = fn(&mut History);
 
-/// A history in progress: a fleet, the faults in progress and the means to repair them.
+/// A running history: the fleet, the faults in effect and their scheduled repairs.
 pub struct History {
     fleet: Fleet,
     mix: Mix,
-    /// Repairs of faults in progress, with the times at which they are due.
+    /// Scheduled repairs of the faults in effect, with their due times.
     recoveries: Vec<(Millis, Recovery)>,
-    /// Until when each coordinator that has failed counts as unavailable.
+    /// For each coordinator that has failed, when it stops counting as unavailable.
     unavailable_until: BTreeMap<NodeId, Millis>,
     coordinators_created: u8,
-    /// Since when there has been no fault; `None` during one.
+    /// Start of the current period without faults; `None` while a fault is in effect.
     fault_free_since: Option<Millis>,
+    /// Whether no link has a delay or loss other than the default.
     links_nominal: bool,
     acknowledged_changes: Vec<u64>,
-    /// Changes that may be sent again.
+    /// Earlier changes that a history may resend.
     sent_changes: Vec<u64>,
 }
 
 impl History {
-    /// Plays a history of a duration in milliseconds and checks it.
+    /// Plays a mixed history for `duration` milliseconds and checks all invariants at its end.
     ///
     /// # Panics
-    /// An invariant is violated, or the system doesn't return to service.
+    /// An invariant is violated, or the system does not return to service after the repairs.
     pub fn play(seed: u64, mix: Mix, duration: Millis) -> Fleet {
         let large = seed % 4 == 3;
         let options = FleetOptions {
@@ -123,22 +124,22 @@
             (mix.requests, History::send_client_request),
             (mix.links, History::disturb_links),
         ];
-        for (share, step) in steps {
-            if self.world().random_bool(share) {
+        for (probability, step) in steps {
+            if self.world().random_bool(probability) {
                 step(self);
             }
         }
     }
 
-    /// Records calls of the operator and draining servers without an acknowledgement in time although there is no fault.
+    /// Records calls of the operator and draining servers that were not acknowledged in time although no fault was in effect.
     fn check_acknowledgements(&mut self) {
         let now = self.fleet.world.now;
-        let calm = self.links_nominal
+        let is_fault_free = self.links_nominal
             && self.fleet.operator.response_loss == 0.0
             && self.fleet.world.contact.is_fault_free(now, &self.fleet.world.network);
-        self.fault_free_since = if calm { self.fault_free_since.or(Some(now)) } else { None };
+        self.fault_free_since = if is_fault_free { self.fault_free_since.or(Some(now)) } else { None };
         let Some(fault_free_since) = self.fault_free_since else { return };
-        let is_overdue = |since: Millis| since.max(fault_free_since) + ACKNOWLEDGED_WITHIN < now;
+        let is_overdue = |since: Millis| since.max(fault_free_since) + ACK_TIMEOUT < now;
         let calls = self.fleet.operator.pending_since().filter(|(_, since)| is_overdue(*since));
         let mut descriptions: Vec<String> = calls.map(|(call, _)| format!("call {call}")).collect();
         let servers = self.fleet.servers().into_iter().filter_map(|node| self.fleet.server(node));
@@ -172,7 +173,7 @@
                 self.take_down(node, "killed", Fleet::kill);
             }
             3 => {
-                self.take_down(node, "shuts down", Fleet::terminate);
+                self.take_down(node, "shuts down gracefully", Fleet::terminate);
             }
             1 => {
                 self.record(format!("{node} frozen"));
@@ -184,17 +185,17 @@
                 let Some(other) = self.choose(&coordinators) else { return };
                 self.record(format!("{node} and {other} partitioned"));
                 self.fleet.partition(node, other, true);
-                self.schedule_recovery(Recovery::Join(vec![(node, other), (other, node)]));
+                self.schedule_recovery(Recovery::HealPartitions(vec![(node, other), (other, node)]));
             }
         }
     }
 
     fn disturb_links(&mut self) {
-        let longest = self.world().random_range(2..=60);
+        let max_delay = self.world().random_range(2..=60);
         let loss = if self.world().random_bool(0.5) { 0.02 } else { 0.0 };
-        self.record(format!("links take up to {longest} ms, loss {loss}"));
+        self.record(format!("links take up to {max_delay} ms, loss {loss}"));
         self.links_nominal = false;
-        self.world().network.set_conditions(Conditions { delay: 1..=longest, loss });
+        self.world().network.set_conditions(Conditions { delay: 1..=max_delay, loss });
         self.schedule_recovery(Recovery::Links);
     }
 }
--- a/simulation/src/history/disorder.rs
+++ b/simulation/src/history/disorder.rs
@@ -1,19 +1,20 @@
-//! Duplicated, delayed and reordered messages between coordinators, reset links, lost or delayed responses, callers that
-//! restart while a call is in flight, and orders that reach their servers late.
+//! Scenario `calls`: duplicated, delayed and reordered messages between coordinators, reset links, lost or delayed responses,
+//! callers that restart while a call is in flight, and orders that reach their servers late.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{History, Recovery, MAX_PENDING_CALLS, SYNC};
+use super::{History, Recovery, CATCH_UP_PERIOD, MAX_PENDING_CALLS};
 use crate::fixtures;
 use crate::network::{Conditions, Disorder};
 
-/// Number of rounds of a history.
+/// Number of rounds in a history.
 const ROUNDS: std::ops::RangeInclusive<u64> = 8..=20;
 /// Additional delay of a message between coordinators, in milliseconds.
 const MESSAGE_DELAY: std::ops::RangeInclusive<Millis> = 5..=900;
-/// Delay of an order, in milliseconds: less than the margin by which a lease holder's wait exceeds the lease.
+/// Upper bound of the delay of an order, in milliseconds. It is less than the margin by which the wait of a new lease holder
+/// exceeds the lease, so late orders of the previous holder must still arrive a lease before the first order of the new one.
 const ORDER_DELAY: Millis = 250;
-/// Delay of a poll's response, in milliseconds.
+/// Upper bound of the delay of a poll's response, in milliseconds.
 const POLL_DELAY: Millis = 900;
 
 impl History {
@@ -62,29 +63,30 @@
         }
     }
 
-    /// A coordinator forwards calls to the leader, restarts at once, and is called again.
+    /// A coordinator restarts while calls that it has forwarded to the leader are in flight, and is called again. A response to
+    /// a call of the earlier process must not answer a call of the new one.
     fn restart_with_calls_in_flight(&mut self) {
         let Some(leader) = self.fleet.leader() else { return };
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
-        let others = self.coordinators_but(&[leader]);
+        let others = self.coordinators_except(&[leader]);
         let Some(caller) = self.choose(&others) else { return };
-        let lost = self.unavailable_until.contains_key(&caller)
+        let may_fail = self.unavailable_until.contains_key(&caller)
             || self.unavailable_until.len() < self.fleet.options.hosts_lost as usize;
-        if !lost || !self.fleet.is_running(caller) {
+        if !may_fail || !self.fleet.is_running(caller) {
             return;
         }
         self.record(format!("{caller} restarts with calls in flight"));
         // The leader's responses are delayed.
-        let longest = self.draw(3..=400);
+        let max_delay = self.draw(3..=400);
         self.links_nominal = false;
         self.world()
             .network
-            .set_link_conditions((leader, caller), Conditions { delay: 1..=longest, loss: 0.0 });
+            .set_link_conditions((leader, caller), Conditions { delay: 1..=max_delay, loss: 0.0 });
         self.recoveries.push((now + 800, Recovery::Links));
-        let (again, calls) = (self.world().random_bool(0.5), self.draw(1..=2));
-        if again {
-            // Call numbers restart with the process.
+        let (restarts_first, calls) = (self.world().random_bool(0.5), self.draw(1..=2));
+        if restarts_first {
+            // A restart resets the call numbers, so that the numbers of both processes coincide.
             self.fleet.kill(caller);
             self.fleet.start(caller);
             let pause = self.draw(50..=400);
@@ -97,7 +99,7 @@
         self.fleet.run(pause);
         self.fleet.kill(caller);
         self.fleet.start(caller);
-        self.unavailable_until.insert(caller, self.fleet.world.now + SYNC);
+        self.unavailable_until.insert(caller, self.fleet.world.now + CATCH_UP_PERIOD);
         let pause = self.draw(0..=5);
         self.fleet.run(pause);
         for _ in 0..3 {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Duplicates and reorders messages between coordinators for a while.
+    /// Duplicates and reorders messages between coordinators until a scheduled repair.
     fn begin_disorder(&mut self) {
         let max_delay = self.draw(MESSAGE_DELAY);
         let (duplicate_probability, reorder_probability) =
@@ -132,7 +134,7 @@
         self.recoveries.push((until + max_delay, Recovery::Links));
     }
 
-    /// Resets random links between coordinators: what is in flight is lost.
+    /// Resets random links between coordinators: messages in flight are lost.
     fn reset_links(&mut self) {
         let coordinators = self.fleet.coordinators();
         for _ in 0..self.draw(1..=6) {
@@ -168,15 +170,15 @@
         self.request_models();
         let pause = self.draw(0..=300);
         self.fleet.run(pause);
-        self.record(format!("server {node} restarts at its address"));
+        self.record(format!("server {node} restarts at the same address"));
         self.fleet.crash_server(node);
         let pause = self.draw(0..=30);
         self.fleet.run(pause);
         let id = self.fleet.start_server(node, &service, Vec::new());
-        self.record(format!("server {node} is {id}"));
+        self.record(format!("server {node} restarted as {id}"));
     }
 
-    /// The order lease holder fails while delayed orders are in flight.
+    /// The holder of an order lease fails while its delayed orders are in flight.
     fn disturb_lease_holder(&mut self) {
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
@@ -211,16 +213,16 @@
             }
             _ => {
                 let mut partitions = Vec::new();
-                for other in self.coordinators_but(&[lease_holder]) {
+                for other in self.coordinators_except(&[lease_holder]) {
                     partitions.extend([(lease_holder, other), (other, lease_holder)]);
                 }
                 for (from, to) in &partitions {
                     self.fleet.partition_one_way(*from, *to, true);
                 }
-                self.recoveries.push((until, Recovery::Join(partitions)));
+                self.recoveries.push((until, Recovery::HealPartitions(partitions)));
             }
         }
-        self.unavailable_until.insert(lease_holder, until + SYNC);
+        self.unavailable_until.insert(lease_holder, until + CATCH_UP_PERIOD);
         for _ in 0..6 {
             self.request_models();
             let pause = self.draw(100..=900);
--- a/simulation/src/history/losses.rs
+++ b/simulation/src/history/losses.rs
@@ -1,4 +1,5 @@
-//! Repeated failures: each strikes within a message's delay of the moment at which the one before counts as repaired.
+//! Scenario `losses`: repeated failures, each within about a message's delay of the moment at which the previous one counts as
+//! repaired.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -8,9 +9,9 @@
 use crate::network::Conditions;
 use crate::Fleet;
 
-/// Number of failures of a history, one after the other.
+/// Number of consecutive failures in a history.
 const LOSSES: std::ops::RangeInclusive<u64> = 2..=5;
-/// Within which a failure must be repaired, in milliseconds.
+/// Time within which a failure must be repaired, in milliseconds.
 const REPAIRED_WITHIN: Millis = 15_000;
 /// How long a machine is down, in milliseconds.
 const DOWNTIME: std::ops::RangeInclusive<Millis> = 1..=1_500;
@@ -22,22 +23,23 @@
 /// How a coordinator's machine fails.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// Loses power and restarts with its disk intact.
+    /// It loses power and restarts with its disk intact.
     Power,
-    /// Loses power and restarts with an empty disk.
+    /// It loses power and restarts with an empty disk.
     Disk,
     /// Its process is killed and restarted.
     Process,
-    /// Shuts down gracefully (SIGTERM) and never returns; a replacement joins.
+    /// It shuts down gracefully (SIGTERM) and does not return; a replacement joins.
     Leaving,
-    /// Fails for good without notice; a replacement joins.
+    /// It fails permanently and without notice; a replacement joins.
     Machine,
-    /// A replacement joins before this machine is removed; its seeds may name this machine only.
+    /// A replacement joins before this machine is removed. The seeds of the replacement may name this machine only.
     Planned,
-    /// Is partitioned from all other coordinators.
+    /// It is partitioned from all other coordinators.
     Partition,
 }
 
+/// The failures to choose from; one that is listed twice is twice as likely.
 const LOSS_WEIGHTS: [Loss; 9] = [
     Loss::Power,
     Loss::Disk,
@@ -56,7 +58,7 @@
         let mut replaced = false;
         for _ in 0..losses {
             self.await_repair(replaced);
-            // A change in flight, or one that was just acknowledged.
+            // The next failure strikes while this change is in flight, or right after its acknowledgement.
             let change = self.submit_change(None);
             let wait = self.world().random_bool(0.5);
             if let Some(change) = change.filter(|_| wait) {
@@ -70,19 +72,19 @@
                 replaced = false;
                 continue;
             }
-            replaced = self.lose_some();
+            replaced = self.fail_some();
         }
         self.await_repair(false);
     }
 
-    /// Waits under changes until all shards are fully replicated, or, where all failed machines get replacements, until
-    /// the replacements vote.
+    /// Sends changes until all shards are fully replicated or, if all failed machines get replacements, until the
+    /// replacements are voters.
     fn await_repair(&mut self, replaced: bool) {
-        let mut holds: fn(&Fleet) -> bool = if replaced { has_all_voters } else { is_fully_replicated };
+        let mut is_repaired: fn(&Fleet) -> bool = if replaced { has_all_voters } else { is_fully_replicated };
         let end = self.fleet.world.now + REPAIRED_WITHIN;
         loop {
             let step = self.draw(20..=250);
-            if self.fleet.run_until(step, holds) {
+            if self.fleet.run_until(step, is_repaired) {
                 return;
             }
             self.run_due_recoveries();
@@ -92,14 +94,18 @@
                 self.submit_change(node);
             }
             if replaced && self.lose_joining_disk() {
-                holds = is_fully_replicated;
+                is_repaired = is_fully_replicated;
             }
-            assert!(self.fleet.world.now < end, "not repaired in time\n{}", self.fleet.describe());
+            assert!(
+                self.fleet.world.now < end,
+                "failure not repaired within {REPAIRED_WITHIN} ms\n{}",
+                self.fleet.describe()
+            );
         }
     }
 
-    /// A joining coordinator loses its disk while the voters are being changed, which must be harmless as long as no
-    /// shard has removed another voter for it. Whether that was done.
+    /// Sometimes erases the disk of a joining coordinator while the voters are being changed. This must be harmless as long
+    /// as no shard has removed another voter in its favour. Returns whether the disk was erased.
     fn lose_joining_disk(&mut self) -> bool {
         let newest = self.fleet.coordinators().last().copied();
         let (Some(leader), Some(newest)) = (self.fleet.leader(), newest) else { return false };
@@ -117,7 +123,8 @@
         loses_disk
     }
 
-    /// Whether a coordinator votes in a shard outside of a joint configuration: its failure counts like any other's then.
+    /// Whether a coordinator is a voter of a shard that is not in a joint configuration. Its failure then counts towards the
+    /// number of tolerated failures.
     fn is_voter_outside_joint(&self, node: NodeId) -> bool {
         let coordinators = self.fleet.coordinators();
         let running = coordinators.into_iter().filter_map(|other| self.fleet.coordinator(other));
@@ -130,12 +137,12 @@
             .any(|voters| voters.contains(node) && !voters.is_joint())
     }
 
-    /// All lose power right after a change was acknowledged that some have not received, and as many of the others lose their
-    /// disks as may be.
+    /// All coordinators lose power right after the acknowledgement of a change that some of them have not received. The
+    /// tolerated number of the others also lose their disks.
     fn lose_power_and_disks(&mut self) {
         let Some(leader) = self.fleet.leader() else { return };
         let max_failures = self.fleet.options.hosts_lost as usize;
-        let mut others = self.coordinators_but(&[leader]);
+        let mut others = self.coordinators_except(&[leader]);
         let delayed = others.split_off(others.len().saturating_sub(max_failures));
         for node in &delayed {
             self.world()
@@ -143,7 +150,7 @@
                 .set_link_conditions((leader, *node), Conditions { delay: 300..=400, loss: 0.0 });
         }
         if self.world().random_bool(0.5) {
-            // The leader's own sync takes longer than that of the follower that responds first.
+            // The leader's own sync takes longer than that of the first follower that responds.
             self.fleet.set_disk_speed(leader, 60..=150);
         }
         let change = self.fleet.replace();
@@ -159,28 +166,28 @@
             self.fleet.lose_disk(node);
         }
         self.world().network.clear_link_conditions();
-        let usual = self.fleet.options.disk_latency.clone();
-        self.fleet.set_disk_speed(leader, usual);
+        let default_latency = self.fleet.options.disk_latency.clone();
+        self.fleet.set_disk_speed(leader, default_latency);
         let down = self.draw(10..=800);
         self.fleet.run(down);
         self.fleet.start_stopped();
         self.fleet.run(300);
     }
 
-    /// Fails up to the tolerated number of machines at once; whether each of them gets a replacement.
-    fn lose_some(&mut self) -> bool {
+    /// Fails between one and the tolerated number of coordinators; returns whether each of them gets a replacement.
+    fn fail_some(&mut self) -> bool {
         let max_failures = u64::from(self.fleet.options.hosts_lost);
         let count = self.draw(1..=max_failures);
         let mut chosen = Vec::new();
         for _ in 0..count {
-            let left = self.coordinators_but(&chosen);
+            let left = self.coordinators_except(&chosen);
             chosen.extend(self.leader_or_any(&left, 0.4));
         }
         let mut all_replaced = true;
         for node in chosen {
             let loss = self.choose(&LOSS_WEIGHTS).unwrap_or(Loss::Power);
             self.record(format!("{node} fails: {loss:?}"));
-            self.lose(node, loss);
+            self.inject_loss(node, loss);
             all_replaced &= matches!(loss, Loss::Leaving | Loss::Machine | Loss::Planned);
             let pause = self.draw(0..=3);
             self.fleet.run(pause);
@@ -188,7 +195,7 @@
         all_replaced
     }
 
-    fn lose(&mut self, node: NodeId, loss: Loss) {
+    fn inject_loss(&mut self, node: NodeId, loss: Loss) {
         let restart_at = self.fleet.world.now + self.draw(DOWNTIME);
         match loss {
             Loss::Power => {
@@ -209,11 +216,11 @@
                 let wait = self.draw(0..=SHUTDOWN_TIME);
                 self.fleet.run(wait);
                 self.fleet.remove_coordinator(node);
-                self.recoveries.push((restart_at, Recovery::Successor));
+                self.recoveries.push((restart_at, Recovery::JoinReplacement));
             }
             Loss::Machine => {
                 self.fleet.remove_coordinator(node);
-                self.recoveries.push((restart_at, Recovery::Successor));
+                self.recoveries.push((restart_at, Recovery::JoinReplacement));
             }
             Loss::Planned => {
                 self.join_with_seed(node);
@@ -226,26 +233,26 @@
             }
             Loss::Partition => {
                 let partitions: Vec<(NodeId, NodeId)> = self
-                    .coordinators_but(&[node])
+                    .coordinators_except(&[node])
                     .into_iter()
                     .flat_map(|other| [(node, other), (other, node)])
                     .collect();
                 for (from, to) in &partitions {
                     self.fleet.partition_one_way(*from, *to, true);
                 }
-                self.recoveries.push((restart_at, Recovery::Join(partitions)));
+                self.recoveries.push((restart_at, Recovery::HealPartitions(partitions)));
             }
         }
     }
 
-    /// A coordinator joins by seeds that name one machine only, or by the usual ones.
+    /// A coordinator joins. Its seeds name `seed` only, or the usual coordinators.
     fn join_with_seed(&mut self, seed: NodeId) {
         if self.world().random_bool(0.5) {
-            return self.join_successor();
+            return self.join_replacement();
         }
         let node = fixtures::coordinator(self.coordinators_created);
         self.coordinators_created += 1;
-        self.record(format!("{node} joins by {seed}"));
+        self.record(format!("{node} joins with {seed} as its only seed"));
         self.fleet.join_coordinator_with_seeds(node, vec![seed]);
     }
 }
@@ -255,13 +262,14 @@
     shards.numbers().filter_map(|number| shards.get(number)).any(|shard| shard.replica.is_changing_voters())
 }
 
-/// Whether the voters of all shards are current coordinators, whatever their logs contain.
+/// Whether each shard has the desired number of voters, all of them running, and no change of voters in progress. Their logs
+/// may lag.
 pub fn has_all_voters(fleet: &Fleet) -> bool {
     all_shards(fleet, |fleet, number| voters_of(fleet, number).is_some())
 }
 
-/// Whether all shards are fully replicated: as many voters as wanted, none being changed, each of them counted by its
-/// leader and in possession of all committed entries.
+/// Whether all shards are fully replicated: each has the desired number of voters and no change of voters in progress, and its
+/// leader counts each voter towards quorums and knows that it has all committed entries.
 pub fn is_fully_replicated(fleet: &Fleet) -> bool {
     all_shards(fleet, is_shard_fully_replicated)
 }
@@ -271,7 +279,8 @@
     any.is_some_and(|any| any.core().shards().numbers().all(|number| holds(fleet, number)))
 }
 
-/// The leader and voters of a shard, if there are as many as wanted, none is being changed, and all of them run.
+/// The leader and voters of a shard. `None` unless it has the desired number of voters, all of them running, and no change of
+/// voters in progress.
 fn voters_of(fleet: &Fleet, number: u32) -> Option<(NodeId, Vec<NodeId>)> {
     let leader = fleet.leader_of(number)?;
     let replica = &fleet.coordinator(leader)?.core().shards().get(number)?.replica;
--- a/simulation/src/history/mix.rs
+++ b/simulation/src/history/mix.rs
@@ -2,22 +2,22 @@
 
 use crate::fixtures::Models;
 
-/// The probability of each kind of event in a step of a history, from 0 to 1.
+/// The probability of each kind of event per step of a history, from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
-    /// Probability of a fault of a coordinator's machine.
+    /// Probability that a coordinator's machine has a fault.
     pub core: f64,
-    /// Probability of an outage of all coordinators and edges at once.
+    /// Probability that all coordinators and edges fail at once.
     pub all: f64,
-    /// Probability of a fault of an edge.
+    /// Probability that an edge has a fault.
     pub edge: f64,
-    /// Probability of a model server that starts, drains or crashes.
+    /// Probability that a model server starts, drains or crashes.
     pub server: f64,
-    /// Probability of a call of the operator.
+    /// Probability that the operator calls.
     pub operator: f64,
-    /// Probability of a client's request.
+    /// Probability that a client sends a request.
     pub requests: f64,
-    /// Probability of a change of delay and loss on all links.
+    /// Probability that delay and loss of all links change.
     pub links: f64,
 }
 
@@ -28,12 +28,12 @@
         Mix { core: 0.0, all: 0.0, edge: 0.0, server: 0.0, operator: 0.0, requests, links: 0.0 }
     }
 
-    /// All kinds of events, faults being rare.
+    /// All kinds of events, with rare faults.
     pub fn everything() -> Self {
         Mix { core: 0.03, all: 0.003, edge: 0.02, server: 0.03, operator: 0.08, requests: 0.6, links: 0.01 }
     }
 
-    /// Many coordinator faults, and an operator that is busy.
+    /// Frequent coordinator faults and frequent calls of the operator.
     pub fn core() -> Self {
         Mix { core: 0.1, all: 0.008, operator: 0.25, server: 0.01, requests: 0.1, ..Mix::everything() }
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// More models than the servers have memory for, and a slow weight store.
+/// More models than fit into the memory of the servers, and a slow weight store.
 pub(super) fn many_models() -> Models {
     Models { count: 14, load_per_s: 0.6, ..Models::default() }
 }
--- a/simulation/src/history/outages.rs
+++ b/simulation/src/history/outages.rs
@@ -1,22 +1,22 @@
-//! Faults of coordinators, within the number of failures that the system tolerates at once.
+//! Faults of coordinators, never more at once than the system tolerates.
 
 use std::ops::RangeInclusive;
 
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_storage::fault_injection::Faults;
 
-use super::{History, Recovery, SYNC};
+use super::{History, Recovery, CATCH_UP_PERIOD};
 use crate::fixtures;
 use crate::fleet::Fleet;
 use crate::network::Conditions;
 
-/// How often a fault strikes the leader rather than a random coordinator: faults of leaders find more.
+/// Probability that a fault strikes the leader rather than a random coordinator. Faults of leaders reveal more errors.
 const LEADER_PROBABILITY: f64 = 0.4;
 /// Latency of a slow disk, in milliseconds.
 const SLOW_DISK: RangeInclusive<Millis> = 50..=400;
 
 impl History {
-    /// A coordinator that may fail now, in addition to those that are unavailable.
+    /// Chooses a coordinator that may fail now; `None` if the tolerated number of coordinators is unavailable already.
     pub(super) fn choose_victim(&mut self, leader_probability: f64) -> Option<NodeId> {
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
@@ -24,7 +24,7 @@
             return None;
         }
         let unavailable: Vec<NodeId> = self.unavailable_until.keys().copied().collect();
-        let available = self.coordinators_but(&unavailable);
+        let available = self.coordinators_except(&unavailable);
         self.leader_or_any(&available, leader_probability)
     }
 
@@ -32,8 +32,8 @@
         let Some(node) = self.choose_victim(LEADER_PROBABILITY) else { return };
         let until = match self.world().random_range(0..=9) {
             0 => self.take_down(node, "killed", Fleet::kill),
-            1 => self.take_down(node, "without power", Fleet::lose_power),
-            2 => self.take_down(node, "without power and disk", |fleet, node| {
+            1 => self.take_down(node, "loses power", Fleet::lose_power),
+            2 => self.take_down(node, "loses power and its disk", |fleet, node| {
                 fleet.lose_power(node);
                 fleet.lose_disk(node);
             }),
@@ -47,10 +47,10 @@
                 self.schedule_recovery(Recovery::Disk(node))
             }
             6 | 7 => self.isolate(node),
-            8 => self.take_down(node, "shuts down", Fleet::terminate),
+            8 => self.take_down(node, "shuts down gracefully", Fleet::terminate),
             _ => self.replace_machine(node),
         };
-        self.unavailable_until.insert(node, until + SYNC);
+        self.unavailable_until.insert(node, until + CATCH_UP_PERIOD);
     }
 
     pub(super) fn take_down(
@@ -64,10 +64,12 @@
         self.schedule_recovery(Recovery::Start(node))
     }
 
-    /// Gives a disk a random fault: a stall, high latency, no space, or failing writes or syncs.
+    /// Gives a disk a random fault: it stalls, is slow, is full, or its writes or syncs fail.
     pub(super) fn inject_disk_fault(&mut self, node: NodeId, slow: RangeInclusive<Millis>) {
         let kind = self.draw(0..=4);
-        self.record(format!("{node}'s disk has a fault of kind {kind}"));
+        self.record(format!(
+            "{node}'s disk gets fault {kind} (0 stalled, 1 slow, 2 full, 3 writes fail, 4 syncs fail)"
+        ));
         match kind {
             0 => self.fleet.set_disk_stalled(node, true),
             1 => self.fleet.set_disk_speed(node, slow),
@@ -77,29 +79,30 @@
         }
     }
 
+    /// Partitions a coordinator from the others, in one direction or both, or also from edges and the operator.
     fn isolate(&mut self, node: NodeId) -> Millis {
-        let way = self.world().random_range(0..=3);
+        let kind = self.world().random_range(0..=3);
         let mut partitions = Vec::new();
         let mut others: Vec<NodeId> = self.fleet.coordinators();
         others.retain(|other| *other != node);
-        if way == 3 {
-            // From edges and the operator as well.
+        if kind == 3 {
+            // Also from edges and the operator.
             others.extend(self.fleet.edges());
             others.push(fixtures::operator());
         }
         for other in others {
-            if way != 1 {
+            if kind != 1 {
                 partitions.push((node, other));
             }
-            if way != 2 {
+            if kind != 2 {
                 partitions.push((other, node));
             }
         }
-        self.record(format!("{node} isolated, way {way}"));
+        self.record(format!("{node} isolated, kind {kind} (0 both directions, 1 incoming, 2 outgoing, 3 also from edges and operator)"));
         for (from, to) in &partitions {
             self.fleet.partition_one_way(*from, *to, true);
         }
-        self.schedule_recovery(Recovery::Join(partitions))
+        self.schedule_recovery(Recovery::HealPartitions(partitions))
     }
 
     fn replace_machine(&mut self, node: NodeId) -> Millis {
@@ -107,32 +110,32 @@
             return self.fleet.world.now;
         }
         if self.world().random_bool(0.3) {
-            // A planned replacement: the successor joins first.
-            self.join_successor();
-            self.record(format!("{node} removed after its successor had joined"));
+            // A planned replacement: the new coordinator joins before the old one is removed.
+            self.join_replacement();
+            self.record(format!("{node} removed after its replacement had joined"));
             self.fleet.remove_coordinator(node);
             return self.fleet.world.now;
         }
-        self.record(format!("{node} removed for good"));
+        self.record(format!("{node} removed permanently"));
         self.fleet.remove_coordinator(node);
-        self.schedule_recovery(Recovery::Successor)
+        self.schedule_recovery(Recovery::JoinReplacement)
     }
 
-    pub(super) fn join_successor(&mut self) {
+    pub(super) fn join_replacement(&mut self) {
         let node = fixtures::coordinator(self.coordinators_created);
         self.coordinators_created += 1;
         self.record(format!("{node} joins"));
         self.fleet.join_coordinator(node);
         let now = self.fleet.world.now;
-        self.unavailable_until.insert(node, now + SYNC);
-        // Settings files name the current coordinators as seeds from now on.
+        self.unavailable_until.insert(node, now + CATCH_UP_PERIOD);
+        // From now on, the settings files name three of the current coordinators as seeds.
         let seeds: Vec<NodeId> = self.fleet.coordinators().into_iter().rev().take(3).collect();
         for node in self.fleet.coordinators().into_iter().chain(self.fleet.edges()) {
             self.fleet.set_seeds(node, seeds.clone());
         }
     }
 
-    /// Waits until a change is acknowledged that reaches one of the coordinators late.
+    /// Sends a change that reaches one of the coordinators late, and waits for its acknowledgement.
     fn await_acknowledgement(&mut self) {
         let coordinators = self.fleet.coordinators();
         let delayed = self.choose(&coordinators);
@@ -148,7 +151,8 @@
         self.world().network.clear_link_conditions();
     }
 
-    /// Stops all coordinators and edges, by power or kill; up to the tolerated number of coordinators lose their disks.
+    /// Stops all coordinators and edges by a power loss or a kill, and restarts them. After a power loss, the tolerated number of
+    /// coordinators may also lose their disks.
     pub(super) fn inject_total_outage(&mut self) {
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
@@ -158,17 +162,17 @@
         if self.world().random_bool(0.5) {
             self.await_acknowledgement();
         }
-        let power = self.world().random_bool(0.6);
-        self.record(format!("all stopped, power {power}"));
-        self.fleet.stop_all(power);
-        if power && self.world().random_bool(0.4) {
+        let power_loss = self.world().random_bool(0.6);
+        self.record(format!("all coordinators and edges stop; power loss: {power_loss}"));
+        self.fleet.stop_all(power_loss);
+        if power_loss && self.world().random_bool(0.4) {
             let mut without_disk = self.fleet.coordinators();
             while without_disk.len() > self.fleet.options.hosts_lost as usize {
                 let kept_index = self.world().random_range(0..=without_disk.len() as u64 - 1) as usize;
                 without_disk.remove(kept_index);
             }
             for node in without_disk {
-                self.record(format!("{node} lost its disk"));
+                self.record(format!("{node} loses its disk"));
                 self.fleet.lose_disk(node);
             }
         }
@@ -177,7 +181,7 @@
         self.fleet.start_stopped();
         let restarted_at = self.fleet.world.now + 300;
         for node in self.fleet.coordinators() {
-            self.unavailable_until.insert(node, restarted_at + SYNC);
+            self.unavailable_until.insert(node, restarted_at + CATCH_UP_PERIOD);
         }
     }
 }
--- a/simulation/src/history/partitions.rs
+++ b/simulation/src/history/partitions.rs
@@ -1,9 +1,9 @@
-//! Partitions of one or two coordinators from voters, edges or the operator, in both directions or one, for long or for less
-//! than a message's delay, while the operator, servers and edges reach either side.
+//! Scenario `cuts`: partitions of one or two coordinators from voters, edges or the operator, in one direction or both, for
+//! seconds or for less than a message's delay, while the operator, servers and edges reach either side.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{History, Recovery, SYNC};
+use super::{History, Recovery, CATCH_UP_PERIOD};
 use crate::fixtures;
 use crate::fleet::Fleet;
 use crate::network::Direction;
@@ -12,13 +12,13 @@
 const LONG_PARTITION: std::ops::RangeInclusive<Millis> = 3_000..=14_000;
 /// Duration of a partition that heals within one or two message delays, in milliseconds.
 const SHORT_PARTITION: std::ops::RangeInclusive<Millis> = 1..=40;
-/// Duration of a partition that ends about when a leader's lease does, in milliseconds.
+/// Duration of a partition that ends at about the same time as a leader's lease, in milliseconds.
 const LEASE_LENGTH_PARTITION: std::ops::RangeInclusive<Millis> = 350..=1_300;
 /// Interval between two disturbances during a partition, in milliseconds.
 const DISTURBANCE_INTERVAL: std::ops::RangeInclusive<Millis> = 30..=450;
-/// After which a superseded configuration must not be served any more, in milliseconds.
+/// Time after which a superseded configuration must no longer be served, in milliseconds.
 const SUPERSEDED_AFTER: Millis = 5_000;
-/// Most short partitions in a row.
+/// Upper bound of consecutive short partitions.
 const MAX_FLAPS: u64 = 6;
 
 impl History {
@@ -27,7 +27,7 @@
         let Some(first) = self.leader_or_any(&coordinators, 0.6) else { return };
         let mut isolated = vec![first];
         if self.fleet.options.hosts_lost > 1 && self.world().random_bool(0.5) {
-            let others = self.coordinators_but(&isolated);
+            let others = self.coordinators_except(&isolated);
             isolated.extend(self.choose(&others));
         }
         if self.world().random_bool(0.35) {
@@ -47,11 +47,11 @@
             let duration = self.draw(LEASE_LENGTH_PARTITION);
             self.partition_during(&isolated, duration);
         }
-        let after = self.draw(300..=SYNC);
+        let after = self.draw(300..=CATCH_UP_PERIOD);
         self.advance(after);
     }
 
-    /// Makes the leader transfer its leadership just before it is isolated.
+    /// Makes the leader begin to transfer its leadership just before it is isolated.
     fn begin_leadership_transfer(&mut self, node: NodeId) {
         match self.draw(0..=2) {
             0 => {
@@ -62,7 +62,7 @@
                 self.fleet.run(wait);
             }
             1 => {
-                self.take_down(node, "shuts down", Fleet::terminate);
+                self.take_down(node, "shuts down gracefully", Fleet::terminate);
                 let wait = self.draw(0..=6);
                 self.fleet.run(wait);
             }
@@ -77,28 +77,31 @@
         }
     }
 
-    /// Draws the directions of a partition between some coordinators and others.
+    /// Draws the directions of a partition between the isolated coordinators and other machines.
     fn draw_partitions(&mut self, isolated: &[NodeId]) -> Vec<Direction> {
         let direction = self.draw(0..=2);
         let from = self.draw(0..=5);
         let mut others = match from {
-            // From voters; from voters and edges; from edges; from all; from all and model servers.
-            0 | 1 => self.coordinators_but(isolated),
-            2 => [self.coordinators_but(isolated), self.fleet.edges()].concat(),
+            // 0 and 1: the other coordinators; 2: these and edges; 3: edges only; 4: these, edges and the operator; 5: also model
+            // servers.
+            0 | 1 => self.coordinators_except(isolated),
+            2 => [self.coordinators_except(isolated), self.fleet.edges()].concat(),
             3 => self.fleet.edges(),
-            _ => [self.coordinators_but(isolated), self.fleet.edges(), vec![fixtures::operator()]].concat(),
+            _ => {
+                [self.coordinators_except(isolated), self.fleet.edges(), vec![fixtures::operator()]].concat()
+            }
         };
         if from == 5 {
             others.extend(self.fleet.servers());
         }
         if self.world().random_bool(0.2) && others.len() > 1 {
-            // All of them but one.
+            // One of them stays reachable.
             let reachable_index = self.draw(0..=others.len() as u64 - 1) as usize;
             others.remove(reachable_index);
         }
         let from_each_other = isolated.len() > 1 && self.world().random_bool(0.3);
         self.record(format!(
-            "isolated: {isolated:?}, from {others:?}, way {direction}, from each other {from_each_other}"
+            "isolated: {isolated:?}, from {others:?}, direction {direction} (0 both, 1 incoming, 2 outgoing), from each other: {from_each_other}"
         ));
         let mut partitions = Vec::new();
         for node in isolated {
@@ -146,8 +149,9 @@
         self.set_partitions(&partitions, true);
         let end = self.fleet.world.now + duration;
         if duration > SUPERSEDED_AFTER && self.world().random_bool(0.6) {
-            // The isolated coordinators' configuration is superseded long before an edge starts that reaches one of them only.
-            let others = self.coordinators_but(isolated);
+            // The configuration of the isolated coordinators is superseded long before an edge starts that reaches only one of
+            // them. They must not serve it.
+            let others = self.coordinators_except(isolated);
             let other = self.choose(&others);
             let change = self.submit_change(other);
             self.advance(1_500);
@@ -180,12 +184,12 @@
         self.call_both_sides(isolated[0]);
     }
 
-    /// A lease holder is partitioned from one voter, and as soon as another node leads, or after a while, from the responses of
-    /// all, while orders are needed all the time.
+    /// Partitions the holder of an order lease from one voter. Once another node leads, or after a time limit, the holder
+    /// receives nothing from any voter any more. Orders are needed throughout.
     fn isolate_lease_holder(&mut self) {
         let shard = self.draw(1..=2) as u32;
         let Some(lease_holder) = self.fleet.leader_of(shard) else { return };
-        let others = self.coordinators_but(&[lease_holder]);
+        let others = self.coordinators_except(&[lease_holder]);
         let Some(voter) = self.choose(&others) else { return };
         self.record(format!("{lease_holder}, the order lease holder, is partitioned from {voter}"));
         let mut partitions = vec![(lease_holder, voter), (voter, lease_holder)];
@@ -197,7 +201,7 @@
         while self.fleet.world.now < end && !self.fleet.run_until(30, replaced) {
             self.request_adapters();
         }
-        self.record(format!("{lease_holder} receives nothing any more"));
+        self.record(format!("{lease_holder} no longer receives messages of coordinators"));
         let rest: Vec<Direction> = others.iter().map(|other| (*other, lease_holder)).collect();
         self.set_partitions(&rest, true);
         partitions.extend(rest);
@@ -209,16 +213,17 @@
         }
         self.record(format!("the partition of {lease_holder} heals"));
         self.set_partitions(&partitions, false);
-        let after = self.draw(300..=SYNC);
+        let after = self.draw(300..=CATCH_UP_PERIOD);
         self.advance(after);
     }
 
-    /// The leader is isolated or frozen until its successor has acknowledged a change; reads reach the former leader throughout.
+    /// Isolates or freezes the leader until its successor has acknowledged a change. Reads are sent to the former leader
+    /// throughout and must not return a superseded version.
     fn read_across_election(&mut self) {
         let Some(former) = self.fleet.leader() else { return };
-        let others = self.coordinators_but(&[former]);
+        let others = self.coordinators_except(&[former]);
         let freezes = self.world().random_bool(0.4);
-        self.record(format!("{former} leads and is isolated, or frozen: {freezes}"));
+        self.record(format!("leader {former} is isolated or frozen; frozen: {freezes}"));
         let partitions: Vec<Direction> =
             others.iter().flat_map(|other| [(former, *other), (*other, former)]).collect();
         if freezes {
@@ -238,7 +243,7 @@
         if let Some(change) = change {
             self.await_outcome(change, 1_000);
         }
-        self.record(format!("{former} is back"));
+        self.record(format!("{former} is thawed and reconnected"));
         self.fleet.thaw(former);
         self.set_partitions(&partitions, false);
         for _ in 0..3 {
@@ -246,11 +251,11 @@
             let pause = self.draw(0..=4);
             self.fleet.run(pause);
         }
-        let after = self.draw(300..=SYNC);
+        let after = self.draw(300..=CATCH_UP_PERIOD);
         self.advance(after);
     }
 
-    /// Requests adapters at each edge, for which orders are needed that complete soon.
+    /// Requests an adapter at each edge. The orders to load it complete quickly.
     fn request_adapters(&mut self) {
         for edge in self.fleet.edges() {
             let adapter = format!("a{}", self.draw(1..=9));
@@ -258,9 +263,9 @@
         }
     }
 
-    /// The operator calls an isolated machine and one of the others at the same moment.
+    /// The operator calls an isolated coordinator and one of the others at the same time.
     fn call_both_sides(&mut self, node: NodeId) {
-        let others = self.coordinators_but(&[node]);
+        let others = self.coordinators_except(&[node]);
         let Some(other) = self.choose(&others) else { return };
         if self.world().random_bool(0.5) {
             let (first, second) = (self.fleet.write(), self.fleet.write());
@@ -272,12 +277,12 @@
         self.read_at(other);
     }
 
-    /// A disturbance while a machine is isolated.
+    /// Injects a random call or fault while a coordinator is isolated.
     fn disturb_partition(&mut self, node: NodeId) {
         match self.draw(0..=11) {
             0..=2 => self.call_both_sides(node),
             3 => {
-                let others = self.coordinators_but(&[node]);
+                let others = self.coordinators_except(&[node]);
                 let other = self.choose(&others);
                 self.submit_change(other);
             }
@@ -305,17 +310,17 @@
         }
     }
 
-    /// Restarts an edge, which may be able to reach the isolated machine only.
+    /// Restarts an edge; if `only` is true, the isolated coordinator is the only one that it reaches.
     fn restart_edge(&mut self, node: NodeId, only: bool) {
         let edges = self.fleet.edges();
         let Some(edge) = self.choose(&edges) else { return };
         self.record(format!("edge {edge} restarts, reaches {node} only: {only}"));
         if only {
-            let others = self.coordinators_but(&[node]);
+            let others = self.coordinators_except(&[node]);
             let partitions: Vec<Direction> =
                 others.into_iter().flat_map(|other| [(edge, other), (other, edge)]).collect();
             self.set_partitions(&partitions, true);
-            self.schedule_recovery(Recovery::Join(partitions));
+            self.schedule_recovery(Recovery::HealPartitions(partitions));
         }
         self.fleet.kill(edge);
         self.fleet.start(edge);
--- a/simulation/src/history/quiescence.rs
+++ b/simulation/src/history/quiescence.rs
@@ -1,23 +1,23 @@
-//! The end of a history: all faults are repaired, and the system must return to service.
+//! The last phase of a history: all faults are repaired, and the system must return to service.
 
 use std::collections::BTreeSet;
 
 use shaletrail_protocol::Millis;
 
-use super::{History, ACKNOWLEDGED_WITHIN};
+use super::{History, ACK_TIMEOUT};
 use crate::fixtures::IDEMPOTENT_PATH;
 use crate::fleet::Fleet;
 use crate::network::{Conditions, Disorder};
 
-/// Within which all requests have a response, in milliseconds.
+/// Time within which all requests must have a response, in milliseconds.
 const SERVED_WITHIN: Millis = 7_000;
-/// Within which all coordinators have the same configuration once all faults are repaired.
+/// Time after the repair of all faults within which all coordinators must have the same configuration, in milliseconds.
 const CAUGHT_UP_WITHIN: Millis = 4_000;
-/// `convergenceMs`, in milliseconds.
+/// Time within which all edges must have applied an acknowledged change, in milliseconds (`convergenceMs`).
 const CONVERGED_WITHIN: Millis = 2_000;
 
 impl History {
-    /// Repairs all faults and checks that the system is in service within `recovery_time`.
+    /// Repairs all faults, waits for `recovery_time` milliseconds and checks that the system is in service.
     pub(super) fn quiesce(&mut self, recovery_time: Millis) {
         self.record("all faults are repaired".to_owned());
         for (_, recovery) in std::mem::take(&mut self.recoveries) {
@@ -29,11 +29,15 @@
         self.fleet.operator.response_loss = 0.0;
         self.fleet.run(recovery_time);
         self.fleet.operator.abandon_pending();
-        self.fleet.read_within(ACKNOWLEDGED_WITHIN);
-        let change = self.fleet.replace_within(ACKNOWLEDGED_WITHIN);
+        self.fleet.read_within(ACK_TIMEOUT);
+        let change = self.fleet.replace_within(ACK_TIMEOUT);
         let converged = self.fleet.run_until(CONVERGED_WITHIN, |fleet| fleet.is_applied_everywhere(change));
-        assert!(converged, "{change} is not in force\n{}", self.fleet.describe());
-        assert_eq!(self.fleet.read_within(ACKNOWLEDGED_WITHIN), change, "{}", self.fleet.describe());
+        assert!(
+            converged,
+            "change {change} not applied by all edges within {CONVERGED_WITHIN} ms\n{}",
+            self.fleet.describe()
+        );
+        assert_eq!(self.fleet.read_within(ACK_TIMEOUT), change, "{}", self.fleet.describe());
         self.assert_caught_up();
         self.assert_requests_served();
     }
@@ -48,10 +52,14 @@
             versions.len() == 1 && !versions.contains(&None)
         };
         let all = self.fleet.run_until(CAUGHT_UP_WITHIN, caught_up);
-        assert!(all, "a member has not caught up\n{}", self.fleet.describe());
+        assert!(
+            all,
+            "coordinators do not have the same configuration after {CAUGHT_UP_WITHIN} ms\n{}",
+            self.fleet.describe()
+        );
     }
 
-    /// Checks that each edge serves requests: all to the service without models, half of those for models.
+    /// Checks that the edges serve all requests to the service without models and at least half of those for models.
     pub(super) fn assert_requests_served(&mut self) {
         let mut plain = Vec::new();
         let mut for_models = Vec::new();
@@ -62,21 +70,21 @@
             }
         }
         let all: Vec<u64> = plain.iter().chain(&for_models).copied().collect();
-        let answered = |fleet: &Fleet| {
-            all.iter().all(|send_client_request| fleet.status(*send_client_request).is_some())
-        };
+        let answered = |fleet: &Fleet| all.iter().all(|request| fleet.status(*request).is_some());
         self.fleet.run_until(SERVED_WITHIN, answered);
         let served = |requests: &[u64]| {
-            requests
-                .iter()
-                .filter(|send_client_request| self.fleet.status(**send_client_request) == Some(200))
-                .count()
+            requests.iter().filter(|request| self.fleet.status(**request) == Some(200)).count()
         };
         let (plain_served, models_served) = (served(&plain), served(&for_models));
-        assert_eq!(plain_served, plain.len(), "plain requests are not served\n{}", self.fleet.describe());
+        assert_eq!(
+            plain_served,
+            plain.len(),
+            "requests to the service without models are not served\n{}",
+            self.fleet.describe()
+        );
         assert!(
             models_served * 2 >= for_models.len(),
-            "{models_served} of {} requests for models are served\n{}",
+            "only {models_served} of {} requests for models are served\n{}",
             for_models.len(),
             self.fleet.describe()
         );
--- a/simulation/src/history/races.rs
+++ b/simulation/src/history/races.rs
@@ -1,19 +1,19 @@
-//! Concurrent operators: changes on one base version, one change from two operators, lost responses, and retries at once or
-//! after many other changes, to nodes that lag, are isolated or lead no more.
+//! Scenario `races`: concurrent operators that send different changes of one base version or the same change, lost responses,
+//! and retries immediately or after many other changes, to coordinators that lag, are isolated or are no longer the leader.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{History, Recovery, ACKNOWLEDGED_WITHIN, SYNC};
+use super::{History, Recovery, ACK_TIMEOUT, CATCH_UP_PERIOD};
 use crate::fleet::Fleet;
 use crate::network::Conditions;
 
-/// Number of rounds of a history.
+/// Number of rounds in a history.
 const ROUNDS: std::ops::RangeInclusive<u64> = 4..=9;
-/// Number of changes of a burst between rounds.
+/// Number of changes in a burst between rounds.
 const BURST: std::ops::RangeInclusive<u64> = 5..=40;
-/// Number of changes of a long burst.
+/// Number of changes in a long burst.
 const LONG_BURST: std::ops::RangeInclusive<u64> = 150..=300;
-/// Within which a change of a burst is answered without faults, in milliseconds.
+/// How long a change of a burst usually takes without faults, in milliseconds.
 const BURST_WITHIN: Millis = 600;
 
 impl History {
@@ -41,8 +41,8 @@
     }
 
     fn race_changes(&mut self) {
-        let lost = [0.0, 0.4, 0.9];
-        self.fleet.operator.response_loss = self.choose(&lost).unwrap_or_default();
+        let loss_probabilities = [0.0, 0.4, 0.9];
+        self.fleet.operator.response_loss = self.choose(&loss_probabilities).unwrap_or_default();
         self.fault_free_since = None;
         let first = self.fleet.write();
         let second = if self.world().random_bool(0.25) { first } else { self.fleet.write() };
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads from the next leader, from the moment of its election on.
+    /// Reads from the next leader as soon as it is elected.
     fn read_at_next_leader(&mut self) {
         let Some(former) = self.fleet.leader() else { return };
         self.fleet.run_until(1_500, |fleet| fleet.leader().is_some_and(|leader| leader != former));
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Stalls the leader's disk, so that it transfers its leadership.
+    /// Stalls the leader's disk, which makes it transfer its leadership.
     fn stall_leader_disk(&mut self, leader: NodeId) {
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
@@ -96,17 +96,17 @@
             self.record(format!("{leader}'s disk stalls"));
             self.fleet.set_disk_stalled(leader, true);
             let until = self.schedule_recovery(Recovery::Disk(leader));
-            self.unavailable_until.insert(leader, until + SYNC);
+            self.unavailable_until.insert(leader, until + CATCH_UP_PERIOD);
             self.read_at_next_leader();
         }
     }
 
-    /// A change is acknowledged that reaches one node late, and the leader is killed at once.
-    fn lose_leader_after_answer(&mut self) {
+    /// Kills the leader right after it has acknowledged a change that reaches one follower late.
+    fn kill_leader_after_acknowledgement(&mut self) {
         let now = self.fleet.world.now;
         self.unavailable_until.retain(|_, until| *until > now);
         let Some(leader) = self.fleet.leader().filter(|_| self.unavailable_until.is_empty()) else { return };
-        let others = self.coordinators_but(&[leader]);
+        let others = self.coordinators_except(&[leader]);
         let Some(delayed) = self.choose(&others) else { return };
         self.links_nominal = false;
         self.world().network.set_link_conditions((leader, delayed), Conditions { delay: 30..=60, loss: 0.0 });
@@ -114,8 +114,8 @@
         let change = self.fleet.replace();
         self.sent_changes.push(change);
         self.await_outcome(change, 400);
-        let until = self.take_down(leader, "killed right after an answer", Fleet::kill);
-        self.unavailable_until.insert(leader, until + SYNC);
+        let until = self.take_down(leader, "killed right after an acknowledgement", Fleet::kill);
+        self.unavailable_until.insert(leader, until + CATCH_UP_PERIOD);
         self.read_at_next_leader();
     }
 
@@ -125,12 +125,12 @@
         let Some(leader) = self.fleet.leader() else { return };
         match self.draw(0..=8) {
             0 | 1 => self.inject_coordinator_fault(),
-            5..=7 => self.lose_leader_after_answer(),
+            5..=7 => self.kill_leader_after_acknowledgement(),
             8 => self.stall_leader_disk(leader),
             2 => self.delay_links(leader, &coordinators),
             3 => {
-                // A follower that lags behind.
-                let others = self.coordinators_but(&[leader]);
+                // One follower lags.
+                let others = self.coordinators_except(&[leader]);
                 if let Some(delayed) = self.choose(&others) {
                     self.delay_links(leader, &[delayed]);
                 }
@@ -145,19 +145,19 @@
     }
 
     fn delay_links(&mut self, from: NodeId, to: &[NodeId]) {
-        let longest = self.draw(20..=400);
-        self.record(format!("links from {from} to {to:?} take up to {longest} ms"));
+        let max_delay = self.draw(20..=400);
+        self.record(format!("links from {from} to {to:?} take up to {max_delay} ms"));
         self.links_nominal = false;
         for other in to.iter().filter(|other| **other != from) {
             self.world()
                 .network
-                .set_link_conditions((from, *other), Conditions { delay: 10..=longest, loss: 0.0 });
+                .set_link_conditions((from, *other), Conditions { delay: 10..=max_delay, loss: 0.0 });
         }
         let until = self.fleet.world.now + self.draw(50..=1_500);
         self.recoveries.push((until, Recovery::Links));
     }
 
-    /// Sends many changes one after the other.
+    /// Sends a random number of changes in sequence, each after the outcome of the previous one or a time limit.
     pub(super) fn burst(&mut self, range: std::ops::RangeInclusive<u64>) {
         self.fleet.operator.response_loss = 0.0;
         let count = self.draw(range);
@@ -169,7 +169,7 @@
                 self.fleet.replace()
             };
             if !self.await_outcome(change, BURST_WITHIN) {
-                self.await_outcome(change, ACKNOWLEDGED_WITHIN);
+                self.await_outcome(change, ACK_TIMEOUT);
             }
             self.run_due_recoveries();
         }
--- a/simulation/src/history/recovery.rs
+++ b/simulation/src/history/recovery.rs
@@ -1,4 +1,4 @@
-//! The repairs that end the faults of a history when these have lasted for their time.
+//! Scheduled repairs, which end the faults of a history.
 
 use shaletrail_protocol::{Millis, NodeId};
 use shaletrail_storage::fault_injection::Faults;
@@ -15,8 +15,8 @@
     Start(NodeId),
     Thaw(NodeId),
     Disk(NodeId),
-    Join(Vec<(NodeId, NodeId)>),
-    Successor,
+    HealPartitions(Vec<(NodeId, NodeId)>),
+    JoinReplacement,
     Server(NodeId),
     Links,
     Disorder,
@@ -39,11 +39,11 @@
     }
 
     pub(super) fn recover(&mut self, recovery: Recovery) {
-        self.record(format!("over: {recovery:?}"));
+        self.record(format!("repair: {recovery:?}"));
         match recovery {
             Recovery::Start(node) => {
                 if self.fleet.coordinators().contains(&node) || self.fleet.edges().contains(&node) {
-                    // A process in graceful shutdown may not have exited yet.
+                    // A process that shuts down gracefully may still run.
                     self.fleet.kill(node);
                     self.fleet.start(node);
                 }
@@ -51,16 +51,16 @@
             Recovery::Thaw(node) => self.fleet.thaw(node),
             Recovery::Disk(node) => {
                 self.fleet.set_disk_stalled(node, false);
-                let usual = self.fleet.options.disk_latency.clone();
-                self.fleet.set_disk_speed(node, usual);
+                let default_latency = self.fleet.options.disk_latency.clone();
+                self.fleet.set_disk_speed(node, default_latency);
                 self.fleet.set_disk_faults(node, Faults::default());
             }
-            Recovery::Join(partitions) => {
+            Recovery::HealPartitions(partitions) => {
                 for (from, to) in partitions {
                     self.fleet.partition_one_way(from, to, false);
                 }
             }
-            Recovery::Successor => self.join_successor(),
+            Recovery::JoinReplacement => self.join_replacement(),
             Recovery::Server(node) => self.start_server(node),
             Recovery::Links => {
                 self.links_nominal = true;
--- a/simulation/src/history/scenario.rs
+++ b/simulation/src/history/scenario.rs
@@ -1,29 +1,29 @@
-//! Scenarios: histories that concentrate on one kind of faults each, and what these histories have in common.
+//! Scenarios: histories that each concentrate on one kind of fault, and the steps that several of them use.
 
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::{History, Mix, MAX_PENDING_CALLS};
 use crate::fleet::{Fleet, FleetOptions};
 
-/// Time without faults in which the system must return to service, in milliseconds.
+/// Time without faults within which the system must return to service, in milliseconds.
 const RECOVERY_TIME: Millis = 5_000;
-/// Most changes that are kept to be sent again.
+/// Number of recent changes that are kept for resending.
 const MAX_SENT_CHANGES: usize = 64;
 
-/// The kind of faults that a history concentrates on. It is printed and parsed by its `strum` name, the name of the
-/// command line of `histories`.
+/// The kind of fault that a history concentrates on. Its `strum` name is the one that the command line of `histories` takes
+/// and its output prints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter, strum::EnumString)]
 pub enum Scenario {
-    /// Coordinators that are partitioned, for long or for less than a message's delay.
+    /// Partitions of coordinators, for seconds or for less than a message's delay.
     #[strum(serialize = "cuts")]
     Partitions,
-    /// Concurrent operators, lost responses, and changes that are sent again.
+    /// Concurrent operators, lost responses and resent changes.
     #[strum(serialize = "races")]
     Races,
-    /// A further failure right after the repair of the one before.
+    /// Repeated failures, each right after the previous one was repaired.
     #[strum(serialize = "losses")]
     Losses,
-    /// Hundreds of changes while members crash at every step of their work and restart.
+    /// Hundreds of changes while coordinators crash at arbitrary points of their work and restart.
     #[strum(serialize = "storms")]
     Crashes,
     /// Duplicated, delayed and reordered messages, and callers that restart while a call is in flight.
@@ -32,29 +32,29 @@
 }
 
 impl Scenario {
-    /// Its number, from 1 on; part of the seed of its histories.
+    /// The number of the scenario, starting at 1; part of the seed of its histories.
     pub fn number(self) -> u32 {
         self as u32 + 1
     }
 }
 
 impl History {
-    /// Plays a history of a scenario and checks it.
+    /// Plays a history of a scenario and checks all invariants at its end.
     ///
     /// # Panics
-    /// An invariant is violated, or the system doesn't return to service.
-    pub fn play_scenario(point: Scenario, seed: u64) -> Fleet {
+    /// An invariant is violated, or the system does not return to service after the repairs.
+    pub fn play_scenario(scenario: Scenario, seed: u64) -> Fleet {
         let large = seed % 3 == 2;
         let options = FleetOptions {
             coordinators: if large { 5 } else { 3 },
             hosts_lost: if large { 2 } else { 1 },
             disk_latency: if seed.is_multiple_of(2) { 0..=2 } else { 3..=15 },
-            seed: seed.wrapping_mul(8).wrapping_add(u64::from(point.number())),
+            seed: seed.wrapping_mul(8).wrapping_add(u64::from(scenario.number())),
             ..FleetOptions::default()
         };
         let coordinators = options.coordinators;
         let mut history = History::begin(Fleet::ready(options), Mix::requests_only(), coordinators);
-        match point {
+        match scenario {
             Scenario::Partitions => history.play_partitions(),
             Scenario::Races => history.play_races(),
             Scenario::Losses => history.play_losses(),
@@ -66,28 +66,29 @@
         history.fleet
     }
 
-    // ---- What histories of several points do -----------------------------------------------------------
+    // ---- Steps that several scenarios use --------------------------------------------------------------
 
     /// Draws a random number from a range.
     pub(super) fn draw(&mut self, range: std::ops::RangeInclusive<Millis>) -> Millis {
         self.world().random_range(range)
     }
 
-    /// The configuration shard's leader with a probability, otherwise one of those given.
-    pub(super) fn leader_or_any(&mut self, among: &[NodeId], leader_share: f64) -> Option<NodeId> {
+    /// The leader of the configuration's shard with this probability if it is among the given nodes, otherwise a random one of
+    /// them.
+    pub(super) fn leader_or_any(&mut self, among: &[NodeId], leader_probability: f64) -> Option<NodeId> {
         let leader = self.fleet.leader().filter(|leader| among.contains(leader));
-        if leader.is_some() && self.world().random_bool(leader_share) {
+        if leader.is_some() && self.world().random_bool(leader_probability) {
             return leader;
         }
         self.choose(among)
     }
 
-    /// All coordinators but those given.
-    pub(super) fn coordinators_but(&self, not: &[NodeId]) -> Vec<NodeId> {
+    /// All coordinators except the given ones.
+    pub(super) fn coordinators_except(&self, not: &[NodeId]) -> Vec<NodeId> {
         self.fleet.coordinators().into_iter().filter(|node| !not.contains(node)).collect()
     }
 
-    /// The operator writes and sends a change, first to `first` if that is given; `None` if too many calls are pending.
+    /// The operator creates a change and sends it, the first attempt to `first` if given. `None` if too many calls are pending.
     pub(super) fn submit_change(&mut self, first: Option<NodeId>) -> Option<u64> {
         if self.fleet.operator.pending_count() >= MAX_PENDING_CALLS {
             return None;
@@ -101,7 +102,7 @@
         Some(change)
     }
 
-    /// The operator sends a change, for the first time or again.
+    /// The operator sends or resends a change, the first attempt to `first` if given.
     pub(super) fn send_change_to(&mut self, change: u64, first: Option<NodeId>) {
         match first {
             Some(first) => self.fleet.send_first_to(first, change),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends an earlier change again, to a random coordinator.
+    /// Resends a random earlier change, the first attempt to a random coordinator.
     pub(super) fn resend_random_change(&mut self) {
         let sent = self.sent_changes.clone();
         let coordinators = self.fleet.coordinators();
@@ -120,14 +121,14 @@
         }
     }
 
-    /// The operator reads the configuration, first from a certain coordinator.
+    /// The operator reads the configuration, the first attempt from `node`.
     pub(super) fn read_at(&mut self, node: NodeId) {
         if self.fleet.operator.pending_count() < MAX_PENDING_CALLS {
             self.fleet.operator.read_first_at(&mut self.fleet.world, node);
         }
     }
 
-    /// Waits until the operator has the outcome of a change.
+    /// Waits up to `limit` milliseconds for the outcome of a change; whether it came.
     pub(super) fn await_outcome(&mut self, change: u64, limit: Millis) -> bool {
         self.fleet.run_until(limit, |fleet| fleet.world.observer.outcome(change).is_some())
     }
--- a/simulation/src/history/servers.rs
+++ b/simulation/src/history/servers.rs
@@ -1,13 +1,13 @@
-//! Model servers that crash, drain and start.
+//! Crashes, drains and starts of model servers.
 
 use shaletrail_protocol::{Millis, NodeId};
 
 use super::{History, Recovery};
 use crate::fixtures::{self, LLM_SERVICE, WEB_SERVICE};
 
-/// After which an address may be reused (`addressReuseS`), in milliseconds.
+/// Time after which an address may be reused, in milliseconds (`addressReuseS`).
 const ADDRESS_REUSE: Millis = 2_000;
-/// Number of machines for model servers.
+/// Number of machines that model servers can run on.
 const MAX_SERVER_MACHINES: u8 = 8;
 
 impl History {
@@ -30,19 +30,19 @@
                 self.schedule_recovery(Recovery::Server(node));
             }
             1 => {
-                self.record(format!("server {node} leaves"));
+                self.record(format!("server {node} drains"));
                 self.fleet.drain_server(node, None);
             }
             2 => {
                 let remaining = self.world().random_range(200..=4_000);
-                self.record(format!("server {node} leaves within {remaining} ms"));
+                self.record(format!("server {node} drains and exits within {remaining} ms"));
                 self.fleet.drain_server(node, Some(remaining));
             }
             _ => self.schedule_server_start(),
         }
     }
 
-    /// Schedules the start of a server on a machine without one.
+    /// Schedules the start of a server on a random machine that runs none.
     pub(super) fn schedule_server_start(&mut self) {
         let free_machines: Vec<NodeId> = (0..MAX_SERVER_MACHINES)
             .map(fixtures::server)
--- a/simulation/src/history/traffic.rs
+++ b/simulation/src/history/traffic.rs
@@ -1,4 +1,4 @@
-//! The calls of the operator and the requests of clients in mixed histories.
+//! Calls of the operator and requests of clients.
 
 use super::{History, MAX_PENDING_CALLS};
 use crate::fixtures::{IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH};
@@ -8,8 +8,8 @@
         if self.fleet.operator.pending_count() >= MAX_PENDING_CALLS {
             return;
         }
-        let unavailable_until = if self.world().random_bool(0.3) { 0.3 } else { 0.0 };
-        self.fleet.operator.response_loss = unavailable_until;
+        let response_loss = if self.world().random_bool(0.3) { 0.3 } else { 0.0 };
+        self.fleet.operator.response_loss = response_loss;
         let observer = &self.fleet.world.observer;
         self.acknowledged_changes =
             observer.changes.keys().filter(|change| observer.is_acknowledged(**change)).copied().collect();
@@ -44,7 +44,7 @@
             return;
         }
         let path = if self.world().random_bool(0.5) { NON_IDEMPOTENT_PATH } else { IDEMPOTENT_PATH };
-        // A few models are requested more often than others.
+        // The lower of two draws, so that models with low numbers get more requests.
         let last = self.fleet.options.models.count as u64 - 1;
         let model = self.world().random_range(0..=last).min(self.world().random_range(0..=last)) as usize;
         let adapter = self.world().random_bool(0.3).then(|| format!("a{}", self.world().random_range(1..=9)));
