--- a/simulation/src/invariants.rs
+++ b/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of the system, checked over what an [`Observer`] has recorded.
+//! The invariants of the system. They are checked against the record of an [`Observer`] only.
 
 mod configuration;
 mod orders;
@@ -11,11 +11,11 @@
 
 use crate::observer::Observer;
 
-/// Within this time after a thaw or the end of a partition, in milliseconds, what a machine had sent or received before
-/// may still arrive: it doesn't count.
+/// Time after a thaw or the end of a partition, in milliseconds, in which messages that a machine had sent or received before
+/// may still arrive. They are not checked.
 const RESTORATION_GRACE: Millis = 300;
 
-/// Bounds of the invariants, by the names of the settings and routes that set them.
+/// The bounds that the invariants are checked against. Each names the setting or the field of a route that it comes from.
 #[derive(Clone, Debug)]
 pub struct InvariantBounds {
     /// `convergenceMs`, in milliseconds.
@@ -40,7 +40,7 @@
     pub load_per_s: f64,
 }
 
-/// All violations in a history, by what was observed from outside of the system under test.
+/// All violations in a history. Empty if the record satisfies all invariants.
 pub fn violations(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = configuration::check_changes_and_reads(observer);
     violations.extend(configuration::check_conflict_responses(observer));
--- a/simulation/src/invariants/configuration.rs
+++ b/simulation/src/invariants/configuration.rs
@@ -1,4 +1,4 @@
-//! Invariants of configuration changes: their outcomes, reads of them, and the versions that edges apply.
+//! Invariants of the configuration: the outcomes of changes, what reads return, and the versions that edges apply.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,11 @@
 use crate::fixtures::{self, version_of};
 use crate::observer::{Observer, Outcome, SentChange};
 
-/// How long a response may be in flight beyond `convergenceMs`, in milliseconds: a partitioned link delays it.
+/// How long a response may be in flight beyond `convergenceMs`, in milliseconds. A partition that heals soon delays responses
+/// by up to that.
 const MAX_DELIVERY_DELAY: Millis = 1_000;
 
-/// Checks the outcomes of changes, and reads against them.
+/// Checks the outcomes of changes against each other, and reads against these outcomes.
 pub(super) fn check_changes_and_reads(observer: &Observer) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut acknowledged: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
@@ -20,12 +21,12 @@
         if change.acknowledged_at().is_some() {
             acknowledged.entry(change.base).or_default().push(*number);
         }
-        let refused = change.outcomes.iter().any(|(_, outcome)| *outcome != Outcome::Acknowledged);
+        let rejected = change.outcomes.iter().any(|(_, outcome)| *outcome != Outcome::Acknowledged);
         let applied_somewhere =
             observer.applied_configs.iter().any(|applied| applied.change == Some(*number));
         let read =
             observer.reads.iter().any(|read| fixtures::change_in_document(&read.document) == Some(*number));
-        if refused && (change.acknowledged_at().is_some() || applied_somewhere || read) {
+        if rejected && (change.acknowledged_at().is_some() || applied_somewhere || read) {
             violations.push(Violation::RejectedAfterAcceptance { change: *number });
         } else if change.outcomes.iter().any(|(_, outcome)| *outcome == Outcome::Invalid) {
             violations.push(Violation::ValidChangeRejected { change: *number });
@@ -52,7 +53,8 @@
     violations
 }
 
-/// Checks that conflict responses name a version that can be current.
+/// Checks that each conflict response names a version that can have been current: not the base of the rejected change, and no
+/// older than a version that was acknowledged or read before.
 pub(super) fn check_conflict_responses(observer: &Observer) -> Vec<Violation> {
     let mut violations = Vec::new();
     for conflict in &observer.conflicts {
@@ -72,7 +74,8 @@
     violations
 }
 
-/// Each change names the version that it was built on: none that was acknowledged may lie between the two.
+/// Checks that no acknowledged change was lost: none may have a version between that of a later accepted change and the version
+/// that this change is based on.
 pub(super) fn check_lost_changes(observer: &Observer) -> Vec<Violation> {
     let acknowledged: BTreeMap<u64, u64> = observer
         .changes
@@ -88,7 +91,7 @@
     for later in accepted {
         let Some(SentChange { base, version, .. }) = observer.changes.get(&later) else { continue };
         if base + 1 < *version {
-            // Two acknowledged changes on one base are reported as conflicting.
+            // Two acknowledged changes of one base version are reported as conflicting already.
             let of_one_base = |other: &u64| {
                 acknowledged.get(version) == Some(&later) && observer.changes[other].base == *base
             };
@@ -99,7 +102,7 @@
     violations
 }
 
-/// Whether two configurations have the same items, in whichever order.
+/// Whether two configurations have the same items in any order.
 fn is_equivalent(left: &Value, right: &Value) -> bool {
     let normalized = |document: &Value| {
         let mut document = document.clone();
@@ -113,7 +116,8 @@
     normalized(left) == normalized(right)
 }
 
-/// Checks the versions that edges applied: order, identity and age.
+/// Checks the versions that edges applied: each process applies increasing versions, a version has the same contents
+/// everywhere, and it was not superseded long before.
 pub(super) fn check_applied_configs(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut newest: BTreeMap<(NodeId, u64), u64> = BTreeMap::new();
@@ -128,8 +132,8 @@
                 to: applied.version,
             });
         }
-        let long_ago = applied.at.saturating_sub(bounds.convergence + MAX_DELIVERY_DELAY);
-        let acknowledged = observer.acknowledged_version(long_ago);
+        let known_before = applied.at.saturating_sub(bounds.convergence + MAX_DELIVERY_DELAY);
+        let acknowledged = observer.acknowledged_version(known_before);
         let restored = observer.restorations.get(&applied.edge).is_some_and(|moments| {
             moments.iter().any(|at| (*at..=at + RESTORATION_GRACE).contains(&applied.at))
         });
--- a/simulation/src/invariants/orders.rs
+++ b/simulation/src/invariants/orders.rs
@@ -1,4 +1,4 @@
-//! Invariants of orders to model servers: one lease holder at a time, load rate and capacity.
+//! Invariants of orders to model servers: a single lease holder at a time, the load rate and the capacity.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,11 @@
 use super::{InvariantBounds, Violation, RESTORATION_GRACE};
 use crate::observer::{ObservedOrder, Observer};
 
-/// Loads allowed in a window beyond the rate limit of the weight store.
+/// Number of loads per window that are allowed beyond the rate limit of the weight store.
 const LOAD_RATE_SLACK: f64 = 3.0;
 
-/// Checks fencing tokens and the time between orders of different lease holders, server by server.
+/// Checks, for each server, that fencing tokens increase with each change of the lease holder and that orders of different
+/// holders are at least a lease apart.
 pub(super) fn check_orders(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut last: BTreeMap<&ServerId, &ObservedOrder> = BTreeMap::new();
@@ -34,7 +35,7 @@
     violations
 }
 
-/// Checks the load rate of the weight store and the capacity of servers.
+/// Checks the rate of loads from the weight store, and that no order exceeded the capacity of a server.
 pub(super) fn check_loads(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let window_s = bounds.origin_window as f64 / 1_000.0;
--- a/simulation/src/invariants/requests.rs
+++ b/simulation/src/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Invariants of clients' requests: draining servers, repeated execution, retries and responses.
+//! Invariants of clients' requests: no request to a drained server, no repeated execution, bounded retries, valid responses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,8 @@
 use crate::fixtures;
 use crate::observer::{AttemptSent, ClientRequest, ObservedRequest, Observer};
 
-/// Checks that drained servers get no requests from edges with quorum contact.
+/// Checks that edges with quorum contact send no requests to a server after `drainMs` from the acknowledgement of its draining.
+/// Only attempts that reach this server count, not those to another server at its address.
 pub(super) fn check_drained_servers(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     for drained in observer.acknowledged_drains.iter().filter(|drained| drained.has_quorum_contact) {
@@ -26,14 +27,14 @@
     violations
 }
 
-/// Whether an attempt reached the server that it was meant for.
+/// Whether an attempt reached the server that it was addressed to.
 fn reached_server(observer: &Observer, attempt: &AttemptSent) -> bool {
     let Some(request) = observer.requests.get(&attempt.request) else { return false };
     let ran = request.executions.iter().any(|(at, server)| *server == attempt.server && *at >= attempt.at);
-    let rejections = |(at, server, status): &(Millis, ServerId, u16)| {
+    let is_rejection = |(at, server, status): &(Millis, ServerId, u16)| {
         *server == attempt.server && *at >= attempt.at && *status != 421
     };
-    ran || request.rejections.iter().any(rejections)
+    ran || request.rejections.iter().any(is_rejection)
 }
 
 /// Checks executions, attempts and responses of each request.
@@ -43,7 +44,7 @@
         if request.non_idempotent && request.executions.len() > 1 {
             violations.push(Violation::ExecutedTwice { request: *number });
         }
-        // All attempts but one must have been rejected, or not have been written.
+        // At most one of the written attempts may lack a rejection.
         let possibly_executed = request.written.len().saturating_sub(request.rejections.len());
         if request.non_idempotent && possibly_executed > 1 {
             violations.push(Violation::UnsafeRetry { request: *number });
@@ -68,7 +69,7 @@
     violations
 }
 
-/// The service that a client's request was meant for, whether it got there or not.
+/// The service that a client's request was addressed to, also if it was never sent there.
 fn target_service(request: &ObservedRequest) -> Option<&str> {
     let written = request.written.first().map(|(_, service)| service.as_str());
     let by_request = match &request.client_request {
@@ -79,7 +80,8 @@
     written.or(by_request)
 }
 
-/// Arrivals beyond the first of each request, by service and window, against the requests that clients sent for it.
+/// Checks the retry budget: for each service and window, attempts after the first of each request against the requests that
+/// clients sent to this service.
 pub(super) fn check_retries(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut retries: BTreeMap<&str, Vec<Millis>> = BTreeMap::new();
     let mut requests: BTreeMap<&str, Vec<Millis>> = BTreeMap::new();
--- a/simulation/src/invariants/violation.rs
+++ b/simulation/src/invariants/violation.rs
@@ -1,4 +1,4 @@
-//! The violations that the invariants can report.
+//! The violations that the checks of the invariants report.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 /// A violated invariant, with the observations that show it. Times are virtual time in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// Two changes on one base version were both acknowledged.
+    /// Two changes of one base version were both acknowledged.
     ConflictingAcknowledgements {
         /// The version that both are based on.
         base: u64,
@@ -21,8 +21,8 @@
         /// The rejected change.
         change: u64,
     },
-    /// A change was rejected in favour of a version that can't be current: its own base, or one older than a version that
-    /// had been acknowledged or read before.
+    /// A conflict response named a version as current that cannot be: the base of the rejected change, or one that is older
+    /// than a version acknowledged or read before.
     FalseConflict {
         /// The rejected change.
         change: u64,
@@ -38,7 +38,7 @@
         /// The rejected change.
         change: u64,
     },
-    /// A later change was not based on an acknowledged one.
+    /// An acknowledged change was overwritten by a later one that was based on an older version.
     LostChange {
         /// The acknowledged change.
         change: u64,
@@ -73,8 +73,8 @@
         /// The version after.
         to: u64,
     },
-    /// An edge applied a configuration that had long been superseded, with or without quorum contact: a coordinator
-    /// served it that could not know whether it was current.
+    /// An edge, with or without quorum contact, applied a configuration that had been superseded for longer than the bound. A
+    /// coordinator served it although it could not know whether it was current.
     SupersededConfigApplied {
         /// The edge that applied it.
         edge: NodeId,
@@ -94,8 +94,8 @@
         /// The edge that sent it.
         edge: NodeId,
     },
-    /// An edge with quorum contact handled a request by a version that had been superseded more than `convergenceMs`
-    /// before.
+    /// An edge with quorum contact handled a request with a version that had been superseded more than `convergenceMs`
+    /// earlier.
     StaleConfigInUse {
         /// The request's number.
         request: u64,
@@ -127,11 +127,11 @@
         /// The number of retries that the budget allows.
         allowed: f64,
     },
-    /// A call or a draining had no acknowledgement in time although there was no fault.
+    /// A call or a draining was not acknowledged in time although no fault was in effect.
     AcknowledgementOverdue {
         /// When it was overdue.
         at: Millis,
-        /// The call or the server that waits.
+        /// The call or the server that waits for its acknowledgement.
         description: String,
     },
     /// A request that is not idempotent was executed twice.
@@ -144,19 +144,19 @@
         /// The request's number.
         request: u64,
     },
-    /// A request got a status which says that it was not executed, and was executed.
+    /// A request was executed although its client got a status that guarantees the opposite.
     ExecutedAfterRejection {
         /// The request's number.
         request: u64,
     },
-    /// A fencing token decreased, or two lease holders have the same one.
+    /// A fencing token decreased, or two lease holders used the same one.
     FencingTokenRegression {
         /// The earlier order.
         before: ObservedOrder,
         /// The later order.
         after: ObservedOrder,
     },
-    /// Two lease holders ordered less than a lease apart.
+    /// Orders of two lease holders are less than a lease apart.
     LeaseOverlap {
         /// The earlier order.
         before: ObservedOrder,
@@ -170,7 +170,7 @@
         /// The number of loads in the window.
         loads: usize,
     },
-    /// An order made a server load more than its memory or adapter capacity.
+    /// An order made a server exceed its memory or adapter capacity.
     CapacityExceeded {
         /// When the server accepted the order.
         at: Millis,
--- a/simulation/src/observer/observations.rs
+++ b/simulation/src/observer/observations.rs
@@ -1,4 +1,4 @@
-//! What an observer records: requests, attempts, orders and configuration changes, as their clients and servers see them.
+//! The entries of an observer's record: requests, attempts, orders and configuration changes as clients and servers see them.
 //! Times are virtual time in milliseconds.
 
 use serde_json::Value;
@@ -19,7 +19,7 @@
     pub deadline_ms: Option<Millis>,
 }
 
-/// A request, from the point of view of its client and of the servers.
+/// A request and everything that its client and the servers have seen of it.
 #[derive(Clone, Debug)]
 pub struct ObservedRequest {
     /// When it arrived at the edge.
@@ -28,7 +28,7 @@
     pub edge: NodeId,
     /// Its headers and path.
     pub client_request: ClientRequest,
-    /// Whether its route is not idempotent, so that it may be executed once only.
+    /// Whether its route is not idempotent, so that it may be executed at most once.
     pub non_idempotent: bool,
     /// Attempts of the edge: time and server.
     pub attempts: Vec<(Millis, ServerId)>,
@@ -36,7 +36,7 @@
     pub version: u64,
     /// Whether the edge had quorum contact.
     pub has_quorum_contact: bool,
-    /// Attempts that were written to a connection, with the service; those whose connection was refused are taken out.
+    /// Attempts that were written to a connection: time and service. Those whose connection was refused are removed.
     pub written: Vec<(Millis, String)>,
     /// Rejections by servers: time, server and status.
     pub rejections: Vec<(Millis, ServerId, u16)>,
@@ -53,7 +53,7 @@
     pub edge: NodeId,
     /// The version that the edge had applied; 0 for none.
     pub version: u64,
-    /// Whether it has quorum contact.
+    /// Whether the edge has quorum contact.
     pub has_quorum_contact: bool,
 }
 
@@ -74,7 +74,7 @@
     pub has_quorum_contact: bool,
 }
 
-/// An order as a server saw it.
+/// An order as its server received it.
 #[derive(Clone, Debug)]
 pub struct ObservedOrder {
     /// When the server answered it.
@@ -83,7 +83,7 @@
     pub server: ServerId,
     /// The machine that sent it.
     pub from: NodeId,
-    /// What the order asks for, for messages of failed tests.
+    /// What the order asks for, for failure messages.
     pub description: String,
     /// The `leaseHolder` that the order names.
     pub lease_holder: String,
@@ -93,7 +93,7 @@
     pub status: u16,
 }
 
-/// A `draining` that was acknowledged.
+/// A draining that a coordinator acknowledged.
 #[derive(Clone, Debug)]
 pub struct AcknowledgedDrain {
     /// When the server received the acknowledgement.
@@ -113,15 +113,15 @@
     pub at: Millis,
     /// The edge that applied it.
     pub edge: NodeId,
-    /// The incarnation of its process.
+    /// The incarnation of the edge's process.
     pub incarnation: Incarnation,
     /// The version of the configuration.
     pub version: u64,
-    /// The change that its marker route names.
+    /// The number of the change that the marker route of the configuration names; `None` if there is no such route.
     pub change: Option<u64>,
 }
 
-/// The outcome of a change.
+/// The outcome of a change as a response states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 pub enum Outcome {
     /// Status 200: the change is applied.
@@ -135,7 +135,7 @@
     Invalid,
 }
 
-/// A change that the operator has sent.
+/// A change that the operator has created, and the responses to it.
 #[derive(Clone, Debug)]
 pub struct SentChange {
     /// The version that it is based on, its `Base-Version` header.
@@ -144,19 +144,19 @@
     pub version: u64,
     /// The changed configuration.
     pub document: Value,
-    /// The outcomes of its calls: time and outcome.
+    /// The outcomes that responses stated: time and outcome.
     pub outcomes: Vec<(Millis, Outcome)>,
 }
 
 impl SentChange {
-    /// When it was first acknowledged.
+    /// When it was first acknowledged; `None` if it was not.
     pub fn acknowledged_at(&self) -> Option<Millis> {
         let mut outcomes = self.outcomes.iter();
         outcomes.find(|(_, outcome)| *outcome == Outcome::Acknowledged).map(|(at, _)| *at)
     }
 }
 
-/// A change that was rejected because another version is current.
+/// A response that rejected a change because another version is current.
 #[derive(Clone, Debug)]
 pub struct ConflictResponse {
     /// The rejected change.
@@ -172,7 +172,7 @@
 /// A configuration that the operator read.
 #[derive(Clone, Debug)]
 pub struct ConfigRead {
-    /// The operator's call.
+    /// The identifier of the operator's call.
     pub call: u64,
     /// When the first attempt of the call was sent.
     pub started_at: Millis,
@@ -182,7 +182,7 @@
     pub document: Value,
 }
 
-/// Orders are equal if one server answered them at one time under one token.
+/// Compares the time, the server and the fencing token only, which identify an order.
 impl PartialEq for ObservedOrder {
     fn eq(&self, other: &Self) -> bool {
         (self.at, &self.server, self.fencing_token) == (other.at, &other.server, other.fencing_token)
