--- a/simulation/src/coordinator.rs
+++ b/simulation/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator's simulated process: the production core, whose actions are executed as the driver does.
+//! The simulated process of a coordinator. It executes the actions of the production core as the production driver does.
 
 use std::collections::BTreeMap;
 
@@ -16,18 +16,18 @@
 use crate::message::{decode, Call, CallNumber, Message, Response};
 use crate::world::{Timer, World};
 
-/// Start of the clock that events carry, as in the driver, in milliseconds.
+/// Value of the clock of events at the start of the process, in milliseconds; as in the driver.
 const CLOCK_START: Millis = 1_000_000;
-/// Interval of the core's ticks, as in the driver, in milliseconds.
+/// Interval of the core's ticks, in milliseconds; as in the driver.
 const TICK_INTERVAL: Millis = 50;
-/// Time-out of a connection for an order, as in the driver, in milliseconds.
+/// Time-out of a connection for an order, in milliseconds; as in the driver.
 const ORDER_CONNECT_TIMEOUT: Millis = 400;
-/// Time-out of a server's response, as in the driver, in milliseconds.
+/// Time-out of a server's response, in milliseconds; as in the driver.
 const RESPONSE_TIMEOUT: Millis = 1_500;
 /// Time to establish a connection, in milliseconds.
 const CONNECT_LATENCY: std::ops::RangeInclusive<Millis> = 1..=6;
 
-/// The caller that waits for a response.
+/// The machine that waits for the response to a call, and the number of the call.
 #[derive(Clone, Copy, Debug)]
 struct Caller {
     node: NodeId,
@@ -40,28 +40,30 @@
     server: ServerId,
     address: NodeId,
     body: Order,
-    /// The call that carries it; `None` until the connection is up.
+    /// The call that carries it; `None` until the connection is established.
     number: Option<CallNumber>,
 }
 
-/// Where a process crashes in the middle of its work.
+/// A point in the middle of its work at which a process crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Between two actions of the core, after this many more actions.
+    /// Before an action of the core, after this many further actions.
     BeforeAction(u32),
-    /// Between the sync of a write and the event that reports it to the core, after this many more writes.
+    /// After the sync of a write and before the core is notified of it, after this many further writes.
     AfterPersist(u32),
 }
 
-/// A coordinator's simulated process: the production state machine, its journal and its calls in flight.
+/// The simulated process of a coordinator: the production state machine, the journal and the calls in flight.
 pub struct CoordinatorProcess {
     node: NodeId,
     core: CoordinatorCore,
     started: Millis,
     writer: JournalWriter,
+    /// Callers that wait for a response.
     callers: BTreeMap<CallId, Caller>,
     next_call: u64,
     orders: BTreeMap<OrderId, InFlightOrder>,
+    /// Servers whose reports were requested, by call.
     reports: BTreeMap<CallNumber, ServerId>,
     shutdown_requested_at: Option<Millis>,
     crash_point: Option<CrashPoint>,
@@ -69,10 +71,10 @@
 }
 
 impl CoordinatorProcess {
-    /// Starts a process from the journal on its disk.
+    /// Starts a process with the state that the journal on its disk holds.
     ///
     /// # Errors
-    /// The journal can't be opened at present; a later attempt may succeed.
+    /// The journal cannot be opened now; a later attempt may succeed.
     pub fn start(settings: &Settings, world: &mut World, disk: &MachineDisk) -> Result<Self, StorageError> {
         let OpenedDisk { writer, stored, was_erased } = disk.open()?;
         let incarnation = Incarnation(world.random_range(1..=u64::MAX));
@@ -95,39 +97,39 @@
             crashed: false,
         };
         coordinator.handle_event(world, disk, Event::Persisted { ticket: 0, wants_checkpoint });
-        world.wake(coordinator.node, world.now, Timer::Tick);
+        world.set_timer(coordinator.node, world.now, Timer::Tick);
         Ok(coordinator)
     }
 
-    /// The production state machine, for tests that look for the cause of an observation.
+    /// The production state machine. Invariants must not depend on its state.
     pub fn core(&self) -> &CoordinatorCore {
         &self.core
     }
 
-    /// Whether an order waits for its connection, over which nothing was written yet.
+    /// Whether an order waits for its connection, so that nothing of it has been written.
     pub fn has_unsent_orders(&self) -> bool {
         self.orders.values().any(|in_flight| in_flight.number.is_none())
     }
 
-    /// Sets the point of its work at which the process crashes.
+    /// Sets the point at which the process crashes.
     pub fn set_crash_point(&mut self, point: CrashPoint) {
         self.crash_point = Some(point);
     }
 
-    /// Whether the process has reached its crash point; it handles nothing any more.
+    /// Whether the process has reached its crash point. It then handles no further events.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// Begins a graceful shutdown (SIGTERM): all callers that wait are failed.
+    /// Begins a graceful shutdown (SIGTERM). The connections of all waiting callers are closed.
     pub fn stop(&mut self, world: &mut World, disk: &MachineDisk) {
         self.shutdown_requested_at = Some(world.now);
         self.handle_event(world, disk, Event::ShutdownRequested);
         self.fail_callers(world);
     }
 
-    /// Whether the process may end that was told to.
-    pub fn may_end(&self, world: &World) -> bool {
+    /// Whether the process may exit: the core allows it, or no shutdown was requested.
+    pub fn may_exit(&self, world: &World) -> bool {
         self.shutdown_requested_at.is_none_or(|at| self.core.may_exit(world.now.saturating_sub(at)))
     }
 
@@ -138,13 +140,13 @@
         }
     }
 
-    /// Ends the process abruptly: its connections are reset, and its disk keeps what was synced.
+    /// Ends the process abruptly: its connections are reset, and the disk keeps at least all synced records.
     pub fn kill(mut self, world: &mut World, disk: &MachineDisk) {
         self.fail_callers(world);
         self.writer.abandon(disk, &mut world.rng);
     }
 
-    /// Cuts the power: unsynced records may be lost.
+    /// Cuts the power of the machine: unsynced records may be lost.
     pub fn lose_power(self, world: &mut World, disk: &MachineDisk) {
         self.writer.lose_power(disk, &mut world.rng);
     }
@@ -173,16 +175,16 @@
             Message::ConnectionFailed { number, accepted } => {
                 self.connection_failed(world, disk, number, accepted)
             }
-            // Edges exchange these among themselves only.
+            // Only edges exchange load reports.
             Message::LoadReport(_) => {}
         }
     }
 
     /// Handles a timer that has expired.
-    pub fn wake(&mut self, world: &mut World, disk: &MachineDisk, timer: Timer) {
+    pub fn handle_timer(&mut self, world: &mut World, disk: &MachineDisk, timer: Timer) {
         match timer {
             Timer::Tick => {
-                world.wake(self.node, world.now + TICK_INTERVAL, Timer::Tick);
+                world.set_timer(self.node, world.now + TICK_INTERVAL, Timer::Tick);
                 self.handle_event(world, disk, Event::Tick);
                 if self.writer.is_degraded(world.now) {
                     self.handle_event(world, disk, Event::DiskDegraded { wants_checkpoint: false });
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Counts an action; whether the process crashes before executing it.
+    /// Counts an action; returns whether the process crashes before it.
     fn reaches_action_crash(&mut self) -> bool {
         if let Some(CrashPoint::BeforeAction(left)) = &mut self.crash_point {
             self.crashed = *left == 0;
@@ -228,7 +230,7 @@
         self.crashed
     }
 
-    /// Counts a synced write; whether the process crashes before the core learns of it.
+    /// Counts a synced write; returns whether the process crashes before the core is notified of it.
     fn reaches_persist_crash(&mut self) -> bool {
         if let Some(CrashPoint::AfterPersist(left)) = &mut self.crash_point {
             self.crashed = *left == 0;
@@ -240,43 +242,43 @@
     fn execute(&mut self, world: &mut World, disk: &MachineDisk, action: Action) {
         match action {
             Action::Send { to, message } => {
-                assert_ne!(to, self.node, "a coordinator sends itself {message:?}");
+                assert_ne!(to, self.node, "a coordinator sends a message to itself: {message:?}");
                 world.send(self.node, to, Message::Coordinator(frame::encode(&message)));
             }
             Action::Persist { ticket, records } => {
                 let done = self.writer.append(world.now, disk, ticket, records, &mut world.rng);
-                self.wake_for_disk(world, done);
+                self.schedule_disk_io(world, done);
             }
             Action::Checkpoint { live } => {
                 let done = self.writer.checkpoint(world.now, disk, live, &mut world.rng);
-                self.wake_for_disk(world, done);
+                self.schedule_disk_io(world, done);
             }
-            Action::RespondToServer { call, accepted: taken } => {
-                self.respond(world, call, Response::Server(taken))
+            Action::RespondToServer { call, accepted } => {
+                self.respond(world, call, Response::Server(accepted))
             }
             Action::RespondToOperator { call, response } => {
                 self.respond(world, call, Response::Operator(response))
             }
-            Action::RespondToPoll { call, response: reply } => {
-                self.respond(world, call, Response::Poll(frame::encode(&*reply)));
+            Action::RespondToPoll { call, response } => {
+                self.respond(world, call, Response::Poll(frame::encode(&*response)));
             }
             Action::SendOrder { order, server, address, body } => {
                 self.start_order(world, order, server, &address, body);
             }
             Action::FetchReport { server, address } => self.fetch_report(world, server, &address),
-            Action::LogStateChange(note) => world.observer.state_changed(world.now, self.node, note),
+            Action::LogStateChange(change) => world.observer.state_changed(world.now, self.node, change),
         }
     }
 
-    fn wake_for_disk(&self, world: &mut World, done: Option<Millis>) {
+    fn schedule_disk_io(&self, world: &mut World, done: Option<Millis>) {
         if let Some(done) = done {
-            world.wake(self.node, done, Timer::DiskIo);
+            world.set_timer(self.node, done, Timer::DiskIo);
         }
     }
 
     fn complete_disk_io(&mut self, world: &mut World, disk: &MachineDisk) {
         let (reports, again) = self.writer.complete_io(world.now, disk, &mut world.rng);
-        self.wake_for_disk(world, again);
+        self.schedule_disk_io(world, again);
         for report in reports {
             let event = match report {
                 DiskReport::Done { .. } if self.reaches_persist_crash() => return,
@@ -289,7 +291,7 @@
         }
     }
 
-    // ---- Calls that come in ----------------------------------------------------------------------------
+    // ---- Incoming calls --------------------------------------------------------------------------------
 
     fn handle_call(&mut self, world: &mut World, disk: &MachineDisk, caller: Caller, call: Call) {
         let id = CallId(self.next_call);
@@ -301,8 +303,8 @@
                 Event::Poll { call: id, edge, request }
             }
             Call::Heartbeat { id: server, body } => {
-                assert!(body.len() <= MAX_HEARTBEAT_BYTES, "the model server says too much");
-                let heartbeat: Heartbeat = sonic_rs::from_slice(&body).expect("a heartbeat is read");
+                assert!(body.len() <= MAX_HEARTBEAT_BYTES, "heartbeat body exceeds MAX_HEARTBEAT_BYTES");
+                let heartbeat: Heartbeat = sonic_rs::from_slice(&body).expect("heartbeat body is valid JSON");
                 Event::Heartbeat { call: id, id: server, heartbeat }
             }
             Call::Deregister { id: server } => Event::Deregister { call: id, id: server },
@@ -338,25 +340,26 @@
         body: Order,
     ) {
         let address = server_node(address);
-        let up = world.network.can_connect(self.node, address);
-        let takes = if up { world.random_range(CONNECT_LATENCY) } else { ORDER_CONNECT_TIMEOUT };
+        let can_connect = world.network.can_connect(self.node, address);
+        let connect_time =
+            if can_connect { world.random_range(CONNECT_LATENCY) } else { ORDER_CONNECT_TIMEOUT };
         self.orders.insert(order, InFlightOrder { server, address, body, number: None });
-        world.wake(self.node, world.now + takes, Timer::OrderConnected(order));
+        world.set_timer(self.node, world.now + connect_time, Timer::OrderConnected(order));
     }
 
     fn send_order(&mut self, world: &mut World, disk: &MachineDisk, order: OrderId) {
         let now = self.clock(world);
         let Some(in_flight) = self.orders.get_mut(&order) else { return };
-        let up = world.network.can_connect(self.node, in_flight.address);
-        if !up || !self.core.may_write(now, order) {
+        let can_connect = world.network.can_connect(self.node, in_flight.address);
+        if !can_connect || !self.core.may_write(now, order) {
             return self.complete_order(world, disk, order, OrderOutcome::NotSent);
         }
         let number = world.next_id();
         in_flight.number = Some(number);
-        let body = sonic_rs::to_vec(&in_flight.body).expect("an order is written");
+        let body = sonic_rs::to_vec(&in_flight.body).expect("order serializes to JSON");
         let call = Call::Order { expected: in_flight.server.clone(), body };
         world.send(self.node, in_flight.address, Message::Call { number, call });
-        world.wake(self.node, world.now + RESPONSE_TIMEOUT, Timer::OrderTimeout(order));
+        world.set_timer(self.node, world.now + RESPONSE_TIMEOUT, Timer::OrderTimeout(order));
     }
 
     fn complete_order(
@@ -376,7 +379,7 @@
         self.reports.insert(number, server.clone());
         let call = Call::Report { expected: server };
         world.send(self.node, server_node(address), Message::Call { number, call });
-        world.wake(self.node, world.now + RESPONSE_TIMEOUT, Timer::ReportTimeout(number));
+        world.set_timer(self.node, world.now + RESPONSE_TIMEOUT, Timer::ReportTimeout(number));
     }
 
     fn handle_response(
@@ -424,7 +427,7 @@
     }
 }
 
-/// Maps a server's status to an outcome, as the driver does.
+/// Maps the status of a server's response to the outcome of an order, as the driver does.
 fn order_outcome(status: u16) -> OrderOutcome {
     match status {
         202 => OrderOutcome::Accepted,
--- a/simulation/src/disk.rs
+++ b/simulation/src/disk.rs
@@ -1,7 +1,7 @@
-//! A coordinator's journal on a disk in memory, which may be slow, stall, fill up or lose power.
+//! A coordinator's journal on an in-memory disk, which may be slow, stall, fail, fill up or lose power.
 //!
-//! [`JournalWriter`] stands in for the driver's journal thread: appends are synced in batches, failed ones are retried with
-//! backoff, and a full ring waits for a checkpoint.
+//! [`JournalWriter`] stands in for the driver's journal thread: appends are synced in batches, failed syncs are retried with
+//! backoff, and appends to a full ring wait for a checkpoint.
 
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
@@ -12,28 +12,28 @@
 use shaletrail_storage::fault_injection::{Faults, MemoryDisk};
 use shaletrail_storage::{erase, Journal, OpenedJournal, Options, StorageError, StoredRecord};
 
-/// How long a record may be unsynced before the disk counts as degraded, as in the driver, in milliseconds.
+/// How long a record may be unsynced before the disk counts as degraded, in milliseconds; as in the driver.
 const DEGRADED_AFTER: Millis = 400;
-/// Backoff after the first failed I/O, in milliseconds; doubled with each further failure.
+/// Backoff after the first failed I/O, in milliseconds; doubled with each further consecutive failure.
 const INITIAL_BACKOFF: Millis = 20;
 /// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF: Millis = 500;
-/// Interval at which a stalled disk is tried again, in milliseconds.
+/// Interval of retries on a stalled disk, in milliseconds.
 const STALL_RETRY_INTERVAL: Millis = 20;
-/// Most disk calls that still succeed before the power is lost.
+/// Upper bound of the disk calls that still succeed before a power loss takes effect.
 const MAX_CALLS_BEFORE_POWER_LOSS: u64 = 6;
 
-/// A coordinator machine's disk, which outlives its processes.
+/// The disk of a coordinator's machine, which outlives its processes.
 pub struct MachineDisk {
     memory: MemoryDisk,
-    /// Latency of a write with its sync, in milliseconds.
+    /// Latency of a write and its sync, in milliseconds.
     pub latency: RangeInclusive<Millis>,
     /// Whether disk calls hang.
     pub stalled: bool,
 }
 
 impl MachineDisk {
-    /// Creates an empty disk with this latency, in milliseconds.
+    /// Creates an empty disk; `latency` is that of a write and its sync, in milliseconds.
     pub fn new(seed: u64, latency: RangeInclusive<Millis>) -> Self {
         MachineDisk { memory: MemoryDisk::new(seed), latency, stalled: false }
     }
@@ -43,12 +43,12 @@
         self.memory.set_faults(faults);
     }
 
-    /// Loses all its contents.
+    /// Erases the contents, as if the disk were replaced.
     pub fn erase(&self) {
         self.memory.wipe();
     }
 
-    /// Opens the journal; a corrupt one is erased, as the driver does.
+    /// Opens the journal. A corrupt one is erased and created anew, as in the driver.
     pub fn open(&self) -> Result<OpenedDisk, StorageError> {
         let options = options();
         let opened = match Journal::open(self.memory.clone(), &options) {
@@ -63,17 +63,17 @@
     }
 }
 
-/// A machine's journal as a process finds it at its start.
+/// A machine's journal as its process opens it at its start.
 pub struct OpenedDisk {
-    /// Writes the journal from now on.
+    /// The writer of the opened journal.
     pub writer: JournalWriter,
     /// The journal's records, oldest first.
     pub stored: Vec<StoredRecord>,
-    /// Whether a journal was ever erased there.
+    /// Whether a journal on this disk was ever erased.
     pub was_erased: bool,
 }
 
-/// Small files, so that checkpoints come often.
+/// Options with small files, so that checkpoints are frequent.
 fn options() -> Options {
     Options { file_bytes: 64 << 10, initial_files: 6, max_files: 24, max_record_bytes: 512 << 10 }
 }
@@ -86,9 +86,9 @@
 /// The result of an I/O operation of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskReport {
-    /// All records up to a ticket are synced.
+    /// All records up to the one with this ticket are synced.
     Done {
-        /// The ticket.
+        /// The ticket of the newest synced record.
         ticket: u64,
         /// Whether a checkpoint is wanted.
         wants_checkpoint: bool,
@@ -104,12 +104,13 @@
 pub struct JournalWriter {
     journal: Journal<MemoryDisk>,
     queue: VecDeque<Command>,
-    /// The newest ticket that is not synced, and since when the oldest one waits.
+    /// The newest unsynced ticket, and since when the oldest unsynced record has waited.
     unsynced: Option<(u64, Millis)>,
     /// Appends fail until a checkpoint frees space.
     ring_full: bool,
     checkpointing: bool,
     backoff: Millis,
+    /// Whether an I/O operation is in flight.
     busy: bool,
 }
 
@@ -141,7 +142,7 @@
         oldest.is_some_and(|since| now.saturating_sub(since) > DEGRADED_AFTER)
     }
 
-    /// Queues records; returns when the disk has completed I/O, if it was idle.
+    /// Queues records. If the disk was idle, starts I/O and returns when it completes.
     pub fn append(
         &mut self,
         now: Millis,
@@ -154,7 +155,7 @@
         self.start_io(now, disk, rng)
     }
 
-    /// Queues a checkpoint unless one is in flight; returns when the disk has completed I/O, if it was idle.
+    /// Queues a checkpoint unless one is queued already. If the disk was idle, starts I/O and returns when it completes.
     pub fn checkpoint(
         &mut self,
         now: Millis,
@@ -178,7 +179,7 @@
         Some(now + rng.random_range(disk.latency.clone()))
     }
 
-    /// Completes the I/O in flight; returns its results and when the next I/O completes.
+    /// Completes the I/O in flight. Returns its results, and when the next I/O completes if there is more to do.
     pub fn complete_io(
         &mut self,
         now: Millis,
@@ -238,12 +239,12 @@
         }
     }
 
-    /// Passes all queued appends up to the next checkpoint to the journal.
+    /// Passes all queued appends before the next checkpoint to the journal.
     fn append_queued(&mut self) {
         while let Some(Command::Append { .. }) = self.queue.front() {
             let Some(Command::Append { ticket, since, records }) = self.queue.pop_front() else { return };
             for (stream, bytes) in records {
-                self.journal.append(stream, bytes).expect("records of the tests are short");
+                self.journal.append(stream, bytes).expect("record is within max_record_bytes");
             }
             let since = self.unsynced.map_or(since, |(_, oldest)| oldest);
             self.unsynced = Some((ticket, since));
@@ -256,16 +257,16 @@
         }
     }
 
-    /// Ends the process: queued records may have reached the disk or not.
+    /// Ends the process. Queued records reach the disk or are lost, at random.
     pub fn abandon(mut self, disk: &MachineDisk, rng: &mut Pcg64) {
         if !disk.stalled && rng.random() {
             self.append_queued();
-            // The process has ended: nobody waits for the result.
+            // The process has ended, so the result is not needed.
             let _ = self.journal.sync();
         }
     }
 
-    /// Cuts the power, perhaps in the middle of a write.
+    /// Cuts the power, possibly in the middle of a write.
     pub fn lose_power(mut self, disk: &MachineDisk, rng: &mut Pcg64) {
         disk.memory.lose_power_after(rng.random_range(0..=MAX_CALLS_BEFORE_POWER_LOSS));
         self.flush_if_not_stalled(disk);
@@ -281,7 +282,7 @@
 }
 
 impl MachineDisk {
-    /// Cuts the power while no process uses the disk.
+    /// Cuts the power of a disk that no process uses.
     pub fn lose_power(&self) {
         self.memory.power_cycle();
     }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -1,4 +1,5 @@
-//! An edge's simulated process: the production router, and polls of coordinators as the production poller makes them.
+//! The simulated process of an edge. It executes the actions of the production router, and polls coordinators as the
+//! production poller does.
 
 mod requests;
 
@@ -24,18 +25,18 @@
 use crate::message::{decode, Call, CallNumber, Message, Response};
 use crate::world::{Timer, World};
 
-/// Time-out of a connection to a coordinator, as in the poller, in milliseconds.
+/// Time-out of a connection to a coordinator, in milliseconds; as in the poller.
 const CONNECT_TIMEOUT: Millis = 300;
-/// Least time between the starts of two successful polls, as in the poller, in milliseconds.
+/// Least time from the start of a successful poll to the next one, in milliseconds; as in the poller.
 const MIN_POLL_SPACING: Millis = 20;
-/// Least time between two reports, as in the poller, in milliseconds.
+/// Least time between two regular reports, in milliseconds; as in the poller.
 const REPORT_INTERVAL: Millis = 250;
-/// How long an urgent report waits so that others can be batched with it, as in the poller, in milliseconds.
+/// How long an urgent report is delayed to batch further demand with it, in milliseconds; as in the poller.
 const URGENT_DELAY: Millis = 5;
-/// Backoff after all coordinators have failed, as in the poller, in milliseconds.
+/// Backoff after all coordinators have failed, in milliseconds; as in the poller.
 const POLL_BACKOFF: std::ops::RangeInclusive<u64> = 100..=300;
 
-/// Interval of load reports to the other edges, as in the data plane, in milliseconds.
+/// Interval of load reports to the other edges, in milliseconds; as in the data plane.
 const LOAD_GOSSIP_INTERVAL: Millis = 100;
 
 /// A poll in flight.
@@ -44,11 +45,11 @@
     number: CallNumber,
     coordinator: NodeId,
     started_at: Millis,
-    /// Whether it has been sent; otherwise its connection can't be established.
+    /// Whether it was sent; if not, its connection cannot be established and it will time out.
     sent: bool,
 }
 
-/// An edge's simulated process: the production router, its polls and its requests in flight.
+/// The simulated process of an edge: the production router, the poll and the requests in flight.
 pub struct Edge {
     identity: EdgeIdentity,
     pub(crate) router: Router,
@@ -57,28 +58,32 @@
     started: Millis,
     poll_timeouts: PollTimeouts,
     coordinators: CoordinatorSelector,
+    /// The coordinator of the last successful poll, whose connection is still open.
     connected: Option<NodeId>,
     in_flight_poll: Option<InFlightPoll>,
     cursor: DirectoryCursor,
+    /// Whether the next poll requests the full configuration, as an update could not be applied.
     wants_full_config: bool,
     edge_count: u32,
     edge_list_hash: u64,
     datagrams: LoadDatagramEncoder,
+    /// The report of the next poll; kept until a coordinator has received it.
     demand: Vec<Demand>,
     server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
     urgent_report_pending: bool,
+    /// The earliest pending timer for the router, on the edge's clock.
     router_wake: Option<Millis>,
 }
 
 impl Edge {
-    /// Starts a process without a configuration.
+    /// Starts a process that has no configuration yet and polls immediately.
     pub fn start(settings: &Settings, world: &mut World) -> Self {
         let incarnation = Incarnation(world.random_range(1..=u64::MAX));
         let node = settings.node();
         let seed = world.rng.random();
-        world.wake(node, world.now, Timer::PollNext);
-        world.wake(node, world.now, Timer::LoadGossip);
+        world.set_timer(node, world.now, Timer::PollNext);
+        world.set_timer(node, world.now, Timer::LoadGossip);
         Edge {
             identity: EdgeIdentity { node, incarnation, zone: settings.zone.clone() },
             router: Router::new(Options::within(&settings.bounds), seed),
@@ -102,27 +107,27 @@
         }
     }
 
-    /// The machine's address.
+    /// The address of the machine.
     pub fn node(&self) -> NodeId {
         self.identity.node
     }
 
-    /// The applied configuration.
+    /// The applied configuration; version 0 if there is none.
     pub fn view(&self) -> &Arc<ConfigView> {
         &self.view
     }
 
-    /// The production router, for tests that look for the cause of an observation.
+    /// The production router. Invariants must not depend on its state.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The coordinator of the poll in flight.
+    /// The coordinator of the poll in flight; `None` if there is none.
     pub fn polled_coordinator(&self) -> Option<NodeId> {
         self.in_flight_poll.map(|in_flight_poll| in_flight_poll.coordinator)
     }
 
-    /// Applies the seeds of a changed settings file.
+    /// Applies the seed nodes of a changed settings file.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.coordinators.set_seeds(seeds);
     }
@@ -131,7 +136,7 @@
         world.now.saturating_sub(self.started)
     }
 
-    /// Begins a graceful shutdown (SIGTERM) and notifies the coordinator that it polls.
+    /// Begins a graceful shutdown (SIGTERM) and notifies the coordinator of the poll in flight.
     pub fn stop(&mut self, world: &mut World) {
         self.handle_event(world, Event::ShutdownRequested);
         if let Some(coordinator) = self.polled_coordinator() {
@@ -163,7 +168,7 @@
             }
             Message::LoadReport(datagram) => {
                 let loads: EdgeLoadReport =
-                    bitcode::decode(&datagram).expect("a datagram of an edge is read");
+                    bitcode::decode(&datagram).expect("load report of an edge is valid");
                 self.handle_event(
                     world,
                     Event::PeerLoads { edge: loads.edge, scope: loads.scope, loads: loads.loads },
@@ -180,8 +185,8 @@
         }
     }
 
-    /// Handles a timer that has expired. `seeds` are those that the settings file names now.
-    pub fn wake(&mut self, world: &mut World, timer: Timer, seeds: &[NodeId]) {
+    /// Handles an expired timer. `seeds` are the seed nodes that the settings file names now.
+    pub fn handle_timer(&mut self, world: &mut World, timer: Timer, seeds: &[NodeId]) {
         match timer {
             Timer::PollNext if self.in_flight_poll.is_none() => self.poll(world),
             Timer::PollBackoff if self.in_flight_poll.is_none() => {
@@ -196,7 +201,7 @@
             }
             Timer::LoadGossip => {
                 self.gossip_loads(world);
-                world.wake(self.node(), world.now + LOAD_GOSSIP_INTERVAL, Timer::LoadGossip);
+                world.set_timer(self.node(), world.now + LOAD_GOSSIP_INTERVAL, Timer::LoadGossip);
             }
             Timer::UrgentReport => self.send_urgent_report(world),
             Timer::RouterWake => {
@@ -230,7 +235,7 @@
         self.schedule_router_wake(world);
     }
 
-    /// Sends changed loads to the other edges, in a datagram to each.
+    /// Sends changed loads to other edges, in one datagram each.
     fn gossip_loads(&mut self, world: &mut World) {
         for update in self.router.take_load_updates(self.clock(world)) {
             for datagram in self.datagrams.encode(&update) {
@@ -245,7 +250,7 @@
         let Some(next) = self.router.next_wake() else { return };
         if self.router_wake.is_none_or(|armed| next < armed) {
             self.router_wake = Some(next);
-            world.wake(self.node(), self.started + next, Timer::RouterWake);
+            world.set_timer(self.node(), self.started + next, Timer::RouterWake);
         }
     }
 
@@ -254,7 +259,7 @@
     fn poll(&mut self, world: &mut World) {
         let Some(coordinator) = self.coordinators.choose() else {
             let pause = world.random_range(POLL_BACKOFF);
-            return world.wake(self.node(), world.now + pause, Timer::PollBackoff);
+            return world.set_timer(self.node(), world.now + pause, Timer::PollBackoff);
         };
         self.collect_report(world);
         let number = world.next_id();
@@ -262,13 +267,13 @@
         let sent = known || world.network.can_connect(self.node(), coordinator);
         self.in_flight_poll = Some(InFlightPoll { number, coordinator, started_at: world.now, sent });
         if !sent {
-            return world.wake(self.node(), world.now + CONNECT_TIMEOUT, Timer::PollTimeout(number));
+            return world.set_timer(self.node(), world.now + CONNECT_TIMEOUT, Timer::PollTimeout(number));
         }
         let frame = frame::encode(&EdgeRequest::Poll(self.poll_request()));
         let call = Call::Poll { edge: self.identity.clone(), frame };
         world.send(self.node(), coordinator, Message::Call { number, call });
         let response_timeout = self.poll_timeouts.response_timeout().as_millis() as Millis;
-        world.wake(self.node(), world.now + response_timeout, Timer::PollTimeout(number));
+        world.set_timer(self.node(), world.now + response_timeout, Timer::PollTimeout(number));
         self.schedule_urgent_report(world);
     }
 
@@ -293,19 +298,23 @@
         self.demand.clear();
         self.server_outcomes.clear();
         if response.isolated {
-            // It may know coordinators that the settings don't name.
+            // The isolated coordinator may know coordinators that the settings do not name.
             if self.view.version == 0 {
                 self.coordinators.learn(response.coordinators);
             }
             self.coordinators.record_failure();
-            return world.wake(self.node(), world.now, Timer::PollNext);
+            return world.set_timer(self.node(), world.now, Timer::PollNext);
         }
         self.connected = Some(in_flight_poll.coordinator);
         self.coordinators.record_success();
         let polled_at = in_flight_poll.started_at.saturating_sub(self.started);
         self.handle_event(world, Event::BudgetShareRenewed { polled_at });
         self.apply_response(world, response);
-        world.wake(self.node(), world.now.max(in_flight_poll.started_at + MIN_POLL_SPACING), Timer::PollNext);
+        world.set_timer(
+            self.node(),
+            world.now.max(in_flight_poll.started_at + MIN_POLL_SPACING),
+            Timer::PollNext,
+        );
     }
 
     fn poll_failed(&mut self, world: &mut World) {
@@ -318,10 +327,10 @@
             );
         }
         self.coordinators.record_failure();
-        world.wake(self.node(), world.now, Timer::PollNext);
+        world.set_timer(self.node(), world.now, Timer::PollNext);
     }
 
-    /// Collects a new report when one is due; a report that has not reached a coordinator is resent first.
+    /// Collects a new report if one is due. An earlier report that has not reached a coordinator is resent first.
     fn collect_report(&mut self, world: &World) {
         let now = self.clock(world);
         let is_due = self.reported_at.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
@@ -334,7 +343,7 @@
     fn schedule_urgent_report(&self, world: &mut World) {
         if self.urgent_report_pending && self.in_flight_poll.is_some_and(|in_flight_poll| in_flight_poll.sent)
         {
-            world.wake(self.node(), world.now + URGENT_DELAY, Timer::UrgentReport);
+            world.set_timer(self.node(), world.now + URGENT_DELAY, Timer::UrgentReport);
         }
     }
 
@@ -379,7 +388,7 @@
 
     fn apply_config(&mut self, world: &mut World, update: &ConfigUpdate) {
         if update.version <= self.view.version {
-            // A response of an older coordinator, or the full configuration that is applied already.
+            // A response of a coordinator that lags, or the full configuration when it is already applied.
             self.wants_full_config = false;
             return;
         }
--- a/simulation/src/edge/requests.rs
+++ b/simulation/src/edge/requests.rs
@@ -1,4 +1,5 @@
-//! Clients' requests at an edge: the router's actions become attempts at servers, and their results the router's events.
+//! Clients' requests at an edge: executes the router's actions as attempts at servers, and reports their results to the router
+//! as events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,13 +15,13 @@
 use crate::observer::{AttemptSent, ClientRequest, EdgeState};
 use crate::world::{Timer, World};
 
-/// Time-out of a connection to a server, as in the data plane, in milliseconds.
+/// Time-out of a connection to a server, in milliseconds; as in the data plane.
 const CONNECT_TIMEOUT: Millis = 300;
 /// Status of a request while no configuration is known.
 const UNAVAILABLE: u16 = 503;
 /// Status of a request that no route matches.
 const NOT_FOUND: u16 = 404;
-/// Stands for the status of a response that was aborted.
+/// Recorded in place of the status of a response that was aborted.
 const ABORTED_STATUS: u16 = 0;
 
 /// An attempt that has not ended.
@@ -30,28 +31,28 @@
     attempt: Attempt,
     server: ServerId,
     service: String,
-    /// The server to which it was written; `None` while it is not connected.
+    /// The server to which it was written; `None` until the connection is established.
     written_to: Option<NodeId>,
 }
 
-/// A request without a response.
+/// A request that has no response yet.
 struct OpenRequest {
     client_request: ClientRequest,
-    /// The status of a server's failure that may be forwarded to the client.
+    /// The status of the last attempt if it failed at the server; the router may have it forwarded to the client.
     failure_status: Option<u16>,
 }
 
-/// The clients' requests at an edge and their attempts in flight.
+/// The open requests at an edge and their attempts in flight.
 #[derive(Default)]
 pub(super) struct Requests {
     open: BTreeMap<RequestId, OpenRequest>,
     in_flight: BTreeMap<CallNumber, InFlightAttempt>,
-    /// Servers with a pooled connection.
+    /// Servers to which an idle connection is kept.
     pooled: BTreeSet<ServerId>,
 }
 
 impl Requests {
-    /// Cancels all attempts in flight, as their connections are reset.
+    /// Cancels all attempts in flight when the process ends.
     pub(crate) fn cancel_all(&self, node: NodeId, world: &mut World) {
         for (number, in_flight) in &self.in_flight {
             if let Some(server) = in_flight.written_to {
@@ -62,7 +63,7 @@
 }
 
 impl Edge {
-    /// Handles a client's request whose body has been read completely.
+    /// Handles a client's request after its body was read completely.
     pub fn handle_client_request(&mut self, world: &mut World, number: u64, client_request: ClientRequest) {
         let route = self.view().route(&client_request.host, &client_request.path).cloned();
         let non_idempotent = route.as_ref().is_some_and(|route| route.kind == RouteKind::NonIdempotent);
@@ -93,7 +94,7 @@
     pub(crate) fn execute(&mut self, world: &mut World, action: Action) {
         match action {
             Action::Send { request, attempt, server, address, service, .. } => {
-                let sending = AttemptSent {
+                let attempt_sent = AttemptSent {
                     at: world.now,
                     edge: self.node(),
                     request: request.0,
@@ -105,13 +106,13 @@
                         &world.network,
                     ),
                 };
-                world.observer.attempt_sent(sending);
+                world.observer.attempt_sent(attempt_sent);
                 let in_flight = InFlightAttempt { request, attempt, server, service, written_to: None };
                 self.send(world, in_flight, server_node(&address));
             }
             Action::ForwardFailure(request) => {
                 let failure_status = self.requests.open.get(&request).and_then(|open| open.failure_status);
-                self.complete(world, request, failure_status.expect("a failure that is passed on is held"));
+                self.complete(world, request, failure_status.expect("a forwarded failure has a status"));
             }
             Action::Reject { request, rejection } => self.complete(world, request, rejection.status),
             Action::AbortResponse(request) => self.complete(world, request, ABORTED_STATUS),
@@ -131,7 +132,7 @@
             self.requests.pooled.contains(&in_flight.server) || world.network.can_connect(node, address);
         let (request, attempt) = (in_flight.request, in_flight.attempt);
         if !connected {
-            world.wake(node, world.now + CONNECT_TIMEOUT, Timer::ConnectTimeout(number));
+            world.set_timer(node, world.now + CONNECT_TIMEOUT, Timer::ConnectTimeout(number));
             self.requests.in_flight.insert(number, in_flight);
             return;
         }
@@ -218,7 +219,7 @@
         self.handle_event(world, Event::AttemptEnded(in_flight.request, in_flight.attempt, outcome));
     }
 
-    /// Completes a request with the status that its client gets.
+    /// Completes a request with the status that its client receives.
     fn complete(&mut self, world: &mut World, request: RequestId, status: u16) {
         if self.requests.open.remove(&request).is_some() {
             world.observer.request_answered(world.now, request.0, status);
--- a/simulation/src/fleet.rs
+++ b/simulation/src/fleet.rs
@@ -1,7 +1,6 @@
-//! The machines of a system: coordinators, edges and model servers, started from one set of options.
+//! A fleet: the coordinators, edges and model servers of one simulated system, with their options and their start.
 //!
-//! The other parts of [`Fleet`] are the event loop, membership, the operator's and clients' calls, faults, and the report of
-//! a failed test.
+//! The submodules add the event loop, membership, calls of the operator and clients, fault injection, and failure reports.
 
 mod clients;
 mod event_loop;
@@ -26,10 +25,10 @@
 use crate::world::{ScheduledEvent, Timer, World};
 use processor_quota::ProcessorQuota;
 
-/// Number of seeds in a settings file.
+/// Number of seed nodes that a settings file names.
 const SEEDS: usize = 3;
-/// Interval of attempts to open a journal, as in the driver, in milliseconds.
-const OPEN_AGAIN: Millis = 100;
+/// Interval between attempts to open a journal, in milliseconds; as in the driver.
+const OPEN_RETRY_INTERVAL: Millis = 100;
 /// `convergenceMs`, in milliseconds.
 pub(crate) const CONVERGENCE: Millis = 2_000;
 /// `retryWindowS`, in milliseconds.
@@ -54,19 +53,19 @@
     pub coordinators: u8,
     /// Number of edges.
     pub edges: u8,
-    /// Servers of the service with models, with the models that each has loaded from its start.
+    /// The models that each server of the service with models has loaded at its start, by number; one entry for each server.
     pub initial_models: Vec<Vec<usize>>,
-    /// Servers of the service without models.
+    /// Number of servers of the service without models.
     pub web_servers: u8,
-    /// Machines that may fail at once (`hostsLost`).
+    /// Number of machines that may fail at once (`hostsLost`).
     pub hosts_lost: u32,
-    /// Time between the orders of two holders (`leaseMs`), in milliseconds.
+    /// Least time between orders of two lease holders, in milliseconds (`leaseMs`).
     pub order_lease: Millis,
-    /// Interval of a server's heartbeats, in milliseconds.
+    /// Interval of a server's heartbeats, in milliseconds (`heartbeatMs`).
     pub heartbeat: Millis,
-    /// Latency of a write with its sync on the coordinators' disks, in milliseconds.
+    /// Latency of a write and its sync on the coordinators' disks, in milliseconds.
     pub disk_latency: RangeInclusive<Millis>,
-    /// The models and the capacity of the servers.
+    /// The models, and the capacity of the servers.
     pub models: Models,
     /// Seed of the random number generator.
     pub seed: u64,
@@ -89,15 +88,15 @@
     }
 }
 
-/// The kinds of processes.
+/// The process of a machine.
 pub(crate) enum Process {
     Coordinator(Box<CoordinatorProcess>),
     Edge(Box<Edge>),
     Server(Box<ModelServer>),
 }
 
-/// An event for a frozen process, to be handled after the thaw.
-pub(crate) enum Deferred {
+/// A message or a timer for a process that is frozen or has spent its quota; handled once it runs again.
+pub(crate) enum DeferredEvent {
     Message(NodeId, Message),
     Timer(Timer),
 }
@@ -108,31 +107,31 @@
     /// The running process; `None` while the machine is down.
     pub(crate) process: Option<Process>,
     /// Messages and timers that arrived while the process is frozen; `None` while it is not.
-    pub(crate) frozen: Option<Vec<Deferred>>,
-    /// `None` for a machine that may always run.
+    pub(crate) frozen: Option<Vec<DeferredEvent>>,
+    /// The quota of processor time; `None` if it is unlimited.
     pub(crate) quota: Option<ProcessorQuota>,
 }
 
-/// All machines of a system, their virtual time and their operator.
+/// All machines of a simulated system, their shared state and their operator.
 pub struct Fleet {
     /// Clock, random number generator, network and observer.
     pub world: World,
-    /// The operator, who writes changes and sends them until they are answered.
+    /// The operator, who creates changes and sends them until they are answered.
     pub operator: Operator,
     pub(crate) options: FleetOptions,
     pub(crate) machines: BTreeMap<NodeId, Machine>,
     pub(crate) disks: BTreeMap<NodeId, MachineDisk>,
     pub(crate) seeds: BTreeMap<NodeId, Vec<NodeId>>,
-    /// Models on the disks of servers' machines, while no process runs there.
+    /// Models on the disks of machines whose model server is not running.
     pub(crate) model_disks: BTreeMap<NodeId, BTreeSet<String>>,
-    /// Coordinators that bootstrap the system: those of the first start that have not been started yet.
+    /// Initial coordinators that have not been started yet. Their settings allow them to bootstrap the system.
     pub(crate) bootstrap: BTreeSet<NodeId>,
-    /// Lists of coordinators, each with the time from which it was in effect.
+    /// All lists of coordinators so far, each with the time from which it is in effect.
     published_lists: Vec<(Millis, Vec<NodeId>)>,
 }
 
 impl Fleet {
-    /// Creates a fleet whose machines have not been started.
+    /// Creates a fleet; no machine is started.
     pub fn new(options: FleetOptions) -> Self {
         let mut fleet = Fleet {
             world: World::new(options.seed),
@@ -159,10 +158,11 @@
         fleet
     }
 
-    /// Starts a fleet and waits until all edges have applied a first configuration and know all servers.
+    /// Creates and starts a fleet, and waits until all edges have applied a first configuration and can route to the servers, and
+    /// until the machines have quorum contact.
     ///
     /// # Panics
-    /// The edges don't get there within the time limits.
+    /// This takes too long.
     pub fn ready(options: FleetOptions) -> Self {
         let mut fleet = Fleet::new(options);
         fleet.start_all();
@@ -170,12 +170,16 @@
         assert!(fleet.run_until(6_000, |fleet| fleet.is_applied_everywhere(first)), "{}", fleet.describe());
         let servers = fleet.servers().len();
         let known = |fleet: &Fleet| fleet.edges_knowing_servers(servers) == fleet.options.edges as usize;
-        assert!(fleet.run_until(6_000, known), "servers are not known\n{}", fleet.describe());
+        assert!(
+            fleet.run_until(6_000, known),
+            "coordinators or edges do not know all servers in time\n{}",
+            fleet.describe()
+        );
         fleet.run(crate::contact::CONTACT_PERIOD);
         fleet
     }
 
-    /// Starts everything for the first time, within 300 ms.
+    /// Starts all coordinators and edges at random times within 300 ms, then the model servers.
     pub fn start_all(&mut self) {
         let coordinators = (0..self.options.coordinators).map(fixtures::coordinator);
         let edges = (0..self.options.edges).map(fixtures::edge);
@@ -187,7 +191,7 @@
         self.start_servers();
     }
 
-    /// Starts the model servers that the fleet begins with.
+    /// Starts the initial model servers.
     pub fn start_servers(&mut self) {
         let initial_models = self.options.initial_models.clone();
         let mut number = 0;
@@ -207,7 +211,7 @@
         self.world.contact.set_coordinator(node, true);
     }
 
-    /// Starts a model server at a machine.
+    /// Starts a model server on a machine; returns the identifier of the new incarnation.
     pub fn start_server(&mut self, node: NodeId, service: &str, initial_models: Vec<usize>) -> ServerId {
         let options = ServerOptions {
             service: service.to_owned(),
@@ -224,7 +228,8 @@
         id
     }
 
-    /// Starts a coordinator's or an edge's process, at a machine where none runs.
+    /// Starts a coordinator's or an edge's process unless one runs on the machine. A coordinator whose journal cannot be opened
+    /// retries later.
     pub fn start(&mut self, node: NodeId) {
         if self.is_running(node) {
             return;
@@ -235,9 +240,11 @@
         let process = match self.disks.get(&node) {
             Some(disk) => match CoordinatorProcess::start(&settings, &mut self.world, disk) {
                 Ok(coordinator) => Process::Coordinator(Box::new(coordinator)),
-                // The journal can't be opened at present: retry.
+                // The journal cannot be opened now: retry later.
                 Err(_) => {
-                    return self.world.schedule_at(self.world.now + OPEN_AGAIN, ScheduledEvent::Start(node))
+                    return self
+                        .world
+                        .schedule_at(self.world.now + OPEN_RETRY_INTERVAL, ScheduledEvent::Start(node))
                 }
             },
             None => Process::Edge(Box::new(Edge::start(&settings, &mut self.world))),
@@ -247,7 +254,7 @@
         self.world.contact.set_running(self.world.now, node, true);
     }
 
-    /// The settings of a machine, parsed from the text of a settings file.
+    /// The settings of a machine, parsed from the text of a settings file as in production.
     fn settings(&self, node: NodeId) -> Settings {
         let seeds = self.seeds.get(&node).cloned().unwrap_or_default();
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("{seed}:8146")).collect();
@@ -266,6 +273,6 @@
             ORIGIN_WINDOW / 1_000,
             RETRY_WINDOW / 1_000,
         );
-        text.parse().expect("the settings are read")
+        text.parse().expect("the settings text is valid")
     }
 }
--- a/simulation/src/fleet/event_loop.rs
+++ b/simulation/src/fleet/event_loop.rs
@@ -1,8 +1,8 @@
-//! Virtual time: scheduled events, and the delivery of messages and timers to processes.
+//! The event loop: advances virtual time from one scheduled event to the next, and delivers messages and timers to processes.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{Deferred, Fleet, Machine, Process};
+use super::{DeferredEvent, Fleet, Machine, Process};
 use crate::coordinator::CoordinatorProcess;
 use crate::fixtures;
 use crate::message::{Call, Message};
@@ -22,13 +22,13 @@
         self.world.now = end;
     }
 
-    /// Advances virtual time until a condition holds; false if it doesn't within `limit`, in milliseconds.
-    pub fn run_until(&mut self, limit: Millis, initial_models: impl Fn(&Fleet) -> bool) -> bool {
+    /// Advances virtual time until a condition holds; false if it does not hold within `limit` milliseconds.
+    pub fn run_until(&mut self, limit: Millis, condition: impl Fn(&Fleet) -> bool) -> bool {
         let end = self.world.now + limit;
-        while !initial_models(self) {
+        while !condition(self) {
             let Some(next) = self.world.next_event_at().filter(|next| *next <= end) else {
                 self.world.now = end;
-                return initial_models(self);
+                return condition(self);
             };
             self.run_to(next);
         }
@@ -48,14 +48,14 @@
             }
             ScheduledEvent::Timer { node, incarnation, timer } => {
                 if self.world.incarnation_of(node) == incarnation {
-                    self.wake(node, timer);
+                    self.handle_timer(node, timer);
                 }
             }
             ScheduledEvent::Start(node) => self.start(node),
             ScheduledEvent::QuotaRenewed(node) => self.renew_quota(node),
-            ScheduledEvent::End { node, incarnation } => {
+            ScheduledEvent::ShutdownCompleted { node, incarnation } => {
                 if self.world.incarnation_of(node) == incarnation {
-                    self.end(node, incarnation);
+                    self.complete_shutdown(node, incarnation);
                 }
             }
         }
@@ -65,11 +65,13 @@
         if to == fixtures::operator() {
             return self.operator.receive(&mut self.world, message);
         }
-        let event = Deferred::Message(from, message);
-        let Some(Deferred::Message(from, message)) = self.defer_if_quota_is_spent(to, event) else { return };
+        let event = DeferredEvent::Message(from, message);
+        let Some(DeferredEvent::Message(from, message)) = self.defer_if_quota_is_spent(to, event) else {
+            return;
+        };
         let machine = self.machines.entry(to).or_default();
         if let Some(deferred) = &mut machine.frozen {
-            return deferred.push(Deferred::Message(from, message));
+            return deferred.push(DeferredEvent::Message(from, message));
         }
         match &mut machine.process {
             Some(Process::Coordinator(coordinator)) => {
@@ -85,7 +87,7 @@
             }
             None => {
                 if let Message::Call { number, call } = message {
-                    // A poll's connection existed before and is reset; other connections are refused.
+                    // The connection of a poll was open and is reset; connections of other calls are refused.
                     let accepted = matches!(call, Call::Poll { .. });
                     self.world.send(to, from, Message::ConnectionFailed { number, accepted });
                 }
@@ -93,42 +95,42 @@
         }
     }
 
-    fn wake(&mut self, node: NodeId, timer: Timer) {
+    fn handle_timer(&mut self, node: NodeId, timer: Timer) {
         if node == fixtures::operator() {
             let coordinators = self.published_coordinators();
-            return self.operator.wake(&mut self.world, timer, &coordinators);
+            return self.operator.handle_timer(&mut self.world, timer, &coordinators);
         }
-        let event = Deferred::Timer(timer);
-        let Some(Deferred::Timer(timer)) = self.defer_if_quota_is_spent(node, event) else { return };
+        let event = DeferredEvent::Timer(timer);
+        let Some(DeferredEvent::Timer(timer)) = self.defer_if_quota_is_spent(node, event) else { return };
         let Some(machine) = self.machines.get_mut(&node) else { return };
         if let Some(deferred) = &mut machine.frozen {
-            return deferred.push(Deferred::Timer(timer));
+            return deferred.push(DeferredEvent::Timer(timer));
         }
         match &mut machine.process {
             Some(Process::Coordinator(coordinator)) => {
                 if let Some(disk) = self.disks.get(&node) {
-                    coordinator.wake(&mut self.world, disk, timer);
+                    coordinator.handle_timer(&mut self.world, disk, timer);
                 }
                 self.reap_crashed_coordinator(node);
             }
             Some(Process::Edge(edge)) => {
                 let seeds = self.seeds.get(&node).map(Vec::as_slice).unwrap_or_default();
-                edge.wake(&mut self.world, timer, seeds);
+                edge.handle_timer(&mut self.world, timer, seeds);
             }
-            Some(Process::Server(_)) => self.wake_server(node, timer),
+            Some(Process::Server(_)) => self.handle_server_timer(node, timer),
             None => {}
         }
     }
 
-    fn wake_server(&mut self, node: NodeId, timer: Timer) {
+    fn handle_server_timer(&mut self, node: NodeId, timer: Timer) {
         let coordinators = self.published_coordinators();
         if let Some(Machine { process: Some(Process::Server(server)), .. }) = self.machines.get_mut(&node) {
-            server.wake(&mut self.world, timer, &coordinators);
+            server.handle_timer(&mut self.world, timer, &coordinators);
         }
         self.reap_exited_server(node);
     }
 
-    /// A process that has come to its crash point is killed, or its machine loses power.
+    /// Ends a coordinator that has reached its crash point: its process is killed, or its machine loses power.
     fn reap_crashed_coordinator(&mut self, node: NodeId) {
         if !self.coordinator(node).is_some_and(CoordinatorProcess::has_crashed) {
             return;
@@ -146,32 +148,33 @@
         }
     }
 
-    /// Defers all events of a machine's process from now on.
+    /// Defers all events for a machine's process from now on.
     pub(crate) fn begin_freeze(&mut self, node: NodeId) {
         if let Some(machine) = self.machines.get_mut(&node).filter(|machine| machine.process.is_some()) {
             machine.frozen.get_or_insert_default();
         }
     }
 
-    /// Delivers the deferred events to the process.
+    /// Ends the freeze and delivers the deferred events.
     pub(crate) fn end_freeze(&mut self, node: NodeId) {
         let frozen = self.machines.get_mut(&node).and_then(|machine| machine.frozen.take());
         let mut deferred = frozen.unwrap_or_default();
-        // The order in which a thawed process sees its sockets and timers is not defined.
+        // The order in which a thawed process handles its sockets and timers is undefined: try as they came, messages first, and
+        // calls first.
         match self.world.random_range(0..=2) {
             0 => {}
-            1 => deferred.sort_by_key(|deferred| matches!(deferred, Deferred::Timer(_))),
+            1 => deferred.sort_by_key(|deferred| matches!(deferred, DeferredEvent::Timer(_))),
             _ => deferred
-                .sort_by_key(|deferred| !matches!(deferred, Deferred::Message(_, Message::Call { .. }))),
+                .sort_by_key(|deferred| !matches!(deferred, DeferredEvent::Message(_, Message::Call { .. }))),
         }
         self.handle_deferred(node, deferred);
     }
 
-    pub(super) fn handle_deferred(&mut self, node: NodeId, deferred: Vec<Deferred>) {
+    pub(super) fn handle_deferred(&mut self, node: NodeId, deferred: Vec<DeferredEvent>) {
         for deferred in deferred {
             match deferred {
-                Deferred::Message(from, message) => self.deliver(from, node, message),
-                Deferred::Timer(timer) => self.wake(node, timer),
+                DeferredEvent::Message(from, message) => self.deliver(from, node, message),
+                DeferredEvent::Timer(timer) => self.handle_timer(node, timer),
             }
         }
     }
--- a/simulation/src/fleet/faults.rs
+++ b/simulation/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: processes, machines, disks and links, and the repairs of them.
+//! Injection and repair of faults of processes, machines, disks and links.
 
 use shaletrail_coordinator::core::shutdown::SHUTDOWN_GRACE;
 use shaletrail_protocol::{Millis, NodeId};
@@ -10,13 +10,13 @@
 use crate::fixtures;
 use crate::world::ScheduledEvent;
 
-/// Between two looks at whether a coordinator may end that was told to, as in the driver, in milliseconds.
+/// Interval of the check whether a coordinator that shuts down may exit, in milliseconds; as in the driver.
 const SHUTDOWN_CHECK_INTERVAL: Millis = 20;
-/// Time from an edge's SIGTERM to its exit, in milliseconds; enough for the requests of the tests.
+/// Time from an edge's SIGTERM to its exit, in milliseconds. All requests of the tests complete within it.
 const EDGE_SHUTDOWN_TIME: Millis = 2_000;
 
 impl Fleet {
-    /// Kills a coordinator's or an edge's process. Its machine goes on: connections are reset, files stay.
+    /// Kills a coordinator's or an edge's process while its machine stays up: connections are reset, files stay.
     pub fn kill(&mut self, node: NodeId) {
         let Some(process) = self.take_process(node) else { return };
         match (process, self.disks.get(&node)) {
@@ -27,7 +27,7 @@
         self.world.contact.set_running(self.world.now, node, false);
     }
 
-    /// Begins a graceful shutdown (SIGTERM) of a coordinator's or an edge's process, which exits a little later.
+    /// Begins a graceful shutdown (SIGTERM) of a coordinator's or an edge's process, which exits later.
     pub fn terminate(&mut self, node: NodeId) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
         let shutdown_time = match (&mut machine.process, self.disks.get(&node)) {
@@ -43,23 +43,26 @@
         };
         self.world.contact.record_fault(self.world.now, node);
         let incarnation = self.world.incarnation_of(node);
-        self.world.schedule_at(self.world.now + shutdown_time, ScheduledEvent::End { node, incarnation });
+        self.world.schedule_at(
+            self.world.now + shutdown_time,
+            ScheduledEvent::ShutdownCompleted { node, incarnation },
+        );
     }
 
-    /// Ends a process that was told to, unless it is a coordinator that has to go on for longer.
-    pub(super) fn end(&mut self, node: NodeId, incarnation: u64) {
+    /// Ends a process that shuts down. A coordinator that may not exit yet is checked again later.
+    pub(super) fn complete_shutdown(&mut self, node: NodeId, incarnation: u64) {
         let process = self.machines.get(&node).and_then(|machine| machine.process.as_ref());
-        let goes_on =
-            matches!(process, Some(Process::Coordinator(coordinator)) if !coordinator.may_end(&self.world));
-        if goes_on {
+        let must_continue =
+            matches!(process, Some(Process::Coordinator(coordinator)) if !coordinator.may_exit(&self.world));
+        if must_continue {
             let at = self.world.now + SHUTDOWN_CHECK_INTERVAL;
-            self.world.schedule_at(at, ScheduledEvent::End { node, incarnation });
+            self.world.schedule_at(at, ScheduledEvent::ShutdownCompleted { node, incarnation });
         } else {
             self.kill(node);
         }
     }
 
-    /// Cuts the power of a coordinator's or an edge's machine: no peer is notified, and unsynced data may be lost.
+    /// Cuts the power of a coordinator's or an edge's machine: its peers are not notified, and unsynced data may be lost.
     pub fn lose_power(&mut self, node: NodeId) {
         let Some(process) = self.take_process(node) else { return };
         if let (Process::Coordinator(coordinator), Some(disk)) = (process, self.disks.get(&node)) {
@@ -73,12 +76,12 @@
         let machine = self.machines.get_mut(&node)?;
         let process = machine.process.take()?;
         *machine = Machine::default();
-        // Timers of the former incarnation must not reach the next one.
+        // Timers of this incarnation must not reach the next one.
         self.world.begin_incarnation(node);
         Some(process)
     }
 
-    /// Sets the point of its work at which a coordinator's process crashes.
+    /// Sets the point at which a coordinator's process crashes.
     pub fn set_crash_point(&mut self, node: NodeId, point: CrashPoint) {
         if let Some(Machine { process: Some(Process::Coordinator(coordinator)), .. }) =
             self.machines.get_mut(&node)
@@ -87,22 +90,22 @@
         }
     }
 
-    /// Kills a coordinator's or an edge's process and restarts it at once.
+    /// Kills a coordinator's or an edge's process and restarts it immediately.
     pub fn restart(&mut self, node: NodeId) {
         self.kill(node);
         self.start(node);
     }
 
-    /// Erases a machine's disk. Only while no process runs there.
+    /// Erases the disk of a coordinator's machine that runs no process.
     ///
     /// # Panics
-    /// A process runs there, or there is no such machine.
+    /// A process runs on the machine, or it has no disk.
     pub fn lose_disk(&mut self, node: NodeId) {
         assert!(!self.is_running(node), "the disk of {node} is in use");
         self.disks[&node].erase();
     }
 
-    /// Freezes a process: it handles no event, while its clock goes on.
+    /// Freezes a process: it handles no events, while its clock keeps running.
     pub fn freeze(&mut self, node: NodeId) {
         self.begin_freeze(node);
         self.world.contact.record_fault(self.world.now, node);
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Removes a coordinator for good: its machine loses power without notice.
+    /// Removes a coordinator permanently: its machine loses power without notice.
     pub fn remove_coordinator(&mut self, node: NodeId) {
         self.lose_power(node);
         self.world.network.set_power(node, false);
@@ -126,13 +129,13 @@
         self.set_coordinators(remaining);
     }
 
-    /// Adds a coordinator with a new address and an empty disk. Its seeds are three of the current coordinators.
+    /// Adds and starts a coordinator with an empty disk. Its seeds are three of the current coordinators.
     pub fn join_coordinator(&mut self, node: NodeId) {
         let seeds = self.coordinators().into_iter().take(3).collect();
         self.join_coordinator_with_seeds(node, seeds);
     }
 
-    /// Adds a coordinator with a new address, an empty disk and seeds of its own.
+    /// Adds and starts a coordinator with an empty disk and these seeds.
     pub fn join_coordinator_with_seeds(&mut self, node: NodeId, seeds: Vec<NodeId>) {
         self.add_coordinator(node);
         let mut serving = self.coordinators();
@@ -142,7 +145,7 @@
         self.start(node);
     }
 
-    /// Crashes a model server's process without notice. Its disk stays.
+    /// Ends a model server's process without notice. Its disk keeps the models.
     pub fn crash_server(&mut self, node: NodeId) {
         if let Some(Process::Server(server)) = self.take_process(node) {
             let disk = server.kill(&mut self.world);
@@ -150,7 +153,7 @@
         }
     }
 
-    /// A model server leaves as planned, or at short notice.
+    /// Makes a model server drain. It exits after `remaining` milliseconds if given, otherwise after its regular shutdown.
     pub fn drain_server(&mut self, node: NodeId, remaining: Option<Millis>) {
         if let Some(Machine { process: Some(Process::Server(server)), .. }) = self.machines.get_mut(&node) {
             server.drain(&mut self.world, remaining);
@@ -159,7 +162,7 @@
 
     // ---- Links -----------------------------------------------------------------------------------------
 
-    /// Partitions or heals one direction between two machines.
+    /// Partitions or heals one direction of the link between two machines.
     pub fn partition_one_way(&mut self, from: NodeId, to: NodeId, partitioned: bool) {
         if !self.world.network.set_partitioned((from, to), partitioned) {
             return;
@@ -172,13 +175,13 @@
         }
     }
 
-    /// Partitions two machines in both directions, or heals that partition.
+    /// Partitions or heals both directions of the link between two machines.
     pub fn partition(&mut self, one: NodeId, other: NodeId, partitioned: bool) {
         self.partition_one_way(one, other, partitioned);
         self.partition_one_way(other, one, partitioned);
     }
 
-    /// Partitions two groups of machines from each other, or heals that partition.
+    /// Partitions or heals all links between two groups of machines.
     pub fn partition_groups(&mut self, some: &[NodeId], others: &[NodeId], partitioned: bool) {
         for one in some {
             for other in others.iter().filter(|other| *other != one) {
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Resets the connections of a link: what is in flight from one machine to the other is lost.
+    /// Resets the connections of a link: messages in flight in this direction are lost.
     pub fn reset_link(&mut self, from: NodeId, to: NodeId) {
         self.world.network.reset((from, to));
     }
@@ -211,7 +214,7 @@
         self.change_disk(node, stalled, |disk| disk.stalled = stalled);
     }
 
-    /// Sets the latency of a write with its sync, in milliseconds.
+    /// Sets the latency of a write and its sync, in milliseconds.
     pub fn set_disk_speed(&mut self, node: NodeId, latency: std::ops::RangeInclusive<Millis>) {
         let slow = latency.end() > self.options.disk_latency.end();
         self.change_disk(node, slow, |disk| disk.latency = latency);
@@ -224,13 +227,13 @@
         }
     }
 
-    // ---- All at once -----------------------------------------------------------------------------------
+    // ---- All machines ----------------------------------------------------------------------------------
 
-    /// Cuts the power of all coordinators and edges, or kills their processes.
-    pub fn stop_all(&mut self, power: bool) {
+    /// Stops all coordinators and edges, by a loss of power or a kill.
+    pub fn stop_all(&mut self, power_loss: bool) {
         let nodes: Vec<NodeId> = self.coordinators().into_iter().chain(self.edges()).collect();
         for node in nodes {
-            if power {
+            if power_loss {
                 self.lose_power(node);
             } else {
                 self.kill(node);
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Schedules the start of all coordinators and edges that don't run, within 300 ms.
+    /// Starts all coordinators and edges that are not running, at random times within 300 ms.
     pub fn start_stopped(&mut self) {
         let mut nodes: Vec<NodeId> = self.coordinators().into_iter().chain(self.edges()).collect();
         nodes.retain(|node| !self.is_running(*node));
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Repairs all faults: links, disks, freezes and stopped processes.
+    /// Repairs all faults of links and disks, thaws all processes and starts those that are not running.
     pub fn repair_all(&mut self) {
         self.heal_partitions();
         self.world.network.clear_link_conditions();
@@ -264,7 +267,7 @@
         self.start_stopped();
     }
 
-    /// The model server's machine of a number, for short.
+    /// The address of the model server's machine with this number.
     pub fn server_at(&self, number: u8) -> NodeId {
         fixtures::server(number)
     }
--- a/simulation/src/fleet/membership.rs
+++ b/simulation/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Which machines there are, which of them run, and which coordinator leads a shard.
+//! The machines of a fleet, the processes that run on them, and the leaders of shards.
 
 use shaletrail_protocol::{Millis, NodeId};
 
@@ -8,11 +8,11 @@
 use crate::fixtures;
 use crate::server::ModelServer;
 
-/// Lag of the published list of coordinators (`seedLagS`), in milliseconds.
+/// Lag of the published list of coordinators, in milliseconds (`seedLagS`).
 const SEED_LAG: Millis = 3_000;
 
 impl Fleet {
-    /// The list of coordinators that the operator and servers see, which lags behind by `seedLagS`.
+    /// The list of coordinators that the operator and servers use. It lags behind the current one by `seedLagS`.
     pub fn published_coordinators(&self) -> Vec<NodeId> {
         let then = self.world.now.saturating_sub(SEED_LAG);
         let known = self
@@ -24,7 +24,7 @@
         known.map(|(_, nodes)| nodes.clone()).unwrap_or_default()
     }
 
-    /// The current coordinators, whether they run or not.
+    /// The current coordinators, whether or not they are running.
     pub fn coordinators(&self) -> Vec<NodeId> {
         self.published_lists.last().map(|(_, nodes)| nodes.clone()).unwrap_or_default()
     }
@@ -33,7 +33,7 @@
         self.published_lists.push((self.world.now, nodes));
     }
 
-    /// The edges.
+    /// All edges, whether or not they are running.
     pub fn edges(&self) -> Vec<NodeId> {
         (0..self.options.edges).map(fixtures::edge).collect()
     }
@@ -44,17 +44,17 @@
         self.machines.iter().filter(runs).map(|(node, _)| *node).collect()
     }
 
-    /// Whether a process runs at a machine; a frozen one does.
+    /// Whether a process runs on a machine, frozen or not.
     pub fn is_running(&self, node: NodeId) -> bool {
         self.machines.get(&node).is_some_and(|machine| machine.process.is_some())
     }
 
-    /// Whether the process at a machine is frozen.
+    /// Whether the process on a machine is frozen.
     pub fn is_frozen(&self, node: NodeId) -> bool {
         self.machines.get(&node).is_some_and(|machine| machine.frozen.is_some())
     }
 
-    /// The coordinator at a machine, if one runs there.
+    /// The coordinator that runs on a machine; `None` if none does.
     pub fn coordinator(&self, node: NodeId) -> Option<&CoordinatorProcess> {
         match self.machines.get(&node)?.process.as_ref()? {
             Process::Coordinator(coordinator) => Some(coordinator),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The edge at a machine, if one runs there.
+    /// The edge that runs on a machine; `None` if none does.
     pub fn edge(&self, node: NodeId) -> Option<&Edge> {
         match self.machines.get(&node)?.process.as_ref()? {
             Process::Edge(edge) => Some(edge),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The model server at a machine, if one runs there.
+    /// The model server that runs on a machine; `None` if none does.
     pub fn server(&self, node: NodeId) -> Option<&ModelServer> {
         match self.machines.get(&node)?.process.as_ref()? {
             Process::Server(server) => Some(server),
@@ -83,12 +83,13 @@
         self.seeds.insert(node, seeds);
     }
 
-    /// The machine whose process leads the shard of the configuration, as it sees that itself.
+    /// The coordinator that considers itself leader of the configuration's shard; `None` if there is none.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader_of(0)
     }
 
-    /// The machine whose process leads a shard, as it sees that itself: the one with the newest term.
+    /// The coordinator that considers itself leader of a shard, the one with the highest term if there are several; `None` if
+    /// there is none.
     pub fn leader_of(&self, shard: u32) -> Option<NodeId> {
         let leads = |node: &NodeId| {
             let replica = &self.coordinator(*node)?.core().shards().get(shard)?.replica;
@@ -97,7 +98,7 @@
         self.coordinators().iter().filter_map(leads).max().map(|(_, node)| node)
     }
 
-    /// Waits for a leader of the configuration's shard.
+    /// Waits until the configuration's shard has a leader.
     ///
     /// # Panics
     /// There is none within six seconds.
--- a/simulation/src/fleet/processor_quota.rs
+++ b/simulation/src/fleet/processor_quota.rs
@@ -1,21 +1,21 @@
-//! Machines whose share of a core is a quota: a process runs at full speed until the quota is spent, and then not at all until
-//! the period is over. Its clock goes on; messages and timers wait, in their order.
+//! Quotas of processor time, as of a container: a process runs at full speed until its quota is spent, and not at all for the
+//! rest of the period. Its clock keeps running; messages and timers wait in order.
 
 use shaletrail_protocol::{Millis, NodeId};
 
-use super::{Deferred, Fleet};
+use super::{DeferredEvent, Fleet};
 use crate::world::ScheduledEvent;
 
 /// The period of a quota, in milliseconds.
 pub const QUOTA_PERIOD: Millis = 100;
 
-/// The quota of one machine, and what waits for the next period.
+/// The quota of one machine, and the events that wait for its next period.
 pub(crate) struct ProcessorQuota {
-    /// How much of each period the process runs, from its start on, in milliseconds.
+    /// How long the process runs from the start of each period, in milliseconds.
     running: Millis,
-    /// When periods begin, modulo [`QUOTA_PERIOD`].
+    /// Start of the periods, in milliseconds modulo [`QUOTA_PERIOD`].
     phase: Millis,
-    waiting: Vec<Deferred>,
+    waiting: Vec<DeferredEvent>,
 }
 
 impl ProcessorQuota {
@@ -29,8 +29,8 @@
 }
 
 impl Fleet {
-    /// Lets a machine's process run for `running` milliseconds of each [`QUOTA_PERIOD`] only; `None` ends that. Periods begin at
-    /// a random time.
+    /// Limits a machine's process to `running` milliseconds of each [`QUOTA_PERIOD`], or ends the limit if that is `None`.
+    /// Periods begin at a random time.
     pub fn set_processor_quota(&mut self, node: NodeId, running: Option<Millis>) {
         let phase = self.world.random_range(0..=QUOTA_PERIOD - 1);
         let Some(machine) = self.machines.get_mut(&node) else { return };
@@ -40,8 +40,12 @@
         self.handle_deferred(node, waiting);
     }
 
-    /// Takes an event for a machine whose quota is spent, to be handled with the next period; gives it back otherwise.
-    pub(super) fn defer_if_quota_is_spent(&mut self, node: NodeId, event: Deferred) -> Option<Deferred> {
+    /// Defers an event until the next period if the quota of its machine is spent; returns the event otherwise.
+    pub(super) fn defer_if_quota_is_spent(
+        &mut self,
+        node: NodeId,
+        event: DeferredEvent,
+    ) -> Option<DeferredEvent> {
         let now = self.world.now;
         let quota = self.machines.get_mut(&node).and_then(|machine| machine.quota.as_mut());
         let Some(quota) = quota.filter(|quota| quota.is_spent(now) || !quota.waiting.is_empty()) else {
@@ -55,7 +59,7 @@
         None
     }
 
-    /// A period has begun.
+    /// Handles the events that waited for the period that begins now.
     pub(super) fn renew_quota(&mut self, node: NodeId) {
         let quota = self.machines.get_mut(&node).and_then(|machine| machine.quota.as_mut());
         let waiting = quota.map(|quota| std::mem::take(&mut quota.waiting)).unwrap_or_default();
--- a/simulation/src/fleet/report.rs
+++ b/simulation/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! Checks the invariants of a fleet, and describes it for the message of a failed test.
+//! The check of the invariants of a fleet, and the description of a fleet for failure messages.
 
 use std::net::Ipv4Addr;
 
@@ -12,7 +12,7 @@
 use crate::invariants::{violations, InvariantBounds};
 
 impl Fleet {
-    /// The bounds of the invariants, from the settings of this fleet.
+    /// The bounds of the invariants that follow from the settings of this fleet.
     pub fn bounds(&self) -> InvariantBounds {
         InvariantBounds {
             convergence: CONVERGENCE,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Checks all invariants over the observations.
+    /// Checks all invariants against the record of the observer.
     ///
     /// # Panics
     /// An invariant is violated.
@@ -38,7 +38,7 @@
         assert!(violations.is_empty(), "{}\n{}", lines.join("\n"), self.describe());
     }
 
-    /// Describes actions, state changes and the state of all nodes, for messages of failed tests.
+    /// Describes all actions, state changes and orders in order of time, and the state of all machines, for failure messages.
     pub fn describe(&self) -> String {
         let mut lines = vec![format!("seed {} at {}", self.options.seed, self.world.now)];
         let state_changes = self
@@ -65,18 +65,18 @@
         for (node, machine) in &self.machines {
             let Some(Process::Server(server)) = &machine.process else { continue };
             let (id, loaded) = (server.id(), server.loaded());
-            lines.push(format!("  {node}: server {id} of {} holds {loaded:?}", server.service()));
+            lines.push(format!("  {node}: server {id} of {} has loaded {loaded:?}", server.service()));
         }
         for node in self.edges() {
             let edge = self.edge(node);
             let known = edge.map(|edge| (edge.view().version, edge.polled_coordinator()));
-            lines.push(format!("  {node}: version and coordinator {known:?}"));
+            lines.push(format!("  {node}: version and polled coordinator {known:?}"));
         }
         lines.join("\n")
     }
 
     fn describe_coordinator(&self, node: NodeId) -> String {
-        let Some(coordinator) = self.coordinator(node) else { return "does not run".to_owned() };
+        let Some(coordinator) = self.coordinator(node) else { return "not running".to_owned() };
         let core = coordinator.core();
         let shard = |number| core.shards().get(number).map(|shard| &shard.replica);
         let shards = core.shards().numbers().filter_map(shard).map(|replica| {
--- a/simulation/src/message.rs
+++ b/simulation/src/message.rs
@@ -1,26 +1,26 @@
-//! The messages between machines. Their contents are encoded as in production and decoded by the receiver, so that no
-//! message can be simulated that could not be sent.
+//! The messages between machines. Their contents are encoded as in production and decoded by the receiver, so that the
+//! simulation cannot send a message that production could not send.
 
 use shaletrail_protocol::frame::{self, PREFIX_BYTES};
 use shaletrail_protocol::internal::{EdgeIdentity, OperatorCall, OperatorResponse};
 use shaletrail_protocol::ServerId;
 
-/// Identifies a call and its response; unique in a world.
+/// Identifies a call and its response; unique in a simulation.
 pub type CallNumber = u64;
 
 /// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// An encoded frame between coordinators.
+    /// A message between coordinators, as an encoded frame.
     Coordinator(Vec<u8>),
-    /// A frame of an edge that gets no response.
+    /// A request of an edge to a coordinator that gets no response.
     EdgeReport {
         /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The encoded request.
+        /// The request, as an encoded frame.
         frame: Vec<u8>,
     },
-    /// An encoded load report between edges, one datagram.
+    /// A load report between edges, as an encoded datagram.
     LoadReport(Vec<u8>),
     /// A call that expects a response.
     Call {
@@ -40,27 +40,27 @@
     ConnectionFailed {
         /// The number of the call.
         number: CallNumber,
-        /// Whether the receiver had accepted the call before.
+        /// Whether the receiver had accepted the connection, so that it may have handled the call.
         accepted: bool,
     },
-    /// The caller has closed the connection of a call.
+    /// The caller has cancelled a call by closing its connection.
     Cancelled {
         /// The number of the call.
         number: CallNumber,
     },
 }
 
-/// The calls between machines.
+/// A call between machines.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// A poll of an edge, as a frame.
+    /// A poll of an edge.
     Poll {
         /// The identity of the sending edge.
         edge: EdgeIdentity,
-        /// The encoded request.
+        /// The request, as an encoded frame.
         frame: Vec<u8>,
     },
-    /// A server's heartbeat, as JSON.
+    /// A server's heartbeat.
     Heartbeat {
         /// The identifier of the sending server.
         id: ServerId,
@@ -72,30 +72,30 @@
         /// The identifier of the sending server.
         id: ServerId,
     },
-    /// The operator changes or reads the configuration.
+    /// A change or a read of the configuration by the operator.
     Operator(OperatorCall),
-    /// An order to a server, as JSON.
+    /// An order to a server.
     Order {
-        /// The `Expected-Instance` header: the server that the call is meant for.
+        /// The `Expected-Instance` header: the server that the call is addressed to.
         expected: ServerId,
         /// The JSON body.
         body: Vec<u8>,
     },
-    /// A call of `GET /report` at a server.
+    /// `GET /report` at a server.
     Report {
-        /// The `Expected-Instance` header: the server that the call is meant for.
+        /// The `Expected-Instance` header: the server that the call is addressed to.
         expected: ServerId,
     },
-    /// A client's request that an edge forwards.
+    /// A client's request that an edge forwards to a server.
     Request(Request),
 }
 
 /// A client's request as an edge sends it to a server.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The client's number of it.
+    /// The number of the request.
     pub request: u64,
-    /// The `Expected-Instance` header: the server that the request is meant for.
+    /// The `Expected-Instance` header: the server that the request is addressed to.
     pub expected: ServerId,
     /// The model; empty if the request names none.
     pub model: String,
@@ -103,24 +103,24 @@
     pub adapter: Option<String>,
 }
 
-/// The responses to calls.
+/// The response to a call.
 #[derive(Clone, Debug)]
 pub enum Response {
-    /// The response to a poll, as a frame.
+    /// To a poll: the encoded frame.
     Poll(Vec<u8>),
-    /// To a heartbeat or a deregistration: whether it is acknowledged.
+    /// To a heartbeat or a deregistration: whether it was acknowledged.
     Server(bool),
-    /// The response to a call of the operator.
+    /// To a call of the operator.
     Operator(OperatorResponse),
-    /// The status of an order.
+    /// To an order: the HTTP status.
     Order(u16),
-    /// The response to `GET /report`, as JSON.
+    /// To `GET /report`: the JSON body; empty if the server is not the expected one.
     Report(Vec<u8>),
     /// To a client's request.
     Request {
         /// The HTTP status.
         status: u16,
-        /// The `Instance-Id` header: the server that answered.
+        /// The `Instance-Id` header: the server that responded.
         instance: ServerId,
     },
 }
@@ -128,10 +128,10 @@
 /// Decodes a frame as its receiver does.
 ///
 /// # Panics
-/// The bytes are not a frame of a message `M`.
+/// The bytes are not a complete frame with a valid message of type `M`.
 pub fn decode<M: bitcode::DecodeOwned>(bytes: &[u8]) -> M {
-    let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("a frame has a prefix");
-    let length = frame::body_length(*prefix).expect("a frame is not too long");
-    assert_eq!(length, body.len(), "a frame is as long as its prefix says");
-    frame::decode(body).expect("a frame is a message")
+    let (prefix, body) = bytes.split_first_chunk::<PREFIX_BYTES>().expect("frame has a length prefix");
+    let length = frame::body_length(*prefix).expect("frame length is within the limit");
+    assert_eq!(length, body.len(), "frame length differs from its prefix");
+    frame::decode(body).expect("frame body decodes to the expected message type")
 }
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -1,7 +1,7 @@
-//! Links between machines: delay, loss and partitions, each direction of a pair on its own.
+//! The links between machines, with delay, loss and partitions for each direction separately.
 //!
 //! As over TCP, messages from one machine to another arrive in order. A lost packet is retransmitted and delays the messages
-//! behind it. Messages that a partition delays arrive if it heals soon, and are lost otherwise.
+//! behind it. Messages during a partition are retransmitted until it heals, and are lost if it lasts too long.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::RangeInclusive;
@@ -12,11 +12,11 @@
 
 use crate::message::Message;
 
-/// How long written bytes wait for a partition to heal before their connection is closed, in milliseconds.
+/// How long unacknowledged bytes are retransmitted during a partition before their connection is closed, in milliseconds.
 const CONNECTION_TIMEOUT: Millis = 1_500;
-/// Interval of retransmissions through a partition, in milliseconds.
+/// Interval of retransmissions during a partition, in milliseconds.
 const RETRANSMIT_INTERVAL: Millis = 50;
-/// Delay of a lost packet until its retransmission arrives, in milliseconds.
+/// Additional delay of a lost packet until its retransmission arrives, in milliseconds.
 const RETRANSMIT_DELAY: RangeInclusive<Millis> = 200..=400;
 
 /// One direction of a link: sender and receiver.
@@ -37,8 +37,8 @@
     }
 }
 
-/// How messages between coordinators are duplicated and reordered: a new connection may bring a
-/// message a second time, or overtake one that still arrives over the connection before it.
+/// How messages between coordinators are duplicated and reordered. With several connections in sequence, a message may arrive
+/// a second time over the new connection, or arrive over the old one after later messages.
 #[derive(Clone, Debug, Default)]
 pub struct Disorder {
     /// The probability that a message arrives a second time, later.
@@ -55,17 +55,18 @@
     message: Message,
 }
 
-/// The links between all machines.
+/// The links between all machines, and the messages in flight.
 #[derive(Default)]
 pub struct Network {
     in_flight: BTreeMap<Direction, VecDeque<InFlightMessage>>,
     partitions: BTreeSet<Direction>,
+    /// Machines without power.
     unpowered: BTreeSet<NodeId>,
     conditions: Conditions,
     link_conditions: BTreeMap<Direction, Conditions>,
     disorder: Disorder,
-    /// Duplicated and overtaken messages in flight, which arrive outside of the usual order.
-    strays: BTreeMap<Direction, Vec<(Millis, Message)>>,
+    /// Duplicated and overtaken messages in flight: time of arrival and message. They are not subject to the order of the link.
+    out_of_order: BTreeMap<Direction, Vec<(Millis, Message)>>,
 }
 
 /// The messages that have arrived over a link.
@@ -73,12 +74,12 @@
 pub struct Arrivals {
     /// The messages, in order of arrival.
     pub messages: Vec<Message>,
-    /// When to look again, as a partition delays a message.
+    /// When to call [`Network::take`] again; `None` unless a partition delays a message.
     pub retry_at: Option<Millis>,
 }
 
 impl Network {
-    /// Sets delay and loss of all links that have no conditions of their own.
+    /// Sets delay and loss of all directions that have none of their own.
     pub fn set_conditions(&mut self, conditions: Conditions) {
         self.conditions = conditions;
     }
@@ -88,7 +89,7 @@
         self.link_conditions.insert(direction, conditions);
     }
 
-    /// Removes the conditions of all single directions.
+    /// Removes delay and loss of all single directions, so that the common ones apply.
     pub fn clear_link_conditions(&mut self) {
         self.link_conditions.clear();
     }
@@ -98,7 +99,7 @@
         self.disorder = disorder;
     }
 
-    /// Partitions or heals one direction; whether that changed anything.
+    /// Partitions or heals one direction; returns whether this is a change.
     pub fn set_partitioned(&mut self, direction: Direction, partitioned: bool) -> bool {
         if partitioned {
             self.partitions.insert(direction)
@@ -117,17 +118,18 @@
         self.partitions.iter().copied().collect()
     }
 
-    /// Whether neither direction between two machines is partitioned, whatever runs there.
+    /// Whether neither direction between two machines is partitioned. The processes on them do not matter.
     pub fn is_connected(&self, one: NodeId, other: NodeId) -> bool {
         !self.is_partitioned((one, other)) && !self.is_partitioned((other, one))
     }
 
-    /// Whether a connection is accepted or refused at once: no partition, and the receiver has power.
+    /// Whether an attempt to connect gets an immediate response, which may be a refusal: there is no partition, and the receiver
+    /// has power.
     pub fn can_connect(&self, from: NodeId, to: NodeId) -> bool {
         self.is_connected(from, to) && !self.unpowered.contains(&to)
     }
 
-    /// Switches a machine's power. Without power it sends nothing, and what is in flight to it is lost.
+    /// Switches a machine's power on or off. Switching it off drops all messages in flight to or from the machine.
     pub fn set_power(&mut self, node: NodeId, powered: bool) {
         if powered {
             self.unpowered.remove(&node);
@@ -140,7 +142,7 @@
     /// Drops all messages in flight to or from a machine.
     pub fn drop_in_flight(&mut self, node: NodeId) {
         self.in_flight.retain(|(from, to), _| *from != node && *to != node);
-        self.strays.retain(|(from, to), _| *from != node && *to != node);
+        self.out_of_order.retain(|(from, to), _| *from != node && *to != node);
     }
 
     /// Drops all messages in flight in one direction.
@@ -148,8 +150,8 @@
         self.in_flight.remove(&direction);
     }
 
-    /// Duplicates or delays a message between coordinators by the disorder that is set. Returns when the stray copy
-    /// arrives, and the message if it is still to be sent the usual way.
+    /// Duplicates or reorders a message between coordinators at random. Returns when the out-of-order copy arrives, if there is
+    /// one, and the message if it is still to be sent in order.
     pub fn apply_disorder(
         &mut self,
         now: Millis,
@@ -167,7 +169,7 @@
         }
         let arrives = now + rng.random_range(0..=max_delay);
         let remaining = (draw < duplicate_probability).then(|| message.clone());
-        self.strays.entry(direction).or_default().push((arrives, message));
+        self.out_of_order.entry(direction).or_default().push((arrives, message));
         (Some(arrives), remaining)
     }
 
@@ -179,7 +181,7 @@
             arrives += rng.random_range(RETRANSMIT_DELAY);
         }
         let queue = self.in_flight.entry(direction).or_default();
-        let arrives = arrives.max(queue.back().map_or(0, |flight| flight.arrives));
+        let arrives = arrives.max(queue.back().map_or(0, |in_flight| in_flight.arrives));
         queue.push_back(InFlightMessage { sent: now, arrives, message });
         arrives
     }
@@ -188,22 +190,22 @@
     pub fn take(&mut self, now: Millis, direction: Direction) -> Arrivals {
         let mut arrivals = Arrivals::default();
         let partitioned = self.partitions.contains(&direction);
-        if let Some(strays) = self.strays.get_mut(&direction) {
-            let (due, later) = std::mem::take(strays).into_iter().partition(|(at, _)| *at <= now);
-            *strays = later;
+        if let Some(out_of_order) = self.out_of_order.get_mut(&direction) {
+            let (due, later) = std::mem::take(out_of_order).into_iter().partition(|(at, _)| *at <= now);
+            *out_of_order = later;
             let due: Vec<(Millis, Message)> = due;
             arrivals.messages.extend(due.into_iter().filter(|_| !partitioned).map(|(_, message)| message));
         }
         let Some(queue) = self.in_flight.get_mut(&direction) else { return arrivals };
-        while let Some(flight) = queue.front_mut().filter(|flight| flight.arrives <= now) {
-            if partitioned && now.saturating_sub(flight.sent) <= CONNECTION_TIMEOUT {
-                flight.arrives = now + RETRANSMIT_INTERVAL;
-                arrivals.retry_at = Some(flight.arrives);
+        while let Some(in_flight) = queue.front_mut().filter(|in_flight| in_flight.arrives <= now) {
+            if partitioned && now.saturating_sub(in_flight.sent) <= CONNECTION_TIMEOUT {
+                in_flight.arrives = now + RETRANSMIT_INTERVAL;
+                arrivals.retry_at = Some(in_flight.arrives);
                 break;
             }
-            let flight = queue.pop_front();
+            let in_flight = queue.pop_front();
             if !partitioned {
-                arrivals.messages.extend(flight.map(|flight| flight.message));
+                arrivals.messages.extend(in_flight.map(|in_flight| in_flight.message));
             }
         }
         arrivals
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: it sends changes and reads to random coordinators of the published list until they are answered.
+//! The operator, who sends changes and reads to random coordinators of the published list until they are answered.
 
 use std::collections::BTreeMap;
 
@@ -11,53 +11,53 @@
 use crate::observer::{ConfigRead, ConflictResponse, Outcome, SentChange};
 use crate::world::{Timer, World};
 
-/// Time-out of an attempt, after which another coordinator is called, in milliseconds.
+/// Time-out of an attempt, in milliseconds; the next attempt goes to another coordinator.
 const CALL_TIMEOUT: Millis = 1_000;
-/// Initial backoff before another coordinator is called, in milliseconds.
+/// Unit of the backoff before the next attempt, in milliseconds; doubled with each attempt.
 const INITIAL_BACKOFF: Millis = 50;
 /// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF: Millis = 800;
 
-/// Identifies a call of the operator with all its attempts.
+/// Identifies a call of the operator, across all its attempts.
 pub type OperatorCallId = u64;
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingCall {
     call: OperatorCall,
     /// The change that it sends; `None` for a read.
     change: Option<u64>,
     started_at: Millis,
     attempts: u32,
-    /// The attempt in flight.
+    /// The attempt in flight; `None` between two attempts.
     awaited_call: Option<CallNumber>,
-    /// The only coordinator to call, where it is fixed.
+    /// The only coordinator to call; `None` for any.
     only: Option<NodeId>,
-    /// The coordinator of the first attempt, where it is fixed.
+    /// The coordinator of the first attempt; `None` for a random one.
     first: Option<NodeId>,
-    /// The coordinator of the previous attempt, which the next one avoids.
+    /// The coordinator of the previous attempt, which the next attempt avoids.
     last: Option<NodeId>,
 }
 
-/// A change that was written, with the call that sends it.
+/// A change: the call that sends it, and the configuration that results from it.
 #[derive(Clone, Debug)]
 struct Change {
     call: OperatorCall,
     document: Value,
 }
 
-/// The operator, who writes changes and sends them until they are answered.
+/// The operator, who creates changes and sends them until they are answered.
 pub struct Operator {
     models: Models,
     /// The newest configuration that was acknowledged or read.
     known: Value,
     changes: BTreeMap<u64, Change>,
-    pending: BTreeMap<OperatorCallId, Pending>,
+    pending: BTreeMap<OperatorCallId, PendingCall>,
     /// The probability that a response to the operator is lost.
     pub response_loss: f64,
 }
 
 impl Operator {
-    /// Creates an operator that has not written a change.
+    /// Creates an operator that knows no configuration and has no changes.
     pub fn new(models: Models) -> Self {
         Operator {
             models,
@@ -73,7 +73,7 @@
         version_of(&self.known)
     }
 
-    /// Creates a change that replaces the complete configuration.
+    /// Creates a change that replaces the complete configuration. Returns its number.
     pub fn write_replacement(&mut self, world: &mut World, base: u64, version: u64) -> u64 {
         let change = world.next_id();
         let document = fixtures::configuration(&self.models, change, version);
@@ -87,15 +87,15 @@
         )
     }
 
-    /// Creates a change of one item of the known configuration.
+    /// Creates a change of one item of the known configuration. Returns its number.
     pub fn write_update(&mut self, world: &mut World, version: u64) -> u64 {
         let change = world.next_id();
         let base = self.known_version();
         let mut document = self.known.clone();
         document["version"] = version.into();
-        let routes = document["routes"].as_array_mut().expect("a known configuration has routes");
-        if let Some(mark) = routes.iter_mut().find(|route| route["name"] == fixtures::MARKER_ROUTE) {
-            *mark = fixtures::marker_route(change);
+        let routes = document["routes"].as_array_mut().expect("known configuration has routes");
+        if let Some(marker) = routes.iter_mut().find(|route| route["name"] == fixtures::MARKER_ROUTE) {
+            *marker = fixtures::marker_route(change);
         }
         let body = fixtures::marker_update(change, version).to_string().into_bytes();
         self.record_change(
@@ -122,7 +122,7 @@
         change
     }
 
-    /// Sends a change, for the first time or again.
+    /// Sends or resends a change until it is answered, to `only` if given.
     ///
     /// # Panics
     /// There is no such change.
@@ -131,7 +131,7 @@
         self.start_call(world, call, Some(change), only, None)
     }
 
-    /// Sends a change, for the first time or again; the first attempt goes to a certain coordinator.
+    /// Sends or resends a change until it is answered; the first attempt goes to `first`.
     ///
     /// # Panics
     /// There is no such change.
@@ -140,12 +140,12 @@
         self.start_call(world, call, Some(change), None, Some(first))
     }
 
-    /// Reads the configuration; the first attempt goes to a certain coordinator.
+    /// Reads the configuration; the first attempt goes to `first`.
     pub fn read_first_at(&mut self, world: &mut World, first: NodeId) -> OperatorCallId {
         self.start_call(world, OperatorCall::Read, None, None, Some(first))
     }
 
-    /// Reads the configuration, from `only` if that is given.
+    /// Reads the configuration, from `only` if given.
     pub fn read(&mut self, world: &mut World, only: Option<NodeId>) -> OperatorCallId {
         self.start_call(world, OperatorCall::Read, None, only, None)
     }
@@ -159,7 +159,7 @@
         first: Option<NodeId>,
     ) -> OperatorCallId {
         let id = world.next_id();
-        let pending = Pending {
+        let pending = PendingCall {
             call,
             change,
             started_at: world.now,
@@ -170,7 +170,7 @@
             last: None,
         };
         self.pending.insert(id, pending);
-        world.wake(fixtures::operator(), world.now, Timer::OperatorRetry(id));
+        world.set_timer(fixtures::operator(), world.now, Timer::OperatorRetry(id));
         id
     }
 
@@ -179,12 +179,12 @@
         self.pending.contains_key(&id)
     }
 
-    /// The number of calls without a response.
+    /// The number of calls that have no response yet.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Calls without a response, with the times at which they were first sent.
+    /// The calls that have no response yet, each with the time at which it began.
     pub fn pending_since(&self) -> impl Iterator<Item = (OperatorCallId, Millis)> + '_ {
         self.pending.iter().map(|(id, pending)| (*id, pending.started_at))
     }
@@ -195,7 +195,7 @@
     }
 
     /// Handles a timer that has expired. `coordinators` is the published list of coordinators.
-    pub fn wake(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
+    pub fn handle_timer(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
         match timer {
             Timer::OperatorRetry(id) => self.send(world, id, coordinators),
             Timer::OperatorTimeout(number) => self.attempt_failed(world, number),
@@ -214,7 +214,7 @@
         let index = world.random_range(0..=last_index) as usize;
         let first = pending.first.take();
         let Some(to) = pending.only.or(first).or_else(|| candidates.get(index).copied()) else {
-            return world.wake(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorRetry(id));
+            return world.set_timer(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorRetry(id));
         };
         let number = world.next_id();
         pending.attempts += 1;
@@ -222,7 +222,7 @@
         pending.awaited_call = Some(number);
         let call = Call::Operator(pending.call.clone());
         world.send(fixtures::operator(), to, Message::Call { number, call });
-        world.wake(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorTimeout(number));
+        world.set_timer(fixtures::operator(), world.now + CALL_TIMEOUT, Timer::OperatorTimeout(number));
     }
 
     fn call_awaiting(&self, number: CallNumber) -> Option<OperatorCallId> {
@@ -235,7 +235,7 @@
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.awaited_call = None;
         let pause = (INITIAL_BACKOFF << pending.attempts.min(6)).min(MAX_BACKOFF);
-        world.wake(fixtures::operator(), world.now + pause, Timer::OperatorRetry(id));
+        world.set_timer(fixtures::operator(), world.now + pause, Timer::OperatorRetry(id));
     }
 
     /// Handles a message from the network.
@@ -262,14 +262,15 @@
                 self.handle_change_response(world, change, pending.started_at, response)
             }
             (None, OperatorResponse::Done { body }) => {
-                let document: Value = serde_json::from_slice(&body).expect("what is read back is JSON");
+                let document: Value =
+                    serde_json::from_slice(&body).expect("the response to a read is valid JSON");
                 if version_of(&document) > self.known_version() {
                     self.known = document.clone();
                 }
                 let read = ConfigRead { call: id, started_at: pending.started_at, at: world.now, document };
                 world.observer.config_read(read);
             }
-            (None, response) => panic!("a read is answered with {response:?}"),
+            (None, response) => panic!("unexpected response to a read: {response:?}"),
         }
     }
 
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A model server, as the operators' protocol describes it: heartbeats, draining, requests and orders.
+//! A model server that follows the external protocol: heartbeats, draining, requests and orders.
 
 mod orders;
 
@@ -13,18 +13,18 @@
 
 /// Time-out of a call to a coordinator, in milliseconds.
 const CALL_TIMEOUT: Millis = 1_000;
-/// Initial backoff before another coordinator is called, in milliseconds.
+/// Unit of the backoff before another coordinator is called, in milliseconds; doubled with each consecutive failure.
 const INITIAL_BACKOFF: Millis = 50;
-/// How long a server waits for the acknowledgement of `draining` or of its deregistration, in milliseconds.
+/// How long a server waits for the acknowledgement of its draining or of its deregistration before it exits, in milliseconds.
 const SHUTDOWN_TIMEOUT: Millis = 6_000;
-/// How long a server stays up after `drainMs`, in milliseconds.
+/// How long a server continues to serve after `drainMs`, in milliseconds.
 const POST_DRAIN_TIME: std::ops::RangeInclusive<Millis> = 100..=2_500;
 /// Duration of a request's execution, in milliseconds.
 const REQUEST_DURATION: std::ops::RangeInclusive<Millis> = 20..=250;
-/// Requests that may wait beyond the slots.
+/// Number of requests that may wait for a slot; further ones are rejected.
 const MAX_QUEUED: u32 = 4;
 
-/// Loaded models with their loaded adapters, by name.
+/// The loaded models, each with its loaded adapters, by name.
 pub type LoadedModels = BTreeMap<String, BTreeSet<String>>;
 
 /// The settings of a model server.
@@ -32,13 +32,13 @@
 pub struct ServerOptions {
     /// The name of its service.
     pub service: String,
-    /// The models and the capacity of the servers.
+    /// The models, and the capacity of the server.
     pub models: Models,
     /// Interval of heartbeats, in milliseconds.
     pub heartbeat: Millis,
-    /// How long it must serve after the acknowledgement of `draining`, in milliseconds.
+    /// How long it must continue to serve after the acknowledgement of its draining, in milliseconds (`drainMs`).
     pub drain: Millis,
-    /// Models that are loaded from its start, by number.
+    /// Models that are loaded at its start, by number.
     pub initial_models: Vec<usize>,
 }
 
@@ -55,39 +55,42 @@
     request: Request,
 }
 
-/// How far a server's shutdown has come.
+/// The phases of a server's life, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Ready,
-    /// Reports `draining`, not acknowledged yet.
+    /// It reports `draining`, which is not acknowledged yet.
     Draining {
         since: Millis,
         exit_at: Option<Millis>,
     },
-    /// `draining` was acknowledged.
+    /// A coordinator has acknowledged the draining.
     Drained {
         exit_at: Option<Millis>,
     },
-    /// Deregisters.
+    /// It deregisters before it exits.
     Deregistering {
         since: Millis,
     },
 }
 
-/// A model server's simulated process.
+/// The simulated process of a model server.
 pub struct ModelServer {
     node: NodeId,
     id: ServerId,
     options: ServerOptions,
     loaded: LoadedModels,
-    /// Models on its machine's disk, also from before a restart.
+    /// Models on its machine's disk, including those from before a restart.
     disk_models: BTreeSet<String>,
     current_order: Option<RunningOrder>,
+    /// Incremented with each accepted order.
     revision: u64,
+    /// Number of the last heartbeat.
     sequence: u64,
     lifecycle: Lifecycle,
     pending_call: Option<(CallNumber, NodeId)>,
     coordinator: Option<NodeId>,
+    /// Consecutive failed calls to coordinators.
     failures: u32,
     in_flight: BTreeMap<CallNumber, InFlightRequest>,
     exited: bool,
@@ -106,7 +109,7 @@
             options.initial_models.iter().map(|model| (model_name(*model), BTreeSet::new())).collect();
         let disk_models = disk_models.into_iter().chain(loaded.keys().cloned()).collect();
         let first = world.random_range(0..=options.heartbeat);
-        world.wake(node, world.now + first, Timer::Heartbeat);
+        world.set_timer(node, world.now + first, Timer::Heartbeat);
         ModelServer {
             node,
             id,
@@ -140,22 +143,22 @@
         &self.loaded
     }
 
-    /// The models on its disk.
+    /// The models on its machine's disk.
     pub fn disk_models(&self) -> &BTreeSet<String> {
         &self.disk_models
     }
 
-    /// Whether it has exited.
+    /// Whether it has exited; the fleet then removes its process.
     pub fn has_exited(&self) -> bool {
         self.exited
     }
 
-    /// Whether it has begun to drain.
+    /// Whether it drains, has drained or deregisters.
     pub fn is_draining(&self) -> bool {
         self.lifecycle != Lifecycle::Ready
     }
 
-    /// Since when it reports `draining`, while that is not acknowledged.
+    /// Since when it has reported `draining`; `None` if it does not drain or the draining is acknowledged.
     pub fn draining_since(&self) -> Option<Millis> {
         match self.lifecycle {
             Lifecycle::Draining { since, .. } => Some(since),
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Begins to drain; at short notice the server exits after `remaining` milliseconds.
+    /// Begins to drain. If `remaining` is given, the server exits after this time, in milliseconds, at the latest.
     pub fn drain(&mut self, world: &mut World, remaining: Option<Millis>) {
         if self.lifecycle != Lifecycle::Ready {
             return;
@@ -171,11 +174,11 @@
         let exit_at = remaining.map(|remaining| world.now + remaining);
         self.lifecycle = Lifecycle::Draining { since: world.now, exit_at };
         self.pending_call = None;
-        world.wake(self.node, world.now, Timer::Heartbeat);
-        world.wake(self.node, exit_at.unwrap_or(world.now + SHUTDOWN_TIMEOUT), Timer::ServerExit);
+        world.set_timer(self.node, world.now, Timer::Heartbeat);
+        world.set_timer(self.node, exit_at.unwrap_or(world.now + SHUTDOWN_TIMEOUT), Timer::ServerExit);
     }
 
-    /// Ends the process abruptly: its connections are reset.
+    /// Ends the process abruptly: its connections are reset. Returns the models on its disk.
     pub fn kill(self, world: &mut World) -> BTreeSet<String> {
         if self.current_order.as_ref().is_some_and(|current_order| current_order.from_store) {
             world.loading -= 1;
@@ -206,7 +209,7 @@
     }
 
     /// Handles a timer that has expired. `coordinators` is the published list of coordinators.
-    pub fn wake(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
+    pub fn handle_timer(&mut self, world: &mut World, timer: Timer, coordinators: &[NodeId]) {
         match timer {
             Timer::Heartbeat if self.pending_call.is_none() => self.call(world, coordinators),
             Timer::CoordinatorCallTimeout(number) => self.call_completed(world, number, false),
@@ -222,7 +225,7 @@
     fn call(&mut self, world: &mut World, coordinators: &[NodeId]) {
         let preferred = self.coordinator.filter(|preferred| coordinators.contains(preferred));
         let Some(coordinator) = preferred.or_else(|| choose(world, coordinators)) else {
-            return world.wake(self.node, world.now + CALL_TIMEOUT, Timer::Heartbeat);
+            return world.set_timer(self.node, world.now + CALL_TIMEOUT, Timer::Heartbeat);
         };
         self.coordinator = Some(coordinator);
         let number = world.next_id();
@@ -232,7 +235,7 @@
         };
         self.pending_call = Some((number, coordinator));
         world.send(self.node, coordinator, Message::Call { number, call });
-        world.wake(self.node, world.now + CALL_TIMEOUT, Timer::CoordinatorCallTimeout(number));
+        world.set_timer(self.node, world.now + CALL_TIMEOUT, Timer::CoordinatorCallTimeout(number));
     }
 
     fn heartbeat(&mut self, world: &World) -> Call {
@@ -255,12 +258,12 @@
             sequence: self.sequence,
             ..Heartbeat::default()
         };
-        let body = sonic_rs::to_vec(&heartbeat).expect("a heartbeat is written");
+        let body = sonic_rs::to_vec(&heartbeat).expect("heartbeat serializes to JSON");
         assert!(body.len() <= MAX_HEARTBEAT_BYTES);
         Call::Heartbeat { id: self.id.clone(), body }
     }
 
-    /// Handles the end of the call to a coordinator.
+    /// Handles the response to the call to a coordinator, or its failure.
     fn call_completed(&mut self, world: &mut World, number: CallNumber, accepted: bool) {
         let Some((_, coordinator)) = self.pending_call.take_if(|(pending_call, _)| *pending_call == number)
         else {
@@ -270,7 +273,7 @@
             self.coordinator = None;
             self.failures += 1;
             let pause = INITIAL_BACKOFF << self.failures.min(4);
-            return world.wake(self.node, world.now + pause, Timer::Heartbeat);
+            return world.set_timer(self.node, world.now + pause, Timer::Heartbeat);
         }
         self.failures = 0;
         match self.lifecycle {
@@ -280,22 +283,23 @@
                 world.observer.drain_acknowledged(world.now, &self.id, coordinator, has_quorum_contact);
                 self.lifecycle = Lifecycle::Drained { exit_at };
                 if exit_at.is_none() {
-                    let stays = self.options.drain + world.random_range(POST_DRAIN_TIME);
-                    world.wake(self.node, world.now + stays, Timer::ServerExit);
+                    let remaining = self.options.drain + world.random_range(POST_DRAIN_TIME);
+                    world.set_timer(self.node, world.now + remaining, Timer::ServerExit);
                 }
             }
             Lifecycle::Deregistering { .. } => return self.exit(world),
             Lifecycle::Ready | Lifecycle::Drained { .. } => {}
         }
-        world.wake(self.node, world.now + self.options.heartbeat, Timer::Heartbeat);
+        world.set_timer(self.node, world.now + self.options.heartbeat, Timer::Heartbeat);
     }
 
     fn advance_shutdown(&mut self, world: &mut World) {
         match self.lifecycle {
             Lifecycle::Ready => {}
             Lifecycle::Draining { since, exit_at } => {
-                let over = exit_at.is_some_and(|at| at <= world.now) || since + SHUTDOWN_TIMEOUT <= world.now;
-                if over {
+                let must_exit =
+                    exit_at.is_some_and(|at| at <= world.now) || since + SHUTDOWN_TIMEOUT <= world.now;
+                if must_exit {
                     self.exit(world);
                 }
             }
@@ -304,8 +308,8 @@
             Lifecycle::Drained { exit_at: None } => {
                 self.lifecycle = Lifecycle::Deregistering { since: world.now };
                 self.pending_call = None;
-                world.wake(self.node, world.now, Timer::Heartbeat);
-                world.wake(self.node, world.now + SHUTDOWN_TIMEOUT, Timer::ServerExit);
+                world.set_timer(self.node, world.now, Timer::Heartbeat);
+                world.set_timer(self.node, world.now + SHUTDOWN_TIMEOUT, Timer::ServerExit);
             }
             Lifecycle::Deregistering { since } => {
                 if since + SHUTDOWN_TIMEOUT <= world.now {
@@ -317,7 +321,7 @@
 
     fn exit(&mut self, world: &mut World) {
         self.exited = true;
-        world.wake(self.node, world.now, Timer::ServerExit);
+        world.set_timer(self.node, world.now, Timer::ServerExit);
     }
 
     // ---- Requests --------------------------------------------------------------------------------------
@@ -325,11 +329,11 @@
     fn handle_call(&mut self, world: &mut World, from: NodeId, number: CallNumber, call: Call) {
         let response = match call {
             Call::Order { expected, body } => {
-                let order: Order = sonic_rs::from_slice(&body).expect("an order is read");
+                let order: Order = sonic_rs::from_slice(&body).expect("order body is valid JSON");
                 Response::Order(self.handle_order(world, from, &expected, order))
             }
             Call::Report { expected } if expected == self.id => {
-                Response::Report(sonic_rs::to_vec(&self.report()).expect("a report is written"))
+                Response::Report(sonic_rs::to_vec(&self.report()).expect("report serializes to JSON"))
             }
             Call::Report { .. } => Response::Report(Vec::new()),
             Call::Request(request) => match self.rejection_status(&request) {
@@ -345,7 +349,7 @@
                         &self.options.service,
                     );
                     let done = world.now + world.random_range(REQUEST_DURATION);
-                    world.wake(self.node, done, Timer::RequestCompleted(number));
+                    world.set_timer(self.node, done, Timer::RequestCompleted(number));
                     self.in_flight.insert(number, InFlightRequest { from, request });
                     return;
                 }
@@ -355,7 +359,7 @@
         world.send(self.node, from, Message::Response { number, response });
     }
 
-    /// The status with which a request is rejected; `None` if it is executed.
+    /// The status with which to reject a request; `None` if it is to be executed.
     fn rejection_status(&self, request: &Request) -> Option<u16> {
         if request.expected != self.id {
             return Some(421);
@@ -369,10 +373,10 @@
                 return Some(503);
             }
             let adapters = self.loaded.get(&request.model);
-            let named = |adapters: &BTreeSet<String>| {
+            let has_adapter = |adapters: &BTreeSet<String>| {
                 request.adapter.as_ref().is_none_or(|adapter| adapters.contains(adapter))
             };
-            if !adapters.is_some_and(named) {
+            if !adapters.is_some_and(has_adapter) {
                 return Some(421);
             }
         }
@@ -387,7 +391,7 @@
     }
 }
 
-/// Whether an order loads or evicts what a request needs.
+/// Whether an order loads or evicts the model or the adapter that a request needs.
 fn order_affects(order: &Order, request: &Request) -> bool {
     order.model == request.model && (order.adapter.is_none() || order.adapter == request.adapter)
 }
--- a/simulation/src/server/orders.rs
+++ b/simulation/src/server/orders.rs
@@ -1,4 +1,4 @@
-//! How a model server answers orders and loads or evicts models and adapters.
+//! Orders at a model server: their responses, and the loads and evictions of models and adapters.
 
 use std::collections::BTreeSet;
 
@@ -13,9 +13,9 @@
 const ADAPTER_LOAD_TIME: std::ops::RangeInclusive<Millis> = 5..=20;
 /// Duration of an eviction, in milliseconds.
 const EVICTION_TIME: std::ops::RangeInclusive<Millis> = 0..=300;
-/// Interval at which an eviction checks whether the requests that it waits for have ended, in milliseconds.
+/// Interval of the check whether the requests that an eviction waits for have completed, in milliseconds.
 const EVICTION_RETRY_INTERVAL: Millis = 10;
-/// Load time from the server's own disk, as a fraction of that from the weight store.
+/// Load time from the machine's disk as a fraction of that from the weight store.
 const DISK_LOAD_FACTOR: f64 = 0.2;
 
 impl ModelServer {
@@ -92,7 +92,7 @@
         }
         let number = world.next_id();
         self.current_order = Some(RunningOrder { number, order, from_store });
-        world.wake(self.node, world.now + duration, Timer::OrderCompleted(number));
+        world.set_timer(self.node, world.now + duration, Timer::OrderCompleted(number));
     }
 
     fn load_time(&self, world: &World, from_store: bool) -> Millis {
@@ -102,7 +102,7 @@
         (models.load_time_s * 1_000.0 * factor) as Millis
     }
 
-    /// Records an order that loads more than the server's memory or adapter capacity.
+    /// Records a violation if a load exceeds the server's memory or adapter capacity.
     fn check_capacity(&self, world: &mut World, order: &Order) {
         let mut after = self.loaded.clone();
         after.entry(order.model.clone()).or_default().extend(order.adapter.clone());
@@ -123,8 +123,8 @@
         if current_order.order.operation == Operation::Evict
             && in_flight_requests.any(|request| order_affects(&current_order.order, request))
         {
-            // An eviction waits until the requests that use the model have ended.
-            world.wake(self.node, world.now + EVICTION_RETRY_INTERVAL, Timer::OrderCompleted(number));
+            // An eviction waits until the requests that use the model or the adapter have completed.
+            world.set_timer(self.node, world.now + EVICTION_RETRY_INTERVAL, Timer::OrderCompleted(number));
             self.current_order = Some(current_order);
             return;
         }
