--- a/simulation/src/fleet.rs
+++ b/simulation/src/fleet.rs
@@ -162,7 +162,7 @@
     /// and until the machines have quorum contact.
     ///
     /// # Panics
-    /// This takes too long.
+    /// A condition does not hold within its time limit.
     pub fn ready(options: FleetOptions) -> Self {
         let mut fleet = Fleet::new(options);
         fleet.start_all();
--- a/simulation/src/fleet/event_loop.rs
+++ b/simulation/src/fleet/event_loop.rs
@@ -159,8 +159,8 @@
     pub(crate) fn end_freeze(&mut self, node: NodeId) {
         let frozen = self.machines.get_mut(&node).and_then(|machine| machine.frozen.take());
         let mut deferred = frozen.unwrap_or_default();
-        // The order in which a thawed process handles its sockets and timers is undefined: try as they came, messages first,
-        // and calls first.
+        // The order in which a thawed process handles its sockets and timers is undefined. Draw one of three: as they
+        // arrived, messages first, or calls first.
         match self.world.random_range(0..=2) {
             0 => {}
             1 => deferred.sort_by_key(|deferred| matches!(deferred, DeferredEvent::Timer(_))),
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -41,7 +41,7 @@
 /// `ackTimeoutMs`, in milliseconds.
 const ACK_TIMEOUT: Millis = 4_000;
 
-/// Injects one event of a kind into a history.
+/// A function that injects an event of one kind into a history.
 type Step = fn(&mut History);
 
 /// A running history: the fleet, the faults in effect and their scheduled repairs.
--- a/simulation/src/history/partitions.rs
+++ b/simulation/src/history/partitions.rs
@@ -185,7 +185,7 @@
     }
 
     /// Partitions the holder of an order lease from one voter. Once another node leads, or after a time limit, the holder
-    /// receives nothing from any voter any more. Orders are needed throughout.
+    /// no longer receives anything from any voter. Orders are needed throughout.
     fn isolate_lease_holder(&mut self) {
         let shard = self.draw(1..=2) as u32;
         let Some(lease_holder) = self.fleet.leader_of(shard) else { return };
--- a/simulation/src/history/races.rs
+++ b/simulation/src/history/races.rs
@@ -13,7 +13,7 @@
 const BURST: std::ops::RangeInclusive<u64> = 5..=40;
 /// Number of changes in a long burst.
 const LONG_BURST: std::ops::RangeInclusive<u64> = 150..=300;
-/// How long a change of a burst usually takes without faults, in milliseconds.
+/// Time within which a change of a burst is answered if no fault is in effect, in milliseconds.
 const BURST_WITHIN: Millis = 600;
 
 impl History {
--- a/simulation/src/history/scenario.rs
+++ b/simulation/src/history/scenario.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Waits up to `limit` milliseconds for the outcome of a change; whether it came.
+    /// Waits up to `limit` milliseconds for the outcome of a change; returns whether it came.
     pub(super) fn await_outcome(&mut self, change: u64, limit: Millis) -> bool {
         self.fleet.run_until(limit, |fleet| fleet.world.observer.outcome(change).is_some())
     }
--- a/simulation/src/invariants/orders.rs
+++ b/simulation/src/invariants/orders.rs
@@ -10,8 +10,8 @@
 /// Number of loads per window that are allowed beyond the rate limit of the weight store.
 const LOAD_RATE_SLACK: f64 = 3.0;
 
-/// Checks, for each server, that fencing tokens increase with each change of the lease holder and that orders of different
-/// holders are at least a lease apart.
+/// Checks, for each server, that fencing tokens never decrease and that they increase with each change of the lease holder, and
+/// that orders of different holders are at least a lease apart.
 pub(super) fn check_orders(observer: &Observer, bounds: &InvariantBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut last: BTreeMap<&ServerId, &ObservedOrder> = BTreeMap::new();
--- a/simulation/src/operator.rs
+++ b/simulation/src/operator.rs
@@ -14,7 +14,7 @@
 /// Time-out of an attempt, in milliseconds; the next attempt goes to another coordinator.
 const CALL_TIMEOUT: Millis = 1_000;
 /// Unit of the backoff before the next attempt, in milliseconds; doubled with each attempt.
-const INITIAL_BACKOFF: Millis = 50;
+const BACKOFF_UNIT: Millis = 50;
 /// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF: Millis = 800;
 
@@ -234,7 +234,7 @@
         let Some(id) = self.call_awaiting(number) else { return };
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.awaited_call = None;
-        let pause = (INITIAL_BACKOFF << pending.attempts.min(6)).min(MAX_BACKOFF);
+        let pause = (BACKOFF_UNIT << pending.attempts.min(6)).min(MAX_BACKOFF);
         world.set_timer(fixtures::operator(), world.now + pause, Timer::OperatorRetry(id));
     }
 
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -14,7 +14,7 @@
 /// Time-out of a call to a coordinator, in milliseconds.
 const CALL_TIMEOUT: Millis = 1_000;
 /// Unit of the backoff before another coordinator is called, in milliseconds; doubled with each consecutive failure.
-const INITIAL_BACKOFF: Millis = 50;
+const BACKOFF_UNIT: Millis = 50;
 /// How long a server waits for the acknowledgement of its draining or of its deregistration before it exits, in milliseconds.
 const SHUTDOWN_TIMEOUT: Millis = 6_000;
 /// How long a server continues to serve after `drainMs`, in milliseconds.
@@ -272,7 +272,7 @@
         if !accepted {
             self.coordinator = None;
             self.failures += 1;
-            let pause = INITIAL_BACKOFF << self.failures.min(4);
+            let pause = BACKOFF_UNIT << self.failures.min(4);
             return world.set_timer(self.node, world.now + pause, Timer::Heartbeat);
         }
         self.failures = 0;
