--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Arbitrary legal event sequences against a small checker of the rules.
+//! Random sequences of legal events, checked against the rules.
 
 mod common;
 
@@ -21,27 +21,27 @@
 }
 
 #[derive(Clone)]
-struct Sent {
+struct SentAttempt {
     server: ServerId,
     at: Seconds,
     status: Option<Status>,
 }
 
-struct Open {
+struct RequestState {
     class: ClassId,
     deadline: Seconds,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     answered: bool,
 }
 
-/// What the rules say of each action.
+/// Checks each action against the rules.
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Open>,
-    left: BTreeMap<ServerId, Seconds>,
-    taken: Vec<Seconds>,
-    extra: Vec<Seconds>,
-    /// When each server was last sent to or heard of, and last closed.
+    requests: BTreeMap<RequestId, RequestState>,
+    draining: BTreeMap<ServerId, Seconds>,
+    request_times: Vec<Seconds>,
+    retry_times: Vec<Seconds>,
+    /// When each server was last sent to or heard from, and when its connections were last closed.
     used: BTreeMap<ServerId, Seconds>,
     closed: BTreeMap<ServerId, Seconds>,
 }
@@ -54,13 +54,13 @@
                 if r.answered {
                     return Err("send after the final answer".into());
                 }
-                if !settings.limits.second_copies && r.sent.iter().any(|s| s.status.is_none()) {
-                    return Err("a second attempt while one is out".into());
+                if !settings.limits.parallel_attempts && r.sent.iter().any(|s| s.status.is_none()) {
+                    return Err("a second attempt while one is in flight".into());
                 }
-                if self.left.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
-                    return Err("send to a server that drains".into());
+                if self.draining.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
+                    return Err("send to a draining server".into());
                 }
-                let ran: Vec<&Sent> =
+                let ran: Vec<&SentAttempt> =
                     r.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").bytes().last().unwrap() % 2;
                 match r.class {
@@ -76,16 +76,16 @@
                 }
                 if let (Some(b), Some(last)) = (&settings.guarantees.budget, r.sent.last()) {
                     if last.status != Some(Status::Absent) {
-                        self.extra.push(now);
+                        self.retry_times.push(now);
                         let within = |times: &[Seconds]| times.iter().filter(|&&t| t > now - b.span).count();
-                        let allowed = b.free + b.ratio * within(&self.taken) as f64;
-                        if within(&self.extra) as f64 > allowed {
-                            return Err("a further attempt beyond the budget".into());
+                        let allowed = b.free + b.ratio * within(&self.request_times) as f64;
+                        if within(&self.retry_times) as f64 > allowed {
+                            return Err("a retry beyond the budget".into());
                         }
                     }
                 }
                 self.used.insert(server.clone(), now);
-                r.sent.push(Sent { server: server.clone(), at: now, status: None });
+                r.sent.push(SentAttempt { server: server.clone(), at: now, status: None });
             }
             Action::Refuse { request, .. } | Action::Fail(request) => {
                 let r = self.requests.get_mut(request).ok_or("answer to an unknown request")?;
@@ -94,10 +94,12 @@
                 }
                 let ran = r.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
                 if matches!(action, Action::Refuse { .. }) && r.class != READ && ran {
-                    return Err("a refusal that may not be given".into());
+                    return Err("a refusal that is not allowed".into());
                 }
             }
-            Action::Tell(_) if !settings.limits.peers => return Err("a message that may not be sent".into()),
+            Action::NotifyPeers(_) if !settings.limits.peer_messages => {
+                return Err("a message that is not allowed".into())
+            }
             Action::CloseIdle(server) => {
                 self.closed.insert(server.clone(), now);
             }
@@ -106,11 +108,11 @@
         Ok(())
     }
 
-    /// Rule six: what drains is closed in time from the notice or the last use.
-    fn unclosed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+    /// Rule 6: connections to a draining server are closed in time after the notice or the last use.
+    fn check_closed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
         let Some(within) = settings.guarantees.close_on_drain else { return Ok(()) };
-        for (server, &left) in &self.left {
-            let due = left.max(self.used.get(server).copied().unwrap_or(0.0));
+        for (server, &notified) in &self.draining {
+            let due = notified.max(self.used.get(server).copied().unwrap_or(0.0));
             if now > due + within && self.closed.get(server).is_none_or(|&at| at < due) {
                 return Err(format!("connections to {server:?} left open"));
             }
@@ -118,8 +120,8 @@
         Ok(())
     }
 
-    fn overdue(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
-        let late = |r: &Open| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
+    fn check_answered(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+        let late = |r: &RequestState| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
         match self.requests.iter().find(|(_, r)| late(r)) {
             Some((id, _)) => Err(format!("{id:?} not answered in time")),
             None => Ok(()),
@@ -127,13 +129,14 @@
     }
 }
 
-/// One random life of a node. `tamper` may change the actions on their way to the checker.
-fn play(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
+/// Runs a node through random events and returns the number of sends. `tamper` may change the actions before
+/// they are checked.
+fn run(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
     let mut rng = Rng(seed);
     let mut settings = settings();
     settings.limits.probes = seed.is_multiple_of(2);
-    settings.limits.peers = seed.is_multiple_of(5);
-    settings.limits.second_copies = !seed.is_multiple_of(2);
+    settings.limits.peer_messages = seed.is_multiple_of(5);
+    settings.limits.parallel_attempts = !seed.is_multiple_of(2);
     if seed.is_multiple_of(3) {
         settings.cache = CacheMode::Aside { origin_kind: "origin".into() };
     }
@@ -147,7 +150,7 @@
     let (mut now, mut next_id, mut sends) = (50.0, 0, 0);
     let mut list: Vec<RosterEntry> = (1..=8).map(entry).collect();
     list.push(origin());
-    let mut events = vec![Event::Roster(RosterNews::Full(list.clone()))];
+    let mut events = vec![Event::Roster(RosterUpdate::Full(list.clone()))];
     for _ in 0..steps {
         now += rng.below(8) as f64 * 0.001;
         timers.retain(|&(at, token)| {
@@ -157,7 +160,7 @@
             }
             !due
         });
-        // Attempts end at the client's deadline at the latest, as a host sees to.
+        // The host ends attempts at the client's deadline at the latest.
         let out: Vec<(RequestId, usize, bool)> = checker
             .requests
             .iter()
@@ -200,17 +203,17 @@
         match rng.below(10) {
             0..=5 => {
                 let class = [READ, READ, KEYED, UNSAFE][rng.below(4) as usize];
-                let left = 0.05 + rng.below(100) as f64 * 0.01;
+                let time_left = 0.05 + rng.below(100) as f64 * 0.01;
                 next_id += 1;
                 let sent = Vec::new();
-                let open = Open { class, deadline: now + left, sent, answered: false };
-                checker.requests.insert(RequestId(next_id), open);
-                checker.taken.push(now);
+                let request = RequestState { class, deadline: now + time_left, sent, answered: false };
+                checker.requests.insert(RequestId(next_id), request);
+                checker.request_times.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
                     class: Some(class),
-                    left,
+                    time_left,
                     write,
                     ..read(next_id, key)
                 }));
@@ -222,25 +225,25 @@
                 list[index].state = state;
                 if state == ServerState::Ready {
                     list[index].started = Some(now);
-                    checker.left.remove(&list[index].server);
+                    checker.draining.remove(&list[index].server);
                 } else {
-                    checker.left.entry(list[index].server.clone()).or_insert(now);
+                    checker.draining.entry(list[index].server.clone()).or_insert(now);
                 }
-                events.push(Event::Roster(RosterNews::Delta(vec![list[index].clone()])));
+                events.push(Event::Roster(RosterUpdate::Delta(vec![list[index].clone()])));
             }
             7 if rng.below(4) == 0 && next_id > 0 => {
                 let id = RequestId(1 + rng.below(next_id));
                 events.push(Event::Withdrawn(id));
             }
             8 => events.push(Event::Probed { server: id(1 + rng.below(8)), status: Status::Success }),
-            9 if settings.limits.peers => {
+            9 if settings.limits.peer_messages => {
                 let bytes = id(1 + rng.below(8)).0.as_bytes().to_vec();
                 events.push(Event::Message { from: 1, bytes });
             }
             _ => {}
         }
         for event in events.drain(..) {
-            // The node learns of an end when it is told, not when the batch was made up.
+            // The node learns of the end of a request with this event, not when the batch was generated.
             if let Event::Withdrawn(id) | Event::Outcome(Outcome { request: id, finished: true, .. }) = event
             {
                 checker.requests.get_mut(&id).unwrap().answered = true;
@@ -257,16 +260,16 @@
                 }
             }
         }
-        checker.overdue(now, &settings)?;
-        checker.unclosed(now, &settings)?;
+        checker.check_answered(now, &settings)?;
+        checker.check_closed(now, &settings)?;
     }
     Ok(sends)
 }
 
 #[test]
-fn rules_hold_in_random_lives() {
+fn rules_hold_for_random_events() {
     for seed in 1..=16 {
-        let sends = play(seed, 2000, |_| {}).unwrap_or_else(|broken| panic!("seed {seed}: {broken}"));
+        let sends = run(seed, 2000, |_| {}).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         assert!(sends > 50, "seed {seed}: {sends} sends");
     }
 }
@@ -277,27 +280,27 @@
         let sends: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
         actions.extend(sends);
     };
-    assert!(play(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
-    assert!(play(2, 3000, twice).unwrap_err().contains("while one is out"));
-    let mute = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
-    assert!(play(1, 6000, mute).unwrap_err().contains("not answered in time"));
-    let eager = |actions: &mut Vec<Action>| {
+    assert!(run(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
+    assert!(run(2, 3000, twice).unwrap_err().contains("while one is in flight"));
+    let drop_failures = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
+    assert!(run(1, 6000, drop_failures).unwrap_err().contains("not answered in time"));
+    let refuse_always = |actions: &mut Vec<Action>| {
         for action in actions.iter_mut() {
             if let Action::Fail(request) = action {
                 *action = Action::Refuse { request: *request, retry_after: None };
             }
         }
     };
-    assert!(play(1, 6000, eager).unwrap_err().contains("may not be given"));
-    let open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
-    assert!(play(4, 3000, open).unwrap_err().contains("left open"));
+    assert!(run(1, 6000, refuse_always).unwrap_err().contains("refusal that is not allowed"));
+    let keep_open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
+    assert!(run(4, 3000, keep_open).unwrap_err().contains("left open"));
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let trace = |_: ()| {
         let log = std::cell::RefCell::new(String::new());
-        play(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
+        run(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
         log.into_inner()
     };
     assert!(trace(()) == trace(()));
