--- a/node/tests/node.rs
+++ b/node/tests/node.rs
@@ -326,7 +326,7 @@
     let half =
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{\"version\":2,", whole.to_string().len());
     for (count, (reply, what)) in [
-        (respond("200 OK", "nonsense"), "what is no list"),
+        (respond("200 OK", "nonsense"), "response is not a valid list"),
         (Reply::Close(half), "broke off"),
         (respond("503 Service Unavailable", ""), "503"),
         (respond("200 OK", &list(0, false, &[]).to_string()), "older list, version 0"),
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -1,4 +1,5 @@
-//! Runs beside one cache server: registers it while it answers, renews its lease, and says goodbye for it.
+//! Agent of one cache server: registers the server while it answers probes, renews its lease, and deregisters
+//! it when the agent is stopped.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,48 +12,51 @@
 use crate::call::{Call, Line};
 use crate::changes::{entry_path, ChangeError, Changes};
 
-/// Each lease is renewed so many times.
-const RENEWALS: u32 = 3;
-/// Answers that a server may owe in a row before it is no longer renewed.
-const MISSES: u32 = 3;
-/// For the check of a server that only begins.
-const CHECK_PAUSE: Duration = Duration::from_millis(200);
-const CHECK_TIME: Duration = Duration::from_secs(1);
-/// Most of a check's answer that is read.
-const LONGEST_CHECK: usize = 64 << 10;
+/// Renewals sent per lease.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Failed probes in a row after which the lease is no longer renewed.
+const MAX_FAILED_PROBES: u32 = 3;
+/// Interval of the probes while the server is not registered, and shortest interval afterwards.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest probe response that is read, in bytes.
+const MAX_PROBE_RESPONSE_BYTES: usize = 64 << 10;
 
-/// What an agent does.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Duty {
     pub entry: Entry,
     pub lease: Duration,
-    /// Between `leaving` and `left`.
+    /// Time between the states `leaving` and `left`, for requests in flight.
     pub drain: Duration,
-    /// Where the check connects, if not where clients do.
+    /// Address that is probed; clients may use another one.
     pub check: SocketAddr,
 }
 
-/// Why an agent ends before it is told to.
+/// Why an agent ends before it is stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
-    #[error("{id}: a newer life of this server is listed: {why}")]
+    #[error("{id}: a later start of this server is already registered: {why}")]
     Replaced { id: String, why: String },
-    #[error("{id}: the registry refuses it: {why}")]
+    #[error("{id}: the registry refused the registration: {why}")]
     Refused { id: String, why: String },
     #[error("{0}")]
     Change(#[from] ChangeError),
 }
 
-/// Whether the server answers. Whatever it says but 503, it is there: on some sites nobody answers probes.
+/// Probes the server. Every response but 503 counts as alive, because on some sites servers do not implement
+/// the probe's path.
 pub async fn answers(addr: SocketAddr) -> bool {
-    let answer = Line::new(addr).within(CHECK_TIME, Call::get("/health/live", LONGEST_CHECK)).await;
+    let answer =
+        Line::new(addr).within(PROBE_TIMEOUT, Call::get("/health/live", MAX_PROBE_RESPONSE_BYTES)).await;
     answer.is_ok_and(|answer| answer.status != StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Keeps the entry listed for as long as its server answers, until `stop`. `say` is told what happens.
+/// Keeps the entry registered for as long as its server answers probes, until `stop` completes. `say` logs
+/// progress and failures.
 ///
 /// # Errors
-/// Where the registry wants no more of this life, or the goodbye is not known to hold.
+/// The registry refused this start of the server, or it is unknown whether the server was deregistered.
 pub async fn run(
     duty: &Duty,
     changes: &mut Changes,
@@ -62,53 +66,53 @@
     tokio::pin!(stop);
     let id = duty.entry.id.clone();
     let stamp = Stamp { started_ms: duty.entry.started_ms, incarnation: 0 };
-    let pause = duty.lease / RENEWALS;
-    let (mut listed, mut missed) = (false, 0);
+    let renew_interval = duty.lease / RENEWALS_PER_LEASE;
+    let (mut registered, mut failed_probes) = (false, 0);
     loop {
-        let round = async {
+        let step = async {
             if !answers(duty.check).await {
-                missed += 1;
-                if missed == MISSES && listed {
-                    say(format!("{id} does not answer: not renewed any more"));
+                failed_probes += 1;
+                if failed_probes == MAX_FAILED_PROBES && registered {
+                    say(format!("{id} failed {MAX_FAILED_PROBES} probes in a row; lease no longer renewed"));
                 }
-                return Ok(CHECK_PAUSE.max(if listed { pause / 2 } else { CHECK_PAUSE }));
+                return Ok(PROBE_INTERVAL.max(if registered { renew_interval / 2 } else { PROBE_INTERVAL }));
             }
-            let well = missed < MISSES;
-            missed = 0;
-            if listed && !well {
-                say(format!("{id} answers again"));
+            let was_alive = failed_probes < MAX_FAILED_PROBES;
+            failed_probes = 0;
+            if registered && !was_alive {
+                say(format!("{id} answers probes again"));
             }
-            if !listed {
+            if !registered {
                 let version = register(duty, changes).await?;
                 say(format!("{id} registered at version {version}"));
-                listed = true;
-                return Ok(pause);
+                registered = true;
+                return Ok(renew_interval);
             }
-            match renew(&id, stamp, changes, pause).await {
-                Ok(()) => Ok(pause),
+            match renew(&id, stamp, changes, renew_interval).await {
+                Ok(()) => Ok(renew_interval),
                 Err(ChangeError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
-                    say(format!("{id} is not listed any more"));
-                    listed = false;
+                    say(format!("{id} is no longer registered; registering it again"));
+                    registered = false;
                     Ok(Duration::ZERO)
                 }
                 Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
                     Err(AgentError::Replaced { id: id.clone(), why })
                 }
                 Err(e) => {
-                    say(format!("{id}: renewal: {e}"));
-                    Ok(CHECK_PAUSE)
+                    say(format!("{id}: lease renewal failed: {e}"));
+                    Ok(PROBE_INTERVAL)
                 }
             }
         };
         let wait = tokio::select! {
-            wait = round => wait,
+            wait = step => wait,
             () = &mut stop => break,
         };
         let wait = match wait {
-            // A registry that can't be reached or is full may be better soon.
+            // The registry may only be unreachable or full for a short time, so the round is repeated.
             Err(AgentError::Change(e @ (ChangeError::NotDone(_) | ChangeError::Unknown(_)))) => {
                 say(format!("{id}: {e}"));
-                CHECK_PAUSE
+                PROBE_INTERVAL
             }
             wait => wait?,
         };
@@ -117,8 +121,8 @@
             () = &mut stop => break,
         }
     }
-    if listed {
-        say_goodbye(duty, stamp, changes, &mut say).await?;
+    if registered {
+        deregister(duty, stamp, changes, &mut say).await?;
     }
     Ok(())
 }
@@ -126,8 +130,8 @@
 async fn register(duty: &Duty, changes: &mut Changes) -> Result<u64, AgentError> {
     let id = duty.entry.id.clone();
     let entry = Entry { state: State::Active, ..duty.entry.clone() };
-    let question = Register::new(&entry, Some(duty.lease.as_secs_f64()));
-    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &question, duty.lease).await {
+    let request = Register::new(&entry, Some(duty.lease.as_secs_f64()));
+    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &request, duty.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -141,8 +145,9 @@
     changes.put::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
 }
 
-/// `leaving`, the time for what is under way, and `left`. Somebody else's `left` is as good.
-async fn say_goodbye(
+/// Sets the state to `leaving`, waits for requests in flight, and deregisters the entry. It is no error if
+/// the entry is already gone.
+async fn deregister(
     duty: &Duty,
     stamp: Stamp,
     changes: &mut Changes,
@@ -154,7 +159,7 @@
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
-        Err(e) => say(format!("{id}: leaving: {e}")),
+        Err(e) => say(format!("{id}: could not set the state `leaving`: {e}")),
     }
     sleep(duty.drain).await;
     match changes.put::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, duty.lease).await {
--- a/registry-client/src/call.rs
+++ b/registry-client/src/call.rs
@@ -1,4 +1,5 @@
-//! One HTTP call at a time to one address. Nothing is sent twice: what became of a call is the caller's to judge.
+//! HTTP client that sends one call at a time to one address. It never retries, because only the caller knows
+//! whether a call may be sent twice.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// An answer whose body has come whole.
+/// A response whose body was received completely.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -20,13 +21,13 @@
     pub body: Bytes,
 }
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The other side surely has not acted.
+    /// No connection was established, so the call was certainly not executed.
     #[error("not reached: {0}")]
     NotReached(std::io::Error),
-    /// It may have.
+    /// The connection failed; the call may have been executed.
     #[error("broke off: {0}")]
     Broken(#[from] hyper::Error),
     #[error("an answer longer than {0} bytes")]
@@ -38,29 +39,31 @@
 }
 
 impl CallError {
+    /// Whether the call was certainly not executed.
     pub fn not_run(&self) -> bool {
         matches!(self, CallError::NotReached(_) | CallError::Unusable(_))
     }
 }
 
-type Driving = Pin<Box<dyn Future<Output = hyper::Result<()>> + Send>>;
+type ConnectionTask = Pin<Box<dyn Future<Output = hyper::Result<()>> + Send>>;
 
-/// A line to one address. Its connection is kept between calls, and driven only in them.
+/// A client of one address. It can keep its connection open between calls. The connection is polled only
+/// during a call.
 pub struct Line {
     addr: SocketAddr,
-    open: Option<(SendRequest<Full<Bytes>>, Driving)>,
+    open: Option<(SendRequest<Full<Bytes>>, ConnectionTask)>,
 }
 
-/// A call to put.
+/// A request to be sent.
 pub struct Call<'a> {
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
     pub headers: &'a [(&'static str, &'a str)],
     pub body: Bytes,
-    /// Most bytes that the answer may have.
+    /// Longest response body that is accepted, in bytes.
     pub most: usize,
-    /// The connection is for this call only.
+    /// Whether to close the connection after this call.
     pub last: bool,
 }
 
@@ -75,25 +78,26 @@
         Line { addr, open: None }
     }
 
-    /// A connection of an earlier call is kept.
+    /// Whether the connection of an earlier call is still open.
     pub fn is_open(&self) -> bool {
         self.open.as_ref().is_some_and(|(sender, _)| !sender.is_closed())
     }
 
-    /// Puts the call within this time. A call that is dropped or fails takes its connection with it.
+    /// Sends the call and waits at most `time` for the response. If the call fails or its future is dropped,
+    /// its connection is closed.
     ///
     /// # Errors
-    /// Tells whether the other side may have acted.
+    /// [`CallError::not_run`] tells whether the call may have been executed.
     pub async fn within(&mut self, time: Duration, call: Call<'_>) -> Result<Answer, CallError> {
         tokio::time::timeout(time, self.call(call)).await.unwrap_or(Err(CallError::TooLate(time)))
     }
 
     async fn call(&mut self, call: Call<'_>) -> Result<Answer, CallError> {
-        // A kept connection that the other side has closed since is no failure yet.
+        // A kept connection that the other side has closed in the meantime is replaced by a new one.
         let kept = self.open.take().filter(|(sender, _)| !sender.is_closed());
-        let (mut sender, mut driving) = match kept {
+        let (mut sender, mut connection_task) = match kept {
             Some(open) => open,
-            None => open(self.addr).await?,
+            None => connect(self.addr).await?,
         };
         let host = self.addr.to_string();
         let mut request = Request::builder().method(call.method).uri(call.path).header(header::HOST, &host);
@@ -119,21 +123,21 @@
                 })?;
             Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() })
         };
-        let (answer, over) = {
+        let (answer, closed) = {
             let mut exchange = std::pin::pin!(exchange);
             tokio::select! {
                 answer = &mut exchange => (answer, false),
-                _ = &mut driving => (exchange.await, true),
+                _ = &mut connection_task => (exchange.await, true),
             }
         };
-        if answer.is_ok() && !call.last && !over {
-            self.open = Some((sender, driving));
+        if answer.is_ok() && !call.last && !closed {
+            self.open = Some((sender, connection_task));
         }
         answer
     }
 }
 
-async fn open(addr: SocketAddr) -> Result<(SendRequest<Full<Bytes>>, Driving), CallError> {
+async fn connect(addr: SocketAddr) -> Result<(SendRequest<Full<Bytes>>, ConnectionTask), CallError> {
     let stream = TcpStream::connect(addr).await.map_err(CallError::NotReached)?;
     stream.set_nodelay(true).map_err(CallError::NotReached)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the list, put until they hold or are refused. Every change may be put twice: the second changes
-//! nothing.
+//! Sends changes to the registry and retries them until they are acknowledged or refused. Every change is
+//! idempotent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,58 +13,60 @@
 
 use crate::call::{Call, Line};
 
-/// For one call at one endpoint; the leader's own limit is below it.
-const CALL_TIME: Duration = Duration::from_secs(6);
-/// Between two rounds of all endpoints.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of one call to one endpoint. It is above the leader's own time limit for a change.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
+/// Pause after all endpoints have been tried once.
+const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a change does not hold.
+/// Why a change was not acknowledged.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// The service has answered no, and the change has not happened.
+    /// The service refused the change, and it was not made.
     #[error("refused ({status}): {why}")]
     Refused { status: StatusCode, why: String },
-    /// No endpoint took it in time, and it surely has not happened.
-    #[error("not done: {0}")]
+    /// No endpoint accepted the change in time, and it was certainly not made.
+    #[error("not executed: {0}")]
     NotDone(String),
-    /// It may have happened, or may yet.
-    #[error("unknown whether done: {0}")]
+    /// The change may have been made, or may still be made.
+    #[error("outcome unknown: {0}")]
     Unknown(String),
-    #[error("can't be put: {0}")]
+    #[error("invalid JSON: {0}")]
     Unusable(#[from] serde_json::Error),
 }
 
-/// Puts changes at any of some endpoints, the one that last took one first.
+/// A client of the registry's operator API. It first calls the endpoint that last answered.
 pub struct Changes {
     endpoints: Vec<SocketAddr>,
-    at: usize,
-    /// The duty and the fencing number that each change carries.
-    under: Option<(String, String)>,
+    current: usize,
+    /// The duty and the fencing number that are sent with each change.
+    fence_headers: Option<(String, String)>,
 }
 
 impl Changes {
     pub fn new(endpoints: Vec<SocketAddr>) -> Self {
-        Changes { endpoints, at: 0, under: None }
+        Changes { endpoints, current: 0, fence_headers: None }
     }
 
-    /// From now on changes hold only while this tenure does.
+    /// Sets the fence that is sent with every change from now on. The registry refuses a change whose fence
+    /// is no longer the holder's.
     pub fn under(&mut self, fence: Option<&Fence>) {
-        self.under = fence.map(|fence| (fence.duty.clone(), fence.fence.to_string()));
+        self.fence_headers = fence.map(|fence| (fence.duty.clone(), fence.fence.to_string()));
     }
 
-    /// The next try is at the next endpoint.
+    /// Sends the next call to the next endpoint.
     pub fn move_on(&mut self) {
-        self.at = (self.at + 1) % self.endpoints.len().max(1);
+        self.current = (self.current + 1) % self.endpoints.len().max(1);
     }
 
     pub fn endpoints(&self) -> &[SocketAddr] {
         &self.endpoints
     }
 
-    /// One try at one endpoint. Where it brings no answer that counts, the next try is at the next one.
+    /// Sends a call once, to one endpoint. If it neither succeeds nor is refused, the next call goes to the
+    /// next endpoint.
     ///
     /// # Errors
-    /// Tells whether it may have happened.
+    /// Tells whether the change may have been made.
     pub async fn once<A: DeserializeOwned>(
         &mut self,
         method: Method,
@@ -72,17 +74,17 @@
         body: bytes::Bytes,
         time: Duration,
     ) -> Result<A, ChangeError> {
-        let Some(addr) = self.endpoints.get(self.at).copied() else {
-            return Err(ChangeError::NotDone("no endpoint is known".into()));
+        let Some(addr) = self.endpoints.get(self.current).copied() else {
+            return Err(ChangeError::NotDone("no endpoint configured".into()));
         };
-        let headers = match &self.under {
+        let headers = match &self.fence_headers {
             Some((duty, fence)) => vec![(DUTY_HEADER, duty.as_str()), (FENCE_HEADER, fence.as_str())],
             None => Vec::new(),
         };
         let call = Call { method, path, headers: &headers, body, most: LONGEST_CALL, last: true };
-        let done = match Line::new(addr).within(time, call).await {
+        let result = match Line::new(addr).within(time, call).await {
             Ok(answer) if answer.status.is_success() => match serde_json::from_slice(&answer.body) {
-                Ok(told) => return Ok(told),
+                Ok(value) => return Ok(value),
                 Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
             },
             Ok(answer) => {
@@ -91,98 +93,102 @@
                 if answer.status.is_client_error() {
                     return Err(ChangeError::Refused { status: answer.status, why });
                 }
-                let trouble = format!("{addr}: {} {why}", answer.status);
+                let failure = format!("{addr}: {} {why}", answer.status);
                 match answer.headers.contains_key(shaletrail_registry_protocol::NOT_RUN) {
-                    true => Err(ChangeError::NotDone(trouble)),
-                    false => Err(ChangeError::Unknown(trouble)),
+                    true => Err(ChangeError::NotDone(failure)),
+                    false => Err(ChangeError::Unknown(failure)),
                 }
             }
             Err(e) if e.not_run() => Err(ChangeError::NotDone(format!("{addr}: {e}"))),
             Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
         };
         self.move_on();
-        done
+        result
     }
 
-    /// Puts an idempotent call again and again, for so long at the most.
+    /// Sends an idempotent call, and retries it at all endpoints in turn for at most `time`.
     ///
     /// # Errors
-    /// Tells whether it may have happened.
+    /// Tells whether the change may have been made.
     pub async fn put<A: DeserializeOwned>(
         &mut self,
         method: Method,
         path: &str,
-        question: &impl Serialize,
+        request: &impl Serialize,
         time: Duration,
     ) -> Result<A, ChangeError> {
-        let body: bytes::Bytes = serde_json::to_vec(question)?.into();
-        let until = Instant::now() + time;
-        let mut ran = false;
-        let mut tries = 0;
+        let body: bytes::Bytes = serde_json::to_vec(request)?.into();
+        let deadline = Instant::now() + time;
+        let mut maybe_made = false;
+        let mut attempts = 0;
         loop {
-            let left = until.saturating_duration_since(Instant::now()).min(CALL_TIME);
-            let trouble = match self.once(method.clone(), path, body.clone(), left).await {
-                Err(ChangeError::NotDone(trouble)) => trouble,
-                Err(ChangeError::Unknown(trouble)) => {
-                    ran = true;
-                    trouble
+            let time_left = deadline.saturating_duration_since(Instant::now()).min(CALL_TIMEOUT);
+            let failure = match self.once(method.clone(), path, body.clone(), time_left).await {
+                Err(ChangeError::NotDone(failure)) => failure,
+                Err(ChangeError::Unknown(failure)) => {
+                    maybe_made = true;
+                    failure
                 }
-                done => return done,
+                result => return result,
             };
-            tries += 1;
-            if Instant::now() >= until {
-                return Err(if ran { ChangeError::Unknown(trouble) } else { ChangeError::NotDone(trouble) });
+            attempts += 1;
+            if Instant::now() >= deadline {
+                return Err(if maybe_made {
+                    ChangeError::Unknown(failure)
+                } else {
+                    ChangeError::NotDone(failure)
+                });
             }
-            if tries % self.endpoints.len().max(1) == 0 {
-                tokio::time::sleep(PAUSE).await;
+            if attempts % self.endpoints.len().max(1) == 0 {
+                tokio::time::sleep(ROUND_PAUSE).await;
             }
         }
     }
 
-    /// One call that changes nothing, and its answer.
+    /// Reads a resource as JSON from the first endpoint that answers.
     ///
     /// # Errors
-    /// The last endpoint's trouble, or an answer that is not what was asked for.
+    /// The failure of the last endpoint, or a response that is not the expected JSON.
     pub async fn read<A: DeserializeOwned>(&mut self, path: &str, most: usize) -> Result<A, ChangeError> {
         Ok(serde_json::from_slice(&self.get(path, most).await?)?)
     }
 
-    /// The same as bytes.
+    /// Reads a resource as bytes from the first endpoint that answers, at most `most` bytes long.
     ///
     /// # Errors
-    /// The last endpoint's trouble.
+    /// The failure of the last endpoint.
     pub async fn get(&mut self, path: &str, most: usize) -> Result<bytes::Bytes, ChangeError> {
-        let mut trouble = "no endpoint is known".to_owned();
+        let mut failure = "no endpoint configured".to_owned();
         for _ in 0..self.endpoints.len() {
-            let addr = self.endpoints[self.at];
-            match Line::new(addr).within(CALL_TIME, Call::get(path, most)).await {
+            let addr = self.endpoints[self.current];
+            match Line::new(addr).within(CALL_TIMEOUT, Call::get(path, most)).await {
                 Ok(answer) if answer.status.is_success() => return Ok(answer.body),
                 Ok(answer) => {
-                    trouble = format!("{addr}: {} {}", answer.status, String::from_utf8_lossy(&answer.body));
+                    failure = format!("{addr}: {} {}", answer.status, String::from_utf8_lossy(&answer.body));
                 }
-                Err(e) => trouble = format!("{addr}: {e}"),
+                Err(e) => failure = format!("{addr}: {e}"),
             }
-            self.at = (self.at + 1) % self.endpoints.len();
+            self.current = (self.current + 1) % self.endpoints.len();
         }
-        Err(ChangeError::NotDone(trouble))
+        Err(ChangeError::NotDone(failure))
     }
 }
 
-/// What stands in ids but not in a path.
-const IN_PATH: &AsciiSet =
+/// Characters of ids that are percent-encoded in a path.
+const PATH_ENCODE_SET: &AsciiSet =
     &CONTROLS.add(b' ').add(b'"').add(b'#').add(b'%').add(b'/').add(b'<').add(b'>').add(b'?').add(b'`');
 
-/// The path of one entry's call: none, `renew` or `leaving`.
+/// The path of a call for one entry. `call` is empty, `renew` or `leaving`.
 pub fn entry_path(id: &str, call: &str) -> String {
-    path_of(INSTANCES, id, call)
+    resource_path(INSTANCES, id, call)
 }
 
-/// The path of one duty's call.
+/// The path of a call for one duty. `call` is empty for the duty itself.
 pub fn duty_path(name: &str, call: &str) -> String {
-    path_of(DUTIES, name, call)
+    resource_path(DUTIES, name, call)
 }
 
-fn path_of(all: &str, name: &str, call: &str) -> String {
+fn resource_path(collection: &str, name: &str, call: &str) -> String {
     let slash = if call.is_empty() { "" } else { "/" };
-    format!("{all}/{}{slash}{call}", utf8_percent_encode(name, IN_PATH))
+    format!("{collection}/{}{slash}{call}", utf8_percent_encode(name, PATH_ENCODE_SET))
 }
--- a/registry-client/src/clock.rs
+++ b/registry-client/src/clock.rs
@@ -1,22 +1,22 @@
-//! The two clocks. Decisions go by the time since boot; the wall clock is for labels.
+//! The two clocks. Decisions use the time since boot; the wall clock is only for timestamps and schedules.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// Time since the machine's boot, also that in which it was suspended. It never jumps, and all processes of one
-/// machine read the same.
+/// Time since the machine's boot, including the time for which it was suspended. It never jumps, and all
+/// processes of one machine read the same clock.
 pub fn boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Names a file that holds milliseconds by which the wall clock is taken to be wrong: how a play steps the clock of
-/// one process and of no other.
+/// Environment variable with the path of a file that holds an offset of the wall clock in milliseconds. The
+/// fault lab uses it to step the wall clock of a single process.
 pub const WALL_STEP: &str = "LAB_WALL_STEP_FILE";
 
-/// Unix time as this process sees it: for labels, schedules of nights, and the floor from which versions and fencing
-/// numbers go on after a restore. Nothing that runs decides by it.
+/// Unix time as this process sees it. It is used for timestamps, for schedules by date, and for the lower
+/// bound of versions and fencing numbers after a restore. No timeout or lease depends on it.
 #[allow(clippy::disallowed_methods)]
 pub fn unix() -> Duration {
     let read = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -1,4 +1,4 @@
-//! Following the list over sockets: gives the pure core of [`crate::follow`] its time and its calls.
+//! Follows the list over sockets: runs the logic of [`crate::follow`] with real calls and a real clock.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -13,201 +13,207 @@
 use tokio::time::sleep_until;
 
 use crate::call::{Call, CallError, Line};
-use crate::follow::{Action, Ask, CallId, Follower, Retry, Told};
+use crate::follow::{Action, Ask, CallId, Follower, ListSummary, Retry};
 
-/// Far above what the core allows: it gives calls up itself.
-const LONGEST_CALL: Duration = Duration::from_secs(120);
+/// Timeout of a call. It is far above the core's own limits, so normally the core cancels the call first.
+const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A call on a kept connection that ends sooner than this, without an answer, met a closed one.
-const STALE: Duration = Duration::from_millis(50);
+/// If a call on a kept connection breaks off within this time, the server had already closed the connection.
+const STALE_CONNECTION_TIME: Duration = Duration::from_millis(50);
 
-/// Why a call brought no list.
+/// Why a call did not return a list.
 #[derive(Debug)]
-pub enum NoList {
+pub enum FetchError {
     Call(CallError),
-    /// The connection, kept from an earlier call, had been closed.
+    /// The server had closed the connection that was kept from an earlier call.
     Stale,
     Status(StatusCode),
-    Rotten,
+    /// The body is not a list of this protocol.
+    InvalidBody,
 }
 
-impl fmt::Display for NoList {
+impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoList::Call(e) => write!(f, "{e}"),
-            NoList::Stale => write!(f, "had closed its connection"),
-            NoList::Status(status) => write!(f, "answered {status}"),
-            NoList::Rotten => write!(f, "answered what is no list"),
+            FetchError::Call(e) => write!(f, "{e}"),
+            FetchError::Stale => write!(f, "closed the kept connection"),
+            FetchError::Status(status) => write!(f, "answered {status}"),
+            FetchError::InvalidBody => write!(f, "response is not a valid list"),
         }
     }
 }
 
-/// What following brings.
+/// What the follower reports.
 #[derive(Debug)]
 pub enum News {
-    /// The whole list, or what has changed since the last news.
+    /// The whole list, or the changes since the last report.
     List(List),
-    /// No endpoint answers; the last list stands.
+    /// All endpoints failed; the last list stays valid. The text is the last failure.
     Failed(String),
-    /// An answer that is older than what was told; the last list stands, and another call is made.
+    /// An endpoint answered with an older list than the last one reported. The last list stays valid, and
+    /// another call is made.
     Older(String),
 }
 
-/// One call for the list at one address.
+/// Reads the list once from one address.
 ///
 /// # Errors
-/// Whatever is no list of this protocol.
-pub async fn ask(addr: SocketAddr, ask: Ask) -> Result<List, NoList> {
-    ask_on(&mut Line::new(addr), ask, true).await
+/// The call failed, or its response is not a list of this protocol.
+pub async fn ask(addr: SocketAddr, ask: Ask) -> Result<List, FetchError> {
+    fetch_on(&mut Line::new(addr), ask, true).await
 }
 
-async fn ask_on(line: &mut Line, ask: Ask, last: bool) -> Result<List, NoList> {
+async fn fetch_on(client: &mut Line, ask: Ask, last: bool) -> Result<List, FetchError> {
     let path = match ask {
         Ask::Whole => INSTANCES.to_owned(),
         Ask::Changes { from, hold } => format!("{INSTANCES}?from={from}&hold_ms={}", hold.as_millis()),
     };
-    let (kept, began) = (line.is_open(), Instant::now());
+    let (was_open, started) = (client.is_open(), Instant::now());
     let call = Call { last, ..Call::get(&path, LONGEST_LIST) };
-    let answer = line.within(LONGEST_CALL, call).await.map_err(|e| match e {
-        CallError::Broken(_) if kept && began.elapsed() < STALE => NoList::Stale,
-        e => NoList::Call(e),
+    let answer = client.within(CALL_TIMEOUT, call).await.map_err(|e| match e {
+        CallError::Broken(_) if was_open && started.elapsed() < STALE_CONNECTION_TIME => FetchError::Stale,
+        e => FetchError::Call(e),
     })?;
     if answer.status != StatusCode::OK {
-        return Err(NoList::Status(answer.status));
+        return Err(FetchError::Status(answer.status));
     }
-    serde_json::from_slice(&answer.body).map_err(|_| NoList::Rotten)
+    serde_json::from_slice(&answer.body).map_err(|_| FetchError::InvalidBody)
 }
 
-/// A call, which brings its line back.
-type Asking = Pin<Box<dyn Future<Output = (Result<List, NoList>, Line)> + Send>>;
+/// A call in flight. It returns its client for reuse.
+type PendingCall = Pin<Box<dyn Future<Output = (Result<List, FetchError>, Line)> + Send>>;
 
-/// Follows the list at some endpoints.
+/// Follows the list at several endpoints.
 pub struct Following {
     follower: Follower,
     endpoints: Vec<SocketAddr>,
-    began: Instant,
-    out: Vec<(CallId, SocketAddr, Asking)>,
-    /// Lines whose last call was answered. Many that watch would else all connect anew at each change.
-    lines: HashMap<SocketAddr, Line>,
-    news: VecDeque<News>,
-    /// Why the last call brought nothing.
-    trouble: String,
+    started: Instant,
+    in_flight: Vec<(CallId, SocketAddr, PendingCall)>,
+    /// Clients whose last call was answered, kept with their connections. Without them every watcher would
+    /// open a new connection at each change.
+    idle_clients: HashMap<SocketAddr, Line>,
+    pending_updates: VecDeque<News>,
+    /// The failure of the last call.
+    last_failure: String,
 }
 
 impl Following {
-    /// `held`: the version of a list that is known already. Nothing is asked before [`Following::start`].
+    /// `held` is the version of a list that is already known. No call is made before [`Following::start`].
     pub fn new(endpoints: Vec<SocketAddr>, held: Option<u64>, retry: Retry, seed: u64) -> Self {
         Following {
             follower: Follower::new(endpoints.len(), held, retry, seed),
             endpoints,
-            began: Instant::now(),
-            out: Vec::new(),
-            lines: HashMap::new(),
-            news: VecDeque::new(),
-            trouble: String::new(),
+            started: Instant::now(),
+            in_flight: Vec::new(),
+            idle_clients: HashMap::new(),
+            pending_updates: VecDeque::new(),
+            last_failure: String::new(),
         }
     }
 
+    /// Starts following, or retries at once after a failure; see [`Retry::OnStart`].
     pub fn start(&mut self) {
         let mut actions = Vec::new();
-        self.follower.start(self.began.elapsed(), &mut actions);
-        self.act(actions, None);
+        self.follower.start(self.started.elapsed(), &mut actions);
+        self.apply(actions, None);
     }
 
-    /// The list is at other endpoints from now on. The same ones change nothing.
+    /// Changes the endpoints. The list at the new ones is read from the start; nothing happens if they are
+    /// the same.
     pub fn move_to(&mut self, endpoints: Vec<SocketAddr>) {
         if self.endpoints == endpoints {
             return;
         }
         let mut actions = Vec::new();
         self.endpoints = endpoints;
-        self.lines.clear();
-        self.follower.moved(self.endpoints.len(), self.began.elapsed(), &mut actions);
-        self.act(actions, None);
+        self.idle_clients.clear();
+        self.follower.replace_endpoints(self.endpoints.len(), self.started.elapsed(), &mut actions);
+        self.apply(actions, None);
     }
 
-    /// The next news. May be dropped and called again at any time; nothing is lost.
+    /// Waits for the next report. The future is cancel safe.
     pub async fn next(&mut self) -> News {
         loop {
-            if let Some(news) = self.news.pop_front() {
+            if let Some(news) = self.pending_updates.pop_front() {
                 return news;
             }
-            let wake = self.follower.wake().map(|at| self.began + at);
+            let wake = self.follower.wake().map(|at| self.started + at);
             let ended = tokio::select! {
-                ended = any(&mut self.out) => Some(ended),
-                () = sleep_until(wake.unwrap_or(self.began).into()), if wake.is_some() => None,
+                ended = first_to_end(&mut self.in_flight) => Some(ended),
+                () = sleep_until(wake.unwrap_or(self.started).into()), if wake.is_some() => None,
             };
-            let now = self.began.elapsed();
+            let now = self.started.elapsed();
             let mut actions = Vec::new();
             match ended {
                 None => {
                     self.follower.tick(now, &mut actions);
-                    self.act(actions, None);
+                    self.apply(actions, None);
                 }
-                Some(place) => {
-                    let (call, addr, (result, line)) = place;
+                Some(ended_call) => {
+                    let (call, addr, (result, client)) = ended_call;
                     if result.is_ok() && self.endpoints.contains(&addr) {
-                        self.lines.insert(addr, line);
+                        self.idle_clients.insert(addr, client);
                     }
-                    if matches!(result, Err(NoList::Stale)) {
-                        self.follower.stale(call, now, &mut actions);
-                        self.act(actions, None);
+                    if matches!(result, Err(FetchError::Stale)) {
+                        self.follower.connection_closed(call, now, &mut actions);
+                        self.apply(actions, None);
                         continue;
                     }
-                    let told = match &result {
-                        Ok(list) => Some(Told {
+                    let summary = match &result {
+                        Ok(list) => Some(ListSummary {
                             version: list.version,
                             full: list.full,
                             empty: list.servers.is_empty(),
                         }),
-                        Err(what) => {
-                            self.trouble = format!("{addr}: {what}");
+                        Err(error) => {
+                            self.last_failure = format!("{addr}: {error}");
                             None
                         }
                     };
-                    self.follower.ended(call, told, now, &mut actions);
-                    if let (Some(told), false) = (told, actions.contains(&Action::Tell { call })) {
-                        let older = format!("{addr}: answered with an older list, version {}", told.version);
-                        self.trouble.clone_from(&older);
-                        self.news.push_back(News::Older(older));
+                    self.follower.call_ended(call, summary, now, &mut actions);
+                    if let (Some(summary), false) = (summary, actions.contains(&Action::Tell { call })) {
+                        let older = format!("{addr}: returned an outdated list, version {}", summary.version);
+                        self.last_failure.clone_from(&older);
+                        self.pending_updates.push_back(News::Older(older));
                     }
-                    self.act(actions, result.ok());
+                    self.apply(actions, result.ok());
                 }
             }
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>, mut list: Option<List>) {
+    fn apply(&mut self, actions: Vec<Action>, mut list: Option<List>) {
         for action in actions {
             match action {
-                Action::Call { call, endpoint, ask: what } => {
+                Action::Call { call, endpoint, ask: request } => {
                     if let Some(addr) = self.endpoints.get(endpoint).copied() {
-                        let mut line = self.lines.remove(&addr).unwrap_or_else(|| Line::new(addr));
-                        let asking = async move { (ask_on(&mut line, what, false).await, line) };
-                        self.out.push((call, addr, Box::pin(asking)));
+                        let mut client = self.idle_clients.remove(&addr).unwrap_or_else(|| Line::new(addr));
+                        let pending = async move { (fetch_on(&mut client, request, false).await, client) };
+                        self.in_flight.push((call, addr, Box::pin(pending)));
                     }
                 }
                 Action::Drop { call } => {
-                    if let Some(place) = self.out.iter().position(|(out, ..)| *out == call) {
-                        let (_, addr, _) = self.out.swap_remove(place);
-                        self.trouble = format!("{addr}: no answer in time");
+                    if let Some(index) = self.in_flight.iter().position(|(in_flight, ..)| *in_flight == call)
+                    {
+                        let (_, addr, _) = self.in_flight.swap_remove(index);
+                        self.last_failure = format!("{addr}: no answer in time");
                     }
                 }
-                Action::Tell { .. } => self.news.extend(list.take().map(News::List)),
-                Action::Failed => self.news.push_back(News::Failed(self.trouble.clone())),
+                Action::Tell { .. } => self.pending_updates.extend(list.take().map(News::List)),
+                Action::Failed => self.pending_updates.push_back(News::Failed(self.last_failure.clone())),
             }
         }
     }
 }
 
-/// The first of the calls to end, taken out. Waits for ever where none is out.
-async fn any(
-    out: &mut Vec<(CallId, SocketAddr, Asking)>,
-) -> (CallId, SocketAddr, (Result<List, NoList>, Line)) {
+/// Waits for the first call to end and removes it. It never completes if no call is in flight.
+async fn first_to_end(
+    in_flight: &mut Vec<(CallId, SocketAddr, PendingCall)>,
+) -> (CallId, SocketAddr, (Result<List, FetchError>, Line)) {
     std::future::poll_fn(|context| {
-        for place in 0..out.len() {
-            if let Poll::Ready(result) = out[place].2.as_mut().poll(context) {
-                let (call, addr, _) = out.swap_remove(place);
+        for index in 0..in_flight.len() {
+            if let Poll::Ready(result) = in_flight[index].2.as_mut().poll(context) {
+                let (call, addr, _) = in_flight.swap_remove(index);
                 return Poll::Ready((call, addr, result));
             }
         }
@@ -223,7 +229,7 @@
     use tokio::net::TcpListener;
 
     #[tokio::test]
-    async fn an_older_list_is_said_and_the_call_made_again() {
+    async fn an_outdated_list_is_reported_and_the_call_is_repeated() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let service = async {
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -1,4 +1,5 @@
-//! Holding a duty: a place in line, signs of life, and the end of a tenure in time. Gives `tenure` sockets and a clock.
+//! Client of one duty: waits in the queue, renews the lease, and stops in time when the lease ends. Runs the
+//! logic of `tenure` with real calls and a real clock.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,76 +19,81 @@
 use crate::clock::boot;
 use crate::tenure::{News, Tenure, Time};
 
-/// A holder lets its renewals wait for news so long, and gives each call so much more: two more tries are left in a
-/// lease after one that brought nothing.
-const HOLD_PART: u32 = 5;
-const CALL_PART: u32 = 8;
-/// Least time for a call.
-const LEAST_CALL: Duration = Duration::from_millis(100);
-/// Most time between two tries after trouble; a lease's hundredth below it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-/// How often the clock is looked at while time passes: a machine that was suspended must not wait on.
-const LOOK: Duration = Duration::from_millis(50);
+/// A renewal of the holder waits at the service for an event for this fraction of the lease, and its timeout
+/// is longer by the second fraction. If such a call fails, the lease leaves time for two more.
+const HOLD_DIVISOR: u32 = 5;
+const CALL_MARGIN_DIVISOR: u32 = 8;
+/// Shortest time that a call has beyond its wait at the service.
+const MIN_CALL_MARGIN: Duration = Duration::from_millis(100);
+/// Longest base of the random pause between two attempts after a failure. For short leases the base is a
+/// twentieth of the lease.
+const MAX_BASE_PAUSE: Duration = Duration::from_millis(200);
+/// Interval at which the clock is read while waiting for a deadline, so that a machine that was suspended
+/// does not wait past it.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a duty can't be stood in line for, or its data not be written.
+/// Why a process can't queue for a duty, or can't write the duty's checkpoint.
 #[derive(Debug, thiserror::Error)]
 pub enum DutyError {
     #[error("{0}")]
     Wrong(#[from] Invalid),
     #[error("{duty}: {why}")]
     Refused { duty: String, why: String },
-    /// The own clock says that the tenure is over; nothing was put.
-    #[error("{0}: not held any more")]
+    /// The lease has ended by this process's own clock; nothing was sent.
+    #[error("{0}: the duty is no longer held")]
     Over(String),
     #[error("{duty}: {error}")]
     Change { duty: String, error: ChangeError },
 }
 
-/// How a tenure ended.
+/// How the holding of a duty ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// An operator asks for it.
+    /// An operator asked the holder to stop.
     Asked,
-    /// The registry says that it is over.
+    /// The registry answered that this process no longer holds the duty.
     Lost,
-    /// No answer in time: the own clock says so.
+    /// No renewal was answered in time: the lease ended by this process's own clock.
     Clock,
 }
 
 impl Ended {
-    pub fn words(self) -> &'static str {
+    /// A description for the log.
+    pub fn description(self) -> &'static str {
         match self {
-            Ended::Asked => "stopped on request, and handed over",
-            Ended::Lost => "the registry has passed it on; stopped",
-            Ended::Clock => "no answer within the lease; stopped",
+            Ended::Asked => "stopped on an operator's request; releasing the duty",
+            Ended::Lost => "no longer the holder according to the registry; stopped",
+            Ended::Clock => "no renewal was answered within the lease; stopped",
         }
     }
 }
 
-/// A place in the line for one duty.
+/// A process's candidacy for one duty, from queueing to release.
 pub struct Seat {
     changes: Changes,
     name: String,
     who: Candidate,
     tenure: Tenure,
-    /// An acquire was put in this life, whether or not an answer came.
-    asked: bool,
-    joined: bool,
-    /// Draws pauses.
-    chance: u64,
+    /// Whether an acquire call was sent under the current incarnation, answered or not.
+    acquire_sent: bool,
+    in_queue: bool,
+    /// State of the random generator for pauses.
+    random_state: u64,
     give_way: bool,
-    /// Endpoints still to be tried for the leader, and when that begins anew.
-    seek: usize,
-    seek_again: Time,
-    /// The end of what this process may believe, in milliseconds of the boot-time clock; 0 where it holds nothing.
+    /// Endpoints still to be tried in the search for the leader, and when the next search may start.
+    leaders_to_try: usize,
+    next_leader_search: Time,
+    /// Until when this process may act as holder, in milliseconds of the boot-time clock; 0 if it holds
+    /// nothing.
     until: Arc<AtomicU64>,
 }
 
 impl Seat {
-    /// `life` is drawn anew for each process: what an earlier one started may still run.
+    /// `life` distinguishes this candidacy from those of earlier processes, whose work may still run; each
+    /// process must draw it at random.
     ///
     /// # Errors
-    /// Names what is out of bounds.
+    /// Names the argument that is invalid.
     pub fn new(
         endpoints: Vec<SocketAddr>,
         name: &str,
@@ -103,13 +109,13 @@
             changes: Changes::new(endpoints),
             name: name.to_owned(),
             tenure: Tenure::new(lease),
-            asked: false,
-            joined: false,
-            chance: who.life | 1,
+            acquire_sent: false,
+            in_queue: false,
+            random_state: who.life | 1,
             who,
             give_way: false,
-            seek: 0,
-            seek_again: Time::ZERO,
+            leaders_to_try: 0,
+            next_leader_search: Time::ZERO,
             until: Arc::default(),
         })
     }
@@ -122,103 +128,107 @@
         self.changes.endpoints()
     }
 
-    /// The fencing number, for as long as this process may act.
+    /// The fencing number, if this process may act as holder now.
     pub fn holds(&self) -> Option<u64> {
         self.tenure.holds(boot())
     }
 
-    /// When it has to have begun to stop, and when what it runs is to be killed, on the boot-time clock.
+    /// When the holder must begin to stop, and when the command that it runs must be killed, on the boot-time
+    /// clock.
     pub fn ends(&self) -> Option<(Time, Time)> {
         self.tenure.ends()
     }
 
-    /// What every change of this tenure carries.
+    /// The fence that changes made under this lease must carry.
     pub fn fence(&self) -> Option<Fence> {
         self.holds().map(|fence| Fence { duty: self.name.clone(), fence })
     }
 
     fn pause(&mut self) -> Duration {
-        // Marsaglia's xorshift: spread is all that is wanted of it.
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        let most = (self.tenure.lease() / 20).min(LONGEST_PAUSE);
-        most / 4 + most.mul_f64((self.chance % 1024) as f64 / 1024.0)
+        // Marsaglia's xorshift. It only has to spread the retries of different processes.
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        let most = (self.tenure.lease() / 20).min(MAX_BASE_PAUSE);
+        most / 4 + most.mul_f64((self.random_state % 1024) as f64 / 1024.0)
     }
 
-    /// One sign of life, answered at news or after `hold`.
-    async fn sign(&mut self, hold: Duration) -> Result<News, ChangeError> {
-        let (began, joined) = (boot(), self.joined);
-        let news = self.put_sign(hold).await;
-        self.show_until();
-        // Not let wait there, it waits here: what it asks for is the same as often.
+    /// Sends one acquire or renewal, which is answered at an event or after `hold`.
+    async fn heartbeat(&mut self, hold: Duration) -> Result<News, ChangeError> {
+        let (began, in_queue) = (boot(), self.in_queue);
+        let news = self.send_heartbeat(hold).await;
+        self.publish_deadline();
+        // Only the leader lets a renewal wait. Another replica answers at once, so the wait is made up here
+        // to keep the rate of calls.
         let early = hold.saturating_sub(boot().saturating_sub(began));
-        if joined && self.joined && matches!(news, Ok(News::None)) && early > hold / 2 {
+        if in_queue && self.in_queue && matches!(news, Ok(News::None)) && early > hold / 2 {
             sleep(early).await;
         }
         news
     }
 
-    /// Only the leader lets renewals wait; it is looked for among the endpoints, once each lease: after a succession
-    /// soon, and where it is cut off from here at the cost of one call.
-    fn seek(&mut self, direct: bool) {
+    /// Only the leader lets renewals wait, so this client searches the endpoints for it, at most once per
+    /// lease. It thus finds a new leader soon, and if the leader can't be reached from here, that costs one
+    /// call per lease.
+    fn search_leader(&mut self, direct: bool) {
         let now = boot();
-        if now >= self.seek_again {
-            self.seek = self.endpoints().len() - 1;
-            self.seek_again = now + self.tenure.lease();
+        if now >= self.next_leader_search {
+            self.leaders_to_try = self.endpoints().len() - 1;
+            self.next_leader_search = now + self.tenure.lease();
         }
-        if !direct && self.seek > 0 {
-            self.seek -= 1;
+        if !direct && self.leaders_to_try > 0 {
+            self.leaders_to_try -= 1;
             self.changes.move_on();
         }
     }
 
-    fn show_until(&self) {
+    fn publish_deadline(&self) {
         let until = self.holds().and(self.ends()).map_or(0, |(until, _)| until.as_millis() as u64);
         self.until.store(until, Ordering::Release);
     }
 
-    async fn put_sign(&mut self, hold: Duration) -> Result<News, ChangeError> {
+    async fn send_heartbeat(&mut self, hold: Duration) -> Result<News, ChangeError> {
         let sent = boot();
         let lease = self.tenure.lease();
-        let time = hold + (lease / CALL_PART).max(LEAST_CALL);
+        let time = hold + (lease / CALL_MARGIN_DIVISOR).max(MIN_CALL_MARGIN);
         let who = self.who.clone();
-        let standing: Result<Standing, ChangeError> = if self.joined {
+        let standing: Result<Standing, ChangeError> = if self.in_queue {
             let holds = self.tenure.holds(sent).is_some();
-            let question = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
-            let body = serde_json::to_vec(&question)?.into();
+            let request = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
+            let body = serde_json::to_vec(&request)?.into();
             self.changes.once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
         } else {
-            self.asked = true;
-            let question = Acquire { who, lease_s: lease.as_secs_f64() };
-            let body = serde_json::to_vec(&question)?.into();
+            self.acquire_sent = true;
+            let request = Acquire { who, lease_s: lease.as_secs_f64() };
+            let body = serde_json::to_vec(&request)?.into();
             self.changes.once(Method::POST, &duty_path(&self.name, "acquire"), body, time).await
         };
         match standing {
             Ok(standing) => {
-                self.joined = true;
+                self.in_queue = true;
                 self.give_way = standing.give_way;
-                self.seek(standing.direct);
+                self.search_leader(standing.direct);
                 Ok(self.tenure.told(sent, Some(&standing), boot()))
             }
             Err(ChangeError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
-                self.joined = false;
+                self.in_queue = false;
                 Ok(self.tenure.told(sent, None, boot()))
             }
             Err(e) => Err(e),
         }
     }
 
-    /// Waits in line until the duty is held. `say` is told of trouble once for each kind.
+    /// Waits in the queue until the duty is held, and returns the fencing number. `say` logs a failure once
+    /// while it stays the same.
     ///
     /// # Errors
-    /// Where the registry refuses the candidate.
+    /// The registry refused the candidate.
     pub async fn win(&mut self, mut say: impl FnMut(String)) -> Result<u64, DutyError> {
-        let mut said = String::new();
+        let mut last_logged = String::new();
         let mut hold = Duration::ZERO;
         loop {
-            match self.sign(hold).await {
-                // Won, and stood still until that was over before it could act on it.
+            match self.heartbeat(hold).await {
+                // The duty was granted, but this process was suspended until the lease had ended.
                 Ok(News::Lost) => {
                     self.release(Why::Lapsed).await;
                     hold = Duration::ZERO;
@@ -228,9 +238,9 @@
                         return Ok(fence);
                     }
                     hold = (self.tenure.lease() / 4).min(LONGEST_HOLD);
-                    if !said.is_empty() {
-                        say(format!("{}: in line again", self.name));
-                        said.clear();
+                    if !last_logged.is_empty() {
+                        say(format!("{}: in the queue again", self.name));
+                        last_logged.clear();
                     }
                 }
                 Err(ChangeError::Refused { why, .. }) => {
@@ -239,9 +249,9 @@
                 Err(e) => {
                     hold = Duration::ZERO;
                     let what = e.to_string();
-                    if said != what {
+                    if last_logged != what {
                         say(format!("{}: {what}", self.name));
-                        said = what;
+                        last_logged = what;
                     }
                     sleep(self.pause()).await;
                 }
@@ -249,49 +259,50 @@
         }
     }
 
-    /// Renews until the tenure ends; `renewed` is told its new ends. May be dropped and called again.
+    /// Renews the lease until it ends. `renewed` is called with its new deadlines. The future is cancel safe.
     pub async fn keep(&mut self, mut renewed: impl FnMut(Time, Time)) -> Ended {
-        let mut hold = self.tenure.lease() / HOLD_PART;
+        let mut hold = self.tenure.lease() / HOLD_DIVISOR;
         loop {
             let Some((until, kill)) = self.ends() else { return Ended::Lost };
             renewed(until, kill);
             let told = tokio::select! {
-                told = self.sign(hold.min(LONGEST_HOLD)) => told,
-                () = passed(until) => return Ended::Clock,
+                told = self.heartbeat(hold.min(LONGEST_HOLD)) => told,
+                () = wait_until(until) => return Ended::Clock,
             };
             match told {
                 Ok(News::GiveWay) => return Ended::Asked,
                 Ok(News::Lost) => return if boot() >= until { Ended::Clock } else { Ended::Lost },
-                Ok(News::None | News::Won) => hold = self.tenure.lease() / HOLD_PART,
+                Ok(News::None | News::Won) => hold = self.tenure.lease() / HOLD_DIVISOR,
                 Err(_) => {
                     hold = Duration::ZERO;
                     let pause = self.pause();
                     tokio::select! {
                         () = sleep(pause) => {}
-                        () = passed(until) => return Ended::Clock,
+                        () = wait_until(until) => return Ended::Clock,
                     }
                 }
             }
         }
     }
 
-    /// Out of the line; whatever ran under the tenure has stopped. Tried for as long as it is of use: the lease does
-    /// the same. The next candidacy is another life.
+    /// Leaves the queue or gives the duty up. Everything that ran under the lease must have stopped. It is
+    /// retried for half a lease only, because the end of the lease has the same effect. The next candidacy
+    /// has a new incarnation.
     pub async fn release(&mut self, why: Why) {
         self.until.store(0, Ordering::Release);
-        let question = Release { who: self.who.clone(), why };
+        let request = Release { who: self.who.clone(), why };
         let (path, lease) = (duty_path(&self.name, "release"), self.tenure.lease());
-        if self.asked {
-            let _ = self.changes.put::<Duty>(Method::POST, &path, &question, lease / 2).await;
+        if self.acquire_sent {
+            let _ = self.changes.put::<Duty>(Method::POST, &path, &request, lease / 2).await;
         }
         self.who.life = (self.who.life + 1) % MOST_EXACT;
-        (self.asked, self.joined, self.give_way) = (false, false, false);
+        (self.acquire_sent, self.in_queue, self.give_way) = (false, false, false);
         self.tenure = Tenure::new(lease);
-        // Handles of the last tenure keep what they have: that it is over.
+        // Handles of the previous lease keep the old counter, which says that the lease is over.
         self.until = Arc::default();
     }
 
-    /// What a holder's work goes by, beside the renewals.
+    /// A handle for the work that is done while this client renews the lease. `None` if the duty is not held.
     pub fn held(&self) -> Option<Held> {
         let fence = self.fence()?;
         let mut changes = Changes::new(self.endpoints().to_vec());
@@ -300,17 +311,17 @@
     }
 }
 
-/// A tenure as the work that is done in it sees it.
+/// A held duty, as the work that is done under it sees it.
 pub struct Held {
     pub fence: Fence,
     lease: Duration,
     until: Arc<AtomicU64>,
-    /// Its changes carry the fence.
+    /// Client whose changes carry the fence.
     pub changes: Changes,
 }
 
 impl Held {
-    /// Whether this process may still act, by its own clock.
+    /// Whether this process may still act as holder, by its own clock.
     pub fn holds(&self) -> bool {
         boot().as_millis() < u128::from(self.until.load(Ordering::Acquire))
     }
@@ -319,40 +330,40 @@
         DutyError::Change { duty: self.fence.duty.clone(), error }
     }
 
-    /// What the last holder left.
+    /// Reads the duty's checkpoint.
     ///
     /// # Errors
-    /// The last endpoint's trouble.
+    /// The failure of the last endpoint.
     pub async fn left(&mut self) -> Result<Kept, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
         self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
     }
 
-    /// Leaves this in place of the version `expect`. May be put twice.
+    /// Replaces version `expect` of the duty's checkpoint. The call is idempotent.
     ///
     /// # Errors
-    /// An old holder, or another version than the last.
+    /// The duty is no longer held, or `expect` is not the current version.
     pub async fn leave(&mut self, expect: u64, data: &str) -> Result<Kept, DutyError> {
         if !self.holds() {
             return Err(DutyError::Over(self.fence.duty.clone()));
         }
-        let question = Checkpoint { fence: self.fence.fence, expect, data: data.to_owned() };
+        let request = Checkpoint { fence: self.fence.fence, expect, data: data.to_owned() };
         let path = duty_path(&self.fence.duty, "checkpoint");
-        // The call itself names its fence, and is no change of the list.
+        // The request's body contains the fence, so no fence headers are sent.
         let mut changes = Changes::new(self.changes.endpoints().to_vec());
-        let kept = changes.put(Method::PUT, &path, &question, self.lease).await;
-        kept.map_err(|error| match error {
+        let checkpoint = changes.put(Method::PUT, &path, &request, self.lease).await;
+        checkpoint.map_err(|error| match error {
             ChangeError::Refused { why, .. } => DutyError::Refused { duty: self.fence.duty.clone(), why },
             error => self.failed(error),
         })
     }
 }
 
-/// Does some work whenever the duty is held, until `stop`. Work that the tenure ends under is dropped where it waits; it is
-/// begun anew under the next one.
+/// Runs `work` whenever the duty is held, until `stop` completes. If the lease ends first, the future of
+/// `work` is dropped; `work` starts again when the duty is held again.
 ///
 /// # Errors
-/// Where the registry refuses the candidate.
+/// The registry refused the candidate.
 pub async fn serve(
     seat: &mut Seat,
     stop: impl Future<Output = ()>,
@@ -372,7 +383,7 @@
             }
             continue;
         };
-        say(format!("{}: held under fence {}", held.fence.duty, held.fence.fence));
+        say(format!("{}: held with fencing number {}", held.fence.duty, held.fence.fence));
         let ended = tokio::select! {
             ended = seat.keep(|_, _| {}) => Some(ended),
             () = work(held) => None,
@@ -381,7 +392,7 @@
                 return Ok(());
             }
         };
-        say(format!("{}: {}", seat.name(), ended.map_or("done", Ended::words)));
+        say(format!("{}: {}", seat.name(), ended.map_or("done", Ended::description)));
         seat.release(match ended {
             Some(Ended::Asked) => Why::Asked,
             Some(_) => Why::Lapsed,
@@ -391,13 +402,13 @@
     }
 }
 
-/// Until the boot-time clock shows this.
-async fn passed(until: Time) {
+/// Waits until the boot-time clock reaches `until`.
+async fn wait_until(until: Time) {
     loop {
         let left = until.saturating_sub(boot());
         if left.is_zero() {
             return;
         }
-        sleep(left.min(LOOK)).await;
+        sleep(left.min(CLOCK_CHECK_INTERVAL)).await;
     }
 }
--- a/registry-client/src/fences.rs
+++ b/registry-client/src/fences.rs
@@ -1,14 +1,15 @@
-//! The guard of a thing that duties change: it takes no change under a fencing number that is older than one it has
-//! seen. Pure; whoever keeps it on disk writes [`Book::seen`].
+//! Fencing check for a resource that holders of duties change: a change is refused if its fencing number is
+//! older than the newest one seen for that duty. Does no I/O; an owner that persists the table stores
+//! [`Book::seen`].
 
 use std::collections::BTreeMap;
 
 use shaletrail_registry_protocol::duty::Fence;
 
-/// Duties that one guard tells apart.
+/// Highest number of duties in one table.
 pub const MOST_GUARDED: usize = 64;
 
-/// Why a change is not taken.
+/// Why a change is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Barred {
     #[error("duty {duty}: fencing number {fence} is old, {newest} has been here")]
@@ -17,7 +18,7 @@
     Full,
 }
 
-/// The highest fencing number of each duty. It only grows.
+/// The newest fencing number seen for each duty. Numbers never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Book {
     seen: BTreeMap<String, u64>,
@@ -32,10 +33,11 @@
         &self.seen
     }
 
-    /// Lets a change in. True where its number is news, which is to be kept before the change is made.
+    /// Admits a change. Returns `true` if its number is newer than the one in the table; a persistent owner
+    /// must store the table before it makes the change.
     ///
     /// # Errors
-    /// An older number than the newest seen.
+    /// The number is older than the newest one seen, or the table is full.
     pub fn admit(&mut self, fence: &Fence) -> Result<bool, Barred> {
         let newest = self.seen.get(&fence.duty).copied();
         match newest {
--- a/registry-client/src/follow.rs
+++ b/registry-client/src/follow.rs
@@ -1,60 +1,75 @@
-//! The pure core of following the list: which endpoint is asked for what and when, and which answer counts. Events
-//! in, actions out; time is a value, chance comes from a seed. The driver is in [`crate::driver`].
+//! Decides how to follow the list: which endpoint is asked for what and when, and which answer is accepted.
+//! Does no I/O: it takes events and returns actions, times are passed in, and random numbers come from a
+//! seed. [`crate::driver`] carries the actions out.
 
 use std::time::Duration;
 
 /// A time on the driver's monotonic clock.
 pub type Time = Duration;
-/// Names a call of this follower.
+/// Identifies a call of this follower.
 pub type CallId = u64;
 
-/// The first call of a watch is short, so that one that is not understood shows soon.
+/// The first call of a watch waits only this long at the service, so that an endpoint that does not support
+/// watches is noticed soon.
 const FIRST_HOLD: Duration = Duration::from_secs(1);
-/// Every later call may wait so long, by chance from the least to the longest: each costs the service work, and
-/// watches that began together and fall silent together are not to be opened anew together, at a service that works
-/// through new ones in turn.
-const LEAST_HOLD: Duration = Duration::from_secs(4);
-const LONGEST_HOLD: Duration = Duration::from_secs(20);
-/// The answer to a call that opens a watch may have to wait for its turn, and is not waited for alone for longer.
-const OPEN_SILENCE: Duration = Duration::from_millis(1900);
-/// The same where a call should be answered at once and others were not, grown with each up to a half more.
-const QUICK_SILENCE: Duration = Duration::from_millis(1200);
-/// The same after the end of the wait of a call that goes on with a watch. It has had its turn: in plays these came
-/// within 11 ms. Where one is only late, a call beside it does no harm.
-const SILENCE: Duration = Duration::from_millis(500);
+/// Every later call waits for a random time between these two. It is long because each call costs the service
+/// work. It is random because watches that were opened together and fall silent together should not be
+/// reopened together at a service that handles new ones one after the other.
+const MIN_HOLD: Duration = Duration::from_secs(4);
+const MAX_HOLD: Duration = Duration::from_secs(20);
+/// The answer to a call that opens a watch may be queued at the service. If it is later than this, a second
+/// call is made beside it.
+const OPEN_SILENCE_LIMIT: Duration = Duration::from_millis(1900);
+/// The same limit for a call that should be answered at once, if earlier calls were not answered. It grows
+/// with each of them, by about a half at most.
+const QUICK_SILENCE_LIMIT: Duration = Duration::from_millis(1200);
+/// The same limit for a call that continues a watch, counted from the end of its wait. The service has
+/// already accepted the watch: in lab runs these answers came within 11 ms of the end. If an answer is only
+/// late, the second call does no harm.
+const WATCH_SILENCE_LIMIT: Duration = Duration::from_millis(500);
 
-/// What a watch that has fallen silent misses counts as told so long after the end of its wait, ...
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// ... but no sooner than so long after it fell silent. The grace for drains comes on top, and is not counted on.
-const TOLD_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// Within that time a new call has to be answered: it may fail at once and be made again, ...
-const ONE_FAILURE: Duration = Duration::from_millis(400);
-/// ... and wait for its turn behind the calls of other nodes.
-const TURN: Duration = Duration::from_secs(1);
+/// A change that a silent watch missed counts as known to the node this long after the end of the watch's
+/// wait, ...
+const KNOWN_AFTER_WAIT: Duration = Duration::from_secs(2);
+/// ... but not earlier than this long after it fell silent. The grace period for drains comes in addition,
+/// and this budget does not use it.
+const KNOWN_AFTER_SILENCE: Duration = Duration::from_secs(6);
+/// A new call must be answered within that time. The time must allow for one call that fails at once and is
+/// repeated, ...
+const FAILURE_ALLOWANCE: Duration = Duration::from_millis(400);
+/// ... and for waiting behind the calls of other nodes at the service.
+const QUEUE_ALLOWANCE: Duration = Duration::from_secs(1);
 
 const _: () = {
-    let silence_to_answer = SILENCE.as_millis() + ONE_FAILURE.as_millis() + TURN.as_millis();
-    assert!(silence_to_answer <= TOLD_AFTER_WAIT.as_millis());
-    let open_to_answer =
-        FIRST_HOLD.as_millis() + OPEN_SILENCE.as_millis() + ONE_FAILURE.as_millis() + TURN.as_millis();
-    assert!(open_to_answer <= TOLD_AFTER_SILENCE.as_millis());
+    let silence_to_answer =
+        WATCH_SILENCE_LIMIT.as_millis() + FAILURE_ALLOWANCE.as_millis() + QUEUE_ALLOWANCE.as_millis();
+    assert!(silence_to_answer <= KNOWN_AFTER_WAIT.as_millis());
+    let open_to_answer = FIRST_HOLD.as_millis()
+        + OPEN_SILENCE_LIMIT.as_millis()
+        + FAILURE_ALLOWANCE.as_millis()
+        + QUEUE_ALLOWANCE.as_millis();
+    assert!(open_to_answer <= KNOWN_AFTER_SILENCE.as_millis());
 };
 
-/// A service that works through its calls in turn may still answer; beyond this it does not.
-const PATIENCE: Duration = Duration::from_millis(3500);
-/// No replica that answers is behind for so long.
-const LATEST: Duration = Duration::from_secs(10);
-/// Pause before the next call when one has ended early and empty. A watch lasts while gaps stay under 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Wait after all endpoints have failed: it doubles up to the longest, and half of it is left to chance, so that
-/// many that lost their watch at once don't come back at once.
-const WAIT: Duration = Duration::from_millis(300);
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// A call is cancelled this long after the end of its wait. Until then a service that handles its calls one
+/// after the other may still answer it.
+const CANCEL_AFTER_WAIT: Duration = Duration::from_millis(3500);
+/// A replica that answers is never behind the others for this long.
+const MAX_REPLICA_LAG: Duration = Duration::from_secs(10);
+/// Pause before the next call if a call ended early without changes. The service keeps a watch through gaps
+/// of up to 200 ms.
+const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
+/// Back-off after all endpoints have failed. It doubles up to the maximum, and half of it is random, so that
+/// nodes that lost their watches together do not return together.
+const MIN_BACKOFF: Duration = Duration::from_millis(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
+    /// The whole list.
     Whole,
+    /// The changes after version `from`. The service may wait up to `hold` for one.
     Changes { from: u64, hold: Duration },
 }
 
@@ -67,87 +82,92 @@
     }
 }
 
-/// What the core must know of an answer.
+/// What the follower needs to know about an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListSummary {
     pub version: u64,
+    /// Whether the answer is the whole list rather than changes.
     pub full: bool,
-    /// No entries came.
+    /// Whether the answer contains no entries.
     pub empty: bool,
 }
 
+/// What the driver is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask this endpoint, by its place.
+    /// Call the endpoint with this index.
     Call { call: CallId, endpoint: usize, ask: Ask },
-    /// Give the call up.
+    /// Cancel the call.
     Drop { call: CallId },
-    /// The call's answer is the news.
+    /// Report the call's answer to the user of the follower.
     Tell { call: CallId },
-    /// Nobody answers; the last list stands.
+    /// Report that all endpoints failed; the last list stays valid.
     Failed,
 }
 
-/// Who decides when to try again once all endpoints have failed.
+/// When to retry after all endpoints have failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// The follower, after a wait that grows.
+    /// After an exponential back-off.
     Own,
-    /// The follower, within this time: what a service that pushes its list has counts as told, and it is near.
+    /// Within this time. For lists that the service pushes: a change counts as known to the node a short time
+    /// after it was made.
     Within(Duration),
-    /// Its user, by [`Follower::start`].
+    /// When the user calls [`Follower::start`].
     OnStart,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct InFlight {
     call: CallId,
     ask: Ask,
-    began: Time,
-    /// From then on another call is put beside it.
-    silent: Time,
-    /// From then on it is given up.
-    over: Time,
+    started: Time,
+    /// From this time on the call counts as silent, and another call is made beside it.
+    silent_at: Time,
+    /// At this time the call is cancelled.
+    cancel_at: Time,
 }
 
-/// Follows one list through any of its endpoints. Invariants: at most two calls are out; no news is older than what
-/// was told before, but for a service that has itself gone back, and that only once every endpoint said so.
+/// Follows one list through any of its endpoints. Invariants: at most two calls are in flight. No reported
+/// list is older than one reported before, unless the service itself has lost versions; that is accepted only
+/// when no endpoint has returned the newer version.
 pub struct Follower {
     endpoints: usize,
-    at: usize,
+    current: usize,
     retry: Retry,
-    on: bool,
-    /// The newest version told.
+    active: bool,
+    /// The newest version reported.
     held: Option<u64>,
-    /// The watch has broken since the last news: does the service still know that version?
-    doubt: bool,
-    /// Endpoints that failed in a row, and those of them that are behind what was told.
+    /// The watch has broken since the last report, so it is uncertain whether the service still has that
+    /// version.
+    version_uncertain: bool,
+    /// Failed calls in a row, and how many of them returned a list older than `held`.
     failed: usize,
     behind: usize,
-    /// Since when each that answered was behind.
+    /// Since when every answer was older than `held`.
     behind_since: Option<Time>,
-    /// Rounds of all endpoints that failed in a row, and calls that stayed silent.
+    /// Rounds in a row in which all endpoints failed, and calls in a row that stayed silent.
     rounds: u32,
     silences: u32,
     first: bool,
-    main: Option<Out>,
-    /// An older call that is silent but may yet be answered.
-    late: Option<Out>,
+    main: Option<InFlight>,
+    /// An older call that is silent but may still be answered.
+    silent_call: Option<InFlight>,
     wake: Option<Time>,
     next_call: CallId,
-    chance: u64,
+    random_state: u64,
 }
 
 impl Follower {
-    /// `held`: the version of a list that is known already.
+    /// `held` is the version of a list that is already known.
     pub fn new(endpoints: usize, held: Option<u64>, retry: Retry, seed: u64) -> Self {
         let mut follower = Follower {
             endpoints: endpoints.max(1),
-            at: 0,
+            current: 0,
             retry,
-            on: false,
+            active: false,
             held,
-            doubt: false,
+            version_uncertain: false,
             failed: 0,
             behind: 0,
             behind_since: None,
@@ -155,213 +175,222 @@
             silences: 0,
             first: true,
             main: None,
-            late: None,
+            silent_call: None,
             wake: None,
             next_call: 0,
-            chance: seed,
+            random_state: seed,
         };
-        // Nodes that start together spread over the endpoints.
-        follower.at = (follower.random() * follower.endpoints as f64) as usize % follower.endpoints;
+        // Spreads nodes that start together over the endpoints.
+        follower.current = (follower.random() * follower.endpoints as f64) as usize % follower.endpoints;
         follower
     }
 
-    /// In 0 to 1, by splitmix64.
+    /// A random number in [0, 1) by splitmix64.
     fn random(&mut self) -> f64 {
-        self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.chance;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// When [`Follower::tick`] is due, if nothing happens before.
+    /// When [`Follower::tick`] must be called if no event comes before.
     pub fn wake(&self) -> Option<Time> {
-        let calls =
-            self.main.iter().map(|out| out.silent.min(out.over)).chain(self.late.iter().map(|out| out.over));
+        let calls = self
+            .main
+            .iter()
+            .map(|call| call.silent_at.min(call.cancel_at))
+            .chain(self.silent_call.iter().map(|call| call.cancel_at));
         calls.chain(self.wake).min()
     }
 
-    /// Follow from now on. Where a call is out or planned already, it stands.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.on = true;
+    /// Starts following. Does nothing if a call is already in flight or scheduled.
+    pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.active = true;
         if self.main.is_some() || self.wake.is_some() {
             return;
         }
         self.first = true;
-        self.call(now, out);
+        self.call(now, actions);
     }
 
-    /// The endpoints are others from now on: the list there is another one, of which nothing is known.
-    pub fn moved(&mut self, endpoints: usize, now: Time, out: &mut Vec<Action>) {
-        let dropped = self.main.take().into_iter().chain(self.late.take());
-        out.extend(dropped.map(|gone| Action::Drop { call: gone.call }));
-        let (on, retry, seed) = (self.on, self.retry, self.chance);
+    /// Replaces the endpoints. The new ones serve another list, of which no version is known.
+    pub fn replace_endpoints(&mut self, endpoints: usize, now: Time, actions: &mut Vec<Action>) {
+        let dropped = self.main.take().into_iter().chain(self.silent_call.take());
+        actions.extend(dropped.map(|gone| Action::Drop { call: gone.call }));
+        let (active, retry, seed) = (self.active, self.retry, self.random_state);
         *self = Follower { next_call: self.next_call, ..Follower::new(endpoints, None, retry, seed) };
-        if on {
-            self.start(now, out);
+        if active {
+            self.start(now, actions);
         }
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Handles the passing of time.
+    pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.wake.is_some_and(|at| at <= now) {
             self.wake = None;
-            if self.on && self.main.is_none() {
-                self.call(now, out);
+            if self.active && self.main.is_none() {
+                self.call(now, actions);
             }
         }
-        if let Some(late) = self.late.filter(|late| late.over <= now) {
-            self.late = None;
-            out.push(Action::Drop { call: late.call });
-            // The other call goes on; whoever follows knows that the watch is gone.
+        if let Some(silent_call) = self.silent_call.filter(|silent| silent.cancel_at <= now) {
+            self.silent_call = None;
+            actions.push(Action::Drop { call: silent_call.call });
+            // The other call continues, but the user must learn that the watch is lost.
             if self.endpoints == 1 {
-                self.report(out);
+                self.report_failure(actions);
             }
         }
-        if let Some(main) = self.main.filter(|main| main.silent.min(main.over) <= now) {
-            self.doubt = true;
+        if let Some(main) = self.main.filter(|main| main.silent_at.min(main.cancel_at) <= now) {
+            self.version_uncertain = true;
             self.silences += 1;
-            if let Some(older) = self.late.replace(main) {
-                out.push(Action::Drop { call: older.call });
+            if let Some(older) = self.silent_call.replace(main) {
+                actions.push(Action::Drop { call: older.call });
             }
             self.main = None;
             if self.endpoints == 1 {
-                self.call(now, out);
+                self.call(now, actions);
             } else {
-                self.endpoint_failed(now, out);
+                self.endpoint_failed(now, actions);
             }
         }
     }
 
-    /// A call has ended: an answer, or `None` for whatever kept it from one.
-    pub fn ended(&mut self, call: CallId, told: Option<Told>, now: Time, out: &mut Vec<Action>) {
+    /// Handles the end of a call. `told` is `None` if the call failed.
+    pub fn call_ended(
+        &mut self,
+        call: CallId,
+        summary: Option<ListSummary>,
+        now: Time,
+        actions: &mut Vec<Action>,
+    ) {
         let main = self.main.filter(|main| main.call == call);
-        let Some(ended) = main.or(self.late.filter(|late| late.call == call)) else { return };
+        let Some(ended) = main.or(self.silent_call.filter(|silent| silent.call == call)) else { return };
         match main {
             Some(_) => self.main = None,
-            None => self.late = None,
+            None => self.silent_call = None,
         }
-        let Some(told) = told else {
-            self.doubt = true;
+        let Some(summary) = summary else {
+            self.version_uncertain = true;
             if main.is_some() {
-                self.endpoint_failed(now, out);
+                self.endpoint_failed(now, actions);
             }
             return;
         };
-        if !self.counts(ended.ask, told, now) {
-            // Only the newest call says where to go on.
+        if !self.is_accepted(ended.ask, summary, now) {
+            // Only the newest call decides which endpoint is next.
             if main.is_some() {
                 self.behind += 1;
                 self.behind_since.get_or_insert(now);
-                self.endpoint_failed(now, out);
+                self.endpoint_failed(now, actions);
             }
             return;
         }
-        out.push(Action::Tell { call });
-        let other = self.main.take().into_iter().chain(self.late.take());
-        out.extend(other.map(|other| Action::Drop { call: other.call }));
-        let nothing_new = told.empty && self.held == Some(told.version);
-        self.held = Some(told.version);
-        (self.doubt, self.failed, self.behind, self.rounds, self.silences) = (false, 0, 0, 0, 0);
+        actions.push(Action::Tell { call });
+        let other = self.main.take().into_iter().chain(self.silent_call.take());
+        actions.extend(other.map(|other| Action::Drop { call: other.call }));
+        let nothing_new = summary.empty && self.held == Some(summary.version);
+        self.held = Some(summary.version);
+        (self.version_uncertain, self.failed, self.behind, self.rounds, self.silences) = (false, 0, 0, 0, 0);
         self.behind_since = None;
         self.first = false;
-        if nothing_new && now.saturating_sub(ended.began) < ended.ask.hold() / 2 {
-            self.wake = Some(now + PAUSE);
+        if nothing_new && now.saturating_sub(ended.started) < ended.ask.hold() / 2 {
+            self.wake = Some(now + EARLY_ANSWER_PAUSE);
         } else {
-            self.call(now, out);
+            self.call(now, actions);
         }
     }
 
-    /// A call met a connection that had been closed. That says little of the service, so the endpoint is asked again
-    /// at once; but its process may be another now.
-    pub fn stale(&mut self, call: CallId, now: Time, out: &mut Vec<Action>) {
+    /// Handles a call that found its kept connection closed. This does not mean that the service failed, so
+    /// the same endpoint is called again at once; but its process may have been restarted.
+    pub fn connection_closed(&mut self, call: CallId, now: Time, actions: &mut Vec<Action>) {
         if self.main.is_some_and(|main| main.call == call) {
             self.main = None;
-            self.doubt = true;
-            self.call(now, out);
-        } else if self.late.is_some_and(|late| late.call == call) {
-            self.late = None;
+            self.version_uncertain = true;
+            self.call(now, actions);
+        } else if self.silent_call.is_some_and(|silent| silent.call == call) {
+            self.silent_call = None;
         }
     }
 
-    /// Whether an answer is news, or at least no older than what is known.
-    fn counts(&self, ask: Ask, told: Told, now: Time) -> bool {
+    /// Whether an answer is accepted: it must not be older than the list that is known.
+    fn is_accepted(&self, ask: Ask, summary: ListSummary, now: Time) -> bool {
         let Some(held) = self.held else { return true };
-        if told.full {
-            // A service that has gone back: believed where there is nobody else to ask.
-            return told.version >= held || self.went_back(now);
+        if summary.full {
+            // An older list is accepted only if the service itself has lost versions.
+            return summary.version >= held || self.service_lost_versions(now);
         }
         let Ask::Changes { from, .. } = ask else { return false };
-        // Changes since just before the version held hold at least that one's, where the service knows it.
-        told.version >= held && !(from < held && told.empty)
+        // If the service has version `held`, the changes after an older version are not empty.
+        summary.version >= held && !(from < held && summary.empty)
     }
 
-    /// The service itself has gone back, and no endpoint is only late: there is one, or all have been behind for
-    /// longer than a replica can be.
-    fn went_back(&self, now: Time) -> bool {
-        let long = self.behind_since.is_some_and(|since| now.saturating_sub(since) >= LATEST);
-        self.failed >= self.endpoints && self.behind > 0 && (self.endpoints == 1 || long)
+    /// Whether the service itself has lost versions, rather than an endpoint being behind the others: there
+    /// is only one endpoint, or all have been behind for longer than a replica can be.
+    fn service_lost_versions(&self, now: Time) -> bool {
+        let beyond_lag = self.behind_since.is_some_and(|since| now.saturating_sub(since) >= MAX_REPLICA_LAG);
+        self.failed >= self.endpoints && self.behind > 0 && (self.endpoints == 1 || beyond_lag)
     }
 
-    fn endpoint_failed(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn endpoint_failed(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.failed += 1;
-        self.at = (self.at + 1) % self.endpoints;
+        self.current = (self.current + 1) % self.endpoints;
         if self.failed < self.endpoints {
-            return self.call(now, out);
+            return self.call(now, actions);
         }
-        if self.went_back(now) && self.failed < 2 * self.endpoints {
-            // Nobody knows what was told before: then the whole list is asked for, once at each.
-            return self.call(now, out);
+        if self.service_lost_versions(now) && self.failed < 2 * self.endpoints {
+            // No endpoint has the version that was reported, so each is asked once for the whole list.
+            return self.call(now, actions);
         }
         self.failed = 0;
         self.behind = 0;
-        self.report(out);
+        self.report_failure(actions);
         let wait = match self.retry {
-            Retry::Own => (WAIT * (1 << self.rounds.min(6))).min(LONGEST_WAIT),
+            Retry::Own => (MIN_BACKOFF * (1 << self.rounds.min(6))).min(MAX_BACKOFF),
             Retry::Within(longest) => longest,
             Retry::OnStart => return,
         };
         self.wake = Some(now + wait.mul_f64(0.5 + self.random() / 2.0));
     }
 
-    fn report(&mut self, out: &mut Vec<Action>) {
+    fn report_failure(&mut self, actions: &mut Vec<Action>) {
         self.rounds += 1;
-        out.push(Action::Failed);
+        actions.push(Action::Failed);
     }
 
-    fn call(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn call(&mut self, now: Time, actions: &mut Vec<Action>) {
         let ask = match self.held {
-            Some(_) if self.went_back(now) => Ask::Whole,
+            Some(_) if self.service_lost_versions(now) => Ask::Whole,
             None => Ask::Whole,
-            // One entry more than was told, and the answer comes at once, if the service knows the version at all.
-            Some(held) if self.doubt && held > 0 => {
-                // One of several may be late by a heartbeat, and waits.
+            // Asks from one version earlier: if the service has version `held`, it answers at once.
+            Some(held) if self.version_uncertain && held > 0 => {
+                // One of several replicas may be behind by a heartbeat, so it may wait for the version.
                 let hold = if self.endpoints == 1 { Duration::ZERO } else { FIRST_HOLD };
                 Ask::Changes { from: held - 1, hold }
             }
             Some(from) if self.first => Ask::Changes { from, hold: FIRST_HOLD },
             Some(from) => {
-                let more = (LONGEST_HOLD - LEAST_HOLD).mul_f64(self.random());
-                Ask::Changes { from, hold: Duration::from_millis((LEAST_HOLD + more).as_millis() as u64) }
+                let more = (MAX_HOLD - MIN_HOLD).mul_f64(self.random());
+                Ask::Changes { from, hold: Duration::from_millis((MIN_HOLD + more).as_millis() as u64) }
             }
         };
         let silence = match ask.hold() {
             hold if self.endpoints > 1 && hold <= FIRST_HOLD => {
-                // Another can be asked.
-                hold + QUICK_SILENCE.mul_f64(0.9 + 0.1 * self.random())
+                // Another endpoint can be tried.
+                hold + QUICK_SILENCE_LIMIT.mul_f64(0.9 + 0.1 * self.random())
             }
             Duration::ZERO if self.silences > 0 => {
-                let grown = QUICK_SILENCE.mul_f64(1.25_f64.powi(self.silences.min(3) as i32 - 1));
-                // Never in step with others that were silenced together.
+                let grown = QUICK_SILENCE_LIMIT.mul_f64(1.25_f64.powi(self.silences.min(3) as i32 - 1));
+                // The random factor separates nodes whose watches fell silent together.
                 grown.mul_f64(0.9 + 0.1 * self.random())
             }
-            hold if hold > FIRST_HOLD => hold + SILENCE,
-            hold => hold + OPEN_SILENCE,
+            hold if hold > FIRST_HOLD => hold + WATCH_SILENCE_LIMIT,
+            hold => hold + OPEN_SILENCE_LIMIT,
         };
         let call = self.next_call;
         self.next_call += 1;
-        let over = now + ask.hold() + PATIENCE;
-        self.main = Some(Out { call, ask, began: now, silent: now + silence, over });
-        out.push(Action::Call { call, endpoint: self.at, ask });
+        let cancel_at = now + ask.hold() + CANCEL_AFTER_WAIT;
+        self.main = Some(InFlight { call, ask, started: now, silent_at: now + silence, cancel_at });
+        actions.push(Action::Call { call, endpoint: self.current, ask });
     }
 }
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -1,5 +1,6 @@
-//! The registry's own standing duties, held by one keeper of however many run: scheduled backups, and the word that lets
-//! silent entries expire once it is seen that their servers are gone.
+//! Maintenance of the registry by the command `registry keeper`: scheduled backups, and the confirmation that
+//! lets entries expire whose servers are found gone. Each of the two is a duty, so of all keepers that run
+//! only one does it at a time.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -19,37 +20,37 @@
 pub const BACKUP: &str = "registry-backup";
 pub const EXPIRY: &str = "registry-expiry";
 
-/// Most bytes of a backup.
-const LONGEST_BACKUP: usize = LONGEST_LIST * 4;
-/// How often it is looked whether a backup is due, at the least, and the pause after one that failed.
-const LOOK: Duration = Duration::from_secs(30);
-const AGAIN: Duration = Duration::from_secs(10);
-/// Between two looks at entries whose expiry is stopped.
-const PROBE_PAUSE: Duration = Duration::from_secs(2);
-/// Probes under way at once.
-const TOGETHER: usize = 32;
+/// Longest backup that is read, in bytes.
+const MAX_BACKUP_BYTES: usize = LONGEST_LIST * 4;
+/// Longest interval between two checks whether a backup is due, and the longest pause after a failed backup.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(30);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(10);
+/// Pause between two checks of the entries whose expiry is stopped.
+const CHECK_PAUSE: Duration = Duration::from_secs(2);
+/// Probes in flight at once.
+const MAX_PROBES_IN_FLIGHT: usize = 32;
 
 // ---- Backups ------------------------------------------------------------------------------------------
 
-/// Where backups go, and how often.
+/// Where and how often backups are taken.
 #[derive(Clone, Debug)]
 pub struct Backups {
     pub folder: PathBuf,
     pub every: Duration,
-    /// So many stay; older ones go.
+    /// Number of backups that are kept; older ones are deleted.
     pub keep: usize,
 }
 
-/// The checkpoint: what the last one came to.
+/// The duty's checkpoint: the last backup that was taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
-    /// Unix time.
+pub struct BackupRecord {
+    /// When it was taken, in Unix time.
     pub taken_ms: u64,
     pub file: String,
     pub bytes: u64,
 }
 
-/// Why a backup is not there.
+/// Why a backup could not be taken.
 #[derive(Debug, thiserror::Error)]
 pub enum BackupError {
     #[error("{0}")]
@@ -60,18 +61,18 @@
     File { file: PathBuf, error: io::Error },
 }
 
-/// Writes the registry's backup to this file, whole or not at all. Returns its length.
+/// Writes a backup of the registry to this file atomically. Returns its length in bytes.
 ///
 /// # Errors
-/// The old file stays.
+/// The backup could not be read or written; an existing file is not changed.
 pub async fn save(changes: &mut Changes, file: &Path) -> Result<u64, BackupError> {
-    let body = changes.get("/registry/backup", LONGEST_BACKUP).await?;
+    let body = changes.get("/registry/backup", MAX_BACKUP_BYTES).await?;
     let mut new = file.as_os_str().to_owned();
     new.push(".new");
     let write = || {
-        let mut writing = std::fs::File::create(&new)?;
-        writing.write_all(&body)?;
-        writing.sync_all()?;
+        let mut output = std::fs::File::create(&new)?;
+        output.write_all(&body)?;
+        output.sync_all()?;
         std::fs::rename(&new, file)?;
         let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty());
         std::fs::File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
@@ -80,47 +81,48 @@
     Ok(body.len() as u64)
 }
 
-/// A clock that was set back makes a backup due as one that went on does: one too many is the lesser harm.
-fn is_due(last: &Taken, now_ms: u64, every: Duration) -> bool {
+/// A jump of the wall clock by the interval makes a backup due in either direction: one backup too many is
+/// better than one too few.
+fn is_due(last: &BackupRecord, now_ms: u64, every: Duration) -> bool {
     u128::from(last.taken_ms.abs_diff(now_ms)) >= every.as_millis()
 }
 
-/// Takes backups on schedule, each time from where the last one, whoever took it, left off.
+/// Takes backups on schedule. The schedule continues from the last backup, also if another keeper took it.
 pub async fn back_up(mut held: Held, plan: &Backups, mut say: impl FnMut(String)) {
     loop {
         let wait = match back_up_if_due(&mut held, plan).await {
-            Ok(None) => (plan.every / 4).min(LOOK),
+            Ok(None) => (plan.every / 4).min(MAX_CHECK_INTERVAL),
             Ok(Some(taken)) => {
                 say(format!("{BACKUP}: {}, {} bytes", taken.file, taken.bytes));
                 Duration::ZERO
             }
             Err(e) => {
-                say(format!("{BACKUP}: {e}"));
-                AGAIN.min(plan.every)
+                say(format!("{BACKUP}: backup failed: {e}"));
+                MAX_RETRY_PAUSE.min(plan.every)
             }
         };
         sleep(wait).await;
     }
 }
 
-async fn back_up_if_due(held: &mut Held, plan: &Backups) -> Result<Option<Taken>, BackupError> {
-    let left = held.left().await?;
-    // What is not this program's makes one due at once.
-    let last: Taken = serde_json::from_str(&left.data).unwrap_or_default();
+async fn back_up_if_due(held: &mut Held, plan: &Backups) -> Result<Option<BackupRecord>, BackupError> {
+    let checkpoint = held.left().await?;
+    // If the checkpoint is missing or not readable, a backup is due at once.
+    let last: BackupRecord = serde_json::from_str(&checkpoint.data).unwrap_or_default();
     let taken_ms = clock::unix().as_millis() as u64;
     if !is_due(&last, taken_ms, plan.every) {
         return Ok(None);
     }
-    // Named by the fence, which only grows, and by time within it.
+    // The name begins with the fencing number, which only grows, and the time, so names sort by age.
     let file = format!("registry-{:020}-{taken_ms}.backup", held.fence.fence);
     let bytes = save(&mut held.changes, &plan.folder.join(&file)).await?;
     prune(plan)?;
-    let taken = Taken { taken_ms, file, bytes };
-    held.leave(left.version, &serde_json::to_string(&taken).unwrap_or_default()).await?;
+    let taken = BackupRecord { taken_ms, file, bytes };
+    held.leave(checkpoint.version, &serde_json::to_string(&taken).unwrap_or_default()).await?;
     Ok(Some(taken))
 }
 
-/// Removes all but the newest backups, and what a death left half written. Names sort by age.
+/// Removes all but the newest backups, and files that a crash left incomplete. Names sort by age.
 fn prune(plan: &Backups) -> Result<(), BackupError> {
     let failed = |error| BackupError::File { file: plan.folder.clone(), error };
     let mut backups = Vec::new();
@@ -142,91 +144,96 @@
 
 // ---- Expiry -------------------------------------------------------------------------------------------
 
-/// What a look at stopped expiry comes to.
+/// The result of probing the entries whose expiry is stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    /// All of them were found gone.
-    Gone,
-    /// It stays stopped, for this reason.
-    Leave(String),
+pub enum ExpiryDecision {
+    /// All of their servers were found gone.
+    Expire,
+    /// Expiry stays stopped, for this reason.
+    Keep(String),
 }
 
-/// Pure: `stopped` and `others` say of each one asked whether it answered.
-pub fn judge(stopped: &[bool], others: &[bool]) -> Judgement {
-    let (there, reached) =
-        (stopped.iter().filter(|there| **there).count(), others.iter().filter(|r| **r).count());
-    if there > 0 {
+/// Decides by the probes whether the entries may expire. `stopped` tells for each entry whose expiry is
+/// stopped whether its server answered; `others` tells it for a sample of the remaining servers.
+pub fn decide_expiry(stopped: &[bool], others: &[bool]) -> ExpiryDecision {
+    let (answering, reached) =
+        (stopped.iter().filter(|answering| **answering).count(), others.iter().filter(|r| **r).count());
+    if answering > 0 {
         let all = stopped.len();
-        return Judgement::Leave(format!("{there} of {all} silent servers answer: their agents are cut off"));
+        return ExpiryDecision::Keep(format!(
+            "{answering} of {all} silent servers answer: their agents are cut off"
+        ));
     }
-    // Who reaches nobody tells nothing about others.
+    // A keeper that can't reach most servers can't tell whether the others are gone.
     if reached * 2 <= others.len() {
         let all = others.len();
-        return Judgement::Leave(format!(
+        return ExpiryDecision::Keep(format!(
             "{reached} of {all} other servers answer: this keeper may be cut off"
         ));
     }
-    Judgement::Gone
+    ExpiryDecision::Expire
 }
 
-async fn ask(servers: &[Listed]) -> Vec<bool> {
+async fn probe_all(servers: &[Listed]) -> Vec<bool> {
     let mut answered = Vec::with_capacity(servers.len());
-    for some in servers.chunks(TOGETHER) {
-        let asked: Vec<_> = some.iter().map(|server| tokio::spawn(answers(server.addr))).collect();
-        for one in asked {
-            // An unknown answer is none that lets anybody go.
-            answered.push(one.await.unwrap_or(true));
+    for batch in servers.chunks(MAX_PROBES_IN_FLIGHT) {
+        let probes: Vec<_> = batch.iter().map(|server| tokio::spawn(answers(server.addr))).collect();
+        for probe in probes {
+            // A probe without a result counts as answered, so that no entry expires because of it.
+            answered.push(probe.await.unwrap_or(true));
         }
     }
     answered
 }
 
-/// Looks after stopped expiry: lets those go that were found gone twice in a row, and says why others stay.
+/// Checks the entries whose expiry is stopped, confirms the expiry if all of their servers were found gone in
+/// two checks in a row, and logs why entries stay.
 pub async fn confirm(mut held: Held, mut say: impl FnMut(String)) {
-    let mut gone_before: Vec<String> = Vec::new();
-    let mut said = String::new();
+    let mut gone_last_time: Vec<String> = Vec::new();
+    let mut last_logged = String::new();
     loop {
-        sleep(PROBE_PAUSE).await;
+        sleep(CHECK_PAUSE).await;
         let expiry: Expiry = match held.changes.read("/registry/expiry", LONGEST_LIST).await {
             Ok(expiry) => expiry,
             Err(e) => {
-                say(format!("{EXPIRY}: {e}"));
+                say(format!("{EXPIRY}: could not read the stopped entries: {e}"));
                 continue;
             }
         };
         if expiry.stopped.is_empty() {
-            gone_before.clear();
-            said.clear();
+            gone_last_time.clear();
+            last_logged.clear();
             continue;
         }
         let ids: Vec<String> = expiry.stopped.iter().map(|server| server.id.clone()).collect();
-        let what = match judge(&ask(&expiry.stopped).await, &ask(&expiry.others).await) {
-            Judgement::Leave(why) => {
-                gone_before.clear();
+        let message = match decide_expiry(&probe_all(&expiry.stopped).await, &probe_all(&expiry.others).await)
+        {
+            ExpiryDecision::Keep(why) => {
+                gone_last_time.clear();
                 format!("{} entries stay: {why}", ids.len())
             }
-            Judgement::Gone if gone_before != ids => {
-                gone_before = ids;
+            ExpiryDecision::Expire if gone_last_time != ids => {
+                gone_last_time = ids;
                 continue;
             }
-            Judgement::Gone => {
-                gone_before.clear();
+            ExpiryDecision::Expire => {
+                gone_last_time.clear();
                 if !held.holds() {
                     return;
                 }
-                let word = Confirm { most: ids.len() };
+                let request = Confirm { most: ids.len() };
                 let path = "/registry/expiry/confirm";
-                match held.changes.put::<Confirmed>(Method::POST, path, &word, PROBE_PAUSE).await {
-                    Ok(told) => {
-                        format!("{} servers are gone and may expire: {}", told.expired, ids.join(" "))
+                match held.changes.put::<Confirmed>(Method::POST, path, &request, CHECK_PAUSE).await {
+                    Ok(confirmed) => {
+                        format!("{} servers are gone and may expire: {}", confirmed.expired, ids.join(" "))
                     }
                     Err(e) => e.to_string(),
                 }
             }
         };
-        if said != what {
-            say(format!("{EXPIRY}: {what}"));
-            said = what;
+        if last_logged != message {
+            say(format!("{EXPIRY}: {message}"));
+            last_logged = message;
         }
     }
 }
@@ -236,20 +243,20 @@
     use super::*;
 
     #[test]
-    fn nobody_is_let_go_who_answers_or_by_a_keeper_that_reaches_nobody() {
-        let leave = |judgement| matches!(judgement, Judgement::Leave(_));
-        assert_eq!(judge(&[false, false], &[true, true, false]), Judgement::Gone);
-        assert!(leave(judge(&[false, true], &[true, true])));
-        assert!(leave(judge(&[false, false], &[false, true])), "half is not more than half");
-        assert!(leave(judge(&[false], &[])), "nobody to tell by");
+    fn no_entry_expires_if_its_server_answers_or_if_the_keeper_reaches_too_few_servers() {
+        let keep = |decision| matches!(decision, ExpiryDecision::Keep(_));
+        assert_eq!(decide_expiry(&[false, false], &[true, true, false]), ExpiryDecision::Expire);
+        assert!(keep(decide_expiry(&[false, true], &[true, true])));
+        assert!(keep(decide_expiry(&[false, false], &[false, true])), "half is not more than half");
+        assert!(keep(decide_expiry(&[false], &[])), "no other server to compare with");
     }
 
     #[test]
     fn a_backup_is_due_by_schedule_and_after_a_clock_that_jumped_either_way() {
         let hour = Duration::from_secs(3600);
-        let last = Taken { taken_ms: 10_000_000, ..Taken::default() };
+        let last = BackupRecord { taken_ms: 10_000_000, ..BackupRecord::default() };
         assert!(!is_due(&last, 10_000_000 + 3_599_999, hour));
         assert!(is_due(&last, 10_000_000 + 3_600_000, hour) && is_due(&last, 10_000_000 - 3_600_000, hour));
-        assert!(is_due(&Taken::default(), 3_600_000, hour));
+        assert!(is_due(&BackupRecord::default(), 3_600_000, hour));
     }
 }
--- a/registry-client/src/lib.rs
+++ b/registry-client/src/lib.rs
@@ -1,6 +1,8 @@
-//! Calls to the list service that survive its failures. `follow` is the pure core of following the list; `driver`
-//! gives it sockets and a clock; `changes` puts changes until they hold. `tenure` is
-//! the pure core of holding a duty; `duty` drives it, and `supervisor` keeps a command within it.
+//! Client of the list service (the registry). It retries and fails over between the service's endpoints.
+//!
+//! `follow` decides without I/O how to follow the list; `driver` runs it on sockets and a clock. `changes`
+//! sends changes and retries them until they are acknowledged or refused. `tenure` decides without I/O how
+//! long a duty is held; `duty` runs it, and `supervisor` runs a command for as long as the duty is held.
 
 #![deny(unsafe_code)]
 
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -1,6 +1,7 @@
-//! A command within a tenure. The supervisor is a process of its own beside the holder and leads a process group, in which
-//! it starts the command: the group is known before anything runs in it. It is told until when the tenure lasts, and ends
-//! the group by its own look at the clock: also where the holder stands still, and at once where it has died.
+//! Runs a command for as long as a duty is held. The supervisor is a separate process beside the holder. It
+//! leads a process group and starts the command in it, so that the group is known before the command runs.
+//! The holder tells it until when the lease lasts. The supervisor ends the group by its own clock, also if
+//! the holder is suspended, and at once if the holder has died.
 
 use std::cell::Cell;
 use std::io::{self, BufRead, Write};
@@ -20,103 +21,106 @@
 use crate::duty::{DutyError, Ended, Seat};
 use crate::tenure::Time;
 
-/// What the command sees.
+/// Environment variables of the command: the duty's name, the fencing number, and the registry's endpoints.
 pub const DUTY: &str = "SHALETRAIL_DUTY";
 pub const FENCE: &str = "SHALETRAIL_FENCE";
 pub const REGISTRY: &str = "SHALETRAIL_REGISTRY";
 
-/// How often the supervisor looks at the clock and at its command.
-const LOOK: Duration = Duration::from_millis(10);
-/// First and longest pause before a command that failed is started again, and how long it has to run to begin anew.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
-const WELL: Duration = Duration::from_secs(60);
-/// For the supervisor itself to be gone after its group's kill.
-const REAP: Duration = Duration::from_millis(500);
+/// Interval at which the supervisor checks the clock and its command.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// First and longest back-off before a failed command is restarted, and the run time after which the back-off
+/// and the count of failures start again.
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+const HEALTHY_RUN_TIME: Duration = Duration::from_secs(60);
+/// Time for the supervisor process to end after its group was killed.
+const REAP_TIMEOUT: Duration = Duration::from_millis(500);
 
 // ---- The supervisor -----------------------------------------------------------------------------------
 
-/// What the holder tells.
-enum Word {
-    /// The tenure lasts until the first time; at the second, everything is killed.
+/// A message from the holder.
+enum Message {
+    /// The lease lasts until the first time; at the second, the whole group is killed.
     Until(Time, Time),
+    /// The command is to be ended now.
     End,
 }
 
-fn word(line: &str) -> Option<Word> {
+fn parse_message(line: &str) -> Option<Message> {
     if line == "end" {
-        return Some(Word::End);
+        return Some(Message::End);
     }
     let mut times = line.strip_prefix("until ")?.split(' ').map(|ms| ms.parse().map(Duration::from_millis));
-    Some(Word::Until(times.next()?.ok()?, times.next()?.ok()?))
+    Some(Message::Until(times.next()?.ok()?, times.next()?.ok()?))
 }
 
-/// Starts the command once a first time is told, and ends it by the last one told. Returns its exit code; as a shell
-/// does, 128 and the signal's number where one ended it. The caller leads a process group, and takes signals.
+/// Starts the command when the first deadlines arrive, and ends it by the latest ones. Returns its exit code
+/// or, like a shell, 128 plus the number of the signal that ended it. The calling process must lead a process
+/// group and handle termination signals.
 ///
 /// # Errors
-/// Where the command can't be started.
+/// The command can't be started.
 pub fn supervise(command: &mut Command, input: impl BufRead + Send + 'static) -> io::Result<u8> {
     if getpgrp() != getpid() {
         return Err(io::Error::other(
-            "a supervisor leads a process group; `shaletrail-fleet duty run` starts it in one",
+            "the supervisor must lead a process group; `shaletrail-fleet duty run` starts it in one",
         ));
     }
-    let (told, words) = channel();
+    let (sender, messages) = channel();
     thread::spawn(move || {
         for line in input.lines().map_while(Result::ok) {
-            // What can't be read ends the command: it is not known how long it may run.
-            if told.send(word(&line).unwrap_or(Word::End)).is_err() {
+            // After an unreadable message it is unknown how long the command may run, so it is ended.
+            if sender.send(parse_message(&line).unwrap_or(Message::End)).is_err() {
                 return;
             }
         }
     });
-    let Ok(Word::Until(mut until, mut kill)) = words.recv() else { return Ok(0) };
+    let Ok(Message::Until(mut until, mut kill)) = messages.recv() else { return Ok(0) };
     let mut child = command.spawn()?;
     let mut status: Option<ExitStatus> = None;
-    let (mut ending, mut ended) = (false, false);
+    let (mut ending, mut term_sent) = (false, false);
     loop {
-        match words.recv_timeout(LOOK) {
-            // Once it has been told to stop, it stops.
-            Ok(Word::Until(at, then)) if !ending => (until, kill) = (at, then),
-            Ok(Word::Until(..)) => {}
-            Ok(Word::End) => ending = true,
+        match messages.recv_timeout(POLL_INTERVAL) {
+            // A later deadline does not revoke an end that has begun.
+            Ok(Message::Until(at, then)) if !ending => (until, kill) = (at, then),
+            Ok(Message::Until(..)) => {}
+            Ok(Message::End) => ending = true,
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => {
                 ending = true;
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
         }
         status = status.or(child.try_wait()?);
-        // What it has left running goes with it.
+        // Processes that the command left running are ended with it.
         ending |= status.is_some();
         let now = boot();
         ending |= now >= until;
         if let Some(status) = status {
-            if others(getpid()).is_empty() {
+            if other_members(getpid()).is_empty() {
                 let code = status.code().or_else(|| Some(128 + status.signal()?)).unwrap_or(1);
                 return Ok(u8::try_from(code).unwrap_or(1));
             }
         }
-        if ending && !ended {
-            ended = true;
+        if ending && !term_sent {
+            term_sent = true;
             let _ = kill_process_group(getpid(), Signal::TERM);
         }
         if ending && now >= kill {
-            // And with it this process, which leads it.
+            // This also kills the supervisor itself, which leads the group.
             let _ = kill_process_group(getpid(), Signal::KILL);
         }
     }
 }
 
-/// Who else is in this group, without those that have ended.
-fn others(group: Pid) -> Vec<u32> {
+/// The other processes in this group that have not ended.
+fn other_members(group: Pid) -> Vec<u32> {
     let own = group.as_raw_nonzero().get();
     let Ok(processes) = std::fs::read_dir("/proc") else { return Vec::new() };
     let member = |entry: io::Result<std::fs::DirEntry>| {
         let id: i32 = entry.ok()?.file_name().to_str()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        // The name may hold anything; the fields behind it don't: state, parent, group.
+        // The name may contain any character, so the fields are counted after its end: state, parent, group.
         let mut fields = stat.rsplit_once(") ")?.1.split(' ');
         let (state, group) = (fields.next()?, fields.nth(1)?);
         (group.parse() == Ok(own) && id != own && state != "Z").then_some(id as u32)
@@ -126,11 +130,11 @@
 
 // ---- The holder's side --------------------------------------------------------------------------------
 
-/// What is run under a duty.
+/// A command that is run while a duty is held.
 pub struct Work {
-    /// The supervisor, and behind it the command: program and arguments.
+    /// Program and arguments of the supervisor, followed by those of the command.
     pub supervisor: Vec<std::ffi::OsString>,
-    /// Failures in a row after which another candidate is to try.
+    /// Failures in a row after which the duty is given to another candidate.
     pub failures: u32,
 }
 
@@ -139,22 +143,22 @@
 pub enum Finished {
     /// The command ended with 0.
     Done,
-    /// This process was told to end.
+    /// This process was asked to stop.
     Stopped,
-    /// It failed so often in a row, the last time with this code.
+    /// The command failed too often in a row, the last time with this exit code.
     Failed(i32),
 }
 
-/// A supervisor, from its holder's side.
+/// A supervisor process, as the holder sees it.
 struct Supervisor {
     child: Child,
     group: Option<Pid>,
 }
 
-/// What a supervisor hears.
-struct Orders(ChildStdin);
+/// The pipe to a supervisor's standard input.
+struct SupervisorInput(ChildStdin);
 
-fn start(work: &Work, seat: &Seat, fence: u64) -> io::Result<(Supervisor, Orders)> {
+fn start(work: &Work, seat: &Seat, fence: u64) -> io::Result<(Supervisor, SupervisorInput)> {
     let endpoints: Vec<String> = seat.endpoints().iter().map(ToString::to_string).collect();
     let mut command = tokio::process::Command::new(&work.supervisor[0]);
     command
@@ -166,28 +170,29 @@
         .process_group(0);
     let mut child = command.spawn()?;
     let group = child.id().and_then(|id| Pid::from_raw(id as i32));
-    let orders = child.stdin.take().ok_or_else(|| io::Error::other("the supervisor hears nothing"))?;
-    Ok((Supervisor { child, group }, Orders(orders)))
+    let input = child.stdin.take().ok_or_else(|| io::Error::other("the supervisor has no standard input"))?;
+    Ok((Supervisor { child, group }, SupervisorInput(input)))
 }
 
-impl Orders {
-    /// A few bytes, which the pipe takes at once. A full one belongs to a supervisor that has stopped for very long; its
-    /// group is killed in time from this side.
-    fn tell(&mut self, line: &str) {
+impl SupervisorInput {
+    /// Writes a message of a few bytes, which a pipe accepts without blocking. The pipe is full only if the
+    /// supervisor has been suspended for very long; then the holder itself kills the group in time.
+    fn send(&mut self, line: &str) {
         let Ok(pipe) = self.0.as_fd().try_clone_to_owned() else { return };
         let _ = std::fs::File::from(pipe).write_all(line.as_bytes());
     }
 
     fn until(&mut self, until: Time, kill: Time) {
-        self.tell(&format!("until {} {}\n", until.as_millis(), kill.as_millis()));
+        self.send(&format!("until {} {}\n", until.as_millis(), kill.as_millis()));
     }
 }
 
 impl Supervisor {
-    /// The code, once nothing of the group runs any more. May be dropped and called again.
+    /// Waits until the supervisor has ended, kills the rest of its group, and returns its exit code. The
+    /// future is cancel safe.
     async fn code(&mut self) -> i32 {
         let status = self.child.wait().await;
-        // Whatever ended the supervisor: what is left of its group goes too.
+        // However the supervisor ended, the rest of its group must not go on running.
         self.kill();
         status.ok().and_then(|status| status.code().or_else(|| Some(128 + status.signal()?))).unwrap_or(1)
     }
@@ -198,21 +203,21 @@
         }
     }
 
-    /// Ends the command, by `kill` at the latest.
-    async fn end(&mut self, mut orders: Orders, kill: Time) {
-        orders.tell("end\n");
+    /// Ends the command, and kills it at the time `kill` if it still runs.
+    async fn end(&mut self, mut input: SupervisorInput, kill: Time) {
+        input.send("end\n");
         let left = kill.saturating_sub(boot());
         if timeout(left, self.code()).await.is_err() {
             self.kill();
-            let _ = timeout(REAP, self.code()).await;
+            let _ = timeout(REAP_TIMEOUT, self.code()).await;
         }
     }
 }
 
-/// Runs a command whenever the duty is held, until it is done, fails too often, or `stop`.
+/// Runs a command whenever the duty is held, until it succeeds, fails too often, or `stop` completes.
 ///
 /// # Errors
-/// Where the registry refuses the candidate, or the supervisor can't be started.
+/// The registry refused the candidate, or the supervisor can't be started.
 pub async fn run(
     seat: &mut Seat,
     work: &Work,
@@ -222,7 +227,7 @@
     tokio::pin!(stop);
     let name = seat.name().to_owned();
     loop {
-        say(format!("{name}: in line"));
+        say(format!("{name}: waiting in the queue"));
         let fence = tokio::select! {
             fence = seat.win(&mut say) => fence?,
             () = &mut stop => {
@@ -230,25 +235,25 @@
                 return Ok(Finished::Stopped);
             }
         };
-        say(format!("{name}: held under fence {fence}"));
-        match tenure(seat, work, fence, stop.as_mut(), &mut say).await {
+        say(format!("{name}: held with fencing number {fence}"));
+        match run_until_lease_end(seat, work, fence, stop.as_mut(), &mut say).await {
             Err(error) => {
                 seat.release(Why::Failed).await;
                 return Err(error.into());
             }
-            Ok(Over::Finished(why, finished)) => {
+            Ok(RunEnd::Finished(why, finished)) => {
                 seat.release(why).await;
                 return Ok(finished);
             }
-            Ok(Over::Ended(ended)) => {
-                say(format!("{name}: {}", ended.words()));
+            Ok(RunEnd::Ended(ended)) => {
+                say(format!("{name}: {}", ended.description()));
                 seat.release(if ended == Ended::Asked { Why::Asked } else { Why::Lapsed }).await;
             }
         }
     }
 }
 
-/// Why a command is not run.
+/// Why a command can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error(transparent)]
@@ -257,66 +262,67 @@
     Start(#[from] io::Error),
 }
 
-enum Over {
+enum RunEnd {
     Finished(Why, Finished),
     Ended(Ended),
 }
 
-/// One tenure. When it returns, nothing of the command runs any more.
-async fn tenure(
+/// Runs the command until the lease ends or the command is finished. When it returns, no process of the
+/// command runs any more.
+async fn run_until_lease_end(
     seat: &mut Seat,
     work: &Work,
     fence: u64,
     mut stop: std::pin::Pin<&mut impl std::future::Future<Output = ()>>,
     say: &mut impl FnMut(String),
-) -> io::Result<Over> {
-    let (mut pause, mut failures) = (FIRST_PAUSE, 0);
+) -> io::Result<RunEnd> {
+    let (mut backoff, mut failures) = (MIN_BACKOFF, 0);
     loop {
-        let (mut supervisor, mut orders) = start(work, seat, fence)?;
-        let (began, kill) = (boot(), Cell::new(Time::ZERO));
-        let step = tokio::select! {
+        let (mut supervisor, mut input) = start(work, seat, fence)?;
+        let (started, kill) = (boot(), Cell::new(Time::ZERO));
+        let event = tokio::select! {
             ended = seat.keep(|until, then| {
-                orders.until(until, then);
+                input.until(until, then);
                 kill.set(then);
-            }) => Step::Duty(ended),
-            code = supervisor.code() => Step::Command(code),
-            () = &mut stop => Step::Stop,
+            }) => Event::Duty(ended),
+            code = supervisor.code() => Event::Command(code),
+            () = &mut stop => Event::Stop,
         };
-        match step {
-            Step::Duty(ended) => {
-                supervisor.end(orders, kill.get()).await;
-                return Ok(Over::Ended(ended));
+        match event {
+            Event::Duty(ended) => {
+                supervisor.end(input, kill.get()).await;
+                return Ok(RunEnd::Ended(ended));
             }
-            Step::Stop => {
-                supervisor.end(orders, kill.get()).await;
-                return Ok(Over::Finished(Why::Released, Finished::Stopped));
+            Event::Stop => {
+                supervisor.end(input, kill.get()).await;
+                return Ok(RunEnd::Finished(Why::Released, Finished::Stopped));
             }
-            Step::Command(0) => return Ok(Over::Finished(Why::Released, Finished::Done)),
-            Step::Command(code) => {
-                if boot().saturating_sub(began) >= WELL {
-                    (pause, failures) = (FIRST_PAUSE, 0);
+            Event::Command(0) => return Ok(RunEnd::Finished(Why::Released, Finished::Done)),
+            Event::Command(code) => {
+                if boot().saturating_sub(started) >= HEALTHY_RUN_TIME {
+                    (backoff, failures) = (MIN_BACKOFF, 0);
                 }
                 failures += 1;
                 if failures >= work.failures {
-                    return Ok(Over::Finished(Why::Failed, Finished::Failed(code)));
+                    return Ok(RunEnd::Finished(Why::Failed, Finished::Failed(code)));
                 }
                 say(format!(
-                    "{}: the command ended with {code}; again in {} ms",
+                    "{}: the command failed with exit code {code}; restarting it in {} ms",
                     seat.name(),
-                    pause.as_millis()
+                    backoff.as_millis()
                 ));
                 tokio::select! {
-                    ended = seat.keep(|_, _| {}) => return Ok(Over::Ended(ended)),
-                    () = sleep(pause) => {}
-                    () = &mut stop => return Ok(Over::Finished(Why::Released, Finished::Stopped)),
+                    ended = seat.keep(|_, _| {}) => return Ok(RunEnd::Ended(ended)),
+                    () = sleep(backoff) => {}
+                    () = &mut stop => return Ok(RunEnd::Finished(Why::Released, Finished::Stopped)),
                 }
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-enum Step {
+enum Event {
     Duty(Ended),
     Command(i32),
     Stop,
--- a/registry-client/src/tenure.rs
+++ b/registry-client/src/tenure.rs
@@ -1,34 +1,38 @@
-//! The pure core of holding a duty: what a holder may believe. Time is a value on its own boot-time clock.
+//! Decides until when a process may act as holder of a duty. Does no I/O; times are passed in and are read
+//! from the process's own boot-time clock.
 //!
-//! The registry passes a duty on a full lease after the last sign of life that it noted, by its own clock. A sign is
-//! noted after it was sent; so whoever counts the lease from the sending, and stops earlier by a margin that covers the
-//! clocks' different rates and its own slowness in stopping, has stopped by then, whatever it hears or does not hear.
+//! The registry grants a duty to the next candidate one full lease after it recorded the holder's last
+//! renewal, by its own clock. It records a renewal after the holder sent it. A holder that counts the lease
+//! from the sending, and stops earlier by a margin for different clock rates and for the time that stopping
+//! takes, has therefore always stopped by then, whether or not it receives any answer.
 
 use std::time::Duration;
 
 use shaletrail_registry_protocol::duty::Standing;
 
-/// A time on the holder's clock.
+/// A time on the holder's boot-time clock.
 pub type Time = Duration;
 
-/// One part in so many of a lease is margin: half of it until what the holder runs is killed, half for the rates of
-/// clocks and for pauses between looking at the clock and acting.
+/// The safety margin is the lease divided by this. Half of the margin is the time between asking the holder's
+/// command to stop and killing it; the other half covers clock rates and pauses between reading the clock and
+/// acting.
 pub const MARGIN: u32 = 5;
 
-/// What an answer came to.
+/// What an answer means for the candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum News {
+    /// Nothing has changed.
     None,
-    /// From here on the candidate holds.
+    /// The candidate holds the duty from now on.
     Won,
-    /// The holder is to stop and to release.
+    /// The holder is asked to stop and to release the duty.
     GiveWay,
-    /// The tenure is over: by the answer or by the own clock.
+    /// The lease is over, by the answer or by the process's own clock.
     Lost,
 }
 
-/// One candidacy, from its place in line to the end of its tenure. Invariant: `holds` is never true later than lease less margin
-/// after the sending of the last sign that was answered.
+/// One candidacy, from queueing to the end of the lease. Invariant: `holds` returns `None` from the time when
+/// the last answered call was sent, plus the lease, minus the margin.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Tenure {
     lease: Duration,
@@ -56,17 +60,19 @@
         self.lease
     }
 
-    /// The fencing number, for as long as the candidate may act.
+    /// The fencing number, if the candidate may act as holder at `now`.
     pub fn holds(&self, now: Time) -> Option<u64> {
         self.held.filter(|held| !self.over && now < held.until).map(|held| held.fence)
     }
 
-    /// When it has to have begun to stop, and when what it runs is to be killed.
+    /// When the holder must begin to stop, and when the command that it runs must be killed. `None` before
+    /// the grant.
     pub fn ends(&self) -> Option<(Time, Time)> {
         self.held.map(|held| (held.until, held.until + self.margin / 2))
     }
 
-    /// The answer to a sign of life that was sent at `sent`: the standing, or none for who is not in line.
+    /// Handles the answer to an acquire or a renewal that was sent at `sent`. `standing` is `None` if the
+    /// registry answered that the candidate is not in the queue.
     pub fn told(&mut self, sent: Time, standing: Option<&Standing>, now: Time) -> News {
         if self.held.is_some() && self.holds(now).is_none() {
             self.over = true;
@@ -84,7 +90,7 @@
                 return News::Lost;
             }
             (Some(_), Some(held)) => held.until = held.until.max(until),
-            // Too old to begin with; the next answer may be younger.
+            // The grant is too old to act on; the next answer may extend it.
             (Some(_), None) if now >= until => return News::None,
             (Some(standing), held @ None) => {
                 *held = Some(Held { fence: standing.fence, until });
--- a/registry-client/tests/follow.rs
+++ b/registry-client/tests/follow.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shaletrail_registry_client::follow::{Action, Ask, CallId, Follower, Retry, Told};
+use shaletrail_registry_client::follow::{Action, Ask, CallId, Follower, ListSummary, Retry};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -20,8 +20,8 @@
     put
 }
 
-fn told(version: u64, full: bool, empty: bool) -> Option<Told> {
-    Some(Told { version, full, empty })
+fn told(version: u64, full: bool, empty: bool) -> Option<ListSummary> {
+    Some(ListSummary { version, full, empty })
 }
 
 fn changes(from: u64, hold: u64) -> Ask {
@@ -39,10 +39,10 @@
     follower.start(ms(0), out);
     let (first, _, ask) = call(out).expect("a call");
     assert_eq!(ask, changes(50, 1000));
-    follower.ended(first, told(51, false, false), ms(10), out);
+    follower.call_ended(first, told(51, false, false), ms(10), out);
     let (watch, _, ask) = call(out).expect("a watch");
     assert!(is_watch(ask, 51), "{ask:?}");
-    follower.ended(watch, None, ms(500), out);
+    follower.call_ended(watch, None, ms(500), out);
     assert_eq!(*out, [Action::Failed]);
     out.clear();
     follower.start(ms(700), out);
@@ -57,14 +57,14 @@
         let mut follower = broken_at_51(&mut out);
         let (doubt, _, ask) = call(&mut out).expect("a call");
         assert_eq!(ask, changes(50, 0));
-        follower.ended(doubt, told(answered, false, true), ms(701), &mut out);
+        follower.call_ended(doubt, told(answered, false, true), ms(701), &mut out);
         let (whole, _, ask) = call(&mut out).expect("a call");
         assert_eq!(ask, Ask::Whole);
-        follower.ended(whole, told(2, true, false), ms(702), &mut out);
+        follower.call_ended(whole, told(2, true, false), ms(702), &mut out);
         assert_eq!(out[0], Action::Tell { call: whole });
         let (watch, _, ask) = call(&mut out).expect("a watch");
         assert!(is_watch(ask, 2), "{ask:?}");
-        follower.ended(watch, told(3, false, false), ms(900), &mut out);
+        follower.call_ended(watch, told(3, false, false), ms(900), &mut out);
         assert!(is_watch(call(&mut out).expect("a watch").2, 3));
     }
 }
@@ -74,7 +74,7 @@
     let mut out = Vec::new();
     let mut follower = broken_at_51(&mut out);
     let (doubt, ..) = call(&mut out).expect("a call");
-    follower.ended(doubt, told(51, false, false), ms(701), &mut out);
+    follower.call_ended(doubt, told(51, false, false), ms(701), &mut out);
     assert!(is_watch(call(&mut out).expect("a watch").2, 51));
 }
 
@@ -92,7 +92,7 @@
         assert_eq!(ask, changes(4, if endpoints == 1 { 0 } else { 1000 }));
         assert_eq!(next != at, endpoints > 1);
         // The first may still be the one that is answered.
-        follower.ended(first, told(6, false, false), wake + ms(1), &mut out);
+        follower.call_ended(first, told(6, false, false), wake + ms(1), &mut out);
         assert!(out.contains(&Action::Tell { call: first }) && out.contains(&Action::Drop { call: second }));
     }
 }
@@ -127,7 +127,7 @@
         let mut follower = Follower::new(1, Some(5), Retry::OnStart, seed);
         follower.start(ms(0), out);
         let (first, ..) = call(out).expect("a call");
-        follower.ended(first, told(5, false, true), ms(1000), out);
+        follower.call_ended(first, told(5, false, true), ms(1000), out);
         let (_, _, ask) = call(out).expect("a watch");
         let Ask::Changes { hold, .. } = ask else { panic!("{ask:?}") };
         Watcher { follower, end: ms(1000) + hold, answer: None, again: None }
@@ -162,7 +162,7 @@
         let Some((asked, ..)) = call(&mut out) else { continue };
         free = free.max(now);
         if free > now + longest_queue {
-            node.follower.ended(asked, None, now, &mut out);
+            node.follower.call_ended(asked, None, now, &mut out);
             out.clear();
             node.again = Some(now + reask);
         } else {
@@ -179,13 +179,13 @@
     let mut follower = Follower::new(3, Some(9), Retry::Own, 7);
     follower.start(ms(0), &mut out);
     let (dead, first, _) = call(&mut out).expect("a call");
-    follower.ended(dead, None, ms(1), &mut out);
+    follower.call_ended(dead, None, ms(1), &mut out);
     let (behind, second, _) = call(&mut out).expect("the next at once");
-    follower.ended(behind, told(8, false, true), ms(2), &mut out);
+    follower.call_ended(behind, told(8, false, true), ms(2), &mut out);
     let (good, third, ask) = call(&mut out).expect("the next at once");
     assert!(first != second && second != third && third != first);
     assert_eq!(ask, changes(8, 1000));
-    follower.ended(good, told(9, false, false), ms(3), &mut out);
+    follower.call_ended(good, told(9, false, false), ms(3), &mut out);
     assert!(out.contains(&Action::Tell { call: good }));
 }
 
@@ -198,7 +198,7 @@
             let mut follower = Follower::new(3, Some(9), Retry::Own, seed);
             follower.start(ms(0), &mut out);
             while let Some((lost, ..)) = call(&mut out) {
-                follower.ended(lost, None, ms(1), &mut out);
+                follower.call_ended(lost, None, ms(1), &mut out);
             }
             follower.wake().expect("a time").as_millis()
         })
@@ -272,7 +272,7 @@
                 (_, Ask::Changes { from, .. }) => told(knows, false, from == knows),
                 (_, Ask::Whole) => told(knows, true, false),
             };
-            follower.ended(call, answer, now, &mut out);
+            follower.call_ended(call, answer, now, &mut out);
             if out.contains(&Action::Tell { call }) {
                 let knows = answer.expect("an answer").version;
                 prop_assert!(knows >= last, "{knows} after {last}");
