--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -1,4 +1,4 @@
-//! `shaletrail-fleet agent`
+//! `shaletrail-fleet agent`: registers a cache server and renews its lease.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,20 +8,20 @@
 use shaletrail_registry_client::changes::Changes;
 use shaletrail_registry_protocol::{check_id, Entry, State, LEASE_S};
 
-use crate::{stopped, Failure};
+use crate::{shutdown_signal, Failure};
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Operators' addresses of the list service
+    /// Operator addresses of the list service
     #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8501")]
     registry: Vec<SocketAddr>,
-    /// The cache server's name in the list
+    /// Id of the cache server in the list
     #[arg(long)]
     id: String,
-    /// Where nodes reach it
+    /// Address at which nodes reach it
     #[arg(long)]
     addr: SocketAddr,
-    /// Where it is checked, if not there
+    /// Address that is probed, if it is another one
     #[arg(long)]
     check: Option<SocketAddr>,
     #[arg(long, default_value = "")]
@@ -32,25 +32,26 @@
     cell: u64,
     #[arg(long, default_value_t = 1.0)]
     weight: f64,
-    /// Seconds that the entry stands without a renewal
+    /// Seconds after which the entry expires without a renewal
     #[arg(long, default_value_t = 10.0)]
     lease_s: f64,
-    /// Seconds between `leaving` and `left`
+    /// Seconds between the states `leaving` and `left`
     #[arg(long, default_value_t = 2.0)]
     drain_s: f64,
-    /// The cache server's process, whose start is the entry's `started_ms`; without it, this process's start is
+    /// Process id of the cache server; its start time becomes the entry's `started_ms`. Default: the start of
+    /// this process
     #[arg(long)]
     pid: Option<u32>,
 }
 
 pub async fn run(args: Args) -> Result<(), Failure> {
-    check_id(&args.id).map_err(Failure::wrong)?;
+    check_id(&args.id).map_err(Failure::invalid)?;
     if !LEASE_S.contains(&args.lease_s) {
         let (least, most) = (LEASE_S.start(), LEASE_S.end());
-        return Err(Failure::Wrong(format!("--lease-s: {least} to {most} expected, got {}", args.lease_s)));
+        return Err(Failure::Invalid(format!("--lease-s: {least} to {most} expected, got {}", args.lease_s)));
     }
     let drain =
-        Duration::try_from_secs_f64(args.drain_s).map_err(|e| Failure::Wrong(format!("--drain-s: {e}")))?;
+        Duration::try_from_secs_f64(args.drain_s).map_err(|e| Failure::Invalid(format!("--drain-s: {e}")))?;
     let process = args.pid.map_or("self".to_owned(), |pid| pid.to_string());
     let entry = Entry {
         id: args.id,
@@ -65,21 +66,22 @@
     let check = args.check.unwrap_or(args.addr);
     let duty = Duty { entry, lease: Duration::from_secs_f64(args.lease_s), drain, check };
     let say = |what: String| tracing::info!("{what}");
-    agent::run(&duty, &mut Changes::new(args.registry), stopped(), say).await.map_err(Failure::failed)
+    agent::run(&duty, &mut Changes::new(args.registry), shutdown_signal(), say).await.map_err(Failure::failed)
 }
 
-/// When a process started, in milliseconds of Unix time, by the kernel's account: its start after boot in ticks
-/// (the 22nd field of `stat`; 100 a second on Linux) and the time of the boot.
+/// When a process started, in milliseconds of Unix time, according to the kernel: its start after boot in
+/// ticks (the 22nd field of `stat`; 100 per second on Linux) plus the time of the boot.
 fn started_ms(process: &str) -> Result<u64, Failure> {
     let read = |path: PathBuf| {
         std::fs::read_to_string(&path).map_err(|e| Failure::Failed(format!("{}: {e}", path.display())))
     };
-    let odd = |what: &str| Failure::Failed(format!("the start of process {process}: no {what}"));
+    let missing =
+        |what: &str| Failure::Failed(format!("can't determine the start of process {process}: no {what}"));
     let stat = read(PathBuf::from("/proc").join(process).join("stat"))?;
-    // The name may hold anything; the fields behind it don't.
-    let fields = stat.rsplit_once(')').ok_or_else(|| odd("name"))?.1;
+    // The name may contain any character, so the fields are counted after its end.
+    let fields = stat.rsplit_once(')').ok_or_else(|| missing("name"))?.1;
     let ticks = fields.split_whitespace().nth(19).and_then(|ticks| ticks.parse::<u64>().ok());
     let system = read(PathBuf::from("/proc/stat"))?;
     let boot = system.lines().find_map(|line| line.strip_prefix("btime ")?.trim().parse::<u64>().ok());
-    Ok(boot.ok_or_else(|| odd("boot time"))? * 1000 + ticks.ok_or_else(|| odd("start"))? * 10)
+    Ok(boot.ok_or_else(|| missing("boot time"))? * 1000 + ticks.ok_or_else(|| missing("start"))? * 10)
 }
--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -1,4 +1,4 @@
-//! `shaletrail-fleet duty …`
+//! `shaletrail-fleet duty …`: runs a command while a duty is held, and shows and moves duties.
 
 use std::ffi::OsString;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -21,19 +21,19 @@
 };
 use shaletrail_registry_protocol::{check_id, LONGEST_LIST};
 
-use crate::{stopped, Failure};
+use crate::{shutdown_signal, Failure};
 
 #[derive(clap::Args)]
 pub struct Args {
     #[command(subcommand)]
-    verb: Verb,
+    command: Commands,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Stand in line for a duty, and run a command for as long as this process holds it
+enum Commands {
+    /// Queue for a duty, and run a command for as long as this process holds it
     Run(Run),
-    /// Show all duties: holder, since when, fencing number, waiters, last hand-over and why
+    /// Show all duties: holder, since when, fencing number, waiters, last hand-over and its reason
     List {
         #[command(flatten)]
         service: Service,
@@ -48,30 +48,30 @@
         #[arg(long)]
         json: bool,
     },
-    /// Ask the holder to stop and to give the duty to the next in line
+    /// Ask the holder to stop, so that the duty passes to the next in the queue
     Release {
         name: String,
         #[command(flatten)]
         service: Service,
     },
-    /// Ask the holder to stop and to give the duty to one of those in line
+    /// Ask the holder to stop, so that the duty passes to a certain candidate in the queue
     Transfer {
         name: String,
-        /// Who is to hold it; without it the next in line
+        /// Id of the candidate that is to hold it. Default: the next in the queue
         #[arg(long)]
         to: Option<String>,
         #[command(flatten)]
         service: Service,
     },
-    /// Show what the last holder left, or leave something under the holder's fencing number
+    /// Show a duty's checkpoint, or replace it under the holder's fencing number
     Checkpoint(CheckpointArgs),
-    /// Forget a duty that nobody holds or waits for, and its checkpoint
+    /// Delete a duty that nobody holds or waits for, and its checkpoint
     Remove {
         name: String,
         #[command(flatten)]
         service: Service,
     },
-    /// Runs a command until its standard input says that the tenure is over
+    /// Run a command until the holder says on standard input that the lease is over
     #[command(hide = true)]
     Supervise {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true, required = true)]
@@ -81,7 +81,7 @@
 
 #[derive(clap::Args)]
 struct Service {
-    /// Operators' addresses of the list service
+    /// Operator addresses of the list service
     #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8501", env = supervisor::REGISTRY)]
     registry: Vec<SocketAddr>,
 }
@@ -91,32 +91,34 @@
     name: String,
     #[command(flatten)]
     service: Service,
-    /// Seconds after which the duty may pass on when this process is silent; the command is told to end after 8 tenths,
-    /// and killed after 9
+    /// Seconds without a renewal after which another candidate may hold the duty. The command gets SIGTERM
+    /// after 8 tenths of them, and is killed after 9 tenths
     #[arg(long, default_value_t = 10.0)]
     lease_s: f64,
-    /// How operators see this process; without it the host's name and the process's number
+    /// Id of this candidate. Default: the host's name and the process id
     #[arg(long)]
     id: Option<String>,
-    /// Failures of the command in a row after which the next in line is to try, and this process ends with 1
+    /// Failures of the command in a row after which the duty passes to the next in the queue and this process
+    /// exits with 1
     #[arg(long, default_value_t = 5)]
     failures: u32,
-    /// The command and its arguments. It sees SHALETRAIL_DUTY, SHALETRAIL_FENCE and SHALETRAIL_REGISTRY
+    /// The command and its arguments. Its environment contains SHALETRAIL_DUTY, SHALETRAIL_FENCE and
+    /// SHALETRAIL_REGISTRY
     #[arg(trailing_var_arg = true, allow_hyphen_values = true, required = true)]
     command: Vec<OsString>,
 }
 
 #[derive(clap::Args)]
 struct CheckpointArgs {
-    /// Without it $SHALETRAIL_DUTY
+    /// Name of the duty. Default: $SHALETRAIL_DUTY
     #[arg(env = supervisor::DUTY)]
     name: String,
     #[command(flatten)]
     service: Service,
-    /// Leave this file's text, or standard input with `-`
+    /// Store the text of this file as the checkpoint; `-` reads standard input
     #[arg(long, requires = "expect")]
     set: Option<PathBuf>,
-    /// The version that it is to replace; 0 where there is none
+    /// The checkpoint version that it replaces; 0 if there is none
     #[arg(long)]
     expect: Option<u64>,
     /// The holder's fencing number
@@ -126,39 +128,39 @@
     json: bool,
 }
 
-/// For calls that an operator waits for.
-const CALL_TIME: Duration = Duration::from_secs(30);
+/// Time limit of a command's calls, including retries.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub async fn run(args: Args) -> Result<(), Failure> {
-    match args.verb {
-        Verb::Run(args) => run_command(args).await,
-        Verb::List { service, json } => list(service, json).await,
-        Verb::Show { name, service, json } => {
+    match args.command {
+        Commands::Run(args) => run_command(args).await,
+        Commands::List { service, json } => list(service, json).await,
+        Commands::Show { name, service, json } => {
             let duty = show(&service.registry, &name).await?;
             if json {
                 return print_json(&duty);
             }
-            println!("{}", line(&duty));
+            println!("{}", summary_line(&duty));
             for (place, waiter) in duty.waiters.iter().enumerate() {
                 println!("  {}. {waiter}", place + 1);
             }
             Ok(())
         }
-        Verb::Release { name, service } => transfer(service, &name, None).await,
-        Verb::Transfer { name, to, service } => transfer(service, &name, to).await,
-        Verb::Checkpoint(args) => checkpoint(args).await,
-        Verb::Remove { name, service } => {
+        Commands::Release { name, service } => transfer(service, &name, None).await,
+        Commands::Transfer { name, to, service } => transfer(service, &name, to).await,
+        Commands::Checkpoint(args) => checkpoint(args).await,
+        Commands::Remove { name, service } => {
             let path = path(&name, "")?;
             let _: serde_json::Value = put(service.registry, Method::DELETE, &path, &()).await?;
             println!("removed {name}");
             Ok(())
         }
-        Verb::Supervise { command } => supervise(&command),
+        Commands::Supervise { command } => supervise(&command),
     }
 }
 
 fn path(name: &str, call: &str) -> Result<String, Failure> {
-    check_id(name).map_err(|e| Failure::Wrong(format!("NAME: {e}")))?;
+    check_id(name).map_err(|e| Failure::Invalid(format!("NAME: {e}")))?;
     Ok(duty_path(name, call))
 }
 
@@ -166,11 +168,11 @@
     registry: Vec<SocketAddr>,
     method: Method,
     path: &str,
-    question: &impl Serialize,
+    request: &impl Serialize,
 ) -> Result<A, Failure> {
-    let done = Changes::new(registry).put(method, path, question, CALL_TIME).await;
-    done.map_err(|e| match e {
-        ChangeError::Unusable(e) => Failure::wrong(e),
+    let result = Changes::new(registry).put(method, path, request, CALL_TIMEOUT).await;
+    result.map_err(|e| match e {
+        ChangeError::Unusable(e) => Failure::invalid(e),
         e => Failure::failed(e),
     })
 }
@@ -200,12 +202,12 @@
         );
     }
     for duty in &all.duties {
-        println!("{}", line(duty));
+        println!("{}", summary_line(duty));
     }
     Ok(())
 }
 
-fn line(duty: &Duty) -> String {
+fn summary_line(duty: &Duty) -> String {
     let age = |ms: u64| format!("{} s", (unix().as_millis() as u64).saturating_sub(ms) / 1000);
     let nobody = "nobody".to_owned();
     let mut text = format!("{}: ", duty.name);
@@ -236,10 +238,10 @@
 async fn transfer(service: Service, name: &str, to: Option<String>) -> Result<(), Failure> {
     let seen = show(&service.registry, name).await?;
     let Some(holder) = seen.holder else {
-        return Err(Failure::Failed(format!("{name}: nobody holds it")));
+        return Err(Failure::Failed(format!("{name}: the duty has no holder")));
     };
-    let question = Transfer { fence: seen.fence, to };
-    let asked: Duty = put(service.registry, Method::POST, &path(name, "transfer")?, &question).await?;
+    let request = Transfer { fence: seen.fence, to };
+    let asked: Duty = put(service.registry, Method::POST, &path(name, "transfer")?, &request).await?;
     if asked.give_way {
         let next = asked.waiters.first().map_or("nobody waits", String::as_str);
         println!("{name}: {holder} is asked to stop; next: {next}");
@@ -252,14 +254,14 @@
 async fn checkpoint(args: CheckpointArgs) -> Result<(), Failure> {
     let path = path(&args.name, "checkpoint")?;
     let Some(file) = args.set else {
-        let kept: Kept = get(&args.service.registry, &path).await?;
+        let checkpoint: Kept = get(&args.service.registry, &path).await?;
         if args.json {
-            return print_json(&kept);
+            return print_json(&checkpoint);
         }
-        return std::io::stdout().write_all(kept.data.as_bytes()).map_err(Failure::failed);
+        return std::io::stdout().write_all(checkpoint.data.as_bytes()).map_err(Failure::failed);
     };
     let fence =
-        args.fence.ok_or_else(|| Failure::Wrong("--fence: the holder's fencing number expected".into()))?;
+        args.fence.ok_or_else(|| Failure::Invalid("--fence: the holder's fencing number expected".into()))?;
     let expect = args.expect.unwrap_or(0);
     let mut bytes = Vec::new();
     let failed = |e| Failure::Failed(format!("{}: {e}", file.display()));
@@ -271,57 +273,60 @@
     };
     read.map_err(failed)?;
     if bytes.len() > LONGEST_CHECKPOINT {
-        return Err(Failure::Wrong(format!("--set: at most {LONGEST_CHECKPOINT} bytes expected")));
+        return Err(Failure::Invalid(format!("--set: at most {LONGEST_CHECKPOINT} bytes expected")));
     }
-    let data = String::from_utf8(bytes).map_err(|_| Failure::Wrong("--set: UTF-8 expected".into()))?;
-    let kept: Kept =
+    let data = String::from_utf8(bytes).map_err(|_| Failure::Invalid("--set: UTF-8 expected".into()))?;
+    let checkpoint: Kept =
         put(args.service.registry, Method::PUT, &path, &Checkpoint { fence, expect, data }).await?;
     if args.json {
-        return print_json(&kept);
+        return print_json(&checkpoint);
     }
-    println!("checkpoint {} of {}", kept.version, args.name);
+    println!("checkpoint {} of {}", checkpoint.version, args.name);
     Ok(())
 }
 
-/// A life that no other process has: the hasher's keys are drawn by the system.
-pub fn life() -> u64 {
+/// A random number that identifies this process's candidacy. The hasher's keys are random.
+pub fn random_life() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
     hasher.finish() % MOST_EXACT
 }
 
-pub fn own_id() -> String {
+/// The default id of a candidate.
+pub fn default_id() -> String {
     let host = std::fs::read_to_string("/proc/sys/kernel/hostname").unwrap_or_default();
     format!("{}:{}", host.trim(), std::process::id())
 }
 
 async fn run_command(args: Run) -> Result<(), Failure> {
     if args.failures == 0 {
-        return Err(Failure::Wrong("--failures: 1 or more expected, got 0".into()));
+        return Err(Failure::Invalid("--failures: 1 or more expected, got 0".into()));
     }
-    let id = args.id.unwrap_or_else(own_id);
-    let seat = Seat::new(args.service.registry, &args.name, &id, life(), args.lease_s);
-    let mut seat = seat.map_err(Failure::wrong)?;
+    let id = args.id.unwrap_or_else(default_id);
+    let seat = Seat::new(args.service.registry, &args.name, &id, random_life(), args.lease_s);
+    let mut seat = seat.map_err(Failure::invalid)?;
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let mut command: Vec<OsString> = vec![program.into(), "duty".into(), "supervise".into(), "--".into()];
     command.extend(args.command);
     let work = Work { supervisor: command, failures: args.failures };
     let say = |what: String| tracing::info!("{what}");
-    match supervisor::run(&mut seat, &work, stopped(), say).await {
+    match supervisor::run(&mut seat, &work, shutdown_signal(), say).await {
         Ok(Finished::Done | Finished::Stopped) => Ok(()),
         Ok(Finished::Failed(code)) => Err(Failure::Failed(format!(
             "{}: the command failed {} times in a row, the last time with {code}",
             args.name, args.failures
         ))),
-        Err(RunError::Duty(DutyError::Wrong(e))) => Err(Failure::wrong(e)),
+        Err(RunError::Duty(DutyError::Invalid(e))) => Err(Failure::invalid(e)),
         Err(e) => Err(Failure::failed(e)),
     }
 }
 
 fn supervise(command: &[OsString]) -> Result<(), Failure> {
-    // Taken, so that what ends the group with a signal does not end its supervisor before its time.
-    let ends = tokio::spawn(stopped());
-    let (program, args) = command.split_first().ok_or_else(|| Failure::Wrong("a command expected".into()))?;
+    // Installs signal handlers, so that a signal to the whole group does not end the supervisor before its
+    // command.
+    let ends = tokio::spawn(shutdown_signal());
+    let (program, args) =
+        command.split_first().ok_or_else(|| Failure::Invalid("a command expected".into()))?;
     let mut starting = Command::new(program);
     starting.args(args).stdin(Stdio::null());
     let input = BufReader::new(std::io::stdin());
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `shaletrail-fleet lab …`
+//! `shaletrail-fleet lab …`: runs scenarios of the fault lab and judges the results.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -13,43 +13,44 @@
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
 use shaletrail_fault_lab::scenario::{Scenario, CATALOGUE};
 
-use crate::{stopped, Failure};
+use crate::{shutdown_signal, Failure};
 
-/// In a run's folder, beside its report.
+/// File in the folder of a run's report, which `replay` reads.
 const SCENARIO: &str = "scenario.toml";
 
 #[derive(clap::Args)]
 pub struct Args {
     #[command(subcommand)]
-    verb: Verb,
+    command: Commands,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Name the scenarios that come with the program
+enum Commands {
+    /// List the built-in scenarios
     List,
-    /// Say whether a scenario can be played, and what it would be
+    /// Check whether a scenario is valid, and summarize it
     Check {
-        /// A file, or a name of the catalogue
+        /// A file, or the name of a built-in scenario
         scenario: String,
         /// Print the whole scenario with every default, as TOML
         #[arg(long)]
         show: bool,
     },
-    /// Play a scenario: exit 0 when all that must hold held, 1 when not, 3 when the run says nothing
+    /// Run a scenario. Exit code 0: all rules held; 1: a rule was broken; 3: the run is void, because the lab
+    /// itself was too late
     Run(Run),
-    /// Play again what an earlier run's folder holds, with its seed
+    /// Repeat an earlier run with its scenario and seed
     Replay {
-        /// The folder that `--out` named
+        /// The folder that was given as `--out`
         dir: PathBuf,
         #[command(flatten)]
-        told: Told,
+        options: RunOptions,
     },
-    /// Set two builds of the node side by side: runs in turn, each seed with both
+    /// Compare two builds of the node by alternating runs, each seed with both
     Compare(Compare),
-    /// Play a scenario with one figure varied over a range, and look for a cliff
+    /// Run a scenario with one parameter varied over a range, and look for a sharp drop in goodput
     Sweep(Sweep),
-    /// What a holder does in plays of duties: sets a guarded counter one higher, again and again
+    /// Work of a duty's holder in tests: increments a fenced counter again and again
     #[command(hide = true)]
     Count {
         #[arg(long)]
@@ -61,95 +62,95 @@
     },
 }
 
-/// With which node, and where the report goes.
+/// The node's program and where the report goes.
 #[derive(clap::Args)]
-struct Told {
-    /// The node's program; the one beside this program without it
+struct RunOptions {
+    /// The node's program. Default: `shaletrail-node` beside this program
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Folder for what the run was judged to be, and the plots
+    /// Folder for the report and the plots
     #[arg(long)]
     out: Option<PathBuf>,
-    /// JSON on standard output
+    /// Print JSON to standard output
     #[arg(long)]
     json: bool,
 }
 
 #[derive(clap::Args)]
 struct Compare {
-    /// A file, or a name of the catalogue
+    /// A file, or the name of a built-in scenario
     scenario: String,
-    /// The node's program A
+    /// Build A of the node's program
     #[arg(long)]
     a: PathBuf,
-    /// The node's program B
+    /// Build B of the node's program
     #[arg(long)]
     b: PathBuf,
-    /// Runs of each
+    /// Runs of each build
     #[arg(long, default_value_t = 5)]
     runs: u64,
-    /// Seed of the first pair; the next have the next ones
+    /// Seed of the first pair of runs; each following pair uses the next number
     #[arg(long)]
     seed: Option<u64>,
     /// Folder for compare.json and compare.md
     #[arg(long)]
     out: Option<PathBuf>,
-    /// JSON on standard output
+    /// Print JSON to standard output
     #[arg(long)]
     json: bool,
 }
 
 #[derive(clap::Args)]
 struct Sweep {
-    /// A file, or a name of the catalogue
+    /// A file, or the name of a built-in scenario
     scenario: String,
-    /// The figure, by its path in the file
+    /// The parameter to vary, by its path in the scenario file
     #[arg(long, default_value = "load.of_capacity")]
     vary: String,
     #[arg(long, default_value_t = 0.3)]
     from: f64,
     #[arg(long, default_value_t = 3.0)]
     to: f64,
-    /// Values, the first and the last included
+    /// Number of values, including the first and the last
     #[arg(long, default_value_t = 10)]
     steps: usize,
-    /// Runs of each value
+    /// Runs per value
     #[arg(long, default_value_t = 1)]
     runs: u64,
     #[arg(long)]
     seed: Option<u64>,
     #[command(flatten)]
-    told: Told,
+    options: RunOptions,
 }
 
 #[derive(clap::Args)]
 struct Run {
-    /// A file, or a name of the catalogue
+    /// A file, or the name of a built-in scenario
     scenario: String,
-    /// Draws everything by chance; the scenario's own without it
+    /// Seed of all random choices. Default: the scenario's own
     #[arg(long)]
     seed: Option<u64>,
     #[command(flatten)]
-    told: Told,
+    options: RunOptions,
 }
 
 pub async fn run(args: Args) -> Result<(), Failure> {
-    match args.verb {
-        Verb::List => list(),
-        Verb::Check { scenario, show } => check(&scenario, show),
-        Verb::Run(args) => {
-            let scenario = Scenario::load(&args.scenario).map_err(Failure::wrong)?;
+    match args.command {
+        Commands::List => list(),
+        Commands::Check { scenario, show } => check(&scenario, show),
+        Commands::Run(args) => {
+            let scenario = Scenario::load(&args.scenario).map_err(Failure::invalid)?;
             let seed = args.seed.unwrap_or(scenario.seed);
-            run_once(&scenario, seed, args.told).await
+            run_once(&scenario, seed, args.options).await
         }
-        Verb::Replay { dir, told } => {
+        Commands::Replay { dir, options } => {
             let file = dir.join(SCENARIO).display().to_string();
-            let scenario = Scenario::load(&file).map_err(Failure::wrong)?;
-            run_once(&scenario, scenario.seed, told).await
+            let scenario = Scenario::load(&file).map_err(Failure::invalid)?;
+            run_once(&scenario, scenario.seed, options).await
         }
-        Verb::Compare(args) => compare_builds(args).await,
-        Verb::Sweep(args) => sweep(args).await,
-        Verb::Count { at, between_ms, pause_ms } => {
+        Commands::Compare(args) => compare_builds(args).await,
+        Commands::Sweep(args) => sweep(args).await,
+        Commands::Count { at, between_ms, pause_ms } => {
             let (between, pause) = (Duration::from_millis(between_ms), Duration::from_millis(pause_ms));
             shaletrail_fault_lab::guarded::count(at, between, pause).await.map_err(Failure::Failed)
         }
@@ -165,7 +166,7 @@
 }
 
 fn check(name: &str, show: bool) -> Result<(), Failure> {
-    let scenario = Scenario::load(name).map_err(Failure::wrong)?;
+    let scenario = Scenario::load(name).map_err(Failure::invalid)?;
     if show {
         print!("{}", toml::to_string(&scenario).map_err(Failure::failed)?);
         return Ok(());
@@ -186,26 +187,28 @@
     Ok(())
 }
 
-/// This program and the node's, which must be there.
+/// Paths of this program and the node's program. It is an error if the latter does not exist.
 pub fn programs(node: Option<PathBuf>) -> Result<Programs, Failure> {
     let command = std::env::current_exe().map_err(Failure::failed)?;
     let node = node.unwrap_or_else(|| command.with_file_name("shaletrail-node"));
     if !node.exists() {
         let node = node.display();
-        return Err(Failure::Wrong(format!("{node}: no such program; build it, or name it by --node")));
+        return Err(Failure::Invalid(format!(
+            "{node}: no such program; build it, or give its path as --node"
+        )));
     }
     Ok(Programs { command, node })
 }
 
-/// From here on no child outlives this process.
-pub fn guard(programs: &Programs) -> Result<(), Failure> {
+/// Starts the guard process, which kills all child processes when this process ends.
+pub fn start_guard_process(programs: &Programs) -> Result<(), Failure> {
     start_guard(std::process::Command::new(&programs.command).arg("guard")).map_err(Failure::failed)
 }
 
-/// Plays a scenario once, with a bar on a terminal.
-async fn once(scenario: &Scenario, seed: u64, programs: &Programs) -> Result<Report, Failure> {
+/// Runs a scenario once, with a progress bar on a terminal.
+async fn run_scenario(scenario: &Scenario, seed: u64, programs: &Programs) -> Result<Report, Failure> {
     let length = scenario.seconds + scenario.lead_s;
-    // Hidden where standard error is no terminal.
+    // The bar is hidden if standard error is not a terminal.
     let bar = ProgressBar::new(length as u64);
     if let Ok(style) = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} s") {
         bar.set_style(style);
@@ -215,20 +218,20 @@
     let run = play(scenario.clone(), seed, programs, |at| bar.set_position(at as u64));
     let run = tokio::select! {
         run = run => run.map_err(Failure::failed)?,
-        () = stopped() => return Err(Failure::Failed("stopped".to_owned())),
+        () = shutdown_signal() => return Err(Failure::Failed("stopped".to_owned())),
     };
     bar.finish_and_clear();
     Ok(judge(&run))
 }
 
-async fn run_once(scenario: &Scenario, seed: u64, told: Told) -> Result<(), Failure> {
-    let Told { node, out, json } = told;
+async fn run_once(scenario: &Scenario, seed: u64, options: RunOptions) -> Result<(), Failure> {
+    let RunOptions { node, out, json } = options;
     let programs = programs(node)?;
-    guard(&programs)?;
-    let report = once(scenario, seed, &programs).await?;
+    start_guard_process(&programs)?;
+    let report = run_scenario(scenario, seed, &programs).await?;
     if let Some(out) = &out {
         write(out, &report).map_err(Failure::failed)?;
-        // What `replay` reads.
+        // `replay` reads this file.
         let scenario = Scenario { seed, ..scenario.clone() };
         let text = toml::to_string(&scenario).map_err(Failure::failed)?;
         std::fs::write(out.join(SCENARIO), text).map_err(Failure::failed)?;
@@ -246,52 +249,55 @@
     }
 }
 
-/// Runs that say nothing are played once more, then given up.
-async fn valid(scenario: &Scenario, seed: u64, programs: &Programs) -> Result<Report, Failure> {
+/// Runs a scenario, and repeats it once if the run is void.
+async fn run_until_valid(scenario: &Scenario, seed: u64, programs: &Programs) -> Result<Report, Failure> {
     for _ in 0..2 {
-        let report = once(scenario, seed, programs).await?;
+        let report = run_scenario(scenario, seed, programs).await?;
         if report.verdict != Verdict::Void {
             return Ok(report);
         }
         tracing::warn!("{}: {}", scenario.name, report.reasons.join("; "));
     }
-    Err(Failure::Void(format!("{}: the lab is too late on this machine, twice in a row", scenario.name)))
+    Err(Failure::Void(format!(
+        "{}: two void runs in a row; this machine is too slow or too busy",
+        scenario.name
+    )))
 }
 
-/// Writes a table as JSON and Markdown, and prints one of them.
-fn tell(
+/// Writes a result as JSON and as Markdown, and prints one of the two.
+fn write_result(
     out: Option<&Path>,
     name: &str,
     value: &impl Serialize,
     text: &str,
     json: bool,
 ) -> Result<(), Failure> {
-    let whole = serde_json::to_string_pretty(value).map_err(Failure::failed)?;
+    let json_text = serde_json::to_string_pretty(value).map_err(Failure::failed)?;
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(Failure::failed)?;
-        std::fs::write(out.join(format!("{name}.json")), &whole).map_err(Failure::failed)?;
+        std::fs::write(out.join(format!("{name}.json")), &json_text).map_err(Failure::failed)?;
         std::fs::write(out.join(format!("{name}.md")), text).map_err(Failure::failed)?;
     }
-    print!("{}", if json { whole + "\n" } else { text.to_owned() });
+    print!("{}", if json { json_text + "\n" } else { text.to_owned() });
     Ok(())
 }
 
 async fn compare_builds(args: Compare) -> Result<(), Failure> {
     if args.runs < 2 {
-        return Err(Failure::Wrong("--runs: 2 or more expected, one says nothing about a spread".into()));
+        return Err(Failure::Invalid("--runs: 2 or more expected; one run has no spread".into()));
     }
-    let scenario = Scenario::load(&args.scenario).map_err(Failure::wrong)?;
+    let scenario = Scenario::load(&args.scenario).map_err(Failure::invalid)?;
     let (a, b) = (programs(Some(args.a))?, programs(Some(args.b))?);
-    guard(&a)?;
+    start_guard_process(&a)?;
     let first = args.seed.unwrap_or(scenario.seed);
     let mut pairs = Vec::new();
     for seed in first..first + args.runs {
-        // In turn first: what the machine does meanwhile strikes both.
-        let (one, other) = if seed % 2 == 0 { (&a, &b) } else { (&b, &a) };
-        let x = valid(&scenario, seed, one).await?;
-        let y = valid(&scenario, seed, other).await?;
-        pairs.push(if seed % 2 == 0 { (x, y) } else { (y, x) });
-        tracing::info!("seed {seed} played with both");
+        // The builds take turns at being first, so that other load on the machine affects both alike.
+        let (first_build, second_build) = if seed % 2 == 0 { (&a, &b) } else { (&b, &a) };
+        let report_a = run_until_valid(&scenario, seed, first_build).await?;
+        let report_b = run_until_valid(&scenario, seed, second_build).await?;
+        pairs.push(if seed % 2 == 0 { (report_a, report_b) } else { (report_b, report_a) });
+        tracing::info!("seed {seed} finished with both builds");
     }
     let differences = compare(&pairs);
     let mut text = format!(
@@ -303,36 +309,38 @@
     for d in &differences {
         let spread = |e: &Estimate| format!("{:.3} ({:.3} to {:.3})", e.mean, e.least, e.most);
         let within = d.b_less_a.within.unwrap_or(f64::INFINITY);
-        let word = if d.shown { "differs" } else { "no difference shown" };
+        let conclusion = if d.shown { "differs" } else { "no difference shown" };
         text += &format!(
-            "| {} | {} | {} | {:+.3} ± {within:.3} | {word} |\n",
+            "| {} | {} | {} | {:+.3} ± {within:.3} | {conclusion} |\n",
             d.figure,
             spread(&d.a),
             spread(&d.b),
             d.b_less_a.mean
         );
     }
-    tell(args.out.as_deref(), "compare", &differences, &text, args.json)
+    write_result(args.out.as_deref(), "compare", &differences, &text, args.json)
 }
 
 async fn sweep(args: Sweep) -> Result<(), Failure> {
     if args.steps < 2 || args.runs == 0 || args.to <= args.from {
-        return Err(Failure::Wrong("--steps 2 or more, --runs 1 or more, --from under --to expected".into()));
+        return Err(Failure::Invalid(
+            "--steps of 2 or more, --runs of 1 or more, and --from below --to expected".into(),
+        ));
     }
-    let base = Scenario::load(&args.scenario).map_err(Failure::wrong)?;
-    let programs = programs(args.told.node)?;
+    let base = Scenario::load(&args.scenario).map_err(Failure::invalid)?;
+    let programs = programs(args.options.node)?;
     let value = |n: usize| args.from + (args.to - args.from) * n as f64 / (args.steps - 1) as f64;
     let scenarios: Result<Vec<_>, _> =
         (0..args.steps).map(|n| Ok((value(n), with(&base, &args.vary, value(n))?))).collect();
     let scenarios =
-        scenarios.map_err(|e: shaletrail_fault_lab::scenario::ScenarioError| Failure::wrong(e))?;
-    guard(&programs)?;
+        scenarios.map_err(|e: shaletrail_fault_lab::scenario::ScenarioError| Failure::invalid(e))?;
+    start_guard_process(&programs)?;
     let first = args.seed.unwrap_or(base.seed);
     let mut steps = Vec::new();
     for (value, scenario) in &scenarios {
         let mut reports = Vec::new();
         for seed in first..first + args.runs {
-            reports.push(valid(scenario, seed, &programs).await?);
+            reports.push(run_until_valid(scenario, seed, &programs).await?);
         }
         steps.push(step(*value, &reports));
         tracing::info!("{} = {value:.2}: goodput {:.2}", args.vary, steps[steps.len() - 1].goodput);
@@ -356,7 +364,7 @@
             at.value
         ),
     };
-    if let Some(out) = &args.told.out {
+    if let Some(out) = &args.options.out {
         std::fs::create_dir_all(out).map_err(Failure::failed)?;
         let curve = |name: &str, read: fn(&Step) -> f64| Curve {
             name: name.to_owned(),
@@ -366,5 +374,5 @@
         let axes = (args.vary.as_str(), "worth a second");
         plot(&out.join("sweep.svg"), "Goodput", axes, &curves, &[]).map_err(Failure::failed)?;
     }
-    tell(args.told.out.as_deref(), "sweep", &steps, &text, args.told.json)
+    write_result(args.options.out.as_deref(), "sweep", &steps, &text, args.options.json)
 }
--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -1,4 +1,4 @@
-//! `shaletrail-fleet list`
+//! `shaletrail-fleet list`: prints the list once, or follows it.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Where the list is read
+    /// Discovery addresses of the list service
     #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8500")]
     registry: Vec<SocketAddr>,
-    /// One JSON object a line, in the protocol's form
+    /// Print one JSON object per line, in the format of the protocol
     #[arg(long)]
     json: bool,
-    /// Go on with every change
+    /// Keep running and print every change
     #[arg(long)]
     watch: bool,
 }
 
 pub async fn run(args: Args) -> Result<(), Failure> {
     if !args.watch {
-        let mut trouble = String::new();
+        let mut last_failure = String::new();
         for addr in &args.registry {
             match ask(*addr, Ask::Whole).await {
                 Ok(list) => return show(&list, args.json),
-                Err(e) => trouble = format!("{addr}: {e}"),
+                Err(e) => last_failure = format!("{addr}: {e}"),
             }
         }
-        return Err(Failure::Failed(trouble));
+        return Err(Failure::Failed(last_failure));
     }
     let mut following = Following::new(args.registry, None, Retry::Own, u64::from(std::process::id()));
     following.start();
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `shaletrail-fleet`: the fleet's command. Arguments, configuration and logging; the work is in the crates beside it.
+//! `shaletrail-fleet`, the operators' command line: arguments, configuration and logging. The other crates do
+//! the work.
 
 #![deny(unsafe_code)]
 
@@ -28,7 +29,7 @@
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log: LogFormat,
     #[command(subcommand)]
-    noun: Noun,
+    command: Commands,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -38,35 +39,35 @@
 }
 
 #[derive(Subcommand)]
-enum Noun {
-    /// Start a replica of the list service, or look after a running service
+enum Commands {
+    /// Start a replica of the list service, or operate a running service
     Registry(Box<registry::Args>),
     /// Show the list of cache servers, once or as it changes
     List(list::Args),
-    /// Run beside a cache server and keep it listed while it answers
+    /// Run beside a cache server and keep it in the list while it answers probes
     Agent(agent::Args),
-    /// Work that one process does at a time: hold it, see who does, move it
+    /// Duties, each held by one process at a time: run a command under one, show and move them
     Duty(duty::Args),
-    /// Start a small fleet on loopback: a registry, emulated cache servers and an origin, and a node
+    /// Start a small fleet on loopback: a registry, emulated cache servers, an origin, and nodes
     Up(up::Args),
-    /// Play failures on a fleet between emulated parties, and judge what was seen
+    /// Inject faults into a fleet with emulated clients and servers, and judge the results
     Lab(lab::Args),
-    /// Ends the processes named on standard input when that ends
+    /// Kill the processes named on standard input when it closes
     #[command(hide = true)]
     Guard,
-    /// Measure what the parts cost on this machine
+    /// Measure the performance of the parts on this machine
     Bench(bench::Args),
     /// Check a configuration file, or show every setting with its default
     Config(config::Args),
 }
 
-/// How a command ends that does not succeed.
+/// Why a command failed, with its message. Determines the exit code.
 pub enum Failure {
-    /// Exit 1.
+    /// Exit code 1.
     Failed(String),
-    /// Exit 2: the call or the configuration is wrong.
-    Wrong(String),
-    /// Exit 3: the run says nothing.
+    /// Exit code 2: the arguments or the configuration are invalid.
+    Invalid(String),
+    /// Exit code 3: the run is void, so it can't be judged.
     Void(String),
 }
 
@@ -75,8 +76,8 @@
         Failure::Failed(e.to_string())
     }
 
-    pub fn wrong(e: impl fmt::Display) -> Self {
-        Failure::Wrong(e.to_string())
+    pub fn invalid(e: impl fmt::Display) -> Self {
+        Failure::Invalid(e.to_string())
     }
 }
 
@@ -95,19 +96,19 @@
         Err(e) => return end(Err(Failure::failed(e))),
     };
     end(runtime.block_on(async {
-        match cli.noun {
-            Noun::Registry(args) => registry::run(*args).await,
-            Noun::List(args) => list::run(args).await,
-            Noun::Agent(args) => agent::run(args).await,
-            Noun::Duty(args) => duty::run(args).await,
-            Noun::Up(args) => up::run(args).await,
-            Noun::Lab(args) => lab::run(args).await,
-            Noun::Guard => {
+        match cli.command {
+            Commands::Registry(args) => registry::run(*args).await,
+            Commands::List(args) => list::run(args).await,
+            Commands::Agent(args) => agent::run(args).await,
+            Commands::Duty(args) => duty::run(args).await,
+            Commands::Up(args) => up::run(args).await,
+            Commands::Lab(args) => lab::run(args).await,
+            Commands::Guard => {
                 shaletrail_fault_lab::process::stand_guard(std::io::stdin().lock());
                 Ok(())
             }
-            Noun::Bench(args) => bench::run(args).await,
-            Noun::Config(args) => config::run(&args),
+            Commands::Bench(args) => bench::run(args).await,
+            Commands::Config(args) => config::run(&args),
         }
     }))
 }
@@ -116,15 +117,15 @@
     let (what, code) = match result {
         Ok(()) => return ExitCode::SUCCESS,
         Err(Failure::Failed(what)) => (what, 1),
-        Err(Failure::Wrong(what)) => (what, 2),
+        Err(Failure::Invalid(what)) => (what, 2),
         Err(Failure::Void(what)) => (what, 3),
     };
     eprintln!("shaletrail-fleet: {}", what.trim_end().replace('\n', " "));
     ExitCode::from(code)
 }
 
-/// Ends with SIGTERM or SIGINT.
-pub async fn stopped() {
+/// Completes when SIGTERM or SIGINT is received.
+pub async fn shutdown_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -1,4 +1,4 @@
-//! `shaletrail-fleet registry …`
+//! `shaletrail-fleet registry …`: runs replicas of the list service and operates a running service.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -14,95 +14,95 @@
 use shaletrail_registry_client::keeper::{self, Backups};
 use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
 
-use crate::{config, duty, stopped, Failure};
+use crate::{config, duty, shutdown_signal, Failure};
 
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Args {
     #[command(subcommand)]
-    verb: Option<Verb>,
+    command: Option<Commands>,
     #[command(flatten)]
     start: Start,
 }
 
-/// Without any of these a single replica starts on 127.0.0.1:8500, with its data in ./registry-data
+/// Without any of these options a single replica starts on 127.0.0.1:8500, with its data in ./registry-data
 #[derive(clap::Args)]
 struct Start {
-    /// A TOML file with the same settings under [registry]; what is given here goes before it
+    /// A TOML file with the same settings under [registry]; options on the command line take precedence
     #[arg(long)]
     config: Option<PathBuf>,
-    /// The replica's name, the same after a restart
+    /// The replica's name, which must be the same after a restart
     #[arg(long)]
     name: Option<String>,
-    /// The folder that holds its data
+    /// Folder for its data
     #[arg(long)]
     data: Option<PathBuf>,
-    /// Where nodes read the list
+    /// Address at which nodes read the list
     #[arg(long)]
     discovery: Option<SocketAddr>,
-    /// Where operators and agents change it
+    /// Address at which operators and agents change it
     #[arg(long)]
     ops: Option<SocketAddr>,
-    /// Where it listens for other replicas
+    /// Address at which it listens for other replicas
     #[arg(long)]
     replica: Option<SocketAddr>,
-    /// All replicas that begin together, as NAME=ADDR,NAME=ADDR, itself among them
+    /// All replicas that start the service together, including this one, as NAME=ADDR,NAME=ADDR
     #[arg(long, value_parser = peers)]
     peers: Option<BTreeMap<String, SocketAddr>>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Start a new replica and let it join a running service
+enum Commands {
+    /// Start a new replica that joins a running service
     Join {
         #[command(flatten)]
         start: Start,
-        /// Operators' addresses of the running service
+        /// Operator addresses of the running service
         #[arg(long, required = true, value_delimiter = ',')]
         registry: Vec<SocketAddr>,
     },
-    /// Remove a replica, unless those that stay would not be a majority that answers
+    /// Remove a replica. Refused if the remaining replicas that answer would not be a majority
     Remove {
         name: String,
         #[command(flatten)]
         service: Service,
     },
-    /// Show a replica's state and the others as it sees them
+    /// Show a replica's state and its view of the others
     Status {
         #[command(flatten)]
         service: Service,
         #[arg(long)]
         json: bool,
     },
-    /// Let entries expire whose expiry was stopped, after making sure that their servers are gone
+    /// Let stopped entries expire. Make sure first that their servers are gone
     Confirm {
-        /// No more than so many
+        /// Highest number of entries that may expire
         #[arg(long)]
         most: usize,
         #[command(flatten)]
         service: Service,
     },
-    /// Look after the service: take backups on schedule, and let silent entries expire whose servers are found gone.
-    /// Any number may run; each of the two duties is held by one of them
+    /// Maintain the service: take backups on schedule, and let stopped entries expire whose servers are found
+    /// gone. Any number of keepers may run; each of the two duties is held by one of them
     Keeper {
         #[command(flatten)]
         service: Service,
-        /// Folder for backups; without it none are taken
+        /// Folder for backups. Default: no backups are taken
         #[arg(long)]
         backups: Option<PathBuf>,
         /// Seconds between two backups
         #[arg(long, default_value_t = 86_400.0)]
         every_s: f64,
-        /// Backups that stay
+        /// Number of backups to keep
         #[arg(long, default_value_t = 7)]
         keep: usize,
-        /// Leave it to operators to let silent entries expire
+        /// Leave it to operators to let stopped entries expire
         #[arg(long)]
         no_expiry: bool,
-        /// Seconds after which another keeper takes over when this one is silent
+        /// Seconds without a renewal after which another keeper takes over
         #[arg(long, default_value_t = 10.0)]
         lease_s: f64,
-        /// How operators see this keeper; without it the host's name and the process's number
+        /// Id of this keeper. Default: the host's name and the process id
         #[arg(long)]
         id: Option<String>,
     },
@@ -112,17 +112,17 @@
         #[command(flatten)]
         service: Service,
     },
-    /// Make an empty data folder into a replica that holds a backup's list
+    /// Restore a backup into an empty data folder of a replica
     Restore {
         file: PathBuf,
         #[arg(long, default_value = "registry-data")]
         data: PathBuf,
         #[arg(long, default_value = "r1")]
         name: String,
-        /// Where it will listen for other replicas, if any are to join it
+        /// Address at which it will listen for other replicas, if others are to join it
         #[arg(long)]
         replica: Option<SocketAddr>,
-        /// A version that is known to have been told; the list begins beyond it
+        /// A version that clients are known to have seen; the restored list starts with a higher one
         #[arg(long, default_value_t = 0)]
         beyond: u64,
     },
@@ -130,7 +130,7 @@
 
 #[derive(clap::Args)]
 struct Service {
-    /// Operators' addresses of the service
+    /// Operator addresses of the service
     #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8501")]
     registry: Vec<SocketAddr>,
 }
@@ -146,62 +146,69 @@
         .collect()
 }
 
-/// For calls that an operator waits for.
-const CALL_TIME: Duration = Duration::from_secs(30);
+/// Time limit of a command's calls, including retries.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub async fn run(args: Args) -> Result<(), Failure> {
-    match args.verb {
+    match args.command {
         None => start(args.start, Vec::new()).await,
-        Some(Verb::Join { start: with, registry }) => start(with, registry).await,
-        Some(Verb::Remove { name, service }) => {
+        Some(Commands::Join { start: with, registry }) => start(with, registry).await,
+        Some(Commands::Remove { name, service }) => {
             let path = format!("/registry/replicas/{name}");
-            let done: Value = put(service, hyper::Method::DELETE, &path, &json!({})).await?;
-            match done["removed"].as_bool() {
+            let result: Value = put(service, hyper::Method::DELETE, &path, &json!({})).await?;
+            match result["removed"].as_bool() {
                 Some(true) => println!("removed {name}"),
                 _ => println!("no replica has the name {name}"),
             }
             Ok(())
         }
-        Some(Verb::Status { service, json }) => status(service, json).await,
-        Some(Verb::Confirm { most, service }) => {
+        Some(Commands::Status { service, json }) => status(service, json).await,
+        Some(Commands::Confirm { most, service }) => {
             let path = "/registry/expiry/confirm";
-            let told: Confirmed = put(service, hyper::Method::POST, path, &Confirm { most }).await?;
-            println!("{} entries may expire", told.expired);
+            let confirmed: Confirmed = put(service, hyper::Method::POST, path, &Confirm { most }).await?;
+            println!("{} entries may expire", confirmed.expired);
             Ok(())
         }
-        Some(Verb::Keeper { service, backups, every_s, keep, no_expiry, lease_s, id }) => {
+        Some(Commands::Keeper { service, backups, every_s, keep, no_expiry, lease_s, id }) => {
             let every = Duration::try_from_secs_f64(every_s).ok().filter(|every| !every.is_zero());
-            let every = every.ok_or_else(|| Failure::Wrong("--every-s: over 0 seconds expected".into()))?;
+            let every =
+                every.ok_or_else(|| Failure::Invalid("--every-s: more than 0 seconds expected".into()))?;
             if keep == 0 || backups.is_none() && no_expiry {
-                return Err(Failure::Wrong("--backups or expiry expected, and --keep of 1 or more".into()));
+                return Err(Failure::Invalid(
+                    "--keep of 1 or more expected, and --backups if --no-expiry is given".into(),
+                ));
             }
             let plan = backups.map(|folder| Backups { folder, every, keep });
             if let Some(plan) = &plan {
                 std::fs::create_dir_all(&plan.folder)
                     .map_err(|e| Failure::Failed(format!("{}: {e}", plan.folder.display())))?;
             }
-            let id = id.unwrap_or_else(duty::own_id);
-            let seat = |name| Seat::new(service.registry.clone(), name, &id, duty::life(), lease_s);
-            let (mut taking, mut confirming) = (
-                seat(keeper::BACKUP).map_err(Failure::wrong)?,
-                seat(keeper::EXPIRY).map_err(Failure::wrong)?,
+            let id = id.unwrap_or_else(duty::default_id);
+            let seat = |name| Seat::new(service.registry.clone(), name, &id, duty::random_life(), lease_s);
+            let (mut backup_seat, mut expiry_seat) = (
+                seat(keeper::BACKUP).map_err(Failure::invalid)?,
+                seat(keeper::EXPIRY).map_err(Failure::invalid)?,
             );
             let say = |what: String| tracing::info!("{what}");
             let backing_up = async {
                 let Some(plan) = &plan else { return Ok(()) };
-                serve(&mut taking, stopped(), say, async |held| keeper::back_up(held, plan, say).await).await
+                serve(&mut backup_seat, shutdown_signal(), say, async |held| {
+                    keeper::back_up(held, plan, say).await
+                })
+                .await
             };
-            let expiring = async {
+            let confirming = async {
                 if no_expiry {
                     return Ok(());
                 }
-                serve(&mut confirming, stopped(), say, async |held| keeper::confirm(held, say).await).await
+                serve(&mut expiry_seat, shutdown_signal(), say, async |held| keeper::confirm(held, say).await)
+                    .await
             };
-            let (backups, expiry) = tokio::join!(backing_up, expiring);
+            let (backups, expiry) = tokio::join!(backing_up, confirming);
             backups.and(expiry).map_err(Failure::failed)
         }
-        Some(Verb::Backup { file, service }) => backup(&file, service).await,
-        Some(Verb::Restore { file, data, name, replica, beyond }) => {
+        Some(Commands::Backup { file, service }) => backup(&file, service).await,
+        Some(Commands::Restore { file, data, name, replica, beyond }) => {
             let folder = Folder::hold(&data).map_err(Failure::failed)?;
             let replica = replica.map_or(String::new(), |addr| addr.to_string());
             let version = restore(&folder, &name, &replica, &file, beyond).map_err(Failure::failed)?;
@@ -228,12 +235,12 @@
         settings,
     };
     let ready = || {
-        // Whoever started it may have gone; the service goes on.
+        // The service continues even if the process that reads this line has ended.
         let _ = writeln!(std::io::stdout(), "ready");
         let _ = std::io::stdout().flush();
     };
-    shaletrail_registry::run(options, ready, stopped()).await.map_err(|e| match e {
-        ServiceError::Wrong(what) => Failure::Wrong(what),
+    shaletrail_registry::run(options, ready, shutdown_signal()).await.map_err(|e| match e {
+        ServiceError::Wrong(what) => Failure::Invalid(what),
         e => Failure::failed(e),
     })
 }
@@ -242,11 +249,11 @@
     service: Service,
     method: hyper::Method,
     path: &str,
-    question: &impl serde::Serialize,
+    request: &impl serde::Serialize,
 ) -> Result<A, Failure> {
-    let done = Changes::new(service.registry).put(method, path, question, CALL_TIME).await;
-    done.map_err(|e| match e {
-        ChangeError::Unusable(e) => Failure::wrong(e),
+    let result = Changes::new(service.registry).put(method, path, request, CALL_TIMEOUT).await;
+    result.map_err(|e| match e {
+        ChangeError::Unusable(e) => Failure::invalid(e),
         e => Failure::failed(e),
     })
 }
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -1,5 +1,5 @@
-//! `shaletrail-fleet up`: the small standing form of the lab. A registry, emulated cache servers and an origin, nodes, some
-//! load, and live figures.
+//! `shaletrail-fleet up`: runs a small fleet until it is stopped, with a registry, emulated cache servers, an
+//! emulated origin, nodes, a little load, and live statistics.
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -10,52 +10,52 @@
 use shaletrail_fault_lab::scenario::Scenario;
 use shaletrail_registry_client::call::{Call, Line};
 
-use crate::lab::{guard, programs};
-use crate::{stopped, Failure};
+use crate::lab::{programs, start_guard_process};
+use crate::{shutdown_signal, Failure};
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Emulated cache servers
+    /// Number of emulated cache servers
     #[arg(long, default_value_t = 4)]
     caches: usize,
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 2)]
     nodes: usize,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 10.0)]
     per_s: f64,
-    /// The node's program; the one beside this program without it
+    /// The node's program. Default: `shaletrail-node` beside this program
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Serve one request, show its answer and end
+    /// Serve one request, show its response and exit
     #[arg(long)]
     once: bool,
 }
 
-/// How long the load goes on; the fleet stands until it is ended.
+/// Duration of the load. The fleet runs on until it is stopped.
 const LOAD_S: u32 = 1_800;
-const LOOK: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 pub async fn run(args: Args) -> Result<(), Failure> {
     let programs = programs(args.node)?;
     let text = format!(
-        "name = 'up'\nabout = 'stands until it is ended'\nseconds = {LOAD_S}.0\nlead_s = 0.0\n\
+        "name = 'up'\nabout = 'runs until it is stopped'\nseconds = {LOAD_S}.0\nlead_s = 0.0\n\
          [fleet]\nzones = ['here']\nservers = {}\nnodes = {}\n[load]\nper_s = {:?}\nkeys = 60\n",
         args.caches, args.nodes, args.per_s
     );
-    let scenario = Scenario::parse("--caches, --nodes, --per-s", &text).map_err(Failure::wrong)?;
-    guard(&programs)?;
+    let scenario = Scenario::parse("--caches, --nodes, --per-s", &text).map_err(Failure::invalid)?;
+    start_guard_process(&programs)?;
     let standing = tokio::select! {
         standing = Standing::start(&scenario, &programs) => standing.map_err(Failure::failed)?,
-        () = stopped() => return Err(Failure::Failed("stopped".to_owned())),
+        () = shutdown_signal() => return Err(Failure::Failed("stopped".to_owned())),
     };
     let (discovery, ops) = standing.registry();
-    println!("registry: nodes read at {}, operators change at {}", discovery[0], ops[0]);
+    println!("registry: discovery at {}, operator API at {}", discovery[0], ops[0]);
     for (id, addr) in standing.servers() {
         println!("{id}: {addr}");
     }
-    for (name, listen, door) in standing.nodes() {
-        println!("{name}: {listen}, its door {door}");
+    for (name, listen, operator_api) in standing.nodes() {
+        println!("{name}: {listen}, operator API {operator_api}");
     }
     let (_, listen, _) = standing.nodes()[0].clone();
     let path = "/settings-read/7f3a9c21e0b4d655";
@@ -68,10 +68,10 @@
          -H 'X-Deadline-Ms: 900' http://{listen}{path}\n     shaletrail-fleet list --watch --registry {}",
         discovery[0]
     );
-    println!("Ctrl-C ends all of it.\n");
-    let mut whole = Live::default();
-    let mut ticks = tokio::time::interval(LOOK);
-    let ended = stopped();
+    println!("Press Ctrl-C to stop everything.\n");
+    let mut totals = Live::default();
+    let mut ticks = tokio::time::interval(REFRESH_INTERVAL);
+    let ended = shutdown_signal();
     tokio::pin!(ended);
     loop {
         tokio::select! {
@@ -79,14 +79,14 @@
             () = &mut ended => break,
         }
         let live = standing.live();
-        for (sum, now) in [
-            (&mut whole.asked, live.asked),
-            (&mut whole.served, live.served),
-            (&mut whole.hits, live.hits),
-            (&mut whole.misses, live.misses),
-            (&mut whole.fetches, live.fetches),
+        for (sum, increment) in [
+            (&mut totals.asked, live.asked),
+            (&mut totals.served, live.served),
+            (&mut totals.hits, live.hits),
+            (&mut totals.misses, live.misses),
+            (&mut totals.fetches, live.fetches),
         ] {
-            *sum += now;
+            *sum += increment;
         }
         if std::io::stderr().is_terminal() {
             eprint!(
@@ -97,7 +97,7 @@
     }
     println!(
         "\n{} asked, {} served; {} hits and {} misses at the cache servers, {} calls at the origin",
-        whole.asked, whole.served, whole.hits, whole.misses, whole.fetches
+        totals.asked, totals.served, totals.hits, totals.misses, totals.fetches
     );
     Ok(())
 }
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DutyError {
     #[error("{0}")]
-    Wrong(#[from] Invalid),
+    Invalid(#[from] Invalid),
     #[error("{duty}: {why}")]
     Refused { duty: String, why: String },
     /// The lease has ended by this process's own clock; nothing was sent.
