--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Replicas as processes with faults between them; the checkers see only what clients saw.
+//! Tests of the registry with replicas as processes and injected faults. The checkers see only what clients
+//! saw.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -21,10 +22,11 @@
     KillAll,
     StopLeader,
     StopFollower,
-    CutLeader,
-    /// The leader is heard and hears nobody, or the other way round.
-    DeafLeader,
-    MuteLeader,
+    PartitionLeader,
+    /// The leader can send but not receive.
+    LeaderCannotReceive,
+    /// The leader can receive but not send.
+    LeaderCannotSend,
     SlowLinks,
     LossyLinks,
     RollingRestart,
@@ -37,38 +39,39 @@
     Fault::KillAll,
     Fault::StopLeader,
     Fault::StopFollower,
-    Fault::CutLeader,
-    Fault::DeafLeader,
-    Fault::MuteLeader,
+    Fault::PartitionLeader,
+    Fault::LeaderCannotReceive,
+    Fault::LeaderCannotSend,
     Fault::SlowLinks,
     Fault::LossyLinks,
     Fault::RollingRestart,
     Fault::WipeFollower,
 ];
 
-/// Changes go on through whatever single fault; a service that can't go on until the fault ends says so here.
-fn goes_on(fault: Fault) -> bool {
+/// Whether changes must be acknowledged while the fault lasts. Under the faults named here the service may
+/// stop until they end.
+fn must_make_progress(fault: Fault) -> bool {
     !matches!(fault, Fault::KillAll | Fault::SlowLinks | Fault::LossyLinks)
 }
 
-fn inject(service: &mut Service, fault: Fault, chance: &mut Chance) {
+fn inject(service: &mut Service, fault: Fault, random: &mut Chance) {
     let leader = service.wait_for_leader();
-    let follower = (leader + 1 + chance.below(service.places.len() - 1)) % service.places.len();
+    let follower = (leader + 1 + random.below(service.places.len() - 1)) % service.places.len();
     match fault {
         Fault::KillLeader => service.kill(leader),
         Fault::KillFollower => service.kill(follower),
         Fault::KillAll => (0..service.places.len()).for_each(|n| service.kill(n)),
         Fault::StopLeader => service.process(leader).signal("STOP"),
         Fault::StopFollower => service.process(follower).signal("STOP"),
-        Fault::CutLeader => service.isolate(leader, Way::Cut, Way::Cut),
-        Fault::DeafLeader => service.isolate(leader, Way::Open, Way::Cut),
-        Fault::MuteLeader => service.isolate(leader, Way::Cut, Way::Open),
+        Fault::PartitionLeader => service.isolate(leader, Way::Cut, Way::Cut),
+        Fault::LeaderCannotReceive => service.isolate(leader, Way::Open, Way::Cut),
+        Fault::LeaderCannotSend => service.isolate(leader, Way::Cut, Way::Open),
         Fault::SlowLinks => {
-            let ms = 10 + chance.below(60) as u64;
+            let ms = 10 + random.below(60) as u64;
             (0..service.places.len()).for_each(|n| service.isolate(n, Way::Slow(ms), Way::Slow(ms)));
         }
         Fault::LossyLinks => {
-            let one_in = 10 + chance.below(20) as u64;
+            let one_in = 10 + random.below(20) as u64;
             (0..service.places.len())
                 .for_each(|n| service.isolate(n, Way::Lossy(one_in), Way::Lossy(one_in)));
         }
@@ -90,58 +93,65 @@
     }
 }
 
-/// Plays the faults in an order drawn from the seed under changes, and lets the checkers judge.
-fn play(name: &str, replicas: usize, faults: &[Fault], seed: u64) {
-    let mut chance = Chance::new(name, seed);
+/// Injects the faults in a random order while clients write and watch, and then runs the checkers.
+fn run_faults(name: &str, replicas: usize, faults: &[Fault], seed: u64) {
+    let mut random = Chance::new(name, seed);
     let mut service = Service::start(program(), name, replicas);
     let (ops, discovery) = (service.ops(), service.discovery());
     let writers: Vec<Writer> =
         (0..3).map(|n| Writer::start(&format!("w{n}"), ops.clone(), Duration::from_millis(15))).collect();
     let observers: Vec<Observer> = (0..4)
         .map(|n| {
-            // One of them knows a single replica only.
+            // One observer knows only a single replica.
             let known = if n == 3 { vec![discovery[0]] } else { discovery.clone() };
-            Observer::start(&format!("observer {n}"), known, chance.seed + n)
+            Observer::start(&format!("observer {n}"), known, random.seed + n)
         })
         .collect();
-    let mut left: Vec<Fault> = faults.to_vec();
-    while !left.is_empty() {
-        let fault = left.swap_remove(chance.below(left.len()));
+    let mut remaining: Vec<Fault> = faults.to_vec();
+    while !remaining.is_empty() {
+        let fault = remaining.swap_remove(random.below(remaining.len()));
         let before = Instant::now();
         println!("{fault:?}");
-        inject(&mut service, fault, &mut chance);
-        if goes_on(fault) {
+        inject(&mut service, fault, &mut random);
+        if must_make_progress(fault) {
             let after = Instant::now();
             wait_for(&format!("a change is acknowledged in spite of {fault:?}"), || {
                 writers.iter().any(|writer| writer.since(after) > 0).then_some(())
             });
         }
-        pause(200 + chance.below(800) as u64);
+        pause(200 + random.below(800) as u64);
         service.heal();
         let healed = Instant::now();
-        wait_for("changes go on", || writers.iter().all(|writer| writer.since(healed) > 0).then_some(()));
+        wait_for("all writers continue", || {
+            writers.iter().all(|writer| writer.since(healed) > 0).then_some(())
+        });
         println!("  {:.1} s, version {}", before.elapsed().as_secs_f64(), observers[0].version());
     }
     let acknowledged: Vec<_> = writers.into_iter().flat_map(Writer::end).collect();
-    let last = acknowledged.iter().map(|ack| ack.version).max().expect("some changes held");
+    let last = acknowledged.iter().map(|ack| ack.version).max().expect("an acknowledged change");
     let seen: Vec<_> = observers.into_iter().map(|observer| observer.end_at(last)).collect();
-    let breaches = check(&seen, &acknowledged);
-    assert!(breaches.is_empty(), "seed {}: {breaches:#?}", chance.seed);
+    let violations = check(&seen, &acknowledged);
+    assert!(violations.is_empty(), "seed {}: {violations:#?}", random.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
-    let whole = |n: usize| get(service.places[n].discovery, "/registry/instances").expect("a list");
+    let list_of = |n: usize| get(service.places[n].discovery, "/registry/instances").expect("a list");
     let version = |list: &serde_json::Value| list["version"].as_u64();
-    wait_for("all replicas tell the same list", || {
-        let lists: Vec<_> = (0..replicas).map(whole).collect();
+    wait_for("all replicas return the same list", || {
+        let lists: Vec<_> = (0..replicas).map(list_of).collect();
         lists.iter().all(|list| *list == lists[0] && version(list) >= Some(last)).then_some(())
     });
 }
 
 #[test]
-fn three_replicas_lose_nothing_and_never_go_back() {
-    play("three", 3, &FAULTS, 8101);
+fn three_replicas_lose_no_acknowledged_change_and_versions_never_decrease() {
+    run_faults("three", 3, &FAULTS, 8101);
 }
 
 #[test]
-fn five_replicas_lose_nothing_and_never_go_back() {
-    play("five", 5, &[Fault::KillLeader, Fault::DeafLeader, Fault::StopLeader, Fault::WipeFollower], 8102);
+fn five_replicas_lose_no_acknowledged_change_and_versions_never_decrease() {
+    run_faults(
+        "five",
+        5,
+        &[Fault::KillLeader, Fault::LeaderCannotReceive, Fault::StopLeader, Fault::WipeFollower],
+        8102,
+    );
 }
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -1,4 +1,5 @@
-//! The lab as a program: verdicts and their exits, replay, faults of every kind, and its own death.
+//! Tests of the lab's commands: verdicts and exit codes, replay, all kinds of faults, and the death of the
+//! lab itself.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -14,7 +15,8 @@
     Command::new(program()).arg("lab").args(args).output().expect("the program")
 }
 
-/// A scenario small enough for a busy machine; lateness must not void it, and no speed is asserted.
+/// A scenario small enough for a busy machine. The limit of lateness is high, so that the run is not void,
+/// and the tests assert no speed.
 fn small(folder: &Folder, more: &str) -> String {
     let file = folder.0.join("small.toml");
     let text = format!(
@@ -30,44 +32,47 @@
         .unwrap_or_else(|e| panic!("{e}: {}", String::from_utf8_lossy(&out.stderr)))
 }
 
-/// Rules that no busy machine excuses.
-fn kept(report: &Value) {
+/// Checks the rules that must hold even on a busy machine.
+fn assert_unconditional_rules(report: &Value) {
     for rule in ["lost", "repeated_effect", "foreign_ids", "long_messages", "crashed"] {
         assert_eq!(report["rules"][rule], 0, "{rule}: {}", report["rules"]);
     }
 }
 
 #[test]
-fn a_run_is_judged_written_down_and_played_again() {
+fn a_run_is_judged_and_reported_and_can_be_replayed() {
     let folder = Folder::new("lab-run");
-    // Agents as processes, as in service.
+    // Agents run as processes, as in production.
     let file = small(&folder, "[fleet]\nservers = 4\nnodes = 2\nzones = ['a', 'b']\nagent_processes = true\n[hold]\nbreaches = 1000000");
     let out = folder.0.join("out");
     let dir = out.to_str().expect("a path");
     let first = lab(&["run", &file, "--seed", "5", "--out", dir, "--json"]);
-    let told = report(&first);
-    assert_eq!((first.status.code(), &told["verdict"], &told["seed"]), (Some(0), &"pass".into(), &5.into()));
-    kept(&told);
-    let share = told["served_share_per_s"].as_array().expect("shares");
-    assert!(share.len() == 8 && told["attempts_per_request"].as_f64() >= Some(1.0), "{told}");
+    let report_json = report(&first);
+    assert_eq!(
+        (first.status.code(), &report_json["verdict"], &report_json["seed"]),
+        (Some(0), &"pass".into(), &5.into())
+    );
+    assert_unconditional_rules(&report_json);
+    let share = report_json["served_share_per_s"].as_array().expect("shares");
+    assert!(share.len() == 8 && report_json["attempts_per_request"].as_f64() >= Some(1.0), "{report_json}");
     for file in ["report.json", "report.md", "answers.svg", "work.svg", "scenario.toml"] {
         assert!(out.join(file).metadata().is_ok_and(|meta| meta.len() > 0), "{file}");
     }
     let again = report(&lab(&["replay", dir, "--json"]));
-    assert_eq!((&again["seed"], &again["requests"]), (&told["seed"], &told["requests"]));
-    // What must hold and does not, and a lab that is too late to judge.
+    assert_eq!((&again["seed"], &again["requests"]), (&report_json["seed"], &report_json["requests"]));
+    // A rule that can't hold fails the run; a lab that is too late makes it void.
     let strict = small(&folder, "[fleet]\nservers = 2\nnodes = 1\n[hold]\nattempts_per_request = 0.5");
     let fails = lab(&["run", &strict, "--json"]);
     assert_eq!((fails.status.code(), &report(&fails)["verdict"]), (Some(1), &"fail".into()));
     let text =
         std::fs::read_to_string(&strict).expect("read").replace("lateness_ms = 1000.0", "lateness_ms = 0.1");
-    std::fs::write(&strict, text).expect("written");
+    std::fs::write(&strict, text).expect("the scenario is written");
     let void = lab(&["run", &strict, "--json"]);
     assert_eq!((void.status.code(), &report(&void)["verdict"]), (Some(3), &"void".into()));
 }
 
 #[test]
-fn wrong_scenarios_end_with_2_and_one_line_that_says_what_was_expected() {
+fn invalid_scenarios_exit_with_2_and_one_line_that_says_what_was_expected() {
     let folder = Folder::new("lab-wrong");
     for (more, says) in [
         ("[fleet]\nnodes = 0", "fleet.nodes: 1 to 60 expected, got 0"),
@@ -94,7 +99,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_is_played_and_no_rule_that_binds_always_is_broken() {
+fn all_kinds_of_faults_run_without_breaking_the_unconditional_rules() {
     let folder = Folder::new("lab-faults");
     let faults = [
         "do = 'kill_servers'\nwhom = 'cache-0'",
@@ -123,9 +128,9 @@
     text += "[[fault]]\nat_s = 2.0\ndo = 'cold_servers'\nwhom = 'share:0.2'\n";
     text += "[[fault]]\nat_s = 4.0\ndo = 'move_discovery'\n";
     let out = lab(&["run", &small(&folder, &text), "--json"]);
-    let told = report(&out);
-    assert_eq!(told["bands"].as_array().map(Vec::len), Some(faults.len() + 2));
-    kept(&told);
+    let report_json = report(&out);
+    assert_eq!(report_json["bands"].as_array().map(Vec::len), Some(faults.len() + 2));
+    assert_unconditional_rules(&report_json);
 }
 
 #[test]
@@ -135,17 +140,18 @@
     for signal in ["KILL", "INT"] {
         let mut command = Command::new(program());
         let mut lab = Process::start(command.args(["lab", "run", &file]), &folder.0.join("lab.log"));
-        // The guard, a replica, two nodes, and the agents.
-        let running = wait_for("its processes run", || Some(children(lab.id())).filter(|ids| ids.len() >= 7));
+        // The guard, a replica, two nodes, and three agents.
+        let running =
+            wait_for("the lab's processes run", || Some(children(lab.id())).filter(|ids| ids.len() >= 7));
         lab.signal(signal);
         assert!(!lab.exit().success());
-        wait_for("all of them are gone", || {
-            let there = |id: &&u32| {
+        wait_for("all processes have ended", || {
+            let still_running = |id: &&u32| {
                 let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-                // One that has ended and waits to be seen by its new parent is gone.
+                // A zombie that its new parent has not reaped yet counts as ended.
                 stat.rsplit_once(')').is_some_and(|(_, rest)| !rest.starts_with(" Z"))
             };
-            running.iter().filter(there).count().eq(&0).then_some(())
+            running.iter().filter(still_running).count().eq(&0).then_some(())
         });
     }
 }
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -1,4 +1,5 @@
-//! The list service by its processes: damage, a full disk, leases, backups, replicas that come and go, real nodes.
+//! Tests of the list service with real processes: damaged files, a full disk, leases, backups, changes of
+//! membership, and nodes that follow the list.
 
 use std::net::SocketAddr;
 use std::os::unix::fs::FileExt;
@@ -29,7 +30,7 @@
     register(ops, id, &json!(numbered(id, number))).expect("the change holds")
 }
 
-fn whole(discovery: SocketAddr) -> Value {
+fn read_list(discovery: SocketAddr) -> Value {
     wait_for("a list", || get(discovery, "/registry/instances").ok())
 }
 
@@ -38,15 +39,15 @@
     servers.iter().filter_map(|server| server["id"].as_str()).collect()
 }
 
-fn figure(ops: SocketAddr, name: &str) -> u64 {
+fn metric(ops: SocketAddr, name: &str) -> u64 {
     get(ops, "/-/metrics").ok().and_then(|figures| figures[name].as_u64()).unwrap_or(0)
 }
 
-/// Cuts a file off, or flips one bit of it.
+/// How a file is damaged: truncated, or one bit flipped.
 enum Damage {
     CutTo(fn(u64) -> u64),
     Flip(fn(u64) -> u64),
-    /// A bit of an entry's record, wherever it stands in the log.
+    /// Flips a bit in the record of an entry, wherever it is in the log.
     FlipEntry,
 }
 
@@ -63,7 +64,7 @@
     file.write_all_at(&[byte[0] ^ 0x10], at).expect("written");
 }
 
-/// Where an entry's record stands in the log: past the file's own pages.
+/// Offset of an entry's record in the log, behind the file's own pages.
 fn record(file: &Path) -> u64 {
     let bytes = std::fs::read(file).expect("the log");
     let mark = b"\"id\":\"s7\"";
@@ -87,12 +88,12 @@
     ];
     for (round, (name, how)) in cases.into_iter().enumerate() {
         let victim = round % 3;
-        wait_for("all logs hold all", || {
+        wait_for("all replicas have all changes", || {
             (0..3)
                 .all(|n| {
                     service
                         .status(n)
-                        .is_some_and(|s| s["version"] == whole(service.places[0].discovery)["version"])
+                        .is_some_and(|s| s["version"] == read_list(service.places[0].discovery)["version"])
                 })
                 .then_some(())
         });
@@ -106,42 +107,45 @@
         assert!(log.contains(&format!("{}: damaged", file.display())), "round {round}: {log}");
         assert!(log.contains("rebuilt from the others"), "{log}");
         let (rebuilt, other) = (service.places[victim].discovery, service.places[(victim + 1) % 3].discovery);
-        wait_for("it tells the same list", || (whole(rebuilt) == whole(other)).then_some(()));
+        wait_for("the rebuilt replica returns the same list", || {
+            (read_list(rebuilt) == read_list(other)).then_some(())
+        });
     }
 }
 
 #[test]
-fn alone_a_damaged_replica_says_so_and_does_not_start() {
+fn a_damaged_single_replica_names_the_file_and_does_not_start() {
     let mut service = Service::start(program(), "alone", 1);
     add(&service.ops(), "s7", 1);
     service.kill(0);
     let log = service.places[0].data.join("log.redb");
     let at = record(&log);
     let whole_file = std::fs::read(&log).expect("the log");
-    // Cut at many bytes, and with one bit of the record changed: never silently less than was acknowledged.
+    // The log is truncated at many offsets, and one bit of the record is flipped. The replica must never
+    // start with less than was acknowledged.
     let mut cases: Vec<Vec<u8>> = (0..24).map(|n| whole_file[..whole_file.len() * n / 24].to_vec()).collect();
     let mut flipped = whole_file.clone();
     flipped[at as usize + 4] ^= 1;
     cases.push(flipped);
     for (n, bytes) in cases.into_iter().enumerate() {
-        std::fs::write(&log, bytes).expect("damaged");
-        let out = service.command(0).output().expect("it runs");
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(1), "case {n}: {said}");
-        assert!(said.contains("log.redb: damaged"), "case {n}: {said}");
+        std::fs::write(&log, bytes).expect("the file is damaged");
+        let out = service.command(0).output().expect("the program runs");
+        let output_text = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(1), "case {n}: {output_text}");
+        assert!(output_text.contains("log.redb: damaged"), "case {n}: {output_text}");
     }
-    std::fs::write(&log, whole_file).expect("mended");
+    std::fs::write(&log, whole_file).expect("the file is repaired");
     service.launch(0);
     service.ready(0);
-    assert_eq!(ids(&whole(service.places[0].discovery)), ["s7"]);
+    assert_eq!(ids(&read_list(service.places[0].discovery)), ["s7"]);
 }
 
 #[test]
-fn a_full_disk_ends_changes_and_not_reading_and_nothing_acknowledged_is_lost() {
+fn a_full_disk_stops_changes_but_not_reads_and_loses_nothing_acknowledged() {
     let mut service = Service::start(program(), "full", 1);
     add(&service.ops(), "first", 1);
     service.kill(0);
-    // The system's own limit on a file's size, in KiB: writes beyond it fail.
+    // The process's limit on file sizes, in KiB, simulates a full disk: writes beyond it fail.
     let size = std::fs::metadata(service.places[0].data.join("log.redb")).expect("the log").len() / 1024;
     let start = service.command(0);
     let words = std::iter::once(start.get_program()).chain(start.get_args());
@@ -158,32 +162,39 @@
         let body = json!(numbered(&id, 1));
         let path = format!("/registry/instances/{id}");
         let body = serde_json::to_vec(&body).expect("JSON");
-        let (status, not_run) = once(ops[0], "PUT", &path, &body);
+        let (status, not_run) = raw_call(ops[0], "PUT", &path, &body);
         if status == 200 {
             held.push(id);
             return None;
         }
         Some((status, not_run))
     });
-    let (status, not_run) = refused.expect("the disk is full in the end");
-    assert_eq!((status, not_run), (500, false), "what failed half way may have happened");
-    assert_eq!(once(ops[0], "PUT", "/registry/instances/more", br#"{"addr":"127.0.0.1:1"}"#), (503, true));
-    assert_eq!(once(ops[0], "GET", "/-/ready", b"").0, 503);
+    let (status, not_run) = refused.expect("the limit is reached");
+    assert_eq!((status, not_run), (500, false), "a change that failed midway may have been made");
+    assert_eq!(
+        raw_call(ops[0], "PUT", "/registry/instances/more", br#"{"addr":"127.0.0.1:1"}"#),
+        (503, true)
+    );
+    assert_eq!(raw_call(ops[0], "GET", "/-/ready", b"").0, 503);
     assert!(process.log().contains("the log can't be written"), "{}", process.log());
-    let told = whole(service.places[0].discovery);
-    assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "reading goes on");
+    let list = read_list(service.places[0].discovery);
+    assert!(held.iter().all(|id| ids(&list).contains(&id.as_str())), "reads still succeed");
     drop(process);
     service.launch(0);
     service.ready(0);
-    let told = whole(service.places[0].discovery);
-    assert!(held.iter().all(|id| ids(&told).contains(&id.as_str())), "all that was acknowledged is there");
+    let list = read_list(service.places[0].discovery);
+    assert!(
+        held.iter().all(|id| ids(&list).contains(&id.as_str())),
+        "every acknowledged change is in the list"
+    );
     add(&ops, "after", 1);
 }
 
-/// One call, as it is answered: the status, and whether it says that nothing has run.
-fn once(addr: SocketAddr, method: &str, path: &str, body: &[u8]) -> (u16, bool) {
+/// Sends one call without retries. Returns the status, and whether the response says that nothing was
+/// executed.
+fn raw_call(addr: SocketAddr, method: &str, path: &str, body: &[u8]) -> (u16, bool) {
     use std::io::{Read, Write};
-    let mut stream = std::net::TcpStream::connect(addr).expect("somebody accepts");
+    let mut stream = std::net::TcpStream::connect(addr).expect("a connection");
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -196,7 +207,7 @@
 }
 
 #[test]
-fn a_cut_between_agents_and_registry_does_not_empty_the_list() {
+fn a_partition_between_agents_and_registry_does_not_empty_the_list() {
     let service = Service::start(program(), "leases", 3);
     let ops = service.ops();
     let lease = |id: &str, port: u16| json!({"addr": format!("127.0.0.1:{port}"), "lease_s": 2.0, "id": id});
@@ -207,32 +218,35 @@
         let renewals: Vec<_> = ids.iter().map(|n| json!({"id": format!("s{n}")})).collect();
         let body = json!({ "renewals": renewals });
         let call = serde_json::to_vec(&body).expect("JSON");
-        // At any replica: followers pass it on. 503 while they choose a new leader, as on a busy machine.
-        let status = once(ops[1], "POST", "/registry/renew", &call).0;
+        // Sent to a follower, which forwards it. 503 during an election of a leader, which may happen on a
+        // busy machine.
+        let status = raw_call(ops[1], "POST", "/registry/renew", &call).0;
         assert!(matches!(status, 200 | 503), "{status}");
     };
-    // One of ten falls silent: it goes, and nobody else.
-    let told = wait_for("one expires", || {
+    // One of ten servers is no longer renewed: only its entry expires.
+    let list = wait_for("one entry expires", || {
         renew(&[0, 1, 2, 3, 4, 5, 6, 7, 8]);
-        let told = whole(service.places[0].discovery);
-        (ids(&told).len() < 10).then_some(told)
+        let list = read_list(service.places[0].discovery);
+        (ids(&list).len() < 10).then_some(list)
     });
-    assert_eq!(ids(&told), ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"]);
-    // All fall silent: nobody goes, and it is said.
-    let leader = wait_for("expiry stops", || (0..3).find(|n| figure(ops[*n], "expiry_held") == 9));
+    assert_eq!(ids(&list), ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"]);
+    // No server is renewed any more: no entry expires, and the registry logs that expiry is stopped.
+    let leader = wait_for("expiry stops", || (0..3).find(|n| metric(ops[*n], "expiry_held") == 9));
     assert!(service.process(leader).log().contains("EXPIRY STOPPED"));
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 9);
-    // An operator lets two of them go.
+    assert_eq!(ids(&read_list(service.places[0].discovery)).len(), 9);
+    // An operator confirms the expiry of two entries.
     let list = ops.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     let out = run(&["registry", "confirm", "--most", "2", "--registry", &list]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    wait_for("two go", || (ids(&whole(service.places[0].discovery)).len() == 7).then_some(()));
+    wait_for("two entries expire", || {
+        (ids(&read_list(service.places[0].discovery)).len() == 7).then_some(())
+    });
     pause(500);
-    assert_eq!(ids(&whole(service.places[0].discovery)).len(), 7);
+    assert_eq!(ids(&read_list(service.places[0].discovery)).len(), 7);
 }
 
 #[test]
-fn an_agent_registers_its_server_while_it_answers_and_says_goodbye_for_it() {
+fn an_agent_registers_its_server_while_it_answers_and_deregisters_it_at_the_end() {
     let service = Service::start(program(), "agent", 1);
     let (ops, discovery) = (service.ops(), service.places[0].discovery);
     let server = free();
@@ -242,7 +256,11 @@
     command.args(["--lease-s", "1", "--drain-s", "0.3"]);
     let mut agent = Process::start(&mut command, &log);
     pause(400);
-    assert_eq!(once(discovery, "GET", "/registry/instances", b"").0, 503, "its server does not answer yet");
+    assert_eq!(
+        raw_call(discovery, "GET", "/registry/instances", b"").0,
+        503,
+        "its server does not answer yet"
+    );
     let listener = std::net::TcpListener::bind(server).expect("the server's address");
     std::thread::spawn(move || {
         use std::io::{Read, Write};
@@ -252,17 +270,17 @@
                 stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
         }
     });
-    let told = whole(discovery);
-    assert_eq!(ids(&told), ["s-1"]);
-    assert!(told["servers"][0]["started_ms"].as_u64() > Some(1_600_000_000_000), "{told}");
-    // Far longer than the lease, through a restart of the registry.
+    let list = read_list(discovery);
+    assert_eq!(ids(&list), ["s-1"]);
+    assert!(list["servers"][0]["started_ms"].as_u64() > Some(1_600_000_000_000), "{list}");
+    // Waits for much longer than the lease, with a restart of the registry.
     let mut service = service;
     service.kill(0);
     service.launch(0);
     service.ready(0);
     pause(2500);
-    assert_eq!(ids(&whole(discovery)), ["s-1"]);
-    let version = whole(discovery)["version"].as_u64().expect("a version");
+    assert_eq!(ids(&read_list(discovery)), ["s-1"]);
+    let version = read_list(discovery)["version"].as_u64().expect("a version");
     agent.signal("TERM");
     let changes = format!("/registry/instances?from={version}&hold_ms=20000");
     let leaving = get(discovery, &changes).expect("a change");
@@ -273,7 +291,7 @@
 }
 
 #[test]
-fn a_restored_list_goes_on_beyond_every_version_that_was_told() {
+fn a_restored_list_has_a_higher_version_than_any_that_clients_have_seen() {
     let mut service = Service::start(program(), "backup", 1);
     let (ops, discovery) = (service.ops(), service.places[0].discovery);
     let observer = Observer::start("observer", vec![discovery], 1);
@@ -283,33 +301,33 @@
     let backup = run(&["registry", "backup", file, "--registry", &ops[0].to_string()]);
     assert!(backup.status.success(), "{}", String::from_utf8_lossy(&backup.stderr));
     let later = add(&ops, "after", 1);
-    wait_for("the last version is told", || (observer.version() == later).then_some(()));
+    wait_for("the observer has the last version", || (observer.version() == later).then_some(()));
     service.kill(0);
     let data = service.places[0].data.to_str().expect("a path").to_owned();
     let refused = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
-    assert_eq!(refused.status.code(), Some(1), "nothing is replaced");
-    std::fs::remove_dir_all(&data).expect("lost");
+    assert_eq!(refused.status.code(), Some(1), "a restore does not overwrite existing data");
+    std::fs::remove_dir_all(&data).expect("the data folder is removed");
     let restored = run(&["registry", "restore", file, "--data", &data, "--name", "r1"]);
     assert!(restored.status.success(), "{}", String::from_utf8_lossy(&restored.stderr));
     service.launch(0);
     service.ready(0);
-    let list = whole(discovery);
+    let list = read_list(discovery);
     assert_eq!(ids(&list), ["kept"]);
     let version = list["version"].as_u64().expect("a version");
     assert!(version > later, "{version} after {later}");
-    // Whoever watched goes on, with the whole list, as nobody knows what changed since.
+    // A watcher gets the whole list, because the changes since its version are not known.
     let seen = observer.end_at(version);
-    let last = seen.lists.iter().rfind(|list| list.version == version).expect("told");
+    let last = seen.lists.iter().rfind(|list| list.version == version).expect("the restored list");
     assert!(last.full && last.servers.len() == 1);
     let bytes = std::fs::read(file).expect("the backup");
-    std::fs::write(file, &bytes[..bytes.len() - 3]).expect("cut off");
+    std::fs::write(file, &bytes[..bytes.len() - 3]).expect("the backup is truncated");
     let cut = run(&["registry", "restore", file, "--data", &format!("{data}2"), "--name", "r1"]);
-    let said = String::from_utf8_lossy(&cut.stderr).into_owned();
-    assert!(cut.status.code() == Some(1) && said.contains("list.backup: damaged"), "{said}");
+    let output_text = String::from_utf8_lossy(&cut.stderr).into_owned();
+    assert!(cut.status.code() == Some(1) && output_text.contains("list.backup: damaged"), "{output_text}");
 }
 
 #[test]
-fn replicas_join_and_are_removed_but_never_so_that_no_majority_is_left() {
+fn replicas_can_join_and_be_removed_only_if_a_majority_remains() {
     let mut service = Service::start(program(), "members", 3);
     let ops = service.ops();
     add(&ops, "s1", 1);
@@ -322,12 +340,12 @@
     command.args(["--discovery", &discovery, "--ops", &own_ops, "--replica", &replica, "--registry", &list]);
     let joined = Process::start(&mut command, &log);
     joined.says("ready");
-    assert_eq!(ids(&whole(discovery.parse().expect("an address"))), ["s1"]);
+    assert_eq!(ids(&read_list(discovery.parse().expect("an address"))), ["s1"]);
     let removed = run(&["registry", "remove", "r1", "--registry", &list]);
     assert!(removed.status.success(), "{}", String::from_utf8_lossy(&removed.stderr));
     add(&ops[1..], "s2", 1);
     service.kill(0);
-    // Of r2, r3 and r4 one is dead: without another no majority would answer.
+    // One of r2, r3 and r4 is dead: if another one were removed, no majority would answer.
     service.kill(2);
     pause(2500);
     let left = format!("{},{own_ops}", ops[1]);
@@ -339,13 +357,13 @@
     let own = own_ops.parse().expect("an address");
     add(&[own], "s3", 1);
     let discovery = discovery.parse().expect("an address");
-    wait_for("the one that joined tells all", || {
-        (ids(&whole(discovery)) == ["s1", "s2", "s3"]).then_some(())
+    wait_for("the replica that joined has all entries", || {
+        (ids(&read_list(discovery)) == ["s1", "s2", "s3"]).then_some(())
     });
 }
 
 #[test]
-fn a_replica_far_behind_is_sent_a_snapshot_and_logs_stay_short() {
+fn a_replica_that_is_far_behind_gets_a_snapshot_and_logs_are_truncated() {
     let settings = "[registry]\nsnapshot_every = 50\nkeep_entries = 10\n";
     let mut service = Service::start_with(program(), "snapshot", 3, settings);
     let ops = service.ops();
@@ -357,30 +375,35 @@
     for number in 2..400 {
         add(&ops, &format!("s{}", number % 40), number);
     }
-    wait_for("a snapshot is taken", || (figure(ops[leader], "snapshot") > before + 300).then_some(()));
+    wait_for("a snapshot is taken", || (metric(ops[leader], "snapshot") > before + 300).then_some(()));
     let data = service.places[away].data.join("snapshot");
     let had = data.exists();
     service.launch(away);
     service.ready(away);
-    assert!(data.exists() && !had, "the entries that it lacked are gone from the others' logs");
-    assert_eq!(whole(service.places[away].discovery), whole(service.places[leader].discovery));
-    // And all of it again from the disk.
-    let version = whole(service.places[leader].discovery)["version"].clone();
+    assert!(data.exists() && !had, "the missing entries are no longer in the other replicas' logs");
+    assert_eq!(read_list(service.places[away].discovery), read_list(service.places[leader].discovery));
+    // All replicas restart from disk with the same version.
+    let version = read_list(service.places[leader].discovery)["version"].clone();
     (0..3).for_each(|n| service.kill(n));
     service.heal();
-    assert_eq!(whole(service.places[away].discovery)["version"], version);
+    assert_eq!(read_list(service.places[away].discovery)["version"], version);
 }
 
 // ---- Nodes ----------------------------------------------------------------------------------------------
 
-/// The node's program, built beside this one by a build or a test of the whole workspace.
+/// The node's program. A build or test of the whole workspace puts it beside this program.
 fn node() -> PathBuf {
     let node = program().with_file_name("shaletrail-node");
     assert!(node.exists(), "{}: build the workspace first (cargo build --workspace)", node.display());
     node
 }
 
-fn start_node(folder: &Folder, name: &str, discovery: &[SocketAddr], known: &Value) -> (Process, SocketAddr) {
+fn start_node(
+    folder: &Folder,
+    name: &str,
+    discovery: &[SocketAddr],
+    known_servers: &Value,
+) -> (Process, SocketAddr) {
     let ops = free();
     let settings = json!({
         "balancers": 1, "locality": "here", "membership-mode": "on_request", "round-s": 0.005,
@@ -398,7 +421,7 @@
     let config = json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery[0].to_string(),
                         "discovery_also": also, "seed": "8c1f30d27a5be964", "ops": ops.to_string(),
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                        "known": known, "settings": settings});
+                        "known": known_servers, "settings": settings});
     let file = folder.0.join(format!("{name}.json"));
     std::fs::write(&file, config.to_string()).expect("a configuration");
     let mut command = Command::new(node());
@@ -407,7 +430,7 @@
 }
 
 #[test]
-fn nodes_follow_the_list_through_failures_of_the_service() {
+fn nodes_follow_the_list_through_failures_of_the_registry() {
     let mut service = Service::start(program(), "nodes", 3);
     let (ops, discovery) = (service.ops(), service.discovery());
     for n in 0..3 {
@@ -415,13 +438,13 @@
     }
     let nodes: Vec<_> = (0..4)
         .map(|n| {
-            let mut known = discovery.clone();
-            known.rotate_left(n % 3);
-            start_node(&service.folder, &format!("n{n}"), &known, &Value::Null)
+            let mut discovery_addrs = discovery.clone();
+            discovery_addrs.rotate_left(n % 3);
+            start_node(&service.folder, &format!("n{n}"), &discovery_addrs, &Value::Null)
         })
         .collect();
     let listed = |ops: SocketAddr, count: u64| {
-        wait_for("a node follows", || (figure(ops, "hosts_listed") == count).then_some(()));
+        wait_for("the node has the new list", || (metric(ops, "hosts_listed") == count).then_some(()));
     };
     let all_list = |count| nodes.iter().for_each(|(_, ops)| listed(*ops, count));
     all_list(3);
@@ -445,22 +468,22 @@
         all_list(count);
     }
     for (node, ops) in &nodes {
-        assert!(figure(*ops, "hosts_listed") == count && !node.log().contains("panicked"));
+        assert!(metric(*ops, "hosts_listed") == count && !node.log().contains("panicked"));
     }
 }
 
 #[test]
-fn a_node_is_moved_to_another_service_in_the_middle_of_a_failover() {
+fn a_node_can_be_moved_to_another_registry_during_a_failover() {
     let mut before = Service::start(program(), "before", 3);
     let after = Service::start(program(), "after", 1);
     add(&before.ops(), "old", 1);
-    // The other list is at lower versions, and is followed all the same.
+    // The other registry's list has lower versions than this one. The node must follow it nevertheless.
     for number in 2..7 {
         add(&before.ops(), "old", number);
     }
-    let known = before.discovery();
-    let (node, door) = start_node(&before.folder, "n0", &known, &Value::Null);
-    wait_for("it has the old list", || (figure(door, "hosts_listed") == 1).then_some(()));
+    let discovery_addrs = before.discovery();
+    let (node, operator_api) = start_node(&before.folder, "n0", &discovery_addrs, &Value::Null);
+    wait_for("the node has the old list", || (metric(operator_api, "hosts_listed") == 1).then_some(()));
     for n in 0..3 {
         add(&after.ops(), &format!("new{n}"), 1);
     }
@@ -471,61 +494,67 @@
     let mut config: Value = serde_json::from_slice(&std::fs::read(&file).expect("read")).expect("JSON");
     config["discovery"] = json!(after.discovery()[0].to_string());
     config["discovery_also"] = json!("elsewhere");
-    std::fs::write(&file, config.to_string()).expect("written");
+    std::fs::write(&file, config.to_string()).expect("the configuration is written");
     node.signal("HUP");
-    wait_for("a wrong file is refused", || (figure(door, "reconfig_failed") == 1).then_some(()));
+    wait_for("an invalid configuration is refused", || {
+        (metric(operator_api, "reconfig_failed") == 1).then_some(())
+    });
     config["discovery_also"] = json!([]);
-    std::fs::write(&file, config.to_string()).expect("written");
+    std::fs::write(&file, config.to_string()).expect("the configuration is written");
     node.signal("HUP");
-    wait_for("it has the new list", || (figure(door, "hosts_listed") == 3).then_some(()));
+    wait_for("the node has the new list", || (metric(operator_api, "hosts_listed") == 3).then_some(()));
     add(&after.ops(), "newer", 1);
-    wait_for("it follows there", || (figure(door, "hosts_listed") == 4).then_some(()));
+    wait_for("the node follows the new registry", || {
+        (metric(operator_api, "hosts_listed") == 4).then_some(())
+    });
 }
 
-/// Measured before: such a node never followed a change again.
+/// A registry that lost its data has lower versions than the node's list. The node must keep its list, and
+/// must follow again once the registry is restored; before, such a node never followed a change again.
 #[test]
-fn a_service_that_lost_its_data_ends_no_list_and_a_restored_one_is_followed() {
+fn a_node_keeps_its_list_if_the_registry_lost_its_data_and_follows_a_restored_one() {
     let mut service = Service::start(program(), "lost", 1);
     let (ops, discovery) = (service.ops(), service.discovery());
     let version = (0..5).map(|n| add(&ops, &format!("s{n}"), 1)).max();
-    let (node, door) = start_node(&service.folder, "n0", &discovery, &Value::Null);
-    wait_for("it has the list", || (figure(door, "hosts_listed") == 5).then_some(()));
+    let (node, operator_api) = start_node(&service.folder, "n0", &discovery, &Value::Null);
+    wait_for("the node has the list", || (metric(operator_api, "hosts_listed") == 5).then_some(()));
     let file = service.folder.0.join("list.backup");
     let file = file.to_str().expect("a path").to_owned();
     assert!(run(&["registry", "backup", &file, "--registry", &ops[0].to_string()]).status.success());
     service.kill(0);
     let data = service.places[0].data.clone();
-    std::fs::remove_dir_all(&data).expect("lost");
+    std::fs::remove_dir_all(&data).expect("the data folder is removed");
     service.launch(0);
     service.ready(0);
     add(&ops, "new", 1);
-    assert!(whole(discovery[0])["version"].as_u64() < version);
+    assert!(read_list(discovery[0])["version"].as_u64() < version);
     pause(3000);
-    assert_eq!(figure(door, "hosts_listed"), 5, "the last good list stands");
+    assert_eq!(metric(operator_api, "hosts_listed"), 5, "the node keeps its list");
     service.kill(0);
-    std::fs::remove_dir_all(&data).expect("cleared");
+    std::fs::remove_dir_all(&data).expect("the data folder is removed");
     assert!(run(&["registry", "restore", &file, "--data", data.to_str().expect("a path")]).status.success());
     service.launch(0);
     service.ready(0);
     add(&ops, "newer", 1);
-    wait_for("it follows again", || (figure(door, "hosts_listed") == 6).then_some(()));
+    wait_for("the node follows again", || (metric(operator_api, "hosts_listed") == 6).then_some(()));
     drop(node);
 }
 
 #[test]
-fn wrong_calls_end_with_2_and_one_line_that_says_what_was_expected() {
+fn invalid_arguments_exit_with_2_and_one_line_that_says_what_was_expected() {
     let folder = Folder::new("wrong");
     let file = folder.0.join("wrong.toml");
-    std::fs::write(&file, "[registry]\nname = \"r1\"\nheartbeat = 5\n").expect("written");
+    std::fs::write(&file, "[registry]\nname = \"r1\"\nheartbeat = 5\n").expect("the file is written");
     let file = file.to_str().expect("a path");
     let out = run(&["config", "check", file]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let output_text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(2));
     assert!(
-        said.contains("wrong.toml: line 3, column 1") && said.contains("did you mean `heartbeat_ms`"),
-        "{said}"
+        output_text.contains("wrong.toml: line 3, column 1")
+            && output_text.contains("did you mean `heartbeat_ms`"),
+        "{output_text}"
     );
-    assert_eq!(said.lines().count(), 1);
+    assert_eq!(output_text.lines().count(), 1);
     assert_eq!(run(&["registry", "--peers", "r1"]).status.code(), Some(2));
     assert_eq!(
         run(&["registry", "--peers", "r2=127.0.0.1:1", "--replica", "127.0.0.1:1"]).status.code(),
@@ -533,6 +562,6 @@
     );
     assert_eq!(run(&["list", "--registry", "127.0.0.1:1"]).status.code(), Some(1));
     let shown = run(&["config", "show"]);
-    std::fs::write(file, &shown.stdout).expect("written");
+    std::fs::write(file, &shown.stdout).expect("the file is written");
     assert!(run(&["config", "check", file]).status.success());
 }
--- a/registry-client/tests/follow.rs
+++ b/registry-client/tests/follow.rs
@@ -1,4 +1,4 @@
-//! The pure follower against services that fail in every way its events can tell.
+//! Tests the follower without I/O, against simulated services with all failures that its events can express.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     Duration::from_millis(ms)
 }
 
-/// The call that an action puts.
-fn call(actions: &mut Vec<Action>) -> Option<(CallId, usize, Ask)> {
+/// The call among the actions, if there is one. Clears the actions.
+fn take_call(actions: &mut Vec<Action>) -> Option<(CallId, usize, Ask)> {
     let put = actions.iter().find_map(|action| match action {
         Action::Call { call, endpoint, ask } => Some((*call, *endpoint, *ask)),
         _ => None,
@@ -20,7 +20,7 @@
     put
 }
 
-fn told(version: u64, full: bool, empty: bool) -> Option<ListSummary> {
+fn summary(version: u64, full: bool, empty: bool) -> Option<ListSummary> {
     Some(ListSummary { version, full, empty })
 }
 
@@ -28,177 +28,186 @@
     Ask::Changes { from, hold: ms(hold) }
 }
 
-/// A call that goes on with a watch may wait for 4 to 20 s.
+/// Whether the request continues a watch: it may wait for 4 to 20 s.
 fn is_watch(ask: Ask, from: u64) -> bool {
     matches!(ask, Ask::Changes { from: asked, hold } if asked == from && (ms(4000)..=ms(20_000)).contains(&hold))
 }
 
-/// Follows up to version 51, and then the watch breaks.
-fn broken_at_51(out: &mut Vec<Action>) -> Follower {
+/// A follower that has followed to version 51, and whose watch then broke.
+fn with_broken_watch_at_51(actions: &mut Vec<Action>) -> Follower {
     let mut follower = Follower::new(1, Some(50), Retry::OnStart, 7);
-    follower.start(ms(0), out);
-    let (first, _, ask) = call(out).expect("a call");
+    follower.start(ms(0), actions);
+    let (first, _, ask) = take_call(actions).expect("a call");
     assert_eq!(ask, changes(50, 1000));
-    follower.call_ended(first, told(51, false, false), ms(10), out);
-    let (watch, _, ask) = call(out).expect("a watch");
+    follower.call_ended(first, summary(51, false, false), ms(10), actions);
+    let (watch, _, ask) = take_call(actions).expect("a watch");
     assert!(is_watch(ask, 51), "{ask:?}");
-    follower.call_ended(watch, None, ms(500), out);
-    assert_eq!(*out, [Action::Failed]);
-    out.clear();
-    follower.start(ms(700), out);
+    follower.call_ended(watch, None, ms(500), actions);
+    assert_eq!(*actions, [Action::Failed]);
+    actions.clear();
+    follower.start(ms(700), actions);
     follower
 }
 
 #[test]
-fn a_service_that_came_back_with_lower_versions_is_asked_for_its_list_once() {
-    // One says where it is, one echoes what it was asked from.
+fn a_restarted_service_with_lower_versions_is_asked_once_for_the_whole_list() {
+    // A service may answer with its own version, or with the version it was asked from.
     for answered in [2, 50] {
-        let mut out = Vec::new();
-        let mut follower = broken_at_51(&mut out);
-        let (doubt, _, ask) = call(&mut out).expect("a call");
+        let mut actions = Vec::new();
+        let mut follower = with_broken_watch_at_51(&mut actions);
+        let (probe, _, ask) = take_call(&mut actions).expect("a call");
         assert_eq!(ask, changes(50, 0));
-        follower.call_ended(doubt, told(answered, false, true), ms(701), &mut out);
-        let (whole, _, ask) = call(&mut out).expect("a call");
+        follower.call_ended(probe, summary(answered, false, true), ms(701), &mut actions);
+        let (whole, _, ask) = take_call(&mut actions).expect("a call");
         assert_eq!(ask, Ask::Whole);
-        follower.call_ended(whole, told(2, true, false), ms(702), &mut out);
-        assert_eq!(out[0], Action::Tell { call: whole });
-        let (watch, _, ask) = call(&mut out).expect("a watch");
+        follower.call_ended(whole, summary(2, true, false), ms(702), &mut actions);
+        assert_eq!(actions[0], Action::Tell { call: whole });
+        let (watch, _, ask) = take_call(&mut actions).expect("a watch");
         assert!(is_watch(ask, 2), "{ask:?}");
-        follower.call_ended(watch, told(3, false, false), ms(900), &mut out);
-        assert!(is_watch(call(&mut out).expect("a watch").2, 3));
+        follower.call_ended(watch, summary(3, false, false), ms(900), &mut actions);
+        assert!(is_watch(take_call(&mut actions).expect("a watch").2, 3));
     }
 }
 
 #[test]
-fn a_service_that_came_back_as_it_was_costs_one_entry_and_no_whole_list() {
-    let mut out = Vec::new();
-    let mut follower = broken_at_51(&mut out);
-    let (doubt, ..) = call(&mut out).expect("a call");
-    follower.call_ended(doubt, told(51, false, false), ms(701), &mut out);
-    assert!(is_watch(call(&mut out).expect("a watch").2, 51));
+fn a_restarted_service_with_the_same_versions_sends_one_entry_and_not_the_whole_list() {
+    let mut actions = Vec::new();
+    let mut follower = with_broken_watch_at_51(&mut actions);
+    let (probe, ..) = take_call(&mut actions).expect("a call");
+    follower.call_ended(probe, summary(51, false, false), ms(701), &mut actions);
+    assert!(is_watch(take_call(&mut actions).expect("a watch").2, 51));
 }
 
 #[test]
-fn a_silent_watch_is_noticed_within_2_s_of_the_end_of_its_wait() {
+fn a_silent_watch_is_detected_within_2_s_after_the_end_of_its_wait() {
     for endpoints in [1, 3] {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut follower = Follower::new(endpoints, Some(5), Retry::Own, 7);
-        follower.start(ms(0), &mut out);
-        let (first, at, _) = call(&mut out).expect("a call");
+        follower.start(ms(0), &mut actions);
+        let (first, at, _) = take_call(&mut actions).expect("a call");
         let wake = follower.wake().expect("a time");
         assert!(wake <= ms(3000), "{wake:?}");
-        follower.tick(wake, &mut out);
-        let (second, next, ask) = call(&mut out).expect("another call");
+        follower.tick(wake, &mut actions);
+        let (second, next, ask) = take_call(&mut actions).expect("another call");
         assert_eq!(ask, changes(4, if endpoints == 1 { 0 } else { 1000 }));
         assert_eq!(next != at, endpoints > 1);
-        // The first may still be the one that is answered.
-        follower.call_ended(first, told(6, false, false), wake + ms(1), &mut out);
-        assert!(out.contains(&Action::Tell { call: first }) && out.contains(&Action::Drop { call: second }));
+        // The first call may still be answered.
+        follower.call_ended(first, summary(6, false, false), wake + ms(1), &mut actions);
+        assert!(
+            actions.contains(&Action::Tell { call: first })
+                && actions.contains(&Action::Drop { call: second })
+        );
     }
 }
 
-/// All watches of a fleet began together, and then fell silent together. A service that opens new ones in turn, and
-/// tells those off whose turn is over a second away, has told each node before the news counts as told: 2 s after the
-/// end of its wait. The grace for drains is not needed. Measured: of 6 nodes at 208 ms a turn, all of which came 1.9 s
-/// after the end of one and the same wait, four were told 0.1 to 0.8 s too late.
+/// All watches of a fleet started together and then fell silent together. The service opens new watches one
+/// after the other and refuses calls that would have to wait for more than a second. Every node must still be
+/// answered within 2 s after the end of its wait, when a change counts as known to it, without using the
+/// grace period for drains. The test guards against nodes that all reconnect at the same time: when 6 nodes
+/// came 1.9 s after the end of a common wait, at 208 ms per call, four of them were answered 0.1 to 0.8 s too
+/// late.
 #[test]
-fn a_fleet_whose_watches_fall_silent_together_is_told_in_time() {
-    for (nodes, turn) in [(6, 208), (300, 28)] {
+fn a_fleet_whose_watches_fall_silent_together_is_answered_in_time() {
+    for (nodes, time_per_call) in [(6, 208), (300, 28)] {
         for seed in 0..20 {
-            let late = told_late(nodes, ms(turn), seed);
-            assert!(late.is_empty(), "{nodes} nodes, {turn} ms a turn, seed {seed}: late by {late:?}");
+            let late = late_answers(nodes, ms(time_per_call), seed);
+            assert!(
+                late.is_empty(),
+                "{nodes} nodes, {time_per_call} ms a call, seed {seed}: late by {late:?}"
+            );
         }
     }
 }
 
-/// A node of such a fleet.
-struct Watcher {
+/// A node of this fleet.
+struct Node {
     follower: Follower,
-    /// The end of the wait of its watch, which is silent.
+    /// The end of the wait of its silent watch.
     end: Duration,
-    /// When discovery has its turn for this node's new call.
+    /// When the service answers this node's new call.
     answer: Option<Duration>,
-    /// When it asks again after a call that failed.
-    again: Option<Duration>,
+    /// When it retries after a failed call.
+    retry_at: Option<Duration>,
 }
 
-impl Watcher {
-    fn new(seed: u64, out: &mut Vec<Action>) -> Watcher {
+impl Node {
+    fn new(seed: u64, actions: &mut Vec<Action>) -> Node {
         let mut follower = Follower::new(1, Some(5), Retry::OnStart, seed);
-        follower.start(ms(0), out);
-        let (first, ..) = call(out).expect("a call");
-        follower.call_ended(first, told(5, false, true), ms(1000), out);
-        let (_, _, ask) = call(out).expect("a watch");
+        follower.start(ms(0), actions);
+        let (first, ..) = take_call(actions).expect("a call");
+        follower.call_ended(first, summary(5, false, true), ms(1000), actions);
+        let (_, _, ask) = take_call(actions).expect("a watch");
         let Ask::Changes { hold, .. } = ask else { panic!("{ask:?}") };
-        Watcher { follower, end: ms(1000) + hold, answer: None, again: None }
+        Node { follower, end: ms(1000) + hold, answer: None, retry_at: None }
     }
 
-    fn due(&self) -> Duration {
-        self.follower.wake().into_iter().chain(self.answer).chain(self.again).min().expect("a time")
+    fn next_event(&self) -> Duration {
+        self.follower.wake().into_iter().chain(self.answer).chain(self.retry_at).min().expect("a time")
     }
 }
 
-/// By how much each node of such a fleet that was told too late was.
-fn told_late(nodes: u64, turn: Duration, seed: u64) -> Vec<Duration> {
-    // A node asks again no later than this after a call that failed; discovery keeps none waiting for longer.
-    let (reask, longest_queue) = (ms(350), ms(1000));
-    let mut out = Vec::new();
-    let mut fleet: Vec<_> = (0..nodes).map(|node| Watcher::new(seed * 1000 + node, &mut out)).collect();
-    let (mut free, mut late) = (ms(0), Vec::new());
-    while let Some(place) = (0..fleet.len()).min_by_key(|&place| fleet[place].due()) {
-        let now = fleet[place].due();
+/// The delays of the nodes that were answered too late.
+fn late_answers(nodes: u64, time_per_call: Duration, seed: u64) -> Vec<Duration> {
+    // A node retries at the latest after the first time; the service lets no call wait longer than the
+    // second.
+    let (retry_delay, max_queue_time) = (ms(350), ms(1000));
+    let mut actions = Vec::new();
+    let mut fleet: Vec<_> = (0..nodes).map(|node| Node::new(seed * 1000 + node, &mut actions)).collect();
+    let (mut service_free_at, mut late) = (ms(0), Vec::new());
+    while let Some(place) = (0..fleet.len()).min_by_key(|&place| fleet[place].next_event()) {
+        let now = fleet[place].next_event();
         let node = &mut fleet[place];
         if node.answer.is_some_and(|at| at <= now) {
             late.extend(now.checked_sub(node.end + ms(2000)));
             fleet.swap_remove(place);
             continue;
         }
-        if node.again.is_some_and(|at| at <= now) {
-            node.again = None;
-            node.follower.start(now, &mut out);
+        if node.retry_at.is_some_and(|at| at <= now) {
+            node.retry_at = None;
+            node.follower.start(now, &mut actions);
         } else {
-            node.follower.tick(now, &mut out);
+            node.follower.tick(now, &mut actions);
         }
-        let Some((asked, ..)) = call(&mut out) else { continue };
-        free = free.max(now);
-        if free > now + longest_queue {
-            node.follower.call_ended(asked, None, now, &mut out);
-            out.clear();
-            node.again = Some(now + reask);
+        let Some((asked, ..)) = take_call(&mut actions) else { continue };
+        service_free_at = service_free_at.max(now);
+        if service_free_at > now + max_queue_time {
+            node.follower.call_ended(asked, None, now, &mut actions);
+            actions.clear();
+            node.retry_at = Some(now + retry_delay);
         } else {
-            free += turn;
-            node.answer.get_or_insert(free);
+            service_free_at += time_per_call;
+            node.answer.get_or_insert(service_free_at);
         }
     }
     late
 }
 
 #[test]
-fn an_endpoint_that_is_dead_or_behind_is_left_at_once() {
-    let mut out = Vec::new();
+fn the_follower_moves_on_at_once_from_an_endpoint_that_is_dead_or_behind() {
+    let mut actions = Vec::new();
     let mut follower = Follower::new(3, Some(9), Retry::Own, 7);
-    follower.start(ms(0), &mut out);
-    let (dead, first, _) = call(&mut out).expect("a call");
-    follower.call_ended(dead, None, ms(1), &mut out);
-    let (behind, second, _) = call(&mut out).expect("the next at once");
-    follower.call_ended(behind, told(8, false, true), ms(2), &mut out);
-    let (good, third, ask) = call(&mut out).expect("the next at once");
+    follower.start(ms(0), &mut actions);
+    let (dead, first, _) = take_call(&mut actions).expect("a call");
+    follower.call_ended(dead, None, ms(1), &mut actions);
+    let (behind, second, _) = take_call(&mut actions).expect("the next at once");
+    follower.call_ended(behind, summary(8, false, true), ms(2), &mut actions);
+    let (good, third, ask) = take_call(&mut actions).expect("the next at once");
     assert!(first != second && second != third && third != first);
     assert_eq!(ask, changes(8, 1000));
-    follower.call_ended(good, told(9, false, false), ms(3), &mut out);
-    assert!(out.contains(&Action::Tell { call: good }));
+    follower.call_ended(good, summary(9, false, false), ms(3), &mut actions);
+    assert!(actions.contains(&Action::Tell { call: good }));
 }
 
-/// 300 that lose their watch at once: when does each come back?
+/// 300 followers lose all endpoints at the same time. Their retries must be spread, not synchronized.
 #[test]
-fn many_that_lost_all_endpoints_come_back_spread() {
+fn followers_that_lost_all_endpoints_together_retry_at_different_times() {
     let mut back: Vec<u128> = (0..300)
         .map(|seed| {
-            let mut out = Vec::new();
+            let mut actions = Vec::new();
             let mut follower = Follower::new(3, Some(9), Retry::Own, seed);
-            follower.start(ms(0), &mut out);
-            while let Some((lost, ..)) = call(&mut out) {
-                follower.call_ended(lost, None, ms(1), &mut out);
+            follower.start(ms(0), &mut actions);
+            while let Some((lost, ..)) = take_call(&mut actions) {
+                follower.call_ended(lost, None, ms(1), &mut actions);
             }
             follower.wake().expect("a time").as_millis()
         })
@@ -211,69 +220,71 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Endpoints that all know the list, of which some lag, die, rot or say nothing: no news goes back, calls stay
-    /// bounded, and once all are well the newest version is told.
+    /// Endpoints of one service that lag, fail, send invalid answers or do not answer. No older version is
+    /// reported after a newer one, the number of calls stays bounded, and once all endpoints are healthy the
+    /// newest version is reported.
     #[test]
-    fn news_never_goes_back_and_the_newest_comes_in_the_end(
+    fn versions_never_decrease_and_the_newest_is_reported_in_the_end(
         endpoints in 1..4usize,
         seed in any::<u64>(),
         retry in prop_oneof![Just(Retry::Own), Just(Retry::OnStart), Just(Retry::Within(ms(60)))],
-        fates in prop::collection::vec((0..5u8, 0..3u64, 0..2500u64), 1..60),
+        outcomes in prop::collection::vec((0..5u8, 0..3u64, 0..2500u64), 1..60),
     ) {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut follower = Follower::new(endpoints, None, retry, seed);
-        // When its user starts it again after a failure, which is all that it may wait for.
-        let mut again = None;
+        // When its user starts it again after a failure. With `Retry::OnStart` nothing else may wake it.
+        let mut retry_at = None;
         let (mut now, mut version, mut last) = (ms(0), 5, 0);
-        let mut open: Vec<(CallId, Ask)> = Vec::new();
-        follower.start(now, &mut out);
-        // When each version was made: the first is there from the start.
-        let mut made = vec![now; 6];
-        let mut fates = fates.into_iter();
+        let mut in_flight: Vec<(CallId, Ask)> = Vec::new();
+        follower.start(now, &mut actions);
+        // When each version was created. The first exists from the start.
+        let mut created_at = vec![now; 6];
+        let mut outcomes = outcomes.into_iter();
         for _ in 0..400 {
-            for action in out.drain(..) {
+            for action in actions.drain(..) {
                 match action {
-                    Action::Call { call, ask, .. } => open.push((call, ask)),
-                    Action::Drop { call } => open.retain(|(out, _)| *out != call),
+                    Action::Call { call, ask, .. } => in_flight.push((call, ask)),
+                    Action::Drop { call } => in_flight.retain(|(id, _)| *id != call),
                     Action::Tell { .. } => {}
-                    Action::Failed => again = Some(now + ms(300)),
+                    Action::Failed => retry_at = Some(now + ms(300)),
                 }
             }
-            prop_assert!(open.len() <= 2, "{open:?}");
-            let (fate, lag, wait) = fates.next().unwrap_or((0, 0, 50));
-            let healthy = fate == 0;
-            let Some((call, ask)) = open.last().copied().filter(|_| fate != 4) else {
-                // Nothing is answered until the follower's own time comes.
-                let due = follower.wake().into_iter().chain(again.filter(|_| retry == Retry::OnStart)).min();
+            prop_assert!(in_flight.len() <= 2, "{in_flight:?}");
+            let (outcome, lag, wait) = outcomes.next().unwrap_or((0, 0, 50));
+            let healthy = outcome == 0;
+            let Some((call, ask)) = in_flight.last().copied().filter(|_| outcome != 4) else {
+                // No answer comes before the follower's next timer.
+                let due = follower.wake().into_iter().chain(retry_at.filter(|_| retry == Retry::OnStart)).min();
                 let Some(due) = due else { break };
                 now = now.max(due);
-                if again.take_if(|at| retry == Retry::OnStart && *at <= now).is_some() {
-                    follower.start(now, &mut out);
+                if retry_at.take_if(|at| retry == Retry::OnStart && *at <= now).is_some() {
+                    follower.start(now, &mut actions);
                 } else {
-                    follower.tick(now, &mut out);
+                    follower.tick(now, &mut actions);
                 }
                 continue;
             };
             now += ms(wait);
-            if fate == 1 {
+            if outcome == 1 {
                 version += 1;
-                made.push(now);
+                created_at.push(now);
             }
-            open.retain(|(out, _)| *out != call);
-            // A single one that answers less than it told has gone back; that is not played here.
+            in_flight.retain(|(id, _)| *id != call);
+            // A single endpoint that lags behind its own earlier answer has lost versions, which is not
+            // simulated here.
             let lag = if healthy || endpoints == 1 { 0 } else { lag.min(version) };
-            // No replica that answers lacks what was made longer ago than this.
-            let known_to_all = made.iter().rposition(|at| now - *at > ms(8000)).unwrap_or(0) as u64;
+            // Every replica that answers has all versions that are older than this.
+            let known_to_all = created_at.iter().rposition(|at| now - *at > ms(8000)).unwrap_or(0) as u64;
             let knows = (version - lag).max(known_to_all);
-            let answer = match (fate, ask) {
+            let answer = match (outcome, ask) {
                 (2, _) => None,
-                // Ours says 503 rather than answer older.
+                // The registry answers 503 rather than with a lower version than it was asked from.
                 (_, Ask::Changes { from, .. }) if from > knows => None,
-                (_, Ask::Changes { from, .. }) => told(knows, false, from == knows),
-                (_, Ask::Whole) => told(knows, true, false),
+                (_, Ask::Changes { from, .. }) => summary(knows, false, from == knows),
+                (_, Ask::Whole) => summary(knows, true, false),
             };
-            follower.call_ended(call, answer, now, &mut out);
-            if out.contains(&Action::Tell { call }) {
+            follower.call_ended(call, answer, now, &mut actions);
+            if actions.contains(&Action::Tell { call }) {
                 let knows = answer.expect("an answer").version;
                 prop_assert!(knows >= last, "{knows} after {last}");
                 last = knows;
