--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use shaletrail_registry_client::call::{Call, Line};
-use shaletrail_registry_client::fences::Book;
+use shaletrail_registry_client::fences::FenceTable;
 use shaletrail_registry_client::supervisor::{DUTY, FENCE};
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Thing {
-    book: Book,
+    book: FenceTable,
     accepted: Vec<Accepted>,
     refused: u64,
     /// Each call's fencing number, when it was first seen, and when last.
--- a/node/src/fences.rs
+++ b/node/src/fences.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 use serde_json::{json, Value};
-use shaletrail_registry_client::fences::{Barred, Book};
+use shaletrail_registry_client::fences::{FenceRefusal, FenceTable};
 use shaletrail_registry_protocol::duty::Fence;
 
 const FILE: &str = "duty-fences.json";
@@ -18,7 +18,7 @@
 /// Why a request with a fencing number is refused.
 #[derive(Debug)]
 pub enum FenceError {
-    Barred(Barred),
+    Refused(FenceRefusal),
     /// The number could not be stored, so a later process would accept an older one.
     NotStored(io::Error),
 }
@@ -26,7 +26,7 @@
 pub struct Fences {
     /// `None` if no state directory is configured; then the numbers are lost when the process ends.
     dir: Option<PathBuf>,
-    book: RefCell<Book>,
+    table: RefCell<FenceTable>,
 }
 
 /// 64-bit FNV-1a hash, which detects a damaged file.
@@ -46,7 +46,7 @@
 
 impl Fences {
     pub fn new(dir: Option<&Path>) -> Self {
-        Fences { dir: dir.map(Path::to_owned), book: RefCell::default() }
+        Fences { dir: dir.map(Path::to_owned), table: RefCell::default() }
     }
 
     /// Admits a change if its number is not older than any number that a process of this node has seen.
@@ -56,22 +56,22 @@
     /// stored.
     pub fn admit(&self, fence: &Fence) -> Result<(), FenceError> {
         let Some(dir) = &self.dir else {
-            return self.book.borrow_mut().admit(fence).map(drop).map_err(FenceError::Barred);
+            return self.table.borrow_mut().admit(fence).map(drop).map_err(FenceError::Refused);
         };
         // The lock makes the two processes read and write one after the other. It is released when the file
         // is closed.
         let lock = File::create(dir.join(LOCK)).map_err(FenceError::NotStored)?;
         lock.lock().map_err(FenceError::NotStored)?;
-        let mut seen = self.book.borrow().seen().clone();
+        let mut seen = self.table.borrow().seen().clone();
         for (duty, number) in self.stored(dir) {
             let newest = seen.entry(duty).or_default();
             *newest = number.max(*newest);
         }
         // Numbers that the other process has seen are kept in memory, even if the file is lost later.
-        let mut book = self.book.borrow_mut();
-        *book = Book::of(seen);
-        if book.admit(fence).map_err(FenceError::Barred)? {
-            store(dir, book.seen()).map_err(FenceError::NotStored)?;
+        let mut table = self.table.borrow_mut();
+        *table = FenceTable::from_numbers(seen);
+        if table.admit(fence).map_err(FenceError::Refused)? {
+            store(dir, table.seen()).map_err(FenceError::NotStored)?;
         }
         Ok(())
     }
@@ -112,7 +112,7 @@
         std::fs::create_dir_all(&dir).unwrap();
         let (one, two) = (Fences::new(Some(&dir)), Fences::new(Some(&dir)));
         let old = |fences: &Fences, number| {
-            matches!(fences.admit(&fence(number)), Err(FenceError::Barred(Barred::Old { .. })))
+            matches!(fences.admit(&fence(number)), Err(FenceError::Refused(FenceRefusal::Outdated { .. })))
         };
         assert!(one.admit(&fence(5)).is_ok() && one.admit(&fence(5)).is_ok());
         assert!(old(&two, 4) && two.admit(&fence(7)).is_ok());
--- a/node/src/operator_api.rs
+++ b/node/src/operator_api.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use percent_encoding::percent_decode_str;
 use shaletrail_policy::ServerId;
-use shaletrail_registry_client::fences::Barred;
+use shaletrail_registry_client::fences::FenceRefusal;
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinHandle};
@@ -173,11 +173,11 @@
         };
         match self.fences.admit(&fence) {
             Ok(()) => None,
-            Err(FenceError::Barred(barred @ Barred::Old { .. })) => {
-                Some(text_response(StatusCode::PRECONDITION_FAILED, format!("{barred}\n")))
+            Err(FenceError::Refused(refusal @ FenceRefusal::Outdated { .. })) => {
+                Some(text_response(StatusCode::PRECONDITION_FAILED, format!("{refusal}\n")))
             }
-            Err(FenceError::Barred(barred @ Barred::Full)) => {
-                Some(text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{barred}\n")))
+            Err(FenceError::Refused(refusal @ FenceRefusal::Full)) => {
+                Some(text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{refusal}\n")))
             }
             Err(FenceError::NotStored(e)) => {
                 let what = format!("fencing number not kept, so nothing is changed: {e}\n");
--- a/registry-client/src/fences.rs
+++ b/registry-client/src/fences.rs
@@ -1,32 +1,32 @@
 //! Fencing check for a resource that holders of duties change: a change is refused if its fencing number is
 //! older than the newest one seen for that duty. Does no I/O; an owner that persists the table stores
-//! [`Book::seen`].
+//! [`FenceTable::seen`].
 
 use std::collections::BTreeMap;
 
 use shaletrail_registry_protocol::duty::Fence;
 
 /// Highest number of duties in one table.
-pub const MOST_GUARDED: usize = 64;
+pub const MAX_DUTIES: usize = 64;
 
 /// Why a change is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Barred {
+pub enum FenceRefusal {
     #[error("duty {duty}: fencing number {fence} is old, {newest} has been here")]
-    Old { duty: String, fence: u64, newest: u64 },
-    #[error("{MOST_GUARDED} duties are told apart here, the most that can be")]
+    Outdated { duty: String, fence: u64, newest: u64 },
+    #[error("{MAX_DUTIES} duties are told apart here, the most that can be")]
     Full,
 }
 
 /// The newest fencing number seen for each duty. Numbers never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Book {
+pub struct FenceTable {
     seen: BTreeMap<String, u64>,
 }
 
-impl Book {
-    pub fn of(seen: BTreeMap<String, u64>) -> Self {
-        Book { seen }
+impl FenceTable {
+    pub fn from_numbers(seen: BTreeMap<String, u64>) -> Self {
+        FenceTable { seen }
     }
 
     pub fn seen(&self) -> &BTreeMap<String, u64> {
@@ -38,13 +38,13 @@
     ///
     /// # Errors
     /// The number is older than the newest one seen, or the table is full.
-    pub fn admit(&mut self, fence: &Fence) -> Result<bool, Barred> {
+    pub fn admit(&mut self, fence: &Fence) -> Result<bool, FenceRefusal> {
         let newest = self.seen.get(&fence.duty).copied();
         match newest {
             Some(newest) if fence.fence < newest => {
-                Err(Barred::Old { duty: fence.duty.clone(), fence: fence.fence, newest })
+                Err(FenceRefusal::Outdated { duty: fence.duty.clone(), fence: fence.fence, newest })
             }
-            None if self.seen.len() >= MOST_GUARDED => Err(Barred::Full),
+            None if self.seen.len() >= MAX_DUTIES => Err(FenceRefusal::Full),
             _ => {
                 self.seen.insert(fence.duty.clone(), fence.fence);
                 Ok(newest != Some(fence.fence))
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use shaletrail_registry::duties::{Duties, DutyCommand, Sign, Signs};
-use shaletrail_registry_client::fences::Book;
+use shaletrail_registry_client::fences::FenceTable;
 use shaletrail_registry_client::tenure::Tenure;
 use shaletrail_registry_protocol::duty::{Candidate, Fence, Standing, Why};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -67,7 +67,7 @@
     messages: BTreeSet<Message>,
     /// The holder's change, looked up at its clock and then under way.
     change: Option<u64>,
-    book: Book,
+    book: FenceTable,
     accepted: u64,
     out_of_order: bool,
 }
@@ -109,7 +109,7 @@
             released: false,
             messages: BTreeSet::new(),
             change: None,
-            book: Book::default(),
+            book: FenceTable::default(),
             accepted: 0,
             out_of_order: false,
         }
