--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 use shaletrail_registry_client::duty::Seat;
-use shaletrail_registry_client::tenure::MARGIN;
+use shaletrail_registry_client::lease::MARGIN_DIVISOR;
 use shaletrail_registry_protocol::duty::Transfer;
 
 use crate::bench::{machine, Spread};
@@ -83,7 +83,7 @@
     fn bound_ms(self, lease_ms: f64) -> f64 {
         match self {
             // Within the margin a command has to end that does not by itself.
-            Cause::Request => lease_ms / f64::from(MARGIN),
+            Cause::Request => lease_ms / f64::from(MARGIN_DIVISOR),
             Cause::Kill | Cause::Stop | Cause::Cut => lease_ms + LOOK_MS,
             // The new leader's leases begin with its first look.
             Cause::KillWithLeader => SUCCESSION_MS + LOOK_MS + lease_ms + LOOK_MS,
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -1,5 +1,5 @@
 //! Client of one duty: waits in the queue, renews the lease, and stops in time when the lease ends. Runs the
-//! logic of `tenure` with real calls and a real clock.
+//! logic of `lease` with real calls and a real clock.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 use crate::changes::{duty_path, ChangeError, Changes};
 use crate::clock::boot;
-use crate::tenure::{News, Tenure, Time};
+use crate::lease::{LeaseEvent, LeaseState, Time};
 
 /// A renewal of the holder waits at the service for an event for this fraction of the lease, and its timeout
 /// is longer by the second fraction. If such a call fails, the lease leaves time for two more.
@@ -73,7 +73,7 @@
     changes: Changes,
     name: String,
     who: Candidate,
-    tenure: Tenure,
+    lease_state: LeaseState,
     /// Whether an acquire call was sent under the current incarnation, answered or not.
     acquire_sent: bool,
     in_queue: bool,
@@ -108,7 +108,7 @@
         Ok(Seat {
             changes: Changes::new(endpoints),
             name: name.to_owned(),
-            tenure: Tenure::new(lease),
+            lease_state: LeaseState::new(lease),
             acquire_sent: false,
             in_queue: false,
             random_state: who.life | 1,
@@ -130,13 +130,13 @@
 
     /// The fencing number, if this process may act as holder now.
     pub fn holds(&self) -> Option<u64> {
-        self.tenure.holds(boot())
+        self.lease_state.holds(boot())
     }
 
     /// When the holder must begin to stop, and when the command that it runs must be killed, on the boot-time
     /// clock.
-    pub fn ends(&self) -> Option<(Time, Time)> {
-        self.tenure.ends()
+    pub fn deadlines(&self) -> Option<(Time, Time)> {
+        self.lease_state.deadlines()
     }
 
     /// The fence that changes made under this lease must carry.
@@ -149,22 +149,22 @@
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
         self.random_state ^= self.random_state << 17;
-        let most = (self.tenure.lease() / 20).min(MAX_BASE_PAUSE);
+        let most = (self.lease_state.lease() / 20).min(MAX_BASE_PAUSE);
         most / 4 + most.mul_f64((self.random_state % 1024) as f64 / 1024.0)
     }
 
     /// Sends one acquire or renewal, which is answered at an event or after `hold`.
-    async fn heartbeat(&mut self, hold: Duration) -> Result<News, ChangeError> {
+    async fn heartbeat(&mut self, hold: Duration) -> Result<LeaseEvent, ChangeError> {
         let (began, in_queue) = (boot(), self.in_queue);
-        let news = self.send_heartbeat(hold).await;
+        let event = self.send_heartbeat(hold).await;
         self.publish_deadline();
         // Only the leader lets a renewal wait. Another replica answers at once, so the wait is made up here
         // to keep the rate of calls.
         let early = hold.saturating_sub(boot().saturating_sub(began));
-        if in_queue && self.in_queue && matches!(news, Ok(News::None)) && early > hold / 2 {
+        if in_queue && self.in_queue && matches!(event, Ok(LeaseEvent::None)) && early > hold / 2 {
             sleep(early).await;
         }
-        news
+        event
     }
 
     /// Only the leader lets renewals wait, so this client searches the endpoints for it, at most once per
@@ -174,7 +174,7 @@
         let now = boot();
         if now >= self.next_leader_search {
             self.leaders_to_try = self.endpoints().len() - 1;
-            self.next_leader_search = now + self.tenure.lease();
+            self.next_leader_search = now + self.lease_state.lease();
         }
         if !direct && self.leaders_to_try > 0 {
             self.leaders_to_try -= 1;
@@ -183,17 +183,17 @@
     }
 
     fn publish_deadline(&self) {
-        let until = self.holds().and(self.ends()).map_or(0, |(until, _)| until.as_millis() as u64);
+        let until = self.holds().and(self.deadlines()).map_or(0, |(until, _)| until.as_millis() as u64);
         self.until.store(until, Ordering::Release);
     }
 
-    async fn send_heartbeat(&mut self, hold: Duration) -> Result<News, ChangeError> {
+    async fn send_heartbeat(&mut self, hold: Duration) -> Result<LeaseEvent, ChangeError> {
         let sent = boot();
-        let lease = self.tenure.lease();
+        let lease = self.lease_state.lease();
         let time = hold + (lease / CALL_MARGIN_DIVISOR).max(MIN_CALL_MARGIN);
         let who = self.who.clone();
         let standing: Result<Standing, ChangeError> = if self.in_queue {
-            let holds = self.tenure.holds(sent).is_some();
+            let holds = self.lease_state.holds(sent).is_some();
             let request = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
             let body = serde_json::to_vec(&request)?.into();
             self.changes.once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
@@ -208,11 +208,11 @@
                 self.in_queue = true;
                 self.give_way = standing.give_way;
                 self.search_leader(standing.direct);
-                Ok(self.tenure.told(sent, Some(&standing), boot()))
+                Ok(self.lease_state.answer_received(sent, Some(&standing), boot()))
             }
             Err(ChangeError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
                 self.in_queue = false;
-                Ok(self.tenure.told(sent, None, boot()))
+                Ok(self.lease_state.answer_received(sent, None, boot()))
             }
             Err(e) => Err(e),
         }
@@ -229,7 +229,7 @@
         loop {
             match self.heartbeat(hold).await {
                 // The duty was granted, but this process was suspended until the lease had ended.
-                Ok(News::Lost) => {
+                Ok(LeaseEvent::Lost) => {
                     self.release(Why::Lapsed).await;
                     hold = Duration::ZERO;
                 }
@@ -237,7 +237,7 @@
                     if let Some(fence) = self.holds() {
                         return Ok(fence);
                     }
-                    hold = (self.tenure.lease() / 4).min(LONGEST_HOLD);
+                    hold = (self.lease_state.lease() / 4).min(LONGEST_HOLD);
                     if !last_logged.is_empty() {
                         say(format!("{}: in the queue again", self.name));
                         last_logged.clear();
@@ -261,18 +261,18 @@
 
     /// Renews the lease until it ends. `renewed` is called with its new deadlines. The future is cancel safe.
     pub async fn keep(&mut self, mut renewed: impl FnMut(Time, Time)) -> Ended {
-        let mut hold = self.tenure.lease() / HOLD_DIVISOR;
+        let mut hold = self.lease_state.lease() / HOLD_DIVISOR;
         loop {
-            let Some((until, kill)) = self.ends() else { return Ended::Lost };
+            let Some((until, kill)) = self.deadlines() else { return Ended::Lost };
             renewed(until, kill);
             let told = tokio::select! {
                 told = self.heartbeat(hold.min(LONGEST_HOLD)) => told,
                 () = wait_until(until) => return Ended::Clock,
             };
             match told {
-                Ok(News::GiveWay) => return Ended::Asked,
-                Ok(News::Lost) => return if boot() >= until { Ended::Clock } else { Ended::Lost },
-                Ok(News::None | News::Won) => hold = self.tenure.lease() / HOLD_DIVISOR,
+                Ok(LeaseEvent::StopRequested) => return Ended::Asked,
+                Ok(LeaseEvent::Lost) => return if boot() >= until { Ended::Clock } else { Ended::Lost },
+                Ok(LeaseEvent::None | LeaseEvent::Acquired) => hold = self.lease_state.lease() / HOLD_DIVISOR,
                 Err(_) => {
                     hold = Duration::ZERO;
                     let pause = self.pause();
@@ -291,13 +291,13 @@
     pub async fn release(&mut self, why: Why) {
         self.until.store(0, Ordering::Release);
         let request = Release { who: self.who.clone(), why };
-        let (path, lease) = (duty_path(&self.name, "release"), self.tenure.lease());
+        let (path, lease) = (duty_path(&self.name, "release"), self.lease_state.lease());
         if self.acquire_sent {
             let _ = self.changes.put::<Duty>(Method::POST, &path, &request, lease / 2).await;
         }
         self.who.life = (self.who.life + 1) % MOST_EXACT;
         (self.acquire_sent, self.in_queue, self.give_way) = (false, false, false);
-        self.tenure = Tenure::new(lease);
+        self.lease_state = LeaseState::new(lease);
         // Handles of the previous lease keep the old counter, which says that the lease is over.
         self.until = Arc::default();
     }
@@ -307,7 +307,7 @@
         let fence = self.fence()?;
         let mut changes = Changes::new(self.endpoints().to_vec());
         changes.under(Some(&fence));
-        Some(Held { fence, lease: self.tenure.lease(), until: Arc::clone(&self.until), changes })
+        Some(Held { fence, lease: self.lease_state.lease(), until: Arc::clone(&self.until), changes })
     }
 }
 
--- a/registry-client/src/tenure.rs
+++ b/registry-client/src/lease.rs
@@ -16,17 +16,17 @@
 /// The safety margin is the lease divided by this. Half of the margin is the time between asking the holder's
 /// command to stop and killing it; the other half covers clock rates and pauses between reading the clock and
 /// acting.
-pub const MARGIN: u32 = 5;
+pub const MARGIN_DIVISOR: u32 = 5;
 
 /// What an answer means for the candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LeaseEvent {
     /// Nothing has changed.
     None,
     /// The candidate holds the duty from now on.
-    Won,
+    Acquired,
     /// The holder is asked to stop and to release the duty.
-    GiveWay,
+    StopRequested,
     /// The lease is over, by the answer or by the process's own clock.
     Lost,
 }
@@ -34,7 +34,7 @@
 /// One candidacy, from queueing to the end of the lease. Invariant: `holds` returns `None` from the time when
 /// the last answered call was sent, plus the lease, minus the margin.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Tenure {
+pub struct LeaseState {
     lease: Duration,
     margin: Duration,
     held: Option<Held>,
@@ -47,13 +47,13 @@
     until: Time,
 }
 
-impl Tenure {
+impl LeaseState {
     pub fn new(lease: Duration) -> Self {
-        Tenure::with_margin(lease, lease / MARGIN)
+        LeaseState::with_margin(lease, lease / MARGIN_DIVISOR)
     }
 
     pub fn with_margin(lease: Duration, margin: Duration) -> Self {
-        Tenure { lease, margin, held: None, over: false }
+        LeaseState { lease, margin, held: None, over: false }
     }
 
     pub fn lease(&self) -> Duration {
@@ -67,39 +67,39 @@
 
     /// When the holder must begin to stop, and when the command that it runs must be killed. `None` before
     /// the grant.
-    pub fn ends(&self) -> Option<(Time, Time)> {
+    pub fn deadlines(&self) -> Option<(Time, Time)> {
         self.held.map(|held| (held.until, held.until + self.margin / 2))
     }
 
     /// Handles the answer to an acquire or a renewal that was sent at `sent`. `standing` is `None` if the
     /// registry answered that the candidate is not in the queue.
-    pub fn told(&mut self, sent: Time, standing: Option<&Standing>, now: Time) -> News {
+    pub fn answer_received(&mut self, sent: Time, standing: Option<&Standing>, now: Time) -> LeaseEvent {
         if self.held.is_some() && self.holds(now).is_none() {
             self.over = true;
         }
         let until = sent + self.lease - self.margin;
         match (standing.filter(|standing| standing.holds), &mut self.held) {
-            _ if self.over => return News::Lost,
-            (None, None) => return News::None,
+            _ if self.over => return LeaseEvent::Lost,
+            (None, None) => return LeaseEvent::None,
             (None, Some(_)) => {
                 self.over = true;
-                return News::Lost;
+                return LeaseEvent::Lost;
             }
             (Some(standing), Some(held)) if held.fence != standing.fence => {
                 self.over = true;
-                return News::Lost;
+                return LeaseEvent::Lost;
             }
             (Some(_), Some(held)) => held.until = held.until.max(until),
             // The grant is too old to act on; the next answer may extend it.
-            (Some(_), None) if now >= until => return News::None,
+            (Some(_), None) if now >= until => return LeaseEvent::None,
             (Some(standing), held @ None) => {
                 *held = Some(Held { fence: standing.fence, until });
-                return News::Won;
+                return LeaseEvent::Acquired;
             }
         }
         match standing.is_some_and(|standing| standing.give_way) {
-            true => News::GiveWay,
-            false => News::None,
+            true => LeaseEvent::StopRequested,
+            false => LeaseEvent::None,
         }
     }
 }
--- a/registry-client/src/lib.rs
+++ b/registry-client/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the list service (the registry). It retries and fails over between the service's endpoints.
 //!
 //! `follow` decides without I/O how to follow the list; `driver` runs it on sockets and a clock. `changes`
-//! sends changes and retries them until they are acknowledged or refused. `tenure` decides without I/O how
+//! sends changes and retries them until they are acknowledged or refused. `lease` decides without I/O how
 //! long a duty is held; `duty` runs it, and `supervisor` runs a command for as long as the duty is held.
 
 #![deny(unsafe_code)]
@@ -19,6 +19,6 @@
 #[cfg(feature = "duty")]
 pub mod keeper;
 #[cfg(feature = "duty")]
-pub mod supervisor;
+pub mod lease;
 #[cfg(feature = "duty")]
-pub mod tenure;
+pub mod supervisor;
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -19,7 +19,7 @@
 
 use crate::clock::boot;
 use crate::duty::{DutyError, Ended, Seat};
-use crate::tenure::Time;
+use crate::lease::Time;
 
 /// Environment variables of the command: the duty's name, the fencing number, and the registry's endpoints.
 pub const DUTY: &str = "SHALETRAIL_DUTY";
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -8,7 +8,7 @@
 
 use shaletrail_registry::duties::{Duties, DutyCommand, Sign, Signs};
 use shaletrail_registry_client::fences::FenceTable;
-use shaletrail_registry_client::tenure::Tenure;
+use shaletrail_registry_client::lease::LeaseState;
 use shaletrail_registry_protocol::duty::{Candidate, Fence, Standing, Why};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -60,7 +60,7 @@
     proposed: Option<DutyCommand>,
     clock: u64,
     slipped: Option<u64>,
-    tenure: Tenure,
+    tenure: LeaseState,
     joined: bool,
     sent: bool,
     released: bool,
@@ -103,7 +103,7 @@
             proposed: None,
             clock: 0,
             slipped: None,
-            tenure: Tenure::with_margin(ticks(LEASE), ticks(margin)),
+            tenure: LeaseState::with_margin(ticks(LEASE), ticks(margin)),
             joined: false,
             sent: false,
             released: false,
@@ -173,7 +173,7 @@
             Message::Answer { sent, fence } => {
                 world.joined = fence.is_some();
                 let standing = fence.map(standing);
-                world.tenure.told(ticks(*sent), standing.as_ref(), ticks(world.clock));
+                world.tenure.answer_received(ticks(*sent), standing.as_ref(), ticks(world.clock));
             }
         }
     }
@@ -270,7 +270,7 @@
             Step::Release => {
                 // It has stopped; its next candidacy is another life.
                 world.released = true;
-                world.tenure = Tenure::with_margin(ticks(LEASE), ticks(self.margin));
+                world.tenure = LeaseState::with_margin(ticks(LEASE), ticks(self.margin));
                 world.messages.retain(|message| matches!(message, Message::Sign { .. }));
                 world.duties.apply(DutyCommand::Release {
                     name: NAME.into(),
@@ -344,7 +344,7 @@
     for dies in 0..LEASE {
         for successions in [vec![], vec![dies + 1], vec![0, dies + 2], vec![dies + LEASE - 1, dies + LEASE]] {
             let mut world = World::begin(1);
-            let mut second = Tenure::with_margin(ticks(LEASE), ticks(1));
+            let mut second = LeaseState::with_margin(ticks(LEASE), ticks(1));
             // An ordinary waiter here, which is told of its standing.
             world.duties = Duties::default();
             world.duties.apply(acquire(0));
@@ -361,7 +361,7 @@
                     let sign = signs.sign(NAME, &who(n), &world.duties, ticks(now));
                     let told = world.duties.standing(NAME, &who(n)).filter(|_| sign == Sign::Noted);
                     if n == 1 {
-                        second.told(ticks(now), told.as_ref(), ticks(now));
+                        second.answer_received(ticks(now), told.as_ref(), ticks(now));
                     }
                 }
                 if let Some(command) = world.look() {
