--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use shaletrail_registry_client::changes::{duty_path, ChangeError, Changes};
 use shaletrail_registry_client::clock::unix;
-use shaletrail_registry_client::duty::{DutyError, Seat};
+use shaletrail_registry_client::duty::{DutyClient, DutyError};
 use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
 use shaletrail_registry_protocol::duty::{
     Checkpoint, Duties, Duty, Kept, Transfer, Why, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
@@ -303,14 +303,14 @@
         return Err(Failure::Invalid("--failures: 1 or more expected, got 0".into()));
     }
     let id = args.id.unwrap_or_else(default_id);
-    let seat = Seat::new(args.service.registry, &args.name, &id, random_life(), args.lease_s);
-    let mut seat = seat.map_err(Failure::invalid)?;
+    let client = DutyClient::new(args.service.registry, &args.name, &id, random_life(), args.lease_s);
+    let mut client = client.map_err(Failure::invalid)?;
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let mut command: Vec<OsString> = vec![program.into(), "duty".into(), "supervise".into(), "--".into()];
     command.extend(args.command);
     let work = Work { supervisor: command, failures: args.failures };
     let say = |what: String| tracing::info!("{what}");
-    match supervisor::run(&mut seat, &work, shutdown_signal(), say).await {
+    match supervisor::run(&mut client, &work, shutdown_signal(), say).await {
         Ok(Finished::Done | Finished::Stopped) => Ok(()),
         Ok(Finished::Failed(code)) => Err(Failure::Failed(format!(
             "{}: the command failed {} times in a row, the last time with {code}",
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use shaletrail_registry::{restore, Folder, Options, ServiceError};
 use shaletrail_registry_client::changes::{ChangeError, Changes};
-use shaletrail_registry_client::duty::{serve, Seat};
+use shaletrail_registry_client::duty::{run_while_held, DutyClient};
 use shaletrail_registry_client::keeper::{self, Backups};
 use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
 
@@ -184,15 +184,16 @@
                     .map_err(|e| Failure::Failed(format!("{}: {e}", plan.folder.display())))?;
             }
             let id = id.unwrap_or_else(duty::default_id);
-            let seat = |name| Seat::new(service.registry.clone(), name, &id, duty::random_life(), lease_s);
-            let (mut backup_seat, mut expiry_seat) = (
-                seat(keeper::BACKUP).map_err(Failure::invalid)?,
-                seat(keeper::EXPIRY).map_err(Failure::invalid)?,
+            let new_client =
+                |name| DutyClient::new(service.registry.clone(), name, &id, duty::random_life(), lease_s);
+            let (mut backup_client, mut expiry_client) = (
+                new_client(keeper::BACKUP).map_err(Failure::invalid)?,
+                new_client(keeper::EXPIRY).map_err(Failure::invalid)?,
             );
             let say = |what: String| tracing::info!("{what}");
             let backing_up = async {
                 let Some(plan) = &plan else { return Ok(()) };
-                serve(&mut backup_seat, shutdown_signal(), say, async |held| {
+                run_while_held(&mut backup_client, shutdown_signal(), say, async |held| {
                     keeper::back_up(held, plan, say).await
                 })
                 .await
@@ -201,8 +202,10 @@
                 if no_expiry {
                     return Ok(());
                 }
-                serve(&mut expiry_seat, shutdown_signal(), say, async |held| keeper::confirm(held, say).await)
-                    .await
+                run_while_held(&mut expiry_client, shutdown_signal(), say, async |held| {
+                    keeper::confirm(held, say).await
+                })
+                .await
             };
             let (backups, expiry) = tokio::join!(backing_up, confirming);
             backups.and(expiry).map_err(Failure::failed)
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -720,16 +720,21 @@
     for n in 0..WAITERS as u64 {
         let told = told.clone();
         runtime.spawn(async move {
-            let mut seat =
-                shaletrail_registry_client::duty::Seat::new(vec![ops], "herd", &format!("w{n}"), n, lease_s)
-                    .expect("a client of the duty");
+            let mut client = shaletrail_registry_client::duty::DutyClient::new(
+                vec![ops],
+                "herd",
+                &format!("w{n}"),
+                n,
+                lease_s,
+            )
+            .expect("a client of the duty");
             loop {
-                let Ok(fence) = seat.win(|_| {}).await else { return };
+                let Ok(fence) = client.acquire(|_| {}).await else { return };
                 if told.send(fence).is_err() {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
-                seat.release(shaletrail_registry_protocol::duty::Why::Released).await;
+                client.release(shaletrail_registry_protocol::duty::Why::Released).await;
             }
         });
     }
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
-use shaletrail_registry_client::duty::Seat;
+use shaletrail_registry_client::duty::DutyClient;
 use shaletrail_registry_client::lease::MARGIN_DIVISOR;
 use shaletrail_registry_protocol::duty::Transfer;
 
@@ -190,12 +190,14 @@
         let ops = ops.clone();
         runtime.spawn(async move {
             let name = format!("d{}", n % duties);
-            let Ok(mut seat) = Seat::new(ops, &name, &format!("c{n}"), n as u64, 10.0) else { return };
+            let Ok(mut client) = DutyClient::new(ops, &name, &format!("c{n}"), n as u64, 10.0) else {
+                return;
+            };
             loop {
-                if seat.win(|_| {}).await.is_err() {
+                if client.acquire(|_| {}).await.is_err() {
                     return;
                 }
-                seat.keep(|_, _| {}).await;
+                client.keep_renewing(|_, _| {}).await;
             }
         });
     }
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -41,35 +41,35 @@
     Refused { duty: String, why: String },
     /// The lease has ended by this process's own clock; nothing was sent.
     #[error("{0}: the duty is no longer held")]
-    Over(String),
+    NotHeld(String),
     #[error("{duty}: {error}")]
     Change { duty: String, error: ChangeError },
 }
 
 /// How the holding of a duty ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum LeaseEnd {
     /// An operator asked the holder to stop.
     Asked,
     /// The registry answered that this process no longer holds the duty.
     Lost,
     /// No renewal was answered in time: the lease ended by this process's own clock.
-    Clock,
+    Expired,
 }
 
-impl Ended {
+impl LeaseEnd {
     /// A description for the log.
     pub fn description(self) -> &'static str {
         match self {
-            Ended::Asked => "stopped on an operator's request; releasing the duty",
-            Ended::Lost => "no longer the holder according to the registry; stopped",
-            Ended::Clock => "no renewal was answered within the lease; stopped",
+            LeaseEnd::Asked => "stopped on an operator's request; releasing the duty",
+            LeaseEnd::Lost => "no longer the holder according to the registry; stopped",
+            LeaseEnd::Expired => "no renewal was answered within the lease; stopped",
         }
     }
 }
 
 /// A process's candidacy for one duty, from queueing to release.
-pub struct Seat {
+pub struct DutyClient {
     changes: Changes,
     name: String,
     who: Candidate,
@@ -88,7 +88,7 @@
     until: Arc<AtomicU64>,
 }
 
-impl Seat {
+impl DutyClient {
     /// `life` distinguishes this candidacy from those of earlier processes, whose work may still run; each
     /// process must draw it at random.
     ///
@@ -100,12 +100,12 @@
         id: &str,
         life: u64,
         lease_s: f64,
-    ) -> Result<Seat, DutyError> {
+    ) -> Result<DutyClient, DutyError> {
         check_id(name).map_err(|Invalid(what)| Invalid(format!("duty: {what}")))?;
         let who = Candidate { id: id.to_owned(), life: life % MOST_EXACT };
         who.check()?;
         let lease = check_lease(lease_s)?;
-        Ok(Seat {
+        Ok(DutyClient {
             changes: Changes::new(endpoints),
             name: name.to_owned(),
             lease_state: LeaseState::new(lease),
@@ -223,7 +223,7 @@
     ///
     /// # Errors
     /// The registry refused the candidate.
-    pub async fn win(&mut self, mut say: impl FnMut(String)) -> Result<u64, DutyError> {
+    pub async fn acquire(&mut self, mut say: impl FnMut(String)) -> Result<u64, DutyError> {
         let mut last_logged = String::new();
         let mut hold = Duration::ZERO;
         loop {
@@ -260,25 +260,27 @@
     }
 
     /// Renews the lease until it ends. `renewed` is called with its new deadlines. The future is cancel safe.
-    pub async fn keep(&mut self, mut renewed: impl FnMut(Time, Time)) -> Ended {
+    pub async fn keep_renewing(&mut self, mut renewed: impl FnMut(Time, Time)) -> LeaseEnd {
         let mut hold = self.lease_state.lease() / HOLD_DIVISOR;
         loop {
-            let Some((until, kill)) = self.deadlines() else { return Ended::Lost };
+            let Some((until, kill)) = self.deadlines() else { return LeaseEnd::Lost };
             renewed(until, kill);
             let told = tokio::select! {
                 told = self.heartbeat(hold.min(LONGEST_HOLD)) => told,
-                () = wait_until(until) => return Ended::Clock,
+                () = wait_until(until) => return LeaseEnd::Expired,
             };
             match told {
-                Ok(LeaseEvent::StopRequested) => return Ended::Asked,
-                Ok(LeaseEvent::Lost) => return if boot() >= until { Ended::Clock } else { Ended::Lost },
+                Ok(LeaseEvent::StopRequested) => return LeaseEnd::Asked,
+                Ok(LeaseEvent::Lost) => {
+                    return if boot() >= until { LeaseEnd::Expired } else { LeaseEnd::Lost }
+                }
                 Ok(LeaseEvent::None | LeaseEvent::Acquired) => hold = self.lease_state.lease() / HOLD_DIVISOR,
                 Err(_) => {
                     hold = Duration::ZERO;
                     let pause = self.pause();
                     tokio::select! {
                         () = sleep(pause) => {}
-                        () = wait_until(until) => return Ended::Clock,
+                        () = wait_until(until) => return LeaseEnd::Expired,
                     }
                 }
             }
@@ -303,16 +305,16 @@
     }
 
     /// A handle for the work that is done while this client renews the lease. `None` if the duty is not held.
-    pub fn held(&self) -> Option<Held> {
+    pub fn held_duty(&self) -> Option<HeldDuty> {
         let fence = self.fence()?;
         let mut changes = Changes::new(self.endpoints().to_vec());
         changes.under(Some(&fence));
-        Some(Held { fence, lease: self.lease_state.lease(), until: Arc::clone(&self.until), changes })
+        Some(HeldDuty { fence, lease: self.lease_state.lease(), until: Arc::clone(&self.until), changes })
     }
 }
 
 /// A held duty, as the work that is done under it sees it.
-pub struct Held {
+pub struct HeldDuty {
     pub fence: Fence,
     lease: Duration,
     until: Arc<AtomicU64>,
@@ -320,7 +322,7 @@
     pub changes: Changes,
 }
 
-impl Held {
+impl HeldDuty {
     /// Whether this process may still act as holder, by its own clock.
     pub fn holds(&self) -> bool {
         boot().as_millis() < u128::from(self.until.load(Ordering::Acquire))
@@ -334,7 +336,7 @@
     ///
     /// # Errors
     /// The failure of the last endpoint.
-    pub async fn left(&mut self) -> Result<Kept, DutyError> {
+    pub async fn checkpoint(&mut self) -> Result<Kept, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
         self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
     }
@@ -343,9 +345,9 @@
     ///
     /// # Errors
     /// The duty is no longer held, or `expect` is not the current version.
-    pub async fn leave(&mut self, expect: u64, data: &str) -> Result<Kept, DutyError> {
+    pub async fn write_checkpoint(&mut self, expect: u64, data: &str) -> Result<Kept, DutyError> {
         if !self.holds() {
-            return Err(DutyError::Over(self.fence.duty.clone()));
+            return Err(DutyError::NotHeld(self.fence.duty.clone()));
         }
         let request = Checkpoint { fence: self.fence.fence, expect, data: data.to_owned() };
         let path = duty_path(&self.fence.duty, "checkpoint");
@@ -364,20 +366,20 @@
 ///
 /// # Errors
 /// The registry refused the candidate.
-pub async fn serve(
-    seat: &mut Seat,
+pub async fn run_while_held(
+    client: &mut DutyClient,
     stop: impl Future<Output = ()>,
     mut say: impl FnMut(String),
-    mut work: impl AsyncFnMut(Held),
+    mut work: impl AsyncFnMut(HeldDuty),
 ) -> Result<(), DutyError> {
     tokio::pin!(stop);
     loop {
         let won = tokio::select! {
-            won = seat.win(&mut say) => Some(won?),
+            won = client.acquire(&mut say) => Some(won?),
             () = &mut stop => None,
         };
-        let Some(held) = won.and_then(|_| seat.held()) else {
-            seat.release(Why::Released).await;
+        let Some(held) = won.and_then(|_| client.held_duty()) else {
+            client.release(Why::Released).await;
             if won.is_none() {
                 return Ok(());
             }
@@ -385,20 +387,21 @@
         };
         say(format!("{}: held with fencing number {}", held.fence.duty, held.fence.fence));
         let ended = tokio::select! {
-            ended = seat.keep(|_, _| {}) => Some(ended),
+            ended = client.keep_renewing(|_, _| {}) => Some(ended),
             () = work(held) => None,
             () = &mut stop => {
-                seat.release(Why::Released).await;
+                client.release(Why::Released).await;
                 return Ok(());
             }
         };
-        say(format!("{}: {}", seat.name(), ended.map_or("done", Ended::description)));
-        seat.release(match ended {
-            Some(Ended::Asked) => Why::Asked,
-            Some(_) => Why::Lapsed,
-            None => Why::Released,
-        })
-        .await;
+        say(format!("{}: {}", client.name(), ended.map_or("done", LeaseEnd::description)));
+        client
+            .release(match ended {
+                Some(LeaseEnd::Asked) => Why::Asked,
+                Some(_) => Why::Lapsed,
+                None => Why::Released,
+            })
+            .await;
     }
 }
 
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/keeper.rs
@@ -14,7 +14,7 @@
 use crate::agent::answers;
 use crate::changes::Changes;
 use crate::clock;
-use crate::duty::{DutyError, Held};
+use crate::duty::{DutyError, HeldDuty};
 
 /// The duties' names.
 pub const BACKUP: &str = "registry-backup";
@@ -88,7 +88,7 @@
 }
 
 /// Takes backups on schedule. The schedule continues from the last backup, also if another keeper took it.
-pub async fn back_up(mut held: Held, plan: &Backups, mut say: impl FnMut(String)) {
+pub async fn back_up(mut held: HeldDuty, plan: &Backups, mut say: impl FnMut(String)) {
     loop {
         let wait = match back_up_if_due(&mut held, plan).await {
             Ok(None) => (plan.every / 4).min(MAX_CHECK_INTERVAL),
@@ -105,8 +105,8 @@
     }
 }
 
-async fn back_up_if_due(held: &mut Held, plan: &Backups) -> Result<Option<BackupRecord>, BackupError> {
-    let checkpoint = held.left().await?;
+async fn back_up_if_due(held: &mut HeldDuty, plan: &Backups) -> Result<Option<BackupRecord>, BackupError> {
+    let checkpoint = held.checkpoint().await?;
     // If the checkpoint is missing or not readable, a backup is due at once.
     let last: BackupRecord = serde_json::from_str(&checkpoint.data).unwrap_or_default();
     let taken_ms = clock::unix().as_millis() as u64;
@@ -118,7 +118,7 @@
     let bytes = save(&mut held.changes, &plan.folder.join(&file)).await?;
     prune(plan)?;
     let taken = BackupRecord { taken_ms, file, bytes };
-    held.leave(checkpoint.version, &serde_json::to_string(&taken).unwrap_or_default()).await?;
+    held.write_checkpoint(checkpoint.version, &serde_json::to_string(&taken).unwrap_or_default()).await?;
     Ok(Some(taken))
 }
 
@@ -188,7 +188,7 @@
 
 /// Checks the entries whose expiry is stopped, confirms the expiry if all of their servers were found gone in
 /// two checks in a row, and logs why entries stay.
-pub async fn confirm(mut held: Held, mut say: impl FnMut(String)) {
+pub async fn confirm(mut held: HeldDuty, mut say: impl FnMut(String)) {
     let mut gone_last_time: Vec<String> = Vec::new();
     let mut last_logged = String::new();
     loop {
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::boot;
-use crate::duty::{DutyError, Ended, Seat};
+use crate::duty::{DutyClient, DutyError, LeaseEnd};
 use crate::lease::Time;
 
 /// Environment variables of the command: the duty's name, the fencing number, and the registry's endpoints.
@@ -158,12 +158,12 @@
 /// The pipe to a supervisor's standard input.
 struct SupervisorInput(ChildStdin);
 
-fn start(work: &Work, seat: &Seat, fence: u64) -> io::Result<(Supervisor, SupervisorInput)> {
-    let endpoints: Vec<String> = seat.endpoints().iter().map(ToString::to_string).collect();
+fn start(work: &Work, client: &DutyClient, fence: u64) -> io::Result<(Supervisor, SupervisorInput)> {
+    let endpoints: Vec<String> = client.endpoints().iter().map(ToString::to_string).collect();
     let mut command = tokio::process::Command::new(&work.supervisor[0]);
     command
         .args(&work.supervisor[1..])
-        .env(DUTY, seat.name())
+        .env(DUTY, client.name())
         .env(FENCE, fence.to_string())
         .env(REGISTRY, endpoints.join(","))
         .stdin(std::process::Stdio::piped())
@@ -219,35 +219,35 @@
 /// # Errors
 /// The registry refused the candidate, or the supervisor can't be started.
 pub async fn run(
-    seat: &mut Seat,
+    client: &mut DutyClient,
     work: &Work,
     stop: impl std::future::Future<Output = ()>,
     mut say: impl FnMut(String),
 ) -> Result<Finished, RunError> {
     tokio::pin!(stop);
-    let name = seat.name().to_owned();
+    let name = client.name().to_owned();
     loop {
         say(format!("{name}: waiting in the queue"));
         let fence = tokio::select! {
-            fence = seat.win(&mut say) => fence?,
+            fence = client.acquire(&mut say) => fence?,
             () = &mut stop => {
-                seat.release(Why::Released).await;
+                client.release(Why::Released).await;
                 return Ok(Finished::Stopped);
             }
         };
         say(format!("{name}: held with fencing number {fence}"));
-        match run_until_lease_end(seat, work, fence, stop.as_mut(), &mut say).await {
+        match run_until_lease_end(client, work, fence, stop.as_mut(), &mut say).await {
             Err(error) => {
-                seat.release(Why::Failed).await;
+                client.release(Why::Failed).await;
                 return Err(error.into());
             }
             Ok(RunEnd::Finished(why, finished)) => {
-                seat.release(why).await;
+                client.release(why).await;
                 return Ok(finished);
             }
-            Ok(RunEnd::Ended(ended)) => {
+            Ok(RunEnd::Lease(ended)) => {
                 say(format!("{name}: {}", ended.description()));
-                seat.release(if ended == Ended::Asked { Why::Asked } else { Why::Lapsed }).await;
+                client.release(if ended == LeaseEnd::Asked { Why::Asked } else { Why::Lapsed }).await;
             }
         }
     }
@@ -264,13 +264,13 @@
 
 enum RunEnd {
     Finished(Why, Finished),
-    Ended(Ended),
+    Lease(LeaseEnd),
 }
 
 /// Runs the command until the lease ends or the command is finished. When it returns, no process of the
 /// command runs any more.
 async fn run_until_lease_end(
-    seat: &mut Seat,
+    client: &mut DutyClient,
     work: &Work,
     fence: u64,
     mut stop: std::pin::Pin<&mut impl std::future::Future<Output = ()>>,
@@ -278,10 +278,10 @@
 ) -> io::Result<RunEnd> {
     let (mut backoff, mut failures) = (MIN_BACKOFF, 0);
     loop {
-        let (mut supervisor, mut input) = start(work, seat, fence)?;
+        let (mut supervisor, mut input) = start(work, client, fence)?;
         let (started, kill) = (boot(), Cell::new(Time::ZERO));
         let event = tokio::select! {
-            ended = seat.keep(|until, then| {
+            ended = client.keep_renewing(|until, then| {
                 input.until(until, then);
                 kill.set(then);
             }) => Event::Duty(ended),
@@ -291,7 +291,7 @@
         match event {
             Event::Duty(ended) => {
                 supervisor.end(input, kill.get()).await;
-                return Ok(RunEnd::Ended(ended));
+                return Ok(RunEnd::Lease(ended));
             }
             Event::Stop => {
                 supervisor.end(input, kill.get()).await;
@@ -308,11 +308,11 @@
                 }
                 say(format!(
                     "{}: the command failed with exit code {code}; restarting it in {} ms",
-                    seat.name(),
+                    client.name(),
                     backoff.as_millis()
                 ));
                 tokio::select! {
-                    ended = seat.keep(|_, _| {}) => return Ok(RunEnd::Ended(ended)),
+                    ended = client.keep_renewing(|_, _| {}) => return Ok(RunEnd::Lease(ended)),
                     () = sleep(backoff) => {}
                     () = &mut stop => return Ok(RunEnd::Finished(Why::Released, Finished::Stopped)),
                 }
@@ -323,7 +323,7 @@
 }
 
 enum Event {
-    Duty(Ended),
+    Duty(LeaseEnd),
     Command(i32),
     Stop,
 }
