--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry::{restore, Folder, Options, ServiceError};
 use shaletrail_registry_client::changes::{ChangeError, Changes};
 use shaletrail_registry_client::duty::{run_while_held, DutyClient};
-use shaletrail_registry_client::keeper::{self, Backups};
+use shaletrail_registry_client::maintenance::{self, BackupPlan};
 use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
 
 use crate::{config, duty, shutdown_signal, Failure};
@@ -178,7 +178,7 @@
                     "--keep of 1 or more expected, and --backups if --no-expiry is given".into(),
                 ));
             }
-            let plan = backups.map(|folder| Backups { folder, every, keep });
+            let plan = backups.map(|folder| BackupPlan { folder, every, keep });
             if let Some(plan) = &plan {
                 std::fs::create_dir_all(&plan.folder)
                     .map_err(|e| Failure::Failed(format!("{}: {e}", plan.folder.display())))?;
@@ -187,14 +187,14 @@
             let new_client =
                 |name| DutyClient::new(service.registry.clone(), name, &id, duty::random_life(), lease_s);
             let (mut backup_client, mut expiry_client) = (
-                new_client(keeper::BACKUP).map_err(Failure::invalid)?,
-                new_client(keeper::EXPIRY).map_err(Failure::invalid)?,
+                new_client(maintenance::BACKUP_DUTY).map_err(Failure::invalid)?,
+                new_client(maintenance::EXPIRY_DUTY).map_err(Failure::invalid)?,
             );
             let say = |what: String| tracing::info!("{what}");
             let backing_up = async {
                 let Some(plan) = &plan else { return Ok(()) };
                 run_while_held(&mut backup_client, shutdown_signal(), say, async |held| {
-                    keeper::back_up(held, plan, say).await
+                    maintenance::run_backups(held, plan, say).await
                 })
                 .await
             };
@@ -203,7 +203,7 @@
                     return Ok(());
                 }
                 run_while_held(&mut expiry_client, shutdown_signal(), say, async |held| {
-                    keeper::confirm(held, say).await
+                    maintenance::run_expiry(held, say).await
                 })
                 .await
             };
@@ -287,7 +287,8 @@
 }
 
 async fn backup(file: &std::path::Path, service: Service) -> Result<(), Failure> {
-    let bytes = keeper::save(&mut Changes::new(service.registry), file).await.map_err(Failure::failed)?;
+    let bytes =
+        maintenance::save(&mut Changes::new(service.registry), file).await.map_err(Failure::failed)?;
     println!("{}: {bytes} bytes", file.display());
     Ok(())
 }
--- a/registry-client/src/lib.rs
+++ b/registry-client/src/lib.rs
@@ -17,8 +17,8 @@
 pub mod fences;
 pub mod follow;
 #[cfg(feature = "duty")]
-pub mod keeper;
-#[cfg(feature = "duty")]
 pub mod lease;
 #[cfg(feature = "duty")]
+pub mod maintenance;
+#[cfg(feature = "duty")]
 pub mod supervisor;
--- a/registry-client/src/keeper.rs
+++ b/registry-client/src/maintenance.rs
@@ -17,8 +17,8 @@
 use crate::duty::{DutyError, HeldDuty};
 
 /// The duties' names.
-pub const BACKUP: &str = "registry-backup";
-pub const EXPIRY: &str = "registry-expiry";
+pub const BACKUP_DUTY: &str = "registry-backup";
+pub const EXPIRY_DUTY: &str = "registry-expiry";
 
 /// Longest backup that is read, in bytes.
 const MAX_BACKUP_BYTES: usize = LONGEST_LIST * 4;
@@ -34,7 +34,7 @@
 
 /// Where and how often backups are taken.
 #[derive(Clone, Debug)]
-pub struct Backups {
+pub struct BackupPlan {
     pub folder: PathBuf,
     pub every: Duration,
     /// Number of backups that are kept; older ones are deleted.
@@ -88,16 +88,16 @@
 }
 
 /// Takes backups on schedule. The schedule continues from the last backup, also if another keeper took it.
-pub async fn back_up(mut held: HeldDuty, plan: &Backups, mut say: impl FnMut(String)) {
+pub async fn run_backups(mut held: HeldDuty, plan: &BackupPlan, mut say: impl FnMut(String)) {
     loop {
         let wait = match back_up_if_due(&mut held, plan).await {
             Ok(None) => (plan.every / 4).min(MAX_CHECK_INTERVAL),
             Ok(Some(taken)) => {
-                say(format!("{BACKUP}: {}, {} bytes", taken.file, taken.bytes));
+                say(format!("{BACKUP_DUTY}: {}, {} bytes", taken.file, taken.bytes));
                 Duration::ZERO
             }
             Err(e) => {
-                say(format!("{BACKUP}: backup failed: {e}"));
+                say(format!("{BACKUP_DUTY}: backup failed: {e}"));
                 MAX_RETRY_PAUSE.min(plan.every)
             }
         };
@@ -105,7 +105,7 @@
     }
 }
 
-async fn back_up_if_due(held: &mut HeldDuty, plan: &Backups) -> Result<Option<BackupRecord>, BackupError> {
+async fn back_up_if_due(held: &mut HeldDuty, plan: &BackupPlan) -> Result<Option<BackupRecord>, BackupError> {
     let checkpoint = held.checkpoint().await?;
     // If the checkpoint is missing or not readable, a backup is due at once.
     let last: BackupRecord = serde_json::from_str(&checkpoint.data).unwrap_or_default();
@@ -123,7 +123,7 @@
 }
 
 /// Removes all but the newest backups, and files that a crash left incomplete. Names sort by age.
-fn prune(plan: &Backups) -> Result<(), BackupError> {
+fn prune(plan: &BackupPlan) -> Result<(), BackupError> {
     let failed = |error| BackupError::File { file: plan.folder.clone(), error };
     let mut backups = Vec::new();
     for entry in std::fs::read_dir(&plan.folder).map_err(failed)? {
@@ -188,7 +188,7 @@
 
 /// Checks the entries whose expiry is stopped, confirms the expiry if all of their servers were found gone in
 /// two checks in a row, and logs why entries stay.
-pub async fn confirm(mut held: HeldDuty, mut say: impl FnMut(String)) {
+pub async fn run_expiry(mut held: HeldDuty, mut say: impl FnMut(String)) {
     let mut gone_last_time: Vec<String> = Vec::new();
     let mut last_logged = String::new();
     loop {
@@ -196,7 +196,7 @@
         let expiry: Expiry = match held.changes.read("/registry/expiry", LONGEST_LIST).await {
             Ok(expiry) => expiry,
             Err(e) => {
-                say(format!("{EXPIRY}: could not read the stopped entries: {e}"));
+                say(format!("{EXPIRY_DUTY}: could not read the stopped entries: {e}"));
                 continue;
             }
         };
@@ -232,7 +232,7 @@
             }
         };
         if last_logged != message {
-            say(format!("{EXPIRY}: {message}"));
+            say(format!("{EXPIRY_DUTY}: {message}"));
             last_logged = message;
         }
     }
