--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -15,7 +15,7 @@
 use shaletrail_registry_client::changes::{duty_path, ChangeError, Changes};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::duty::{DutyClient, DutyError};
-use shaletrail_registry_client::supervisor::{self, Finished, RunError, Work};
+use shaletrail_registry_client::supervisor::{self, CommandSpec, RunError, RunOutcome};
 use shaletrail_registry_protocol::duty::{
     Checkpoint, Duties, Duty, Kept, Transfer, Why, DUTIES, LONGEST_CHECKPOINT, MOST_EXACT,
 };
@@ -82,7 +82,7 @@
 #[derive(clap::Args)]
 struct Service {
     /// Operator addresses of the list service
-    #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8501", env = supervisor::REGISTRY)]
+    #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8501", env = supervisor::REGISTRY_VAR)]
     registry: Vec<SocketAddr>,
 }
 
@@ -111,7 +111,7 @@
 #[derive(clap::Args)]
 struct CheckpointArgs {
     /// Name of the duty. Default: $SHALETRAIL_DUTY
-    #[arg(env = supervisor::DUTY)]
+    #[arg(env = supervisor::DUTY_VAR)]
     name: String,
     #[command(flatten)]
     service: Service,
@@ -122,7 +122,7 @@
     #[arg(long)]
     expect: Option<u64>,
     /// The holder's fencing number
-    #[arg(long, env = supervisor::FENCE)]
+    #[arg(long, env = supervisor::FENCE_VAR)]
     fence: Option<u64>,
     #[arg(long)]
     json: bool,
@@ -308,11 +308,11 @@
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let mut command: Vec<OsString> = vec![program.into(), "duty".into(), "supervise".into(), "--".into()];
     command.extend(args.command);
-    let work = Work { supervisor: command, failures: args.failures };
+    let spec = CommandSpec { supervisor: command, failures: args.failures };
     let say = |what: String| tracing::info!("{what}");
-    match supervisor::run(&mut client, &work, shutdown_signal(), say).await {
-        Ok(Finished::Done | Finished::Stopped) => Ok(()),
-        Ok(Finished::Failed(code)) => Err(Failure::Failed(format!(
+    match supervisor::run(&mut client, &spec, shutdown_signal(), say).await {
+        Ok(RunOutcome::Done | RunOutcome::Stopped) => Ok(()),
+        Ok(RunOutcome::Failed(code)) => Err(Failure::Failed(format!(
             "{}: the command failed {} times in a row, the last time with {code}",
             args.name, args.failures
         ))),
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, StatusCode};
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_client::fences::FenceTable;
-use shaletrail_registry_client::supervisor::{DUTY, FENCE};
+use shaletrail_registry_client::supervisor::{DUTY_VAR, FENCE_VAR};
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
 use crate::link::Link;
@@ -121,7 +121,7 @@
 /// In words, where it is refused or was started under no duty.
 pub async fn count(at: SocketAddr, between: Duration, pause: Duration) -> Result<(), String> {
     let named = |name| std::env::var(name).map_err(|e| format!("{name}: {e}"));
-    let (duty, fence) = (named(DUTY)?, named(FENCE)?);
+    let (duty, fence) = (named(DUTY_VAR)?, named(FENCE_VAR)?);
     let headers: &[(&'static str, &str)] = &[(DUTY_HEADER, &duty), (FENCE_HEADER, &fence)];
     let mut line = Line::new(at);
     loop {
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -22,9 +22,9 @@
 use crate::lease::Time;
 
 /// Environment variables of the command: the duty's name, the fencing number, and the registry's endpoints.
-pub const DUTY: &str = "SHALETRAIL_DUTY";
-pub const FENCE: &str = "SHALETRAIL_FENCE";
-pub const REGISTRY: &str = "SHALETRAIL_REGISTRY";
+pub const DUTY_VAR: &str = "SHALETRAIL_DUTY";
+pub const FENCE_VAR: &str = "SHALETRAIL_FENCE";
+pub const REGISTRY_VAR: &str = "SHALETRAIL_REGISTRY";
 
 /// Interval at which the supervisor checks the clock and its command.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -131,7 +131,7 @@
 // ---- The holder's side --------------------------------------------------------------------------------
 
 /// A command that is run while a duty is held.
-pub struct Work {
+pub struct CommandSpec {
     /// Program and arguments of the supervisor, followed by those of the command.
     pub supervisor: Vec<std::ffi::OsString>,
     /// Failures in a row after which the duty is given to another candidate.
@@ -140,7 +140,7 @@
 
 /// How the run of a command under a duty ended.
 #[derive(Debug)]
-pub enum Finished {
+pub enum RunOutcome {
     /// The command ended with 0.
     Done,
     /// This process was asked to stop.
@@ -158,14 +158,14 @@
 /// The pipe to a supervisor's standard input.
 struct SupervisorInput(ChildStdin);
 
-fn start(work: &Work, client: &DutyClient, fence: u64) -> io::Result<(Supervisor, SupervisorInput)> {
+fn start(spec: &CommandSpec, client: &DutyClient, fence: u64) -> io::Result<(Supervisor, SupervisorInput)> {
     let endpoints: Vec<String> = client.endpoints().iter().map(ToString::to_string).collect();
-    let mut command = tokio::process::Command::new(&work.supervisor[0]);
+    let mut command = tokio::process::Command::new(&spec.supervisor[0]);
     command
-        .args(&work.supervisor[1..])
-        .env(DUTY, client.name())
-        .env(FENCE, fence.to_string())
-        .env(REGISTRY, endpoints.join(","))
+        .args(&spec.supervisor[1..])
+        .env(DUTY_VAR, client.name())
+        .env(FENCE_VAR, fence.to_string())
+        .env(REGISTRY_VAR, endpoints.join(","))
         .stdin(std::process::Stdio::piped())
         .process_group(0);
     let mut child = command.spawn()?;
@@ -220,10 +220,10 @@
 /// The registry refused the candidate, or the supervisor can't be started.
 pub async fn run(
     client: &mut DutyClient,
-    work: &Work,
+    spec: &CommandSpec,
     stop: impl std::future::Future<Output = ()>,
     mut say: impl FnMut(String),
-) -> Result<Finished, RunError> {
+) -> Result<RunOutcome, RunError> {
     tokio::pin!(stop);
     let name = client.name().to_owned();
     loop {
@@ -232,11 +232,11 @@
             fence = client.acquire(&mut say) => fence?,
             () = &mut stop => {
                 client.release(Why::Released).await;
-                return Ok(Finished::Stopped);
+                return Ok(RunOutcome::Stopped);
             }
         };
         say(format!("{name}: held with fencing number {fence}"));
-        match run_until_lease_end(client, work, fence, stop.as_mut(), &mut say).await {
+        match run_until_lease_end(client, spec, fence, stop.as_mut(), &mut say).await {
             Err(error) => {
                 client.release(Why::Failed).await;
                 return Err(error.into());
@@ -263,7 +263,7 @@
 }
 
 enum RunEnd {
-    Finished(Why, Finished),
+    Finished(Why, RunOutcome),
     Lease(LeaseEnd),
 }
 
@@ -271,14 +271,14 @@
 /// command runs any more.
 async fn run_until_lease_end(
     client: &mut DutyClient,
-    work: &Work,
+    spec: &CommandSpec,
     fence: u64,
     mut stop: std::pin::Pin<&mut impl std::future::Future<Output = ()>>,
     say: &mut impl FnMut(String),
 ) -> io::Result<RunEnd> {
     let (mut backoff, mut failures) = (MIN_BACKOFF, 0);
     loop {
-        let (mut supervisor, mut input) = start(work, client, fence)?;
+        let (mut supervisor, mut input) = start(spec, client, fence)?;
         let (started, kill) = (boot(), Cell::new(Time::ZERO));
         let event = tokio::select! {
             ended = client.keep_renewing(|until, then| {
@@ -295,16 +295,16 @@
             }
             Event::Stop => {
                 supervisor.end(input, kill.get()).await;
-                return Ok(RunEnd::Finished(Why::Released, Finished::Stopped));
+                return Ok(RunEnd::Finished(Why::Released, RunOutcome::Stopped));
             }
-            Event::Command(0) => return Ok(RunEnd::Finished(Why::Released, Finished::Done)),
+            Event::Command(0) => return Ok(RunEnd::Finished(Why::Released, RunOutcome::Done)),
             Event::Command(code) => {
                 if boot().saturating_sub(started) >= HEALTHY_RUN_TIME {
                     (backoff, failures) = (MIN_BACKOFF, 0);
                 }
                 failures += 1;
-                if failures >= work.failures {
-                    return Ok(RunEnd::Finished(Why::Failed, Finished::Failed(code)));
+                if failures >= spec.failures {
+                    return Ok(RunEnd::Finished(Why::Failed, RunOutcome::Failed(code)));
                 }
                 say(format!(
                     "{}: the command failed with exit code {code}; restarting it in {} ms",
@@ -314,7 +314,7 @@
                 tokio::select! {
                     ended = client.keep_renewing(|_, _| {}) => return Ok(RunEnd::Lease(ended)),
                     () = sleep(backoff) => {}
-                    () = &mut stop => return Ok(RunEnd::Finished(Why::Released, Finished::Stopped)),
+                    () = &mut stop => return Ok(RunEnd::Finished(Why::Released, RunOutcome::Stopped)),
                 }
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
