--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_registry_client::agent::{self, Duty};
+use shaletrail_registry_client::agent::{self, AgentConfig};
 use shaletrail_registry_client::changes::Changes;
 use shaletrail_registry_protocol::{check_id, Entry, State, LEASE_S};
 
@@ -63,10 +63,12 @@
         weight: args.weight,
         started_ms: started_ms(&process)?,
     };
-    let check = args.check.unwrap_or(args.addr);
-    let duty = Duty { entry, lease: Duration::from_secs_f64(args.lease_s), drain, check };
+    let probe_addr = args.check.unwrap_or(args.addr);
+    let config = AgentConfig { entry, lease: Duration::from_secs_f64(args.lease_s), drain, probe_addr };
     let say = |what: String| tracing::info!("{what}");
-    agent::run(&duty, &mut Changes::new(args.registry), shutdown_signal(), say).await.map_err(Failure::failed)
+    agent::run(&config, &mut Changes::new(args.registry), shutdown_signal(), say)
+        .await
+        .map_err(Failure::failed)
 }
 
 /// When a process started, in milliseconds of Unix time, according to the kernel: its start after boot in
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
-use shaletrail_registry_client::agent::{self, Duty};
+use shaletrail_registry_client::agent::{self, AgentConfig};
 use shaletrail_registry_client::changes::Changes;
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::driver::ask;
@@ -298,14 +298,14 @@
         }
         let (ops, id) = (self.ops.clone(), party.id.clone());
         tokio::spawn(async move {
-            let duty = Duty { entry, lease, drain, check: addr };
+            let config = AgentConfig { entry, lease, drain, probe_addr: addr };
             let mut stop = told.clone();
             let stop = async move {
                 let _ = stop.wait_for(|told| *told == Agent::Goodbye).await;
             };
             let mut changes = Changes::new(ops);
             tokio::select! {
-                ended = agent::run(&duty, &mut changes, stop, |what| tracing::debug!("{what}")) => {
+                ended = agent::run(&config, &mut changes, stop, |what| tracing::debug!("{what}")) => {
                     if let Err(e) = ended {
                         tracing::warn!("agent of {id}: {e}");
                     }
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -24,13 +24,13 @@
 
 /// Settings of an agent.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct AgentConfig {
     pub entry: Entry,
     pub lease: Duration,
     /// Time between the states `leaving` and `left`, for requests in flight.
     pub drain: Duration,
     /// Address that is probed; clients may use another one.
-    pub check: SocketAddr,
+    pub probe_addr: SocketAddr,
 }
 
 /// Why an agent ends before it is stopped.
@@ -46,7 +46,7 @@
 
 /// Probes the server. Every response but 503 counts as alive, because on some sites servers do not implement
 /// the probe's path.
-pub async fn answers(addr: SocketAddr) -> bool {
+pub async fn is_alive(addr: SocketAddr) -> bool {
     let answer =
         Line::new(addr).within(PROBE_TIMEOUT, Call::get("/health/live", MAX_PROBE_RESPONSE_BYTES)).await;
     answer.is_ok_and(|answer| answer.status != StatusCode::SERVICE_UNAVAILABLE)
@@ -58,19 +58,19 @@
 /// # Errors
 /// The registry refused this start of the server, or it is unknown whether the server was deregistered.
 pub async fn run(
-    duty: &Duty,
+    config: &AgentConfig,
     changes: &mut Changes,
     stop: impl Future<Output = ()>,
     mut say: impl FnMut(String),
 ) -> Result<(), AgentError> {
     tokio::pin!(stop);
-    let id = duty.entry.id.clone();
-    let stamp = Stamp { started_ms: duty.entry.started_ms, incarnation: 0 };
-    let renew_interval = duty.lease / RENEWALS_PER_LEASE;
+    let id = config.entry.id.clone();
+    let stamp = Stamp { started_ms: config.entry.started_ms, incarnation: 0 };
+    let renew_interval = config.lease / RENEWALS_PER_LEASE;
     let (mut registered, mut failed_probes) = (false, 0);
     loop {
         let step = async {
-            if !answers(duty.check).await {
+            if !is_alive(config.probe_addr).await {
                 failed_probes += 1;
                 if failed_probes == MAX_FAILED_PROBES && registered {
                     say(format!("{id} failed {MAX_FAILED_PROBES} probes in a row; lease no longer renewed"));
@@ -83,7 +83,7 @@
                 say(format!("{id} answers probes again"));
             }
             if !registered {
-                let version = register(duty, changes).await?;
+                let version = register(config, changes).await?;
                 say(format!("{id} registered at version {version}"));
                 registered = true;
                 return Ok(renew_interval);
@@ -122,16 +122,16 @@
         }
     }
     if registered {
-        deregister(duty, stamp, changes, &mut say).await?;
+        deregister(config, stamp, changes, &mut say).await?;
     }
     Ok(())
 }
 
-async fn register(duty: &Duty, changes: &mut Changes) -> Result<u64, AgentError> {
-    let id = duty.entry.id.clone();
-    let entry = Entry { state: State::Active, ..duty.entry.clone() };
-    let request = Register::new(&entry, Some(duty.lease.as_secs_f64()));
-    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &request, duty.lease).await {
+async fn register(config: &AgentConfig, changes: &mut Changes) -> Result<u64, AgentError> {
+    let id = config.entry.id.clone();
+    let entry = Entry { state: State::Active, ..config.entry.clone() };
+    let request = Register::new(&entry, Some(config.lease.as_secs_f64()));
+    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -148,21 +148,22 @@
 /// Sets the state to `leaving`, waits for requests in flight, and deregisters the entry. It is no error if
 /// the entry is already gone.
 async fn deregister(
-    duty: &Duty,
+    config: &AgentConfig,
     stamp: Stamp,
     changes: &mut Changes,
     say: &mut impl FnMut(String),
 ) -> Result<(), AgentError> {
-    let id = &duty.entry.id;
+    let id = &config.entry.id;
     let gone = |e: &ChangeError| matches!(e, ChangeError::Refused { status: StatusCode::NOT_FOUND, .. });
-    let leaving = changes.put::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, duty.lease).await;
+    let leaving =
+        changes.put::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
         Err(e) => say(format!("{id}: could not set the state `leaving`: {e}")),
     }
-    sleep(duty.drain).await;
-    match changes.put::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, duty.lease).await {
+    sleep(config.drain).await;
+    match changes.put::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
         Ok(changed) => say(format!("{id} left at version {}", changed.version)),
         Err(e) if gone(&e) => {}
         Err(e) => return Err(e.into()),
--- a/registry-client/src/maintenance.rs
+++ b/registry-client/src/maintenance.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry_protocol::{Confirm, Confirmed, Expiry, Listed, LONGEST_LIST};
 use tokio::time::sleep;
 
-use crate::agent::answers;
+use crate::agent::is_alive;
 use crate::changes::Changes;
 use crate::clock;
 use crate::duty::{DutyError, HeldDuty};
@@ -177,7 +177,7 @@
 async fn probe_all(servers: &[Listed]) -> Vec<bool> {
     let mut answered = Vec::with_capacity(servers.len());
     for batch in servers.chunks(MAX_PROBES_IN_FLIGHT) {
-        let probes: Vec<_> = batch.iter().map(|server| tokio::spawn(answers(server.addr))).collect();
+        let probes: Vec<_> = batch.iter().map(|server| tokio::spawn(is_alive(server.addr))).collect();
         for probe in probes {
             // A probe without a result counts as answered, so that no entry expires because of it.
             answered.push(probe.await.unwrap_or(true));
