--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-use shaletrail_registry_client::driver::{ask, Following, News};
+use shaletrail_registry_client::driver::{fetch_list, ListFollower, ListUpdate};
 use shaletrail_registry_client::follow::{Ask, Retry};
 use shaletrail_registry_protocol::List;
 
@@ -26,20 +26,20 @@
     if !args.watch {
         let mut last_failure = String::new();
         for addr in &args.registry {
-            match ask(*addr, Ask::Whole).await {
+            match fetch_list(*addr, Ask::Whole).await {
                 Ok(list) => return show(&list, args.json),
                 Err(e) => last_failure = format!("{addr}: {e}"),
             }
         }
         return Err(Failure::Failed(last_failure));
     }
-    let mut following = Following::new(args.registry, None, Retry::Own, u64::from(std::process::id()));
-    following.start();
+    let mut follower = ListFollower::new(args.registry, None, Retry::Own, u64::from(std::process::id()));
+    follower.start();
     loop {
-        match following.next().await {
-            News::List(list) if list.servers.is_empty() && !list.full => {}
-            News::List(list) => show(&list, args.json)?,
-            News::Failed(what) | News::Older(what) => tracing::warn!("{what}"),
+        match follower.next().await {
+            ListUpdate::List(list) if list.servers.is_empty() && !list.full => {}
+            ListUpdate::List(list) => show(&list, args.json)?,
+            ListUpdate::Failed(what) | ListUpdate::Outdated(what) => tracing::warn!("{what}"),
         }
     }
 }
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -8,7 +8,7 @@
 
 use hyper::Method;
 use shaletrail_registry_client::changes::{entry_path, ChangeError, Changes};
-use shaletrail_registry_client::driver::{Following, News};
+use shaletrail_registry_client::driver::{ListFollower, ListUpdate};
 use shaletrail_registry_client::follow::Retry;
 use shaletrail_registry_protocol::{Changed, Entry, Register, State};
 
@@ -33,11 +33,11 @@
         let (kept, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
             runtime().block_on(async {
-                let mut following = Following::new(endpoints, None, Retry::Own, seed);
+                let mut following = ListFollower::new(endpoints, None, Retry::Own, seed);
                 following.start();
                 while !stopped.load(Ordering::Relaxed) {
-                    let news = tokio::time::timeout(Duration::from_millis(50), following.next()).await;
-                    if let Ok(News::List(list)) = news {
+                    let update = tokio::time::timeout(Duration::from_millis(50), following.next()).await;
+                    if let Ok(ListUpdate::List(list)) = update {
                         kept.lock().unwrap_or_else(PoisonError::into_inner).lists.push(list);
                     }
                 }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -14,7 +14,7 @@
 use shaletrail_registry_client::agent::{self, AgentConfig};
 use shaletrail_registry_client::changes::Changes;
 use shaletrail_registry_client::clock::unix;
-use shaletrail_registry_client::driver::ask;
+use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::Ask;
 use shaletrail_registry_protocol::{Entry, State};
 use tokio::process::{Child, Command};
@@ -341,7 +341,7 @@
         let discovery = lock(&self.fleet.service).discovery();
         let until = Instant::now() + LISTED;
         loop {
-            let list = ask(discovery[0], Ask::Whole).await;
+            let list = fetch_list(discovery[0], Ask::Whole).await;
             if list.is_ok_and(|list| list.servers.len() >= count) {
                 return Ok(());
             }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use shaletrail_policy::{Membership, Seconds, Settings};
-use shaletrail_registry_client::driver::{Following, News};
+use shaletrail_registry_client::driver::{ListFollower, ListUpdate};
 use shaletrail_registry_client::follow::Retry;
 use tokio::sync::Notify;
 
@@ -75,30 +75,30 @@
             // The balancer decides when to retry after all addresses have failed.
             Membership::OnRequest => Retry::OnStart,
         };
-        let mut following = Following::new(self.endpoints.borrow().clone(), held_version, retry, seed);
+        let mut follower = ListFollower::new(self.endpoints.borrow().clone(), held_version, retry, seed);
         if settings.membership == Membership::Pushed {
-            following.start();
+            follower.start();
         }
         loop {
             tokio::select! {
                 () = self.command_added.notified() => {
                     if self.commands.endpoints_changed.take() {
-                        following.move_to(self.endpoints.borrow().clone());
+                        follower.move_to(self.endpoints.borrow().clone());
                     }
                     if self.commands.start.take() {
-                        following.start();
+                        follower.start();
                     }
                 }
-                news = following.next() => self.report(news),
+                update = follower.next() => self.report(update),
             }
         }
     }
 
-    fn report(&self, news: News) {
-        match news {
-            News::List(list) => self.handle.send(HostEvent::List(ServerList::from(list))),
-            News::Older(reason) => eprintln!("discovery: {reason}"),
-            News::Failed(reason) => {
+    fn report(&self, update: ListUpdate) {
+        match update {
+            ListUpdate::List(list) => self.handle.send(HostEvent::List(ServerList::from(list))),
+            ListUpdate::Outdated(reason) => eprintln!("discovery: {reason}"),
+            ListUpdate::Failed(reason) => {
                 eprintln!("discovery: {reason}");
                 self.handle.send(HostEvent::ListFailed);
             }
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -45,25 +45,25 @@
 
 /// What the follower reports.
 #[derive(Debug)]
-pub enum News {
+pub enum ListUpdate {
     /// The whole list, or the changes since the last report.
     List(List),
     /// All endpoints failed; the last list stays valid. The text is the last failure.
     Failed(String),
     /// An endpoint answered with an older list than the last one reported. The last list stays valid, and
     /// another call is made.
-    Older(String),
+    Outdated(String),
 }
 
 /// Reads the list once from one address.
 ///
 /// # Errors
 /// The call failed, or its response is not a list of this protocol.
-pub async fn ask(addr: SocketAddr, ask: Ask) -> Result<List, FetchError> {
-    fetch_on(&mut Line::new(addr), ask, true).await
+pub async fn fetch_list(addr: SocketAddr, request: Ask) -> Result<List, FetchError> {
+    fetch_with(&mut Line::new(addr), request, true).await
 }
 
-async fn fetch_on(client: &mut Line, ask: Ask, last: bool) -> Result<List, FetchError> {
+async fn fetch_with(client: &mut Line, ask: Ask, last: bool) -> Result<List, FetchError> {
     let path = match ask {
         Ask::Whole => INSTANCES.to_owned(),
         Ask::Changes { from, hold } => format!("{INSTANCES}?from={from}&hold_ms={}", hold.as_millis()),
@@ -84,7 +84,7 @@
 type PendingCall = Pin<Box<dyn Future<Output = (Result<List, FetchError>, Line)> + Send>>;
 
 /// Follows the list at several endpoints.
-pub struct Following {
+pub struct ListFollower {
     follower: Follower,
     endpoints: Vec<SocketAddr>,
     started: Instant,
@@ -92,15 +92,15 @@
     /// Clients whose last call was answered, kept with their connections. Without them every watcher would
     /// open a new connection at each change.
     idle_clients: HashMap<SocketAddr, Line>,
-    pending_updates: VecDeque<News>,
+    pending_updates: VecDeque<ListUpdate>,
     /// The failure of the last call.
     last_failure: String,
 }
 
-impl Following {
-    /// `held` is the version of a list that is already known. No call is made before [`Following::start`].
+impl ListFollower {
+    /// `held` is the version of a list that is already known. No call is made before [`ListFollower::start`].
     pub fn new(endpoints: Vec<SocketAddr>, held: Option<u64>, retry: Retry, seed: u64) -> Self {
-        Following {
+        ListFollower {
             follower: Follower::new(endpoints.len(), held, retry, seed),
             endpoints,
             started: Instant::now(),
@@ -132,10 +132,10 @@
     }
 
     /// Waits for the next report. The future is cancel safe.
-    pub async fn next(&mut self) -> News {
+    pub async fn next(&mut self) -> ListUpdate {
         loop {
-            if let Some(news) = self.pending_updates.pop_front() {
-                return news;
+            if let Some(update) = self.pending_updates.pop_front() {
+                return update;
             }
             let wake = self.follower.wake().map(|at| self.started + at);
             let ended = tokio::select! {
@@ -174,7 +174,7 @@
                     if let (Some(summary), false) = (summary, actions.contains(&Action::Tell { call })) {
                         let older = format!("{addr}: returned an outdated list, version {}", summary.version);
                         self.last_failure.clone_from(&older);
-                        self.pending_updates.push_back(News::Older(older));
+                        self.pending_updates.push_back(ListUpdate::Outdated(older));
                     }
                     self.apply(actions, result.ok());
                 }
@@ -188,7 +188,7 @@
                 Action::Call { call, endpoint, ask: request } => {
                     if let Some(addr) = self.endpoints.get(endpoint).copied() {
                         let mut client = self.idle_clients.remove(&addr).unwrap_or_else(|| Line::new(addr));
-                        let pending = async move { (fetch_on(&mut client, request, false).await, client) };
+                        let pending = async move { (fetch_with(&mut client, request, false).await, client) };
                         self.in_flight.push((call, addr, Box::pin(pending)));
                     }
                 }
@@ -199,8 +199,10 @@
                         self.last_failure = format!("{addr}: no answer in time");
                     }
                 }
-                Action::Tell { .. } => self.pending_updates.extend(list.take().map(News::List)),
-                Action::Failed => self.pending_updates.push_back(News::Failed(self.last_failure.clone())),
+                Action::Tell { .. } => self.pending_updates.extend(list.take().map(ListUpdate::List)),
+                Action::Failed => {
+                    self.pending_updates.push_back(ListUpdate::Failed(self.last_failure.clone()))
+                }
             }
         }
     }
@@ -248,12 +250,12 @@
             std::future::pending().await
         };
         let following = async {
-            let mut following = Following::new(vec![addr], Some(5), Retry::Own, 7);
+            let mut following = ListFollower::new(vec![addr], Some(5), Retry::Own, 7);
             following.start();
             let older = following.next().await;
-            assert!(matches!(&older, News::Older(what) if what.contains("version 3")), "{older:?}");
+            assert!(matches!(&older, ListUpdate::Outdated(what) if what.contains("version 3")), "{older:?}");
             let newer = following.next().await;
-            assert!(matches!(&newer, News::List(list) if list.version == 6), "{newer:?}");
+            assert!(matches!(&newer, ListUpdate::List(list) if list.version == 6), "{newer:?}");
         };
         tokio::select! {
             () = service => {}
