--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use shaletrail_registry_client::driver::{fetch_list, ListFollower, ListUpdate};
-use shaletrail_registry_client::follow::{Ask, Retry};
+use shaletrail_registry_client::follow::{ListRequest, Retry};
 use shaletrail_registry_protocol::List;
 
 use crate::Failure;
@@ -26,14 +26,14 @@
     if !args.watch {
         let mut last_failure = String::new();
         for addr in &args.registry {
-            match fetch_list(*addr, Ask::Whole).await {
+            match fetch_list(*addr, ListRequest::Whole).await {
                 Ok(list) => return show(&list, args.json),
                 Err(e) => last_failure = format!("{addr}: {e}"),
             }
         }
         return Err(Failure::Failed(last_failure));
     }
-    let mut follower = ListFollower::new(args.registry, None, Retry::Own, u64::from(std::process::id()));
+    let mut follower = ListFollower::new(args.registry, None, Retry::Backoff, u64::from(std::process::id()));
     follower.start();
     loop {
         match follower.next().await {
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry_client::call::{Call, Line};
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::fetch_list;
-use shaletrail_registry_client::follow::Ask;
+use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -208,7 +208,7 @@
             }
         }
     }
-    let whole = fetch_list(discovery[0], Ask::Whole).await.map_err(|e| e.to_string())?;
+    let whole = fetch_list(discovery[0], ListRequest::Whole).await.map_err(|e| e.to_string())?;
     let whole_list_bytes = serde_json::to_vec(&whole)?.len();
     let (told, mut heard) = mpsc::channel::<(u64, usize)>(size.watchers);
     let stop = Arc::new(AtomicBool::new(false));
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -33,7 +33,7 @@
         let (kept, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
             runtime().block_on(async {
-                let mut following = ListFollower::new(endpoints, None, Retry::Own, seed);
+                let mut following = ListFollower::new(endpoints, None, Retry::Backoff, seed);
                 following.start();
                 while !stopped.load(Ordering::Relaxed) {
                     let update = tokio::time::timeout(Duration::from_millis(50), following.next()).await;
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -15,7 +15,7 @@
 use shaletrail_registry_client::changes::Changes;
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::driver::fetch_list;
-use shaletrail_registry_client::follow::Ask;
+use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{Entry, State};
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
@@ -341,7 +341,7 @@
         let discovery = lock(&self.fleet.service).discovery();
         let until = Instant::now() + LISTED;
         loop {
-            let list = fetch_list(discovery[0], Ask::Whole).await;
+            let list = fetch_list(discovery[0], ListRequest::Whole).await;
             if list.is_ok_and(|list| list.servers.len() >= count) {
                 return Ok(());
             }
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep_until;
 
 use crate::call::{Call, CallError, Line};
-use crate::follow::{Action, Ask, CallId, Follower, ListSummary, Retry};
+use crate::follow::{Action, CallId, Follower, ListRequest, ListSummary, Retry};
 
 /// Timeout of a call. It is far above the core's own limits, so normally the core cancels the call first.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
@@ -59,14 +59,16 @@
 ///
 /// # Errors
 /// The call failed, or its response is not a list of this protocol.
-pub async fn fetch_list(addr: SocketAddr, request: Ask) -> Result<List, FetchError> {
+pub async fn fetch_list(addr: SocketAddr, request: ListRequest) -> Result<List, FetchError> {
     fetch_with(&mut Line::new(addr), request, true).await
 }
 
-async fn fetch_with(client: &mut Line, ask: Ask, last: bool) -> Result<List, FetchError> {
-    let path = match ask {
-        Ask::Whole => INSTANCES.to_owned(),
-        Ask::Changes { from, hold } => format!("{INSTANCES}?from={from}&hold_ms={}", hold.as_millis()),
+async fn fetch_with(client: &mut Line, request: ListRequest, last: bool) -> Result<List, FetchError> {
+    let path = match request {
+        ListRequest::Whole => INSTANCES.to_owned(),
+        ListRequest::Changes { from, hold } => {
+            format!("{INSTANCES}?from={from}&hold_ms={}", hold.as_millis())
+        }
     };
     let (was_open, started) = (client.is_open(), Instant::now());
     let call = Call { last, ..Call::get(&path, LONGEST_LIST) };
@@ -171,7 +173,7 @@
                         }
                     };
                     self.follower.call_ended(call, summary, now, &mut actions);
-                    if let (Some(summary), false) = (summary, actions.contains(&Action::Tell { call })) {
+                    if let (Some(summary), false) = (summary, actions.contains(&Action::Report { call })) {
                         let older = format!("{addr}: returned an outdated list, version {}", summary.version);
                         self.last_failure.clone_from(&older);
                         self.pending_updates.push_back(ListUpdate::Outdated(older));
@@ -185,21 +187,21 @@
     fn apply(&mut self, actions: Vec<Action>, mut list: Option<List>) {
         for action in actions {
             match action {
-                Action::Call { call, endpoint, ask: request } => {
+                Action::Call { call, endpoint, request } => {
                     if let Some(addr) = self.endpoints.get(endpoint).copied() {
                         let mut client = self.idle_clients.remove(&addr).unwrap_or_else(|| Line::new(addr));
                         let pending = async move { (fetch_with(&mut client, request, false).await, client) };
                         self.in_flight.push((call, addr, Box::pin(pending)));
                     }
                 }
-                Action::Drop { call } => {
+                Action::Cancel { call } => {
                     if let Some(index) = self.in_flight.iter().position(|(in_flight, ..)| *in_flight == call)
                     {
                         let (_, addr, _) = self.in_flight.swap_remove(index);
                         self.last_failure = format!("{addr}: no answer in time");
                     }
                 }
-                Action::Tell { .. } => self.pending_updates.extend(list.take().map(ListUpdate::List)),
+                Action::Report { .. } => self.pending_updates.extend(list.take().map(ListUpdate::List)),
                 Action::Failed => {
                     self.pending_updates.push_back(ListUpdate::Failed(self.last_failure.clone()))
                 }
@@ -250,7 +252,7 @@
             std::future::pending().await
         };
         let following = async {
-            let mut following = ListFollower::new(vec![addr], Some(5), Retry::Own, 7);
+            let mut following = ListFollower::new(vec![addr], Some(5), Retry::Backoff, 7);
             following.start();
             let older = following.next().await;
             assert!(matches!(&older, ListUpdate::Outdated(what) if what.contains("version 3")), "{older:?}");
--- a/registry-client/src/follow.rs
+++ b/registry-client/src/follow.rs
@@ -66,18 +66,18 @@
 
 /// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ListRequest {
     /// The whole list.
     Whole,
     /// The changes after version `from`. The service may wait up to `hold` for one.
     Changes { from: u64, hold: Duration },
 }
 
-impl Ask {
+impl ListRequest {
     fn hold(self) -> Duration {
         match self {
-            Ask::Whole => Duration::ZERO,
-            Ask::Changes { hold, .. } => hold,
+            ListRequest::Whole => Duration::ZERO,
+            ListRequest::Changes { hold, .. } => hold,
         }
     }
 }
@@ -96,11 +96,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call the endpoint with this index.
-    Call { call: CallId, endpoint: usize, ask: Ask },
+    Call { call: CallId, endpoint: usize, request: ListRequest },
     /// Cancel the call.
-    Drop { call: CallId },
+    Cancel { call: CallId },
     /// Report the call's answer to the user of the follower.
-    Tell { call: CallId },
+    Report { call: CallId },
     /// Report that all endpoints failed; the last list stays valid.
     Failed,
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
     /// After an exponential back-off.
-    Own,
+    Backoff,
     /// Within this time. For lists that the service pushes: a change counts as known to the node a short time
     /// after it was made.
     Within(Duration),
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     call: CallId,
-    ask: Ask,
+    request: ListRequest,
     started: Time,
     /// From this time on the call counts as silent, and another call is made beside it.
     silent_at: Time,
@@ -217,7 +217,7 @@
     /// Replaces the endpoints. The new ones serve another list, of which no version is known.
     pub fn replace_endpoints(&mut self, endpoints: usize, now: Time, actions: &mut Vec<Action>) {
         let dropped = self.main.take().into_iter().chain(self.silent_call.take());
-        actions.extend(dropped.map(|gone| Action::Drop { call: gone.call }));
+        actions.extend(dropped.map(|gone| Action::Cancel { call: gone.call }));
         let (active, retry, seed) = (self.active, self.retry, self.random_state);
         *self = Follower { next_call: self.next_call, ..Follower::new(endpoints, None, retry, seed) };
         if active {
@@ -235,7 +235,7 @@
         }
         if let Some(silent_call) = self.silent_call.filter(|silent| silent.cancel_at <= now) {
             self.silent_call = None;
-            actions.push(Action::Drop { call: silent_call.call });
+            actions.push(Action::Cancel { call: silent_call.call });
             // The other call continues, but the user must learn that the watch is lost.
             if self.endpoints == 1 {
                 self.report_failure(actions);
@@ -245,7 +245,7 @@
             self.version_uncertain = true;
             self.silences += 1;
             if let Some(older) = self.silent_call.replace(main) {
-                actions.push(Action::Drop { call: older.call });
+                actions.push(Action::Cancel { call: older.call });
             }
             self.main = None;
             if self.endpoints == 1 {
@@ -277,7 +277,7 @@
             }
             return;
         };
-        if !self.is_accepted(ended.ask, summary, now) {
+        if !self.is_accepted(ended.request, summary, now) {
             // Only the newest call decides which endpoint is next.
             if main.is_some() {
                 self.behind += 1;
@@ -286,15 +286,15 @@
             }
             return;
         }
-        actions.push(Action::Tell { call });
+        actions.push(Action::Report { call });
         let other = self.main.take().into_iter().chain(self.silent_call.take());
-        actions.extend(other.map(|other| Action::Drop { call: other.call }));
+        actions.extend(other.map(|other| Action::Cancel { call: other.call }));
         let nothing_new = summary.empty && self.held == Some(summary.version);
         self.held = Some(summary.version);
         (self.version_uncertain, self.failed, self.behind, self.rounds, self.silences) = (false, 0, 0, 0, 0);
         self.behind_since = None;
         self.first = false;
-        if nothing_new && now.saturating_sub(ended.started) < ended.ask.hold() / 2 {
+        if nothing_new && now.saturating_sub(ended.started) < ended.request.hold() / 2 {
             self.wake = Some(now + EARLY_ANSWER_PAUSE);
         } else {
             self.call(now, actions);
@@ -314,13 +314,13 @@
     }
 
     /// Whether an answer is accepted: it must not be older than the list that is known.
-    fn is_accepted(&self, ask: Ask, summary: ListSummary, now: Time) -> bool {
+    fn is_accepted(&self, request: ListRequest, summary: ListSummary, now: Time) -> bool {
         let Some(held) = self.held else { return true };
         if summary.full {
             // An older list is accepted only if the service itself has lost versions.
             return summary.version >= held || self.service_lost_versions(now);
         }
-        let Ask::Changes { from, .. } = ask else { return false };
+        let ListRequest::Changes { from, .. } = request else { return false };
         // If the service has version `held`, the changes after an older version are not empty.
         summary.version >= held && !(from < held && summary.empty)
     }
@@ -346,7 +346,7 @@
         self.behind = 0;
         self.report_failure(actions);
         let wait = match self.retry {
-            Retry::Own => (MIN_BACKOFF * (1 << self.rounds.min(6))).min(MAX_BACKOFF),
+            Retry::Backoff => (MIN_BACKOFF * (1 << self.rounds.min(6))).min(MAX_BACKOFF),
             Retry::Within(longest) => longest,
             Retry::OnStart => return,
         };
@@ -359,22 +359,25 @@
     }
 
     fn call(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let ask = match self.held {
-            Some(_) if self.service_lost_versions(now) => Ask::Whole,
-            None => Ask::Whole,
+        let request = match self.held {
+            Some(_) if self.service_lost_versions(now) => ListRequest::Whole,
+            None => ListRequest::Whole,
             // Asks from one version earlier: if the service has version `held`, it answers at once.
             Some(held) if self.version_uncertain && held > 0 => {
                 // One of several replicas may be behind by a heartbeat, so it may wait for the version.
                 let hold = if self.endpoints == 1 { Duration::ZERO } else { FIRST_HOLD };
-                Ask::Changes { from: held - 1, hold }
+                ListRequest::Changes { from: held - 1, hold }
             }
-            Some(from) if self.first => Ask::Changes { from, hold: FIRST_HOLD },
+            Some(from) if self.first => ListRequest::Changes { from, hold: FIRST_HOLD },
             Some(from) => {
                 let more = (MAX_HOLD - MIN_HOLD).mul_f64(self.random());
-                Ask::Changes { from, hold: Duration::from_millis((MIN_HOLD + more).as_millis() as u64) }
+                ListRequest::Changes {
+                    from,
+                    hold: Duration::from_millis((MIN_HOLD + more).as_millis() as u64),
+                }
             }
         };
-        let silence = match ask.hold() {
+        let silence = match request.hold() {
             hold if self.endpoints > 1 && hold <= FIRST_HOLD => {
                 // Another endpoint can be tried.
                 hold + QUICK_SILENCE_LIMIT.mul_f64(0.9 + 0.1 * self.random())
@@ -389,8 +392,8 @@
         };
         let call = self.next_call;
         self.next_call += 1;
-        let cancel_at = now + ask.hold() + CANCEL_AFTER_WAIT;
-        self.main = Some(InFlight { call, ask, started: now, silent_at: now + silence, cancel_at });
-        actions.push(Action::Call { call, endpoint: self.current, ask });
+        let cancel_at = now + request.hold() + CANCEL_AFTER_WAIT;
+        self.main = Some(InFlight { call, request, started: now, silent_at: now + silence, cancel_at });
+        actions.push(Action::Call { call, endpoint: self.current, request });
     }
 }
--- a/registry-client/tests/follow.rs
+++ b/registry-client/tests/follow.rs
@@ -4,16 +4,16 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shaletrail_registry_client::follow::{Action, Ask, CallId, Follower, ListSummary, Retry};
+use shaletrail_registry_client::follow::{Action, CallId, Follower, ListRequest, ListSummary, Retry};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// The call among the actions, if there is one. Clears the actions.
-fn take_call(actions: &mut Vec<Action>) -> Option<(CallId, usize, Ask)> {
+fn take_call(actions: &mut Vec<Action>) -> Option<(CallId, usize, ListRequest)> {
     let put = actions.iter().find_map(|action| match action {
-        Action::Call { call, endpoint, ask } => Some((*call, *endpoint, *ask)),
+        Action::Call { call, endpoint, request } => Some((*call, *endpoint, *request)),
         _ => None,
     });
     actions.clear();
@@ -24,24 +24,24 @@
     Some(ListSummary { version, full, empty })
 }
 
-fn changes(from: u64, hold: u64) -> Ask {
-    Ask::Changes { from, hold: ms(hold) }
+fn changes(from: u64, hold: u64) -> ListRequest {
+    ListRequest::Changes { from, hold: ms(hold) }
 }
 
 /// Whether the request continues a watch: it may wait for 4 to 20 s.
-fn is_watch(ask: Ask, from: u64) -> bool {
-    matches!(ask, Ask::Changes { from: asked, hold } if asked == from && (ms(4000)..=ms(20_000)).contains(&hold))
+fn is_watch(request: ListRequest, from: u64) -> bool {
+    matches!(request, ListRequest::Changes { from: asked, hold } if asked == from && (ms(4000)..=ms(20_000)).contains(&hold))
 }
 
 /// A follower that has followed to version 51, and whose watch then broke.
 fn with_broken_watch_at_51(actions: &mut Vec<Action>) -> Follower {
     let mut follower = Follower::new(1, Some(50), Retry::OnStart, 7);
     follower.start(ms(0), actions);
-    let (first, _, ask) = take_call(actions).expect("a call");
-    assert_eq!(ask, changes(50, 1000));
+    let (first, _, request) = take_call(actions).expect("a call");
+    assert_eq!(request, changes(50, 1000));
     follower.call_ended(first, summary(51, false, false), ms(10), actions);
-    let (watch, _, ask) = take_call(actions).expect("a watch");
-    assert!(is_watch(ask, 51), "{ask:?}");
+    let (watch, _, request) = take_call(actions).expect("a watch");
+    assert!(is_watch(request, 51), "{request:?}");
     follower.call_ended(watch, None, ms(500), actions);
     assert_eq!(*actions, [Action::Failed]);
     actions.clear();
@@ -55,15 +55,15 @@
     for answered in [2, 50] {
         let mut actions = Vec::new();
         let mut follower = with_broken_watch_at_51(&mut actions);
-        let (probe, _, ask) = take_call(&mut actions).expect("a call");
-        assert_eq!(ask, changes(50, 0));
+        let (probe, _, request) = take_call(&mut actions).expect("a call");
+        assert_eq!(request, changes(50, 0));
         follower.call_ended(probe, summary(answered, false, true), ms(701), &mut actions);
-        let (whole, _, ask) = take_call(&mut actions).expect("a call");
-        assert_eq!(ask, Ask::Whole);
+        let (whole, _, request) = take_call(&mut actions).expect("a call");
+        assert_eq!(request, ListRequest::Whole);
         follower.call_ended(whole, summary(2, true, false), ms(702), &mut actions);
-        assert_eq!(actions[0], Action::Tell { call: whole });
-        let (watch, _, ask) = take_call(&mut actions).expect("a watch");
-        assert!(is_watch(ask, 2), "{ask:?}");
+        assert_eq!(actions[0], Action::Report { call: whole });
+        let (watch, _, request) = take_call(&mut actions).expect("a watch");
+        assert!(is_watch(request, 2), "{request:?}");
         follower.call_ended(watch, summary(3, false, false), ms(900), &mut actions);
         assert!(is_watch(take_call(&mut actions).expect("a watch").2, 3));
     }
@@ -82,20 +82,20 @@
 fn a_silent_watch_is_detected_within_2_s_after_the_end_of_its_wait() {
     for endpoints in [1, 3] {
         let mut actions = Vec::new();
-        let mut follower = Follower::new(endpoints, Some(5), Retry::Own, 7);
+        let mut follower = Follower::new(endpoints, Some(5), Retry::Backoff, 7);
         follower.start(ms(0), &mut actions);
         let (first, at, _) = take_call(&mut actions).expect("a call");
         let wake = follower.wake().expect("a time");
         assert!(wake <= ms(3000), "{wake:?}");
         follower.tick(wake, &mut actions);
-        let (second, next, ask) = take_call(&mut actions).expect("another call");
-        assert_eq!(ask, changes(4, if endpoints == 1 { 0 } else { 1000 }));
+        let (second, next, request) = take_call(&mut actions).expect("another call");
+        assert_eq!(request, changes(4, if endpoints == 1 { 0 } else { 1000 }));
         assert_eq!(next != at, endpoints > 1);
         // The first call may still be answered.
         follower.call_ended(first, summary(6, false, false), wake + ms(1), &mut actions);
         assert!(
-            actions.contains(&Action::Tell { call: first })
-                && actions.contains(&Action::Drop { call: second })
+            actions.contains(&Action::Report { call: first })
+                && actions.contains(&Action::Cancel { call: second })
         );
     }
 }
@@ -136,8 +136,8 @@
         follower.start(ms(0), actions);
         let (first, ..) = take_call(actions).expect("a call");
         follower.call_ended(first, summary(5, false, true), ms(1000), actions);
-        let (_, _, ask) = take_call(actions).expect("a watch");
-        let Ask::Changes { hold, .. } = ask else { panic!("{ask:?}") };
+        let (_, _, request) = take_call(actions).expect("a watch");
+        let ListRequest::Changes { hold, .. } = request else { panic!("{request:?}") };
         Node { follower, end: ms(1000) + hold, answer: None, retry_at: None }
     }
 
@@ -185,17 +185,17 @@
 #[test]
 fn the_follower_moves_on_at_once_from_an_endpoint_that_is_dead_or_behind() {
     let mut actions = Vec::new();
-    let mut follower = Follower::new(3, Some(9), Retry::Own, 7);
+    let mut follower = Follower::new(3, Some(9), Retry::Backoff, 7);
     follower.start(ms(0), &mut actions);
     let (dead, first, _) = take_call(&mut actions).expect("a call");
     follower.call_ended(dead, None, ms(1), &mut actions);
     let (behind, second, _) = take_call(&mut actions).expect("the next at once");
     follower.call_ended(behind, summary(8, false, true), ms(2), &mut actions);
-    let (good, third, ask) = take_call(&mut actions).expect("the next at once");
+    let (good, third, request) = take_call(&mut actions).expect("the next at once");
     assert!(first != second && second != third && third != first);
-    assert_eq!(ask, changes(8, 1000));
+    assert_eq!(request, changes(8, 1000));
     follower.call_ended(good, summary(9, false, false), ms(3), &mut actions);
-    assert!(actions.contains(&Action::Tell { call: good }));
+    assert!(actions.contains(&Action::Report { call: good }));
 }
 
 /// 300 followers lose all endpoints at the same time. Their retries must be spread, not synchronized.
@@ -204,7 +204,7 @@
     let mut back: Vec<u128> = (0..300)
         .map(|seed| {
             let mut actions = Vec::new();
-            let mut follower = Follower::new(3, Some(9), Retry::Own, seed);
+            let mut follower = Follower::new(3, Some(9), Retry::Backoff, seed);
             follower.start(ms(0), &mut actions);
             while let Some((lost, ..)) = take_call(&mut actions) {
                 follower.call_ended(lost, None, ms(1), &mut actions);
@@ -227,7 +227,7 @@
     fn versions_never_decrease_and_the_newest_is_reported_in_the_end(
         endpoints in 1..4usize,
         seed in any::<u64>(),
-        retry in prop_oneof![Just(Retry::Own), Just(Retry::OnStart), Just(Retry::Within(ms(60)))],
+        retry in prop_oneof![Just(Retry::Backoff), Just(Retry::OnStart), Just(Retry::Within(ms(60)))],
         outcomes in prop::collection::vec((0..5u8, 0..3u64, 0..2500u64), 1..60),
     ) {
         let mut actions = Vec::new();
@@ -235,7 +235,7 @@
         // When its user starts it again after a failure. With `Retry::OnStart` nothing else may wake it.
         let mut retry_at = None;
         let (mut now, mut version, mut last) = (ms(0), 5, 0);
-        let mut in_flight: Vec<(CallId, Ask)> = Vec::new();
+        let mut in_flight: Vec<(CallId, ListRequest)> = Vec::new();
         follower.start(now, &mut actions);
         // When each version was created. The first exists from the start.
         let mut created_at = vec![now; 6];
@@ -243,16 +243,16 @@
         for _ in 0..400 {
             for action in actions.drain(..) {
                 match action {
-                    Action::Call { call, ask, .. } => in_flight.push((call, ask)),
-                    Action::Drop { call } => in_flight.retain(|(id, _)| *id != call),
-                    Action::Tell { .. } => {}
+                    Action::Call { call, request, .. } => in_flight.push((call, request)),
+                    Action::Cancel { call } => in_flight.retain(|(id, _)| *id != call),
+                    Action::Report { .. } => {}
                     Action::Failed => retry_at = Some(now + ms(300)),
                 }
             }
             prop_assert!(in_flight.len() <= 2, "{in_flight:?}");
             let (outcome, lag, wait) = outcomes.next().unwrap_or((0, 0, 50));
             let healthy = outcome == 0;
-            let Some((call, ask)) = in_flight.last().copied().filter(|_| outcome != 4) else {
+            let Some((call, request)) = in_flight.last().copied().filter(|_| outcome != 4) else {
                 // No answer comes before the follower's next timer.
                 let due = follower.wake().into_iter().chain(retry_at.filter(|_| retry == Retry::OnStart)).min();
                 let Some(due) = due else { break };
@@ -276,15 +276,15 @@
             // Every replica that answers has all versions that are older than this.
             let known_to_all = created_at.iter().rposition(|at| now - *at > ms(8000)).unwrap_or(0) as u64;
             let knows = (version - lag).max(known_to_all);
-            let answer = match (outcome, ask) {
+            let answer = match (outcome, request) {
                 (2, _) => None,
                 // The registry answers 503 rather than with a lower version than it was asked from.
-                (_, Ask::Changes { from, .. }) if from > knows => None,
-                (_, Ask::Changes { from, .. }) => summary(knows, false, from == knows),
-                (_, Ask::Whole) => summary(knows, true, false),
+                (_, ListRequest::Changes { from, .. }) if from > knows => None,
+                (_, ListRequest::Changes { from, .. }) => summary(knows, false, from == knows),
+                (_, ListRequest::Whole) => summary(knows, true, false),
             };
             follower.call_ended(call, answer, now, &mut actions);
-            if actions.contains(&Action::Tell { call }) {
+            if actions.contains(&Action::Report { call }) {
                 let knows = answer.expect("an answer").version;
                 prop_assert!(knows >= last, "{knows} after {last}");
                 last = knows;
