--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -8,7 +8,7 @@
 
 use shaletrail_fault_lab::orchestrator::{Live, Standing};
 use shaletrail_fault_lab::scenario::Scenario;
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 
 use crate::lab::{programs, start_guard_process};
 use crate::{shutdown_signal, Failure};
@@ -110,6 +110,6 @@
         ("x-deadline-ms", "2000"),
     ];
     let call = Call { headers, ..Call::get(path, 64 << 10) };
-    let answer = Line::new(node).within(Duration::from_secs(5), call).await.map_err(Failure::failed)?;
+    let answer = HttpClient::new(node).send(Duration::from_secs(5), call).await.map_err(Failure::failed)?;
     Ok(format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body)))
 }
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -8,7 +8,7 @@
 
 use hyper::Method;
 use serde::Serialize;
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_client::changes::{entry_path, Changes};
 use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::ListRequest;
@@ -155,7 +155,7 @@
     for writer in 0..writers {
         let (addr, done) = (ops[writer % ops.len()], Arc::clone(&done));
         tasks.push(tokio::spawn(async move {
-            let mut line = Line::new(addr);
+            let mut line = HttpClient::new(addr);
             for number in 1.. {
                 let place = done.load(Ordering::Relaxed);
                 if Instant::now() >= until || place >= most as u64 {
@@ -171,10 +171,10 @@
                     path: &path,
                     headers: &[],
                     body,
-                    most: LONGEST_LIST,
-                    last: false,
+                    max_bytes: LONGEST_LIST,
+                    close: false,
                 };
-                let answer = line.within(Duration::from_secs(10), call).await;
+                let answer = line.send(Duration::from_secs(10), call).await;
                 if answer.is_ok_and(|answer| answer.status.is_success()) {
                     done.fetch_add(1, Ordering::Relaxed);
                 }
@@ -217,11 +217,11 @@
         let (addr, told, mut version) = (discovery[n % discovery.len()], told.clone(), whole.version);
         let stop = Arc::clone(&stop);
         watchers.push(tokio::spawn(async move {
-            let mut line = Line::new(addr);
+            let mut line = HttpClient::new(addr);
             while !stop.load(Ordering::Relaxed) {
                 let path = format!("{INSTANCES}?from={version}&hold_ms=20000");
-                let call = Call { last: false, ..Call::get(&path, LONGEST_LIST) };
-                let answer = line.within(Duration::from_secs(30), call).await;
+                let call = Call { close: false, ..Call::get(&path, LONGEST_LIST) };
+                let answer = line.send(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
                 let list = serde_json::from_slice::<shaletrail_registry_protocol::List>(&answer.body);
                 let Ok(list) = list else { continue };
@@ -275,8 +275,9 @@
             all += 1;
             let mut answered = false;
             for addr in &discovery {
-                let answer =
-                    Line::new(*addr).within(Duration::from_secs(1), Call::get(INSTANCES, LONGEST_LIST)).await;
+                let answer = HttpClient::new(*addr)
+                    .send(Duration::from_secs(1), Call::get(INSTANCES, LONGEST_LIST))
+                    .await;
                 answered |= answer.is_ok_and(|answer| answer.status.is_success());
                 if answered {
                     break;
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -15,7 +15,7 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use serde_json::{json, Value};
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::{List, State};
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -268,7 +268,7 @@
         let path = format!("/-/cache-servers/{server}/{call}");
         let call = Call { method: hyper::Method::POST, ..Call::get(&path, 1 << 10) };
         let door = *lock(&node.ops);
-        let answer = Line::new(door).within(Duration::from_secs(5), call).await;
+        let answer = HttpClient::new(door).send(Duration::from_secs(5), call).await;
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 }
@@ -289,7 +289,7 @@
 pub async fn ready(addr: SocketAddr, path: &str) -> io::Result<()> {
     let until = Instant::now() + READY;
     loop {
-        let answer = Line::new(addr).within(READY, Call::get(path, 1 << 10)).await;
+        let answer = HttpClient::new(addr).send(READY, Call::get(path, 1 << 10)).await;
         if answer.is_ok_and(|answer| answer.status.is_success()) {
             return Ok(());
         }
@@ -332,7 +332,7 @@
         let open = |link: &crate::net::Link| !link.there.cut && !link.back.cut;
         link.wait_for(open).await.ok()?;
         let call = Call::get(path, LONGEST_LIST);
-        let answer = Line::new(self.replicas[replica]).within(LONGEST_WATCH, call).await.ok()?;
+        let answer = HttpClient::new(self.replicas[replica]).send(LONGEST_WATCH, call).await.ok()?;
         if answer.status != StatusCode::OK {
             return None;
         }
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_client::fences::FenceTable;
 use shaletrail_registry_client::supervisor::{DUTY_VAR, FENCE_VAR};
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
@@ -123,10 +123,10 @@
     let named = |name| std::env::var(name).map_err(|e| format!("{name}: {e}"));
     let (duty, fence) = (named(DUTY_VAR)?, named(FENCE_VAR)?);
     let headers: &[(&'static str, &str)] = &[(DUTY_HEADER, &duty), (FENCE_HEADER, &fence)];
-    let mut line = Line::new(at);
+    let mut line = HttpClient::new(at);
     loop {
         let read = Call { headers, ..Call::get("/", LONGEST_BODY) };
-        if let Ok(answer) = line.within(Duration::from_secs(5), read).await {
+        if let Ok(answer) = line.send(Duration::from_secs(5), read).await {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             if answer.status != StatusCode::OK {
                 return Err(text);
@@ -135,7 +135,7 @@
             tokio::time::sleep(between).await;
             let body = next.to_string().into();
             let set = Call { method: Method::PUT, headers, body, ..Call::get("/", LONGEST_BODY) };
-            match line.within(Duration::from_secs(5), set).await {
+            match line.send(Duration::from_secs(5), set).await {
                 Ok(answer) if answer.status != StatusCode::OK => {
                     return Err(String::from_utf8_lossy(&answer.body).into_owned());
                 }
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -9,7 +9,7 @@
 use shaletrail_registry_protocol::{Changed, Entry, Register, Stamp, State};
 use tokio::time::sleep;
 
-use crate::call::{Call, Line};
+use crate::call::{Call, HttpClient};
 use crate::changes::{entry_path, ChangeError, Changes};
 
 /// Renewals sent per lease.
@@ -48,7 +48,7 @@
 /// the probe's path.
 pub async fn is_alive(addr: SocketAddr) -> bool {
     let answer =
-        Line::new(addr).within(PROBE_TIMEOUT, Call::get("/health/live", MAX_PROBE_RESPONSE_BYTES)).await;
+        HttpClient::new(addr).send(PROBE_TIMEOUT, Call::get("/health/live", MAX_PROBE_RESPONSE_BYTES)).await;
     answer.is_ok_and(|answer| answer.status != StatusCode::SERVICE_UNAVAILABLE)
 }
 
--- a/registry-client/src/call.rs
+++ b/registry-client/src/call.rs
@@ -49,7 +49,7 @@
 
 /// A client of one address. It can keep its connection open between calls. The connection is polled only
 /// during a call.
-pub struct Line {
+pub struct HttpClient {
     addr: SocketAddr,
     open: Option<(SendRequest<Full<Bytes>>, ConnectionTask)>,
 }
@@ -62,20 +62,20 @@
     pub headers: &'a [(&'static str, &'a str)],
     pub body: Bytes,
     /// Longest response body that is accepted, in bytes.
-    pub most: usize,
+    pub max_bytes: usize,
     /// Whether to close the connection after this call.
-    pub last: bool,
+    pub close: bool,
 }
 
 impl<'a> Call<'a> {
-    pub fn get(path: &'a str, most: usize) -> Self {
-        Call { method: Method::GET, path, headers: &[], body: Bytes::new(), most, last: true }
+    pub fn get(path: &'a str, max_bytes: usize) -> Self {
+        Call { method: Method::GET, path, headers: &[], body: Bytes::new(), max_bytes, close: true }
     }
 }
 
-impl Line {
+impl HttpClient {
     pub fn new(addr: SocketAddr) -> Self {
-        Line { addr, open: None }
+        HttpClient { addr, open: None }
     }
 
     /// Whether the connection of an earlier call is still open.
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// [`CallError::not_run`] tells whether the call may have been executed.
-    pub async fn within(&mut self, time: Duration, call: Call<'_>) -> Result<Answer, CallError> {
+    pub async fn send(&mut self, time: Duration, call: Call<'_>) -> Result<Answer, CallError> {
         tokio::time::timeout(time, self.call(call)).await.unwrap_or(Err(CallError::TooLate(time)))
     }
 
@@ -107,20 +107,21 @@
         if !call.body.is_empty() {
             request = request.header(header::CONTENT_TYPE, "application/json");
         }
-        if call.last {
+        if call.close {
             request = request.header(header::CONNECTION, "close");
         }
         let request = request.body(Full::new(call.body))?;
-        let most = call.most;
+        let max_bytes = call.max_bytes;
         let exchange = async {
             sender.ready().await?;
             let response = sender.send_request(request).await?;
             let (head, body) = response.into_parts();
-            let body =
-                Limited::new(body, most).collect().await.map_err(|e| match e.downcast::<hyper::Error>() {
+            let body = Limited::new(body, max_bytes).collect().await.map_err(|e| {
+                match e.downcast::<hyper::Error>() {
                     Ok(e) => CallError::Broken(*e),
-                    Err(_) => CallError::TooLong(most),
-                })?;
+                    Err(_) => CallError::TooLong(max_bytes),
+                }
+            })?;
             Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() })
         };
         let (answer, closed) = {
@@ -130,7 +131,7 @@
                 _ = &mut connection_task => (exchange.await, true),
             }
         };
-        if answer.is_ok() && !call.last && !closed {
+        if answer.is_ok() && !call.close && !closed {
             self.open = Some((sender, connection_task));
         }
         answer
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -11,7 +11,7 @@
 use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{Refusal, INSTANCES, LONGEST_CALL};
 
-use crate::call::{Call, Line};
+use crate::call::{Call, HttpClient};
 
 /// Timeout of one call to one endpoint. It is above the leader's own time limit for a change.
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
@@ -81,8 +81,8 @@
             Some((duty, fence)) => vec![(DUTY_HEADER, duty.as_str()), (FENCE_HEADER, fence.as_str())],
             None => Vec::new(),
         };
-        let call = Call { method, path, headers: &headers, body, most: LONGEST_CALL, last: true };
-        let result = match Line::new(addr).within(time, call).await {
+        let call = Call { method, path, headers: &headers, body, max_bytes: LONGEST_CALL, close: true };
+        let result = match HttpClient::new(addr).send(time, call).await {
             Ok(answer) if answer.status.is_success() => match serde_json::from_slice(&answer.body) {
                 Ok(value) => return Ok(value),
                 Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
@@ -149,19 +149,23 @@
     ///
     /// # Errors
     /// The failure of the last endpoint, or a response that is not the expected JSON.
-    pub async fn read<A: DeserializeOwned>(&mut self, path: &str, most: usize) -> Result<A, ChangeError> {
-        Ok(serde_json::from_slice(&self.get(path, most).await?)?)
+    pub async fn read<A: DeserializeOwned>(
+        &mut self,
+        path: &str,
+        max_bytes: usize,
+    ) -> Result<A, ChangeError> {
+        Ok(serde_json::from_slice(&self.get(path, max_bytes).await?)?)
     }
 
-    /// Reads a resource as bytes from the first endpoint that answers, at most `most` bytes long.
+    /// Reads a resource as bytes from the first endpoint that answers, at most `max_bytes` bytes long.
     ///
     /// # Errors
     /// The failure of the last endpoint.
-    pub async fn get(&mut self, path: &str, most: usize) -> Result<bytes::Bytes, ChangeError> {
+    pub async fn get(&mut self, path: &str, max_bytes: usize) -> Result<bytes::Bytes, ChangeError> {
         let mut failure = "no endpoint configured".to_owned();
         for _ in 0..self.endpoints.len() {
             let addr = self.endpoints[self.current];
-            match Line::new(addr).within(CALL_TIMEOUT, Call::get(path, most)).await {
+            match HttpClient::new(addr).send(CALL_TIMEOUT, Call::get(path, max_bytes)).await {
                 Ok(answer) if answer.status.is_success() => return Ok(answer.body),
                 Ok(answer) => {
                     failure = format!("{addr}: {} {}", answer.status, String::from_utf8_lossy(&answer.body));
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_protocol::{List, INSTANCES, LONGEST_LIST};
 use tokio::time::sleep_until;
 
-use crate::call::{Call, CallError, Line};
+use crate::call::{Call, CallError, HttpClient};
 use crate::follow::{Action, CallId, Follower, ListRequest, ListSummary, Retry};
 
 /// Timeout of a call. It is far above the core's own limits, so normally the core cancels the call first.
@@ -60,10 +60,10 @@
 /// # Errors
 /// The call failed, or its response is not a list of this protocol.
 pub async fn fetch_list(addr: SocketAddr, request: ListRequest) -> Result<List, FetchError> {
-    fetch_with(&mut Line::new(addr), request, true).await
+    fetch_with(&mut HttpClient::new(addr), request, true).await
 }
 
-async fn fetch_with(client: &mut Line, request: ListRequest, last: bool) -> Result<List, FetchError> {
+async fn fetch_with(client: &mut HttpClient, request: ListRequest, close: bool) -> Result<List, FetchError> {
     let path = match request {
         ListRequest::Whole => INSTANCES.to_owned(),
         ListRequest::Changes { from, hold } => {
@@ -71,8 +71,8 @@
         }
     };
     let (was_open, started) = (client.is_open(), Instant::now());
-    let call = Call { last, ..Call::get(&path, LONGEST_LIST) };
-    let answer = client.within(CALL_TIMEOUT, call).await.map_err(|e| match e {
+    let call = Call { close, ..Call::get(&path, LONGEST_LIST) };
+    let answer = client.send(CALL_TIMEOUT, call).await.map_err(|e| match e {
         CallError::Broken(_) if was_open && started.elapsed() < STALE_CONNECTION_TIME => FetchError::Stale,
         e => FetchError::Call(e),
     })?;
@@ -83,7 +83,7 @@
 }
 
 /// A call in flight. It returns its client for reuse.
-type PendingCall = Pin<Box<dyn Future<Output = (Result<List, FetchError>, Line)> + Send>>;
+type PendingCall = Pin<Box<dyn Future<Output = (Result<List, FetchError>, HttpClient)> + Send>>;
 
 /// Follows the list at several endpoints.
 pub struct ListFollower {
@@ -93,7 +93,7 @@
     in_flight: Vec<(CallId, SocketAddr, PendingCall)>,
     /// Clients whose last call was answered, kept with their connections. Without them every watcher would
     /// open a new connection at each change.
-    idle_clients: HashMap<SocketAddr, Line>,
+    idle_clients: HashMap<SocketAddr, HttpClient>,
     pending_updates: VecDeque<ListUpdate>,
     /// The failure of the last call.
     last_failure: String,
@@ -189,7 +189,8 @@
             match action {
                 Action::Call { call, endpoint, request } => {
                     if let Some(addr) = self.endpoints.get(endpoint).copied() {
-                        let mut client = self.idle_clients.remove(&addr).unwrap_or_else(|| Line::new(addr));
+                        let mut client =
+                            self.idle_clients.remove(&addr).unwrap_or_else(|| HttpClient::new(addr));
                         let pending = async move { (fetch_with(&mut client, request, false).await, client) };
                         self.in_flight.push((call, addr, Box::pin(pending)));
                     }
@@ -213,7 +214,7 @@
 /// Waits for the first call to end and removes it. It never completes if no call is in flight.
 async fn first_to_end(
     in_flight: &mut Vec<(CallId, SocketAddr, PendingCall)>,
-) -> (CallId, SocketAddr, (Result<List, FetchError>, Line)) {
+) -> (CallId, SocketAddr, (Result<List, FetchError>, HttpClient)) {
     std::future::poll_fn(|context| {
         for index in 0..in_flight.len() {
             if let Poll::Ready(result) = in_flight[index].2.as_mut().poll(context) {
--- a/registry/src/changing.rs
+++ b/registry/src/changing.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, StatusCode};
 use percent_encoding::percent_decode_str;
 use serde_json::json;
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
     check_id, Changed, Confirm, Confirmed, Entry, Expiry, Join, Listed, Register, RenewMany, Renewed, Stamp,
@@ -225,11 +225,11 @@
         path: &path,
         headers: &headers,
         body: asked.body,
-        most: LONGEST_CALL,
-        last: true,
+        max_bytes: LONGEST_CALL,
+        close: true,
     };
     let time = Duration::from_millis(replica.settings.change_ms + replica.settings.change_ms / 4);
-    match Line::new(addr).within(time, call).await {
+    match HttpClient::new(addr).send(time, call).await {
         Ok(answer) => {
             let mut reply = raw(answer.status, "application/json", answer.body);
             if let Some(word) = answer.headers.get(NOT_RUN) {
--- a/registry/src/links.rs
+++ b/registry/src/links.rs
@@ -15,7 +15,7 @@
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_client::call::{Call, CallError, Line};
+use shaletrail_registry_client::call::{Call, CallError, HttpClient};
 
 use crate::types::{Member, Types};
 
@@ -70,7 +70,7 @@
         Link {
             target,
             node: node.clone(),
-            line: addr.map(|addr| Mutex::new(Line::new(addr))),
+            line: addr.map(|addr| Mutex::new(HttpClient::new(addr))),
             links: Arc::clone(&self.0),
         }
     }
@@ -80,7 +80,7 @@
     target: u64,
     node: Member,
     /// Behind a lock only because the protocol wants links that threads can share; they never do.
-    line: Option<Mutex<Line>>,
+    line: Option<Mutex<HttpClient>>,
     links: Arc<Links>,
 }
 
@@ -100,10 +100,16 @@
             return Err(RPCError::Unreachable(Unreachable::new(&Text(format!("{}: no address", self.node)))));
         };
         let body = serde_json::to_vec(question).map_err(|e| network(&e))?;
-        let call =
-            Call { method: Method::POST, path, headers: &[], body: body.into(), most: LONGEST, last: false };
+        let call = Call {
+            method: Method::POST,
+            path,
+            headers: &[],
+            body: body.into(),
+            max_bytes: LONGEST,
+            close: false,
+        };
         let line = line.get_mut().unwrap_or_else(PoisonError::into_inner);
-        let answer = line.within(time, call).await.map_err(|e| match e {
+        let answer = line.send(time, call).await.map_err(|e| match e {
             CallError::NotReached(e) => RPCError::Unreachable(Unreachable::new(&e)),
             e => network(&e),
         })?;
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -11,7 +11,7 @@
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{AppendEntriesRequest, AppendEntriesResponse};
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::Join;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{watch, OnceCell};
@@ -276,7 +276,7 @@
 async fn greet_all(options: &Options) -> Vec<Option<Phase>> {
     let mut phases = Vec::new();
     for (name, addr) in others(options) {
-        let answer = Line::new(*addr).within(GREETING, Call::get("/replica/hello", LONGEST)).await;
+        let answer = HttpClient::new(*addr).send(GREETING, Call::get("/replica/hello", LONGEST)).await;
         let greeting = answer.ok().and_then(|a| serde_json::from_slice::<Greeting>(&a.body).ok());
         let greeting = greeting.filter(|greeting| greeting.name == *name);
         phases.push(greeting.map(|greeting| greeting.phase));
@@ -295,8 +295,9 @@
     for door in doors.iter().cycle() {
         let path = door.path(path);
         let body = serde_json::to_vec(question).unwrap_or_default().into();
-        let call = Call { method: Method::POST, path: &path, headers: &[], body, most: LONGEST, last: true };
-        let answer = Line::new(door.addr).within(JOINING, call).await;
+        let call =
+            Call { method: Method::POST, path: &path, headers: &[], body, max_bytes: LONGEST, close: true };
+        let answer = HttpClient::new(door.addr).send(JOINING, call).await;
         let now = match answer {
             Ok(answer) if answer.status == StatusCode::OK => match serde_json::from_slice(&answer.body) {
                 Ok(told) => return told,
--- a/registry/tests/common/mod.rs
+++ b/registry/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Method;
 use shaletrail_registry::{run, Options, Settings};
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::duty::{DUTY_HEADER, FENCE_HEADER};
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
@@ -69,8 +69,8 @@
     let headers: Vec<_> =
         fence.iter().flat_map(|(duty, _)| [(DUTY_HEADER, *duty), (FENCE_HEADER, number.as_str())]).collect();
     let body = Bytes::copy_from_slice(body.as_bytes());
-    let call = Call { method, path, headers: &headers, body, most: LONGEST_ANSWER, last: true };
-    let answer = Line::new(addr).within(PATIENCE, call).await.expect("an answer");
+    let call = Call { method, path, headers: &headers, body, max_bytes: LONGEST_ANSWER, close: true };
+    let answer = HttpClient::new(addr).send(PATIENCE, call).await.expect("an answer");
     Reply { status: answer.status.as_u16(), body: answer.body }
 }
 
