--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shaletrail_registry_client::agent::{self, AgentConfig};
-use shaletrail_registry_client::changes::Changes;
+use shaletrail_registry_client::changes::RegistryClient;
 use shaletrail_registry_protocol::{check_id, Entry, State, LEASE_S};
 
 use crate::{shutdown_signal, Failure};
@@ -66,7 +66,7 @@
     let probe_addr = args.check.unwrap_or(args.addr);
     let config = AgentConfig { entry, lease: Duration::from_secs_f64(args.lease_s), drain, probe_addr };
     let say = |what: String| tracing::info!("{what}");
-    agent::run(&config, &mut Changes::new(args.registry), shutdown_signal(), say)
+    agent::run(&config, &mut RegistryClient::new(args.registry), shutdown_signal(), say)
         .await
         .map_err(Failure::failed)
 }
--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_client::changes::{duty_path, ChangeError, Changes};
+use shaletrail_registry_client::changes::{duty_path, ChangeError, RegistryClient};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::duty::{DutyClient, DutyError};
 use shaletrail_registry_client::supervisor::{self, CommandSpec, RunError, RunOutcome};
@@ -170,7 +170,7 @@
     path: &str,
     request: &impl Serialize,
 ) -> Result<A, Failure> {
-    let result = Changes::new(registry).put(method, path, request, CALL_TIMEOUT).await;
+    let result = RegistryClient::new(registry).send(method, path, request, CALL_TIMEOUT).await;
     result.map_err(|e| match e {
         ChangeError::Unusable(e) => Failure::invalid(e),
         e => Failure::failed(e),
@@ -178,7 +178,7 @@
 }
 
 async fn get<A: DeserializeOwned>(registry: &[SocketAddr], path: &str) -> Result<A, Failure> {
-    Changes::new(registry.to_vec()).read(path, LONGEST_LIST).await.map_err(Failure::failed)
+    RegistryClient::new(registry.to_vec()).read(path, LONGEST_LIST).await.map_err(Failure::failed)
 }
 
 async fn show(registry: &[SocketAddr], name: &str) -> Result<Duty, Failure> {
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -9,7 +9,7 @@
 use clap::Subcommand;
 use serde_json::{json, Value};
 use shaletrail_registry::{restore, Folder, Options, ServiceError};
-use shaletrail_registry_client::changes::{ChangeError, Changes};
+use shaletrail_registry_client::changes::{ChangeError, RegistryClient};
 use shaletrail_registry_client::duty::{run_while_held, DutyClient};
 use shaletrail_registry_client::maintenance::{self, BackupPlan};
 use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
@@ -254,7 +254,7 @@
     path: &str,
     request: &impl serde::Serialize,
 ) -> Result<A, Failure> {
-    let result = Changes::new(service.registry).put(method, path, request, CALL_TIMEOUT).await;
+    let result = RegistryClient::new(service.registry).send(method, path, request, CALL_TIMEOUT).await;
     result.map_err(|e| match e {
         ChangeError::Unusable(e) => Failure::invalid(e),
         e => Failure::failed(e),
@@ -262,7 +262,7 @@
 }
 
 async fn status(service: Service, as_json: bool) -> Result<(), Failure> {
-    let status = Changes::new(service.registry).read("/registry/status", LONGEST_LIST).await;
+    let status = RegistryClient::new(service.registry).read("/registry/status", LONGEST_LIST).await;
     let status: Status = status.map_err(Failure::failed)?;
     if as_json {
         println!("{}", serde_json::to_string(&status).map_err(Failure::failed)?);
@@ -288,7 +288,7 @@
 
 async fn backup(file: &std::path::Path, service: Service) -> Result<(), Failure> {
     let bytes =
-        maintenance::save(&mut Changes::new(service.registry), file).await.map_err(Failure::failed)?;
+        maintenance::save(&mut RegistryClient::new(service.registry), file).await.map_err(Failure::failed)?;
     println!("{}: {bytes} bytes", file.display());
     Ok(())
 }
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -364,11 +364,11 @@
     // Changes of the list under a fence: those of the holder are accepted, those of an old holder are
     // refused.
     let change = |fence: u64| {
-        let mut changes = shaletrail_registry_client::changes::Changes::new(cluster.service.ops());
-        changes.under(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
+        let mut changes = shaletrail_registry_client::changes::RegistryClient::new(cluster.service.ops());
+        changes.set_fence(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let body = json!(numbered("s1", 1));
-        runtime.block_on(changes.put::<Value>(
+        runtime.block_on(changes.send::<Value>(
             Method::PUT,
             "/registry/instances/s1",
             &body,
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use serde::Serialize;
 use shaletrail_registry_client::call::{Call, HttpClient};
-use shaletrail_registry_client::changes::{entry_path, Changes};
+use shaletrail_registry_client::changes::{entry_path, RegistryClient};
 use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
@@ -140,10 +140,10 @@
     format!("{cores} cores ({cpu}), {memory}, Linux {}", read("/proc/sys/kernel/osrelease").trim())
 }
 
-async fn put(changes: &mut Changes, id: &str, number: u64) -> Result<u64, Failed> {
+async fn put(changes: &mut RegistryClient, id: &str, number: u64) -> Result<u64, Failed> {
     let question = Register { incarnation: 0, ..numbered(id, number) };
     let changed: Changed =
-        changes.put(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
+        changes.send(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
     Ok(changed.version)
 }
 
@@ -194,14 +194,16 @@
     size: &Size,
     seed: u64,
 ) -> Result<Form, Failed> {
-    let mut changes = Changes::new(ops.clone());
+    let mut changes = RegistryClient::new(ops.clone());
     let mut chance = Chance::new(name, seed);
     for n in 0..size.servers {
         // Enough at once to be quick; each id once.
         if n % 64 == 0 {
             let batch = (n..size.servers.min(n + 64)).map(|n| {
                 let addr = ops[n % ops.len()];
-                tokio::spawn(async move { put(&mut Changes::new(vec![addr]), &format!("s{n}"), 1).await })
+                tokio::spawn(
+                    async move { put(&mut RegistryClient::new(vec![addr]), &format!("s{n}"), 1).await },
+                )
             });
             for task in batch.collect::<Vec<_>>() {
                 task.await??;
@@ -265,7 +267,7 @@
 
 async fn failover(program: &Path, size: &Size) -> Result<(Spread, u64, u64), Failed> {
     let mut service = start(program, 3).await?;
-    let mut changes = Changes::new(service.ops());
+    let mut changes = RegistryClient::new(service.ops());
     put(&mut changes, "s0", 1).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let (stopped, discovery) = (Arc::clone(&stop), service.discovery());
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::Method;
-use shaletrail_registry_client::changes::{entry_path, ChangeError, Changes};
+use shaletrail_registry_client::changes::{entry_path, ChangeError, RegistryClient};
 use shaletrail_registry_client::driver::{ListFollower, ListUpdate};
 use shaletrail_registry_client::follow::Retry;
 use shaletrail_registry_protocol::{Changed, Entry, Register, State};
@@ -84,7 +84,7 @@
         let (stopped, acks, id) = (Arc::clone(&stop), Arc::clone(&acknowledged), id.to_owned());
         let thread = thread::spawn(move || {
             runtime().block_on(async {
-                let mut changes = Changes::new(endpoints);
+                let mut changes = RegistryClient::new(endpoints);
                 for number in 1.. {
                     if stopped.load(Ordering::Relaxed) {
                         return;
@@ -138,12 +138,12 @@
 }
 
 async fn register(
-    changes: &mut Changes,
+    changes: &mut RegistryClient,
     id: &str,
     number: u64,
     time: Duration,
 ) -> Result<Changed, ChangeError> {
-    changes.put(Method::PUT, &entry_path(id, ""), &numbered(id, number), time).await
+    changes.send(Method::PUT, &entry_path(id, ""), &numbered(id, number), time).await
 }
 
 /// One change from outside of any runtime.
@@ -169,8 +169,8 @@
     path: &str,
     body: &serde_json::Value,
 ) -> Result<A, ChangeError> {
-    let mut changes = Changes::new(endpoints.to_vec());
-    runtime().block_on(changes.put(method, path, body, Duration::from_secs(30)))
+    let mut changes = RegistryClient::new(endpoints.to_vec());
+    runtime().block_on(changes.send(method, path, body, Duration::from_secs(30)))
 }
 
 /// One call that changes nothing, as JSON.
@@ -178,5 +178,5 @@
 /// # Errors
 /// As the client has it.
 pub fn get(endpoint: SocketAddr, path: &str) -> Result<serde_json::Value, ChangeError> {
-    runtime().block_on(Changes::new(vec![endpoint]).read(path, 64 << 20))
+    runtime().block_on(RegistryClient::new(vec![endpoint]).read(path, 64 << 20))
 }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -12,7 +12,7 @@
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use shaletrail_registry_client::agent::{self, AgentConfig};
-use shaletrail_registry_client::changes::Changes;
+use shaletrail_registry_client::changes::RegistryClient;
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::ListRequest;
@@ -303,7 +303,7 @@
             let stop = async move {
                 let _ = stop.wait_for(|told| *told == Agent::Goodbye).await;
             };
-            let mut changes = Changes::new(ops);
+            let mut changes = RegistryClient::new(ops);
             tokio::select! {
                 ended = agent::run(&config, &mut changes, stop, |what| tracing::debug!("{what}")) => {
                     if let Err(e) = ended {
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::call::{Call, HttpClient};
-use crate::changes::{entry_path, ChangeError, Changes};
+use crate::changes::{entry_path, ChangeError, RegistryClient};
 
 /// Renewals sent per lease.
 const RENEWALS_PER_LEASE: u32 = 3;
@@ -59,7 +59,7 @@
 /// The registry refused this start of the server, or it is unknown whether the server was deregistered.
 pub async fn run(
     config: &AgentConfig,
-    changes: &mut Changes,
+    changes: &mut RegistryClient,
     stop: impl Future<Output = ()>,
     mut say: impl FnMut(String),
 ) -> Result<(), AgentError> {
@@ -127,11 +127,11 @@
     Ok(())
 }
 
-async fn register(config: &AgentConfig, changes: &mut Changes) -> Result<u64, AgentError> {
+async fn register(config: &AgentConfig, changes: &mut RegistryClient) -> Result<u64, AgentError> {
     let id = config.entry.id.clone();
     let entry = Entry { state: State::Active, ..config.entry.clone() };
     let request = Register::new(&entry, Some(config.lease.as_secs_f64()));
-    match changes.put::<Changed>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
+    match changes.send::<Changed>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -141,8 +141,13 @@
     }
 }
 
-async fn renew(id: &str, stamp: Stamp, changes: &mut Changes, time: Duration) -> Result<(), ChangeError> {
-    changes.put::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
+async fn renew(
+    id: &str,
+    stamp: Stamp,
+    changes: &mut RegistryClient,
+    time: Duration,
+) -> Result<(), ChangeError> {
+    changes.send::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
 }
 
 /// Sets the state to `leaving`, waits for requests in flight, and deregisters the entry. It is no error if
@@ -150,20 +155,20 @@
 async fn deregister(
     config: &AgentConfig,
     stamp: Stamp,
-    changes: &mut Changes,
+    changes: &mut RegistryClient,
     say: &mut impl FnMut(String),
 ) -> Result<(), AgentError> {
     let id = &config.entry.id;
     let gone = |e: &ChangeError| matches!(e, ChangeError::Refused { status: StatusCode::NOT_FOUND, .. });
     let leaving =
-        changes.put::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
+        changes.send::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
         Err(e) => say(format!("{id}: could not set the state `leaving`: {e}")),
     }
     sleep(config.drain).await;
-    match changes.put::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
+    match changes.send::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
         Ok(changed) => say(format!("{id} left at version {}", changed.version)),
         Err(e) if gone(&e) => {}
         Err(e) => return Err(e.into()),
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/changes.rs
@@ -35,26 +35,26 @@
 }
 
 /// A client of the registry's operator API. It first calls the endpoint that last answered.
-pub struct Changes {
+pub struct RegistryClient {
     endpoints: Vec<SocketAddr>,
     current: usize,
     /// The duty and the fencing number that are sent with each change.
     fence_headers: Option<(String, String)>,
 }
 
-impl Changes {
+impl RegistryClient {
     pub fn new(endpoints: Vec<SocketAddr>) -> Self {
-        Changes { endpoints, current: 0, fence_headers: None }
+        RegistryClient { endpoints, current: 0, fence_headers: None }
     }
 
     /// Sets the fence that is sent with every change from now on. The registry refuses a change whose fence
     /// is no longer the holder's.
-    pub fn under(&mut self, fence: Option<&Fence>) {
+    pub fn set_fence(&mut self, fence: Option<&Fence>) {
         self.fence_headers = fence.map(|fence| (fence.duty.clone(), fence.fence.to_string()));
     }
 
     /// Sends the next call to the next endpoint.
-    pub fn move_on(&mut self) {
+    pub fn use_next_endpoint(&mut self) {
         self.current = (self.current + 1) % self.endpoints.len().max(1);
     }
 
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// Tells whether the change may have been made.
-    pub async fn once<A: DeserializeOwned>(
+    pub async fn send_once<A: DeserializeOwned>(
         &mut self,
         method: Method,
         path: &str,
@@ -102,7 +102,7 @@
             Err(e) if e.not_run() => Err(ChangeError::NotDone(format!("{addr}: {e}"))),
             Err(e) => Err(ChangeError::Unknown(format!("{addr}: {e}"))),
         };
-        self.move_on();
+        self.use_next_endpoint();
         result
     }
 
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Tells whether the change may have been made.
-    pub async fn put<A: DeserializeOwned>(
+    pub async fn send<A: DeserializeOwned>(
         &mut self,
         method: Method,
         path: &str,
@@ -123,7 +123,7 @@
         let mut attempts = 0;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now()).min(CALL_TIMEOUT);
-            let failure = match self.once(method.clone(), path, body.clone(), time_left).await {
+            let failure = match self.send_once(method.clone(), path, body.clone(), time_left).await {
                 Err(ChangeError::NotDone(failure)) => failure,
                 Err(ChangeError::Unknown(failure)) => {
                     maybe_made = true;
--- a/registry-client/src/maintenance.rs
+++ b/registry-client/src/maintenance.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::agent::is_alive;
-use crate::changes::Changes;
+use crate::changes::RegistryClient;
 use crate::clock;
 use crate::duty::{DutyError, HeldDuty};
 
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// The backup could not be read or written; an existing file is not changed.
-pub async fn save(changes: &mut Changes, file: &Path) -> Result<u64, BackupError> {
+pub async fn save(changes: &mut RegistryClient, file: &Path) -> Result<u64, BackupError> {
     let body = changes.get("/registry/backup", MAX_BACKUP_BYTES).await?;
     let mut new = file.as_os_str().to_owned();
     new.push(".new");
@@ -223,7 +223,7 @@
                 }
                 let request = Confirm { most: ids.len() };
                 let path = "/registry/expiry/confirm";
-                match held.changes.put::<Confirmed>(Method::POST, path, &request, CHECK_PAUSE).await {
+                match held.changes.send::<Confirmed>(Method::POST, path, &request, CHECK_PAUSE).await {
                     Ok(confirmed) => {
                         format!("{} servers are gone and may expire: {}", confirmed.expired, ids.join(" "))
                     }
