--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use shaletrail_registry_client::clock::WALL_STEP;
+use shaletrail_registry_client::clock::WALL_CLOCK_OFFSET_VAR;
 
 use crate::link::{Link, Way};
 use crate::observer::get;
@@ -94,7 +94,7 @@
         let mut command = Command::new(&self.program);
         command.args(["registry", "--config"]).arg(self.folder.0.join(SETTINGS));
         command.args(["--name", &place.name, "--data"]).arg(&place.data);
-        command.env(WALL_STEP, self.wall(n));
+        command.env(WALL_CLOCK_OFFSET_VAR, self.wall(n));
         command.args(["--discovery", &place.discovery.to_string(), "--ops", &place.ops.to_string()]);
         if self.places.len() > 1 {
             let peer = |to: usize| {
--- a/registry-client/src/clock.rs
+++ b/registry-client/src/clock.rs
@@ -13,14 +13,14 @@
 
 /// Environment variable with the path of a file that holds an offset of the wall clock in milliseconds. The
 /// fault lab uses it to step the wall clock of a single process.
-pub const WALL_STEP: &str = "LAB_WALL_STEP_FILE";
+pub const WALL_CLOCK_OFFSET_VAR: &str = "LAB_WALL_STEP_FILE";
 
 /// Unix time as this process sees it. It is used for timestamps, for schedules by date, and for the lower
 /// bound of versions and fencing numbers after a restore. No timeout or lease depends on it.
 #[allow(clippy::disallowed_methods)]
 pub fn unix() -> Duration {
     let read = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let step = std::env::var_os(WALL_STEP).and_then(|file| std::fs::read_to_string(file).ok());
+    let step = std::env::var_os(WALL_CLOCK_OFFSET_VAR).and_then(|file| std::fs::read_to_string(file).ok());
     match step.and_then(|text| text.trim().parse::<i64>().ok()) {
         None => read,
         Some(ms) if ms < 0 => read.saturating_sub(Duration::from_millis(ms.unsigned_abs())),
