--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shaletrail_registry_client::agent::{self, AgentConfig};
-use shaletrail_registry_client::changes::RegistryClient;
+use shaletrail_registry_client::client::RegistryClient;
 use shaletrail_registry_protocol::{check_id, Entry, State, LEASE_S};
 
 use crate::{shutdown_signal, Failure};
--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_client::changes::{duty_path, ChangeError, RegistryClient};
+use shaletrail_registry_client::client::{duty_path, ChangeError, RegistryClient};
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::duty::{DutyClient, DutyError};
 use shaletrail_registry_client::supervisor::{self, CommandSpec, RunError, RunOutcome};
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -9,7 +9,7 @@
 use clap::Subcommand;
 use serde_json::{json, Value};
 use shaletrail_registry::{restore, Folder, Options, ServiceError};
-use shaletrail_registry_client::changes::{ChangeError, RegistryClient};
+use shaletrail_registry_client::client::{ChangeError, RegistryClient};
 use shaletrail_registry_client::duty::{run_while_held, DutyClient};
 use shaletrail_registry_client::maintenance::{self, BackupPlan};
 use shaletrail_registry_protocol::{Confirm, Confirmed, Status, LONGEST_LIST};
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -14,7 +14,7 @@
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
 use shaletrail_fault_lab::service::{pause, Service};
-use shaletrail_registry_client::changes::{duty_path, ChangeError};
+use shaletrail_registry_client::client::{duty_path, ChangeError};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -364,11 +364,12 @@
     // Changes of the list under a fence: those of the holder are accepted, those of an old holder are
     // refused.
     let change = |fence: u64| {
-        let mut changes = shaletrail_registry_client::changes::RegistryClient::new(cluster.service.ops());
-        changes.set_fence(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
+        let mut registry = shaletrail_registry_client::client::RegistryClient::new(cluster.service.ops());
+        registry
+            .set_fence(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let body = json!(numbered("s1", 1));
-        runtime.block_on(changes.send::<Value>(
+        runtime.block_on(registry.send::<Value>(
             Method::PUT,
             "/registry/instances/s1",
             &body,
@@ -541,7 +542,7 @@
         if let Some(lease) = lease {
             body["lease_s"] = json!(lease);
         }
-        let path = shaletrail_registry_client::changes::entry_path(id, "");
+        let path = shaletrail_registry_client::client::entry_path(id, "");
         send::<Value>(&ops, Method::PUT, &path, &body).expect("registered");
     };
     for n in 0..5 {
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -12,7 +12,7 @@
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Folder, Process};
 use shaletrail_fault_lab::service::{free, pause, Service};
-use shaletrail_registry_client::changes::{entry_path, ChangeError};
+use shaletrail_registry_client::client::{entry_path, ChangeError};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use serde::Serialize;
 use shaletrail_registry_client::call::{Call, HttpClient};
-use shaletrail_registry_client::changes::{entry_path, RegistryClient};
+use shaletrail_registry_client::client::{entry_path, RegistryClient};
 use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{Changed, Register, INSTANCES, LONGEST_LIST};
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::Method;
-use shaletrail_registry_client::changes::{entry_path, ChangeError, RegistryClient};
+use shaletrail_registry_client::client::{entry_path, ChangeError, RegistryClient};
 use shaletrail_registry_client::driver::{ListFollower, ListUpdate};
 use shaletrail_registry_client::follow::Retry;
 use shaletrail_registry_protocol::{Changed, Entry, Register, State};
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -12,7 +12,7 @@
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use shaletrail_registry_client::agent::{self, AgentConfig};
-use shaletrail_registry_client::changes::RegistryClient;
+use shaletrail_registry_client::client::RegistryClient;
 use shaletrail_registry_client::clock::unix;
 use shaletrail_registry_client::driver::fetch_list;
 use shaletrail_registry_client::follow::ListRequest;
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -10,13 +10,14 @@
 use tokio::time::sleep;
 
 use crate::call::{Call, HttpClient};
-use crate::changes::{entry_path, ChangeError, RegistryClient};
+use crate::client::{entry_path, ChangeError, RegistryClient};
 
 /// Renewals sent per lease.
 const RENEWALS_PER_LEASE: u32 = 3;
 /// Failed probes in a row after which the lease is no longer renewed.
 const MAX_FAILED_PROBES: u32 = 3;
-/// Interval of the probes while the server is not registered, and shortest interval afterwards.
+/// Interval of the probes until the server is registered, shortest interval after a failed probe, and pause
+/// after a failed call.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest probe response that is read, in bytes.
@@ -59,7 +60,7 @@
 /// The registry refused this start of the server, or it is unknown whether the server was deregistered.
 pub async fn run(
     config: &AgentConfig,
-    changes: &mut RegistryClient,
+    registry: &mut RegistryClient,
     stop: impl Future<Output = ()>,
     mut say: impl FnMut(String),
 ) -> Result<(), AgentError> {
@@ -83,12 +84,12 @@
                 say(format!("{id} answers probes again"));
             }
             if !registered {
-                let version = register(config, changes).await?;
+                let version = register(config, registry).await?;
                 say(format!("{id} registered at version {version}"));
                 registered = true;
                 return Ok(renew_interval);
             }
-            match renew(&id, stamp, changes, renew_interval).await {
+            match renew(&id, stamp, registry, renew_interval).await {
                 Ok(()) => Ok(renew_interval),
                 Err(ChangeError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
                     say(format!("{id} is no longer registered; registering it again"));
@@ -122,16 +123,16 @@
         }
     }
     if registered {
-        deregister(config, stamp, changes, &mut say).await?;
+        deregister(config, stamp, registry, &mut say).await?;
     }
     Ok(())
 }
 
-async fn register(config: &AgentConfig, changes: &mut RegistryClient) -> Result<u64, AgentError> {
+async fn register(config: &AgentConfig, registry: &mut RegistryClient) -> Result<u64, AgentError> {
     let id = config.entry.id.clone();
     let entry = Entry { state: State::Active, ..config.entry.clone() };
     let request = Register::new(&entry, Some(config.lease.as_secs_f64()));
-    match changes.send::<Changed>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
+    match registry.send::<Changed>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -144,10 +145,10 @@
 async fn renew(
     id: &str,
     stamp: Stamp,
-    changes: &mut RegistryClient,
+    registry: &mut RegistryClient,
     time: Duration,
 ) -> Result<(), ChangeError> {
-    changes.send::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
+    registry.send::<Changed>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
 }
 
 /// Sets the state to `leaving`, waits for requests in flight, and deregisters the entry. It is no error if
@@ -155,20 +156,20 @@
 async fn deregister(
     config: &AgentConfig,
     stamp: Stamp,
-    changes: &mut RegistryClient,
+    registry: &mut RegistryClient,
     say: &mut impl FnMut(String),
 ) -> Result<(), AgentError> {
     let id = &config.entry.id;
     let gone = |e: &ChangeError| matches!(e, ChangeError::Refused { status: StatusCode::NOT_FOUND, .. });
     let leaving =
-        changes.send::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
+        registry.send::<Changed>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
         Err(e) => say(format!("{id}: could not set the state `leaving`: {e}")),
     }
     sleep(config.drain).await;
-    match changes.send::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
+    match registry.send::<Changed>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
         Ok(changed) => say(format!("{id} left at version {}", changed.version)),
         Err(e) if gone(&e) => {}
         Err(e) => return Err(e.into()),
--- a/registry-client/src/changes.rs
+++ b/registry-client/src/client.rs
@@ -1,5 +1,5 @@
-//! Sends changes to the registry and retries them until they are acknowledged or refused. Every change is
-//! idempotent.
+//! Client of the registry's operator API. It retries changes until they are acknowledged or refused, which is
+//! safe because every change is idempotent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -34,7 +34,8 @@
     Unusable(#[from] serde_json::Error),
 }
 
-/// A client of the registry's operator API. It first calls the endpoint that last answered.
+/// A client of the registry's operator API with one or more endpoints. A call starts at the endpoint that
+/// last answered.
 pub struct RegistryClient {
     endpoints: Vec<SocketAddr>,
     current: usize,
--- a/registry-client/src/driver.rs
+++ b/registry-client/src/driver.rs
@@ -133,7 +133,7 @@
         self.apply(actions, None);
     }
 
-    /// Waits for the next report. The future is cancel safe.
+    /// Waits for the next report. The future is cancel safe: no report is lost if it is dropped.
     pub async fn next(&mut self) -> ListUpdate {
         loop {
             if let Some(update) = self.pending_updates.pop_front() {
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -15,7 +15,7 @@
 use shaletrail_registry_protocol::{check_id, Invalid, LONGEST_CALL};
 use tokio::time::sleep;
 
-use crate::changes::{duty_path, ChangeError, RegistryClient};
+use crate::client::{duty_path, ChangeError, RegistryClient};
 use crate::clock::boot;
 use crate::lease::{LeaseEvent, LeaseState, Time};
 
@@ -70,7 +70,7 @@
 
 /// A process's candidacy for one duty, from queueing to release.
 pub struct DutyClient {
-    changes: RegistryClient,
+    registry: RegistryClient,
     name: String,
     who: Candidate,
     lease_state: LeaseState,
@@ -106,7 +106,7 @@
         who.check()?;
         let lease = check_lease(lease_s)?;
         Ok(DutyClient {
-            changes: RegistryClient::new(endpoints),
+            registry: RegistryClient::new(endpoints),
             name: name.to_owned(),
             lease_state: LeaseState::new(lease),
             acquire_sent: false,
@@ -125,7 +125,7 @@
     }
 
     pub fn endpoints(&self) -> &[SocketAddr] {
-        self.changes.endpoints()
+        self.registry.endpoints()
     }
 
     /// The fencing number, if this process may act as holder now.
@@ -178,7 +178,7 @@
         }
         if !direct && self.leaders_to_try > 0 {
             self.leaders_to_try -= 1;
-            self.changes.use_next_endpoint();
+            self.registry.use_next_endpoint();
         }
     }
 
@@ -196,12 +196,12 @@
             let holds = self.lease_state.holds(sent).is_some();
             let request = Renew { who, hold_ms: hold.as_millis() as u64, holds, give_way: self.give_way };
             let body = serde_json::to_vec(&request)?.into();
-            self.changes.send_once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
+            self.registry.send_once(Method::POST, &duty_path(&self.name, "renew"), body, time).await
         } else {
             self.acquire_sent = true;
             let request = Acquire { who, lease_s: lease.as_secs_f64() };
             let body = serde_json::to_vec(&request)?.into();
-            self.changes.send_once(Method::POST, &duty_path(&self.name, "acquire"), body, time).await
+            self.registry.send_once(Method::POST, &duty_path(&self.name, "acquire"), body, time).await
         };
         match standing {
             Ok(standing) => {
@@ -295,7 +295,7 @@
         let request = Release { who: self.who.clone(), why };
         let (path, lease) = (duty_path(&self.name, "release"), self.lease_state.lease());
         if self.acquire_sent {
-            let _ = self.changes.send::<Duty>(Method::POST, &path, &request, lease / 2).await;
+            let _ = self.registry.send::<Duty>(Method::POST, &path, &request, lease / 2).await;
         }
         self.who.life = (self.who.life + 1) % MOST_EXACT;
         (self.acquire_sent, self.in_queue, self.give_way) = (false, false, false);
@@ -307,9 +307,9 @@
     /// A handle for the work that is done while this client renews the lease. `None` if the duty is not held.
     pub fn held_duty(&self) -> Option<HeldDuty> {
         let fence = self.fence()?;
-        let mut changes = RegistryClient::new(self.endpoints().to_vec());
-        changes.set_fence(Some(&fence));
-        Some(HeldDuty { fence, lease: self.lease_state.lease(), until: Arc::clone(&self.until), changes })
+        let mut registry = RegistryClient::new(self.endpoints().to_vec());
+        registry.set_fence(Some(&fence));
+        Some(HeldDuty { fence, lease: self.lease_state.lease(), until: Arc::clone(&self.until), registry })
     }
 }
 
@@ -319,7 +319,7 @@
     lease: Duration,
     until: Arc<AtomicU64>,
     /// Client whose changes carry the fence.
-    pub changes: RegistryClient,
+    pub registry: RegistryClient,
 }
 
 impl HeldDuty {
@@ -338,7 +338,7 @@
     /// The failure of the last endpoint.
     pub async fn checkpoint(&mut self) -> Result<Kept, DutyError> {
         let path = duty_path(&self.fence.duty, "checkpoint");
-        self.changes.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
+        self.registry.read(&path, LONGEST_CALL).await.map_err(|e| self.failed(e))
     }
 
     /// Replaces version `expect` of the duty's checkpoint. The call is idempotent.
@@ -352,8 +352,8 @@
         let request = Checkpoint { fence: self.fence.fence, expect, data: data.to_owned() };
         let path = duty_path(&self.fence.duty, "checkpoint");
         // The request's body contains the fence, so no fence headers are sent.
-        let mut changes = RegistryClient::new(self.changes.endpoints().to_vec());
-        let checkpoint = changes.send(Method::PUT, &path, &request, self.lease).await;
+        let mut registry = RegistryClient::new(self.registry.endpoints().to_vec());
+        let checkpoint = registry.send(Method::PUT, &path, &request, self.lease).await;
         checkpoint.map_err(|error| match error {
             ChangeError::Refused { why, .. } => DutyError::Refused { duty: self.fence.duty.clone(), why },
             error => self.failed(error),
--- a/registry-client/src/lib.rs
+++ b/registry-client/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the list service (the registry). It retries and fails over between the service's endpoints.
 //!
-//! `follow` decides without I/O how to follow the list; `driver` runs it on sockets and a clock. `changes`
+//! `follow` decides without I/O how to follow the list; `driver` runs it on sockets and a clock. `client`
 //! sends changes and retries them until they are acknowledged or refused. `lease` decides without I/O how
 //! long a duty is held; `duty` runs it, and `supervisor` runs a command for as long as the duty is held.
 
@@ -8,7 +8,7 @@
 
 pub mod agent;
 pub mod call;
-pub mod changes;
+pub mod client;
 #[cfg(feature = "duty")]
 pub mod clock;
 pub mod driver;
--- a/registry-client/src/maintenance.rs
+++ b/registry-client/src/maintenance.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::agent::is_alive;
-use crate::changes::RegistryClient;
+use crate::client::RegistryClient;
 use crate::clock;
 use crate::duty::{DutyError, HeldDuty};
 
@@ -54,7 +54,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BackupError {
     #[error("{0}")]
-    Registry(#[from] crate::changes::ChangeError),
+    Registry(#[from] crate::client::ChangeError),
     #[error(transparent)]
     Duty(#[from] DutyError),
     #[error("{}: {error}", file.display())]
@@ -65,8 +65,8 @@
 ///
 /// # Errors
 /// The backup could not be read or written; an existing file is not changed.
-pub async fn save(changes: &mut RegistryClient, file: &Path) -> Result<u64, BackupError> {
-    let body = changes.get("/registry/backup", MAX_BACKUP_BYTES).await?;
+pub async fn save(registry: &mut RegistryClient, file: &Path) -> Result<u64, BackupError> {
+    let body = registry.get("/registry/backup", MAX_BACKUP_BYTES).await?;
     let mut new = file.as_os_str().to_owned();
     new.push(".new");
     let write = || {
@@ -115,7 +115,7 @@
     }
     // The name begins with the fencing number, which only grows, and the time, so names sort by age.
     let file = format!("registry-{:020}-{taken_ms}.backup", held.fence.fence);
-    let bytes = save(&mut held.changes, &plan.folder.join(&file)).await?;
+    let bytes = save(&mut held.registry, &plan.folder.join(&file)).await?;
     prune(plan)?;
     let taken = BackupRecord { taken_ms, file, bytes };
     held.write_checkpoint(checkpoint.version, &serde_json::to_string(&taken).unwrap_or_default()).await?;
@@ -193,7 +193,7 @@
     let mut last_logged = String::new();
     loop {
         sleep(CHECK_PAUSE).await;
-        let expiry: Expiry = match held.changes.read("/registry/expiry", LONGEST_LIST).await {
+        let expiry: Expiry = match held.registry.read("/registry/expiry", LONGEST_LIST).await {
             Ok(expiry) => expiry,
             Err(e) => {
                 say(format!("{EXPIRY_DUTY}: could not read the stopped entries: {e}"));
@@ -223,7 +223,7 @@
                 }
                 let request = Confirm { most: ids.len() };
                 let path = "/registry/expiry/confirm";
-                match held.changes.send::<Confirmed>(Method::POST, path, &request, CHECK_PAUSE).await {
+                match held.registry.send::<Confirmed>(Method::POST, path, &request, CHECK_PAUSE).await {
                     Ok(confirmed) => {
                         format!("{} servers are gone and may expire: {}", confirmed.expired, ids.join(" "))
                     }
