--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -149,8 +149,8 @@
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
         self.random_state ^= self.random_state << 17;
-        let most = (self.lease_state.lease() / 20).min(MAX_BASE_PAUSE);
-        most / 4 + most.mul_f64((self.random_state % 1024) as f64 / 1024.0)
+        let base = (self.lease_state.lease() / 20).min(MAX_BASE_PAUSE);
+        base / 4 + base.mul_f64((self.random_state % 1024) as f64 / 1024.0)
     }
 
     /// Sends one acquire or renewal, which is answered at an event or after `hold`.
@@ -160,9 +160,9 @@
         self.publish_deadline();
         // Only the leader lets a renewal wait. Another replica answers at once, so the wait is made up here
         // to keep the rate of calls.
-        let early = hold.saturating_sub(boot().saturating_sub(began));
-        if in_queue && self.in_queue && matches!(event, Ok(LeaseEvent::None)) && early > hold / 2 {
-            sleep(early).await;
+        let wait_left = hold.saturating_sub(boot().saturating_sub(began));
+        if in_queue && self.in_queue && matches!(event, Ok(LeaseEvent::None)) && wait_left > hold / 2 {
+            sleep(wait_left).await;
         }
         event
     }
@@ -265,11 +265,11 @@
         loop {
             let Some((until, kill)) = self.deadlines() else { return LeaseEnd::Lost };
             renewed(until, kill);
-            let told = tokio::select! {
-                told = self.heartbeat(hold.min(LONGEST_HOLD)) => told,
+            let result = tokio::select! {
+                result = self.heartbeat(hold.min(LONGEST_HOLD)) => result,
                 () = wait_until(until) => return LeaseEnd::Expired,
             };
-            match told {
+            match result {
                 Ok(LeaseEvent::StopRequested) => return LeaseEnd::Asked,
                 Ok(LeaseEvent::Lost) => {
                     return if boot() >= until { LeaseEnd::Expired } else { LeaseEnd::Lost }
@@ -300,7 +300,7 @@
         self.who.life = (self.who.life + 1) % MOST_EXACT;
         (self.acquire_sent, self.in_queue, self.give_way) = (false, false, false);
         self.lease_state = LeaseState::new(lease);
-        // Handles of the previous lease keep the old counter, which says that the lease is over.
+        // Handles of the previous lease keep the old deadline, which is now 0: the lease is over.
         self.until = Arc::default();
     }
 
@@ -374,13 +374,13 @@
 ) -> Result<(), DutyError> {
     tokio::pin!(stop);
     loop {
-        let won = tokio::select! {
-            won = client.acquire(&mut say) => Some(won?),
+        let acquired = tokio::select! {
+            acquired = client.acquire(&mut say) => Some(acquired?),
             () = &mut stop => None,
         };
-        let Some(held) = won.and_then(|_| client.held_duty()) else {
+        let Some(held) = acquired.and_then(|_| client.held_duty()) else {
             client.release(Why::Released).await;
-            if won.is_none() {
+            if acquired.is_none() {
                 return Ok(());
             }
             continue;
--- a/registry-client/src/follow.rs
+++ b/registry-client/src/follow.rs
@@ -56,8 +56,8 @@
 const CANCEL_AFTER_WAIT: Duration = Duration::from_millis(3500);
 /// A replica that answers is never behind the others for this long.
 const MAX_REPLICA_LAG: Duration = Duration::from_secs(10);
-/// Pause before the next call if a call ended early without changes. The service keeps a watch through gaps
-/// of up to 200 ms.
+/// Pause before the next call if a call ended early without changes. A watch counts as unbroken while the gaps
+/// between its calls stay under 200 ms.
 const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
 /// Back-off after all endpoints have failed. It doubles up to the maximum, and half of it is random, so that
 /// nodes that lost their watches together do not return together.
@@ -149,7 +149,9 @@
     /// Rounds in a row in which all endpoints failed, and calls in a row that stayed silent.
     rounds: u32,
     silences: u32,
+    /// Whether the next call opens a watch.
     first: bool,
+    /// The newest call.
     main: Option<InFlight>,
     /// An older call that is silent but may still be answered.
     silent_call: Option<InFlight>,
--- a/registry-client/src/lease.rs
+++ b/registry-client/src/lease.rs
@@ -31,8 +31,8 @@
     Lost,
 }
 
-/// One candidacy, from queueing to the end of the lease. Invariant: `holds` returns `None` from the time when
-/// the last answered call was sent, plus the lease, minus the margin.
+/// One candidacy, from queueing to the end of the lease. Invariant: once the lease minus the margin has passed
+/// since the last answered call was sent, `holds` returns `None`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseState {
     lease: Duration,
