--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -74,7 +74,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Let stopped entries expire. Make sure first that their servers are gone
+    /// Let entries expire whose automatic expiry is stopped. Make sure first that their servers are gone
     Confirm {
         /// Highest number of entries that may expire
         #[arg(long)]
@@ -82,8 +82,9 @@
         #[command(flatten)]
         service: Service,
     },
-    /// Maintain the service: take backups on schedule, and let stopped entries expire whose servers are found
-    /// gone. Any number of keepers may run; each of the two duties is held by one of them
+    /// Maintain the service: take backups on schedule, and let entries expire whose automatic expiry is stopped
+    /// and whose servers are found gone. Any number of keepers may run; each of the two duties is held by one of
+    /// them
     Keeper {
         #[command(flatten)]
         service: Service,
@@ -96,7 +97,7 @@
         /// Number of backups to keep
         #[arg(long, default_value_t = 7)]
         keep: usize,
-        /// Leave it to operators to let stopped entries expire
+        /// Leave entries whose automatic expiry is stopped to operators
         #[arg(long)]
         no_expiry: bool,
         /// Seconds without a renewal after which another keeper takes over
--- a/registry-client/src/maintenance.rs
+++ b/registry-client/src/maintenance.rs
@@ -196,7 +196,7 @@
         let expiry: Expiry = match held.registry.read("/registry/expiry", LONGEST_LIST).await {
             Ok(expiry) => expiry,
             Err(e) => {
-                say(format!("{EXPIRY_DUTY}: could not read the stopped entries: {e}"));
+                say(format!("{EXPIRY_DUTY}: could not read the entries whose expiry is stopped: {e}"));
                 continue;
             }
         };
