--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -697,13 +697,13 @@
         played += 1;
     }
     let accepted = cluster.guarded.accepted();
-    let tenures = accepted.windows(2).filter(|pair| pair[0].fence != pair[1].fence).count() + 1;
+    let distinct_fences = accepted.windows(2).filter(|pair| pair[0].fence != pair[1].fence).count() + 1;
     println!(
-        "{played} faults, {} increments accepted under {tenures} fencing numbers, {} late calls refused",
+        "{played} faults, {} increments accepted under {distinct_fences} fencing numbers, {} late calls refused",
         accepted.len(),
         cluster.guarded.refused()
     );
-    assert!(tenures > 3, "only {tenures} fencing numbers");
+    assert!(distinct_fences > 3, "only {distinct_fences} fencing numbers");
 }
 
 /// 200 candidates queue for a duty that each holder releases at once. A hand-over must wake only the next
@@ -717,9 +717,9 @@
         || get(ops, "/-/metrics").ok().and_then(|figures| figures["duty_calls"].as_u64()).expect("figures");
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     let lease_s = 8.0;
-    let (told, fences) = std::sync::mpsc::channel();
+    let (fence_sender, fences) = std::sync::mpsc::channel();
     for n in 0..WAITERS as u64 {
-        let told = told.clone();
+        let fence_sender = fence_sender.clone();
         runtime.spawn(async move {
             let mut client = shaletrail_registry_client::duty::DutyClient::new(
                 vec![ops],
@@ -731,7 +731,7 @@
             .expect("a client of the duty");
             loop {
                 let Ok(fence) = client.acquire(|_| {}).await else { return };
-                if told.send(fence).is_err() {
+                if fence_sender.send(fence).is_err() {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -148,9 +148,9 @@
     // The process's limit on file sizes, in KiB, simulates a full disk: writes beyond it fail.
     let size = std::fs::metadata(service.places[0].data.join("log.redb")).expect("the log").len() / 1024;
     let start = service.command(0);
-    let words = std::iter::once(start.get_program()).chain(start.get_args());
-    let words: Vec<_> = words.map(|word| format!("'{}'", word.to_string_lossy())).collect();
-    let limited = format!("trap '' XFSZ; ulimit -f {}; exec {}", size + 8, words.join(" "));
+    let command_words = std::iter::once(start.get_program()).chain(start.get_args());
+    let command_words: Vec<_> = command_words.map(|arg| format!("'{}'", arg.to_string_lossy())).collect();
+    let limited = format!("trap '' XFSZ; ulimit -f {}; exec {}", size + 8, command_words.join(" "));
     let log = service.log(0);
     let process = Process::start(Command::new("bash").args(["-c", &limited]), &log);
     process.says("ready");
--- a/registry-client/src/follow.rs
+++ b/registry-client/src/follow.rs
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Handles the end of a call. `told` is `None` if the call failed.
+    /// Handles the end of a call. `summary` is `None` if the call failed.
     pub fn call_ended(
         &mut self,
         call: CallId,
