--- a/capacity-emulator/src/edge_node/polling.rs
+++ b/capacity-emulator/src/edge_node/polling.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use shaletrail_configuration::View;
-use shaletrail_dataplane::coordinators::Coordinators;
+use shaletrail_dataplane::coordinator_selector::CoordinatorSelector;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
@@ -42,7 +42,7 @@
 /// The state of an edge's polls.
 pub(super) struct Poller {
     timeouts: PollTimeouts,
-    coordinators: Coordinators,
+    coordinators: CoordinatorSelector,
     pending_poll: Option<PendingPoll>,
     config_version: u64,
     /// Whether an update did not apply, so that the next poll asks for the complete configuration.
@@ -71,8 +71,8 @@
     /// A poller that knows the seeds and nothing else.
     pub fn new(edge: usize, seeds: Vec<NodeId>) -> Self {
         Poller {
-            timeouts: PollTimeouts::within(CONFIG_CONVERGENCE, SERVER_DRAIN),
-            coordinators: Coordinators::new(deployment::edge_node(edge), seeds),
+            timeouts: PollTimeouts::from_bounds(CONFIG_CONVERGENCE, SERVER_DRAIN),
+            coordinators: CoordinatorSelector::new(deployment::edge_node(edge), seeds),
             pending_poll: None,
             config_version: 0,
             needs_full_config: false,
@@ -204,11 +204,11 @@
             if self.poller.config_version == 0 {
                 self.apply_response(environment, activity, response);
             }
-            self.poller.coordinators.failed();
+            self.poller.coordinators.record_failure();
             return self.schedule_event(environment, 0, EdgeEvent::Poll);
         }
         self.poller.last_response_at = Some(environment.scheduler.now);
-        self.poller.coordinators.succeeded();
+        self.poller.coordinators.record_success();
         self.apply_response(environment, activity, response);
         let next = pending_poll.started_at + MIN_POLL_INTERVAL_MS;
         self.schedule_event(environment, next.saturating_sub(environment.scheduler.now), EdgeEvent::Poll);
@@ -226,7 +226,7 @@
                 ScheduledEvent::Coordinator(pending_poll.coordinator, incarnation, event),
             );
         }
-        self.poller.coordinators.failed();
+        self.poller.coordinators.record_failure();
         self.schedule_event(environment, 0, EdgeEvent::Poll);
     }
 
--- a/coordinator/src/core/peer_versions.rs
+++ b/coordinator/src/core/peer_versions.rs
@@ -100,7 +100,7 @@
         self.directory.set_peers(now, &peers);
         let version = self.configuration_version();
         for member in members.iter().filter(|member| changed.contains(&member.node)) {
-            self.directory.on_peer_started(now, member.node, member.incarnation);
+            self.directory.observe_peer_incarnation(now, member.node, member.incarnation);
             // The peer may have restarted with stale state. The announcement is sent before its ping is answered, so
             // that by the time it has quorum contact it knows the versions of the nodes that have answered.
             if member.node != self.options.node {
--- a/routing/src/advertisement.rs
+++ b/routing/src/advertisement.rs
@@ -23,7 +23,10 @@
 impl Advertisement {
     /// A load of zero, which other edges assume for a server that was never advertised.
     pub fn idle(server: u64) -> Self {
-        Advertisement { load: EdgeServerLoad { server, ..EdgeServerLoad::default() }, advertised_at: 0 }
+        Advertisement {
+            load: EdgeServerLoad { server_hash: server, ..EdgeServerLoad::default() },
+            advertised_at: 0,
+        }
     }
 
     /// Whether `load`, although unchanged, must be advertised again because it would otherwise expire at the
@@ -58,7 +61,7 @@
                 Some((Reverse(self.urgency(now, &load)?), load))
             })
             .collect();
-        changes.sort_unstable_by_key(|(urgency, load)| (*urgency, load.server));
+        changes.sort_unstable_by_key(|(urgency, load)| (*urgency, load.server_hash));
         changes.truncate(MAX_LOADS_PER_UPDATE);
         for (_, load) in &changes {
             self.record_advertised(now, load);
@@ -69,8 +72,8 @@
     /// The urgency of advertising a load: the change in pending prompt tokens, or `u32::MAX` if the last
     /// advertisement is about to expire. `None` if the load need not be advertised.
     fn urgency(&self, now: Millis, load: &EdgeServerLoad) -> Option<u32> {
-        let advertised = self.advertised.get(&load.server).copied();
-        let advertised = advertised.unwrap_or(Advertisement::idle(load.server));
+        let advertised = self.advertised.get(&load.server_hash).copied();
+        let advertised = advertised.unwrap_or(Advertisement::idle(load.server_hash));
         if advertised.needs_refresh(now, load) {
             return Some(u32::MAX);
         }
@@ -79,13 +82,13 @@
 
     fn record_advertised(&mut self, now: Millis, load: &EdgeServerLoad) {
         if is_idle(load) {
-            self.advertised.remove(&load.server);
+            self.advertised.remove(&load.server_hash);
         } else {
-            self.advertised.insert(load.server, Advertisement { load: *load, advertised_at: now });
+            self.advertised.insert(load.server_hash, Advertisement { load: *load, advertised_at: now });
         }
     }
 }
 
 fn is_idle(load: &EdgeServerLoad) -> bool {
-    *load == Advertisement::idle(load.server).load
+    *load == Advertisement::idle(load.server_hash).load
 }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -6,8 +6,8 @@
 
 use rand::Rng;
 use shaletrail_configuration::View;
-use shaletrail_dataplane::coordinators::Coordinators;
-use shaletrail_dataplane::load_datagrams::LoadDatagrams;
+use shaletrail_dataplane::coordinator_selector::CoordinatorSelector;
+use shaletrail_dataplane::load_datagrams::LoadDatagramEncoder;
 use shaletrail_dataplane::poll_timeouts::PollTimeouts;
 use shaletrail_protocol::frame;
 use shaletrail_protocol::internal::{
@@ -56,14 +56,14 @@
     view: Arc<View>,
     started: Millis,
     poll_timeouts: PollTimeouts,
-    coordinators: Coordinators,
+    coordinators: CoordinatorSelector,
     connected: Option<NodeId>,
     in_flight_poll: Option<InFlightPoll>,
     cursor: DirectoryCursor,
     wants_full_config: bool,
     edge_count: u32,
     edge_list_hash: u64,
-    datagrams: LoadDatagrams,
+    datagrams: LoadDatagramEncoder,
     demand: Vec<Demand>,
     server_outcomes: Vec<ServerOutcomes>,
     reported_at: Option<Millis>,
@@ -85,15 +85,15 @@
             requests: Requests::default(),
             view: Arc::default(),
             started: world.now,
-            poll_timeouts: PollTimeouts::within(settings.bounds.convergence, settings.bounds.drain),
-            coordinators: Coordinators::new(node, settings.seed_nodes()),
+            poll_timeouts: PollTimeouts::from_bounds(settings.bounds.convergence, settings.bounds.drain),
+            coordinators: CoordinatorSelector::new(node, settings.seed_nodes()),
             connected: None,
             in_flight_poll: None,
             cursor: DirectoryCursor::default(),
             wants_full_config: false,
             edge_count: 0,
             edge_list_hash: 0,
-            datagrams: LoadDatagrams::new(node, incarnation),
+            datagrams: LoadDatagramEncoder::new(node, incarnation),
             demand: Vec::new(),
             server_outcomes: Vec::new(),
             reported_at: None,
@@ -297,11 +297,11 @@
             if self.view.version == 0 {
                 self.coordinators.learn(response.coordinators);
             }
-            self.coordinators.failed();
+            self.coordinators.record_failure();
             return world.wake(self.node(), world.now, Timer::PollNext);
         }
         self.connected = Some(in_flight_poll.coordinator);
-        self.coordinators.succeeded();
+        self.coordinators.record_success();
         let polled_at = in_flight_poll.started_at.saturating_sub(self.started);
         self.handle_event(world, Event::BudgetShareRenewed { polled_at });
         self.apply_response(world, response);
@@ -317,7 +317,7 @@
                 Message::Cancelled { number: in_flight_poll.number },
             );
         }
-        self.coordinators.failed();
+        self.coordinators.record_failure();
         world.wake(self.node(), world.now, Timer::PollNext);
     }
 
