--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -1,45 +1,45 @@
-//! `shaletrail-fleet list`
+//! `shaletrail-fleet list`: prints the list once, or follows it.
 
 use std::io::Write;
 use std::net::SocketAddr;
 
-use shaletrail_registry_client::driver::{ask, Following, News};
-use shaletrail_registry_client::follow::{Ask, Retry};
+use shaletrail_registry_client::driver::{fetch_list, ListFollower, ListUpdate};
+use shaletrail_registry_client::follow::{ListRequest, Retry};
 use shaletrail_registry_protocol::List;
 
 use crate::Failure;
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Where the list is read
+    /// Discovery addresses of the list service
     #[arg(long, value_delimiter = ',', default_value = "127.0.0.1:8500")]
     registry: Vec<SocketAddr>,
-    /// One JSON object a line, in the protocol's form
+    /// Print one JSON object per line, in the format of the protocol
     #[arg(long)]
     json: bool,
-    /// Go on with every change
+    /// Keep running and print every change
     #[arg(long)]
     watch: bool,
 }
 
 pub async fn run(args: Args) -> Result<(), Failure> {
     if !args.watch {
-        let mut trouble = String::new();
+        let mut last_failure = String::new();
         for addr in &args.registry {
-            match ask(*addr, Ask::Whole).await {
+            match fetch_list(*addr, ListRequest::Whole).await {
                 Ok(list) => return show(&list, args.json),
-                Err(e) => trouble = format!("{addr}: {e}"),
+                Err(e) => last_failure = format!("{addr}: {e}"),
             }
         }
-        return Err(Failure::Failed(trouble));
+        return Err(Failure::Failed(last_failure));
     }
-    let mut following = Following::new(args.registry, None, Retry::Own, u64::from(std::process::id()));
-    following.start();
+    let mut follower = ListFollower::new(args.registry, None, Retry::Backoff, u64::from(std::process::id()));
+    follower.start();
     loop {
-        match following.next().await {
-            News::List(list) if list.servers.is_empty() && !list.full => {}
-            News::List(list) => show(&list, args.json)?,
-            News::Failed(what) | News::Older(what) => tracing::warn!("{what}"),
+        match follower.next().await {
+            ListUpdate::List(list) if list.servers.is_empty() && !list.full => {}
+            ListUpdate::List(list) => show(&list, args.json)?,
+            ListUpdate::Failed(what) | ListUpdate::Outdated(what) => tracing::warn!("{what}"),
         }
     }
 }
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -8,10 +8,10 @@
 
 use hyper::Method;
 use serde::Serialize;
-use shaletrail_registry_client::call::{Call, Line};
-use shaletrail_registry_client::changes::{entry_path, Changes};
-use shaletrail_registry_client::driver::ask;
-use shaletrail_registry_client::follow::Ask;
+use shaletrail_registry_client::call::{Call, HttpClient};
+use shaletrail_registry_client::client::{entry_path, RegistryClient};
+use shaletrail_registry_client::driver::fetch_list;
+use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{ChangeResult, Register, INSTANCES_PATH, MAX_LIST_BYTES};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -140,10 +140,10 @@
     format!("{cores} cores ({cpu}), {memory}, Linux {}", read("/proc/sys/kernel/osrelease").trim())
 }
 
-async fn put(changes: &mut Changes, id: &str, number: u64) -> Result<u64, Failed> {
+async fn put(changes: &mut RegistryClient, id: &str, number: u64) -> Result<u64, Failed> {
     let question = Register { incarnation: 0, ..numbered(id, number) };
     let changed: ChangeResult =
-        changes.put(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
+        changes.send(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
     Ok(changed.version)
 }
 
@@ -155,7 +155,7 @@
     for writer in 0..writers {
         let (addr, done) = (ops[writer % ops.len()], Arc::clone(&done));
         tasks.push(tokio::spawn(async move {
-            let mut line = Line::new(addr);
+            let mut line = HttpClient::new(addr);
             for number in 1.. {
                 let place = done.load(Ordering::Relaxed);
                 if Instant::now() >= until || place >= most as u64 {
@@ -171,10 +171,10 @@
                     path: &path,
                     headers: &[],
                     body,
-                    most: MAX_LIST_BYTES,
-                    last: false,
+                    max_bytes: MAX_LIST_BYTES,
+                    close: false,
                 };
-                let answer = line.within(Duration::from_secs(10), call).await;
+                let answer = line.send(Duration::from_secs(10), call).await;
                 if answer.is_ok_and(|answer| answer.status.is_success()) {
                     done.fetch_add(1, Ordering::Relaxed);
                 }
@@ -194,21 +194,23 @@
     size: &Size,
     seed: u64,
 ) -> Result<Form, Failed> {
-    let mut changes = Changes::new(ops.clone());
+    let mut changes = RegistryClient::new(ops.clone());
     let mut rng = SeededRng::new(name, seed);
     for n in 0..size.servers {
         // Enough at once to be quick; each id once.
         if n % 64 == 0 {
             let batch = (n..size.servers.min(n + 64)).map(|n| {
                 let addr = ops[n % ops.len()];
-                tokio::spawn(async move { put(&mut Changes::new(vec![addr]), &format!("s{n}"), 1).await })
+                tokio::spawn(
+                    async move { put(&mut RegistryClient::new(vec![addr]), &format!("s{n}"), 1).await },
+                )
             });
             for task in batch.collect::<Vec<_>>() {
                 task.await??;
             }
         }
     }
-    let whole = ask(discovery[0], Ask::Whole).await.map_err(|e| e.to_string())?;
+    let whole = fetch_list(discovery[0], ListRequest::Whole).await.map_err(|e| e.to_string())?;
     let whole_list_bytes = serde_json::to_vec(&whole)?.len();
     let (told, mut heard) = mpsc::channel::<(u64, usize)>(size.watchers);
     let stop = Arc::new(AtomicBool::new(false));
@@ -217,11 +219,11 @@
         let (addr, told, mut version) = (discovery[n % discovery.len()], told.clone(), whole.version);
         let stop = Arc::clone(&stop);
         watchers.push(tokio::spawn(async move {
-            let mut line = Line::new(addr);
+            let mut line = HttpClient::new(addr);
             while !stop.load(Ordering::Relaxed) {
                 let path = format!("{INSTANCES_PATH}?from={version}&hold_ms=20000");
-                let call = Call { last: false, ..Call::get(&path, MAX_LIST_BYTES) };
-                let answer = line.within(Duration::from_secs(30), call).await;
+                let call = Call { close: false, ..Call::get(&path, MAX_LIST_BYTES) };
+                let answer = line.send(Duration::from_secs(30), call).await;
                 let Ok(answer) = answer else { continue };
                 let list = serde_json::from_slice::<shaletrail_registry_protocol::List>(&answer.body);
                 let Ok(list) = list else { continue };
@@ -265,7 +267,7 @@
 
 async fn failover(program: &Path, size: &Size) -> Result<(Spread, u64, u64), Failed> {
     let mut service = start(program, 3).await?;
-    let mut changes = Changes::new(service.ops());
+    let mut changes = RegistryClient::new(service.ops());
     put(&mut changes, "s0", 1).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let (stopped, discovery) = (Arc::clone(&stop), service.discovery());
@@ -275,8 +277,8 @@
             all += 1;
             let mut answered = false;
             for addr in &discovery {
-                let answer = Line::new(*addr)
-                    .within(Duration::from_secs(1), Call::get(INSTANCES_PATH, MAX_LIST_BYTES))
+                let answer = HttpClient::new(*addr)
+                    .send(Duration::from_secs(1), Call::get(INSTANCES_PATH, MAX_LIST_BYTES))
                     .await;
                 answered |= answer.is_ok_and(|answer| answer.status.is_success());
                 if answered {
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -10,9 +10,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use shaletrail_registry_client::call::{Call, Line};
-use shaletrail_registry_client::fences::Book;
-use shaletrail_registry_client::supervisor::{DUTY, FENCE};
+use shaletrail_registry_client::call::{Call, HttpClient};
+use shaletrail_registry_client::fences::FenceTable;
+use shaletrail_registry_client::supervisor::{DUTY_VAR, FENCE_VAR};
 use shaletrail_registry_protocol::duty::{Fence, DUTY_HEADER, FENCE_HEADER};
 
 use crate::link::Link;
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Thing {
-    book: Book,
+    book: FenceTable,
     accepted: Vec<Accepted>,
     refused: u64,
     /// Each call's fencing number, when it was first seen, and when last.
@@ -121,12 +121,12 @@
 /// In words, where it is refused or was started under no duty.
 pub async fn count(at: SocketAddr, between: Duration, pause: Duration) -> Result<(), String> {
     let named = |name| std::env::var(name).map_err(|e| format!("{name}: {e}"));
-    let (duty, fence) = (named(DUTY)?, named(FENCE)?);
+    let (duty, fence) = (named(DUTY_VAR)?, named(FENCE_VAR)?);
     let headers: &[(&'static str, &str)] = &[(DUTY_HEADER, &duty), (FENCE_HEADER, &fence)];
-    let mut line = Line::new(at);
+    let mut line = HttpClient::new(at);
     loop {
         let read = Call { headers, ..Call::get("/", MAX_BODY_BYTES) };
-        if let Ok(answer) = line.within(Duration::from_secs(5), read).await {
+        if let Ok(answer) = line.send(Duration::from_secs(5), read).await {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             if answer.status != StatusCode::OK {
                 return Err(text);
@@ -135,7 +135,7 @@
             tokio::time::sleep(between).await;
             let body = next.to_string().into();
             let set = Call { method: Method::PUT, headers, body, ..Call::get("/", MAX_BODY_BYTES) };
-            match line.within(Duration::from_secs(5), set).await {
+            match line.send(Duration::from_secs(5), set).await {
                 Ok(answer) if answer.status != StatusCode::OK => {
                     return Err(String::from_utf8_lossy(&answer.body).into_owned());
                 }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -11,11 +11,11 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
-use shaletrail_registry_client::agent::{self, Duty};
-use shaletrail_registry_client::changes::Changes;
+use shaletrail_registry_client::agent::{self, AgentConfig};
+use shaletrail_registry_client::client::RegistryClient;
 use shaletrail_registry_client::clock::unix;
-use shaletrail_registry_client::driver::ask;
-use shaletrail_registry_client::follow::Ask;
+use shaletrail_registry_client::driver::fetch_list;
+use shaletrail_registry_client::follow::ListRequest;
 use shaletrail_registry_protocol::{Entry, State};
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
@@ -300,12 +300,12 @@
         }
         let (ops, id) = (self.ops.clone(), backend.id.clone());
         tokio::spawn(async move {
-            let duty = Duty { entry, lease, drain, check: addr };
+            let duty = AgentConfig { entry, lease, drain, probe_addr: addr };
             let mut stop = told.clone();
             let stop = async move {
                 let _ = stop.wait_for(|told| *told == Agent::Goodbye).await;
             };
-            let mut changes = Changes::new(ops);
+            let mut changes = RegistryClient::new(ops);
             tokio::select! {
                 ended = agent::run(&duty, &mut changes, stop, |what| tracing::debug!("{what}")) => {
                     if let Err(e) = ended {
@@ -343,7 +343,7 @@
         let discovery = lock(&self.fleet.service).discovery();
         let until = Instant::now() + LISTED;
         loop {
-            let list = ask(discovery[0], Ask::Whole).await;
+            let list = fetch_list(discovery[0], ListRequest::Whole).await;
             if list.is_ok_and(|list| list.servers.len() >= count) {
                 return Ok(());
             }
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use shaletrail_registry_client::clock::WALL_STEP;
+use shaletrail_registry_client::clock::WALL_CLOCK_OFFSET_VAR;
 
 use crate::link::{Link, LinkCondition};
 use crate::observer::get;
@@ -105,7 +105,7 @@
         let mut command = Command::new(&self.program);
         command.args(["registry", "--config"]).arg(self.folder.0.join(CONFIG_FILE));
         command.args(["--name", &replica.name, "--data"]).arg(&replica.data);
-        command.env(WALL_STEP, self.wall_clock_file(n));
+        command.env(WALL_CLOCK_OFFSET_VAR, self.wall_clock_file(n));
         command.args(["--discovery", &replica.discovery.to_string(), "--ops", &replica.ops.to_string()]);
         if self.replicas.len() > 1 {
             let peer = |to: usize| {
--- a/registry-client/src/agent.rs
+++ b/registry-client/src/agent.rs
@@ -1,4 +1,5 @@
-//! Runs beside one cache server: registers it while it answers, renews its lease, and says goodbye for it.
+//! Agent of one cache server: registers the server while it answers probes, renews its lease, and deregisters
+//! it when the agent is stopped.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,107 +9,111 @@
 use shaletrail_registry_protocol::{ChangeResult, Entry, Register, Stamp, State};
 use tokio::time::sleep;
 
-use crate::call::{Call, Line};
-use crate::changes::{entry_path, ChangeError, Changes};
+use crate::call::{Call, HttpClient};
+use crate::client::{entry_path, ChangeError, RegistryClient};
 
-/// Each lease is renewed so many times.
-const RENEWALS: u32 = 3;
-/// Answers that a server may owe in a row before it is no longer renewed.
-const MISSES: u32 = 3;
-/// For the check of a server that only begins.
-const CHECK_PAUSE: Duration = Duration::from_millis(200);
-const CHECK_TIME: Duration = Duration::from_secs(1);
-/// Most of a check's answer that is read.
-const LONGEST_CHECK: usize = 64 << 10;
+/// Renewals sent per lease.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Failed probes in a row after which the lease is no longer renewed.
+const MAX_FAILED_PROBES: u32 = 3;
+/// Interval of the probes until the server is registered, shortest interval after a failed probe, and pause
+/// after a failed call.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest probe response that is read, in bytes.
+const MAX_PROBE_RESPONSE_BYTES: usize = 64 << 10;
 
-/// What an agent does.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct AgentConfig {
     pub entry: Entry,
     pub lease: Duration,
-    /// Between `leaving` and `left`.
+    /// Time between the states `leaving` and `left`, for requests in flight.
     pub drain: Duration,
-    /// Where the check connects, if not where clients do.
-    pub check: SocketAddr,
+    /// Address that is probed; clients may use another one.
+    pub probe_addr: SocketAddr,
 }
 
-/// Why an agent ends before it is told to.
+/// Why an agent ends before it is stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
-    #[error("{id}: a newer life of this server is listed: {why}")]
+    #[error("{id}: a later start of this server is already registered: {why}")]
     Replaced { id: String, why: String },
-    #[error("{id}: the registry refuses it: {why}")]
+    #[error("{id}: the registry refused the registration: {why}")]
     Refused { id: String, why: String },
     #[error("{0}")]
     Change(#[from] ChangeError),
 }
 
-/// Whether the server answers. Whatever it says but 503, it is there: on some sites nobody answers probes.
-pub async fn answers(addr: SocketAddr) -> bool {
-    let answer = Line::new(addr).within(CHECK_TIME, Call::get("/health/live", LONGEST_CHECK)).await;
+/// Probes the server. Every response but 503 counts as alive, because on some sites servers do not implement
+/// the probe's path.
+pub async fn is_alive(addr: SocketAddr) -> bool {
+    let answer =
+        HttpClient::new(addr).send(PROBE_TIMEOUT, Call::get("/health/live", MAX_PROBE_RESPONSE_BYTES)).await;
     answer.is_ok_and(|answer| answer.status != StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Keeps the entry listed for as long as its server answers, until `stop`. `say` is told what happens.
+/// Keeps the entry registered for as long as its server answers probes, until `stop` completes. `say` logs
+/// progress and failures.
 ///
 /// # Errors
-/// Where the registry wants no more of this life, or the goodbye is not known to hold.
+/// The registry refused this start of the server, or it is unknown whether the server was deregistered.
 pub async fn run(
-    duty: &Duty,
-    changes: &mut Changes,
+    config: &AgentConfig,
+    registry: &mut RegistryClient,
     stop: impl Future<Output = ()>,
     mut say: impl FnMut(String),
 ) -> Result<(), AgentError> {
     tokio::pin!(stop);
-    let id = duty.entry.id.clone();
-    let stamp = Stamp { started_ms: duty.entry.started_ms, incarnation: 0 };
-    let pause = duty.lease / RENEWALS;
-    let (mut listed, mut missed) = (false, 0);
+    let id = config.entry.id.clone();
+    let stamp = Stamp { started_ms: config.entry.started_ms, incarnation: 0 };
+    let renew_interval = config.lease / RENEWALS_PER_LEASE;
+    let (mut registered, mut failed_probes) = (false, 0);
     loop {
-        let round = async {
-            if !answers(duty.check).await {
-                missed += 1;
-                if missed == MISSES && listed {
-                    say(format!("{id} does not answer: not renewed any more"));
+        let step = async {
+            if !is_alive(config.probe_addr).await {
+                failed_probes += 1;
+                if failed_probes == MAX_FAILED_PROBES && registered {
+                    say(format!("{id} failed {MAX_FAILED_PROBES} probes in a row; lease no longer renewed"));
                 }
-                return Ok(CHECK_PAUSE.max(if listed { pause / 2 } else { CHECK_PAUSE }));
+                return Ok(PROBE_INTERVAL.max(if registered { renew_interval / 2 } else { PROBE_INTERVAL }));
             }
-            let well = missed < MISSES;
-            missed = 0;
-            if listed && !well {
-                say(format!("{id} answers again"));
+            let was_alive = failed_probes < MAX_FAILED_PROBES;
+            failed_probes = 0;
+            if registered && !was_alive {
+                say(format!("{id} answers probes again"));
             }
-            if !listed {
-                let version = register(duty, changes).await?;
+            if !registered {
+                let version = register(config, registry).await?;
                 say(format!("{id} registered at version {version}"));
-                listed = true;
-                return Ok(pause);
+                registered = true;
+                return Ok(renew_interval);
             }
-            match renew(&id, stamp, changes, pause).await {
-                Ok(()) => Ok(pause),
+            match renew(&id, stamp, registry, renew_interval).await {
+                Ok(()) => Ok(renew_interval),
                 Err(ChangeError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
-                    say(format!("{id} is not listed any more"));
-                    listed = false;
+                    say(format!("{id} is no longer registered; registering it again"));
+                    registered = false;
                     Ok(Duration::ZERO)
                 }
                 Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
                     Err(AgentError::Replaced { id: id.clone(), why })
                 }
                 Err(e) => {
-                    say(format!("{id}: renewal: {e}"));
-                    Ok(CHECK_PAUSE)
+                    say(format!("{id}: lease renewal failed: {e}"));
+                    Ok(PROBE_INTERVAL)
                 }
             }
         };
         let wait = tokio::select! {
-            wait = round => wait,
+            wait = step => wait,
             () = &mut stop => break,
         };
         let wait = match wait {
-            // A registry that can't be reached or is full may be better soon.
+            // The registry may only be unreachable or full for a short time, so the round is repeated.
             Err(AgentError::Change(e @ (ChangeError::NotDone(_) | ChangeError::Unknown(_)))) => {
                 say(format!("{id}: {e}"));
-                CHECK_PAUSE
+                PROBE_INTERVAL
             }
             wait => wait?,
         };
@@ -117,17 +122,17 @@
             () = &mut stop => break,
         }
     }
-    if listed {
-        say_goodbye(duty, stamp, changes, &mut say).await?;
+    if registered {
+        deregister(config, stamp, registry, &mut say).await?;
     }
     Ok(())
 }
 
-async fn register(duty: &Duty, changes: &mut Changes) -> Result<u64, AgentError> {
-    let id = duty.entry.id.clone();
-    let entry = Entry { state: State::Active, ..duty.entry.clone() };
-    let question = Register::new(&entry, Some(duty.lease.as_secs_f64()));
-    match changes.put::<ChangeResult>(Method::PUT, &entry_path(&id, ""), &question, duty.lease).await {
+async fn register(config: &AgentConfig, registry: &mut RegistryClient) -> Result<u64, AgentError> {
+    let id = config.entry.id.clone();
+    let entry = Entry { state: State::Active, ..config.entry.clone() };
+    let request = Register::new(&entry, Some(config.lease.as_secs_f64()));
+    match registry.send::<ChangeResult>(Method::PUT, &entry_path(&id, ""), &request, config.lease).await {
         Ok(changed) => Ok(changed.version),
         Err(ChangeError::Refused { status: StatusCode::CONFLICT, why }) => {
             Err(AgentError::Replaced { id, why })
@@ -137,28 +142,34 @@
     }
 }
 
-async fn renew(id: &str, stamp: Stamp, changes: &mut Changes, time: Duration) -> Result<(), ChangeError> {
-    changes.put::<ChangeResult>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
+async fn renew(
+    id: &str,
+    stamp: Stamp,
+    registry: &mut RegistryClient,
+    time: Duration,
+) -> Result<(), ChangeError> {
+    registry.send::<ChangeResult>(Method::POST, &entry_path(id, "renew"), &stamp, time).await.map(drop)
 }
 
-/// `leaving`, the time for what is under way, and `left`. Somebody else's `left` is as good.
-async fn say_goodbye(
-    duty: &Duty,
+/// Sets the state to `leaving`, waits for requests in flight, and deregisters the entry. It is no error if
+/// the entry is already gone.
+async fn deregister(
+    config: &AgentConfig,
     stamp: Stamp,
-    changes: &mut Changes,
+    registry: &mut RegistryClient,
     say: &mut impl FnMut(String),
 ) -> Result<(), AgentError> {
-    let id = &duty.entry.id;
+    let id = &config.entry.id;
     let gone = |e: &ChangeError| matches!(e, ChangeError::Refused { status: StatusCode::NOT_FOUND, .. });
     let leaving =
-        changes.put::<ChangeResult>(Method::POST, &entry_path(id, "leaving"), &stamp, duty.lease).await;
+        registry.send::<ChangeResult>(Method::POST, &entry_path(id, "leaving"), &stamp, config.lease).await;
     match leaving {
         Ok(changed) => say(format!("{id} leaving at version {}", changed.version)),
         Err(e) if gone(&e) => return Ok(()),
-        Err(e) => say(format!("{id}: leaving: {e}")),
+        Err(e) => say(format!("{id}: could not set the state `leaving`: {e}")),
     }
-    sleep(duty.drain).await;
-    match changes.put::<ChangeResult>(Method::DELETE, &entry_path(id, ""), &stamp, duty.lease).await {
+    sleep(config.drain).await;
+    match registry.send::<ChangeResult>(Method::DELETE, &entry_path(id, ""), &stamp, config.lease).await {
         Ok(changed) => say(format!("{id} left at version {}", changed.version)),
         Err(e) if gone(&e) => {}
         Err(e) => return Err(e.into()),
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, StatusCode};
 use percent_encoding::percent_decode_str;
 use serde_json::json;
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::duty::{Fence, DUTIES_PATH, DUTY_HEADER, FENCE_HEADER};
 use shaletrail_registry_protocol::{
     check_id, ChangeResult, ConfirmExpiry, ConfirmExpiryResult, Entry, EntryAddress, Expiry, JoinRequest,
@@ -232,11 +232,11 @@
         path: &path,
         headers: &headers,
         body: request.body,
-        most: MAX_REQUEST_BYTES,
-        last: true,
+        max_bytes: MAX_REQUEST_BYTES,
+        close: true,
     };
     let timeout = Duration::from_millis(replica.settings.change_ms + replica.settings.change_ms / 4);
-    match Line::new(addr).within(timeout, call).await {
+    match HttpClient::new(addr).send(timeout, call).await {
         Ok(answer) => {
             let mut reply = reply_with(answer.status, "application/json", answer.body);
             if let Some(value) = answer.headers.get(NOT_EXECUTED_HEADER) {
--- a/registry/src/raft_network.rs
+++ b/registry/src/raft_network.rs
@@ -15,7 +15,7 @@
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletrail_registry_client::call::{Call, CallError, Line};
+use shaletrail_registry_client::call::{Call, CallError, HttpClient};
 
 use crate::types::{Member, Types};
 
@@ -75,7 +75,7 @@
         PeerLink {
             target,
             node: node.clone(),
-            connection: addr.map(|addr| Mutex::new(Line::new(addr))),
+            connection: addr.map(|addr| Mutex::new(HttpClient::new(addr))),
             links: Arc::clone(&self.0),
         }
     }
@@ -85,7 +85,7 @@
     target: u64,
     node: Member,
     /// The lock is never contended. It is needed because openraft requires `Sync`.
-    connection: Option<Mutex<Line>>,
+    connection: Option<Mutex<HttpClient>>,
     links: Arc<PeerLinks>,
 }
 
@@ -113,11 +113,11 @@
             path,
             headers: &[],
             body: body.into(),
-            most: MAX_MESSAGE_BYTES,
-            last: false,
+            max_bytes: MAX_MESSAGE_BYTES,
+            close: false,
         };
         let connection = connection.get_mut().unwrap_or_else(PoisonError::into_inner);
-        let answer = connection.within(time, call).await.map_err(|e| match e {
+        let answer = connection.send(time, call).await.map_err(|e| match e {
             CallError::NotReached(e) => RPCError::Unreachable(Unreachable::new(&e)),
             e => network(&e),
         })?;
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -12,7 +12,7 @@
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{AppendEntriesRequest, AppendEntriesResponse};
 use serde::{Deserialize, Serialize};
-use shaletrail_registry_client::call::{Call, Line};
+use shaletrail_registry_client::call::{Call, HttpClient};
 use shaletrail_registry_protocol::JoinRequest;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{watch, OnceCell};
@@ -312,7 +312,7 @@
     let mut phases = Vec::new();
     for (name, addr) in others(options) {
         let answer =
-            Line::new(*addr).within(HELLO_TIMEOUT, Call::get("/replica/hello", MAX_MESSAGE_BYTES)).await;
+            HttpClient::new(*addr).send(HELLO_TIMEOUT, Call::get("/replica/hello", MAX_MESSAGE_BYTES)).await;
         let hello = answer.ok().and_then(|a| serde_json::from_slice::<Hello>(&a.body).ok());
         let hello = hello.filter(|hello| hello.name == *name);
         phases.push(hello.map(|hello| hello.phase));
@@ -336,10 +336,10 @@
             path: &path,
             headers: &[],
             body,
-            most: MAX_MESSAGE_BYTES,
-            last: true,
+            max_bytes: MAX_MESSAGE_BYTES,
+            close: true,
         };
-        let answer = Line::new(target.addr).within(JOIN_TIMEOUT, call).await;
+        let answer = HttpClient::new(target.addr).send(JOIN_TIMEOUT, call).await;
         let error = match answer {
             Ok(answer) if answer.status == StatusCode::OK => match serde_json::from_slice(&answer.body) {
                 Ok(answer_body) => return answer_body,
--- a/registry/tests/duties_model.rs
+++ b/registry/tests/duties_model.rs
@@ -1,4 +1,4 @@
-//! Model checking of the real code of duties ([`Duties`], [`DutyLeases`], [`Tenure`]). The first candidate's
+//! Model checking of the real code of duties ([`Duties`], [`DutyLeases`], [`LeaseState`]). The first candidate's
 //! renewals and answers may be lost, delayed or reordered, its clock may run slow, and it may pause anywhere.
 //! Leaders follow each other, and former leaders still answer; proposals are committed late or never.
 //!
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use shaletrail_registry::duties::{Duties, DutyCommand, DutyLeases, DutyRenewal};
-use shaletrail_registry_client::fences::Book;
-use shaletrail_registry_client::tenure::Tenure;
+use shaletrail_registry_client::fences::FenceTable;
+use shaletrail_registry_client::lease::LeaseState;
 use shaletrail_registry_protocol::duty::{Candidate, CandidateStatus, Fence, HandoverReason};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -68,7 +68,7 @@
     proposed: Option<DutyCommand>,
     clock: u64,
     last_slip: Option<u64>,
-    tenure: Tenure,
+    tenure: LeaseState,
     joined: bool,
     sent: bool,
     released: bool,
@@ -76,7 +76,7 @@
     /// A change by the first candidate: the fencing number that it read while it believed, until the change
     /// arrives; 0 afterwards.
     change: Option<u64>,
-    book: Book,
+    book: FenceTable,
     accepted: u64,
     out_of_order: bool,
 }
@@ -112,13 +112,13 @@
             proposed: None,
             clock: 0,
             last_slip: None,
-            tenure: Tenure::with_margin(ticks(LEASE), ticks(margin)),
+            tenure: LeaseState::with_margin(ticks(LEASE), ticks(margin)),
             joined: false,
             sent: false,
             released: false,
             messages: BTreeSet::new(),
             change: None,
-            book: Book::default(),
+            book: FenceTable::default(),
             accepted: 0,
             out_of_order: false,
         }
@@ -189,7 +189,7 @@
             Message::Answer { sent, fence } => {
                 world.joined = fence.is_some();
                 let status = fence.map(status);
-                world.tenure.told(ticks(*sent), status.as_ref(), ticks(world.clock));
+                world.tenure.answer_received(ticks(*sent), status.as_ref(), ticks(world.clock));
             }
         }
     }
@@ -286,7 +286,7 @@
             Step::Release => {
                 // The candidate has stopped. Its next candidacy is a new incarnation.
                 world.released = true;
-                world.tenure = Tenure::with_margin(ticks(LEASE), ticks(self.margin));
+                world.tenure = LeaseState::with_margin(ticks(LEASE), ticks(self.margin));
                 world.messages.retain(|message| matches!(message, Message::Renewal { .. }));
                 world.duties.apply(DutyCommand::Release {
                     name: NAME.into(),
@@ -366,7 +366,7 @@
             [vec![], vec![dies_at + 1], vec![0, dies_at + 2], vec![dies_at + LEASE - 1, dies_at + LEASE]]
         {
             let mut world = World::begin(1);
-            let mut second = Tenure::with_margin(ticks(LEASE), ticks(1));
+            let mut second = LeaseState::with_margin(ticks(LEASE), ticks(1));
             // Here the second candidate is an ordinary one, which learns of the grant by an answer.
             world.duties = Duties::default();
             world.duties.apply(acquire(0));
@@ -384,7 +384,7 @@
                     let status =
                         world.duties.status(NAME, &who(n)).filter(|_| renewal == DutyRenewal::Recorded);
                     if n == 1 {
-                        second.told(ticks(now), status.as_ref(), ticks(now));
+                        second.answer_received(ticks(now), status.as_ref(), ticks(now));
                     }
                 }
                 if let Some(command) = world.check_leases() {
