--- a/fault-lab/src/checker.rs
+++ b/fault-lab/src/checker.rs
@@ -1,10 +1,12 @@
-//! Judges a list service by what its clients saw, and by nothing else.
+//! Checks the consistency of the registry's server list from client histories alone; the service's internal state is
+//! not inspected.
 
 use std::collections::{BTreeMap, HashMap};
 
 use shaletrail_registry_protocol::{List, State};
 
-/// A change that was acknowledged: from this version on the id shows at least this number (its weight).
+/// A change that the registry acknowledged: from list version `version` on, the entry `id` must show at least
+/// `number`, which is stored as its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acknowledged {
     pub id: String,
@@ -12,69 +14,69 @@
     pub version: u64,
 }
 
-/// All that one client was told, in order.
+/// Every list update that one client received, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     pub who: String,
     pub lists: Vec<List>,
 }
 
-/// What the list was for a client: number and state by id.
-type Picture = BTreeMap<String, (u64, bool)>;
+/// A client's view of the list: for each id, its number and whether the server is leaving.
+type ListView = BTreeMap<String, (u64, bool)>;
 
-/// Each breach in words; none where all held: no client's version went back, nobody missed a change, all saw one
-/// order of changes, and no acknowledged change was lost.
+/// Checks that no client's version decreased, that clients with the same version have the same list (no missed or
+/// reordered change), and that no acknowledged change was lost. Returns a description of each violation.
 pub fn check(seen: &[Seen], acknowledged: &[Acknowledged]) -> Vec<String> {
-    let mut breaches = Vec::new();
-    let mut pictures: HashMap<u64, (String, Picture)> = HashMap::new();
+    let mut violations = Vec::new();
+    let mut views: HashMap<u64, (String, ListView)> = HashMap::new();
     let mut by_version: Vec<&Acknowledged> = acknowledged.iter().collect();
     by_version.sort_by_key(|change| change.version);
     for client in seen {
         let who = &client.who;
-        let mut picture = Picture::new();
+        let mut view = ListView::new();
         let mut version = 0;
-        let mut due: HashMap<&str, u64> = HashMap::new();
+        let mut expected: HashMap<&str, u64> = HashMap::new();
         let mut next = by_version.iter().peekable();
         for list in &client.lists {
             if list.version < version {
-                breaches.push(format!("{who}: version {} after {version}", list.version));
+                violations.push(format!("{who}: version {} after {version}", list.version));
             }
             version = list.version;
             if list.full {
-                picture.clear();
+                view.clear();
             }
             for entry in &list.servers {
                 if entry.state == State::Left {
-                    picture.remove(&entry.id);
+                    view.remove(&entry.id);
                 } else {
                     let leaving = entry.state == State::Leaving;
-                    picture.insert(entry.id.clone(), (entry.weight as u64, leaving));
+                    view.insert(entry.id.clone(), (entry.weight as u64, leaving));
                 }
             }
             while let Some(change) = next.next_if(|change| change.version <= version) {
-                let number = due.entry(&change.id).or_default();
+                let number = expected.entry(&change.id).or_default();
                 *number = change.number.max(*number);
             }
-            for (id, number) in &due {
-                let shown = picture.get(*id).map_or(0, |(shown, _)| *shown);
+            for (id, number) in &expected {
+                let shown = view.get(*id).map_or(0, |(shown, _)| *shown);
                 if shown < *number {
-                    breaches
+                    violations
                         .push(format!("{who}: at version {version} {id} shows {shown}, but {number} held"));
                 }
             }
-            // Who sees the same version sees the same list, by whatever changes it got there.
-            match pictures.get(&version) {
-                Some((other, pictured)) if *pictured != picture => {
-                    breaches.push(format!("{who} and {other} see different lists at version {version}"));
+            // Clients at the same version must have the same list, whichever updates they received on the way.
+            match views.get(&version) {
+                Some((other, other_view)) if *other_view != view => {
+                    violations.push(format!("{who} and {other} see different lists at version {version}"));
                 }
                 Some(_) => {}
                 None => {
-                    pictures.insert(version, (who.clone(), picture.clone()));
+                    views.insert(version, (who.clone(), view.clone()));
                 }
             }
         }
     }
-    breaches
+    violations
 }
 
 #[cfg(test)]
@@ -105,7 +107,7 @@
     }
 
     #[test]
-    fn each_planted_breach_is_caught_and_a_clean_history_is_not() {
+    fn each_injected_violation_is_reported_and_a_valid_history_is_not() {
         let full = list(1, true, &[("a", 1)]);
         let clean = [
             seen("x", vec![full.clone(), list(2, false, &[("b", 1)]), list(3, false, &[("a", 2)])]),
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/guarded.rs
@@ -1,5 +1,5 @@
-//! A thing that duties change, and candidates for it as processes: a counter that each holder reads and sets one higher, and
-//! a log of what was accepted, which is all that the checker sees.
+//! A test resource that is protected by fencing numbers: a counter that each holder of a duty reads and increments,
+//! with a log of accepted writes. The checker sees this log alone. Also the candidates for the duty, run as processes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,7 +19,7 @@
 use crate::party::{lock, reply, serve, Reply, LONGEST_BODY};
 use crate::process::{children, Process};
 
-/// One change that the thing accepted.
+/// A write that the counter accepted, with the fencing number that it was made under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
     pub fence: u64,
@@ -27,55 +27,56 @@
 }
 
 #[derive(Default)]
-struct Thing {
+struct CounterState {
     book: Book,
     accepted: Vec<Accepted>,
     refused: u64,
-    /// Each call's fencing number, when it was first seen, and when last.
+    /// Each fencing number that has called, with the times of its first and last call.
     seen: Vec<(u64, Instant, Instant)>,
 }
 
-/// The thing on a socket: `GET /` reads the counter, `PUT /` sets it.
+/// The counter's HTTP server: `GET /` reads the counter, `PUT /` sets it.
 pub struct Guarded {
     pub addr: SocketAddr,
-    thing: Arc<Mutex<Thing>>,
+    state: Arc<Mutex<CounterState>>,
     runtime: Option<tokio::runtime::Runtime>,
 }
 
 impl Guarded {
-    /// Without `guard` it takes every fencing number: what a checker must notice.
+    /// With `guard` it rejects fencing numbers that are older than the newest it has seen. Without, it accepts any,
+    /// which the checker must detect.
     ///
     /// # Panics
-    /// Where no port or thread is free.
+    /// When no port or thread is available.
     pub fn start(guard: bool) -> Guarded {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
             .build()
             .expect("a runtime");
-        let thing = Arc::<Mutex<Thing>>::default();
-        let shared = Arc::clone(&thing);
+        let state = Arc::<Mutex<CounterState>>::default();
+        let shared = Arc::clone(&state);
         let addr = runtime.block_on(serve(move |request| answer(Arc::clone(&shared), request, guard)));
-        Guarded { addr: addr.expect("a free port"), thing, runtime: Some(runtime) }
+        Guarded { addr: addr.expect("a free port"), state, runtime: Some(runtime) }
     }
 
     pub fn accepted(&self) -> Vec<Accepted> {
-        lock(&self.thing).accepted.clone()
+        lock(&self.state).accepted.clone()
     }
 
     pub fn refused(&self) -> u64 {
-        lock(&self.thing).refused
+        lock(&self.state).refused
     }
 
-    /// The highest fencing number that has called.
+    /// The highest fencing number that has called, accepted or not; 0 before the first call.
     pub fn newest(&self) -> u64 {
-        lock(&self.thing).seen.iter().map(|(fence, ..)| *fence).max().unwrap_or(0)
+        lock(&self.state).seen.iter().map(|(fence, ..)| *fence).max().unwrap_or(0)
     }
 
-    /// When this fencing number first and last called.
+    /// Times of the first and last call with this fencing number; `None` when it has not called.
     pub fn calls(&self, fence: u64) -> Option<(Instant, Instant)> {
-        let thing = lock(&self.thing);
-        thing.seen.iter().find(|(of, ..)| *of == fence).map(|(_, first, last)| (*first, *last))
+        let state = lock(&self.state);
+        state.seen.iter().find(|(of, ..)| *of == fence).map(|(_, first, last)| (*first, *last))
     }
 }
 
@@ -87,41 +88,41 @@
     }
 }
 
-async fn answer(thing: Arc<Mutex<Thing>>, request: Request<Incoming>, guard: bool) -> Reply {
+async fn answer(state: Arc<Mutex<CounterState>>, request: Request<Incoming>, guard: bool) -> Reply {
     let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
     let fence = Fence::read(header(DUTY_HEADER), header(FENCE_HEADER));
     let method = request.method().clone();
     let body = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
     let value = body.ok().and_then(|body| String::from_utf8_lossy(&body.to_bytes()).parse::<u64>().ok());
     let Ok(Some(fence)) = fence else { return reply(StatusCode::BAD_REQUEST, "a fence expected") };
-    let mut thing = lock(&thing);
+    let mut state = lock(&state);
     let now = Instant::now();
-    match thing.seen.iter_mut().find(|(of, ..)| *of == fence.fence) {
+    match state.seen.iter_mut().find(|(of, ..)| *of == fence.fence) {
         Some((.., last)) => *last = now,
-        None => thing.seen.push((fence.fence, now, now)),
+        None => state.seen.push((fence.fence, now, now)),
     }
-    if let Err(barred) = thing.book.admit(&fence) {
+    if let Err(barred) = state.book.admit(&fence) {
         if guard {
-            thing.refused += 1;
+            state.refused += 1;
             return reply(StatusCode::PRECONDITION_FAILED, barred.to_string());
         }
     }
     if method == Method::PUT {
         let Some(value) = value else { return reply(StatusCode::BAD_REQUEST, "a number expected") };
-        thing.accepted.push(Accepted { fence: fence.fence, value });
+        state.accepted.push(Accepted { fence: fence.fence, value });
     }
-    let counter = thing.accepted.last().map_or(0, |accepted| accepted.value);
+    let counter = state.accepted.last().map_or(0, |accepted| accepted.value);
     reply(StatusCode::OK, counter.to_string())
 }
 
-/// What a holder's command does, until it is ended or refused: reads the counter and sets it one higher. `between`
-/// passes from the one to the other.
+/// Runs as a holder's command: increments the counter until the process is killed or a call is refused. Waits `between`
+/// from each read to its write, and `pause` after each round.
 ///
 /// # Errors
-/// In words, where it is refused or was started under no duty.
+/// The response body when a call is refused; also when the environment names no duty or fencing number.
 pub async fn count(at: SocketAddr, between: Duration, pause: Duration) -> Result<(), String> {
-    let named = |name| std::env::var(name).map_err(|e| format!("{name}: {e}"));
-    let (duty, fence) = (named(DUTY)?, named(FENCE)?);
+    let variable = |name| std::env::var(name).map_err(|e| format!("{name}: {e}"));
+    let (duty, fence) = (variable(DUTY)?, variable(FENCE)?);
     let headers: &[(&'static str, &str)] = &[(DUTY_HEADER, &duty), (FENCE_HEADER, &fence)];
     let mut line = Line::new(at);
     loop {
@@ -139,7 +140,7 @@
                 Ok(answer) if answer.status != StatusCode::OK => {
                     return Err(String::from_utf8_lossy(&answer.body).into_owned());
                 }
-                // Unknown whether set: it is read anew.
+                // Without a response it is unknown whether the write took effect, so the counter is read again.
                 _ => {}
             }
         }
@@ -147,27 +148,28 @@
     }
 }
 
-/// Each breach in words: every accepted change sets the counter one higher, under a fencing number that is no older than
-/// the last.
+/// Checks that every accepted write incremented the counter by one, and that fencing numbers never decreased. Returns a
+/// description of each violation.
 pub fn check(accepted: &[Accepted]) -> Vec<String> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut last = Accepted { fence: 0, value: 0 };
     for one in accepted {
         if one.value != last.value + 1 {
-            breaches.push(format!(
+            violations.push(format!(
                 "{} after {}, under fences {} and {}",
                 one.value, last.value, one.fence, last.fence
             ));
         }
         if one.fence < last.fence {
-            breaches.push(format!("fence {} after {}", one.fence, last.fence));
+            violations.push(format!("fence {} after {}", one.fence, last.fence));
         }
         last = *one;
     }
-    breaches
+    violations
 }
 
-/// A candidate as a process, each way from it to a replica one that can fail.
+/// A candidate for the duty, run as a process (`duty run`). Its connection to each replica goes through a link that can
+/// be made to fail.
 pub struct Runner {
     pub id: String,
     pub process: Process,
@@ -175,7 +177,7 @@
 }
 
 impl Runner {
-    /// Stands in line with this command.
+    /// Starts a candidate that runs `command` while it holds the duty `counter`.
     pub fn start(
         program: &Path,
         registry: &[SocketAddr],
@@ -186,18 +188,18 @@
     ) -> Runner {
         let links: Vec<Link> = registry.iter().map(|addr| Link::to(*addr)).collect();
         let endpoints: Vec<String> = links.iter().map(|link| link.addr.to_string()).collect();
-        let mut starting = Command::new(program);
-        starting.args(["duty", "run", "counter", "--id", id, "--registry", &endpoints.join(",")]);
-        starting.args(["--lease-s", &lease_s.to_string(), "--failures", "1000", "--"]).args(command);
-        Runner { id: id.to_owned(), process: Process::start(&mut starting, log), links }
+        let mut duty_run = Command::new(program);
+        duty_run.args(["duty", "run", "counter", "--id", id, "--registry", &endpoints.join(",")]);
+        duty_run.args(["--lease-s", &lease_s.to_string(), "--failures", "1000", "--"]).args(command);
+        Runner { id: id.to_owned(), process: Process::start(&mut duty_run, log), links }
     }
 
-    /// The supervisor's process, which is the number of its group too.
+    /// PID of the supervisor process, which is also the ID of its process group; `None` when it is not running.
     pub fn group(&self) -> Option<u32> {
         children(self.process.id()).first().copied()
     }
 
-    /// Sends a signal to the whole group of the command.
+    /// Sends a signal, such as `STOP`, to every process in the supervisor's group.
     pub fn signal_group(&self, name: &str) {
         if let Some(group) = self.group() {
             let _ = Command::new("kill").args([&format!("-{name}"), "--", &format!("-{group}")]).status();
@@ -210,13 +212,13 @@
     use super::*;
 
     #[test]
-    fn each_planted_breach_is_caught_and_a_clean_log_is_not() {
+    fn each_injected_violation_is_reported_and_a_valid_log_is_not() {
         let log = |pairs: &[(u64, u64)]| -> Vec<Accepted> {
             pairs.iter().map(|(fence, value)| Accepted { fence: *fence, value: *value }).collect()
         };
         assert_eq!(check(&log(&[(1, 1), (1, 2), (4, 3)])), Vec::<String>::new());
         assert!(check(&log(&[(1, 1), (2, 2), (1, 3)]))[0].contains("fence 1 after 2"));
         assert!(check(&log(&[(1, 1), (2, 2), (2, 2)]))[0].contains("2 after 2"), "a lost update");
-        assert!(check(&log(&[(1, 1), (2, 3)]))[0].contains("3 after 1"), "a step left out");
+        assert!(check(&log(&[(1, 1), (2, 3)]))[0].contains("3 after 1"), "a skipped value");
     }
 }
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -1,4 +1,4 @@
-//! Clients of the list service in threads of their own: some follow the list, some change it.
+//! Registry clients for tests, each in its own thread: observers follow the server list, writers change it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,7 +19,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// Follows the list, and keeps all that it is told.
+/// Follows the server list and records every update.
 pub struct Observer {
     seen: Arc<Mutex<Seen>>,
     stop: Arc<AtomicBool>,
@@ -30,7 +30,7 @@
     pub fn start(who: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
         let seen = Arc::new(Mutex::new(Seen { who: who.into(), lists: Vec::new() }));
         let stop = Arc::new(AtomicBool::new(false));
-        let (kept, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
+        let (history, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
             runtime().block_on(async {
                 let mut following = Following::new(endpoints, None, Retry::Own, seed);
@@ -38,7 +38,7 @@
                 while !stopped.load(Ordering::Relaxed) {
                     let news = tokio::time::timeout(Duration::from_millis(50), following.next()).await;
                     if let Ok(News::List(list)) = news {
-                        kept.lock().unwrap_or_else(PoisonError::into_inner).lists.push(list);
+                        history.lock().unwrap_or_else(PoisonError::into_inner).lists.push(list);
                     }
                 }
             });
@@ -46,15 +46,15 @@
         Observer { seen, stop, thread: Some(thread) }
     }
 
-    /// The newest version it was told.
+    /// The newest version received; 0 before the first.
     pub fn version(&self) -> u64 {
         let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.lists.last().map_or(0, |list| list.version)
     }
 
-    /// Waits until it has been told this version, and ends it.
+    /// Waits until this version has been received, then stops and returns the history.
     pub fn end_at(mut self, version: u64) -> Seen {
-        wait_for("an observer sees the last version", || (self.version() >= version).then_some(()));
+        wait_for("the observer receives the last version", || (self.version() >= version).then_some(()));
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Registers one id again and again with a growing number, one change after the other.
+/// Registers one id repeatedly with an increasing number; each registration starts after the previous one has ended.
 pub struct Writer {
     stop: Arc<AtomicBool>,
     acknowledged: Arc<Mutex<Vec<(Instant, Acknowledged)>>>,
@@ -100,7 +100,7 @@
         Writer { stop, acknowledged, thread: Some(thread) }
     }
 
-    /// How many changes were acknowledged since a time.
+    /// Number of registrations acknowledged after `at`.
     pub fn since(&self, at: Instant) -> usize {
         let acks = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         acks.iter().filter(|(when, _)| *when > at).count()
@@ -122,7 +122,8 @@
     }
 }
 
-/// An entry whose weight is a number; a higher one is a newer life, so that a late repeat changes nothing.
+/// A registration whose weight and incarnation are `number`. Because a higher incarnation replaces a lower one, a
+/// delayed duplicate of an older registration has no effect.
 pub fn numbered(id: &str, number: u64) -> Register {
     let entry = Entry {
         id: id.into(),
@@ -141,15 +142,16 @@
     changes: &mut Changes,
     id: &str,
     number: u64,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<Changed, ChangeError> {
-    changes.put(Method::PUT, &entry_path(id, ""), &numbered(id, number), time).await
+    changes.put(Method::PUT, &entry_path(id, ""), &numbered(id, number), timeout).await
 }
 
-/// One change from outside of any runtime.
+/// Sends one change to the registry and waits for the acknowledgement. Blocks; must not be called inside an async
+/// runtime.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn put(
     endpoints: &[SocketAddr],
     method: Method,
@@ -159,10 +161,10 @@
     send(endpoints, method, path, body)
 }
 
-/// The same with whatever answer.
+/// Like [`put`], for calls with any other response type.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn send<A: serde::de::DeserializeOwned>(
     endpoints: &[SocketAddr],
     method: Method,
@@ -173,10 +175,10 @@
     runtime().block_on(changes.put(method, path, body, Duration::from_secs(30)))
 }
 
-/// One call that changes nothing, as JSON.
+/// Reads a path at one endpoint and returns the JSON. Blocks; must not be called inside an async runtime.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn get(endpoint: SocketAddr, path: &str) -> Result<serde_json::Value, ChangeError> {
     runtime().block_on(Changes::new(vec![endpoint]).read(path, 64 << 20))
 }
