--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -1,4 +1,4 @@
-//! A program as a child: started, signalled, and ended with the harness.
+//! Child processes: started, signalled, and killed when the harness ends.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -11,50 +11,51 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything; a busy machine must not change a verdict.
+/// Timeout of every wait; long, so that a busy machine does not change a test's result.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Asks again and again until there is a result.
+/// Polls `ask` every 20 ms until it returns a result. `what` names the awaited condition.
 ///
 /// # Panics
-/// When there is none in [`PATIENCE`].
+/// When there is no result within [`PATIENCE`].
 pub fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + PATIENCE;
     loop {
         if let Some(result) = ask() {
             return result;
         }
-        assert!(Instant::now() < end, "{what}: not in time");
+        assert!(Instant::now() < end, "{what}: timed out after {} s", PATIENCE.as_secs());
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// The process that ends the others when this one dies without doing so.
-static GUARD: OnceLock<Mutex<ChildStdin>> = OnceLock::new();
+/// Input of the reaper, the process that kills the other children when this process dies without doing so.
+static REAPER_INPUT: OnceLock<Mutex<ChildStdin>> = OnceLock::new();
 
-/// Starts the guard: from here on no process outlives this one, whatever ends it. `command` must call [`stand_guard`]
-/// on its standard input.
+/// Starts the reaper: from here on, the children that are reported to it do not outlive this process, however it ends.
+/// `command` must call [`stand_guard`] on its standard input.
 ///
 /// # Errors
-/// Where it can't be started.
+/// When it can't be started.
 pub fn start_guard(command: &mut Command) -> io::Result<()> {
     use std::os::unix::process::CommandExt;
-    // A group of its own: Ctrl-C at a terminal is for the others.
+    // In its own process group, so that Ctrl-C in a terminal does not end the reaper before it has killed the others.
     let mut child = command.stdin(Stdio::piped()).stdout(Stdio::null()).process_group(0).spawn()?;
     if let Some(input) = child.stdin.take() {
-        let _ = GUARD.set(Mutex::new(input));
+        let _ = REAPER_INPUT.set(Mutex::new(input));
     }
     Ok(())
 }
 
-/// Tells the guard of a process that has started (`+`) or ended (`-`).
+/// Reports to the reaper, if there is one, that a process has started (`+`) or ended (`-`).
 pub(crate) fn guard(sign: char, id: u32) {
-    if let Some(guard) = GUARD.get() {
-        let _ = writeln!(guard.lock().unwrap_or_else(PoisonError::into_inner), "{sign}{id}");
+    if let Some(input) = REAPER_INPUT.get() {
+        let _ = writeln!(input.lock().unwrap_or_else(PoisonError::into_inner), "{sign}{id}");
     }
 }
 
-/// Reads `+PID` and `-PID` until the input ends, as it does with its writer, and kills those that are left.
+/// Runs the reaper: reads lines `+PID` and `-PID` until the input ends, which it does when the writing process dies,
+/// then kills the processes that are still registered.
 pub fn stand_guard(input: impl BufRead) {
     let mut running = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
@@ -69,18 +70,19 @@
     }
 }
 
-/// Processes whose parent is this one.
+/// PIDs of the child processes of `parent`, zombies excluded.
 pub fn children(parent: u32) -> Vec<u32> {
-    by_field(1, parent)
+    pids_by_stat_field(1, parent)
 }
 
-/// Processes in this group that have not ended.
+/// PIDs of the processes in the group of `leader`, zombies excluded.
 pub fn group(leader: u32) -> Vec<u32> {
-    by_field(2, leader)
+    pids_by_stat_field(2, leader)
 }
 
-/// Those with this number in a field of `stat` behind the name: the state, the parent, the group.
-fn by_field(field: usize, number: u32) -> Vec<u32> {
+/// PIDs of the processes that have this number in a field of `/proc/PID/stat`. Fields count from the one after the
+/// program's name: 0 is the state, 1 the parent, 2 the group. Zombies are excluded.
+fn pids_by_stat_field(field: usize, number: u32) -> Vec<u32> {
     let of = |id: u32| {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -92,8 +94,8 @@
     ids.filter(|id| of(*id) == Some(number)).collect()
 }
 
-/// Processor time that a process has used, its ended threads too, in seconds; none where it is gone. By the kernel's account in
-/// ticks, 100 a second on Linux.
+/// CPU time that a process has used, user and system, in seconds, including that of its threads that have ended. `None`
+/// when there is no such process. The kernel counts in ticks, which are 1/100 s on Linux.
 pub fn cpu_s(id: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let mut fields = stat.rsplit_once(')')?.1.split_whitespace().skip(11);
@@ -101,7 +103,7 @@
     Some((ticks()? + ticks()?) / 100.0)
 }
 
-/// A running program. Its standard error goes to a file.
+/// A running child process. Its standard error goes to a log file. It is killed on drop.
 pub struct Process {
     child: Child,
     lines: Receiver<String>,
@@ -115,7 +117,7 @@
         Process::start_with(command, log, Stdio::null())
     }
 
-    /// The same with its standard input: a listening socket, say, that the process takes over.
+    /// Like [`Process::start`], with a given standard input, such as a listening socket that the process takes over.
     ///
     /// # Panics
     /// When the program can't be started.
@@ -127,12 +129,12 @@
             .stderr(errors)
             .spawn()
             .unwrap_or_else(|e| panic!("{:?}: {e}", command.get_program()));
-        let (said, lines) = channel();
+        let (line_sender, lines) = channel();
         guard('+', child.id());
         if let Some(out) = child.stdout.take() {
             thread::spawn(move || {
                 for line in BufReader::new(out).lines().map_while(Result::ok) {
-                    if said.send(line).is_err() {
+                    if line_sender.send(line).is_err() {
                         return;
                     }
                 }
@@ -141,10 +143,10 @@
         Process { child, lines, log: log.to_owned() }
     }
 
-    /// Waits for a line of its standard output that begins so.
+    /// Waits for a line of standard output that starts with `begin`.
     ///
     /// # Panics
-    /// When it does not come.
+    /// When there is none within [`PATIENCE`].
     pub fn says(&self, begin: &str) -> String {
         let end = Instant::now() + PATIENCE;
         loop {
@@ -152,12 +154,12 @@
             match self.lines.recv_timeout(left) {
                 Ok(line) if line.starts_with(begin) => return line,
                 Ok(_) => {}
-                Err(_) => panic!("no line `{begin}`; its log:\n{}", self.log()),
+                Err(_) => panic!("no line that starts with `{begin}`; log of the process:\n{}", self.log()),
             }
         }
     }
 
-    /// What it has written to standard error, with that of processes before it that had the same file.
+    /// Content of the log file: the standard error of this process and of earlier ones with the same file.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -166,30 +168,33 @@
         self.child.id()
     }
 
-    /// Sends it a signal by its short name: `STOP`, `CONT`, `TERM`, `HUP`.
+    /// Sends a signal by its short name: `STOP`, `CONT`, `TERM`, `HUP`.
     ///
     /// # Panics
-    /// When there is no `kill` program.
+    /// When the `kill` program can't be run.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let _ = Command::new("kill").args([&format!("-{name}"), &id]).status().expect("a kill program");
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         guard('-', self.child.id());
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Waits for it to end by itself.
+    /// Waits for the process to end by itself.
+    ///
+    /// # Panics
+    /// When it has not ended within [`PATIENCE`].
     pub fn exit(&mut self) -> ExitStatus {
-        wait_for("the process ends", || self.child.try_wait().ok().flatten())
+        wait_for("end of the process", || self.child.try_wait().ok().flatten())
     }
 }
 
@@ -199,18 +204,18 @@
     }
 }
 
-/// A folder of its own, which goes with its owner unless the test fails.
+/// A temporary folder that is deleted on drop, unless the thread is panicking, as in a failed test.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
     /// # Panics
-    /// When the system has no room for one.
+    /// When the folder can't be created.
     pub fn new(name: &str) -> Folder {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("shaletrail-{name}-{}-{next}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        // An earlier process of this number may have left one.
+        // An earlier process with the same PID may have left a folder of this name.
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).expect("a temporary folder");
         Folder(path)
@@ -220,7 +225,7 @@
 impl Drop for Folder {
     fn drop(&mut self) {
         if thread::panicking() {
-            println!("left for a look: {}", self.0.display());
+            println!("temporary folder kept for inspection: {}", self.0.display());
         } else {
             let _ = std::fs::remove_dir_all(&self.0);
         }
