--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The real programs of a run: nodes and replicas of the list service, with a view of discovery for each node and
-//! relays for messages between them.
+//! The real processes of a run: nodes and registry replicas. Nodes read discovery through proxies, one per node and
+//! replica, and exchange peer messages through UDP relays, so that the lab can apply faults between zones.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,75 +28,80 @@
 use crate::scenario::{Effect, Scenario, What};
 use crate::service::{free, Service};
 
-/// Nodes may send to a server for so long after they have been told that it leaves.
+/// How long a node may still send requests to a server after it has learned that the server leaves.
 pub const DRAIN_GRACE_S: f64 = 0.5;
-/// A final answer may come so much after the client's deadline.
+/// How long after the client's deadline a final response may arrive.
 pub const ANSWER_GRACE_S: f64 = 0.02;
-/// Of discovery's whole list.
-const LONGEST_LIST: usize = 16 << 20;
-/// A watch waits up to 60 s.
-const LONGEST_WATCH: Duration = Duration::from_secs(65);
-/// For a node to be ready.
-const READY: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest message between nodes, and one byte to see what is longer.
-const LONGEST_MESSAGE: usize = 257;
+/// Size limit of a response from discovery, in bytes.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// Timeout of a read of discovery; longer than the 60 s for which a watch may be held.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(65);
+/// How long a node may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Buffer for a message between nodes, in bytes: the limit of 256, and one more to detect longer messages.
+const MESSAGE_BUFFER: usize = 257;
 
-/// A node was told that a server leaves or is gone, or that it is there again.
+/// Discovery told a node whether a server is active.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
     pub node: u16,
     pub server: u16,
+    /// Whether the server is leaving or gone; false when it is active.
     pub leaves: bool,
     pub at_s: f64,
 }
 
-/// A node's place: its addresses outlive its processes.
+/// A node of the fleet. Its addresses and folder stay the same when its process is replaced.
 pub struct Node {
     pub number: usize,
     pub name: String,
     pub zone: usize,
     pub listen: SocketAddr,
+    /// Address of the operator endpoints (`/-/...`); changes with each upgrade.
     pub ops: Mutex<SocketAddr>,
     folder: PathBuf,
     config: PathBuf,
     process: Mutex<Option<Process>>,
-    /// The listener, where the platform holds it.
-    held: Option<TcpListener>,
-    /// Whether its zone's front deals connections out to it.
+    /// The listening socket, when it is kept across processes (socket activation), as in a scenario with upgrades.
+    listener: Option<TcpListener>,
+    /// Whether the load balancer in front of its zone sends connections to it.
     pub in_use: AtomicBool,
-    /// Times at which its process was not running or stood still, the last one perhaps open.
+    /// Intervals in which its process was not running or was stopped. The last one ends at infinity while it lasts.
     pub away: Mutex<Vec<(f64, f64)>>,
 }
 
-/// What the views share.
-pub struct Views {
+/// State shared by the discovery proxies: what they need to answer, and a record of what they told the nodes.
+pub struct DiscoveryProxies {
     book: Arc<Book>,
     parties: Arc<Parties>,
+    /// Discovery addresses of the registry replicas.
     replicas: Vec<SocketAddr>,
     node_zones: Vec<usize>,
     pub told: Mutex<Vec<Told>>,
-    /// When each version of the list was first told.
+    /// When each version of the server list was first sent to a node: time and version.
     pub versions: Mutex<Vec<(f64, u64)>>,
-    /// Messages longer than allowed.
+    /// Number of messages between nodes that were longer than allowed, and dropped.
     pub long_messages: AtomicUsize,
 }
 
+/// The processes of a run. They are killed when it is dropped.
 pub struct Fleet {
     pub nodes: Vec<Arc<Node>>,
     pub service: Mutex<Service>,
-    pub views: Arc<Views>,
+    pub proxies: Arc<DiscoveryProxies>,
+    /// The node's program.
     program: PathBuf,
     pub folder: Folder,
-    /// Zone of each replica.
+    /// Configuration of each node, without its operator address.
     configs: Mutex<Vec<Value>>,
 }
 
 impl Fleet {
-    /// Starts the replicas; the nodes come with [`Fleet::start_nodes`], once the servers are listed.
+    /// Starts the replicas. The nodes are started by [`Fleet::start_nodes`], once the servers are listed.
     ///
     /// # Errors
-    /// Where the system has no room.
+    /// When a socket, folder or thread can't be created.
     pub async fn start(
         book: &Arc<Book>,
         parties: &Arc<Parties>,
@@ -108,7 +113,7 @@
         let service = tokio::task::spawn_blocking(move || Service::start(&program, "lab", replicas));
         let service = service.await.map_err(io::Error::other)?;
         let zones = scenario.fleet.zones.len();
-        let views = Arc::new(Views {
+        let proxies = Arc::new(DiscoveryProxies {
             book: Arc::clone(book),
             parties: Arc::clone(parties),
             replicas: service.discovery(),
@@ -133,26 +138,26 @@
                 config: own.join("config.json"),
                 folder: own,
                 process: Mutex::default(),
-                held: if upgrades { Some(TcpListener::bind(listen)?) } else { None },
+                listener: if upgrades { Some(TcpListener::bind(listen)?) } else { None },
                 in_use: AtomicBool::new(true),
                 away: Mutex::default(),
                 name,
             }));
         }
         let mut configs = Vec::new();
-        let relays = if scenario.fleet.peers { relays(&views, &nodes).await? } else { HashMap::new() };
+        let relays = if scenario.fleet.peers { open_relays(&proxies, &nodes).await? } else { HashMap::new() };
         for node in &nodes {
             let peers = relays.get(&node.number);
-            configs.push(config(scenario, node, &views.open(node.number).await?, peers));
+            configs.push(config(scenario, node, &proxies.open(node.number).await?, peers));
         }
         let (service, configs) = (Mutex::new(service), Mutex::new(configs));
-        Ok(Fleet { nodes, service, views, program: node.to_owned(), folder, configs })
+        Ok(Fleet { nodes, service, proxies, program: node.to_owned(), folder, configs })
     }
 
     /// Starts all nodes and waits until they are ready.
     ///
     /// # Errors
-    /// Names the node that is not.
+    /// Names the first node that does not become ready, with its log.
     pub async fn start_nodes(&self) -> io::Result<()> {
         for node in &self.nodes {
             self.launch(node)?;
@@ -160,7 +165,7 @@
         for node in &self.nodes {
             ready(node.listen, CLIENTS_READY).await.map_err(|e| {
                 let log = std::fs::read_to_string(self.log(node)).unwrap_or_default();
-                io::Error::other(format!("{}: {e}; its log:\n{log}", node.name))
+                io::Error::other(format!("{}: {e}; log of the node:\n{log}", node.name))
             })?;
         }
         Ok(())
@@ -170,7 +175,7 @@
         self.folder.0.join(format!("{}.log", node.name))
     }
 
-    /// All that the nodes have logged.
+    /// Each node's name and its whole log.
     pub fn logs(&self) -> Vec<(String, String)> {
         let read = |node: &Arc<Node>| std::fs::read_to_string(self.log(node)).unwrap_or_default();
         self.nodes.iter().map(|node| (node.name.clone(), read(node))).collect()
@@ -179,43 +184,46 @@
     fn spawn(&self, node: &Node) -> io::Result<Process> {
         let mut settings = lock(&self.configs)[node.number].clone();
         settings["ops"] = json!(lock(&node.ops).to_string());
-        replace(&node.config, &settings)?;
+        write_config(&node.config, &settings)?;
         let mut command = Command::new(&self.program);
         command.env_clear().env("LB_CONFIG", &node.config).env("TMPDIR", &node.folder);
-        let input = match &node.held {
+        let input = match &node.listener {
             None => Stdio::null(),
-            Some(held) => {
+            Some(listener) => {
                 command.env("LB_SOCKET_FD", "0");
-                Stdio::from(OwnedFd::from(held.try_clone()?))
+                Stdio::from(OwnedFd::from(listener.try_clone()?))
             }
         };
         Ok(Process::start_with(&mut command, &self.log(node), input))
     }
 
+    /// Starts a node's process, without waiting until it is ready.
     pub fn launch(&self, node: &Node) -> io::Result<()> {
         let process = self.spawn(node)?;
         *lock(&node.process) = Some(process);
         Ok(())
     }
 
+    /// Sends SIGKILL to a node and waits until it has ended.
     pub fn kill(&self, node: &Node) {
         let process = lock(&node.process).take();
         drop(process);
     }
 
+    /// Sends a signal by its short name, such as `STOP`, to a node's process, if it is running.
     pub fn signal(&self, node: &Node, name: &str) {
         if let Some(process) = &*lock(&node.process) {
             process.signal(name);
         }
     }
 
-    /// Nodes whose processes have ended by themselves.
+    /// Names of the nodes whose processes ended without being killed by the lab.
     pub fn crashed(&self) -> Vec<String> {
         let ended = |node: &&Arc<Node>| lock(&node.process).as_mut().is_some_and(Process::has_ended);
         self.nodes.iter().filter(ended).map(|node| node.name.clone()).collect()
     }
 
-    /// Processor time that the nodes and replicas that run now have used, in seconds.
+    /// CPU time used by the running nodes and by the running replicas, in seconds.
     pub fn cpu_s(&self) -> (f64, f64) {
         let of = |process: &Process| cpu_s(process.id()).unwrap_or(0.0);
         let nodes = self.nodes.iter().filter_map(|node| lock(&node.process).as_ref().map(of)).sum();
@@ -224,15 +232,15 @@
         (nodes, replicas)
     }
 
-    /// A new process on the same socket, and SIGTERM to the old one.
+    /// Starts a new process on the same listening socket, waits until it is ready, then ends the old one by SIGTERM.
     ///
     /// # Errors
-    /// Where the new one does not get ready; the old one stays.
+    /// When the new process does not become ready; the old one keeps running.
     pub async fn upgrade(&self, node: &Arc<Node>) -> io::Result<()> {
         *lock(&node.ops) = free();
-        let door = *lock(&node.ops);
+        let ops = *lock(&node.ops);
         let new = self.spawn(node)?;
-        ready(door, "/-/ready").await?;
+        ready(ops, "/-/ready").await?;
         let old = lock(&node.process).replace(new);
         if let Some(mut old) = old {
             old.signal("TERM");
@@ -242,70 +250,73 @@
         Ok(())
     }
 
-    /// New views for all nodes, told by file and SIGHUP; the old ones are no longer answered.
+    /// Opens new discovery proxies for all nodes and announces their addresses by configuration file and SIGHUP.
     ///
     /// # Errors
-    /// Where the system has no room.
+    /// When a socket can't be opened or a file not written.
     pub async fn move_discovery(&self) -> io::Result<()> {
         for node in &self.nodes {
-            let views = self.views.open(node.number).await?;
+            let proxies = self.proxies.open(node.number).await?;
             {
                 let mut configs = lock(&self.configs);
                 let settings = &mut configs[node.number];
-                settings["discovery"] = json!(views[0].to_string());
-                let also: Vec<String> = views[1..].iter().map(ToString::to_string).collect();
+                settings["discovery"] = json!(proxies[0].to_string());
+                let also: Vec<String> = proxies[1..].iter().map(ToString::to_string).collect();
                 settings["discovery_also"] = json!(also);
                 settings["ops"] = json!(lock(&node.ops).to_string());
-                replace(&node.config, settings)?;
+                write_config(&node.config, settings)?;
             }
             self.signal(node, "HUP");
         }
         Ok(())
     }
 
-    /// `disable` or `enable` for a server at a node's door.
-    pub async fn by_hand(&self, node: &Node, server: &str, call: &str) -> bool {
+    /// Calls `disable` or `enable` for a server at a node's operator endpoint. Returns whether the call succeeded.
+    pub async fn set_by_operator(&self, node: &Node, server: &str, call: &str) -> bool {
         let path = format!("/-/cache-servers/{server}/{call}");
         let call = Call { method: hyper::Method::POST, ..Call::get(&path, 1 << 10) };
-        let door = *lock(&node.ops);
-        let answer = Line::new(door).within(Duration::from_secs(5), call).await;
+        let ops = *lock(&node.ops);
+        let answer = Line::new(ops).within(Duration::from_secs(5), call).await;
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 }
 
-fn replace(file: &Path, settings: &Value) -> io::Result<()> {
+/// Replaces a configuration file atomically, so that a node never reads half of it.
+fn write_config(file: &Path, settings: &Value) -> io::Result<()> {
     let new = file.with_extension("new");
     std::fs::write(&new, settings.to_string())?;
     std::fs::rename(new, file)
 }
 
-/// Where clients' front asks whether a node may be used; its door has a path of its own.
+/// Readiness path on a node's client address, which the load balancer in front of the nodes checks. The operator
+/// address has a readiness path of its own, `/-/ready`.
 pub const CLIENTS_READY: &str = "/health/ready";
 
-/// Waits until a node says at this address and path that it may be used.
+/// Polls a readiness path until it answers with success.
 ///
 /// # Errors
-/// Where it does not.
+/// When it does not within [`READY_TIMEOUT`].
 pub async fn ready(addr: SocketAddr, path: &str) -> io::Result<()> {
-    let until = Instant::now() + READY;
+    let until = Instant::now() + READY_TIMEOUT;
     loop {
-        let answer = Line::new(addr).within(READY, Call::get(path, 1 << 10)).await;
+        let answer = Line::new(addr).within(READY_TIMEOUT, Call::get(path, 1 << 10)).await;
         if answer.is_ok_and(|answer| answer.status.is_success()) {
             return Ok(());
         }
         if Instant::now() > until {
-            return Err(io::Error::other(format!("not ready within {} s", READY.as_secs())));
+            return Err(io::Error::other(format!("not ready within {} s", READY_TIMEOUT.as_secs())));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Views {
-    /// Opens one view a replica for a node.
+impl DiscoveryProxies {
+    /// Opens the proxies of one node, one for each replica. Returns their addresses, in the order in which the node
+    /// tries them.
     async fn open(self: &Arc<Self>, node: usize) -> io::Result<Vec<SocketAddr>> {
-        let mut views = Vec::new();
+        let mut proxies = Vec::new();
         for n in 0..self.replicas.len() {
-            // Each node begins with another replica.
+            // Spreads the nodes over the replicas: each starts with a different one.
             let replica = (n + node) % self.replicas.len();
             let shared = Arc::clone(self);
             let answer = move |request: hyper::Request<hyper::body::Incoming>| {
@@ -319,20 +330,22 @@
                     })
                 }
             };
-            views.push(serve(answer).await?);
+            proxies.push(serve(answer).await?);
         }
-        Ok(views)
+        Ok(proxies)
     }
 
-    /// A replica's answer, with the addresses that this node's zone has.
+    /// Forwards a read to a replica over the emulated link between their zones, and replaces the servers' addresses in
+    /// the response by those for the node's zone. Records what the node is told. `None` when the replica does not
+    /// answer with a list.
     async fn forward(&self, node: usize, replica: usize, path: &str) -> Option<Response<Full<Bytes>>> {
         let zone = self.node_zones[node];
         let zones = self.book.scenario.fleet.zones.len();
         let mut link = self.parties.links().between(zone, replica % zones);
-        let open = |link: &crate::net::Link| !link.there.cut && !link.back.cut;
-        link.wait_for(open).await.ok()?;
-        let call = Call::get(path, LONGEST_LIST);
-        let answer = Line::new(self.replicas[replica]).within(LONGEST_WATCH, call).await.ok()?;
+        let is_up = |link: &crate::net::Link| !link.there.cut && !link.back.cut;
+        link.wait_for(is_up).await.ok()?;
+        let call = Call::get(path, MAX_LIST_BYTES);
+        let answer = Line::new(self.replicas[replica]).within(WATCH_TIMEOUT, call).await.ok()?;
         if answer.status != StatusCode::OK {
             return None;
         }
@@ -340,7 +353,7 @@
         let parties = self.parties.all();
         let known: HashMap<&str, usize> =
             parties.iter().enumerate().map(|(n, party)| (party.id.as_str(), n)).collect();
-        link.wait_for(open).await.ok()?;
+        link.wait_for(is_up).await.ok()?;
         let at_s = self.book.now();
         let mut told = Vec::new();
         for entry in &mut list.servers {
@@ -363,14 +376,16 @@
     }
 }
 
-/// Sockets between each pair of nodes and to all; by node, the addresses of its peers and the one of all.
-async fn relays(
-    views: &Arc<Views>,
+/// Opens UDP relays between each pair of nodes, and one broadcast relay per node. By node: its own peer address, the
+/// addresses at which it reaches each peer, and the one at which it reaches all of them.
+async fn open_relays(
+    proxies: &Arc<DiscoveryProxies>,
     nodes: &[Arc<Node>],
 ) -> io::Result<HashMap<usize, (SocketAddr, Vec<SocketAddr>, SocketAddr)>> {
     let any = || UdpSocket::bind("127.0.0.1:0");
     let own: Vec<SocketAddr> = nodes.iter().map(|_| free()).collect();
-    // between[i][j]: where node i reaches node j; from it, j hears i's answers too.
+    // between[i][j]: the socket at which node i reaches node j. Messages from j to i are sent from it, so that i sees j
+    // under one address.
     let mut between = Vec::new();
     for _ in nodes {
         let mut row = Vec::new();
@@ -385,46 +400,47 @@
         for (j, socket) in between[i].iter().enumerate() {
             peers.push(if i == j { own[i] } else { socket.local_addr()? });
         }
-        let everyone = any().await?;
-        all.insert(i, (own[i], peers, everyone.local_addr()?));
+        let broadcast = any().await?;
+        all.insert(i, (own[i], peers, broadcast.local_addr()?));
         let targets = |of: Vec<usize>| -> Vec<_> {
             let target = |j: usize| (nodes[j].zone, Arc::clone(&between[j][i]), own[j]);
             of.into_iter().filter(|j| *j != i).map(target).collect()
         };
         for (j, socket) in between[i].iter().enumerate().filter(|(j, _)| *j != i) {
             let (socket, targets) = (Arc::clone(socket), targets(vec![j]));
-            tokio::spawn(relay(Arc::clone(views), nodes[i].zone, socket, targets));
+            tokio::spawn(relay(Arc::clone(proxies), nodes[i].zone, socket, targets));
         }
         let targets = targets((0..nodes.len()).collect());
-        tokio::spawn(relay(Arc::clone(views), nodes[i].zone, Arc::new(everyone), targets));
+        tokio::spawn(relay(Arc::clone(proxies), nodes[i].zone, Arc::new(broadcast), targets));
     }
     Ok(all)
 }
 
-/// Passes messages on to nodes, from the address under which each knows the sender.
+/// Forwards each message to all targets, with the delay and loss of the emulated link. Each target receives it from the
+/// address under which it knows the sender.
 async fn relay(
-    views: Arc<Views>,
+    proxies: Arc<DiscoveryProxies>,
     zone: usize,
     socket: Arc<UdpSocket>,
     targets: Vec<(usize, Arc<UdpSocket>, SocketAddr)>,
 ) {
-    let loss = views.book.scenario.link.peer_loss;
+    let loss = proxies.book.scenario.link.peer_loss;
     let dice = Dice::new(zone as u64);
-    let mut message = vec![0; LONGEST_MESSAGE];
+    let mut message = vec![0; MESSAGE_BUFFER];
     loop {
         let Ok((n, _)) = socket.recv_from(&mut message).await else {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
-        if n == LONGEST_MESSAGE {
-            views.long_messages.fetch_add(1, Ordering::Relaxed);
+        if n == MESSAGE_BUFFER {
+            proxies.long_messages.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         for (to, from, addr) in &targets {
-            let way = views.parties.links().now(zone, *to).there;
-            let Some(late) = message_delay(&way, loss, &dice) else { continue };
+            let way = proxies.parties.links().now(zone, *to).there;
+            let Some(delay) = message_delay(&way, loss, &dice) else { continue };
             let (from, addr, message) = (Arc::clone(from), *addr, message[..n].to_vec());
-            let due = Instant::now() + late;
+            let due = Instant::now() + delay;
             tokio::spawn(async move {
                 sleep_until(due).await;
                 let _ = from.send_to(&message, addr).await;
@@ -433,11 +449,12 @@
     }
 }
 
+/// A node's own peer address, the relay addresses of its peers, and that of its broadcast relay.
 type Peers = (SocketAddr, Vec<SocketAddr>, SocketAddr);
 
-/// What the platform would tell a node.
-fn config(scenario: &Scenario, node: &Node, views: &[SocketAddr], peers: Option<&Peers>) -> Value {
-    let grade = |class: &crate::scenario::Class| {
+/// The configuration that the platform would give a node.
+fn config(scenario: &Scenario, node: &Node, proxies: &[SocketAddr], peers: Option<&Peers>) -> Value {
+    let class_settings = |class: &crate::scenario::Class| {
         let effect = match class.effect {
             Effect::Free => "free",
             Effect::Guarded => "guarded",
@@ -447,7 +464,7 @@
                "target-s": class.wanted_ms / 1e3, "hard-limit-s": class.give_up_ms / 1e3,
                "importance": class.worth, "late-worth": class.late_worth, "streamed": false})
     };
-    let tenant = |(n, tenant): (usize, &crate::scenario::Tenant)| json!({"name": tenant.name, "share": tenant.share, "quota-per-s": quota(scenario, n)});
+    let tenant_settings = |(n, tenant): (usize, &crate::scenario::Tenant)| json!({"name": tenant.name, "share": tenant.share, "quota-per-s": quota(scenario, n)});
     let (fleet, server, origin) = (&scenario.fleet, &scenario.servers, &scenario.origin);
     let settings = json!({
         "areas": fleet.zones, "balancers": fleet.nodes, "me": node.number,
@@ -456,7 +473,7 @@
                         "origin-fall-s": origin.fall_s,
                         "notes": "1 hit, 2 miss, 3 miss while another fetch of the key is pending"},
         "goal": {"whole": 0.35, "worst-class": 0.4, "worst-tenant": 0.1, "worst-window": 0.15},
-        "grades": scenario.classes.iter().map(grade).collect::<Vec<_>>(),
+        "grades": scenario.classes.iter().map(class_settings).collect::<Vec<_>>(),
         "guarantees": {"ask-every-s": 10.0, "cold-from": server.cold_from, "drain-grace-s": DRAIN_GRACE_S,
                        "fall-multiple": FALL_MULTIPLE, "fall-s": FALL_S,
                        "grace-to-answer-s": ANSWER_GRACE_S, "ramp-time-s": server.cold_s},
@@ -470,21 +487,21 @@
                    "waste": 0.02},
         "report": {"fields": ["svc_ms", "busy_reqs", "pending"], "how": "on_probe"},
         "round-s": 0.005, "skus": ["box", "origin"], "stage": 0, "stages": ["register-cache"],
-        "tenants": scenario.tenants.iter().enumerate().map(tenant).collect::<Vec<_>>(),
+        "tenants": scenario.tenants.iter().enumerate().map(tenant_settings).collect::<Vec<_>>(),
         "weight-source": "off", "worth-by": "work",
     });
-    let also: Vec<String> = views[1..].iter().map(ToString::to_string).collect();
+    let also: Vec<String> = proxies[1..].iter().map(ToString::to_string).collect();
     let seed = format!("{:016x}", scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ node.number as u64);
-    let mut told = json!({
-        "name": node.name, "listen": node.listen.to_string(), "discovery": views[0].to_string(),
+    let mut config = json!({
+        "name": node.name, "listen": node.listen.to_string(), "discovery": proxies[0].to_string(),
         "discovery_also": also, "seed": seed,
         "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         "settings": settings,
     });
     if let Some((own, peers, all)) = peers {
-        told["peer_listen"] = json!(own.to_string());
-        told["peers"] = json!(peers.iter().map(ToString::to_string).collect::<Vec<_>>());
-        told["peers_all"] = json!(all.to_string());
+        config["peer_listen"] = json!(own.to_string());
+        config["peers"] = json!(peers.iter().map(ToString::to_string).collect::<Vec<_>>());
+        config["peers_all"] = json!(all.to_string());
     }
-    told
+    config
 }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: starts the fleet, sends the load, carries the time line out, and gives back what was seen.
+//! Runs a scenario: starts the fleet, sends the load, injects the faults at their times, and returns what was recorded.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -31,26 +31,29 @@
 use crate::process::{cpu_s, guard};
 use crate::scenario::{Fault, Scenario, What, Whom};
 
-/// The programs that are run.
+/// Paths of the programs that are started: `shaletrail-fleet` and the node.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub command: PathBuf,
     pub node: PathBuf,
 }
 
-/// For the list to hold all servers, and for nodes to follow it, before the load begins.
-const LISTED: Duration = Duration::from_secs(60);
-/// After the last answer, so that what the fleet does by itself is seen.
-const AFTERWARDS: Duration = Duration::from_millis(300);
-/// A way's breaking, in a zone whose connections are reset.
-const RESETS_MS: u64 = 300;
+/// How long the list may take to contain all servers, before the nodes are started.
+const LIST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long recording goes on after the last response, to include work that the fleet does on its own.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Maximum age at which connections of a zone are reset by the fault `reset_zone`.
+const RESET_AFTER_MS: u64 = 300;
 
-/// Tells the agents of one party: go on, say goodbye, or be gone at once.
+/// What the agent of an emulated server is told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Agent {
-    On,
-    Goodbye,
-    Gone,
+enum AgentCommand {
+    /// Keep the server registered.
+    Run,
+    /// Mark the server as leaving, drain it, then end.
+    Drain,
+    /// End at once, without deregistering.
+    Kill,
 }
 
 struct Orchestrator {
@@ -59,38 +62,43 @@
     fleet: Arc<Fleet>,
     clients: Arc<Clients>,
     programs: Programs,
+    /// Addresses of the registry replicas at which the list is changed.
     ops: Vec<SocketAddr>,
-    agents: Mutex<BTreeMap<String, watch::Sender<Agent>>>,
-    /// Draws of whom a share strikes; each fault its own, so that taking it back finds the same ones.
+    agents: Mutex<BTreeMap<String, watch::Sender<AgentCommand>>>,
+    /// Selects the targets of faults that hit a share. Each fault derives its own generator from it, so that reverting
+    /// the fault selects the same targets again.
     seed: u64,
 }
 
-/// The list's form asks for the time of a start by the common clock; nothing here is reckoned by it.
+/// Wall-clock time for the field `started_ms` of a list entry. The lab itself does not depend on it.
 fn unix_ms() -> u64 {
     unix().as_millis() as u64
 }
 
-/// A fleet that stands until it is dropped, under the scenario's load.
+/// A fleet under the scenario's load that runs until it is dropped, without faults or a verdict.
 pub struct Standing {
     orchestrator: Arc<Orchestrator>,
 }
 
-/// What a standing fleet did since it was last asked.
+/// Counts of a running fleet since the last call of [`Standing::live`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Live {
+    /// Tries by the lab's clients.
     pub asked: usize,
     pub served: usize,
     pub refused: usize,
+    /// Cache hits and misses of reads, at the cache servers.
     pub hits: usize,
     pub misses: usize,
+    /// Calls at the origin.
     pub fetches: usize,
 }
 
 impl Standing {
-    /// Starts the fleet and its load; requests of other clients are served too.
+    /// Starts the fleet and its load. Requests from clients outside of the lab are served too.
     ///
     /// # Errors
-    /// Where the fleet does not start.
+    /// When the fleet does not start.
     pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<Standing> {
         let orchestrator = Orchestrator::start(scenario, scenario.seed, programs).await?;
         orchestrator.book.open.store(true, Ordering::Relaxed);
@@ -101,28 +109,28 @@
         Ok(Standing { orchestrator })
     }
 
-    /// Where nodes read the list, and where it is changed.
+    /// Addresses of the registry: those at which nodes read the list, and those at which it is changed.
     pub fn registry(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         (lock(&self.orchestrator.fleet.service).discovery(), self.orchestrator.ops.clone())
     }
 
-    /// Each node with its clients' address and its door.
+    /// Each node's name, client address and operator address.
     pub fn nodes(&self) -> Vec<(String, SocketAddr, SocketAddr)> {
         self.orchestrator.fleet.nodes.iter().map(|n| (n.name.clone(), n.listen, *lock(&n.ops))).collect()
     }
 
-    /// The cache servers and the origin.
+    /// Id and address of each cache server and, last, of the origin.
     pub fn servers(&self) -> Vec<(String, SocketAddr)> {
         let mut all = self.orchestrator.parties.all();
         all.push(Arc::clone(&self.orchestrator.parties.origin));
         all.iter().map(|party| (party.id.clone(), party.addrs[party.zone])).collect()
     }
 
-    /// Figures since the last call.
+    /// Counts since the last call, or since the start at the first one.
     pub fn live(&self) -> Live {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
         let seen = std::mem::take(&mut *lock(&self.orchestrator.book.seen));
-        lock(&self.orchestrator.fleet.views.told).clear();
+        lock(&self.orchestrator.fleet.proxies.told).clear();
         let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
         Live {
@@ -136,10 +144,10 @@
     }
 }
 
-/// Plays it once. `progress` is told the time of the run, in seconds, now and then.
+/// Runs a scenario once. `progress` is called repeatedly with the seconds since the start of the run.
 ///
 /// # Errors
-/// Where the fleet does not start, which is no verdict on it.
+/// When the fleet does not start or a fault can't be injected; then there is no verdict.
 pub async fn play(
     mut scenario: Scenario,
     seed: u64,
@@ -158,17 +166,17 @@
             book.leading.store(false, Ordering::Relaxed);
         })
     };
-    let mut playing = Vec::new();
+    let mut faults = Vec::new();
     for (n, fault) in scenario.faults.iter().enumerate() {
         let (orchestrator, fault) = (Arc::clone(&orchestrator), fault.clone());
-        playing.push(tokio::spawn(async move { orchestrator.fault(n, &fault).await }));
+        faults.push(tokio::spawn(async move { orchestrator.run_fault(n, &fault).await }));
     }
     clients.run(progress).await;
     let cpu = orchestrator.cpu_since(used, begin.elapsed());
-    sleep(AFTERWARDS).await;
+    sleep(SETTLE_TIME).await;
     lead.abort();
     let mut bands = Vec::new();
-    for fault in playing {
+    for fault in faults {
         match fault.await {
             Ok(Ok(band)) => bands.push(band),
             Ok(Err(e)) => return Err(e),
@@ -179,14 +187,14 @@
 }
 
 impl Orchestrator {
-    /// Starts all parties and processes, and waits until every node is ready.
+    /// Starts the emulated servers and all processes, and waits until every node is ready.
     async fn start(scenario: &Scenario, seed: u64, programs: &Programs) -> io::Result<Arc<Orchestrator>> {
         let link = &scenario.link;
         let way = |delay_ms| Way { delay_ms, jitter_ms: link.jitter_ms, ..Way::default() };
         let same = Way { jitter_ms: 0.0, ..way(link.same_ms) };
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
         let plan = draw(scenario, seed);
-        // The run begins when the fleet is ready; everything reads the time from then on.
+        // The run begins when the fleet is ready; until then the run's clock shows 0.
         let book = Arc::new(Book::new(scenario.clone(), plan));
         let parties = Parties::new(Arc::clone(&book), links, seed);
         let fleet = Arc::new(Fleet::start(&book, &parties, &programs.command, &programs.node).await?);
@@ -203,22 +211,23 @@
             seed,
         });
         parties.open(&parties.origin);
-        orchestrator.list(&parties.origin);
+        orchestrator.start_agent(&parties.origin);
         for n in 0..scenario.fleet.servers {
             let party = parties.add(format!("cache-{n}"), n, 0, true);
-            orchestrator.list(&party);
+            orchestrator.start_agent(&party);
         }
         orchestrator.wait_for_list(scenario.fleet.servers + 1).await?;
         fleet.start_nodes().await?;
         Ok(orchestrator)
     }
 
-    /// Processor time used so far: the lab's, the nodes', the replicas'.
+    /// CPU time used so far, in seconds: by the lab, the nodes and the replicas.
     fn cpu_s(&self) -> [f64; 3] {
         let (nodes, replicas) = self.fleet.cpu_s();
         [cpu_s(std::process::id()).unwrap_or(0.0), nodes, replicas]
     }
 
+    /// Mean number of cores in use over `time`, given the CPU time used `before` it.
     fn cpu_since(&self, before: [f64; 3], time: Duration) -> Cpu {
         let now = self.cpu_s();
         let cores = |n: usize| (now[n] - before[n]).max(0.0) / time.as_secs_f64();
@@ -226,7 +235,7 @@
         Cpu { lab: cores(0), nodes: cores(1), replicas: cores(2), of }
     }
 
-    /// All that was seen.
+    /// Takes everything that was recorded.
     fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
         let Orchestrator { book, parties, fleet, clients, seed, .. } = self;
         let zones: Vec<u8> = parties.all().iter().map(|party| party.zone as u8).collect();
@@ -242,10 +251,10 @@
             tries: std::mem::take(&mut lock(&clients.tries)),
             seen: std::mem::take(&mut lock(&book.seen)),
             falls: std::mem::take(&mut lock(&book.falls)),
-            told: std::mem::take(&mut lock(&fleet.views.told)),
-            versions: std::mem::take(&mut lock(&fleet.views.versions)),
+            told: std::mem::take(&mut lock(&fleet.proxies.told)),
+            versions: std::mem::take(&mut lock(&fleet.proxies.versions)),
             foreign_ids: book.foreign.load(Ordering::Relaxed) as u64,
-            long_messages: fleet.views.long_messages.load(Ordering::Relaxed) as u64,
+            long_messages: fleet.proxies.long_messages.load(Ordering::Relaxed) as u64,
             away: fleet.nodes.iter().map(|node| take(&node.away)).collect(),
             crashed,
             server_zones: zones,
@@ -257,31 +266,34 @@
 
     // ---- Agents ------------------------------------------------------------------------------------------
 
-    /// Starts a party's agent.
-    fn list(self: &Arc<Self>, party: &Arc<Party>) {
-        let spec = &self.book.scenario;
+    /// Starts the agent that keeps a server registered in the list.
+    fn start_agent(self: &Arc<Self>, party: &Arc<Party>) {
+        let scenario = &self.book.scenario;
         let kind = if party.id == self.parties.origin.id { "origin" } else { "box" };
         let addr = party.addrs[party.zone];
         let entry = Entry {
             id: party.id.clone(),
             addr,
-            zone: spec.fleet.zones[party.zone].clone(),
+            zone: scenario.fleet.zones[party.zone].clone(),
             kind: kind.to_owned(),
             cell: 0,
             state: State::Active,
             weight: 1.0,
             started_ms: party.started_ms.load(Ordering::Relaxed),
         };
-        let lease = Duration::from_secs_f64(spec.fleet.lease_s);
-        let drain = Duration::from_secs_f64(spec.servers.drain_s);
-        let (tell, mut told) = watch::channel(Agent::On);
-        lock(&self.agents).insert(party.id.clone(), tell);
-        if spec.fleet.agent_processes {
-            let started = self.start_agent(&entry);
+        let lease = Duration::from_secs_f64(scenario.fleet.lease_s);
+        let drain = Duration::from_secs_f64(scenario.servers.drain_s);
+        let (sender, mut commands) = watch::channel(AgentCommand::Run);
+        lock(&self.agents).insert(party.id.clone(), sender);
+        if scenario.fleet.agent_processes {
+            let started = self.spawn_agent_process(&entry);
             tokio::spawn(async move {
                 let Ok(mut agent) = started else { return };
-                let gone = told.wait_for(|told| *told != Agent::On).await.map_or(Agent::Gone, |told| *told);
-                if gone == Agent::Goodbye {
+                let command = commands
+                    .wait_for(|command| *command != AgentCommand::Run)
+                    .await
+                    .map_or(AgentCommand::Kill, |command| *command);
+                if command == AgentCommand::Drain {
                     if let Some(id) = agent.id() {
                         let id = id.to_string();
                         let _ = Command::new("kill").args(["-TERM", &id]).status().await;
@@ -299,30 +311,30 @@
         let (ops, id) = (self.ops.clone(), party.id.clone());
         tokio::spawn(async move {
             let duty = Duty { entry, lease, drain, check: addr };
-            let mut stop = told.clone();
+            let mut drain_commands = commands.clone();
             let stop = async move {
-                let _ = stop.wait_for(|told| *told == Agent::Goodbye).await;
+                let _ = drain_commands.wait_for(|command| *command == AgentCommand::Drain).await;
             };
             let mut changes = Changes::new(ops);
             tokio::select! {
                 ended = agent::run(&duty, &mut changes, stop, |what| tracing::debug!("{what}")) => {
                     if let Err(e) = ended {
-                        tracing::warn!("agent of {id}: {e}");
+                        tracing::warn!("agent of {id} ended with an error: {e}");
                     }
                 }
-                _ = told.wait_for(|told| *told == Agent::Gone) => {}
+                _ = commands.wait_for(|command| *command == AgentCommand::Kill) => {}
             }
         });
     }
 
-    fn start_agent(&self, entry: &Entry) -> io::Result<Child> {
+    fn spawn_agent_process(&self, entry: &Entry) -> io::Result<Child> {
         let list: Vec<String> = self.ops.iter().map(ToString::to_string).collect();
-        let spec = &self.book.scenario;
+        let scenario = &self.book.scenario;
         let mut command = Command::new(&self.programs.command);
         command.args(["agent", "--registry", &list.join(","), "--id", &entry.id]);
         command.args(["--addr", &entry.addr.to_string(), "--zone", &entry.zone, "--kind", &entry.kind]);
-        command.args(["--lease-s", &spec.fleet.lease_s.to_string()]);
-        command.args(["--drain-s", &spec.servers.drain_s.to_string()]);
+        command.args(["--lease-s", &scenario.fleet.lease_s.to_string()]);
+        command.args(["--drain-s", &scenario.servers.drain_s.to_string()]);
         command.stdin(std::process::Stdio::null()).stderr(std::process::Stdio::null());
         let agent = command.kill_on_drop(true).spawn()?;
         if let Some(id) = agent.id() {
@@ -331,31 +343,35 @@
         Ok(agent)
     }
 
-    fn tell_agent(&self, id: &str, what: Agent) {
+    fn command_agent(&self, id: &str, command: AgentCommand) {
         if let Some(agent) = lock(&self.agents).get(id) {
-            agent.send_replace(what);
+            agent.send_replace(command);
         }
     }
 
     async fn wait_for_list(&self, count: usize) -> io::Result<()> {
         let discovery = lock(&self.fleet.service).discovery();
-        let until = Instant::now() + LISTED;
+        let until = Instant::now() + LIST_TIMEOUT;
         loop {
             let list = ask(discovery[0], Ask::Whole).await;
             if list.is_ok_and(|list| list.servers.len() >= count) {
                 return Ok(());
             }
             if Instant::now() > until {
-                return Err(io::Error::other(format!("{count} servers are not listed in time")));
+                return Err(io::Error::other(format!(
+                    "the registry did not list {count} servers within {} s",
+                    LIST_TIMEOUT.as_secs()
+                )));
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    // ---- Whom --------------------------------------------------------------------------------------------
+    // ---- Targets of faults ----------------------------------------------------------------------------------
 
-    /// Those of `0..count` that are meant, the same ones each time for the same fault.
-    fn struck(
+    /// Indices in `0..count` that `whom` selects; the same ones each time for the same fault. `zone` is the zone of an
+    /// index. `first` is the number in the name of index 0: servers and nodes count from 0, replicas from 1.
+    fn targets(
         &self,
         whom: &Whom,
         fault: usize,
@@ -387,29 +403,31 @@
     fn servers(&self, whom: &Whom, fault: usize) -> Vec<Arc<Party>> {
         let all = self.parties.all();
         let count = self.book.scenario.fleet.servers;
-        let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
-        struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
+        let targets = self.targets(whom, fault, count, |n| all[n].zone, 0);
+        targets.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
     fn nodes(&self, whom: &Whom, fault: usize) -> Vec<Arc<Node>> {
         let all = &self.fleet.nodes;
-        let struck = self.struck(whom, fault, all.len(), |n| all[n].zone, 0);
-        struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
+        let targets = self.targets(whom, fault, all.len(), |n| all[n].zone, 0);
+        targets.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
     fn replicas(&self, whom: &Whom, fault: usize) -> Vec<usize> {
         let zones = self.book.scenario.fleet.zones.len();
-        self.struck(whom, fault, self.ops.len(), |n| n % zones, 1)
+        self.targets(whom, fault, self.ops.len(), |n| n % zones, 1)
     }
 
+    /// Index of a zone; `usize::MAX`, which matches none, for an unknown name.
     fn zone(&self, name: &str) -> usize {
         self.book.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
     // ---- Faults ------------------------------------------------------------------------------------------
 
-    /// Plays one fault and takes it back; when it was in force, in the run's time.
-    async fn fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
+    /// Injects one fault at its time and reverts it. Returns the interval in which it was active, in seconds from the
+    /// start of the run.
+    async fn run_fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
         let lead = self.book.scenario.lead_s;
         sleep_until(at(self.book.start(), lead + fault.at_s)).await;
         let from_s = self.book.now();
@@ -423,7 +441,7 @@
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
             for node in &self.fleet.nodes {
                 let next = Instant::now() + Duration::from_secs_f64(pause);
-                // One that stands still would not end; its turn comes when it goes on.
+                // A stopped process would not handle SIGTERM, so the upgrade waits until it continues.
                 while lock(&node.away).last().is_some_and(|(_, back)| back.is_infinite()) {
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -432,22 +450,22 @@
             }
             return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
         }
-        self.strike(n, &fault.what).await?;
+        self.inject(n, &fault.what).await?;
         let Some(length) = fault.for_s else {
-            let passes = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
-            return Ok(Band { name, from_s, to_s: passes.then(|| self.book.now()) });
+            let instantaneous = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
+            return Ok(Band { name, from_s, to_s: instantaneous.then(|| self.book.now()) });
         };
         sleep_until(at(self.book.start(), lead + fault.at_s + length)).await;
-        self.take_back(n, &fault.what).await?;
+        self.revert(n, &fault.what).await?;
         Ok(Band { name, from_s, to_s: Some(self.book.now()) })
     }
 
-    async fn strike(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
+    async fn inject(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
         let cut = |way: Way| Way { cut: true, ..way };
         let usual = |way: Way| way;
         match what {
-            What::KillServers { whom } => self.lose(&self.servers(whom, n), Life::Dead),
-            What::SilenceServers { whom } => self.lose(&self.servers(whom, n), Life::Vanished),
+            What::KillServers { whom } => self.take_down(&self.servers(whom, n), Life::Dead),
+            What::SilenceServers { whom } => self.take_down(&self.servers(whom, n), Life::Vanished),
             What::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, true));
             }
@@ -461,18 +479,20 @@
                 self.servers(whom, n).iter().for_each(|party| party.set_errors(*share, class));
             }
             What::ColdServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+                self.servers(whom, n).iter().for_each(|party| self.kill_and_restart(party));
             }
             What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.tell_agent(&party.id, Agent::Goodbye));
+                self.servers(whom, n)
+                    .iter()
+                    .for_each(|party| self.command_agent(&party.id, AgentCommand::Drain));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
+            What::DisableServers { whom } => self.set_by_operator(whom, n, "disable").await,
             What::SlowOrigin { times } => self.parties.slow(&self.parties.origin, *times),
             What::StopOrigin {} => self.parties.pause(&self.parties.origin, true),
             What::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
             What::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
-                    self.leave(&node);
+                    self.mark_down(&node);
                     self.fleet.signal(&node, "STOP");
                 }
             }
@@ -487,7 +507,7 @@
             What::MoveDiscovery {} => self.fleet.move_discovery().await?,
             What::LoseZone { zone, nodes } => {
                 let whom = Whom::Zone(zone.clone());
-                self.lose(&self.servers(&whom, n), Life::Vanished);
+                self.take_down(&self.servers(&whom, n), Life::Vanished);
                 if *nodes {
                     self.kill_nodes(&self.nodes(&whom, n));
                 }
@@ -507,21 +527,21 @@
                 self.parties.links().change(self.zone(zone), slow, slow);
             }
             What::ResetZone { zone } => {
-                let breaks = |way: Way| Way { reset_ms: Some(RESETS_MS), ..way };
+                let breaks = |way: Way| Way { reset_ms: Some(RESET_AFTER_MS), ..way };
                 self.parties.links().change(self.zone(zone), breaks, breaks);
             }
             What::RetryStorm { retries } => self.clients.storm.store(*retries, Ordering::Relaxed),
-            // The plan has them, or they are played above.
+            // Surges and flash crowds are part of the load plan; the other two are handled in `run_fault`.
             What::Surge { .. } | What::FlashCrowd { .. } | What::Replace { .. } | What::UpgradeNodes {} => {}
         }
         Ok(())
     }
 
-    async fn take_back(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
+    async fn revert(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
         let usual = |way: Way| way;
         match what {
             What::KillServers { whom } | What::SilenceServers { whom } | What::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|party| self.renew(party));
+                self.servers(whom, n).iter().for_each(|party| self.kill_and_restart(party));
             }
             What::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|party| self.parties.pause(party, false));
@@ -533,14 +553,14 @@
                 let usual = self.book.scenario.servers.errors;
                 self.servers(whom, n).iter().for_each(|party| party.set_errors(usual, None));
             }
-            What::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
+            What::DisableServers { whom } => self.set_by_operator(whom, n, "enable").await,
             What::SlowOrigin { .. } => self.parties.slow(&self.parties.origin, 1.0),
             What::StopOrigin {} => self.parties.pause(&self.parties.origin, false),
             What::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
             What::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.fleet.signal(&node, "CONT");
-                    self.back(&node);
+                    self.mark_up(&node);
                 }
             }
             What::KillReplicas { whom } => {
@@ -574,49 +594,51 @@
         Ok(())
     }
 
-    /// Processes or machines are gone, their agents with them.
-    fn lose(&self, parties: &[Arc<Party>], how: Life) {
+    /// Takes servers down (see [`Life`] for how), and kills their agents.
+    fn take_down(&self, parties: &[Arc<Party>], how: Life) {
         for party in parties {
-            self.tell_agent(&party.id, Agent::Gone);
+            self.command_agent(&party.id, AgentCommand::Kill);
             party.life.send_replace(how);
         }
     }
 
-    /// A process ends, if it had not, and the next one of its name starts.
-    fn renew(self: &Arc<Self>, party: &Arc<Party>) {
-        self.lose(std::slice::from_ref(party), Life::Dead);
+    /// Kills a server's process, if it is up, and restarts it.
+    fn kill_and_restart(self: &Arc<Self>, party: &Arc<Party>) {
+        self.take_down(std::slice::from_ref(party), Life::Dead);
         self.restart(party);
     }
 
-    /// A server of this name starts anew, cold and empty, and is listed again.
+    /// Restarts a server under the same id, cold and with an empty cache, and registers it again.
     fn restart(self: &Arc<Self>, party: &Arc<Party>) {
         self.parties.restart(party, unix_ms());
-        self.list(party);
+        self.start_agent(party);
     }
 
-    async fn by_hand(&self, whom: &Whom, n: usize, call: &str) {
+    /// Calls `disable` or `enable` for the targets at every node.
+    async fn set_by_operator(&self, whom: &Whom, n: usize, call: &str) {
         for party in self.servers(whom, n) {
             for node in &self.fleet.nodes {
-                if !self.fleet.by_hand(node, &party.id, call).await {
-                    tracing::warn!("{}: {call} {} did not go through", node.name, party.id);
+                if !self.fleet.set_by_operator(node, &party.id, call).await {
+                    tracing::warn!("{}: operator call `{call}` for {} failed", node.name, party.id);
                 }
             }
         }
     }
 
-    /// The node does not answer from now on; its front notices later.
-    fn leave(self: &Arc<Self>, node: &Arc<Node>) {
+    /// Records that a node is down from now on. Its zone's load balancer stops using it `notice_s` later.
+    fn mark_down(self: &Arc<Self>, node: &Arc<Node>) {
         lock(&node.away).push((self.book.now(), f64::INFINITY));
-        let (node, late) = (Arc::clone(node), self.book.scenario.load.notice_s);
+        let (node, delay_s) = (Arc::clone(node), self.book.scenario.load.notice_s);
         tokio::spawn(async move {
-            sleep(Duration::from_secs_f64(late)).await;
+            sleep(Duration::from_secs_f64(delay_s)).await;
             if lock(&node.away).last().is_some_and(|(_, to)| to.is_infinite()) {
                 node.in_use.store(false, Ordering::Relaxed);
             }
         });
     }
 
-    fn back(&self, node: &Node) {
+    /// Records that a node is up again; its zone's load balancer uses it at once.
+    fn mark_up(&self, node: &Node) {
         if let Some(last) = lock(&node.away).last_mut() {
             last.1 = self.book.now();
         }
@@ -625,7 +647,7 @@
 
     fn kill_nodes(self: &Arc<Self>, nodes: &[Arc<Node>]) {
         for node in nodes {
-            self.leave(node);
+            self.mark_down(node);
             self.fleet.kill(node);
         }
     }
@@ -636,12 +658,13 @@
         }
         for node in &nodes {
             ready(node.listen, CLIENTS_READY).await?;
-            self.back(node);
+            self.mark_up(node);
         }
         Ok(())
     }
 
-    /// Replaces servers by new ones, in batches over the time given: goodbye, drain, then a new one in its place.
+    /// Replaces a share of the servers in batches, spread over `over_s` seconds. Each server is drained, then killed,
+    /// and a new server with a new id starts in its place.
     async fn replace(self: &Arc<Self>, share: f64, batch: usize, over_s: f64) {
         let count = (self.book.scenario.fleet.servers as f64 * share).round() as usize;
         let batches = count.div_ceil(batch).max(1);
@@ -651,14 +674,14 @@
         let mut work = tokio::task::JoinSet::new();
         for batch in old[..count].chunks(batch) {
             for party in batch {
-                self.tell_agent(&party.id, Agent::Goodbye);
+                self.command_agent(&party.id, AgentCommand::Drain);
                 let (orchestrator, party) = (Arc::clone(self), Arc::clone(party));
                 work.spawn(async move {
                     sleep(drain).await;
                     party.life.send_replace(Life::Dead);
                     let place = usize::from(party.number);
                     let new = orchestrator.parties.add(format!("{}b", party.id), place, unix_ms(), false);
-                    orchestrator.list(&new);
+                    orchestrator.start_agent(&new);
                 });
             }
             sleep(pause).await;
