--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -1,4 +1,4 @@
-//! What the list service costs, measured against a plain list in memory in the same run.
+//! Benchmark of the registry, compared with a plain in-memory list that is measured in the same run.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,20 +21,28 @@
 use crate::party::PlainList;
 use crate::service::Service;
 
-/// How much is measured.
+/// Parameters of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub struct Size {
+    /// Entries in the list.
     pub servers: usize,
+    /// Clients that watch the list at once.
     pub watchers: usize,
+    /// Changes whose propagation to all watchers is timed.
     pub changes: usize,
+    /// Concurrent writers when throughput is measured.
     pub writers: usize,
+    /// How long throughput is measured.
     pub write_s: u64,
+    /// How often the leader is killed.
     pub failovers: usize,
+    /// Changes made before process starts are timed.
     pub history: usize,
+    /// How long memory use is measured under constant changes.
     pub churn_s: u64,
 }
 
-/// Median, least and most of some figures.
+/// Median, minimum, maximum and number of measured values; NaN when there are none.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Spread {
     pub median: f64,
@@ -44,23 +52,25 @@
 }
 
 impl Spread {
-    pub fn of(mut figures: Vec<f64>) -> Spread {
-        figures.sort_by(f64::total_cmp);
-        let at = |n: usize| figures.get(n).copied().unwrap_or(f64::NAN);
-        let count = figures.len();
+    pub fn of(mut values: Vec<f64>) -> Spread {
+        values.sort_by(f64::total_cmp);
+        let at = |n: usize| values.get(n).copied().unwrap_or(f64::NAN);
+        let count = values.len();
         Spread { median: at(count / 2), least: at(0), most: at(count.saturating_sub(1)), count }
     }
 }
 
-/// One form of the service under load.
+/// Results of one variant of the service: the plain list, or the registry with a number of replicas.
 #[derive(Debug, Serialize)]
-pub struct Form {
+pub struct Variant {
     pub form: String,
-    /// From the begin of a change to its being told to the last of all watchers.
+    /// Time from the start of a change until the last of all watchers has received it.
     pub last_watcher_ms: Spread,
-    /// Of answers' bodies, for each watcher and change.
+    /// Bytes of response bodies per watcher and change.
     pub bytes_a_watcher_a_change: f64,
+    /// Size of the full list as JSON.
     pub whole_list_bytes: usize,
+    /// Throughput: changes acknowledged per second with all writers.
     pub changes_per_s: f64,
 }
 
@@ -69,41 +79,55 @@
     pub machine: String,
     pub seed: u64,
     pub size: Size,
-    pub forms: Vec<Form>,
-    /// SIGKILL of the leader to the next acknowledged change, and reads that no endpoint answered meanwhile.
+    pub forms: Vec<Variant>,
+    /// Time from SIGKILL of the leader to the next acknowledged change.
     pub failover_ms: Spread,
+    /// Reads of the list made throughout the failover measurement, and how many of them no endpoint answered.
     pub failover_reads: u64,
     pub failover_reads_failed: u64,
-    /// From the start of the process to its ready, with a long history behind a snapshot.
+    /// Time from the start of a replica's process until it is ready, after `history` changes.
     pub start_ms: Spread,
-    /// Resident memory of a replica under churn, each tenth of the time.
+    /// Resident memory of a replica after each tenth of the churn period, in KiB.
     pub churn_kib: Vec<u64>,
+    /// Changes acknowledged in the churn period.
     pub churn_changes: u64,
 }
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
+type BenchError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Runs all of it. `say` is told what is being measured.
+/// Runs the whole registry benchmark. `progress` is called with the name of each step as it starts.
 ///
 /// # Errors
-/// Whatever keeps a figure from being measured.
-pub async fn registry(program: &Path, size: Size, seed: u64, say: impl Fn(&str)) -> Result<Report, Failed> {
+/// The first error that makes a measurement fail.
+pub async fn registry(
+    program: &Path,
+    size: Size,
+    seed: u64,
+    progress: impl Fn(&str),
+) -> Result<Report, BenchError> {
     let mut forms = Vec::new();
-    say("a plain list in memory");
+    progress("plain list in memory: watchers and changes");
     let plain = PlainList::start().await?;
-    forms.push(form("plain list in memory", vec![plain], vec![plain], &size, seed).await?);
+    forms.push(measure_variant("plain list in memory", vec![plain], vec![plain], &size, seed).await?);
     for replicas in [1, 3] {
-        say(&format!("{replicas} replica(s): watchers and changes"));
+        progress(&format!("{replicas} replica(s): watchers and changes"));
         let service = start(program, replicas).await?;
         forms.push(
-            form(&format!("{replicas} replica(s)"), service.ops(), service.discovery(), &size, seed).await?,
+            measure_variant(
+                &format!("{replicas} replica(s)"),
+                service.ops(),
+                service.discovery(),
+                &size,
+                seed,
+            )
+            .await?,
         );
-        end(service).await?;
+        stop_service(service).await?;
     }
-    say("the leader killed, again and again");
-    let (failover_ms, failover_reads, failover_reads_failed) = failover(program, &size).await?;
-    say("starts behind a long history, and churn");
-    let (start_ms, churn_kib, churn_changes) = history(program, &size).await?;
+    progress("failover: killing the leader repeatedly");
+    let (failover_ms, failover_reads, failover_reads_failed) = measure_failover(program, &size).await?;
+    progress("process starts after a long history, and memory under constant changes");
+    let (start_ms, churn_kib, churn_changes) = measure_starts_and_churn(program, &size).await?;
     Ok(Report {
         machine: machine(),
         seed,
@@ -118,16 +142,17 @@
     })
 }
 
-/// The harness's processes are waited for by blocking.
-async fn start(program: &Path, replicas: usize) -> Result<Service, Failed> {
+/// Starts the service on a blocking thread, because the harness blocks while it waits for processes.
+async fn start(program: &Path, replicas: usize) -> Result<Service, BenchError> {
     let program = program.to_owned();
     Ok(tokio::task::spawn_blocking(move || Service::start(&program, "bench", replicas)).await?)
 }
 
-async fn end(service: Service) -> Result<(), Failed> {
+async fn stop_service(service: Service) -> Result<(), BenchError> {
     Ok(tokio::task::spawn_blocking(move || drop(service)).await?)
 }
 
+/// Cores, CPU model, memory and kernel version of this machine, for reports.
 pub fn machine() -> String {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let field = |text: &str, name: &str| {
@@ -140,16 +165,16 @@
     format!("{cores} cores ({cpu}), {memory}, Linux {}", read("/proc/sys/kernel/osrelease").trim())
 }
 
-async fn put(changes: &mut Changes, id: &str, number: u64) -> Result<u64, Failed> {
-    let question = Register { incarnation: 0, ..numbered(id, number) };
+async fn register(changes: &mut Changes, id: &str, number: u64) -> Result<u64, BenchError> {
+    let registration = Register { incarnation: 0, ..numbered(id, number) };
     let changed: Changed =
-        changes.put(Method::PUT, &entry_path(id, ""), &question, Duration::from_secs(30)).await?;
+        changes.put(Method::PUT, &entry_path(id, ""), &registration, Duration::from_secs(30)).await?;
     Ok(changed.version)
 }
 
-/// Many writers, each one change after the other on a connection of its own, until the time is over or so many
-/// are done. Returns how many were acknowledged.
-async fn write(ops: &[SocketAddr], writers: usize, time: Duration, most: usize) -> u64 {
+/// Runs writers that each send one change after the other on their own connection, until `time` is over or `most`
+/// changes are acknowledged. Returns the number of acknowledged changes.
+async fn run_writers(ops: &[SocketAddr], writers: usize, time: Duration, most: usize) -> u64 {
     let (until, done) = (Instant::now() + time, Arc::new(AtomicU64::new(0)));
     let mut tasks = Vec::new();
     for writer in 0..writers {
@@ -157,14 +182,14 @@
         tasks.push(tokio::spawn(async move {
             let mut line = Line::new(addr);
             for number in 1.. {
-                let place = done.load(Ordering::Relaxed);
-                if Instant::now() >= until || place >= most as u64 {
+                let index = done.load(Ordering::Relaxed);
+                if Instant::now() >= until || index >= most as u64 {
                     return;
                 }
-                let id = format!("s{}", place as usize % most.min(20_000));
-                // Without an incarnation the last word counts, whoever wrote before.
-                let question = Register { incarnation: 0, ..numbered(&id, number) };
-                let body = serde_json::to_vec(&question).unwrap_or_default().into();
+                let id = format!("s{}", index as usize % most.min(20_000));
+                // Without an incarnation, the last write wins, whichever writer it comes from.
+                let registration = Register { incarnation: 0, ..numbered(&id, number) };
+                let body = serde_json::to_vec(&registration).unwrap_or_default().into();
                 let path = entry_path(&id, "");
                 let call = Call {
                     method: Method::PUT,
@@ -187,21 +212,23 @@
     done.load(Ordering::Relaxed)
 }
 
-async fn form(
+async fn measure_variant(
     name: &str,
     ops: Vec<SocketAddr>,
     discovery: Vec<SocketAddr>,
     size: &Size,
     seed: u64,
-) -> Result<Form, Failed> {
+) -> Result<Variant, BenchError> {
     let mut changes = Changes::new(ops.clone());
     let mut chance = Chance::new(name, seed);
     for n in 0..size.servers {
-        // Enough at once to be quick; each id once.
+        // Registers in parallel batches of 64, for speed.
         if n % 64 == 0 {
             let batch = (n..size.servers.min(n + 64)).map(|n| {
                 let addr = ops[n % ops.len()];
-                tokio::spawn(async move { put(&mut Changes::new(vec![addr]), &format!("s{n}"), 1).await })
+                tokio::spawn(
+                    async move { register(&mut Changes::new(vec![addr]), &format!("s{n}"), 1).await },
+                )
             });
             for task in batch.collect::<Vec<_>>() {
                 task.await??;
@@ -210,11 +237,12 @@
     }
     let whole = ask(discovery[0], Ask::Whole).await.map_err(|e| e.to_string())?;
     let whole_list_bytes = serde_json::to_vec(&whole)?.len();
-    let (told, mut heard) = mpsc::channel::<(u64, usize)>(size.watchers);
+    let (update_sender, mut updates) = mpsc::channel::<(u64, usize)>(size.watchers);
     let stop = Arc::new(AtomicBool::new(false));
     let mut watchers = Vec::new();
     for n in 0..size.watchers {
-        let (addr, told, mut version) = (discovery[n % discovery.len()], told.clone(), whole.version);
+        let (addr, update_sender, mut version) =
+            (discovery[n % discovery.len()], update_sender.clone(), whole.version);
         let stop = Arc::clone(&stop);
         watchers.push(tokio::spawn(async move {
             let mut line = Line::new(addr);
@@ -227,25 +255,25 @@
                 let Ok(list) = list else { continue };
                 if list.version > version {
                     version = list.version;
-                    let _ = told.send((version, answer.body.len())).await;
+                    let _ = update_sender.send((version, answer.body.len())).await;
                 }
             }
         }));
     }
-    // Until all wait.
+    // Gives every watcher time to have its request waiting at the service.
     sleep(Duration::from_secs(2)).await;
-    let (mut last, mut bytes) = (Vec::new(), 0);
+    let (mut propagation_ms, mut bytes) = (Vec::new(), 0);
     for number in 0..size.changes as u64 {
         let began = Instant::now();
-        let version = put(&mut changes, &format!("s{}", chance.below(size.servers)), number + 2).await?;
+        let version = register(&mut changes, &format!("s{}", chance.below(size.servers)), number + 2).await?;
         let mut reached = 0;
         while reached < size.watchers {
-            let news = tokio::time::timeout(Duration::from_secs(30), heard.recv()).await?;
-            let Some((seen, length)) = news else { break };
+            let update = tokio::time::timeout(Duration::from_secs(30), updates.recv()).await?;
+            let Some((seen, length)) = update else { break };
             bytes += length;
             reached += usize::from(seen >= version);
         }
-        last.push(began.elapsed().as_secs_f64() * 1000.0);
+        propagation_ms.push(began.elapsed().as_secs_f64() * 1000.0);
         sleep(Duration::from_millis(100)).await;
     }
     stop.store(true, Ordering::Relaxed);
@@ -253,20 +281,20 @@
         watcher.abort();
     }
     let time = Duration::from_secs(size.write_s);
-    let written = write(&ops, size.writers, time, usize::MAX >> 1).await;
-    Ok(Form {
+    let written = run_writers(&ops, size.writers, time, usize::MAX >> 1).await;
+    Ok(Variant {
         form: name.to_owned(),
-        last_watcher_ms: Spread::of(last),
+        last_watcher_ms: Spread::of(propagation_ms),
         bytes_a_watcher_a_change: bytes as f64 / (size.changes * size.watchers) as f64,
         whole_list_bytes,
         changes_per_s: written as f64 / time.as_secs_f64(),
     })
 }
 
-async fn failover(program: &Path, size: &Size) -> Result<(Spread, u64, u64), Failed> {
+async fn measure_failover(program: &Path, size: &Size) -> Result<(Spread, u64, u64), BenchError> {
     let mut service = start(program, 3).await?;
     let mut changes = Changes::new(service.ops());
-    put(&mut changes, "s0", 1).await?;
+    register(&mut changes, "s0", 1).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let (stopped, discovery) = (Arc::clone(&stop), service.discovery());
     let reads = tokio::spawn(async move {
@@ -296,7 +324,7 @@
         })
         .await?;
         let killed = Instant::now();
-        put(&mut changes, "s0", round + 2).await?;
+        register(&mut changes, "s0", round + 2).await?;
         times.push(killed.elapsed().as_secs_f64() * 1000.0);
         service = tokio::task::spawn_blocking(move || {
             service.heal();
@@ -306,16 +334,19 @@
     }
     stop.store(true, Ordering::Relaxed);
     let (all, failed) = reads.await?;
-    end(service).await?;
+    stop_service(service).await?;
     Ok((Spread::of(times), all, failed))
 }
 
-async fn history(program: &Path, size: &Size) -> Result<(Spread, Vec<u64>, u64), Failed> {
+async fn measure_starts_and_churn(
+    program: &Path,
+    size: &Size,
+) -> Result<(Spread, Vec<u64>, u64), BenchError> {
     let mut service = start(program, 1).await?;
-    write(&service.ops(), size.writers, Duration::from_secs(120), size.history).await;
+    run_writers(&service.ops(), size.writers, Duration::from_secs(120), size.history).await;
     let mut starts = Vec::new();
     for _ in 0..5 {
-        let (again, took) = tokio::task::spawn_blocking(move || {
+        let (restarted, took) = tokio::task::spawn_blocking(move || {
             service.kill(0);
             let began = Instant::now();
             service.launch(0);
@@ -323,22 +354,22 @@
             (service, began.elapsed())
         })
         .await?;
-        service = again;
+        service = restarted;
         starts.push(took.as_secs_f64() * 1000.0);
     }
     let mut memory = Vec::new();
     let mut churned = 0;
     for _ in 0..10 {
         let tenth = Duration::from_secs_f64(size.churn_s as f64 / 10.0);
-        churned += write(&service.ops(), size.writers, tenth, usize::MAX >> 1).await;
-        memory.push(resident(service.process(0).id()));
+        churned += run_writers(&service.ops(), size.writers, tenth, usize::MAX >> 1).await;
+        memory.push(resident_kib(service.process(0).id()));
     }
-    end(service).await?;
+    stop_service(service).await?;
     Ok((Spread::of(starts), memory, churned))
 }
 
-/// Resident memory of a process in KiB, by the kernel's account.
-fn resident(id: u32) -> u64 {
+/// Resident memory of a process in KiB, as the kernel reports it; 0 when there is no such process.
+fn resident_kib(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").trim().parse().unwrap_or(0)
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -1,4 +1,4 @@
-//! What duties cost: how long hand-overs take, and how many calls the registry gets.
+//! Benchmark of duties: how long a hand-over takes, and how many calls candidates make to the registry.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -16,32 +16,34 @@
 use crate::process::{wait_for, PATIENCE};
 use crate::service::Service;
 
-/// How much is measured.
+/// Parameters of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub struct Size {
-    /// Hand-overs of each kind.
+    /// Hand-overs measured per cause.
     pub times: usize,
+    /// Lease of the duty whose hand-overs are timed.
     pub lease_s: f64,
-    /// For each count of calls.
+    /// How long calls are counted, for each number of duties and candidates.
     pub count_s: f64,
+    /// Determines at which point of a renewal interval each cause is applied.
     pub seed: u64,
 }
 
-/// One kind of hand-over: from its cause to the next holder's first call.
+/// Hand-over times of one cause: from the cause to the next holder's first call.
 #[derive(Debug, Serialize)]
-pub struct HandOvers {
+pub struct HandOverTimes {
     pub cause: &'static str,
     pub ms: Spread,
-    /// What the settings imply, without the time in which processes start and get processor time.
+    /// Upper bound that follows from the settings, not counting process starts and waiting for CPU time.
     pub bound_ms: f64,
 }
 
-/// What the registry was asked in some state, with leases of 10 s.
+/// Rate of calls to the registry with a given number of duties and candidates, with leases of 10 s.
 #[derive(Debug, Serialize)]
-pub struct Calls {
+pub struct CallRate {
     pub state: String,
     pub per_s: f64,
-    /// Entries that its log grew by meanwhile.
+    /// Entries added to the registry's log in the same time.
     pub log_entries: u64,
 }
 
@@ -49,24 +51,29 @@
 pub struct Report {
     pub machine: String,
     pub size: Size,
-    pub hand_overs: Vec<HandOvers>,
-    pub calls: Vec<Calls>,
+    pub hand_overs: Vec<HandOverTimes>,
+    pub calls: Vec<CallRate>,
 }
 
-/// What ends a tenure.
+/// Why a holder loses the duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
+    /// A transfer is requested.
     Request,
+    /// SIGKILL of the holder.
     Kill,
+    /// SIGSTOP of the holder's `duty run` process; its command keeps running.
     Stop,
+    /// A network partition between the holder and all replicas.
     Cut,
+    /// SIGKILL of the holder and of the registry's leader.
     KillWithLeader,
 }
 
-/// A leader looks at its leases so often.
-const LOOK_MS: f64 = 100.0;
-/// Longest time from a leader's death to its successor, by the registry's defaults.
-const SUCCESSION_MS: f64 = 1250.0;
+/// How often the registry's leader checks for expired leases.
+const LEASE_CHECK_MS: f64 = 100.0;
+/// Longest time from the leader's death until a new leader is elected, with the registry's default settings.
+const ELECTION_MS: f64 = 1250.0;
 
 impl Cause {
     fn name(self) -> &'static str {
@@ -79,41 +86,42 @@
         }
     }
 
-    /// The last sign of life is up to one renewal's wait old, which takes off; the leader's look adds.
+    /// Upper bound of the hand-over time. The last renewal may be up to one renewal interval old, which makes the
+    /// hand-over shorter; the interval of the leader's lease checks makes it longer.
     fn bound_ms(self, lease_ms: f64) -> f64 {
         match self {
-            // Within the margin a command has to end that does not by itself.
+            // A command that does not end by itself is killed within the lease's margin.
             Cause::Request => lease_ms / f64::from(MARGIN),
-            Cause::Kill | Cause::Stop | Cause::Cut => lease_ms + LOOK_MS,
-            // The new leader's leases begin with its first look.
-            Cause::KillWithLeader => SUCCESSION_MS + LOOK_MS + lease_ms + LOOK_MS,
+            Cause::Kill | Cause::Stop | Cause::Cut => lease_ms + LEASE_CHECK_MS,
+            // The new leader restarts all leases at its first lease check.
+            Cause::KillWithLeader => ELECTION_MS + LEASE_CHECK_MS + lease_ms + LEASE_CHECK_MS,
         }
     }
 }
 
-/// Measures all of it; blocks. `say` is told what is being measured.
+/// Runs the whole benchmark of duties; blocks. `progress` is called with the name of each step as it starts.
 ///
 /// # Panics
-/// Where a hand-over does not come at all.
-pub fn duty(program: &Path, size: Size, say: impl Fn(&str)) -> Report {
+/// When a hand-over does not happen within the timeout.
+pub fn duty(program: &Path, size: Size, progress: impl Fn(&str)) -> Report {
     let mut hand_overs = Vec::new();
     for cause in [Cause::Request, Cause::Kill, Cause::Stop, Cause::Cut, Cause::KillWithLeader] {
-        say(cause.name());
-        hand_overs.push(HandOvers {
+        progress(cause.name());
+        hand_overs.push(HandOverTimes {
             cause: cause.name(),
-            ms: hand_over(program, cause, &size),
+            ms: measure_hand_over(program, cause, &size),
             bound_ms: cause.bound_ms(size.lease_s * 1000.0),
         });
     }
     let mut calls = Vec::new();
     for (duties, candidates) in [(1, 2), (1, 51), (1, 201), (1000, 1)] {
-        say(&format!("{duties} duties, {candidates} candidates each"));
-        calls.push(count(program, duties, candidates, &size));
+        progress(&format!("{duties} duties, {candidates} candidates each"));
+        calls.push(count_calls(program, duties, candidates, &size));
     }
     Report { machine: machine(), size, hand_overs, calls }
 }
 
-fn hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
+fn measure_hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
     let mut chance = Chance::new(cause.name(), size.seed);
     let mut service = Service::start(program, "bench-duty", 3);
     let guarded = Guarded::start(true);
@@ -127,33 +135,34 @@
     let mut runners: Vec<Runner> = (0..2).map(runner).collect();
     let mut next = runners.len();
     let mut times = Vec::new();
-    let show = || ops.iter().find_map(|addr| get(*addr, "/registry/duties/counter").ok());
+    let read_duty = || ops.iter().find_map(|addr| get(*addr, "/registry/duties/counter").ok());
     let mut fence = 0;
     for _ in 0..size.times {
-        let (holder, newest) = wait_for("a holder that counts, and one that waits", || {
-            let duty = show()?;
-            let newest = duty["fence"].as_u64()?;
-            let ready =
-                guarded.newest() == newest && newest > fence && duty["waiters"].as_array()?.len() == 1;
-            let holder =
-                runners.iter().position(|runner| Some(runner.id.as_str()) == duty["holder"].as_str());
-            holder.filter(|_| ready).map(|holder| (holder, newest))
-        });
+        let (holder, newest) =
+            wait_for("a holder that increments the counter, and a waiting candidate", || {
+                let duty = read_duty()?;
+                let newest = duty["fence"].as_u64()?;
+                let ready =
+                    guarded.newest() == newest && newest > fence && duty["waiters"].as_array()?.len() == 1;
+                let holder =
+                    runners.iter().position(|runner| Some(runner.id.as_str()) == duty["holder"].as_str());
+                holder.filter(|_| ready).map(|holder| (holder, newest))
+            });
         fence = newest;
-        // At whatever point of a renewal.
+        // So that the cause falls on a random point of the renewal interval.
         std::thread::sleep(Duration::from_millis(300 + chance.below(400) as u64));
         let leader = service.wait_for_leader();
         let began = Instant::now();
         match cause {
             Cause::Request => {
-                let question = serde_json::json!(Transfer { fence, to: None });
-                let asked = send::<serde_json::Value>(
+                let transfer = serde_json::json!(Transfer { fence, to: None });
+                let accepted = send::<serde_json::Value>(
                     &ops,
                     hyper::Method::POST,
                     "/registry/duties/counter/transfer",
-                    &question,
+                    &transfer,
                 );
-                asked.expect("asked");
+                accepted.expect("the transfer request is accepted");
             }
             Cause::Kill => runners[holder].process.kill(),
             Cause::Stop => runners[holder].process.signal("STOP"),
@@ -167,7 +176,7 @@
             let calls = guarded.calls(guarded.newest());
             match calls.filter(|_| guarded.newest() > fence) {
                 Some((first, _)) => break first,
-                None => assert!(began.elapsed() < PATIENCE, "no hand-over: {}", cause.name()),
+                None => assert!(began.elapsed() < PATIENCE, "no hand-over in time: {}", cause.name()),
             }
             std::thread::sleep(Duration::from_millis(1));
         };
@@ -181,7 +190,7 @@
     Spread::of(times)
 }
 
-fn count(program: &Path, duties: usize, candidates: usize, size: &Size) -> Calls {
+fn count_calls(program: &Path, duties: usize, candidates: usize, size: &Size) -> CallRate {
     let service = Service::start(program, "bench-calls", 3);
     let leader = service.wait_for_leader();
     let ops = service.ops();
@@ -199,15 +208,15 @@
             }
         });
     }
-    let figures = || get(ops[leader], "/-/metrics").ok();
-    let number = |name: &str| wait_for("figures", || figures()?[name].as_u64());
-    wait_for("all are in line", || {
+    let metrics = || get(ops[leader], "/-/metrics").ok();
+    let number = |name: &str| wait_for("the metrics", || metrics()?[name].as_u64());
+    wait_for("every duty has all its candidates as holder or waiter", || {
         let all = get(ops[leader], "/registry/duties").ok()?;
         let all = all["duties"].as_array()?.clone();
-        let in_line = |duty: &serde_json::Value| {
+        let candidates_of = |duty: &serde_json::Value| {
             usize::from(duty["holder"].is_string()) + duty["waiters"].as_array().map_or(0, Vec::len)
         };
-        (all.iter().map(in_line).sum::<usize>() == duties * candidates).then_some(())
+        (all.iter().map(candidates_of).sum::<usize>() == duties * candidates).then_some(())
     });
     std::thread::sleep(Duration::from_secs(3));
     let (began, before, log) = (Instant::now(), number("duty_calls"), number("log_last"));
@@ -220,5 +229,5 @@
         1 => format!("1 duty, {} waiters", candidates - 1),
         _ => format!("{duties} duties without waiters"),
     };
-    Calls { state, per_s, log_entries }
+    CallRate { state, per_s, log_entries }
 }
