--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -6,8 +6,8 @@
 use clap::Subcommand;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
+use shaletrail_fault_lab::evaluation::{evaluate, Report, Verdict};
 use shaletrail_fault_lab::experiment::{cliff, compare, step, with, Estimate, Step};
-use shaletrail_fault_lab::judge::{judge, Report, Verdict};
 use shaletrail_fault_lab::orchestrator::{play, Programs};
 use shaletrail_fault_lab::process::start_guard;
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
@@ -218,7 +218,7 @@
         () = stopped() => return Err(Failure::Failed("stopped".to_owned())),
     };
     bar.finish_and_clear();
-    Ok(judge(&run))
+    Ok(evaluate(&run))
 }
 
 async fn run_once(scenario: &Scenario, seed: u64, told: Told) -> Result<(), Failure> {
--- a/fault-lab/src/judge.rs
+++ b/fault-lab/src/evaluation.rs
@@ -376,7 +376,7 @@
 }
 
 /// Computes the metrics and rule violations of a run, and its verdict against the scenario's `hold` bounds.
-pub fn judge(run: &Run) -> Report {
+pub fn evaluate(run: &Run) -> Report {
     let scenario = &run.scenario;
     let lead = scenario.lead_s;
     let seconds = scenario.seconds.ceil() as usize;
@@ -601,7 +601,7 @@
     fn assert_violation(rule: &str, inject: impl Fn(&mut Run)) {
         let mut run = good_run();
         inject(&mut run);
-        let report = judge(&run);
+        let report = evaluate(&run);
         let broken: Vec<_> = report.rules.iter().filter(|(_, n)| **n > 0).collect();
         assert_eq!(broken, [(&rule.to_owned(), &1)]);
         assert_eq!(report.verdict, Verdict::Fail);
@@ -609,7 +609,7 @@
 
     #[test]
     fn a_good_run_passes() {
-        let report = judge(&good_run());
+        let report = evaluate(&good_run());
         assert_eq!((report.verdict, report.rules.values().sum::<u64>()), (Verdict::Pass, 0));
         assert!((report.served_worth - 1.0).abs() < 1e-9 && (report.attempts_per_request - 1.0).abs() < 1e-9);
         assert_eq!(report.requests, 480);
@@ -658,14 +658,14 @@
         run.seen.push(Seen { end: End::TurnedAway, ..run.seen[3] });
         run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
         run.told.push(Told { node: 0, server: 0, leaves: false, at_s: 1.2 });
-        assert_eq!(judge(&run).rules.values().sum::<u64>(), 0);
+        assert_eq!(evaluate(&run).rules.values().sum::<u64>(), 0);
     }
 
     #[test]
     fn worth_recovery_and_amplification_are_counted() {
         let mut run = good_run();
         run.tries[0].end_s = run.tries[0].sent_s + 0.6;
-        let late = judge(&run);
+        let late = evaluate(&run);
         assert!(late.by_class["settings-read"] < 1.0 && late.by_class["datasheet-read"] == 1.0);
         assert!((late.by_class["settings-read"] - (1.0 - 0.5 / 120.0)).abs() < 1e-9);
         // A fault from second 5 to 7 of the measurement period (6 to 8 of the run), and nothing served from 5 to 9.
@@ -676,21 +676,21 @@
             }
         }
         run.bands.push(Band { name: "f".to_owned(), from_s: 6.0, to_s: Some(8.0) });
-        assert_eq!(judge(&run).recovery_s, Some(2.0));
+        assert_eq!(evaluate(&run).recovery_s, Some(2.0));
         for one in &mut run.tries {
             if one.sent_s >= 10.0 {
                 one.answer = Answer::Failed;
             }
         }
         run.scenario.hold.recovery_s = Some(3.0);
-        let never = judge(&run);
+        let never = evaluate(&run);
         assert_eq!((never.recovery_s, never.recovered, never.verdict), (None, false, Verdict::Fail));
         let mut run = good_run();
         run.seen.extend(run.seen.clone());
         run.scenario.hold.attempts_per_request = Some(1.5);
-        let twice = judge(&run);
+        let twice = evaluate(&run);
         assert!((twice.attempts_per_request - 2.0).abs() < 1e-9 && twice.verdict == Verdict::Fail);
         run.lateness.record(9_000).expect("recorded");
-        assert_eq!(judge(&run).verdict, Verdict::Void);
+        assert_eq!(evaluate(&run).verdict, Verdict::Void);
     }
 }
--- a/fault-lab/src/experiment.rs
+++ b/fault-lab/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::judge::Report;
+use crate::evaluation::Report;
 use crate::scenario::{Scenario, ScenarioError};
 
 /// 97.5% quantiles of Student's t-distribution for 1 to 20 degrees of freedom.
@@ -115,7 +115,7 @@
     pub served_worth: f64,
     pub attempts_per_request: f64,
     pub origin_fetches_per_request: f64,
-    pub verdicts: Vec<crate::judge::Verdict>,
+    pub verdicts: Vec<crate::evaluation::Verdict>,
 }
 
 pub fn step(value: f64, reports: &[Report]) -> Step {
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -22,8 +22,8 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::clients::{Answer, Clients};
+use crate::evaluation::{Band, Cpu, Run};
 use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
-use crate::judge::{Band, Cpu, Run};
 use crate::net::{at, Life, Links, Way};
 use crate::parties::{Book, End, Parties, Party, ORIGIN};
 use crate::party::lock;
--- a/fault-lab/src/report.rs
+++ b/fault-lab/src/report.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use plotters::style::RGBColor;
 
-use crate::judge::{Band, Count, Report, Verdict};
+use crate::evaluation::{Band, Count, Report, Verdict};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (860, 300);
