--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -151,7 +151,7 @@
         Verb::Sweep(args) => sweep(args).await,
         Verb::Count { at, between_ms, pause_ms } => {
             let (between, pause) = (Duration::from_millis(between_ms), Duration::from_millis(pause_ms));
-            shaletrail_fault_lab::guarded::count(at, between, pause).await.map_err(Failure::Failed)
+            shaletrail_fault_lab::fenced_counter::count(at, between, pause).await.map_err(Failure::Failed)
         }
     }
 }
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use shaletrail_fault_lab::chance::Chance;
-use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
+use shaletrail_fault_lab::fenced_counter::{check, FencedCounter, Runner};
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
@@ -31,7 +31,7 @@
 struct Play {
     runners: Vec<Runner>,
     service: Service,
-    guarded: Guarded,
+    guarded: FencedCounter,
     lease_s: f64,
     between_ms: u64,
 }
@@ -39,7 +39,7 @@
 impl Play {
     fn new(name: &str, replicas: usize, runners: usize, lease_s: f64, guard: bool, between_ms: u64) -> Play {
         let service = Service::start(program(), name, replicas);
-        let guarded = Guarded::start(guard);
+        let guarded = FencedCounter::start(guard);
         let mut play = Play { runners: Vec::new(), service, guarded, lease_s, between_ms };
         for n in 0..runners {
             let runner = play.runner(n);
@@ -216,7 +216,7 @@
     }
     // Made sure of: the same read and change without a supervisor beside it.
     for guard in [true, false] {
-        let guarded = Guarded::start(guard);
+        let guarded = FencedCounter::start(guard);
         let folder = shaletrail_fault_lab::process::Folder::new("late");
         let at = guarded.addr.to_string();
         let start = |fence: &str, between: &str| {
@@ -491,7 +491,7 @@
         run(&["registry", "restore", &newest.display().to_string(), "--data", &data.display().to_string()]);
     assert!(out.status.success(), "{}", said(&out));
     // Servers that answer while their agents are silent stay; those that are gone go, with a keeper's word.
-    let there = Guarded::start(true);
+    let there = FencedCounter::start(true);
     let gone = shaletrail_fault_lab::service::free();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -10,7 +10,7 @@
 
 use crate::bench::{machine, Spread};
 use crate::chance::Chance;
-use crate::guarded::{Guarded, Runner};
+use crate::fenced_counter::{FencedCounter, Runner};
 use crate::link::Way;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
@@ -124,8 +124,8 @@
 fn measure_hand_over(program: &Path, cause: Cause, size: &Size) -> Spread {
     let mut chance = Chance::new(cause.name(), size.seed);
     let mut service = Service::start(program, "bench-duty", 3);
-    let guarded = Guarded::start(true);
-    let at = guarded.addr.to_string();
+    let counter = FencedCounter::start(true);
+    let at = counter.addr.to_string();
     let log = service.folder.0.join("runners.log");
     let ops = service.ops();
     let runner = |n: usize| {
@@ -143,7 +143,7 @@
                 let duty = read_duty()?;
                 let newest = duty["fence"].as_u64()?;
                 let ready =
-                    guarded.newest() == newest && newest > fence && duty["waiters"].as_array()?.len() == 1;
+                    counter.newest() == newest && newest > fence && duty["waiters"].as_array()?.len() == 1;
                 let holder =
                     runners.iter().position(|runner| Some(runner.id.as_str()) == duty["holder"].as_str());
                 holder.filter(|_| ready).map(|holder| (holder, newest))
@@ -173,8 +173,8 @@
             }
         }
         let first = loop {
-            let calls = guarded.calls(guarded.newest());
-            match calls.filter(|_| guarded.newest() > fence) {
+            let calls = counter.calls(counter.newest());
+            match calls.filter(|_| counter.newest() > fence) {
                 Some((first, _)) => break first,
                 None => assert!(began.elapsed() < PATIENCE, "no hand-over in time: {}", cause.name()),
             }
--- a/fault-lab/src/guarded.rs
+++ b/fault-lab/src/fenced_counter.rs
@@ -36,19 +36,19 @@
 }
 
 /// The counter's HTTP server: `GET /` reads the counter, `PUT /` sets it.
-pub struct Guarded {
+pub struct FencedCounter {
     pub addr: SocketAddr,
     state: Arc<Mutex<CounterState>>,
     runtime: Option<tokio::runtime::Runtime>,
 }
 
-impl Guarded {
+impl FencedCounter {
     /// With `guard` it rejects fencing numbers that are older than the newest it has seen. Without, it accepts any,
     /// which the checker must detect.
     ///
     /// # Panics
     /// When no port or thread is available.
-    pub fn start(guard: bool) -> Guarded {
+    pub fn start(guard: bool) -> FencedCounter {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -57,7 +57,7 @@
         let state = Arc::<Mutex<CounterState>>::default();
         let shared = Arc::clone(&state);
         let addr = runtime.block_on(serve(move |request| answer(Arc::clone(&shared), request, guard)));
-        Guarded { addr: addr.expect("a free port"), state, runtime: Some(runtime) }
+        FencedCounter { addr: addr.expect("a free port"), state, runtime: Some(runtime) }
     }
 
     pub fn accepted(&self) -> Vec<Accepted> {
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drop for Guarded {
+impl Drop for FencedCounter {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
