--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use shaletrail_fault_lab::chance::Chance;
-use shaletrail_fault_lab::fenced_counter::{check, FencedCounter, Runner};
+use shaletrail_fault_lab::fenced_counter::{check, CandidateProcess, FencedCounter};
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, numbered, send};
 use shaletrail_fault_lab::process::{group, wait_for, Process};
@@ -29,7 +29,7 @@
 
 /// A service, a guarded counter, and candidates that count on it.
 struct Play {
-    runners: Vec<Runner>,
+    runners: Vec<CandidateProcess>,
     service: Service,
     guarded: FencedCounter,
     lease_s: f64,
@@ -50,12 +50,19 @@
         play
     }
 
-    fn runner(&self, n: usize) -> Runner {
+    fn runner(&self, n: usize) -> CandidateProcess {
         let (at, between) = (self.guarded.addr.to_string(), self.between_ms.to_string());
         let count = ["lab", "count", "--at", &at, "--between-ms", &between];
         let command: Vec<&str> = program().to_str().into_iter().chain(count).collect();
         let log = self.service.folder.0.join(format!("c{n}.log"));
-        Runner::start(program(), &self.service.ops(), &format!("c{n}"), self.lease_s, &log, &command)
+        CandidateProcess::start(
+            program(),
+            &self.service.ops(),
+            &format!("c{n}"),
+            self.lease_s,
+            &log,
+            &command,
+        )
     }
 
     fn show(&self) -> Option<Value> {
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -10,7 +10,7 @@
 
 use crate::bench::{machine, Spread};
 use crate::chance::Chance;
-use crate::fenced_counter::{FencedCounter, Runner};
+use crate::fenced_counter::{CandidateProcess, FencedCounter};
 use crate::link::Way;
 use crate::observer::{get, send};
 use crate::process::{wait_for, PATIENCE};
@@ -128,12 +128,12 @@
     let at = counter.addr.to_string();
     let log = service.folder.0.join("runners.log");
     let ops = service.ops();
-    let runner = |n: usize| {
+    let candidate = |n: usize| {
         let command = [program.to_str().unwrap_or_default(), "lab", "count", "--at", &at];
-        Runner::start(program, &ops, &format!("c{n}"), size.lease_s, &log, &command)
+        CandidateProcess::start(program, &ops, &format!("c{n}"), size.lease_s, &log, &command)
     };
-    let mut runners: Vec<Runner> = (0..2).map(runner).collect();
-    let mut next = runners.len();
+    let mut candidates: Vec<CandidateProcess> = (0..2).map(candidate).collect();
+    let mut next = candidates.len();
     let mut times = Vec::new();
     let read_duty = || ops.iter().find_map(|addr| get(*addr, "/registry/duties/counter").ok());
     let mut fence = 0;
@@ -144,8 +144,9 @@
                 let newest = duty["fence"].as_u64()?;
                 let ready =
                     counter.newest() == newest && newest > fence && duty["waiters"].as_array()?.len() == 1;
-                let holder =
-                    runners.iter().position(|runner| Some(runner.id.as_str()) == duty["holder"].as_str());
+                let holder = candidates
+                    .iter()
+                    .position(|candidate| Some(candidate.id.as_str()) == duty["holder"].as_str());
                 holder.filter(|_| ready).map(|holder| (holder, newest))
             });
         fence = newest;
@@ -164,11 +165,11 @@
                 );
                 accepted.expect("the transfer request is accepted");
             }
-            Cause::Kill => runners[holder].process.kill(),
-            Cause::Stop => runners[holder].process.signal("STOP"),
-            Cause::Cut => runners[holder].links.iter().for_each(|link| link.set(Way::Cut, Way::Cut)),
+            Cause::Kill => candidates[holder].process.kill(),
+            Cause::Stop => candidates[holder].process.signal("STOP"),
+            Cause::Cut => candidates[holder].links.iter().for_each(|link| link.set(Way::Cut, Way::Cut)),
             Cause::KillWithLeader => {
-                runners[holder].process.kill();
+                candidates[holder].process.kill();
                 service.kill(leader);
             }
         }
@@ -182,7 +183,7 @@
         };
         times.push((first - began).as_secs_f64() * 1000.0);
         if cause != Cause::Request {
-            runners[holder] = runner(next);
+            candidates[holder] = candidate(next);
             next += 1;
         }
         service.heal();
--- a/fault-lab/src/fenced_counter.rs
+++ b/fault-lab/src/fenced_counter.rs
@@ -170,13 +170,13 @@
 
 /// A candidate for the duty, run as a process (`duty run`). Its connection to each replica goes through a link that can
 /// be made to fail.
-pub struct Runner {
+pub struct CandidateProcess {
     pub id: String,
     pub process: Process,
     pub links: Vec<Link>,
 }
 
-impl Runner {
+impl CandidateProcess {
     /// Starts a candidate that runs `command` while it holds the duty `counter`.
     pub fn start(
         program: &Path,
@@ -185,13 +185,13 @@
         lease_s: f64,
         log: &Path,
         command: &[&str],
-    ) -> Runner {
+    ) -> CandidateProcess {
         let links: Vec<Link> = registry.iter().map(|addr| Link::to(*addr)).collect();
         let endpoints: Vec<String> = links.iter().map(|link| link.addr.to_string()).collect();
         let mut duty_run = Command::new(program);
         duty_run.args(["duty", "run", "counter", "--id", id, "--registry", &endpoints.join(",")]);
         duty_run.args(["--lease-s", &lease_s.to_string(), "--failures", "1000", "--"]).args(command);
-        Runner { id: id.to_owned(), process: Process::start(&mut duty_run, log), links }
+        CandidateProcess { id: id.to_owned(), process: Process::start(&mut duty_run, log), links }
     }
 
     /// PID of the supervisor process, which is also the ID of its process group; `None` when it is not running.
