--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -9,7 +9,7 @@
 use shaletrail_fault_lab::evaluation::{evaluate, Report, Verdict};
 use shaletrail_fault_lab::experiment::{cliff, compare, step, with, Estimate, Step};
 use shaletrail_fault_lab::orchestrator::{play, Programs};
-use shaletrail_fault_lab::process::start_guard;
+use shaletrail_fault_lab::process::start_reaper;
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
 use shaletrail_fault_lab::scenario::{Scenario, CATALOGUE};
 
@@ -199,7 +199,7 @@
 
 /// From here on no child outlives this process.
 pub fn guard(programs: &Programs) -> Result<(), Failure> {
-    start_guard(std::process::Command::new(&programs.command).arg("guard")).map_err(Failure::failed)
+    start_reaper(std::process::Command::new(&programs.command).arg("guard")).map_err(Failure::failed)
 }
 
 /// Plays a scenario once, with a bar on a terminal.
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -103,7 +103,7 @@
             Noun::Up(args) => up::run(args).await,
             Noun::Lab(args) => lab::run(args).await,
             Noun::Guard => {
-                shaletrail_fault_lab::process::stand_guard(std::io::stdin().lock());
+                shaletrail_fault_lab::process::run_reaper(std::io::stdin().lock());
                 Ok(())
             }
             Noun::Bench(args) => bench::run(args).await,
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -28,7 +28,7 @@
 use crate::parties::{Book, End, Parties, Party, ORIGIN};
 use crate::party::lock;
 use crate::plan::draw;
-use crate::process::{cpu_s, guard};
+use crate::process::{cpu_s, notify_reaper};
 use crate::scenario::{Fault, Scenario, What, Whom};
 
 /// Paths of the programs that are started: `shaletrail-fleet` and the node.
@@ -303,7 +303,7 @@
                 let id = agent.id();
                 let _ = agent.kill().await;
                 if let Some(id) = id {
-                    guard('-', id);
+                    notify_reaper('-', id);
                 }
             });
             return;
@@ -338,7 +338,7 @@
         command.stdin(std::process::Stdio::null()).stderr(std::process::Stdio::null());
         let agent = command.kill_on_drop(true).spawn()?;
         if let Some(id) = agent.id() {
-            guard('+', id);
+            notify_reaper('+', id);
         }
         Ok(agent)
     }
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -33,11 +33,11 @@
 static REAPER_INPUT: OnceLock<Mutex<ChildStdin>> = OnceLock::new();
 
 /// Starts the reaper: from here on, the children that are reported to it do not outlive this process, however it ends.
-/// `command` must call [`stand_guard`] on its standard input.
+/// `command` must call [`run_reaper`] on its standard input.
 ///
 /// # Errors
 /// When it can't be started.
-pub fn start_guard(command: &mut Command) -> io::Result<()> {
+pub fn start_reaper(command: &mut Command) -> io::Result<()> {
     use std::os::unix::process::CommandExt;
     // In its own process group, so that Ctrl-C in a terminal does not end the reaper before it has killed the others.
     let mut child = command.stdin(Stdio::piped()).stdout(Stdio::null()).process_group(0).spawn()?;
@@ -48,7 +48,7 @@
 }
 
 /// Reports to the reaper, if there is one, that a process has started (`+`) or ended (`-`).
-pub(crate) fn guard(sign: char, id: u32) {
+pub(crate) fn notify_reaper(sign: char, id: u32) {
     if let Some(input) = REAPER_INPUT.get() {
         let _ = writeln!(input.lock().unwrap_or_else(PoisonError::into_inner), "{sign}{id}");
     }
@@ -56,7 +56,7 @@
 
 /// Runs the reaper: reads lines `+PID` and `-PID` until the input ends, which it does when the writing process dies,
 /// then kills the processes that are still registered.
-pub fn stand_guard(input: impl BufRead) {
+pub fn run_reaper(input: impl BufRead) {
     let mut running = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         match line.split_at_checked(1) {
@@ -130,7 +130,7 @@
             .spawn()
             .unwrap_or_else(|e| panic!("{:?}: {e}", command.get_program()));
         let (line_sender, lines) = channel();
-        guard('+', child.id());
+        notify_reaper('+', child.id());
         if let Some(out) = child.stdout.take() {
             thread::spawn(move || {
                 for line in BufReader::new(out).lines().map_while(Result::ok) {
@@ -181,7 +181,7 @@
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        guard('-', self.child.id());
+        notify_reaper('-', self.child.id());
     }
 
     /// Whether the process has ended.
