--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -13,7 +13,7 @@
 use crate::fenced_counter::{CandidateProcess, FencedCounter};
 use crate::link::Way;
 use crate::observer::{get, send};
-use crate::process::{wait_for, PATIENCE};
+use crate::process::{wait_for, WAIT_TIMEOUT};
 use crate::service::Service;
 
 /// Parameters of the benchmark.
@@ -177,7 +177,7 @@
             let calls = counter.calls(counter.newest());
             match calls.filter(|_| counter.newest() > fence) {
                 Some((first, _)) => break first,
-                None => assert!(began.elapsed() < PATIENCE, "no hand-over in time: {}", cause.name()),
+                None => assert!(began.elapsed() < WAIT_TIMEOUT, "no hand-over in time: {}", cause.name()),
             }
             std::thread::sleep(Duration::from_millis(1));
         };
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -12,19 +12,19 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of every wait; long, so that a busy machine does not change a test's result.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Polls `ask` every 20 ms until it returns a result. `what` names the awaited condition.
 ///
 /// # Panics
-/// When there is no result within [`PATIENCE`].
+/// When there is no result within [`WAIT_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(result) = ask() {
             return result;
         }
-        assert!(Instant::now() < end, "{what}: timed out after {} s", PATIENCE.as_secs());
+        assert!(Instant::now() < end, "{what}: timed out after {} s", WAIT_TIMEOUT.as_secs());
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -146,9 +146,9 @@
     /// Waits for a line of standard output that starts with `begin`.
     ///
     /// # Panics
-    /// When there is none within [`PATIENCE`].
+    /// When there is none within [`WAIT_TIMEOUT`].
     pub fn says(&self, begin: &str) -> String {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(Instant::now());
             match self.lines.recv_timeout(left) {
@@ -192,7 +192,7 @@
     /// Waits for the process to end by itself.
     ///
     /// # Panics
-    /// When it has not ended within [`PATIENCE`].
+    /// When it has not ended within [`WAIT_TIMEOUT`].
     pub fn exit(&mut self) -> ExitStatus {
         wait_for("end of the process", || self.child.try_wait().ok().flatten())
     }
