--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -224,7 +224,7 @@
     // Made sure of: the same read and change without a supervisor beside it.
     for guard in [true, false] {
         let guarded = FencedCounter::start(guard);
-        let folder = shaletrail_fault_lab::process::Folder::new("late");
+        let folder = shaletrail_fault_lab::process::TempFolder::new("late");
         let at = guarded.addr.to_string();
         let start = |fence: &str, between: &str| {
             let mut command = Command::new(program());
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use serde_json::Value;
-use shaletrail_fault_lab::process::{children, wait_for, Folder, Process};
+use shaletrail_fault_lab::process::{children, wait_for, Process, TempFolder};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -15,7 +15,7 @@
 }
 
 /// A scenario small enough for a busy machine; lateness must not void it, and no speed is asserted.
-fn small(folder: &Folder, more: &str) -> String {
+fn small(folder: &TempFolder, more: &str) -> String {
     let file = folder.0.join("small.toml");
     let text = format!(
         "name = 'small'\nabout = 'a small fleet'\nseconds = 8.0\nlead_s = 2.0\nlateness_ms = 1000.0\n{more}\n\
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_run_is_judged_written_down_and_played_again() {
-    let folder = Folder::new("lab-run");
+    let folder = TempFolder::new("lab-run");
     // Agents as processes, as in service.
     let file = small(&folder, "[fleet]\nservers = 4\nnodes = 2\nzones = ['a', 'b']\nagent_processes = true\n[hold]\nbreaches = 1000000");
     let out = folder.0.join("out");
@@ -68,7 +68,7 @@
 
 #[test]
 fn wrong_scenarios_end_with_2_and_one_line_that_says_what_was_expected() {
-    let folder = Folder::new("lab-wrong");
+    let folder = TempFolder::new("lab-wrong");
     for (more, says) in [
         ("[fleet]\nnodes = 0", "fleet.nodes: 1 to 60 expected, got 0"),
         ("[fleet]\nsevers = 3", "unknown field `severs`"),
@@ -95,7 +95,7 @@
 
 #[test]
 fn every_kind_of_fault_is_played_and_no_rule_that_binds_always_is_broken() {
-    let folder = Folder::new("lab-faults");
+    let folder = TempFolder::new("lab-faults");
     let faults = [
         "do = 'kill_servers'\nwhom = 'cache-0'",
         "do = 'silence_servers'\nwhom = 'cache-1'",
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_lab_that_dies_leaves_no_process_behind() {
-    let folder = Folder::new("lab-dies");
+    let folder = TempFolder::new("lab-dies");
     let file = small(&folder, "[fleet]\nservers = 3\nnodes = 2\nagent_processes = true");
     for signal in ["KILL", "INT"] {
         let mut command = Command::new(program());
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
-use shaletrail_fault_lab::process::{wait_for, Folder, Process};
+use shaletrail_fault_lab::process::{wait_for, Process, TempFolder};
 use shaletrail_fault_lab::service::{free, pause, Service};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
 
@@ -380,7 +380,12 @@
     node
 }
 
-fn start_node(folder: &Folder, name: &str, discovery: &[SocketAddr], known: &Value) -> (Process, SocketAddr) {
+fn start_node(
+    folder: &TempFolder,
+    name: &str,
+    discovery: &[SocketAddr],
+    known: &Value,
+) -> (Process, SocketAddr) {
     let ops = free();
     let settings = json!({
         "balancers": 1, "locality": "here", "membership-mode": "on_request", "round-s": 0.005,
@@ -514,7 +519,7 @@
 
 #[test]
 fn wrong_calls_end_with_2_and_one_line_that_says_what_was_expected() {
-    let folder = Folder::new("wrong");
+    let folder = TempFolder::new("wrong");
     let file = folder.0.join("wrong.toml");
     std::fs::write(&file, "[registry]\nname = \"r1\"\nheartbeat = 5\n").expect("written");
     let file = file.to_str().expect("a path");
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::parties::{Book, Parties, FALL_MULTIPLE, FALL_S};
 use crate::party::{lock, serve};
 use crate::plan::quota;
-use crate::process::{cpu_s, Folder, Process};
+use crate::process::{cpu_s, Process, TempFolder};
 use crate::scenario::{Effect, Scenario, What};
 use crate::service::{free, Service};
 
@@ -92,7 +92,7 @@
     pub proxies: Arc<DiscoveryProxies>,
     /// The node's program.
     program: PathBuf,
-    pub folder: Folder,
+    pub folder: TempFolder,
     /// Configuration of each node, without its operator address.
     configs: Mutex<Vec<Value>>,
 }
@@ -122,7 +122,7 @@
             versions: Mutex::default(),
             long_messages: AtomicUsize::new(0),
         });
-        let folder = Folder::new("lab-nodes");
+        let folder = TempFolder::new("lab-nodes");
         let upgrades = scenario.faults.iter().any(|fault| matches!(fault.what, What::UpgradeNodes {}));
         let mut nodes = Vec::new();
         for number in 0..scenario.fleet.nodes {
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -205,12 +205,12 @@
 }
 
 /// A temporary folder that is deleted on drop, unless the thread is panicking, as in a failed test.
-pub struct Folder(pub PathBuf);
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
+impl TempFolder {
     /// # Panics
     /// When the folder can't be created.
-    pub fn new(name: &str) -> Folder {
+    pub fn new(name: &str) -> TempFolder {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("shaletrail-{name}-{}-{next}", std::process::id());
@@ -218,11 +218,11 @@
         // An earlier process with the same PID may have left a folder of this name.
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).expect("a temporary folder");
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         if thread::panicking() {
             println!("temporary folder kept for inspection: {}", self.0.display());
--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -11,7 +11,7 @@
 
 use crate::link::{Link, Way};
 use crate::observer::get;
-use crate::process::{wait_for, Folder, Process};
+use crate::process::{wait_for, Process, TempFolder};
 
 /// An address that a process can have again and again: below the ports that the system gives to connections by
 /// itself, so that none of those takes it between two of its processes, and given once.
@@ -47,7 +47,7 @@
 /// A service of some replicas.
 pub struct Service {
     program: PathBuf,
-    pub folder: Folder,
+    pub folder: TempFolder,
     pub places: Vec<Place>,
     /// From one replica to another, by their places.
     pub links: BTreeMap<(usize, usize), Link>,
@@ -64,7 +64,7 @@
     /// # Panics
     /// When the file can't be written.
     pub fn start_with(program: &Path, name: &str, replicas: usize, settings: &str) -> Service {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         std::fs::write(folder.0.join(SETTINGS), settings).expect("a configuration");
         let place = |n: usize| {
             let name = format!("r{}", n + 1);
