--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -11,7 +11,7 @@
 use shaletrail_fault_lab::fenced_counter::{check, CandidateProcess, FencedCounter};
 use shaletrail_fault_lab::link::Way;
 use shaletrail_fault_lab::observer::{get, numbered, send};
-use shaletrail_fault_lab::process::{group, wait_for, Process};
+use shaletrail_fault_lab::process::{group_members, wait_for, Process};
 use shaletrail_fault_lab::service::{pause, Service};
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
 
@@ -138,7 +138,7 @@
     let n = play.holder();
     let gone = play.runners[n].group().expect("a supervisor");
     play.runners[n].process.kill();
-    wait_for("its group has ended", || group(gone).is_empty().then_some(()));
+    wait_for("its group has ended", || group_members(gone).is_empty().then_some(()));
     next(&play, "killed", &mut seen);
     play.restart(n);
     // Alone it stands still, and its command runs on: the supervisor ends that in time.
@@ -146,7 +146,7 @@
     let gone = play.runners[n].group().expect("a supervisor");
     play.runners[n].process.signal("STOP");
     next(&play, "stopped alone", &mut seen);
-    assert!(group(gone).is_empty(), "the supervisor has ended the command");
+    assert!(group_members(gone).is_empty(), "the supervisor has ended the command");
     play.runners[n].process.signal("CONT");
     wait_for("it is in line again", || play.line().contains(&format!("c{n}")).then_some(()));
     // The supervisor alone dies: the command goes with it, and is started anew under the same fence.
@@ -154,7 +154,7 @@
     let supervisor = play.runners[n].group().expect("a supervisor");
     let before = play.guarded.accepted().len();
     let _ = Command::new("kill").args(["-KILL", &supervisor.to_string()]).status();
-    wait_for("its group has ended", || group(supervisor).is_empty().then_some(()));
+    wait_for("its group has ended", || group_members(supervisor).is_empty().then_some(()));
     wait_for("counts on", || (play.guarded.accepted().len() > before + 3).then_some(()));
     // Cut off from all, in both ways, or in one: it ends its command by its own clock.
     for (there, back) in [(Way::Cut, Way::Cut), (Way::Open, Way::Cut), (Way::Cut, Way::Open)] {
@@ -239,7 +239,7 @@
         wait_for("the new one counts", || (guarded.accepted().len() > 3).then_some(()));
         old.signal("CONT");
         if guard {
-            assert_eq!(old.exit().code(), Some(1), "it is refused");
+            assert_eq!(old.wait_for_exit().code(), Some(1), "it is refused");
             assert!(old.log().contains("fencing number 1 is old"), "{}", old.log());
             assert!(check(&guarded.accepted()).is_empty());
         } else {
@@ -364,7 +364,7 @@
     assert!(said(&out).contains("held or waited for"), "{}", said(&out));
     // SIGTERM ends the command, releases, and is no failure.
     play.runners[2].process.signal("TERM");
-    assert_eq!(play.runners[2].process.exit().code(), Some(0));
+    assert_eq!(play.runners[2].process.wait_for_exit().code(), Some(0));
     let fifth = play.counted_after(fourth);
     play.never_together(fourth, fifth);
     play.judge("moved by hand");
@@ -390,11 +390,11 @@
     let script = "trap '' TERM; echo begun; sleep 1000 & while :; do sleep 0.1; done";
     stubborn.args(["duty", "run", "job", "--registry", &ops, "--lease-s", "1", "--", "bash", "-c", script]);
     let mut stubborn = Process::start(&mut stubborn, &log);
-    stubborn.says("begun");
+    stubborn.wait_for_line("begun");
     let supervisor = shaletrail_fault_lab::process::children(stubborn.id())[0];
     stubborn.signal("TERM");
-    assert_eq!(stubborn.exit().code(), Some(0));
-    assert!(group(supervisor).is_empty(), "all of its group has ended");
+    assert_eq!(stubborn.wait_for_exit().code(), Some(0));
+    assert!(group_members(supervisor).is_empty(), "all of its group has ended");
     for (args, words) in [
         (vec!["duty", "run", "a/b", "--", "true"], "duty: id: 1 to 128"),
         (vec!["duty", "run", "x", "--lease-s", "0.1", "--", "true"], "0.5 to 30 seconds expected, got 0.1"),
@@ -434,7 +434,7 @@
     assert!(out.status.success(), "{}", said(&out));
     // A holder that the backup does not know.
     play.runners[0].process.signal("TERM");
-    play.runners[0].process.exit();
+    play.runners[0].process.wait_for_exit();
     play.runners = vec![play.runner(1)];
     let unknown = play.counted_after(1);
     play.service.kill(0);
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -76,7 +76,7 @@
             for n in 0..service.places.len() {
                 service.process(n).signal("TERM");
                 wait_for("a replica ends on SIGTERM", || {
-                    service.places[n].process.as_mut().map(|p| p.exit())
+                    service.places[n].process.as_mut().map(|p| p.wait_for_exit())
                 });
                 service.launch(n);
                 service.ready(n);
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -138,7 +138,7 @@
         // The guard, a replica, two nodes, and the agents.
         let running = wait_for("its processes run", || Some(children(lab.id())).filter(|ids| ids.len() >= 7));
         lab.signal(signal);
-        assert!(!lab.exit().success());
+        assert!(!lab.wait_for_exit().success());
         wait_for("all of them are gone", || {
             let there = |id: &&u32| {
                 let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -149,7 +149,7 @@
     let limited = format!("trap '' XFSZ; ulimit -f {}; exec {}", size + 8, words.join(" "));
     let log = service.log(0);
     let process = Process::start(Command::new("bash").args(["-c", &limited]), &log);
-    process.says("ready");
+    process.wait_for_line("ready");
     let ops = service.ops();
     let mut held = vec!["first".to_owned()];
     let filler = "x".repeat(100);
@@ -269,7 +269,7 @@
     assert_eq!(leaving["servers"][0]["state"], "leaving");
     let changes = format!("/registry/instances?from={}&hold_ms=20000", leaving["version"]);
     assert_eq!(get(discovery, &changes).expect("a change")["servers"][0]["state"], "left");
-    assert!(agent.exit().success());
+    assert!(agent.wait_for_exit().success());
 }
 
 #[test]
@@ -321,7 +321,7 @@
     command.args(["registry", "join", "--name", "r4", "--data"]).arg(&data);
     command.args(["--discovery", &discovery, "--ops", &own_ops, "--replica", &replica, "--registry", &list]);
     let joined = Process::start(&mut command, &log);
-    joined.says("ready");
+    joined.wait_for_line("ready");
     assert_eq!(ids(&whole(discovery.parse().expect("an address"))), ["s1"]);
     let removed = run(&["registry", "remove", "r1", "--registry", &list]);
     assert!(removed.status.success(), "{}", String::from_utf8_lossy(&removed.stderr));
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -244,7 +244,7 @@
         let old = lock(&node.process).replace(new);
         if let Some(mut old) = old {
             old.signal("TERM");
-            let ended = tokio::task::spawn_blocking(move || old.exit());
+            let ended = tokio::task::spawn_blocking(move || old.wait_for_exit());
             ended.await.map_err(io::Error::other)?;
         }
         Ok(())
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -76,7 +76,7 @@
 }
 
 /// PIDs of the processes in the group of `leader`, zombies excluded.
-pub fn group(leader: u32) -> Vec<u32> {
+pub fn group_members(leader: u32) -> Vec<u32> {
     pids_by_stat_field(2, leader)
 }
 
@@ -147,7 +147,7 @@
     ///
     /// # Panics
     /// When there is none within [`WAIT_TIMEOUT`].
-    pub fn says(&self, begin: &str) -> String {
+    pub fn wait_for_line(&self, begin: &str) -> String {
         let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(Instant::now());
@@ -193,7 +193,7 @@
     ///
     /// # Panics
     /// When it has not ended within [`WAIT_TIMEOUT`].
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         wait_for("end of the process", || self.child.try_wait().ok().flatten())
     }
 }
--- a/fault-lab/src/service.rs
+++ b/fault-lab/src/service.rs
@@ -126,7 +126,7 @@
     }
 
     pub fn ready(&self, n: usize) {
-        self.process(n).says("ready");
+        self.process(n).wait_for_line("ready");
     }
 
     pub fn kill(&mut self, n: usize) {
