--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -10,7 +10,7 @@
 use shaletrail_fault_lab::chance::Chance;
 use shaletrail_fault_lab::fenced_counter::{check, CandidateProcess, FencedCounter};
 use shaletrail_fault_lab::link::Way;
-use shaletrail_fault_lab::observer::{get, numbered, send};
+use shaletrail_fault_lab::observer::{get, numbered_registration, send};
 use shaletrail_fault_lab::process::{group_members, wait_for, Process};
 use shaletrail_fault_lab::service::{pause, Service};
 use shaletrail_registry_client::changes::{duty_path, ChangeError};
@@ -344,7 +344,7 @@
         let mut changes = shaletrail_registry_client::changes::Changes::new(play.service.ops());
         changes.under(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let body = json!(numbered("s1", 1));
+        let body = json!(numbered_registration("s1", 1));
         runtime.block_on(changes.put::<Value>(
             Method::PUT,
             "/registry/instances/s1",
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -113,18 +113,20 @@
         if goes_on(fault) {
             let after = Instant::now();
             wait_for(&format!("a change is acknowledged in spite of {fault:?}"), || {
-                writers.iter().any(|writer| writer.since(after) > 0).then_some(())
+                writers.iter().any(|writer| writer.acknowledged_since(after) > 0).then_some(())
             });
         }
         pause(200 + chance.below(800) as u64);
         service.heal();
         let healed = Instant::now();
-        wait_for("changes go on", || writers.iter().all(|writer| writer.since(healed) > 0).then_some(()));
+        wait_for("changes go on", || {
+            writers.iter().all(|writer| writer.acknowledged_since(healed) > 0).then_some(())
+        });
         println!("  {:.1} s, version {}", before.elapsed().as_secs_f64(), observers[0].version());
     }
-    let acknowledged: Vec<_> = writers.into_iter().flat_map(Writer::end).collect();
+    let acknowledged: Vec<_> = writers.into_iter().flat_map(Writer::stop).collect();
     let last = acknowledged.iter().map(|ack| ack.version).max().expect("some changes held");
-    let seen: Vec<_> = observers.into_iter().map(|observer| observer.end_at(last)).collect();
+    let seen: Vec<_> = observers.into_iter().map(|observer| observer.stop_at(last)).collect();
     let breaches = check(&seen, &acknowledged);
     assert!(breaches.is_empty(), "seed {}: {breaches:#?}", chance.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use shaletrail_fault_lab::link::Way;
-use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
+use shaletrail_fault_lab::observer::{get, numbered_registration, put, Observer};
 use shaletrail_fault_lab::process::{wait_for, Process, TempFolder};
 use shaletrail_fault_lab::service::{free, pause, Service};
 use shaletrail_registry_client::changes::{entry_path, ChangeError};
@@ -26,7 +26,7 @@
 }
 
 fn add(ops: &[SocketAddr], id: &str, number: u64) -> u64 {
-    register(ops, id, &json!(numbered(id, number))).expect("the change holds")
+    register(ops, id, &json!(numbered_registration(id, number))).expect("the change holds")
 }
 
 fn whole(discovery: SocketAddr) -> Value {
@@ -155,7 +155,7 @@
     let filler = "x".repeat(100);
     let refused = (0..5000).find_map(|n| {
         let id = format!("s{n}-{filler}");
-        let body = json!(numbered(&id, 1));
+        let body = json!(numbered_registration(&id, 1));
         let path = format!("/registry/instances/{id}");
         let body = serde_json::to_vec(&body).expect("JSON");
         let (status, not_run) = once(ops[0], "PUT", &path, &body);
@@ -298,7 +298,7 @@
     let version = list["version"].as_u64().expect("a version");
     assert!(version > later, "{version} after {later}");
     // Whoever watched goes on, with the whole list, as nobody knows what changed since.
-    let seen = observer.end_at(version);
+    let seen = observer.stop_at(version);
     let last = seen.lists.iter().rfind(|list| list.version == version).expect("told");
     assert!(last.full && last.servers.len() == 1);
     let bytes = std::fs::read(file).expect("the backup");
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::chance::Chance;
-use crate::observer::numbered;
+use crate::observer::numbered_registration;
 use crate::party::PlainList;
 use crate::service::Service;
 
@@ -166,7 +166,7 @@
 }
 
 async fn register(changes: &mut Changes, id: &str, number: u64) -> Result<u64, BenchError> {
-    let registration = Register { incarnation: 0, ..numbered(id, number) };
+    let registration = Register { incarnation: 0, ..numbered_registration(id, number) };
     let changed: Changed =
         changes.put(Method::PUT, &entry_path(id, ""), &registration, Duration::from_secs(30)).await?;
     Ok(changed.version)
@@ -188,7 +188,7 @@
                 }
                 let id = format!("s{}", index as usize % most.min(20_000));
                 // Without an incarnation, the last write wins, whichever writer it comes from.
-                let registration = Register { incarnation: 0, ..numbered(&id, number) };
+                let registration = Register { incarnation: 0, ..numbered_registration(&id, number) };
                 let body = serde_json::to_vec(&registration).unwrap_or_default().into();
                 let path = entry_path(&id, "");
                 let call = Call {
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -53,7 +53,7 @@
     }
 
     /// Waits until this version has been received, then stops and returns the history.
-    pub fn end_at(mut self, version: u64) -> Seen {
+    pub fn stop_at(mut self, version: u64) -> Seen {
         wait_for("the observer receives the last version", || (self.version() >= version).then_some(()));
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -101,12 +101,12 @@
     }
 
     /// Number of registrations acknowledged after `at`.
-    pub fn since(&self, at: Instant) -> usize {
+    pub fn acknowledged_since(&self, at: Instant) -> usize {
         let acks = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         acks.iter().filter(|(when, _)| *when > at).count()
     }
 
-    pub fn end(mut self) -> Vec<Acknowledged> {
+    pub fn stop(mut self) -> Vec<Acknowledged> {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -124,7 +124,7 @@
 
 /// A registration whose weight and incarnation are `number`. Because a higher incarnation replaces a lower one, a
 /// delayed duplicate of an older registration has no effect.
-pub fn numbered(id: &str, number: u64) -> Register {
+pub fn numbered_registration(id: &str, number: u64) -> Register {
     let entry = Entry {
         id: id.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -144,7 +144,7 @@
     number: u64,
     timeout: Duration,
 ) -> Result<Changed, ChangeError> {
-    changes.put(Method::PUT, &entry_path(id, ""), &numbered(id, number), timeout).await
+    changes.put(Method::PUT, &entry_path(id, ""), &numbered_registration(id, number), timeout).await
 }
 
 /// Sends one change to the registry and waits for the acknowledgement. Blocks; must not be called inside an async
