--- a/fault-lab/src/checker.rs
+++ b/fault-lab/src/checker.rs
@@ -16,7 +16,7 @@
 
 /// Every list update that one client received, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ClientHistory {
     pub who: String,
     pub lists: Vec<List>,
 }
@@ -26,7 +26,7 @@
 
 /// Checks that no client's version decreased, that clients with the same version have the same list (no missed or
 /// reordered change), and that no acknowledged change was lost. Returns a description of each violation.
-pub fn check(seen: &[Seen], acknowledged: &[Acknowledged]) -> Vec<String> {
+pub fn check(seen: &[ClientHistory], acknowledged: &[Acknowledged]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut views: HashMap<u64, (String, ListView)> = HashMap::new();
     let mut by_version: Vec<&Acknowledged> = acknowledged.iter().collect();
@@ -98,8 +98,8 @@
         List { version, full, servers: entries.iter().map(entry).collect() }
     }
 
-    fn seen(who: &str, lists: Vec<List>) -> Seen {
-        Seen { who: who.into(), lists }
+    fn seen(who: &str, lists: Vec<List>) -> ClientHistory {
+        ClientHistory { who: who.into(), lists }
     }
 
     fn acknowledged(id: &str, number: u64, version: u64) -> Acknowledged {
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -12,7 +12,7 @@
 use shaletrail_registry_client::follow::Retry;
 use shaletrail_registry_protocol::{Changed, Entry, Register, State};
 
-use crate::checker::{Acknowledged, Seen};
+use crate::checker::{Acknowledged, ClientHistory};
 use crate::process::wait_for;
 
 fn runtime() -> tokio::runtime::Runtime {
@@ -21,14 +21,14 @@
 
 /// Follows the server list and records every update.
 pub struct Observer {
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<ClientHistory>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Observer {
     pub fn start(who: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
-        let seen = Arc::new(Mutex::new(Seen { who: who.into(), lists: Vec::new() }));
+        let seen = Arc::new(Mutex::new(ClientHistory { who: who.into(), lists: Vec::new() }));
         let stop = Arc::new(AtomicBool::new(false));
         let (history, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
@@ -53,7 +53,7 @@
     }
 
     /// Waits until this version has been received, then stops and returns the history.
-    pub fn stop_at(mut self, version: u64) -> Seen {
+    pub fn stop_at(mut self, version: u64) -> ClientHistory {
         wait_for("the observer receives the last version", || (self.version() >= version).then_some(()));
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
