--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -7,7 +7,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
 use shaletrail_fault_lab::evaluation::{evaluate, Report, Verdict};
-use shaletrail_fault_lab::experiment::{cliff, compare, step, with, Estimate, Step};
+use shaletrail_fault_lab::experiment::{compare, find_cliff, sweep_step, with_value, Estimate, SweepStep};
 use shaletrail_fault_lab::orchestrator::{play, Programs};
 use shaletrail_fault_lab::process::start_reaper;
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
@@ -323,7 +323,7 @@
     let programs = programs(args.told.node)?;
     let value = |n: usize| args.from + (args.to - args.from) * n as f64 / (args.steps - 1) as f64;
     let scenarios: Result<Vec<_>, _> =
-        (0..args.steps).map(|n| Ok((value(n), with(&base, &args.vary, value(n))?))).collect();
+        (0..args.steps).map(|n| Ok((value(n), with_value(&base, &args.vary, value(n))?))).collect();
     let scenarios =
         scenarios.map_err(|e: shaletrail_fault_lab::scenario::ScenarioError| Failure::wrong(e))?;
     guard(&programs)?;
@@ -334,7 +334,7 @@
         for seed in first..first + args.runs {
             reports.push(valid(scenario, seed, &programs).await?);
         }
-        steps.push(step(*value, &reports));
+        steps.push(sweep_step(*value, &reports));
         tracing::info!("{} = {value:.2}: goodput {:.2}", args.vary, steps[steps.len() - 1].goodput);
     }
     let mut text = format!(
@@ -349,7 +349,7 @@
             s.value, s.offered_worth_per_s, s.goodput, s.attempts_per_request, s.origin_fetches_per_request
         );
     }
-    text += &match cliff(&steps) {
+    text += &match find_cliff(&steps) {
         None => "\nNo cliff: served worth is nowhere 20% under the highest before it.\n".to_owned(),
         Some(at) => format!(
             "\nA cliff: at {:.2} served worth is 20% or more under the highest before it.\n",
@@ -358,7 +358,7 @@
     };
     if let Some(out) = &args.told.out {
         std::fs::create_dir_all(out).map_err(Failure::failed)?;
-        let curve = |name: &str, read: fn(&Step) -> f64| Curve {
+        let curve = |name: &str, read: fn(&SweepStep) -> f64| Curve {
             name: name.to_owned(),
             points: steps.iter().map(|s| (s.value, read(s))).collect(),
         };
--- a/fault-lab/src/experiment.rs
+++ b/fault-lab/src/experiment.rs
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// When there is no number at this path, or the scenario is invalid with this value.
-pub fn with(scenario: &Scenario, path: &str, value: f64) -> Result<Scenario, ScenarioError> {
+pub fn with_value(scenario: &Scenario, path: &str, value: f64) -> Result<Scenario, ScenarioError> {
     let error = |what: String| ScenarioError::new(format!("{path}: {what}"));
     let mut table = toml::Table::try_from(scenario).map_err(|e| error(e.to_string()))?;
     let (groups, name) = path.rsplit_once('.').unwrap_or(("", path));
@@ -107,7 +107,7 @@
 
 /// Mean results of all runs of a sweep at one value of the varied parameter.
 #[derive(Clone, Debug, Serialize)]
-pub struct Step {
+pub struct SweepStep {
     pub value: f64,
     pub offered_worth_per_s: f64,
     /// Worth served per second.
@@ -118,9 +118,9 @@
     pub verdicts: Vec<crate::evaluation::Verdict>,
 }
 
-pub fn step(value: f64, reports: &[Report]) -> Step {
+pub fn sweep_step(value: f64, reports: &[Report]) -> SweepStep {
     let mean = |read: fn(&Report) -> f64| estimate(&reports.iter().map(read).collect::<Vec<_>>()).mean;
-    Step {
+    SweepStep {
         value,
         offered_worth_per_s: mean(|r| r.worth_asked_per_s),
         goodput: mean(|r| r.worth_asked_per_s * r.whole),
@@ -132,7 +132,7 @@
 }
 
 /// The first step whose goodput is far below the highest before it; `None` when goodput never collapses.
-pub fn cliff(steps: &[Step]) -> Option<&Step> {
+pub fn find_cliff(steps: &[SweepStep]) -> Option<&SweepStep> {
     let mut highest = 0.0_f64;
     steps.iter().find(|step| {
         highest = highest.max(step.goodput);
@@ -155,18 +155,18 @@
     #[test]
     fn a_number_is_replaced_by_its_path_and_an_invalid_path_or_value_is_rejected() {
         let scenario = Scenario::load("calm").expect("a scenario");
-        assert_eq!(with(&scenario, "load.of_capacity", 1.5).expect("set").load.of_capacity, 1.5);
-        assert_eq!(with(&scenario, "fleet.nodes", 5.2).expect("set").fleet.nodes, 5);
+        assert_eq!(with_value(&scenario, "load.of_capacity", 1.5).expect("set").load.of_capacity, 1.5);
+        assert_eq!(with_value(&scenario, "fleet.nodes", 5.2).expect("set").fleet.nodes, 5);
         for (path, value) in
             [("load.nothing", 1.0), ("no.group", 1.0), ("fleet.zones", 1.0), ("fleet.nodes", 0.0)]
         {
-            assert!(with(&scenario, path, value).is_err(), "{path}");
+            assert!(with_value(&scenario, path, value).is_err(), "{path}");
         }
     }
 
     #[test]
     fn a_cliff_is_a_drop_in_goodput_and_not_a_plateau() {
-        let step = |value, goodput| Step {
+        let step = |value, goodput| SweepStep {
             value,
             goodput,
             offered_worth_per_s: 1.0,
@@ -175,8 +175,8 @@
             origin_fetches_per_request: 0.1,
             verdicts: Vec::new(),
         };
-        assert!(cliff(&[step(0.5, 5.0), step(1.0, 10.0), step(2.0, 9.0)]).is_none());
+        assert!(find_cliff(&[step(0.5, 5.0), step(1.0, 10.0), step(2.0, 9.0)]).is_none());
         let collapsing = [step(0.5, 5.0), step(1.0, 10.0), step(2.0, 7.0)];
-        assert_eq!(cliff(&collapsing).map(|step| step.value), Some(2.0));
+        assert_eq!(find_cliff(&collapsing).map(|step| step.value), Some(2.0));
     }
 }
