--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use shaletrail_fault_lab::evaluation::{evaluate, Report, Verdict};
 use shaletrail_fault_lab::experiment::{compare, find_cliff, sweep_step, with_value, Estimate, SweepStep};
-use shaletrail_fault_lab::orchestrator::{play, Programs};
+use shaletrail_fault_lab::orchestrator::{run_scenario, Programs};
 use shaletrail_fault_lab::process::start_reaper;
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
 use shaletrail_fault_lab::scenario::{Scenario, CATALOGUE};
@@ -212,7 +212,7 @@
     }
     bar.set_message(format!("{} seed {seed}", scenario.name));
     bar.enable_steady_tick(Duration::from_millis(500));
-    let run = play(scenario.clone(), seed, programs, |at| bar.set_position(at as u64));
+    let run = run_scenario(scenario.clone(), seed, programs, |at| bar.set_position(at as u64));
     let run = tokio::select! {
         run = run => run.map_err(Failure::failed)?,
         () = stopped() => return Err(Failure::Failed("stopped".to_owned())),
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_fault_lab::orchestrator::{Live, Standing};
+use shaletrail_fault_lab::orchestrator::{LiveCounts, RunningFleet};
 use shaletrail_fault_lab::scenario::Scenario;
 use shaletrail_registry_client::call::{Call, Line};
 
@@ -46,7 +46,7 @@
     let scenario = Scenario::parse("--caches, --nodes, --per-s", &text).map_err(Failure::wrong)?;
     guard(&programs)?;
     let standing = tokio::select! {
-        standing = Standing::start(&scenario, &programs) => standing.map_err(Failure::failed)?,
+        standing = RunningFleet::start(&scenario, &programs) => standing.map_err(Failure::failed)?,
         () = stopped() => return Err(Failure::Failed("stopped".to_owned())),
     };
     let (discovery, ops) = standing.registry();
@@ -69,7 +69,7 @@
         discovery[0]
     );
     println!("Ctrl-C ends all of it.\n");
-    let mut whole = Live::default();
+    let mut whole = LiveCounts::default();
     let mut ticks = tokio::time::interval(LOOK);
     let ended = stopped();
     tokio::pin!(ended);
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -76,13 +76,13 @@
 }
 
 /// A fleet under the scenario's load that runs until it is dropped, without faults or a verdict.
-pub struct Standing {
+pub struct RunningFleet {
     orchestrator: Arc<Orchestrator>,
 }
 
-/// Counts of a running fleet since the last call of [`Standing::live`].
+/// Counts of a running fleet since the last call of [`RunningFleet::live`].
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Live {
+pub struct LiveCounts {
     /// Tries by the lab's clients.
     pub asked: usize,
     pub served: usize,
@@ -94,19 +94,19 @@
     pub fetches: usize,
 }
 
-impl Standing {
+impl RunningFleet {
     /// Starts the fleet and its load. Requests from clients outside of the lab are served too.
     ///
     /// # Errors
     /// When the fleet does not start.
-    pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<Standing> {
+    pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<RunningFleet> {
         let orchestrator = Orchestrator::start(scenario, scenario.seed, programs).await?;
         orchestrator.book.open.store(true, Ordering::Relaxed);
         orchestrator.book.leading.store(false, Ordering::Relaxed);
         orchestrator.book.begin();
         let clients = Arc::clone(&orchestrator.clients);
         tokio::spawn(async move { clients.run(|_| {}).await });
-        Ok(Standing { orchestrator })
+        Ok(RunningFleet { orchestrator })
     }
 
     /// Addresses of the registry: those at which nodes read the list, and those at which it is changed.
@@ -127,13 +127,13 @@
     }
 
     /// Counts since the last call, or since the start at the first one.
-    pub fn live(&self) -> Live {
+    pub fn live(&self) -> LiveCounts {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
         let seen = std::mem::take(&mut *lock(&self.orchestrator.book.seen));
         lock(&self.orchestrator.fleet.proxies.told).clear();
         let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
-        Live {
+        LiveCounts {
             asked: tries.len(),
             served: answers(Answer::Served),
             refused: answers(Answer::Refused),
@@ -148,7 +148,7 @@
 ///
 /// # Errors
 /// When the fleet does not start or a fault can't be injected; then there is no verdict.
-pub async fn play(
+pub async fn run_scenario(
     mut scenario: Scenario,
     seed: u64,
     programs: &Programs,
