--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clients::{Answer, Try};
-use crate::fleet::{Told, ANSWER_GRACE_S, DRAIN_GRACE_S};
+use crate::fleet::{StateNotice, ANSWER_GRACE_S, DRAIN_GRACE_S};
 use crate::parties::{End, Fall, Seen, ORIGIN};
 use crate::plan::Asked;
 use crate::scenario::{Effect, Scenario};
@@ -23,7 +23,7 @@
     pub tries: Vec<Try>,
     pub seen: Vec<Seen>,
     pub falls: Vec<Fall>,
-    pub told: Vec<Told>,
+    pub notices: Vec<StateNotice>,
     /// When each version of the server list was first sent to a node: time and version.
     pub versions: Vec<(f64, u64)>,
     pub foreign_ids: u64,
@@ -244,7 +244,7 @@
 fn count_after_drain(run: &Run) -> u64 {
     let node: HashMap<u64, u16> = run.tries.iter().map(|one| (one.id, one.node)).collect();
     let mut told: HashMap<(u16, u16), Vec<(f64, bool)>> = HashMap::new();
-    for one in &run.told {
+    for one in &run.notices {
         told.entry((one.node, one.server)).or_default().push((one.at_s, one.leaves));
     }
     let most = DRAIN_GRACE_S + SOCKET_GRACE_S + MEASUREMENT_GRACE_S;
@@ -563,7 +563,7 @@
             tries: Vec::new(),
             seen: Vec::new(),
             falls: Vec::new(),
-            told: Vec::new(),
+            notices: Vec::new(),
             versions: Vec::new(),
             foreign_ids: 0,
             long_messages: 0,
@@ -632,7 +632,12 @@
             run.seen.push(Seen { id: 9_000, ..run.seen[2] });
         });
         assert_violation("after_drain", |run| {
-            run.told.push(Told { node: 0, server: 0, leaves: true, at_s: run.seen[476].at_s - 0.6 });
+            run.notices.push(StateNotice {
+                node: 0,
+                server: 0,
+                leaves: true,
+                at_s: run.seen[476].at_s - 0.6,
+            });
         });
         assert_violation("cold_pushed_over", |run| run.falls.push(Fall { at_s: 3.0, server: 1 }));
         assert_violation("origin_by_cold", |run| {
@@ -656,8 +661,8 @@
         run.tries[7].answer = Answer::Broken;
         run.seen.push(Seen { end: End::Repeat, ..run.seen[2] });
         run.seen.push(Seen { end: End::TurnedAway, ..run.seen[3] });
-        run.told.push(Told { node: 0, server: 0, leaves: true, at_s: 1.0 });
-        run.told.push(Told { node: 0, server: 0, leaves: false, at_s: 1.2 });
+        run.notices.push(StateNotice { node: 0, server: 0, leaves: true, at_s: 1.0 });
+        run.notices.push(StateNotice { node: 0, server: 0, leaves: false, at_s: 1.2 });
         assert_eq!(evaluate(&run).rules.values().sum::<u64>(), 0);
     }
 
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -44,7 +44,7 @@
 
 /// Discovery told a node whether a server is active.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct StateNotice {
     pub node: u16,
     pub server: u16,
     /// Whether the server is leaving or gone; false when it is active.
@@ -78,7 +78,7 @@
     /// Discovery addresses of the registry replicas.
     replicas: Vec<SocketAddr>,
     node_zones: Vec<usize>,
-    pub told: Mutex<Vec<Told>>,
+    pub notices: Mutex<Vec<StateNotice>>,
     /// When each version of the server list was first sent to a node: time and version.
     pub versions: Mutex<Vec<(f64, u64)>>,
     /// Number of messages between nodes that were longer than allowed, and dropped.
@@ -118,7 +118,7 @@
             parties: Arc::clone(parties),
             replicas: service.discovery(),
             node_zones: (0..scenario.fleet.nodes).map(|n| n % zones).collect(),
-            told: Mutex::default(),
+            notices: Mutex::default(),
             versions: Mutex::default(),
             long_messages: AtomicUsize::new(0),
         });
@@ -163,7 +163,7 @@
             self.launch(node)?;
         }
         for node in &self.nodes {
-            ready(node.listen, CLIENTS_READY).await.map_err(|e| {
+            wait_until_ready(node.listen, CLIENT_READY_PATH).await.map_err(|e| {
                 let log = std::fs::read_to_string(self.log(node)).unwrap_or_default();
                 io::Error::other(format!("{}: {e}; log of the node:\n{log}", node.name))
             })?;
@@ -240,7 +240,7 @@
         *lock(&node.ops) = free();
         let ops = *lock(&node.ops);
         let new = self.spawn(node)?;
-        ready(ops, "/-/ready").await?;
+        wait_until_ready(ops, "/-/ready").await?;
         let old = lock(&node.process).replace(new);
         if let Some(mut old) = old {
             old.signal("TERM");
@@ -290,13 +290,13 @@
 
 /// Readiness path on a node's client address, which the load balancer in front of the nodes checks. The operator
 /// address has a readiness path of its own, `/-/ready`.
-pub const CLIENTS_READY: &str = "/health/ready";
+pub const CLIENT_READY_PATH: &str = "/health/ready";
 
 /// Polls a readiness path until it answers with success.
 ///
 /// # Errors
 /// When it does not within [`READY_TIMEOUT`].
-pub async fn ready(addr: SocketAddr, path: &str) -> io::Result<()> {
+pub async fn wait_until_ready(addr: SocketAddr, path: &str) -> io::Result<()> {
     let until = Instant::now() + READY_TIMEOUT;
     loop {
         let answer = Line::new(addr).within(READY_TIMEOUT, Call::get(path, 1 << 10)).await;
@@ -355,7 +355,7 @@
             parties.iter().enumerate().map(|(n, party)| (party.id.as_str(), n)).collect();
         link.wait_for(is_up).await.ok()?;
         let at_s = self.book.now();
-        let mut told = Vec::new();
+        let mut notices = Vec::new();
         for entry in &mut list.servers {
             if entry.id == self.parties.origin.id {
                 entry.addr = self.parties.origin.addrs[zone];
@@ -364,9 +364,9 @@
             let Some(party) = known.get(entry.id.as_str()).map(|n| &parties[*n]) else { continue };
             entry.addr = party.addrs[zone];
             let leaves = entry.state != State::Active;
-            told.push(Told { node: node as u16, server: party.number, leaves, at_s });
+            notices.push(StateNotice { node: node as u16, server: party.number, leaves, at_s });
         }
-        lock(&self.told).extend(told);
+        lock(&self.notices).extend(notices);
         let mut versions = lock(&self.versions);
         if versions.last().is_none_or(|(_, last)| *last < list.version) {
             versions.push((at_s, list.version));
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -23,7 +23,7 @@
 
 use crate::clients::{Answer, Clients};
 use crate::evaluation::{Band, Cpu, Run};
-use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
+use crate::fleet::{wait_until_ready, Fleet, Node, CLIENT_READY_PATH};
 use crate::net::{at, Life, Links, Way};
 use crate::parties::{Book, End, Parties, Party, ORIGIN};
 use crate::party::lock;
@@ -130,7 +130,7 @@
     pub fn live(&self) -> LiveCounts {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
         let seen = std::mem::take(&mut *lock(&self.orchestrator.book.seen));
-        lock(&self.orchestrator.fleet.proxies.told).clear();
+        lock(&self.orchestrator.fleet.proxies.notices).clear();
         let ends = |end: End| seen.iter().filter(|seen| seen.end == end && !seen.write).count();
         let answers = |answer: Answer| tries.iter().filter(|one| one.answer == answer).count();
         LiveCounts {
@@ -251,7 +251,7 @@
             tries: std::mem::take(&mut lock(&clients.tries)),
             seen: std::mem::take(&mut lock(&book.seen)),
             falls: std::mem::take(&mut lock(&book.falls)),
-            told: std::mem::take(&mut lock(&fleet.proxies.told)),
+            notices: std::mem::take(&mut lock(&fleet.proxies.notices)),
             versions: std::mem::take(&mut lock(&fleet.proxies.versions)),
             foreign_ids: book.foreign.load(Ordering::Relaxed) as u64,
             long_messages: fleet.proxies.long_messages.load(Ordering::Relaxed) as u64,
@@ -657,7 +657,7 @@
             self.fleet.launch(node)?;
         }
         for node in &nodes {
-            ready(node.listen, CLIENTS_READY).await?;
+            wait_until_ready(node.listen, CLIENT_READY_PATH).await?;
             self.mark_up(node);
         }
         Ok(())
