--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -158,9 +158,9 @@
 
     /// The node to which the zone's front gives the next connection.
     fn pick(&self, zone: usize) -> Option<usize> {
-        let in_use = |node: &&Arc<Node>| node.in_use.load(Ordering::Relaxed);
-        let own: Vec<_> = self.nodes.iter().filter(in_use).filter(|n| n.zone == zone).collect();
-        let any: Vec<_> = if own.is_empty() { self.nodes.iter().filter(in_use).collect() } else { own };
+        let in_rotation = |node: &&Arc<Node>| node.in_rotation.load(Ordering::Relaxed);
+        let own: Vec<_> = self.nodes.iter().filter(in_rotation).filter(|n| n.zone == zone).collect();
+        let any: Vec<_> = if own.is_empty() { self.nodes.iter().filter(in_rotation).collect() } else { own };
         let turn = self.fronts[zone].fetch_add(1, Ordering::Relaxed);
         Some(any.get(turn % any.len().max(1))?.number)
     }
--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -29,7 +29,7 @@
     pub foreign_ids: u64,
     pub long_messages: u64,
     /// By node: the intervals in which a fault of the scenario had killed or stopped its process.
-    pub away: Vec<Vec<(f64, f64)>>,
+    pub downtimes: Vec<Vec<(f64, f64)>>,
     /// Names of nodes that exited or panicked without a fault of the scenario.
     pub crashed: Vec<String>,
     /// Zone of each server, by its number.
@@ -196,7 +196,7 @@
 // ---- Rules ----------------------------------------------------------------------------------------------
 
 fn was_down(run: &Run, node: u16, from: f64, to: f64) -> bool {
-    let times = run.away.get(usize::from(node));
+    let times = run.downtimes.get(usize::from(node));
     times.is_some_and(|times| times.iter().any(|(left, back)| *left <= to && from <= *back))
 }
 
@@ -567,7 +567,7 @@
             versions: Vec::new(),
             foreign_ids: 0,
             long_messages: 0,
-            away: vec![Vec::new(); 2],
+            downtimes: vec![Vec::new(); 2],
             crashed: Vec::new(),
             server_zones: vec![0, 1],
             bands: Vec::new(),
@@ -657,7 +657,7 @@
         let mut run = good_run();
         // A killed node need not answer; a duplicate that the origin dropped had no effect; an attempt that was
         // rejected may be sent again; a server that was listed as active again may be sent to.
-        run.away[1] = vec![(0.0, 2.0)];
+        run.downtimes[1] = vec![(0.0, 2.0)];
         run.tries[7].answer = Answer::Broken;
         run.seen.push(Seen { end: End::Repeat, ..run.seen[2] });
         run.seen.push(Seen { end: End::TurnedAway, ..run.seen[3] });
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -66,9 +66,9 @@
     /// The listening socket, when it is kept across processes (socket activation), as in a scenario with upgrades.
     listener: Option<TcpListener>,
     /// Whether the load balancer in front of its zone sends connections to it.
-    pub in_use: AtomicBool,
+    pub in_rotation: AtomicBool,
     /// Intervals in which its process was not running or was stopped. The last one ends at infinity while it lasts.
-    pub away: Mutex<Vec<(f64, f64)>>,
+    pub downtimes: Mutex<Vec<(f64, f64)>>,
 }
 
 /// State shared by the discovery proxies: what they need to answer, and a record of what they told the nodes.
@@ -139,8 +139,8 @@
                 folder: own,
                 process: Mutex::default(),
                 listener: if upgrades { Some(TcpListener::bind(listen)?) } else { None },
-                in_use: AtomicBool::new(true),
-                away: Mutex::default(),
+                in_rotation: AtomicBool::new(true),
+                downtimes: Mutex::default(),
                 name,
             }));
         }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -239,7 +239,7 @@
     fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
         let Orchestrator { book, parties, fleet, clients, seed, .. } = self;
         let zones: Vec<u8> = parties.all().iter().map(|party| party.zone as u8).collect();
-        let take = |away: &Mutex<Vec<(f64, f64)>>| lock(away).clone();
+        let take = |downtimes: &Mutex<Vec<(f64, f64)>>| lock(downtimes).clone();
         let panics =
             fleet.logs().into_iter().filter(|(_, log)| log.contains("panicked")).map(|(name, _)| name);
         let mut crashed = fleet.crashed();
@@ -255,7 +255,7 @@
             versions: std::mem::take(&mut lock(&fleet.proxies.versions)),
             foreign_ids: book.foreign.load(Ordering::Relaxed) as u64,
             long_messages: fleet.proxies.long_messages.load(Ordering::Relaxed) as u64,
-            away: fleet.nodes.iter().map(|node| take(&node.away)).collect(),
+            downtimes: fleet.nodes.iter().map(|node| take(&node.downtimes)).collect(),
             crashed,
             server_zones: zones,
             bands,
@@ -442,7 +442,7 @@
             for node in &self.fleet.nodes {
                 let next = Instant::now() + Duration::from_secs_f64(pause);
                 // A stopped process would not handle SIGTERM, so the upgrade waits until it continues.
-                while lock(&node.away).last().is_some_and(|(_, back)| back.is_infinite()) {
+                while lock(&node.downtimes).last().is_some_and(|(_, back)| back.is_infinite()) {
                     sleep(Duration::from_millis(50)).await;
                 }
                 self.fleet.upgrade(node).await?;
@@ -627,22 +627,22 @@
 
     /// Records that a node is down from now on. Its zone's load balancer stops using it `notice_s` later.
     fn mark_down(self: &Arc<Self>, node: &Arc<Node>) {
-        lock(&node.away).push((self.book.now(), f64::INFINITY));
+        lock(&node.downtimes).push((self.book.now(), f64::INFINITY));
         let (node, delay_s) = (Arc::clone(node), self.book.scenario.load.notice_s);
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(delay_s)).await;
-            if lock(&node.away).last().is_some_and(|(_, to)| to.is_infinite()) {
-                node.in_use.store(false, Ordering::Relaxed);
+            if lock(&node.downtimes).last().is_some_and(|(_, to)| to.is_infinite()) {
+                node.in_rotation.store(false, Ordering::Relaxed);
             }
         });
     }
 
     /// Records that a node is up again; its zone's load balancer uses it at once.
     fn mark_up(&self, node: &Node) {
-        if let Some(last) = lock(&node.away).last_mut() {
+        if let Some(last) = lock(&node.downtimes).last_mut() {
             last.1 = self.book.now();
         }
-        node.in_use.store(true, Ordering::Relaxed);
+        node.in_rotation.store(true, Ordering::Relaxed);
     }
 
     fn kill_nodes(self: &Arc<Self>, nodes: &[Arc<Node>]) {
