--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -16,7 +16,7 @@
 
 /// Everything that was recorded in one run. Times are in seconds from the start of the run, lead time included.
 #[derive(Clone)]
-pub struct Run {
+pub struct RunRecord {
     pub scenario: Scenario,
     pub seed: u64,
     pub plan: Vec<Asked>,
@@ -34,7 +34,7 @@
     pub crashed: Vec<String>,
     /// Zone of each server, by its number.
     pub server_zones: Vec<u8>,
-    pub bands: Vec<Band>,
+    pub bands: Vec<FaultInterval>,
     /// Delay of each request's actual send after its planned send, in microseconds.
     pub lateness: Histogram<u64>,
     pub cpu: Cpu,
@@ -54,7 +54,7 @@
 
 /// The interval in which a fault was active.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Band {
+pub struct FaultInterval {
     pub name: String,
     pub from_s: f64,
     /// `None` when the fault was active until the end.
@@ -89,14 +89,14 @@
 
 /// Outcomes of the requests sent in one second, of all requests or those of one class or zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Count {
+pub struct OutcomeCounts {
     pub asked: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
 }
 
-impl Count {
+impl OutcomeCounts {
     pub fn share(&self) -> f64 {
         if self.asked == 0 {
             return 1.0;
@@ -151,10 +151,10 @@
     pub rules: BTreeMap<String, u64>,
     /// How often the origin stopped because of overload.
     pub origin_stops: u64,
-    pub bands: Vec<Band>,
+    pub bands: Vec<FaultInterval>,
     /// Length of the load before the measurement period. The times in `bands` count from the start of the run.
     pub lead_s: f64,
-    pub per_s: BTreeMap<String, Vec<Count>>,
+    pub per_s: BTreeMap<String, Vec<OutcomeCounts>>,
     /// Attempts in each second, by the nodes, at the cache servers and at the origin.
     pub attempts_per_s: Vec<u64>,
     /// Reads at the origin in each second.
@@ -171,7 +171,7 @@
     tries: u64,
 }
 
-fn outcomes(run: &Run) -> Vec<Option<Outcome>> {
+fn outcomes(run: &RunRecord) -> Vec<Option<Outcome>> {
     let mut all: Vec<Option<Outcome>> = run.plan.iter().map(|_| None).collect();
     let mut order: Vec<&Try> = run.tries.iter().collect();
     order.sort_by_key(|one| (one.request, one.n));
@@ -195,13 +195,13 @@
 
 // ---- Rules ----------------------------------------------------------------------------------------------
 
-fn was_down(run: &Run, node: u16, from: f64, to: f64) -> bool {
+fn was_down(run: &RunRecord, node: u16, from: f64, to: f64) -> bool {
     let times = run.downtimes.get(usize::from(node));
     times.is_some_and(|times| times.iter().any(|(left, back)| *left <= to && from <= *back))
 }
 
 /// Rule `lost`: each try gets one complete response that was made for its request, unless its node was down.
-fn count_lost(run: &Run) -> u64 {
+fn count_lost(run: &RunRecord) -> u64 {
     let broken = |one: &&Try| {
         one.answer == Answer::Foreign
             || one.answer == Answer::Broken && !was_down(run, one.node, one.sent_s, one.end_s)
@@ -210,7 +210,7 @@
 }
 
 /// Rule `late`: each response arrives before its client's deadline, with the platform's grace time.
-fn count_late(run: &Run) -> u64 {
+fn count_late(run: &RunRecord) -> u64 {
     let most = ANSWER_GRACE_S + SOCKET_GRACE_S + MEASUREMENT_GRACE_S;
     let late = |one: &&Try| {
         let over = one.answer == Answer::None || one.end_s > one.give_up_s + most;
@@ -221,7 +221,7 @@
 
 /// Rule `repeated_effect`: no write takes effect twice. A single-shot write must not even be sent again when an
 /// earlier attempt may have taken effect.
-fn count_repeated_effects(run: &Run) -> u64 {
+fn count_repeated_effects(run: &RunRecord) -> u64 {
     let request: HashMap<u64, u32> = run.tries.iter().map(|one| (one.id, one.request)).collect();
     let mut ran: HashMap<u32, u64> = HashMap::new();
     for seen in run.seen.iter().filter(|seen| seen.write) {
@@ -241,7 +241,7 @@
 
 /// Rule `after_drain`: a node sends nothing to a server once the drain grace time is over, counted from when discovery
 /// told the node that the server leaves.
-fn count_after_drain(run: &Run) -> u64 {
+fn count_after_drain(run: &RunRecord) -> u64 {
     let node: HashMap<u64, u16> = run.tries.iter().map(|one| (one.id, one.node)).collect();
     let mut told: HashMap<(u16, u16), Vec<(f64, bool)>> = HashMap::new();
     for one in &run.notices {
@@ -260,12 +260,12 @@
 }
 
 /// Rule `cold_pushed_over`: no cache server is overloaded while cold until it stops.
-fn count_cold_overloads(run: &Run) -> u64 {
+fn count_cold_overloads(run: &RunRecord) -> u64 {
     run.falls.iter().filter(|fall| fall.server != ORIGIN).count() as u64
 }
 
 /// Rule `origin_by_cold`: the origin does not stop from an overload caused by misses at cold servers.
-fn count_origin_overloads_by_cold(run: &Run) -> u64 {
+fn count_origin_overloads_by_cold(run: &RunRecord) -> u64 {
     let cold: HashMap<u64, bool> =
         run.seen.iter().filter(|s| s.end == End::Miss).map(|s| (s.id, s.cold)).collect();
     let by_cold = |fall: &&Fall| {
@@ -279,7 +279,7 @@
     run.falls.iter().filter(|fall| fall.server == ORIGIN).filter(by_cold).count() as u64
 }
 
-fn count_violations(run: &Run) -> BTreeMap<String, u64> {
+fn count_violations(run: &RunRecord) -> BTreeMap<String, u64> {
     [
         ("lost", count_lost(run)),
         ("late", count_late(run)),
@@ -337,7 +337,7 @@
 }
 
 fn worth_by_tenant_and_second(
-    run: &Run,
+    run: &RunRecord,
     outcomes: &[Option<Outcome>],
     second: impl Fn(f64) -> Option<usize>,
 ) -> HashMap<(u16, usize), TenantWorth> {
@@ -376,7 +376,7 @@
 }
 
 /// Computes the metrics and rule violations of a run, and its verdict against the scenario's `hold` bounds.
-pub fn evaluate(run: &Run) -> Report {
+pub fn evaluate(run: &RunRecord) -> Report {
     let scenario = &run.scenario;
     let lead = scenario.lead_s;
     let seconds = scenario.seconds.ceil() as usize;
@@ -385,7 +385,7 @@
     let (mut whole, mut windows) = (Worth::default(), vec![Worth::default(); seconds]);
     let mut classes = vec![Worth::default(); scenario.classes.len()];
     let mut tenants = vec![Worth::default(); scenario.tenants.len()];
-    let mut per_s: BTreeMap<String, Vec<Count>> = BTreeMap::new();
+    let mut per_s: BTreeMap<String, Vec<OutcomeCounts>> = BTreeMap::new();
     let mut times: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let (mut requests, mut tries) = (0_u64, 0);
     let shares = worth_by_tenant_and_second(run, &outcomes, second);
@@ -404,7 +404,8 @@
         let answer = outcome.as_ref().map_or(Answer::None, |e| e.answer);
         let zone = &scenario.fleet.zones[usize::from(asked.zone)];
         for name in ["all".to_owned(), format!("class {}", class.name), format!("zone {zone}")] {
-            let count = &mut per_s.entry(name).or_insert_with(|| vec![Count::default(); seconds])[second];
+            let count =
+                &mut per_s.entry(name).or_insert_with(|| vec![OutcomeCounts::default(); seconds])[second];
             count.asked += 1;
             match answer {
                 Answer::Served => count.served += 1,
@@ -430,7 +431,7 @@
     let served_worth =
         0.35 * whole.share() + 0.15 * worst_window + 0.4 * least(&classes) + 0.1 * least(&tenants);
     let served: Vec<f64> =
-        per_s.get("all").map(|all| all.iter().map(Count::share).collect()).unwrap_or_default();
+        per_s.get("all").map(|all| all.iter().map(OutcomeCounts::share).collect()).unwrap_or_default();
 
     let judged = |seen: &&Seen| second(seen.at_s).is_some();
     let seen: Vec<&Seen> = run.seen.iter().filter(judged).collect();
@@ -554,10 +555,10 @@
     use crate::clients::Answer;
 
     /// A run without violations: two nodes, two servers, one request of each of four classes every 0.1 s, all served.
-    fn good_run() -> Run {
+    fn good_run() -> RunRecord {
         let text = "name='t'\nabout=''\nseconds=12.0\nlead_s=1.0\n[fleet]\nnodes=2\nservers=2\n";
         let scenario = Scenario::parse("t", text).expect("a scenario");
-        let mut run = Run {
+        let mut run = RunRecord {
             seed: 1,
             plan: Vec::new(),
             tries: Vec::new(),
@@ -598,7 +599,7 @@
     }
 
     /// Checks that an injected violation is counted once by its rule, and by no other rule.
-    fn assert_violation(rule: &str, inject: impl Fn(&mut Run)) {
+    fn assert_violation(rule: &str, inject: impl Fn(&mut RunRecord)) {
         let mut run = good_run();
         inject(&mut run);
         let report = evaluate(&run);
@@ -680,7 +681,7 @@
                 one.answer = Answer::Refused;
             }
         }
-        run.bands.push(Band { name: "f".to_owned(), from_s: 6.0, to_s: Some(8.0) });
+        run.bands.push(FaultInterval { name: "f".to_owned(), from_s: 6.0, to_s: Some(8.0) });
         assert_eq!(evaluate(&run).recovery_s, Some(2.0));
         for one in &mut run.tries {
             if one.sent_s >= 10.0 {
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::clients::{Answer, Clients};
-use crate::evaluation::{Band, Cpu, Run};
+use crate::evaluation::{Cpu, FaultInterval, RunRecord};
 use crate::fleet::{wait_until_ready, Fleet, Node, CLIENT_READY_PATH};
 use crate::net::{at, Life, Links, Way};
 use crate::parties::{Book, End, Parties, Party, ORIGIN};
@@ -153,7 +153,7 @@
     seed: u64,
     programs: &Programs,
     progress: impl FnMut(f64),
-) -> io::Result<Run> {
+) -> io::Result<RunRecord> {
     scenario.seed = seed;
     let orchestrator = Orchestrator::start(&scenario, seed, programs).await?;
     let Orchestrator { book, clients, .. } = &*orchestrator;
@@ -236,7 +236,7 @@
     }
 
     /// Takes everything that was recorded.
-    fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
+    fn collect(&self, bands: Vec<FaultInterval>, cpu: Cpu) -> RunRecord {
         let Orchestrator { book, parties, fleet, clients, seed, .. } = self;
         let zones: Vec<u8> = parties.all().iter().map(|party| party.zone as u8).collect();
         let take = |downtimes: &Mutex<Vec<(f64, f64)>>| lock(downtimes).clone();
@@ -244,7 +244,7 @@
             fleet.logs().into_iter().filter(|(_, log)| log.contains("panicked")).map(|(name, _)| name);
         let mut crashed = fleet.crashed();
         crashed.extend(panics);
-        Run {
+        RunRecord {
             scenario: book.scenario.clone(),
             seed: *seed,
             plan: book.plan.clone(),
@@ -427,7 +427,7 @@
 
     /// Injects one fault at its time and reverts it. Returns the interval in which it was active, in seconds from the
     /// start of the run.
-    async fn run_fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
+    async fn run_fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<FaultInterval> {
         let lead = self.book.scenario.lead_s;
         sleep_until(at(self.book.start(), lead + fault.at_s)).await;
         let from_s = self.book.now();
@@ -435,7 +435,7 @@
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
         if let What::Replace { share, batch } = fault.what {
             self.replace(share, batch, fault.for_s.unwrap_or(0.0)).await;
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(FaultInterval { name, from_s, to_s: Some(self.book.now()) });
         }
         if let What::UpgradeNodes {} = fault.what {
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
@@ -448,16 +448,16 @@
                 self.fleet.upgrade(node).await?;
                 sleep_until(next).await;
             }
-            return Ok(Band { name, from_s, to_s: Some(self.book.now()) });
+            return Ok(FaultInterval { name, from_s, to_s: Some(self.book.now()) });
         }
         self.inject(n, &fault.what).await?;
         let Some(length) = fault.for_s else {
             let instantaneous = matches!(fault.what, What::ColdServers { .. } | What::MoveDiscovery {});
-            return Ok(Band { name, from_s, to_s: instantaneous.then(|| self.book.now()) });
+            return Ok(FaultInterval { name, from_s, to_s: instantaneous.then(|| self.book.now()) });
         };
         sleep_until(at(self.book.start(), lead + fault.at_s + length)).await;
         self.revert(n, &fault.what).await?;
-        Ok(Band { name, from_s, to_s: Some(self.book.now()) })
+        Ok(FaultInterval { name, from_s, to_s: Some(self.book.now()) })
     }
 
     async fn inject(self: &Arc<Self>, n: usize, what: &What) -> io::Result<()> {
--- a/fault-lab/src/report.rs
+++ b/fault-lab/src/report.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use plotters::style::RGBColor;
 
-use crate::evaluation::{Band, Count, Report, Verdict};
+use crate::evaluation::{FaultInterval, OutcomeCounts, Report, Verdict};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (860, 300);
@@ -44,7 +44,7 @@
     title: &str,
     (x_label, y_label): (&str, &str),
     curves: &[Curve],
-    bands: &[Band],
+    bands: &[FaultInterval],
 ) -> io::Result<()> {
     let bounds = |of: fn(&(f64, f64)) -> f64| {
         let all = curves.iter().flat_map(|curve| curve.points.iter().map(of));
@@ -94,14 +94,15 @@
     let json = serde_json::to_vec_pretty(report).map_err(io::Error::other)?;
     std::fs::write(folder.join("report.json"), json)?;
     std::fs::write(folder.join("report.md"), markdown(report))?;
-    let without_lead = |band: &Band, lead: f64| Band {
+    let without_lead = |band: &FaultInterval, lead: f64| FaultInterval {
         from_s: band.from_s - lead,
         to_s: band.to_s.map(|to| to - lead),
         ..band.clone()
     };
-    let bands: Vec<Band> = report.bands.iter().map(|band| without_lead(band, report.lead_s)).collect();
+    let bands: Vec<FaultInterval> =
+        report.bands.iter().map(|band| without_lead(band, report.lead_s)).collect();
     let seconds = ("seconds", "a second");
-    let of = |name: &str, what: fn(&Count) -> u64| {
+    let of = |name: &str, what: fn(&OutcomeCounts) -> u64| {
         report.per_s.get(name).into_iter().flatten().map(|count| what(count) as f64).collect::<Vec<_>>()
     };
     let answers = [
@@ -113,8 +114,9 @@
     for (kind, file) in [("class ", "classes.svg"), ("zone ", "zones.svg")] {
         let groups =
             report.per_s.iter().filter_map(|(name, counts)| Some((name.strip_prefix(kind)?, counts)));
-        let curves: Vec<Curve> =
-            groups.map(|(name, counts)| Curve::per_s(name, counts.iter().map(Count::share))).collect();
+        let curves: Vec<Curve> = groups
+            .map(|(name, counts)| Curve::per_s(name, counts.iter().map(OutcomeCounts::share)))
+            .collect();
         let title = format!("Served share by {kind}");
         plot(&folder.join(file), &title, ("seconds", "share"), &curves, &bands)?;
     }
