--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -4,7 +4,7 @@
 
 use clap::Subcommand;
 use indicatif::ProgressBar;
-use shaletrail_fault_lab::bench::{registry, Size, Spread};
+use shaletrail_fault_lab::bench::{measure_registry, Size, Spread};
 use shaletrail_fault_lab::bench_duty;
 use shaletrail_registry_protocol::duty::check_lease;
 
@@ -113,8 +113,9 @@
         bench_duty::Size { times: args.times, lease_s: args.lease_s, count_s: args.count_s, seed: args.seed };
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let progress = Progress::new();
-    let measured =
-        tokio::task::spawn_blocking(move || bench_duty::duty(&program, size, |what| progress.say(what)));
+    let measured = tokio::task::spawn_blocking(move || {
+        bench_duty::measure_duty(&program, size, |what| progress.say(what))
+    });
     let report = measured.await.map_err(Failure::failed)?;
     if args.json {
         println!("{}", serde_json::to_string(&report).map_err(Failure::failed)?);
@@ -148,7 +149,7 @@
     };
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let progress = Progress::new();
-    let report = registry(&program, size, args.seed, |what| progress.say(what)).await;
+    let report = measure_registry(&program, size, args.seed, |what| progress.say(what)).await;
     drop(progress);
     let report = report.map_err(Failure::failed)?;
     if args.json {
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -99,7 +99,7 @@
 ///
 /// # Errors
 /// The first error that makes a measurement fail.
-pub async fn registry(
+pub async fn measure_registry(
     program: &Path,
     size: Size,
     seed: u64,
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -103,7 +103,7 @@
 ///
 /// # Panics
 /// When a hand-over does not happen within the timeout.
-pub fn duty(program: &Path, size: Size, progress: impl Fn(&str)) -> Report {
+pub fn measure_duty(program: &Path, size: Size, progress: impl Fn(&str)) -> Report {
     let mut hand_overs = Vec::new();
     for cause in [Cause::Request, Cause::Kill, Cause::Stop, Cause::Cut, Cause::KillWithLeader] {
         progress(cause.name());
