--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -21,7 +21,7 @@
 use crate::party::PlainList;
 use crate::service::Service;
 
-/// Parameters of the benchmark.
+/// Parameters of the benchmark. `bench registry` prints its `Debug` form.
 #[derive(Clone, Debug, Serialize)]
 pub struct Size {
     /// Entries in the list.
--- a/fault-lab/src/checker.rs
+++ b/fault-lab/src/checker.rs
@@ -17,7 +17,8 @@
 /// Every list update that one client received, in order.
 #[derive(Clone, Debug, Default)]
 pub struct ClientHistory {
-    pub who: String,
+    /// Name of the client, for messages.
+    pub name: String,
     pub lists: Vec<List>,
 }
 
@@ -32,14 +33,14 @@
     let mut by_version: Vec<&Acknowledged> = acknowledged.iter().collect();
     by_version.sort_by_key(|change| change.version);
     for client in seen {
-        let who = &client.who;
+        let name = &client.name;
         let mut view = ListView::new();
         let mut version = 0;
         let mut expected: HashMap<&str, u64> = HashMap::new();
         let mut next = by_version.iter().peekable();
         for list in &client.lists {
             if list.version < version {
-                violations.push(format!("{who}: version {} after {version}", list.version));
+                violations.push(format!("{name}: version {} after {version}", list.version));
             }
             version = list.version;
             if list.full {
@@ -61,17 +62,17 @@
                 let shown = view.get(*id).map_or(0, |(shown, _)| *shown);
                 if shown < *number {
                     violations
-                        .push(format!("{who}: at version {version} {id} shows {shown}, but {number} held"));
+                        .push(format!("{name}: at version {version} {id} shows {shown}, but {number} held"));
                 }
             }
             // Clients at the same version must have the same list, whichever updates they received on the way.
             match views.get(&version) {
                 Some((other, other_view)) if *other_view != view => {
-                    violations.push(format!("{who} and {other} see different lists at version {version}"));
+                    violations.push(format!("{name} and {other} see different lists at version {version}"));
                 }
                 Some(_) => {}
                 None => {
-                    views.insert(version, (who.clone(), view.clone()));
+                    views.insert(version, (name.clone(), view.clone()));
                 }
             }
         }
@@ -98,8 +99,8 @@
         List { version, full, servers: entries.iter().map(entry).collect() }
     }
 
-    fn seen(who: &str, lists: Vec<List>) -> ClientHistory {
-        ClientHistory { who: who.into(), lists }
+    fn seen(name: &str, lists: Vec<List>) -> ClientHistory {
+        ClientHistory { name: name.into(), lists }
     }
 
     fn acknowledged(id: &str, number: u64, version: u64) -> Acknowledged {
--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -19,14 +19,20 @@
 pub struct RunRecord {
     pub scenario: Scenario,
     pub seed: u64,
+    /// The requests that the clients were to send, by request number.
     pub plan: Vec<Asked>,
+    /// The tries of these requests, as the clients recorded them.
     pub tries: Vec<Try>,
+    /// The attempts at the cache servers and the origin, as those recorded them.
     pub seen: Vec<Seen>,
+    /// Stops of servers because of overload.
     pub falls: Vec<Fall>,
     pub notices: Vec<StateNotice>,
     /// When each version of the server list was first sent to a node: time and version.
     pub versions: Vec<(f64, u64)>,
+    /// Number of attempts with a request id that no client had sent.
     pub foreign_ids: u64,
+    /// Number of messages between nodes that were longer than allowed.
     pub long_messages: u64,
     /// By node: the intervals in which a fault of the scenario had killed or stopped its process.
     pub downtimes: Vec<Vec<(f64, f64)>>,
@@ -52,9 +58,10 @@
     pub of: usize,
 }
 
-/// The interval in which a fault was active.
+/// The interval in which a fault was active, in seconds from the start of the run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultInterval {
+    /// Name of the variant of [`What`](crate::scenario::What).
     pub name: String,
     pub from_s: f64,
     /// `None` when the fault was active until the end.
@@ -97,6 +104,7 @@
 }
 
 impl OutcomeCounts {
+    /// Share of the requests that was served; 1 when there were none.
     pub fn share(&self) -> f64 {
         if self.asked == 0 {
             return 1.0;
@@ -138,10 +146,14 @@
     pub recovery_s: Option<f64>,
     pub recovered: bool,
     pub requests: u64,
+    /// Tries by the client, per request.
     pub tries_per_request: f64,
+    /// Attempts by the nodes at the cache servers and the origin, per request.
     pub attempts_per_request: f64,
     pub origin_fetches_per_request: f64,
+    /// Cache hits as a share of all hits and misses of reads.
     pub hit_share: f64,
+    /// Attempts at cache servers of another zone than the node's, per request.
     pub crossings_per_request: f64,
     pub lateness_p99_ms: f64,
     pub lateness_max_ms: f64,
@@ -154,13 +166,16 @@
     pub bands: Vec<FaultInterval>,
     /// Length of the load before the measurement period. The times in `bands` count from the start of the run.
     pub lead_s: f64,
+    /// Outcomes in each second of the measurement period, for `all`, each `class NAME` and each `zone NAME`.
     pub per_s: BTreeMap<String, Vec<OutcomeCounts>>,
-    /// Attempts in each second, by the nodes, at the cache servers and at the origin.
+    /// Attempts by the nodes at the cache servers and the origin, in each second.
     pub attempts_per_s: Vec<u64>,
     /// Reads at the origin in each second.
     pub origin_per_s: Vec<u64>,
     /// By zone: attempts at its cache servers in each second.
     pub zone_attempts_per_s: BTreeMap<String, Vec<u64>>,
+    /// When each version of the server list was first sent to a node: seconds from the start of the measurement period,
+    /// and version.
     pub versions: Vec<(f64, u64)>,
 }
 
@@ -243,18 +258,18 @@
 /// told the node that the server leaves.
 fn count_after_drain(run: &RunRecord) -> u64 {
     let node: HashMap<u64, u16> = run.tries.iter().map(|one| (one.id, one.node)).collect();
-    let mut told: HashMap<(u16, u16), Vec<(f64, bool)>> = HashMap::new();
+    let mut notices: HashMap<(u16, u16), Vec<(f64, bool)>> = HashMap::new();
     for one in &run.notices {
-        told.entry((one.node, one.server)).or_default().push((one.at_s, one.leaves));
+        notices.entry((one.node, one.server)).or_default().push((one.at_s, one.leaves));
     }
     let most = DRAIN_GRACE_S + SOCKET_GRACE_S + MEASUREMENT_GRACE_S;
     let late = |seen: &&Seen| {
-        let Some(told) = node.get(&seen.id).and_then(|node| told.get(&(*node, seen.server))) else {
+        let Some(notices) = node.get(&seen.id).and_then(|node| notices.get(&(*node, seen.server))) else {
             return false;
         };
-        let then = told.iter().rfind(|(at, _)| *at + most < seen.at_s);
-        let since = told.iter().filter(|(at, _)| *at + most >= seen.at_s && *at <= seen.at_s);
-        then.is_some_and(|(_, leaves)| *leaves) && since.clone().all(|(_, leaves)| *leaves)
+        let before = notices.iter().rfind(|(at, _)| *at + most < seen.at_s);
+        let in_grace = notices.iter().filter(|(at, _)| *at + most >= seen.at_s && *at <= seen.at_s);
+        before.is_some_and(|(_, leaves)| *leaves) && in_grace.clone().all(|(_, leaves)| *leaves)
     };
     run.seen.iter().filter(late).count() as u64
 }
@@ -433,8 +448,8 @@
     let served: Vec<f64> =
         per_s.get("all").map(|all| all.iter().map(OutcomeCounts::share).collect()).unwrap_or_default();
 
-    let judged = |seen: &&Seen| second(seen.at_s).is_some();
-    let seen: Vec<&Seen> = run.seen.iter().filter(judged).collect();
+    let in_period = |seen: &&Seen| second(seen.at_s).is_some();
+    let seen: Vec<&Seen> = run.seen.iter().filter(in_period).collect();
     let (mut attempts_per_s, mut origin_per_s) = (vec![0; seconds], vec![0; seconds]);
     let mut zone_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     let (mut crossings, mut hits, mut misses, mut fetches) = (0, 0_u64, 0_u64, 0);
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -42,13 +42,14 @@
 /// Buffer for a message between nodes, in bytes: the limit of 256, and one more to detect longer messages.
 const MESSAGE_BUFFER: usize = 257;
 
-/// Discovery told a node whether a server is active.
+/// Records that discovery told a node, at `at_s`, whether a server is active.
 #[derive(Clone, Copy, Debug)]
 pub struct StateNotice {
     pub node: u16,
     pub server: u16,
     /// Whether the server is leaving or gone; false when it is active.
     pub leaves: bool,
+    /// Seconds since the start of the run.
     pub at_s: f64,
 }
 
@@ -71,7 +72,7 @@
     pub downtimes: Mutex<Vec<(f64, f64)>>,
 }
 
-/// State shared by the discovery proxies: what they need to answer, and a record of what they told the nodes.
+/// State shared by the discovery proxies: what they need to answer, and a record of what they sent to the nodes.
 pub struct DiscoveryProxies {
     book: Arc<Book>,
     parties: Arc<Parties>,
@@ -336,7 +337,7 @@
     }
 
     /// Forwards a read to a replica over the emulated link between their zones, and replaces the servers' addresses in
-    /// the response by those for the node's zone. Records what the node is told. `None` when the replica does not
+    /// the response by those for the node's zone. Records the states and the version that the node receives. `None` when the replica does not
     /// answer with a list.
     async fn forward(&self, node: usize, replica: usize, path: &str) -> Option<Response<Full<Bytes>>> {
         let zone = self.node_zones[node];
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -27,8 +27,8 @@
 }
 
 impl Observer {
-    pub fn start(who: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
-        let seen = Arc::new(Mutex::new(ClientHistory { who: who.into(), lists: Vec::new() }));
+    pub fn start(name: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
+        let seen = Arc::new(Mutex::new(ClientHistory { name: name.into(), lists: Vec::new() }));
         let stop = Arc::new(AtomicBool::new(false));
         let (history, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -38,14 +38,14 @@
     pub node: PathBuf,
 }
 
-/// How long the list may take to contain all servers, before the nodes are started.
+/// How long the registry may take to list all servers before the nodes are started.
 const LIST_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long recording goes on after the last response, to include work that the fleet does on its own.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// Maximum age at which connections of a zone are reset by the fault `reset_zone`.
+/// Under the fault `reset_zone`, connections are reset after at most this time.
 const RESET_AFTER_MS: u64 = 300;
 
-/// What the agent of an emulated server is told to do.
+/// A command to the agent of an emulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AgentCommand {
     /// Keep the server registered.
@@ -64,6 +64,7 @@
     programs: Programs,
     /// Addresses of the registry replicas at which the list is changed.
     ops: Vec<SocketAddr>,
+    /// By server id: where its agent receives commands.
     agents: Mutex<BTreeMap<String, watch::Sender<AgentCommand>>>,
     /// Selects the targets of faults that hit a share. Each fault derives its own generator from it, so that reverting
     /// the fault selects the same targets again.
@@ -431,6 +432,7 @@
         let lead = self.book.scenario.lead_s;
         sleep_until(at(self.book.start(), lead + fault.at_s)).await;
         let from_s = self.book.now();
+        // Reports contain the name of the variant as its `Debug` form prints it.
         let name = format!("{:?}", fault.what);
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
         if let What::Replace { share, batch } = fault.what {
