--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -368,7 +368,7 @@
 }
 
 /// Seconds from the end of a fault (`to_s`) until the served share has recovered, by the rule at
-/// [`RECOVERY_TOLERANCE`]; `None` when it does not. `shares` holds the served share of each second.
+/// `RECOVERY_TOLERANCE`; `None` when it does not. `shares` holds the served share of each second.
 pub fn recovery(shares: &[f64], from_s: f64, to_s: f64) -> Option<f64> {
     let begin = (from_s.max(0.0) as usize).min(shares.len());
     let before = &shares[begin.saturating_sub(BASELINE_S)..begin];
--- a/fault-lab/src/experiment.rs
+++ b/fault-lab/src/experiment.rs
@@ -81,7 +81,7 @@
 }
 
 /// Returns the scenario with one number replaced. `path` is its dotted path in the TOML file, such as
-/// `load.of_capacity`; integers are rounded.
+/// `load.of_capacity`. Where the file has an integer, `value` is rounded.
 ///
 /// # Errors
 /// When there is no number at this path, or the scenario is invalid with this value.
--- a/fault-lab/src/fleet.rs
+++ b/fault-lab/src/fleet.rs
@@ -296,7 +296,7 @@
 /// Polls a readiness path until it answers with success.
 ///
 /// # Errors
-/// When it does not within [`READY_TIMEOUT`].
+/// When it does not within `READY_TIMEOUT`.
 pub async fn wait_until_ready(addr: SocketAddr, path: &str) -> io::Result<()> {
     let until = Instant::now() + READY_TIMEOUT;
     loop {
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -1,4 +1,4 @@
-//! Registry clients for tests, each in its own thread: observers follow the server list, writers change it.
+//! Registry clients for tests and benchmarks, each in its own thread: observers follow the server list, writers change it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
