--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -85,8 +85,8 @@
     /// Reads of the list made throughout the failover measurement, and how many of them no endpoint answered.
     pub failover_reads: u64,
     pub failover_reads_failed: u64,
-    /// Time from the start of a replica's process until it is ready, when its data holds a long history (`history` changes)
-    /// behind a snapshot.
+    /// Time from the start of a replica's process until it is ready, when its data holds a long history (`history`
+    /// changes) behind a snapshot.
     pub start_ms: Spread,
     /// Resident memory of a replica after each tenth of the churn period, in KiB.
     pub churn_kib: Vec<u64>,
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -1,4 +1,5 @@
-//! Registry clients for tests and benchmarks, each in its own thread: observers follow the server list, writers change it.
+//! Registry clients for tests and benchmarks, each in its own thread: observers follow the server list,
+//! writers change it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
