--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -6,10 +6,10 @@
 use clap::Subcommand;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
-use shaletrail_fault_lab::experiment::{cliff, compare, step, with, Estimate, Step};
-use shaletrail_fault_lab::judge::{judge, Report, Verdict};
-use shaletrail_fault_lab::orchestrator::{play, Programs};
-use shaletrail_fault_lab::process::start_guard;
+use shaletrail_fault_lab::evaluation::{evaluate, Report, Verdict};
+use shaletrail_fault_lab::experiment::{compare, find_cliff, sweep_step, with_value, Estimate, SweepStep};
+use shaletrail_fault_lab::orchestrator::{self, Programs};
+use shaletrail_fault_lab::process::start_reaper;
 use shaletrail_fault_lab::report::{plot, row, write, Curve, ROW_HEAD};
 use shaletrail_fault_lab::scenario::{Scenario, CATALOGUE};
 
@@ -152,7 +152,7 @@
         Commands::Sweep(args) => sweep(args).await,
         Commands::Count { at, between_ms, pause_ms } => {
             let (between, pause) = (Duration::from_millis(between_ms), Duration::from_millis(pause_ms));
-            shaletrail_fault_lab::guarded::count(at, between, pause).await.map_err(Failure::Failed)
+            shaletrail_fault_lab::fenced_counter::count(at, between, pause).await.map_err(Failure::Failed)
         }
     }
 }
@@ -202,7 +202,7 @@
 
 /// Starts the guard process, which kills all child processes when this process ends.
 pub fn start_guard_process(programs: &Programs) -> Result<(), Failure> {
-    start_guard(std::process::Command::new(&programs.command).arg("guard")).map_err(Failure::failed)
+    start_reaper(std::process::Command::new(&programs.command).arg("guard")).map_err(Failure::failed)
 }
 
 /// Runs a scenario once, with a progress bar on a terminal.
@@ -215,13 +215,13 @@
     }
     bar.set_message(format!("{} seed {seed}", scenario.name));
     bar.enable_steady_tick(Duration::from_millis(500));
-    let run = play(scenario.clone(), seed, programs, |at| bar.set_position(at as u64));
+    let run = orchestrator::run_scenario(scenario.clone(), seed, programs, |at| bar.set_position(at as u64));
     let run = tokio::select! {
         run = run => run.map_err(Failure::failed)?,
         () = shutdown_signal() => return Err(Failure::Failed("stopped".to_owned())),
     };
     bar.finish_and_clear();
-    Ok(judge(&run))
+    Ok(evaluate(&run))
 }
 
 async fn run_once(scenario: &Scenario, seed: u64, options: RunOptions) -> Result<(), Failure> {
@@ -331,7 +331,7 @@
     let programs = programs(args.options.node)?;
     let value = |n: usize| args.from + (args.to - args.from) * n as f64 / (args.steps - 1) as f64;
     let scenarios: Result<Vec<_>, _> =
-        (0..args.steps).map(|n| Ok((value(n), with(&base, &args.vary, value(n))?))).collect();
+        (0..args.steps).map(|n| Ok((value(n), with_value(&base, &args.vary, value(n))?))).collect();
     let scenarios =
         scenarios.map_err(|e: shaletrail_fault_lab::scenario::ScenarioError| Failure::invalid(e))?;
     start_guard_process(&programs)?;
@@ -342,7 +342,7 @@
         for seed in first..first + args.runs {
             reports.push(run_until_valid(scenario, seed, &programs).await?);
         }
-        steps.push(step(*value, &reports));
+        steps.push(sweep_step(*value, &reports));
         tracing::info!("{} = {value:.2}: goodput {:.2}", args.vary, steps[steps.len() - 1].goodput);
     }
     let mut text = format!(
@@ -357,7 +357,7 @@
             s.value, s.offered_worth_per_s, s.goodput, s.attempts_per_request, s.origin_fetches_per_request
         );
     }
-    text += &match cliff(&steps) {
+    text += &match find_cliff(&steps) {
         None => "\nNo cliff: served worth is nowhere 20% under the highest before it.\n".to_owned(),
         Some(at) => format!(
             "\nA cliff: at {:.2} served worth is 20% or more under the highest before it.\n",
@@ -366,7 +366,7 @@
     };
     if let Some(out) = &args.options.out {
         std::fs::create_dir_all(out).map_err(Failure::failed)?;
-        let curve = |name: &str, read: fn(&Step) -> f64| Curve {
+        let curve = |name: &str, read: fn(&SweepStep) -> f64| Curve {
             name: name.to_owned(),
             points: steps.iter().map(|s| (s.value, read(s))).collect(),
         };
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -104,7 +104,7 @@
             Commands::Up(args) => up::run(args).await,
             Commands::Lab(args) => lab::run(args).await,
             Commands::Guard => {
-                shaletrail_fault_lab::process::stand_guard(std::io::stdin().lock());
+                shaletrail_fault_lab::process::run_reaper(std::io::stdin().lock());
                 Ok(())
             }
             Commands::Bench(args) => bench::run(args).await,
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use shaletrail_fault_lab::orchestrator::{Live, Standing};
+use shaletrail_fault_lab::orchestrator::{LiveCounts, RunningFleet};
 use shaletrail_fault_lab::scenario::Scenario;
 use shaletrail_registry_client::call::{Call, HttpClient};
 
@@ -46,7 +46,7 @@
     let scenario = Scenario::parse("--caches, --nodes, --per-s", &text).map_err(Failure::invalid)?;
     start_guard_process(&programs)?;
     let standing = tokio::select! {
-        standing = Standing::start(&scenario, &programs) => standing.map_err(Failure::failed)?,
+        standing = RunningFleet::start(&scenario, &programs) => standing.map_err(Failure::failed)?,
         () = shutdown_signal() => return Err(Failure::Failed("stopped".to_owned())),
     };
     let (discovery, ops) = standing.registry();
@@ -69,7 +69,7 @@
         discovery[0]
     );
     println!("Press Ctrl-C to stop everything.\n");
-    let mut totals = Live::default();
+    let mut totals = LiveCounts::default();
     let mut ticks = tokio::time::interval(REFRESH_INTERVAL);
     let ended = shutdown_signal();
     tokio::pin!(ended);
--- a/cli/tests/duties.rs
+++ b/cli/tests/duties.rs
@@ -8,10 +8,10 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use shaletrail_fault_lab::guarded::{check, Guarded, Runner};
+use shaletrail_fault_lab::fenced_counter::{check, CandidateProcess, FencedCounter};
 use shaletrail_fault_lab::link::LinkCondition;
-use shaletrail_fault_lab::observer::{get, numbered, send};
-use shaletrail_fault_lab::process::{group, wait_for, Process};
+use shaletrail_fault_lab::observer::{get, numbered_registration, send};
+use shaletrail_fault_lab::process::{group_members, wait_for, Process};
 use shaletrail_fault_lab::registry::{sleep_ms, RegistryCluster};
 use shaletrail_fault_lab::rng::SeededRng;
 use shaletrail_registry_client::client::{duty_path, ChangeError};
@@ -31,9 +31,9 @@
 /// A registry, a fenced counter, and candidates whose command increments the counter while they hold the
 /// duty.
 struct TestCluster {
-    runners: Vec<Runner>,
+    runners: Vec<CandidateProcess>,
     service: RegistryCluster,
-    guarded: Guarded,
+    guarded: FencedCounter,
     lease_s: f64,
     between_ms: u64,
 }
@@ -48,7 +48,7 @@
         between_ms: u64,
     ) -> TestCluster {
         let service = RegistryCluster::start(program(), name, replicas);
-        let guarded = Guarded::start(guard);
+        let guarded = FencedCounter::start(guard);
         let mut cluster = TestCluster { runners: Vec::new(), service, guarded, lease_s, between_ms };
         for n in 0..runners {
             let runner = cluster.runner(n);
@@ -61,12 +61,19 @@
         cluster
     }
 
-    fn runner(&self, n: usize) -> Runner {
+    fn runner(&self, n: usize) -> CandidateProcess {
         let (at, between) = (self.guarded.addr.to_string(), self.between_ms.to_string());
         let count = ["lab", "count", "--at", &at, "--between-ms", &between];
         let command: Vec<&str> = program().to_str().into_iter().chain(count).collect();
         let log = self.service.folder.0.join(format!("c{n}.log"));
-        Runner::start(program(), &self.service.ops(), &format!("c{n}"), self.lease_s, &log, &command)
+        CandidateProcess::start(
+            program(),
+            &self.service.ops(),
+            &format!("c{n}"),
+            self.lease_s,
+            &log,
+            &command,
+        )
     }
 
     fn duty_status(&self) -> Option<Value> {
@@ -142,7 +149,7 @@
     let n = cluster.holder();
     let old_group = cluster.runners[n].group().expect("a supervisor");
     cluster.runners[n].process.kill();
-    wait_for("the holder's process group has ended", || group(old_group).is_empty().then_some(()));
+    wait_for("the holder's process group has ended", || group_members(old_group).is_empty().then_some(()));
     next(&cluster, "killed", &mut last_fence);
     cluster.restart(n);
     // Only the holder is suspended, and its command keeps running: the supervisor ends it in time.
@@ -150,7 +157,7 @@
     let old_group = cluster.runners[n].group().expect("a supervisor");
     cluster.runners[n].process.signal("STOP");
     next(&cluster, "stopped alone", &mut last_fence);
-    assert!(group(old_group).is_empty(), "the supervisor has ended the command");
+    assert!(group_members(old_group).is_empty(), "the supervisor has ended the command");
     cluster.runners[n].process.signal("CONT");
     wait_for("the old holder is in the queue again", || {
         cluster.queue().contains(&format!("c{n}")).then_some(())
@@ -160,7 +167,7 @@
     let supervisor = cluster.runners[n].group().expect("a supervisor");
     let before = cluster.guarded.accepted().len();
     let _ = Command::new("kill").args(["-KILL", &supervisor.to_string()]).status();
-    wait_for("the supervisor's group has ended", || group(supervisor).is_empty().then_some(()));
+    wait_for("the supervisor's group has ended", || group_members(supervisor).is_empty().then_some(()));
     wait_for("the counter is incremented again", || {
         (cluster.guarded.accepted().len() > before + 3).then_some(())
     });
@@ -242,8 +249,8 @@
     }
     // The same without a supervisor, so that the delayed call is certainly sent.
     for guard in [true, false] {
-        let guarded = Guarded::start(guard);
-        let folder = shaletrail_fault_lab::process::Folder::new("late");
+        let guarded = FencedCounter::start(guard);
+        let folder = shaletrail_fault_lab::process::TempFolder::new("late");
         let at = guarded.addr.to_string();
         let start = |fence: &str, between: &str| {
             let mut command = Command::new(program());
@@ -258,7 +265,7 @@
         wait_for("the new holder increments the counter", || (guarded.accepted().len() > 3).then_some(()));
         old.signal("CONT");
         if guard {
-            assert_eq!(old.exit().code(), Some(1), "the delayed call is refused");
+            assert_eq!(old.wait_for_exit().code(), Some(1), "the delayed call is refused");
             assert!(old.log().contains("fencing number 1 is old"), "{}", old.log());
             assert!(check(&guarded.accepted()).is_empty());
         } else {
@@ -370,7 +377,7 @@
         registry
             .set_fence(Some(&shaletrail_registry_protocol::duty::Fence { duty: "counter".into(), fence }));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let body = json!(numbered("s1", 1));
+        let body = json!(numbered_registration("s1", 1));
         runtime.block_on(registry.send::<Value>(
             Method::PUT,
             "/registry/instances/s1",
@@ -391,7 +398,7 @@
     assert!(output_text(&out).contains("held or waited for"), "{}", output_text(&out));
     // SIGTERM ends the command and releases the duty, with exit code 0.
     cluster.runners[2].process.signal("TERM");
-    assert_eq!(cluster.runners[2].process.exit().code(), Some(0));
+    assert_eq!(cluster.runners[2].process.wait_for_exit().code(), Some(0));
     let fifth = cluster.wait_for_newer_holder(fourth);
     cluster.assert_no_overlap(fourth, fifth);
     cluster.check_history("moved by an operator");
@@ -421,11 +428,11 @@
     let script = "trap '' TERM; echo begun; sleep 1000 & while :; do sleep 0.1; done";
     stubborn.args(["duty", "run", "job", "--registry", &ops, "--lease-s", "1", "--", "bash", "-c", script]);
     let mut stubborn = Process::start(&mut stubborn, &log);
-    stubborn.says("begun");
+    stubborn.wait_for_line("begun");
     let supervisor = shaletrail_fault_lab::process::children(stubborn.id())[0];
     stubborn.signal("TERM");
-    assert_eq!(stubborn.exit().code(), Some(0));
-    assert!(group(supervisor).is_empty(), "the whole process group has ended");
+    assert_eq!(stubborn.wait_for_exit().code(), Some(0));
+    assert!(group_members(supervisor).is_empty(), "the whole process group has ended");
     for (args, words) in [
         (vec!["duty", "run", "a/b", "--", "true"], "duty: id: 1 to 128"),
         (vec!["duty", "run", "x", "--lease-s", "0.1", "--", "true"], "0.5 to 30 seconds expected, got 0.1"),
@@ -465,7 +472,7 @@
     assert!(out.status.success(), "{}", output_text(&out));
     // A holder that is not in the backup.
     cluster.runners[0].process.signal("TERM");
-    cluster.runners[0].process.exit();
+    cluster.runners[0].process.wait_for_exit();
     cluster.runners = vec![cluster.runner(1)];
     let unknown = cluster.wait_for_newer_holder(1);
     cluster.service.kill(0);
@@ -537,7 +544,7 @@
     assert!(out.status.success(), "{}", output_text(&out));
     // Entries of servers that answer stay, although their agents are silent; entries of dead servers expire
     // after the keeper has confirmed it.
-    let alive = Guarded::start(true);
+    let alive = FencedCounter::start(true);
     let dead_addr = shaletrail_fault_lab::registry::free_addr();
     let register = |id: &str, addr: SocketAddr, lease: Option<f64>| {
         let mut body = json!({"addr": addr.to_string()});
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -80,7 +80,7 @@
             for n in 0..service.replicas.len() {
                 service.process(n).signal("TERM");
                 wait_for("a replica ends on SIGTERM", || {
-                    service.replicas[n].process.as_mut().map(|p| p.exit())
+                    service.replicas[n].process.as_mut().map(|p| p.wait_for_exit())
                 });
                 service.launch(n);
                 service.wait_until_ready(n);
@@ -117,20 +117,20 @@
         if must_make_progress(fault) {
             let after = Instant::now();
             wait_for(&format!("a change is acknowledged in spite of {fault:?}"), || {
-                writers.iter().any(|writer| writer.since(after) > 0).then_some(())
+                writers.iter().any(|writer| writer.acknowledged_since(after) > 0).then_some(())
             });
         }
         sleep_ms(200 + random.below(800) as u64);
         service.heal();
         let healed = Instant::now();
         wait_for("all writers continue", || {
-            writers.iter().all(|writer| writer.since(healed) > 0).then_some(())
+            writers.iter().all(|writer| writer.acknowledged_since(healed) > 0).then_some(())
         });
         println!("  {:.1} s, version {}", before.elapsed().as_secs_f64(), observers[0].version());
     }
-    let acknowledged: Vec<_> = writers.into_iter().flat_map(Writer::end).collect();
+    let acknowledged: Vec<_> = writers.into_iter().flat_map(Writer::stop).collect();
     let last = acknowledged.iter().map(|ack| ack.version).max().expect("an acknowledged change");
-    let seen: Vec<_> = observers.into_iter().map(|observer| observer.end_at(last)).collect();
+    let seen: Vec<_> = observers.into_iter().map(|observer| observer.stop_at(last)).collect();
     let violations = check(&seen, &acknowledged);
     assert!(violations.is_empty(), "seed {}: {violations:#?}", random.seed);
     assert!(acknowledged.len() > 50, "only {} changes were acknowledged", acknowledged.len());
--- a/cli/tests/lab.rs
+++ b/cli/tests/lab.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 
 use serde_json::Value;
-use shaletrail_fault_lab::process::{children, wait_for, Folder, Process};
+use shaletrail_fault_lab::process::{children, wait_for, Process, TempFolder};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_shaletrail-fleet"))
@@ -17,7 +17,7 @@
 
 /// A scenario small enough for a busy machine. The limit of lateness is high, so that the run is not void,
 /// and the tests assert no speed.
-fn small(folder: &Folder, more: &str) -> String {
+fn small(folder: &TempFolder, more: &str) -> String {
     let file = folder.0.join("small.toml");
     let text = format!(
         "name = 'small'\nabout = 'a small fleet'\nseconds = 8.0\nlead_s = 2.0\nlateness_ms = 1000.0\n{more}\n\
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_run_is_judged_and_reported_and_can_be_replayed() {
-    let folder = Folder::new("lab-run");
+    let folder = TempFolder::new("lab-run");
     // Agents run as processes, as in production.
     let file = small(&folder, "[fleet]\nservers = 4\nnodes = 2\nzones = ['a', 'b']\nagent_processes = true\n[hold]\nbreaches = 1000000");
     let out = folder.0.join("out");
@@ -73,7 +73,7 @@
 
 #[test]
 fn invalid_scenarios_exit_with_2_and_one_line_that_says_what_was_expected() {
-    let folder = Folder::new("lab-wrong");
+    let folder = TempFolder::new("lab-wrong");
     for (more, says) in [
         ("[fleet]\nnodes = 0", "fleet.nodes: 1 to 60 expected, got 0"),
         ("[fleet]\nsevers = 3", "unknown field `severs`"),
@@ -100,7 +100,7 @@
 
 #[test]
 fn all_kinds_of_faults_run_without_breaking_the_unconditional_rules() {
-    let folder = Folder::new("lab-faults");
+    let folder = TempFolder::new("lab-faults");
     let faults = [
         "do = 'kill_servers'\nwhom = 'cache-0'",
         "do = 'silence_servers'\nwhom = 'cache-1'",
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_lab_that_dies_leaves_no_process_behind() {
-    let folder = Folder::new("lab-dies");
+    let folder = TempFolder::new("lab-dies");
     let file = small(&folder, "[fleet]\nservers = 3\nnodes = 2\nagent_processes = true");
     for signal in ["KILL", "INT"] {
         let mut command = Command::new(program());
@@ -144,7 +144,7 @@
         let running =
             wait_for("the lab's processes run", || Some(children(lab.id())).filter(|ids| ids.len() >= 7));
         lab.signal(signal);
-        assert!(!lab.exit().success());
+        assert!(!lab.wait_for_exit().success());
         wait_for("all processes have ended", || {
             let still_running = |id: &&u32| {
                 let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
--- a/cli/tests/service.rs
+++ b/cli/tests/service.rs
@@ -9,8 +9,8 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use shaletrail_fault_lab::link::LinkCondition;
-use shaletrail_fault_lab::observer::{get, numbered, put, Observer};
-use shaletrail_fault_lab::process::{wait_for, Folder, Process};
+use shaletrail_fault_lab::observer::{get, numbered_registration, put, Observer};
+use shaletrail_fault_lab::process::{wait_for, Process, TempFolder};
 use shaletrail_fault_lab::registry::{free_addr, sleep_ms, RegistryCluster};
 use shaletrail_registry_client::client::{entry_path, ChangeError};
 
@@ -27,7 +27,7 @@
 }
 
 fn add(ops: &[SocketAddr], id: &str, number: u64) -> u64 {
-    register(ops, id, &json!(numbered(id, number))).expect("the change holds")
+    register(ops, id, &json!(numbered_registration(id, number))).expect("the change holds")
 }
 
 fn read_list(discovery: SocketAddr) -> Value {
@@ -154,13 +154,13 @@
     let limited = format!("trap '' XFSZ; ulimit -f {}; exec {}", size + 8, command_words.join(" "));
     let log = service.log(0);
     let process = Process::start(Command::new("bash").args(["-c", &limited]), &log);
-    process.says("ready");
+    process.wait_for_line("ready");
     let ops = service.ops();
     let mut held = vec!["first".to_owned()];
     let filler = "x".repeat(100);
     let refused = (0..5000).find_map(|n| {
         let id = format!("s{n}-{filler}");
-        let body = json!(numbered(&id, 1));
+        let body = json!(numbered_registration(&id, 1));
         let path = format!("/registry/instances/{id}");
         let body = serde_json::to_vec(&body).expect("JSON");
         let (status, not_run) = raw_call(ops[0], "PUT", &path, &body);
@@ -288,7 +288,7 @@
     assert_eq!(leaving["servers"][0]["state"], "leaving");
     let changes = format!("/registry/instances?from={}&hold_ms=20000", leaving["version"]);
     assert_eq!(get(discovery, &changes).expect("a change")["servers"][0]["state"], "left");
-    assert!(agent.exit().success());
+    assert!(agent.wait_for_exit().success());
 }
 
 #[test]
@@ -317,7 +317,7 @@
     let version = list["version"].as_u64().expect("a version");
     assert!(version > later, "{version} after {later}");
     // A watcher gets the whole list, because the changes since its version are not known.
-    let seen = observer.end_at(version);
+    let seen = observer.stop_at(version);
     let last = seen.lists.iter().rfind(|list| list.version == version).expect("the restored list");
     assert!(last.full && last.servers.len() == 1);
     let bytes = std::fs::read(file).expect("the backup");
@@ -341,7 +341,7 @@
     command.args(["registry", "join", "--name", "r4", "--data"]).arg(&data);
     command.args(["--discovery", &discovery, "--ops", &own_ops, "--replica", &replica, "--registry", &list]);
     let joined = Process::start(&mut command, &log);
-    joined.says("ready");
+    joined.wait_for_line("ready");
     assert_eq!(ids(&read_list(discovery.parse().expect("an address"))), ["s1"]);
     let removed = run(&["registry", "remove", "r1", "--registry", &list]);
     assert!(removed.status.success(), "{}", String::from_utf8_lossy(&removed.stderr));
@@ -401,7 +401,7 @@
 }
 
 fn start_node(
-    folder: &Folder,
+    folder: &TempFolder,
     name: &str,
     discovery: &[SocketAddr],
     known_servers: &Value,
@@ -544,7 +544,7 @@
 
 #[test]
 fn invalid_arguments_exit_with_2_and_one_line_that_says_what_was_expected() {
-    let folder = Folder::new("wrong");
+    let folder = TempFolder::new("wrong");
     let file = folder.0.join("wrong.toml");
     std::fs::write(&file, "[registry]\nname = \"r1\"\nheartbeat = 5\n").expect("the file is written");
     let file = file.to_str().expect("a path");
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -160,7 +160,7 @@
 
     /// The node that the zone's balancer picks next: one in the zone if any is in use, otherwise any in use.
     fn pick_node(&self, zone: usize) -> Option<usize> {
-        let is_in_use = |node: &&Arc<Node>| node.in_use.load(Ordering::Relaxed);
+        let is_in_use = |node: &&Arc<Node>| node.in_rotation.load(Ordering::Relaxed);
         let same_zone: Vec<_> = self.nodes.iter().filter(is_in_use).filter(|n| n.zone == zone).collect();
         let candidates: Vec<_> =
             if same_zone.is_empty() { self.nodes.iter().filter(is_in_use).collect() } else { same_zone };
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -1,4 +1,5 @@
-//! Clients of the list service in threads of their own: some follow the list, some change it.
+//! Registry clients for tests and benchmarks, each in its own thread: observers follow the server list,
+//! writers change it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,25 +13,25 @@
 use shaletrail_registry_client::follow::Retry;
 use shaletrail_registry_protocol::{ChangeResult, Entry, Register, State};
 
-use crate::checker::{Acknowledged, Seen};
+use crate::checker::{Acknowledged, ClientHistory};
 use crate::process::wait_for;
 
 fn runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// Follows the list, and keeps all that it is told.
+/// Follows the server list and records every update.
 pub struct Observer {
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<ClientHistory>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Observer {
-    pub fn start(who: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
-        let seen = Arc::new(Mutex::new(Seen { who: who.into(), lists: Vec::new() }));
+    pub fn start(name: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
+        let seen = Arc::new(Mutex::new(ClientHistory { name: name.into(), lists: Vec::new() }));
         let stop = Arc::new(AtomicBool::new(false));
-        let (kept, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
+        let (history, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let thread = thread::spawn(move || {
             runtime().block_on(async {
                 let mut following = ListFollower::new(endpoints, None, Retry::Backoff, seed);
@@ -38,7 +39,7 @@
                 while !stopped.load(Ordering::Relaxed) {
                     let news = tokio::time::timeout(Duration::from_millis(50), following.next()).await;
                     if let Ok(ListUpdate::List(list)) = news {
-                        kept.lock().unwrap_or_else(PoisonError::into_inner).lists.push(list);
+                        history.lock().unwrap_or_else(PoisonError::into_inner).lists.push(list);
                     }
                 }
             });
@@ -46,15 +47,15 @@
         Observer { seen, stop, thread: Some(thread) }
     }
 
-    /// The newest version it was told.
+    /// The newest version received; 0 before the first.
     pub fn version(&self) -> u64 {
         let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.lists.last().map_or(0, |list| list.version)
     }
 
-    /// Waits until it has been told this version, and ends it.
-    pub fn end_at(mut self, version: u64) -> Seen {
-        wait_for("an observer sees the last version", || (self.version() >= version).then_some(()));
+    /// Waits until this version has been received, then stops and returns the history.
+    pub fn stop_at(mut self, version: u64) -> ClientHistory {
+        wait_for("the observer receives the last version", || (self.version() >= version).then_some(()));
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -70,7 +71,7 @@
     }
 }
 
-/// Registers one id again and again with a growing number, one change after the other.
+/// Registers one id repeatedly with an increasing number; each registration starts after the previous one has ended.
 pub struct Writer {
     stop: Arc<AtomicBool>,
     acknowledged: Arc<Mutex<Vec<(Instant, Acknowledged)>>>,
@@ -100,13 +101,13 @@
         Writer { stop, acknowledged, thread: Some(thread) }
     }
 
-    /// How many changes were acknowledged since a time.
-    pub fn since(&self, at: Instant) -> usize {
+    /// Number of registrations acknowledged after `at`.
+    pub fn acknowledged_since(&self, at: Instant) -> usize {
         let acks = self.acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
         acks.iter().filter(|(when, _)| *when > at).count()
     }
 
-    pub fn end(mut self) -> Vec<Acknowledged> {
+    pub fn stop(mut self) -> Vec<Acknowledged> {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -122,8 +123,9 @@
     }
 }
 
-/// An entry whose weight is a number; a higher one is a newer life, so that a late repeat changes nothing.
-pub fn numbered(id: &str, number: u64) -> Register {
+/// A registration whose weight and incarnation are `number`. Because a higher incarnation replaces a lower one, a
+/// delayed duplicate of an older registration has no effect.
+pub fn numbered_registration(id: &str, number: u64) -> Register {
     let entry = Entry {
         id: id.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -141,15 +143,16 @@
     changes: &mut RegistryClient,
     id: &str,
     number: u64,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<ChangeResult, ChangeError> {
-    changes.send(Method::PUT, &entry_path(id, ""), &numbered(id, number), time).await
+    changes.send(Method::PUT, &entry_path(id, ""), &numbered_registration(id, number), timeout).await
 }
 
-/// One change from outside of any runtime.
+/// Sends one change to the registry and waits for the acknowledgement. Blocks; must not be called inside an async
+/// runtime.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn put(
     endpoints: &[SocketAddr],
     method: Method,
@@ -159,10 +162,10 @@
     send(endpoints, method, path, body)
 }
 
-/// The same with whatever answer.
+/// Like [`put`], for calls with any other response type.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn send<A: serde::de::DeserializeOwned>(
     endpoints: &[SocketAddr],
     method: Method,
@@ -173,10 +176,10 @@
     runtime().block_on(changes.send(method, path, body, Duration::from_secs(30)))
 }
 
-/// One call that changes nothing, as JSON.
+/// Reads a path at one endpoint and returns the JSON. Blocks; must not be called inside an async runtime.
 ///
 /// # Errors
-/// As the client has it.
+/// The client's error, after its retries.
 pub fn get(endpoint: SocketAddr, path: &str) -> Result<serde_json::Value, ChangeError> {
     runtime().block_on(RegistryClient::new(vec![endpoint]).read(path, 64 << 20))
 }
--- a/fault-lab/src/orchestrator.rs
+++ b/fault-lab/src/orchestrator.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: starts the fleet, sends the load, carries the time line out, and gives back what was seen.
+//! Runs a scenario: starts the fleet, sends the load, injects the faults at their times, and returns what was recorded.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,34 +23,37 @@
 
 use crate::backends::{AttemptOutcome, Backend, Backends, RunState, ORIGIN};
 use crate::clients::{Clients, TryOutcome};
-use crate::fleet::{ready, Fleet, Node, CLIENTS_READY};
-use crate::judge::{Band, Cpu, Run};
+use crate::evaluation::{Cpu, FaultInterval, RunRecord};
+use crate::fleet::{wait_until_ready, Fleet, Node, CLIENT_READY_PATH};
 use crate::loopback::lock;
 use crate::net::{at, Impairments, Links, Liveness};
 use crate::plan::generate;
-use crate::process::{cpu_s, guard};
+use crate::process::{cpu_s, notify_reaper};
 use crate::scenario::{Fault, FaultKind, Scenario, Target};
 
-/// The programs that are run.
+/// Paths of the programs that are started: `shaletrail-fleet` and the node.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub command: PathBuf,
     pub node: PathBuf,
 }
 
-/// For the list to hold all servers, and for nodes to follow it, before the load begins.
-const LISTED: Duration = Duration::from_secs(60);
-/// After the last answer, so that what the fleet does by itself is seen.
-const AFTERWARDS: Duration = Duration::from_millis(300);
-/// A way's breaking, in a zone whose connections are reset.
-const RESETS_MS: u64 = 300;
+/// How long the registry may take to list all servers before the nodes are started.
+const LIST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long recording goes on after the last response, to include work that the fleet does on its own.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Under the fault `reset_zone`, connections are reset after at most this time.
+const RESET_AFTER_MS: u64 = 300;
 
-/// Tells the agents of one backend: go on, say goodbye, or be gone at once.
+/// A command to the agent of an emulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Agent {
-    On,
-    Goodbye,
-    Gone,
+enum AgentCommand {
+    /// Keep the server registered.
+    Run,
+    /// Mark the server as leaving, drain it, then end.
+    Drain,
+    /// End at once, without deregistering.
+    Kill,
 }
 
 struct Orchestrator {
@@ -59,75 +62,80 @@
     fleet: Arc<Fleet>,
     clients: Arc<Clients>,
     programs: Programs,
+    /// Addresses of the registry replicas at which the list is changed.
     ops: Vec<SocketAddr>,
-    agents: Mutex<BTreeMap<String, watch::Sender<Agent>>>,
-    /// Draws of whom a share strikes; each fault its own, so that taking it back finds the same ones.
+    /// By server id: where its agent receives commands.
+    agents: Mutex<BTreeMap<String, watch::Sender<AgentCommand>>>,
+    /// Selects the targets of faults that hit a share. Each fault derives its own generator from it, so that reverting
+    /// the fault selects the same targets again.
     seed: u64,
 }
 
-/// The list's form asks for the time of a start by the common clock; nothing here is reckoned by it.
+/// Wall-clock time for the field `started_ms` of a list entry. The lab itself does not depend on it.
 fn unix_ms() -> u64 {
     unix().as_millis() as u64
 }
 
-/// A fleet that stands until it is dropped, under the scenario's load.
-pub struct Standing {
+/// A fleet under the scenario's load that runs until it is dropped, without faults or a verdict.
+pub struct RunningFleet {
     orchestrator: Arc<Orchestrator>,
 }
 
-/// What a standing fleet did since it was last asked.
+/// Counts of a running fleet since the last call of [`RunningFleet::live`].
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Live {
+pub struct LiveCounts {
+    /// Tries by the lab's clients.
     pub asked: usize,
     pub served: usize,
     pub refused: usize,
+    /// Cache hits and misses of reads, at the cache servers.
     pub hits: usize,
     pub misses: usize,
+    /// Calls at the origin.
     pub fetches: usize,
 }
 
-impl Standing {
-    /// Starts the fleet and its load; requests of other clients are served too.
+impl RunningFleet {
+    /// Starts the fleet and its load. Requests from clients outside of the lab are served too.
     ///
     /// # Errors
-    /// Where the fleet does not start.
-    pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<Standing> {
+    /// When the fleet does not start.
+    pub async fn start(scenario: &Scenario, programs: &Programs) -> io::Result<RunningFleet> {
         let orchestrator = Orchestrator::start(scenario, scenario.seed, programs).await?;
         orchestrator.run_state.accepts_outside_clients.store(true, Ordering::Relaxed);
         orchestrator.run_state.warming_up.store(false, Ordering::Relaxed);
         orchestrator.run_state.start_clock();
         let clients = Arc::clone(&orchestrator.clients);
         tokio::spawn(async move { clients.run(|_| {}).await });
-        Ok(Standing { orchestrator })
+        Ok(RunningFleet { orchestrator })
     }
 
-    /// Where nodes read the list, and where it is changed.
+    /// Addresses of the registry: those at which nodes read the list, and those at which it is changed.
     pub fn registry(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         (lock(&self.orchestrator.fleet.service).discovery(), self.orchestrator.ops.clone())
     }
 
-    /// Each node with its clients' address and its door.
+    /// Each node's name, client address and operator address.
     pub fn nodes(&self) -> Vec<(String, SocketAddr, SocketAddr)> {
         self.orchestrator.fleet.nodes.iter().map(|n| (n.name.clone(), n.listen, *lock(&n.ops))).collect()
     }
 
-    /// The cache servers and the origin.
+    /// Id and address of each cache server and, last, of the origin.
     pub fn servers(&self) -> Vec<(String, SocketAddr)> {
         let mut all = self.orchestrator.backends.all();
         all.push(Arc::clone(&self.orchestrator.backends.origin));
         all.iter().map(|backend| (backend.id.clone(), backend.addrs[backend.zone])).collect()
     }
 
-    /// Figures since the last call.
-    pub fn live(&self) -> Live {
+    /// Counts since the last call, or since the start at the first one.
+    pub fn live(&self) -> LiveCounts {
         let tries = std::mem::take(&mut *lock(&self.orchestrator.clients.tries));
         let seen = std::mem::take(&mut *lock(&self.orchestrator.run_state.attempts));
-        lock(&self.orchestrator.fleet.views.told).clear();
-        let ends = |outcome: AttemptOutcome| {
-            seen.iter().filter(|seen| seen.outcome == outcome && !seen.write).count()
-        };
-        let answers = |outcome: TryOutcome| tries.iter().filter(|one| one.outcome == outcome).count();
-        Live {
+        lock(&self.orchestrator.fleet.proxies.notices).clear();
+        let ends =
+            |end: AttemptOutcome| seen.iter().filter(|seen| seen.outcome == end && !seen.write).count();
+        let answers = |answer: TryOutcome| tries.iter().filter(|one| one.outcome == answer).count();
+        LiveCounts {
             asked: tries.len(),
             served: answers(TryOutcome::Served),
             refused: answers(TryOutcome::Refused),
@@ -138,16 +146,16 @@
     }
 }
 
-/// Plays it once. `progress` is told the time of the run, in seconds, now and then.
+/// Runs a scenario once. `progress` is called repeatedly with the seconds since the start of the run.
 ///
 /// # Errors
-/// Where the fleet does not start, which is no verdict on it.
-pub async fn play(
+/// When the fleet does not start or a fault can't be injected; then there is no verdict.
+pub async fn run_scenario(
     mut scenario: Scenario,
     seed: u64,
     programs: &Programs,
     progress: impl FnMut(f64),
-) -> io::Result<Run> {
+) -> io::Result<RunRecord> {
     scenario.seed = seed;
     let orchestrator = Orchestrator::start(&scenario, seed, programs).await?;
     let Orchestrator { run_state, clients, .. } = &*orchestrator;
@@ -160,17 +168,17 @@
             run_state.warming_up.store(false, Ordering::Relaxed);
         })
     };
-    let mut playing = Vec::new();
+    let mut faults = Vec::new();
     for (n, fault) in scenario.faults.iter().enumerate() {
         let (orchestrator, fault) = (Arc::clone(&orchestrator), fault.clone());
-        playing.push(tokio::spawn(async move { orchestrator.fault(n, &fault).await }));
+        faults.push(tokio::spawn(async move { orchestrator.run_fault(n, &fault).await }));
     }
     clients.run(progress).await;
     let cpu = orchestrator.cpu_since(used, begin.elapsed());
-    sleep(AFTERWARDS).await;
+    sleep(SETTLE_TIME).await;
     lead.abort();
     let mut bands = Vec::new();
-    for fault in playing {
+    for fault in faults {
         match fault.await {
             Ok(Ok(band)) => bands.push(band),
             Ok(Err(e)) => return Err(e),
@@ -181,14 +189,14 @@
 }
 
 impl Orchestrator {
-    /// Starts all backends and processes, and waits until every node is ready.
+    /// Starts the emulated servers and all processes, and waits until every node is ready.
     async fn start(scenario: &Scenario, seed: u64, programs: &Programs) -> io::Result<Arc<Orchestrator>> {
         let link = &scenario.link;
         let way = |delay_ms| Impairments { delay_ms, jitter_ms: link.jitter_ms, ..Impairments::default() };
         let same = Impairments { jitter_ms: 0.0, ..way(link.same_ms) };
         let links = Links::new(scenario.fleet.zones.len(), same, way(link.cross_ms));
         let plan = generate(scenario, seed);
-        // The run begins when the fleet is ready; everything reads the time from then on.
+        // The run begins when the fleet is ready; until then the run's clock shows 0.
         let run_state = Arc::new(RunState::new(scenario.clone(), plan));
         let backends = Backends::new(Arc::clone(&run_state), links, seed);
         let fleet = Arc::new(Fleet::start(&run_state, &backends, &programs.command, &programs.node).await?);
@@ -205,22 +213,23 @@
             seed,
         });
         backends.open(&backends.origin);
-        orchestrator.list(&backends.origin);
+        orchestrator.start_agent(&backends.origin);
         for n in 0..scenario.fleet.servers {
             let backend = backends.add(format!("cache-{n}"), n, 0, true);
-            orchestrator.list(&backend);
+            orchestrator.start_agent(&backend);
         }
         orchestrator.wait_for_list(scenario.fleet.servers + 1).await?;
         fleet.start_nodes().await?;
         Ok(orchestrator)
     }
 
-    /// Processor time used so far: the lab's, the nodes', the replicas'.
+    /// CPU time used so far, in seconds: by the lab, the nodes and the replicas.
     fn cpu_s(&self) -> [f64; 3] {
         let (nodes, replicas) = self.fleet.cpu_s();
         [cpu_s(std::process::id()).unwrap_or(0.0), nodes, replicas]
     }
 
+    /// Mean number of cores in use over `time`, given the CPU time used `before` it.
     fn cpu_since(&self, before: [f64; 3], time: Duration) -> Cpu {
         let now = self.cpu_s();
         let cores = |n: usize| (now[n] - before[n]).max(0.0) / time.as_secs_f64();
@@ -228,27 +237,27 @@
         Cpu { lab: cores(0), nodes: cores(1), replicas: cores(2), of }
     }
 
-    /// All that was seen.
-    fn collect(&self, bands: Vec<Band>, cpu: Cpu) -> Run {
+    /// Takes everything that was recorded.
+    fn collect(&self, bands: Vec<FaultInterval>, cpu: Cpu) -> RunRecord {
         let Orchestrator { run_state, backends, fleet, clients, seed, .. } = self;
         let zones: Vec<u8> = backends.all().iter().map(|backend| backend.zone as u8).collect();
-        let take = |away: &Mutex<Vec<(f64, f64)>>| lock(away).clone();
+        let take = |downtimes: &Mutex<Vec<(f64, f64)>>| lock(downtimes).clone();
         let panics =
             fleet.logs().into_iter().filter(|(_, log)| log.contains("panicked")).map(|(name, _)| name);
         let mut crashed = fleet.crashed();
         crashed.extend(panics);
-        Run {
+        RunRecord {
             scenario: run_state.scenario.clone(),
             seed: *seed,
             plan: run_state.plan.clone(),
             tries: std::mem::take(&mut lock(&clients.tries)),
             seen: std::mem::take(&mut lock(&run_state.attempts)),
             falls: std::mem::take(&mut lock(&run_state.overload_crashes)),
-            told: std::mem::take(&mut lock(&fleet.views.told)),
-            versions: std::mem::take(&mut lock(&fleet.views.versions)),
+            notices: std::mem::take(&mut lock(&fleet.proxies.notices)),
+            versions: std::mem::take(&mut lock(&fleet.proxies.versions)),
             foreign_ids: run_state.unknown_ids.load(Ordering::Relaxed) as u64,
-            long_messages: fleet.views.long_messages.load(Ordering::Relaxed) as u64,
-            away: fleet.nodes.iter().map(|node| take(&node.away)).collect(),
+            long_messages: fleet.proxies.long_messages.load(Ordering::Relaxed) as u64,
+            downtimes: fleet.nodes.iter().map(|node| take(&node.downtimes)).collect(),
             crashed,
             server_zones: zones,
             bands,
@@ -259,31 +268,34 @@
 
     // ---- Agents ------------------------------------------------------------------------------------------
 
-    /// Starts a backend's agent.
-    fn list(self: &Arc<Self>, backend: &Arc<Backend>) {
-        let spec = &self.run_state.scenario;
+    /// Starts the agent that keeps a server registered in the list.
+    fn start_agent(self: &Arc<Self>, backend: &Arc<Backend>) {
+        let scenario = &self.run_state.scenario;
         let kind = if backend.id == self.backends.origin.id { "origin" } else { "box" };
         let addr = backend.addrs[backend.zone];
         let entry = Entry {
             id: backend.id.clone(),
             addr,
-            zone: spec.fleet.zones[backend.zone].clone(),
+            zone: scenario.fleet.zones[backend.zone].clone(),
             kind: kind.to_owned(),
             cell: 0,
             state: State::Active,
             weight: 1.0,
             started_ms: backend.started_ms.load(Ordering::Relaxed),
         };
-        let lease = Duration::from_secs_f64(spec.fleet.lease_s);
-        let drain = Duration::from_secs_f64(spec.servers.drain_s);
-        let (tell, mut told) = watch::channel(Agent::On);
-        lock(&self.agents).insert(backend.id.clone(), tell);
-        if spec.fleet.agent_processes {
-            let started = self.start_agent(&entry);
+        let lease = Duration::from_secs_f64(scenario.fleet.lease_s);
+        let drain = Duration::from_secs_f64(scenario.servers.drain_s);
+        let (sender, mut commands) = watch::channel(AgentCommand::Run);
+        lock(&self.agents).insert(backend.id.clone(), sender);
+        if scenario.fleet.agent_processes {
+            let started = self.spawn_agent_process(&entry);
             tokio::spawn(async move {
                 let Ok(mut agent) = started else { return };
-                let gone = told.wait_for(|told| *told != Agent::On).await.map_or(Agent::Gone, |told| *told);
-                if gone == Agent::Goodbye {
+                let command = commands
+                    .wait_for(|command| *command != AgentCommand::Run)
+                    .await
+                    .map_or(AgentCommand::Kill, |command| *command);
+                if command == AgentCommand::Drain {
                     if let Some(id) = agent.id() {
                         let id = id.to_string();
                         let _ = Command::new("kill").args(["-TERM", &id]).status().await;
@@ -293,7 +305,7 @@
                 let id = agent.id();
                 let _ = agent.kill().await;
                 if let Some(id) = id {
-                    guard('-', id);
+                    notify_reaper('-', id);
                 }
             });
             return;
@@ -301,63 +313,67 @@
         let (ops, id) = (self.ops.clone(), backend.id.clone());
         tokio::spawn(async move {
             let duty = AgentConfig { entry, lease, drain, probe_addr: addr };
-            let mut stop = told.clone();
+            let mut drain_commands = commands.clone();
             let stop = async move {
-                let _ = stop.wait_for(|told| *told == Agent::Goodbye).await;
+                let _ = drain_commands.wait_for(|command| *command == AgentCommand::Drain).await;
             };
             let mut changes = RegistryClient::new(ops);
             tokio::select! {
                 ended = agent::run(&duty, &mut changes, stop, |what| tracing::debug!("{what}")) => {
                     if let Err(e) = ended {
-                        tracing::warn!("agent of {id}: {e}");
+                        tracing::warn!("agent of {id} ended with an error: {e}");
                     }
                 }
-                _ = told.wait_for(|told| *told == Agent::Gone) => {}
+                _ = commands.wait_for(|command| *command == AgentCommand::Kill) => {}
             }
         });
     }
 
-    fn start_agent(&self, entry: &Entry) -> io::Result<Child> {
+    fn spawn_agent_process(&self, entry: &Entry) -> io::Result<Child> {
         let list: Vec<String> = self.ops.iter().map(ToString::to_string).collect();
-        let spec = &self.run_state.scenario;
+        let scenario = &self.run_state.scenario;
         let mut command = Command::new(&self.programs.command);
         command.args(["agent", "--registry", &list.join(","), "--id", &entry.id]);
         command.args(["--addr", &entry.addr.to_string(), "--zone", &entry.zone, "--kind", &entry.kind]);
-        command.args(["--lease-s", &spec.fleet.lease_s.to_string()]);
-        command.args(["--drain-s", &spec.servers.drain_s.to_string()]);
+        command.args(["--lease-s", &scenario.fleet.lease_s.to_string()]);
+        command.args(["--drain-s", &scenario.servers.drain_s.to_string()]);
         command.stdin(std::process::Stdio::null()).stderr(std::process::Stdio::null());
         let agent = command.kill_on_drop(true).spawn()?;
         if let Some(id) = agent.id() {
-            guard('+', id);
+            notify_reaper('+', id);
         }
         Ok(agent)
     }
 
-    fn tell_agent(&self, id: &str, what: Agent) {
+    fn command_agent(&self, id: &str, command: AgentCommand) {
         if let Some(agent) = lock(&self.agents).get(id) {
-            agent.send_replace(what);
+            agent.send_replace(command);
         }
     }
 
     async fn wait_for_list(&self, count: usize) -> io::Result<()> {
         let discovery = lock(&self.fleet.service).discovery();
-        let until = Instant::now() + LISTED;
+        let until = Instant::now() + LIST_TIMEOUT;
         loop {
             let list = fetch_list(discovery[0], ListRequest::Whole).await;
             if list.is_ok_and(|list| list.servers.len() >= count) {
                 return Ok(());
             }
             if Instant::now() > until {
-                return Err(io::Error::other(format!("{count} servers are not listed in time")));
+                return Err(io::Error::other(format!(
+                    "the registry did not list {count} servers within {} s",
+                    LIST_TIMEOUT.as_secs()
+                )));
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    // ---- Whom --------------------------------------------------------------------------------------------
+    // ---- Targets of faults ----------------------------------------------------------------------------------
 
-    /// Those of `0..count` that are meant, the same ones each time for the same fault.
-    fn struck(
+    /// Indices in `0..count` that `whom` selects; the same ones each time for the same fault. `zone` is the zone of an
+    /// index. `first` is the number in the name of index 0: servers and nodes count from 0, replicas from 1.
+    fn targets(
         &self,
         whom: &Target,
         fault: usize,
@@ -389,67 +405,77 @@
     fn servers(&self, whom: &Target, fault: usize) -> Vec<Arc<Backend>> {
         let all = self.backends.all();
         let count = self.run_state.scenario.fleet.servers;
-        let struck = self.struck(whom, fault, count, |n| all[n].zone, 0);
-        struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
+        let targets = self.targets(whom, fault, count, |n| all[n].zone, 0);
+        targets.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
     fn nodes(&self, whom: &Target, fault: usize) -> Vec<Arc<Node>> {
         let all = &self.fleet.nodes;
-        let struck = self.struck(whom, fault, all.len(), |n| all[n].zone, 0);
-        struck.into_iter().map(|n| Arc::clone(&all[n])).collect()
+        let targets = self.targets(whom, fault, all.len(), |n| all[n].zone, 0);
+        targets.into_iter().map(|n| Arc::clone(&all[n])).collect()
     }
 
     fn replicas(&self, whom: &Target, fault: usize) -> Vec<usize> {
         let zones = self.run_state.scenario.fleet.zones.len();
-        self.struck(whom, fault, self.ops.len(), |n| n % zones, 1)
+        self.targets(whom, fault, self.ops.len(), |n| n % zones, 1)
     }
 
+    /// Index of a zone; `usize::MAX`, which matches none, for an unknown name.
     fn zone(&self, name: &str) -> usize {
         self.run_state.scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
     // ---- Faults ------------------------------------------------------------------------------------------
 
-    /// Plays one fault and takes it back; when it was in force, in the run's time.
-    async fn fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<Band> {
+    /// Injects one fault at its time and reverts it. Returns the interval in which it was active, in seconds from the
+    /// start of the run.
+    async fn run_fault(self: &Arc<Self>, n: usize, fault: &Fault) -> io::Result<FaultInterval> {
         let lead = self.run_state.scenario.lead_s;
         sleep_until(at(self.run_state.started_at(), lead + fault.at_s)).await;
         let from_s = self.run_state.elapsed_s();
+        // Reports contain the name of the variant as its `Debug` form prints it.
         let name = format!("{:?}", fault.kind);
         let name = name.split([' ', '{']).next().unwrap_or_default().to_owned();
         if let FaultKind::Replace { share, batch } = fault.kind {
             self.replace(share, batch, fault.for_s.unwrap_or(0.0)).await;
-            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
+            return Ok(FaultInterval { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
         if let FaultKind::UpgradeNodes {} = fault.kind {
             let pause = fault.for_s.unwrap_or(0.0) / self.fleet.nodes.len() as f64;
             for node in &self.fleet.nodes {
                 let next = Instant::now() + Duration::from_secs_f64(pause);
-                // One that stands still would not end; its turn comes when it goes on.
-                while lock(&node.away).last().is_some_and(|(_, back)| back.is_infinite()) {
+                // A stopped process would not handle SIGTERM, so the upgrade waits until it continues.
+                while lock(&node.downtimes).last().is_some_and(|(_, back)| back.is_infinite()) {
                     sleep(Duration::from_millis(50)).await;
                 }
                 self.fleet.upgrade(node).await?;
                 sleep_until(next).await;
             }
-            return Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
+            return Ok(FaultInterval { name, from_s, to_s: Some(self.run_state.elapsed_s()) });
         }
-        self.strike(n, &fault.kind).await?;
+        self.inject(n, &fault.kind).await?;
         let Some(length) = fault.for_s else {
-            let passes = matches!(fault.kind, FaultKind::ColdServers { .. } | FaultKind::MoveDiscovery {});
-            return Ok(Band { name, from_s, to_s: passes.then(|| self.run_state.elapsed_s()) });
+            let instantaneous =
+                matches!(fault.kind, FaultKind::ColdServers { .. } | FaultKind::MoveDiscovery {});
+            return Ok(FaultInterval {
+                name,
+                from_s,
+                to_s: instantaneous.then(|| self.run_state.elapsed_s()),
+            });
         };
         sleep_until(at(self.run_state.started_at(), lead + fault.at_s + length)).await;
-        self.take_back(n, &fault.kind).await?;
-        Ok(Band { name, from_s, to_s: Some(self.run_state.elapsed_s()) })
+        self.revert(n, &fault.kind).await?;
+        Ok(FaultInterval { name, from_s, to_s: Some(self.run_state.elapsed_s()) })
     }
 
-    async fn strike(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
+    async fn inject(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
         let cut = |way: Impairments| Impairments { cut: true, ..way };
         let usual = |way: Impairments| way;
         match what {
-            FaultKind::KillServers { whom } => self.lose(&self.servers(whom, n), Liveness::Dead),
-            FaultKind::SilenceServers { whom } => self.lose(&self.servers(whom, n), Liveness::Unreachable),
+            FaultKind::KillServers { whom } => self.take_down(&self.servers(whom, n), Liveness::Dead),
+            FaultKind::SilenceServers { whom } => {
+                self.take_down(&self.servers(whom, n), Liveness::Unreachable)
+            }
             FaultKind::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, true));
             }
@@ -463,18 +489,20 @@
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(*share, class));
             }
             FaultKind::ColdServers { whom } => {
-                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
+                self.servers(whom, n).iter().for_each(|backend| self.kill_and_restart(backend));
             }
             FaultKind::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|backend| self.tell_agent(&backend.id, Agent::Goodbye));
+                self.servers(whom, n)
+                    .iter()
+                    .for_each(|backend| self.command_agent(&backend.id, AgentCommand::Drain));
             }
-            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "disable").await,
+            FaultKind::DisableServers { whom } => self.set_by_operator(whom, n, "disable").await,
             FaultKind::SlowOrigin { times } => self.backends.slow(&self.backends.origin, *times),
             FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, true),
             FaultKind::KillNodes { whom } => self.kill_nodes(&self.nodes(whom, n)),
             FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
-                    self.leave(&node);
+                    self.mark_down(&node);
                     self.fleet.signal(&node, "STOP");
                 }
             }
@@ -489,7 +517,7 @@
             FaultKind::MoveDiscovery {} => self.fleet.move_discovery().await?,
             FaultKind::LoseZone { zone, nodes } => {
                 let whom = Target::Zone(zone.clone());
-                self.lose(&self.servers(&whom, n), Liveness::Unreachable);
+                self.take_down(&self.servers(&whom, n), Liveness::Unreachable);
                 if *nodes {
                     self.kill_nodes(&self.nodes(&whom, n));
                 }
@@ -509,13 +537,13 @@
                 self.backends.links().change(self.zone(zone), slow, slow);
             }
             FaultKind::ResetZone { zone } => {
-                let breaks = |way: Impairments| Impairments { reset_ms: Some(RESETS_MS), ..way };
+                let breaks = |way: Impairments| Impairments { reset_ms: Some(RESET_AFTER_MS), ..way };
                 self.backends.links().change(self.zone(zone), breaks, breaks);
             }
             FaultKind::RetryStorm { retries } => {
                 self.clients.storm_retries.store(*retries, Ordering::Relaxed)
             }
-            // The plan has them, or they are played above.
+            // Surges and flash crowds are part of the load plan; the other two are handled in `run_fault`.
             FaultKind::Surge { .. }
             | FaultKind::FlashCrowd { .. }
             | FaultKind::Replace { .. }
@@ -524,13 +552,13 @@
         Ok(())
     }
 
-    async fn take_back(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
+    async fn revert(self: &Arc<Self>, n: usize, what: &FaultKind) -> io::Result<()> {
         let usual = |way: Impairments| way;
         match what {
             FaultKind::KillServers { whom }
             | FaultKind::SilenceServers { whom }
             | FaultKind::DrainServers { whom } => {
-                self.servers(whom, n).iter().for_each(|backend| self.renew(backend));
+                self.servers(whom, n).iter().for_each(|backend| self.kill_and_restart(backend));
             }
             FaultKind::PauseServers { whom } => {
                 self.servers(whom, n).iter().for_each(|backend| self.backends.pause(backend, false));
@@ -542,14 +570,14 @@
                 let usual = self.run_state.scenario.servers.errors;
                 self.servers(whom, n).iter().for_each(|backend| backend.set_errors(usual, None));
             }
-            FaultKind::DisableServers { whom } => self.by_hand(whom, n, "enable").await,
+            FaultKind::DisableServers { whom } => self.set_by_operator(whom, n, "enable").await,
             FaultKind::SlowOrigin { .. } => self.backends.slow(&self.backends.origin, 1.0),
             FaultKind::StopOrigin {} => self.backends.pause(&self.backends.origin, false),
             FaultKind::KillNodes { whom } => self.start_nodes(self.nodes(whom, n)).await?,
             FaultKind::StopNodes { whom } => {
                 for node in self.nodes(whom, n) {
                     self.fleet.signal(&node, "CONT");
-                    self.back(&node);
+                    self.mark_up(&node);
                 }
             }
             FaultKind::KillReplicas { whom } => {
@@ -585,58 +613,60 @@
         Ok(())
     }
 
-    /// Processes or machines are gone, their agents with them.
-    fn lose(&self, backends: &[Arc<Backend>], how: Liveness) {
+    /// Takes servers down (see [`Life`] for how), and kills their agents.
+    fn take_down(&self, backends: &[Arc<Backend>], how: Liveness) {
         for backend in backends {
-            self.tell_agent(&backend.id, Agent::Gone);
+            self.command_agent(&backend.id, AgentCommand::Kill);
             backend.liveness.send_replace(how);
         }
     }
 
-    /// A process ends, if it had not, and the next one of its name starts.
-    fn renew(self: &Arc<Self>, backend: &Arc<Backend>) {
-        self.lose(std::slice::from_ref(backend), Liveness::Dead);
+    /// Kills a server's process, if it is up, and restarts it.
+    fn kill_and_restart(self: &Arc<Self>, backend: &Arc<Backend>) {
+        self.take_down(std::slice::from_ref(backend), Liveness::Dead);
         self.restart(backend);
     }
 
-    /// A server of this name starts anew, cold and empty, and is listed again.
+    /// Restarts a server under the same id, cold and with an empty cache, and registers it again.
     fn restart(self: &Arc<Self>, backend: &Arc<Backend>) {
         self.backends.restart(backend, unix_ms());
-        self.list(backend);
+        self.start_agent(backend);
     }
 
-    async fn by_hand(&self, whom: &Target, n: usize, call: &str) {
+    /// Calls `disable` or `enable` for the targets at every node.
+    async fn set_by_operator(&self, whom: &Target, n: usize, call: &str) {
         for backend in self.servers(whom, n) {
             for node in &self.fleet.nodes {
-                if !self.fleet.by_hand(node, &backend.id, call).await {
-                    tracing::warn!("{}: {call} {} did not go through", node.name, backend.id);
+                if !self.fleet.set_by_operator(node, &backend.id, call).await {
+                    tracing::warn!("{}: operator call `{call}` for {} failed", node.name, backend.id);
                 }
             }
         }
     }
 
-    /// The node does not answer from now on; its front notices later.
-    fn leave(self: &Arc<Self>, node: &Arc<Node>) {
-        lock(&node.away).push((self.run_state.elapsed_s(), f64::INFINITY));
-        let (node, late) = (Arc::clone(node), self.run_state.scenario.load.notice_s);
+    /// Records that a node is down from now on. Its zone's load balancer stops using it `notice_s` later.
+    fn mark_down(self: &Arc<Self>, node: &Arc<Node>) {
+        lock(&node.downtimes).push((self.run_state.elapsed_s(), f64::INFINITY));
+        let (node, delay_s) = (Arc::clone(node), self.run_state.scenario.load.notice_s);
         tokio::spawn(async move {
-            sleep(Duration::from_secs_f64(late)).await;
-            if lock(&node.away).last().is_some_and(|(_, to)| to.is_infinite()) {
-                node.in_use.store(false, Ordering::Relaxed);
+            sleep(Duration::from_secs_f64(delay_s)).await;
+            if lock(&node.downtimes).last().is_some_and(|(_, to)| to.is_infinite()) {
+                node.in_rotation.store(false, Ordering::Relaxed);
             }
         });
     }
 
-    fn back(&self, node: &Node) {
-        if let Some(last) = lock(&node.away).last_mut() {
+    /// Records that a node is up again; its zone's load balancer uses it at once.
+    fn mark_up(&self, node: &Node) {
+        if let Some(last) = lock(&node.downtimes).last_mut() {
             last.1 = self.run_state.elapsed_s();
         }
-        node.in_use.store(true, Ordering::Relaxed);
+        node.in_rotation.store(true, Ordering::Relaxed);
     }
 
     fn kill_nodes(self: &Arc<Self>, nodes: &[Arc<Node>]) {
         for node in nodes {
-            self.leave(node);
+            self.mark_down(node);
             self.fleet.kill(node);
         }
     }
@@ -646,13 +676,14 @@
             self.fleet.launch(node)?;
         }
         for node in &nodes {
-            ready(node.listen, CLIENTS_READY).await?;
-            self.back(node);
+            wait_until_ready(node.listen, CLIENT_READY_PATH).await?;
+            self.mark_up(node);
         }
         Ok(())
     }
 
-    /// Replaces servers by new ones, in batches over the time given: goodbye, drain, then a new one in its place.
+    /// Replaces a share of the servers in batches, spread over `over_s` seconds. Each server is drained, then killed,
+    /// and a new server with a new id starts in its place.
     async fn replace(self: &Arc<Self>, share: f64, batch: usize, over_s: f64) {
         let count = (self.run_state.scenario.fleet.servers as f64 * share).round() as usize;
         let batches = count.div_ceil(batch).max(1);
@@ -662,14 +693,14 @@
         let mut work = tokio::task::JoinSet::new();
         for batch in old[..count].chunks(batch) {
             for backend in batch {
-                self.tell_agent(&backend.id, Agent::Goodbye);
+                self.command_agent(&backend.id, AgentCommand::Drain);
                 let (orchestrator, backend) = (Arc::clone(self), Arc::clone(backend));
                 work.spawn(async move {
                     sleep(drain).await;
                     backend.liveness.send_replace(Liveness::Dead);
                     let place = usize::from(backend.number);
                     let new = orchestrator.backends.add(format!("{}b", backend.id), place, unix_ms(), false);
-                    orchestrator.list(&new);
+                    orchestrator.start_agent(&new);
                 });
             }
             sleep(pause).await;
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -11,7 +11,7 @@
 
 use crate::link::{Link, LinkCondition};
 use crate::observer::get;
-use crate::process::{wait_for, Folder, Process};
+use crate::process::{wait_for, Process, TempFolder};
 
 /// A loopback address that successive processes can bind. Its port is below the kernel's ephemeral range, so that no
 /// outgoing connection takes it between two of these processes. This process gets each address only once.
@@ -51,7 +51,7 @@
 /// A registry of one or more replicas.
 pub struct RegistryCluster {
     program: PathBuf,
-    pub folder: Folder,
+    pub folder: TempFolder,
     pub replicas: Vec<Replica>,
     /// The link from one replica to another, by their indices.
     pub links: BTreeMap<(usize, usize), Link>,
@@ -68,7 +68,7 @@
     /// # Panics
     /// The file can't be written.
     pub fn start_with(program: &Path, name: &str, count: usize, settings: &str) -> RegistryCluster {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         std::fs::write(folder.0.join(CONFIG_FILE), settings).expect("the configuration file can be written");
         let new_replica = |n: usize| {
             let name = format!("r{}", n + 1);
@@ -137,7 +137,7 @@
     }
 
     pub fn wait_until_ready(&self, n: usize) {
-        self.process(n).says("ready");
+        self.process(n).wait_for_line("ready");
     }
 
     pub fn kill(&mut self, n: usize) {
