--- a/dataplane/src/attempt_result.rs
+++ b/dataplane/src/attempt_result.rs
@@ -10,6 +10,7 @@
     pub body: Bytes,
 }
 
+/// How an attempt ended, with the outcome that is reported to the router.
 pub enum AttemptResult {
     /// A successful response has been forwarded completely.
     Served(Outcome),
--- a/dataplane/src/body_memory.rs
+++ b/dataplane/src/body_memory.rs
@@ -10,6 +10,7 @@
 }
 
 impl BodyMemory {
+    /// Creates a budget of `max_bytes` with nothing reserved.
     pub fn new(max_bytes: u64) -> Rc<Self> {
         Rc::new(BodyMemory { reserved_bytes: Cell::new(0), max_bytes })
     }
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -51,6 +51,7 @@
 }
 
 impl ClientConnection {
+    /// Creates the state of an idle connection that is kept open. Does not keep the socket open.
     pub fn new(clock: Clock, stream: &Rc<TcpStream>) -> Self {
         ClientConnection {
             clock,
@@ -85,6 +86,7 @@
         self.phase.get() == Phase::Responding
     }
 
+    /// What the connection's task should do with the connection; [`Disposition::KeepOpen`] at first.
     pub fn disposition(&self) -> Disposition {
         self.disposition.get()
     }
--- a/dataplane/src/client_request.rs
+++ b/dataplane/src/client_request.rs
@@ -53,10 +53,12 @@
         }
     }
 
+    /// The pause after which the response stream is reported as stalled; `None` if stalls are not detected.
     pub fn stall_timeout(&self) -> Option<Duration> {
         self.stall_timeout
     }
 
+    /// The client's request method, which is sent to servers unchanged.
     pub fn method(&self) -> &Method {
         &self.method
     }
--- a/dataplane/src/client_response.rs
+++ b/dataplane/src/client_response.rs
@@ -19,6 +19,7 @@
 }
 
 impl ClientResponse {
+    /// Creates a response of which nothing has been sent yet; it is sent through `writer`.
     pub fn new(writer: ResponseWriter) -> Self {
         ClientResponse { writer, has_begun: false, last_event: None, in_partial_event: false }
     }
--- a/dataplane/src/clock.rs
+++ b/dataplane/src/clock.rs
@@ -16,6 +16,7 @@
         Clock { start: Instant::now() }
     }
 
+    /// Milliseconds since the clock was started, rounded down.
     pub fn now(&self) -> Millis {
         Millis::try_from(self.start.elapsed().as_millis()).unwrap_or(Millis::MAX)
     }
--- a/dataplane/src/command_queues.rs
+++ b/dataplane/src/command_queues.rs
@@ -55,6 +55,7 @@
 pub struct CommandQueues(RefCell<AHashMap<RequestId, CommandQueue>>);
 
 impl CommandQueues {
+    /// Creates an empty queue for a request, so that commands for it can be queued.
     pub fn open(&self, request: RequestId) {
         self.0.borrow_mut().insert(request, CommandQueue::default());
     }
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Removes and returns the oldest command of a request; waits for one if the queue is empty.
     pub async fn next_command(&self, request: RequestId) -> Command {
         poll_fn(|context| {
             let mut queues = self.0.borrow_mut();
--- a/dataplane/src/coordinator_connection.rs
+++ b/dataplane/src/coordinator_connection.rs
@@ -13,6 +13,7 @@
 use crate::poll_timeouts::PollTimeouts;
 use crate::state::State;
 
+/// How long establishing a TCP connection to a coordinator may take.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Used instead of [`CONNECT_TIMEOUT`] while the edge has no configuration, so that it finds a running
 /// coordinator sooner.
@@ -40,6 +41,7 @@
     NoQuorumContact,
 }
 
+/// An established TCP connection to a coordinator, on which this edge polls for configuration.
 pub struct CoordinatorConnection {
     /// The coordinator at the other end.
     pub node: NodeId,
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/exchange.rs
@@ -17,6 +17,7 @@
 use crate::request_handle::RequestHandle;
 use crate::response_body::{ResponseAborted, ResponseWriter};
 
+/// A request and its response, from registration with the router until the response is complete.
 pub struct Exchange {
     handle: RequestHandle,
     request: ClientRequest,
--- a/dataplane/src/listener.rs
+++ b/dataplane/src/listener.rs
@@ -35,6 +35,7 @@
 /// Lower bound of hyper's buffer limit for a client connection.
 const MIN_READ_BUFFER_BYTES: usize = 128 << 10;
 
+/// Opens a listening socket with `SO_REUSEADDR`. Fails if the address cannot be bound.
 pub fn bind(address: SocketAddrV4) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -110,6 +111,7 @@
         }
     }
 
+    /// Waits until no client connection is open. Does not itself close any.
     pub async fn wait_until_all_closed(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_closed.notified().await;
--- a/dataplane/src/poller.rs
+++ b/dataplane/src/poller.rs
@@ -57,6 +57,7 @@
 }
 
 impl Poller {
+    /// Creates a poller with a random incarnation. It connects to no coordinator until it runs.
     pub fn new(state: Rc<State>, settings: &Settings, settings_path: PathBuf, mut random: Pcg64) -> Self {
         let incarnation = Incarnation(random.random());
         let identity = EdgeIdentity { node: settings.node(), incarnation, zone: settings.zone.clone() };
--- a/dataplane/src/pool.rs
+++ b/dataplane/src/pool.rs
@@ -25,6 +25,7 @@
 /// An idle connection is reused during this part of the server's keep-alive time.
 const KEEP_ALIVE_PERCENT: Millis = 80;
 
+/// Upper limits on the number of connections in a [`Pool`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
     /// Connections to all servers, in use and idle.
@@ -32,6 +33,7 @@
     pub max_idle_per_server: usize,
 }
 
+/// The connections to servers, kept for reuse while idle.
 pub struct Pool {
     limits: PoolLimits,
     clock: Clock,
@@ -74,6 +76,7 @@
         Rc::new(Pool { limits, clock, servers, open_connections: Rc::default(), next_id: Cell::new(0) })
     }
 
+    /// The clock that was started when the pool was created.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -215,6 +218,7 @@
 }
 
 impl PooledConnection {
+    /// The id of the underlying server connection.
     pub fn id(&self) -> ConnectionId {
         self.connection.id()
     }
--- a/dataplane/src/progress.rs
+++ b/dataplane/src/progress.rs
@@ -7,6 +7,7 @@
 
 use crate::state::State;
 
+/// Tracks the verdict on one attempt and reports the attempt's events to the router.
 pub struct Progress {
     state: Rc<State>,
     request: RequestId,
@@ -15,10 +16,12 @@
 }
 
 impl Progress {
+    /// Creates the progress of an attempt whose request has not been written: [`Verdict::NeverSent`].
     pub fn new(state: Rc<State>, request: RequestId, attempt: Attempt) -> Self {
         Progress { state, request, attempt, verdict: Cell::new(Verdict::NeverSent) }
     }
 
+    /// The edge's state, through which the events are reported.
     pub fn state(&self) -> &State {
         &self.state
     }
--- a/dataplane/src/request_handle.rs
+++ b/dataplane/src/request_handle.rs
@@ -25,10 +25,12 @@
         handle
     }
 
+    /// The id under which the request is registered with the router.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
+    /// The edge's state, which holds the router that the request is registered with.
     pub fn state(&self) -> &Rc<State> {
         &self.state
     }
--- a/dataplane/src/response_body.rs
+++ b/dataplane/src/response_body.rs
@@ -22,6 +22,7 @@
 #[snafu(display("response cannot be completed"))]
 pub struct ResponseAborted;
 
+/// A running exchange. Its error means that the client connection must be closed.
 pub type ExchangeFuture = Pin<Box<dyn Future<Output = Result<(), ResponseAborted>>>>;
 
 /// The parts of the response that the client connection has not taken yet.
@@ -59,6 +60,7 @@
     }
 }
 
+/// The body of a response to a client, which polls the exchange that produces it.
 pub enum ResponseBody {
     /// The exchange has ended. Holds the rest of the body, until that has been taken.
     Complete(Option<Bytes>),
--- a/dataplane/src/server_connection.rs
+++ b/dataplane/src/server_connection.rs
@@ -166,6 +166,7 @@
         })
     }
 
+    /// The id that distinguishes this connection from the other server connections.
     pub fn id(&self) -> ConnectionId {
         self.id
     }
@@ -181,6 +182,7 @@
         self.sender.is_ready()
     }
 
+    /// Whether the connection has been closed, so that no more requests can be sent on it.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/dataplane/src/server_response.rs
+++ b/dataplane/src/server_response.rs
@@ -48,11 +48,13 @@
 }
 
 impl ServerResponse {
+    /// Takes a response whose head has been read, with the connection on which its body arrives.
     pub fn new(response: Response<Incoming>, connection: PooledConnection) -> Self {
         let (head, body) = response.into_parts();
         ServerResponse { load: response::server_load(&head.headers), head, body, connection }
     }
 
+    /// The status and headers as received from the server, including hop-by-hop headers.
     pub fn head(&self) -> &Parts {
         &self.head
     }
--- a/dataplane/src/shared_stream.rs
+++ b/dataplane/src/shared_stream.rs
@@ -15,6 +15,7 @@
 pub struct SharedStream(Rc<TcpStream>);
 
 impl SharedStream {
+    /// Wraps a stream whose other owners may observe it and set its options.
     pub fn new(stream: Rc<TcpStream>) -> Self {
         SharedStream(stream)
     }
--- a/dataplane/src/stall_detector.rs
+++ b/dataplane/src/stall_detector.rs
@@ -7,6 +7,7 @@
 
 use tokio::time::{sleep_until, Instant, Sleep};
 
+/// Measures the time since a stream's last progress; see [`StallDetector::stalled`].
 pub struct StallDetector {
     timeout: Option<Duration>,
     last_progress_at: Instant,
--- a/dataplane/src/state.rs
+++ b/dataplane/src/state.rs
@@ -149,6 +149,7 @@
         }
     }
 
+    /// Allocates the id of a new request. Ids are consecutive and wrap around on overflow.
     pub fn next_request_id(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id.wrapping_add(1));
--- a/dataplane/src/tracked_stream.rs
+++ b/dataplane/src/tracked_stream.rs
@@ -11,6 +11,7 @@
 
 use crate::shared_stream::SharedStream;
 
+/// Is notified of the reads and writes on a [`TrackedStream`]. The default methods do nothing.
 pub trait IoObserver {
     /// Called after each read that returned bytes, the end of the stream or an error.
     fn on_read(&self) {}
@@ -18,12 +19,14 @@
     fn on_write(&self) {}
 }
 
+/// A stream that hyper reads and writes, with the observer that it notifies.
 pub struct TrackedStream<O> {
     io: TokioIo<SharedStream>,
     observer: Rc<O>,
 }
 
 impl<O: IoObserver> TrackedStream<O> {
+    /// Wraps a stream that other code may share; `observer` is notified from now on.
     pub fn new(stream: Rc<TcpStream>, observer: Rc<O>) -> Self {
         TrackedStream { io: TokioIo::new(SharedStream::new(stream)), observer }
     }
