--- a/consensus/src/log.rs
+++ b/consensus/src/log.rs
@@ -45,6 +45,7 @@
         self.entries.back().map_or(self.base, Entry::position)
     }
 
+    /// The latest snapshot; `None` if there is none.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
--- a/consensus/src/persistence.rs
+++ b/consensus/src/persistence.rs
@@ -77,10 +77,12 @@
         self.issued_ticket + u64::from(!self.records.is_empty())
     }
 
+    /// Whether the records up to a ticket are synced.
     pub fn is_synced(&self, ticket: u64) -> bool {
         self.synced_ticket >= ticket
     }
 
+    /// Last index up to which the in-memory log is synced.
     pub fn synced_index(&self) -> Index {
         self.synced_index
     }
--- a/consensus/src/progress.rs
+++ b/consensus/src/progress.rs
@@ -99,6 +99,7 @@
         }
     }
 
+    /// The part of the progress that is visible to the caller.
     pub fn status(&self) -> PeerStatus {
         PeerStatus {
             matched: self.matched,
@@ -165,6 +166,7 @@
         held.map(|index| index + 1)
     }
 
+    /// Whether a snapshot is in flight to it: sent, but neither acknowledged nor given up by a new probe.
     pub fn is_receiving_snapshot(&self) -> bool {
         self.pending_snapshot.is_some()
     }
@@ -237,6 +239,7 @@
         StatusCheck::NewlyRecovering
     }
 
+    /// Sets the rejoin point of a recovering replica: the index of an entry that the leader appends for it.
     pub fn set_rejoin_index(&mut self, point: Index) {
         self.rejoin_index = Some(point);
     }
--- a/coordinator/src/core/orders/in_flight.rs
+++ b/coordinator/src/core/orders/in_flight.rs
@@ -36,18 +36,22 @@
         id
     }
 
+    /// Returns an order; `None` if it is not in flight.
     pub fn get(&self, id: OrderId) -> Option<&InFlightOrder> {
         self.orders.get(&id)
     }
 
+    /// Removes an order and returns it; `None` if it is not in flight.
     pub fn remove(&mut self, id: OrderId) -> Option<InFlightOrder> {
         self.orders.remove(&id)
     }
 
+    /// Whether no order is in flight.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
+    /// Whether the maximum number of orders is in flight, so that no further ones may be planned.
     pub fn is_full(&self) -> bool {
         self.orders.len() >= MAX_IN_FLIGHT
     }
--- a/coordinator/src/core/orders/lease.rs
+++ b/coordinator/src/core/orders/lease.rs
@@ -50,14 +50,17 @@
 }
 
 impl ShardLeases {
+    /// Creates the leases of `node`, which leads no shard yet. `order_lease` is in milliseconds.
     pub fn new(node: NodeId, order_lease: Millis) -> Self {
         ShardLeases { node, order_lease, leaderships: BTreeMap::new() }
     }
 
+    /// Whether this node leads no shard.
     pub fn is_empty(&self) -> bool {
         self.leaderships.is_empty()
     }
 
+    /// Records that this node was elected leader of a shard. The order lease is not acquired yet.
     pub fn on_elected(&mut self, now: Millis, shard: u32, term: u64) {
         let leadership = Leadership {
             term,
@@ -69,6 +72,7 @@
         self.leaderships.insert(shard, leadership);
     }
 
+    /// Drops the leadership of a shard, and with it the order lease.
     pub fn on_deposed(&mut self, shard: u32) {
         self.leaderships.remove(&shard);
     }
--- a/coordinator/src/core/orders/planners.rs
+++ b/coordinator/src/core/orders/planners.rs
@@ -24,6 +24,7 @@
 }
 
 impl Planners {
+    /// Creates the set without any planner. `options` apply to all planners that are created later.
     pub fn new(options: Options) -> Self {
         Planners {
             options,
@@ -58,6 +59,7 @@
         self.catalogues.keys().cloned().collect()
     }
 
+    /// Returns the planner of a service; `None` if it has not been created.
     pub fn get_mut(&mut self, service: &str) -> Option<&mut Planner> {
         self.planners.get_mut(service)
     }
@@ -70,6 +72,7 @@
         }
     }
 
+    /// Passes the demand in the reports of edges to all planners.
     pub fn record_demand(&mut self, now: Millis, reports: &[EdgeReport]) {
         for report in reports {
             for planner in self.planners.values_mut() {
--- a/coordinator/src/core/peer_versions.rs
+++ b/coordinator/src/core/peer_versions.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Whether a peer had applied a later version at the last comparison.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
--- a/coordinator/src/core/shards/state_machine.rs
+++ b/coordinator/src/core/shards/state_machine.rs
@@ -20,6 +20,7 @@
         }
     }
 
+    /// Encodes the state, for [`StateMachine::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
         match self {
             StateMachine::Configuration(state) => state.snapshot(),
--- a/routing/src/load_table.rs
+++ b/routing/src/load_table.rs
@@ -97,6 +97,7 @@
 }
 
 impl RemoteLoad {
+    /// Adds two sums. Fields that would overflow are set to their maximum.
     pub fn saturating_add(self, other: RemoteLoad) -> RemoteLoad {
         RemoteLoad {
             open_requests: self.open_requests.saturating_add(other.open_requests),
--- a/routing/src/request.rs
+++ b/routing/src/request.rs
@@ -50,6 +50,7 @@
 }
 
 impl Request {
+    /// Creates a request that arrived at `now`. Its deadline is the earlier of the client's and the route's.
     pub fn new(incoming: NewRequest, target: Arc<Target>, key: Key, now: Millis) -> Self {
         let timeout_ms = incoming.deadline_ms.min(incoming.route.timeout_ms);
         Request {
@@ -70,6 +71,7 @@
         }
     }
 
+    /// The id by which the driver refers to the request.
     pub fn id(&self) -> RequestId {
         self.incoming.id
     }
--- a/routing/src/request_queue.rs
+++ b/routing/src/request_queue.rs
@@ -17,6 +17,7 @@
 }
 
 impl QueueKey {
+    /// The key of a request, from the priority of its route and its deadline.
     pub fn of(request: &Request) -> Self {
         let (priority, deadline_at) = (request.incoming.route.priority, request.deadline_at);
         QueueKey { priority, deadline_at, id: request.id() }
@@ -30,6 +31,7 @@
 }
 
 impl RequestQueue {
+    /// Adds a request to the queue of a service. Does nothing if it is already queued there.
     pub fn insert(&mut self, service: &str, key: QueueKey) {
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.to_owned(), BTreeSet::new());
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Removes a request from the queue of a service. Does nothing if it is not queued there.
     pub fn remove(&mut self, service: &str, key: QueueKey) {
         let Some(keys) = self.by_service.get_mut(service) else { return };
         if keys.remove(&key) {
@@ -54,6 +57,7 @@
         self.count
     }
 
+    /// The number of queued requests of one service.
     pub fn len_for(&self, service: &str) -> usize {
         self.by_service.get(service).map_or(0, BTreeSet::len)
     }
@@ -68,6 +72,7 @@
         self.by_service.values().flatten().copied().collect()
     }
 
+    /// The names of the services with queued requests.
     pub fn services(&self) -> Vec<String> {
         self.by_service.keys().cloned().collect()
     }
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -40,6 +40,7 @@
 }
 
 impl RetryBudget {
+    /// Creates a budget without requests or retries. The retry window is taken from `options`.
     pub fn new(options: &Options) -> Self {
         let count = SlidingWindowCounter::with_window(options.retry_window_ms);
         RetryBudget { requests: count.clone(), retries: count }
--- a/routing/src/server.rs
+++ b/routing/src/server.rs
@@ -72,6 +72,7 @@
 }
 
 impl Server {
+    /// Creates a server with a first record, about which nothing has been observed yet.
     pub fn new(record: ServerRecord) -> Self {
         let outcomes = ServerOutcomes { server: record.id.clone(), succeeded: 0, failed: 0, unreachable: 0 };
         Server {
@@ -91,6 +92,7 @@
         }
     }
 
+    /// The availability according to its record, its listing in the directory, and whether it was displaced.
     pub fn availability(&self) -> Availability {
         if is_draining(&self.record) || self.displaced {
             Availability::Draining
--- a/routing/src/server_pool.rs
+++ b/routing/src/server_pool.rs
@@ -40,6 +40,7 @@
 }
 
 impl ServerPool {
+    /// Creates a pool without servers.
     pub fn new(options: &Options) -> Self {
         ServerPool {
             members: Vec::new(),
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Adds a server to the members. It owns no slots until it becomes ready.
     pub fn add(&mut self, added: ServerHandle) {
         self.members.push(added);
     }
@@ -65,6 +67,7 @@
         self.slot_array.update(&points);
     }
 
+    /// Removes a server from the members and from the slot array.
     pub fn remove(&mut self, removed: ServerHandle) {
         self.members.retain(|member| *member != removed);
         self.slot_array.update(&[(removed, 0, 0.0)]);
--- a/routing/src/server_table.rs
+++ b/routing/src/server_table.rs
@@ -54,14 +54,17 @@
         self.by_handle.get(&handle)
     }
 
+    /// The server, for changes; `None` if it has been dropped.
     pub fn get_mut(&mut self, handle: ServerHandle) -> Option<&mut Server> {
         self.by_handle.get_mut(&handle)
     }
 
+    /// All servers that have not been dropped, including departing ones, in the order of their handles.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.by_handle.values_mut()
     }
 
+    /// Whether the table contains no servers, not even departing ones.
     pub fn is_empty(&self) -> bool {
         self.by_handle.is_empty()
     }
--- a/routing/src/sliding_window_counter.rs
+++ b/routing/src/sliding_window_counter.rs
@@ -15,6 +15,7 @@
 }
 
 impl SlidingWindowCounter {
+    /// Creates a counter without events. The window is in milliseconds, rounded up to whole buckets.
     pub fn with_window(window_ms: Millis) -> Self {
         SlidingWindowCounter {
             bucket_width_ms: window_ms.div_ceil(BUCKETS as Millis - 1).max(1),
--- a/storage/src/fault_injection/file.rs
+++ b/storage/src/fault_injection/file.rs
@@ -30,10 +30,12 @@
         file
     }
 
+    /// Writes bytes at an offset. They are readable at once, but not durable until the next sync.
     pub fn write(&mut self, offset: usize, bytes: &[u8]) {
         self.change(Change::Write { offset, bytes: bytes.to_vec() });
     }
 
+    /// Makes all changes so far durable.
     pub fn sync(&mut self) {
         self.flush_unsynced(Change::apply);
     }
--- a/storage/src/fault_injection/volume.rs
+++ b/storage/src/fault_injection/volume.rs
@@ -27,15 +27,18 @@
 }
 
 impl Volume {
+    /// Returns the file with a name. Fails with `NotFound` if there is none.
     pub fn file(&mut self, name: &str) -> io::Result<&mut MemoryFile> {
         let index = *self.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         self.files.get_mut(index).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
+    /// Returns the names of all files in sorted order, including names that are not durable yet.
     pub fn file_names(&self) -> Vec<String> {
         self.names.keys().cloned().collect()
     }
 
+    /// Applies a mutating call. Fails with `NotFound` if the file to change or remove does not exist.
     pub fn apply(&mut self, mutation: Mutation<'_>) -> io::Result<()> {
         match mutation {
             Mutation::Create { name, length } => {
--- a/storage/src/recovery/segment_reader.rs
+++ b/storage/src/recovery/segment_reader.rs
@@ -27,6 +27,7 @@
 }
 
 impl<'a, D: Disk> SegmentReader<'a, D> {
+    /// Creates a reader of `file` with an empty buffer. Nothing is read until the first call.
     pub fn new(disk: &'a mut D, file: &'a str) -> Self {
         SegmentReader { disk, file, buffer: Vec::new(), buffer_offset: PAGE_BYTES, known_file_end: u64::MAX }
     }
--- a/storage/src/writer/backoff.rs
+++ b/storage/src/writer/backoff.rs
@@ -9,6 +9,7 @@
 }
 
 impl Backoff {
+    /// Creates a back-off whose first delay is `initial`. Later delays are at most `max`.
     pub fn new(initial: Duration, max: Duration) -> Self {
         Backoff { next: initial, max }
     }
--- a/storage/src/writer/in_flight.rs
+++ b/storage/src/writer/in_flight.rs
@@ -30,6 +30,7 @@
 }
 
 impl InFlight {
+    /// Creates a tracker without commands. `max_bytes` limits the payload bytes of the appends in flight.
     pub fn new(clock: Clock, max_bytes: usize) -> Self {
         InFlight { clock, max_bytes, state: Mutex::default() }
     }
--- a/storage/src/writer/worker.rs
+++ b/storage/src/writer/worker.rs
@@ -32,6 +32,7 @@
 }
 
 impl<D: Disk> Worker<D> {
+    /// Creates the state of a thread. It passes its events to `on_event`, and starts with [`Worker::run`].
     pub fn new(
         journal: Journal<D>,
         channels: WorkerChannels,
