--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -105,6 +105,7 @@
     }
 }
 
+/// A request body: whole in memory, or streamed if it is longer than `MAX_BUFFERED_BYTES`.
 pub enum RequestBody {
     Buffered(Bytes),
     Streamed(Rc<StreamedBody>),
@@ -168,6 +169,7 @@
         Ok(RequestBody::Buffered(chunks.concatenated()))
     }
 
+    /// Returns the streamed body; `None` if the body is buffered whole.
     pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -194,6 +196,7 @@
         self.grace + Duration::from_secs_f64(remaining as f64 / MIN_UPLOAD_BYTES_PER_S)
     }
 
+    /// Sets the receiver of the body's events. It replaces an earlier one.
     pub fn on_event(&self, handler: impl Fn(BodyEvent) + 'static) {
         self.event_handler.replace(Some(Box::new(handler)));
     }
@@ -224,6 +227,7 @@
 }
 
 impl Upload {
+    /// Starts an upload from the first byte. `body_taken` is set at once if the body is buffered whole.
     pub fn new(content: &RequestBody, body_taken: Rc<Cell<bool>>) -> Self {
         let (prefix, stream, remaining_bytes) = match content {
             RequestBody::Buffered(all) => (all.clone(), None, Some(all.len() as u64)),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -192,6 +192,7 @@
 }
 
 impl Clock {
+    /// Starts a clock at the current Unix time. Later changes of the wall clock don't affect it.
     // Reads the wall clock once, because server start times are stated in Unix time.
     #[allow(clippy::disallowed_methods)]
     pub fn start() -> Self {
@@ -199,6 +200,7 @@
         Clock { started: Instant::now(), unix: unix.as_secs_f64() }
     }
 
+    /// Current time in seconds of Unix time. It never goes back.
     pub fn now(&self) -> Seconds {
         self.unix + self.started.elapsed().as_secs_f64()
     }
--- a/node/src/disabled_servers.rs
+++ b/node/src/disabled_servers.rs
@@ -12,6 +12,7 @@
 
 const FILE: &str = "cache-servers-by-hand.json";
 
+/// The content of the state file: disabled servers, and those enabled again recently.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DisabledState {
     pub disabled: BTreeSet<ServerId>,
@@ -20,6 +21,7 @@
 }
 
 impl DisabledState {
+    /// Parses the content of the state file. Returns `None` if it is not valid.
     pub fn parse(text: &str) -> Option<DisabledState> {
         let json: Value = serde_json::from_str(text).ok()?;
         let id = |text: &str| ServerId(text.into());
@@ -60,6 +62,7 @@
 /// Identifies a version of the file: each rename gives it a new inode.
 type FileVersion = (u64, i64, i64);
 
+/// The disabled servers, in memory and, if a state directory is configured, in a file.
 pub struct DisabledServers {
     /// `None` if no state directory is configured; then the state is lost when the process ends.
     path: Option<PathBuf>,
@@ -68,11 +71,13 @@
 }
 
 impl DisabledServers {
+    /// `dir` is the state directory, if one is configured. The file is not read yet.
     pub fn new(dir: Option<&Path>) -> Self {
         let path = dir.map(|dir| dir.join(FILE));
         DisabledServers { path, version: Cell::default(), current: RefCell::default() }
     }
 
+    /// Returns whether an operator has disabled the server, according to the state in memory.
     pub fn is_disabled(&self, server: &ServerId) -> bool {
         self.current.borrow().disabled.contains(server)
     }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -32,6 +32,7 @@
     endpoints_changed: Cell<bool>,
 }
 
+/// The node's connection to discovery. It reports lists and failed calls to the host.
 pub struct Discovery {
     endpoints: RefCell<Vec<SocketAddr>>,
     commands: Commands,
@@ -40,6 +41,7 @@
 }
 
 impl Discovery {
+    /// `endpoints` are the addresses of discovery. No call is made before `follow` runs.
     pub fn new(endpoints: Vec<SocketAddr>, handle: HostHandle) -> Rc<Self> {
         let command_added = Notify::new();
         Rc::new(Discovery {
--- a/node/src/fences.rs
+++ b/node/src/fences.rs
@@ -23,6 +23,7 @@
     NotStored(io::Error),
 }
 
+/// The newest fencing number of each duty, in memory and, if a state directory is configured, in a file.
 pub struct Fences {
     /// `None` if no state directory is configured; then the numbers are lost when the process ends.
     dir: Option<PathBuf>,
@@ -45,6 +46,7 @@
 }
 
 impl Fences {
+    /// `dir` is the state directory, if one is configured. The file is read when a number is checked.
     pub fn new(dir: Option<&Path>) -> Self {
         Fences { dir: dir.map(Path::to_owned), table: RefCell::default() }
     }
--- a/node/src/handle.rs
+++ b/node/src/handle.rs
@@ -29,6 +29,7 @@
         debug_assert!(set.is_ok(), "the handler is set once");
     }
 
+    /// Passes an event to the host. It is dropped if no handler is set yet.
     pub fn send(&self, event: HostEvent) {
         if let Some(handler) = self.0.get() {
             handler(event);
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -63,6 +63,7 @@
     deadline: watch::Sender<Instant>,
 }
 
+/// Owns the balancer, passes events to it and executes its actions.
 pub struct Host {
     clock: Clock,
     balancer: RefCell<Balancer>,
@@ -80,6 +81,10 @@
 }
 
 impl Host {
+    /// Creates the host and gives the balancer the initial list, which is empty if none is configured.
+    ///
+    /// # Errors
+    /// The balancer does not accept the settings.
     pub fn start(
         config: &Config,
         discovery: Rc<Discovery>,
@@ -115,6 +120,7 @@
         Ok(host)
     }
 
+    /// The connections to servers, owned by the host.
     pub fn upstreams(&self) -> &Upstreams {
         &self.upstreams
     }
--- a/node/src/lifecycle.rs
+++ b/node/src/lifecycle.rs
@@ -11,6 +11,7 @@
 /// after the signal, or 0.7 s after the longest deadline.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
 
+/// Whether the node accepts requests and keeps connections open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Serving,
@@ -21,6 +22,7 @@
 }
 
 impl State {
+    /// The state's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             State::Serving => "serving",
@@ -33,13 +35,16 @@
 /// The state, and the time from which idle connections are closed.
 type Phase = (State, Instant);
 
+/// Holds the node's state and lets tasks wait for changes of it.
 pub struct Lifecycle(watch::Sender<Phase>);
 
 impl Lifecycle {
+    /// Starts in the serving state.
     pub fn new() -> Self {
         Lifecycle(watch::Sender::new((State::Serving, Instant::now())))
     }
 
+    /// The current state, which other tasks may change at any await point.
     pub fn state(&self) -> State {
         self.0.borrow().0
     }
@@ -49,10 +54,12 @@
         self.change(State::Draining, Instant::now() + IDLE_CLOSE_DELAY)
     }
 
+    /// Returns to serving. Returns false if the node is stopping, which can't be reverted.
     pub fn resume(&self) -> bool {
         self.change(State::Serving, Instant::now())
     }
 
+    /// Stops the node for good. `has_successor` delays the close of idle connections by `IDLE_CLOSE_DELAY`.
     pub fn stop(&self, has_successor: bool) {
         let delay = if has_successor { IDLE_CLOSE_DELAY } else { Duration::ZERO };
         self.change(State::Stopping, Instant::now() + delay);
@@ -74,6 +81,7 @@
         self.state() == to
     }
 
+    /// Waits until the node is stopping; returns at once if it already is.
     pub async fn stopped(&self) {
         // Can't fail, as `self` holds the sender.
         let _ = self.0.subscribe().wait_for(|(state, _)| *state == State::Stopping).await;
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -26,6 +26,7 @@
 }
 
 impl Metrics {
+    /// `classes` are the class names, in the order of their `ClassId`.
     pub fn new(classes: impl Iterator<Item = String>) -> Self {
         Metrics {
             classes: classes.map(|name| (name, RefCell::default())).collect(),
@@ -42,6 +43,7 @@
         ActiveRequest { metrics: Rc::clone(self), class, end: Cell::new(None) }
     }
 
+    /// Returns all counters as a JSON object. `state` is the name of the node's state.
     pub fn to_json(&self, servers: ServerCounts, state: &str) -> Value {
         let count = |end: RequestEnd| {
             let count = |(name, counts): &(String, RefCell<[u64; 3]>)| {
@@ -64,6 +66,7 @@
     }
 }
 
+/// Adds 1 to a counter that tasks of the same thread share.
 pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -17,6 +17,7 @@
 /// Interval for retrying to bind the address while an older process of this node still holds it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
+/// The socket for messages to and from other nodes, and the nodes' addresses.
 pub struct Peers {
     /// `None` while another process of this node holds the address; messages are lost during that time.
     socket: RefCell<Option<Rc<UdpSocket>>>,
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -400,6 +400,7 @@
 }
 
 impl ClientConnections {
+    /// `limit` is the number of client connections that may be open at first; see `set_limit`.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(ClientConnections {
             limit: Cell::new(limit),
@@ -410,10 +411,12 @@
         })
     }
 
+    /// Number of client connections that may be open.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
+    /// Number of open client connections, idle ones included.
     pub fn open(&self) -> usize {
         self.open.get()
     }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -27,8 +27,11 @@
 use crate::disabled_servers::DisabledServers;
 use crate::metrics::increment;
 
+/// Header with the client's id of a request. Required from clients and passed on to servers unchanged.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+/// Header with the time, in milliseconds, that the sender waits for the answer.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// Optional header with the client's idempotency key, passed on to servers unchanged.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 const CACHE_STATUS: HeaderName = HeaderName::from_static("x-cache");
@@ -113,6 +116,7 @@
 }
 
 impl AttemptEnd {
+    /// The end of an attempt that has nothing but a status, such as a failed connect.
     pub fn without_reply(status: Status) -> Self {
         AttemptEnd { status, note: None, reply: None, remainder: None }
     }
@@ -129,6 +133,7 @@
         reply_status(self.response.status(), self.response.headers())
     }
 
+    /// The cache note in the response's headers; `None` if there is none.
     pub fn note(&self) -> Option<CacheNote> {
         cache_note(self.response.headers())
     }
@@ -171,6 +176,7 @@
         self.0.replace(Some(Rc::clone(progress)));
     }
 
+    /// Returns whether the request was written completely. False if no attempt has been tracked yet.
     pub fn is_complete(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.written.get() == Written::Whole)
     }
@@ -282,6 +288,7 @@
     Ready(Connection),
 }
 
+/// The listed servers and this node's connections to them. Sends the attempts and the probes.
 pub struct Upstreams {
     servers: RefCell<HashMap<ServerId, Upstream>>,
     open: Rc<Cell<usize>>,
@@ -294,6 +301,7 @@
 }
 
 impl Upstreams {
+    /// Creates the pool without servers, and spawns the task that closes expired idle connections.
     pub fn start(
         limits: &Limits,
         limit: usize,
@@ -316,10 +324,12 @@
         upstreams
     }
 
+    /// Number of connections to servers that may be open.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
+    /// Number of open connections to servers, idle ones included.
     pub fn open(&self) -> usize {
         self.open.get()
     }
@@ -356,10 +366,12 @@
         }
     }
 
+    /// Returns whether at least one server is listed as ready, even if an operator has disabled it.
     pub fn any_ready(&self) -> bool {
         self.servers.borrow().values().any(|server| server.ready)
     }
 
+    /// Closes all idle connections to the server. Does nothing if it is not listed.
     pub fn close_idle(&self, server: &ServerId) {
         if let Some(server) = self.servers.borrow_mut().get_mut(server) {
             server.idle.clear();
