--- a/registry-client/src/call.rs
+++ b/registry-client/src/call.rs
@@ -68,12 +68,14 @@
 }
 
 impl<'a> Call<'a> {
+    /// A `GET` without headers or body that closes the connection. `max_bytes` limits the response body.
     pub fn get(path: &'a str, max_bytes: usize) -> Self {
         Call { method: Method::GET, path, headers: &[], body: Bytes::new(), max_bytes, close: true }
     }
 }
 
 impl HttpClient {
+    /// Creates a client without a connection. The first call opens one.
     pub fn new(addr: SocketAddr) -> Self {
         HttpClient { addr, open: None }
     }
--- a/registry-client/src/client.rs
+++ b/registry-client/src/client.rs
@@ -44,6 +44,7 @@
 }
 
 impl RegistryClient {
+    /// Creates a client without a fence that starts at the first endpoint. It does no I/O.
     pub fn new(endpoints: Vec<SocketAddr>) -> Self {
         RegistryClient { endpoints, current: 0, fence_headers: None }
     }
@@ -59,6 +60,7 @@
         self.current = (self.current + 1) % self.endpoints.len().max(1);
     }
 
+    /// All endpoints, in the order in which they are tried.
     pub fn endpoints(&self) -> &[SocketAddr] {
         &self.endpoints
     }
--- a/registry-client/src/duty.rs
+++ b/registry-client/src/duty.rs
@@ -120,10 +120,12 @@
         })
     }
 
+    /// The duty's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// The registry's endpoints, in the order in which they are tried.
     pub fn endpoints(&self) -> &[SocketAddr] {
         self.registry.endpoints()
     }
--- a/registry-client/src/fences.rs
+++ b/registry-client/src/fences.rs
@@ -25,10 +25,12 @@
 }
 
 impl FenceTable {
+    /// Restores a table from the numbers that [`FenceTable::seen`] gave, by the duty's name.
     pub fn from_numbers(seen: BTreeMap<String, u64>) -> Self {
         FenceTable { seen }
     }
 
+    /// The newest number seen for each duty, by the duty's name, for an owner that persists the table.
     pub fn seen(&self) -> &BTreeMap<String, u64> {
         &self.seen
     }
--- a/registry-client/src/lease.rs
+++ b/registry-client/src/lease.rs
@@ -48,14 +48,17 @@
 }
 
 impl LeaseState {
+    /// Creates a state that holds nothing, with the default margin of `lease / MARGIN_DIVISOR`.
     pub fn new(lease: Duration) -> Self {
         LeaseState::with_margin(lease, lease / MARGIN_DIVISOR)
     }
 
+    /// Creates a state that holds nothing. It stops acting as holder `margin` before the lease ends.
     pub fn with_margin(lease: Duration, margin: Duration) -> Self {
         LeaseState { lease, margin, held: None, over: false }
     }
 
+    /// The full duration of the lease, without the margin subtracted.
     pub fn lease(&self) -> Duration {
         self.lease
     }
--- a/registry-client/src/maintenance.rs
+++ b/registry-client/src/maintenance.rs
@@ -20,6 +20,7 @@
 
 /// The duties' names.
 pub const BACKUP_DUTY: &str = "registry-backup";
+/// Name of the duty whose holder handles stopped expiry.
 pub const EXPIRY_DUTY: &str = "registry-expiry";
 
 /// Longest backup that is read, in bytes.
--- a/registry-client/src/supervisor.rs
+++ b/registry-client/src/supervisor.rs
@@ -23,7 +23,9 @@
 
 /// Environment variables of the command: the duty's name, the fencing number, and the registry's endpoints.
 pub const DUTY_VAR: &str = "SHALETRAIL_DUTY";
+/// Environment variable with the fencing number.
 pub const FENCE_VAR: &str = "SHALETRAIL_FENCE";
+/// Environment variable with the registry's endpoints.
 pub const REGISTRY_VAR: &str = "SHALETRAIL_REGISTRY";
 
 /// Interval at which the supervisor checks the clock and its command.
--- a/registry-protocol/src/duty.rs
+++ b/registry-protocol/src/duty.rs
@@ -20,6 +20,7 @@
 /// The most duties that may exist, and the most candidates that may wait for one of them. Further ones are
 /// refused.
 pub const MAX_DUTIES: usize = 2048;
+/// The most candidates that may wait for one duty.
 pub const MAX_WAITERS: usize = 1000;
 /// Incarnations, fencing numbers and versions stay below this value, so that every JSON reader represents
 /// them exactly.
@@ -27,6 +28,7 @@
 /// Request headers that name the duty for which a change is made, and the fencing number under which it is
 /// made.
 pub const DUTY_HEADER: &str = "x-duty";
+/// Request header with the fencing number under which the change is made.
 pub const FENCE_HEADER: &str = "x-fence";
 
 /// A process in the queue for a duty: a name that operators know, and the incarnation of the process. A
--- a/registry-protocol/src/lib.rs
+++ b/registry-protocol/src/lib.rs
@@ -33,6 +33,7 @@
 /// Path of the list of instances.
 pub const INSTANCES_PATH: &str = "/registry/instances";
 
+/// Whether an instance accepts work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -151,6 +152,7 @@
 }
 
 impl Register {
+    /// The request that registers this entry. `lease_s` is the lease in seconds; `None` means no expiry.
     pub fn new(entry: &Entry, lease_s: Option<f64>) -> Self {
         Register {
             id: Some(entry.id.clone()),
@@ -275,6 +277,7 @@
     pub most: usize,
 }
 
+/// Answer to a confirmation: the catalogue's version, and the number of entries that may now expire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmExpiryResult {
     pub version: u64,
--- a/registry/src/catalogue.rs
+++ b/registry/src/catalogue.rs
@@ -131,6 +131,7 @@
 }
 
 impl Catalogue {
+    /// The version of the last change to the list; 0 if there was none.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -140,14 +141,17 @@
         self.records.len() - self.tombstones
     }
 
+    /// Whether there are no entries; tombstones don't count.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// The entry with this id; `None` if it is not listed or only its tombstone is left.
     pub fn get(&self, id: &str) -> Option<&InstanceRecord> {
         self.records.get(id).filter(|record| record.entry.state != State::Left)
     }
 
+    /// All entries without the tombstones, in no guaranteed order.
     pub fn entries(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.records.values().filter(|record| record.entry.state != State::Left)
     }
@@ -290,6 +294,7 @@
         Some(List { version: self.version, full: false, servers })
     }
 
+    /// The full contents, tombstones included, with the records in order of their versions.
     pub fn snapshot(&self) -> CatalogueSnapshot {
         let records = self.by_version.iter().map(|(_, id)| self.records[id].clone()).collect();
         CatalogueSnapshot {
@@ -300,6 +305,7 @@
         }
     }
 
+    /// Restores a catalogue from the contents of a snapshot, and rebuilds its indexes.
     pub fn from_snapshot(snapshot: CatalogueSnapshot) -> Self {
         let mut catalogue = Catalogue {
             version: snapshot.version,
--- a/registry/src/discovery_api.rs
+++ b/registry/src/discovery_api.rs
@@ -39,6 +39,7 @@
     Ok(query)
 }
 
+/// Answers one request at the discovery address, which serves only `GET` of the instance list.
 pub async fn handle(replica: Arc<Replica>, request: Request<Incoming>) -> Reply {
     if request.uri().path() != INSTANCES_PATH {
         return error_reply(StatusCode::NOT_FOUND, format!("GET {INSTANCES_PATH} expected"));
--- a/registry/src/duties.rs
+++ b/registry/src/duties.rs
@@ -74,6 +74,7 @@
     Refused(DutyRejection),
 }
 
+/// Why a command on a duty was refused. The duty is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum DutyRejection {
     #[error("no such duty")]
@@ -332,10 +333,12 @@
         })
     }
 
+    /// The duty's stored checkpoint; `None` if there is no such duty.
     pub fn stored_checkpoint(&self, name: &str) -> Option<StoredCheckpoint> {
         self.duties.get(name).map(Duty::stored_checkpoint)
     }
 
+    /// The duty as operators see it, with its holder and queue; `None` if there is no such duty.
     pub fn describe(&self, name: &str) -> Option<DutyInfo> {
         let duty = self.duties.get(name)?;
         Some(DutyInfo {
@@ -351,18 +354,22 @@
         })
     }
 
+    /// The names of all duties, in ascending order.
     pub fn names(&self) -> impl Iterator<Item = &String> {
         self.duties.keys()
     }
 
+    /// The number of duties, including those that nobody holds.
     pub fn len(&self) -> usize {
         self.duties.len()
     }
 
+    /// Whether there are no duties at all.
     pub fn is_empty(&self) -> bool {
         self.duties.is_empty()
     }
 
+    /// Whether no duty is granted, because the grace period after a restore has not ended.
     pub fn are_grants_paused(&self) -> bool {
         self.grants_paused
     }
@@ -422,6 +429,7 @@
         DutyLeases { started: now, last_heard: BTreeMap::new(), proposed: BTreeSet::new() }
     }
 
+    /// Records `now` as last heard, if the candidate is in the queue and its expiry is not proposed.
     pub fn renew(&mut self, name: &str, who: &Candidate, duties: &Duties, now: MonotonicTime) -> DutyRenewal {
         if duties.status(name, who).is_none() {
             return DutyRenewal::Unknown;
--- a/registry/src/duty_api.rs
+++ b/registry/src/duty_api.rs
@@ -46,6 +46,7 @@
         Some((route, name))
     }
 
+    /// The methods that this route accepts; all others are refused.
     pub fn methods(self) -> &'static [Method] {
         match self {
             DutyRoute::All => &[Method::GET],
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -27,6 +27,7 @@
 /// Pause after a failed accept, usually because no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
+/// A response whose whole body is in memory.
 pub type Reply = Response<Full<Bytes>>;
 
 /// Limits of one listening address.
@@ -99,6 +100,7 @@
     serde_json::from_slice(body).map_err(|e| error_reply(StatusCode::BAD_REQUEST, format!("body: {e}")))
 }
 
+/// Builds a response with this status, content type and body.
 pub fn reply_with(status: StatusCode, content_type: &'static str, body: Bytes) -> Reply {
     let mut reply = Response::new(Full::new(body));
     *reply.status_mut() = status;
@@ -106,6 +108,7 @@
     reply
 }
 
+/// Builds a JSON response. If the body can't be encoded, the response is an internal server error.
 pub fn json_reply(status: StatusCode, body: &impl Serialize) -> Reply {
     match serde_json::to_vec(body) {
         Ok(bytes) => reply_with(status, "application/json", bytes.into()),
@@ -113,6 +116,7 @@
     }
 }
 
+/// Builds a response with this status whose JSON body is an [`ErrorBody`] with the error's text.
 pub fn error_reply(status: StatusCode, error: impl ToString) -> Reply {
     let body = serde_json::to_vec(&ErrorBody { error: error.to_string() }).unwrap_or_default();
     reply_with(status, "application/json", body.into())
--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -66,6 +66,7 @@
         Leases { max_silent_share, leases: HashMap::new(), recently_expired: Vec::new(), confirmed: 0 }
     }
 
+    /// Renews the entry's lease at `now`. A set stamp must be the listed one; otherwise nothing is renewed.
     pub fn renew(&mut self, id: &str, stamp: Stamp, list: &Catalogue, now: MonotonicTime) -> RenewalOutcome {
         let Some(record) = list.get(id) else { return RenewalOutcome::Unknown };
         if !stamp.is_unset() && stamp < record.stamp {
--- a/registry/src/operator_api.rs
+++ b/registry/src/operator_api.rs
@@ -42,6 +42,7 @@
     pub forwarded: bool,
 }
 
+/// Answers one request to the operator API. `forwarded` tells that another replica passed the request on.
 pub async fn handle(replica: Arc<Replica>, request: Request<Incoming>, forwarded: bool) -> Reply {
     let path = request.uri().path();
     let path = if forwarded { path.strip_prefix(FORWARD_PREFIX).unwrap_or(path) } else { path }.to_owned();
@@ -201,6 +202,7 @@
     }
 }
 
+/// The reply of a request handler, or the error from which the reply is made.
 pub type HandlerResult = Result<Reply, HandlerError>;
 
 fn change_error_reply(replica: &Replica, e: ChangeError) -> Reply {
@@ -254,6 +256,7 @@
 
 // ---- Instances ---------------------------------------------------------------------------------------
 
+/// Decodes an id from a percent-encoded path segment and checks it. The error is the reply to send.
 pub fn parse_id(id: &str) -> Result<String, Reply> {
     let invalid = |reason: String| error_reply(StatusCode::BAD_REQUEST, reason);
     let id = percent_decode_str(id).decode_utf8().map_err(|_| invalid("id: UTF-8 expected".into()))?;
@@ -524,6 +527,7 @@
 }
 
 impl JoinTarget {
+    /// The path for a request to this target, with the prefix for forwarded requests if it needs one.
     pub fn path(&self, path: &str) -> String {
         format!("{}{path}", if self.forwarded { FORWARD_PREFIX } else { "" })
     }
--- a/registry/src/raft_network.rs
+++ b/registry/src/raft_network.rs
@@ -36,10 +36,12 @@
 }
 
 impl PeerLinks {
+    /// Creates the links without any connection. `addr_overrides` replaces the addresses of members, by name.
     pub fn new(addr_overrides: HashMap<String, SocketAddr>) -> Arc<Self> {
         Arc::new(PeerLinks { addr_overrides, ..PeerLinks::default() })
     }
 
+    /// The member's address, or its override; `None` if its replica address can't be parsed.
     pub fn addr(&self, member: &Member) -> Option<SocketAddr> {
         self.addr_overrides.get(&member.name).copied().or_else(|| member.replica.parse().ok())
     }
@@ -56,6 +58,7 @@
         *self.muted_until.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now() + time);
     }
 
+    /// Whether the time given to the last [`PeerLinks::mute`] has not passed yet.
     pub fn is_muted(&self) -> bool {
         self.muted_until
             .lock()
@@ -81,6 +84,7 @@
     }
 }
 
+/// The connection over which openraft sends its requests to one peer.
 pub struct PeerLink {
     target: u64,
     node: Member,
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -112,6 +112,7 @@
         }
     }
 
+    /// Replaces the identity file by one with this identity.
     pub fn write_identity(&self, identity: &Identity) -> Result<(), OpenError> {
         let bytes = encode_record(identity);
         let written = bytes.and_then(|bytes| state_machine::replace_file(&self.path, IDENTITY_FILE, &bytes));
@@ -131,6 +132,7 @@
         read().map_err(|error| OpenError::Io { file: self.path.clone(), error })
     }
 
+    /// Whether the folder is empty, apart from the lock, quarantined data and unfinished `.new` files.
     pub fn is_empty(&self) -> Result<bool, OpenError> {
         Ok(self.contents()?.is_empty())
     }
@@ -170,6 +172,7 @@
 }
 
 impl NotReady {
+    /// The reason in words, for the body of the refusal.
     pub fn message(&self) -> &'static str {
         match self {
             NotReady::Stopping => "stopping",
@@ -206,6 +209,7 @@
     pub elections: AtomicU64,
 }
 
+/// Adds one to a counter. The ordering is relaxed, because counters order no other memory accesses.
 pub fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
@@ -316,6 +320,7 @@
         self.log.has_held_entries()
     }
 
+    /// Why the log can't be written any more; `None` while it works.
     pub fn log_failed(&self) -> Option<String> {
         self.log.failed()
     }
@@ -328,6 +333,7 @@
         self.raft.initialize(members).await.map_err(|e| e.to_string())
     }
 
+    /// Marks the replica as stopping, so that it answers no more lists. The Raft node keeps running.
     pub fn stop(&self) {
         self.not_ready.send_replace(Some(NotReady::Stopping));
     }
@@ -382,6 +388,7 @@
         freshness.current_at.is_some_and(|at| at.elapsed() < stale)
     }
 
+    /// Whether openraft reports this replica as the leader. It may have been deposed without knowing it yet.
     pub fn is_leader(&self) -> bool {
         self.raft.metrics().borrow().state == ServerState::Leader
     }
@@ -581,6 +588,7 @@
         }
     }
 
+    /// The result of the last check of the instance leases.
     pub fn expiry_check(&self) -> ExpiryCheck {
         lock(&self.expiry_check).clone()
     }
@@ -619,6 +627,7 @@
 
     // ---- Changes --------------------------------------------------------------------------------------
 
+    /// The leader, if it is known and is another replica; `None` if this replica leads.
     pub fn leader(&self) -> Option<Member> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
@@ -732,6 +741,7 @@
         self.voters().contains_key(&self.id)
     }
 
+    /// The replica's current status, with its Raft metrics and members, for operators.
     pub fn status(&self) -> Status {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -19,6 +19,7 @@
 use crate::log::{decode_record, encode_record, Damaged, OpenError};
 use crate::types::{LogEntry, LogId, SnapshotMeta, StorageError, StoredMembership, Types};
 
+/// Name of the snapshot's file in the replica's folder.
 pub const SNAPSHOT_FILE: &str = "snapshot";
 /// Encoded answers that are cached: the watchers of one list mostly ask from the same few versions.
 const MAX_CACHED_ANSWERS: usize = 64;
@@ -87,10 +88,12 @@
         read(&self.state.read().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
+    /// The version of the catalogue that was published last.
     pub fn version(&self) -> u64 {
         *self.version.borrow()
     }
 
+    /// A receiver that is notified of each new catalogue version.
     pub fn versions(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
--- a/registry/src/types.rs
+++ b/registry/src/types.rs
@@ -30,10 +30,17 @@
         SnapshotData = Cursor<Vec<u8>>,
 );
 
+/// The registry's Raft node.
 pub type Raft = openraft::Raft<Types>;
+/// A log entry's position: the term of its leader, the leader's id, and the index.
 pub type LogId = openraft::LogId<u64>;
+/// The vote that a replica stores: a term, the replica voted for, and whether that one became leader.
 pub type Vote = openraft::Vote<u64>;
+/// A Raft log entry whose payload is a command of the registry, a membership change or blank.
 pub type LogEntry = openraft::Entry<Types>;
+/// An error of the log or the state machine, as openraft expects it.
 pub type StorageError = openraft::StorageError<u64>;
+/// A membership together with the id of the log entry that set it.
 pub type StoredMembership = openraft::StoredMembership<u64, Member>;
+/// What a snapshot covers: the last log entry in it, the membership, and the snapshot's id.
 pub type SnapshotMeta = openraft::SnapshotMeta<u64, Member>;
