--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -13,14 +13,17 @@
 }
 
 impl<R: BufRead> Lines<R> {
+    /// Reads lines from `input`; no line has been read yet.
     pub fn new(input: R) -> Self {
         Lines { input, number: 0 }
     }
 
+    /// Number of the line read last, from 1; 0 before the first read.
     pub fn number(&self) -> u64 {
         self.number
     }
 
+    /// The next line without its line ending, or `None` at the end of the input. Fails when it can't be read.
     pub fn next(&mut self) -> Result<Option<String>, String> {
         let mut line = String::new();
         self.number += 1;
@@ -78,6 +81,7 @@
     }
 }
 
+/// Parses a `sync` line into its clock time; the error says what was expected.
 pub fn parse_sync(line: &str) -> Result<Seconds, String> {
     let mut fields = Fields { rest: Some(line) };
     if fields.text() != Some("sync") {
@@ -101,6 +105,7 @@
     }
 }
 
+/// Parses one message, reading further `lines` if it needs them; `names` looks up an attached node's names.
 pub fn parse<'n, R: BufRead>(
     line: &str,
     lines: &mut Lines<R>,
@@ -221,6 +226,7 @@
     })
 }
 
+/// Appends the line for an action of this node to `out`.
 pub fn write_action(node: u64, action: &Action, out: &mut String) {
     // Writing to a string cannot fail.
     let _ = match action {
--- a/cli/src/agent.rs
+++ b/cli/src/agent.rs
@@ -44,6 +44,7 @@
     pid: Option<u32>,
 }
 
+/// Runs the registration agent of a server. Arguments out of range are reported as [`Failure::Invalid`].
 pub async fn run(args: Args) -> Result<(), Failure> {
     check_id(&args.id).map_err(Failure::invalid)?;
     if !LEASE_S.contains(&args.lease_s) {
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -68,6 +68,7 @@
     json: bool,
 }
 
+/// Runs the benchmark that the subcommand names.
 pub async fn run(args: Args) -> Result<(), Failure> {
     match args.command {
         Commands::Registry(args) => run_registry(args).await,
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -144,6 +144,7 @@
     row[b.len()]
 }
 
+/// Checks a configuration file, or prints the default configuration.
 pub fn run(args: &Args) -> Result<(), Failure> {
     match &args.command {
         Commands::Check { file } => {
--- a/cli/src/duty.rs
+++ b/cli/src/duty.rs
@@ -132,6 +132,7 @@
 /// Time limit of a command's calls, including retries.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Runs the `duty` subcommand that the arguments name.
 pub async fn run(args: Args) -> Result<(), Failure> {
     match args.command {
         Commands::Run(args) => run_command(args).await,
--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -134,6 +134,7 @@
     options: RunOptions,
 }
 
+/// Runs the `lab` subcommand that the arguments name.
 pub async fn run(args: Args) -> Result<(), Failure> {
     match args.command {
         Commands::List => list(),
--- a/cli/src/list.rs
+++ b/cli/src/list.rs
@@ -22,6 +22,7 @@
     watch: bool,
 }
 
+/// Shows the server list once from the first endpoint that answers, or follows it with `--watch`.
 pub async fn run(args: Args) -> Result<(), Failure> {
     if !args.watch {
         let mut last_failure = String::new();
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -72,10 +72,12 @@
 }
 
 impl Failure {
+    /// Creates a [`Failure::Failed`] with the text of the error.
     pub fn failed(e: impl fmt::Display) -> Self {
         Failure::Failed(e.to_string())
     }
 
+    /// Creates a [`Failure::Invalid`] with the text of the error.
     pub fn invalid(e: impl fmt::Display) -> Self {
         Failure::Invalid(e.to_string())
     }
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -150,6 +150,7 @@
 /// Time limit of a command's calls, including retries.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Starts a registry replica, or runs the subcommand that the arguments name.
 pub async fn run(args: Args) -> Result<(), Failure> {
     match args.command {
         None => start(args.start, Vec::new()).await,
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -36,6 +36,7 @@
 const LOAD_S: u32 = 1_800;
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Starts the fleet and shows live statistics until it is stopped.
 pub async fn run(args: Args) -> Result<(), Failure> {
     let programs = programs(args.node)?;
     let text = format!(
--- a/fault-lab/src/backends.rs
+++ b/fault-lab/src/backends.rs
@@ -91,6 +91,7 @@
 }
 
 impl RunState {
+    /// Creates the state of a run whose clock has not started; the run begins in its warm-up.
     pub fn new(scenario: Scenario, plan: Vec<PlannedRequest>) -> Self {
         RunState {
             start: OnceLock::new(),
@@ -277,6 +278,7 @@
 }
 
 impl Backends {
+    /// Creates the origin from the scenario, without any cache servers; `seed` drives the random choices.
     pub fn new(run_state: Arc<RunState>, links: Links, seed: u64) -> Arc<Self> {
         let origin = &run_state.scenario.origin;
         let fetch_s = origin.takes_ms / 1e3;
@@ -391,10 +393,12 @@
         backend.liveness.send_replace(Liveness::Up);
     }
 
+    /// All cache servers added so far, without the origin.
     pub fn all(&self) -> Vec<Arc<Backend>> {
         lock(&self.all).clone()
     }
 
+    /// The network links between the zones, which faults change.
     pub fn links(&self) -> &Links {
         &self.links
     }
@@ -639,6 +643,7 @@
         self.change(backend, |machine| machine.slowdown = times);
     }
 
+    /// Stops the backend's work, or resumes it when `paused` is false.
     pub fn pause(&self, backend: &Backend, paused: bool) {
         self.change(backend, |machine| machine.paused = paused);
     }
--- a/fault-lab/src/bench.rs
+++ b/fault-lab/src/bench.rs
@@ -52,6 +52,7 @@
 }
 
 impl Spread {
+    /// Summarizes the values; with no values, all statistics are NaN and the count is 0.
     pub fn of(mut values: Vec<f64>) -> Spread {
         values.sort_by(f64::total_cmp);
         let at = |n: usize| values.get(n).copied().unwrap_or(f64::NAN);
@@ -74,6 +75,7 @@
     pub changes_per_s: f64,
 }
 
+/// Results of the registry benchmark, with the machine, seed and parameters that they were measured with.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub machine: String,
--- a/fault-lab/src/bench_duty.rs
+++ b/fault-lab/src/bench_duty.rs
@@ -47,6 +47,7 @@
     pub log_entries: u64,
 }
 
+/// Results of the duty benchmark, with the machine and parameters that they were measured with.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub machine: String,
--- a/fault-lab/src/clients.rs
+++ b/fault-lab/src/clients.rs
@@ -66,6 +66,7 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
+/// The emulated clients of a run. They send requests over pooled connections and record each try.
 pub struct Clients {
     run_state: Arc<RunState>,
     nodes: Vec<Arc<Node>>,
@@ -89,6 +90,7 @@
 }
 
 impl Clients {
+    /// Creates clients without open connections; `seed` drives their random choices.
     pub fn new(run_state: Arc<RunState>, nodes: Vec<Arc<Node>>, seed: u64) -> Arc<Self> {
         let next_node = (0..run_state.scenario.fleet.zones.len()).map(AtomicUsize::new);
         let lateness =
--- a/fault-lab/src/evaluation.rs
+++ b/fault-lab/src/evaluation.rs
@@ -85,6 +85,7 @@
 /// at cold servers.
 const MAX_COLD_SHARE: f64 = 0.3;
 
+/// Outcome of a run, judged by the scenario's conditions for a pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
@@ -122,6 +123,7 @@
     pub max_ms: f64,
 }
 
+/// The evaluation of one run: its verdict, its score and the measurements behind them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     pub scenario: String,
--- a/fault-lab/src/experiment.rs
+++ b/fault-lab/src/experiment.rs
@@ -26,6 +26,7 @@
     pub runs: usize,
 }
 
+/// Summarizes the values of several runs; the confidence half-width `within` is `None` for fewer than two.
 pub fn estimate(values: &[f64]) -> Estimate {
     let runs = values.len();
     let mean = values.iter().sum::<f64>() / runs.max(1) as f64;
@@ -118,6 +119,7 @@
     pub verdicts: Vec<crate::evaluation::Verdict>,
 }
 
+/// Averages the reports of the runs at one value of the swept parameter.
 pub fn sweep_step(value: f64, reports: &[Report]) -> SweepStep {
     let mean = |read: fn(&Report) -> f64| estimate(&reports.iter().map(read).collect::<Vec<_>>()).mean;
     SweepStep {
--- a/fault-lab/src/fenced_counter.rs
+++ b/fault-lab/src/fenced_counter.rs
@@ -60,10 +60,12 @@
         FencedCounter { addr: addr.expect("a free port"), state, runtime: Some(runtime) }
     }
 
+    /// All accepted calls so far.
     pub fn accepted(&self) -> Vec<Accepted> {
         lock(&self.state).accepted.clone()
     }
 
+    /// Number of calls refused so far.
     pub fn refused(&self) -> u64 {
         lock(&self.state).refused
     }
--- a/fault-lab/src/link.rs
+++ b/fault-lab/src/link.rs
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Reopens the link in both directions.
     pub fn heal(&self) {
         self.set(LinkCondition::Open, LinkCondition::Open);
     }
--- a/fault-lab/src/machine.rs
+++ b/fault-lab/src/machine.rs
@@ -55,6 +55,7 @@
     Crashed,
 }
 
+/// A simulated machine that shares its cores among running requests and queues the others.
 #[derive(Debug)]
 pub struct Machine {
     spec: MachineSpec,
@@ -75,6 +76,7 @@
 }
 
 impl Machine {
+    /// Creates an idle machine at time `now`, in seconds; it starts cold unless `warm` is set.
     pub fn new(spec: MachineSpec, now: f64, warm: bool) -> Self {
         let warmth = if warm { 1.0 } else { 0.0 };
         let (running, queue) = (Vec::new(), VecDeque::new());
@@ -93,14 +95,17 @@
         }
     }
 
+    /// Whether the machine has completed its warm-up since the last cold start.
     pub fn is_warm(&self) -> bool {
         self.warmth >= 1.0
     }
 
+    /// Number of requests on the machine, running or queued.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
+    /// Number of requests that wait for a slot.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
--- a/fault-lab/src/net.rs
+++ b/fault-lab/src/net.rs
@@ -73,6 +73,7 @@
 pub struct SharedRng(Arc<Mutex<StdRng>>);
 
 impl SharedRng {
+    /// Creates a generator; the same seed gives the same sequence of numbers.
     pub fn new(seed: u64) -> Self {
         SharedRng(Arc::new(Mutex::new(StdRng::seed_from_u64(seed))))
     }
@@ -270,6 +271,7 @@
 }
 
 impl Links {
+    /// Creates the links of `zones` zones: `same` applies within a zone, `cross` between two zones.
     pub fn new(zones: usize, same: Impairments, cross: Impairments) -> Self {
         let normal: Vec<Link> = (0..zones * zones)
             .map(|n| if n / zones == n % zones { same } else { cross })
--- a/fault-lab/src/observer.rs
+++ b/fault-lab/src/observer.rs
@@ -28,6 +28,7 @@
 }
 
 impl Observer {
+    /// Starts a thread that follows the list from these endpoints and records every version that it receives.
     pub fn start(name: &str, endpoints: Vec<SocketAddr>, seed: u64) -> Observer {
         let seen = Arc::new(Mutex::new(ClientHistory { name: name.into(), lists: Vec::new() }));
         let stop = Arc::new(AtomicBool::new(false));
@@ -79,6 +80,7 @@
 }
 
 impl Writer {
+    /// Starts a thread that registers `id` until it is stopped, with `pause` between two registrations.
     pub fn start(id: &str, endpoints: Vec<SocketAddr>, pause: Duration) -> Writer {
         let stop = Arc::new(AtomicBool::new(false));
         let acknowledged = Arc::new(Mutex::new(Vec::new()));
@@ -107,6 +109,7 @@
         acks.iter().filter(|(when, _)| *when > at).count()
     }
 
+    /// Stops the thread, waits for its last registration and returns all acknowledged ones.
     pub fn stop(mut self) -> Vec<Acknowledged> {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -164,6 +164,7 @@
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
+    /// Process id assigned by the operating system.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/fault-lab/src/registry.rs
+++ b/fault-lab/src/registry.rs
@@ -123,31 +123,44 @@
         self.folder.0.join(format!("{}.wall", self.replicas[n].name))
     }
 
+    /// Path of the log file of replica `n`, which is kept across restarts.
     pub fn log(&self, n: usize) -> PathBuf {
         self.folder.0.join(format!("{}.log", self.replicas[n].name))
     }
 
+    /// Starts the process of replica `n` without waiting until it is ready.
     pub fn launch(&mut self, n: usize) {
         let process = Process::start(&mut self.command(n), &self.log(n));
         self.replicas[n].process = Some(process);
     }
 
+    /// The process of replica `n`.
+    ///
+    /// # Panics
+    /// When the replica is not running.
     pub fn process(&self, n: usize) -> &Process {
         self.replicas[n].process.as_ref().expect("the replica is running")
     }
 
+    /// Waits until the process of replica `n` reports that it is ready.
+    ///
+    /// # Panics
+    /// When the replica is not running or does not become ready in time.
     pub fn wait_until_ready(&self, n: usize) {
         self.process(n).wait_for_line("ready");
     }
 
+    /// Ends the process of replica `n` by dropping it; its data stays for the next launch.
     pub fn kill(&mut self, n: usize) {
         self.replicas[n].process = None;
     }
 
+    /// Operations addresses of all replicas, running or not.
     pub fn ops(&self) -> Vec<SocketAddr> {
         self.replicas.iter().map(|replica| replica.ops).collect()
     }
 
+    /// Discovery addresses of all replicas, running or not.
     pub fn discovery(&self) -> Vec<SocketAddr> {
         self.replicas.iter().map(|replica| replica.discovery).collect()
     }
@@ -160,10 +173,15 @@
         })
     }
 
+    /// The status that replica `n` reports; `None` when it can't be read.
     pub fn status(&self, n: usize) -> Option<serde_json::Value> {
         get(self.replicas[n].ops, "/registry/status").ok()
     }
 
+    /// Waits for a replica that is the leader and ready, and returns its index.
+    ///
+    /// # Panics
+    /// When there is none in time.
     pub fn wait_for_leader(&self) -> usize {
         wait_for("the registry has a leader", || self.leader())
     }
--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -13,6 +13,7 @@
 const MAX_NODES: usize = 60;
 const MAX_MEASURED_S: f64 = 1_800.0;
 
+/// A parsed scenario file. Unknown fields are an error.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -50,6 +51,7 @@
     pub hold: PassConditions,
 }
 
+/// Size of the fleet and settings of its processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSpec {
@@ -151,6 +153,7 @@
     }
 }
 
+/// Capacity, latency and crash behavior of the emulated origin.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OriginSpec {
@@ -176,6 +179,7 @@
     }
 }
 
+/// The load that the clients generate: request rate, key popularity and retries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -223,6 +227,7 @@
     }
 }
 
+/// Normal network conditions within and between zones; delays are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkSpec {
@@ -254,6 +259,7 @@
     SingleShot,
 }
 
+/// A class of requests, with its cost, latency limits and worth.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
@@ -276,6 +282,7 @@
     pub key_ttl_s: f64,
 }
 
+/// A tenant, with its share of the load and of the quotas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -327,6 +334,7 @@
     }
 }
 
+/// A fault injected at `at_s` and, if `for_s` is set, reverted after that time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fault {
     pub at_s: f64,
